--- a/internal/hosts/attempt.go
+++ b/internal/hosts/attempt.go
@@ -15,13 +15,14 @@
 // Attempt is one command sent, or to be sent, to a host.
 type Attempt struct {
 	pool          *hostPool
-	conn          *conn // nil until one is assigned
-	command       []byte
-	done          bool // whether onResult was called
+	conn          *conn    // nil until one is assigned
+	command       *Command // nil once it was written, unless it may have to be written again
+	done          bool     // whether onResult was called
 	probe         bool
 	onResult      ResultHandler
 	urgent        bool  // whether its request class is urgent
 	queueDeadline int64 // with a connection quota, the latest time at which it leaves the queue
+	deadline      int64 // the answer is waited for until then, as the host is told
 	writeDeadline int64 // its last byte is written by then, or it is given up
 	started       bool  // whether bytes of it were written
 	startedAt     int64 // no byte was written before this time
--- a/internal/hosts/begin_test.go
+++ b/internal/hosts/begin_test.go
@@ -57,7 +57,9 @@
 
 // ask dispatches a command with a body and does not yet write it.
 func (f *far) ask(name string, body int) *Attempt {
-	return f.Send(1, []byte(name+" "), nil, nil, make([]byte, body), 20e9, f.now.Load()+20e9, func(e gateway.Event, value []byte, _ int64) {
+	command := Command{Head: []byte(name + " "), Tail: make([]byte, body)}
+	deadline := f.now.Load() + 20e9
+	return f.Send(1, command, deadline, deadline, func(e gateway.Event, value []byte, _ int64) {
 		f.out = append(f.out, fmt.Sprintf("%s: result %d, value %q", name, e.Result, value))
 	})
 }
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -214,7 +214,7 @@
 		attempt.started = true
 		attempt.startedAt = now
 		c.used = true
-		c.link.Out.Write(attempt.command)
+		attempt.command.write(c.link.Out, now, attempt.deadline)
 		if c.pool.transport.limiter == nil { // with one, a refused connection needs the command again
 			attempt.command = nil
 		}
--- a/internal/hosts/hosts_test.go
+++ b/internal/hosts/hosts_test.go
@@ -75,7 +75,8 @@
 }
 
 func (d *desk) send() *Attempt {
-	s := d.Send(1, []byte("*2\r\n"), []byte("d="), nil, nil, 2e6, 1e18, func(e gateway.Event, value []byte, _ int64) {
+	command := Command{Head: []byte("*2\r\n"), Before: []byte("d=")}
+	s := d.Send(1, command, d.now.Load()+2e6, 1e18, func(e gateway.Event, value []byte, _ int64) {
 		d.out = append(d.out, fmt.Sprintf("result %d, value %q", e.Result, value))
 	})
 	d.Flush()
--- a/internal/hosts/limiter.go
+++ b/internal/hosts/limiter.go
@@ -75,9 +75,9 @@
 
 // enqueue adds an attempt to the queue and serves it. If the attempt is still there and is expected to wait past its queue
 // deadline, it is rejected at once.
-func (l *ConnectionLimiter) enqueue(attempt *Attempt, wait int64) {
+func (l *ConnectionLimiter) enqueue(attempt *Attempt) {
 	now := l.transport.now()
-	attempt.queueDeadline = now + min(l.maxWait, wait/2)
+	attempt.queueDeadline = now + min(l.maxWait, (attempt.deadline-now)/2)
 	l.queue = append(l.queue, attempt)
 	l.serveQueue()
 	if attempt.done || attempt.conn != nil || !slices.Contains(l.queue, attempt) {
--- a/internal/hosts/limiter_test.go
+++ b/internal/hosts/limiter_test.go
@@ -51,7 +51,8 @@
 	g := d.LimitConnections(1, 19*time.Second, func(int64) int { return allowed }, func(int64) {})
 	ask := func(name string, wait time.Duration) {
 		g.SetUrgent(name == "urgent")
-		d.Send(1, []byte("*2\r\n"), []byte(name), nil, nil, int64(wait), 1e18, func(e gateway.Event, value []byte, _ int64) {
+		command := Command{Head: []byte("*2\r\n"), Before: []byte(name)}
+		d.Send(1, command, d.Transport.now()+int64(wait), 1e18, func(e gateway.Event, value []byte, _ int64) {
 			d.out = append(d.out, fmt.Sprintf("%s: result %d, value %q, come back %t", name, e.Result, value, g.RetryAfter() > 0))
 		})
 		d.Flush()
--- a/internal/hosts/transport.go
+++ b/internal/hosts/transport.go
@@ -4,7 +4,6 @@
 	"container/list"
 	"net"
 	"net/netip"
-	"strconv"
 	"time"
 
 	"ravensill/internal/resp"
@@ -92,47 +91,33 @@
 	}
 }
 
-// Send makes an attempt. The command is head, then a bulk string of before, wait in whole milliseconds and after, then tail.
-// It is not started after writeDeadline. onResult is called once, possibly before Send returns.
-func (t *Transport) Send(id uint32, head, before, after, tail []byte, wait, writeDeadline int64, onResult ResultHandler) *Attempt {
-	milliseconds := strconv.AppendInt(nil, max((wait+999_999)/1_000_000, 1), 10)
-	bulkLength := int64(len(before) + len(milliseconds) + len(after))
-	command := make([]byte, 0, len(head)+int(bulkLength)+len(tail)+32)
-	command = append(command, head...)
-	command = append(command, '$')
-	command = strconv.AppendInt(command, bulkLength, 10)
-	command = append(command, "\r\n"...)
-	command = append(command, before...)
-	command = append(command, milliseconds...)
-	command = append(command, after...)
-	command = append(command, "\r\n"...)
-	command = append(command, tail...)
-	return t.start(id, command, wait, writeDeadline, onResult)
+// Send makes an attempt. Its client, or the gateway, waits for the answer until deadline; the command tells the host the time
+// left until then. It is not started after writeDeadline. onResult is called once, possibly before Send returns.
+func (t *Transport) Send(id uint32, command Command, deadline, writeDeadline int64, onResult ResultHandler) *Attempt {
+	return t.start(id, &Attempt{command: &command, deadline: deadline, writeDeadline: writeDeadline, onResult: onResult})
 }
 
 // Probe asks a host for its load report.
 func (t *Transport) Probe(id uint32, onResult ResultHandler) *Attempt {
-	command := resp.Bulk(resp.Bulk(resp.Array(nil, 2), "INFO"), "load")
-	attempt := t.start(id, command, probeTimeout, t.now()+probeTimeout, onResult)
-	attempt.probe = true
-	return attempt
+	command := &Command{Head: resp.Bulk(resp.Bulk(resp.Array(nil, 2), "INFO"), "load"), constant: true}
+	deadline := t.now() + probeTimeout
+	return t.start(id, &Attempt{command: command, deadline: deadline, writeDeadline: deadline, probe: true, onResult: onResult})
 }
 
-// start makes an attempt with a whole command.
-func (t *Transport) start(id uint32, command []byte, wait, writeDeadline int64, onResult ResultHandler) *Attempt {
-	pool := t.pool(id)
-	if pool == nil {
-		removed := &hostPool{transport: t, removed: true}
-		attempt := &Attempt{pool: removed, command: command, onResult: onResult}
+// start makes an attempt whose command, deadlines and handler are set.
+func (t *Transport) start(id uint32, attempt *Attempt) *Attempt {
+	attempt.pool = t.pool(id)
+	if attempt.pool == nil {
+		attempt.pool = &hostPool{transport: t, removed: true}
 		attempt.fail(&Failure{Connecting, errHostRemoved})
 		return attempt
 	}
-	attempt := &Attempt{pool: pool, command: command, onResult: onResult, urgent: t.nextUrgent, writeDeadline: writeDeadline}
+	attempt.urgent = t.nextUrgent
 	if t.limiter != nil {
-		t.limiter.enqueue(attempt, wait)
+		t.limiter.enqueue(attempt)
 		return attempt
 	}
-	pool.schedule(attempt)
+	attempt.pool.schedule(attempt)
 	return attempt
 }
 
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -152,6 +152,50 @@
 	golden.Check(t, m.String())
 }
 
+// A repeat of what may have run is not written so late that a stall between the clock and the write takes it past the window.
+func TestRetryKeepsStallAllowanceBeforeWindowEnd(t *testing.T) {
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	const window = int64(10e9)
+	for _, test := range []struct {
+		name   string
+		left   int64 // of the window, when the connection is up
+		result gateway.Result
+	}{
+		{"clear of the end", stallAllowance + 2e9, gateway.TimedOut},
+		{"within the allowance", stallAllowance - 1e6, gateway.Unreached},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			m := &eager{}
+			n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Seat: gateway.Membership{Count: 1},
+				Fronts: []gateway.RequestClass{{Effect: gateway.Deduplicated, Window: window}}, Plans: []gateway.Plan{{}},
+				ConnectTimeout: 1e9}}, m)
+			n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
+			n.arrive(new(clients.Line).Add(), n.now(), "r", "c", 0, 0, n.now()+1e12, 1, 1, 0, false, nil, nil, nil, nil)
+			n.turn()
+			r := n.reqs["r"]
+			written := func(i int) {
+				for ; !r.sends[i].send.Written(); n.turn() {
+					(<-n.work)()
+				}
+			}
+			written(0)
+			r.sends[0].send.Cancel(hosts.ErrTimedOut) // it may have run
+			n.turn()
+			n.unix += window - test.left
+			written(1)
+			r.sends[1].send.Cancel(hosts.ErrTimedOut)
+			n.turn()
+			if want := fmt.Sprintf("r attempt 1 ended: result %d,", test.result); !strings.Contains(m.String(), want) {
+				t.Errorf("%swant %q", m, want)
+			}
+		})
+	}
+}
+
 // A panic where a dispatch is sent, or where its answer is handed on, leaves it neither out for the module nor held here.
 func TestPanics(t *testing.T) {
 	log.SetOutput(io.Discard)
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -3,12 +3,17 @@
 import (
 	"log"
 	"slices"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/clients"
 	"ravensill/internal/hosts"
 )
 
+// stallAllowance is for how long the process may be held up between reading its clock and writing, in nanoseconds: what must
+// not be written after a time is not begun within so long before it.
+const stallAllowance = int64(150 * time.Millisecond)
+
 // req is held until it is answered and no dispatch is out.
 type req struct {
 	node                      *Node
@@ -146,9 +151,10 @@
 	n.pool.setUrgency(r)
 	by := d.due
 	if r.ranAt > 0 && r.class.Effect == gateway.Deduplicated { // hosts drop a repeat for so long: a connection may come up later
-		by = min(by, r.ranAt+r.class.Window)
+		by = min(by, r.ranAt+r.class.Window-stallAllowance)
 	}
-	d.send = n.transport.Send(host, r.head, r.before, r.after, r.tail, wait, by, d.ended)
+	command := hosts.Command{Head: r.head, Before: r.before, After: r.after, Tail: r.tail}
+	d.send = n.transport.Send(host, command, d.due, by, d.ended)
 	if r.closed { // it left meanwhile: the end of another may have ended its connection
 		d.withdraw()
 	}
