--- a/logic/hosts.go
+++ b/logic/hosts.go
@@ -117,10 +117,19 @@
 	return least
 }
 
-// attempted counts an attempt: every cold host's allowance grows by its part of what all are warm for.
-func (f *hostPool) attempted(to *host, fr *class, now int64) {
+// attempted counts an attempt, which takes from the allowance of a cold host. A request's first one lets the allowances grow.
+// Retries don't: where the other hosts fail each request brings several, and a cold host would get as many times its part.
+func (f *hostPool) attempted(to *host, fr *class, retry bool, now int64) {
 	f.inFlight++
 	f.use(to)
+	if !retry {
+		f.growAllowances(fr, now)
+	}
+	to.allow--
+}
+
+// growAllowances has every cold host's allowance grow by its part of what all are warm for.
+func (f *hostPool) growAllowances(fr *class, now int64) {
 	sum, all := 0.0, 0.0
 	for _, h := range f.near {
 		if w := f.warmUp(h, now); h.state == gateway.Running && h.Held {
@@ -134,7 +143,6 @@
 			h.allow = min(h.allow+w/max(sum, all*2/max(f.cold.Multiple, 1), 1), 1.5) // others fail: up to its bound
 		}
 	}
-	to.allow--
 }
 
 // observe takes in what an ended attempt says of its host.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -192,7 +192,7 @@
 	r.attempts++
 	r.customer.inFlight++
 	h.inFlight = append(h.inFlight, r.current)
-	g.pool.attempted(h, r.class, g.now)
+	g.pool.attempted(h, r.class, r.attempts > 1, g.now)
 	g.writer.Dispatch(r.id, h.id, max(g.end(r)-g.now, 1000))
 }
 
