--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -121,9 +121,14 @@
 	if s.fullLog.due(now) {
 		log.Printf("event=clients_full clients=%d room_made=%t count=%d", len(s.conns), victim != nil, s.fullLog.logged(now))
 	}
-	if victim != nil {
+	if victim == nil {
+		return
+	}
+	if victim.halfClosed {
 		victim.close()
+		return
 	}
+	victim.closeIfQuiet() // else the next question makes room
 }
 
 // evictable reports whether a connection may be closed to make room: it is idle, not new, and no answer is on its way.
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -48,6 +48,7 @@
 	c.partialSince = c.partialPosted
 	c.mu.Unlock()
 	c.startCommands()
+	c.rejectOverflow()
 	c.halfCloseIfIdle()
 }
 
@@ -61,7 +62,7 @@
 		c.commandCount++
 		switch {
 		case c.halfClosed: // the close crossed the command: the client sees the end and sends it again elsewhere
-		case c.closing:
+		case c.closing, command.rejected > 0:
 			c.Add().Denied(0) // never sent on: the client may retry elsewhere at once, idempotent or not
 		default:
 			c.start(command.run)
@@ -106,25 +107,23 @@
 	case c.commandOverdue(now):
 		c.closeWithError(errCommandTimeout)
 	case c.idleTooLong(now):
-		c.closing = true // half-closed only: closing over bytes that arrive now would be a reset
-		c.halfCloseIfIdle()
+		c.halfCloseIfQuiet() // half-closed only: closing over bytes that arrive now would be a reset
 	}
 }
 
-// commandOverdue reports whether a command is incomplete, or the first one missing, for too long.
+// commandOverdue reports whether a command is incomplete, or the first one missing, for too long. One whose rest is read, or
+// about to be, is not: the connection would end over a whole command.
 func (c *Conn) commandOverdue(now int64) bool {
-	if c.partialSince > 0 {
-		return now-c.partialSince > commandTimeout
+	since := c.partialSince
+	if since == 0 && c.commandCount == 0 {
+		since = c.lastAnswer
 	}
-	return c.commandCount == 0 && now-c.lastAnswer > commandTimeout && c.link.Quiet(c.readsSeen)
+	return since > 0 && now-since > commandTimeout && c.link.Quiet(c.readsSeen)
 }
 
 // idleTooLong reports whether a connection that had commands is idle for too long.
 func (c *Conn) idleTooLong(now int64) bool {
-	if !c.idle() || c.commandCount == 0 || c.partialSince > 0 {
-		return false
-	}
-	return now-c.lastAnswer > idleTimeout && c.link.Quiet(c.readsSeen)
+	return c.idle() && c.commandCount > 0 && c.partialSince == 0 && now-c.lastAnswer > idleTimeout
 }
 
 // flush writes answers, as far as the socket takes them, and starts commands that waited for them.
@@ -158,9 +157,19 @@
 	if c.closed || c.halfClosed || !c.idle() {
 		return
 	}
-	if c.closing || c.server.draining && (c.partialSince > 0 || c.link.Quiet(c.readsSeen)) {
-		c.closing, c.halfClosed = true, true
+	if c.closing {
+		c.halfClosed = true
 		c.link.CloseWrite(lingerTimeout)
+	} else if c.server.draining {
+		c.halfCloseIfQuiet()
+	}
+}
+
+// halfCloseIfQuiet closes the sending side of an idle connection from which nothing has come that the loop has not received. No
+// command can be read between that look and the close: it would never be answered.
+func (c *Conn) halfCloseIfQuiet() {
+	if c.link.CloseWriteIfQuiet(c.readsSeen, lingerTimeout) {
+		c.closing, c.halfClosed = true, true
 	}
 }
 
@@ -184,6 +193,15 @@
 	c.closeOnFault(why)
 }
 
+// closeIfQuiet is close if nothing has come that the loop has not received; it reports whether it closed.
+func (c *Conn) closeIfQuiet() bool {
+	if !c.link.CloseIfQuiet(c.readsSeen) {
+		return false
+	}
+	c.close()
+	return true
+}
+
 // close ends the connection at once. Its place is released first, whatever happens in the callbacks after that.
 func (c *Conn) close() {
 	if c.closed {
--- a/internal/clients/reader.go
+++ b/internal/clients/reader.go
@@ -5,6 +5,7 @@
 	"log"
 	"runtime/debug"
 	"sync"
+	"time"
 
 	"ravensill/internal/resp"
 )
@@ -26,12 +27,16 @@
 	hasRoom       chan struct{}   // holds a value once fewer than maxQueuedBytes are queued
 }
 
-// queuedCommand is one command that waits to be started.
+// queuedCommand is one command that waits to be started, or several in a row that are rejected.
 type queuedCommand struct {
-	size int // bytes
-	run  func(*Answer)
+	size     int // bytes
+	run      func(*Answer)
+	rejected int // commands that it stands for; 0: the one of run
 }
 
+// count returns how many commands it stands for.
+func (q queuedCommand) count() int { return max(q.rejected, 1) }
+
 // readCommands reads the connection until it ends and queues its commands for the loop.
 func (c *Conn) readCommands() {
 	s := c.server
@@ -131,12 +136,12 @@
 	c.partialBegan = 0
 	size += queuedOverhead
 	c.mu.Lock()
-	c.commands = append(c.commands, queuedCommand{size, run})
+	c.commands = append(c.commands, queuedCommand{size: size, run: run})
 	c.queuedBytes += size
 	c.mu.Unlock()
 }
 
-// notifyLoop tells the loop of queued commands, and waits while too many bytes are queued.
+// notifyLoop tells the loop of queued commands, and waits until it has received them if too many bytes are queued.
 func (c *Conn) notifyLoop() {
 	c.mu.Lock()
 	c.readsPosted, c.partialPosted = c.link.Reads(), c.partialBegan
@@ -153,12 +158,41 @@
 		case <-c.done:
 			return
 		}
+		time.Sleep(floodPause)
 		c.mu.Lock()
 		queued = c.queuedBytes
 		c.mu.Unlock()
 	}
 }
 
+// rejectOverflow has all queued commands rejected if too many bytes are queued though the loop has started what it may. Else the
+// reader would wait for places in flight, and would not see the end of a client that has closed behind what is unread: its
+// commands would be sent on for nobody.
+func (c *Conn) rejectOverflow() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.queuedBytes <= maxQueuedBytes {
+		return
+	}
+	rejected := 0
+	for _, command := range c.commands[c.head:] {
+		rejected += command.count()
+	}
+	clear(c.commands)
+	c.commands = append(c.commands[:0], queuedCommand{size: queuedOverhead, rejected: rejected})
+	c.head = 0
+	c.queuedBytes = queuedOverhead
+	c.signalRoom()
+}
+
+// signalRoom wakes a reader that waits for room in the queue.
+func (c *commandQueue) signalRoom() {
+	select {
+	case c.hasRoom <- struct{}{}:
+	default:
+	}
+}
+
 // dequeue removes the first queued command.
 func (c *Conn) dequeue() (command queuedCommand, ok bool) {
 	c.mu.Lock()
@@ -166,7 +200,12 @@
 	if c.head == len(c.commands) {
 		return command, false
 	}
-	command = c.commands[c.head]
+	first := &c.commands[c.head]
+	if first.rejected > 1 {
+		first.rejected--
+		return queuedCommand{rejected: 1}, true
+	}
+	command = *first
 	c.commands[c.head] = queuedCommand{} // for the garbage collector
 	c.head++
 	if c.head == len(c.commands) {
@@ -178,10 +217,7 @@
 	}
 	c.queuedBytes -= command.size
 	if c.queuedBytes <= maxQueuedBytes {
-		select {
-		case c.hasRoom <- struct{}{}:
-		default:
-		}
+		c.signalRoom()
 	}
 	return command, true
 }
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -9,7 +9,7 @@
 // Limits of a connection.
 const (
 	maxInFlight    = 256       // commands that wait for answers; later ones stay queued
-	maxQueuedBytes = 512 << 10 // bytes of queued commands; beyond that the connection is not read
+	maxQueuedBytes = 512 << 10 // bytes of queued commands; beyond that all queued ones are rejected
 	maxUnsentBytes = 256 << 10 // bytes of answers that wait for a client that reads slowly
 	maxMalformed   = 16        // malformed commands in a row that end the connection
 )
@@ -24,6 +24,7 @@
 	logInterval        = int64(time.Second)            // between log lines of one kind
 	lingerTimeout      = time.Second                   // a half-closed connection is still read for so long
 	placeRetryInterval = 20 * time.Millisecond         // between two requests of the accept loop for a free place
+	floodPause         = 2 * time.Millisecond          // after each maxQueuedBytes of a client that sends faster than the loop starts commands
 	acceptRetryDelay   = 10 * time.Millisecond         // after a failed accept
 )
 
--- a/internal/clients/server_test.go
+++ b/internal/clients/server_test.go
@@ -4,7 +4,9 @@
 	"bufio"
 	"fmt"
 	"io"
+	"log"
 	"net"
+	"os"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -187,6 +189,100 @@
 	golden.Check(t, server.trace.String())
 }
 
+// TestEndBehindFullQueue has a client pipeline more than its reader queues, and close, while no command in flight is answered. The
+// reader must come to the end all the same, and no queued command may start any more.
+func TestEndBehindFullQueue(t *testing.T) {
+	server := newTestServer(t, 9)
+	client := server.connect()
+	go func() {
+		for range 30 { // several times the queue
+			client.send(requestIDs(1000)...)
+		}
+		client.CloseWrite() // no reset tells of it where answers are written
+	}()
+	server.runLoop("the end seen", client.conn.left.Load)
+	for _, answer := range server.requests[:9] {
+		answer.Denied(0)
+	}
+	server.runLoop("ended", func() bool { return client.conn.closed })
+	if len(server.requests) != maxInFlight {
+		t.Errorf("%d requests arrived, %d of them after the end", len(server.requests), len(server.requests)-maxInFlight)
+	}
+}
+
+// TestEndBehindMalformedBytes has a client send more commands than may be in flight, then bytes that can't be understood and its
+// end: the commands that wait must not start any more.
+func TestEndBehindMalformedBytes(t *testing.T) {
+	server := newTestServer(t, 9)
+	client := server.connect()
+	client.SetWriteBuffer(8 << 20)
+	client.send(requestIDs(2 * maxInFlight)...)
+	server.runLoop("as many open as may be", func() bool { return len(server.requests) == maxInFlight })
+	go func() {
+		io.WriteString(client.TCPConn, strings.Repeat("malformed\r\n", 100_000))
+		client.CloseWrite()
+	}()
+	server.waitFor("the end seen", client.conn.left.Load)
+	for _, answer := range server.requests[:9] {
+		answer.Denied(0)
+	}
+	server.runLoop("ended", func() bool { return client.conn.closed })
+	if len(server.requests) != maxInFlight {
+		t.Errorf("%d requests arrived, %d of them after the end", len(server.requests), len(server.requests)-maxInFlight)
+	}
+}
+
+// writerFunc is a function as a writer.
+type writerFunc func(line []byte) (int, error)
+
+func (f writerFunc) Write(line []byte) (int, error) { return f(line) }
+
+// TestCommandReadUnderEviction has a command read between the choice of the connection that makes room and its close: the
+// connection stays, and the command is answered.
+func TestCommandReadUnderEviction(t *testing.T) {
+	server := newTestServer(t, 1)
+	client := server.connect()
+	client.send("first")
+	server.runLoop("first arrived", func() bool { return len(server.requests) == 1 })
+	server.requests[0].Denied(0)
+	server.Flush()
+	server.clock.Add(logInterval + 1)
+	log.SetOutput(writerFunc(func(line []byte) (int, error) { // of the line between the two
+		client.send("second")
+		server.waitFor("second read", func() bool { return client.conn.link.Reads() > client.conn.readsSeen })
+		return len(line), nil
+	}))
+	defer log.SetOutput(os.Stderr)
+	server.makeRoom()
+	server.runLoop("second arrived", func() bool { return len(server.requests) == 2 })
+	server.requests[1].Denied(0)
+	server.Flush()
+	if first, second := client.readLine(), client.readLine(); first != "-BUSY" || second != "-BUSY" {
+		t.Errorf("answers %q and %q", first, second)
+	}
+}
+
+// TestWholeCommandIsNotOverdue has the rest of a slow command read when its time is up, and not yet received by the loop: it is
+// answered as the command that it is.
+func TestWholeCommandIsNotOverdue(t *testing.T) {
+	server := newTestServer(t, 9)
+	client := server.connect()
+	text := command("CALL.GET", get, "slow", list)
+	io.WriteString(client.TCPConn, text[:30])
+	server.runLoop("half of it read", func() bool { return client.conn.partialSince > 0 })
+	io.WriteString(client.TCPConn, text[30:])
+	server.waitFor("the rest read", func() bool { return client.conn.link.Reads() > client.conn.readsSeen })
+	server.clock.Add(commandTimeout + 1)
+	server.lastSweep = server.now()
+	server.Tidy()
+	server.runLoop("arrived", func() bool { return len(server.requests) == 1 })
+	server.requests[0].Denied(0)
+	server.Flush()
+	if got := client.readLine(); got != "-BUSY" {
+		t.Errorf("answer %q", got)
+	}
+}
+
 // TestCommandCrossesClose ends an idle connection, by its timeout, to make room, or while draining, as a command comes: read and
 // on its way to the loop, unread, or after the close. The first two are answered; the last is never sent on, and its client sees
 // the end of the stream, not a reset.
--- a/internal/ring/link.go
+++ b/internal/ring/link.go
@@ -4,12 +4,21 @@
 	"io"
 	"net"
 	"os"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
 	"unsafe"
 )
 
+// The pace of Discard. The end of a peer that has closed lies behind what the two systems hold of its bytes (MaxHeldBytes, by
+// the default limits of Linux, tcp_rmem and tcp_wmem), and has to be seen soon.
+const (
+	DiscardChunk = 256 << 10 // bytes
+	DiscardPause = 2 * time.Millisecond
+	MaxHeldBytes = 10 << 20
+)
+
 // Link drives one TCP connection. One goroutine reads into In; another one, the loop, writes out of Out.
 type Link struct {
 	In  *Ring
@@ -28,6 +37,9 @@
 	reads      atomic.Int64 // reads that returned bytes or an end
 	reading    atomic.Bool  // a read is between taking bytes from the socket and being counted
 
+	readMutex  sync.Mutex // held from taking bytes from the socket until the read is counted
+	readsEnded bool       // guarded by readMutex: nothing is taken from the socket any more
+
 	// The loop's.
 	wouldBlock bool // result of peekSocket: nothing to read
 	writeErr   error
@@ -65,8 +77,14 @@
 // ends an idle period, it wakes its monitor thread, and it takes the processor away from one that lasts (as a write to loopback
 // does). That was a sixth to a third of all processor time.
 func (l *Link) readSocket(fd uintptr) bool {
+	l.readMutex.Lock()
+	defer l.readMutex.Unlock()
 	l.reading.Store(true)
 	defer l.reading.Store(false)
+	if l.readsEnded {
+		l.readCount, l.readErr = 0, net.ErrClosed
+		return true
+	}
 	for {
 		n, _, errno := syscall.RawSyscall(syscall.SYS_READ, fd, uintptr(unsafe.Pointer(&l.readBuffer[0])), uintptr(len(l.readBuffer)))
 		switch {
@@ -92,6 +110,31 @@
 	return l.socketEmpty() && !l.reading.Load() && l.reads.Load() == reads
 }
 
+// CloseIfQuiet closes the connection if nothing has come since so many reads, and reports whether it did. No read can take bytes
+// between the look and the close, as it could between Quiet and Close: a command that is read has to be answered.
+func (l *Link) CloseIfQuiet(reads int64) bool {
+	l.readMutex.Lock()
+	quiet := l.socketEmpty() && l.reads.Load() == reads
+	l.readsEnded = quiet
+	l.readMutex.Unlock() // Close waits for a read under way, which may wait for the lock
+	if quiet {
+		l.Close()
+	}
+	return quiet
+}
+
+// CloseWriteIfQuiet is CloseWrite if nothing has come since so many reads, and reports whether it was. What is read after it was
+// read after the end that the peer sees.
+func (l *Link) CloseWriteIfQuiet(reads int64, limit time.Duration) bool {
+	l.readMutex.Lock()
+	defer l.readMutex.Unlock()
+	if !l.socketEmpty() || l.reads.Load() != reads {
+		return false
+	}
+	l.CloseWrite(limit)
+	return true
+}
+
 // Fresh reports whether nothing has come at all. A Read under way does not count: the first one of a connection begins together
 // with its first write, and there is no earlier answer whose rest it could bring.
 func (l *Link) Fresh() bool { return l.socketEmpty() && l.reads.Load() == 0 }
@@ -120,9 +163,10 @@
 }
 
 // Discard reads and drops what still comes, until the peer closes or the time limit of CloseWrite has passed: closing over unread
-// bytes would reset away the last answer. It reads slowly: a peer with 60 MB to send must not cost others their processor time.
+// bytes would reset away the last answer. It reads no faster than DiscardChunk in each DiscardPause: a peer with 60 MB to send
+// must not cost others their processor time.
 func (l *Link) Discard() {
-	for buf := make([]byte, 16<<10); ; time.Sleep(2 * time.Millisecond) {
+	for buf := make([]byte, DiscardChunk); ; time.Sleep(DiscardPause) {
 		if _, err := l.conn.Read(buf); err != nil {
 			return
 		}
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -4,9 +4,11 @@
 	"bufio"
 	"bytes"
 	"errors"
+	"io"
 	"net"
 	"syscall"
 	"testing"
+	"time"
 )
 
 // TestWrap checks that bytes come out in the order written, around the end of the buffer and while it grows.
@@ -109,6 +111,81 @@
 	}
 }
 
+// newLinkPair returns the driver of one end of a connection, and the other end.
+func newLinkPair(t *testing.T) (link *Link, far *net.TCPConn) {
+	near, peer := pair(t)
+	link, err := NewLink(near.(*net.TCPConn), 1<<20, 1<<10)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return link, peer.(*net.TCPConn)
+}
+
+// waitFor waits for a state that the system brings about.
+func waitFor(t *testing.T, what string, reached func() bool) {
+	t.Helper()
+	for limit := time.Now().Add(20 * time.Second); !reached(); time.Sleep(time.Millisecond) {
+		if time.Now().After(limit) {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// TestDiscardPace checks that the end of a peer that has closed is read within a tenth of a second, behind all that the systems
+// may hold of its bytes: attempts for it that begin later break the rules.
+func TestDiscardPace(t *testing.T) {
+	const chunks = MaxHeldBytes / DiscardChunk
+	if took := chunks * DiscardPause; took > 100*time.Millisecond {
+		t.Errorf("%v for %d bytes", took, MaxHeldBytes)
+	}
+}
+
+// TestCloseIfQuiet checks that a connection is closed only if nothing has come since the reads that the caller knows of, and that
+// no later read takes anything from it.
+func TestCloseIfQuiet(t *testing.T) {
+	closers := map[string]func(link *Link, reads int64) bool{
+		"close":       (*Link).CloseIfQuiet,
+		"close write": func(link *Link, reads int64) bool { return link.CloseWriteIfQuiet(reads, time.Minute) },
+	}
+	for name, close := range closers {
+		t.Run(name, func(t *testing.T) {
+			link, far := newLinkPair(t)
+			far.Write([]byte("a"))
+			waitFor(t, "a byte has come", func() bool { return !link.socketEmpty() })
+			if close(link, 0) {
+				t.Error("closed over an unread byte")
+			}
+			if err := link.Read(); err != nil {
+				t.Fatal(err)
+			}
+			if close(link, 0) {
+				t.Error("closed over a byte that the caller does not know of")
+			}
+			if !close(link, 1) {
+				t.Error("not closed though nothing has come")
+			}
+			if n, err := far.Read(make([]byte, 1)); n > 0 || err != io.EOF {
+				t.Errorf("the peer reads %d bytes, %v", n, err)
+			}
+		})
+	}
+}
+
+// TestCloseIfQuietUnderRead checks that CloseIfQuiet ends a read that waits for bytes, and one that is about to take some.
+func TestCloseIfQuietUnderRead(t *testing.T) {
+	for range 200 {
+		link, far := newLinkPair(t)
+		ended := make(chan error)
+		go func() { ended <- link.Read() }()
+		go far.Write([]byte("a"))
+		closed := link.CloseIfQuiet(0)
+		err := <-ended
+		if closed != (err != nil) || closed == (link.Reads() > 0 && link.In.Len() > 0) {
+			t.Fatalf("closed %t, read %v, %d bytes", closed, err, link.In.Len())
+		}
+	}
+}
+
 // BenchmarkReading compares a ring with a bufio.Reader in front of a ring, for commands of 120 bytes in writes of one command.
 func BenchmarkReading(b *testing.B) {
 	command := bytes.Repeat([]byte("c"), 120)
