--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -74,6 +74,7 @@
 	Class    int
 	Plan     int
 	Until    int64   // deadline of the client
+	StopAt   int64   // for an Arrived: the gateway, which was called to stop, answers nothing after it; 0: not called to stop
 	Units    float64 // of the quota; for an Ended with success the settled units, 0 if unsettled
 	Spread   int     // the customer's requests come in at this many gateways,
 	First    int     // from this member index on, cyclically
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -77,7 +77,7 @@
 	n.reqs[id] = r
 	a.Left = r.left
 	n.events = append(n.events, gateway.Event{Kind: gateway.Arrived, Req: id, Customer: customer, Class: front,
-		Plan: plan, Until: until, Units: units, Spread: spread, First: first, Again: again})
+		Plan: plan, Until: until, StopAt: n.leaveAt, Units: units, Spread: spread, First: first, Again: again})
 }
 
 // left takes in that the client is gone. Where the module has not heard of the req yet it never does: behind a stall or
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -117,7 +117,7 @@
 
 func (g *Gateway) arrive(e *gateway.Event, at int64) {
 	c, fr := g.customer(hashText(e.Customer), e.Plan, e.Spread, e.First), g.classes[e.Class]
-	r := &request{id: e.Req, customer: c, class: fr, units: e.Units, arrived: at, deadline: e.Until}
+	r := &request{id: e.Req, customer: c, class: fr, units: e.Units, arrived: at, deadline: e.Until, stopAt: e.StopAt}
 	g.requests[r.id] = r
 	fr.units += (e.Units - fr.units) / 64
 	g.arrived++
@@ -152,6 +152,8 @@
 		after, why = float64(second), ByUnanswered
 	case r.deadline <= g.now, fr.Late == 0 && float64(g.now-r.arrived)+fr.usual > float64(fr.Target): // in vain
 		why = ByLate
+	case r.stopAt > 0 && float64(r.stopAt-g.now) < fr.usual: // this gateway would end over it; another has the time
+		why = ByLate
 	case inCap > 0 && ask:
 		r.slot = mix(uint64(c.hash)<<32|uint64(g.now/counterSpan)) >> 1
 		g.call(r.slot, 1, r)
--- a/logic/requests_test.go
+++ b/logic/requests_test.go
@@ -160,3 +160,31 @@
 	}
 	golden.Check(t, w.trace.String())
 }
+
+// A gateway that is called to stop rejects a request at once if it is to end before the answer usually comes: the client still
+// has the time to go to another. The same request at a gateway that goes on is sent to a host.
+func TestRejectsWhatEndsWithGateway(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		left   int64 // until the gateway ends; 0: it is not called to stop
+		reject bool
+	}{
+		{"not called to stop", 0, false},
+		{"ends long after the answer", 2000 * ms, false},
+		{"ends before the answer", 20 * ms, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			w := newSimulation(1, 2, nil)
+			request := gateway.Event{Kind: gateway.Arrived, Req: "r", Customer: "a", Until: w.now + 2500*ms, Units: 1, Spread: 1}
+			if test.left > 0 {
+				request.StopAt = w.now + test.left
+				request.Until = min(request.Until, request.StopAt)
+			}
+			w.trace.Reset()
+			w.deliver(0, request)
+			if rejected := strings.Contains(w.trace.String(), "deny r"); rejected != test.reject {
+				t.Errorf("rejected %t:\n%s", rejected, w.trace.String())
+			}
+		})
+	}
+}
--- a/logic/state.go
+++ b/logic/state.go
@@ -18,6 +18,7 @@
 	units      float64
 	arrived    int64
 	deadline   int64 // the client gives up then
+	stopAt     int64 // this gateway ends then; 0: it is not called to stop
 	attempts   int
 	current    *attempt // in flight; nil: none
 	mayHaveRun *attempt // the first that may have run; nil: none
