--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -135,6 +135,9 @@
 		} else if known == nil && b.past(s.id, s.Since) {
 			return
 		}
+		if known != nil { // an older list does not know of the last start
+			s.Since = max(s.Since, known.since)
+		}
 	}
 	r.places[s.id] = len(r.servers)
 	r.servers = append(r.servers, s)
--- /dev/null
+++ b/logic/clock_test.go
@@ -0,0 +1,112 @@
+package logic
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"ravensill/gateway"
+)
+
+// clockSteps are the steps of a wall clock that tests play, in both directions.
+var clockSteps = []int64{3600 * second, -3600 * second, 5 * second, -5 * second}
+
+// epoch is the time at which these tests begin: far enough from 0 for a clock to be set back.
+const epoch = 1_000_000 * second
+
+// A gateway restarts after its wall clock was set. Its peer hears it again within the time that makes a peer count as gone, and
+// takes the admissions of both incarnations off its copy.
+func TestPeerRestartAfterClockStep(t *testing.T) {
+	for _, step := range clockSteps {
+		t.Run(fmt.Sprint(time.Duration(step)), func(t *testing.T) {
+			w := newSimulation(2, 4, func(w *simulation) { w.now, w.plans[0].Rate = epoch, 0.001 })
+			w.arrive(1, "a", 3)
+			w.finishAll(1)
+			w.advance(3*second, true)
+			w.gateways[1].clockOffset = step
+			w.restart(1, 4, 2)
+			peer := w.gateways[0].gateway.peers[1]
+			w.advance(w.gateways[0].gateway.silence+second, true)
+			w.arrive(1, "a", 4)
+			w.finishAll(1)
+			w.advance(second, true)
+			if quiet := w.now - peer.received; quiet > w.gateways[0].gateway.pause {
+				t.Errorf("the peer counts as silent for %v", time.Duration(quiet))
+			}
+			c := w.gateways[0].gateway.customers[hashText("a")]
+			const left, presumed = 10 - 3 - 4, 3 // presumed: taken for a peer that is not heard, which goes on as before
+			if c == nil || c.level > left+0.1 || c.level < left-presumed {
+				t.Errorf("the copy at the peer: %+v", c)
+			}
+		})
+	}
+}
+
+// A datagram of the incarnation before that comes late changes nothing while the later incarnation is heard.
+func TestOvertakenDatagramOfFormerIncarnation(t *testing.T) {
+	w := newSimulation(2, 4, nil)
+	w.arrive(1, "a", 3)
+	w.finishAll(1)
+	var overtaken []byte
+	for ; overtaken == nil; w.now += tickInterval {
+		w.deliver(1, gateway.Event{Kind: gateway.Tick})
+		if messages := w.gateways[1].messages; len(messages) > 0 {
+			overtaken = messages[0]
+		}
+	}
+	w.restart(1, 4, 2)
+	w.advance(second, true)
+	peer := w.gateways[0].gateway.peers[1]
+	incarnation, level := peer.incarnation, w.gateways[0].gateway.customer(hashText("a"), 0, 2, 0).level
+	w.deliver(0, gateway.Event{Kind: gateway.Received, Peer: 1, Body: overtaken})
+	if peer.incarnation != incarnation || w.gateways[0].gateway.customers[hashText("a")].level != level {
+		t.Errorf("incarnation %d, then %d", incarnation, peer.incarnation)
+	}
+}
+
+// A host starts while a gateway runs whose wall clock is off, after a long time without news. The gateway takes the host for as
+// warm as it is, or colder by no more than the notification took, whatever the clocks say.
+func TestSlowStartUnderClockStep(t *testing.T) {
+	const delay = 100 * ms // of the notification
+	for _, step := range append([]int64{0}, clockSteps...) {
+		t.Run(fmt.Sprint(time.Duration(step)), func(t *testing.T) {
+			w := newSimulation(1, 3, func(w *simulation) { w.now = epoch })
+			w.gateways[0].clockOffset = step
+			w.restart(0, 3, 1)
+			pool := &w.gateways[0].gateway.pool
+			notify := func(l gateway.Listing) {
+				w.deliver(0, gateway.Event{Kind: gateway.HostsListed, List: gateway.Changes, Hosts: []gateway.Listing{l}})
+			}
+			notify(gateway.Listing{Host: 2, Cell: 0})
+			w.now += 100 * second
+			started := w.now
+			w.now += delay
+			notify(gateway.Listing{Host: 3, Since: started})
+			h := pool.all[2]
+			for _, age := range []int64{delay, 3 * second, w.cold.Warm / 2, w.cold.Warm + delay} {
+				w.now = started + age
+				most := w.cold.From + (1-w.cold.From)*float64(age)/float64(w.cold.Warm)
+				least := w.cold.From + (1-w.cold.From)*float64(age-delay)/float64(w.cold.Warm)
+				if warm := pool.warmUp(h, w.now+step); warm > min(most, 1) || warm < min(least, 1) {
+					t.Errorf("at the age of %v: %.3f warm, want %.3f to %.3f", time.Duration(age), warm, least, most)
+				}
+			}
+		})
+	}
+}
+
+// A host whose own wall clock was set back restarts: its start is lower than the one before, and it is cold all the same.
+func TestSlowStartOfHostWithClockSetBack(t *testing.T) {
+	w := newSimulation(1, 3, func(w *simulation) { w.now = epoch })
+	notify := func(since int64) {
+		l := gateway.Listing{Host: 3, Since: since}
+		w.deliver(0, gateway.Event{Kind: gateway.HostsListed, List: gateway.Changes, Hosts: []gateway.Listing{l}})
+	}
+	notify(w.now)
+	w.advance(w.cold.Warm+second, true)
+	notify(w.now - 3600*second)
+	pool := &w.gateways[0].gateway.pool
+	if warm := pool.warmUp(pool.all[2], w.now); warm > w.cold.From+0.15 {
+		t.Errorf("%.2f warm", warm)
+	}
+}
--- a/logic/gossip.go
+++ b/logic/gossip.go
@@ -98,7 +98,7 @@
 	}
 	p := g.peers[from]
 	g.format.Decode(msg, func(incarnation, number uint64) bool {
-		if incarnation < p.incarnation || incarnation == p.incarnation && number <= p.number { // overtaken
+		if g.overtaken(p, incarnation, number) {
 			return false
 		}
 		if incarnation != p.incarnation {
@@ -125,6 +125,16 @@
 	})
 }
 
+// overtaken tells whether a later message of the peer was received before this one. Incarnations are numbered by the peer's wall
+// clock, so one that restarts after its clock was set back has a lower number. Its messages are taken for overtaken ones as long
+// as such a message may be under way: until the later incarnation has been silent for as long as makes any peer count as gone.
+func (g *Gateway) overtaken(p *peer, incarnation, number uint64) bool {
+	if incarnation == p.incarnation {
+		return number <= p.number
+	}
+	return incarnation < p.incarnation && g.now-p.received <= g.silence
+}
+
 // charge subtracts what a peer admitted since its last message, and passes it on to the other rows. Of a
 // first or lower total it subtracts what the peer says this copy owes; the rest is only recorded.
 func (g *Gateway) charge(p *peer, c *customer, total, owed uint64) {
--- a/logic/hosts.go
+++ b/logic/hosts.go
@@ -27,7 +27,7 @@
 func (h *host) tag(front int) uint16 { return uint16(h.Hash>>16)*uint16(front) + uint16(h.Hash) }
 
 // list takes in a list of hosts, or changes of it.
-func (f *hostPool) list(kind gateway.List, news []gateway.Listing) {
+func (f *hostPool) list(kind gateway.List, news []gateway.Listing, now int64) {
 	for _, h := range f.all {
 		if kind == gateway.Complete || kind == gateway.Cached {
 			h.state = gateway.Gone
@@ -35,16 +35,32 @@
 	}
 	for i, h := range f.entries(news) {
 		l := news[i]
-		if l.Since > h.since { // a new start: what was learned of the old process is void
+		if l.Since != h.since { // a new start: what was learned of the old process is void
 			h.since, h.pace, h.allow, h.busy, h.classes = l.Since, 1, f.rnd.part(), 0, nil
+			h.started = f.startOf(l.Since, now)
 		}
 		h.state, h.Weight = l.State, l.Share
 	}
+	f.listed = f.listed || kind == gateway.Changes || kind == gateway.Complete
 	f.all = slices.DeleteFunc(f.all, func(h *host) bool { return h.state == gateway.Gone })
 	f.limit.Hosts(len(f.all)) // a record ends with its host, as does its part of the limit
 	f.choose()
 }
 
+// startOf gives a host's start by this gateway's clock. The list tells it by the host's wall clock, and either clock may be off by
+// an hour. So a start that is notified while this gateway runs counts from its notification, at which the host is as old or older;
+// by the clocks alone, a gateway whose clock is ahead would take every host for warm. Of hosts in the first list nothing else is
+// known than what that says; a start to come counts as one of now.
+func (f *hostPool) startOf(since, now int64) int64 {
+	if since <= 0 { // long ago
+		return since
+	}
+	if f.listed {
+		return now
+	}
+	return max(min(since, now), 1)
+}
+
 // choose takes this gateway's subset of the hosts: a gateway of many keeps few connections and hears often of
 // each. The others serve where none of it will do.
 func (f *hostPool) choose() {
@@ -60,10 +76,10 @@
 
 // warmUp is the part of its capacity that a host surely has.
 func (f *hostPool) warmUp(h *host, now int64) float64 {
-	if h.since <= 0 || now-h.since >= f.cold.Warm || f.cold.Warm <= 0 {
+	if h.started <= 0 || now-h.started >= f.cold.Warm || f.cold.Warm <= 0 {
 		return 1
 	}
-	return f.cold.From + (1-f.cold.From)*float64(max(now-h.since, 0))/float64(f.cold.Warm)
+	return f.cold.From + (1-f.cold.From)*float64(max(now-h.started, 0))/float64(f.cold.Warm)
 }
 
 // enough is the load up to which a host will do, where the least is that.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -96,7 +96,7 @@
 				g.close(r)
 			}
 		case gateway.HostsListed:
-			if g.pool.list(e.List, e.Hosts); e.List != gateway.Unavailable {
+			if g.pool.list(e.List, e.Hosts, g.now); e.List != gateway.Unavailable {
 				g.asks, g.nextAsk = 0, math.MaxInt64
 			} else { // by chance, pauses double from call to call: a fleet asks apart, each has news in 6 s
 				if g.asks = min(g.asks+1, 5); g.asks == 1 {
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -25,6 +25,7 @@
 	simulation      *simulation
 	index           int
 	gateway         *Gateway
+	clockOffset     int64    // by which its clock is ahead
 	messages        [][]byte // sent and not yet delivered
 	receivers       []int    // of each message
 	listRequestedAt []int64  // times at which it asked for the host list
@@ -93,14 +94,15 @@
 
 // deliver has gateway i handle a batch of events.
 func (w *simulation) deliver(i int, e ...gateway.Event) {
-	w.gateways[i].gateway.Round(&gateway.Round{Now: w.now, Events: e}, w.gateways[i])
+	s := w.gateways[i]
+	s.gateway.Round(&gateway.Round{Now: w.now + s.clockOffset, Events: e}, s)
 }
 
 // arrive delivers n requests of customer c to gateway i, of one unit each.
 func (w *simulation) arrive(i int, c string, n int) {
 	for k := range n {
 		w.deliver(i, gateway.Event{Kind: gateway.Arrived, Req: fmt.Sprintf("%s%d.%d", c, (w.now-100*second)/ms, k),
-			Customer: c, Until: w.now + 2500*ms, Units: 1, Spread: len(w.gateways)})
+			Customer: c, Until: w.now + w.gateways[i].clockOffset + 2500*ms, Units: 1, Spread: len(w.gateways)})
 	}
 }
 
@@ -110,7 +112,7 @@
 		if len(x.inFlight) > 0 && (h == 0 || x.id == h) {
 			s := x.inFlight[0]
 			w.deliver(i, gateway.Event{Kind: gateway.Ended, Req: s.request.id, Host: x.id, Dispatch: s.n, Result: res,
-				Lag: w.now - s.at, Closed: closed})
+				Lag: w.now + w.gateways[i].clockOffset - s.at, Closed: closed})
 			return
 		}
 	}
--- a/logic/state.go
+++ b/logic/state.go
@@ -158,6 +158,7 @@
 	member    int // index of this gateway,
 	members   int // among so many: for its subset
 	limit     limit.Out
+	listed    bool  // a list that was not the cached one was received
 	woke      int64 // the gateway last stood still until then,
 	stood     int64 // for so long
 }
@@ -168,7 +169,8 @@
 	id         uint32
 	state      gateway.State
 	used       bool  // sent to since it is in the list
-	since      int64 // its last start
+	since      int64 // its last start as the list tells it, by its wall clock; 0 long ago
+	started    int64 // the same by this gateway's clock: startOf
 	inFlight   []*attempt
 	listedBusy bool    // in busyHosts
 	pace       float64 // its answers' time against the usual
