--- a/cmd/ravensill/configuration.go
+++ b/cmd/ravensill/configuration.go
@@ -3,9 +3,9 @@
 import (
 	"errors"
 	"log"
-	"time"
 
 	"ravensill/configsync"
+	"ravensill/internal/clock"
 	"ravensill/internal/config"
 	"ravensill/internal/node"
 	"ravensill/internal/subscriber"
@@ -50,12 +50,17 @@
 
 // start runs the subscriber; the returned function ends it.
 func (f *following) start() (end func()) {
+	dir := f.cfg.Configuration.Dir
+	incarnation, err := subscriber.NextIncarnation(dir, clock.System{})
+	if err != nil {
+		log.Printf("event=incarnation_not_stored dir=%s incarnation=%d error=%q", dir, incarnation, err)
+	}
 	s := subscriber.Start(subscriber.Config{
 		Publishers:  f.cfg.Configuration.Publishers,
-		Dir:         f.cfg.Configuration.Dir,
+		Dir:         dir,
 		Member:      f.cfg.Seat.Index,
 		Name:        f.cfg.Name,
-		Incarnation: uint64(time.Now().UnixNano()),
+		Incarnation: incarnation,
 		Apply:       f.apply,
 	}, f.held)
 	f.held = nil // the subscriber's from now on
--- /dev/null
+++ b/internal/node/clock_test.go
@@ -0,0 +1,26 @@
+package node
+
+import (
+	"testing"
+	"time"
+
+	"ravensill/gateway"
+	"ravensill/internal/clock"
+	"ravensill/internal/config"
+)
+
+// Steps of the wall clock while the gateway runs change no time that it measures: deadlines, windows, waits and graces are all
+// counted from now.
+func TestNowIgnoresWallClockSteps(t *testing.T) {
+	fake := clock.NewFake(time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC))
+	n := newNode(&config.Config{Sockets: 100, Settings: &config.Settings{Seat: gateway.Membership{Count: 1}}}, &eager{}, fake)
+	want := fake.Wall().UnixNano()
+	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
+		fake.StepWall(step)
+		fake.Advance(time.Second)
+		want += int64(time.Second)
+		if got := n.now(); got != want {
+			t.Errorf("after a step by %v: %v off", step, time.Duration(got-want))
+		}
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,6 +11,7 @@
 
 	"ravensill/gateway"
 	"ravensill/internal/clients"
+	"ravensill/internal/clock"
 	"ravensill/internal/config"
 	"ravensill/internal/counter"
 	"ravensill/internal/discovery"
@@ -47,8 +48,8 @@
 	cfg           *config.Config
 	module        Decider
 	work          chan func()
-	epoch         time.Time // and its Unix time: now is counted from there and never runs back
-	unix          int64
+	clock         clock.Clock
+	unix          int64 // wall time of the monotonic clock's 0, as of the start: now never steps
 	reqs          map[string]*req
 	events        []gateway.Event // since the last round
 	news          []gateway.Event // of the list: they go first, so that no dispatch of the round passes by a drain
@@ -84,11 +85,13 @@
 }
 
 // New makes a gateway that is not yet reachable.
-func New(cfg *config.Config, module Decider) *Node {
-	n := &Node{cfg: cfg, module: module, work: make(chan func(), inbox), epoch: time.Now(), over: make(chan struct{}),
+func New(cfg *config.Config, module Decider) *Node { return newNode(cfg, module, clock.System{}) }
+
+func newNode(cfg *config.Config, module Decider, clock clock.Clock) *Node {
+	n := &Node{cfg: cfg, module: module, work: make(chan func(), inbox), clock: clock, over: make(chan struct{}),
 		classes: slices.Clone(cfg.Fronts), reqs: map[string]*req{}, book: discovery.NewBook(cfg.Zones, cfg.Machines)}
 	n.book.Even = cfg.Even
-	n.unix = n.epoch.UnixNano()
+	n.unix = clock.Wall().UnixNano() - int64(clock.Monotonic())
 	n.catalog = clients.NewCatalog(catalogOf(cfg))
 	sockets := descriptors(cfg.Sockets)
 	n.clients = clients.NewServer(n.catalog, sockets/3, n.do, n.now, n.arrive)
@@ -131,7 +134,9 @@
 
 func (n *Node) do(f func()) { n.work <- f }
 
-func (n *Node) now() int64 { return n.unix + int64(time.Since(n.epoch)) }
+// now returns the time in nanoseconds since 1970 as the wall clock had it at the start of the gateway. It runs with the monotonic
+// clock from then on: steps of the wall clock don't change it.
+func (n *Node) now() int64 { return n.unix + int64(n.clock.Monotonic()) }
 
 // WhileRunning has Run start a task beside the loop once the gateway has its addresses: a former process of this gateway
 // that serves to its end runs no more then. Run calls what start returns after the loop has ended, and waits for it.
--- a/internal/subscriber/link.go
+++ b/internal/subscriber/link.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ravensill/configsync"
+	"ravensill/internal/clock"
 	"ravensill/internal/frames"
 )
 
@@ -21,8 +22,9 @@
 	received chan received
 	closed   chan struct{}
 	ended    chan struct{} // the goroutine has ended
-	readAt   atomic.Int64  // time of the last bytes, Unix nanoseconds
-	taken    int64         // readAt as of the last call of readSince
+	clock    clock.Clock
+	readAt   atomic.Int64 // monotonic time of the last bytes, in nanoseconds; 0: none came
+	taken    int64        // readAt as of the last call of readSince
 }
 
 // received is a message, or why there are no more.
@@ -32,7 +34,7 @@
 	err       error // nil: message is set
 }
 
-func newLink(conn net.Conn, in, out *atomic.Int64) *link {
+func newLink(conn net.Conn, clock clock.Clock, in, out *atomic.Int64) *link {
 	l := &link{
 		conn:     conn,
 		in:       in,
@@ -40,6 +42,7 @@
 		received: make(chan received, receivedRoom),
 		closed:   make(chan struct{}),
 		ended:    make(chan struct{}),
+		clock:    clock,
 	}
 	go l.read()
 	return l
@@ -57,7 +60,7 @@
 	n, err := l.conn.Read(buffer)
 	l.in.Add(int64(n))
 	if n > 0 {
-		l.readAt.Store(time.Now().UnixNano())
+		l.readAt.Store(int64(l.clock.Monotonic()))
 	}
 	return n, err
 }
@@ -99,5 +102,8 @@
 	return since
 }
 
-// lastRead is the time of the last bytes.
-func (l *link) lastRead() time.Time { return time.Unix(0, l.taken) }
+// lastRead returns the time of the last bytes, given the time now. It goes by monotonic time: by the wall clock, a step forward
+// would make a live publisher silent, and a step back would hide one that is.
+func (l *link) lastRead(now time.Time) time.Time {
+	return now.Add(time.Duration(l.taken) - l.clock.Monotonic())
+}
--- a/internal/subscriber/store.go
+++ b/internal/subscriber/store.go
@@ -100,7 +100,7 @@
 	s.removeLeftovers()
 	path := filepath.Join(s.dir, fileName)
 	text := configsync.EncodeFile(document)
-	err = renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(s.dir))
+	err = replaceFile(path, text)
 	if err != nil {
 		return err
 	}
@@ -110,6 +110,26 @@
 	return err
 }
 
+// replaceFile writes a file aside, syncs it, renames it and syncs the folder: after any of these steps the file at the path is the
+// old one or the new one, and once it returns nil a power failure does not bring the old one back.
+func replaceFile(path string, text []byte) error {
+	dir := filepath.Dir(path)
+	err := renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(dir))
+	if err != nil {
+		return err
+	}
+	return syncFolder(dir)
+}
+
+// syncFolder makes the names in a folder durable (fsync(2)).
+func syncFolder(dir string) error {
+	folder, err := os.Open(dir)
+	if err != nil {
+		return err
+	}
+	return errors.Join(folder.Sync(), folder.Close())
+}
+
 // removeLeftovers removes what a write that was killed left beside the file.
 func (s *store) removeLeftovers() {
 	names, err := filepath.Glob(filepath.Join(s.dir, "."+fileName+"*"))
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"ravensill/configsync"
+	"ravensill/internal/clock"
 	"ravensill/internal/config"
 )
 
@@ -33,7 +34,8 @@
 	Dir         string           // of the last good version; made if it is not there
 	Member      int              // member index
 	Name        string
-	Incarnation uint64 // grows with each start of the gateway
+	Incarnation uint64      // grows with each start of the gateway: NextIncarnation
+	Clock       clock.Clock // nil: clock.System
 
 	// Apply puts an update in force and returns once it is; it is called on the subscriber's goroutine. Where whole is set,
 	// the changes are the whole content, which replaces that of the gateway's own file; else they lead on from the version
@@ -64,6 +66,9 @@
 // Start follows the publishers from the version that is held: what Load gave, where the gateway could take it, or
 // configsync.NewDocument(""). The document belongs to the subscriber from then on.
 func Start(cfg Config, held *configsync.Document) *Subscriber {
+	if cfg.Clock == nil {
+		cfg.Clock = clock.System{}
+	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Subscriber{
 		cfg:    cfg,
@@ -124,7 +129,7 @@
 		s.logLost(address, s.follower.Lost(time.Now()), err)
 		return
 	}
-	l := newLink(conn, &s.in, &s.out)
+	l := newLink(conn, s.cfg.Clock, &s.in, &s.out)
 	defer l.close()
 	s.publisher = address
 	s.follow(l)
@@ -172,7 +177,7 @@
 		return s.receive(r)
 	case <-timer.C:
 		if l.readSince() {
-			s.follower.Heard(l.lastRead())
+			s.follower.Heard(l.lastRead(time.Now()))
 		}
 		return s.follower.Tick(time.Now()), nil
 	case <-s.ctx.Done():
