--- a/cmd/ravensill/main.go
+++ b/cmd/ravensill/main.go
@@ -2,64 +2,8 @@
 package main
 
 import (
-	"log"
-	"os"
-	"os/signal"
-	"runtime"
-	"runtime/debug"
-	"syscall"
-
-	"ravensill/internal/config"
 	"ravensill/internal/node"
-	"ravensill/logic"
+	"ravensill/internal/program"
 )
 
-func main() {
-	log.SetFlags(log.LUTC | log.Ldate | log.Ltime | log.Lmicroseconds)
-	calls, reloads := make(chan os.Signal, 2), make(chan os.Signal, 1)
-	signal.Notify(reloads, syscall.SIGHUP) // first of all: not asked for, each would end the program as a crash does
-	signal.Notify(calls, syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGPIPE) // who reads the log may go: a line to nobody would end the program
-	cfg, err := config.Load(os.Getenv)
-	if err != nil {
-		log.Printf("event=start_failed error=%q", err)
-		os.Exit(2)
-	}
-	var follows *following // nil: off
-	if cfg.Configuration != nil {
-		follows = newFollowing(cfg)
-		cfg = follows.cfg
-	}
-	for _, a := range cfg.Adjusted {
-		log.Printf("event=settings_adjusted key=%s meaning=%q", a.Key, a.Meaning)
-	}
-	runtime.GOMAXPROCS(1) // the loop and the connections take turns on the one core
-	debug.SetMemoryLimit(cfg.Memory * 3 / 4)
-	debug.SetGCPercent(400)
-	stop := make(chan struct{})
-	go func() {
-		<-calls
-		close(stop)
-		for s := range calls {
-			if s == syscall.SIGINT { // from a terminal; the platform that means at once has SIGKILL
-				log.Printf("event=stopped_at_once")
-				os.Exit(1)
-			}
-			log.Printf("event=stopping_already") // its end is near and has its time: a second call must not lose what is open
-		}
-	}()
-	n := node.New(cfg, logic.New(cfg.Seed, cfg.Seat, cfg.Fronts, cfg.Plans, cfg.Limits, cfg.Cold, cfg.Report))
-	if follows != nil {
-		follows.node = n
-		n.WhileRunning(follows.start)
-	}
-	go func() {
-		for range reloads { // those that come while the file is read are one more
-			n.Reload(config.Reload(os.Getenv))
-		}
-	}()
-	if err := n.Run(stop); err != nil {
-		log.Printf("event=failed error=%q", err)
-		os.Exit(1)
-	}
-}
+func main() { program.Main(node.Platform{}) }
--- a/cmd/ravensill/requests_test.go
+++ b/cmd/ravensill/requests_test.go
@@ -25,15 +25,27 @@
 	if a := c.roundTrip(respArray("PING")); a != "+PONG" {
 		t.Fatal(a)
 	}
+	sent := time.Now()
 	c.send(requestCommand("lookup", 1), respArray("EVAL", "x"), requestCommand("order", 2, "BO\r\nDY"), respArray("PING"))
 	for _, want := range []string{"of 0000000000000001\r\n\x00$-1\r\n", `-ERR unknown command "EVAL"`, "of 0000000000000002\r\n\x00$-1\r\n", "+PONG"} {
 		if a := c.readAnswer(); a != want {
 			t.Errorf("%q, not %q", a, want)
 		}
 	}
+	passed := time.Since(sent)
 	for _, cmd := range h.takeReceived() {
-		if cmd[0] == "CALL.POST" && (len(cmd) != 5 || cmd[4] != "BO\r\nDY" || cmd[3] != "c=order,t=team,d=3000,k=00ff,units=1,spread=1,first=0") {
+		if cmd[0] != "CALL.POST" {
+			continue
+		}
+		if len(cmd) != 5 || cmd[4] != "BO\r\nDY" {
 			t.Errorf("passed on as %q", cmd)
+			continue
+		}
+		const form = "c=order,t=team,d=%d,k=00ff,units=1,spread=1,first=0"
+		left := 0 // milliseconds
+		fmt.Sscanf(cmd[3], form, &left)
+		if wait := 3 * time.Second; cmd[3] != fmt.Sprintf(form, left) || left > int(wait.Milliseconds()) || left < int((wait-passed).Milliseconds())-1 {
+			t.Errorf("passed on as %q, %v after it was sent", cmd[3], passed)
 		}
 	}
 	for i := range 8 {
--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -81,11 +81,11 @@
 
 // accept accepts one connection and sets up its buffers.
 func (s *Server) accept(listener *net.TCPListener) (*ring.Link, error) {
-	conn, err := listener.AcceptTCP()
+	conn, err := s.system.Accept(listener)
 	if err != nil {
 		return nil, err
 	}
-	link, err := ring.NewLink(conn, resp.Most, maxUnsentBytes)
+	link, err := ring.NewLink(s.system, conn, resp.Most, maxUnsentBytes)
 	if err != nil {
 		conn.Close()
 	}
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -4,6 +4,8 @@
 	"errors"
 	"net"
 	"time"
+
+	"ravensill/internal/sockets"
 )
 
 // Limits of a connection.
@@ -43,6 +45,7 @@
 // Server accepts client connections and holds them. All fields belong to the loop, the goroutine that runs the functions
 // passed to runOnLoop.
 type Server struct {
+	system    sockets.System
 	catalog   *Catalog
 	maxConns  int // further connections wait in the listen queue
 	runOnLoop func(func())
@@ -65,10 +68,12 @@
 	fullLog   logLimiter
 }
 
-// NewServer returns a server that holds at most maxConns connections, whose commands name what the catalog knows. runOnLoop queues a function for the loop; onRequest is
-// called there.
-func NewServer(catalog *Catalog, maxConns int, runOnLoop func(func()), now func() int64, onRequest RequestHandler) *Server {
+// NewServer returns a server that holds at most maxConns connections, which it takes in by the calls of system, and whose commands
+// name what the catalog knows. runOnLoop queues a function for the loop; onRequest is called there.
+func NewServer(system sockets.System, catalog *Catalog, maxConns int, runOnLoop func(func()), now func() int64,
+	onRequest RequestHandler) *Server {
 	return &Server{
+		system:     system,
 		catalog:    catalog,
 		maxConns:   maxConns,
 		runOnLoop:  runOnLoop,
--- a/internal/clients/server_test.go
+++ b/internal/clients/server_test.go
@@ -9,10 +9,13 @@
 	"os"
 	"strings"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
 	"ravensill/internal/golden"
+	"ravensill/internal/sockets"
+	"ravensill/internal/sockets/socketstest"
 )
 
 // testServer is a server whose loop the test runs: functions for the loop stay in work until then.
@@ -29,9 +32,13 @@
 
 // newTestServer listens on a loopback port. A request with the id "panic" panics in its handler.
 func newTestServer(t *testing.T, maxConns int) *testServer {
+	return newTestServerOn(t, sockets.Kernel{}, maxConns)
+}
+
+func newTestServerOn(t *testing.T, system sockets.System, maxConns int) *testServer {
 	s := &testServer{T: t, work: make(chan func(), 99), connected: map[*Conn]bool{}}
 	s.clock.Store(1)
-	s.Server = NewServer(NewCatalog(startCatalog), maxConns, func(f func()) { s.work <- f }, s.clock.Load, func(answer *Answer, _ int64, id, _ string, _, _ int, _ int64,
+	s.Server = NewServer(system, NewCatalog(startCatalog), maxConns, func(f func()) { s.work <- f }, s.clock.Load, func(answer *Answer, _ int64, id, _ string, _, _ int, _ int64,
 		_ float64, _, _ int, _ bool, _, _, _, _ []byte) {
 		if id == "panic" {
 			panic("fault")
@@ -81,14 +88,21 @@
 	conn   *Conn // the server's end
 }
 
-// connect connects a client and waits until the loop has registered it.
-func (s *testServer) connect() *testClient {
+// dial opens a connection that the system completes, whether the server accepts it or not.
+func (s *testServer) dial() net.Conn {
 	s.Helper()
 	conn, err := net.Dial("tcp4", s.addr)
 	if err != nil {
 		s.Fatal(err)
 	}
 	s.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// connect connects a client and waits until the loop has registered it.
+func (s *testServer) connect() *testClient {
+	s.Helper()
+	conn := s.dial()
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
 	client := &testClient{testServer: s, TCPConn: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}
 	s.runLoop("known", func() bool {
@@ -396,6 +410,30 @@
 	}
 }
 
+// TestAcceptFaults checks that no error of accept(2) ends the accept loop: each is of that connection, or passes.
+func TestAcceptFaults(t *testing.T) {
+	errnos := []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR,
+		syscall.EPERM, syscall.EPROTO, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ETIMEDOUT}
+	for _, errno := range errnos {
+		t.Run(errno.Error(), func(t *testing.T) {
+			system := socketstest.New(1, nil)
+			system.Script(socketstest.Accept, socketstest.Errors(errno, errno)...)
+			server := newTestServerOn(t, system, 9)
+			if errno == syscall.ECONNABORTED { // two connections are lost in it
+				server.dial()
+				server.dial()
+			}
+			client := server.connect()
+			io.WriteString(client.TCPConn, command("PING"))
+			server.runLoop("asked", func() bool { return client.conn.commandCount == 1 })
+			server.Flush()
+			if answer := client.readLine(); answer != "+PONG" {
+				t.Error(answer)
+			}
+		})
+	}
+}
+
 // TestUnlistenBehind checks that connections that the system completed before Unlisten, while the loop was busy, are served.
 func TestUnlistenBehind(t *testing.T) {
 	server := newTestServer(t, 99)
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -4,6 +4,7 @@
 package counter
 
 import (
+	"context"
 	"errors"
 	"log"
 	"math"
@@ -16,6 +17,7 @@
 	"ravensill/gateway"
 	"ravensill/internal/resp"
 	"ravensill/internal/ring"
+	"ravensill/internal/sockets"
 )
 
 // States of the connection, as the log names them.
@@ -40,6 +42,7 @@
 // Counter is one gateway's connection to the shared counter. All its fields belong to the loop, the goroutine that runs the
 // functions passed to runOnLoop. Times are in nanoseconds of the clock now.
 type Counter struct {
+	system         sockets.System
 	addr           netip.AddrPort
 	timeout        int64 // of a call
 	runOnLoop      func(func())
@@ -61,9 +64,10 @@
 	halfAnswered bool // the first reply has arrived
 }
 
-// New returns a counter that is not connected yet. onAnswer is called on the loop with the answer of each call.
-func New(addr netip.AddrPort, timeout int64, runOnLoop func(func()), now func() int64, onAnswer func(gateway.Event)) *Counter {
+// New returns a counter that is not connected yet and uses the sockets of system. onAnswer is called on the loop with the answer of each call.
+func New(system sockets.System, addr netip.AddrPort, timeout int64, runOnLoop func(func()), now func() int64, onAnswer func(gateway.Event)) *Counter {
 	return &Counter{
+		system:    system,
 		addr:      addr,
 		timeout:   timeout,
 		runOnLoop: runOnLoop,
@@ -167,12 +171,15 @@
 
 // dial opens a connection to the server.
 func (c *Counter) dial() (*ring.Link, error) {
-	dialer := net.Dialer{Timeout: dialTimeout}
-	conn, err := dialer.Dial("tcp4", c.addr.String())
+	conn, err := c.system.Dial(context.Background(), &net.Dialer{Timeout: dialTimeout}, c.addr.String())
 	if err != nil {
 		return nil, err
 	}
-	return ring.NewLink(conn.(*net.TCPConn), maxUnsent, maxUnsent)
+	link, err := ring.NewLink(c.system, conn, maxUnsent, maxUnsent)
+	if err != nil {
+		conn.Close()
+	}
+	return link, err
 }
 
 // connected takes over a new connection.
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"ravensill/gateway"
+	"ravensill/internal/sockets"
 )
 
 const ms = int64(time.Millisecond)
@@ -34,7 +35,7 @@
 	}
 	t.Cleanup(func() { listener.Close() })
 	c := &testCounter{T: t, loop: make(chan func(), 100), now: 1000 * ms}
-	c.counter = New(netip.MustParseAddrPort(listener.Addr().String()), 50*ms, func(f func()) { c.loop <- f }, func() int64 { return c.now },
+	c.counter = New(sockets.Kernel{}, netip.MustParseAddrPort(listener.Addr().String()), 50*ms, func(f func()) { c.loop <- f }, func() int64 { return c.now },
 		func(e gateway.Event) {
 			c.answers = append(c.answers, fmt.Sprintf("%d %d %g", e.Name, e.Result, e.Total))
 		})
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,6 +13,8 @@
 	"os"
 	"runtime/debug"
 	"time"
+
+	"ravensill/internal/sockets"
 )
 
 const (
@@ -24,7 +26,7 @@
 // Watch follows the list after a version until its connection or the context ends, and tells why it did. news
 // takes each list, alive is called for any bytes of the body: empty lines come while nothing changes. Both are
 // called by one goroutine. The pace and the feed are the watch's own.
-func Watch(ctx context.Context, addr string, after int64, pace *Pace, feed *Feed, alive func(), news func(list string)) (err error) {
+func Watch(ctx context.Context, system sockets.System, addr string, after int64, pace *Pace, feed *Feed, alive func(), news func(list string)) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			log.Printf("event=panic where=discovery error=%q stack=%q", p, debug.Stack())
@@ -33,10 +35,10 @@
 	}()
 	// A connection of its own for each watch: no proxy of the environment, nothing kept for later, no redirects.
 	pace.enter(connecting, time.Now())
-	dialer := net.Dialer{Deadline: pace.until()}
+	dialer := &net.Dialer{Deadline: pace.until()}
 	t := &http.Transport{DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: mostHead,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
-			c, err := dialer.DialContext(ctx, "tcp4", addr)
+			c, err := system.Dial(ctx, dialer, addr)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"ravensill/internal/golden"
+	"ravensill/internal/sockets"
 )
 
 const head = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nTRANSFER-encoding: Chunked\r\n\r\n"
@@ -59,7 +60,7 @@
 		addr, _ := agent(t, text, stay)
 		p := slow()
 		p.waits[asked], p.waits[following], p.waits[inValue] = 50*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond
-		if err := Watch(context.Background(), addr, 1, p, &Feed{}, func() {}, func(string) {}); !errors.Is(err, os.ErrDeadlineExceeded) {
+		if err := Watch(context.Background(), sockets.Kernel{}, addr, 1, p, &Feed{}, func() {}, func(string) {}); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("after %q: %v", text, err)
 		}
 	}
@@ -82,7 +83,7 @@
 		})
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
-		if err := Watch(ctx, addr, 1, p, &Feed{}, func() {}, func(string) {}); ctx.Err() != nil || p.phase != x.at {
+		if err := Watch(ctx, sockets.Kernel{}, addr, 1, p, &Feed{}, func() {}, func(string) {}); ctx.Err() != nil || p.phase != x.at {
 			t.Errorf("after %q: %v in phase %d", x.text, err, p.phase)
 		}
 	}
@@ -99,7 +100,7 @@
 		"HTTP/1.1 200 OK\r\nx: " + strings.Repeat("y", mostHead)} {
 		addr, asked := agent(t, text, end)
 		alive := false
-		err := Watch(context.Background(), addr, 41, slow(), &Feed{}, func() { alive = true }, func(list string) { fmt.Fprintf(&all, "%q\n", list) })
+		err := Watch(context.Background(), sockets.Kernel{}, addr, 41, slow(), &Feed{}, func() { alive = true }, func(list string) { fmt.Fprintf(&all, "%q\n", list) })
 		fmt.Fprintf(&all, "%.60q: %v, alive %t\n%s\n", text, err, alive, <-asked)
 	}
 	golden.Check(t, regexp.MustCompile(`127.0.0.1:\d+`).ReplaceAllString(all.String(), "ADDR"))
@@ -119,7 +120,7 @@
 			<-asked
 			stop()
 		}()
-		if Watch(ctx, addr, 1, slow(), &Feed{}, func() {}, func(string) {}) == nil {
+		if Watch(ctx, sockets.Kernel{}, addr, 1, slow(), &Feed{}, func() {}, func(string) {}) == nil {
 			t.Errorf("%q: ended for no reason", text)
 		}
 	}
@@ -145,7 +146,7 @@
 				then(c)
 			})
 			lists := 0
-			err := Watch(context.Background(), addr, 1, slow(), &Feed{}, func() {}, func(string) { lists++ })
+			err := Watch(context.Background(), sockets.Kernel{}, addr, 1, slow(), &Feed{}, func() {}, func(string) { lists++ })
 			fmt.Fprintf(&all, "%s, %s: %d lists, %t\n", x.name, []string{"ended", "reset"}[how], lists, err != nil)
 		}
 	}
@@ -167,7 +168,7 @@
 		t.Error("behind before it is connected")
 	}
 	go func() {
-		Watch(ctx, l.Addr().String(), 1, slow(), feed, func() {}, func(string) { came <- true; <-taken })
+		Watch(ctx, sockets.Kernel{}, l.Addr().String(), 1, slow(), feed, func() {}, func(string) { came <- true; <-taken })
 		close(ended)
 	}()
 	if agent, err = l.Accept(); err != nil {
--- a/internal/hosts/attempt.go
+++ b/internal/hosts/attempt.go
@@ -73,10 +73,14 @@
 		pool.failing = true
 		log.Printf("event=host_failing addr=%s stage=%s error=%q", pool.addr, failure.Stage, failure.Err)
 	}
+	if failure.byShortage() && !pool.transport.short {
+		pool.transport.short = true
+		log.Printf("event=dials_short error=%q", failure.Err)
+	}
 	a.onResult(gateway.Event{Result: failure.Result()}, nil, pool.transport.now())
 }
 
-// byHost reports whether the failure is the host's, and not one of time, cancellation or the connection quota.
+// byHost reports whether the failure is the host's, and not one of time, cancellation, the connection quota or this machine.
 func (f *Failure) byHost() bool {
-	return !errors.Is(f, ErrTimedOut) && !errors.Is(f, ErrCanceled) && !errors.Is(f, errQueueTimeout)
+	return !errors.Is(f, ErrTimedOut) && !errors.Is(f, ErrCanceled) && !errors.Is(f, errQueueTimeout) && !f.byShortage()
 }
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -59,6 +59,7 @@
 	}
 	t.runOnLoop(func() {
 		c.link = link
+		t.dialSucceeded()
 		c.pool.addDialing(-1)
 		c.release()
 	})
@@ -85,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	link, err := ring.NewLink(socket.(*net.TCPConn), resp.Most, maxCommandBytes)
+	link, err := ring.NewLink(c.pool.transport.system, socket.(*net.TCPConn), resp.Most, maxCommandBytes)
 	if err != nil {
 		socket.Close()
 		return nil, err
@@ -137,6 +138,14 @@
 	}
 }
 
+// dialSucceeded logs the end of a shortage.
+func (t *Transport) dialSucceeded() {
+	if t.short {
+		t.short = false
+		log.Printf("event=dials_back")
+	}
+}
+
 // dialFailed fails the longest pending attempt if no other dial is left for it.
 func (c *conn) dialFailed(err error) {
 	pool := c.pool
@@ -309,7 +318,8 @@
 	if attempt == nil {
 		c.close()
 		if limiter := c.pool.transport.limiter; limiter != nil && !c.used {
-			limiter.backOff() // the store closed it before anything was sent
+			limiter.Refused++ // the store closed it before anything was sent
+			limiter.backOff()
 		}
 		return
 	}
--- a/internal/hosts/failure.go
+++ b/internal/hosts/failure.go
@@ -5,6 +5,7 @@
 	"fmt"
 
 	"ravensill/gateway"
+	"ravensill/internal/sockets"
 )
 
 // Stage says how far an attempt had come when it failed.
@@ -58,8 +59,12 @@
 	return gateway.Broken
 }
 
-// byGateway reports whether the gateway ended the attempt for a cause of its own, which says nothing of the host.
+// byGateway reports whether the attempt ended for a cause at the gateway, which says nothing of the host: a gateway that is short of
+// ports would else take all hosts for outliers.
 func (f *Failure) byGateway() bool {
 	return errors.Is(f.Err, ErrCanceled) || errors.Is(f.Err, errNoDescriptor) || errors.Is(f.Err, errHostRemoved) ||
-		errors.Is(f.Err, errQueueTimeout)
+		errors.Is(f.Err, errQueueTimeout) || f.byShortage()
 }
+
+// byShortage reports whether no connection could be opened for want of something on this machine.
+func (f *Failure) byShortage() bool { return f.Stage == Connecting && sockets.IsShortage(f.Err) }
--- a/internal/hosts/hosts_test.go
+++ b/internal/hosts/hosts_test.go
@@ -14,6 +14,7 @@
 	"ravensill/internal/golden"
 	"ravensill/internal/resp"
 	"ravensill/internal/ring"
+	"ravensill/internal/sockets"
 )
 
 func reply(text string) string {
@@ -68,7 +69,7 @@
 
 func newDesk(t *testing.T, addr string, most int) *desk {
 	d := &desk{T: t, work: make(chan func(), 99)}
-	d.Transport = NewTransport(func(f func()) { d.work <- f }, func() int64 { return 0 }, nil, 250e6, 1e9, most)
+	d.Transport = NewTransport(sockets.Kernel{}, func(f func()) { d.work <- f }, func() int64 { return 0 }, nil, 250e6, 1e9, most)
 	d.Transport.now = func() int64 { return d.now.Load() }
 	d.SetAddress(1, netip.MustParseAddrPort(addr))
 	return d
--- a/internal/hosts/limiter.go
+++ b/internal/hosts/limiter.go
@@ -5,6 +5,8 @@
 	"slices"
 	"syscall"
 	"time"
+
+	"ravensill/internal/sockets"
 )
 
 const (
@@ -225,11 +227,14 @@
 	return slices.ContainsFunc(l.queue, func(attempt *Attempt) bool { return attempt.pool == pool })
 }
 
-// requeueRefused puts an attempt back at the head of the queue if err says that the store refused its connection, and reports
-// whether it did. Other errors of a dial are the host's.
+// requeueRefused puts an attempt back at the head of the queue if err says that the store refused its connection, or that this
+// machine is short of something for a dial, and reports whether it did. Other errors of a dial are the host's.
 func (l *ConnectionLimiter) requeueRefused(attempt *Attempt, err error) bool {
 	refused := errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, errStoreRefused)
-	if !refused {
+	switch {
+	case refused:
+		l.Refused++
+	case !sockets.IsShortage(err):
 		return false
 	}
 	l.backOff()
@@ -244,9 +249,8 @@
 	return true
 }
 
-// backOff counts a refusal and pauses dials.
+// backOff pauses dials, longer with each call in a row.
 func (l *ConnectionLimiter) backOff() {
-	l.Refused++
 	l.dialBackoff = min(max(2*l.dialBackoff, minDialBackoff), maxDialBackoff)
 	l.nextDial = l.transport.now() + l.dialBackoff
 }
--- a/internal/hosts/transport.go
+++ b/internal/hosts/transport.go
@@ -2,11 +2,13 @@
 
 import (
 	"container/list"
+	"context"
 	"net"
 	"net/netip"
 	"time"
 
 	"ravensill/internal/resp"
+	"ravensill/internal/sockets"
 )
 
 // defaultReuseDelay is the time for which a connection is not used again after an answer, in nanoseconds: whatever else the
@@ -32,19 +34,22 @@
 	dialingCount int                  // dials in progress, over all pools
 	idle         *list.List           // of *conn, over all pools, the longest idle first
 	toFlush      []*conn              // connections with something to write
-	limiter      *ConnectionLimiter   // nil without a connection quota
-	nextUrgent   bool                 // whether the next attempt is of an urgent request class
+	system       sockets.System
+	limiter      *ConnectionLimiter // nil without a connection quota
+	short        bool               // whether the last dial failed for want of something on this machine; logged when it changes
+	nextUrgent   bool               // whether the next attempt is of an urgent request class
 
 	// Dial opens a connection, which must be a *net.TCPConn. Tests replace it.
 	Dial func(addr string) (net.Conn, error)
 }
 
-// NewTransport returns a transport without hosts. runOnLoop runs a function on the event loop, loadFields names the fields of
+// NewTransport returns a transport without hosts, whose sockets are those of system. runOnLoop runs a function on the event loop, loadFields names the fields of
 // a load report; connectTimeout and idleTimeout are in nanoseconds, and at most maxConns connections are open at a time.
-func NewTransport(runOnLoop func(func()), now func() int64, loadFields []string,
+func NewTransport(system sockets.System, runOnLoop func(func()), now func() int64, loadFields []string,
 	connectTimeout, idleTimeout int64, maxConns int) *Transport {
-	dialer := net.Dialer{Timeout: time.Duration(connectTimeout), KeepAlive: -1}
+	dialer := &net.Dialer{Timeout: time.Duration(connectTimeout), KeepAlive: -1}
 	return &Transport{
+		system:      system,
 		runOnLoop:   runOnLoop,
 		now:         now,
 		loadFields:  loadFields,
@@ -54,7 +59,7 @@
 		addrs:       map[uint32]netip.AddrPort{},
 		pools:       map[uint32]*hostPool{},
 		idle:        list.New(),
-		Dial:        func(addr string) (net.Conn, error) { return dialer.Dial("tcp4", addr) },
+		Dial:        func(addr string) (net.Conn, error) { return system.Dial(context.Background(), dialer, addr) },
 	}
 }
 
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -59,7 +59,7 @@
 				}
 			})
 		}
-		err := discovery.Watch(ctx, addr, after, discovery.NewPace(n.cfg.Limits.MustAsk), &w.feed, func() {
+		err := discovery.Watch(ctx, n.system, addr, after, discovery.NewPace(n.cfg.Limits.MustAsk), &w.feed, func() {
 			newest(func() {
 				if n.lost {
 					log.Printf("event=watch_back")
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -11,12 +11,14 @@
 
 	"ravensill/internal/gossip"
 	"ravensill/internal/peers"
+	"ravensill/internal/sockets"
 )
 
 const (
-	former = 25 * time.Second      // an address is waited for at most so long: a former life of this gateway may drain yet
-	knock  = 20 * time.Millisecond // between tries
-	apart  = 16                    // descriptors: three streams, the runtime's two, listener, datagrams, counter, watch and the one before, file, others of a section
+	former   = 25 * time.Second      // an address is waited for at most so long: a former life of this gateway may drain yet
+	shortage = 5 * time.Second       // the same for what this machine is short of, such as an interface with the address: it may be a mistake in the file
+	knock    = 20 * time.Millisecond // between tries
+	apart    = 16                    // descriptors: three streams, the runtime's two, listener, datagrams, counter, watch and the one before, file, others of a section
 )
 
 // addresses takes the gateway's addresses, that of the datagrams first, before anything else of it runs. A former life that
@@ -26,7 +28,7 @@
 	if len(n.cfg.Peers) > 0 {
 		err = claim("peer_listen", n.cfg.PeerListen, stop, func() (err error) {
 			format := gossip.Format{Plans: len(n.cfg.Plans), Members: len(n.cfg.Peers), ByID: n.cfg.Configuration != nil}
-			n.peerTransport, err = peers.Open(n.cfg.PeerListen, n.cfg.Peers, format)
+			n.peerTransport, err = peers.Open(n.system, n.cfg.PeerListen, n.cfg.Peers, format)
 			return err
 		})
 		if err != nil {
@@ -34,7 +36,7 @@
 		}
 	}
 	err = claim("listen", n.cfg.Listen, stop, func() (err error) {
-		listener, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(n.cfg.Listen))
+		listener, err = n.system.Listen(n.cfg.Listen)
 		return err
 	})
 	return listener, err
@@ -42,19 +44,23 @@
 
 var errCalled = errors.New("called to stop before it had its addresses")
 
-// claim tries to take an address until it is free.
+// claim tries to take an address until it is free, and as long as the machine is short of something for it.
 func claim(key string, addr netip.AddrPort, stop <-chan struct{}, try func() error) error {
-	limit := time.Now().Add(former)
+	began := time.Now()
 	for told := false; ; told = true {
 		err := try()
 		if err == nil {
 			return nil
 		}
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(limit) {
+		event, wait := "address_taken", former
+		if sockets.IsShortage(err) {
+			event, wait = "address_unavailable", shortage
+		}
+		if !sockets.IsPassing(err) || time.Since(began) > wait {
 			return fmt.Errorf("%s: %w", key, err)
 		}
 		if !told {
-			log.Printf("event=address_taken key=%s addr=%s wait=%s", key, addr, former)
+			log.Printf("event=%s key=%s addr=%s wait=%s error=%q", event, key, addr, wait, err)
 		}
 		select {
 		case <-stop:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,6 +17,7 @@
 	"ravensill/internal/discovery"
 	"ravensill/internal/hosts"
 	"ravensill/internal/peers"
+	"ravensill/internal/sockets"
 )
 
 const (
@@ -48,6 +49,7 @@
 	cfg           *config.Config
 	module        Decider
 	work          chan func()
+	system        sockets.System
 	clock         clock.Clock
 	unix          int64 // wall time of the monotonic clock's 0, as of the start: now never steps
 	reqs          map[string]*req
@@ -85,20 +87,34 @@
 }
 
 // New makes a gateway that is not yet reachable.
-func New(cfg *config.Config, module Decider) *Node { return newNode(cfg, module, clock.System{}) }
+func New(cfg *config.Config, module Decider) *Node { return NewOn(Platform{}, cfg, module) }
 
-func newNode(cfg *config.Config, module Decider, clock clock.Clock) *Node {
-	n := &Node{cfg: cfg, module: module, work: make(chan func(), inbox), clock: clock, over: make(chan struct{}),
+// Platform is what a gateway runs on. Zero values mean the process's own.
+type Platform struct {
+	Clock   clock.Clock
+	Sockets sockets.System
+}
+
+// NewOn makes a gateway on a platform, as tests have it.
+func NewOn(platform Platform, cfg *config.Config, module Decider) *Node {
+	if platform.Clock == nil {
+		platform.Clock = clock.System{}
+	}
+	if platform.Sockets == nil {
+		platform.Sockets = sockets.Kernel{}
+	}
+	system, clock := platform.Sockets, platform.Clock
+	n := &Node{cfg: cfg, module: module, work: make(chan func(), inbox), system: system, clock: clock, over: make(chan struct{}),
 		classes: slices.Clone(cfg.Fronts), reqs: map[string]*req{}, book: discovery.NewBook(cfg.Zones, cfg.Machines)}
 	n.book.Even = cfg.Even
 	n.unix = clock.Wall().UnixNano() - int64(clock.Monotonic())
 	n.catalog = clients.NewCatalog(catalogOf(cfg))
-	sockets := descriptors(cfg.Sockets)
-	n.clients = clients.NewServer(n.catalog, sockets/3, n.do, n.now, n.arrive)
-	n.transport = hosts.NewTransport(n.do, n.now, cfg.ReportNames, cfg.ConnectTimeout, int64(keep*float64(cfg.ConnIdle)),
-		sockets*2/5)
+	shared := descriptors(cfg.Sockets)
+	n.clients = clients.NewServer(system, n.catalog, shared/3, n.do, n.now, n.arrive)
+	n.transport = hosts.NewTransport(system, n.do, n.now, cfg.ReportNames, cfg.ConnectTimeout, int64(keep*float64(cfg.ConnIdle)),
+		shared*2/5)
 	if cfg.Counter.IsValid() {
-		n.counter = counter.New(cfg.Counter, cfg.Limits.CounterWait, n.do, n.now, func(e gateway.Event) {
+		n.counter = counter.New(system, cfg.Counter, cfg.Limits.CounterWait, n.do, n.now, func(e gateway.Event) {
 			n.events = append(n.events, e)
 		})
 	}
--- a/internal/observer/datagram.go
+++ b/internal/observer/datagram.go
@@ -9,6 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"ravensill/counterfactual"
+	"ravensill/internal/sockets"
 )
 
 // The first byte of a datagram tells its kind.
@@ -37,12 +38,18 @@
 // readDatagrams passes datagrams to the task. A sender is known by its address; malformed datagrams are dropped and counted.
 func (o *Observer) readDatagrams() {
 	buf := make([]byte, counterfactual.MaxBytes+2)
+	var pause sockets.ReadPause
 	for {
 		n, from, err := o.udp.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || n == 0 { // such as a refusal of an earlier datagram by a peer that is down
+		if err != nil { // such as a refusal of an earlier datagram by a peer that is down
+			pause.Failed()
+			continue
+		}
+		pause.Succeeded()
+		if n == 0 {
 			continue
 		}
 		d, ok := o.decode(buf[:n], from)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -11,11 +11,13 @@
 	"sync"
 
 	"ravensill/internal/gossip"
+	"ravensill/internal/sockets"
 )
 
 // Transport is this gateway's socket for gossip. It is safe for concurrent use.
 type Transport struct {
-	conn *net.UDPConn
+	system sockets.System
+	conn   *net.UDPConn
 
 	mu        sync.RWMutex
 	addresses []netip.AddrPort       // by member index
@@ -29,13 +31,13 @@
 	Address netip.AddrPort
 }
 
-// Open listens at the address. peers are the gateways of the fleet by member index, format is that of their messages.
-func Open(listen netip.AddrPort, peers []netip.AddrPort, format gossip.Format) (*Transport, error) {
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
+// Open listens at the address, by the calls of system. peers are the gateways of the fleet by member index, format is that of their messages.
+func Open(system sockets.System, listen netip.AddrPort, peers []netip.AddrPort, format gossip.Format) (*Transport, error) {
+	conn, err := system.ListenPacket(listen)
 	if err != nil {
 		return nil, err
 	}
-	return &Transport{conn: conn, addresses: slices.Clone(peers), members: indexByAddress(peers), format: format}, nil
+	return &Transport{system: system, conn: conn, addresses: slices.Clone(peers), members: indexByAddress(peers), format: format}, nil
 }
 
 // indexByAddress returns the member index of each address. Of two members at one address the first counts.
@@ -99,14 +101,17 @@
 		}
 	}()
 	buf := make([]byte, gossip.MaxMessageBytes+1)
+	var pause sockets.ReadPause
 	for {
-		n, from, err := t.conn.ReadFromUDPAddrPort(buf)
+		n, from, err := t.system.ReadPacket(t.conn, buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // such as an ICMP error for an earlier message to a peer that is down
+			pause.Failed()
 			continue
 		}
+		pause.Succeeded()
 		member, format := t.sender(from)
 		if member < 0 || !wellFormed(format, buf[:n]) {
 			dropped()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -2,9 +2,12 @@
 
 import (
 	"net/netip"
+	"syscall"
 	"testing"
 
 	"ravensill/internal/gossip"
+	"ravensill/internal/sockets"
+	"ravensill/internal/sockets/socketstest"
 )
 
 // TestListen: a message counts as of the peer whose address it came from; one of a stranger, and one that can't be read,
@@ -12,7 +15,7 @@
 func TestListen(t *testing.T) {
 	anywhere := netip.MustParseAddrPort("127.0.0.1:0")
 	open := func(peers ...netip.AddrPort) *Transport {
-		transport, err := Open(anywhere, peers, gossip.Format{Plans: 1, Members: max(len(peers), 1)})
+		transport, err := Open(sockets.Kernel{}, anywhere, peers, gossip.Format{Plans: 1, Members: max(len(peers), 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,7 +47,7 @@
 	var transports []*Transport
 	var at []netip.AddrPort
 	for range 4 {
-		transport, err := Open(anywhere, nil, gossip.Format{ByID: true})
+		transport, err := Open(sockets.Kernel{}, anywhere, nil, gossip.Format{ByID: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -89,6 +92,32 @@
 	receiver.Send(2, nil) // no such member: no panic
 }
 
+// TestListenSurvivesReadErrors: reads that fail end nothing and lose no later message; errors that stay do not have Listen spin
+// (sockets.ReadPause has the pauses).
+func TestListenSurvivesReadErrors(t *testing.T) {
+	anywhere := netip.MustParseAddrPort("127.0.0.1:0")
+	system := socketstest.New(1, nil)
+	errnos := []syscall.Errno{syscall.ECONNREFUSED, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH}
+	system.Script(socketstest.ReadPacket, socketstest.Errors(errnos...)...)
+	sender, err := Open(sockets.Kernel{}, anywhere, nil, gossip.Format{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(sender.Close)
+	receiver, err := Open(system, anywhere, []netip.AddrPort{netip.MustParseAddrPort(sender.Addr())}, gossip.Format{Plans: 1, Members: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(receiver.Close)
+	received := make(chan int, 1)
+	go receiver.Listen(func(member int, _ []byte) { received <- member }, func() {})
+	sender.SetMembers([]Member{{0, netip.MustParseAddrPort(receiver.Addr())}}, 1)
+	sender.Send(0, gossip.Format{}.Header(1, 1, nil))
+	if member := <-received; member != 0 || system.Count(socketstest.ReadPacket) < len(errnos) {
+		t.Errorf("member %d after %d reads", member, system.Count(socketstest.ReadPacket))
+	}
+}
+
 func BenchmarkChange(b *testing.B) {
 	transport := &Transport{members: map[netip.AddrPort]int{}}
 	address := func(i int) netip.AddrPort {
--- a/internal/pooler/client.go
+++ b/internal/pooler/client.go
@@ -5,6 +5,7 @@
 	"net/netip"
 
 	"ravensill/internal/config"
+	"ravensill/internal/sockets"
 	"ravensill/pool"
 )
 
@@ -63,14 +64,17 @@
 // Listen calls grant on the event loop for each grant received, until Close.
 func (c *Client) Listen(grant func(*pool.Grant)) {
 	buffer := make([]byte, maxDatagramBytes+1)
+	var pause sockets.ReadPause
 	for {
 		n, from, err := c.socket.ReadFromUDPAddrPort(buffer)
 		if isClosed(err) {
 			return
 		}
 		if err != nil {
+			pause.Failed()
 			continue
 		}
+		pause.Succeeded()
 		message, err := Decode(c.cfg.Key, buffer[:n])
 		c.runOnLoop(func() { c.receive(message, err, from, grant) })
 	}
--- a/internal/pooler/voter.go
+++ b/internal/pooler/voter.go
@@ -13,6 +13,7 @@
 
 	"ravensill/internal/config"
 	"ravensill/internal/consensus"
+	"ravensill/internal/sockets"
 	"ravensill/pool"
 )
 
@@ -102,14 +103,17 @@
 // read passes datagrams to the task until the socket is closed.
 func (v *Voter) read() {
 	buffer := make([]byte, maxDatagramBytes+1)
+	var pause sockets.ReadPause
 	for {
 		n, from, err := v.socket.ReadFromUDPAddrPort(buffer)
 		if isClosed(err) {
 			return
 		}
 		if err != nil {
+			pause.Failed()
 			continue
 		}
+		pause.Succeeded()
 		message, err := Decode(v.cfg.Key, buffer[:n])
 		v.runInTask(func() {
 			v.received++
--- a/cmd/ravensill/configuration.go
+++ b/internal/program/configuration.go
@@ -1,11 +1,10 @@
-package main
+package program
 
 import (
 	"errors"
 	"log"
 
 	"ravensill/configsync"
-	"ravensill/internal/clock"
 	"ravensill/internal/config"
 	"ravensill/internal/node"
 	"ravensill/internal/subscriber"
@@ -13,15 +12,16 @@
 
 // following is what a gateway that follows the publishers of the configuration has beside its node.
 type following struct {
-	cfg  *config.Config       // that the gateway starts with
-	live *config.Live         // belongs to the subscriber once that runs
-	held *configsync.Document // the version that the gateway starts with
-	node *node.Node
+	platform node.Platform
+	cfg      *config.Config       // that the gateway starts with
+	live     *config.Live         // belongs to the subscriber once that runs
+	held     *configsync.Document // the version that the gateway starts with
+	node     *node.Node
 }
 
 // newFollowing reads the last good version on disk. The gateway starts with it, whether a publisher is up or not; where
 // there is none, or it can't be taken any more, with what the file says.
-func newFollowing(file *config.Config) *following {
+func newFollowing(platform node.Platform, file *config.Config) *following {
 	held, err := subscriber.Load(file.Configuration.Dir)
 	if err != nil { // torn or altered: the document is the last one before that
 		log.Printf("event=configuration_damaged dir=%s version=%d error=%q", file.Configuration.Dir, held.Version(), err)
@@ -31,11 +31,11 @@
 		if err == nil {
 			log.Printf("event=configuration_held version=%d plans=%d classes=%d members=%d", held.Version(), len(cfg.Plans),
 				len(cfg.Fronts), cfg.Seat.Count)
-			return &following{cfg: cfg, live: live, held: held}
+			return &following{platform: platform, cfg: cfg, live: live, held: held}
 		}
 		logRefused(held.Version(), err)
 	}
-	return &following{cfg: file, live: config.NewLive(file), held: configsync.NewDocument("")}
+	return &following{platform: platform, cfg: file, live: config.NewLive(file), held: configsync.NewDocument("")}
 }
 
 // logRefused tells of a held version as the subscriber does of one that comes.
@@ -51,7 +51,7 @@
 // start runs the subscriber; the returned function ends it.
 func (f *following) start() (end func()) {
 	dir := f.cfg.Configuration.Dir
-	incarnation, err := subscriber.NextIncarnation(dir, clock.System{})
+	incarnation, err := subscriber.NextIncarnation(dir, f.platform.Clock)
 	if err != nil {
 		log.Printf("event=incarnation_not_stored dir=%s incarnation=%d error=%q", dir, incarnation, err)
 	}
@@ -61,6 +61,8 @@
 		Member:      f.cfg.Seat.Index,
 		Name:        f.cfg.Name,
 		Incarnation: incarnation,
+		Clock:       f.platform.Clock,
+		Sockets:     f.platform.Sockets,
 		Apply:       f.apply,
 	}, f.held)
 	f.held = nil // the subscriber's from now on
--- a/internal/ring/link.go
+++ b/internal/ring/link.go
@@ -9,6 +9,8 @@
 	"syscall"
 	"time"
 	"unsafe"
+
+	"ravensill/internal/sockets"
 )
 
 // The pace of Discard. The end of a peer that has closed lies behind what the two systems hold of its bytes (MaxHeldBytes, by
@@ -24,6 +26,7 @@
 	In  *Ring
 	Out *Ring
 
+	system    sockets.System
 	conn      *net.TCPConn
 	raw       syscall.RawConn
 	writeFunc func(fd uintptr) bool // method values, made once
@@ -45,13 +48,13 @@
 	writeErr   error
 }
 
-// NewLink returns the driver of a connection, with rings of at most so many bytes.
-func NewLink(conn *net.TCPConn, maxIn, maxOut int) (*Link, error) {
+// NewLink returns the driver of a connection, with rings of at most so many bytes. It reads and writes by the calls of system.
+func NewLink(system sockets.System, conn *net.TCPConn, maxIn, maxOut int) (*Link, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	link := &Link{In: New(maxIn), Out: New(maxOut), conn: conn, raw: raw}
+	link := &Link{In: New(maxIn), Out: New(maxOut), system: system, conn: conn, raw: raw}
 	link.writeFunc = link.writeSocket
 	link.readFunc = link.readSocket
 	link.peekFunc = link.peekSocket
@@ -72,10 +75,6 @@
 }
 
 // readSocket reads what the socket holds; it returns false if that is nothing.
-//
-// It and writeSocket never wait in the kernel, so they use raw system calls, of which the runtime is not told: told of one that
-// ends an idle period, it wakes its monitor thread, and it takes the processor away from one that lasts (as a write to loopback
-// does). That was a sixth to a third of all processor time.
 func (l *Link) readSocket(fd uintptr) bool {
 	l.readMutex.Lock()
 	defer l.readMutex.Unlock()
@@ -86,7 +85,7 @@
 		return true
 	}
 	for {
-		n, _, errno := syscall.RawSyscall(syscall.SYS_READ, fd, uintptr(unsafe.Pointer(&l.readBuffer[0])), uintptr(len(l.readBuffer)))
+		n, errno := l.system.Read(fd, l.readBuffer)
 		switch {
 		case errno == syscall.EINTR:
 			continue
@@ -97,7 +96,7 @@
 		case n == 0:
 			l.readCount, l.readErr = 0, io.EOF
 		default:
-			l.readCount, l.readErr = int(n), nil
+			l.readCount, l.readErr = n, nil
 		}
 		l.reads.Add(1)
 		return true
@@ -186,13 +185,12 @@
 // writeSocket writes what the socket takes.
 func (l *Link) writeSocket(fd uintptr) bool {
 	for l.Out.Len() > 0 {
-		p := l.Out.Head()
-		n, _, errno := syscall.RawSyscall(syscall.SYS_WRITE, fd, uintptr(unsafe.Pointer(&p[0])), uintptr(len(p)))
-		switch errno {
-		case 0:
-			l.Out.Drop(int(n))
-		case syscall.EINTR:
-		case syscall.EAGAIN:
+		n, errno := l.system.Write(fd, l.Out.Head())
+		switch {
+		case errno == 0 && n > 0:
+			l.Out.Drop(n)
+		case errno == syscall.EINTR:
+		case errno == 0, errno == syscall.EAGAIN: // nothing is taken now: trying on would be a busy loop
 			return true
 		default:
 			l.writeErr = os.NewSyscallError("write", errno)
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -9,6 +9,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"ravensill/internal/sockets"
+	"ravensill/internal/sockets/socketstest"
 )
 
 // TestWrap checks that bytes come out in the order written, around the end of the buffer and while it grows.
@@ -69,7 +72,7 @@
 // TestSlowPeer checks that Flush returns at once with a peer that reads nothing, and that the rest is written later.
 func TestSlowPeer(t *testing.T) {
 	near, far := pair(t)
-	link, err := NewLink(near.(*net.TCPConn), 1<<20, 64<<20)
+	link, err := NewLink(sockets.Kernel{}, near.(*net.TCPConn), 1<<20, 64<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +102,7 @@
 func TestNoDelay(t *testing.T) {
 	near, far := pair(t)
 	for _, c := range []net.Conn{near, far} {
-		link, err := NewLink(c.(*net.TCPConn), 1, 1)
+		link, err := NewLink(sockets.Kernel{}, c.(*net.TCPConn), 1, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -114,7 +117,7 @@
 // newLinkPair returns the driver of one end of a connection, and the other end.
 func newLinkPair(t *testing.T) (link *Link, far *net.TCPConn) {
 	near, peer := pair(t)
-	link, err := NewLink(near.(*net.TCPConn), 1<<20, 1<<10)
+	link, err := NewLink(sockets.Kernel{}, near.(*net.TCPConn), 1<<20, 1<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,13 +189,76 @@
 	}
 }
 
+// TestFaultyDescriptor checks that calls that are interrupted, move a part or move nothing lose and repeat no byte, and that other
+// errors are returned as they are.
+func TestFaultyDescriptor(t *testing.T) {
+	fault := func(errno syscall.Errno, bytes int) *socketstest.Fault {
+		return &socketstest.Fault{Errno: errno, Bytes: bytes}
+	}
+	for _, test := range []struct {
+		name   string
+		reads  []*socketstest.Fault
+		writes []*socketstest.Fault
+		err    syscall.Errno // of the first call that fails for good; 0: none
+	}{
+		{name: "none"},
+		{name: "interrupted", reads: []*socketstest.Fault{fault(syscall.EINTR, 0), fault(syscall.EINTR, 0)},
+			writes: []*socketstest.Fault{fault(syscall.EINTR, 0), fault(syscall.EINTR, 0)}},
+		{name: "short", reads: []*socketstest.Fault{fault(0, 1), fault(0, 2), nil, fault(0, 3)},
+			writes: []*socketstest.Fault{fault(0, 1), fault(0, 2), fault(0, 3)}},
+		{name: "would block after a part", writes: []*socketstest.Fault{fault(0, 2), fault(syscall.EAGAIN, 0), fault(0, 1), fault(syscall.EAGAIN, 0)}},
+		{name: "writes nothing", writes: []*socketstest.Fault{fault(0, 0), fault(0, 1), fault(0, 0)}},
+		{name: "read times out", reads: socketstest.Errors(syscall.ETIMEDOUT), err: syscall.ETIMEDOUT},
+		{name: "read finds no host", reads: socketstest.Errors(syscall.EHOSTUNREACH), err: syscall.EHOSTUNREACH},
+		{name: "read reset", reads: socketstest.Errors(syscall.ECONNRESET), err: syscall.ECONNRESET},
+		{name: "write times out", writes: socketstest.Errors(syscall.ETIMEDOUT), err: syscall.ETIMEDOUT},
+		{name: "write to a closed one", writes: socketstest.Errors(syscall.EPIPE), err: syscall.EPIPE},
+		{name: "write out of memory", writes: socketstest.Errors(syscall.ENOBUFS), err: syscall.ENOBUFS},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			near, far := pair(t)
+			system := socketstest.New(1, nil)
+			system.Script(socketstest.Read, test.reads...)
+			system.Script(socketstest.Write, test.writes...)
+			sender, err := NewLink(system, near.(*net.TCPConn), 1<<10, 1<<10)
+			if err != nil {
+				t.Fatal(err)
+			}
+			receiver, err := NewLink(system, far.(*net.TCPConn), 1<<10, 1<<10)
+			if err != nil {
+				t.Fatal(err)
+			}
+			want := []byte("0123456789")
+			sender.Out.Write(want)
+			err = nil
+			for flushes := 0; sender.Out.Len() > 0 && err == nil; flushes++ {
+				if flushes > len(test.writes) {
+					t.Fatalf("%d flushes leave %d bytes", flushes, sender.Out.Len())
+				}
+				err = sender.Flush()
+			}
+			for err == nil && receiver.In.Len() < len(want) {
+				err = receiver.Read()
+			}
+			switch {
+			case test.err != 0:
+				if !errors.Is(err, test.err) {
+					t.Errorf("%v, want %v", err, test.err)
+				}
+			case err != nil || !bytes.Equal(receiver.In.Span(0, receiver.In.Len()), want):
+				t.Errorf("%v; %q", err, receiver.In.Span(0, receiver.In.Len()))
+			}
+		})
+	}
+}
+
 // BenchmarkReading compares a ring with a bufio.Reader in front of a ring, for commands of 120 bytes in writes of one command.
 func BenchmarkReading(b *testing.B) {
 	command := bytes.Repeat([]byte("c"), 120)
 	for _, buffered := range []bool{false, true} {
 		b.Run(map[bool]string{false: "ring", true: "bufio and ring"}[buffered], func(b *testing.B) {
 			near, far := pair(b)
-			link, err := NewLink(far.(*net.TCPConn), 1<<16, 1<<16)
+			link, err := NewLink(sockets.Kernel{}, far.(*net.TCPConn), 1<<16, 1<<16)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -220,7 +286,7 @@
 // after an earlier one was given up must not run beside it.
 func TestCloseUnderRead(t *testing.T) {
 	near, _ := pair(t)
-	link, err := NewLink(near.(*net.TCPConn), 1<<10, 1<<10)
+	link, err := NewLink(sockets.Kernel{}, near.(*net.TCPConn), 1<<10, 1<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/subscriber/incarnation.go
+++ b/internal/subscriber/incarnation.go
@@ -18,9 +18,12 @@
 // NextIncarnation numbers this start of the gateway: above the number of every earlier start that the folder knows of, and
 // otherwise by the wall clock, in nanoseconds since 1970. The wall clock alone would give a gateway that restarts after its clock
 // was set back a lower number than before, and a publisher that still holds its former connection would turn it away. The number
-// holds also if it could not be stored; the error then tells why.
-func NextIncarnation(dir string, clock clock.Clock) (uint64, error) {
-	number := uint64(max(clock.Wall().UnixNano(), 1))
+// holds also if it could not be stored; the error then tells why. A nil clock is clock.System.
+func NextIncarnation(dir string, source clock.Clock) (uint64, error) {
+	if source == nil {
+		source = clock.System{}
+	}
+	number := uint64(max(source.Wall().UnixNano(), 1))
 	path := filepath.Join(dir, incarnationFile)
 	stored, err := readIncarnation(path)
 	if err != nil {
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -17,6 +17,7 @@
 	"ravensill/configsync"
 	"ravensill/internal/clock"
 	"ravensill/internal/config"
+	"ravensill/internal/sockets"
 )
 
 const (
@@ -34,8 +35,9 @@
 	Dir         string           // of the last good version; made if it is not there
 	Member      int              // member index
 	Name        string
-	Incarnation uint64      // grows with each start of the gateway: NextIncarnation
-	Clock       clock.Clock // nil: clock.System
+	Incarnation uint64         // grows with each start of the gateway: NextIncarnation
+	Clock       clock.Clock    // nil: clock.System
+	Sockets     sockets.System // nil: sockets.Kernel
 
 	// Apply puts an update in force and returns once it is; it is called on the subscriber's goroutine. Where whole is set,
 	// the changes are the whole content, which replaces that of the gateway's own file; else they lead on from the version
@@ -69,6 +71,9 @@
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System{}
 	}
+	if cfg.Sockets == nil {
+		cfg.Sockets = sockets.Kernel{}
+	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Subscriber{
 		cfg:    cfg,
@@ -123,8 +128,7 @@
 // connect follows one publisher until the connection ends.
 func (s *Subscriber) connect() {
 	address := s.cfg.Publishers[s.follower.Publisher()].String()
-	dialer := net.Dialer{Timeout: configsync.ConnectTimeout}
-	conn, err := dialer.DialContext(s.ctx, "tcp4", address)
+	conn, err := s.cfg.Sockets.Dial(s.ctx, &net.Dialer{Timeout: configsync.ConnectTimeout}, address)
 	if err != nil {
 		s.logLost(address, s.follower.Lost(time.Now()), err)
 		return
--- /dev/null
+++ b/lab/faultygateway/main.go
@@ -0,0 +1,36 @@
+// Command faultygateway is the gateway of cmd/ravensill on a system whose calls fail by chance, for lab/fleet. FAULT_SEED is the
+// seed, in decimal.
+package main
+
+import (
+	"log"
+	"os"
+	"strconv"
+	"syscall"
+
+	"ravensill/internal/node"
+	"ravensill/internal/program"
+	"ravensill/internal/sockets/socketstest"
+)
+
+// rates are those of a machine that is short of everything now and then, with a network that moves bytes in small pieces.
+var rates = map[socketstest.Call]socketstest.Rate{
+	socketstest.Dial: {Chance: 0.05, Faults: []socketstest.Fault{{Errno: syscall.EADDRNOTAVAIL}, {Errno: syscall.EMFILE},
+		{Errno: syscall.ENFILE}, {Errno: syscall.ENOBUFS}, {Errno: syscall.ENOMEM}, {Errno: syscall.ENETUNREACH}}},
+	socketstest.Listen: {Chance: 0.5, Faults: []socketstest.Fault{{Errno: syscall.ENOBUFS}, {Errno: syscall.EADDRNOTAVAIL}}},
+	socketstest.Accept: {Chance: 0.05, Faults: []socketstest.Fault{{Errno: syscall.EMFILE}, {Errno: syscall.ENFILE},
+		{Errno: syscall.ENOBUFS}, {Errno: syscall.ENOMEM}}},
+	socketstest.ListenPacket: {Chance: 0.5, Faults: []socketstest.Fault{{Errno: syscall.ENFILE}}},
+	socketstest.ReadPacket:   {Chance: 0.02, Faults: []socketstest.Fault{{Errno: syscall.ENOBUFS}, {Errno: syscall.ECONNREFUSED}}},
+	socketstest.Read:         {Chance: 0.2, Faults: []socketstest.Fault{{Errno: syscall.EINTR}, {Bytes: 1}, {Bytes: 7}}},
+	socketstest.Write: {Chance: 0.2, Faults: []socketstest.Fault{{Errno: syscall.EINTR}, {Errno: syscall.EAGAIN}, {Bytes: 0}, {Bytes: 1},
+		{Bytes: 7}}},
+}
+
+func main() {
+	seed, err := strconv.ParseUint(os.Getenv("FAULT_SEED"), 10, 64)
+	if err != nil {
+		log.Fatalf("FAULT_SEED: %v", err)
+	}
+	program.Main(node.Platform{Sockets: socketstest.New(seed, rates)})
+}
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -78,6 +78,22 @@
 	}
 }
 
+// The system calls of all gateways fail by chance: they are short of descriptors, ports and memory at each kind of call, and bytes
+// move in small pieces. Every process starts, and the rules are kept.
+func TestSystemCallFaults(t *testing.T) {
+	binary, err := FaultyBinary()
+	must(t, err)
+	s := (Size{Gateways: 24, Hosts: 12, Rate: 400, Seed: 11}).case1("system calls fail by chance", 6*time.Second, 0.9)
+	s.Plan.Binary = binary
+	s.Plan.Env = []string{"FAULT_SEED=11"}
+	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	defer cancel()
+	r, err := s.Play(ctx)
+	must(t, err)
+	t.Log(r.Summary(), r.Cost())
+	must(t, r.Err())
+}
+
 // Each check fails on a report that is doctored against it.
 func TestChecks(t *testing.T) {
 	s := (Size{Gateways: 2, Hosts: 3, Rate: 200, Seed: 3}).Cases()[0]
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -24,32 +24,47 @@
 
 const keptLines = 4000 // of a process's log, over its lives
 
-var build struct {
-	once sync.Once
-	path string
-	err  error
+// program is a command of this module that is built once a test process.
+type program struct {
+	importPath string
+	once       sync.Once
+	path       string
+	err        error
 }
 
-// Binary builds the program once a test process and gives its path. RAVENSILL_BINARY names another one instead.
-func Binary() (string, error) {
-	if path := os.Getenv("RAVENSILL_BINARY"); path != "" {
-		return path, nil
-	}
-	build.once.Do(func() {
+var (
+	gatewayProgram = program{importPath: "ravensill/cmd/ravensill"}
+	faultyProgram  = program{importPath: "ravensill/lab/faultygateway"}
+)
+
+// build builds the command, if that is not done yet, and returns its path.
+func (p *program) build() (string, error) {
+	p.once.Do(func() {
 		dir, err := os.MkdirTemp("", "ravensill-fleet-")
 		if err != nil {
-			build.err = err
+			p.err = err
 			return
 		}
-		build.path = filepath.Join(dir, "ravensill")
-		out, err := exec.Command("go", "build", "-o", build.path, "ravensill/cmd/ravensill").CombinedOutput()
+		p.path = filepath.Join(dir, filepath.Base(p.importPath))
+		out, err := exec.Command("go", "build", "-o", p.path, p.importPath).CombinedOutput()
 		if err != nil {
-			build.err = fmt.Errorf("building the program: %w: %s", err, out)
+			p.err = fmt.Errorf("building %s: %w: %s", p.importPath, err, out)
 		}
 	})
-	return build.path, build.err
+	return p.path, p.err
 }
 
+// Binary builds the program once a test process and gives its path. RAVENSILL_BINARY names another one instead.
+func Binary() (string, error) {
+	if path := os.Getenv("RAVENSILL_BINARY"); path != "" {
+		return path, nil
+	}
+	return gatewayProgram.build()
+}
+
+// FaultyBinary builds the gateway whose system calls fail by chance, once a test process, and gives its path.
+func FaultyBinary() (string, error) { return faultyProgram.build() }
+
 // Gateway is one process in its lives: a task that owns its log and its present life.
 type Gateway struct {
 	*task.Task
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -17,6 +17,7 @@
 	"ravensill/internal/discovery"
 	"ravensill/internal/gossip"
 	"ravensill/internal/hosts"
+	"ravensill/internal/sockets"
 	"ravensill/logic"
 )
 
@@ -80,7 +81,7 @@
 	h.book.Even = configuration.Even
 	run := func(work func()) { work() }
 	clock := func() int64 { return h.now }
-	h.connections = hosts.NewTransport(run, clock, configuration.ReportNames, configuration.ConnectTimeout,
+	h.connections = hosts.NewTransport(sockets.Kernel{}, run, clock, configuration.ReportNames, configuration.ConnectTimeout,
 		configuration.ConnIdle, int(connectionsPerSocket*float64(configuration.Sockets)))
 	if configuration.Configuration != nil {
 		h.follow()
--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -10,6 +10,7 @@
 	"ravensill/internal/config"
 	"ravensill/internal/discovery"
 	"ravensill/internal/peers"
+	"ravensill/internal/sockets"
 	"ravensill/lab/standin"
 )
 
@@ -48,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.post, err = peers.Open(c.PeerListen, c.Peers, messageForm(c)); err != nil {
+	if s.post, err = peers.Open(sockets.Kernel{}, c.PeerListen, c.Peers, messageForm(c)); err != nil {
 		return nil, fmt.Errorf("hollow gateway %d: %w", c.Seat.Index, err)
 	}
 	h := NewHollow(c, s, s.now())
@@ -118,7 +119,7 @@
 func (s *Served) follow(ctx context.Context, address string, version int64) {
 	for ctx.Err() == nil {
 		var feed discovery.Feed
-		discovery.Watch(ctx, address, version, discovery.NewPace(false), &feed, func() {}, func(text string) {
+		discovery.Watch(ctx, sockets.Kernel{}, address, version, discovery.NewPace(false), &feed, func() {}, func(text string) {
 			taken := make(chan int64, 1)
 			s.do(func() {
 				s.hollow.List(text, false)
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -16,6 +16,7 @@
 	"ravensill/internal/config"
 	"ravensill/internal/discovery"
 	"ravensill/internal/hosts"
+	"ravensill/internal/sockets"
 	"ravensill/lab/fleet"
 )
 
@@ -99,7 +100,7 @@
 			t.Fatal(err)
 		}
 		book := discovery.NewBook([]string{"a"}, []string{"m"})
-		transport := hosts.NewTransport(func(func()) {}, func() int64 { return 0 }, nil, 1, 1, 1)
+		transport := hosts.NewTransport(sockets.Kernel{}, func(func()) {}, func() int64 { return 0 }, nil, 1, 1, 1)
 		_, listed, _, err := book.Read(string(list), func(host uint32, addr netip.AddrPort) { transport.SetAddress(host, addr) })
 		if err != nil || size.Axis == Hosts && len(listed) != size.Count {
 			t.Fatal(len(listed), err)
