--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -51,6 +51,8 @@
 
 	SnapshotThreshold uint64 // log entries between snapshots; 0: 4096
 	TrailingEntries   uint64 // log entries kept behind a snapshot; 0: 1024
+
+	DiskFault func() error // for tests: the error of the next write to the log or the state on disk, nil for none; nil: never one
 }
 
 // Replica is one running replica. All its methods may be called from any goroutine.
@@ -63,7 +65,8 @@
 	raft       *raft.Raft
 	transport  *transport
 	store      *raftboltdb.BoltStore
-	entries    raft.LogStore // store with the latest entries in memory
+	entries    raft.LogStore // disk
+	disk       *disk         // store with the latest entries in memory
 	membership *membership
 	dropped    atomic.Int64
 	caughtUp   atomic.Uint64 // the last term in which CatchUp succeeded
@@ -102,17 +105,19 @@
 	if err != nil {
 		return err
 	}
-	r.entries, err = raft.NewLogCache(cachedEntries, r.store)
+	cache, err := raft.NewLogCache(cachedEntries, r.store)
 	if err != nil {
 		return err
 	}
+	r.disk = newDisk(&r.cfg, cache, r.store)
+	r.entries = r.disk
 	quiet := hclog.NewNullLogger()
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(r.cfg.Dir, snapshotsKept, quiet)
 	if err != nil {
 		return err
 	}
 	network := raft.NewNetworkTransportWithLogger(r.transport, connectionPool, r.cfg.Election, quiet)
-	r.raft, err = raft.NewRaft(r.options(quiet), r.machine, r.entries, r.store, snapshots, network)
+	r.raft, err = raft.NewRaft(r.options(quiet), r.machine, r.entries, r.disk, snapshots, network)
 	return err
 }
 
@@ -139,6 +144,7 @@
 
 // Close ends the replica and waits until its goroutines are gone.
 func (r *Replica) Close() {
+	r.disk.close()
 	r.raft.Shutdown().Error()
 	r.membership.close()
 	r.release()
@@ -176,6 +182,19 @@
 	return r.Leader() >= 0 && time.Since(r.raft.LastContact()) < 2*r.cfg.Election
 }
 
+// Current tells whether this replica is in contact with a quorum and has carried out what that has agreed on. One whose disk fails
+// is in contact: the library answers heartbeats without the disk. But it misses every entry until a write has succeeded again and
+// all that came with it is carried out.
+func (r *Replica) Current() bool {
+	if !r.InContact() || r.disk.failing.Load() {
+		return false
+	}
+	if r.disk.missed.Load() && r.machine.applied.Load() >= r.lastProposal(r.raft.CommitIndex()) {
+		r.disk.missed.Store(false)
+	}
+	return !r.disk.missed.Load()
+}
+
 // Resign hands the lead to another replica, so that the group need not wait for an election after this one has ended. It
 // does nothing where this replica does not lead, and waits no longer than the election timeout.
 func (r *Replica) Resign() error {
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -10,6 +10,7 @@
 	"strconv"
 	"strings"
 
+	"github.com/google/renameio/v2"
 	"github.com/hashicorp/raft"
 )
 
@@ -34,11 +35,7 @@
 	random := make([]byte, identityBytes)
 	rand.Read(random)
 	id := strconv.Itoa(index) + "-" + hex.EncodeToString(random)
-	err = os.WriteFile(file+".new", []byte(id), 0o600)
-	if err != nil {
-		return "", err
-	}
-	return raft.ServerID(id), os.Rename(file+".new", file)
+	return raft.ServerID(id), renameio.WriteFile(file, []byte(id), 0o600) // synced: an empty file after a power failure is no id
 }
 
 // IndexOf gives the index of the replica that an id belongs to, -1 where it is no id.
--- /dev/null
+++ b/internal/publisher/disk_test.go
@@ -0,0 +1,97 @@
+package publisher_test
+
+import (
+	"syscall"
+	"testing"
+
+	"ravensill/internal/publisher"
+	"ravensill/internal/publishertest"
+)
+
+// followCurrent follows a replica as gateways do: it returns once a heartbeat tells whether the replica is current.
+func followCurrent(t *testing.T, g *publishertest.Group, replica int, want bool) {
+	t.Helper()
+	f := follow(t, g, replica, hello(1))
+	eventually(t, "the heartbeats of the replica", func() bool { return f.heartbeat().Current == want })
+	f.conn.Close()
+}
+
+// The disk of a replica that doesn't lead is full: it misses what the others agree on, must not call itself current meanwhile, to
+// operators or to followers, and catches up by itself once there is room. A replica in contact with its leader once counted as
+// current, so a third of a fleet would have stayed behind with it.
+func TestReplicaWithFullDiskIsNotCurrent(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			g := publishertest.NewGroup(t, 3, nil)
+			g.Agreed(g.Put())
+			leader := g.Leader()
+			full := (leader + 1) % 3
+			eventually(t, "the replica to be current", func() bool { return g.Replicas[full].Status().Current })
+			g.SetDiskFault(full, errno)
+			last := publisher.Publication{}
+			for rate := range 12 { // beyond the log entries kept, so that a snapshot is wanted
+				last = g.SetRate(leader, "gold", 20+rate)
+			}
+			eventually(t, "the replica not to be current", func() bool { return !g.Replicas[full].Status().Current })
+			if s := g.Replicas[full].Status(); s.Version == last.Version {
+				t.Fatalf("it has version %d: its disk did not fail", s.Version)
+			}
+			followCurrent(t, g, full, false)
+			g.SetDiskFault(full, nil)
+			g.Agreed(last)
+			eventually(t, "the replica to be current again", func() bool { return g.Replicas[full].Status().Current })
+			followCurrent(t, g, full, true)
+		})
+	}
+}
+
+// All disks are full while a leader is elected: the library would end each process over a term that can't be stored. The replicas
+// wait, close when they are told to, and elect a leader once there is room.
+func TestElectionWithFullDisks(t *testing.T) {
+	g := publishertest.NewGroup(t, 3, nil)
+	first := g.Put()
+	g.Agreed(first)
+	lost := g.Leader()
+	others := []int{(lost + 1) % 3, (lost + 2) % 3}
+	for _, i := range others {
+		g.SetDiskFault(i, syscall.ENOSPC)
+	}
+	g.Close(lost)
+	for _, i := range others {
+		eventually(t, "the lost leader to be noticed", func() bool { return !g.Replicas[i].Status().Current })
+	}
+	g.Close(others[0]) // under a write that is tried again and again
+	g.SetDiskFault(others[0], nil)
+	g.Open(others[0])
+	g.SetDiskFault(others[1], nil)
+	g.Agreed(first)
+	g.Agreed(g.SetRate(others[1], "gold", 7))
+}
+
+// A change that the disks of a quorum don't hold is not acknowledged, and a version that was is there after all of them restart.
+func TestAcknowledgedVersionIsOnDisks(t *testing.T) {
+	g := publishertest.NewGroup(t, 3, nil)
+	g.Agreed(g.Put())
+	last := g.SetRate(0, "gold", 11)
+	for i := range g.Replicas {
+		g.SetDiskFault(i, syscall.EIO)
+	}
+	for i := range g.Replicas {
+		status, answer := g.Request(i, "PATCH", "/v1/configuration", `{"set":{"plans/gold":{"name":"gold","rate":99,"burst":5}}}`, "")
+		if status != 503 && status != 0 {
+			t.Errorf("replica %d: %d %s", i, status, answer)
+		}
+	}
+	for i := range g.Replicas {
+		g.Close(i)
+		g.SetDiskFault(i, nil)
+	}
+	for i := range g.Replicas {
+		g.Open(i)
+	}
+	again := g.SetRate(0, "gold", 12)
+	if again.Version <= last.Version {
+		t.Errorf("version %d after %d", again.Version, last.Version)
+	}
+	g.Agreed(again)
+}
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -61,8 +61,16 @@
 	rejected  atomic.Int64 // requests for a publication that were answered by an error
 }
 
+// Options are what tests change of a replica.
+type Options struct {
+	DiskFault func() error // see consensus.Config
+}
+
 // Start opens the replica's log and its listeners.
-func Start(cfg *config.Publisher) (*Publisher, error) {
+func Start(cfg *config.Publisher) (*Publisher, error) { return StartWith(cfg, Options{}) }
+
+// StartWith is Start with options.
+func StartWith(cfg *config.Publisher, options Options) (*Publisher, error) {
 	p := &Publisher{
 		cfg:         cfg,
 		state:       configsync.NewState(cfg.History),
@@ -87,6 +95,7 @@
 		Election:          cfg.Election,
 		SnapshotThreshold: cfg.SnapshotThreshold,
 		TrailingEntries:   cfg.TrailingEntries,
+		DiskFault:         options.DiskFault,
 	}, &machine{p})
 	if err != nil {
 		p.listener.Close()
@@ -150,7 +159,7 @@
 // observe tells the sender how the replica stands. released is true once, when the log has been replayed.
 func (p *Publisher) observe() (released bool) {
 	replayed := p.replica.CaughtUp()
-	current := p.replica.InContact()
+	current := p.replica.Current()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sender.SetCurrent(current)
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -13,7 +13,7 @@
 	Replica   int                `json:"replica"`
 	Leader    int                `json:"leader"` // -1: not known
 	Leads     bool               `json:"leads"`
-	Current   bool               `json:"current"` // in contact with a quorum
+	Current   bool               `json:"current"` // in contact with a quorum, and has carried out what that agreed on
 	Log       configsync.LogID   `json:"log"`
 	Version   configsync.Version `json:"version"`
 	Digest    string             `json:"digest"`
@@ -52,7 +52,7 @@
 		Replica:   p.cfg.Index,
 		Leader:    p.replica.Leader(),
 		Leads:     p.replica.Leads(),
-		Current:   p.replica.InContact(),
+		Current:   p.replica.Current(),
 		Followers: []Follower{},
 		Counters: Counters{
 			Connections: p.counters.connected.Load(),
--- a/internal/publishertest/publishertest.go
+++ b/internal/publishertest/publishertest.go
@@ -10,6 +10,7 @@
 	"net/http"
 	"net/netip"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -55,12 +56,30 @@
 	Configs  []*config.Publisher
 	Replicas []*publisher.Publisher // nil: closed
 	t        *testing.T
+	faults   []atomic.Pointer[error] // of the disks, by replica; nil: none
+}
+
+// SetDiskFault has all writes to a replica's log and state fail with an error, or none if that is nil.
+func (g *Group) SetDiskFault(i int, err error) {
+	if err == nil {
+		g.faults[i].Store(nil)
+		return
+	}
+	g.faults[i].Store(&err)
+}
+
+// diskFault returns the error of a replica's next write, nil for none.
+func (g *Group) diskFault(i int) error {
+	if fault := g.faults[i].Load(); fault != nil {
+		return *fault
+	}
+	return nil
 }
 
 // NewGroup starts replicas, each with a folder of its own; change may alter their configurations. They are closed with
 // the test.
 func NewGroup(t *testing.T, replicas int, change func(*config.Publisher)) *Group {
-	g := &Group{t: t, Replicas: make([]*publisher.Publisher, replicas)}
+	g := &Group{t: t, Replicas: make([]*publisher.Publisher, replicas), faults: make([]atomic.Pointer[error], replicas)}
 	var raftAddresses, adminAddresses []netip.AddrPort
 	for range replicas {
 		raftAddresses = append(raftAddresses, freeAddress(t))
@@ -91,7 +110,7 @@
 func (g *Group) Open(i int) {
 	g.t.Helper()
 	var err error
-	g.Replicas[i], err = publisher.Start(g.Configs[i])
+	g.Replicas[i], err = publisher.StartWith(g.Configs[i], publisher.Options{DiskFault: func() error { return g.diskFault(i) }})
 	if err != nil {
 		g.t.Fatal(err)
 	}
--- a/internal/subscriber/incarnation.go
+++ b/internal/subscriber/incarnation.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return number, err
 	}
-	return number, replaceFile(path, []byte(strconv.FormatUint(number, 10)+"\n"))
+	return number, replaceFile(diskFiles{}, path, []byte(strconv.FormatUint(number, 10)+"\n"))
 }
 
 // readIncarnation reads the number of the last start, 0 where there is none. One that can't be made out counts as none.
--- a/internal/subscriber/store.go
+++ b/internal/subscriber/store.go
@@ -37,11 +37,63 @@
 	return document, err
 }
 
+// files are the steps by which the store writes, so that tests can have each of them fail.
+type files interface {
+	// Replace puts a file with a text at a path: the file is the old one or the new one at any moment, and the new one is on the
+	// disk when it returns nil.
+	Replace(path string, text []byte) error
+	// SyncFolder puts the names in a folder on the disk (fsync(2)).
+	SyncFolder(dir string) error
+	// OpenAppend opens a file that is there, to append to it.
+	OpenAppend(path string) (appendFile, error)
+}
+
+// appendFile is a file that is appended to.
+type appendFile interface {
+	Write(text []byte) (int, error)
+	Sync() error
+	Close() error
+}
+
+// diskFiles writes to the disk.
+type diskFiles struct{}
+
+// Replace implements files.
+func (diskFiles) Replace(path string, text []byte) error {
+	return renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(filepath.Dir(path)))
+}
+
+// SyncFolder implements files.
+func (diskFiles) SyncFolder(dir string) error {
+	folder, err := os.Open(dir)
+	if err != nil {
+		return err
+	}
+	return errors.Join(folder.Sync(), folder.Close())
+}
+
+// OpenAppend implements files.
+func (diskFiles) OpenAppend(path string) (appendFile, error) {
+	return os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0)
+}
+
+// replaceFile writes a file aside, syncs it, renames it and syncs the folder: after any of these steps the file at the path is the
+// old one or the new one, and once it returns nil a power failure does not bring the old one back.
+func replaceFile(disk files, path string, text []byte) error {
+	err := disk.Replace(path, text)
+	if err != nil {
+		return err
+	}
+	return disk.SyncFolder(filepath.Dir(path))
+}
+
 // store keeps the version in force on disk. A document is written aside, synced and renamed; a delta is appended and
-// synced. Whenever the power fails, there is a whole document and some of the deltas after it.
+// synced. Whenever the power fails, there is a whole document and some of the deltas after it. After a failure the document is
+// written anew: what a failed sync has left in memory counts as written, and a further sync would say that it is on the disk.
 type store struct {
 	dir           string
-	file          *os.File // to append to; nil: the document has to be written anew
+	disk          files
+	file          appendFile // nil: the document has to be written anew
 	documentBytes int64
 	appendedBytes int64
 	unsaved       int  // versions
@@ -49,20 +101,26 @@
 	retryAt       time.Time
 }
 
-// save keeps a document. Where delta is not nil, it leads from the document saved before to this one. A failure is logged
-// once; the gateway goes on without.
+// newStore returns the store of a folder, which is made when it is first needed.
+func newStore(dir string, disk files) *store { return &store{dir: dir, disk: disk} }
+
+// save keeps a new version of the document. Where delta is not nil, it leads from the document saved before to this one. A failure
+// is logged once; the gateway goes on without.
 func (s *store) save(document *configsync.Document, delta *configsync.Delta) {
-	if s.failing && time.Now().Before(s.retryAt) {
+	tooEarly := s.failing && time.Now().Before(s.retryAt)
+	if tooEarly || !s.attempt(document, delta) {
 		s.unsaved++
-		return
 	}
+}
+
+// attempt tries to write the document and tells whether it is on the disk.
+func (s *store) attempt(document *configsync.Document, delta *configsync.Delta) (saved bool) {
 	err := s.append(delta)
 	if errors.Is(err, errWholeWanted) {
 		err = s.write(document)
 	}
 	if err != nil {
 		s.close()
-		s.unsaved++
 		s.retryAt = time.Now().Add(saveRetryInterval)
 	}
 	if err != nil && !s.failing {
@@ -72,6 +130,15 @@
 		log.Printf("event=configuration_saved_again dir=%s version=%d", s.dir, document.Version())
 	}
 	s.failing = err != nil
+	return err == nil
+}
+
+// retry saves the document in force if its last save failed and the time to try again has come: the next version may be days
+// away.
+func (s *store) retry(document *configsync.Document) {
+	if s.failing && !time.Now().Before(s.retryAt) {
+		s.attempt(document, nil)
+	}
 }
 
 // errWholeWanted tells that the document has to be written as a whole.
@@ -100,36 +167,16 @@
 	s.removeLeftovers()
 	path := filepath.Join(s.dir, fileName)
 	text := configsync.EncodeFile(document)
-	err = replaceFile(path, text)
+	err = replaceFile(s.disk, path, text)
 	if err != nil {
 		return err
 	}
 	s.documentBytes = int64(len(text))
 	s.appendedBytes = 0
-	s.file, err = os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0)
+	s.file, err = s.disk.OpenAppend(path)
 	return err
 }
 
-// replaceFile writes a file aside, syncs it, renames it and syncs the folder: after any of these steps the file at the path is the
-// old one or the new one, and once it returns nil a power failure does not bring the old one back.
-func replaceFile(path string, text []byte) error {
-	dir := filepath.Dir(path)
-	err := renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(dir))
-	if err != nil {
-		return err
-	}
-	return syncFolder(dir)
-}
-
-// syncFolder makes the names in a folder durable (fsync(2)).
-func syncFolder(dir string) error {
-	folder, err := os.Open(dir)
-	if err != nil {
-		return err
-	}
-	return errors.Join(folder.Sync(), folder.Close())
-}
-
 // removeLeftovers removes what a write that was killed left beside the file.
 func (s *store) removeLeftovers() {
 	names, err := filepath.Glob(filepath.Join(s.dir, "."+fileName+"*"))
@@ -145,6 +192,6 @@
 func (s *store) close() {
 	if s.file != nil {
 		s.file.Close()
-		s.file = nil
 	}
+	s.file = nil
 }
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -39,6 +39,8 @@
 	Clock       clock.Clock    // nil: clock.System
 	Sockets     sockets.System // nil: sockets.Kernel
 
+	disk files // nil: diskFiles
+
 	// Apply puts an update in force and returns once it is; it is called on the subscriber's goroutine. Where whole is set,
 	// the changes are the whole content, which replaces that of the gateway's own file; else they lead on from the version
 	// before. On an error but ErrStopped the version is refused, and the one before stays in force; a *config.ResourceError
@@ -71,6 +73,9 @@
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System{}
 	}
+	if cfg.disk == nil {
+		cfg.disk = diskFiles{}
+	}
 	if cfg.Sockets == nil {
 		cfg.Sockets = sockets.Kernel{}
 	}
@@ -80,7 +85,7 @@
 		ctx:    ctx,
 		cancel: cancel,
 		ended:  make(chan struct{}),
-		store:  &store{dir: cfg.Dir},
+		store:  newStore(cfg.Dir, cfg.disk),
 		lineAt: time.Now(),
 		causes: map[configsync.Cause]time.Time{},
 	}
@@ -108,6 +113,7 @@
 	defer s.store.close()
 	for s.waitUntil(s.follower.NextAttempt()) {
 		s.connect()
+		s.store.retry(s.follower.Document())
 		s.updateStatus()
 		s.logLine()
 	}
@@ -160,6 +166,7 @@
 		if decision.Kind == configsync.Apply && !s.apply(l, decision.Update) {
 			return
 		}
+		s.store.retry(s.follower.Document())
 		s.updateStatus()
 		s.logLine()
 	}
@@ -219,8 +226,9 @@
 		s.refuse(l, now, update, err)
 		return true
 	}
-	l.send(s.follower.Accept(now))
-	s.store.save(s.follower.Document(), update.Delta)
+	accepted := s.follower.Accept(now)
+	s.store.save(s.follower.Document(), update.Delta) // first: a gateway that is killed in between must not hold less than it told
+	l.send(accepted)
 	return true
 }
 
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -269,7 +269,7 @@
 	log.SetOutput(&lines)
 	defer log.SetOutput(os.Stderr)
 	document := configsync.NewDocument("log")
-	s := &store{dir: filepath.Join(t.TempDir(), "file")}
+	s := newStore(filepath.Join(t.TempDir(), "file"), diskFiles{})
 	if err := os.WriteFile(s.dir, nil, 0o600); err != nil { // a file where the folder should be
 		t.Fatal(err)
 	}
