--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -14,7 +14,7 @@
 func main() {
 	debug.SetGCPercent(400) // records come and go in great number
 	err := simwire.Serve(os.Stdin, os.Stdout, func(seed uint64, seat gateway.Membership, fronts []gateway.RequestClass,
-		plans []gateway.Plan, limits gateway.Limits, cold gateway.Cold, report gateway.Report) simwire.Decider {
+		plans []gateway.Plan, limits gateway.Limits, cold gateway.SlowStart, report gateway.LoadReportForm) simwire.Decider {
 		return logic.New(seed, seat, fronts, plans, limits, cold, report)
 	})
 	if err != nil {
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -30,14 +30,14 @@
 func (s *settings) requestClass() (class gateway.RequestClass, name string) {
 	name = s.text("name")
 	class = gateway.RequestClass{
-		Effect:  gateway.Effect(s.word("effect", "safe", "keyed", "unsafe")),
-		Group:   gateway.Group(s.word("group", "all", "zone", "cell")),
-		Window:  s.time("window_us"),
-		Target:  s.time("target_us"),
-		Timeout: s.time("hard_limit_us"),
-		Value:   s.num("points"),
-		Late:    s.num("late_worth"),
-		Stream:  s.yes("stream"),
+		Effect:           gateway.Effect(s.word("effect", "safe", "keyed", "unsafe")),
+		Group:            gateway.Group(s.word("group", "all", "zone", "cell")),
+		DedupWindow:      s.time("window_us"),
+		LatencyObjective: s.time("target_us"),
+		Timeout:          s.time("hard_limit_us"),
+		Value:            s.num("points"),
+		LateValue:        s.num("late_worth"),
+		Stream:           s.yes("stream"),
 	}
 	return class, name
 }
@@ -47,29 +47,29 @@
 	adjust := func(key, meaning string, args ...any) {
 		adjusted = append(adjusted, adjustment(key, meaning, args...))
 	}
-	if limits.Two && class.Effect == gateway.NonIdempotent {
+	if limits.Hedging && class.Effect == gateway.NonIdempotent {
 		adjust("limits.parallel_tries", "as false: %seffect is unsafe", s.prefix)
-		limits.Two = false
+		limits.Hedging = false
 	}
-	if class.Effect == gateway.Deduplicated && class.Window == 0 { // no host drops a repeat
+	if class.Effect == gateway.Deduplicated && class.DedupWindow == 0 { // no host drops a repeat
 		if s.get("window_us").Exists() {
 			adjust(s.prefix+"window_us", "0 is no window: as unsafe, what may have run is never sent again")
 		}
 		class.Effect = gateway.NonIdempotent
 	}
-	if class.Late > 1 {
+	if class.LateValue > 1 {
 		adjust(s.prefix+"late_worth", "as 1: a late answer earns no more than one in time")
-		class.Late = 1
+		class.LateValue = 1
 	}
-	if class.Target == 0 && class.Timeout > 0 {
+	if class.LatencyObjective == 0 && class.Timeout > 0 {
 		adjust(s.prefix+"target_us", "as hard_limit_us: none is told")
-		class.Target = class.Timeout
+		class.LatencyObjective = class.Timeout
 	}
-	if class.Target > class.Timeout && class.Timeout > 0 {
+	if class.LatencyObjective > class.Timeout && class.Timeout > 0 {
 		adjust(s.prefix+"target_us", "as hard_limit_us: nobody waits for longer")
-		class.Target = class.Timeout
+		class.LatencyObjective = class.Timeout
 	}
-	if limits.Counter && 2*limits.CounterWait >= class.Timeout && class.Timeout > 0 {
+	if limits.SharedCounter && 2*limits.CounterTimeout >= class.Timeout && class.Timeout > 0 {
 		adjust("family_info.count_wait_us", "half of %shard_limit_us or more: its reqs are decided without the counter", s.prefix)
 	}
 	return adjusted
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -121,7 +121,7 @@
 	}
 	// A fleet of one may grow by a document.
 	mayGrow := c.Configuration != nil && s.obj.Get("peer_listen").Exists()
-	if s.err == nil && c.Seat.Messages && (c.Seat.Count > 1 || mayGrow) {
+	if s.err == nil && c.Seat.Gossip && (c.Seat.Count > 1 || mayGrow) {
 		c.PeerListen = addr("peer_listen", word("peer_listen", "", ""))
 		for i, p := range s.at("peers", gjson.JSON).Array() {
 			c.Peers = append(c.Peers, addr(fmt.Sprintf("peers.%d", i), p.Str))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -110,7 +110,7 @@
 		if x.key == "" && len(c.Adjusted) > 0 || x.key != "" && (len(c.Adjusted) != 1 || c.Adjusted[0].Key != x.key) {
 			t.Errorf("%s: adjusted %q, want %q alone", x.text, c.Adjusted, x.key)
 		}
-		if c.Limits.Counter && c.Limits.CounterWait == 0 {
+		if c.Limits.SharedCounter && c.Limits.CounterTimeout == 0 {
 			t.Error("a call of the counter is never given up")
 		}
 		fmt.Fprintf(&all, "%q\n  %+v\n  %+v\n  %+v\n  counter %v, report %+v %q, even %t\n", c.Adjusted, c.Fronts, c.Plans, c.Limits,
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -259,7 +259,7 @@
 func (l *Live) commitLimits(edit *liveEdit, revision *Revision) {
 	l.requestedLimits = edit.limits
 	limits := edit.limits
-	limits.Two = limits.Two && l.unsafeClasses == 0
+	limits.Hedging = limits.Hedging && l.unsafeClasses == 0
 	if limits != l.limits {
 		l.limits = limits
 		revision.Update.Limits = &limits
--- a/internal/config/live_decode.go
+++ b/internal/config/live_decode.go
@@ -126,7 +126,7 @@
 	}
 	class, _ := object.requestClass()
 	limits := l.file.limits
-	limits.Two = false // by all classes together: commitLimits
+	limits.Hedging = false // by all classes together: commitLimits
 	adjusted := object.shapeClass(&class, &limits)
 	if object.err != nil {
 		return keyError(change.Resource, object.err)
@@ -152,11 +152,11 @@
 		return err
 	}
 	limits := l.file.limits
-	limits.Dispatches = object.whole("max_attempts")
-	limits.Two = object.yes("parallel_tries")
-	limits.Cancel = object.yes("cancelling")
+	limits.MaxAttempts = object.whole("max_attempts")
+	limits.Hedging = object.yes("parallel_tries")
+	limits.Cancellation = object.yes("cancelling")
 	limits.RetryAfter = object.yes("retry_after")
-	limits.LongestAdvice = object.time("max_retry_after_us")
+	limits.MaxRetryAfter = object.time("max_retry_after_us")
 	if object.err != nil {
 		return keyError(change.Resource, object.err)
 	}
--- a/internal/config/live_members.go
+++ b/internal/config/live_members.go
@@ -33,7 +33,7 @@
 func newMembers(base *Config) members {
 	return members{
 		own:       base.Seat.Index,
-		reachable: !base.Seat.Messages || base.PeerListen.IsValid(),
+		reachable: !base.Seat.Gossip || base.PeerListen.IsValid(),
 		fileCount: base.Seat.Count,
 		file:      base.Peers,
 	}
--- a/internal/config/live_restore.go
+++ b/internal/config/live_restore.go
@@ -25,7 +25,7 @@
 	settings.Adjusted = slices.Concat(settings.Adjusted, revision.Adjusted)
 	count, addresses := live.members.inForce()
 	settings.Seat.Count = count
-	if settings.Seat.Messages && base.PeerListen.IsValid() {
+	if settings.Seat.Gossip && base.PeerListen.IsValid() {
 		restored.Peers = slices.Clone(addresses)
 	}
 	return &restored, live, nil
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -28,15 +28,15 @@
 func (s *settings) plan() (plan gateway.Plan, name string, adjusted []Adjustment) {
 	name = s.text("name")
 	plan = gateway.Plan{
-		Rate:         s.num("rate"),
-		Burst:        s.num("burst"),
-		Open:         s.whole("parallel"),
-		CeilingRate:  s.num("ceiling_rate"),
-		CeilingBurst: s.num("cap_depth"),
-		Slack:        s.num("ceiling_slack"),
-		Price:        s.num("worth_factor"),
-		BeyondValue:  s.num("extra_worth"),
-		BeyondCost:   s.num("beyond_costs"),
+		Rate:           s.num("rate"),
+		Burst:          s.num("burst"),
+		MaxInFlight:    s.whole("parallel"),
+		CeilingRate:    s.num("ceiling_rate"),
+		CeilingBurst:   s.num("cap_depth"),
+		CeilingSlack:   s.num("ceiling_slack"),
+		PriorityWeight: s.num("worth_factor"),
+		OverQuotaValue: s.num("extra_worth"),
+		OverQuotaCost:  s.num("beyond_costs"),
 	}
 	return plan, name, s.shapePlan(&plan)
 }
@@ -51,7 +51,7 @@
 		adjusted = append(adjusted, adjustment(s.prefix+"cap_depth", "ignored: without a ceiling_rate there is no ceiling"))
 		plan.CeilingBurst = 0
 	}
-	if s.says("rate", "0") && plan.Open == 0 && plan.CeilingRate == 0 {
+	if s.says("rate", "0") && plan.MaxInFlight == 0 && plan.CeilingRate == 0 {
 		adjusted = append(adjusted, adjustment(s.prefix+"rate",
 			"0 is no quota, and neither parallel nor ceiling_rate is told: the plan is not bounded"))
 	}
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -72,7 +72,7 @@
 	}
 	target, longest := int64(1<<62), int64(0)
 	for _, f := range c.Fronts {
-		target, longest = min(target, f.Target), max(longest, f.Timeout)
+		target, longest = min(target, f.LatencyObjective), max(longest, f.Timeout)
 	}
 	if text.Turn == 0 {
 		text.Turn = max(int(target/4e6), 1)
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -65,7 +65,7 @@
 		}
 		adjusted = append(adjusted, more...)
 	}
-	limits := gateway.Limits{Two: true}
+	limits := gateway.Limits{Hedging: true}
 	for i, raw := range s.get("profiles").Array() {
 		class, name, more, err := DecodeRequestClass(elementPath("profiles", i), raw.Raw, &limits)
 		if err != nil || class != whole.Fronts[i] || name != whole.FrontNames[i] {
@@ -73,7 +73,7 @@
 		}
 		adjusted = append(adjusted, more...)
 	}
-	if !reflect.DeepEqual(adjusted, whole.Adjusted[:len(adjusted)]) || limits.Two {
+	if !reflect.DeepEqual(adjusted, whole.Adjusted[:len(adjusted)]) || limits.Hedging {
 		t.Errorf("adjusted %q, in the whole %q", adjusted, whole.Adjusted)
 	}
 	repeated := []string{"profiles.1.name", "plans.2.name"}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -130,8 +130,8 @@
 	Fronts []gateway.RequestClass
 	Plans  []gateway.Plan
 	Limits gateway.Limits
-	Cold   gateway.Cold
-	Report gateway.Report
+	Cold   gateway.SlowStart
+	Report gateway.LoadReportForm
 
 	FrontNames, PlanNames, ReportNames, Zones, Machines []string // by index
 	ConnIdle, ConnectTimeout                            int64    // of connections to hosts
@@ -165,22 +165,22 @@
 	})
 	d.Seat = gateway.Membership{
 		Index: s.whole("position"), Count: s.whole("balancers"), Zone: s.whole("locality"),
-		Messages: s.yes("limits.peer_messages"), PerSecond: s.num("family_info.mail_per_s"),
+		Gossip: s.yes("limits.peer_messages"), MessageRate: s.num("family_info.mail_per_s"),
 	}
 	d.Limits = gateway.Limits{
-		Dispatches: s.whole("limits.max_attempts"), Two: s.yes("limits.parallel_tries"),
-		Cancel: s.yes("limits.cancelling"), Probes: s.yes("limits.probes"),
-		RetryAfter: s.yes("limits.retry_after"), LongestAdvice: s.time("limits.max_retry_after_us"),
-		MustAsk: s.word("membership_mode", "pushed", "on_request") == 1,
-		Settles: s.yes("family_info.settles"), Counter: s.yes("family_info.shared_counter"),
-		CounterWait: s.time("family_info.count_wait_us"),
+		MaxAttempts: s.whole("limits.max_attempts"), Hedging: s.yes("limits.parallel_tries"),
+		Cancellation: s.yes("limits.cancelling"), Probes: s.yes("limits.probes"),
+		RetryAfter: s.yes("limits.retry_after"), MaxRetryAfter: s.time("limits.max_retry_after_us"),
+		PollEndpoints: s.word("membership_mode", "pushed", "on_request") == 1,
+		SettlesUnits:  s.yes("family_info.settles"), SharedCounter: s.yes("family_info.shared_counter"),
+		CounterTimeout: s.time("family_info.count_wait_us"),
 	}
-	d.Cold = gateway.Cold{
-		From: s.num("rules.start_capacity"), Warm: s.time("rules.warm_up_us"),
-		Multiple: s.num("rules.fall_multiple"), Window: s.time("rules.fall_us"),
+	d.Cold = gateway.SlowStart{
+		InitialFraction: s.num("rules.start_capacity"), Duration: s.time("rules.warm_up_us"),
+		OverloadFactor: s.num("rules.fall_multiple"), OverloadWindow: s.time("rules.fall_us"),
 	}
 	how := s.word("report.how", "off", "inline", "on_probe")
-	d.Report = gateway.Report{Answers: how == 1, Probes: how == 2}
+	d.Report = gateway.LoadReportForm{WithAnswers: how == 1, WithProbes: how == 2}
 	d.ReportNames, d.Zones, d.Machines = s.names("report.names"), s.names("zones"), s.names("skus")
 	for _, name := range d.ReportNames {
 		d.Report.Fields = append(d.Report.Fields, field(name))
@@ -201,20 +201,20 @@
 	return names
 }
 
-func field(name string) gateway.Field {
+func field(name string) gateway.LoadField {
 	switch name {
 	case "outstanding":
-		return gateway.OpenReqs
+		return gateway.OutstandingRequests
 	case "backlog":
-		return gateway.Waiting
+		return gateway.QueuedRequests
 	case "utilization":
-		return gateway.BusyShare
+		return gateway.Utilization
 	case "recent_ms":
-		return gateway.RecentTime
+		return gateway.RecentServiceTime
 	case "throughput":
-		return gateway.PassRate
+		return gateway.Throughput
 	case "errors_per_s":
 		return gateway.ErrorRate
 	}
-	return gateway.Other
+	return gateway.OtherField
 }
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -29,25 +29,25 @@
 // configuration does not say contradicts nothing and is not noted. ofPlans is what the plans, each by itself, led to.
 func (s *Settings) shape(raw *settings, ofPlans []Adjustment) {
 	switch l := &s.Limits; {
-	case !l.Counter && l.CounterWait > 0:
+	case !l.SharedCounter && l.CounterTimeout > 0:
 		s.adjust("family_info.count_wait_us", "ignored: family_info.shared_counter is not true")
-		l.CounterWait = 0
-	case l.Counter && l.CounterWait == 0:
-		l.CounterWait = int64(countWait)
+		l.CounterTimeout = 0
+	case l.SharedCounter && l.CounterTimeout == 0:
+		l.CounterTimeout = int64(countWait)
 	}
 	if s.Even {
 		s.adjust("weights", "live figures tell no size: every host counts as of one size")
 	}
-	if s.Limits.Settles {
+	if s.Limits.SettlesUnits {
 		s.adjust("family_info.settles", "quotas go by the units that a req tells: those that its answer settles are not taken in")
 	}
-	if s.Report.Probes && raw.says("limits.probes", "false") {
+	if s.Report.WithProbes && raw.says("limits.probes", "false") {
 		s.adjust("report.how", "as off: limits.probes is false, so that no report comes")
-		s.Report, s.ReportNames = gateway.Report{}, nil
+		s.Report, s.ReportNames = gateway.LoadReportForm{}, nil
 	}
 	if raw.says("report.how", "off") && len(s.ReportNames) > 0 {
 		s.adjust("report.names", "ignored: report.how is off")
-		s.Report, s.ReportNames = gateway.Report{}, nil
+		s.Report, s.ReportNames = gateway.LoadReportForm{}, nil
 	}
 	s.Adjusted = append(s.Adjusted, ofPlans...)
 	index := 0
@@ -77,10 +77,10 @@
 
 // counter does without a shared counter unless both it and its address are told.
 func (c *Config) counter() {
-	switch shared, addr := c.Limits.Counter, c.Counter.IsValid(); {
+	switch shared, addr := c.Limits.SharedCounter, c.Counter.IsValid(); {
 	case shared && !addr:
 		c.adjust("family_info.shared_counter", "as false: counter (its address) is missing")
-		c.Limits.Counter = false
+		c.Limits.SharedCounter = false
 	case !shared && addr:
 		c.adjust("counter", "ignored: family_info.shared_counter is not true")
 		c.Counter = netip.AddrPort{}
--- a/internal/config/start_test.go
+++ b/internal/config/start_test.go
@@ -13,18 +13,18 @@
 	"ravensill/logic"
 )
 
-type writer struct{ gateway.Writer }
+type writer struct{ gateway.Actions }
 
-func (writer) Dispatch(string, uint32, int64) {}
-func (writer) Reject(string, int64)           {}
-func (writer) Fail(string)                    {}
-func (writer) Cancel(string, int)             {}
-func (writer) Note(string)                    {}
-func (writer) Probe(uint32)                   {}
-func (writer) Wake(int64)                     {}
-func (writer) Follow()                        {}
-func (writer) Send(int, []byte)               {}
-func (writer) Count(uint64, float64, int64)   {}
+func (writer) StartAttempt(string, uint32, int64)  {}
+func (writer) Reject(string, int64)                {}
+func (writer) Fail(string)                         {}
+func (writer) CancelAttempt(string, int)           {}
+func (writer) LogNote(string)                      {}
+func (writer) SendProbe(uint32)                    {}
+func (writer) SetTimer(int64)                      {}
+func (writer) WatchEndpoints()                     {}
+func (writer) SendGossip(int, []byte)              {}
+func (writer) AddToCounter(uint64, float64, int64) {}
 
 // Draws of all that the operators' pages say the settings may hold start, and a request of each class and plan is decided.
 func TestDraws(t *testing.T) {
@@ -89,16 +89,16 @@
 			t.Fatalf("draw %d: %v\n%s", i, err, text)
 		}
 		g := logic.New(c.Seed, c.Seat, c.Fronts, c.Plans, c.Limits, c.Cold, c.Report)
-		round := gateway.Round{Now: 1e9, Events: []gateway.Event{{Kind: gateway.HostsListed, List: gateway.Cached, Hosts: []gateway.Listing{{Host: 1, State: gateway.Running, Share: 1}, {Host: 2, State: gateway.Running, Since: 9e8}}}}}
+		round := gateway.Batch{Now: 1e9, Events: []gateway.Event{{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached, Endpoints: []gateway.Endpoint{{Host: 1, State: gateway.Running, Weight: 1}, {Host: 2, State: gateway.Running, StartedAt: 9e8}}}}}
 		for f := range c.Fronts {
 			for p := range c.Plans {
-				round.Events = append(round.Events, gateway.Event{Kind: gateway.Arrived, Req: fmt.Sprint(f, p), Customer: "0000000000000001", Class: f, Plan: p, Until: 1e9 + c.Fronts[f].Timeout,
-					Units: 1, Spread: 1 + r.IntN(n), First: r.IntN(n)})
+				round.Events = append(round.Events, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(f, p), Customer: "0000000000000001", Class: f, Plan: p, Deadline: 1e9 + c.Fronts[f].Timeout,
+					Units: 1, Spread: 1 + r.IntN(n), FirstGateway: r.IntN(n)})
 			}
 		}
 		g.Round(&round, writer{})
 		for k := range 60 {
-			g.Round(&gateway.Round{Now: 1e9 + int64(k)*4e7, Events: []gateway.Event{{Kind: gateway.Tick}}}, writer{})
+			g.Round(&gateway.Batch{Now: 1e9 + int64(k)*4e7, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, writer{})
 		}
 	}
 }
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -81,7 +81,7 @@
 	newCall := call{name: name, started: c.now()}
 	if c.link == nil {
 		c.Connect()
-		c.finish(&newCall, gateway.Unreached, 0)
+		c.finish(&newCall, gateway.Unreachable, 0)
 		return
 	}
 	key := keyPrefix + strconv.FormatUint(name, 10)
@@ -111,11 +111,11 @@
 	}
 	call.answered = true
 	c.onAnswer(gateway.Event{
-		Kind:   gateway.Counted,
-		Name:   call.name,
-		Result: result,
-		Total:  total,
-		Lag:    c.now() - call.started,
+		Kind:         gateway.CounterReplied,
+		CounterName:  call.name,
+		Result:       result,
+		CounterTotal: total,
+		Latency:      c.now() - call.started,
 	})
 }
 
@@ -283,7 +283,7 @@
 	abandoned := c.inFlight
 	c.inFlight = nil
 	for i := range abandoned {
-		c.finish(&abandoned[i], gateway.Broken, 0)
+		c.finish(&abandoned[i], gateway.Disconnected, 0)
 	}
 }
 
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -37,7 +37,7 @@
 	c := &testCounter{T: t, loop: make(chan func(), 100), now: 1000 * ms}
 	c.counter = New(sockets.Kernel{}, netip.MustParseAddrPort(listener.Addr().String()), 50*ms, func(f func()) { c.loop <- f }, func() int64 { return c.now },
 		func(e gateway.Event) {
-			c.answers = append(c.answers, fmt.Sprintf("%d %d %g", e.Name, e.Result, e.Total))
+			c.answers = append(c.answers, fmt.Sprintf("%d %d %g", e.CounterName, e.Result, e.CounterTotal))
 		})
 	c.counter.Connect()
 	if c.server, err = listener.Accept(); err != nil {
@@ -120,7 +120,7 @@
 			}
 			c.answers = nil
 			c.counter.Count(9, 1, 1)
-			c.expect(fmt.Sprint("9 ", int(gateway.Unreached), " 0"))
+			c.expect(fmt.Sprint("9 ", int(gateway.Unreachable), " 0"))
 			if c.counter.Expire(c.now+100*ms) != 0 {
 				t.Error("something is still awaited")
 			}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -47,8 +47,8 @@
 // A list of an older version than had comes from discovery that lags or counts anew. It is taken, but it does not put
 // back a host that was told as leaving or gone and has not started again since.
 // The cost grows with what the text holds; of changes it does not grow with the hosts that are listed already.
-func (b *Book) Read(text string, place func(host uint32, addr netip.AddrPort)) (kind gateway.List,
-	hosts []gateway.Listing, odd, err error) {
+func (b *Book) Read(text string, place func(host uint32, addr netip.AddrPort)) (kind gateway.ListKind,
+	hosts []gateway.Endpoint, odd, err error) {
 	if !gjson.Valid(text) {
 		return kind, nil, nil, errors.New("not JSON")
 	}
@@ -64,8 +64,8 @@
 		return true
 	})
 	gone := map[uint32]bool{}
-	if kind = gateway.Changes; full.Bool() {
-		kind = gateway.Complete
+	if kind = gateway.ListChanges; full.Bool() {
+		kind = gateway.ListComplete
 		r.missing(gone)
 	}
 	hosts, moved := r.enter(place)
@@ -73,10 +73,10 @@
 		b.byAddr = make(map[netip.AddrPort]*entry, len(moved))
 	}
 	if b.settle(moved, gone) {
-		hosts = slices.DeleteFunc(hosts, func(l gateway.Listing) bool { return gone[l.Host] })
+		hosts = slices.DeleteFunc(hosts, func(l gateway.Endpoint) bool { return gone[l.Host] })
 	}
 	for _, number := range slices.Sorted(maps.Keys(gone)) {
-		hosts = append(hosts, gateway.Listing{Host: number, State: gateway.Gone})
+		hosts = append(hosts, gateway.Endpoint{Host: number, State: gateway.Gone})
 	}
 	b.Version = r.version
 	return kind, hosts, r.odd, nil
@@ -95,7 +95,7 @@
 
 // listedHost is one entry of a list.
 type listedHost struct {
-	gateway.Listing
+	gateway.Endpoint
 	id   string
 	addr netip.AddrPort
 	void bool // the list names its id again, further on
@@ -124,19 +124,19 @@
 			state = int(gateway.Draining)
 		}
 	}
-	s.Listing = b.listing(text, gateway.State(state))
+	s.Endpoint = b.listing(text, gateway.EndpointState(state))
 	if before != nowhere {
 		r.servers[before].void = true
 		r.places[s.id] = nowhere
 	}
 	if r.version < b.Version && s.State != gateway.Gone {
-		if known != nil && known.leaving && s.Since <= known.since {
+		if known != nil && known.leaving && s.StartedAt <= known.since {
 			s.State = gateway.Draining
-		} else if known == nil && b.past(s.id, s.Since) {
+		} else if known == nil && b.past(s.id, s.StartedAt) {
 			return
 		}
 		if known != nil { // an older list does not know of the last start
-			s.Since = max(s.Since, known.since)
+			s.StartedAt = max(s.StartedAt, known.since)
 		}
 	}
 	r.places[s.id] = len(r.servers)
@@ -144,17 +144,17 @@
 }
 
 // listing reads what an entry tells of its host.
-func (b *Book) listing(text gjson.Result, state gateway.State) gateway.Listing {
-	l := gateway.Listing{
-		State:   state,
-		Zone:    max(slices.Index(b.zones, text.Get("zone").Str), 0),
-		Machine: max(slices.Index(b.machines, text.Get("kind").Str), 0),
-		Cell:    int(text.Get("cell").Int()),
-		Share:   text.Get("weight").Num,
-		Since:   text.Get("started_ms").Int() * 1e6,
+func (b *Book) listing(text gjson.Result, state gateway.EndpointState) gateway.Endpoint {
+	l := gateway.Endpoint{
+		State:     state,
+		Zone:      max(slices.Index(b.zones, text.Get("zone").Str), 0),
+		Machine:   max(slices.Index(b.machines, text.Get("kind").Str), 0),
+		Cell:      int(text.Get("cell").Int()),
+		Weight:    text.Get("weight").Num,
+		StartedAt: text.Get("started_ms").Int() * 1e6,
 	}
 	if b.Even {
-		l.Share = 1
+		l.Weight = 1
 	}
 	return l
 }
@@ -175,8 +175,8 @@
 
 // enter keeps what the list tells, and gives the hosts by their numbers and those that have another address than before.
 // First those that leave an address, then who takes it.
-func (r *reading) enter(place func(host uint32, addr netip.AddrPort)) (hosts []gateway.Listing, moved []*entry) {
-	hosts = make([]gateway.Listing, 0, len(r.servers))
+func (r *reading) enter(place func(host uint32, addr netip.AddrPort)) (hosts []gateway.Endpoint, moved []*entry) {
+	hosts = make([]gateway.Endpoint, 0, len(r.servers))
 	for i := range r.servers {
 		s := &r.servers[i]
 		if s.void {
@@ -184,9 +184,9 @@
 		}
 		e := r.book.entry(s.id)
 		s.Host = e.number
-		hosts = append(hosts, s.Listing)
+		hosts = append(hosts, s.Endpoint)
 		if s.State != gateway.Gone {
-			e.since, e.leaving = s.Since, s.State == gateway.Draining
+			e.since, e.leaving = s.StartedAt, s.State == gateway.Draining
 		}
 		if !s.addr.IsValid() {
 			continue
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -80,7 +80,7 @@
 	b.Even = true
 	_, hosts, _, err := b.Read(`{"version":41,"full":true,"servers":[`+server("s-2", "10.1.0.18:6379", "active")+`]}`,
 		func(uint32, netip.AddrPort) {})
-	if err != nil || len(hosts) != 1 || hosts[0].Share != 1 {
+	if err != nil || len(hosts) != 1 || hosts[0].Weight != 1 {
 		t.Errorf("%+v %v", hosts, err)
 	}
 }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -20,34 +20,34 @@
 
 // module is the decisions' own part: it asks where the list only comes when asked for.
 type module struct {
-	gateway.Writer
+	gateway.Actions
 	wake  int64
 	asked bool
 }
 
-func (m *module) Wake(after int64) { m.wake = after }
-func (m *module) Follow()          { m.asked = true }
+func (m *module) SetTimer(after int64) { m.wake = after }
+func (m *module) WatchEndpoints()      { m.asked = true }
 
 // rest gives the module's longest wait, over many draws, until it asks again after so many losses of the list in a row. The
 // last call was lost after it took so long; each loss comes just after a wake-up that asked for nothing.
 func rest(losses int, took time.Duration) (longest time.Duration) {
 	for seed := range uint64(200) {
 		m := &module{}
-		g := logic.New(seed, gateway.Membership{Count: 1}, []gateway.RequestClass{{Target: 1, Timeout: 1}}, []gateway.Plan{{}},
-			gateway.Limits{MustAsk: true}, gateway.Cold{}, gateway.Report{})
+		g := logic.New(seed, gateway.Membership{Count: 1}, []gateway.RequestClass{{LatencyObjective: 1, Timeout: 1}}, []gateway.Plan{{}},
+			gateway.Limits{PollEndpoints: true}, gateway.SlowStart{}, gateway.LoadReportForm{})
 		now := int64(1e9)
 		wake := func() {
 			now += m.wake
-			g.Round(&gateway.Round{Now: now, Events: []gateway.Event{{Kind: gateway.Tick}}}, m)
+			g.Round(&gateway.Batch{Now: now, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, m)
 		}
-		g.Round(&gateway.Round{Now: now}, m)
+		g.Round(&gateway.Batch{Now: now}, m)
 		for i := range losses {
 			for asked := now; i == losses-1 && now+m.wake < asked+int64(took); {
 				wake()
 			}
 			now++
 			lost := now
-			g.Round(&gateway.Round{Now: now, Events: []gateway.Event{{Kind: gateway.HostsListed, List: gateway.Unavailable}}}, m)
+			g.Round(&gateway.Batch{Now: now, Events: []gateway.Event{{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable}}}, m)
 			for m.asked = false; !m.asked; {
 				wake()
 			}
--- a/internal/hosts/answer.go
+++ b/internal/hosts/answer.go
@@ -82,7 +82,7 @@
 		}
 	})
 	if valid {
-		event.Used = used
+		event.Usage = used
 		event.Units = units
 	}
 }
@@ -98,7 +98,7 @@
 		}
 	})
 	if valid && seen == len(loadFields) && seen > 0 {
-		event.Load = report
+		event.LoadReport = report
 	}
 }
 
--- a/internal/hosts/failure.go
+++ b/internal/hosts/failure.go
@@ -46,17 +46,17 @@
 func (f *Failure) Result() gateway.Result {
 	switch {
 	case f.Stage < Sent && f.byGateway():
-		return gateway.Skipped
+		return gateway.NotSent
 	case f.Stage < Sent:
-		return gateway.Unreached
+		return gateway.Unreachable
 	case errors.Is(f.Err, ErrTimedOut):
 		return gateway.TimedOut
 	case errors.Is(f.Err, ErrCanceled):
 		return gateway.Canceled
 	case errors.Is(f.Err, errInvalidAnswer):
-		return gateway.Spoilt
+		return gateway.Malformed
 	}
-	return gateway.Broken
+	return gateway.Disconnected
 }
 
 // byGateway reports whether the attempt ended for a cause at the gateway, which says nothing of the host: a gateway that is short of
--- a/internal/hosts/hosts_test.go
+++ b/internal/hosts/hosts_test.go
@@ -26,7 +26,7 @@
 	}
 	var e gateway.Event
 	value, err := parseAnswer(v, []string{"outstanding", "utilization"}, &e)
-	return fmt.Sprintf("result %d, value %q, null %t, used %d, %g units, load %v, %v", e.Result, value, value == nil, e.Used, e.Units, e.Load, err)
+	return fmt.Sprintf("result %d, value %q, null %t, used %d, %g units, load %v, %v", e.Result, value, value == nil, e.Usage, e.Units, e.LoadReport, err)
 }
 
 func TestReplies(t *testing.T) {
@@ -275,7 +275,7 @@
 			d.loadFields = []string{"utilization"}
 			if probe {
 				d.Probe(1, func(e gateway.Event, value []byte, _ int64) {
-					d.out = append(d.out, fmt.Sprintf("result %d, load %v", e.Result, e.Load))
+					d.out = append(d.out, fmt.Sprintf("result %d, load %v", e.Result, e.LoadReport))
 				})
 			} else {
 				d.send()
--- a/internal/hosts/shortage_test.go
+++ b/internal/hosts/shortage_test.go
@@ -32,14 +32,14 @@
 		}
 	}
 	for _, errno := range local {
-		want(errno, Connecting, gateway.Skipped, false)
-		want(errno, Writing, gateway.Unreached, true)
-		want(errno, Sent, gateway.Broken, true)
+		want(errno, Connecting, gateway.NotSent, false)
+		want(errno, Writing, gateway.Unreachable, true)
+		want(errno, Sent, gateway.Disconnected, true)
 	}
 	for _, errno := range remote {
-		want(errno, Connecting, gateway.Unreached, true)
-		want(errno, Writing, gateway.Unreached, true)
-		want(errno, Sent, gateway.Broken, true)
+		want(errno, Connecting, gateway.Unreachable, true)
+		want(errno, Writing, gateway.Unreachable, true)
+		want(errno, Sent, gateway.Disconnected, true)
 	}
 	for _, errno := range append(local, remote...) {
 		if failure := (&Failure{Sent, errno}); failure.Result().NeverRan() {
@@ -91,7 +91,7 @@
 		d.send()
 		d.until(n + 1)
 	}
-	want := fmt.Sprintf("result %d, value \"\"", gateway.Skipped)
+	want := fmt.Sprintf("result %d, value \"\"", gateway.NotSent)
 	for _, out := range d.out[:3] {
 		if out != want {
 			t.Errorf("%s, want %s", out, want)
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -53,7 +53,7 @@
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100, Settings: settings,
 		Known:         fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, host),
 		Configuration: &config.Configuration{}}
-	cfg.Limits.MustAsk = true // clients are taken in without discovery's agent
+	cfg.Limits.PollEndpoints = true // clients are taken in without discovery's agent
 	if set != nil {
 		set(cfg)
 	}
@@ -274,11 +274,11 @@
 // order writes down what a module is handed in which order.
 type order struct{ told chan string }
 
-func (o *order) Round(in *gateway.Round, out gateway.Writer) {
+func (o *order) Round(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
-		if e.Kind == gateway.Arrived {
-			o.told <- e.Req
-			out.Reject(e.Req, 0)
+		if e.Kind == gateway.RequestArrived {
+			o.told <- e.RequestID
+			out.Reject(e.RequestID, 0)
 		}
 	}
 }
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -51,7 +51,7 @@
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100,
 		Known: fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, r.at),
 		Settings: &config.Settings{Seat: gateway.Membership{Count: 1}, Fronts: []gateway.RequestClass{{}}, FrontNames: []string{"lookup"},
-			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 20e9, Limits: gateway.Limits{MustAsk: true}}}
+			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 20e9, Limits: gateway.Limits{PollEndpoints: true}}}
 	r.Node = New(cfg, r)
 
 	log.SetOutput(r)
@@ -96,26 +96,26 @@
 	r.told <- fmt.Sprintf("reconfigured: %d plans, %d classes", len(update.Plans), len(update.Classes))
 }
 
-func (r *rig) Round(in *gateway.Round, out gateway.Writer) {
+func (r *rig) Round(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		switch e.Kind {
-		case gateway.HostsListed:
-			for _, l := range e.Hosts {
+		case gateway.EndpointsListed:
+			for _, l := range e.Endpoints {
 				r.told <- "told of " + l.State.String()
 				r.host, r.runs = l.Host, l.State == gateway.Running
 			}
-		case gateway.Arrived:
-			r.told <- "arrived " + e.Req
-			out.Dispatch(e.Req, r.host, 0)
-		case gateway.Left:
-			r.told <- "left " + e.Req
-		case gateway.Ended:
-			r.told <- fmt.Sprintf("ended %s %d: result %d, closed %t", e.Req, e.Dispatch, e.Result, e.Closed)
+		case gateway.RequestArrived:
+			r.told <- "arrived " + e.RequestID
+			out.StartAttempt(e.RequestID, r.host, 0)
+		case gateway.ClientGone:
+			r.told <- "left " + e.RequestID
+		case gateway.AttemptEnded:
+			r.told <- fmt.Sprintf("ended %s %d: result %d, closed %t", e.RequestID, e.Attempt, e.Result, e.Closed)
 			switch {
-			case e.Result.NeverRan() && e.Dispatch == 0 && r.runs: // also where its client left: the module may not know yet
-				out.Dispatch(e.Req, r.host, 0)
+			case e.Result.NeverRan() && e.Attempt == 0 && r.runs: // also where its client left: the module may not know yet
+				out.StartAttempt(e.RequestID, r.host, 0)
 			case e.Result != gateway.Succeeded:
-				out.Reject(e.Req, 0)
+				out.Reject(e.RequestID, 0)
 			}
 		}
 	}
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -27,11 +27,11 @@
 // moment on, and the list of the configuration may be old: clients are taken in once the agent has answered, which it
 // does at once, or is silent for so long that discovery must be down.
 func (n *Node) start() {
-	if n.cfg.Limits.MustAsk {
+	if n.cfg.Limits.PollEndpoints {
 		n.told = true
 		return
 	}
-	n.Follow()
+	n.WatchEndpoints()
 	time.AfterFunc(firstList, func() {
 		n.do(func() {
 			if !n.told {
@@ -43,7 +43,7 @@
 }
 
 // Follow watches the list from the version had last. A watch that still runs ends.
-func (n *Node) Follow() {
+func (n *Node) WatchEndpoints() {
 	if n.watch != nil {
 		n.watch.stop()
 	}
@@ -59,7 +59,7 @@
 				}
 			})
 		}
-		err := discovery.Watch(ctx, n.system, addr, after, discovery.NewPace(n.cfg.Limits.MustAsk), &w.feed, func() {
+		err := discovery.Watch(ctx, n.system, addr, after, discovery.NewPace(n.cfg.Limits.PollEndpoints), &w.feed, func() {
 			newest(func() {
 				if n.lost {
 					log.Printf("event=watch_back")
@@ -111,7 +111,7 @@
 		n.cfg.Discovery = cfg.Discovery
 		if n.watch != nil { // at once: the old address answers no more, and what the new one has counts as told
 			n.lost = false
-			n.Follow()
+			n.WatchEndpoints()
 		}
 	})
 }
@@ -125,14 +125,14 @@
 		log.Printf("event=watch_lost error=%q version=%d", err, n.book.Version)
 	}
 	n.lost = true
-	if n.cfg.Limits.MustAsk {
-		n.news = append(n.news, gateway.Event{Kind: gateway.HostsListed, List: gateway.Unavailable})
+	if n.cfg.Limits.PollEndpoints {
+		n.news = append(n.news, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
 		return
 	}
 	time.AfterFunc(discovery.Again, func() {
 		n.do(func() {
 			if n.watch == w {
-				n.Follow()
+				n.WatchEndpoints()
 			}
 		})
 	})
@@ -155,7 +155,7 @@
 		log.Printf("event=list_older version=%d had=%d", n.book.Version, had)
 	}
 	if old {
-		kind = gateway.Cached
+		kind = gateway.ListCached
 	}
 	n.witness.listed(list)
 	for _, l := range list {
@@ -170,5 +170,5 @@
 			n.book.Forget(l.Host)
 		}
 	}
-	n.news = append(n.news, gateway.Event{Kind: gateway.HostsListed, List: kind, Hosts: list})
+	n.news = append(n.news, gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: list})
 }
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -23,20 +23,20 @@
 
 func (*eager) Reconfigure(int64, *gateway.Update) {}
 
-func (m *eager) Round(in *gateway.Round, out gateway.Writer) {
+func (m *eager) Round(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		switch e.Kind {
-		case gateway.Arrived:
-			fmt.Fprintf(m, "%s arrived\n", e.Req)
-			out.Dispatch(e.Req, 1, 0)
-		case gateway.Ended:
-			fmt.Fprintf(m, "%s attempt %d ended: result %d, closed %t\n", e.Req, e.Dispatch, e.Result, e.Closed)
+		case gateway.RequestArrived:
+			fmt.Fprintf(m, "%s arrived\n", e.RequestID)
+			out.StartAttempt(e.RequestID, 1, 0)
+		case gateway.AttemptEnded:
+			fmt.Fprintf(m, "%s attempt %d ended: result %d, closed %t\n", e.RequestID, e.Attempt, e.Result, e.Closed)
 			if !e.Closed {
-				out.Dispatch(e.Req, 1, 0)
+				out.StartAttempt(e.RequestID, 1, 0)
 			}
-		case gateway.Left:
-			fmt.Fprintf(m, "%s left\n", e.Req)
-			out.Cancel(e.Req, 1)
+		case gateway.ClientGone:
+			fmt.Fprintf(m, "%s left\n", e.RequestID)
+			out.CancelAttempt(e.RequestID, 1)
 		}
 	}
 }
@@ -88,11 +88,11 @@
 	left func()
 }
 
-func (m *leaver) Round(in *gateway.Round, out gateway.Writer) {
+func (m *leaver) Round(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
-		if e.Kind == gateway.Arrived {
+		if e.Kind == gateway.RequestArrived {
 			m.left()
-			for a := m.n.reqs[e.Req].answer; !a.Gone(); {
+			for a := m.n.reqs[e.RequestID].answer; !a.Gone(); {
 				runtime.Gosched()
 			}
 		}
@@ -134,7 +134,7 @@
 	m := &eager{}
 	for _, effect := range []gateway.Effect{gateway.Idempotent, gateway.Deduplicated} {
 		n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Seat: gateway.Membership{Count: 1},
-			Fronts: []gateway.RequestClass{{Effect: effect, Window: 1}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
+			Fronts: []gateway.RequestClass{{Effect: effect, DedupWindow: 1}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 		n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
 		n.arrive(new(clients.Line).Add(), n.now(), "r", "c", 0, 0, n.now()+1e12, 1, 1, 0, false, nil, nil, nil, nil)
 		n.turn()
@@ -166,12 +166,12 @@
 		result gateway.Result
 	}{
 		{"clear of the end", stallAllowance + 2e9, gateway.TimedOut},
-		{"within the allowance", stallAllowance - 1e6, gateway.Unreached},
+		{"within the allowance", stallAllowance - 1e6, gateway.Unreachable},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := &eager{}
 			n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Seat: gateway.Membership{Count: 1},
-				Fronts: []gateway.RequestClass{{Effect: gateway.Deduplicated, Window: window}}, Plans: []gateway.Plan{{}},
+				Fronts: []gateway.RequestClass{{Effect: gateway.Deduplicated, DedupWindow: window}}, Plans: []gateway.Plan{{}},
 				ConnectTimeout: 1e9}}, m)
 			n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
 			n.arrive(new(clients.Line).Add(), n.now(), "r", "c", 0, 0, n.now()+1e12, 1, 1, 0, false, nil, nil, nil, nil)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 
 // Decider is the module.
 type Decider interface {
-	Round(in *gateway.Round, out gateway.Writer)
+	Round(in *gateway.Batch, out gateway.Actions)
 	Reconfigure(now int64, update *gateway.Update) // between two rounds
 }
 
@@ -55,7 +55,7 @@
 	reqs          map[string]*req
 	events        []gateway.Event // since the last round
 	news          []gateway.Event // of the list: they go first, so that no dispatch of the round passes by a drain
-	round         gateway.Round
+	round         gateway.Batch
 	rounds        int   // handed to the module
 	wakeAt        int64 // 0: no wake-up is due
 	dueAt         int64 // when the first dispatch of open times out at the earliest
@@ -114,7 +114,7 @@
 	n.transport = hosts.NewTransport(system, n.do, n.now, cfg.ReportNames, cfg.ConnectTimeout, int64(keep*float64(cfg.ConnIdle)),
 		shared*2/5)
 	if cfg.Counter.IsValid() {
-		n.counter = counter.New(system, cfg.Counter, cfg.Limits.CounterWait, n.do, n.now, func(e gateway.Event) {
+		n.counter = counter.New(system, cfg.Counter, cfg.Limits.CounterTimeout, n.do, n.now, func(e gateway.Event) {
 			n.events = append(n.events, e)
 		})
 	}
@@ -201,7 +201,7 @@
 		n.listed(n.cfg.Known, true)
 		n.cfg.Known = "" // what it told is in the book, and the file's text need not be kept
 	} else {
-		n.news = append(n.news, gateway.Event{Kind: gateway.HostsListed, List: gateway.Cached})
+		n.news = append(n.news, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached})
 	}
 	n.step() // the first round
 	for _, start := range n.tasks {
@@ -209,7 +209,9 @@
 	}
 	if n.peerTransport != nil {
 		go n.peerTransport.Listen(func(member int, body []byte) {
-			n.do(func() { n.events = append(n.events, gateway.Event{Kind: gateway.Received, Peer: member, Body: body}) })
+			n.do(func() {
+				n.events = append(n.events, gateway.Event{Kind: gateway.GossipReceived, Peer: member, Message: body})
+			})
 		}, func() { n.do(func() { n.strange++ }) })
 	}
 	n.start()
@@ -272,7 +274,7 @@
 			log.Printf("event=datagrams_dropped count=%d", n.strange)
 			n.strange, n.lineAt = 0, now
 		}
-		n.events = append(n.events, gateway.Event{Kind: gateway.Tick})
+		n.events = append(n.events, gateway.Event{Kind: gateway.TimerFired})
 		if t, ok := n.module.(Tallier); ok && now-n.tallyAt >= tallyEach {
 			n.tallyAt = now
 			log.Printf("event=decisions %s", t.Tally())
@@ -316,10 +318,10 @@
 	n.guard("module", func() {
 		defer func() {
 			if p := recover(); p != nil {
-				n.Wake(int64(retry))
+				n.SetTimer(int64(retry))
 				for _, e := range n.round.Events {
-					if r := n.reqs[e.Req]; r != nil && r.out == 0 {
-						n.Fail(e.Req)
+					if r := n.reqs[e.RequestID]; r != nil && r.out == 0 {
+						n.Fail(e.RequestID)
 					}
 				}
 				panic(p)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -21,19 +21,19 @@
 
 func (faulty) Reconfigure(int64, *gateway.Update) {}
 
-func (faulty) Round(in *gateway.Round, out gateway.Writer) {
+func (faulty) Round(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
-		if e.Kind == gateway.Arrived {
+		if e.Kind == gateway.RequestArrived {
 			switch e.Customer[15] {
 			case 'f':
 				panic("fault")
 			case 'b':
 				out.Reject("none such", 0)
-				out.Dispatch("none such", 1, 0)
-				out.Cancel(e.Req, 7)
+				out.StartAttempt("none such", 1, 0)
+				out.CancelAttempt(e.RequestID, 7)
 			}
-			out.Reject(e.Req, 0)
-			out.Fail(e.Req) // too late: each req gets one answer
+			out.Reject(e.RequestID, 0)
+			out.Fail(e.RequestID) // too late: each req gets one answer
 		}
 	}
 }
@@ -132,8 +132,8 @@
 	told bool
 }
 
-func (m *tired) Round(in *gateway.Round, out gateway.Writer) {
-	out.Wake(1)
+func (m *tired) Round(in *gateway.Batch, out gateway.Actions) {
+	out.SetTimer(1)
 	m.faulty.Round(in, out)
 }
 
@@ -162,8 +162,8 @@
 // mute decides nothing.
 type mute struct{}
 
-func (mute) Round(*gateway.Round, gateway.Writer) {}
-func (mute) Reconfigure(int64, *gateway.Update)   {}
+func (mute) Round(*gateway.Batch, gateway.Actions) {}
+func (mute) Reconfigure(int64, *gateway.Update)    {}
 
 // A client that is owed an answer for ever, and does not close, holds the program no longer than its time.
 func TestStopBound(t *testing.T) {
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -106,7 +106,7 @@
 	if !p.node.cfg.Limits.RetryAfter {
 		after = 0
 	}
-	if most := p.node.cfg.Limits.LongestAdvice; most > 0 {
+	if most := p.node.cfg.Limits.MaxRetryAfter; most > 0 {
 		after = min(after, most)
 	}
 	r.answer.Denied(after)
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -76,8 +76,8 @@
 		after: after, tail: tail, round: n.rounds, event: len(n.events)}
 	n.reqs[id] = r
 	a.Left = r.left
-	n.events = append(n.events, gateway.Event{Kind: gateway.Arrived, Req: id, Customer: customer, Class: front,
-		Plan: plan, Until: until, StopAt: n.leaveAt, Units: units, Spread: spread, First: first, Again: again})
+	n.events = append(n.events, gateway.Event{Kind: gateway.RequestArrived, RequestID: id, Customer: customer, Class: front,
+		Plan: plan, Deadline: until, StopAt: n.leaveAt, Units: units, Spread: spread, FirstGateway: first, Retry: again})
 }
 
 // left takes in that the client is gone. Where the module has not heard of the req yet it never does: behind a stall or
@@ -90,7 +90,7 @@
 	}
 	r.answer, r.closed = nil, true
 	r.out++
-	if e := (gateway.Event{Kind: gateway.Left, Req: r.id}); r.round == n.rounds {
+	if e := (gateway.Event{Kind: gateway.ClientGone, RequestID: r.id}); r.round == n.rounds {
 		n.events[r.event] = e
 	} else {
 		n.events = append(n.events, e)
@@ -111,10 +111,10 @@
 // forget lets go of the reqs whose leaving the module has now heard of.
 func (n *Node) forget() {
 	for _, e := range n.round.Events {
-		if e.Kind != gateway.Left {
+		if e.Kind != gateway.ClientGone {
 			continue
 		}
-		if r := n.reqs[e.Req]; r != nil {
+		if r := n.reqs[e.RequestID]; r != nil {
 			r.out--
 			r.close()
 		}
@@ -129,7 +129,7 @@
 }
 
 // Dispatch sends a req to a host.
-func (n *Node) Dispatch(id string, host uint32, timeout int64) {
+func (n *Node) StartAttempt(id string, host uint32, timeout int64) {
 	r := n.reqs[id]
 	if r == nil {
 		return
@@ -145,13 +145,13 @@
 	// and the module must hear of the end or it counts it as out for ever.
 	if r.closed || r.answer.Gone() {
 		r.closed = true
-		d.ended(gateway.Event{Result: gateway.Skipped}, nil, n.now())
+		d.ended(gateway.Event{Result: gateway.NotSent}, nil, n.now())
 		return
 	}
 	n.pool.setUrgency(r)
 	by := d.due
 	if r.ranAt > 0 && r.class.Effect == gateway.Deduplicated { // hosts drop a repeat for so long: a connection may come up later
-		by = min(by, r.ranAt+r.class.Window-stallAllowance)
+		by = min(by, r.ranAt+r.class.DedupWindow-stallAllowance)
 	}
 	command := hosts.Command{Head: r.head, Before: r.before, After: r.after, Tail: r.tail}
 	d.send = n.transport.Send(host, command, d.due, by, d.ended)
@@ -160,7 +160,7 @@
 	}
 }
 
-func (n *Node) Probe(host uint32) {
+func (n *Node) SendProbe(host uint32) {
 	d := n.sent(nil, host, probeWait)
 	d.send = n.transport.Probe(host, d.ended)
 }
@@ -182,9 +182,9 @@
 func (d *dispatch) ended(e gateway.Event, value []byte, came int64) {
 	r, n := d.req, d.node
 	n.open = slices.DeleteFunc(n.open, func(o *dispatch) bool { return o == d })
-	e.Kind, e.Host, e.Dispatch, e.Lag = gateway.Ended, d.host, d.n, came-d.at
+	e.Kind, e.Host, e.Attempt, e.Latency = gateway.AttemptEnded, d.host, d.n, came-d.at
 	if r == nil {
-		e.Kind = gateway.Probed
+		e.Kind = gateway.ProbeEnded
 		n.events = append(n.events, e)
 		return
 	}
@@ -196,7 +196,7 @@
 		if r.closed {
 			r.close()
 		}
-		e.Req, e.Closed = r.id, r.closed
+		e.RequestID, e.Closed = r.id, r.closed
 		n.events = append(n.events, e)
 	}()
 	n.pool.rejectThrottled(r)
@@ -204,10 +204,10 @@
 		r.closed = true
 		r.answer.Passed(value)
 	}
-	n.witness.ended(d, e.Result, e.Lag)
+	n.witness.ended(d, e.Result, e.Latency)
 }
 
-func (n *Node) Cancel(id string, dispatch int) {
+func (n *Node) CancelAttempt(id string, dispatch int) {
 	if r := n.reqs[id]; r != nil && uint(dispatch) < uint(len(r.sends)) {
 		r.sends[dispatch].send.Cancel(hosts.ErrCanceled)
 	}
@@ -227,21 +227,21 @@
 	}
 }
 
-func (n *Node) Send(peer int, body []byte) {
+func (n *Node) SendGossip(peer int, body []byte) {
 	if n.peerTransport != nil {
 		n.peerTransport.Send(peer, body)
 	}
 }
 
 // Count calls the shared counter. Without one the call is answered as unreached: the module does without.
-func (n *Node) Count(name uint64, amount float64, life int64) {
+func (n *Node) AddToCounter(name uint64, amount float64, life int64) {
 	if n.counter == nil {
-		n.events = append(n.events, gateway.Event{Kind: gateway.Counted, Name: name, Result: gateway.Unreached})
+		n.events = append(n.events, gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
 		return
 	}
 	n.counter.Count(name, amount, life)
 }
 
-func (n *Node) Wake(after int64) { n.wakeAt = n.round.Now + after }
+func (n *Node) SetTimer(after int64) { n.wakeAt = n.round.Now + after }
 
-func (n *Node) Note(text string) { log.Printf("event=note text=%q", text) }
+func (n *Node) LogNote(text string) { log.Printf("event=note text=%q", text) }
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -14,12 +14,12 @@
 			held = append(held, "the configuration")
 		}
 		for _, e := range r.news[:cap(r.news)] {
-			if e.Hosts != nil {
+			if e.Endpoints != nil {
 				held = append(held, "the news")
 			}
 		}
 		for _, e := range r.round.Events[:cap(r.round.Events)] {
-			if e.Hosts != nil {
+			if e.Endpoints != nil {
 				held = append(held, "the batch of events")
 			}
 		}
--- a/internal/node/witness.go
+++ b/internal/node/witness.go
@@ -36,7 +36,7 @@
 	}
 	var targets []int64
 	for _, f := range n.cfg.Fronts {
-		targets = append(targets, f.Target)
+		targets = append(targets, f.LatencyObjective)
 	}
 	var task *observer.Observer
 	err = claim("counterfactual", n.cfg.Counterfactual.Listen, stop, func() (err error) {
@@ -53,7 +53,7 @@
 
 // writer gives what the module writes a round to: for a part of the rounds, drawn by chance, the Witness. The others
 // cost no more than without.
-func (n *Node) writer() gateway.Writer {
+func (n *Node) writer() gateway.Actions {
 	if w := n.witness; w != nil && w.rnd.Float64() < n.cfg.Counterfactual.Part {
 		return w
 	}
@@ -61,7 +61,7 @@
 }
 
 // Considered notes what the dispatch that comes next was chosen among.
-func (w *watching) Considered(req string, customer uint32, options []gateway.Option) {
+func (w *watching) ObserveCandidates(req string, customer uint32, options []gateway.Candidate) {
 	var e *observer.Entry
 	if n := len(w.spare); n > 0 {
 		e, w.spare = w.spare[n-1], w.spare[:n-1]
@@ -78,10 +78,10 @@
 }
 
 // Dispatch sends the req on; its record waits for the end.
-func (w *watching) Dispatch(id string, host uint32, timeout int64) {
+func (w *watching) StartAttempt(id string, host uint32, timeout int64) {
 	e := w.next
 	w.next = nil
-	w.Node.Dispatch(id, host, timeout)
+	w.Node.StartAttempt(id, host, timeout)
 	r := w.reqs[id]
 	if e == nil || e.Request != id || r == nil || len(w.Node.open) == 0 {
 		return
@@ -105,7 +105,7 @@
 	}
 	delete(w.open, d)
 	switch e.Latency = lag; result {
-	case gateway.Skipped:
+	case gateway.NotSent:
 		return
 	case gateway.Succeeded:
 	case gateway.TimedOut, gateway.Canceled:
@@ -131,19 +131,19 @@
 }
 
 // Wake sets the module's next beat; the one at hand has come.
-func (w *watching) Wake(after int64) {
+func (w *watching) SetTimer(after int64) {
 	w.offer()
-	w.Node.Wake(after)
+	w.Node.SetTimer(after)
 }
 
 // listed notes where hosts stand and when their processes began.
-func (w *watching) listed(list []gateway.Listing) {
+func (w *watching) listed(list []gateway.Endpoint) {
 	if w == nil {
 		return
 	}
 	for _, l := range list {
 		if l.State != gateway.Gone {
-			w.places[l.Host] = place{w.book.Name(l.Host), l.Zone, uint32(l.Since / 1e6)}
+			w.places[l.Host] = place{w.book.Name(l.Host), l.Zone, uint32(l.StartedAt / 1e6)}
 		}
 	}
 	for number := range w.places { // one that is gone keeps its id for answers about windows past
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -21,17 +21,17 @@
 
 // Decider is one gateway's decisions.
 type Decider interface {
-	Round(in *gateway.Round, out gateway.Writer)
+	Round(in *gateway.Batch, out gateway.Actions)
 }
 
 // Start begins a gateway that knows nothing but its settings.
 type Start func(seed uint64, seat gateway.Membership, fronts []gateway.RequestClass, plans []gateway.Plan,
-	limits gateway.Limits, cold gateway.Cold, report gateway.Report) Decider
+	limits gateway.Limits, cold gateway.SlowStart, report gateway.LoadReportForm) Decider
 
 // instance is one hosted gateway; round is nil while it has no event in the batch.
 type instance struct {
 	decider              Decider
-	round                *gateway.Round
+	round                *gateway.Batch
 	fronts, plans, seats int // how many there are
 	even                 bool
 }
@@ -45,7 +45,7 @@
 	batch  bool
 	seats  map[int]*instance
 	order  []int // instances with events in this batch
-	sheets [16][]gateway.Listing
+	sheets [16][]gateway.Endpoint
 	id     int // of the latest ON, -1 before one
 	f      fields
 }
@@ -141,50 +141,50 @@
 		delete(h.seats, h.id)
 		return f.end()
 	case "ARRIVAL":
-		e.Kind, e.Req = gateway.Arrived, f.text("xid")
+		e.Kind, e.RequestID = gateway.RequestArrived, f.text("xid")
 		e.Class, e.Plan = f.whole("type", seat.fronts-1), f.whole("grade_of_service", seat.plans-1)
-		e.Customer, e.Until, e.Units = f.text("account"), f.time("deadline_us"), f.decimal("weight")
-		e.Spread, e.First = f.whole("n_entries", seat.seats), f.whole("first", seat.seats-1)
-		e.Again = f.whole("bits", math.MaxInt32)&2 != 0
+		e.Customer, e.Deadline, e.Units = f.text("account"), f.time("deadline_us"), f.decimal("weight")
+		e.Spread, e.FirstGateway = f.whole("n_entries", seat.seats), f.whole("first", seat.seats-1)
+		e.Retry = f.whole("bits", math.MaxInt32)&2 != 0
 	case "ATTEMPT_END":
-		e.Kind, e.Req, e.Closed = gateway.Ended, f.text("xid"), f.yes("closed")
+		e.Kind, e.RequestID, e.Closed = gateway.AttemptEnded, f.text("xid"), f.yes("closed")
 		e.Host, e.Units = uint32(f.whole("host", math.MaxUint32)), f.decimal("billed")
-		e.Result, e.Lag = f.result("disposition"), f.time("lag_us")
-		e.Used, e.Dispatch = f.whole("metered", math.MaxInt32), f.whole("send_no", math.MaxInt32)
-		e.Load = f.row("pressure")
+		e.Result, e.Latency = f.result("disposition"), f.time("lag_us")
+		e.Usage, e.Attempt = f.whole("metered", math.MaxInt32), f.whole("send_no", math.MaxInt32)
+		e.LoadReport = f.row("pressure")
 	case "FIRST":
-		e.Kind, e.Req, e.Dispatch = gateway.Started, f.text("xid"), f.whole("send_no", math.MaxInt32)
-		e.Lag, e.Host = f.time("lag_us"), uint32(f.whole("host", math.MaxUint32))
+		e.Kind, e.RequestID, e.Attempt = gateway.StreamStarted, f.text("xid"), f.whole("send_no", math.MaxInt32)
+		e.Latency, e.Host = f.time("lag_us"), uint32(f.whole("host", math.MaxUint32))
 	case "CLIENT_GONE":
-		e.Kind, e.Req = gateway.Left, f.text("xid")
+		e.Kind, e.RequestID = gateway.ClientGone, f.text("xid")
 	case "FROM_PEER":
-		e.Kind, e.Peer, e.Body = gateway.Received, f.whole("sender", seat.seats-1), f.bytes("contents")
+		e.Kind, e.Peer, e.Message = gateway.GossipReceived, f.whole("sender", seat.seats-1), f.bytes("contents")
 	case "ECHO":
-		e.Kind, e.Host = gateway.Probed, uint32(f.whole("host", math.MaxUint32))
-		e.Lag, e.Result, e.Load = f.time("lag_us"), f.result("disposition"), f.row("pressure")
+		e.Kind, e.Host = gateway.ProbeEnded, uint32(f.whole("host", math.MaxUint32))
+		e.Latency, e.Result, e.LoadReport = f.time("lag_us"), f.result("disposition"), f.row("pressure")
 	case "TIMER":
 		f.number("nonce")
-		e.Kind = gateway.Tick
+		e.Kind = gateway.TimerFired
 	case "COUNTER_REPLY":
-		e.Kind, e.Result, e.Name = gateway.Counted, f.result("disposition"), f.number("name")
-		e.Total, e.Lag = f.signed("total"), f.time("lag_us")
+		e.Kind, e.Result, e.CounterName = gateway.CounterReplied, f.result("disposition"), f.number("name")
+		e.CounterTotal, e.Latency = f.signed("total"), f.time("lag_us")
 	case "ANNOUNCE":
-		e.Kind = gateway.HostsListed
-		e.List = gateway.List(f.choice("kind", "incr", "total", "warm_copy", "lost"))
+		e.Kind = gateway.EndpointsListed
+		e.ListKind = gateway.ListKind(f.choice("kind", "incr", "total", "warm_copy", "lost"))
 		sheet := f.text("sheet")
 		f.text("gen")
 		if n, err := strconv.Atoi(sheet); err == nil && n >= 0 && n < len(h.sheets) {
-			e.Hosts = h.sheets[n]
-		} else if e.List != gateway.Unavailable {
+			e.Endpoints = h.sheets[n]
+		} else if e.ListKind != gateway.ListUnavailable {
 			return fmt.Errorf("ANNOUNCE: sheet: %.40q is no list number", sheet)
 		}
-		if e.List == gateway.Unavailable {
-			e.Hosts = nil
+		if e.ListKind == gateway.ListUnavailable {
+			e.Endpoints = nil
 		}
 		if seat.even { // a sheet is every instance's
-			e.Hosts = slices.Clone(e.Hosts)
-			for i := range e.Hosts {
-				e.Hosts[i].Share = 1
+			e.Endpoints = slices.Clone(e.Endpoints)
+			for i := range e.Endpoints {
+				e.Endpoints[i].Weight = 1
 			}
 		}
 	default:
@@ -199,10 +199,10 @@
 }
 
 // round gives the present instance's round, begun with its first event in the batch.
-func (h *host) round() *gateway.Round {
+func (h *host) round() *gateway.Batch {
 	seat := h.seats[h.id]
 	if seat.round == nil {
-		seat.round = &gateway.Round{Now: h.clock}
+		seat.round = &gateway.Batch{Now: h.clock}
 		h.order = append(h.order, h.id)
 	}
 	return seat.round
@@ -213,7 +213,7 @@
 	if err := f.end(); err != nil {
 		return err
 	}
-	var list []gateway.Listing
+	var list []gateway.Endpoint
 	for ; count > 0; count-- {
 		text, err := h.in.ReadString('\n')
 		if err != nil {
@@ -225,10 +225,10 @@
 			return fmt.Errorf("INVENTORY: hosts: M wanted, not %.40q", word)
 		}
 		f.begin(word, rest)
-		l := gateway.Listing{Host: uint32(f.whole("host", math.MaxUint32)), Zone: f.whole("az", math.MaxInt32),
+		l := gateway.Endpoint{Host: uint32(f.whole("host", math.MaxUint32)), Zone: f.whole("az", math.MaxInt32),
 			Machine: f.whole("class_of_host", math.MaxInt32), Cell: f.whole("pod", math.MaxInt32)}
-		l.State = gateway.State(f.choice("status", "Running", "Stopping", "Deleted"))
-		l.Share, l.Since = f.decimal("share"), f.time("since_us")
+		l.State = gateway.EndpointState(f.choice("status", "Running", "Stopping", "Deleted"))
+		l.Weight, l.StartedAt = f.decimal("share"), f.time("since_us")
 		if err := f.end(); err != nil {
 			return err
 		}
@@ -270,19 +270,19 @@
 	fmt.Fprintf(w.out, format+"\n", args...)
 }
 
-func (w *writer) Dispatch(req string, host uint32, timeout int64) {
+func (w *writer) StartAttempt(req string, host uint32, timeout int64) {
 	w.line("PLACE %s %d %d", req, host, timeout/us)
 }
-func (w *writer) Cancel(req string, dispatch int) { w.line("CANCEL %s %d", req, dispatch) }
-func (w *writer) Reject(req string, after int64)  { w.line("BOUNCE %s %d", req, after/us) }
-func (w *writer) Fail(req string)                 { w.line("GIVE_UP %s", req) }
-func (w *writer) Probe(host uint32)               { w.line("TEST %d", host) }
-func (w *writer) Wake(after int64)                { w.line("SCHEDULE %d 0", after/us) }
-func (w *writer) Follow()                         { w.line("WATCH 1") }
-func (w *writer) Count(name uint64, amount float64, life int64) {
+func (w *writer) CancelAttempt(req string, dispatch int) { w.line("CANCEL %s %d", req, dispatch) }
+func (w *writer) Reject(req string, after int64)         { w.line("BOUNCE %s %d", req, after/us) }
+func (w *writer) Fail(req string)                        { w.line("GIVE_UP %s", req) }
+func (w *writer) SendProbe(host uint32)                  { w.line("TEST %d", host) }
+func (w *writer) SetTimer(after int64)                   { w.line("SCHEDULE %d 0", after/us) }
+func (w *writer) WatchEndpoints()                        { w.line("WATCH 1") }
+func (w *writer) AddToCounter(name uint64, amount float64, life int64) {
 	w.line("INCR %d %s %d", life/us, strconv.FormatFloat(amount, 'g', -1, 64), name)
 }
-func (w *writer) Note(text string) { w.line("NOTE_DOWN %s", text) }
-func (w *writer) Send(peer int, body []byte) {
+func (w *writer) LogNote(text string) { w.line("NOTE_DOWN %s", text) }
+func (w *writer) SendGossip(peer int, body []byte) {
 	w.line("PUBLISH %d %s", peer, base64.StdEncoding.EncodeToString(body))
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -16,23 +16,23 @@
 // echo writes down all that it is handed, and answers each event with some decision.
 type echo struct{ said *strings.Builder }
 
-func (d echo) Round(in *gateway.Round, out gateway.Writer) {
+func (d echo) Round(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		fmt.Fprintf(d.said, "%d: %+v\n", in.Now, e)
 		switch e.Kind {
-		case gateway.Arrived:
-			out.Dispatch(e.Req, 7, 80_000_000)
-			out.Wake(500_000_000)
-		case gateway.Ended:
-			out.Reject(e.Req, 250_000_000)
-			out.Fail(e.Req)
-			out.Cancel(e.Req, e.Dispatch)
-		case gateway.HostsListed:
-			out.Follow()
-			out.Probe(e.Hosts[0].Host)
-			out.Note("two hosts known")
-		case gateway.Received:
-			out.Send(e.Peer, e.Body)
+		case gateway.RequestArrived:
+			out.StartAttempt(e.RequestID, 7, 80_000_000)
+			out.SetTimer(500_000_000)
+		case gateway.AttemptEnded:
+			out.Reject(e.RequestID, 250_000_000)
+			out.Fail(e.RequestID)
+			out.CancelAttempt(e.RequestID, e.Attempt)
+		case gateway.EndpointsListed:
+			out.WatchEndpoints()
+			out.SendProbe(e.Endpoints[0].Host)
+			out.LogNote("two hosts known")
+		case gateway.GossipReceived:
+			out.SendGossip(e.Peer, e.Message)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 func serve(in string, said *strings.Builder) (string, error) {
 	var out strings.Builder
 	err := Serve(strings.NewReader(in), &out, func(seed uint64, seat gateway.Membership, fronts []gateway.RequestClass,
-		plans []gateway.Plan, limits gateway.Limits, cold gateway.Cold, report gateway.Report) Decider {
+		plans []gateway.Plan, limits gateway.Limits, cold gateway.SlowStart, report gateway.LoadReportForm) Decider {
 		fmt.Fprintf(said, "start %d %+v\n%+v\n%+v\n%+v\n%+v\n%+v\n", seed, seat, fronts, plans, limits, cold, report)
 		return echo{said}
 	})
@@ -85,7 +85,7 @@
 	_, err := serve("MARK 5\nON 3\nPOWER_ON 99 {\"balancers\":1,\"weights\":\"live\"}\nON 4\nPOWER_ON 99 {\"balancers\":1}\n"+
 		"INVENTORY 0 1\nM 7 1 0 4 Running 1.5 -\nON 3\nANNOUNCE total 0 1\nON 4\nANNOUNCE total 0 1\nYOUR_TURN\n", &said)
 	var shares []string
-	for _, s := range strings.Split(said.String(), "Share:")[1:] {
+	for _, s := range strings.Split(said.String(), "Weight:")[1:] {
 		shares = append(shares, s[:strings.IndexByte(s, ' ')])
 	}
 	if err != nil || fmt.Sprint(shares) != "[1 1.5]" {
--- a/lab/coldsim/coldsim.go
+++ b/lab/coldsim/coldsim.go
@@ -32,7 +32,7 @@
 	Gossip          bool          // gateways message each other; else all of them are cut off from each other
 	InTurn          bool          // a host answers what it gets in turn, as fast as it can; else all after the same time
 	Length          time.Duration // from the start on
-	Settings        gateway.Cold
+	Settings        gateway.SlowStart
 }
 
 // Report holds the fullest window of any host while it is cold, in reqs.
@@ -107,27 +107,27 @@
 	}
 	began := s.now
 	s.since = began + int64(warmUp)
-	list := func(cold int64) (list []gateway.Listing) {
+	list := func(cold int64) (list []gateway.Endpoint) {
 		for h := range c.Hosts {
-			l := gateway.Listing{Host: uint32(h), State: gateway.Running, Share: 1}
+			l := gateway.Endpoint{Host: uint32(h), State: gateway.Running, Weight: 1}
 			if h < c.Cold {
-				l.Since = cold
+				l.StartedAt = cold
 			}
 			list = append(list, l)
 		}
 		return list
 	}
-	fronts := []gateway.RequestClass{{Target: int64(time.Second), Timeout: int64(3 * time.Second), Value: 1}}
-	plans := []gateway.Plan{{Rate: 1e9, Burst: 1e9, Price: 1}}
+	fronts := []gateway.RequestClass{{LatencyObjective: int64(time.Second), Timeout: int64(3 * time.Second), Value: 1}}
+	plans := []gateway.Plan{{Rate: 1e9, Burst: 1e9, PriorityWeight: 1}}
 	for i := range c.Gateways {
-		s.gws = append(s.gws, logic.New(s.rnd.Uint64(), gateway.Membership{Index: i, Count: c.Gateways, Messages: c.Gossip, PerSecond: perSec},
-			fronts, plans, gateway.Limits{Dispatches: 2}, c.Settings, gateway.Report{}))
-		s.round(i, gateway.Event{Kind: gateway.HostsListed, List: gateway.Complete, Hosts: list(0)})
+		s.gws = append(s.gws, logic.New(s.rnd.Uint64(), gateway.Membership{Index: i, Count: c.Gateways, Gossip: c.Gossip, MessageRate: perSec},
+			fronts, plans, gateway.Limits{MaxAttempts: 2}, c.Settings, gateway.LoadReportForm{}))
+		s.round(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete, Endpoints: list(0)})
 	}
 	s.arrival()
 	for i := range s.gws {
 		at := s.since + int64(s.rnd.Float64()*float64(c.Apart))
-		s.q.Add(at, event{gw: i, e: gateway.Event{Kind: gateway.HostsListed, List: gateway.Changes, Hosts: list(s.since)[:c.Cold]}})
+		s.q.Add(at, event{gw: i, e: gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: list(s.since)[:c.Cold]}})
 	}
 	for end := s.since + int64(c.Length); s.q.Len() > 0; {
 		at, e := s.q.Next()
@@ -138,7 +138,7 @@
 			s.arrive()
 			s.arrival()
 		} else {
-			s.told[e.gw] = s.told[e.gw] || e.e.Kind == gateway.HostsListed
+			s.told[e.gw] = s.told[e.gw] || e.e.Kind == gateway.EndpointsListed
 			s.round(e.gw, e.e)
 		}
 	}
@@ -164,25 +164,25 @@
 		i = few + s.rnd.IntN(s.Gateways-few)
 	}
 	s.reqs++
-	s.round(i, gateway.Event{Kind: gateway.Arrived, Req: fmt.Sprint(s.reqs), Customer: fmt.Sprint(s.rnd.IntN(5000)),
-		Until: s.now + int64(3*time.Second), Units: 1, Spread: s.Gateways})
+	s.round(i, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(s.reqs), Customer: fmt.Sprint(s.rnd.IntN(5000)),
+		Deadline: s.now + int64(3*time.Second), Units: 1, Spread: s.Gateways})
 }
 
 func (s *sim) round(i int, e gateway.Event) {
 	s.turn = i
-	s.gws[i].Round(&gateway.Round{Now: s.now, Events: []gateway.Event{e}}, s)
+	s.gws[i].Round(&gateway.Batch{Now: s.now, Events: []gateway.Event{e}}, s)
 }
 
-func (s *sim) Dispatch(req string, host uint32, timeout int64) {
-	e, lag := gateway.Event{Kind: gateway.Ended, Req: req, Host: host, Dispatch: s.tries[req]}, answers
+func (s *sim) StartAttempt(req string, host uint32, timeout int64) {
+	e, lag := gateway.Event{Kind: gateway.AttemptEnded, RequestID: req, Host: host, Attempt: s.tries[req]}, answers
 	failing := s.Cold + int(s.Failing*float64(s.Hosts-s.Cold))
 	switch s.tries[req]++; {
 	case s.cut(s.turn%3 == 0, int(host) < s.Hosts/3):
-		lag, e.Result = gone, gateway.Unreached
+		lag, e.Result = gone, gateway.Unreachable
 	case int(host) >= s.Cold && int(host) < failing && s.now-s.since >= int64(s.Lull):
 		e.Result = gateway.Errored
 	case s.InTurn:
-		took := s.capacity(s.Settings.Warm)
+		took := s.capacity(s.Settings.Duration)
 		if int(host) < s.Cold && s.now >= s.since {
 			took = s.capacity(s.now - s.since)
 		}
@@ -191,13 +191,13 @@
 			lag, e.Result = time.Duration(timeout), gateway.TimedOut
 		}
 	}
-	if s.now >= s.since && e.Result != gateway.Unreached {
+	if s.now >= s.since && e.Result != gateway.Unreachable {
 		s.all++
 		if int(host) < s.Cold {
 			s.sent[host] = append(s.sent[host], call{s.now, s.told[s.turn]})
 		}
 	}
-	e.Lag, e.Closed = int64(lag), e.Result == gateway.Succeeded
+	e.Latency, e.Closed = int64(lag), e.Result == gateway.Succeeded
 	s.q.Add(s.now+int64(lag), event{gw: s.turn, e: e})
 }
 
@@ -206,27 +206,27 @@
 	return one != other && s.now >= s.since && s.now-s.since < int64(s.Cut)
 }
 
-func (s *sim) Send(peer int, body []byte) {
+func (s *sim) SendGossip(peer int, body []byte) {
 	if !s.cut(s.turn%3 == 0, peer%3 == 0) {
-		s.q.Add(s.now+int64(gossipDelay), event{gw: peer, e: gateway.Event{Kind: gateway.Received, Peer: s.turn, Body: bytes.Clone(body)}})
+		s.q.Add(s.now+int64(gossipDelay), event{gw: peer, e: gateway.Event{Kind: gateway.GossipReceived, Peer: s.turn, Message: bytes.Clone(body)}})
 	}
 }
 
-func (s *sim) Wake(after int64) {
-	s.q.Add(s.now+max(after, int64(beat)), event{gw: s.turn, e: gateway.Event{Kind: gateway.Tick}})
+func (s *sim) SetTimer(after int64) {
+	s.q.Add(s.now+max(after, int64(beat)), event{gw: s.turn, e: gateway.Event{Kind: gateway.TimerFired}})
 }
 
-func (s *sim) Cancel(string, int)           {}
-func (s *sim) Reject(string, int64)         {}
-func (s *sim) Fail(string)                  {}
-func (s *sim) Probe(uint32)                 {}
-func (s *sim) Follow()                      {}
-func (s *sim) Note(string)                  {}
-func (s *sim) Count(uint64, float64, int64) {}
+func (s *sim) CancelAttempt(string, int)           {}
+func (s *sim) Reject(string, int64)                {}
+func (s *sim) Fail(string)                         {}
+func (s *sim) SendProbe(uint32)                    {}
+func (s *sim) WatchEndpoints()                     {}
+func (s *sim) LogNote(string)                      {}
+func (s *sim) AddToCounter(uint64, float64, int64) {}
 
 // capacity is what a host takes in a second t after its start, in reqs.
 func (s *sim) capacity(t int64) float64 {
-	warm := min(s.Settings.From+(1-s.Settings.From)*float64(t)/float64(s.Settings.Warm), 1)
+	warm := min(s.Settings.InitialFraction+(1-s.Settings.InitialFraction)*float64(t)/float64(s.Settings.Duration), 1)
 	return warm * s.PerSecond / s.Load / float64(s.Hosts)
 }
 
@@ -238,11 +238,11 @@
 			r.Idle++
 		}
 		told := 0
-		for i, k := 0, 0; i < len(at) && at[i].at-s.since < s.Settings.Warm; i++ { // the window that ends with the ith
-			for told += count(at[i]); at[i].at-at[k].at > s.Settings.Window; k++ {
+		for i, k := 0, 0; i < len(at) && at[i].at-s.since < s.Settings.Duration; i++ { // the window that ends with the ith
+			for told += count(at[i]); at[i].at-at[k].at > s.Settings.OverloadWindow; k++ {
 				told -= count(at[k])
 			}
-			n := s.Settings.Multiple * s.capacity(at[i].at-s.since) * seconds(s.Settings.Window)
+			n := s.Settings.OverloadFactor * s.capacity(at[i].at-s.since) * seconds(s.Settings.OverloadWindow)
 			bound := Budget(n)
 			if sent := i - k + 1; 3*told > 2*sent && (r.Bound == 0 || float64(sent)/bound > r.Sent/r.Bound) {
 				r.Sent, r.Allowed, r.Bound, r.At = float64(sent), n, bound, time.Duration(at[i].at-s.since)
@@ -250,7 +250,7 @@
 		}
 	}
 	for t := int64(0); t < int64(s.Length); t += int64(time.Second) {
-		part += s.capacity(t) / s.capacity(s.Settings.Warm) / seconds(int64(s.Length)) / float64(s.Hosts) * float64(s.Cold)
+		part += s.capacity(t) / s.capacity(s.Settings.Duration) / seconds(int64(s.Length)) / float64(s.Hosts) * float64(s.Cold)
 	}
 	r.Share = float64(got) / max(float64(s.all)*part, 1)
 	return r
--- a/lab/coldsim/coldsim_test.go
+++ b/lab/coldsim/coldsim_test.go
@@ -18,14 +18,14 @@
 // three, twenty or thirty gateways all hold most hosts, and the windows there are narrower.
 func TestFleetKeepsColdBudget(t *testing.T) {
 	const s = time.Second
-	wide := gateway.Cold{From: 0.2, Warm: int64(10 * s), Multiple: 3, Window: int64(2 * s)}
-	narrow := gateway.Cold{From: 0.16, Warm: int64(10 * s), Multiple: 2, Window: int64(s)}
+	wide := gateway.SlowStart{InitialFraction: 0.2, Duration: int64(10 * s), OverloadFactor: 3, OverloadWindow: int64(2 * s)}
+	narrow := gateway.SlowStart{InitialFraction: 0.16, Duration: int64(10 * s), OverloadFactor: 2, OverloadWindow: int64(s)}
 	var all strings.Builder
 	var plays []Config
 	for _, z := range []struct {
 		gateways, hosts int
 		perSecond       float64
-		settings        gateway.Cold
+		settings        gateway.SlowStart
 	}{{300, 60, 600, wide}, {300, 200, 600, wide}, {3, 6, 60, narrow}, {20, 13, 40, narrow}, {30, 8, 20, narrow}, {30, 60, 180, narrow}} {
 		for _, c := range []Config{
 			{Cold: 1},
@@ -55,7 +55,7 @@
 	for _, z := range []struct {
 		seed     uint64
 		lull     time.Duration
-		settings gateway.Cold
+		settings gateway.SlowStart
 	}{{3, s, wide}, {1, 3 * s, wide}, {3, 3 * s, wide}, {3, s, narrow}} {
 		plays = append(plays, Config{Seed: z.seed, Gateways: 300, Hosts: 200, PerSecond: 600, Load: 0.6, Length: 10 * s, Settings: z.settings,
 			Cold: 1, Failing: 1, Lull: z.lull, Surge: 3, Skew: 10})
@@ -64,7 +64,7 @@
 	for _, z := range []struct {
 		gateways, hosts int
 		perSecond       float64
-		settings        gateway.Cold
+		settings        gateway.SlowStart
 	}{{1, 4, 30, wide}, {1, 40, 60, narrow}, {900, 200, 1800, narrow}, {900, 3200, 1800, wide}} {
 		for _, c := range []Config{
 			{Cold: z.hosts / 2, Apart: 4 * s, Skew: 10},
--- a/lab/fleetsim/customers.go
+++ b/lab/fleetsim/customers.go
@@ -57,8 +57,8 @@
 		DemandOverQuota: c.requestRate / plan.Rate,
 		Heavy:           c.heavy,
 		Spiky:           c.spiky,
-		weight:          plan.Price,
-		beyondCost:      plan.BeyondCost,
+		weight:          plan.PriorityWeight,
+		beyondCost:      plan.OverQuotaCost,
 	}
 }
 
@@ -148,7 +148,7 @@
 		s.report.Beyond++
 		planReport.Beyond++
 	}
-	if plan.Open > 0 && c.inFlight >= plan.Open {
+	if plan.MaxInFlight > 0 && c.inFlight >= plan.MaxInFlight {
 		s.report.OverInFlight++
 	}
 	if plan.CeilingRate > 0 {
--- a/lab/fleetsim/sim.go
+++ b/lab/fleetsim/sim.go
@@ -54,50 +54,50 @@
 func (s *simulation) addPlans() {
 	for _, p := range s.config.Plans {
 		s.plans = append(s.plans, gateway.Plan{
-			Rate:         p.Rate,
-			Burst:        p.Burst,
-			Open:         p.MaxInFlight,
-			CeilingRate:  p.CeilingRate,
-			CeilingBurst: p.CeilingBurst,
-			Price:        1,
-			BeyondCost:   0.5,
+			Rate:           p.Rate,
+			Burst:          p.Burst,
+			MaxInFlight:    p.MaxInFlight,
+			CeilingRate:    p.CeilingRate,
+			CeilingBurst:   p.CeilingBurst,
+			PriorityWeight: 1,
+			OverQuotaCost:  0.5,
 		})
 		s.report.Plans = append(s.report.Plans, PlanReport{Name: p.Name})
 	}
 }
 
 // addHosts adds the hosts and returns the list of them.
-func (s *simulation) addHosts() (list []gateway.Listing) {
+func (s *simulation) addHosts() (list []gateway.Endpoint) {
 	for i := range s.config.Hosts {
 		s.hosts = append(s.hosts, &host{})
-		list = append(list, gateway.Listing{Host: uint32(i + 1), Cell: i % 8, State: gateway.Running, Share: 1})
+		list = append(list, gateway.Endpoint{Host: uint32(i + 1), Cell: i % 8, State: gateway.Running, Weight: 1})
 	}
 	return list
 }
 
 // addGateways adds the gateways, each with the host list.
-func (s *simulation) addGateways(list []gateway.Listing) {
+func (s *simulation) addGateways(list []gateway.Endpoint) {
 	config := &s.config
 	classes := []gateway.RequestClass{{
-		Effect:  gateway.Idempotent,
-		Target:  int64(config.Objective),
-		Timeout: int64(config.Deadline),
-		Value:   1,
-		Late:    0.2,
+		Effect:           gateway.Idempotent,
+		LatencyObjective: int64(config.Objective),
+		Timeout:          int64(config.Deadline),
+		Value:            1,
+		LateValue:        0.2,
 	}}
-	limits := gateway.Limits{Dispatches: 3, Cancel: true, RetryAfter: true, LongestAdvice: 2 * second}
-	warmUp := gateway.Cold{From: 0.3, Warm: 15 * second, Multiple: 3, Window: 3 * second}
-	loadReport := gateway.Report{Fields: []gateway.Field{gateway.BusyShare}, Answers: true}
+	limits := gateway.Limits{MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * second}
+	warmUp := gateway.SlowStart{InitialFraction: 0.3, Duration: 15 * second, OverloadFactor: 3, OverloadWindow: 3 * second}
+	loadReport := gateway.LoadReportForm{Fields: []gateway.LoadField{gateway.Utilization}, WithAnswers: true}
 	for i := range config.Gateways {
 		member := gateway.Membership{
-			Index:     i,
-			Count:     config.Gateways,
-			Messages:  config.GossipPerSecond > 0 && config.Gateways > 1,
-			PerSecond: config.GossipPerSecond,
+			Index:       i,
+			Count:       config.Gateways,
+			Gossip:      config.GossipPerSecond > 0 && config.Gateways > 1,
+			MessageRate: config.GossipPerSecond,
 		}
 		module := logic.New(s.random.Uint64(), member, classes, s.plans, limits, warmUp, loadReport)
 		s.gateways = append(s.gateways, &gatewayModel{module: module, hostsUsed: map[int]bool{}})
-		s.runBatch(i, gateway.Event{Kind: gateway.HostsListed, List: gateway.Cached, Hosts: list})
+		s.runBatch(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached, Endpoints: list})
 	}
 }
 
@@ -177,7 +177,7 @@
 		return
 	}
 	g.timerAt = 0
-	s.runBatch(e.gateway, gateway.Event{Kind: gateway.Tick})
+	s.runBatch(e.gateway, gateway.Event{Kind: gateway.TimerFired})
 }
 
 // gossipArrives delivers a message, unless the receiver has had too many within the last second.
@@ -195,7 +195,7 @@
 	g.inbox = append(g.inbox, s.now)
 	s.report.Messages++
 	s.report.MessageBytes += len(e.body)
-	s.runBatch(e.gateway, gateway.Event{Kind: gateway.Received, Peer: e.sender, Body: e.body})
+	s.runBatch(e.gateway, gateway.Event{Kind: gateway.GossipReceived, Peer: e.sender, Message: e.body})
 }
 
 // attemptArrives serves an attempt at a host, queues it, or turns it away if the queue is full.
@@ -256,14 +256,14 @@
 		}
 	}
 	s.runBatch(r.gateway, gateway.Event{
-		Kind:     gateway.Ended,
-		Req:      r.id,
-		Host:     uint32(a.host + 1),
-		Dispatch: a.number,
-		Result:   result,
-		Lag:      s.now - r.arrived,
-		Closed:   r.answered,
-		Load:     load,
+		Kind:       gateway.AttemptEnded,
+		RequestID:  r.id,
+		Host:       uint32(a.host + 1),
+		Attempt:    a.number,
+		Result:     result,
+		Latency:    s.now - r.arrived,
+		Closed:     r.answered,
+		LoadReport: load,
 	})
 }
 
@@ -284,21 +284,21 @@
 	s.report.Requests++
 	s.report.Plans[c.plan].Requests++
 	s.runBatch(r.gateway, gateway.Event{
-		Kind:     gateway.Arrived,
-		Req:      r.id,
-		Customer: c.name,
-		Plan:     c.plan,
-		Until:    deadline,
-		Units:    1,
-		Spread:   c.spread,
-		First:    c.first,
+		Kind:         gateway.RequestArrived,
+		RequestID:    r.id,
+		Customer:     c.name,
+		Plan:         c.plan,
+		Deadline:     deadline,
+		Units:        1,
+		Spread:       c.spread,
+		FirstGateway: c.first,
 	})
 }
 
 // runBatch gives a gateway a batch of one event.
 func (s *simulation) runBatch(i int, e gateway.Event) {
 	s.report.Batches++
-	batch := &gateway.Round{Now: s.now, Events: []gateway.Event{e}}
+	batch := &gateway.Batch{Now: s.now, Events: []gateway.Event{e}}
 	s.gateways[i].module.Round(batch, writer{s, i})
 }
 
--- a/lab/fleetsim/writer.go
+++ b/lab/fleetsim/writer.go
@@ -7,7 +7,7 @@
 }
 
 // Dispatch starts an attempt. The first one of a request takes its unit from the true buckets.
-func (w writer) Dispatch(id string, host uint32, timeout int64) {
+func (w writer) StartAttempt(id string, host uint32, timeout int64) {
 	s := w.sim
 	r := s.requests[id]
 	if r == nil {
@@ -32,7 +32,7 @@
 }
 
 // Cancel cancels an attempt; the gateway is told in a batch of its own.
-func (w writer) Cancel(id string, number int) {
+func (w writer) CancelAttempt(id string, number int) {
 	s := w.sim
 	if r := s.requests[id]; r != nil {
 		s.add(&event{at: s.now, kind: attemptCanceled, request: r, number: number})
@@ -71,7 +71,7 @@
 }
 
 // Send sends a message to a peer.
-func (w writer) Send(peer int, body []byte) {
+func (w writer) SendGossip(peer int, body []byte) {
 	s := w.sim
 	if peer < 0 || peer >= len(s.gateways) || s.random.Float64() < s.config.GossipLoss {
 		s.report.Dropped++
@@ -87,7 +87,7 @@
 }
 
 // Wake sets the gateway's timer.
-func (w writer) Wake(after int64) {
+func (w writer) SetTimer(after int64) {
 	s := w.sim
 	at := s.now + after
 	s.gateways[w.gateway].timerAt = at
@@ -95,13 +95,13 @@
 }
 
 // Probe does nothing: hosts report their load in answers.
-func (w writer) Probe(uint32) {}
+func (w writer) SendProbe(uint32) {}
 
 // Follow does nothing: the host list does not change.
-func (w writer) Follow() {}
+func (w writer) WatchEndpoints() {}
 
 // Count does nothing: there is no shared counter.
-func (w writer) Count(uint64, float64, int64) {}
+func (w writer) AddToCounter(uint64, float64, int64) {}
 
 // Note does nothing: nobody reads a log.
-func (w writer) Note(string) {}
+func (w writer) LogNote(string) {}
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -62,7 +62,7 @@
 	connections   *hosts.Transport
 	lists         []gateway.Event // of the host list: they precede other events, as in package node
 	events        []gateway.Event
-	round         gateway.Round
+	round         gateway.Batch
 	live          *config.Live         // nil: the gateway follows no publisher
 	follower      *configsync.Follower // the same
 	attempts      map[string]int       // made for each open request
@@ -113,7 +113,7 @@
 		return
 	}
 	if cached {
-		kind = gateway.Cached
+		kind = gateway.ListCached
 	}
 	for _, listing := range listings {
 		switch listing.State {
@@ -124,7 +124,7 @@
 			h.book.Forget(listing.Host)
 		}
 	}
-	h.lists = append(h.lists, gateway.Event{Kind: gateway.HostsListed, List: kind, Hosts: listings})
+	h.lists = append(h.lists, gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: listings})
 }
 
 // Receive takes in a message of a peer. An unsound one is dropped, as the program's socket drops it.
@@ -139,22 +139,22 @@
 	}
 	h.MessagesIn++
 	h.BytesIn += len(body)
-	h.events = append(h.events, gateway.Event{Kind: gateway.Received, Peer: peer, Body: body})
+	h.events = append(h.events, gateway.Event{Kind: gateway.GossipReceived, Peer: peer, Message: body})
 }
 
 // Request takes in a request of a simulated client.
 func (h *Hollow) Request(request Request) {
 	h.attempts[request.ID] = 0
-	h.events = append(h.events, gateway.Event{Kind: gateway.Arrived, Req: request.ID, Customer: request.Customer,
-		Class: request.Class, Plan: request.Plan, Until: request.Deadline, Units: 1,
-		Spread: request.Spread, First: request.First})
+	h.events = append(h.events, gateway.Event{Kind: gateway.RequestArrived, RequestID: request.ID, Customer: request.Customer,
+		Class: request.Class, Plan: request.Plan, Deadline: request.Deadline, Units: 1,
+		Spread: request.Spread, FirstGateway: request.First})
 }
 
 // Answered takes in that a simulated host answered an attempt well, so long after it was made.
 func (h *Hollow) Answered(request string, host uint32, attempt int, after time.Duration) {
 	delete(h.attempts, request)
-	h.events = append(h.events, gateway.Event{Kind: gateway.Ended, Req: request, Host: host, Dispatch: attempt,
-		Result: gateway.Succeeded, Lag: int64(after), Closed: true, Load: []float64{hostUtilization}})
+	h.events = append(h.events, gateway.Event{Kind: gateway.AttemptEnded, RequestID: request, Host: host, Attempt: attempt,
+		Result: gateway.Succeeded, Latency: int64(after), Closed: true, LoadReport: []float64{hostUtilization}})
 }
 
 // Due is when the gateway's timer falls due; 0 never.
@@ -167,7 +167,7 @@
 		h.wakeAt = 0
 		h.Ticks++
 		h.connections.CloseIdle()
-		h.events = append(h.events, gateway.Event{Kind: gateway.Tick})
+		h.events = append(h.events, gateway.Event{Kind: gateway.TimerFired})
 	}
 	for len(h.lists)+len(h.events) > 0 {
 		h.round.Now = now
@@ -182,14 +182,14 @@
 }
 
 // Send sends a message to a peer.
-func (h *Hollow) Send(peer int, body []byte) {
+func (h *Hollow) SendGossip(peer int, body []byte) {
 	h.MessagesOut++
 	h.BytesOut += len(body)
 	h.outside.Send(h, peer, body)
 }
 
 // Dispatch makes an attempt of a request at a host.
-func (h *Hollow) Dispatch(request string, host uint32, _ int64) {
+func (h *Hollow) StartAttempt(request string, host uint32, _ int64) {
 	attempt := h.attempts[request]
 	h.attempts[request]++
 	h.outside.Attempt(h, request, host, attempt)
@@ -207,21 +207,21 @@
 }
 
 // Wake sets the module's timer.
-func (h *Hollow) Wake(after int64) { h.wakeAt = h.round.Now + after }
+func (h *Hollow) SetTimer(after int64) { h.wakeAt = h.round.Now + after }
 
 // Count answers that there is no shared counter, as the program does where none is configured.
-func (h *Hollow) Count(name uint64, _ float64, _ int64) {
-	h.events = append(h.events, gateway.Event{Kind: gateway.Counted, Name: name, Result: gateway.Unreached})
+func (h *Hollow) AddToCounter(name uint64, _ float64, _ int64) {
+	h.events = append(h.events, gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
 }
 
 // Cancel does nothing: a simulated host answers all the same.
-func (h *Hollow) Cancel(string, int) {}
+func (h *Hollow) CancelAttempt(string, int) {}
 
 // Probe does nothing: simulated hosts tell their load with answers.
-func (h *Hollow) Probe(uint32) {}
+func (h *Hollow) SendProbe(uint32) {}
 
 // Follow does nothing: the simulated discovery pushes changes.
-func (h *Hollow) Follow() {}
+func (h *Hollow) WatchEndpoints() {}
 
 // Note does nothing: lines of the log are left out.
-func (h *Hollow) Note(string) {}
+func (h *Hollow) LogNote(string) {}
--- a/lab/spreadsim/day.go
+++ b/lab/spreadsim/day.go
@@ -176,23 +176,23 @@
 
 // boot starts a gateway anew with the list as it is.
 func (w *world) boot(g *gw) {
-	fronts := []gateway.RequestClass{{Target: int64(2 * time.Second), Timeout: int64(8 * time.Second), Value: 1, Late: 0.2}}
-	limits := gateway.Limits{Dispatches: 3, Cancel: true, RetryAfter: true, LongestAdvice: int64(2 * time.Second)}
-	g.g = logic.New(w.rnd.Uint64(), gateway.Membership{Index: g.i, Count: w.day.Gateways}, fronts, []gateway.Plan{{Price: 1}},
-		limits, gateway.Cold{From: cold, Warm: int64(warmUp), Multiple: 3, Window: int64(3 * time.Second)},
-		gateway.Report{Fields: []gateway.Field{gateway.BusyShare}, Answers: true})
+	fronts := []gateway.RequestClass{{LatencyObjective: int64(2 * time.Second), Timeout: int64(8 * time.Second), Value: 1, LateValue: 0.2}}
+	limits := gateway.Limits{MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: int64(2 * time.Second)}
+	g.g = logic.New(w.rnd.Uint64(), gateway.Membership{Index: g.i, Count: w.day.Gateways}, fronts, []gateway.Plan{{PriorityWeight: 1}},
+		limits, gateway.SlowStart{InitialFraction: cold, Duration: int64(warmUp), OverloadFactor: 3, OverloadWindow: int64(3 * time.Second)},
+		gateway.LoadReportForm{Fields: []gateway.LoadField{gateway.Utilization}, WithAnswers: true})
 	g.life, g.dead, g.out, g.knows = g.life+1, false, map[string]*try{}, map[uint32]bool{}
-	var list []gateway.Listing
+	var list []gateway.Endpoint
 	for _, h := range w.hosts {
 		if h.to == math.MaxInt64 {
-			list = append(list, gateway.Listing{Host: h.id, Share: h.weight, Since: h.since})
+			list = append(list, gateway.Endpoint{Host: h.id, Weight: h.weight, StartedAt: h.since})
 		}
 	}
-	g.listed(gateway.Complete, list)
+	g.listed(gateway.ListComplete, list)
 }
 
-func (g *gw) listed(kind gateway.List, list []gateway.Listing) {
-	g.round(gateway.Event{Kind: gateway.HostsListed, List: kind, Hosts: list})
+func (g *gw) listed(kind gateway.ListKind, list []gateway.Endpoint) {
+	g.round(gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: list})
 	for _, l := range list {
 		if delete(g.knows, l.Host); l.State == gateway.Running {
 			g.knows[l.Host] = true
@@ -216,7 +216,7 @@
 }
 
 // tell brings a change of the list to all gateways, each after a while of its own.
-func (w *world) tell(late bool, list ...gateway.Listing) {
+func (w *world) tell(late bool, list ...gateway.Endpoint) {
 	for i, g := range w.gws {
 		wait := int64(w.rnd.Float64() * 0.3e9)
 		if late && i%2 == 1 {
@@ -225,7 +225,7 @@
 		life := g.life
 		w.at(w.now+wait, func() {
 			if g.life == life && !g.dead {
-				g.listed(gateway.Changes, list)
+				g.listed(gateway.ListChanges, list)
 			}
 		})
 	}
@@ -243,8 +243,8 @@
 func (w *world) replace(h *host, since int64, late bool) {
 	h.to = w.now
 	n := w.add(since, h.weight < 1)
-	w.tell(late, gateway.Listing{Host: h.id, Share: h.weight, State: gateway.Gone},
-		gateway.Listing{Host: n.id, Share: n.weight, Since: since})
+	w.tell(late, gateway.Endpoint{Host: h.id, Weight: h.weight, State: gateway.Gone},
+		gateway.Endpoint{Host: n.id, Weight: n.weight, StartedAt: since})
 }
 
 func (w *world) step(s Step) {
@@ -254,7 +254,7 @@
 	case Join:
 		for range s.N {
 			h := w.add(w.now, false)
-			w.tell(false, gateway.Listing{Host: h.id, Share: 1, Since: h.since})
+			w.tell(false, gateway.Endpoint{Host: h.id, Weight: 1, StartedAt: h.since})
 		}
 	case Hush:
 		for _, h := range up[:s.N] {
@@ -304,8 +304,8 @@
 			if g := w.gws[i]; !g.dead && (i-first+n)%n < spread {
 				w.reqs++
 				w.result.Reqs++
-				g.round(gateway.Event{Kind: gateway.Arrived, Req: fmt.Sprint("r", w.reqs), Customer: name,
-					Until: w.now + int64(8*time.Second), Units: 1, Spread: spread, First: first})
+				g.round(gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint("r", w.reqs), Customer: name,
+					Deadline: w.now + int64(8*time.Second), Units: 1, Spread: spread, FirstGateway: first})
 				return
 			}
 		}
@@ -314,11 +314,11 @@
 
 func (g *gw) round(e gateway.Event) {
 	if !g.dead {
-		g.g.Round(&gateway.Round{Now: g.w.now, Events: []gateway.Event{e}}, g)
+		g.g.Round(&gateway.Batch{Now: g.w.now, Events: []gateway.Event{e}}, g)
 	}
 }
 
-func (g *gw) Dispatch(id string, number uint32, timeout int64) {
+func (g *gw) StartAttempt(id string, number uint32, timeout int64) {
 	w := g.w
 	t := &try{id: id, at: w.now, owner: g, life: g.life, host: w.byID[number]}
 	if last := g.out[id]; last != nil {
@@ -371,38 +371,38 @@
 		return
 	}
 	t.over = true
-	e := gateway.Event{Kind: gateway.Ended, Req: t.id, Host: t.host.id, Dispatch: t.n, Result: res, Lag: g.w.now - t.at,
+	e := gateway.Event{Kind: gateway.AttemptEnded, RequestID: t.id, Host: t.host.id, Attempt: t.n, Result: res, Latency: g.w.now - t.at,
 		Closed: res == gateway.Succeeded}
 	if util >= 0 {
-		e.Load = []float64{util}
+		e.LoadReport = []float64{util}
 	}
 	if res == gateway.Succeeded {
 		g.w.result.Passed++
-		g.w.result.lag += e.Lag
+		g.w.result.lag += e.Latency
 		delete(g.out, t.id)
 	}
 	g.round(e)
 }
 
-func (g *gw) Cancel(id string, n int) {
+func (g *gw) CancelAttempt(id string, n int) {
 	if t := g.out[id]; t != nil && t.n == n {
 		g.w.at(g.w.now, func() { t.end(gateway.Canceled, -1) })
 	}
 }
 
-func (g *gw) Wake(after int64) {
+func (g *gw) SetTimer(after int64) {
 	life := g.life
 	g.w.at(g.w.now+after, func() {
 		if g.life == life {
-			g.round(gateway.Event{Kind: gateway.Tick})
+			g.round(gateway.Event{Kind: gateway.TimerFired})
 		}
 	})
 }
 
-func (g *gw) Reject(id string, after int64) { g.w.result.Denied++; delete(g.out, id) }
-func (g *gw) Fail(id string)                { delete(g.out, id) }
-func (g *gw) Send(int, []byte)              {}
-func (g *gw) Probe(uint32)                  {}
-func (g *gw) Follow()                       {}
-func (g *gw) Count(uint64, float64, int64)  {}
-func (g *gw) Note(string)                   {}
+func (g *gw) Reject(id string, after int64)       { g.w.result.Denied++; delete(g.out, id) }
+func (g *gw) Fail(id string)                      { delete(g.out, id) }
+func (g *gw) SendGossip(int, []byte)              {}
+func (g *gw) SendProbe(uint32)                    {}
+func (g *gw) WatchEndpoints()                     {}
+func (g *gw) AddToCounter(uint64, float64, int64) {}
+func (g *gw) LogNote(string)                      {}
--- a/logic/clock_test.go
+++ b/logic/clock_test.go
@@ -49,7 +49,7 @@
 	w.finishAll(1)
 	var overtaken []byte
 	for ; overtaken == nil; w.now += tickInterval {
-		w.deliver(1, gateway.Event{Kind: gateway.Tick})
+		w.deliver(1, gateway.Event{Kind: gateway.TimerFired})
 		if messages := w.gateways[1].messages; len(messages) > 0 {
 			overtaken = messages[0]
 		}
@@ -58,7 +58,7 @@
 	w.advance(second, true)
 	peer := w.gateways[0].gateway.peers[1]
 	incarnation, level := peer.incarnation, w.gateways[0].gateway.customer(hashText("a"), 0, 2, 0).level
-	w.deliver(0, gateway.Event{Kind: gateway.Received, Peer: 1, Body: overtaken})
+	w.deliver(0, gateway.Event{Kind: gateway.GossipReceived, Peer: 1, Message: overtaken})
 	if peer.incarnation != incarnation || w.gateways[0].gateway.customers[hashText("a")].level != level {
 		t.Errorf("incarnation %d, then %d", incarnation, peer.incarnation)
 	}
@@ -74,19 +74,19 @@
 			w.gateways[0].clockOffset = step
 			w.restart(0, 3, 1)
 			pool := &w.gateways[0].gateway.pool
-			notify := func(l gateway.Listing) {
-				w.deliver(0, gateway.Event{Kind: gateway.HostsListed, List: gateway.Changes, Hosts: []gateway.Listing{l}})
+			notify := func(l gateway.Endpoint) {
+				w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: []gateway.Endpoint{l}})
 			}
-			notify(gateway.Listing{Host: 2, Cell: 0})
+			notify(gateway.Endpoint{Host: 2, Cell: 0})
 			w.now += 100 * second
 			started := w.now
 			w.now += delay
-			notify(gateway.Listing{Host: 3, Since: started})
+			notify(gateway.Endpoint{Host: 3, StartedAt: started})
 			h := pool.all[2]
-			for _, age := range []int64{delay, 3 * second, w.cold.Warm / 2, w.cold.Warm + delay} {
+			for _, age := range []int64{delay, 3 * second, w.cold.Duration / 2, w.cold.Duration + delay} {
 				w.now = started + age
-				most := w.cold.From + (1-w.cold.From)*float64(age)/float64(w.cold.Warm)
-				least := w.cold.From + (1-w.cold.From)*float64(age-delay)/float64(w.cold.Warm)
+				most := w.cold.InitialFraction + (1-w.cold.InitialFraction)*float64(age)/float64(w.cold.Duration)
+				least := w.cold.InitialFraction + (1-w.cold.InitialFraction)*float64(age-delay)/float64(w.cold.Duration)
 				if warm := pool.warmUp(h, w.now+step); warm > min(most, 1) || warm < min(least, 1) {
 					t.Errorf("at the age of %v: %.3f warm, want %.3f to %.3f", time.Duration(age), warm, least, most)
 				}
@@ -99,14 +99,14 @@
 func TestSlowStartOfHostWithClockSetBack(t *testing.T) {
 	w := newSimulation(1, 3, func(w *simulation) { w.now = epoch })
 	notify := func(since int64) {
-		l := gateway.Listing{Host: 3, Since: since}
-		w.deliver(0, gateway.Event{Kind: gateway.HostsListed, List: gateway.Changes, Hosts: []gateway.Listing{l}})
+		l := gateway.Endpoint{Host: 3, StartedAt: since}
+		w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: []gateway.Endpoint{l}})
 	}
 	notify(w.now)
-	w.advance(w.cold.Warm+second, true)
+	w.advance(w.cold.Duration+second, true)
 	notify(w.now - 3600*second)
 	pool := &w.gateways[0].gateway.pool
-	if warm := pool.warmUp(pool.all[2], w.now); warm > w.cold.From+0.15 {
+	if warm := pool.warmUp(pool.all[2], w.now); warm > w.cold.InitialFraction+0.15 {
 		t.Errorf("%.2f warm", warm)
 	}
 }
--- a/logic/customer.go
+++ b/logic/customer.go
@@ -77,12 +77,12 @@
 
 // inCapChance is the chance to keep to the cap: peers have a chance number in flight, by what they admit.
 func (c *customer) inCapChance(fr *class) float64 {
-	if c.plan.Open == 0 {
+	if c.plan.MaxInFlight == 0 {
 		return 1
 	}
 	others := c.peerRate / fr.units * fr.usual / float64(second)
 	p, term := 0.0, math.Exp(-others)
-	for k := range max(c.plan.Open-c.inFlight, 0) {
+	for k := range max(c.plan.MaxInFlight-c.inFlight, 0) {
 		p += term
 		term *= others / float64(k+1)
 	}
--- a/logic/gossip.go
+++ b/logic/gossip.go
@@ -13,7 +13,7 @@
 // resize takes in how many gateways there are: which of them this one tells and hears, and how often. Totals
 // are first totals again on both sides: among another number who tells what to whom may differ.
 func (g *Gateway) resize(n int) {
-	perSecond := g.seat.PerSecond
+	perSecond := g.seat.MessageRate
 	g.format.Members, g.rows = n, 1
 	if float64(n-1) > perSecond*gossipShare*seconds(interval) {
 		g.rows = int(math.Sqrt(float64(n)) + 0.5)
@@ -88,7 +88,7 @@
 		}
 		t.sentTotal, t.queued, p.queue = c.total[p.total], false, p.queue[1:]
 	}
-	g.writer.Send(p.member, msg)
+	g.writer.SendGossip(p.member, msg)
 }
 
 // receive takes in a message of a peer.
--- a/logic/gossip_test.go
+++ b/logic/gossip_test.go
@@ -72,7 +72,7 @@
 			told[to] += len(w.gateways[0].messages[k])
 		}
 		w.advance(tickInterval, true)
-		w.deliver(0, gateway.Event{Kind: gateway.Tick})
+		w.deliver(0, gateway.Event{Kind: gateway.TimerFired})
 	}
 	golden.Check(t, fmt.Sprintf("bytes told to each gateway %v\n", told))
 }
@@ -82,17 +82,17 @@
 	w := newSimulation(2, 1, nil)
 	w.arrive(1, "a", 4)
 	for w.gateways[1].messages = nil; len(w.gateways[1].messages) == 0; w.now += tickInterval {
-		w.deliver(1, gateway.Event{Kind: gateway.Tick})
+		w.deliver(1, gateway.Event{Kind: gateway.TimerFired})
 	}
 	good := w.gateways[1].messages[0]
 	for n := range good {
-		w.deliver(0, gateway.Event{Kind: gateway.Received, Peer: 1, Body: good[:n]})
+		w.deliver(0, gateway.Event{Kind: gateway.GossipReceived, Peer: 1, Message: good[:n]})
 	}
-	w.deliver(0, gateway.Event{Kind: gateway.Received, Peer: 1, Body: append([]byte{9}, good[1:]...)},
-		gateway.Event{Kind: gateway.Received, Peer: 7, Body: good})
+	w.deliver(0, gateway.Event{Kind: gateway.GossipReceived, Peer: 1, Message: append([]byte{9}, good[1:]...)},
+		gateway.Event{Kind: gateway.GossipReceived, Peer: 7, Message: good})
 	w.recordLevels("a")
 	w.restart(0, 1, 2) // it has taken one cut right behind the head for a sign of life
-	w.deliver(0, gateway.Event{Kind: gateway.Received, Peer: 1, Body: good})
+	w.deliver(0, gateway.Event{Kind: gateway.GossipReceived, Peer: 1, Message: good})
 	w.recordLevels("a")
 	golden.Check(t, w.trace.String())
 }
--- a/logic/hostlist.go
+++ b/logic/hostlist.go
@@ -15,7 +15,7 @@
 
 // entries gives the record of each host of a list, new ones for those that are not known yet. It sorts the whole once, not
 // each new host into its place: a list of n hosts would take n squared moves.
-func (f *hostPool) entries(listed []gateway.Listing) []*host {
+func (f *hostPool) entries(listed []gateway.Endpoint) []*host {
 	known, added := f.all, map[uint32]*host{}
 	entries := make([]*host, len(listed))
 	for i, l := range listed {
--- a/logic/hosts.go
+++ b/logic/hosts.go
@@ -27,21 +27,21 @@
 func (h *host) tag(front int) uint16 { return uint16(h.Hash>>16)*uint16(front) + uint16(h.Hash) }
 
 // list takes in a list of hosts, or changes of it.
-func (f *hostPool) list(kind gateway.List, news []gateway.Listing, now int64) {
+func (f *hostPool) list(kind gateway.ListKind, news []gateway.Endpoint, now int64) {
 	for _, h := range f.all {
-		if kind == gateway.Complete || kind == gateway.Cached {
+		if kind == gateway.ListComplete || kind == gateway.ListCached {
 			h.state = gateway.Gone
 		}
 	}
 	for i, h := range f.entries(news) {
 		l := news[i]
-		if l.Since != h.since { // a new start: what was learned of the old process is void
-			h.since, h.pace, h.allow, h.busy, h.classes = l.Since, 1, f.rnd.part(), 0, nil
-			h.started = f.startOf(l.Since, now)
+		if l.StartedAt != h.since { // a new start: what was learned of the old process is void
+			h.since, h.pace, h.allow, h.busy, h.classes = l.StartedAt, 1, f.rnd.part(), 0, nil
+			h.started = f.startOf(l.StartedAt, now)
 		}
-		h.state, h.Weight = l.State, l.Share
+		h.state, h.Weight = l.State, l.Weight
 	}
-	f.listed = f.listed || kind == gateway.Changes || kind == gateway.Complete
+	f.listed = f.listed || kind == gateway.ListChanges || kind == gateway.ListComplete
 	f.all = slices.DeleteFunc(f.all, func(h *host) bool { return h.state == gateway.Gone })
 	f.limit.Hosts(len(f.all)) // a record ends with its host, as does its part of the limit
 	f.choose()
@@ -76,15 +76,15 @@
 
 // warmUp is the part of its capacity that a host surely has.
 func (f *hostPool) warmUp(h *host, now int64) float64 {
-	if h.started <= 0 || now-h.started >= f.cold.Warm || f.cold.Warm <= 0 {
+	if h.started <= 0 || now-h.started >= f.cold.Duration || f.cold.Duration <= 0 {
 		return 1
 	}
-	return f.cold.From + (1-f.cold.From)*float64(max(now-h.started, 0))/float64(f.cold.Warm)
+	return f.cold.InitialFraction + (1-f.cold.InitialFraction)*float64(max(now-h.started, 0))/float64(f.cold.Duration)
 }
 
 // enough is the load up to which a host will do, where the least is that.
 func (c *customer) enough(least float64) float64 {
-	if c.plan.Open > 0 { // the sooner it is answered, the sooner its place is free
+	if c.plan.MaxInFlight > 0 { // the sooner it is answered, the sooner its place is free
 		return least
 	}
 	return least * loadSlack
@@ -156,7 +156,7 @@
 	}
 	for _, h := range f.near {
 		if w := f.warmUp(h, now); w < 1 && h.Held {
-			h.allow = min(h.allow+w/max(sum, all*2/max(f.cold.Multiple, 1), 1), 1.5) // others fail: up to its bound
+			h.allow = min(h.allow+w/max(sum, all*2/max(f.cold.OverloadFactor, 1), 1), 1.5) // others fail: up to its bound
 		}
 	}
 }
@@ -181,7 +181,7 @@
 		if s.at >= f.woke && s.request.customer.unanswered <= 0.5 {
 			of.unanswered += (1 - of.unanswered) / 4
 		}
-	case gateway.Errored, gateway.Unreached, gateway.Broken, gateway.Spoilt:
+	case gateway.Errored, gateway.Unreachable, gateway.Disconnected, gateway.Malformed:
 		if of.lastFailure >= of.lastGood { // none went well since, nor did a peer hear well of it
 			of.suspect(now)
 		}
@@ -191,14 +191,14 @@
 	own := s.request.customer.unanswered > 0.5 || of.unanswered >= suspectShare
 	if s.at >= f.woke && (res == gateway.Succeeded || res == gateway.TimedOut && !own) {
 		h.pace = max(h.pace+(float64(lag)/fr.usual-h.pace)/32, 0.2)
-		f.limit.Answered(lag, fr.Target, now, f.inFlight, busy)
+		f.limit.Answered(lag, fr.LatencyObjective, now, f.inFlight, busy)
 	}
 }
 
 // silent tells whether the host holds s and has answered nothing of its class for much longer than usual.
 func (h *host) silent(s *attempt, now int64) bool {
 	fr := s.request.class
-	return now-max(s.at, h.of(fr).lastAnswer) > max(int64(5*fr.usual*h.pace), fr.Target/2)
+	return now-max(s.at, h.of(fr).lastAnswer) > max(int64(5*fr.usual*h.pace), fr.LatencyObjective/2)
 }
 
 // vouched takes in that another gateway has good answers of a host: a suspected one comes back.
--- a/logic/hosts_test.go
+++ b/logic/hosts_test.go
@@ -16,10 +16,10 @@
 // TestDrain: nothing new to a draining or removed host, from the round it is told.
 func TestDrain(t *testing.T) {
 	w := newSimulation(1, 2, nil)
-	w.deliver(0, gateway.Event{Kind: gateway.HostsListed, List: gateway.Changes,
-		Hosts: []gateway.Listing{{Host: 1, State: gateway.Draining}}})
+	w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges,
+		Endpoints: []gateway.Endpoint{{Host: 1, State: gateway.Draining}}})
 	w.arrive(0, "a", 2)
-	w.deliver(0, gateway.Event{Kind: gateway.HostsListed, List: gateway.Complete, Hosts: []gateway.Listing{{Host: 3}}})
+	w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete, Endpoints: []gateway.Endpoint{{Host: 3}}})
 	w.arrive(0, "b", 2)
 	golden.Check(t, w.trace.String())
 }
@@ -27,8 +27,8 @@
 // TestColdHost: a started host gets its part of all attempts, by its surely warm part.
 func TestColdHost(t *testing.T) {
 	w := newSimulation(1, 3, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 1000, 1000 })
-	w.deliver(0, gateway.Event{Kind: gateway.HostsListed, List: gateway.Changes,
-		Hosts: []gateway.Listing{{Host: 3, Since: w.now}}})
+	w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges,
+		Endpoints: []gateway.Endpoint{{Host: 3, StartedAt: w.now}}})
 	for s := range 6 {
 		w.trace.Reset()
 		for range 100 {
@@ -95,15 +95,15 @@
 	tell()
 	w.arrive(0, "a", 1)
 	for i := range 200 {
-		w.deliver(0, gateway.Event{Kind: gateway.HostsListed, Hosts: []gateway.Listing{{Host: uint32(i + 1), State: gateway.Gone}}})
-		w.deliver(0, gateway.Event{Kind: gateway.HostsListed, Hosts: []gateway.Listing{{Host: uint32(i + 5)}}})
+		w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, Endpoints: []gateway.Endpoint{{Host: uint32(i + 1), State: gateway.Gone}}})
+		w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, Endpoints: []gateway.Endpoint{{Host: uint32(i + 5)}}})
 	}
 	tell()
-	w.deliver(0, gateway.Event{Kind: gateway.Ended, Req: "a0.0", Host: 1, Result: gateway.Succeeded, Lag: ms, Closed: true}) // by one that is gone
+	w.deliver(0, gateway.Event{Kind: gateway.AttemptEnded, RequestID: "a0.0", Host: 1, Result: gateway.Succeeded, Latency: ms, Closed: true}) // by one that is gone
 	fmt.Fprintf(&w.trace, "%d out\n", f.inFlight)
-	w.deliver(0, gateway.Event{Kind: gateway.HostsListed, List: gateway.Complete})
+	w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete})
 	tell()
-	w.deliver(0, gateway.Event{Kind: gateway.HostsListed, Hosts: []gateway.Listing{{Host: 1}, {Host: 2}}})
+	w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, Endpoints: []gateway.Endpoint{{Host: 1}, {Host: 2}}})
 	tell()
 	golden.Check(t, w.trace.String())
 }
@@ -115,7 +115,7 @@
 	w.finishAll(0)
 	w.arrive(0, "b", 1)
 	w.gateways[0].gateway.retryBudget = 1
-	w.finishAttempt(0, 0, gateway.Spoilt, false)
+	w.finishAttempt(0, 0, gateway.Malformed, false)
 	w.finishAll(0)
 	for _, h := range w.gateways[0].gateway.pool.all {
 		if h.of(w.gateways[0].gateway.classes[0]).unanswered != 0 {
@@ -154,11 +154,11 @@
 // call to call that double up to 3.9 s and are drawn by chance, not all in the same tick; a list that comes ends the
 // doubling, and what was still to be asked: the watch that brought it goes on.
 func TestAskApart(t *testing.T) {
-	w := newSimulation(20, 4, func(w *simulation) { w.limits.MustAsk = true })
+	w := newSimulation(20, 4, func(w *simulation) { w.limits.PollEndpoints = true })
 	lose := func() int64 {
 		for i, s := range w.gateways {
 			s.listRequestedAt = nil
-			w.deliver(i, gateway.Event{Kind: gateway.HostsListed, List: gateway.Unavailable})
+			w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
 		}
 		return w.now
 	}
@@ -172,7 +172,7 @@
 		w.advance(tickInterval, false)
 		for i, s := range w.gateways {
 			if len(s.listRequestedAt) > asked[i] {
-				w.deliver(i, gateway.Event{Kind: gateway.HostsListed, List: gateway.Unavailable})
+				w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
 			}
 		}
 	}
@@ -196,7 +196,7 @@
 		}
 	}
 	for i := range w.gateways { // a list comes: the next loss waits the shortest again
-		w.deliver(i, gateway.Event{Kind: gateway.HostsListed, List: gateway.Changes})
+		w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges})
 	}
 	t0 = lose()
 	w.advance(450*ms+tickInterval, false)
@@ -207,7 +207,7 @@
 	}
 	lose()
 	for i := range w.gateways { // an ask is due, and a list comes after all (SIGHUP has its own watch): that one is not ended
-		w.deliver(i, gateway.Event{Kind: gateway.HostsListed, List: gateway.Complete})
+		w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete})
 	}
 	w.advance(2000*ms, false)
 	for i, s := range w.gateways {
@@ -228,8 +228,8 @@
 	sent := func(rounds int) (n [2]int) { // to hosts 1 and 2, by class
 		for k := range rounds {
 			for f := range 6 {
-				w.deliver(0, gateway.Event{Kind: gateway.Arrived, Req: fmt.Sprintf("f%d.%d.%d", f, w.now, k), Customer: fmt.Sprint(k, f),
-					Until: w.now + 2500*ms, Units: 1, Spread: 1, Class: f % 2})
+				w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprintf("f%d.%d.%d", f, w.now, k), Customer: fmt.Sprint(k, f),
+					Deadline: w.now + 2500*ms, Units: 1, Spread: 1, Class: f % 2})
 			}
 			w.advance(80*ms, true)
 			for _, h := range w.gateways[0].gateway.pool.all {
@@ -242,8 +242,8 @@
 							res, lag = gateway.TimedOut, 800*ms
 						}
 					}
-					w.deliver(0, gateway.Event{Kind: gateway.Ended, Req: s.request.id, Host: h.id, Dispatch: s.n, Result: res,
-						Lag: lag, Closed: res == gateway.Succeeded})
+					w.deliver(0, gateway.Event{Kind: gateway.AttemptEnded, RequestID: s.request.id, Host: h.id, Attempt: s.n, Result: res,
+						Latency: lag, Closed: res == gateway.Succeeded})
 				}
 			}
 		}
@@ -262,8 +262,8 @@
 func TestNewsFirst(t *testing.T) {
 	for k := range 8 {
 		w := newSimulation(1, 2, nil)
-		w.deliver(0, gateway.Event{Kind: gateway.Arrived, Req: "r", Customer: fmt.Sprint(k), Units: 1, Spread: 1, Until: w.now + second},
-			gateway.Event{Kind: gateway.HostsListed, Hosts: []gateway.Listing{{Host: 1, State: gateway.Draining}}})
+		w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: "r", Customer: fmt.Sprint(k), Units: 1, Spread: 1, Deadline: w.now + second},
+			gateway.Event{Kind: gateway.EndpointsListed, Endpoints: []gateway.Endpoint{{Host: 1, State: gateway.Draining}}})
 		if got := w.trace.String(); !strings.Contains(got, "to host 2,") {
 			t.Errorf("host 1 drains, yet: %s", got)
 		}
@@ -274,13 +274,13 @@
 // the size are held by twice as many, within one, and when a host goes few gateways take in another.
 func TestSubset(t *testing.T) {
 	w := newSimulation(300, 180, nil)
-	var all []gateway.Listing
+	var all []gateway.Endpoint
 	for h := range 180 {
-		all = append(all, gateway.Listing{Host: uint32(h + 1), Share: float64(1 + h%2)})
+		all = append(all, gateway.Endpoint{Host: uint32(h + 1), Weight: float64(1 + h%2)})
 	}
 	held, came := map[uint32]int{}, 0
 	for i, s := range w.gateways {
-		w.deliver(i, gateway.Event{Kind: gateway.HostsListed, List: gateway.Complete, Hosts: all})
+		w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete, Endpoints: all})
 		slices.Reverse(all)
 		was, n := map[uint32]bool{}, 0
 		for _, h := range s.gateway.pool.all {
@@ -292,7 +292,7 @@
 		if n != 8 {
 			t.Errorf("gateway %d holds %d hosts, want 12*180/300 or a little more", i, n)
 		}
-		w.deliver(i, gateway.Event{Kind: gateway.HostsListed, Hosts: []gateway.Listing{{Host: 40, State: gateway.Gone}}})
+		w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, Endpoints: []gateway.Endpoint{{Host: 40, State: gateway.Gone}}})
 		for _, h := range s.gateway.pool.all {
 			if h.Held && !was[h.id] {
 				came++
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -46,17 +46,17 @@
 // repeatable tells whether a repeat now of what was sent first does no harm: all hosts drop it for a window.
 func (f *class) repeatable(first, now int64) bool {
 	return f.Effect == gateway.Idempotent ||
-		f.Effect == gateway.Deduplicated && f.Group == gateway.AllHosts && now <= first+f.Window-windowMargin
+		f.Effect == gateway.Deduplicated && f.Group == gateway.AllHosts && now <= first+f.DedupWindow-windowMargin
 }
 
 // New makes a gateway that has neither hosts nor customers yet.
 func New(seed uint64, seat gateway.Membership, fronts []gateway.RequestClass, plans []gateway.Plan,
-	limits gateway.Limits, cold gateway.Cold, report gateway.Report) *Gateway {
+	limits gateway.Limits, cold gateway.SlowStart, report gateway.LoadReportForm) *Gateway {
 	rnd := mwc(seed | 1)
 	g := &Gateway{start: -1, seat: seat, limits: limits, rnd: &rnd, byID: map[uint32]int{},
 		customers: map[uint32]*customer{}, requests: map[string]*request{}, calls: map[uint64][]*request{}}
 	g.pool = hostPool{rnd: g.rnd, cold: cold, member: seat.Index}
-	g.pool.busyField = slices.Index(report.Fields, gateway.BusyShare)
+	g.pool.busyField = slices.Index(report.Fields, gateway.Utilization)
 	for i := range fronts {
 		g.setClass(&gateway.ClassUpdate{Index: i, Class: fronts[i]})
 	}
@@ -69,7 +69,7 @@
 }
 
 // Round takes all that came in and writes the decisions.
-func (g *Gateway) Round(in *gateway.Round, out gateway.Writer) {
+func (g *Gateway) Round(in *gateway.Batch, out gateway.Actions) {
 	late, n := in.Now-g.now, int64(len(in.Events))
 	if late <= stall || g.start < 0 {
 		late = 0
@@ -83,20 +83,20 @@
 	}
 	for i := range 2 * n { // what waited together is decided on all that lists and peers tell
 		e := &in.Events[i%n]
-		if news := e.Kind == gateway.HostsListed || e.Kind == gateway.Received; news != (i < n) {
+		if news := e.Kind == gateway.EndpointsListed || e.Kind == gateway.GossipReceived; news != (i < n) {
 			continue
 		}
 		switch e.Kind {
-		case gateway.Arrived:
+		case gateway.RequestArrived:
 			g.arrive(e, g.now-late*(2*n-i)/n)
-		case gateway.Ended:
+		case gateway.AttemptEnded:
 			g.ended(e)
-		case gateway.Left:
-			if r := g.requests[e.Req]; r != nil {
+		case gateway.ClientGone:
+			if r := g.requests[e.RequestID]; r != nil {
 				g.close(r)
 			}
-		case gateway.HostsListed:
-			if g.pool.list(e.List, e.Hosts, g.now); e.List != gateway.Unavailable {
+		case gateway.EndpointsListed:
+			if g.pool.list(e.ListKind, e.Endpoints, g.now); e.ListKind != gateway.ListUnavailable {
 				g.asks, g.nextAsk = 0, math.MaxInt64
 			} else { // by chance, pauses double from call to call: a fleet asks apart, each has news in 6 s
 				if g.asks = min(g.asks+1, 5); g.asks == 1 {
@@ -105,19 +105,19 @@
 				pause := min(int64((0.5+g.rnd.part())*float64(relistPause<<(g.asks-1))), 13*relistPause)
 				g.nextAsk = max(g.asked+pause, g.now+pause/8)
 			}
-		case gateway.Received:
-			g.receive(e.Peer, e.Body)
-		case gateway.Counted:
+		case gateway.GossipReceived:
+			g.receive(e.Peer, e.Message)
+		case gateway.CounterReplied:
 			g.counted(e)
-		case gateway.Tick:
+		case gateway.TimerFired:
 			g.tick()
 		}
 	}
 }
 
 func (g *Gateway) arrive(e *gateway.Event, at int64) {
-	c, fr := g.customer(hashText(e.Customer), e.Plan, e.Spread, e.First), g.classes[e.Class]
-	r := &request{id: e.Req, customer: c, class: fr, units: e.Units, arrived: at, deadline: e.Until, stopAt: e.StopAt}
+	c, fr := g.customer(hashText(e.Customer), e.Plan, e.Spread, e.FirstGateway), g.classes[e.Class]
+	r := &request{id: e.RequestID, customer: c, class: fr, units: e.Units, arrived: at, deadline: e.Deadline, stopAt: e.StopAt}
 	g.requests[r.id] = r
 	fr.units += (e.Units - fr.units) / 64
 	g.arrived++
@@ -128,8 +128,8 @@
 	g.refill(c)
 	c.asked += r.units
 	// The counter may be asked about the cap where it answers and the client will still be there.
-	ask := g.limits.Counter && c.plan.Open > 0 && len(c.subscriptions) > 0 && g.now >= g.counterRetry
-	g.decide(r, c.inCapChance(fr), ask && r.deadline-g.now > 2*g.limits.CounterWait)
+	ask := g.limits.SharedCounter && c.plan.MaxInFlight > 0 && len(c.subscriptions) > 0 && g.now >= g.counterRetry
+	g.decide(r, c.inCapChance(fr), ask && r.deadline-g.now > 2*g.limits.CounterTimeout)
 }
 
 // decide decides a request: the ordinary path, from top to bottom. inCap is its chance to be within the cap
@@ -140,7 +140,7 @@
 	// What peers have admitted within a total's age is a chance number; the more is asked, the more it sways.
 	level := c.level - min(2*g.rnd.part()*c.peerRate*g.age*greed, c.plan.Burst/2)
 
-	value := fr.Value * fr.units * c.plan.Price / fr.usual
+	value := fr.Value * fr.units * c.plan.PriorityWeight / fr.usual
 	g.value += (value - g.value) / 256
 	h, after, why := (*host)(nil), fr.usual, ByHosts
 	switch {
@@ -150,7 +150,7 @@
 		after, why = (r.units-c.ceiling)/c.ceilRate*float64(second), ByCeiling
 	case c.unanswered > 0.5 && g.now-c.lastAdmission < second: // most go unanswered: one a second
 		after, why = float64(second), ByUnanswered
-	case r.deadline <= g.now, fr.Late == 0 && float64(g.now-r.arrived)+fr.usual > float64(fr.Target): // in vain
+	case r.deadline <= g.now, fr.LateValue == 0 && float64(g.now-r.arrived)+fr.usual > float64(fr.LatencyObjective): // in vain
 		why = ByLate
 	case r.stopAt > 0 && float64(r.stopAt-g.now) < fr.usual: // this gateway would end over it; another has the time
 		why = ByLate
@@ -158,7 +158,7 @@
 		r.slot = mix(uint64(c.hash)<<32|uint64(g.now/counterSpan)) >> 1
 		g.call(r.slot, 1, r)
 		return
-	case inCap == 0 || inCap/2 < (1-inCap)*c.plan.BeyondCost*greed: // too many are out; it may come back
+	case inCap == 0 || inCap/2 < (1-inCap)*c.plan.OverQuotaCost*greed: // too many are out; it may come back
 		why = ByCap
 	default: // no host: better told now than answered late
 		h = g.pool.pick(c, fr, g.now, baseShare+(1-baseShare)*min(value/g.value, 1), nil)
@@ -183,9 +183,9 @@
 func (g *Gateway) end(r *request) int64 {
 	fr, more := r.class, int64(0)
 	if g.pool.woke > 0 && g.now-g.pool.woke < decayTime {
-		more = int64(fr.Late * float64(fr.Timeout-fr.Target))
+		more = int64(fr.LateValue * float64(fr.Timeout-fr.LatencyObjective))
 	}
-	return min(r.deadline, r.arrived+fr.Target+more)
+	return min(r.deadline, r.arrived+fr.LatencyObjective+more)
 }
 
 func (g *Gateway) dispatch(r *request, h *host) {
@@ -195,13 +195,13 @@
 	r.customer.inFlight++
 	h.inFlight = append(h.inFlight, r.current)
 	g.pool.attempted(h, r.class, r.attempts > 1, g.now)
-	g.writer.Dispatch(r.id, h.id, max(g.end(r)-g.now, 1000))
+	g.writer.StartAttempt(r.id, h.id, max(g.end(r)-g.now, 1000))
 }
 
 // ended takes in how an attempt ended, and sends the request again where that may help and is allowed.
 func (g *Gateway) ended(e *gateway.Event) {
-	r := g.requests[e.Req]
-	if r == nil || r.current == nil || r.current.n != e.Dispatch {
+	r := g.requests[e.RequestID]
+	if r == nil || r.current == nil || r.current.n != e.Attempt {
 		return
 	}
 	s, c, fr := r.current, r.customer, r.class
@@ -214,7 +214,7 @@
 	if !e.Result.NeverRan() && r.mayHaveRun == nil {
 		r.mayHaveRun = s
 	}
-	g.pool.observe(s, e.Result, e.Lag, e.Load, g.now)
+	g.pool.observe(s, e.Result, e.Latency, e.LoadReport, g.now)
 	switch {
 	case r.closed || e.Closed:
 		g.close(r)
@@ -229,7 +229,7 @@
 
 func (g *Gateway) retry(r *request, last *host) bool {
 	fr := r.class
-	if r.attempts >= g.limits.Dispatches || g.now >= g.end(r) ||
+	if r.attempts >= g.limits.MaxAttempts || g.now >= g.end(r) ||
 		r.mayHaveRun != nil && (g.retryBudget < 1 || !fr.repeatable(r.mayHaveRun.at, g.now)) {
 		return false
 	}
@@ -267,18 +267,18 @@
 // give it one name for a span; the next counts anew, or what a killed gateway had in flight would stay.
 func (g *Gateway) call(name uint64, amount float64, r *request) {
 	g.calls[name] = append(g.calls[name], r)
-	g.writer.Count(name, amount, 2*counterSpan)
+	g.writer.AddToCounter(name, amount, 2*counterSpan)
 }
 
 // counted takes in an answer of the counter, or that there is none: then the guess decides.
 func (g *Gateway) counted(e *gateway.Event) {
-	calls := g.calls[e.Name]
+	calls := g.calls[e.CounterName]
 	if len(calls) == 0 {
 		return
 	}
 	r := calls[0]
-	if g.calls[e.Name] = calls[1:]; len(calls) == 1 {
-		delete(g.calls, e.Name)
+	if g.calls[e.CounterName] = calls[1:]; len(calls) == 1 {
+		delete(g.calls, e.CounterName)
 	}
 	if e.Result == gateway.Succeeded {
 		g.unheard = 0
@@ -291,7 +291,7 @@
 	inCap := 0.0
 	if e.Result != gateway.Succeeded {
 		r.slot, inCap = 0, r.customer.inCapChance(r.class)
-	} else if e.Total <= float64(r.customer.plan.Open) {
+	} else if e.CounterTotal <= float64(r.customer.plan.MaxInFlight) {
 		inCap = 1
 	}
 	g.refill(r.customer)
@@ -299,22 +299,22 @@
 }
 
 func (g *Gateway) tick() {
-	g.writer.Wake(tickInterval)
+	g.writer.SetTimer(tickInterval)
 	since := seconds(g.now - g.ticked)
-	more := float64(g.arrived) / max(g.seat.PerSecond*gossipShare, 1) // as many messages as requests come in
+	more := float64(g.arrived) / max(g.seat.MessageRate*gossipShare, 1) // as many messages as requests come in
 	credit := g.rate * max(since, min(more, 2*since))
 	g.ticked, g.arrived = g.now, 0
-	if g.limits.MustAsk && g.now >= g.nextAsk {
+	if g.limits.PollEndpoints && g.now >= g.nextAsk {
 		g.asked, g.nextAsk = g.now, math.MaxInt64
-		g.writer.Follow()
+		g.writer.WatchEndpoints()
 	}
 	for _, h := range g.pool.active() {
 		for _, s := range h.inFlight {
 			if r := s.request; h.silent(s, g.now) {
 				h.of(r.class).suspect(g.now)
-				if first := cmp.Or(r.mayHaveRun, s); g.limits.Cancel && g.retryBudget >= 1 && !r.closed &&
-					r.attempts < g.limits.Dispatches && r.class.repeatable(first.at, g.now) {
-					g.writer.Cancel(r.id, s.n) // it moves on when that is confirmed
+				if first := cmp.Or(r.mayHaveRun, s); g.limits.Cancellation && g.retryBudget >= 1 && !r.closed &&
+					r.attempts < g.limits.MaxAttempts && r.class.repeatable(first.at, g.now) {
+					g.writer.CancelAttempt(r.id, s.n) // it moves on when that is confirmed
 				}
 			}
 		}
--- a/logic/options.go
+++ b/logic/options.go
@@ -10,7 +10,7 @@
 // has just set: every host of the subset that could be picked, and any other that was. The ranking is a hash, so that
 // over customers each host within bounds is first with the same chance. It records only; nothing is decided by it.
 func (g *Gateway) candidates(r *request, chosen *host) {
-	w, on := g.writer.(gateway.Witness)
+	w, on := g.writer.(gateway.CandidateObserver)
 	if !on {
 		return
 	}
@@ -19,7 +19,7 @@
 		least = min(least, h.load)
 	}
 	enough := r.customer.enough(least)
-	all, next := append(g.options[:0], gateway.Option{Host: chosen.id, Load: chosen.load}), (*host)(nil)
+	all, next := append(g.options[:0], gateway.Candidate{Host: chosen.id, Load: chosen.load}), (*host)(nil)
 	at := 0
 	for _, h := range g.pool.weighed {
 		in := h.load <= enough
@@ -29,7 +29,7 @@
 		if h == chosen || !in && (!h.Held || math.IsInf(h.load, 1)) {
 			continue
 		}
-		o := gateway.Option{Host: h.id, Load: h.load}
+		o := gateway.Candidate{Host: h.id, Load: h.load}
 		if in {
 			o.Chance = 1
 			if next == nil || mix(uint64(r.customer.hash)^h.Hash) > mix(uint64(r.customer.hash)^next.Hash) {
@@ -46,5 +46,5 @@
 		all[1], all[at] = all[at], all[1]
 	}
 	g.options = all
-	w.Considered(r.id, r.customer.hash, all)
+	w.ObserveCandidates(r.id, r.customer.hash, all)
 }
--- a/logic/options_test.go
+++ b/logic/options_test.go
@@ -11,13 +11,15 @@
 // watcher is a Witness over a member index that drops what the member index would trace.
 type watcher struct {
 	*simulatedGateway
-	options []gateway.Option
+	options []gateway.Candidate
 	hosts   []uint32
 	told    int
 }
 
-func (w *watcher) Dispatch(req string, host uint32, timeout int64) { w.hosts = append(w.hosts, host) }
-func (w *watcher) Considered(_ string, _ uint32, o []gateway.Option) {
+func (w *watcher) StartAttempt(req string, host uint32, timeout int64) {
+	w.hosts = append(w.hosts, host)
+}
+func (w *watcher) ObserveCandidates(_ string, _ uint32, o []gateway.Candidate) {
 	w.options, w.told = append(w.options[:0], o...), w.told+1
 }
 
@@ -29,15 +31,15 @@
 		w := newSimulation(1, 8, nil)
 		s := w.gateways[0]
 		watch := &watcher{simulatedGateway: s}
-		var out gateway.Writer = watch
+		var out gateway.Actions = watch
 		if on == 0 {
-			out = struct{ gateway.Writer }{watch} // hides what the Witness adds
+			out = struct{ gateway.Actions }{watch} // hides what the Witness adds
 		}
 		chances, chosen := map[uint32]float64{}, map[uint32]float64{}
 		for i := range 4000 {
 			w.now += ms
-			s.gateway.Round(&gateway.Round{Now: w.now, Events: []gateway.Event{{Kind: gateway.Arrived, Req: fmt.Sprint(i),
-				Customer: fmt.Sprint("c", i), Until: w.now + second, Units: 1, Spread: 1}}}, out)
+			s.gateway.Round(&gateway.Batch{Now: w.now, Events: []gateway.Event{{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(i),
+				Customer: fmt.Sprint("c", i), Deadline: w.now + second, Units: 1, Spread: 1}}}, out)
 			if len(watch.hosts) != i+1 {
 				t.Fatalf("req %d is not dispatched", i)
 			}
@@ -60,8 +62,8 @@
 				for _, h := range s.gateway.pool.all {
 					if len(h.inFlight) > 0 {
 						x := h.inFlight[0]
-						s.gateway.Round(&gateway.Round{Now: w.now, Events: []gateway.Event{{Kind: gateway.Ended, Req: x.request.id,
-							Host: h.id, Dispatch: x.n, Lag: ms * int64(h.id), Closed: true}}}, out)
+						s.gateway.Round(&gateway.Batch{Now: w.now, Events: []gateway.Event{{Kind: gateway.AttemptEnded, RequestID: x.request.id,
+							Host: h.id, Attempt: x.n, Latency: ms * int64(h.id), Closed: true}}}, out)
 					}
 				}
 			}
@@ -88,19 +90,19 @@
 			w := newSimulation(1, 12, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 1e9, 1e9 })
 			s := w.gateways[0]
 			watch := &watcher{simulatedGateway: s}
-			var out gateway.Writer = watch
+			var out gateway.Actions = watch
 			if on == 0 {
-				out = struct{ gateway.Writer }{watch}
+				out = struct{ gateway.Actions }{watch}
 			}
-			round := &gateway.Round{Events: make([]gateway.Event, 1)}
+			round := &gateway.Batch{Events: make([]gateway.Event, 1)}
 			b.ReportAllocs()
 			for b.Loop() {
 				w.now += ms
 				watch.hosts = watch.hosts[:0]
-				round.Now, round.Events[0] = w.now, gateway.Event{Kind: gateway.Arrived, Req: "r", Customer: "c",
-					Until: w.now + second, Units: 1, Spread: 1}
+				round.Now, round.Events[0] = w.now, gateway.Event{Kind: gateway.RequestArrived, RequestID: "r", Customer: "c",
+					Deadline: w.now + second, Units: 1, Spread: 1}
 				s.gateway.Round(round, out)
-				round.Events[0] = gateway.Event{Kind: gateway.Ended, Req: "r", Lag: 5 * ms, Closed: true}
+				round.Events[0] = gateway.Event{Kind: gateway.AttemptEnded, RequestID: "r", Latency: 5 * ms, Closed: true}
 				s.gateway.Round(round, out)
 			}
 		})
--- a/logic/quota_test.go
+++ b/logic/quota_test.go
@@ -58,7 +58,7 @@
 // TestCeiling: half the ceiling each; a started gateway owns nothing yet.
 func TestCeiling(t *testing.T) {
 	w := newSimulation(2, 4, func(w *simulation) {
-		w.plans[0] = gateway.Plan{Rate: 100, Burst: 100, CeilingRate: 8, CeilingBurst: 8, Price: 1}
+		w.plans[0] = gateway.Plan{Rate: 100, Burst: 100, CeilingRate: 8, CeilingBurst: 8, PriorityWeight: 1}
 	})
 	w.arrive(0, "a", 1)
 	w.advance(500*ms, true)
@@ -72,7 +72,7 @@
 
 // TestOpenCap: no more out than the plan's cap, and fewer when a peer admits much.
 func TestOpenCap(t *testing.T) {
-	w := newSimulation(2, 4, func(w *simulation) { w.plans[0].Open, w.plans[0].Rate, w.plans[0].Burst = 2, 100, 100 })
+	w := newSimulation(2, 4, func(w *simulation) { w.plans[0].MaxInFlight, w.plans[0].Rate, w.plans[0].Burst = 2, 100, 100 })
 	w.arrive(0, "a", 3)
 	w.finishAll(0)
 	for range 50 {
@@ -88,12 +88,12 @@
 func TestWorth(t *testing.T) {
 	w := newSimulation(1, 2, func(w *simulation) {
 		w.plans[0].Rate, w.plans[0].Burst = 1000, 1000
-		w.classes = append(w.classes, gateway.RequestClass{Target: 800 * ms, Value: 5})
+		w.classes = append(w.classes, gateway.RequestClass{LatencyObjective: 800 * ms, Value: 5})
 	})
 	for i := range 15 {
 		for f := range 2 {
-			w.deliver(0, gateway.Event{Kind: gateway.Arrived, Req: fmt.Sprintf("worth%.0f.%d", w.classes[f].Value, i),
-				Customer: "a", Until: w.now + 2500*ms, Units: 1, Spread: 1, Class: f})
+			w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprintf("worth%.0f.%d", w.classes[f].Value, i),
+				Customer: "a", Deadline: w.now + 2500*ms, Units: 1, Spread: 1, Class: f})
 		}
 	}
 	golden.Check(t, w.trace.String())
@@ -125,7 +125,7 @@
 	if got, want := g.Tally(), "passed=10 quota=2 ceiling=0 unanswered=0 late=0 cap=0 hosts=0 failure=0"; got != want {
 		t.Fatalf("tally %q, want %q", got, want)
 	}
-	w.finishAttempt(0, 0, gateway.Unreached, false) // never ran: sent again, not denied
+	w.finishAttempt(0, 0, gateway.Unreachable, false) // never ran: sent again, not denied
 	if x := g.Gauges(); x.Passed != 10 || x.Denied != [Reasons]int{ByQuota: 2} || x.Out != 10 {
 		t.Fatalf("after a dispatch that never ran: %+v", x)
 	}
@@ -160,15 +160,15 @@
 	s := w.gateways[i]
 	name := s.counterNames[0]
 	s.counterNames = s.counterNames[1:]
-	w.deliver(i, gateway.Event{Kind: gateway.Counted, Name: name, Result: res, Total: total, Lag: 5 * ms})
+	w.deliver(i, gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: res, CounterTotal: total, Latency: 5 * ms})
 }
 
 // TestCounter: a plan with an open cap and no rate asks the counter; without an answer the guess decides, and a counter
 // that stays silent is left alone for a second. What was admitted leaves no debt behind: there is no store.
 func TestCounter(t *testing.T) {
 	w := newSimulation(2, 4, func(w *simulation) {
-		w.plans[0] = gateway.Plan{Open: 2, Price: 1, BeyondCost: 0.5}
-		w.limits.Counter, w.limits.CounterWait = true, 50*ms
+		w.plans[0] = gateway.Plan{MaxInFlight: 2, PriorityWeight: 1, OverQuotaCost: 0.5}
+		w.limits.SharedCounter, w.limits.CounterTimeout = true, 50*ms
 	})
 	w.arrive(0, "within", 1)
 	w.answerCounter(0, gateway.Succeeded, 2)
@@ -177,10 +177,10 @@
 	w.arrive(0, "busy", 1)
 	w.answerCounter(0, gateway.Busy, 0)
 	w.arrive(0, "left", 1)
-	w.deliver(0, gateway.Event{Kind: gateway.Left, Req: "left0.0"})
-	w.deliver(0, gateway.Event{Kind: gateway.Counted, Name: 77, Total: 1}) // nobody asked
+	w.deliver(0, gateway.Event{Kind: gateway.ClientGone, RequestID: "left0.0"})
+	w.deliver(0, gateway.Event{Kind: gateway.CounterReplied, CounterName: 77, CounterTotal: 1}) // nobody asked
 	w.finishAll(0)
-	w.deliver(0, gateway.Event{Kind: gateway.Arrived, Req: "hasty", Customer: "hasty", Until: w.now + 90*ms, Units: 1, Spread: 2})
+	w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: "hasty", Customer: "hasty", Deadline: w.now + 90*ms, Units: 1, Spread: 2})
 	for len(w.gateways[0].counterNames) > 0 {
 		w.answerCounter(0, gateway.TimedOut, 0)
 	}
--- a/logic/reconfigure.go
+++ b/logic/reconfigure.go
@@ -35,7 +35,7 @@
 
 // setClass sets a class of requests. One that changes keeps what was learned of its answers.
 func (g *Gateway) setClass(u *gateway.ClassUpdate) {
-	next := &class{u.Class, u.Index, float64(u.Class.Target) / 6, 1}
+	next := &class{u.Class, u.Index, float64(u.Class.LatencyObjective) / 6, 1}
 	g.classes = append(g.classes, make([]*class, max(u.Index+1-len(g.classes), 0))...)
 	if last := g.classes[u.Index]; last != nil {
 		next.usual, next.units = last.usual, last.units
--- a/logic/reconfigure_test.go
+++ b/logic/reconfigure_test.go
@@ -23,8 +23,8 @@
 func (w *simulation) request(i int, customer string, plan int, units float64) bool {
 	g := w.gateways[i].gateway
 	passed := g.passed
-	w.deliver(i, gateway.Event{Kind: gateway.Arrived, Req: fmt.Sprintf("%s %d %d", customer, w.now, passed), Customer: customer,
-		Plan: plan, Until: w.now + 2500*ms, Units: units, Spread: len(w.gateways)})
+	w.deliver(i, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprintf("%s %d %d", customer, w.now, passed), Customer: customer,
+		Plan: plan, Deadline: w.now + 2500*ms, Units: units, Spread: len(w.gateways)})
 	w.finishAll(i)
 	return g.passed > passed
 }
@@ -41,9 +41,9 @@
 }
 
 func TestRaisedPlanGivesNoBurst(t *testing.T) {
-	w := fleetOf(1, gateway.Plan{ID: 7, Rate: 10, Burst: 10, Price: 1})
+	w := fleetOf(1, gateway.Plan{ID: 7, Rate: 10, Burst: 10, PriorityWeight: 1})
 	w.request(0, "c", 0, 8)
-	w.reconfigure(setPlan(0, gateway.Plan{ID: 7, Rate: 1000, Burst: 1000, Price: 1}))
+	w.reconfigure(setPlan(0, gateway.Plan{ID: 7, Rate: 1000, Burst: 1000, PriorityWeight: 1}))
 	if got := w.level(0, "c"); got > 2.1 {
 		t.Errorf("a raise gave units at once: %.1f, 2 were left", got)
 	}
@@ -54,13 +54,13 @@
 }
 
 func TestLoweredPlanBindsAtOnce(t *testing.T) {
-	w := fleetOf(1, gateway.Plan{ID: 7, Rate: 1000, Burst: 1000, Price: 1},
-		gateway.Plan{ID: 9, Rate: 1000, Burst: 1000, Price: 1, CeilingRate: 1000, CeilingBurst: 1000})
+	w := fleetOf(1, gateway.Plan{ID: 7, Rate: 1000, Burst: 1000, PriorityWeight: 1},
+		gateway.Plan{ID: 9, Rate: 1000, Burst: 1000, PriorityWeight: 1, CeilingRate: 1000, CeilingBurst: 1000})
 	w.advance(2*second, true)
 	w.request(0, "quota", 0, 1)
 	w.request(0, "c", 1, 1)
-	w.reconfigure(setPlan(0, gateway.Plan{ID: 7, Rate: 10, Burst: 10, Price: 1}))
-	w.reconfigure(setPlan(1, gateway.Plan{ID: 9, Rate: 1000, Burst: 1000, Price: 1, CeilingRate: 5, CeilingBurst: 5}))
+	w.reconfigure(setPlan(0, gateway.Plan{ID: 7, Rate: 10, Burst: 10, PriorityWeight: 1}))
+	w.reconfigure(setPlan(1, gateway.Plan{ID: 9, Rate: 1000, Burst: 1000, PriorityWeight: 1, CeilingRate: 5, CeilingBurst: 5}))
 	if w.request(0, "quota", 0, 20) {
 		t.Error("20 units were admitted under a burst of 10")
 	}
@@ -75,11 +75,11 @@
 // Two gateways whose versions differ: one has the plans in another order and lacks one. No plan's admissions are charged to
 // another, also when a customer moves from plan to plan.
 func TestTotalsNamePlansByID(t *testing.T) {
-	a, b := gateway.Plan{ID: 7, Rate: 0.1, Burst: 10, Price: 1}, gateway.Plan{ID: 9, Rate: 0.1, Burst: 10, Price: 1}
+	a, b := gateway.Plan{ID: 7, Rate: 0.1, Burst: 10, PriorityWeight: 1}, gateway.Plan{ID: 9, Rate: 0.1, Burst: 10, PriorityWeight: 1}
 	w := fleetOf(2, a, b)
-	w.gateways[1].gateway = New(2, gateway.Membership{Index: 1, Count: 2, Messages: true, PerSecond: 40}, w.classes,
-		[]gateway.Plan{b}, w.limits, w.cold, gateway.Report{})
-	w.deliver(1, gateway.Event{Kind: gateway.HostsListed, Hosts: []gateway.Listing{{Host: 1}}})
+	w.gateways[1].gateway = New(2, gateway.Membership{Index: 1, Count: 2, Gossip: true, MessageRate: 40}, w.classes,
+		[]gateway.Plan{b}, w.limits, w.cold, gateway.LoadReportForm{})
+	w.deliver(1, gateway.Event{Kind: gateway.EndpointsListed, Endpoints: []gateway.Endpoint{{Host: 1}}})
 	w.advance(second, true)
 	w.request(0, "on-a", 0, 6)
 	w.request(0, "on-b", 1, 6)
@@ -113,18 +113,18 @@
 	safe := w.classes[0]
 	safe.Effect = gateway.Idempotent
 	w.reconfigure(gateway.Update{Classes: []gateway.ClassUpdate{{Index: 0, Class: safe}, {Index: 1, Class: safe}}})
-	w.finishAttempt(0, 0, gateway.Broken, false)
+	w.finishAttempt(0, 0, gateway.Disconnected, false)
 	if w.gateways[0].gateway.pool.inFlight != 0 {
 		t.Error("a request was sent again that was unsafe when it was sent")
 	}
 	w.advance(second/10, true)
 	w.arrive(0, "c", 1)
-	w.finishAttempt(0, 0, gateway.Broken, false)
+	w.finishAttempt(0, 0, gateway.Disconnected, false)
 	if w.gateways[0].gateway.pool.inFlight != 1 {
 		t.Error("the class's new effect is not in force")
 	}
 	w.finishAll(0)
-	w.deliver(0, gateway.Event{Kind: gateway.Arrived, Req: "new class", Customer: "d", Class: 1, Until: w.now + second, Units: 1, Spread: 1})
+	w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: "new class", Customer: "d", Class: 1, Deadline: w.now + second, Units: 1, Spread: 1})
 	if w.gateways[0].gateway.pool.inFlight != 1 {
 		t.Error("the added class is not served")
 	}
@@ -132,7 +132,7 @@
 
 // The fleet grows from 3 to 4 gateways, one after the other. What was admitted and not told is told, nothing is charged twice.
 func TestMembersJoin(t *testing.T) {
-	w := fleetOf(3, gateway.Plan{ID: 7, Rate: 1, Burst: 100, Price: 1})
+	w := fleetOf(3, gateway.Plan{ID: 7, Rate: 1, Burst: 100, PriorityWeight: 1})
 	w.advance(3*second, true)
 	w.request(0, "c", 0, 40)
 	w.advance(3*second, true)
@@ -141,7 +141,7 @@
 	}
 	w.request(0, "c", 0, 10) // not told when the change comes
 	w.gateways[0].gateway.Reconfigure(w.now, &gateway.Update{Members: 4})
-	w.deliver(0, gateway.Event{Kind: gateway.Tick})
+	w.deliver(0, gateway.Event{Kind: gateway.TimerFired})
 	for _, body := range w.gateways[0].messages {
 		sound := false
 		format := gossip.Format{Members: 3, ByID: true}
--- a/logic/requests_test.go
+++ b/logic/requests_test.go
@@ -16,12 +16,12 @@
 		front gateway.RequestClass
 	}{
 		{"replayable", gateway.RequestClass{}},
-		{"uniqued_all", gateway.RequestClass{Effect: gateway.Deduplicated, Window: 600 * ms}},
-		{"uniqued_cell", gateway.RequestClass{Effect: gateway.Deduplicated, Group: gateway.SameCell, Window: 600 * ms}},
+		{"uniqued_all", gateway.RequestClass{Effect: gateway.Deduplicated, DedupWindow: 600 * ms}},
+		{"uniqued_cell", gateway.RequestClass{Effect: gateway.Deduplicated, Group: gateway.SameCell, DedupWindow: 600 * ms}},
 		{"non_replayable", gateway.RequestClass{Effect: gateway.NonIdempotent}},
 	} {
 		t.Run(kind.name, func(t *testing.T) {
-			kind.front.Target, kind.front.Timeout = 2000*ms, 3000*ms
+			kind.front.LatencyObjective, kind.front.Timeout = 2000*ms, 3000*ms
 			w := newSimulation(1, 4, func(w *simulation) { w.classes[0] = kind.front })
 			w.gateways[0].gateway.retryBudget = 10
 			w.arrive(0, "a", 1)
@@ -57,10 +57,10 @@
 	w.advance(800*ms, true)
 	w.finishAttempt(0, 0, gateway.TimedOut, false)
 	w.arrive(0, "c", 1)
-	w.deliver(0, gateway.Event{Kind: gateway.Left, Req: "c900.0"})
+	w.deliver(0, gateway.Event{Kind: gateway.ClientGone, RequestID: "c900.0"})
 	w.finishAttempt(0, 0, gateway.Succeeded, true)
 	w.arrive(0, "d", 1)
-	w.finishAttempt(0, 0, gateway.Unreached, false)
+	w.finishAttempt(0, 0, gateway.Unreachable, false)
 	fmt.Fprintf(&w.trace, "reqs still held: %d\n", len(w.gateways[0].gateway.requests))
 	golden.Check(t, w.trace.String())
 }
@@ -94,12 +94,12 @@
 	var in []gateway.Event
 	for _, h := range w.gateways[0].gateway.pool.all {
 		for _, s := range h.inFlight {
-			in = append(in, gateway.Event{Kind: gateway.Ended, Req: s.request.id, Host: h.id, Lag: 2 * second, Closed: true})
+			in = append(in, gateway.Event{Kind: gateway.AttemptEnded, RequestID: s.request.id, Host: h.id, Latency: 2 * second, Closed: true})
 		}
 	}
 	for k := range 6 {
-		in = append(in, gateway.Event{Kind: gateway.Arrived, Req: fmt.Sprint("late", k), Customer: "b", Units: 1, Spread: 1,
-			Until: w.now + 2*second})
+		in = append(in, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint("late", k), Customer: "b", Units: 1, Spread: 1,
+			Deadline: w.now + 2*second})
 	}
 	w.deliver(0, in...)
 	w.gateways[0].record("limit moved by %.1f", w.gateways[0].gateway.pool.limit.Limit()-limit)
@@ -114,7 +114,7 @@
 			w.now += 50 * ms
 			w.arrive(0, "a", 1)
 			if i >= 20 && i%every == 0 {
-				w.finishAttempt(0, 0, gateway.Broken, false)
+				w.finishAttempt(0, 0, gateway.Disconnected, false)
 			}
 			w.finishAll(0)
 		}
@@ -132,10 +132,10 @@
 		stood bool
 		want  string
 	}{{0.2, false, "timeout 800 ms"}, {0, true, "timeout 800 ms"}, {0.2, true, "timeout 1240 ms"}, {1, true, "timeout 2500 ms"}} {
-		w := newSimulation(1, 2, func(w *simulation) { w.classes[0].Late = x.late })
+		w := newSimulation(1, 2, func(w *simulation) { w.classes[0].LateValue = x.late })
 		if x.stood {
 			w.now += 2 * second
-			w.deliver(0, gateway.Event{Kind: gateway.Tick})
+			w.deliver(0, gateway.Event{Kind: gateway.TimerFired})
 			w.now += 100 * ms
 		}
 		w.arrive(0, "a", 1) // its client gives up after 2.5 s
@@ -156,7 +156,7 @@
 func TestTimeUp(t *testing.T) {
 	w := newSimulation(1, 3, nil)
 	for i, left := range []int64{second, 0, -second} {
-		w.deliver(0, gateway.Event{Kind: gateway.Arrived, Req: fmt.Sprint("a", i), Customer: "a", Until: w.now + left, Units: 1, Spread: 1})
+		w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint("a", i), Customer: "a", Deadline: w.now + left, Units: 1, Spread: 1})
 	}
 	golden.Check(t, w.trace.String())
 }
@@ -175,10 +175,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			w := newSimulation(1, 2, nil)
-			request := gateway.Event{Kind: gateway.Arrived, Req: "r", Customer: "a", Until: w.now + 2500*ms, Units: 1, Spread: 1}
+			request := gateway.Event{Kind: gateway.RequestArrived, RequestID: "r", Customer: "a", Deadline: w.now + 2500*ms, Units: 1, Spread: 1}
 			if test.left > 0 {
 				request.StopAt = w.now + test.left
-				request.Until = min(request.Until, request.StopAt)
+				request.Deadline = min(request.Deadline, request.StopAt)
 			}
 			w.trace.Reset()
 			w.deliver(0, request)
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -45,7 +45,7 @@
 	now     int64
 	rnd     *rand.Rand
 	reqs    []*asked
-	state   map[uint32]gateway.State
+	state   map[uint32]gateway.EndpointState
 	calls   []call
 	repeats int // of what may have run
 	again   int // of what surely did not
@@ -66,7 +66,7 @@
 	r.Fatalf("%s: %s at %d ms: %s", r.what, q.id, r.now/ms, fmt.Sprintf(format, args...))
 }
 
-func (r *referee) Dispatch(id string, host uint32, timeout int64) {
+func (r *referee) StartAttempt(id string, host uint32, timeout int64) {
 	q := r.find(id)
 	zone := func(h uint32) uint32 { return h % 2 }
 	cell := func(h uint32) uint32 { return h % 3 }
@@ -75,7 +75,7 @@
 		r.foul(q, "sent after its end")
 	case q.out != nil:
 		r.foul(q, "two attempts are out")
-	case q.sent >= r.limits.Dispatches:
+	case q.sent >= r.limits.MaxAttempts:
 		r.foul(q, "attempt %d", q.sent)
 	case r.state[host] != gateway.Running:
 		r.foul(q, "sent to a host that leaves")
@@ -84,7 +84,7 @@
 	case ran == nil:
 	case f.Effect == gateway.NonIdempotent:
 		r.foul(q, "may have run, and is sent again")
-	case f.Effect == gateway.Deduplicated && (r.now > ran.at+f.Window || f.Group == gateway.SameZone && zone(host) != zone(ran.host) ||
+	case f.Effect == gateway.Deduplicated && (r.now > ran.at+f.DedupWindow || f.Group == gateway.SameZone && zone(host) != zone(ran.host) ||
 		f.Group == gateway.SameCell && cell(host) != cell(ran.host)):
 		r.foul(q, "may have run, and is sent again past its window or group")
 	default:
@@ -109,7 +109,7 @@
 		f.Effect == gateway.Deduplicated && f.Group != gateway.AllHosts) {
 		r.foul(q, "may have run, and a repeat is told to be harmless")
 	}
-	if f := r.front; kind == 0 && q.ran != nil && f.Effect == gateway.Deduplicated && r.now > q.ran.at+f.Window {
+	if f := r.front; kind == 0 && q.ran != nil && f.Effect == gateway.Deduplicated && r.now > q.ran.at+f.DedupWindow {
 		r.foul(q, "may have run, and a repeat is invited past its window")
 	}
 	q.done = true
@@ -117,30 +117,30 @@
 }
 func (r *referee) Reject(id string, _ int64) { r.final(id, 0) }
 func (r *referee) Fail(id string)            { r.final(id, 1) }
-func (r *referee) Cancel(id string, _ int) {
+func (r *referee) CancelAttempt(id string, _ int) {
 	if q := r.find(id); q.out != nil {
 		q.out.called = true
 	}
 }
-func (r *referee) Count(name uint64, _ float64, _ int64) {
+func (r *referee) AddToCounter(name uint64, _ float64, _ int64) {
 	r.calls = append(r.calls, call{name, r.now})
 }
-func (r *referee) Send(int, []byte) {}
-func (r *referee) Probe(uint32)     { r.Fatal(r.what, ": probes") }
-func (r *referee) Wake(int64)       {}
-func (r *referee) Follow()          {}
-func (r *referee) Note(string)      {}
+func (r *referee) SendGossip(int, []byte) {}
+func (r *referee) SendProbe(uint32)       { r.Fatal(r.what, ": probes") }
+func (r *referee) SetTimer(int64)         {}
+func (r *referee) WatchEndpoints()        {}
+func (r *referee) LogNote(string)         {}
 
 // ends gives how the attempt of a request ends now, if it does.
 func (r *referee) ends(q *asked) (e gateway.Event, ok bool) {
-	results := []gateway.Result{gateway.Succeeded, gateway.Succeeded, gateway.Errored, gateway.Busy, gateway.Unreached, gateway.Broken,
-		gateway.Spoilt, gateway.Skipped}
+	results := []gateway.Result{gateway.Succeeded, gateway.Succeeded, gateway.Errored, gateway.Busy, gateway.Unreachable, gateway.Disconnected,
+		gateway.Malformed, gateway.NotSent}
 	res := results[r.rnd.Intn(len(results))]
 	switch a := q.out; {
 	case a == nil:
 		return e, false
 	case q.done && a.skipped:
-		res = gateway.Skipped
+		res = gateway.NotSent
 	case r.now >= a.due:
 		res = gateway.TimedOut
 	case a.called && r.rnd.Intn(2) == 0:
@@ -156,34 +156,34 @@
 		q.done = true
 		r.finals[2]++
 	}
-	return gateway.Event{Kind: gateway.Ended, Req: q.id, Host: a.host, Dispatch: q.sent - 1, Result: res, Lag: r.now - a.at,
+	return gateway.Event{Kind: gateway.AttemptEnded, RequestID: q.id, Host: a.host, Attempt: q.sent - 1, Result: res, Latency: r.now - a.at,
 		Closed: q.done}, true
 }
 
 // play lets some 300 requests in over a few seconds with stalls, leaving clients, hosts that come and go.
 func (r *referee) play(g *logic.Gateway) {
 	const hosts = 6
-	list := gateway.Event{Kind: gateway.HostsListed, List: gateway.Complete}
+	list := gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete}
 	for h := range uint32(hosts) {
-		list.Hosts = append(list.Hosts, gateway.Listing{Host: h, Zone: int(h % 2), Cell: int(h % 3), Share: 1})
+		list.Endpoints = append(list.Endpoints, gateway.Endpoint{Host: h, Zone: int(h % 2), Cell: int(h % 3), Weight: 1})
 		r.state[h] = gateway.Running
 	}
 	events := []gateway.Event{list}
 	for n := 0; n < 300 || len(r.reqs) > 0; n++ {
-		g.Round(&gateway.Round{Now: r.now, Events: events}, r)
+		g.Round(&gateway.Batch{Now: r.now, Events: events}, r)
 		for _, q := range r.reqs {
 			if q.until <= r.now && !q.done {
 				r.foul(q, "no answer at its deadline")
 			}
 		}
 		r.reqs = slices.DeleteFunc(r.reqs, func(q *asked) bool { return q.done && q.out == nil })
-		events = []gateway.Event{{Kind: gateway.Tick}}
+		events = []gateway.Event{{Kind: gateway.TimerFired}}
 		r.now += int64(r.rnd.Intn(20)) * ms
 		if r.rnd.Intn(25) == 0 { // a stall: past many a target, and some deadlines
 			r.now += int64(r.rnd.Intn(int(r.front.Timeout/ms))) * ms
 		}
 		for _, q := range r.reqs {
-			left := gateway.Event{Kind: gateway.Left, Req: q.id}
+			left := gateway.Event{Kind: gateway.ClientGone, RequestID: q.id}
 			q.gone = false
 			leaves := !q.done && r.rnd.Intn(60) == 0
 			if first := r.rnd.Intn(2) == 0; leaves && first { // its going crosses the end of its attempt either way
@@ -198,24 +198,24 @@
 				events = append(events, left)
 			}
 		}
-		for len(r.calls) > 0 && (r.rnd.Intn(2) == 0 || r.now-r.calls[0].at >= r.limits.CounterWait) {
-			e := gateway.Event{Kind: gateway.Counted, Name: r.calls[0].name, Result: gateway.TimedOut}
+		for len(r.calls) > 0 && (r.rnd.Intn(2) == 0 || r.now-r.calls[0].at >= r.limits.CounterTimeout) {
+			e := gateway.Event{Kind: gateway.CounterReplied, CounterName: r.calls[0].name, Result: gateway.TimedOut}
 			if r.rnd.Intn(3) > 0 {
-				e.Result, e.Total = gateway.Succeeded, float64(r.rnd.Intn(8))
+				e.Result, e.CounterTotal = gateway.Succeeded, float64(r.rnd.Intn(8))
 			}
 			events, r.calls = append(events, e), r.calls[1:]
 		}
 		if r.rnd.Intn(20) == 0 {
 			h := uint32(r.rnd.Intn(hosts))
-			r.state[h] = gateway.State(r.rnd.Intn(3))
-			events = append(events, gateway.Event{Kind: gateway.HostsListed, List: gateway.Changes, Hosts: []gateway.Listing{{Host: h,
-				Zone: int(h % 2), Cell: int(h % 3), Share: 1, State: r.state[h], Since: r.now * int64(r.rnd.Intn(2))}}})
+			r.state[h] = gateway.EndpointState(r.rnd.Intn(3))
+			events = append(events, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: []gateway.Endpoint{{Host: h,
+				Zone: int(h % 2), Cell: int(h % 3), Weight: 1, State: r.state[h], StartedAt: r.now * int64(r.rnd.Intn(2))}}})
 		}
 		for k := r.rnd.Intn(3); n < 300 && k > 0; k-- {
 			q := &asked{id: fmt.Sprint("q", n, ".", k), until: r.now + r.front.Timeout/int64(1+r.rnd.Intn(3))}
 			r.reqs = append(r.reqs, q)
-			events = append(events, gateway.Event{Kind: gateway.Arrived, Req: q.id, Customer: fmt.Sprint("c", r.rnd.Intn(4)),
-				Plan: r.rnd.Intn(3), Until: q.until, Units: 1, Spread: 1})
+			events = append(events, gateway.Event{Kind: gateway.RequestArrived, RequestID: q.id, Customer: fmt.Sprint("c", r.rnd.Intn(4)),
+				Plan: r.rnd.Intn(3), Deadline: q.until, Units: 1, Spread: 1})
 		}
 	}
 }
@@ -240,13 +240,13 @@
 			t.Fatalf("%s: %v", text, err)
 		}
 		told := gateway.RequestClass{Effect: gateway.Effect(slices.Index([]string{"safe", "keyed", "unsafe"}, effect)),
-			Group:  gateway.Group(slices.Index([]string{"all", "zone", "cell"}, group)),
-			Window: int64(window) * 1000, Target: int64(target) * 1000, Timeout: int64(limit) * 1000, Value: 1, Late: 0.5}
+			Group:       gateway.Group(slices.Index([]string{"all", "zone", "cell"}, group)),
+			DedupWindow: int64(window) * 1000, LatencyObjective: int64(target) * 1000, Timeout: int64(limit) * 1000, Value: 1, LateValue: 0.5}
 		if letter {
-			s.Fronts[0], s.Limits.Two = told, two
+			s.Fronts[0], s.Limits.Hedging = told, two
 		}
 		r := &referee{T: t, what: text, front: told, limits: s.Limits, now: 100_000 * ms, rnd: rand.New(rand.NewSource(int64(i))),
-			state: map[uint32]gateway.State{}}
+			state: map[uint32]gateway.EndpointState{}}
 		g := logic.New(uint64(i), s.Seat, s.Fronts, s.Plans, s.Limits, s.Cold, s.Report)
 		r.play(g)
 		if left := g.Gauges(); left.Out != 0 || left.Reqs != 0 {
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -13,17 +13,17 @@
 // walk that comes to it panics.
 func TestWalksOnlyHostsNear(t *testing.T) {
 	const hosts = 5000
-	w := newSimulation(1, 1, func(w *simulation) { w.limits.Cancel = true })
-	seat := gateway.Membership{Count: 300, Messages: true, PerSecond: 40}
-	g := New(1, seat, w.classes, w.plans, w.limits, gateway.Cold{}, gateway.Report{})
-	var list []gateway.Listing
+	w := newSimulation(1, 1, func(w *simulation) { w.limits.Cancellation = true })
+	seat := gateway.Membership{Count: 300, Gossip: true, MessageRate: 40}
+	g := New(1, seat, w.classes, w.plans, w.limits, gateway.SlowStart{}, gateway.LoadReportForm{})
+	var list []gateway.Endpoint
 	for i := range hosts {
-		list = append(list, gateway.Listing{Host: uint32(hosts - i), Share: 1})
+		list = append(list, gateway.Endpoint{Host: uint32(hosts - i), Weight: 1})
 	}
 	round := func(at int64, events ...gateway.Event) {
-		g.Round(&gateway.Round{Now: at, Events: events}, w.gateways[0])
+		g.Round(&gateway.Batch{Now: at, Events: events}, w.gateways[0])
 	}
-	round(second, gateway.Event{Kind: gateway.HostsListed, List: gateway.Complete, Hosts: list})
+	round(second, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete, Endpoints: list})
 	if near := len(g.pool.near); near == 0 || near > hosts/10 {
 		t.Fatalf("%d of %d hosts are near", near, hosts)
 	}
@@ -36,8 +36,8 @@
 			h.classes = []health{{lastGood: 2 * second, unanswered: 0.2}} // a walk would tell peers of it, or heal it
 		}
 	}
-	round(2*second, gateway.Event{Kind: gateway.Tick}, gateway.Event{Kind: gateway.Arrived, Req: "a", Customer: "c", Spread: 1,
-		Units: 1, Until: 10 * second})
+	round(2*second, gateway.Event{Kind: gateway.TimerFired}, gateway.Event{Kind: gateway.RequestArrived, RequestID: "a", Customer: "c", Spread: 1,
+		Units: 1, Deadline: 10 * second})
 	if len(w.gateways[0].messages) == 0 {
 		t.Fatal("no message to a peer")
 	}
@@ -57,12 +57,12 @@
 // When all hosts near are busy the others serve: the first walk must not hide them.
 func TestBusyNearLeavesToOthers(t *testing.T) {
 	w := newSimulation(1, 1, nil)
-	g := New(1, gateway.Membership{Count: 300}, w.classes, w.plans, w.limits, gateway.Cold{}, gateway.Report{})
-	var list []gateway.Listing
+	g := New(1, gateway.Membership{Count: 300}, w.classes, w.plans, w.limits, gateway.SlowStart{}, gateway.LoadReportForm{})
+	var list []gateway.Endpoint
 	for i := range 1000 {
-		list = append(list, gateway.Listing{Host: uint32(i), Share: 1})
+		list = append(list, gateway.Endpoint{Host: uint32(i), Weight: 1})
 	}
-	g.Round(&gateway.Round{Now: second, Events: []gateway.Event{{Kind: gateway.HostsListed, Hosts: list}}}, w.gateways[0])
+	g.Round(&gateway.Batch{Now: second, Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}}}, w.gateways[0])
 	for _, h := range g.pool.near {
 		h.pace = 1000
 		h.of(g.classes[0]).lastAnswer = second
@@ -76,20 +76,20 @@
 // To a gateway by itself all hosts are near. At rest its ticks must not walk them: with 87,000 they took 4.7% of a core.
 func TestRestingTickWalksNoHost(t *testing.T) {
 	w := newSimulation(1, 1, nil)
-	g := New(1, gateway.Membership{Count: 1}, w.classes, w.plans, w.limits, gateway.Cold{}, gateway.Report{})
-	var list []gateway.Listing
+	g := New(1, gateway.Membership{Count: 1}, w.classes, w.plans, w.limits, gateway.SlowStart{}, gateway.LoadReportForm{})
+	var list []gateway.Endpoint
 	for i := range 1000 {
-		list = append(list, gateway.Listing{Host: uint32(i), Share: 1})
+		list = append(list, gateway.Endpoint{Host: uint32(i), Weight: 1})
 	}
-	g.Round(&gateway.Round{Now: second, Events: []gateway.Event{{Kind: gateway.HostsListed, Hosts: list}}}, w.gateways[0])
-	arrival := gateway.Event{Kind: gateway.Arrived, Req: "a", Customer: "c", Spread: 1, Units: 1, Until: 10 * second}
-	g.Round(&gateway.Round{Now: second, Events: []gateway.Event{arrival}}, w.gateways[0])
+	g.Round(&gateway.Batch{Now: second, Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}}}, w.gateways[0])
+	arrival := gateway.Event{Kind: gateway.RequestArrived, RequestID: "a", Customer: "c", Spread: 1, Units: 1, Deadline: 10 * second}
+	g.Round(&gateway.Batch{Now: second, Events: []gateway.Event{arrival}}, w.gateways[0])
 	for _, h := range g.pool.all {
 		if len(h.inFlight) == 0 {
 			h.inFlight = []*attempt{nil}
 		}
 	}
-	g.Round(&gateway.Round{Now: 2 * second, Events: []gateway.Event{{Kind: gateway.Tick}}}, w.gateways[0])
+	g.Round(&gateway.Batch{Now: 2 * second, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, w.gateways[0])
 	if len(g.pool.busyHosts) != 1 {
 		t.Errorf("%d hosts are walked by a tick, 1 has an attempt in flight", len(g.pool.busyHosts))
 	}
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -17,7 +17,7 @@
 	classes  []gateway.RequestClass
 	plans    []gateway.Plan
 	limits   gateway.Limits
-	cold     gateway.Cold
+	cold     gateway.SlowStart
 }
 
 // simulatedGateway is a gateway of the simulation, and the writer that records its decisions.
@@ -37,38 +37,40 @@
 	fmt.Fprintf(&s.simulation.trace, "%5d ms  gateway %d  %s\n", s.simulation.now/ms, s.index, fmt.Sprintf(format, args...))
 }
 
-func (s *simulatedGateway) Dispatch(req string, host uint32, timeout int64) {
+func (s *simulatedGateway) StartAttempt(req string, host uint32, timeout int64) {
 	s.record("dispatch %s to host %d, timeout %d ms", req, host, timeout/ms)
 }
 
-func (s *simulatedGateway) Cancel(req string, n int) { s.record("cancel dispatch %d of %s", n, req) }
+func (s *simulatedGateway) CancelAttempt(req string, n int) {
+	s.record("cancel dispatch %d of %s", n, req)
+}
 func (s *simulatedGateway) Reject(req string, after int64) {
 	s.record("deny %s, come back after %d ms", req, after/ms)
 }
-func (s *simulatedGateway) Fail(req string)   { s.record("abort %s", req) }
-func (s *simulatedGateway) Probe(host uint32) { s.record("probe host %d", host) }
-func (s *simulatedGateway) Follow() {
+func (s *simulatedGateway) Fail(req string)       { s.record("abort %s", req) }
+func (s *simulatedGateway) SendProbe(host uint32) { s.record("probe host %d", host) }
+func (s *simulatedGateway) WatchEndpoints() {
 	s.record("follow the list")
 	s.listRequestedAt = append(s.listRequestedAt, s.simulation.now)
 }
-func (s *simulatedGateway) Note(text string) { s.record("note %s", text) }
-func (s *simulatedGateway) Wake(int64)       {}
-func (s *simulatedGateway) Count(name uint64, amount float64, life int64) {
+func (s *simulatedGateway) LogNote(text string) { s.record("note %s", text) }
+func (s *simulatedGateway) SetTimer(int64)      {}
+func (s *simulatedGateway) AddToCounter(name uint64, amount float64, life int64) {
 	s.record("count %+g, to live %d ms", amount, life/ms)
 	s.counterNames = append(s.counterNames, name)
 }
 
-func (s *simulatedGateway) Send(peer int, body []byte) {
+func (s *simulatedGateway) SendGossip(peer int, body []byte) {
 	s.messages, s.receivers = append(s.messages, body), append(s.receivers, peer)
 }
 
 // newSimulation starts n gateways with one replayable class and a plan of 10 units a second and a burst of 10, unless set changes
 // these.
 func newSimulation(n, hosts int, set func(w *simulation)) *simulation {
-	w := &simulation{classes: []gateway.RequestClass{{Target: 800 * ms, Timeout: 3000 * ms, Value: 1}},
-		plans:  []gateway.Plan{{Rate: 10, Burst: 10, Price: 1, BeyondCost: 0.5}},
-		limits: gateway.Limits{Dispatches: 3, Cancel: true, RetryAfter: true},
-		cold:   gateway.Cold{From: 0.2, Warm: 10 * second, Multiple: 2, Window: 2 * second}, now: 100 * second}
+	w := &simulation{classes: []gateway.RequestClass{{LatencyObjective: 800 * ms, Timeout: 3000 * ms, Value: 1}},
+		plans:  []gateway.Plan{{Rate: 10, Burst: 10, PriorityWeight: 1, OverQuotaCost: 0.5}},
+		limits: gateway.Limits{MaxAttempts: 3, Cancellation: true, RetryAfter: true},
+		cold:   gateway.SlowStart{InitialFraction: 0.2, Duration: 10 * second, OverloadFactor: 2, OverloadWindow: 2 * second}, now: 100 * second}
 	if set != nil {
 		set(w)
 	}
@@ -81,28 +83,28 @@
 
 // restart starts gateway i anew, with its cached host list.
 func (w *simulation) restart(i, hosts, n int) {
-	var list []gateway.Listing
+	var list []gateway.Endpoint
 	for h := range hosts {
-		list = append(list, gateway.Listing{Host: uint32(h + 1), Cell: h / 2})
+		list = append(list, gateway.Endpoint{Host: uint32(h + 1), Cell: h / 2})
 	}
 	s := w.gateways[i]
 	s.messages, s.receivers = nil, nil
-	s.gateway = New(uint64(i)+1, gateway.Membership{Index: i, Count: n, Messages: n > 1, PerSecond: 40}, w.classes, w.plans,
-		w.limits, w.cold, gateway.Report{})
-	w.deliver(i, gateway.Event{Kind: gateway.HostsListed, List: gateway.Cached, Hosts: list})
+	s.gateway = New(uint64(i)+1, gateway.Membership{Index: i, Count: n, Gossip: n > 1, MessageRate: 40}, w.classes, w.plans,
+		w.limits, w.cold, gateway.LoadReportForm{})
+	w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached, Endpoints: list})
 }
 
 // deliver has gateway i handle a batch of events.
 func (w *simulation) deliver(i int, e ...gateway.Event) {
 	s := w.gateways[i]
-	s.gateway.Round(&gateway.Round{Now: w.now + s.clockOffset, Events: e}, s)
+	s.gateway.Round(&gateway.Batch{Now: w.now + s.clockOffset, Events: e}, s)
 }
 
 // arrive delivers n requests of customer c to gateway i, of one unit each.
 func (w *simulation) arrive(i int, c string, n int) {
 	for k := range n {
-		w.deliver(i, gateway.Event{Kind: gateway.Arrived, Req: fmt.Sprintf("%s%d.%d", c, (w.now-100*second)/ms, k),
-			Customer: c, Until: w.now + w.gateways[i].clockOffset + 2500*ms, Units: 1, Spread: len(w.gateways)})
+		w.deliver(i, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprintf("%s%d.%d", c, (w.now-100*second)/ms, k),
+			Customer: c, Deadline: w.now + w.gateways[i].clockOffset + 2500*ms, Units: 1, Spread: len(w.gateways)})
 	}
 }
 
@@ -111,8 +113,8 @@
 	for _, x := range w.gateways[i].gateway.pool.all {
 		if len(x.inFlight) > 0 && (h == 0 || x.id == h) {
 			s := x.inFlight[0]
-			w.deliver(i, gateway.Event{Kind: gateway.Ended, Req: s.request.id, Host: x.id, Dispatch: s.n, Result: res,
-				Lag: w.now + w.gateways[i].clockOffset - s.at, Closed: closed})
+			w.deliver(i, gateway.Event{Kind: gateway.AttemptEnded, RequestID: s.request.id, Host: x.id, Attempt: s.n, Result: res,
+				Latency: w.now + w.gateways[i].clockOffset - s.at, Closed: closed})
 			return
 		}
 	}
@@ -130,11 +132,11 @@
 	for end := w.now + t; w.now < end; {
 		w.now += tickInterval
 		for i, s := range w.gateways {
-			w.deliver(i, gateway.Event{Kind: gateway.Tick})
+			w.deliver(i, gateway.Event{Kind: gateway.TimerFired})
 			sent += len(s.messages)
 			for k, m := range s.messages {
 				if carry {
-					w.deliver(s.receivers[k], gateway.Event{Kind: gateway.Received, Peer: i, Body: m})
+					w.deliver(s.receivers[k], gateway.Event{Kind: gateway.GossipReceived, Peer: i, Message: m})
 				}
 			}
 			s.messages, s.receivers = nil, nil
--- a/logic/state.go
+++ b/logic/state.go
@@ -93,13 +93,13 @@
 	start int64 // -1 before the first round
 	rnd   *mwc
 
-	writer  gateway.Writer // of the round
+	writer  gateway.Actions // of the round
 	seat    gateway.Membership
 	limits  gateway.Limits
 	classes []*class
 	plans   []*gateway.Plan // by index; nil: removed
 	byID    map[uint32]int  // indices of the plans by their IDs
-	options []gateway.Option
+	options []gateway.Candidate
 
 	customers map[uint32]*customer
 	requests  map[string]*request
@@ -151,7 +151,7 @@
 	near      []*host // those of all in this gateway's subset, or sent to
 	weighed   []*host // those whose loads pick has set last
 	busyHosts []*host // those with attempts in flight at the last tick, or sent to since
-	cold      gateway.Cold
+	cold      gateway.SlowStart
 	rnd       *mwc
 	busyField int // place of the busy share in load reports; -1 none
 	inFlight  int // attempts from here
@@ -167,7 +167,7 @@
 type host struct {
 	spread.Host
 	id         uint32
-	state      gateway.State
+	state      gateway.EndpointState
 	used       bool  // sent to since it is in the list
 	since      int64 // its last start as the list tells it, by its wall clock; 0 long ago
 	started    int64 // the same by this gateway's clock: startOf
--- a/logic/topology.go
+++ b/logic/topology.go
@@ -28,7 +28,7 @@
 		return g.peers[v]
 	}
 	for i := range g.peers {
-		if i != me && g.seat.Messages {
+		if i != me && g.seat.Gossip {
 			g.to[i], g.from[i] = hop(me, i, i), hop(i, me, i)
 			g.to[i].sends = true
 		}
