--- a/internal/config/start_test.go
+++ b/internal/config/start_test.go
@@ -96,9 +96,9 @@
 					Units: 1, Spread: 1 + r.IntN(n), FirstGateway: r.IntN(n)})
 			}
 		}
-		g.Round(&round, writer{})
+		g.Decide(&round, writer{})
 		for k := range 60 {
-			g.Round(&gateway.Batch{Now: 1e9 + int64(k)*4e7, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, writer{})
+			g.Decide(&gateway.Batch{Now: 1e9 + int64(k)*4e7, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, writer{})
 		}
 	}
 }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -38,16 +38,16 @@
 		now := int64(1e9)
 		wake := func() {
 			now += m.wake
-			g.Round(&gateway.Batch{Now: now, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, m)
+			g.Decide(&gateway.Batch{Now: now, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, m)
 		}
-		g.Round(&gateway.Batch{Now: now}, m)
+		g.Decide(&gateway.Batch{Now: now}, m)
 		for i := range losses {
 			for asked := now; i == losses-1 && now+m.wake < asked+int64(took); {
 				wake()
 			}
 			now++
 			lost := now
-			g.Round(&gateway.Batch{Now: now, Events: []gateway.Event{{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable}}}, m)
+			g.Decide(&gateway.Batch{Now: now, Events: []gateway.Event{{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable}}}, m)
 			for m.asked = false; !m.asked; {
 				wake()
 			}
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -274,7 +274,7 @@
 // order writes down what a module is handed in which order.
 type order struct{ told chan string }
 
-func (o *order) Round(in *gateway.Batch, out gateway.Actions) {
+func (o *order) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		if e.Kind == gateway.RequestArrived {
 			o.told <- e.RequestID
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -96,7 +96,7 @@
 	r.told <- fmt.Sprintf("reconfigured: %d plans, %d classes", len(update.Plans), len(update.Classes))
 }
 
-func (r *rig) Round(in *gateway.Batch, out gateway.Actions) {
+func (r *rig) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		switch e.Kind {
 		case gateway.EndpointsListed:
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -23,7 +23,7 @@
 
 func (*eager) Reconfigure(int64, *gateway.Update) {}
 
-func (m *eager) Round(in *gateway.Batch, out gateway.Actions) {
+func (m *eager) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		switch e.Kind {
 		case gateway.RequestArrived:
@@ -88,7 +88,7 @@
 	left func()
 }
 
-func (m *leaver) Round(in *gateway.Batch, out gateway.Actions) {
+func (m *leaver) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		if e.Kind == gateway.RequestArrived {
 			m.left()
@@ -97,7 +97,7 @@
 			}
 		}
 	}
-	m.eager.Round(in, out)
+	m.eager.Decide(in, out)
 }
 
 // The news that a client has gone overtakes what the loop is busy with: nothing is sent on behind it.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,14 +34,14 @@
 
 // Decider is the module.
 type Decider interface {
-	Round(in *gateway.Batch, out gateway.Actions)
+	Decide(in *gateway.Batch, out gateway.Actions)
 	Reconfigure(now int64, update *gateway.Update) // between two rounds
 }
 
 // Tallier is a module that counts its decisions; the node logs them every tallyEach, for on-call and for
 // counting over a fleet from the logs.
-type Tallier interface {
-	Tally() string
+type DecisionCounter interface {
+	DecisionCounts() string
 }
 
 // Node is one gateway. All its fields belong to the loop.
@@ -275,9 +275,9 @@
 			n.strange, n.lineAt = 0, now
 		}
 		n.events = append(n.events, gateway.Event{Kind: gateway.TimerFired})
-		if t, ok := n.module.(Tallier); ok && now-n.tallyAt >= tallyEach {
+		if t, ok := n.module.(DecisionCounter); ok && now-n.tallyAt >= tallyEach {
 			n.tallyAt = now
-			log.Printf("event=decisions %s", t.Tally())
+			log.Printf("event=decisions %s", t.DecisionCounts())
 		}
 	}
 	left := false
@@ -327,7 +327,7 @@
 				panic(p)
 			}
 		}()
-		n.module.Round(&n.round, n.writer())
+		n.module.Decide(&n.round, n.writer())
 	})
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -21,7 +21,7 @@
 
 func (faulty) Reconfigure(int64, *gateway.Update) {}
 
-func (faulty) Round(in *gateway.Batch, out gateway.Actions) {
+func (faulty) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		if e.Kind == gateway.RequestArrived {
 			switch e.Customer[15] {
@@ -132,12 +132,12 @@
 	told bool
 }
 
-func (m *tired) Round(in *gateway.Batch, out gateway.Actions) {
+func (m *tired) Decide(in *gateway.Batch, out gateway.Actions) {
 	out.SetTimer(1)
-	m.faulty.Round(in, out)
+	m.faulty.Decide(in, out)
 }
 
-func (m *tired) Tally() string {
+func (m *tired) DecisionCounts() string {
 	if !m.told {
 		m.told = true
 		panic("fault")
@@ -162,8 +162,8 @@
 // mute decides nothing.
 type mute struct{}
 
-func (mute) Round(*gateway.Batch, gateway.Actions) {}
-func (mute) Reconfigure(int64, *gateway.Update)    {}
+func (mute) Decide(*gateway.Batch, gateway.Actions) {}
+func (mute) Reconfigure(int64, *gateway.Update)     {}
 
 // A client that is owed an answer for ever, and does not close, holds the program no longer than its time.
 func TestStopBound(t *testing.T) {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -21,7 +21,7 @@
 
 // Decider is one gateway's decisions.
 type Decider interface {
-	Round(in *gateway.Batch, out gateway.Actions)
+	Decide(in *gateway.Batch, out gateway.Actions)
 }
 
 // Start begins a gateway that knows nothing but its settings.
@@ -247,7 +247,7 @@
 		}
 		h.id = id
 		w := writer{h.out, id, false}
-		seat.decider.Round(seat.round, &w)
+		seat.decider.Decide(seat.round, &w)
 		seat.round = nil
 	}
 	h.order, h.batch = h.order[:0], false
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -16,7 +16,7 @@
 // echo writes down all that it is handed, and answers each event with some decision.
 type echo struct{ said *strings.Builder }
 
-func (d echo) Round(in *gateway.Batch, out gateway.Actions) {
+func (d echo) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		fmt.Fprintf(d.said, "%d: %+v\n", in.Now, e)
 		switch e.Kind {
--- a/lab/coldsim/coldsim.go
+++ b/lab/coldsim/coldsim.go
@@ -170,7 +170,7 @@
 
 func (s *sim) round(i int, e gateway.Event) {
 	s.turn = i
-	s.gws[i].Round(&gateway.Batch{Now: s.now, Events: []gateway.Event{e}}, s)
+	s.gws[i].Decide(&gateway.Batch{Now: s.now, Events: []gateway.Event{e}}, s)
 }
 
 func (s *sim) StartAttempt(req string, host uint32, timeout int64) {
--- a/lab/fleetsim/sim.go
+++ b/lab/fleetsim/sim.go
@@ -299,7 +299,7 @@
 func (s *simulation) runBatch(i int, e gateway.Event) {
 	s.report.Batches++
 	batch := &gateway.Batch{Now: s.now, Events: []gateway.Event{e}}
-	s.gateways[i].module.Round(batch, writer{s, i})
+	s.gateways[i].module.Decide(batch, writer{s, i})
 }
 
 // sampleGauges adds the gateways' gauges to the report's sums.
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -175,7 +175,7 @@
 		clear(h.lists) // a whole list must not stay in memory until the next comes
 		h.lists, h.events = h.lists[:0], h.events[:0]
 		h.Rounds++
-		h.module.Round(&h.round, h)
+		h.module.Decide(&h.round, h)
 		clear(h.round.Events)
 	}
 	h.connections.Flush()
--- a/lab/spreadsim/day.go
+++ b/lab/spreadsim/day.go
@@ -212,7 +212,7 @@
 	for _, i := range g.w.day.Rule(g.i, g.w.day.Gateways, hosts) {
 		held[ids[i]] = true
 	}
-	g.g.Hold(func(id uint32) bool { return held[id] })
+	g.g.HoldSubset(func(id uint32) bool { return held[id] })
 }
 
 // tell brings a change of the list to all gateways, each after a while of its own.
@@ -314,7 +314,7 @@
 
 func (g *gw) round(e gateway.Event) {
 	if !g.dead {
-		g.g.Round(&gateway.Batch{Now: g.w.now, Events: []gateway.Event{e}}, g)
+		g.g.Decide(&gateway.Batch{Now: g.w.now, Events: []gateway.Event{e}}, g)
 	}
 }
 
--- a/logic/chance.go
+++ b/logic/chance.go
@@ -5,10 +5,10 @@
 func seconds(t int64) float64 { return float64(t) / float64(second) }
 
 // mwc is a multiply-with-carry generator; part a chance number from 0 to 1.
-type mwc uint64
+type generator uint64
 
-func (m *mwc) part() float64 {
-	*m = mwc(uint64(uint32(*m))*4294957665 + uint64(*m)>>32)
+func (m *generator) fraction() float64 {
+	*m = generator(uint64(uint32(*m))*4294957665 + uint64(*m)>>32)
 	return float64(uint32(*m)) / (1 << 32)
 }
 
--- a/logic/clock_test.go
+++ b/logic/clock_test.go
@@ -26,11 +26,11 @@
 			w.gateways[1].clockOffset = step
 			w.restart(1, 4, 2)
 			peer := w.gateways[0].gateway.peers[1]
-			w.advance(w.gateways[0].gateway.silence+second, true)
+			w.advance(w.gateways[0].gateway.peerTimeout+second, true)
 			w.arrive(1, "a", 4)
 			w.finishAll(1)
 			w.advance(second, true)
-			if quiet := w.now - peer.received; quiet > w.gateways[0].gateway.pause {
+			if quiet := w.now - peer.lastReceived; quiet > w.gateways[0].gateway.heartbeatInterval {
 				t.Errorf("the peer counts as silent for %v", time.Duration(quiet))
 			}
 			c := w.gateways[0].gateway.customers[hashText("a")]
@@ -48,7 +48,7 @@
 	w.arrive(1, "a", 3)
 	w.finishAll(1)
 	var overtaken []byte
-	for ; overtaken == nil; w.now += tickInterval {
+	for ; overtaken == nil; w.now += timerInterval {
 		w.deliver(1, gateway.Event{Kind: gateway.TimerFired})
 		if messages := w.gateways[1].messages; len(messages) > 0 {
 			overtaken = messages[0]
@@ -57,7 +57,7 @@
 	w.restart(1, 4, 2)
 	w.advance(second, true)
 	peer := w.gateways[0].gateway.peers[1]
-	incarnation, level := peer.incarnation, w.gateways[0].gateway.customer(hashText("a"), 0, 2, 0).level
+	incarnation, level := peer.incarnation, w.gateways[0].gateway.customerFor(hashText("a"), 0, 2, 0).level
 	w.deliver(0, gateway.Event{Kind: gateway.GossipReceived, Peer: 1, Message: overtaken})
 	if peer.incarnation != incarnation || w.gateways[0].gateway.customers[hashText("a")].level != level {
 		t.Errorf("incarnation %d, then %d", incarnation, peer.incarnation)
@@ -73,7 +73,7 @@
 			w := newSimulation(1, 3, func(w *simulation) { w.now = epoch })
 			w.gateways[0].clockOffset = step
 			w.restart(0, 3, 1)
-			pool := &w.gateways[0].gateway.pool
+			pool := &w.gateways[0].gateway.endpoints
 			notify := func(l gateway.Endpoint) {
 				w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: []gateway.Endpoint{l}})
 			}
@@ -87,7 +87,7 @@
 				w.now = started + age
 				most := w.cold.InitialFraction + (1-w.cold.InitialFraction)*float64(age)/float64(w.cold.Duration)
 				least := w.cold.InitialFraction + (1-w.cold.InitialFraction)*float64(age-delay)/float64(w.cold.Duration)
-				if warm := pool.warmUp(h, w.now+step); warm > min(most, 1) || warm < min(least, 1) {
+				if warm := pool.warmUpFraction(h, w.now+step); warm > min(most, 1) || warm < min(least, 1) {
 					t.Errorf("at the age of %v: %.3f warm, want %.3f to %.3f", time.Duration(age), warm, least, most)
 				}
 			}
@@ -105,8 +105,8 @@
 	notify(w.now)
 	w.advance(w.cold.Duration+second, true)
 	notify(w.now - 3600*second)
-	pool := &w.gateways[0].gateway.pool
-	if warm := pool.warmUp(pool.all[2], w.now); warm > w.cold.InitialFraction+0.15 {
+	pool := &w.gateways[0].gateway.endpoints
+	if warm := pool.warmUpFraction(pool.all[2], w.now); warm > w.cold.InitialFraction+0.15 {
 		t.Errorf("%.2f warm", warm)
 	}
 }
--- a/logic/gauges.go
+++ b/logic/gauges.go
@@ -25,8 +25,8 @@
 }
 
 func (g *Gateway) Gauges() Gauges {
-	return Gauges{g.pool.limit.Limit(), g.pool.limit.Late(), g.pool.inFlight, len(g.customers), len(g.requests),
-		g.passed, g.denied}
+	return Gauges{g.endpoints.limit.Limit(), g.endpoints.limit.Late(), g.endpoints.inFlight, len(g.customers), len(g.requests),
+		g.admitted, g.rejected}
 }
 
 // Copy tells the level of this gateway's copy of a customer's bucket, in units, as of its last refill, and the
@@ -40,13 +40,13 @@
 }
 
 // Tally gives the decisions since the start as words for the log: passed=N, then denied by reason.
-func (g *Gateway) Tally() string {
-	text := fmt.Sprintf("passed=%d", g.passed)
-	for i, n := range g.denied {
+func (g *Gateway) DecisionCounts() string {
+	text := fmt.Sprintf("passed=%d", g.admitted)
+	for i, n := range g.rejected {
 		text += fmt.Sprintf(" %s=%d", reasonNames[i], n)
 	}
 	if g.format.ByID {
-		text += fmt.Sprintf(" totals_unmatched=%d", g.unmatched)
+		text += fmt.Sprintf(" totals_unmatched=%d", g.unmatchedCounters)
 	}
 	return text
 }
--- a/logic/gossip.go
+++ b/logic/gossip.go
@@ -12,67 +12,67 @@
 
 // resize takes in how many gateways there are: which of them this one tells and hears, and how often. Totals
 // are first totals again on both sides: among another number who tells what to whom may differ.
-func (g *Gateway) resize(n int) {
-	perSecond := g.seat.MessageRate
-	g.format.Members, g.rows = n, 1
-	if float64(n-1) > perSecond*gossipShare*seconds(interval) {
-		g.rows = int(math.Sqrt(float64(n)) + 0.5)
+func (g *Gateway) setFleetSize(n int) {
+	perSecond := g.membership.MessageRate
+	g.format.Members, g.gridRows = n, 1
+	if float64(n-1) > perSecond*gossipShare*seconds(gossipInterval) {
+		g.gridRows = int(math.Sqrt(float64(n)) + 0.5)
 	}
-	g.arrange(n)
-	g.rate = max(perSecond*gossipShare/float64(max(n/g.rows+g.rows-2, 1)), 0.01)
-	g.pause = max(interval, int64(float64(second)/g.rate))
-	g.silence, g.age = silent*g.pause, 0.5/g.rate*float64(min(g.rows, 2))
-	g.quiet = max(g.silence/int64(max(len(g.neighbours), 1)), 2*stall) // when several signs of life are overdue
-	g.pool.members, g.pool.limit.Start = n, initialInFlight/float64(n)
+	g.buildTopology(n)
+	g.messageRate = max(perSecond*gossipShare/float64(max(n/g.gridRows+g.gridRows-2, 1)), 0.01)
+	g.heartbeatInterval = max(gossipInterval, int64(float64(second)/g.messageRate))
+	g.peerTimeout, g.counterAge = silentIntervals*g.heartbeatInterval, 0.5/g.messageRate*float64(min(g.gridRows, 2))
+	g.partitionTimeout = max(g.peerTimeout/int64(max(len(g.neighbours), 1)), 2*stallThreshold) // when several signs of life are overdue
+	g.endpoints.memberCount, g.endpoints.limit.Start = n, initialInFlight/float64(n)
 }
 
 // enqueue has the customer's counters sent: after admissions here to all peers, else the column; or to one.
-func (c *customer) enqueue(here bool, one *peer) {
+func (c *customer) queueCounters(here bool, one *peer) {
 	for i := range c.subscriptions {
 		t := &c.subscriptions[i]
-		wanted := t.peer == one || one == nil && (here || t.peer.total == 1)
+		wanted := t.peer == one || one == nil && (here || t.peer.counter == 1)
 		if t.sends && !t.queued && wanted {
 			t.queued, t.peer.queue = true, append(t.peer.queue, t)
 		}
 	}
 }
 
-func (t *subscription) unsent() float64 { return t.customer.total[t.peer.total] - t.sentTotal }
+func (t *subscription) unsent() float64 { return t.customer.counters[t.peer.counter] - t.sentTotal }
 
 // send gives p the totals that changed, as soon as it can take a message, and signs of life with hosts' tags.
-func (g *Gateway) send(p *peer, credit float64) {
-	p.credit = min(p.credit+credit, max(g.rate, 1))
-	due := g.now >= p.due
+func (g *Gateway) sendGossip(p *peer, credit float64) {
+	p.credit = min(p.credit+credit, max(g.messageRate, 1))
+	due := g.now >= p.heartbeatDue
 	if !p.sends || p.credit < 1 || !due && len(p.queue) == 0 {
 		return
 	}
 	var tags []uint16
 	if due {
-		p.due = g.now + g.pause
-		for _, h := range g.pool.near {
-			for i, of := range h.classes {
-				recent := of.lastGood > 0 && g.now-of.lastGood <= g.pause
-				if recent && of.unanswered < suspectShare && len(tags) < gossip.MaxTags {
-					tags = append(tags, h.tag(i))
+		p.heartbeatDue = g.now + g.heartbeatInterval
+		for _, h := range g.endpoints.nearby {
+			for i, of := range h.health {
+				recent := of.lastGood > 0 && g.now-of.lastGood <= g.heartbeatInterval
+				if recent && of.unansweredFraction < suspectShare && len(tags) < gossip.MaxTags {
+					tags = append(tags, h.gossipTag(i))
 				}
 			}
 		}
 	}
-	p.sent, p.credit = p.sent+1, p.credit-1
-	msg := g.format.Header(uint64(g.start/1e6), p.sent, tags)
+	p.sentMessages, p.credit = p.sentMessages+1, p.credit-1
+	msg := g.format.Header(uint64(g.start/1e6), p.sentMessages, tags)
 	slices.SortStableFunc(p.queue, func(a, b *subscription) int { return cmp.Compare(b.unsent(), a.unsent()) })
 	for len(p.queue) > 0 {
 		t := p.queue[0]
-		c, total := t.customer, uint64(t.customer.total[p.total]*unit)
+		c, total := t.customer, uint64(t.customer.counters[p.counter]*counterScale)
 		g.refill(c)
-		owed, lack := uint64(0), max(c.plan.Burst-c.level, 0)*unit
-		switch recent := func(at int64) bool { return g.now-at < g.silence }; {
-		case recent(c.created) && c.created >= g.resized: // a copy there that has not heard of it loses the whole,
+		owed, lack := uint64(0), max(c.plan.Burst-c.level, 0)*counterScale
+		switch recent := func(at int64) bool { return g.now-at < g.peerTimeout }; {
+		case recent(c.created) && c.created >= g.resizedAt: // a copy there that has not heard of it loses the whole,
 			owed = total
-		case recent(p.born): // of a new incarnation, full, this gateway's part of what is gone,
+		case recent(p.incarnationSeen): // of a new incarnation, full, this gateway's part of what is gone,
 			owed = uint64(lack / float64(len(c.subscriptions)))
-		case g.resized > 0 && recent(g.resized): // after a change of the fleet's size what was not sent,
-			owed = uint64(t.unsent() * unit)
+		case g.resizedAt > 0 && recent(g.resizedAt): // after a change of the fleet's size what was not sent,
+			owed = uint64(t.unsent() * counterScale)
 		case t.sentTotal == 0: // if first sent late, what has not been refilled since
 			owed = min(total, uint64(lack))
 		}
@@ -80,19 +80,19 @@
 		if g.format.ByID {
 			name = c.plan.ID
 		}
-		if entry := g.format.Counter(c.hash, name, c.spread, c.first, total, owed); owed > 0 || t.unsent() > 0 {
+		if entry := g.format.Counter(c.hash, name, c.spread, c.firstGateway, total, owed); owed > 0 || t.unsent() > 0 {
 			if len(msg)+len(entry) > gossip.MaxMessageBytes {
 				break
 			}
 			msg = append(msg, entry...)
 		}
-		t.sentTotal, t.queued, p.queue = c.total[p.total], false, p.queue[1:]
+		t.sentTotal, t.queued, p.queue = c.counters[p.counter], false, p.queue[1:]
 	}
-	g.writer.SendGossip(p.member, msg)
+	g.actions.SendGossip(p.member, msg)
 }
 
 // receive takes in a message of a peer.
-func (g *Gateway) receive(from int, msg []byte) {
+func (g *Gateway) receiveGossip(from int, msg []byte) {
 	if from < 0 || from >= len(g.peers) || g.peers[from] == nil {
 		return
 	}
@@ -102,26 +102,26 @@
 			return false
 		}
 		if incarnation != p.incarnation {
-			p.born = g.now
+			p.incarnationSeen = g.now
 			for _, hash := range slices.Sorted(maps.Keys(g.customers)) {
-				g.customers[hash].enqueue(false, p)
+				g.customers[hash].queueCounters(false, p)
 			}
 		}
-		if incarnation != p.incarnation || g.now-p.received > 2*g.silence { // its totals are first totals again
-			p.incarnation, p.first = incarnation, g.now
+		if incarnation != p.incarnation || g.now-p.lastReceived > 2*g.peerTimeout { // its totals are first totals again
+			p.incarnation, p.firstReceived = incarnation, g.now
 		}
-		p.received, g.heard, p.number = g.now, g.now, number
+		p.lastReceived, g.lastGossip, p.sequence = g.now, g.now, number
 		return true
-	}, g.pool.vouched, func(hash, name uint32, spread, first int, total, owed uint64) {
+	}, g.endpoints.clearSuspicion, func(hash, name uint32, spread, first int, total, owed uint64) {
 		plan, known := int(name), true
 		if g.format.ByID {
 			plan, known = g.byID[name]
 		}
 		if c := g.customers[hash]; !known || g.format.ByID && c != nil && c.planIndex != plan {
-			g.unmatched++ // of a plan that is unknown here, or that the customer is not on
+			g.unmatchedCounters++ // of a plan that is unknown here, or that the customer is not on
 			return
 		}
-		g.charge(p, g.customer(hash, plan, spread, first), total, owed)
+		g.charge(p, g.customerFor(hash, plan, spread, first), total, owed)
 	})
 }
 
@@ -130,9 +130,9 @@
 // as such a message may be under way: until the later incarnation has been silent for as long as makes any peer count as gone.
 func (g *Gateway) overtaken(p *peer, incarnation, number uint64) bool {
 	if incarnation == p.incarnation {
-		return number <= p.number
+		return number <= p.sequence
 	}
-	return incarnation < p.incarnation && g.now-p.received <= g.silence
+	return incarnation < p.incarnation && g.now-p.lastReceived <= g.peerTimeout
 }
 
 // charge subtracts what a peer admitted since its last message, and passes it on to the other rows. Of a
@@ -145,18 +145,18 @@
 	g.refill(c)
 	t := &c.subscriptions[i]
 	last := t.receivedTotal
-	if t.received < p.first || t.received == 0 || total < last {
+	if t.lastReceived < p.firstReceived || t.lastReceived == 0 || total < last {
 		last = total - owed
 	}
-	if units := float64(total-last) / unit; units > 0 {
-		known := min(units, c.presumed) // taken while nobody was heard
-		c.presumed -= known
-		c.level = max(c.level-units+known, min(c.level, -debt*c.plan.Burst))
-		c.peerRate += units / seconds(g.silence)
-		if p.total == 0 {
-			c.total[1] += units
-			c.enqueue(false, nil)
+	if units := float64(total-last) / counterScale; units > 0 {
+		known := min(units, c.presumedUnits) // taken while nobody was heard
+		c.presumedUnits -= known
+		c.level = max(c.level-units+known, min(c.level, -maxDebt*c.plan.Burst))
+		c.peerRate += units / seconds(g.peerTimeout)
+		if p.counter == 0 {
+			c.counters[1] += units
+			c.queueCounters(false, nil)
 		}
 	}
-	t.receivedTotal, t.received, c.lastAdmission = total, g.now, g.now
+	t.receivedTotal, t.lastReceived, c.lastAdmission = total, g.now, g.now
 }
--- a/logic/gossip_test.go
+++ b/logic/gossip_test.go
@@ -67,11 +67,11 @@
 	w.restart(2, 4, 3)
 	w.trace.Reset()
 	told := [3]int{}
-	for range 2 * second / tickInterval {
+	for range 2 * second / timerInterval {
 		for k, to := range w.gateways[0].receivers {
 			told[to] += len(w.gateways[0].messages[k])
 		}
-		w.advance(tickInterval, true)
+		w.advance(timerInterval, true)
 		w.deliver(0, gateway.Event{Kind: gateway.TimerFired})
 	}
 	golden.Check(t, fmt.Sprintf("bytes told to each gateway %v\n", told))
@@ -81,7 +81,7 @@
 func TestBadMail(t *testing.T) {
 	w := newSimulation(2, 1, nil)
 	w.arrive(1, "a", 4)
-	for w.gateways[1].messages = nil; len(w.gateways[1].messages) == 0; w.now += tickInterval {
+	for w.gateways[1].messages = nil; len(w.gateways[1].messages) == 0; w.now += timerInterval {
 		w.deliver(1, gateway.Event{Kind: gateway.TimerFired})
 	}
 	good := w.gateways[1].messages[0]
@@ -106,7 +106,7 @@
 	w.advance(4*second, true)
 	low, high, links := 100.0, 0.0, 0
 	for _, s := range w.gateways {
-		level := s.gateway.customer(hashText("a"), 0, 300, 0).level
+		level := s.gateway.customerFor(hashText("a"), 0, 300, 0).level
 		low, high = min(low, level), max(high, level)
 	}
 	for _, p := range w.gateways[299].gateway.peers {
@@ -157,7 +157,7 @@
 				}
 				w.finishAll(i)
 			}
-			n += w.advance(tickInterval, true)
+			n += w.advance(timerInterval, true)
 		}
 		sent = append(sent, n)
 	}
--- a/logic/hosts.go
+++ b/logic/hosts.go
@@ -10,52 +10,54 @@
 )
 
 // of is how the host serves a class. Most hosts of a large list are never asked: records are made late.
-func (h *host) of(fr *class) *health {
-	if missing := fr.index + 1 - len(h.classes); missing > 0 {
-		h.classes = append(h.classes, make([]health, missing)...)
+func (h *endpoint) healthFor(fr *class) *health {
+	if missing := fr.index + 1 - len(h.health); missing > 0 {
+		h.health = append(h.health, make([]health, missing)...)
 	}
-	return &h.classes[fr.index]
+	return &h.health[fr.index]
 }
 
 // suspicion is the part that likely goes unanswered; it wears off, so that the host is tried again.
 func (o *health) suspicion(now int64) float64 {
-	return o.unanswered * math.Exp(-float64(now-o.at)/float64(decayTime))
+	return o.unansweredFraction * math.Exp(-float64(now-o.unansweredAt)/float64(decayTime))
 }
 
-func (o *health) suspect(now int64) { o.unanswered, o.at = 0.9, now }
+func (o *health) markSuspected(now int64) { o.unansweredFraction, o.unansweredAt = 0.9, now }
 
-func (h *host) tag(front int) uint16 { return uint16(h.Hash>>16)*uint16(front) + uint16(h.Hash) }
+func (h *endpoint) gossipTag(front int) uint16 {
+	return uint16(h.Hash>>16)*uint16(front) + uint16(h.Hash)
+}
 
 // list takes in a list of hosts, or changes of it.
-func (f *hostPool) list(kind gateway.ListKind, news []gateway.Endpoint, now int64) {
+func (f *endpointSet) updateList(kind gateway.ListKind, news []gateway.Endpoint, now int64) {
 	for _, h := range f.all {
 		if kind == gateway.ListComplete || kind == gateway.ListCached {
 			h.state = gateway.Gone
 		}
 	}
-	for i, h := range f.entries(news) {
+	for i, h := range f.recordsFor(news) {
 		l := news[i]
-		if l.StartedAt != h.since { // a new start: what was learned of the old process is void
-			h.since, h.pace, h.allow, h.busy, h.classes = l.StartedAt, 1, f.rnd.part(), 0, nil
-			h.started = f.startOf(l.StartedAt, now)
+		if l.StartedAt != h.announcedStart { // a new start: what was learned of the old process is void
+			h.announcedStart, h.relativeLatency, h.allowance, h.utilization, h.health = l.StartedAt, 1, f.random.fraction(), 0, nil
+			h.startedAt = f.startOf(l.StartedAt, now)
 		}
 		h.state, h.Weight = l.State, l.Weight
 	}
-	f.listed = f.listed || kind == gateway.ListChanges || kind == gateway.ListComplete
-	f.all = slices.DeleteFunc(f.all, func(h *host) bool { return h.state == gateway.Gone })
+	f.listReceived = f.listReceived || kind == gateway.ListChanges || kind == gateway.ListComplete
+	f.all = slices.DeleteFunc(f.all, func(h *endpoint) bool { return h.state == gateway.Gone })
 	f.limit.Hosts(len(f.all)) // a record ends with its host, as does its part of the limit
-	f.choose()
+	f.chooseSubset()
 }
 
 // startOf gives a host's start by this gateway's clock. The list tells it by the host's wall clock, and either clock may be off by
 // an hour. So a start that is notified while this gateway runs counts from its notification, at which the host is as old or older;
 // by the clocks alone, a gateway whose clock is ahead would take every host for warm. Of hosts in the first list nothing else is
 // known than what that says; a start to come counts as one of now.
-func (f *hostPool) startOf(since, now int64) int64 {
+func (f *endpointSet) startOf(since, now int64) int64 {
 	if since <= 0 { // long ago
 		return since
 	}
-	if f.listed {
+	if f.listReceived {
 		return now
 	}
 	return max(min(since, now), 1)
@@ -63,27 +65,27 @@
 
 // choose takes this gateway's subset of the hosts: a gateway of many keeps few connections and hears often of
 // each. The others serve where none of it will do.
-func (f *hostPool) choose() {
+func (f *endpointSet) chooseSubset() {
 	var running []*spread.Host
 	for _, h := range f.all {
 		if h.Held = false; h.state == gateway.Running {
 			running = append(running, &h.Host)
 		}
 	}
-	spread.Deal(f.member, f.members, running)
-	f.gather()
+	spread.Deal(f.memberIndex, f.memberCount, running)
+	f.collectNearby()
 }
 
 // warmUp is the part of its capacity that a host surely has.
-func (f *hostPool) warmUp(h *host, now int64) float64 {
-	if h.started <= 0 || now-h.started >= f.cold.Duration || f.cold.Duration <= 0 {
+func (f *endpointSet) warmUpFraction(h *endpoint, now int64) float64 {
+	if h.startedAt <= 0 || now-h.startedAt >= f.slowStart.Duration || f.slowStart.Duration <= 0 {
 		return 1
 	}
-	return f.cold.InitialFraction + (1-f.cold.InitialFraction)*float64(max(now-h.started, 0))/float64(f.cold.Duration)
+	return f.slowStart.InitialFraction + (1-f.slowStart.InitialFraction)*float64(max(now-h.startedAt, 0))/float64(f.slowStart.Duration)
 }
 
 // enough is the load up to which a host will do, where the least is that.
-func (c *customer) enough(least float64) float64 {
+func (c *customer) acceptableLoad(least float64) float64 {
 	if c.plan.MaxInFlight > 0 { // the sooner it is answered, the sooner its place is free
 		return least
 	}
@@ -91,20 +93,20 @@
 }
 
 // pick gives the customer's first host in rank that has no more than a little above the least load.
-func (f *hostPool) pick(c *customer, fr *class, now int64, part float64, last *host) *host {
-	if f.woke > 0 && now-f.woke < f.stood { // what came in meanwhile comes on top
+func (f *endpointSet) choose(c *customer, fr *class, now int64, part float64, last *endpoint) *endpoint {
+	if f.stallEnd > 0 && now-f.stallEnd < f.stallLength { // what came in meanwhile comes on top
 		part *= 2
 	}
-	if !f.limit.Allows(f.inFlight, part, f.rnd.part()) {
+	if !f.limit.Allows(f.inFlight, part, f.random.fraction()) {
 		return nil
 	}
-	least := f.weigh(f.near, fr, now, last)
-	if c.enough(least) >= outsidePenalty { // any other host is idle, of that load
+	least := f.weigh(f.nearby, fr, now, last)
+	if c.acceptableLoad(least) >= outsidePenalty { // any other host is idle, of that load
 		least = f.weigh(f.all, fr, now, last)
 	}
-	var first *host
-	enough := c.enough(least)
-	for _, h := range f.weighed {
+	var first *endpoint
+	enough := c.acceptableLoad(least)
+	for _, h := range f.lastWeighed {
 		if h.load <= enough && least < math.MaxFloat64 &&
 			(first == nil || mix(uint64(c.hash)^h.Hash) > mix(uint64(c.hash)^first.Hash)) {
 			first = h
@@ -114,17 +116,17 @@
 }
 
 // weigh sets the hosts' loads for a class, infinite for one that may get nothing now, and gives the least.
-func (f *hostPool) weigh(hosts []*host, fr *class, now int64, last *host) float64 {
+func (f *endpointSet) weigh(hosts []*endpoint, fr *class, now int64, last *endpoint) float64 {
 	least := math.Inf(1)
-	f.weighed = hosts
+	f.lastWeighed = hosts
 	for _, h := range hosts {
 		h.load = math.Inf(1)
-		if h.state == gateway.Running && (f.warmUp(h, now) >= 1 || h.allow >= 1) && h != last {
+		if h.state == gateway.Running && (f.warmUpFraction(h, now) >= 1 || h.allowance >= 1) && h != last {
 			// What it told and how it answered wears off, or a host once thought busy would never be asked again.
-			age := float64(now - h.of(fr).lastAnswer)
-			h.load = 1 + (h.pace*(1+busyPenalty*h.busy)-1)*math.Exp(-age/float64(decayTime))
+			age := float64(now - h.healthFor(fr).lastAnswer)
+			h.load = 1 + (h.relativeLatency*(1+busyPenalty*h.utilization)-1)*math.Exp(-age/float64(decayTime))
 			// Still of use: where all are suspected the cause is shared; the others of the subset go first.
-			if h.load *= float64(len(h.inFlight)+1) * (1 + suspectPenalty*h.of(fr).suspicion(now)); !h.Held {
+			if h.load *= float64(len(h.inFlight)+1) * (1 + suspectPenalty*h.healthFor(fr).suspicion(now)); !h.Held {
 				h.load *= outsidePenalty
 			}
 		}
@@ -135,78 +137,78 @@
 
 // attempted counts an attempt, which takes from the allowance of a cold host. A request's first one lets the allowances grow.
 // Retries don't: where the other hosts fail each request brings several, and a cold host would get as many times its part.
-func (f *hostPool) attempted(to *host, fr *class, retry bool, now int64) {
+func (f *endpointSet) countAttempt(to *endpoint, fr *class, retry bool, now int64) {
 	f.inFlight++
-	f.use(to)
+	f.markContacted(to)
 	if !retry {
 		f.growAllowances(fr, now)
 	}
-	to.allow--
+	to.allowance--
 }
 
 // growAllowances has every cold host's allowance grow by its part of what all are warm for.
-func (f *hostPool) growAllowances(fr *class, now int64) {
+func (f *endpointSet) growAllowances(fr *class, now int64) {
 	sum, all := 0.0, 0.0
-	for _, h := range f.near {
-		if w := f.warmUp(h, now); h.state == gateway.Running && h.Held {
-			if all += w; h.of(fr).suspicion(now) < suspectShare {
+	for _, h := range f.nearby {
+		if w := f.warmUpFraction(h, now); h.state == gateway.Running && h.Held {
+			if all += w; h.healthFor(fr).suspicion(now) < suspectShare {
 				sum += w
 			}
 		}
 	}
-	for _, h := range f.near {
-		if w := f.warmUp(h, now); w < 1 && h.Held {
-			h.allow = min(h.allow+w/max(sum, all*2/max(f.cold.OverloadFactor, 1), 1), 1.5) // others fail: up to its bound
+	for _, h := range f.nearby {
+		if w := f.warmUpFraction(h, now); w < 1 && h.Held {
+			h.allowance = min(h.allowance+w/max(sum, all*2/max(f.slowStart.OverloadFactor, 1), 1), 1.5) // others fail: up to its bound
 		}
 	}
 }
 
 // observe takes in what an ended attempt says of its host.
-func (f *hostPool) observe(s *attempt, res gateway.Result, lag int64, load []float64, now int64) {
+func (f *endpointSet) observeResult(s *attempt, res gateway.Result, lag int64, load []float64, now int64) {
 	h, fr, busy := s.host, s.request.class, -1.0
-	of := h.of(fr)
-	of.unanswered, of.at = of.suspicion(now), now
-	if uint(f.busyField) < uint(len(load)) {
-		busy = min(load[f.busyField], 1)
-		h.busy += (busy - h.busy) / 4
+	of := h.healthFor(fr)
+	of.unansweredFraction, of.unansweredAt = of.suspicion(now), now
+	if uint(f.utilizationField) < uint(len(load)) {
+		busy = min(load[f.utilizationField], 1)
+		h.utilization += (busy - h.utilization) / 4
 	}
 	switch res {
 	case gateway.Succeeded:
-		fr.usual += (float64(lag) - fr.usual) / 64
+		fr.typicalLatency += (float64(lag) - fr.typicalLatency) / 64
 		of.lastGood, of.lastAnswer = now, now
-		of.unanswered /= 2
+		of.unansweredFraction /= 2
 	case gateway.Busy:
-		of.lastAnswer, h.pace = now, min(h.pace*1.5, 10)
+		of.lastAnswer, h.relativeLatency = now, min(h.relativeLatency*1.5, 10)
 	case gateway.TimedOut, gateway.Canceled:
-		if s.at >= f.woke && s.request.customer.unanswered <= 0.5 {
-			of.unanswered += (1 - of.unanswered) / 4
+		if s.startedAt >= f.stallEnd && s.request.customer.unansweredFraction <= 0.5 {
+			of.unansweredFraction += (1 - of.unansweredFraction) / 4
 		}
 	case gateway.Errored, gateway.Unreachable, gateway.Disconnected, gateway.Malformed:
 		if of.lastFailure >= of.lastGood { // none went well since, nor did a peer hear well of it
-			of.suspect(now)
+			of.markSuspected(now)
 		}
 		of.lastFailure = now
 	}
 	// Its silence is the customer's or the host's own; what was out over a stand-still tells nothing.
-	own := s.request.customer.unanswered > 0.5 || of.unanswered >= suspectShare
-	if s.at >= f.woke && (res == gateway.Succeeded || res == gateway.TimedOut && !own) {
-		h.pace = max(h.pace+(float64(lag)/fr.usual-h.pace)/32, 0.2)
+	own := s.request.customer.unansweredFraction > 0.5 || of.unansweredFraction >= suspectShare
+	if s.startedAt >= f.stallEnd && (res == gateway.Succeeded || res == gateway.TimedOut && !own) {
+		h.relativeLatency = max(h.relativeLatency+(float64(lag)/fr.typicalLatency-h.relativeLatency)/32, 0.2)
 		f.limit.Answered(lag, fr.LatencyObjective, now, f.inFlight, busy)
 	}
 }
 
 // silent tells whether the host holds s and has answered nothing of its class for much longer than usual.
-func (h *host) silent(s *attempt, now int64) bool {
+func (h *endpoint) overdue(s *attempt, now int64) bool {
 	fr := s.request.class
-	return now-max(s.at, h.of(fr).lastAnswer) > max(int64(5*fr.usual*h.pace), fr.LatencyObjective/2)
+	return now-max(s.startedAt, h.healthFor(fr).lastAnswer) > max(int64(5*fr.typicalLatency*h.relativeLatency), fr.LatencyObjective/2)
 }
 
 // vouched takes in that another gateway has good answers of a host: a suspected one comes back.
-func (f *hostPool) vouched(tag uint16) {
-	for _, h := range f.near {
-		for i := range h.classes {
-			if h.tag(i) == tag {
-				h.classes[i].unanswered /= 2
+func (f *endpointSet) clearSuspicion(tag uint16) {
+	for _, h := range f.nearby {
+		for i := range h.health {
+			if h.gossipTag(i) == tag {
+				h.health[i].unansweredFraction /= 2
 			}
 		}
 	}
--- a/logic/hosts_test.go
+++ b/logic/hosts_test.go
@@ -33,7 +33,7 @@
 		w.trace.Reset()
 		for range 100 {
 			w.arrive(0, "a", 3)
-			w.advance(tickInterval, true)
+			w.advance(timerInterval, true)
 			w.finishAll(0)
 		}
 		fmt.Fprintf(&w.trace, "%d s after its start host 3 had %d of 300 dispatches\n", 2*s+2,
@@ -56,7 +56,7 @@
 		w.finishAttempt(0, 1, gateway.Canceled, false)
 	}
 	w.arrive(0, "b", 2)
-	w.gateways[1].gateway.pool.all[0].of(w.gateways[1].gateway.classes[0]).lastGood = w.now // the peer hears well of it
+	w.gateways[1].gateway.endpoints.all[0].healthFor(w.gateways[1].gateway.classes[0]).lastGood = w.now // the peer hears well of it
 	w.advance(600*ms, true)
 	w.arrive(0, "c", 2)
 	golden.Check(t, w.trace.String())
@@ -86,7 +86,7 @@
 // TestReplaced: hosts are replaced one by one under new ids: records and the limit stay with those there are.
 func TestReplaced(t *testing.T) {
 	w := newSimulation(1, 4, nil)
-	f := &w.gateways[0].gateway.pool
+	f := &w.gateways[0].gateway.endpoints
 	f.limit = limit.Out{Start: 2.5}
 	f.limit.Hosts(4) // 10, as if learned
 	tell := func() {
@@ -117,8 +117,8 @@
 	w.gateways[0].gateway.retryBudget = 1
 	w.finishAttempt(0, 0, gateway.Malformed, false)
 	w.finishAll(0)
-	for _, h := range w.gateways[0].gateway.pool.all {
-		if h.of(w.gateways[0].gateway.classes[0]).unanswered != 0 {
+	for _, h := range w.gateways[0].gateway.endpoints.all {
+		if h.healthFor(w.gateways[0].gateway.classes[0]).unansweredFraction != 0 {
 			t.Errorf("host %d is set aside", h.id)
 		}
 	}
@@ -134,7 +134,7 @@
 		used[i] = map[uint32]bool{}
 		for c := range 200 {
 			w.arrive(i, fmt.Sprintf("c%d", c), 1)
-			for _, h := range w.gateways[i].gateway.pool.all {
+			for _, h := range w.gateways[i].gateway.endpoints.all {
 				if len(h.inFlight) > 0 {
 					used[i][h.id] = true
 				}
@@ -169,7 +169,7 @@
 		for i, s := range w.gateways {
 			asked[i] = len(s.listRequestedAt)
 		}
-		w.advance(tickInterval, false)
+		w.advance(timerInterval, false)
 		for i, s := range w.gateways {
 			if len(s.listRequestedAt) > asked[i] {
 				w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
@@ -186,12 +186,12 @@
 			if k > 0 {
 				last = s.listRequestedAt[k-1]
 			}
-			if gap := s.listRequestedAt[k] - last; gap < span[0] || gap > span[1]+tickInterval {
+			if gap := s.listRequestedAt[k] - last; gap < span[0] || gap > span[1]+timerInterval {
 				t.Errorf("loss %d: gateway %d asked after %d ms, want %d to %d", k+1, i, gap/ms, span[0]/ms, span[1]/ms)
 			}
 			distinct[s.listRequestedAt[k]] = true
 		}
-		if beats := (span[1] - span[0]) / tickInterval; len(distinct) < int(min(beats/2, 8)) { // in half of those there are, or in eight
+		if beats := (span[1] - span[0]) / timerInterval; len(distinct) < int(min(beats/2, 8)) { // in half of those there are, or in eight
 			t.Errorf("loss %d: 20 gateways asked in %d beats only", k+1, len(distinct))
 		}
 	}
@@ -199,9 +199,9 @@
 		w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges})
 	}
 	t0 = lose()
-	w.advance(450*ms+tickInterval, false)
+	w.advance(450*ms+timerInterval, false)
 	for i, s := range w.gateways {
-		if len(s.listRequestedAt) != 1 || s.listRequestedAt[0]-t0 > 450*ms+tickInterval {
+		if len(s.listRequestedAt) != 1 || s.listRequestedAt[0]-t0 > 450*ms+timerInterval {
 			t.Fatalf("after a list: gateway %d asked %d times, first %v", i, len(s.listRequestedAt), s.listRequestedAt)
 		}
 	}
@@ -232,7 +232,7 @@
 					Deadline: w.now + 2500*ms, Units: 1, Spread: 1, Class: f % 2})
 			}
 			w.advance(80*ms, true)
-			for _, h := range w.gateways[0].gateway.pool.all {
+			for _, h := range w.gateways[0].gateway.endpoints.all {
 				for i := 0; i < len(h.inFlight); {
 					s := h.inFlight[i]
 					f, res, lag := s.request.class.index, gateway.Succeeded, 80*ms
@@ -242,7 +242,7 @@
 							res, lag = gateway.TimedOut, 800*ms
 						}
 					}
-					w.deliver(0, gateway.Event{Kind: gateway.AttemptEnded, RequestID: s.request.id, Host: h.id, Attempt: s.n, Result: res,
+					w.deliver(0, gateway.Event{Kind: gateway.AttemptEnded, RequestID: s.request.id, Host: h.id, Attempt: s.number, Result: res,
 						Latency: lag, Closed: res == gateway.Succeeded})
 				}
 			}
@@ -253,7 +253,7 @@
 	if first[0] < 2 || later[0] > 9 || later[1] < 45 {
 		t.Errorf("of 90 reqs of each hosts 1 and 2 got %v, then %v by frontend; want a tenth of the first and half of the second", first, later)
 	}
-	if l := w.gateways[0].gateway.pool.limit.Limit(); l < 20 {
+	if l := w.gateways[0].gateway.endpoints.limit.Limit(); l < 20 {
 		t.Errorf("limit %.1f: time-outs of hosts in doubt cut it", l)
 	}
 }
@@ -283,7 +283,7 @@
 		w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete, Endpoints: all})
 		slices.Reverse(all)
 		was, n := map[uint32]bool{}, 0
-		for _, h := range s.gateway.pool.all {
+		for _, h := range s.gateway.endpoints.all {
 			if was[h.id] = h.Held; h.Held {
 				n++
 				held[h.id]++
@@ -293,7 +293,7 @@
 			t.Errorf("gateway %d holds %d hosts, want 12*180/300 or a little more", i, n)
 		}
 		w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, Endpoints: []gateway.Endpoint{{Host: 40, State: gateway.Gone}}})
-		for _, h := range s.gateway.pool.all {
+		for _, h := range s.gateway.endpoints.all {
 			if h.Held && !was[h.id] {
 				came++
 			}
--- a/logic/lab.go
+++ b/logic/lab.go
@@ -2,9 +2,9 @@
 
 // Hold has the gateway hold other hosts than package spread says, until the next list. It is the laboratory's, to
 // compare rules in one run; nothing calls it in production.
-func (g *Gateway) Hold(held func(host uint32) bool) {
-	for _, h := range g.pool.all {
+func (g *Gateway) HoldSubset(held func(host uint32) bool) {
+	for _, h := range g.endpoints.all {
 		h.Held = held(h.id)
 	}
-	g.pool.gather()
+	g.endpoints.collectNearby()
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -23,14 +23,14 @@
 
 const (
 	second          = int64(1e9)
-	tickInterval    = second / 25 // between wake-ups
-	interval        = second / 2  // between totals, longer where a gateway may not take in that much
-	silent          = 4           // intervals with no peer heard: alone; after so long a customer is forgotten
-	debt            = 1.0         // bursts that a copy may owe; the design's default
+	timerInterval   = second / 25 // between wake-ups
+	gossipInterval  = second / 2  // between totals, longer where a gateway may not take in that much
+	silentIntervals = 4           // intervals with no peer heard: alone; after so long a customer is forgotten
+	maxDebt         = 1.0         // bursts that a copy may owe; the design's default
 	gossipShare     = 0.4         // part of what a gateway takes in that its peers use, up to twice that
-	unit            = 16          // totals are told in these parts of a unit
+	counterScale    = 16          // totals are told in these parts of a unit
 	windowMargin    = second / 5  // kept clear of the end of a deduplicated request's window
-	stall           = second / 10 // with no round: this gateway stood still
+	stallThreshold  = second / 10 // with no round: this gateway stood still
 	decayTime       = 4 * second  // what is known against a host wears off in
 	suspectShare    = 0.3         // part unanswered from which a host's silence is its own
 	suspectPenalty  = 16.0        // times its load, for a host suspected
@@ -52,11 +52,11 @@
 // New makes a gateway that has neither hosts nor customers yet.
 func New(seed uint64, seat gateway.Membership, fronts []gateway.RequestClass, plans []gateway.Plan,
 	limits gateway.Limits, cold gateway.SlowStart, report gateway.LoadReportForm) *Gateway {
-	rnd := mwc(seed | 1)
-	g := &Gateway{start: -1, seat: seat, limits: limits, rnd: &rnd, byID: map[uint32]int{},
-		customers: map[uint32]*customer{}, requests: map[string]*request{}, calls: map[uint64][]*request{}}
-	g.pool = hostPool{rnd: g.rnd, cold: cold, member: seat.Index}
-	g.pool.busyField = slices.Index(report.Fields, gateway.Utilization)
+	rnd := generator(seed | 1)
+	g := &Gateway{start: -1, membership: seat, limits: limits, random: &rnd, byID: map[uint32]int{},
+		customers: map[uint32]*customer{}, requests: map[string]*request{}, counterCalls: map[uint64][]*request{}}
+	g.endpoints = endpointSet{random: g.random, slowStart: cold, memberIndex: seat.Index}
+	g.endpoints.utilizationField = slices.Index(report.Fields, gateway.Utilization)
 	for i := range fronts {
 		g.setClass(&gateway.ClassUpdate{Index: i, Class: fronts[i]})
 	}
@@ -64,22 +64,22 @@
 		g.setPlan(&gateway.PlanUpdate{Index: i, Plan: plans[i]})
 	}
 	g.format = gossip.Format{Plans: len(plans), ByID: len(plans) > 0 && plans[0].ID != 0}
-	g.resize(max(seat.Count, 1))
+	g.setFleetSize(max(seat.Count, 1))
 	return g
 }
 
 // Round takes all that came in and writes the decisions.
-func (g *Gateway) Round(in *gateway.Batch, out gateway.Actions) {
+func (g *Gateway) Decide(in *gateway.Batch, out gateway.Actions) {
 	late, n := in.Now-g.now, int64(len(in.Events))
-	if late <= stall || g.start < 0 {
+	if late <= stallThreshold || g.start < 0 {
 		late = 0
 	} else { // this gateway stood still; what came in meanwhile came evenly
-		g.pool.woke, g.pool.stood = in.Now, late
+		g.endpoints.stallEnd, g.endpoints.stallLength = in.Now, late
 	}
-	g.now, g.writer = in.Now, out
+	g.now, g.actions = in.Now, out
 	if g.start < 0 {
-		g.start, g.heard, g.ticked = g.now, g.now, g.now
-		g.tick()
+		g.start, g.lastGossip, g.lastTimer = g.now, g.now, g.now
+		g.handleTimer()
 	}
 	for i := range 2 * n { // what waited together is decided on all that lists and peers tell
 		e := &in.Events[i%n]
@@ -90,199 +90,199 @@
 		case gateway.RequestArrived:
 			g.arrive(e, g.now-late*(2*n-i)/n)
 		case gateway.AttemptEnded:
-			g.ended(e)
+			g.attemptEnded(e)
 		case gateway.ClientGone:
 			if r := g.requests[e.RequestID]; r != nil {
 				g.close(r)
 			}
 		case gateway.EndpointsListed:
-			if g.pool.list(e.ListKind, e.Endpoints, g.now); e.ListKind != gateway.ListUnavailable {
-				g.asks, g.nextAsk = 0, math.MaxInt64
+			if g.endpoints.updateList(e.ListKind, e.Endpoints, g.now); e.ListKind != gateway.ListUnavailable {
+				g.failedPolls, g.nextPoll = 0, math.MaxInt64
 			} else { // by chance, pauses double from call to call: a fleet asks apart, each has news in 6 s
-				if g.asks = min(g.asks+1, 5); g.asks == 1 {
-					g.asked = g.now
+				if g.failedPolls = min(g.failedPolls+1, 5); g.failedPolls == 1 {
+					g.lastPoll = g.now
 				}
-				pause := min(int64((0.5+g.rnd.part())*float64(relistPause<<(g.asks-1))), 13*relistPause)
-				g.nextAsk = max(g.asked+pause, g.now+pause/8)
+				pause := min(int64((0.5+g.random.fraction())*float64(relistPause<<(g.failedPolls-1))), 13*relistPause)
+				g.nextPoll = max(g.lastPoll+pause, g.now+pause/8)
 			}
 		case gateway.GossipReceived:
-			g.receive(e.Peer, e.Message)
+			g.receiveGossip(e.Peer, e.Message)
 		case gateway.CounterReplied:
-			g.counted(e)
+			g.counterReplied(e)
 		case gateway.TimerFired:
-			g.tick()
+			g.handleTimer()
 		}
 	}
 }
 
 func (g *Gateway) arrive(e *gateway.Event, at int64) {
-	c, fr := g.customer(hashText(e.Customer), e.Plan, e.Spread, e.FirstGateway), g.classes[e.Class]
+	c, fr := g.customerFor(hashText(e.Customer), e.Plan, e.Spread, e.FirstGateway), g.classes[e.Class]
 	r := &request{id: e.RequestID, customer: c, class: fr, units: e.Units, arrived: at, deadline: e.Deadline, stopAt: e.StopAt}
 	g.requests[r.id] = r
-	fr.units += (e.Units - fr.units) / 64
-	g.arrived++
-	g.largest = max(g.largest, r.units)
+	fr.typicalUnits += (e.Units - fr.typicalUnits) / 64
+	g.arrivals++
+	g.largestRequest = max(g.largestRequest, r.units)
 	if g.format.ByID { // its plan may be gone, or it is on another now
 		c.planIndex = e.Plan
 	}
 	g.refill(c)
-	c.asked += r.units
+	c.requestedUnits += r.units
 	// The counter may be asked about the cap where it answers and the client will still be there.
 	ask := g.limits.SharedCounter && c.plan.MaxInFlight > 0 && len(c.subscriptions) > 0 && g.now >= g.counterRetry
-	g.decide(r, c.inCapChance(fr), ask && r.deadline-g.now > 2*g.limits.CounterTimeout)
+	g.decide(r, c.withinCapProbability(fr), ask && r.deadline-g.now > 2*g.limits.CounterTimeout)
 }
 
 // decide decides a request: the ordinary path, from top to bottom. inCap is its chance to be within the cap
 // on requests in flight; where the counter may be asked of that it is, and the answer comes back here.
 func (g *Gateway) decide(r *request, inCap float64, ask bool) {
 	c, fr := r.customer, r.class
-	greed := (1 + c.asked) / (1 + c.admitted)
+	greed := (1 + c.requestedUnits) / (1 + c.admittedUnits)
 	// What peers have admitted within a total's age is a chance number; the more is asked, the more it sways.
-	level := c.level - min(2*g.rnd.part()*c.peerRate*g.age*greed, c.plan.Burst/2)
+	level := c.level - min(2*g.random.fraction()*c.peerRate*g.counterAge*greed, c.plan.Burst/2)
 
-	value := fr.Value * fr.units * c.plan.PriorityWeight / fr.usual
-	g.value += (value - g.value) / 256
-	h, after, why := (*host)(nil), fr.usual, ByHosts
+	value := fr.Value * fr.typicalUnits * c.plan.PriorityWeight / fr.typicalLatency
+	g.meanValue += (value - g.meanValue) / 256
+	h, after, why := (*endpoint)(nil), fr.typicalLatency, ByHosts
 	switch {
 	case c.plan.Rate > 0 && level < r.units: // the copy lacks the units
 		after, why = (r.units-level)/c.plan.Rate*float64(second), ByQuota
-	case c.plan.CeilingRate > 0 && c.ceiling < r.units: // so does this gateway's part of the ceiling
-		after, why = (r.units-c.ceiling)/c.ceilRate*float64(second), ByCeiling
-	case c.unanswered > 0.5 && g.now-c.lastAdmission < second: // most go unanswered: one a second
+	case c.plan.CeilingRate > 0 && c.ceilingLevel < r.units: // so does this gateway's part of the ceiling
+		after, why = (r.units-c.ceilingLevel)/c.ceilingRate*float64(second), ByCeiling
+	case c.unansweredFraction > 0.5 && g.now-c.lastAdmission < second: // most go unanswered: one a second
 		after, why = float64(second), ByUnanswered
-	case r.deadline <= g.now, fr.LateValue == 0 && float64(g.now-r.arrived)+fr.usual > float64(fr.LatencyObjective): // in vain
+	case r.deadline <= g.now, fr.LateValue == 0 && float64(g.now-r.arrived)+fr.typicalLatency > float64(fr.LatencyObjective): // in vain
 		why = ByLate
-	case r.stopAt > 0 && float64(r.stopAt-g.now) < fr.usual: // this gateway would end over it; another has the time
+	case r.stopAt > 0 && float64(r.stopAt-g.now) < fr.typicalLatency: // this gateway would end over it; another has the time
 		why = ByLate
 	case inCap > 0 && ask:
-		r.slot = mix(uint64(c.hash)<<32|uint64(g.now/counterSpan)) >> 1
-		g.call(r.slot, 1, r)
+		r.counterName = mix(uint64(c.hash)<<32|uint64(g.now/counterSpan)) >> 1
+		g.callCounter(r.counterName, 1, r)
 		return
 	case inCap == 0 || inCap/2 < (1-inCap)*c.plan.OverQuotaCost*greed: // too many are out; it may come back
 		why = ByCap
 	default: // no host: better told now than answered late
-		h = g.pool.pick(c, fr, g.now, baseShare+(1-baseShare)*min(value/g.value, 1), nil)
+		h = g.endpoints.choose(c, fr, g.now, baseShare+(1-baseShare)*min(value/g.meanValue, 1), nil)
 	}
 	if h == nil {
 		g.reject(r, why, after)
 		return
 	}
-	g.passed++
+	g.admitted++
 	taken := r.units * inCap // what is beyond the cap takes nothing from the quota
 	if c.plan.Rate > 0 {
 		c.level -= taken
 	}
-	c.ceiling, c.total = c.ceiling-r.units, [2]float64{c.total[0] + taken, c.total[1] + taken}
-	c.admitted, c.lastAdmission = c.admitted+r.units, g.now
-	c.enqueue(true, nil)
+	c.ceilingLevel, c.counters = c.ceilingLevel-r.units, [2]float64{c.counters[0] + taken, c.counters[1] + taken}
+	c.admittedUnits, c.lastAdmission = c.admittedUnits+r.units, g.now
+	c.queueCounters(true, nil)
 	g.retryBudget = min(g.retryBudget+0.25, 10)
-	g.dispatch(r, h)
+	g.startAttempt(r, h)
 }
 
 // end is when r is waited for no longer. After a stall answers lie waiting, late ones that earn too.
-func (g *Gateway) end(r *request) int64 {
+func (g *Gateway) answerDeadline(r *request) int64 {
 	fr, more := r.class, int64(0)
-	if g.pool.woke > 0 && g.now-g.pool.woke < decayTime {
+	if g.endpoints.stallEnd > 0 && g.now-g.endpoints.stallEnd < decayTime {
 		more = int64(fr.LateValue * float64(fr.Timeout-fr.LatencyObjective))
 	}
 	return min(r.deadline, r.arrived+fr.LatencyObjective+more)
 }
 
-func (g *Gateway) dispatch(r *request, h *host) {
-	g.candidates(r, h)
-	r.current = &attempt{request: r, host: h, n: r.attempts, at: g.now}
+func (g *Gateway) startAttempt(r *request, h *endpoint) {
+	g.reportCandidates(r, h)
+	r.current = &attempt{request: r, host: h, number: r.attempts, startedAt: g.now}
 	r.attempts++
 	r.customer.inFlight++
 	h.inFlight = append(h.inFlight, r.current)
-	g.pool.attempted(h, r.class, r.attempts > 1, g.now)
-	g.writer.StartAttempt(r.id, h.id, max(g.end(r)-g.now, 1000))
+	g.endpoints.countAttempt(h, r.class, r.attempts > 1, g.now)
+	g.actions.StartAttempt(r.id, h.id, max(g.answerDeadline(r)-g.now, 1000))
 }
 
 // ended takes in how an attempt ended, and sends the request again where that may help and is allowed.
-func (g *Gateway) ended(e *gateway.Event) {
+func (g *Gateway) attemptEnded(e *gateway.Event) {
 	r := g.requests[e.RequestID]
-	if r == nil || r.current == nil || r.current.n != e.Attempt {
+	if r == nil || r.current == nil || r.current.number != e.Attempt {
 		return
 	}
 	s, c, fr := r.current, r.customer, r.class
 	r.current, c.inFlight = nil, c.inFlight-1
-	if c.unanswered *= 0.75; e.Result == gateway.TimedOut {
-		c.unanswered += 0.25
+	if c.unansweredFraction *= 0.75; e.Result == gateway.TimedOut {
+		c.unansweredFraction += 0.25
 	}
 	s.host.inFlight = slices.DeleteFunc(s.host.inFlight, func(o *attempt) bool { return o == s })
-	g.pool.inFlight--
+	g.endpoints.inFlight--
 	if !e.Result.NeverRan() && r.mayHaveRun == nil {
 		r.mayHaveRun = s
 	}
-	g.pool.observe(s, e.Result, e.Latency, e.LoadReport, g.now)
+	g.endpoints.observeResult(s, e.Result, e.Latency, e.LoadReport, g.now)
 	switch {
 	case r.closed || e.Closed:
 		g.close(r)
 	case e.Result != gateway.TimedOut && g.retry(r, s.host):
-	case r.mayHaveRun == nil || fr.repeatable(r.mayHaveRun.at, g.now):
-		g.reject(r, ByFailure, fr.usual)
+	case r.mayHaveRun == nil || fr.repeatable(r.mayHaveRun.startedAt, g.now):
+		g.reject(r, ByFailure, fr.typicalLatency)
 	default:
-		g.writer.Fail(r.id)
+		g.actions.Fail(r.id)
 		g.close(r)
 	}
 }
 
-func (g *Gateway) retry(r *request, last *host) bool {
+func (g *Gateway) retry(r *request, last *endpoint) bool {
 	fr := r.class
-	if r.attempts >= g.limits.MaxAttempts || g.now >= g.end(r) ||
-		r.mayHaveRun != nil && (g.retryBudget < 1 || !fr.repeatable(r.mayHaveRun.at, g.now)) {
+	if r.attempts >= g.limits.MaxAttempts || g.now >= g.answerDeadline(r) ||
+		r.mayHaveRun != nil && (g.retryBudget < 1 || !fr.repeatable(r.mayHaveRun.startedAt, g.now)) {
 		return false
 	}
-	h := g.pool.pick(r.customer, fr, g.now, 1, last)
+	h := g.endpoints.choose(r.customer, fr, g.now, 1, last)
 	if h == nil {
 		return false
 	}
 	if r.mayHaveRun != nil {
 		g.retryBudget--
 	}
-	g.dispatch(r, h)
+	g.startAttempt(r, h)
 	return true
 }
 
 // reject gives the final answer that makes a repeat harmless, with the time to stay away.
 func (g *Gateway) reject(r *request, why int, after float64) {
-	g.denied[why]++
+	g.rejected[why]++
 	if !g.limits.RetryAfter {
 		after = 0
 	}
-	g.writer.Reject(r.id, int64(after))
+	g.actions.Reject(r.id, int64(after))
 	g.close(r)
 }
 
 func (g *Gateway) close(r *request) {
 	if r.closed = true; r.current == nil {
 		delete(g.requests, r.id)
-		if r.slot != 0 {
-			g.call(r.slot, -1, nil)
+		if r.counterName != 0 {
+			g.callCounter(r.counterName, -1, nil)
 		}
 	}
 }
 
 // call adds to a number of requests in flight, and may leave r to wait for the answer. All gateways' clocks
 // give it one name for a span; the next counts anew, or what a killed gateway had in flight would stay.
-func (g *Gateway) call(name uint64, amount float64, r *request) {
-	g.calls[name] = append(g.calls[name], r)
-	g.writer.AddToCounter(name, amount, 2*counterSpan)
+func (g *Gateway) callCounter(name uint64, amount float64, r *request) {
+	g.counterCalls[name] = append(g.counterCalls[name], r)
+	g.actions.AddToCounter(name, amount, 2*counterSpan)
 }
 
 // counted takes in an answer of the counter, or that there is none: then the guess decides.
-func (g *Gateway) counted(e *gateway.Event) {
-	calls := g.calls[e.CounterName]
+func (g *Gateway) counterReplied(e *gateway.Event) {
+	calls := g.counterCalls[e.CounterName]
 	if len(calls) == 0 {
 		return
 	}
 	r := calls[0]
-	if g.calls[e.CounterName] = calls[1:]; len(calls) == 1 {
-		delete(g.calls, e.CounterName)
+	if g.counterCalls[e.CounterName] = calls[1:]; len(calls) == 1 {
+		delete(g.counterCalls, e.CounterName)
 	}
 	if e.Result == gateway.Succeeded {
-		g.unheard = 0
-	} else if g.unheard++; g.unheard >= 4 {
+		g.counterFailures = 0
+	} else if g.counterFailures++; g.counterFailures >= 4 {
 		g.counterRetry = g.now + second
 	}
 	if r == nil || r.closed {
@@ -290,7 +290,7 @@
 	}
 	inCap := 0.0
 	if e.Result != gateway.Succeeded {
-		r.slot, inCap = 0, r.customer.inCapChance(r.class)
+		r.counterName, inCap = 0, r.customer.withinCapProbability(r.class)
 	} else if e.CounterTotal <= float64(r.customer.plan.MaxInFlight) {
 		inCap = 1
 	}
@@ -298,32 +298,32 @@
 	g.decide(r, inCap, false)
 }
 
-func (g *Gateway) tick() {
-	g.writer.SetTimer(tickInterval)
-	since := seconds(g.now - g.ticked)
-	more := float64(g.arrived) / max(g.seat.MessageRate*gossipShare, 1) // as many messages as requests come in
-	credit := g.rate * max(since, min(more, 2*since))
-	g.ticked, g.arrived = g.now, 0
-	if g.limits.PollEndpoints && g.now >= g.nextAsk {
-		g.asked, g.nextAsk = g.now, math.MaxInt64
-		g.writer.WatchEndpoints()
+func (g *Gateway) handleTimer() {
+	g.actions.SetTimer(timerInterval)
+	since := seconds(g.now - g.lastTimer)
+	more := float64(g.arrivals) / max(g.membership.MessageRate*gossipShare, 1) // as many messages as requests come in
+	credit := g.messageRate * max(since, min(more, 2*since))
+	g.lastTimer, g.arrivals = g.now, 0
+	if g.limits.PollEndpoints && g.now >= g.nextPoll {
+		g.lastPoll, g.nextPoll = g.now, math.MaxInt64
+		g.actions.WatchEndpoints()
 	}
-	for _, h := range g.pool.active() {
+	for _, h := range g.endpoints.withAttempts() {
 		for _, s := range h.inFlight {
-			if r := s.request; h.silent(s, g.now) {
-				h.of(r.class).suspect(g.now)
+			if r := s.request; h.overdue(s, g.now) {
+				h.healthFor(r.class).markSuspected(g.now)
 				if first := cmp.Or(r.mayHaveRun, s); g.limits.Cancellation && g.retryBudget >= 1 && !r.closed &&
-					r.attempts < g.limits.MaxAttempts && r.class.repeatable(first.at, g.now) {
-					g.writer.CancelAttempt(r.id, s.n) // it moves on when that is confirmed
+					r.attempts < g.limits.MaxAttempts && r.class.repeatable(first.startedAt, g.now) {
+					g.actions.CancelAttempt(r.id, s.number) // it moves on when that is confirmed
 				}
 			}
 		}
 	}
 	for _, p := range g.neighbours {
-		g.send(p, credit)
+		g.sendGossip(p, credit)
 	}
 	if g.now >= g.nextSweep {
 		g.nextSweep = g.now + second
-		maps.DeleteFunc(g.customers, func(_ uint32, c *customer) bool { return g.idle(c) })
+		maps.DeleteFunc(g.customers, func(_ uint32, c *customer) bool { return g.forgettable(c) })
 	}
 }
--- a/logic/options.go
+++ b/logic/options.go
@@ -9,19 +9,19 @@
 // considered tells a Writer that is a Witness what r's attempt to chosen was picked among, by the loads that pick
 // has just set: every host of the subset that could be picked, and any other that was. The ranking is a hash, so that
 // over customers each host within bounds is first with the same chance. It records only; nothing is decided by it.
-func (g *Gateway) candidates(r *request, chosen *host) {
-	w, on := g.writer.(gateway.CandidateObserver)
+func (g *Gateway) reportCandidates(r *request, chosen *endpoint) {
+	w, on := g.actions.(gateway.CandidateObserver)
 	if !on {
 		return
 	}
 	least, n := math.Inf(1), 0
-	for _, h := range g.pool.weighed {
+	for _, h := range g.endpoints.lastWeighed {
 		least = min(least, h.load)
 	}
-	enough := r.customer.enough(least)
-	all, next := append(g.options[:0], gateway.Candidate{Host: chosen.id, Load: chosen.load}), (*host)(nil)
+	enough := r.customer.acceptableLoad(least)
+	all, next := append(g.candidates[:0], gateway.Candidate{Host: chosen.id, Load: chosen.load}), (*endpoint)(nil)
 	at := 0
-	for _, h := range g.pool.weighed {
+	for _, h := range g.endpoints.lastWeighed {
 		in := h.load <= enough
 		if in {
 			n++
@@ -45,6 +45,6 @@
 	if next != nil {
 		all[1], all[at] = all[at], all[1]
 	}
-	g.options = all
+	g.candidates = all
 	w.ObserveCandidates(r.id, r.customer.hash, all)
 }
--- a/logic/options_test.go
+++ b/logic/options_test.go
@@ -38,7 +38,7 @@
 		chances, chosen := map[uint32]float64{}, map[uint32]float64{}
 		for i := range 4000 {
 			w.now += ms
-			s.gateway.Round(&gateway.Batch{Now: w.now, Events: []gateway.Event{{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(i),
+			s.gateway.Decide(&gateway.Batch{Now: w.now, Events: []gateway.Event{{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(i),
 				Customer: fmt.Sprint("c", i), Deadline: w.now + second, Units: 1, Spread: 1}}}, out)
 			if len(watch.hosts) != i+1 {
 				t.Fatalf("req %d is not dispatched", i)
@@ -59,11 +59,11 @@
 				chosen[watch.hosts[i]]++
 			}
 			if i%3 == 0 {
-				for _, h := range s.gateway.pool.all {
+				for _, h := range s.gateway.endpoints.all {
 					if len(h.inFlight) > 0 {
 						x := h.inFlight[0]
-						s.gateway.Round(&gateway.Batch{Now: w.now, Events: []gateway.Event{{Kind: gateway.AttemptEnded, RequestID: x.request.id,
-							Host: h.id, Attempt: x.n, Latency: ms * int64(h.id), Closed: true}}}, out)
+						s.gateway.Decide(&gateway.Batch{Now: w.now, Events: []gateway.Event{{Kind: gateway.AttemptEnded, RequestID: x.request.id,
+							Host: h.id, Attempt: x.number, Latency: ms * int64(h.id), Closed: true}}}, out)
 					}
 				}
 			}
@@ -101,9 +101,9 @@
 				watch.hosts = watch.hosts[:0]
 				round.Now, round.Events[0] = w.now, gateway.Event{Kind: gateway.RequestArrived, RequestID: "r", Customer: "c",
 					Deadline: w.now + second, Units: 1, Spread: 1}
-				s.gateway.Round(round, out)
+				s.gateway.Decide(round, out)
 				round.Events[0] = gateway.Event{Kind: gateway.AttemptEnded, RequestID: "r", Latency: 5 * ms, Closed: true}
-				s.gateway.Round(round, out)
+				s.gateway.Decide(round, out)
 			}
 		})
 	}
--- a/logic/quota_test.go
+++ b/logic/quota_test.go
@@ -76,7 +76,7 @@
 	w.arrive(0, "a", 3)
 	w.finishAll(0)
 	for range 50 {
-		w.gateways[1].gateway.customer(hashText("a"), 0, 2, 0).total[0]++
+		w.gateways[1].gateway.customerFor(hashText("a"), 0, 2, 0).counters[0]++
 	}
 	w.arrive(1, "a", 1)
 	w.advance(60*ms, true)
@@ -107,7 +107,7 @@
 		w.trace.Reset()
 		for i := range 100 {
 			w.arrive(i, "a", 1)
-			w.advance(tickInterval/2, true)
+			w.advance(timerInterval/2, true)
 			for k := range w.gateways {
 				w.finishAll(k)
 			}
@@ -122,14 +122,14 @@
 	w := newSimulation(1, 2, nil)
 	w.arrive(0, "a", 12) // a burst of 10: two lack the units
 	g := w.gateways[0].gateway
-	if got, want := g.Tally(), "passed=10 quota=2 ceiling=0 unanswered=0 late=0 cap=0 hosts=0 failure=0"; got != want {
+	if got, want := g.DecisionCounts(), "passed=10 quota=2 ceiling=0 unanswered=0 late=0 cap=0 hosts=0 failure=0"; got != want {
 		t.Fatalf("tally %q, want %q", got, want)
 	}
 	w.finishAttempt(0, 0, gateway.Unreachable, false) // never ran: sent again, not denied
 	if x := g.Gauges(); x.Passed != 10 || x.Denied != [Reasons]int{ByQuota: 2} || x.Out != 10 {
 		t.Fatalf("after a dispatch that never ran: %+v", x)
 	}
-	for k := 0; g.pool.inFlight > 0 && k < 40; k++ { // every attempt fails: each request ends denied, once
+	for k := 0; g.endpoints.inFlight > 0 && k < 40; k++ { // every attempt fails: each request ends denied, once
 		w.finishAttempt(0, 0, gateway.Errored, false)
 	}
 	if x := g.Gauges(); x.Passed != 10 || x.Denied != [Reasons]int{ByQuota: 2, ByFailure: 10} || x.Reqs != 0 {
@@ -186,12 +186,12 @@
 	}
 	w.arrive(0, "deaf", 1)
 	w.finishAll(0)
-	w.advance(second+tickInterval, true)
+	w.advance(second+timerInterval, true)
 	w.arrive(0, "again", 1)
 	w.answerCounter(0, gateway.Succeeded, 1) // a lower total than any before
 	w.finishAll(0)
 	g := w.gateways[0].gateway
-	fmt.Fprintf(&w.trace, "reqs still held: %d; copy of within holds %.1f units\n", len(g.requests), g.customer(hashText("within"), 0, 2, 0).level)
+	fmt.Fprintf(&w.trace, "reqs still held: %d; copy of within holds %.1f units\n", len(g.requests), g.customerFor(hashText("within"), 0, 2, 0).level)
 	golden.Check(t, w.trace.String())
 }
 
@@ -209,7 +209,7 @@
 			w.arrive(n*37%100, "a", 1)
 			sent += strings.Count(w.trace.String(), "dispatch")
 			w.finishAll(n * 37 % 100)
-			w.advance(tickInterval*5/8, half < 8 || half >= 14)
+			w.advance(timerInterval*5/8, half < 8 || half >= 14)
 		}
 		if half%2 == 0 {
 			fmt.Fprintf(&all, "%d s", half/2)
--- a/logic/reconfigure.go
+++ b/logic/reconfigure.go
@@ -17,9 +17,9 @@
 		g.limits = *u.Limits
 	}
 	if u.Members > 0 && u.Members != len(g.peers) {
-		g.resize(u.Members)
-		g.resized = now
-		g.pool.choose()
+		g.setFleetSize(u.Members)
+		g.resizedAt = now
+		g.endpoints.chooseSubset()
 	}
 }
 
@@ -38,7 +38,7 @@
 	next := &class{u.Class, u.Index, float64(u.Class.LatencyObjective) / 6, 1}
 	g.classes = append(g.classes, make([]*class, max(u.Index+1-len(g.classes), 0))...)
 	if last := g.classes[u.Index]; last != nil {
-		next.usual, next.units = last.usual, last.units
+		next.typicalLatency, next.typicalUnits = last.typicalLatency, last.typicalUnits
 	}
 	g.classes[u.Index] = next
 }
--- a/logic/reconfigure_test.go
+++ b/logic/reconfigure_test.go
@@ -22,11 +22,11 @@
 // request lets one of a customer in, on a plan; it tells whether it was sent on.
 func (w *simulation) request(i int, customer string, plan int, units float64) bool {
 	g := w.gateways[i].gateway
-	passed := g.passed
+	passed := g.admitted
 	w.deliver(i, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprintf("%s %d %d", customer, w.now, passed), Customer: customer,
 		Plan: plan, Deadline: w.now + 2500*ms, Units: units, Spread: len(w.gateways)})
 	w.finishAll(i)
-	return g.passed > passed
+	return g.admitted > passed
 }
 
 func (w *simulation) level(i int, customer string) float64 {
@@ -67,8 +67,8 @@
 	if w.request(0, "c", 1, 20) {
 		t.Error("20 units were admitted under a ceiling of 5")
 	}
-	if c := w.gateways[0].gateway.customers[hashText("c")]; c.ceiling > 5 || c.ceilRate != 5 {
-		t.Errorf("the old ceiling is kept: %.1f units, %.1f a second", c.ceiling, c.ceilRate)
+	if c := w.gateways[0].gateway.customers[hashText("c")]; c.ceilingLevel > 5 || c.ceilingRate != 5 {
+		t.Errorf("the old ceiling is kept: %.1f units, %.1f a second", c.ceilingLevel, c.ceilingRate)
 	}
 }
 
@@ -85,7 +85,7 @@
 	w.request(0, "on-b", 1, 6)
 	w.advance(second, true)
 	other := w.gateways[1].gateway
-	if other.customers[hashText("on-a")] != nil || other.unmatched == 0 {
+	if other.customers[hashText("on-a")] != nil || other.unmatchedCounters == 0 {
 		t.Error("a total of an unknown plan was charged, or was not counted")
 	}
 	if got := w.level(1, "on-b"); got > 5 {
@@ -114,18 +114,18 @@
 	safe.Effect = gateway.Idempotent
 	w.reconfigure(gateway.Update{Classes: []gateway.ClassUpdate{{Index: 0, Class: safe}, {Index: 1, Class: safe}}})
 	w.finishAttempt(0, 0, gateway.Disconnected, false)
-	if w.gateways[0].gateway.pool.inFlight != 0 {
+	if w.gateways[0].gateway.endpoints.inFlight != 0 {
 		t.Error("a request was sent again that was unsafe when it was sent")
 	}
 	w.advance(second/10, true)
 	w.arrive(0, "c", 1)
 	w.finishAttempt(0, 0, gateway.Disconnected, false)
-	if w.gateways[0].gateway.pool.inFlight != 1 {
+	if w.gateways[0].gateway.endpoints.inFlight != 1 {
 		t.Error("the class's new effect is not in force")
 	}
 	w.finishAll(0)
 	w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: "new class", Customer: "d", Class: 1, Deadline: w.now + second, Units: 1, Spread: 1})
-	if w.gateways[0].gateway.pool.inFlight != 1 {
+	if w.gateways[0].gateway.endpoints.inFlight != 1 {
 		t.Error("the added class is not served")
 	}
 }
--- a/logic/requests_test.go
+++ b/logic/requests_test.go
@@ -72,7 +72,7 @@
 		w.arrive(0, "poison", 2)
 		w.arrive(0, "good", 1)
 		w.advance(800*ms, true)
-		for _, h := range w.gateways[0].gateway.pool.all {
+		for _, h := range w.gateways[0].gateway.endpoints.all {
 			for len(h.inFlight) > 0 {
 				res := gateway.TimedOut
 				if strings.HasPrefix(h.inFlight[0].request.id, "good") {
@@ -89,10 +89,10 @@
 func TestStall(t *testing.T) {
 	w := newSimulation(1, 4, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 100, 100 })
 	w.arrive(0, "a", 2)
-	limit := w.gateways[0].gateway.pool.limit.Limit()
+	limit := w.gateways[0].gateway.endpoints.limit.Limit()
 	w.now += 2 * second
 	var in []gateway.Event
-	for _, h := range w.gateways[0].gateway.pool.all {
+	for _, h := range w.gateways[0].gateway.endpoints.all {
 		for _, s := range h.inFlight {
 			in = append(in, gateway.Event{Kind: gateway.AttemptEnded, RequestID: s.request.id, Host: h.id, Latency: 2 * second, Closed: true})
 		}
@@ -102,7 +102,7 @@
 			Deadline: w.now + 2*second})
 	}
 	w.deliver(0, in...)
-	w.gateways[0].record("limit moved by %.1f", w.gateways[0].gateway.pool.limit.Limit()-limit)
+	w.gateways[0].record("limit moved by %.1f", w.gateways[0].gateway.endpoints.limit.Limit()-limit)
 	golden.Check(t, w.trace.String())
 }
 
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -14,10 +14,10 @@
 const ms = int64(1e6)
 
 type attempt struct {
-	host    uint32
-	at, due int64
-	called  bool // off
-	skipped bool // never sent: its client had left
+	host           uint32
+	startedAt, due int64
+	called         bool // off
+	skipped        bool // never sent: its client had left
 }
 
 type asked struct { // a request, as the rules see it
@@ -84,14 +84,14 @@
 	case ran == nil:
 	case f.Effect == gateway.NonIdempotent:
 		r.foul(q, "may have run, and is sent again")
-	case f.Effect == gateway.Deduplicated && (r.now > ran.at+f.DedupWindow || f.Group == gateway.SameZone && zone(host) != zone(ran.host) ||
+	case f.Effect == gateway.Deduplicated && (r.now > ran.startedAt+f.DedupWindow || f.Group == gateway.SameZone && zone(host) != zone(ran.host) ||
 		f.Group == gateway.SameCell && cell(host) != cell(ran.host)):
 		r.foul(q, "may have run, and is sent again past its window or group")
 	default:
 		r.repeats++
 	}
 	q.sent++
-	q.out = &attempt{host: host, at: r.now, due: q.until, skipped: q.gone}
+	q.out = &attempt{host: host, startedAt: r.now, due: q.until, skipped: q.gone}
 	if timeout > 0 {
 		q.out.due = min(q.until, r.now+timeout)
 	}
@@ -109,7 +109,7 @@
 		f.Effect == gateway.Deduplicated && f.Group != gateway.AllHosts) {
 		r.foul(q, "may have run, and a repeat is told to be harmless")
 	}
-	if f := r.front; kind == 0 && q.ran != nil && f.Effect == gateway.Deduplicated && r.now > q.ran.at+f.DedupWindow {
+	if f := r.front; kind == 0 && q.ran != nil && f.Effect == gateway.Deduplicated && r.now > q.ran.startedAt+f.DedupWindow {
 		r.foul(q, "may have run, and a repeat is invited past its window")
 	}
 	q.done = true
@@ -156,7 +156,7 @@
 		q.done = true
 		r.finals[2]++
 	}
-	return gateway.Event{Kind: gateway.AttemptEnded, RequestID: q.id, Host: a.host, Attempt: q.sent - 1, Result: res, Latency: r.now - a.at,
+	return gateway.Event{Kind: gateway.AttemptEnded, RequestID: q.id, Host: a.host, Attempt: q.sent - 1, Result: res, Latency: r.now - a.startedAt,
 		Closed: q.done}, true
 }
 
@@ -170,7 +170,7 @@
 	}
 	events := []gateway.Event{list}
 	for n := 0; n < 300 || len(r.reqs) > 0; n++ {
-		g.Round(&gateway.Batch{Now: r.now, Events: events}, r)
+		g.Decide(&gateway.Batch{Now: r.now, Events: events}, r)
 		for _, q := range r.reqs {
 			if q.until <= r.now && !q.done {
 				r.foul(q, "no answer at its deadline")
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -21,19 +21,19 @@
 		list = append(list, gateway.Endpoint{Host: uint32(hosts - i), Weight: 1})
 	}
 	round := func(at int64, events ...gateway.Event) {
-		g.Round(&gateway.Batch{Now: at, Events: events}, w.gateways[0])
+		g.Decide(&gateway.Batch{Now: at, Events: events}, w.gateways[0])
 	}
 	round(second, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete, Endpoints: list})
-	if near := len(g.pool.near); near == 0 || near > hosts/10 {
+	if near := len(g.endpoints.nearby); near == 0 || near > hosts/10 {
 		t.Fatalf("%d of %d hosts are near", near, hosts)
 	}
-	for i, h := range g.pool.all {
-		if i > 0 && h.id <= g.pool.all[i-1].id {
+	for i, h := range g.endpoints.all {
+		if i > 0 && h.id <= g.endpoints.all[i-1].id {
 			t.Fatal("hosts are not in the order of their ids")
 		}
 		if !h.Held {
 			h.inFlight = []*attempt{nil}
-			h.classes = []health{{lastGood: 2 * second, unanswered: 0.2}} // a walk would tell peers of it, or heal it
+			h.health = []health{{lastGood: 2 * second, unansweredFraction: 0.2}} // a walk would tell peers of it, or heal it
 		}
 	}
 	round(2*second, gateway.Event{Kind: gateway.TimerFired}, gateway.Event{Kind: gateway.RequestArrived, RequestID: "a", Customer: "c", Spread: 1,
@@ -45,12 +45,12 @@
 		gossip.Format{Plans: 1, Members: 300}.Decode(body, func(uint64, uint64) bool { return true },
 			func(uint16) { t.Error("a peer is told of a host that is not near") }, nil)
 	}
-	far := g.pool.all[slices.IndexFunc(g.pool.all, func(h *host) bool { return !h.Held })]
-	if g.pool.vouched(far.tag(0)); far.classes[0].unanswered != 0.2 {
+	far := g.endpoints.all[slices.IndexFunc(g.endpoints.all, func(h *endpoint) bool { return !h.Held })]
+	if g.endpoints.clearSuspicion(far.gossipTag(0)); far.health[0].unansweredFraction != 0.2 {
 		t.Error("a peer's message walked to a host that is not near")
 	}
-	if len(g.pool.weighed) != len(g.pool.near) || g.Gauges().Out != 1 {
-		t.Errorf("%d hosts were weighed for a request, %d are near, %d requests are out", len(g.pool.weighed), len(g.pool.near), g.Gauges().Out)
+	if len(g.endpoints.lastWeighed) != len(g.endpoints.nearby) || g.Gauges().Out != 1 {
+		t.Errorf("%d hosts were weighed for a request, %d are near, %d requests are out", len(g.endpoints.lastWeighed), len(g.endpoints.nearby), g.Gauges().Out)
 	}
 }
 
@@ -62,13 +62,13 @@
 	for i := range 1000 {
 		list = append(list, gateway.Endpoint{Host: uint32(i), Weight: 1})
 	}
-	g.Round(&gateway.Batch{Now: second, Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}}}, w.gateways[0])
-	for _, h := range g.pool.near {
-		h.pace = 1000
-		h.of(g.classes[0]).lastAnswer = second
+	g.Decide(&gateway.Batch{Now: second, Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}}}, w.gateways[0])
+	for _, h := range g.endpoints.nearby {
+		h.relativeLatency = 1000
+		h.healthFor(g.classes[0]).lastAnswer = second
 	}
-	c := g.customer(1, 0, 1, 0)
-	if h := g.pool.pick(c, g.classes[0], second, 1, nil); h == nil || h.Held {
+	c := g.customerFor(1, 0, 1, 0)
+	if h := g.endpoints.choose(c, g.classes[0], second, 1, nil); h == nil || h.Held {
 		t.Fatalf("pick gave %v, not a host outside the subset", h)
 	}
 }
@@ -81,16 +81,16 @@
 	for i := range 1000 {
 		list = append(list, gateway.Endpoint{Host: uint32(i), Weight: 1})
 	}
-	g.Round(&gateway.Batch{Now: second, Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}}}, w.gateways[0])
+	g.Decide(&gateway.Batch{Now: second, Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}}}, w.gateways[0])
 	arrival := gateway.Event{Kind: gateway.RequestArrived, RequestID: "a", Customer: "c", Spread: 1, Units: 1, Deadline: 10 * second}
-	g.Round(&gateway.Batch{Now: second, Events: []gateway.Event{arrival}}, w.gateways[0])
-	for _, h := range g.pool.all {
+	g.Decide(&gateway.Batch{Now: second, Events: []gateway.Event{arrival}}, w.gateways[0])
+	for _, h := range g.endpoints.all {
 		if len(h.inFlight) == 0 {
 			h.inFlight = []*attempt{nil}
 		}
 	}
-	g.Round(&gateway.Batch{Now: 2 * second, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, w.gateways[0])
-	if len(g.pool.busyHosts) != 1 {
-		t.Errorf("%d hosts are walked by a tick, 1 has an attempt in flight", len(g.pool.busyHosts))
+	g.Decide(&gateway.Batch{Now: 2 * second, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, w.gateways[0])
+	if len(g.endpoints.busy) != 1 {
+		t.Errorf("%d hosts are walked by a tick, 1 has an attempt in flight", len(g.endpoints.busy))
 	}
 }
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -97,7 +97,7 @@
 // deliver has gateway i handle a batch of events.
 func (w *simulation) deliver(i int, e ...gateway.Event) {
 	s := w.gateways[i]
-	s.gateway.Round(&gateway.Batch{Now: w.now + s.clockOffset, Events: e}, s)
+	s.gateway.Decide(&gateway.Batch{Now: w.now + s.clockOffset, Events: e}, s)
 }
 
 // arrive delivers n requests of customer c to gateway i, of one unit each.
@@ -110,11 +110,11 @@
 
 // finishAttempt ends the first attempt that gateway i has in flight at host h, or at any host if h is 0.
 func (w *simulation) finishAttempt(i int, h uint32, res gateway.Result, closed bool) {
-	for _, x := range w.gateways[i].gateway.pool.all {
+	for _, x := range w.gateways[i].gateway.endpoints.all {
 		if len(x.inFlight) > 0 && (h == 0 || x.id == h) {
 			s := x.inFlight[0]
-			w.deliver(i, gateway.Event{Kind: gateway.AttemptEnded, RequestID: s.request.id, Host: x.id, Attempt: s.n, Result: res,
-				Latency: w.now + w.gateways[i].clockOffset - s.at, Closed: closed})
+			w.deliver(i, gateway.Event{Kind: gateway.AttemptEnded, RequestID: s.request.id, Host: x.id, Attempt: s.number, Result: res,
+				Latency: w.now + w.gateways[i].clockOffset - s.startedAt, Closed: closed})
 			return
 		}
 	}
@@ -122,7 +122,7 @@
 
 // finishAll ends all attempts of gateway i with success.
 func (w *simulation) finishAll(i int) {
-	for w.gateways[i].gateway.pool.inFlight > 0 {
+	for w.gateways[i].gateway.endpoints.inFlight > 0 {
 		w.finishAttempt(i, 0, gateway.Succeeded, true)
 	}
 }
@@ -130,7 +130,7 @@
 // advance lets time pass in ticks. Messages are delivered at once if carry is set, else lost. It returns how many were sent.
 func (w *simulation) advance(t int64, carry bool) (sent int) {
 	for end := w.now + t; w.now < end; {
-		w.now += tickInterval
+		w.now += timerInterval
 		for i, s := range w.gateways {
 			w.deliver(i, gateway.Event{Kind: gateway.TimerFired})
 			sent += len(s.messages)
