--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -121,13 +121,13 @@
 	}
 	// A fleet of one may grow by a document.
 	mayGrow := c.Configuration != nil && s.obj.Get("peer_listen").Exists()
-	if s.err == nil && c.Seat.Gossip && (c.Seat.Count > 1 || mayGrow) {
+	if s.err == nil && c.Membership.Gossip && (c.Membership.Count > 1 || mayGrow) {
 		c.PeerListen = addr("peer_listen", word("peer_listen", "", ""))
 		for i, p := range s.at("peers", gjson.JSON).Array() {
 			c.Peers = append(c.Peers, addr(fmt.Sprintf("peers.%d", i), p.Str))
 		}
-		if len(c.Peers) != c.Seat.Count {
-			fail("peers", fmt.Errorf("%d addresses for %d gateways", len(c.Peers), c.Seat.Count))
+		if len(c.Peers) != c.Membership.Count {
+			fail("peers", fmt.Errorf("%d addresses for %d gateways", len(c.Peers), c.Membership.Count))
 		}
 		if c.Configuration != nil {
 			fail("configuration", distinct(c.Peers))
@@ -183,11 +183,11 @@
 
 // check looks for what a gateway on sockets can't do without, and gives defaults.
 func (s *Settings) check() error {
-	if len(s.Fronts) == 0 || len(s.Plans) == 0 {
+	if len(s.Classes) == 0 || len(s.Plans) == 0 {
 		return errors.New("profiles, plans: one of each wanted at least")
 	}
-	for i, class := range s.Fronts {
-		if err := checkClass(s.FrontNames[i], class); err != nil {
+	for i, class := range s.Classes {
+		if err := checkClass(s.ClassNames[i], class); err != nil {
 			return keyed(elementPath("profiles", i)+": ", err)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -113,8 +113,8 @@
 		if c.Limits.SharedCounter && c.Limits.CounterTimeout == 0 {
 			t.Error("a call of the counter is never given up")
 		}
-		fmt.Fprintf(&all, "%q\n  %+v\n  %+v\n  %+v\n  counter %v, report %+v %q, even %t\n", c.Adjusted, c.Fronts, c.Plans, c.Limits,
-			c.Counter, c.Report, c.ReportNames, c.Even)
+		fmt.Fprintf(&all, "%q\n  %+v\n  %+v\n  %+v\n  counter %v, report %+v %q, even %t\n", c.Adjusted, c.Classes, c.Plans, c.Limits,
+			c.Counter, c.LoadReport, c.ReportNames, c.Even)
 	}
 	golden.Check(t, all.String())
 	for _, x := range []struct{ key, text string }{ // what can't be understood ends the start still
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -60,8 +60,8 @@
 // identify gives each quota plan of the file the identity by which gossip names it. Two plans of one identity could not
 // be told apart by other gateways, nor two request classes of one name by documents.
 func (c *Config) identify() error {
-	classes := make(map[string]bool, len(c.FrontNames))
-	for i, name := range c.FrontNames {
+	classes := make(map[string]bool, len(c.ClassNames))
+	for i, name := range c.ClassNames {
 		if classes[name] {
 			return fmt.Errorf("settings.profiles.%d.name: %w", i, errGivenTwice)
 		}
--- a/internal/config/counterfactual.go
+++ b/internal/config/counterfactual.go
@@ -80,8 +80,8 @@
 		}
 	}
 	switch {
-	case len(s.Peers) != c.Seat.Count:
-		return nil, fmt.Errorf("peers: %d addresses for %d gateways", len(s.Peers), c.Seat.Count)
+	case len(s.Peers) != c.Membership.Count:
+		return nil, fmt.Errorf("peers: %d addresses for %d gateways", len(s.Peers), c.Membership.Count)
 	case len(s.Collectors) == 0:
 		return nil, errors.New("collectors: missing")
 	case !(s.Part > 0 && s.Part <= 1):
@@ -92,7 +92,7 @@
 		return nil, fmt.Errorf("keep_s: %d s is less than grace_ms and two windows", s.Keep)
 	}
 	for i, seat := range s.Collectors {
-		if seat < 0 || seat >= c.Seat.Count {
+		if seat < 0 || seat >= c.Membership.Count {
 			return nil, fmt.Errorf("collectors.%d: no seat %d", i, seat)
 		}
 	}
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -72,9 +72,9 @@
 		live.identities[base.Plans[i].ID] = name
 	}
 	live.plans.commit(&plans)
-	classes := live.classes.edit(len(base.Fronts))
-	for i, name := range base.FrontNames {
-		live.classes.set(&classes, name, base.Fronts[i])
+	classes := live.classes.edit(len(base.Classes))
+	for i, name := range base.ClassNames {
+		live.classes.set(&classes, name, base.Classes[i])
 	}
 	live.unsafeClasses = live.unsafeChange(&classes)
 	live.classes.commit(&classes)
@@ -97,7 +97,7 @@
 		file:            fileSettings{limits: base.Limits, fixedSize: base.Pool != nil},
 	}
 	if base.Pool != nil { // its leases outlive the longest request that the file allows
-		for _, class := range base.Fronts {
+		for _, class := range base.Classes {
 			live.file.longestTimeout = max(live.file.longestTimeout, class.Timeout)
 		}
 	}
--- a/internal/config/live_members.go
+++ b/internal/config/live_members.go
@@ -32,9 +32,9 @@
 
 func newMembers(base *Config) members {
 	return members{
-		own:       base.Seat.Index,
-		reachable: !base.Seat.Gossip || base.PeerListen.IsValid(),
-		fileCount: base.Seat.Count,
+		own:       base.Membership.Index,
+		reachable: !base.Membership.Gossip || base.PeerListen.IsValid(),
+		fileCount: base.Membership.Count,
 		file:      base.Peers,
 	}
 }
--- a/internal/config/live_restore.go
+++ b/internal/config/live_restore.go
@@ -20,12 +20,12 @@
 	restored, settings := *base, *base.Settings
 	restored.Settings = &settings
 	settings.PlanNames, settings.Plans = live.plans.inForce()
-	settings.FrontNames, settings.Fronts = live.classes.inForce()
+	settings.ClassNames, settings.Classes = live.classes.inForce()
 	settings.Limits = live.limits
 	settings.Adjusted = slices.Concat(settings.Adjusted, revision.Adjusted)
 	count, addresses := live.members.inForce()
-	settings.Seat.Count = count
-	if settings.Seat.Gossip && base.PeerListen.IsValid() {
+	settings.Membership.Count = count
+	if settings.Membership.Gossip && base.PeerListen.IsValid() {
 		restored.Peers = slices.Clone(addresses)
 	}
 	return &restored, live, nil
--- a/internal/config/live_test.go
+++ b/internal/config/live_test.go
@@ -135,7 +135,7 @@
 	pooled := fleetConfig(t)
 	pooled.Pool = &Pool{}
 	alone := fleetConfig(t)
-	alone.Seat.Index, alone.Seat.Count, alone.Peers = 0, 1, nil
+	alone.Membership.Index, alone.Membership.Count, alone.Peers = 0, 1, nil
 	alone.PeerListen = fleetConfig(t).Listen
 	alone.PeerListen = alone.Counter // the zero address
 	for _, x := range []struct {
@@ -352,7 +352,7 @@
 }
 
 func BenchmarkRestore(b *testing.B) {
-	base := &Config{Settings: &Settings{Seat: gateway.Membership{Count: 1}}}
+	base := &Config{Settings: &Settings{Membership: gateway.Membership{Count: 1}}}
 	changes := changesOf(`classes/lookup {"hard_limit_us":2500}`)
 	for i := range 54_000 {
 		changes = append(changes, changesOf(fmt.Sprintf(`plans/tenant-%d {"rate":2,"burst":4}`, i))...)
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -71,7 +71,7 @@
 		text.Tell = min(text.Lease/10, 100)
 	}
 	target, longest := int64(1<<62), int64(0)
-	for _, f := range c.Fronts {
+	for _, f := range c.Classes {
 		target, longest = min(target, f.LatencyObjective), max(longest, f.Timeout)
 	}
 	if text.Turn == 0 {
@@ -90,7 +90,7 @@
 	const ms = int64(time.Millisecond)
 	p := &Pool{Capacity: text.Capacity, Serial: text.Serial, Weight: text.Weight, Dir: text.Dir,
 		Election: time.Duration(text.Election) * time.Millisecond, Turn: time.Duration(text.Turn) * time.Millisecond,
-		Terms: pool.Terms{Members: c.Seat.Count, Floor: text.Floor, Reserve: text.Reserve, Lease: int64(text.Lease) * ms,
+		Terms: pool.Terms{Members: c.Membership.Count, Floor: text.Floor, Reserve: text.Reserve, Lease: int64(text.Lease) * ms,
 			Drain: longest + int64(text.Lease)*ms, Drift: text.Drift, TargetHold: int64(text.Hold) * ms, ReportInterval: int64(text.Tell) * ms,
 			CloseDelay: int64(text.Rest) * ms},
 		Urgent: make(map[string]bool, len(text.Urgent))}
@@ -102,8 +102,8 @@
 		return nil, fmt.Errorf("weight: %g is not above 0 and up to 1000", text.Weight)
 	case !(text.Drift >= 0 && text.Drift <= 0.2):
 		return nil, fmt.Errorf("drift: %g is not from 0 to 0.2", text.Drift)
-	case text.Floor*c.Seat.Count > text.Capacity-text.Reserve:
-		return nil, fmt.Errorf("floor: %d for each of %d gateways is more than capacity less reserve, %d", text.Floor, c.Seat.Count,
+	case text.Floor*c.Membership.Count > text.Capacity-text.Reserve:
+		return nil, fmt.Errorf("floor: %d for each of %d gateways is more than capacity less reserve, %d", text.Floor, c.Membership.Count,
 			text.Capacity-text.Reserve)
 	case len(text.Voters) != 1 && len(text.Voters) != 3 && len(text.Voters) != 5 && len(text.Voters) != 7:
 		return nil, fmt.Errorf("voters: %d addresses; 1, 3, 5 or 7 wanted", len(text.Voters))
@@ -134,12 +134,12 @@
 		p.Streams = append(p.Streams, a)
 	}
 	for i, s := range text.Seats {
-		if s < 0 || s >= c.Seat.Count || p.VoterIndex(s) >= 0 {
+		if s < 0 || s >= c.Membership.Count || p.VoterIndex(s) >= 0 {
 			return nil, fmt.Errorf("voter_seats.%d: %d is no seat, or a second time one", i, s)
 		}
 		p.Seats = append(p.Seats, s)
 	}
-	if p.VoterIndex(c.Seat.Index) >= 0 {
+	if p.VoterIndex(c.Membership.Index) >= 0 {
 		if p.Dir == "" {
 			return nil, errors.New("dir: missing")
 		}
@@ -147,8 +147,8 @@
 			return nil, fmt.Errorf("listen: %w", err)
 		}
 	}
-	classes := make(map[string]bool, len(c.FrontNames))
-	for _, name := range c.FrontNames {
+	classes := make(map[string]bool, len(c.ClassNames))
+	for _, name := range c.ClassNames {
 		classes[name] = true
 	}
 	for i, name := range text.Urgent {
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -68,7 +68,7 @@
 	limits := gateway.Limits{Hedging: true}
 	for i, raw := range s.get("profiles").Array() {
 		class, name, more, err := DecodeRequestClass(elementPath("profiles", i), raw.Raw, &limits)
-		if err != nil || class != whole.Fronts[i] || name != whole.FrontNames[i] {
+		if err != nil || class != whole.Classes[i] || name != whole.ClassNames[i] {
 			t.Errorf("class %d: %+v %q, %v", i, class, name, err)
 		}
 		adjusted = append(adjusted, more...)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -126,14 +126,14 @@
 
 // Settings is what a deployment tells each of its gateways, on every wire.
 type Settings struct {
-	Seat   gateway.Membership
-	Fronts []gateway.RequestClass
-	Plans  []gateway.Plan
-	Limits gateway.Limits
-	Cold   gateway.SlowStart
-	Report gateway.LoadReportForm
-
-	FrontNames, PlanNames, ReportNames, Zones, Machines []string // by index
+	Membership gateway.Membership
+	Classes    []gateway.RequestClass
+	Plans      []gateway.Plan
+	Limits     gateway.Limits
+	SlowStart  gateway.SlowStart
+	LoadReport gateway.LoadReportForm
+
+	ClassNames, PlanNames, ReportNames, Zones, Machines []string // by index
 	ConnIdle, ConnectTimeout                            int64    // of connections to hosts
 
 	Even     bool         // the list's shares are figures of the moment, no sizes: each host counts as 1
@@ -153,8 +153,8 @@
 	d := &Settings{}
 	s.each("profiles", func(item *settings) {
 		class, name := item.requestClass()
-		d.Fronts = append(d.Fronts, class)
-		d.FrontNames = append(d.FrontNames, name)
+		d.Classes = append(d.Classes, class)
+		d.ClassNames = append(d.ClassNames, name)
 	})
 	var ofPlans []Adjustment
 	s.each("plans", func(item *settings) {
@@ -163,7 +163,7 @@
 		d.PlanNames = append(d.PlanNames, name)
 		ofPlans = append(ofPlans, adjusted...)
 	})
-	d.Seat = gateway.Membership{
+	d.Membership = gateway.Membership{
 		Index: s.whole("position"), Count: s.whole("balancers"), Zone: s.whole("locality"),
 		Gossip: s.yes("limits.peer_messages"), MessageRate: s.num("family_info.mail_per_s"),
 	}
@@ -175,20 +175,20 @@
 		SettlesUnits:  s.yes("family_info.settles"), SharedCounter: s.yes("family_info.shared_counter"),
 		CounterTimeout: s.time("family_info.count_wait_us"),
 	}
-	d.Cold = gateway.SlowStart{
+	d.SlowStart = gateway.SlowStart{
 		InitialFraction: s.num("rules.start_capacity"), Duration: s.time("rules.warm_up_us"),
 		OverloadFactor: s.num("rules.fall_multiple"), OverloadWindow: s.time("rules.fall_us"),
 	}
 	how := s.word("report.how", "off", "inline", "on_probe")
-	d.Report = gateway.LoadReportForm{WithAnswers: how == 1, WithProbes: how == 2}
+	d.LoadReport = gateway.LoadReportForm{WithAnswers: how == 1, WithProbes: how == 2}
 	d.ReportNames, d.Zones, d.Machines = s.names("report.names"), s.names("zones"), s.names("skus")
 	for _, name := range d.ReportNames {
-		d.Report.Fields = append(d.Report.Fields, field(name))
+		d.LoadReport.Fields = append(d.LoadReport.Fields, field(name))
 	}
 	d.Even = s.word("weights", "off", "nominal", "rough", "live") == 3
 	d.ConnIdle, d.ConnectTimeout = s.time("limits.conn_idle_us"), s.time("limits.connect_timeout_us")
-	if s.err == nil && (d.Seat.Count < 1 || d.Seat.Index >= d.Seat.Count) {
-		s.err = fmt.Errorf("position: %d is not below balancers", d.Seat.Index)
+	if s.err == nil && (d.Membership.Count < 1 || d.Membership.Index >= d.Membership.Count) {
+		s.err = fmt.Errorf("position: %d is not below balancers", d.Membership.Index)
 	}
 	d.shape(s, ofPlans)
 	return d, s.err
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -41,21 +41,21 @@
 	if s.Limits.SettlesUnits {
 		s.adjust("family_info.settles", "quotas go by the units that a req tells: those that its answer settles are not taken in")
 	}
-	if s.Report.WithProbes && raw.says("limits.probes", "false") {
+	if s.LoadReport.WithProbes && raw.says("limits.probes", "false") {
 		s.adjust("report.how", "as off: limits.probes is false, so that no report comes")
-		s.Report, s.ReportNames = gateway.LoadReportForm{}, nil
+		s.LoadReport, s.ReportNames = gateway.LoadReportForm{}, nil
 	}
 	if raw.says("report.how", "off") && len(s.ReportNames) > 0 {
 		s.adjust("report.names", "ignored: report.how is off")
-		s.Report, s.ReportNames = gateway.LoadReportForm{}, nil
+		s.LoadReport, s.ReportNames = gateway.LoadReportForm{}, nil
 	}
 	s.Adjusted = append(s.Adjusted, ofPlans...)
 	index := 0
 	raw.each("profiles", func(item *settings) {
-		s.Adjusted = append(s.Adjusted, item.shapeClass(&s.Fronts[index], &s.Limits)...)
+		s.Adjusted = append(s.Adjusted, item.shapeClass(&s.Classes[index], &s.Limits)...)
 		index++
 	})
-	s.repeated("profiles", s.FrontNames)
+	s.repeated("profiles", s.ClassNames)
 	s.repeated("plans", s.PlanNames)
 }
 
--- a/internal/config/start_test.go
+++ b/internal/config/start_test.go
@@ -88,11 +88,11 @@
 		if err != nil {
 			t.Fatalf("draw %d: %v\n%s", i, err, text)
 		}
-		g := logic.New(c.Seed, c.Seat, c.Fronts, c.Plans, c.Limits, c.Cold, c.Report)
+		g := logic.New(c.Seed, c.Membership, c.Classes, c.Plans, c.Limits, c.SlowStart, c.LoadReport)
 		round := gateway.Batch{Now: 1e9, Events: []gateway.Event{{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached, Endpoints: []gateway.Endpoint{{Host: 1, State: gateway.Running, Weight: 1}, {Host: 2, State: gateway.Running, StartedAt: 9e8}}}}}
-		for f := range c.Fronts {
+		for f := range c.Classes {
 			for p := range c.Plans {
-				round.Events = append(round.Events, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(f, p), Customer: "0000000000000001", Class: f, Plan: p, Deadline: 1e9 + c.Fronts[f].Timeout,
+				round.Events = append(round.Events, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(f, p), Customer: "0000000000000001", Class: f, Plan: p, Deadline: 1e9 + c.Classes[f].Timeout,
 					Units: 1, Spread: 1 + r.IntN(n), FirstGateway: r.IntN(n)})
 			}
 		}
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -58,7 +58,7 @@
 		set(cfg)
 	}
 	l.config = config.NewLive(cfg)
-	l.node = New(cfg, logic.New(cfg.Seed, cfg.Seat, cfg.Fronts, cfg.Plans, cfg.Limits, cfg.Cold, cfg.Report))
+	l.node = New(cfg, logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport))
 	serving := make(chan string, 1)
 	log.SetOutput(logWriter(func(line string) {
 		if _, rest, found := strings.Cut(line, "event=serving name= listen="); found {
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -50,7 +50,7 @@
 	}()
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100,
 		Known: fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, r.at),
-		Settings: &config.Settings{Seat: gateway.Membership{Count: 1}, Fronts: []gateway.RequestClass{{}}, FrontNames: []string{"lookup"},
+		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}}, ClassNames: []string{"lookup"},
 			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 20e9, Limits: gateway.Limits{PollEndpoints: true}}}
 	r.Node = New(cfg, r)
 
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -50,7 +50,7 @@
 	}
 	defer l.Close()
 	m := &eager{}
-	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Seat: gateway.Membership{Count: 1}, Fronts: []gateway.RequestClass{{}},
+	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
 		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
 	arrive := func(id string) *clients.Answer {
@@ -133,8 +133,8 @@
 	defer l.Close()
 	m := &eager{}
 	for _, effect := range []gateway.Effect{gateway.Idempotent, gateway.Deduplicated} {
-		n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Seat: gateway.Membership{Count: 1},
-			Fronts: []gateway.RequestClass{{Effect: effect, DedupWindow: 1}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
+		n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1},
+			Classes: []gateway.RequestClass{{Effect: effect, DedupWindow: 1}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 		n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
 		n.arrive(new(clients.Line).Add(), n.now(), "r", "c", 0, 0, n.now()+1e12, 1, 1, 0, false, nil, nil, nil, nil)
 		n.turn()
@@ -170,8 +170,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := &eager{}
-			n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Seat: gateway.Membership{Count: 1},
-				Fronts: []gateway.RequestClass{{Effect: gateway.Deduplicated, DedupWindow: window}}, Plans: []gateway.Plan{{}},
+			n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1},
+				Classes: []gateway.RequestClass{{Effect: gateway.Deduplicated, DedupWindow: window}}, Plans: []gateway.Plan{{}},
 				ConnectTimeout: 1e9}}, m)
 			n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
 			n.arrive(new(clients.Line).Add(), n.now(), "r", "c", 0, 0, n.now()+1e12, 1, 1, 0, false, nil, nil, nil, nil)
@@ -201,7 +201,7 @@
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
 	m := &eager{}
-	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Seat: gateway.Membership{Count: 1}, Fronts: []gateway.RequestClass{{}},
+	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
 		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:1"))
 	arrive := func(id string) *clients.Answer {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -105,7 +105,7 @@
 	}
 	system, clock := platform.Sockets, platform.Clock
 	n := &Node{cfg: cfg, module: module, work: make(chan func(), inbox), system: system, clock: clock, over: make(chan struct{}),
-		classes: slices.Clone(cfg.Fronts), reqs: map[string]*req{}, book: discovery.NewBook(cfg.Zones, cfg.Machines)}
+		classes: slices.Clone(cfg.Classes), reqs: map[string]*req{}, book: discovery.NewBook(cfg.Zones, cfg.Machines)}
 	n.book.Even = cfg.Even
 	n.unix = clock.Wall().UnixNano() - int64(clock.Monotonic())
 	n.catalog = clients.NewCatalog(catalogOf(cfg))
@@ -124,15 +124,15 @@
 // catalogOf lists what commands name.
 func catalogOf(cfg *config.Config) clients.CatalogConfig {
 	catalog := clients.CatalogConfig{
-		Classes:  cfg.FrontNames,
-		Effects:  make([]gateway.Effect, 0, len(cfg.Fronts)),
+		Classes:  cfg.ClassNames,
+		Effects:  make([]gateway.Effect, 0, len(cfg.Classes)),
 		Plans:    cfg.PlanNames,
 		MaxUnits: make([]float64, 0, len(cfg.Plans)),
-		Members:  cfg.Seat.Count,
-		Own:      cfg.Seat.Index,
+		Members:  cfg.Membership.Count,
+		Own:      cfg.Membership.Index,
 	}
-	for i := range cfg.Fronts {
-		catalog.Effects = append(catalog.Effects, cfg.Fronts[i].Effect)
+	for i := range cfg.Classes {
+		catalog.Effects = append(catalog.Effects, cfg.Classes[i].Effect)
 	}
 	for i := range cfg.Plans {
 		catalog.MaxUnits = append(catalog.MaxUnits, maxUnits(&cfg.Plans[i]))
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -44,7 +44,7 @@
 	log.SetOutput(w)
 	t.Cleanup(func() { log.SetOutput(os.Stderr) })
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100,
-		Settings: &config.Settings{Seat: gateway.Membership{Count: 1}, Fronts: []gateway.RequestClass{{}}, FrontNames: []string{"lookup"},
+		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}}, ClassNames: []string{"lookup"},
 			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 1e9}}
 	call, over := make(chan struct{}), make(chan error, 1)
 	n := New(cfg, m)
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	end = client.Close
-	if index := cfg.VoterIndex(n.cfg.Seat.Index); index >= 0 {
+	if index := cfg.VoterIndex(n.cfg.Membership.Index); index >= 0 {
 		var voter *pooler.Voter
 		err := claim("pool.listen", cfg.Listen, stop, func() (err error) {
 			voter, err = pooler.StartVoter(cfg, index)
@@ -51,14 +51,14 @@
 	}
 	now := n.now()
 	p := &connectionQuota{node: n, client: client, lastLog: now,
-		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Seat.Index, uint64(n.unix), cfg.Weight, cfg.Serial, cfg.Capacity, now)}
-	for index, name := range n.cfg.FrontNames {
+		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Membership.Index, uint64(n.unix), cfg.Weight, cfg.Serial, cfg.Capacity, now)}
+	for index, name := range n.cfg.ClassNames {
 		p.addClass(index, name)
 	}
 	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.Turn, p.leaseholder.Allowed, p.leaseholder.AddRejected)
 	n.pool = p
 	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
-	log.Printf("event=pool_on seat=%d floor=%d capacity=%d voters=%d", n.cfg.Seat.Index, cfg.Terms.Floor, cfg.Capacity, len(cfg.Voters))
+	log.Printf("event=pool_on seat=%d floor=%d capacity=%d voters=%d", n.cfg.Membership.Index, cfg.Terms.Floor, cfg.Capacity, len(cfg.Voters))
 	return end, nil
 }
 
--- a/internal/node/witness.go
+++ b/internal/node/witness.go
@@ -35,12 +35,12 @@
 		return func() {}, nil
 	}
 	var targets []int64
-	for _, f := range n.cfg.Fronts {
+	for _, f := range n.cfg.Classes {
 		targets = append(targets, f.LatencyObjective)
 	}
 	var task *observer.Observer
 	err = claim("counterfactual", n.cfg.Counterfactual.Listen, stop, func() (err error) {
-		task, err = observer.Open(n.cfg.Counterfactual, n.cfg.Seat.Index, n.cfg.Seat.Zone, n.cfg.Seat.Count, n.cfg.FrontNames, targets)
+		task, err = observer.Open(n.cfg.Counterfactual, n.cfg.Membership.Index, n.cfg.Membership.Zone, n.cfg.Membership.Count, n.cfg.ClassNames, targets)
 		return err
 	})
 	if err != nil {
--- a/internal/program/configuration.go
+++ b/internal/program/configuration.go
@@ -30,7 +30,7 @@
 		cfg, live, err := config.Restore(file, held.Changes())
 		if err == nil {
 			log.Printf("event=configuration_held version=%d plans=%d classes=%d members=%d", held.Version(), len(cfg.Plans),
-				len(cfg.Fronts), cfg.Seat.Count)
+				len(cfg.Classes), cfg.Membership.Count)
 			return &following{platform: platform, cfg: cfg, live: live, held: held}
 		}
 		logRefused(held.Version(), err)
@@ -58,7 +58,7 @@
 	s := subscriber.Start(subscriber.Config{
 		Publishers:  f.cfg.Configuration.Publishers,
 		Dir:         dir,
-		Member:      f.cfg.Seat.Index,
+		Member:      f.cfg.Membership.Index,
 		Name:        f.cfg.Name,
 		Incarnation: incarnation,
 		Clock:       f.platform.Clock,
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -49,7 +49,7 @@
 			log.Printf("event=stopping_already") // its end is near and has its time: a second call must not lose what is open
 		}
 	}()
-	n := node.NewOn(platform, cfg, logic.New(cfg.Seed, cfg.Seat, cfg.Fronts, cfg.Plans, cfg.Limits, cfg.Cold, cfg.Report))
+	n := node.NewOn(platform, cfg, logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport))
 	if follows != nil {
 		follows.node = n
 		n.WhileRunning(follows.start)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -126,8 +126,8 @@
 		if err != nil {
 			return fmt.Errorf("POWER_ON: env: %w", err)
 		}
-		h.seats[h.id] = &instance{decider: h.start(seed, s.Seat, s.Fronts, s.Plans, s.Limits, s.Cold, s.Report),
-			fronts: len(s.Fronts), plans: len(s.Plans), seats: s.Seat.Count, even: s.Even}
+		h.seats[h.id] = &instance{decider: h.start(seed, s.Membership, s.Classes, s.Plans, s.Limits, s.SlowStart, s.LoadReport),
+			fronts: len(s.Classes), plans: len(s.Plans), seats: s.Membership.Count, even: s.Even}
 		h.round()
 		return nil
 	}
--- a/lab/fleetsim/sim.go
+++ b/lab/fleetsim/sim.go
@@ -308,8 +308,8 @@
 	for _, g := range s.gateways {
 		gauges := g.module.Gauges()
 		s.report.Limit += gauges.Limit
-		s.report.InFlight += float64(gauges.Out)
-		s.report.Lateness += gauges.Late
+		s.report.InFlight += float64(gauges.InFlight)
+		s.report.Lateness += gauges.Lateness
 	}
 }
 
--- a/lab/rollout/hollow/follower.go
+++ b/lab/rollout/hollow/follower.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	f.module = logic.New(f.cfg.Seed, f.cfg.Seat, f.cfg.Fronts, f.cfg.Plans, f.cfg.Limits, f.cfg.Cold, f.cfg.Report)
+	f.module = logic.New(f.cfg.Seed, f.cfg.Membership, f.cfg.Classes, f.cfg.Plans, f.cfg.Limits, f.cfg.SlowStart, f.cfg.LoadReport)
 	f.held = held.Version()
 	f.inForce.Store(uint64(f.held))
 	f.subscriber = subscriber.Start(subscriber.Config{
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -75,8 +75,8 @@
 func NewHollow(configuration *config.Config, outside Outside, now int64) *Hollow {
 	h := &Hollow{outside: outside, configuration: configuration, now: now, attempts: map[string]int{}}
 	h.form = messageForm(configuration)
-	h.module = logic.New(configuration.Seed, configuration.Seat, configuration.Fronts, configuration.Plans,
-		configuration.Limits, configuration.Cold, configuration.Report)
+	h.module = logic.New(configuration.Seed, configuration.Membership, configuration.Classes, configuration.Plans,
+		configuration.Limits, configuration.SlowStart, configuration.LoadReport)
 	h.book = discovery.NewBook(configuration.Zones, configuration.Machines)
 	h.book.Even = configuration.Even
 	run := func(work func()) { work() }
@@ -98,7 +98,7 @@
 }
 
 // Index is the gateway's member index.
-func (h *Hollow) Index() int { return h.configuration.Seat.Index }
+func (h *Hollow) Index() int { return h.configuration.Membership.Index }
 
 // Customers is how many customers the gateway has a record of.
 func (h *Hollow) Customers() int { return h.module.Gauges().Customers }
--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	if s.post, err = peers.Open(sockets.Kernel{}, c.PeerListen, c.Peers, messageForm(c)); err != nil {
-		return nil, fmt.Errorf("hollow gateway %d: %w", c.Seat.Index, err)
+		return nil, fmt.Errorf("hollow gateway %d: %w", c.Membership.Index, err)
 	}
 	h := NewHollow(c, s, s.now())
 	s.hollow = h
@@ -152,7 +152,7 @@
 
 func (s *Served) request() {
 	s.requests++
-	seats := s.hollow.configuration.Seat.Count
+	seats := s.hollow.configuration.Membership.Count
 	// A customer's name and first gateway are those that lab/standin gives it.
 	name := fmt.Sprintf("%08x%08x", s.load.Seed&1, s.random.IntN(s.load.Customers)+1)
 	first := int(standin.Uniform("first", name, strconv.FormatUint(s.load.Seed, 16)) * float64(seats))
--- a/lab/spreadsim/day.go
+++ b/lab/spreadsim/day.go
@@ -47,7 +47,7 @@
 	Work            time.Duration // mean of a req's exponential time
 	Length          time.Duration
 	Steps           []Step
-	Rule            func(seat, seats int, hosts []spread.Host) []int // nil: the module's own
+	Rule            func(seat, seats int, hosts []spread.Endpoint) []int // nil: the module's own
 }
 
 const (
@@ -201,12 +201,12 @@
 	if g.w.day.Rule == nil {
 		return
 	}
-	var hosts []spread.Host
+	var hosts []spread.Endpoint
 	var ids []uint32
 	held := map[uint32]bool{}
 	for _, h := range g.w.hosts {
 		if g.knows[h.id] {
-			hosts, ids = append(hosts, spread.Host{Hash: mix(uint64(h.id) + 1), Weight: h.weight}), append(ids, h.id)
+			hosts, ids = append(hosts, spread.Endpoint{Hash: mix(uint64(h.id) + 1), Weight: h.weight}), append(ids, h.id)
 		}
 	}
 	for _, i := range g.w.day.Rule(g.i, g.w.day.Gateways, hosts) {
--- /dev/null
+++ b/limit/limiter.go
@@ -0,0 +1,95 @@
+// Package limit bounds the attempts that one gateway has in flight, so that they can be answered in time: by additive increase and
+// multiplicative decrease (AIMD; Chiu and Jain, 1989) on the lateness of answers, and at once where endpoints report that they have
+// capacity left.
+package limit
+
+const (
+	MaxLateness          = 0.35 // mean fraction of the latency objective that answers may take before the limit is decreased
+	UtilizationObjective = 0.85 // utilization that the limit lets the fleet reach where endpoints report it
+
+	increase = 0.05 // fraction of its start by which the limit grows in a round trip while it is reached
+	decrease = 0.85 // factor of the limit, applied once in as long as answers may take
+	minLimit = 0.05 // attempts; a utilization below it counts as this much
+
+	maxLatenessWindow = 16       // answers over which the mean lateness is taken, at most
+	utilizationWeight = 1.0 / 8  // of a report in the mean utilization
+	inFlightWeight    = 1.0 / 16 // of an answer in the mean number in flight
+)
+
+// Limiter is the limit of one gateway. Set Start, what an endpoint adds to it at first, then call SetEndpoints.
+type Limiter struct {
+	Start float64 // attempts
+
+	endpoints        int
+	limit            float64 // attempts
+	lateness         float64 // mean fraction of the latency objective that answers take
+	meanInFlight     float64 // attempts, as seen by answers
+	utilization      float64 // mean of the reports
+	utilizationKnown bool
+	lastDecrease     int64 // ns
+}
+
+// SetEndpoints sets how many endpoints there are now: the limit follows in proportion.
+func (l *Limiter) SetEndpoints(count int) {
+	if l.endpoints == 0 {
+		l.limit = l.Start * float64(count)
+	} else {
+		l.limit *= float64(count) / float64(l.endpoints)
+	}
+	l.endpoints = count
+}
+
+// Allows reports whether one more attempt may start beside those in flight, within a fraction of the limit. random is a random
+// number from 0 to 1 by which one more may start: requests arrive in random clusters, and a limit under one is a probability. A
+// fraction that is not a number limits nothing.
+func (l *Limiter) Allows(inFlight int, fraction, random float64) bool {
+	limit := l.limit * fraction
+	exceeded := float64(inFlight+1) > limit+random*(1+min(limit, 1))
+	return !exceeded
+}
+
+// ObserveAnswer takes in an answer that came a latency after its attempt started, with the objective of its class, both in
+// nanoseconds, and the utilization that the endpoint reported with it, below 0 for none.
+func (l *Limiter) ObserveAnswer(latency, objective, now int64, inFlight int, utilization float64) {
+	late := min(float64(latency)/float64(objective), 1)
+	l.lateness += (late - l.lateness) / min(2+l.limit, maxLatenessWindow)
+	if utilization >= 0 {
+		l.observeUtilization(min(utilization, 1), inFlight)
+	}
+	l.meanInFlight += (float64(inFlight) - l.meanInFlight) * inFlightWeight
+	if l.lateness > MaxLateness {
+		l.decreaseOnce(now, int64(MaxLateness*float64(objective)))
+		return
+	}
+	if float64(inFlight+2) > l.limit {
+		l.limit += min(l.limit, increase*l.Start*float64(l.endpoints)/l.limit)
+	}
+	if l.utilizationKnown && l.utilization < UtilizationObjective {
+		l.limit = max(l.limit, l.meanInFlight*UtilizationObjective/max(l.utilization, minLimit))
+	}
+}
+
+// observeUtilization takes in a report. The first one stands for what came before it.
+func (l *Limiter) observeUtilization(utilization float64, inFlight int) {
+	if !l.utilizationKnown {
+		l.utilizationKnown = true
+		l.utilization = utilization
+		l.meanInFlight = float64(inFlight)
+	}
+	l.utilization += (utilization - l.utilization) * utilizationWeight
+}
+
+// decreaseOnce decreases the limit, once in an interval.
+func (l *Limiter) decreaseOnce(now, interval int64) {
+	if now-l.lastDecrease < interval {
+		return
+	}
+	l.limit = max(minLimit, l.limit*decrease)
+	l.lastDecrease = now
+}
+
+// Limit returns the limit in attempts.
+func (l *Limiter) Limit() float64 { return l.limit }
+
+// Lateness returns the mean fraction of the latency objective that answers take.
+func (l *Limiter) Lateness() float64 { return l.lateness }
--- a/logic/quota_test.go
+++ b/logic/admission_test.go
@@ -23,8 +23,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestDebt: two gateways spend a burst each before they hear: one half burst of debt, then refill.
-func TestDebt(t *testing.T) {
+// TestDebtIsBounded: two gateways spend a burst each before they hear: one half burst of debt, then refill.
+func TestDebtIsBounded(t *testing.T) {
 	w := newSimulation(2, 4, nil)
 	w.arrive(0, "a", 10)
 	w.arrive(1, "a", 10)
@@ -40,8 +40,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestSilence: no peer heard for four intervals: half of rate and burst; heard again: all.
-func TestSilence(t *testing.T) {
+// TestCopyWithoutPeersKeepsItsShare: no peer heard for four intervals: half of rate and burst; heard again: all.
+func TestCopyWithoutPeersKeepsItsShare(t *testing.T) {
 	w := newSimulation(2, 4, nil)
 	w.advance(second, true)
 	w.advance(2*second, false)
@@ -55,8 +55,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestCeiling: half the ceiling each; a started gateway owns nothing yet.
-func TestCeiling(t *testing.T) {
+// TestCeilingIsSplitAmongGateways: half the ceiling each; a started gateway owns nothing yet.
+func TestCeilingIsSplitAmongGateways(t *testing.T) {
 	w := newSimulation(2, 4, func(w *simulation) {
 		w.plans[0] = gateway.Plan{Rate: 100, Burst: 100, CeilingRate: 8, CeilingBurst: 8, PriorityWeight: 1}
 	})
@@ -70,8 +70,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestOpenCap: no more out than the plan's cap, and fewer when a peer admits much.
-func TestOpenCap(t *testing.T) {
+// TestConcurrencyCapIsEstimated: no more out than the plan's cap, and fewer when a peer admits much.
+func TestConcurrencyCapIsEstimated(t *testing.T) {
 	w := newSimulation(2, 4, func(w *simulation) { w.plans[0].MaxInFlight, w.plans[0].Rate, w.plans[0].Burst = 2, 100, 100 })
 	w.arrive(0, "a", 3)
 	w.finishAll(0)
@@ -84,8 +84,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestWorth: near the limit, the class that earns less for its time is denied first.
-func TestWorth(t *testing.T) {
+// TestLowValueIsShedFirst: near the limit, the class that earns less for its time is denied first.
+func TestLowValueIsShedFirst(t *testing.T) {
 	w := newSimulation(1, 2, func(w *simulation) {
 		w.plans[0].Rate, w.plans[0].Burst = 1000, 1000
 		w.classes = append(w.classes, gateway.RequestClass{LatencyObjective: 800 * ms, Value: 5})
@@ -99,8 +99,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestGreed: a customer that asks five times its rate at 100 gateways, with totals a second old.
-func TestGreed(t *testing.T) {
+// TestDemandRatioLowersSpendableLevel: a customer that asks five times its rate at 100 gateways, with totals a second old.
+func TestDemandRatioLowersSpendableLevel(t *testing.T) {
 	w := newSimulation(100, 100, nil)
 	said := ""
 	for s := range 8 {
@@ -117,8 +117,8 @@
 	golden.Check(t, said)
 }
 
-// TestTally: each deny is counted under its reason, each send once.
-func TestTally(t *testing.T) {
+// TestDecisionCounts: each deny is counted under its reason, each send once.
+func TestDecisionCounts(t *testing.T) {
 	w := newSimulation(1, 2, nil)
 	w.arrive(0, "a", 12) // a burst of 10: two lack the units
 	g := w.gateways[0].gateway
@@ -126,20 +126,20 @@
 		t.Fatalf("tally %q, want %q", got, want)
 	}
 	w.finishAttempt(0, 0, gateway.Unreachable, false) // never ran: sent again, not denied
-	if x := g.Gauges(); x.Passed != 10 || x.Denied != [Reasons]int{ByQuota: 2} || x.Out != 10 {
+	if x := g.Gauges(); x.Admitted != 10 || x.Rejected != [Reasons]int{OverQuota: 2} || x.InFlight != 10 {
 		t.Fatalf("after a dispatch that never ran: %+v", x)
 	}
 	for k := 0; g.endpoints.inFlight > 0 && k < 40; k++ { // every attempt fails: each request ends denied, once
 		w.finishAttempt(0, 0, gateway.Errored, false)
 	}
-	if x := g.Gauges(); x.Passed != 10 || x.Denied != [Reasons]int{ByQuota: 2, ByFailure: 10} || x.Reqs != 0 {
+	if x := g.Gauges(); x.Admitted != 10 || x.Rejected != [Reasons]int{OverQuota: 2, AttemptFailed: 10} || x.OpenRequests != 0 {
 		t.Fatalf("after failures: %+v", x)
 	}
 }
 
-// TestCutOff: in incident i4c236e 39 gateways heard nobody for 10 s. A thirtieth of a burst is less than a request, so that
+// TestPeersCutOff: in incident i4c236e 39 gateways heard nobody for 10 s. A thirtieth of a burst is less than a request, so that
 // copies which could hold no more denied everyone, whatever their part of the rate.
-func TestCutOff(t *testing.T) {
+func TestPeersCutOff(t *testing.T) {
 	w := newSimulation(30, 4, nil)
 	w.arrive(0, "a", 1)
 	w.finishAll(0)
@@ -163,9 +163,9 @@
 	w.deliver(i, gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: res, CounterTotal: total, Latency: 5 * ms})
 }
 
-// TestCounter: a plan with an open cap and no rate asks the counter; without an answer the guess decides, and a counter
+// TestSharedCounterDecidesCap: a plan with an open cap and no rate asks the counter; without an answer the guess decides, and a counter
 // that stays silent is left alone for a second. What was admitted leaves no debt behind: there is no store.
-func TestCounter(t *testing.T) {
+func TestSharedCounterDecidesCap(t *testing.T) {
 	w := newSimulation(2, 4, func(w *simulation) {
 		w.plans[0] = gateway.Plan{MaxInFlight: 2, PriorityWeight: 1, OverQuotaCost: 0.5}
 		w.limits.SharedCounter, w.limits.CounterTimeout = true, 50*ms
@@ -195,9 +195,9 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestCut: the network between 100 gateways is cut under a customer that asks four times its rate: what they send on while
+// TestPartitionIsPresumedFromSilence: the network between 100 gateways is cut under a customer that asks four times its rate: what they send on while
 // nobody is heard stays near what it was. Copies refilled at the full rate and sent on all that was asked, 38% beyond quotas.
-func TestCut(t *testing.T) {
+func TestPartitionIsPresumedFromSilence(t *testing.T) {
 	w := newSimulation(100, 400, nil)
 	var all strings.Builder
 	n := 0
--- a/logic/options_test.go
+++ b/logic/candidates_test.go
@@ -25,7 +25,7 @@
 
 // The chosen host is the first of the options; their chances add up to one; over customers each host with a chance is
 // chosen as often as that says, and what the Witness is told changes no decision.
-func TestConsidered(t *testing.T) {
+func TestCandidatesOfAnAttempt(t *testing.T) {
 	var picked [2][]uint32
 	for on := range 2 {
 		w := newSimulation(1, 8, nil)
--- /dev/null
+++ b/logic/endpoint_poll.go
@@ -0,0 +1,40 @@
+package logic
+
+import (
+	"math"
+
+	"ravensill/gateway"
+)
+
+const (
+	firstPollPause   = int64(3e8) // before a lost list is polled again
+	maxPollPauses    = 13         // times that pause at most
+	maxPollDoublings = 5          // failures in a row that double the pause
+)
+
+// schedulePoll sets when a lost endpoint list is polled again: by chance, in pauses that double from call to call, so that a fleet
+// polls at different times and each gateway has its list within 6 s.
+func (g *Gateway) schedulePoll(kind gateway.ListKind) {
+	if kind != gateway.ListUnavailable {
+		g.failedPolls = 0
+		g.nextPoll = math.MaxInt64
+		return
+	}
+	g.failedPolls = min(g.failedPolls+1, maxPollDoublings)
+	if g.failedPolls == 1 {
+		g.lastPoll = g.now
+	}
+	drawn := int64((0.5 + g.random.fraction()) * float64(firstPollPause<<(g.failedPolls-1)))
+	pause := min(drawn, maxPollPauses*firstPollPause)
+	g.nextPoll = max(g.lastPoll+pause, g.now+pause/8)
+}
+
+// pollIfDue polls a lost endpoint list.
+func (g *Gateway) pollIfDue() {
+	if !g.limits.PollEndpoints || g.now < g.nextPoll {
+		return
+	}
+	g.lastPoll = g.now
+	g.nextPoll = math.MaxInt64
+	g.actions.WatchEndpoints()
+}
--- a/logic/hosts_test.go
+++ b/logic/endpoint_test.go
@@ -13,8 +13,8 @@
 	"ravensill/limit"
 )
 
-// TestDrain: nothing new to a draining or removed host, from the round it is told.
-func TestDrain(t *testing.T) {
+// TestNothingNewToDrainingEndpoint: nothing new to a draining or removed host, from the round it is told.
+func TestNothingNewToDrainingEndpoint(t *testing.T) {
 	w := newSimulation(1, 2, nil)
 	w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges,
 		Endpoints: []gateway.Endpoint{{Host: 1, State: gateway.Draining}}})
@@ -24,8 +24,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestColdHost: a started host gets its part of all attempts, by its surely warm part.
-func TestColdHost(t *testing.T) {
+// TestEndpointWarmingUpGetsItsShare: a started host gets its part of all attempts, by its surely warm part.
+func TestEndpointWarmingUpGetsItsShare(t *testing.T) {
 	w := newSimulation(1, 3, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 1000, 1000 })
 	w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges,
 		Endpoints: []gateway.Endpoint{{Host: 3, StartedAt: w.now}}})
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestSilentHost: a host that answers nothing is set aside, what it holds moves, it comes back.
-func TestSilentHost(t *testing.T) {
+// TestSilentEndpointIsEjectedAndReturns: a host that answers nothing is set aside, what it holds moves, it comes back.
+func TestSilentEndpointIsEjectedAndReturns(t *testing.T) {
 	w := newSimulation(2, 2, nil)
 	w.gateways[0].gateway.retryBudget = 10
 	w.arrive(0, "a", 4)
@@ -62,8 +62,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestAllHostsSilent: the cause is shared: they stay in use.
-func TestAllHostsSilent(t *testing.T) {
+// TestAllEndpointsSilentAreStillUsed: the cause is shared: they stay in use.
+func TestAllEndpointsSilentAreStillUsed(t *testing.T) {
 	w := newSimulation(1, 2, nil)
 	w.arrive(0, "a", 2)
 	w.advance(700*ms, true)
@@ -71,8 +71,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestErrors: a host that fails at once looks idle; it must not draw the requests.
-func TestErrors(t *testing.T) {
+// TestErrorsMarkEndpointSuspected: a host that fails at once looks idle; it must not draw the requests.
+func TestErrorsMarkEndpointSuspected(t *testing.T) {
 	w := newSimulation(2, 2, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 1000, 1000 })
 	for range 3 {
 		w.arrive(0, "a", 2)
@@ -83,12 +83,12 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestReplaced: hosts are replaced one by one under new ids: records and the limit stay with those there are.
-func TestReplaced(t *testing.T) {
+// TestReplacedEndpointsAreForgotten: hosts are replaced one by one under new ids: records and the limit stay with those there are.
+func TestReplacedEndpointsAreForgotten(t *testing.T) {
 	w := newSimulation(1, 4, nil)
 	f := &w.gateways[0].gateway.endpoints
-	f.limit = limit.Out{Start: 2.5}
-	f.limit.Hosts(4) // 10, as if learned
+	f.limit = limit.Limiter{Start: 2.5}
+	f.limit.SetEndpoints(4) // 10, as if learned
 	tell := func() {
 		fmt.Fprintf(&w.trace, "%d hosts, limit %.1f\n", len(f.all), f.limit.Limit())
 	}
@@ -108,8 +108,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestSpoilt: a spoilt answer among good ones may have run, and sets nobody aside: they come from any host.
-func TestSpoilt(t *testing.T) {
+// TestMalformedAnswersMarkEndpointSuspected: a spoilt answer among good ones may have run, and sets nobody aside: they come from any host.
+func TestMalformedAnswersMarkEndpointSuspected(t *testing.T) {
 	w := newSimulation(1, 2, nil)
 	w.arrive(0, "a", 1)
 	w.finishAll(0)
@@ -150,10 +150,10 @@
 	}
 }
 
-// TestAskApart: in on_request mode, a fleet that loses the list at once (discovery overbooked) asks again after pauses from
+// TestFleetPollsListAtDifferentTimes: in on_request mode, a fleet that loses the list at once (discovery overbooked) asks again after pauses from
 // call to call that double up to 3.9 s and are drawn by chance, not all in the same tick; a list that comes ends the
 // doubling, and what was still to be asked: the watch that brought it goes on.
-func TestAskApart(t *testing.T) {
+func TestFleetPollsListAtDifferentTimes(t *testing.T) {
 	w := newSimulation(20, 4, func(w *simulation) { w.limits.PollEndpoints = true })
 	lose := func() int64 {
 		for i, s := range w.gateways {
@@ -217,9 +217,9 @@
 	}
 }
 
-// TestFrontHealth: hosts 1 and 2 leave one class's requests unanswered and serve the other (class_fail). Requests of the first
+// TestHealthIsKeptByClass: hosts 1 and 2 leave one class's requests unanswered and serve the other (class_fail). Requests of the first
 // go elsewhere, those of the second still go there, and the time-outs cut no limit.
-func TestFrontHealth(t *testing.T) {
+func TestHealthIsKeptByClass(t *testing.T) {
 	w := newSimulation(1, 4, func(w *simulation) {
 		w.plans[0].Rate, w.plans[0].Burst = 1000, 1000
 		w.classes = append(w.classes, w.classes[0])
@@ -258,8 +258,8 @@
 	}
 }
 
-// TestNewsFirst: a batch of events is decided on all that is known. A drain that follows an arrival in the batch takes effect before it.
-func TestNewsFirst(t *testing.T) {
+// TestListUpdatesAreHandledBeforeRequests: a batch of events is decided on all that is known. A drain that follows an arrival in the batch takes effect before it.
+func TestListUpdatesAreHandledBeforeRequests(t *testing.T) {
 	for k := range 8 {
 		w := newSimulation(1, 2, nil)
 		w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: "r", Customer: fmt.Sprint(k), Units: 1, Spread: 1, Deadline: w.now + second},
@@ -284,7 +284,7 @@
 		slices.Reverse(all)
 		was, n := map[uint32]bool{}, 0
 		for _, h := range s.gateway.endpoints.all {
-			if was[h.id] = h.Held; h.Held {
+			if was[h.id] = h.InSubset; h.InSubset {
 				n++
 				held[h.id]++
 			}
@@ -294,7 +294,7 @@
 		}
 		w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, Endpoints: []gateway.Endpoint{{Host: 40, State: gateway.Gone}}})
 		for _, h := range s.gateway.endpoints.all {
-			if h.Held && !was[h.id] {
+			if h.InSubset && !was[h.id] {
 				came++
 			}
 		}
--- /dev/null
+++ b/logic/gateway.go
@@ -0,0 +1,192 @@
+// Package logic holds all decisions on the path of a request. It does no I/O: Decide takes a batch of events and writes actions.
+//
+// The design (docs/design.md) decides each request's ordinary path. Every gateway holds an undivided copy of each customer's token
+// bucket, refilled at the full rate. What peers admit is gossiped as cumulative counters and subtracted from the copy, down to a
+// bounded debt. A copy without the units rejects. Beside that stand these mechanisms, each in a file of its own:
+//
+//   - request.go: the way of a request, from its arrival to its final answer
+//   - admission.go: whether a request is admitted, the checks in their order
+//   - token_bucket.go: the copy of a customer's bucket
+//   - ceiling.go: this gateway's fraction of a plan's hard ceiling
+//   - concurrency_cap.go: the cap on requests in flight, asked of the shared counter, else estimated
+//   - load_shedding.go: the limit on attempts in flight (package limit); requests of low value give way first
+//   - retry.go: retries, their budget, and until when an answer is waited for
+//   - endpoint_list.go, endpoint_choice.go: the endpoint list, this gateway's subset of it (package spread), and the choice
+//   - slow_start.go: what an endpoint may get while it warms up
+//   - outlier.go: endpoints that fail a request class or fall silent
+//   - gossip_send.go, gossip_receive.go, membership.go: the exchange with peers
+//   - timer.go, endpoint_poll.go, settings.go: what time, a lost endpoint list and new settings bring
+//
+// Times and durations are in nanoseconds of the gateway's clock, units are those of the quotas.
+package logic
+
+import (
+	"slices"
+
+	"ravensill/gateway"
+	"ravensill/internal/gossip"
+)
+
+const (
+	second         = int64(1e9)
+	stallThreshold = second / 10 // with no batch for so long the gateway stood still
+)
+
+// Gateway decides for one gateway. It belongs to one goroutine.
+type Gateway struct {
+	now     int64
+	start   int64 // -1 before the first batch
+	random  *generator
+	actions gateway.Actions // of the batch
+
+	membership gateway.Membership
+	limits     gateway.Limits
+	classes    []*class        // by index
+	plans      []*gateway.Plan // by index; nil: removed
+	byID       map[uint32]int  // indices of the plans by their IDs
+	candidates []gateway.Candidate
+
+	customers    map[uint32]*customer // by the hash of their names
+	requests     map[string]*request
+	counterCalls map[uint64][]*request // of the shared counter, by its number, in order
+	endpoints    endpointSet
+
+	format            gossip.Format
+	gridRows          int     // of the grid that the gateways stand in
+	neighbours        []*peer // the gateways that this one sends to or hears
+	peers             []*peer // by member index; nil: no neighbour
+	nextHops          []*peer // by member index: the neighbour on the way there
+	previousHops      []*peer // by member index: the neighbour on the way from there
+	messageRate       float64 // messages a second to a peer
+	counterAge        float64 // seconds that a counter is old when it comes
+	heartbeatInterval int64   // between messages to a peer that has no news
+	peerTimeout       int64   // with no message for so long, peers are gone
+	partitionTimeout  int64   // with no message for so long, a network partition is suspected
+	lastGossip        int64   // last message of any peer
+	resizedAt         int64   // the fleet's size changed last
+
+	lastTimer       int64
+	nextSweep       int64 // of customers that can be forgotten
+	nextPoll        int64 // of the endpoint list
+	lastPoll        int64 // it was polled, or lost
+	failedPolls     int   // in a row
+	counterRetry    int64 // the shared counter is not asked until then
+	counterFailures int   // calls of it without an answer, in a row
+
+	largestRequest    float64 // units of a request, the most seen
+	meanValue         float64 // of a request for its time
+	retryBudget       float64 // retries of what may have run
+	arrivals          int     // requests since the last timer
+	admitted          int     // requests sent to an endpoint, since the start
+	rejected          [Reasons]int
+	unmatchedCounters int // of peers, dropped for their plan, since the start
+}
+
+// class is a request class, with what was learned of it.
+type class struct {
+	gateway.RequestClass
+	index          int
+	typicalLatency float64 // of its answers, ns
+	typicalUnits   float64 // that its requests ask for
+}
+
+// New returns a gateway that has neither endpoints nor customers yet.
+func New(seed uint64, membership gateway.Membership, classes []gateway.RequestClass, plans []gateway.Plan,
+	limits gateway.Limits, slowStart gateway.SlowStart, report gateway.LoadReportForm) *Gateway {
+	random := generator(seed | 1)
+	g := &Gateway{
+		start:        -1,
+		membership:   membership,
+		limits:       limits,
+		random:       &random,
+		byID:         map[uint32]int{},
+		customers:    map[uint32]*customer{},
+		requests:     map[string]*request{},
+		counterCalls: map[uint64][]*request{},
+	}
+	g.endpoints = endpointSet{
+		random:           g.random,
+		slowStart:        slowStart,
+		memberIndex:      membership.Index,
+		utilizationField: slices.Index(report.Fields, gateway.Utilization),
+	}
+	for i := range classes {
+		g.setClass(&gateway.ClassUpdate{Index: i, Class: classes[i]})
+	}
+	for i := range plans {
+		g.setPlan(&gateway.PlanUpdate{Index: i, Plan: plans[i]})
+	}
+	g.format = gossip.Format{Plans: len(plans), ByID: len(plans) > 0 && plans[0].ID != 0}
+	g.setFleetSize(max(membership.Count, 1))
+	return g
+}
+
+// Decide handles a batch of events and writes the actions that they call for. What waited together is decided on everything that
+// the endpoint list and the peers tell, so these events go first.
+func (g *Gateway) Decide(batch *gateway.Batch, actions gateway.Actions) {
+	stalled := g.enter(batch, actions)
+	for i := range batch.Events {
+		if event := &batch.Events[i]; isNews(event) {
+			g.handleNews(event)
+		}
+	}
+	count := int64(len(batch.Events))
+	for i := range batch.Events {
+		if event := &batch.Events[i]; !isNews(event) {
+			remaining := count - int64(i)
+			g.handle(event, g.now-stalled*remaining/count) // what came during a stall came evenly
+		}
+	}
+}
+
+// enter begins a batch and returns for how long the gateway stood still before it.
+func (g *Gateway) enter(batch *gateway.Batch, actions gateway.Actions) (stalled int64) {
+	sinceLast := batch.Now - g.now
+	g.now = batch.Now
+	g.actions = actions
+	if g.start < 0 {
+		g.start = g.now
+		g.lastGossip = g.now
+		g.lastTimer = g.now
+		g.handleTimer()
+		return 0
+	}
+	if sinceLast <= stallThreshold {
+		return 0
+	}
+	g.endpoints.stallEnd = g.now
+	g.endpoints.stallLength = sinceLast
+	return sinceLast
+}
+
+// isNews reports whether an event tells of endpoints or peers.
+func isNews(event *gateway.Event) bool {
+	return event.Kind == gateway.EndpointsListed || event.Kind == gateway.GossipReceived
+}
+
+func (g *Gateway) handleNews(event *gateway.Event) {
+	if event.Kind == gateway.GossipReceived {
+		g.receiveGossip(event.Peer, event.Message)
+		return
+	}
+	g.endpoints.updateList(event.ListKind, event.Endpoints, g.now)
+	g.schedulePoll(event.ListKind)
+}
+
+// handle handles an event that is no news; arrived is when it came in.
+func (g *Gateway) handle(event *gateway.Event, arrived int64) {
+	switch event.Kind {
+	case gateway.RequestArrived:
+		g.arrive(event, arrived)
+	case gateway.AttemptEnded:
+		g.attemptEnded(event)
+	case gateway.ClientGone:
+		if r := g.requests[event.RequestID]; r != nil {
+			g.close(r)
+		}
+	case gateway.CounterReplied:
+		g.counterReplied(event)
+	case gateway.TimerFired:
+		g.handleTimer()
+	}
+}
--- /dev/null
+++ b/logic/gossip_send.go
@@ -0,0 +1,91 @@
+package logic
+
+import (
+	"cmp"
+	"slices"
+
+	"ravensill/internal/gossip"
+)
+
+const counterScale = 16 // counters are sent in these parts of a unit
+
+// sendGossip sends a peer the counters that changed, as soon as it can take a message, and heartbeats with the tags of endpoints
+// that serve well.
+func (g *Gateway) sendGossip(p *peer, credit float64) {
+	p.credit = min(p.credit+credit, max(g.messageRate, 1))
+	due := g.now >= p.heartbeatDue
+	if !p.sends || p.credit < 1 || !due && len(p.queue) == 0 {
+		return
+	}
+	var tags []uint16
+	if due {
+		p.heartbeatDue = g.now + g.heartbeatInterval
+		tags = g.healthyTags()
+	}
+	p.sentMessages++
+	p.credit--
+	header := g.format.Header(uint64(g.start/1e6), p.sentMessages, tags)
+	g.actions.SendGossip(p.member, g.appendCounters(header, p))
+}
+
+// healthyTags returns the tags of endpoints that have answered a request class well lately, as many as a message holds.
+func (g *Gateway) healthyTags() (tags []uint16) {
+	for _, e := range g.endpoints.nearby {
+		for class, h := range e.health {
+			recent := h.lastGood > 0 && g.now-h.lastGood <= g.heartbeatInterval
+			if recent && h.unansweredFraction < suspicionLimit && len(tags) < gossip.MaxTags {
+				tags = append(tags, e.gossipTag(class))
+			}
+		}
+	}
+	return tags
+}
+
+// appendCounters appends the counters that wait for a peer to a message, those with the most unsent units first, as many as fit.
+func (g *Gateway) appendCounters(message []byte, p *peer) []byte {
+	slices.SortStableFunc(p.queue, func(a, b *subscription) int { return cmp.Compare(b.unsent(), a.unsent()) })
+	for len(p.queue) > 0 {
+		s := p.queue[0]
+		c := s.customer
+		total := uint64(c.counters[p.counter] * counterScale)
+		g.refill(c)
+		owed := g.owed(s, total)
+		entry := g.format.Counter(c.hash, g.planName(c), c.spread, c.firstGateway, total, owed)
+		if owed > 0 || s.unsent() > 0 {
+			if len(message)+len(entry) > gossip.MaxMessageBytes {
+				break
+			}
+			message = append(message, entry...)
+		}
+		s.sentTotal = c.counters[p.counter]
+		s.queued = false
+		p.queue = p.queue[1:]
+	}
+	return message
+}
+
+// planName returns what names a customer's plan in messages: its ID or its index.
+func (g *Gateway) planName(c *customer) uint32 {
+	if g.format.ByID {
+		return c.plan.ID
+	}
+	return uint32(c.planIndex)
+}
+
+// owed is what the copy at a peer has to subtract if the counter is the first that it receives, in parts of a unit.
+func (g *Gateway) owed(s *subscription, total uint64) uint64 {
+	c := s.customer
+	recent := func(at int64) bool { return g.now-at < g.peerTimeout }
+	lack := max(c.plan.Burst-c.level, 0) * counterScale
+	switch {
+	case recent(c.created) && c.created >= g.resizedAt: // a copy there has not heard of it: the whole
+		return total
+	case recent(s.peer.incarnationSeen): // the copy of a new incarnation is full: this gateway's fraction of what is gone
+		return uint64(lack / float64(len(c.subscriptions)))
+	case g.resizedAt > 0 && recent(g.resizedAt): // what was not sent before the fleet's size changed
+		return uint64(s.unsent() * counterScale)
+	case s.sentTotal == 0: // first sent late: what has not been refilled since
+		return min(total, uint64(lack))
+	}
+	return 0
+}
--- a/logic/gossip_test.go
+++ b/logic/gossip_test.go
@@ -8,8 +8,8 @@
 	"ravensill/internal/golden"
 )
 
-// TestPeerRestart: a new incarnation's totals start anew and are not taken for less of the old.
-func TestPeerRestart(t *testing.T) {
+// TestRestartedPeerCountsAnew: a new incarnation's totals start anew and are not taken for less of the old.
+func TestRestartedPeerCountsAnew(t *testing.T) {
 	w := newSimulation(2, 4, nil)
 	w.arrive(1, "a", 8)
 	w.finishAll(1)
@@ -23,8 +23,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestNewLife: a restarted gateway hears from both peers what its full copy lacks, and takes it off once.
-func TestNewLife(t *testing.T) {
+// TestRestartedGatewayHearsWhatIsOwedOnce: a restarted gateway hears from both peers what its full copy lacks, and takes it off once.
+func TestRestartedGatewayHearsWhatIsOwedOnce(t *testing.T) {
 	w := newSimulation(3, 4, func(w *simulation) { w.plans[0].Rate = 1 })
 	w.arrive(0, "a", 8)
 	w.finishAll(0)
@@ -41,8 +41,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestLateFirstTotal: a total that had to wait 3 s for its first message is charged, less what refilled.
-func TestLateFirstTotal(t *testing.T) {
+// TestFirstCounterSentLateIsCharged: a total that had to wait 3 s for its first message is charged, less what refilled.
+func TestFirstCounterSentLateIsCharged(t *testing.T) {
 	w := newSimulation(3, 4, func(w *simulation) { w.plans[0].Rate = 0.5 })
 	w.advance(5*second, true) // no life is young
 	w.arrive(0, "a", 4)
@@ -56,8 +56,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestOwnLinks: gateway 2 starts anew: it alone is told again of the 50 customers.
-func TestOwnLinks(t *testing.T) {
+// TestRestartRepeatsCountersToThatPeerOnly: gateway 2 starts anew: it alone is told again of the 50 customers.
+func TestRestartRepeatsCountersToThatPeerOnly(t *testing.T) {
 	w := newSimulation(3, 4, func(w *simulation) { w.plans[0].Rate = 0.01 })
 	for i := range 50 {
 		w.arrive(0, fmt.Sprint("c", i), 1)
@@ -77,8 +77,8 @@
 	golden.Check(t, fmt.Sprintf("bytes told to each gateway %v\n", told))
 }
 
-// TestBadMail: short, of another version, cut off: dropped without harm.
-func TestBadMail(t *testing.T) {
+// TestMalformedGossipIsDropped: short, of another version, cut off: dropped without harm.
+func TestMalformedGossipIsDropped(t *testing.T) {
 	w := newSimulation(2, 1, nil)
 	w.arrive(1, "a", 4)
 	for w.gateways[1].messages = nil; len(w.gateways[1].messages) == 0; w.now += timerInterval {
@@ -97,8 +97,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestHundreds: 300 gateways: totals reach all of a set in two steps, and none twice.
-func TestHundreds(t *testing.T) {
+// TestCountersReachAllOfThreeHundredGatewaysOnce: 300 gateways: totals reach all of a set in two steps, and none twice.
+func TestCountersReachAllOfThreeHundredGatewaysOnce(t *testing.T) {
 	w := newSimulation(300, 300, func(w *simulation) { w.plans[0].Rate = 0.001 })
 	w.arrive(290, "a", 3)
 	w.arrive(5, "a", 2)
@@ -118,9 +118,9 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestDatagramShare: at 80 gateways every link always has a total to tell, so a gateway sends as many datagrams
+// TestGossipKeepsToItsShare: at 80 gateways every link always has a total to tell, so a gateway sends as many datagrams
 // as its share of the receivers' budget lets it; each is priced. The share is 0.4 of what one takes in.
-func TestDatagramShare(t *testing.T) {
+func TestGossipKeepsToItsShare(t *testing.T) {
 	w := newSimulation(80, 60, nil)
 	sent := 0
 	for k := range 40 { // customers at many gateways, each admitting now and then
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestMailFollowsReqs: a gateway with many requests tells its peers more often than one with few, up to twice.
-func TestMailFollowsReqs(t *testing.T) {
+// TestGossipRateFollowsRequests: a gateway with many requests tells its peers more often than one with few, up to twice.
+func TestGossipRateFollowsRequests(t *testing.T) {
 	var sent []int
 	for _, reqs := range []int{1, 4} { // a tick and gateway: 25 and 100 a second, against 16 messages
 		w := newSimulation(4, 4, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 1000, 1000 })
--- /dev/null
+++ b/logic/metrics.go
@@ -0,0 +1,53 @@
+package logic
+
+import (
+	"fmt"
+	"strings"
+)
+
+// Gauges are figures of what the gateway holds, for metrics and the laboratory; nothing is decided by them.
+type Gauges struct {
+	Limit        float64 // on attempts in flight from here
+	Lateness     float64 // mean fraction of the latency objective that answers take
+	InFlight     int
+	Customers    int
+	OpenRequests int
+	Admitted     int          // requests sent to an endpoint, since the start
+	Rejected     [Reasons]int // requests rejected, since the start
+}
+
+// Gauges returns the present figures.
+func (g *Gateway) Gauges() Gauges {
+	return Gauges{
+		Limit:        g.endpoints.limit.Limit(),
+		Lateness:     g.endpoints.limit.Lateness(),
+		InFlight:     g.endpoints.inFlight,
+		Customers:    len(g.customers),
+		OpenRequests: len(g.requests),
+		Admitted:     g.admitted,
+		Rejected:     g.rejected,
+	}
+}
+
+// Copy returns the level of this gateway's copy of a customer's bucket, in units, as of its last refill, and the units a second
+// that its peers are taken to admit. A customer that it holds no record of is not known.
+func (g *Gateway) Copy(customer string) (level, peerRate float64, known bool) {
+	c := g.customers[hashText(customer)]
+	if c == nil {
+		return 0, 0, false
+	}
+	return c.level, c.peerRate, true
+}
+
+// DecisionCounts returns the decisions since the start as words for the log: passed=N, then the rejections by reason.
+func (g *Gateway) DecisionCounts() string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "passed=%d", g.admitted)
+	for reason, count := range g.rejected {
+		fmt.Fprintf(&text, " %v=%d", Reason(reason), count)
+	}
+	if g.format.ByID {
+		fmt.Fprintf(&text, " totals_unmatched=%d", g.unmatchedCounters)
+	}
+	return text.String()
+}
--- a/logic/chance.go
+++ b/logic/random.go
@@ -2,13 +2,15 @@
 
 import "hash/fnv"
 
-func seconds(t int64) float64 { return float64(t) / float64(second) }
+func seconds(nanoseconds int64) float64 { return float64(nanoseconds) / float64(second) }
 
-// mwc is a multiply-with-carry generator; part a chance number from 0 to 1.
+// generator is a multiply-with-carry generator of random numbers (Marsaglia, 1994).
 type generator uint64
 
+// fraction returns a random number from 0 to 1.
 func (m *generator) fraction() float64 {
-	*m = generator(uint64(uint32(*m))*4294957665 + uint64(*m)>>32)
+	const multiplier = 4294957665
+	*m = generator(uint64(uint32(*m))*multiplier + uint64(*m)>>32)
 	return float64(uint32(*m)) / (1 << 32)
 }
 
@@ -18,7 +20,7 @@
 	return uint32(mix(h.Sum64()))
 }
 
-// mix spreads any change of x over all bits: the finalizer of SplitMix64.
+// mix spreads any change of x over all bits: the finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/logic/requests_test.go
+++ b/logic/request_test.go
@@ -9,8 +9,8 @@
 	"ravensill/internal/golden"
 )
 
-// TestRepeats: what each kind of class may do after an answer that proves nothing.
-func TestRepeats(t *testing.T) {
+// TestRetriesKeepTheClassEffect: what each kind of class may do after an answer that proves nothing.
+func TestRetriesKeepTheClassEffect(t *testing.T) {
 	for _, kind := range []struct {
 		name  string
 		front gateway.RequestClass
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestOverload: answers that come late cut what is out; beyond that denials are at once.
-func TestOverload(t *testing.T) {
+// TestOverloadIsShed: answers that come late cut what is out; beyond that denials are at once.
+func TestOverloadIsShed(t *testing.T) {
 	w := newSimulation(1, 2, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 1000, 1000 })
 	for range 40 {
 		w.arrive(0, "a", 20)
@@ -47,8 +47,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestFinalAnswers: one final answer each: passed, late, left by the client, nowhere to go.
-func TestFinalAnswers(t *testing.T) {
+// TestEachRequestGetsOneFinalAnswer: one final answer each: passed, late, left by the client, nowhere to go.
+func TestEachRequestGetsOneFinalAnswer(t *testing.T) {
 	w := newSimulation(1, 1, nil)
 	w.arrive(0, "a", 1)
 	w.advance(100*ms, true)
@@ -65,8 +65,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestUnanswered: a customer whose requests go unanswered holds no places; others go on.
-func TestUnanswered(t *testing.T) {
+// TestUnansweredCustomerGetsOneASecond: a customer whose requests go unanswered holds no places; others go on.
+func TestUnansweredCustomerGetsOneASecond(t *testing.T) {
 	w := newSimulation(1, 4, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 1000, 1000 })
 	for range 5 {
 		w.arrive(0, "poison", 2)
@@ -85,8 +85,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestStall: a gateway that stood still: the longest waits are denied, late answers cut no limit.
-func TestStall(t *testing.T) {
+// TestRequestsAfterAStall: a gateway that stood still: the longest waits are denied, late answers cut no limit.
+func TestRequestsAfterAStall(t *testing.T) {
 	w := newSimulation(1, 4, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 100, 100 })
 	w.arrive(0, "a", 2)
 	limit := w.gateways[0].gateway.endpoints.limit.Limit()
@@ -106,8 +106,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestRepeatStock: connections break under one attempt in four: each is sent again, one in two is not.
-func TestRepeatStock(t *testing.T) {
+// TestRetryBudget: connections break under one attempt in four: each is sent again, one in two is not.
+func TestRetryBudget(t *testing.T) {
 	for _, every := range []int{4, 2} {
 		w := newSimulation(1, 4, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 1000, 1000 })
 		for i := range 100 {
@@ -151,9 +151,9 @@
 	}
 }
 
-// TestTimeUp: a request whose time is up when it comes, as near the end of a gateway that was told to stop, is denied at once. It
+// TestNoAttemptAfterDeadline: a request whose time is up when it comes, as near the end of a gateway that was told to stop, is denied at once. It
 // was dispatched for a microsecond, and a non-replayable one then aborted, since it may have run.
-func TestTimeUp(t *testing.T) {
+func TestNoAttemptAfterDeadline(t *testing.T) {
 	w := newSimulation(1, 3, nil)
 	for i, left := range []int64{second, 0, -second} {
 		w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint("a", i), Customer: "a", Deadline: w.now + left, Units: 1, Spread: 1})
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -220,10 +220,10 @@
 	}
 }
 
-// TestEveryShape: operators vary the effect, group, window and times of a profile and parallel_tries on running deployments.
+// TestRulesHoldForAllSettings: operators vary the effect, group, window and times of a profile and parallel_tries on running deployments.
 // Every mixture starts, and under every one the rules are kept as the settings tell them, whatever hosts, clients and lists do;
 // also by the module alone, which gets the settings by their letter.
-func TestEveryShape(t *testing.T) {
+func TestRulesHoldForAllSettings(t *testing.T) {
 	sum := map[string]*referee{}
 	for i := range 3 * 3 * 3 * 2 * 2 * 2 * 2 {
 		n := i
@@ -243,14 +243,14 @@
 			Group:       gateway.Group(slices.Index([]string{"all", "zone", "cell"}, group)),
 			DedupWindow: int64(window) * 1000, LatencyObjective: int64(target) * 1000, Timeout: int64(limit) * 1000, Value: 1, LateValue: 0.5}
 		if letter {
-			s.Fronts[0], s.Limits.Hedging = told, two
+			s.Classes[0], s.Limits.Hedging = told, two
 		}
 		r := &referee{T: t, what: text, front: told, limits: s.Limits, now: 100_000 * ms, rnd: rand.New(rand.NewSource(int64(i))),
 			state: map[uint32]gateway.EndpointState{}}
-		g := logic.New(uint64(i), s.Seat, s.Fronts, s.Plans, s.Limits, s.Cold, s.Report)
+		g := logic.New(uint64(i), s.Membership, s.Classes, s.Plans, s.Limits, s.SlowStart, s.LoadReport)
 		r.play(g)
-		if left := g.Gauges(); left.Out != 0 || left.Reqs != 0 {
-			t.Errorf("%s: %d dispatches and %d reqs are held with none open", text, left.Out, left.Reqs)
+		if left := g.Gauges(); left.InFlight != 0 || left.OpenRequests != 0 {
+			t.Errorf("%s: %d dispatches and %d reqs are held with none open", text, left.InFlight, left.OpenRequests)
 		}
 		kind := fmt.Sprintf("%s %s %d", effect, group, window)
 		if sum[kind] == nil {
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -11,7 +11,7 @@
 // A gateway of many holds few of the hosts. What a tick, a request and a peer's message cost must not grow with the list: at
 // 87,000 hosts a tick that walked them all took 15% of a core at rest. A record that is not near is spoilt here, so that a
 // walk that comes to it panics.
-func TestWalksOnlyHostsNear(t *testing.T) {
+func TestRequestWalksOnlyNearbyEndpoints(t *testing.T) {
 	const hosts = 5000
 	w := newSimulation(1, 1, func(w *simulation) { w.limits.Cancellation = true })
 	seat := gateway.Membership{Count: 300, Gossip: true, MessageRate: 40}
@@ -31,7 +31,7 @@
 		if i > 0 && h.id <= g.endpoints.all[i-1].id {
 			t.Fatal("hosts are not in the order of their ids")
 		}
-		if !h.Held {
+		if !h.InSubset {
 			h.inFlight = []*attempt{nil}
 			h.health = []health{{lastGood: 2 * second, unansweredFraction: 0.2}} // a walk would tell peers of it, or heal it
 		}
@@ -45,17 +45,17 @@
 		gossip.Format{Plans: 1, Members: 300}.Decode(body, func(uint64, uint64) bool { return true },
 			func(uint16) { t.Error("a peer is told of a host that is not near") }, nil)
 	}
-	far := g.endpoints.all[slices.IndexFunc(g.endpoints.all, func(h *endpoint) bool { return !h.Held })]
+	far := g.endpoints.all[slices.IndexFunc(g.endpoints.all, func(h *endpoint) bool { return !h.InSubset })]
 	if g.endpoints.clearSuspicion(far.gossipTag(0)); far.health[0].unansweredFraction != 0.2 {
 		t.Error("a peer's message walked to a host that is not near")
 	}
-	if len(g.endpoints.lastWeighed) != len(g.endpoints.nearby) || g.Gauges().Out != 1 {
-		t.Errorf("%d hosts were weighed for a request, %d are near, %d requests are out", len(g.endpoints.lastWeighed), len(g.endpoints.nearby), g.Gauges().Out)
+	if len(g.endpoints.lastWeighed) != len(g.endpoints.nearby) || g.Gauges().InFlight != 1 {
+		t.Errorf("%d hosts were weighed for a request, %d are near, %d requests are out", len(g.endpoints.lastWeighed), len(g.endpoints.nearby), g.Gauges().InFlight)
 	}
 }
 
 // When all hosts near are busy the others serve: the first walk must not hide them.
-func TestBusyNearLeavesToOthers(t *testing.T) {
+func TestBusySubsetLeavesToOtherEndpoints(t *testing.T) {
 	w := newSimulation(1, 1, nil)
 	g := New(1, gateway.Membership{Count: 300}, w.classes, w.plans, w.limits, gateway.SlowStart{}, gateway.LoadReportForm{})
 	var list []gateway.Endpoint
@@ -68,13 +68,13 @@
 		h.healthFor(g.classes[0]).lastAnswer = second
 	}
 	c := g.customerFor(1, 0, 1, 0)
-	if h := g.endpoints.choose(c, g.classes[0], second, 1, nil); h == nil || h.Held {
+	if h := g.endpoints.choose(c, g.classes[0], second, 1, nil); h == nil || h.InSubset {
 		t.Fatalf("pick gave %v, not a host outside the subset", h)
 	}
 }
 
 // To a gateway by itself all hosts are near. At rest its ticks must not walk them: with 87,000 they took 4.7% of a core.
-func TestRestingTickWalksNoHost(t *testing.T) {
+func TestTimerAtRestWalksNoEndpoint(t *testing.T) {
 	w := newSimulation(1, 1, nil)
 	g := New(1, gateway.Membership{Count: 1}, w.classes, w.plans, w.limits, gateway.SlowStart{}, gateway.LoadReportForm{})
 	var list []gateway.Endpoint
--- /dev/null
+++ b/logic/settings.go
@@ -0,0 +1,53 @@
+package logic
+
+import "ravensill/gateway"
+
+// Reconfigure puts a new version of the settings that may change while a gateway runs in force, between two batches. What is in
+// flight keeps its class; a customer comes under its plan's new version when it is next looked at (refill), in a second at the
+// latest.
+func (g *Gateway) Reconfigure(now int64, update *gateway.Update) {
+	for i := range update.Plans {
+		g.setPlan(&update.Plans[i])
+	}
+	for i := range update.Classes {
+		g.setClass(&update.Classes[i])
+	}
+	if update.Limits != nil {
+		g.limits = *update.Limits
+	}
+	if update.Members > 0 && update.Members != len(g.peers) {
+		g.setFleetSize(update.Members)
+		g.resizedAt = now
+		g.endpoints.chooseSubset()
+	}
+}
+
+// setPlan sets or removes a plan. An index is of one plan for good.
+func (g *Gateway) setPlan(update *gateway.PlanUpdate) {
+	missing := max(update.Index+1-len(g.plans), 0)
+	g.plans = append(g.plans, make([]*gateway.Plan, missing)...)
+	if update.Removed {
+		g.plans[update.Index] = nil
+		delete(g.byID, update.Plan.ID)
+		return
+	}
+	g.plans[update.Index] = &update.Plan
+	g.byID[update.Plan.ID] = update.Index
+}
+
+// setClass sets a class of requests. One that changes keeps what was learned of its answers.
+func (g *Gateway) setClass(update *gateway.ClassUpdate) {
+	next := &class{
+		RequestClass:   update.Class,
+		index:          update.Index,
+		typicalLatency: float64(update.Class.LatencyObjective) / 6,
+		typicalUnits:   1,
+	}
+	missing := max(update.Index+1-len(g.classes), 0)
+	g.classes = append(g.classes, make([]*class, missing)...)
+	if last := g.classes[update.Index]; last != nil {
+		next.typicalLatency = last.typicalLatency
+		next.typicalUnits = last.typicalUnits
+	}
+	g.classes[update.Index] = next
+}
--- /dev/null
+++ b/logic/timer.go
@@ -0,0 +1,32 @@
+package logic
+
+import "maps"
+
+const (
+	timerInterval = second / 25
+	sweepInterval = second // between walks of all customers
+)
+
+// handleTimer does what is due: polls, attempts that take too long, gossip, and customers that can be forgotten.
+func (g *Gateway) handleTimer() {
+	g.actions.SetTimer(timerInterval)
+	credit := g.messageCredit()
+	g.lastTimer = g.now
+	g.arrivals = 0
+	g.pollIfDue()
+	g.cancelOverdue()
+	for _, p := range g.neighbours {
+		g.sendGossip(p, credit)
+	}
+	if g.now >= g.nextSweep {
+		g.nextSweep = g.now + sweepInterval
+		maps.DeleteFunc(g.customers, func(_ uint32, c *customer) bool { return g.forgettable(c) })
+	}
+}
+
+// messageCredit is how many messages each peer can take since the last timer: more with many requests, up to twice as many.
+func (g *Gateway) messageCredit() float64 {
+	elapsed := seconds(g.now - g.lastTimer)
+	byRequests := float64(g.arrivals) / max(g.membership.MessageRate*gossipShare, 1)
+	return g.messageRate * max(elapsed, min(byRequests, 2*elapsed))
+}
--- /dev/null
+++ b/logic/token_bucket.go
@@ -0,0 +1,62 @@
+package logic
+
+import "math"
+
+// maxDebt is what a copy may owe, in bursts of its plan: the design's default.
+const maxDebt = 1.0
+
+// refill brings a copy up to now. Where no peer is heard, the design rejects everything. The copy keeps its due instead, as if all
+// of the customer's gateways were cut off alike: safe, but the last one alive serves a fraction only.
+func (g *Gateway) refill(c *customer) {
+	elapsed := seconds(g.now - c.refilled)
+	c.refilled = g.now
+	decay := math.Exp(-elapsed / seconds(g.peerTimeout))
+	fraction := 1.0
+	silence := g.now - g.lastGossip
+	if silence > g.peerTimeout {
+		fraction /= float64(max(c.spread, 1))
+	} else if silence > g.partitionTimeout {
+		c.presumePeers(elapsed, decay)
+	}
+	most := max(c.plan.Burst*fraction, min(c.plan.Burst, g.largestRequest))
+	c.level = min(c.level+c.plan.Rate*elapsed*fraction, most)
+	c.refillCeiling(elapsed)
+	c.peerRate *= decay
+	c.requestedUnits *= decay
+	c.admittedUnits *= decay
+	c.presumedUnits *= decay
+	if plan := g.plans[c.planIndex]; plan != nil && plan != c.plan {
+		g.changePlan(c, plan)
+	}
+}
+
+// presumePeers takes off the copy what peers admit if they go on as before: nobody is heard, but they may be there.
+func (c *customer) presumePeers(elapsed, decay float64) {
+	taken := max(min(c.peerRate*elapsed, c.level+maxDebt*c.plan.Burst), 0)
+	c.level -= taken
+	c.presumedUnits += taken
+	c.peerRate /= decay
+}
+
+// spend takes an admitted request's units from the copy and this gateway's fraction of the ceiling, and has the peers told. What is
+// beyond the cap on requests in flight, by its probability, takes nothing from the quota.
+func (g *Gateway) spend(c *customer, units, withinCap float64) {
+	taken := units * withinCap
+	if c.plan.Rate > 0 {
+		c.level -= taken
+	}
+	c.ceilingLevel -= units
+	c.counters[ownCounter] += taken
+	c.counters[rowCounter] += taken
+	c.admittedUnits += units
+	c.lastAdmission = g.now
+	c.queueCounters(true, nil)
+}
+
+// subtract takes off the copy what a peer admitted, down to the bounded debt. What was presumed of peers already is not taken twice.
+func (g *Gateway) subtract(c *customer, units float64) {
+	known := min(units, c.presumedUnits)
+	c.presumedUnits -= known
+	c.level = max(c.level-units+known, min(c.level, -maxDebt*c.plan.Burst))
+	c.peerRate += units / seconds(g.peerTimeout)
+}
--- a/spread/spread_test.go
+++ b/spread/subset_test.go
@@ -8,17 +8,17 @@
 )
 
 // dealt gives who holds what: by seat, the hashes of the hosts.
-func dealt(seats int, list []Host) []map[uint64]bool {
+func dealt(seats int, list []Endpoint) []map[uint64]bool {
 	held := make([]map[uint64]bool, seats)
 	for seat := range seats {
-		var hosts []*Host
+		var hosts []*Endpoint
 		for _, h := range list {
 			hosts = append(hosts, &h)
 		}
-		Deal(seat, seats, hosts)
+		AssignSubset(seat, seats, hosts)
 		held[seat] = map[uint64]bool{}
 		for _, h := range hosts {
-			if h.Held {
+			if h.InSubset {
 				held[seat][h.Hash] = true
 			}
 		}
@@ -26,7 +26,7 @@
 	return held
 }
 
-func count(held []map[uint64]bool, host Host) (n int) {
+func count(held []map[uint64]bool, host Endpoint) (n int) {
 	for _, own := range held {
 		if own[host.Hash] {
 			n++
@@ -36,20 +36,20 @@
 }
 
 // draw gives a fleet of hosts with hashes as good as those of a mixer.
-func draw(t *rapid.T, weights ...float64) (seats int, list []Host) {
+func draw(t *rapid.T, weights ...float64) (seats int, list []Endpoint) {
 	h, n := rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 120).Draw(t, "hosts")
 	for range n {
 		h += 0x9e3779b97f4a7c15
 		x := (h ^ h>>30) * 0xbf58476d1ce4e5b9
 		x = (x ^ x>>27) * 0x94d049bb133111eb
-		list = append(list, Host{Hash: x ^ x>>31, Weight: rapid.SampledFrom(weights).Draw(t, "weight")})
+		list = append(list, Endpoint{Hash: x ^ x>>31, Weight: rapid.SampledFrom(weights).Draw(t, "weight")})
 	}
 	return rapid.IntRange(1, 150).Draw(t, "gateways"), list
 }
 
-// TestEven: gateways hold equally many and all that there are if they are few; every host is held; by weight held
+// TestGatewaysHoldEndpointsEvenly: gateways hold equally many and all that there are if they are few; every host is held; by weight held
 // counts are within one of their parts and, where gateways hold nearly all, a tenth.
-func TestEven(t *testing.T) {
+func TestGatewaysHoldEndpointsEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seats, list := draw(t, 1)
 		held := dealt(seats, list)
@@ -68,9 +68,9 @@
 	})
 }
 
-// TestWeights: a host of a quarter of the weight is held by a quarter as many, within one and a half; nobody is
+// TestEndpointsAreHeldByWeight: a host of a quarter of the weight is held by a quarter as many, within one and a half; nobody is
 // left out, however light, and weights that make no sense count as light or, if none does, as even.
-func TestWeights(t *testing.T) {
+func TestEndpointsAreHeldByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seats, list := draw(t, 1, 1, 1, 0.25)
 		list[0].Weight, list[1].Weight = 1, 0.25
@@ -91,9 +91,9 @@
 	})
 }
 
-// TestMoves: a host that comes or goes makes the fleet open at most eight connections for each that it holds, and one
+// TestListChangeMovesFewEndpoints: a host that comes or goes makes the fleet open at most eight connections for each that it holds, and one
 // at each gateway where the number that they hold grows.
-func TestMoves(t *testing.T) {
+func TestListChangeMovesFewEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seats, list := draw(t, 1)
 		with, without := dealt(seats, list), dealt(seats, list[1:])
