--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -69,11 +69,11 @@
 	c := &Conn{
 		server:       s,
 		link:         link,
-		Line:         Line{out: link.Out},
+		AnswerQueue:  AnswerQueue{out: link.Out},
 		commandQueue: commandQueue{hasRoom: make(chan struct{}, 1)},
 		done:         make(chan struct{}),
 	}
-	c.let = c.answerReady
+	c.onReady = c.answerReady
 	c.receiveFunc = c.receive
 	s.runOnLoop(c.register)
 	go c.readCommands()
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -14,17 +14,17 @@
 	"ravensill/internal/ring"
 )
 
-const firstNone = "0000000200000000" // no customer's number is so large
+const customerLimit = "0000000200000000" // no customer's number is so large
 
-var names = []string{"c", "t", "d", "k", "r", "units", "spread", "first"}
+var argumentNames = []string{"c", "t", "d", "k", "r", "units", "spread", "first"}
 
 // Door is where decoded commands go. Spans of bytes hold until the call returns.
-type Door interface {
+type commandHandler interface {
 	// Arrive hands in a req. wait is how long its client waits. before and after are its list of names and
 	// values round the number of d; body is nil where there is none.
-	Arrive(id, customer []byte, terms Terms, wait int64, again bool, verb, before, after, body []byte)
-	Ping()
-	Refuse(why error) // a command that can't be understood
+	handleRequest(id, customer []byte, terms Terms, wait int64, again bool, verb, before, after, body []byte)
+	handlePing()
+	handleMalformed(why error) // a command that can't be understood
 }
 
 // Commands is the state machine of the bytes that a client sends.
@@ -35,7 +35,7 @@
 
 // Next hands the next whole command to the door and tells whether there was one. After an error the stream
 // can't be trusted further.
-func (c *Commands) Next(in *ring.Ring, door Door) (bool, error) {
+func (c *Commands) Next(in *ring.Ring, door commandHandler) (bool, error) {
 	v, ok, err := c.parser.Next(in)
 	if err != nil || !ok {
 		return false, err
@@ -44,19 +44,19 @@
 		return false, errors.New("commands are arrays of bulk strings")
 	}
 	if err := c.command(v.Parts, door); err != nil {
-		door.Refuse(err)
+		door.handleMalformed(err)
 	}
 	return true, nil
 }
 
-func (c *Commands) command(parts [][]byte, door Door) error {
+func (c *Commands) command(parts [][]byte, door commandHandler) error {
 	if slices.ContainsFunc(parts, func(p []byte) bool { return p == nil }) {
 		return errors.New("null in a command")
 	}
 	terms := Terms{Class: -1, Plan: -1, Units: -1, Spread: -1, First: -1}
 	switch string(parts[0]) {
 	case "PING":
-		door.Ping()
+		door.handlePing()
 		return nil
 	case verbGet:
 		terms.ReadOnly = true
@@ -71,15 +71,15 @@
 	if terms.ReadOnly && len(parts) == 5 {
 		return errors.New("CALL.GET takes no body")
 	}
-	if len(customer) != 16 || string(customer) >= firstNone || bytes.ContainsFunc(customer, func(r rune) bool {
+	if len(customer) != 16 || string(customer) >= customerLimit || bytes.ContainsFunc(customer, func(r rune) bool {
 		return (r < '0' || r > '9') && (r < 'a' || r > 'f')
 	}) {
 		return fmt.Errorf("customer: %.40q is not 16 hex digits of a number below 2^33", customer)
 	}
-	if len(id) == 0 || len(id) > 64 || !plain(id) {
+	if len(id) == 0 || len(id) > 64 || !isPlain(id) {
 		return errors.New("id: 1 to 64 bytes wanted, none of them a space or a control")
 	}
-	if !plain(list) {
+	if !isPlain(list) {
 		return errors.New("names and values: a space or a control among them")
 	}
 	members := c.catalog.size()
@@ -90,7 +90,7 @@
 			n = len(list) - at
 		}
 		name, value, _ := bytes.Cut(list[at:at+n], []byte{'='})
-		if i := slices.Index(names, string(name)); i >= 0 {
+		if i := slices.Index(argumentNames, string(name)); i >= 0 {
 			if seen&(1<<i) > 0 { // what the host would take is not known
 				return fmt.Errorf("%s: given twice", name)
 			}
@@ -110,9 +110,9 @@
 				terms.Units = x
 			}
 		case "spread":
-			terms.Spread = whole(value, 1, members)
+			terms.Spread = parseIndex(value, 1, members)
 		case "first":
-			terms.First = whole(value, 0, members-1)
+			terms.First = parseIndex(value, 0, members-1)
 		case "k":
 			terms.Key = len(value) > 0
 		case "r":
@@ -136,16 +136,16 @@
 	if len(parts) == 5 {
 		body = parts[4]
 	}
-	door.Arrive(id, customer, terms, wait, again, parts[0], list[:cut], list[end:], body)
+	door.handleRequest(id, customer, terms, wait, again, parts[0], list[:cut], list[end:], body)
 	return nil
 }
 
 // plain tells whether text can be passed on: what a host takes for the end of a word must not be part of one.
-func plain(text []byte) bool {
+func isPlain(text []byte) bool {
 	return !bytes.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-func whole(text []byte, least, most int) int {
+func parseIndex(text []byte, least, most int) int {
 	if n, err := strconv.ParseUint(string(text), 10, 31); err == nil && int(n) >= least && int(n) <= most {
 		return int(n)
 	}
@@ -154,66 +154,66 @@
 
 // Answer is the place of one command's answer in the order of its connection. The first one given counts.
 type Answer struct {
-	line *Line
-	text []byte
-	done bool
-	Left func() // called if the client goes away before the answer
+	line       *AnswerQueue
+	text       []byte
+	done       bool
+	ClientGone func() // called if the client goes away before the answer
 }
 
 // Line keeps the answers of one connection in the order of its commands.
-type Line struct {
-	out  *ring.Ring
-	wait []*Answer
-	full bool        // an answer did not fit: the client reads too slowly
-	let  func(int)   // told how many answers went out with the one just given
-	left atomic.Bool // the client is gone, as the reader saw: that overtakes all that waits for the loop
+type AnswerQueue struct {
+	out        *ring.Ring
+	waiting    []*Answer
+	full       bool        // an answer did not fit: the client reads too slowly
+	onReady    func(int)   // told how many answers went out with the one just given
+	clientGone atomic.Bool // the client is gone, as the reader saw: that overtakes all that waits for the loop
 }
 
-func (l *Line) Add() *Answer {
+func (l *AnswerQueue) Add() *Answer {
 	a := &Answer{line: l}
-	l.wait = append(l.wait, a)
+	l.waiting = append(l.waiting, a)
 	return a
 }
 
-func (a *Answer) Passed(value []byte) { a.give(passed(value)) }
-func (a *Answer) Denied(after int64)  { a.give(denied(after)) }
-func (a *Answer) Aborted(why string)  { a.give(refused(why)) }
+func (a *Answer) Succeed(value []byte) { a.give(successReply(value)) }
+func (a *Answer) Reject(after int64)   { a.give(rejection(after)) }
+func (a *Answer) Fail(why string)      { a.give(errorReply(why)) }
 
 // Gone tells whether the client has left, also while that is on the way to the loop: nothing more is sent on for it.
-func (a *Answer) Gone() bool { return a.line.left.Load() }
+func (a *Answer) IsClientGone() bool { return a.line.clientGone.Load() }
 
 // give sets the answer, and lets out all that no earlier command holds back.
 func (a *Answer) give(text []byte) {
 	if a.done {
 		return
 	}
-	a.text, a.done, a.Left = text, true, nil
+	a.text, a.done, a.ClientGone = text, true, nil
 	l, n := a.line, 0
-	for n < len(l.wait) && l.wait[n].done {
-		l.full = l.full || !l.out.Write(l.wait[n].text)
+	for n < len(l.waiting) && l.waiting[n].done {
+		l.full = l.full || !l.out.Write(l.waiting[n].text)
 		n++
 	}
-	l.wait = slices.Delete(l.wait, 0, n)
-	l.let(n)
+	l.waiting = slices.Delete(l.waiting, 0, n)
+	l.onReady(n)
 }
 
 // end forgets the line: its client is gone.
-func (l *Line) end() {
-	wait := l.wait
-	l.wait = nil
+func (l *AnswerQueue) end() {
+	wait := l.waiting
+	l.waiting = nil
 	for _, a := range wait {
 		a.done = true
-		if a.Left != nil {
-			a.Left()
+		if a.ClientGone != nil {
+			a.ClientGone()
 		}
 	}
 }
 
-func passed(value []byte) []byte {
+func successReply(value []byte) []byte {
 	return resp.Bulk(make([]byte, 0, len(value)+16), value)
 }
 
-func denied(after int64) []byte {
+func rejection(after int64) []byte {
 	if after <= 0 {
 		return []byte("-BUSY\r\n")
 	}
@@ -221,7 +221,7 @@
 	return append(strconv.AppendInt([]byte("-BUSY "), ms, 10), '\r', '\n')
 }
 
-func refused(why string) []byte {
+func errorReply(why string) []byte {
 	clean := bytes.Map(func(r rune) rune {
 		if r < ' ' {
 			return ' '
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -17,12 +17,12 @@
 // book writes down what commands say.
 type book struct{ strings.Builder }
 
-func (b *book) Arrive(id, customer []byte, terms Terms, wait int64, again bool, verb, before, after, body []byte) {
+func (b *book) handleRequest(id, customer []byte, terms Terms, wait int64, again bool, verb, before, after, body []byte) {
 	fmt.Fprintf(b, "%s of %s, %s: frontend %d, plan %d, %d ms, %g units, %d from %d, again %t; pass on %q %q %q\n", id, customer,
 		verb, terms.Class, terms.Plan, wait/1e6, terms.Units, terms.Spread, terms.First, again, before, after, body)
 }
-func (b *book) Ping()            { b.WriteString("ping\n") }
-func (b *book) Refuse(err error) { fmt.Fprintln(b, err) }
+func (b *book) handlePing()               { b.WriteString("ping\n") }
+func (b *book) handleMalformed(err error) { fmt.Fprintln(b, err) }
 
 func read(pieces ...string) string {
 	var b book
@@ -95,15 +95,15 @@
 
 func TestOrder(t *testing.T) { // answers come in the order of the commands, each once
 	var let []int
-	l := Line{out: ring.New(64), let: func(n int) { let = append(let, n) }}
+	l := AnswerQueue{out: ring.New(64), onReady: func(n int) { let = append(let, n) }}
 	a, b, c := l.Add(), l.Add(), l.Add()
-	b.give(denied(1_000_001))
-	c.give(refused("no\r\n+such"))
+	b.give(rejection(1_000_001))
+	c.give(errorReply("no\r\n+such"))
 	if l.out.Len() > 0 {
 		t.Error("an answer went before its turn")
 	}
-	a.give(passed([]byte("v\r\n")))
-	a.give(denied(0))
+	a.give(successReply([]byte("v\r\n")))
+	a.give(rejection(0))
 	golden.Check(t, fmt.Sprintf("%sanswers let out: %v\n", l.out.Span(0, l.out.Len()), let))
 	if l.Add().give(make([]byte, 65)); !l.full {
 		t.Error("an answer that does not fit is not told")
@@ -123,6 +123,6 @@
 
 type nobody struct{}
 
-func (nobody) Arrive([]byte, []byte, Terms, int64, bool, []byte, []byte, []byte, []byte) {}
-func (nobody) Ping()                                                                     {}
-func (nobody) Refuse(err error)                                                          { panic(err) }
+func (nobody) handleRequest([]byte, []byte, Terms, int64, bool, []byte, []byte, []byte, []byte) {}
+func (nobody) handlePing()                                                                      {}
+func (nobody) handleMalformed(err error)                                                        { panic(err) }
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -13,7 +13,7 @@
 type Conn struct {
 	server *Server
 	link   *ring.Link
-	Line
+	AnswerQueue
 	commandQueue
 	receiveFunc  func()        // receive as a value, made once
 	done         chan struct{} // closed when the connection has ended: its reader waits for nothing then
@@ -54,7 +54,7 @@
 
 // startCommands starts queued commands up to the limit of commands in flight, and none of a client that is known to be gone.
 func (c *Conn) startCommands() {
-	for !c.closed && !c.left.Load() && len(c.wait) < maxInFlight {
+	for !c.closed && !c.clientGone.Load() && len(c.waiting) < maxInFlight {
 		command, ok := c.dequeue()
 		if !ok {
 			return
@@ -63,7 +63,7 @@
 		switch {
 		case c.halfClosed: // the close crossed the command: the client sees the end and sends it again elsewhere
 		case c.closing, command.rejected > 0:
-			c.Add().Denied(0) // never sent on: the client may retry elsewhere at once, idempotent or not
+			c.Add().Reject(0) // never sent on: the client may retry elsewhere at once, idempotent or not
 		default:
 			c.start(command.run)
 		}
@@ -76,7 +76,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			log.Printf("event=panic where=loop error=%q stack=%q", fmt.Sprint(p), debug.Stack())
-			answer.Aborted("aborted")
+			answer.Fail("aborted")
 		}
 	}()
 	run(answer)
@@ -97,7 +97,7 @@
 }
 
 // tidy ends the connection if its client is too slow or idle.
-func (c *Conn) tidy(now int64) {
+func (c *Conn) closeIfOverdue(now int64) {
 	switch {
 	case c.stalledSince > 0 && now-c.stalledSince > writeStallTimeout:
 		c.closeOnFault(errSlowReader)
@@ -148,7 +148,7 @@
 }
 
 // idle reports whether no command is in flight and no answer unsent.
-func (c *Conn) idle() bool { return len(c.wait) == 0 && c.out.Len() == 0 }
+func (c *Conn) idle() bool { return len(c.waiting) == 0 && c.out.Len() == 0 }
 
 // halfCloseIfIdle closes the sending side of a connection that is to end and owes nothing, so that neither the last answer nor
 // a command on its way is reset away. While the server drains, a whole command that is unread, or on its way to the loop, is
@@ -181,7 +181,7 @@
 	s := c.server
 	now := s.now()
 	if s.faultLog.due(now) {
-		log.Printf("event=client_fault error=%q open=%d count=%d", err, len(c.wait), s.faultLog.logged(now))
+		log.Printf("event=client_fault error=%q open=%d count=%d", err, len(c.waiting), s.faultLog.logged(now))
 	}
 	c.closing = true
 	c.halfCloseIfIdle()
@@ -189,7 +189,7 @@
 
 // closeWithError ends the connection with an error line after the answers that are due.
 func (c *Conn) closeWithError(why error) {
-	c.Add().give(refused(why.Error()))
+	c.Add().give(errorReply(why.Error()))
 	c.closeOnFault(why)
 }
 
@@ -215,5 +215,5 @@
 	case c.server.placeFreed <- struct{}{}:
 	default:
 	}
-	c.Line.end()
+	c.AnswerQueue.end()
 }
--- a/internal/clients/reader.go
+++ b/internal/clients/reader.go
@@ -44,7 +44,7 @@
 		if p := recover(); p != nil {
 			log.Printf("event=panic where=client error=%q stack=%q", p, debug.Stack())
 		}
-		c.left.Store(true)
+		c.clientGone.Store(true)
 		s.runOnLoop(c.close)
 	}()
 	commands := Commands{catalog: s.catalog}
@@ -55,7 +55,7 @@
 		c.readAt = s.now()
 		if err := c.parseCommands(&commands); err != nil {
 			c.enqueue(0, func(a *Answer) {
-				a.give(refused(err.Error()))
+				a.give(errorReply(err.Error()))
 				c.closeOnFault(err)
 			})
 			c.notifyLoop()
@@ -89,7 +89,7 @@
 
 // Arrive implements Door: it copies the request out of the read buffer, as the command to send to a host, and queues it. What
 // changes in the catalog until the loop takes the request in counts too.
-func (c *Conn) Arrive(id, customer []byte, terms Terms, wait int64, retry bool, verb, before, after, body []byte) {
+func (c *Conn) handleRequest(id, customer []byte, terms Terms, wait int64, retry bool, verb, before, after, body []byte) {
 	elements, receivedAt := 4, c.readAt
 	if body != nil {
 		elements = 5
@@ -108,27 +108,41 @@
 	requestID, customerID := string(id), string(customer)
 	c.enqueue(len(text), func(a *Answer) {
 		if err := c.server.catalog.recheck(&terms); err != nil {
-			a.Aborted(err.Error())
+			a.Fail(err.Error())
 			return
 		}
-		c.server.onRequest(a, receivedAt, requestID, customerID, terms.Class, terms.Plan, receivedAt+wait, terms.Units,
-			terms.Spread, terms.First, retry, text[:idEnd], text[idEnd:beforeEnd], text[beforeEnd:afterEnd], text[afterEnd:])
+		c.server.onRequest(a, &Request{
+			ID:           requestID,
+			Customer:     customerID,
+			ReceivedAt:   receivedAt,
+			Deadline:     receivedAt + wait,
+			Class:        terms.Class,
+			Plan:         terms.Plan,
+			Units:        terms.Units,
+			Spread:       terms.Spread,
+			FirstGateway: terms.First,
+			Retry:        retry,
+			Head:         text[:idEnd],
+			Before:       text[idEnd:beforeEnd],
+			After:        text[beforeEnd:afterEnd],
+			Tail:         text[afterEnd:],
+		})
 	})
 }
 
 // Ping implements Door.
-func (c *Conn) Ping() { c.enqueue(0, func(a *Answer) { a.give([]byte("+PONG\r\n")) }) }
+func (c *Conn) handlePing() { c.enqueue(0, func(a *Answer) { a.give([]byte("+PONG\r\n")) }) }
 
 // Refuse implements Door: a malformed command is answered with an error. One that names what was removed is well formed: its
 // client may not know yet, and many such in a row don't end the connection.
-func (c *Conn) Refuse(why error) {
+func (c *Conn) handleMalformed(why error) {
 	var removed *RemovedError
 	if errors.As(why, &removed) {
 		c.malformed = 0
 	} else {
 		c.malformed++
 	}
-	c.enqueue(0, func(a *Answer) { a.give(refused(why.Error())) })
+	c.enqueue(0, func(a *Answer) { a.give(errorReply(why.Error())) })
 }
 
 // enqueue adds a command of so many bytes to the queue.
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -36,11 +36,29 @@
 	errSlowReader       = errors.New("answers are read too slowly")
 )
 
-// RequestHandler is called on the loop for each request. Times are in nanoseconds: receivedAt is when the request's last byte
-// was read, deadline until when its client waits. plan and class are indices of the Catalog. The command to send to a host is the
-// concatenation of head, before, the remaining time in milliseconds, after and tail.
-type RequestHandler func(answer *Answer, receivedAt int64, id, customer string, class, plan int, deadline int64, units float64,
-	spread, first int, retry bool, head, before, after, tail []byte)
+// Request is one request of a client. Times are in nanoseconds of the server's clock.
+type Request struct {
+	ID           string
+	Customer     string
+	ReceivedAt   int64 // when its last byte was read
+	Deadline     int64 // its client waits until then
+	Class        int   // index in the Catalog
+	Plan         int   // index in the Catalog
+	Units        float64
+	Spread       int  // the customer's requests come in at this many gateways,
+	FirstGateway int  // from this member index on
+	Retry        bool // marked by the client as a retry
+
+	// The command to send to a host is the concatenation of Head, a bulk string of Before, the time left in milliseconds and After,
+	// and Tail.
+	Head   []byte
+	Before []byte
+	After  []byte
+	Tail   []byte
+}
+
+// RequestHandler is called on the loop for each request. It gives the answer then or later.
+type RequestHandler func(answer *Answer, request *Request)
 
 // Server accepts client connections and holds them. All fields belong to the loop, the goroutine that runs the functions
 // passed to runOnLoop.
@@ -87,7 +105,7 @@
 
 // Tidy ends connections whose client has not completed a command in time, is idle, or takes none of its answers. It does not
 // wait until places are short: clients may hold a third of the descriptors only, and idle ones keep others from connecting.
-func (s *Server) Tidy() {
+func (s *Server) CloseOverdue() {
 	now := s.now()
 	stoodStill := now-s.lastSweep > logInterval // the process was paused: what came meanwhile is not read yet
 	s.lastSweep = now
@@ -95,7 +113,7 @@
 		return
 	}
 	for c := range s.conns {
-		c.tidy(now)
+		c.closeIfOverdue(now)
 	}
 }
 
@@ -119,7 +137,7 @@
 }
 
 // Retire ends each connection once all its commands are answered. A command that crosses the close gets no answer.
-func (s *Server) Retire() {
+func (s *Server) Drain() {
 	s.draining = true
 	for c := range s.conns {
 		c.halfCloseIfIdle()
@@ -140,4 +158,4 @@
 func (s *Server) Count() int { return len(s.conns) }
 
 // Over reports whether all connections have ended and none can be accepted any more.
-func (s *Server) Over() bool { return len(s.conns) == 0 && !s.accepting }
+func (s *Server) Ended() bool { return len(s.conns) == 0 && !s.accepting }
--- a/internal/clients/server_test.go
+++ b/internal/clients/server_test.go
@@ -38,9 +38,8 @@
 func newTestServerOn(t *testing.T, system sockets.System, maxConns int) *testServer {
 	s := &testServer{T: t, work: make(chan func(), 99), connected: map[*Conn]bool{}}
 	s.clock.Store(1)
-	s.Server = NewServer(system, NewCatalog(startCatalog), maxConns, func(f func()) { s.work <- f }, s.clock.Load, func(answer *Answer, _ int64, id, _ string, _, _ int, _ int64,
-		_ float64, _, _ int, _ bool, _, _, _, _ []byte) {
-		if id == "panic" {
+	s.Server = NewServer(system, NewCatalog(startCatalog), maxConns, func(f func()) { s.work <- f }, s.clock.Load, func(answer *Answer, request *Request) {
+		if request.ID == "panic" {
 			panic("fault")
 		}
 		s.requests = append(s.requests, answer)
@@ -150,18 +149,18 @@
 	a, b := server.connect(), server.connect()
 	a.send(requestIDs(1000)...)
 	a.Close()
-	server.waitFor("the end seen", a.conn.left.Load)
+	server.waitFor("the end seen", a.conn.clientGone.Load)
 	server.runLoop("ended", func() bool { return a.conn.closed })
 	server.record(fmt.Sprintf("of a client gone before the loop turned: %d arrived", len(server.requests)))
 	b.send(requestIDs(1000)...)
 	server.runLoop("as many open as may be", func() bool { return len(server.requests) == maxInFlight })
 	b.Close()
-	server.waitFor("the end seen", b.conn.left.Load)
+	server.waitFor("the end seen", b.conn.clientGone.Load)
 	for _, answer := range server.requests[:9] {
-		if !answer.Gone() {
+		if !answer.IsClientGone() {
 			t.Error("an open one is not told as gone")
 		}
-		answer.Denied(0) // the module has not heard of it
+		answer.Reject(0) // the module has not heard of it
 	}
 	server.Flush() // nor has the loop, yet no other takes their places
 	server.runLoop("ended", func() bool { return b.conn.closed })
@@ -189,12 +188,12 @@
 	}()
 	server.runLoop("all answered", func() bool {
 		for _, answer := range server.requests {
-			answer.Denied(0)
+			answer.Reject(0)
 		}
 		server.requests = nil
 		select {
 		case n := <-answers:
-			server.record(fmt.Sprintf("%d answers; %d bytes ahead, %d open", n, client.conn.queuedBytes, len(client.conn.wait)))
+			server.record(fmt.Sprintf("%d answers; %d bytes ahead, %d open", n, client.conn.queuedBytes, len(client.conn.waiting)))
 			return true
 		default:
 			return false
@@ -214,9 +213,9 @@
 		}
 		client.CloseWrite() // no reset tells of it where answers are written
 	}()
-	server.runLoop("the end seen", client.conn.left.Load)
+	server.runLoop("the end seen", client.conn.clientGone.Load)
 	for _, answer := range server.requests[:9] {
-		answer.Denied(0)
+		answer.Reject(0)
 	}
 	server.runLoop("ended", func() bool { return client.conn.closed })
 	if len(server.requests) != maxInFlight {
@@ -236,9 +235,9 @@
 		io.WriteString(client.TCPConn, strings.Repeat("malformed\r\n", 100_000))
 		client.CloseWrite()
 	}()
-	server.waitFor("the end seen", client.conn.left.Load)
+	server.waitFor("the end seen", client.conn.clientGone.Load)
 	for _, answer := range server.requests[:9] {
-		answer.Denied(0)
+		answer.Reject(0)
 	}
 	server.runLoop("ended", func() bool { return client.conn.closed })
 	if len(server.requests) != maxInFlight {
@@ -258,7 +257,7 @@
 	client := server.connect()
 	client.send("first")
 	server.runLoop("first arrived", func() bool { return len(server.requests) == 1 })
-	server.requests[0].Denied(0)
+	server.requests[0].Reject(0)
 	server.Flush()
 	server.clock.Add(logInterval + 1)
 	log.SetOutput(writerFunc(func(line []byte) (int, error) { // of the line between the two
@@ -269,7 +268,7 @@
 	defer log.SetOutput(os.Stderr)
 	server.makeRoom()
 	server.runLoop("second arrived", func() bool { return len(server.requests) == 2 })
-	server.requests[1].Denied(0)
+	server.requests[1].Reject(0)
 	server.Flush()
 	if first, second := client.readLine(), client.readLine(); first != "-BUSY" || second != "-BUSY" {
 		t.Errorf("answers %q and %q", first, second)
@@ -288,9 +287,9 @@
 	server.waitFor("the rest read", func() bool { return client.conn.link.Reads() > client.conn.readsSeen })
 	server.clock.Add(commandTimeout + 1)
 	server.lastSweep = server.now()
-	server.Tidy()
+	server.CloseOverdue()
 	server.runLoop("arrived", func() bool { return len(server.requests) == 1 })
-	server.requests[0].Denied(0)
+	server.requests[0].Reject(0)
 	server.Flush()
 	if got := client.readLine(); got != "-BUSY" {
 		t.Errorf("answer %q", got)
@@ -305,12 +304,12 @@
 	for _, test := range []struct {
 		name  string
 		close func(server *testServer)
-	}{{"tidy", func(server *testServer) { server.Tidy() }}, {"room", func(server *testServer) { server.makeRoom() }}, {"retire", func(server *testServer) { server.Retire() }}} {
+	}{{"tidy", func(server *testServer) { server.CloseOverdue() }}, {"room", func(server *testServer) { server.makeRoom() }}, {"retire", func(server *testServer) { server.Drain() }}} {
 		server := newTestServer(t, 1)
 		client := server.connect()
 		client.send("first")
 		server.runLoop("first arrived", func() bool { return len(server.requests) == 1 })
-		server.requests[0].Passed([]byte("one"))
+		server.requests[0].Succeed([]byte("one"))
 		server.Flush()
 		server.clock.Add(idleTimeout + 1)
 		server.lastSweep = server.now() // it did not stand still
@@ -320,7 +319,7 @@
 		server.runLoop("second arrived, or the end", func() bool { return len(server.requests) == 2 || client.conn.closed })
 		server.record(fmt.Sprintf("%s: a command on its way: %d arrived, closed %t", test.name, len(server.requests), client.conn.closed || client.conn.halfClosed))
 		if len(server.requests) == 2 {
-			server.requests[1].Passed([]byte("two"))
+			server.requests[1].Succeed([]byte("two"))
 		}
 		server.Flush()
 		server.clock.Add(idleTimeout + 1)
@@ -350,11 +349,11 @@
 	server.runLoop("half of it read", func() bool { return client.conn.partialSince > 0 })
 	server.clock.Add(commandTimeout + 1)
 	server.lastSweep = server.now()
-	server.Tidy()
+	server.CloseOverdue()
 	io.WriteString(client.TCPConn, half[30:])
 	client.send("behind")
 	server.runLoop("both come", func() bool { return client.conn.commandCount == 3 })
-	server.requests[0].Denied(0)
+	server.requests[0].Reject(0)
 	server.Flush()
 	for range 5 {
 		server.record(client.readLine())
@@ -369,11 +368,11 @@
 	client := server.connect()
 	client.send("a", "panic", "b")
 	server.runLoop("all begun", func() bool { return len(server.requests) == 2 })
-	server.requests[1].Passed([]byte("b"))
-	server.requests[0].Passed([]byte("a"))
+	server.requests[1].Succeed([]byte("b"))
+	server.requests[0].Succeed([]byte("a"))
 	client.send("c")
 	server.runLoop("the next", func() bool { return len(server.requests) == 3 })
-	server.requests[2].Denied(0)
+	server.requests[2].Reject(0)
 	server.Flush()
 	for range 6 {
 		server.record(client.readLine())
@@ -390,7 +389,7 @@
 		client.send(requestIDs(maxInFlight)...)
 		server.runLoop("arrived", func() bool { return len(server.requests) == maxInFlight })
 		for i := 0; client.conn.stalledSince == 0; i++ { // until the system takes no more
-			server.requests[i].Passed(make([]byte, 60<<10))
+			server.requests[i].Succeed(make([]byte, 60<<10))
 			server.Flush()
 		}
 		if end {
@@ -399,7 +398,7 @@
 		for _, step := range []int64{writeStallTimeout, 1} {
 			server.clock.Add(step)
 			server.lastSweep = server.now()
-			server.Tidy()
+			server.CloseOverdue()
 			server.record(fmt.Sprintf("asked to end %t: open %d", end, server.Count()))
 		}
 		if !end {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -29,14 +29,14 @@
 func (n *Node) Apply(version configsync.Version, changes *config.Revision) error {
 	next := revision{Revision: changes, version: version, inForce: make(chan struct{})}
 	select {
-	case n.work <- func() { n.pending = append(n.pending, next) }:
-	case <-n.over:
+	case n.work <- func() { n.pendingRevisions = append(n.pendingRevisions, next) }:
+	case <-n.ended:
 		return ErrEnded
 	}
 	select {
 	case <-next.inForce:
 		return nil
-	case <-n.over:
+	case <-n.ended:
 		return ErrEnded
 	}
 }
@@ -44,10 +44,10 @@
 // applyPending puts the pending revisions in force, and tells whether there were any. It is called after a turn: all that
 // came in before has been decided under the version before.
 func (n *Node) applyPending() bool {
-	pending := n.pending
-	n.pending = nil
+	pending := n.pendingRevisions
+	n.pendingRevisions = nil
 	for i := range pending {
-		n.guard("configuration", func() { n.applyRevision(&pending[i]) })
+		n.recoverPanics("configuration", func() { n.applyRevision(&pending[i]) })
 		close(pending[i].inForce)
 	}
 	return len(pending) > 0
@@ -71,7 +71,7 @@
 			n.classes = append(n.classes, gateway.RequestClass{})
 		}
 		n.classes[change.Index] = change.Class
-		n.pool.addClass(change.Index, change.Name)
+		n.quota.addClass(change.Index, change.Name)
 	}
 }
 
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -295,7 +295,7 @@
 	c := dial(t, addr)
 	ask(t, c, "", 0)
 	busy, arrived := make(chan struct{}), make(chan struct{})
-	n.do(func() { <-busy })
+	n.runOnLoop(func() { <-busy })
 	go func() {
 		n.Apply(1, &config.Revision{Update: gateway.Update{Members: 1}, MemberCount: 1})
 		close(arrived)
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -124,7 +124,7 @@
 // hold has connections to the host come up once up is closed; each is told on dials.
 func (r *rig) hold() (_, _ chan struct{}) {
 	dials, up := make(chan struct{}, 9), make(chan struct{})
-	r.do(func() {
+	r.runOnLoop(func() {
 		dial := r.transport.Dial
 		r.transport.Dial = func(addr string) (net.Conn, error) {
 			dials <- struct{}{}
@@ -159,7 +159,7 @@
 		told = append(told, <-r.told)
 	}
 	held := make(chan int)
-	r.do(func() { held <- len(r.reqs) + len(r.open) })
+	r.runOnLoop(func() { held <- len(r.requests) + len(r.inFlight) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	slices.Sort(r.names)
@@ -188,7 +188,7 @@
 	told := <-r.told + "\n" + <-r.told + "\n"
 	for i, state := range []string{"leaving", "active"} {
 		list := fmt.Sprintf(`{"version":%d,"full":false,"servers":[{"id":"s","addr":"%s","state":"%s","weight":1}]}`, 2+i, r.at, state)
-		r.do(func() { r.listed(list, false) })
+		r.runOnLoop(func() { r.updateEndpoints(list, false) })
 		if i == 0 {
 			told += <-r.told + "\n"
 		}
--- a/internal/node/follow.go
+++ b/internal/node/endpoint_watch.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	firstList = 2 * time.Second        // the first list is waited for at most so long before clients are taken in
-	catchUp   = 100 * time.Millisecond // news that lie unread hold decisions up at most so long
+	firstListWait = 2 * time.Second        // the first list is waited for at most so long before clients are taken in
+	maxReadDelay  = 100 * time.Millisecond // news that lie unread hold decisions up at most so long
 )
 
 // watch is one try to follow the list; only what the newest brings counts.
 type watch struct {
-	stop  context.CancelFunc
-	feed  discovery.Feed
-	tired int64 // what lies in it holds no decision up until then
+	stop      context.CancelFunc
+	feed      discovery.Feed
+	skipUntil int64 // what lies in it holds no decision up until then
 }
 
 // start asks for the list, unless that is up to the module. What discovery's agent has counts as told from the first
 // moment on, and the list of the configuration may be old: clients are taken in once the agent has answered, which it
 // does at once, or is silent for so long that discovery must be down.
-func (n *Node) start() {
+func (n *Node) startWatch() {
 	if n.cfg.Limits.PollEndpoints {
-		n.told = true
+		n.listAnswered = true
 		return
 	}
 	n.WatchEndpoints()
-	time.AfterFunc(firstList, func() {
-		n.do(func() {
-			if !n.told {
-				log.Printf("event=no_first_list version=%d", n.book.Version)
+	time.AfterFunc(firstListWait, func() {
+		n.runOnLoop(func() {
+			if !n.listAnswered {
+				log.Printf("event=no_first_list version=%d", n.endpointBook.Version)
 			}
-			n.told = true
+			n.listAnswered = true
 		})
 	})
 }
@@ -50,10 +50,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	w := &watch{stop: stop}
 	n.watch = w
-	after, addr := n.book.Version, n.cfg.Discovery
+	after, addr := n.endpointBook.Version, n.cfg.Discovery
 	go func() {
 		newest := func(f func()) { // of what the watch brings, in the loop
-			n.do(func() {
+			n.runOnLoop(func() {
 				if n.watch == w {
 					f()
 				}
@@ -61,76 +61,76 @@
 		}
 		err := discovery.Watch(ctx, n.system, addr, after, discovery.NewPace(n.cfg.Limits.PollEndpoints), &w.feed, func() {
 			newest(func() {
-				if n.lost {
+				if n.watchLost {
 					log.Printf("event=watch_back")
 				}
-				n.lost = false
+				n.watchLost = false
 			})
-		}, func(list string) { newest(func() { n.listed(list, false) }) })
+		}, func(list string) { newest(func() { n.updateEndpoints(list, false) }) })
 		stop()
-		n.do(func() { n.ended(w, err) })
+		n.runOnLoop(func() { n.watchEnded(w, err) })
 	}()
 }
 
 // catchUp lets the newest watch hand on what lies in its connection before the module decides. A process that stood still,
 // or has much to read, would else send reqs on past a drain that was told long before.
-func (n *Node) catchUp() {
-	if len(n.events) == 0 || n.watch == nil || n.now() < n.watch.tired {
+func (n *Node) readPendingList() {
+	if len(n.events) == 0 || n.watch == nil || n.now() < n.watch.skipUntil {
 		return
 	}
-	for limit := n.now() + int64(catchUp); n.watch.feed.Behind(); {
+	for limit := n.now() + int64(maxReadDelay); n.watch.feed.Behind(); {
 		if now := n.now(); now >= limit { // it never rests: reqs must not wait for it round after round
-			n.watch.tired = now + int64(time.Second)
+			n.watch.skipUntil = now + int64(time.Second)
 			break
 		}
 		select {
 		case f := <-n.work:
-			n.guard("loop", f)
+			n.recoverPanics("loop", f)
 		case <-time.After(time.Millisecond):
 		}
 	}
-	n.drain() // what was handed on is there by now
+	n.runQueued() // what was handed on is there by now
 }
 
 // Reload takes in the configuration file as it is now: it read it as cfg, or failed to. Only where discovery is
 // can change while the gateway runs; its list, reqs and connections stay as they are.
 func (n *Node) Reload(cfg *config.Config, err error) {
-	n.do(func() {
+	n.runOnLoop(func() {
 		if err != nil {
 			log.Printf("event=reload_failed error=%q", err)
 			return
 		}
-		log.Printf("event=reloaded discovery=%s version=%d others_changed=%t", cfg.Discovery, n.book.Version,
+		log.Printf("event=reloaded discovery=%s version=%d others_changed=%t", cfg.Discovery, n.endpointBook.Version,
 			n.cfg.Fixed != cfg.Fixed) // these count from the next start on
 		if cfg.Pool != nil {
-			n.pool.setCapacity(cfg.Pool.Serial, cfg.Pool.Capacity)
+			n.quota.setCapacity(cfg.Pool.Serial, cfg.Pool.Capacity)
 		}
 		if cfg.Discovery == n.cfg.Discovery {
 			return
 		}
 		n.cfg.Discovery = cfg.Discovery
 		if n.watch != nil { // at once: the old address answers no more, and what the new one has counts as told
-			n.lost = false
+			n.watchLost = false
 			n.WatchEndpoints()
 		}
 	})
 }
 
 // ended takes in the end of a watch. Where the list only comes when asked for, the module asks.
-func (n *Node) ended(w *watch, err error) {
+func (n *Node) watchEnded(w *watch, err error) {
 	if n.watch != w { // another has taken its place
 		return
 	}
-	if !n.lost { // once, not with every try
-		log.Printf("event=watch_lost error=%q version=%d", err, n.book.Version)
+	if !n.watchLost { // once, not with every try
+		log.Printf("event=watch_lost error=%q version=%d", err, n.endpointBook.Version)
 	}
-	n.lost = true
+	n.watchLost = true
 	if n.cfg.Limits.PollEndpoints {
-		n.news = append(n.news, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
+		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
 		return
 	}
 	time.AfterFunc(discovery.Again, func() {
-		n.do(func() {
+		n.runOnLoop(func() {
 			if n.watch == w {
 				n.WatchEndpoints()
 			}
@@ -139,36 +139,36 @@
 }
 
 // listed takes in a list or changes of it.
-func (n *Node) listed(text string, old bool) {
-	n.told = n.told || !old
-	had := n.book.Version
-	kind, list, odd, err := n.book.Read(text, func(host uint32, addr netip.AddrPort) { n.transport.SetAddress(host, addr) })
+func (n *Node) updateEndpoints(text string, old bool) {
+	n.listAnswered = n.listAnswered || !old
+	had := n.endpointBook.Version
+	kind, list, odd, err := n.endpointBook.Read(text, func(host uint32, addr netip.AddrPort) { n.transport.SetAddress(host, addr) })
 	if err != nil {
-		n.broken++
-		log.Printf("event=list_dropped error=%q count=%d", err, n.broken)
+		n.droppedLists++
+		log.Printf("event=list_dropped error=%q count=%d", err, n.droppedLists)
 		return
 	}
 	if odd != nil {
-		log.Printf("event=list_odd error=%q version=%d", odd, n.book.Version)
+		log.Printf("event=list_odd error=%q version=%d", odd, n.endpointBook.Version)
 	}
-	if n.book.Version < had {
-		log.Printf("event=list_older version=%d had=%d", n.book.Version, had)
+	if n.endpointBook.Version < had {
+		log.Printf("event=list_older version=%d had=%d", n.endpointBook.Version, had)
 	}
 	if old {
 		kind = gateway.ListCached
 	}
-	n.witness.listed(list)
+	n.observer.endpointsListed(list)
 	for _, l := range list {
 		if l.State != gateway.Running {
-			log.Printf("event=host id=%s state=%s version=%d", n.book.Name(l.Host), l.State, n.book.Version)
+			log.Printf("event=host id=%s state=%s version=%d", n.endpointBook.Name(l.Host), l.State, n.endpointBook.Version)
 		}
 		if l.State == gateway.Draining {
 			n.transport.Drain(l.Host)
 		}
 		if l.State == gateway.Gone {
 			n.transport.Remove(l.Host)
-			n.book.Forget(l.Host)
+			n.endpointBook.Forget(l.Host)
 		}
 	}
-	n.news = append(n.news, gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: list})
+	n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: list})
 }
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -54,30 +54,30 @@
 		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
 	arrive := func(id string) *clients.Answer {
-		a := new(clients.Line).Add()
-		n.arrive(a, n.now(), id, "c", 0, 0, n.now()+1e12, 1, 1, 0, false, nil, nil, nil, nil)
+		a := new(clients.AnswerQueue).Add()
+		n.arrive(a, &clients.Request{ID: id, Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
 		return a
 	}
-	arrive("before-it-is-heard-of").Left()
+	arrive("before-it-is-heard-of").ClientGone()
 	n.turn()
 	a := arrive("with-the-end-of-its-attempt")
 	n.turn()
-	n.reqs["with-the-end-of-its-attempt"].sends[0].send.Cancel(hosts.ErrTimedOut)
-	a.Left()
+	n.requests["with-the-end-of-its-attempt"].attempts[0].send.Cancel(hosts.ErrTimedOut)
+	a.ClientGone()
 	n.turn()
 	a = arrive("while-it-waits-for-a-connection") // it ends at once, unsent
 	n.turn()
-	a.Left()
+	a.ClientGone()
 	n.turn()
 	a = arrive("under-its-attempt")
-	for n.turn(); !n.reqs["under-its-attempt"].sends[0].send.Written(); n.turn() {
+	for n.turn(); !n.requests["under-its-attempt"].attempts[0].send.Written(); n.turn() {
 		(<-n.work)()
 	}
-	a.Left()
+	a.ClientGone()
 	n.turn()
-	n.reqs["under-its-attempt"].sends[0].send.Cancel(hosts.ErrTimedOut)
+	n.requests["under-its-attempt"].attempts[0].send.Cancel(hosts.ErrTimedOut)
 	n.turn()
-	fmt.Fprintf(m, "%d requests and %d attempts are held\n", len(n.reqs), len(n.open))
+	fmt.Fprintf(m, "%d requests and %d attempts are held\n", len(n.requests), len(n.inFlight))
 	golden.Check(t, m.String())
 }
 
@@ -92,7 +92,7 @@
 	for _, e := range in.Events {
 		if e.Kind == gateway.RequestArrived {
 			m.left()
-			for a := m.n.reqs[e.RequestID].answer; !a.Gone(); {
+			for a := m.n.requests[e.RequestID].answer; !a.IsClientGone(); {
 				runtime.Gosched()
 			}
 		}
@@ -120,7 +120,7 @@
 	if n := len(ended()); n > 0 {
 		t.Error("a panic")
 	}
-	fmt.Fprintf(m, "%d requests and %d attempts are held\n", len(m.n.reqs), len(m.n.open))
+	fmt.Fprintf(m, "%d requests and %d attempts are held\n", len(m.n.requests), len(m.n.inFlight))
 	golden.Check(t, m.String())
 }
 
@@ -136,18 +136,18 @@
 		n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1},
 			Classes: []gateway.RequestClass{{Effect: effect, DedupWindow: 1}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 		n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
-		n.arrive(new(clients.Line).Add(), n.now(), "r", "c", 0, 0, n.now()+1e12, 1, 1, 0, false, nil, nil, nil, nil)
+		n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
 		n.turn()
-		for i, r := 0, n.reqs["r"]; i < 2; i++ {
-			for ; !r.sends[i].send.Written(); n.turn() {
+		for i, r := 0, n.requests["r"]; i < 2; i++ {
+			for ; !r.attempts[i].send.Written(); n.turn() {
 				(<-n.work)()
 			}
 			if i == 0 {
-				r.sends[0].send.Cancel(hosts.ErrTimedOut) // it may have run
+				r.attempts[0].send.Cancel(hosts.ErrTimedOut) // it may have run
 				n.turn()
 			}
 		}
-		fmt.Fprintf(m, "effect %d: %d of %d attempts is out\n", effect, n.reqs["r"].out, len(n.reqs["r"].sends))
+		fmt.Fprintf(m, "effect %d: %d of %d attempts is out\n", effect, n.requests["r"].inFlight, len(n.requests["r"].attempts))
 	}
 	golden.Check(t, m.String())
 }
@@ -174,20 +174,20 @@
 				Classes: []gateway.RequestClass{{Effect: gateway.Deduplicated, DedupWindow: window}}, Plans: []gateway.Plan{{}},
 				ConnectTimeout: 1e9}}, m)
 			n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
-			n.arrive(new(clients.Line).Add(), n.now(), "r", "c", 0, 0, n.now()+1e12, 1, 1, 0, false, nil, nil, nil, nil)
+			n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
 			n.turn()
-			r := n.reqs["r"]
+			r := n.requests["r"]
 			written := func(i int) {
-				for ; !r.sends[i].send.Written(); n.turn() {
+				for ; !r.attempts[i].send.Written(); n.turn() {
 					(<-n.work)()
 				}
 			}
 			written(0)
-			r.sends[0].send.Cancel(hosts.ErrTimedOut) // it may have run
+			r.attempts[0].send.Cancel(hosts.ErrTimedOut) // it may have run
 			n.turn()
 			n.unix += window - test.left
 			written(1)
-			r.sends[1].send.Cancel(hosts.ErrTimedOut)
+			r.attempts[1].send.Cancel(hosts.ErrTimedOut)
 			n.turn()
 			if want := fmt.Sprintf("r attempt 1 ended: result %d,", test.result); !strings.Contains(m.String(), want) {
 				t.Errorf("%swant %q", m, want)
@@ -205,14 +205,14 @@
 		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:1"))
 	arrive := func(id string) *clients.Answer {
-		a := new(clients.Line).Add() // its line has no ring: an answer panics
-		n.arrive(a, n.now(), id, "c", 0, 0, n.now()+1e12, 1, 1, 0, false, nil, nil, nil, nil)
+		a := new(clients.AnswerQueue).Add() // its line has no ring: an answer panics
+		n.arrive(a, &clients.Request{ID: id, Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
 		return a
 	}
 	arrive("answered")
 	n.step()
-	d := n.reqs["answered"].sends[0]
-	n.guard("loop", func() { d.ended(gateway.Event{Result: gateway.Succeeded}, []byte("v"), n.now()) })
+	d := n.requests["answered"].attempts[0]
+	n.recoverPanics("loop", func() { d.end(gateway.Event{Result: gateway.Succeeded}, []byte("v"), n.now()) })
 	n.step()
 	fleet := n.transport
 	n.transport = nil
@@ -221,8 +221,8 @@
 	n.transport = fleet
 	n.unix += 2e12
 	n.step()
-	a.Left()
+	a.ClientGone()
 	n.step()
-	fmt.Fprintf(m, "%d requests and %d attempts are held\n", len(n.reqs), len(n.open))
+	fmt.Fprintf(m, "%d requests and %d attempts are held\n", len(n.requests), len(n.inFlight))
 	golden.Check(t, m.String())
 }
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	former   = 25 * time.Second      // an address is waited for at most so long: a former life of this gateway may drain yet
-	shortage = 5 * time.Second       // the same for what this machine is short of, such as an interface with the address: it may be a mistake in the file
-	knock    = 20 * time.Millisecond // between tries
-	apart    = 16                    // descriptors: three streams, the runtime's two, listener, datagrams, counter, watch and the one before, file, others of a section
+	formerProcessWait   = 25 * time.Second      // an address is waited for at most so long: a former life of this gateway may drain yet
+	shortageWait        = 5 * time.Second       // the same for what this machine is short of, such as an interface with the address: it may be a mistake in the file
+	listenRetryInterval = 20 * time.Millisecond // between tries
+	reservedDescriptors = 16                    // descriptors: three streams, the runtime's two, listener, datagrams, counter, watch and the one before, file, others of a section
 )
 
 // addresses takes the gateway's addresses, that of the datagrams first, before anything else of it runs. A former life that
 // still serves what it has open holds them, its datagrams' address up to its end: a process that gave up then would not
 // start at all.
-func (n *Node) addresses(stop <-chan struct{}) (listener *net.TCPListener, err error) {
+func (n *Node) openSockets(stop <-chan struct{}) (listener *net.TCPListener, err error) {
 	if len(n.cfg.Peers) > 0 {
-		err = claim("peer_listen", n.cfg.PeerListen, stop, func() (err error) {
+		err = listenWithRetry("peer_listen", n.cfg.PeerListen, stop, func() (err error) {
 			format := gossip.Format{Plans: len(n.cfg.Plans), Members: len(n.cfg.Peers), ByID: n.cfg.Configuration != nil}
 			n.peerTransport, err = peers.Open(n.system, n.cfg.PeerListen, n.cfg.Peers, format)
 			return err
@@ -35,26 +35,26 @@
 			return nil, err
 		}
 	}
-	err = claim("listen", n.cfg.Listen, stop, func() (err error) {
+	err = listenWithRetry("listen", n.cfg.Listen, stop, func() (err error) {
 		listener, err = n.system.Listen(n.cfg.Listen)
 		return err
 	})
 	return listener, err
 }
 
-var errCalled = errors.New("called to stop before it had its addresses")
+var errStopped = errors.New("called to stop before it had its addresses")
 
 // claim tries to take an address until it is free, and as long as the machine is short of something for it.
-func claim(key string, addr netip.AddrPort, stop <-chan struct{}, try func() error) error {
+func listenWithRetry(key string, addr netip.AddrPort, stop <-chan struct{}, try func() error) error {
 	began := time.Now()
 	for told := false; ; told = true {
 		err := try()
 		if err == nil {
 			return nil
 		}
-		event, wait := "address_taken", former
+		event, wait := "address_taken", formerProcessWait
 		if sockets.IsShortage(err) {
-			event, wait = "address_unavailable", shortage
+			event, wait = "address_unavailable", shortageWait
 		}
 		if !sockets.IsPassing(err) || time.Since(began) > wait {
 			return fmt.Errorf("%s: %w", key, err)
@@ -64,8 +64,8 @@
 		}
 		select {
 		case <-stop:
-			return errCalled
-		case <-time.After(knock):
+			return errStopped
+		case <-time.After(listenRetryInterval):
 		}
 	}
 }
@@ -73,11 +73,11 @@
 // descriptors gives how many the parts of the gateway may share out. Where the system's limit is lower than the
 // configuration's it counts: idle clients that fill a part too large would keep the watch, the hosts and the loop that
 // accepts from theirs. The rest, of what is open once each, is kept clear at any size.
-func descriptors(most int) int {
+func sharedDescriptors(most int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(most) {
 		log.Printf("event=few_descriptors limit=%d sockets=%d", limit.Cur, most)
 		most = int(limit.Cur)
 	}
-	return min(most, max(most-apart, 1)*15/11) // of which clients get 5, hosts 6
+	return min(most, max(most-reservedDescriptors, 1)*15/11) // of which clients get 5, hosts 6
 }
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -18,7 +18,7 @@
 	passing := []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 	for _, errno := range passing {
 		tries := 0
-		err := claim("listen", address, nil, func() error {
+		err := listenWithRetry("listen", address, nil, func() error {
 			tries++
 			if tries < 3 {
 				return bindError(errno)
@@ -31,7 +31,7 @@
 	}
 	for _, errno := range []syscall.Errno{syscall.EACCES, syscall.EINVAL} {
 		tries := 0
-		err := claim("listen", address, nil, func() error {
+		err := listenWithRetry("listen", address, nil, func() error {
 			tries++
 			return bindError(errno)
 		})
--- /dev/null
+++ b/internal/node/loop.go
@@ -0,0 +1,169 @@
+package node
+
+import (
+	"fmt"
+	"log"
+	"runtime/debug"
+	"time"
+
+	"ravensill/gateway"
+)
+
+const (
+	flushRetryInterval = 5 * time.Millisecond   // until bytes that a socket did not take are tried again
+	droppedLogInterval = int64(time.Second)     // between lines on dropped datagrams
+	countsLogInterval  = int64(5 * time.Second) // between lines of the module's decisions
+	maxWait            = time.Hour              // of a turn in which nothing is due
+)
+
+// runQueued runs the functions that wait by now.
+func (n *Node) runQueued() {
+	for count := len(n.work); count > 0; count-- {
+		n.recoverPanics("loop", <-n.work)
+	}
+}
+
+// step is a turn; a panic in it costs what was at hand, not the program.
+func (n *Node) step() (wait time.Duration) {
+	wait = flushRetryInterval
+	n.recoverPanics("loop", func() { wait = n.turn() })
+	return wait
+}
+
+// turn does what is due, lets the module decide on what came in, and carries it out. It returns for how long nothing more is due.
+func (n *Node) turn() time.Duration {
+	now := n.now()
+	if n.nextPhaseAt > 0 && now >= n.nextPhaseAt {
+		n.enterNextPhase()
+	}
+	n.expire(now)
+	if n.timerAt > 0 && now >= n.timerAt {
+		n.timerFired(now)
+	}
+	unsent := false
+	counterDue := int64(0)
+	for more := true; more; more = n.hasEvents() { // a write that fails is an event, too
+		if n.hasEvents() {
+			n.decide()
+		}
+		unsent, counterDue = n.flush() // also when there is nothing to decide: an answer to PING must not wait for the next timer
+	}
+	return n.waitFor(unsent, counterDue)
+}
+
+// timerFired does what goes with the module's timer.
+func (n *Node) timerFired(now int64) {
+	n.timerAt = 0
+	n.transport.CloseIdle()
+	n.clients.CloseOverdue()
+	if n.droppedDatagrams > 0 && now-n.droppedLoggedAt > droppedLogInterval {
+		log.Printf("event=datagrams_dropped count=%d", n.droppedDatagrams)
+		n.droppedDatagrams = 0
+		n.droppedLoggedAt = now
+	}
+	n.events = append(n.events, gateway.Event{Kind: gateway.TimerFired})
+	counter, counts := n.module.(DecisionCounter)
+	if counts && now-n.countsLoggedAt >= countsLogInterval {
+		n.countsLoggedAt = now
+		log.Printf("event=decisions %s", counter.DecisionCounts())
+	}
+}
+
+func (n *Node) hasEvents() bool { return len(n.events)+len(n.listEvents) > 0 }
+
+// decide hands the module a batch of all events.
+func (n *Node) decide() {
+	n.batch.Now = n.now()
+	n.batch.Events = append(append(n.batch.Events[:0], n.listEvents...), n.events...)
+	clear(n.listEvents) // a whole list must not stay in memory until the next comes
+	n.listEvents = n.listEvents[:0]
+	n.events = n.events[:0]
+	n.batchCount++
+	n.callModule()
+	n.forgetGone()
+	clear(n.batch.Events)
+}
+
+// callModule calls the module. Should it panic, what it left without a decision fails: a fault must not hold a request until its
+// client gives up, nor take the others along.
+func (n *Node) callModule() {
+	n.recoverPanics("module", func() {
+		defer func() {
+			if p := recover(); p != nil {
+				n.failUndecided()
+				panic(p)
+			}
+		}()
+		n.module.Decide(&n.batch, n.actions())
+	})
+}
+
+// failUndecided ends the requests of a batch that have no attempt in flight.
+func (n *Node) failUndecided() {
+	n.SetTimer(int64(flushRetryInterval))
+	for _, event := range n.batch.Events {
+		if r := n.requests[event.RequestID]; r != nil && r.inFlight == 0 {
+			n.Fail(event.RequestID)
+		}
+	}
+}
+
+// flush writes what is to be written. It reports whether a socket did not take all, and when the counter is due; 0: it is not.
+func (n *Node) flush() (unsent bool, counterDue int64) {
+	unsent = n.clients.Flush()
+	unsent = n.transport.Flush() || unsent
+	if n.counter != nil {
+		unsent = n.counter.Flush() || unsent
+		counterDue = n.counter.Expire(n.now())
+	}
+	return unsent, counterDue
+}
+
+// waitFor returns the time until something is due.
+func (n *Node) waitFor(unsent bool, counterDue int64) time.Duration {
+	wait := maxWait
+	for _, at := range []int64{n.timerAt, n.nextExpiry, n.nextPhaseAt, counterDue, n.quota.report()} {
+		if at > 0 {
+			wait = min(wait, time.Duration(at-n.now()))
+		}
+	}
+	if unsent {
+		wait = min(wait, flushRetryInterval)
+	}
+	return max(wait, 0)
+}
+
+// recoverPanics keeps a panic from ending the program.
+func (n *Node) recoverPanics(where string, f func()) {
+	defer func() {
+		if p := recover(); p != nil {
+			log.Printf("event=panic where=%s error=%q stack=%q", where, fmt.Sprint(p), debug.Stack())
+		}
+	}()
+	f()
+}
+
+// SetTimer implements gateway.Actions.
+func (n *Node) SetTimer(after int64) { n.timerAt = n.batch.Now + after }
+
+// SendGossip implements gateway.Actions.
+func (n *Node) SendGossip(peer int, message []byte) {
+	if n.peerTransport != nil {
+		n.peerTransport.Send(peer, message)
+	}
+}
+
+// AddToCounter implements gateway.Actions. Without a counter the call is answered as unreachable: the module does without.
+func (n *Node) AddToCounter(name uint64, amount float64, lifetime int64) {
+	if n.counter == nil {
+		n.counterReplied(gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
+		return
+	}
+	n.counter.Count(name, amount, lifetime)
+}
+
+// counterReplied takes in an answer of the counter.
+func (n *Node) counterReplied(event gateway.Event) { n.events = append(n.events, event) }
+
+// LogNote implements gateway.Actions.
+func (n *Node) LogNote(text string) { log.Printf("event=note text=%q", text) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,11 +1,20 @@
-// Package node is one gateway on sockets: a loop that hands the module all that came in and carries out what
-// it decides. It decides nothing.
+// Package node is one gateway on sockets: a loop that hands the module all that came in and carries out what it decides. It decides
+// nothing. One goroutine runs the loop and owns all state; other goroutines hand it functions to run (Node.runOnLoop).
+//
+//   - node.go: the state of a gateway, and its life from the first socket to the last connection
+//   - loop.go: one turn of the loop
+//   - request.go, attempt.go: requests of clients, and what is sent to hosts for them
+//   - shutdown.go: the phases of the end
+//   - endpoint_watch.go: the endpoint list
+//   - configuration.go: new versions of the settings
+//   - quota.go, observed_actions.go: the optional connection quota and counterfactual observer
+//   - listen.go: sockets and descriptors
 package node
 
 import (
-	"fmt"
+	"errors"
 	"log"
-	"runtime/debug"
+	"net"
 	"slices"
 	"time"
 
@@ -21,80 +30,79 @@
 )
 
 const (
-	inbox     = 1024                    // pieces of work that wait; who brings more waits too
-	keep      = 0.5                     // part of the host machines' idle time that a connection is kept
-	retry     = 5 * time.Millisecond    // until bytes that a socket did not take are tried again
-	accepting = 450 * time.Millisecond  // new clients still come for so long after the call to stop
-	mostLeave = 3 * time.Second         // of the longest client timeout: the platform counts no more
-	leave     = 500 * time.Millisecond  // it kills 0.7 s after that: by then all that was taken is answered
-	parting   = 1500 * time.Millisecond // after that clients are read to their end for a second; what stays then is cut off
-	probeWait = int64(time.Second)
-	tallyEach = int64(5 * time.Second) // between lines of the module's decisions
+	inboxSize    = 1024 // functions that wait for the loop; who brings more waits, too
+	idleFraction = 0.5  // of the hosts' idle timeout for which a connection is kept
 )
 
 // Decider is the module.
 type Decider interface {
-	Decide(in *gateway.Batch, out gateway.Actions)
-	Reconfigure(now int64, update *gateway.Update) // between two rounds
+	Decide(batch *gateway.Batch, actions gateway.Actions)
+	Reconfigure(now int64, update *gateway.Update) // between two batches
 }
 
-// Tallier is a module that counts its decisions; the node logs them every tallyEach, for on-call and for
-// counting over a fleet from the logs.
+// DecisionCounter is a module that counts its decisions; the node logs them every countsLogInterval, for on-call and for counting
+// over a fleet from the logs.
 type DecisionCounter interface {
 	DecisionCounts() string
 }
 
+// Platform is what a gateway runs on. Zero values mean the process's own.
+type Platform struct {
+	Clock   clock.Clock
+	Sockets sockets.System
+}
+
 // Node is one gateway. All its fields belong to the loop.
 type Node struct {
-	cfg           *config.Config
-	module        Decider
-	work          chan func()
-	system        sockets.System
-	clock         clock.Clock
-	unix          int64 // wall time of the monotonic clock's 0, as of the start: now never steps
-	reqs          map[string]*req
-	events        []gateway.Event // since the last round
-	news          []gateway.Event // of the list: they go first, so that no dispatch of the round passes by a drain
-	round         gateway.Batch
-	rounds        int   // handed to the module
-	wakeAt        int64 // 0: no wake-up is due
-	dueAt         int64 // when the first dispatch of open times out at the earliest
-	open          []*dispatch
-	classes       []gateway.RequestClass // request classes by index, as they are in force
+	cfg     *config.Config
+	module  Decider
+	system  sockets.System
+	clock   clock.Clock
+	unix    int64 // wall time of the monotonic clock's 0, as of the start: now never steps
+	work    chan func()
+	ended   chan struct{}          // closed when Run returns
+	tasks   []func() (end func())  // started once the gateway has its addresses
+	events  []gateway.Event        // since the last batch
+	classes []gateway.RequestClass // by index, as they are in force
+
+	listEvents []gateway.Event // of the list: they go first, so that no attempt of the batch passes by a drain
+	batch      gateway.Batch
+	batchCount int   // batches handed to the module
+	timerAt    int64 // the module's timer; 0: not set
+
+	requests   map[string]*request
+	inFlight   []*attempt
+	nextExpiry int64 // the first attempt in flight times out then at the earliest; 0: none is
+
 	catalog       *clients.Catalog
 	clients       *clients.Server
 	transport     *hosts.Transport
-	book          *discovery.Book
 	peerTransport *peers.Transport
 	counter       *counter.Counter // nil: none is configured
-	watch         *watch
-	witness       *watching             // nil: off
-	pool          *connectionQuota      // nil: off
-	pending       []revision            // of the configuration; each is in force after the turn at hand
-	over          chan struct{}         // closed when Run returns
-	tasks         []func() (end func()) // started once the gateway has its addresses
-	lost          bool                  // the watch broke, and none has brought anything since
-	told          bool                  // clients may be taken in: discovery has answered once, or it was waited for long enough
-	broken        int                   // lists dropped
-	strange       int                   // datagrams dropped since the last line on them
-	lineAt        int64                 // of that line
-	tallyAt       int64                 // of the last line of decisions
-	stopAt        int64                 // the next step to the end is due then; 0 none
-	leaveAt       int64                 // what is taken has its answer by then; 0 not called to stop
-	serving       bool                  // clients are taken in
-	stopped       bool                  // no more are: the gateway ends with its last connection
-	retired       bool                  // those that are owed nothing are closed
+	observer      *observedActions // nil: off
+	quota         *connectionQuota // nil: off
+
+	endpointBook *discovery.Book
+	watch        *watch
+	watchLost    bool // the watch broke, and none has brought anything since
+	listAnswered bool // discovery has answered once, or it was waited for long enough: clients may be taken in
+	droppedLists int
+
+	pendingRevisions []revision // of the configuration; each is in force after the turn at hand
+
+	listening   bool // clients are taken in
+	phase       phase
+	nextPhaseAt int64 // the phase ends then; 0: it does not
+	answerBy    int64 // what is taken has its answer by then; 0: not called to stop
+
+	droppedDatagrams int // since the last line on them
+	droppedLoggedAt  int64
+	countsLoggedAt   int64
 }
 
 // New makes a gateway that is not yet reachable.
 func New(cfg *config.Config, module Decider) *Node { return NewOn(Platform{}, cfg, module) }
 
-// Platform is what a gateway runs on. Zero values mean the process's own.
-type Platform struct {
-	Clock   clock.Clock
-	Sockets sockets.System
-}
-
 // NewOn makes a gateway on a platform, as tests have it.
 func NewOn(platform Platform, cfg *config.Config, module Decider) *Node {
 	if platform.Clock == nil {
@@ -103,20 +111,26 @@
 	if platform.Sockets == nil {
 		platform.Sockets = sockets.Kernel{}
 	}
-	system, clock := platform.Sockets, platform.Clock
-	n := &Node{cfg: cfg, module: module, work: make(chan func(), inbox), system: system, clock: clock, over: make(chan struct{}),
-		classes: slices.Clone(cfg.Classes), reqs: map[string]*req{}, book: discovery.NewBook(cfg.Zones, cfg.Machines)}
-	n.book.Even = cfg.Even
-	n.unix = clock.Wall().UnixNano() - int64(clock.Monotonic())
-	n.catalog = clients.NewCatalog(catalogOf(cfg))
-	shared := descriptors(cfg.Sockets)
-	n.clients = clients.NewServer(system, n.catalog, shared/3, n.do, n.now, n.arrive)
-	n.transport = hosts.NewTransport(system, n.do, n.now, cfg.ReportNames, cfg.ConnectTimeout, int64(keep*float64(cfg.ConnIdle)),
-		shared*2/5)
+	n := &Node{
+		cfg:          cfg,
+		module:       module,
+		system:       platform.Sockets,
+		clock:        platform.Clock,
+		unix:         platform.Clock.Wall().UnixNano() - int64(platform.Clock.Monotonic()),
+		work:         make(chan func(), inboxSize),
+		ended:        make(chan struct{}),
+		classes:      slices.Clone(cfg.Classes),
+		requests:     map[string]*request{},
+		endpointBook: discovery.NewBook(cfg.Zones, cfg.Machines),
+		catalog:      clients.NewCatalog(catalogOf(cfg)),
+	}
+	n.endpointBook.Even = cfg.Even
+	shared := sharedDescriptors(cfg.Sockets)
+	n.clients = clients.NewServer(n.system, n.catalog, shared/3, n.runOnLoop, n.now, n.arrive)
+	idleTimeout := int64(idleFraction * float64(cfg.ConnIdle))
+	n.transport = hosts.NewTransport(n.system, n.runOnLoop, n.now, cfg.ReportNames, cfg.ConnectTimeout, idleTimeout, shared*2/5)
 	if cfg.Counter.IsValid() {
-		n.counter = counter.New(system, cfg.Counter, cfg.Limits.CounterTimeout, n.do, n.now, func(e gateway.Event) {
-			n.events = append(n.events, e)
-		})
+		n.counter = counter.New(n.system, cfg.Counter, cfg.Limits.CounterTimeout, n.runOnLoop, n.now, n.counterReplied)
 	}
 	return n
 }
@@ -140,7 +154,7 @@
 	return catalog
 }
 
-// maxUnits gives the units that a request of a quota plan may ask for; 0: any.
+// maxUnits returns the units that a request of a quota plan may ask for; 0: any.
 func maxUnits(plan *gateway.Plan) float64 {
 	if plan.Rate == 0 {
 		return 0
@@ -148,32 +162,37 @@
 	return plan.Burst
 }
 
-func (n *Node) do(f func()) { n.work <- f }
+// runOnLoop has the loop run a function. It waits while the inbox is full.
+func (n *Node) runOnLoop(f func()) { n.work <- f }
 
 // now returns the time in nanoseconds since 1970 as the wall clock had it at the start of the gateway. It runs with the monotonic
 // clock from then on: steps of the wall clock don't change it.
 func (n *Node) now() int64 { return n.unix + int64(n.clock.Monotonic()) }
 
-// WhileRunning has Run start a task beside the loop once the gateway has its addresses: a former process of this gateway
-// that serves to its end runs no more then. Run calls what start returns after the loop has ended, and waits for it.
+// WhileRunning has Run start a task beside the loop once the gateway has its addresses: a former process of this gateway that
+// serves to its end runs no more then. Run calls what start returns after the loop has ended, and waits for it.
 func (n *Node) WhileRunning(start func() (end func())) { n.tasks = append(n.tasks, start) }
 
 // Run serves until it is called to stop and owes nothing more.
-func (n *Node) Run(stop <-chan struct{}) (err error) {
+func (n *Node) Run(stop <-chan struct{}) error {
+	err := n.run(stop)
+	if err != nil && !errors.Is(err, errStopped) {
+		return err
+	}
+	log.Printf("event=stopped")
+	return nil
+}
+
+// run opens all that the gateway needs, and closes it after the loop.
+func (n *Node) run(stop <-chan struct{}) error {
 	var ends []func()
 	defer func() {
-		close(n.over)
+		close(n.ended)
 		for _, end := range ends {
 			end()
 		}
 	}()
-	defer func() {
-		if err == errCalled {
-			log.Printf("event=stopped")
-			err = nil
-		}
-	}()
-	listener, err := n.addresses(stop)
+	listener, err := n.openSockets(stop)
 	if n.peerTransport != nil {
 		defer n.peerTransport.Close()
 	}
@@ -187,156 +206,79 @@
 		defer n.counter.Close()
 		n.counter.Connect()
 	}
-	unwatch, err := n.watchOver(stop)
+	endObserver, err := n.startObserver(stop)
 	if err != nil {
 		return err
 	}
-	defer unwatch()
-	unpool, err := n.startPool(stop)
+	defer endObserver()
+	endQuota, err := n.startQuota(stop)
 	if err != nil {
 		return err
 	}
-	defer unpool()
-	if n.cfg.Known != "" {
-		n.listed(n.cfg.Known, true)
-		n.cfg.Known = "" // what it told is in the book, and the file's text need not be kept
-	} else {
-		n.news = append(n.news, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached})
-	}
-	n.step() // the first round
+	defer endQuota()
+	n.decideFirstBatch()
 	for _, start := range n.tasks {
 		ends = append(ends, start())
 	}
 	if n.peerTransport != nil {
-		go n.peerTransport.Listen(func(member int, body []byte) {
-			n.do(func() {
-				n.events = append(n.events, gateway.Event{Kind: gateway.GossipReceived, Peer: member, Message: body})
-			})
-		}, func() { n.do(func() { n.strange++ }) })
+		go n.peerTransport.Listen(n.receiveGossip, n.countDropped)
+	}
+	n.startWatch()
+	n.loop(listener, stop)
+	return nil
+}
+
+// decideFirstBatch hands the module the endpoint list of the configuration.
+func (n *Node) decideFirstBatch() {
+	if n.cfg.Known == "" {
+		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached})
+	} else {
+		n.updateEndpoints(n.cfg.Known, true)
+		n.cfg.Known = "" // what it told is in the book, and the file's text need not be kept
 	}
-	n.start()
+	n.step()
+}
+
+// receiveGossip hands a message of a peer to the loop. It runs on the peers' goroutine.
+func (n *Node) receiveGossip(member int, message []byte) {
+	n.runOnLoop(func() {
+		n.events = append(n.events, gateway.Event{Kind: gateway.GossipReceived, Peer: member, Message: message})
+	})
+}
+
+// countDropped counts a datagram that was dropped. It runs on the peers' goroutine.
+func (n *Node) countDropped() { n.runOnLoop(func() { n.droppedDatagrams++ }) }
+
+// listenWhenReady takes in clients once the endpoint list is there.
+func (n *Node) listenWhenReady(listener *net.TCPListener) {
+	if !n.listAnswered || n.listening || n.phase != serving {
+		return
+	}
+	n.listening = true
+	n.clients.Listen(listener)
+	log.Printf("event=serving name=%s listen=%s peer_listen=%s hosts=%d version=%d", n.cfg.Name, listener.Addr(),
+		n.peerTransport.Addr(), n.endpointBook.Count(), n.endpointBook.Version)
+}
+
+// loop runs until the shutdown has ended.
+func (n *Node) loop(listener *net.TCPListener, stop <-chan struct{}) {
 	timer := time.NewTimer(0)
-	for !n.stopped || !n.clients.Over() {
-		if n.told && !n.serving && n.leaveAt == 0 {
-			n.serving = true
-			n.clients.Listen(listener)
-			log.Printf("event=serving name=%s listen=%s peer_listen=%s hosts=%d version=%d", n.cfg.Name, listener.Addr(),
-				n.peerTransport.Addr(), n.book.Count(), n.book.Version)
-		}
+	for !n.shutdownEnded() {
+		n.listenWhenReady(listener)
 		select {
 		case f := <-n.work:
-			n.guard("loop", f)
+			n.recoverPanics("loop", f)
 		case <-timer.C:
 		case <-stop:
 			stop = nil
-			n.stop()
+			n.beginShutdown()
 		}
-		n.drain()
-		n.catchUp()
+		n.runQueued()
+		n.readPendingList()
 		wait := n.step()
 		if n.applyPending() {
 			wait = n.step()
 		}
 		timer.Reset(wait)
 	}
-	log.Printf("event=stopped")
-	return nil
-}
-
-// drain does the work that waits by now.
-func (n *Node) drain() {
-	for k := len(n.work); k > 0; k-- {
-		n.guard("loop", <-n.work)
-	}
-}
-
-// step is a turn; a panic in it costs what was at hand, not the program.
-func (n *Node) step() (wait time.Duration) {
-	wait = retry
-	n.guard("loop", func() { wait = n.turn() })
-	return wait
-}
-
-// turn does what is due, lets the module decide on what came in, and carries it out. It tells how long
-// nothing more is due.
-func (n *Node) turn() time.Duration {
-	now := n.now()
-	if n.stopAt > 0 && now >= n.stopAt {
-		n.stopping()
-	}
-	n.expire(now)
-	countAt := int64(0)
-	if n.wakeAt > 0 && now >= n.wakeAt {
-		n.wakeAt = 0
-		n.transport.CloseIdle()
-		n.clients.Tidy()
-		if n.strange > 0 && now-n.lineAt > int64(time.Second) {
-			log.Printf("event=datagrams_dropped count=%d", n.strange)
-			n.strange, n.lineAt = 0, now
-		}
-		n.events = append(n.events, gateway.Event{Kind: gateway.TimerFired})
-		if t, ok := n.module.(DecisionCounter); ok && now-n.tallyAt >= tallyEach {
-			n.tallyAt = now
-			log.Printf("event=decisions %s", t.DecisionCounts())
-		}
-	}
-	left := false
-	for more := true; more; more = len(n.events)+len(n.news) > 0 { // a write that fails is an event, too
-		if len(n.events)+len(n.news) > 0 {
-			n.round.Now = n.now()
-			n.round.Events = append(append(n.round.Events[:0], n.news...), n.events...)
-			clear(n.news) // a whole list must not stay in memory until the next comes
-			n.news, n.events = n.news[:0], n.events[:0]
-			n.rounds++
-			n.decide()
-			n.forget()
-			clear(n.round.Events)
-		}
-		// Also when the module has nothing to decide: an answer to PING must not wait for its next wake-up.
-		left = n.clients.Flush()
-		left = n.transport.Flush() || left
-		if n.counter != nil {
-			left = n.counter.Flush() || left
-			countAt = n.counter.Expire(n.now())
-		}
-	}
-	wait := time.Hour
-	for _, at := range []int64{n.wakeAt, n.dueAt, n.stopAt, countAt, n.pool.report()} {
-		if at > 0 {
-			wait = min(wait, time.Duration(at-n.now()))
-		}
-	}
-	if left {
-		wait = min(wait, retry)
-	}
-	return max(wait, 0)
-}
-
-// decide calls the module. Should it panic, what it left without a decision is aborted: a fault must not hold
-// a req until its client gives up, nor take the others along.
-func (n *Node) decide() {
-	n.guard("module", func() {
-		defer func() {
-			if p := recover(); p != nil {
-				n.SetTimer(int64(retry))
-				for _, e := range n.round.Events {
-					if r := n.reqs[e.RequestID]; r != nil && r.out == 0 {
-						n.Fail(e.RequestID)
-					}
-				}
-				panic(p)
-			}
-		}()
-		n.module.Decide(&n.round, n.writer())
-	})
-}
-
-// guard keeps a panic from ending the program.
-func (n *Node) guard(where string, f func()) {
-	defer func() {
-		if p := recover(); p != nil {
-			log.Printf("event=panic where=%s error=%q stack=%q", where, fmt.Sprint(p), debug.Stack())
-		}
-	}()
-	f()
 }
--- a/internal/node/witness.go
+++ b/internal/node/observed_actions.go
@@ -10,18 +10,18 @@
 
 // watching stands between the module and the node where the section counterfactual is on: it is the Writer that is
 // also a Witness, and hands the task a record of each dispatch that ended. Its fields belong to the loop.
-type watching struct {
+type observedActions struct {
 	*Node
-	task   *observer.Observer
-	places map[uint32]place
-	open   map[*dispatch]*observer.Entry
-	next   *observer.Entry   // of the dispatch that comes next
-	ready  []*observer.Entry // of dispatches that ended since the last beat
-	spare  []*observer.Entry // to be used again
-	rnd    *rand.Rand
+	task     *observer.Observer
+	places   map[uint32]place
+	pending  map[*attempt]*observer.Entry
+	upcoming *observer.Entry   // of the dispatch that comes next
+	finished []*observer.Entry // of dispatches that ended since the last beat
+	recycled []*observer.Entry // to be used again
+	random   *rand.Rand
 }
 
-const mostPlaces = 4096 // hosts known, gone ones among them
+const maxPlaces = 4096 // hosts known, gone ones among them
 
 type place struct {
 	id   string
@@ -30,7 +30,7 @@
 }
 
 // watchOver starts the task, where it is configured; the returned function ends it.
-func (n *Node) watchOver(stop <-chan struct{}) (end func(), err error) {
+func (n *Node) startObserver(stop <-chan struct{}) (end func(), err error) {
 	if n.cfg.Counterfactual == nil {
 		return func() {}, nil
 	}
@@ -39,32 +39,32 @@
 		targets = append(targets, f.LatencyObjective)
 	}
 	var task *observer.Observer
-	err = claim("counterfactual", n.cfg.Counterfactual.Listen, stop, func() (err error) {
+	err = listenWithRetry("counterfactual", n.cfg.Counterfactual.Listen, stop, func() (err error) {
 		task, err = observer.Open(n.cfg.Counterfactual, n.cfg.Membership.Index, n.cfg.Membership.Zone, n.cfg.Membership.Count, n.cfg.ClassNames, targets)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	n.witness = &watching{Node: n, task: task, places: map[uint32]place{}, open: map[*dispatch]*observer.Entry{},
-		rnd: rand.New(rand.NewPCG(n.cfg.Seed, 0x7769746e657373))}
+	n.observer = &observedActions{Node: n, task: task, places: map[uint32]place{}, pending: map[*attempt]*observer.Entry{},
+		random: rand.New(rand.NewPCG(n.cfg.Seed, 0x7769746e657373))}
 	return task.Close, nil
 }
 
-// writer gives what the module writes a round to: for a part of the rounds, drawn by chance, the Witness. The others
+// actions returns what the module writes a batch to: for a fraction of the batches, drawn at random, the observer. The others
 // cost no more than without.
-func (n *Node) writer() gateway.Actions {
-	if w := n.witness; w != nil && w.rnd.Float64() < n.cfg.Counterfactual.Part {
+func (n *Node) actions() gateway.Actions {
+	if w := n.observer; w != nil && w.random.Float64() < n.cfg.Counterfactual.Part {
 		return w
 	}
 	return n
 }
 
 // Considered notes what the dispatch that comes next was chosen among.
-func (w *watching) ObserveCandidates(req string, customer uint32, options []gateway.Candidate) {
+func (w *observedActions) ObserveCandidates(req string, customer uint32, options []gateway.Candidate) {
 	var e *observer.Entry
-	if n := len(w.spare); n > 0 {
-		e, w.spare = w.spare[n-1], w.spare[:n-1]
+	if n := len(w.recycled); n > 0 {
+		e, w.recycled = w.recycled[n-1], w.recycled[:n-1]
 	} else {
 		e = &observer.Entry{}
 	}
@@ -74,36 +74,36 @@
 		e.Candidates = append(e.Candidates, counterfactual.Candidate{Host: o.Host, Incarnation: p.born, Zone: p.zone, Chance: o.Chance,
 			Load: o.Load})
 	}
-	w.next = e
+	w.upcoming = e
 }
 
 // Dispatch sends the req on; its record waits for the end.
-func (w *watching) StartAttempt(id string, host uint32, timeout int64) {
-	e := w.next
-	w.next = nil
+func (w *observedActions) StartAttempt(id string, host uint32, timeout int64) {
+	e := w.upcoming
+	w.upcoming = nil
 	w.Node.StartAttempt(id, host, timeout)
-	r := w.reqs[id]
-	if e == nil || e.Request != id || r == nil || len(w.Node.open) == 0 {
+	r := w.requests[id]
+	if e == nil || e.Request != id || r == nil || len(w.Node.inFlight) == 0 {
 		return
 	}
-	d := w.Node.open[len(w.Node.open)-1]
-	if d.req != r { // it has ended already, unsent
+	d := w.Node.inFlight[len(w.Node.inFlight)-1]
+	if d.request != r { // it has ended already, unsent
 		return
 	}
-	e.Class, e.Attempt, e.SentAt = r.front, d.n, d.at
-	w.open[d] = e
+	e.Class, e.Attempt, e.SentAt = r.command.Class, d.number, d.startedAt
+	w.pending[d] = e
 }
 
 // ended hands over the record of a dispatch. One that was never sent says nothing of its host.
-func (w *watching) ended(d *dispatch, result gateway.Result, lag int64) {
+func (w *observedActions) attemptEnded(d *attempt, result gateway.Result, lag int64) {
 	if w == nil {
 		return
 	}
-	e := w.open[d]
+	e := w.pending[d]
 	if e == nil {
 		return
 	}
-	delete(w.open, d)
+	delete(w.pending, d)
 	switch e.Latency = lag; result {
 	case gateway.NotSent:
 		return
@@ -113,41 +113,41 @@
 	default:
 		e.End = counterfactual.Failed
 	}
-	if w.ready = append(w.ready, e); len(w.ready) == observer.Batch {
+	if w.finished = append(w.finished, e); len(w.finished) == observer.Batch {
 		w.offer()
 	}
 }
 
 // offer hands over what is ready: a batch at a beat, so that the task is not woken for each dispatch.
-func (w *watching) offer() {
-	if len(w.ready) == 0 {
+func (w *observedActions) offer() {
+	if len(w.finished) == 0 {
 		return
 	}
-	free := w.task.Offer(w.ready)
-	w.ready = free[:0]
-	if len(w.spare) < 4*observer.Batch {
-		w.spare = append(w.spare, free...)
+	free := w.task.Offer(w.finished)
+	w.finished = free[:0]
+	if len(w.recycled) < 4*observer.Batch {
+		w.recycled = append(w.recycled, free...)
 	}
 }
 
 // Wake sets the module's next beat; the one at hand has come.
-func (w *watching) SetTimer(after int64) {
+func (w *observedActions) SetTimer(after int64) {
 	w.offer()
 	w.Node.SetTimer(after)
 }
 
 // listed notes where hosts stand and when their processes began.
-func (w *watching) listed(list []gateway.Endpoint) {
+func (w *observedActions) endpointsListed(list []gateway.Endpoint) {
 	if w == nil {
 		return
 	}
 	for _, l := range list {
 		if l.State != gateway.Gone {
-			w.places[l.Host] = place{w.book.Name(l.Host), l.Zone, uint32(l.StartedAt / 1e6)}
+			w.places[l.Host] = place{w.endpointBook.Name(l.Host), l.Zone, uint32(l.StartedAt / 1e6)}
 		}
 	}
 	for number := range w.places { // one that is gone keeps its id for answers about windows past
-		if len(w.places) > mostPlaces && w.book.Name(number) == "" {
+		if len(w.places) > maxPlaces && w.endpointBook.Name(number) == "" {
 			delete(w.places, number)
 		}
 	}
--- a/internal/node/pool.go
+++ b/internal/node/quota.go
@@ -23,20 +23,20 @@
 
 const poolLogInterval = int64(5 * time.Second)
 
-// startPool starts the lease holder, and the voter if this gateway is one. The returned function ends them.
-func (n *Node) startPool(stop <-chan struct{}) (end func(), err error) {
+// startQuota starts the lease holder, and the voter if this gateway is one. The returned function ends them.
+func (n *Node) startQuota(stop <-chan struct{}) (end func(), err error) {
 	cfg := n.cfg.Pool
 	if cfg == nil {
 		return func() {}, nil
 	}
-	client, err := pooler.Dial(cfg, n.do)
+	client, err := pooler.Dial(cfg, n.runOnLoop)
 	if err != nil {
 		return nil, err
 	}
 	end = client.Close
 	if index := cfg.VoterIndex(n.cfg.Membership.Index); index >= 0 {
 		var voter *pooler.Voter
-		err := claim("pool.listen", cfg.Listen, stop, func() (err error) {
+		err := listenWithRetry("pool.listen", cfg.Listen, stop, func() (err error) {
 			voter, err = pooler.StartVoter(cfg, index)
 			return err
 		})
@@ -56,7 +56,7 @@
 		p.addClass(index, name)
 	}
 	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.Turn, p.leaseholder.Allowed, p.leaseholder.AddRejected)
-	n.pool = p
+	n.quota = p
 	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
 	log.Printf("event=pool_on seat=%d floor=%d capacity=%d voters=%d", n.cfg.Membership.Index, cfg.Terms.Floor, cfg.Capacity, len(cfg.Voters))
 	return end, nil
@@ -91,15 +91,15 @@
 }
 
 // setUrgency tells the connection limiter whether the next attempt is of an urgent request class.
-func (p *connectionQuota) setUrgency(r *req) {
+func (p *connectionQuota) setUrgency(r *request) {
 	if p != nil {
-		p.limiter.SetUrgent(p.urgent[r.front])
+		p.limiter.SetUrgent(p.urgent[r.command.Class])
 	}
 }
 
 // rejectThrottled rejects a request whose attempt was rejected for want of a connection, with the time to retry after.
-func (p *connectionQuota) rejectThrottled(r *req) {
-	if p == nil || r.closed || r.out > 0 || p.limiter.RetryAfter() == 0 {
+func (p *connectionQuota) rejectThrottled(r *request) {
+	if p == nil || r.closed || r.inFlight > 0 || p.limiter.RetryAfter() == 0 {
 		return
 	}
 	after := p.limiter.RetryAfter()
@@ -109,7 +109,7 @@
 	if most := p.node.cfg.Limits.MaxRetryAfter; most > 0 {
 		after = min(after, most)
 	}
-	r.answer.Denied(after)
+	r.answer.Reject(after)
 	r.closed = true
 }
 
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -8,17 +8,17 @@
 	r := newRig(t)
 	<-r.told // the list of the configuration
 	left := make(chan []string, 1)
-	r.do(func() {
+	r.runOnLoop(func() {
 		var held []string
 		if r.cfg.Known != "" {
 			held = append(held, "the configuration")
 		}
-		for _, e := range r.news[:cap(r.news)] {
+		for _, e := range r.listEvents[:cap(r.listEvents)] {
 			if e.Endpoints != nil {
 				held = append(held, "the news")
 			}
 		}
-		for _, e := range r.round.Events[:cap(r.round.Events)] {
+		for _, e := range r.batch.Events[:cap(r.batch.Events)] {
 			if e.Endpoints != nil {
 				held = append(held, "the batch of events")
 			}
--- /dev/null
+++ b/internal/node/shutdown.go
@@ -0,0 +1,71 @@
+package node
+
+import (
+	"log"
+	"time"
+)
+
+const (
+	acceptGrace  = 450 * time.Millisecond  // new clients still come for so long after the call to stop
+	maxDrainWait = 3 * time.Second         // of the longest client timeout: the platform counts no more
+	drainMargin  = 500 * time.Millisecond  // it kills 0.7 s after that: by then all that was taken is answered
+	lingerLimit  = 1500 * time.Millisecond // after that clients are read to their end for a second; what stays then is cut off
+)
+
+// phase is how far the shutdown has come. Each phase ends at Node.nextPhaseAt.
+//
+// Clients go on sending on what they have open, and a close that crosses a command leaves that unanswered. So what is open is
+// served until shortly before the platform kills, which counts from the longest client timeout, and ends then: a kill that crosses
+// a command would lose it.
+type phase int
+
+const (
+	serving  phase = iota // not called to stop
+	stopping              // called to stop; new clients still come
+	closed                // no new clients; what is open is served until answerBy
+	draining              // connections end as soon as they are owed nothing
+	cutOff                // all that is left was closed
+)
+
+// beginShutdown begins the end. A gateway that serves nobody yet ends at once.
+func (n *Node) beginShutdown() {
+	longest := int64(0)
+	for _, class := range n.classes {
+		longest = max(longest, class.Timeout)
+	}
+	now := n.now()
+	n.phase = stopping
+	n.nextPhaseAt = now + int64(acceptGrace)
+	n.answerBy = now + min(longest, int64(maxDrainWait)) + int64(drainMargin)
+	if !n.listening {
+		n.nextPhaseAt = now
+	}
+	n.logPhase("stopping")
+}
+
+// enterNextPhase takes the next step to the end. One client that neither reads nor closes must not hold the program.
+func (n *Node) enterNextPhase() {
+	switch n.phase {
+	case stopping:
+		n.phase = closed
+		n.nextPhaseAt = n.answerBy
+		n.clients.Unlisten()
+		n.logPhase("closed_to_new")
+	case closed:
+		n.phase = draining
+		n.nextPhaseAt = n.now() + int64(lingerLimit)
+		n.clients.Drain()
+	default:
+		n.phase = cutOff
+		n.nextPhaseAt = 0
+		n.logPhase("cut_off")
+		n.clients.End()
+	}
+}
+
+// shutdownEnded reports whether the gateway owes nothing more.
+func (n *Node) shutdownEnded() bool { return n.phase >= closed && n.clients.Ended() }
+
+func (n *Node) logPhase(event string) {
+	log.Printf("event=%s clients=%d open=%d", event, n.clients.Count(), len(n.requests))
+}
