--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -21,7 +21,7 @@
 	class, name = item.requestClass()
 	adjusted = item.shapeClass(&class, limits)
 	if item.err == nil {
-		item.err = keyed(path+": ", checkClass(name, class))
+		item.err = keyError(path, checkClass(name, class))
 	}
 	return class, name, adjusted, item.err
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -40,111 +40,182 @@
 // stands in for a key that the file lacks.
 func Reload(getenv func(string) string) (*Config, error) { return read(getenv, true) }
 
+// read reads, checks and completes the configuration.
 func read(getenv func(string) string, again bool) (*Config, error) {
-	file := getenv("GW_CONFIG")
-	if file == "" {
-		return nil, errors.New("GW_CONFIG: not set; it names the configuration file")
+	f, err := openFile(getenv)
+	if err != nil {
+		return nil, err
+	}
+	c := &Config{
+		Name:  f.word("name", "GW_NAME", defaultName),
+		Known: f.at("known", gjson.JSON).Raw,
+		Fixed: fixedKeys(f.obj),
+	}
+	c.readOwn(f, again)
+	c.readSettings(f)
+	c.readCounter(f)
+	for _, section := range []func(*file) error{c.readConfiguration, c.readPeers, c.readCounterfactual, c.readPool} {
+		if f.err == nil {
+			f.err = section(f)
+		}
+	}
+	return c, f.err
+}
+
+const (
+	defaultName     = "ravensill"
+	defaultSeed     = "1"
+	defaultMemoryMB = 192
+	defaultSockets  = 1024
+	minMemoryMB     = 32
+	minSockets      = 64
+
+	defaultConnIdle       = 30 * time.Second
+	defaultConnectTimeout = 250 * time.Millisecond
+)
+
+// file is the configuration file with the environment variables that go before its keys. It keeps the first fault.
+type file struct {
+	*settings
+	getenv func(string) string
+}
+
+// openFile reads the file that GW_CONFIG names.
+func openFile(getenv func(string) string) (*file, error) {
+	name := getenv("GW_CONFIG")
+	if name == "" {
+		return nil, keyErrorf("GW_CONFIG", "not set; it names the configuration file")
 	}
-	text, err := readText(file)
+	text, err := readText(name)
 	if err != nil {
-		return nil, fmt.Errorf("GW_CONFIG: %w", err)
+		return nil, keyError("GW_CONFIG", err)
 	}
 	s, err := newSettings("", text)
 	if err != nil {
-		return nil, errors.New("GW_CONFIG: the file holds no JSON object")
+		return nil, keyErrorf("GW_CONFIG", "the file holds no JSON object")
 	}
-	word := func(key, env, def string) string {
-		if v := getenv(env); env != "" && v != "" {
-			return v
-		}
-		if v := s.text(key); v != "" {
-			return v
-		}
-		return def
+	return &file{settings: s, getenv: getenv}, nil
+}
+
+// word returns the text of a variable or, where that is not set, of a key, or a default. variable is empty for a key that has none.
+func (f *file) word(key, variable, missing string) string {
+	if variable != "" && f.getenv(variable) != "" {
+		return f.getenv(variable)
 	}
-	fail := func(key string, err error) {
-		if s.err == nil && err != nil {
-			s.err = fmt.Errorf("%s: %w", key, err)
-		}
+	if text := f.text(key); text != "" {
+		return text
 	}
-	addr := func(key, text string) netip.AddrPort {
-		if text == "" {
-			fail(key, errors.New("missing"))
-			return netip.AddrPort{}
-		}
-		a, err := netip.ParseAddrPort(text)
-		fail(key, err)
-		return a
-	}
-	number := func(key string, least, def float64) float64 {
-		v := s.num(key)
-		if v == 0 {
-			return def
-		}
-		if v < least {
-			fail(key, fmt.Errorf("%v is below %v", v, least))
-		}
-		return v
-	}
-	c := &Config{Name: word("name", "GW_NAME", "ravensill"), Known: s.at("known", gjson.JSON).Raw}
-	c.Listen = addr("listen", word("listen", "GW_LISTEN", ""))
-	if at := word("discovery", "", ""); again && at != "" {
-		c.Discovery = addr("discovery", at).String()
-	} else {
-		c.Discovery = addr("discovery", word("discovery", "GW_DISCOVERY", "")).String()
-	}
-	c.Memory = int64(number("limits.memory_mb", 32, 192)) << 20
-	c.Sockets = int(number("limits.sockets", 64, 1024))
-	if seed := word("seed", "", "1"); s.err == nil {
-		var err error
-		c.Seed, err = strconv.ParseUint(seed, 16, 64)
-		fail("seed", err)
-	}
-	c.Fixed = fixedKeys(s.obj)
-	c.Settings, err = Decode(s.at("settings", gjson.JSON).Raw)
-	fail("settings", err)
-	if s.err == nil {
-		fail("settings", c.check())
-	}
-	if at := word("counter", "GW_COUNTER", ""); s.err == nil && at != "" {
-		c.Counter = addr("counter", at)
-	}
-	if s.err == nil {
+	return missing
+}
+
+// address reads an address that has to be given.
+func (f *file) address(key, text string) netip.AddrPort {
+	address, err := parseAddress(key, text)
+	if f.err == nil {
+		f.err = err
+	}
+	return address
+}
+
+// number returns the number of a key, or a default where it is missing.
+func (f *file) number(key string, least, missing float64) float64 {
+	number := f.num(key)
+	if number == 0 {
+		return missing
+	}
+	if number < least {
+		f.fail(key, fmt.Errorf("%v is below %v", number, least))
+	}
+	return number
+}
+
+// readOwn reads what is told to this gateway alone. At a reload the file's discovery goes before its variable.
+func (c *Config) readOwn(f *file, again bool) {
+	c.Listen = f.address("listen", f.word("listen", "GW_LISTEN", ""))
+	discovery := f.word("discovery", "", "")
+	if !again || discovery == "" {
+		discovery = f.word("discovery", "GW_DISCOVERY", "")
+	}
+	c.Discovery = f.address("discovery", discovery).String()
+	c.Memory = int64(f.number("limits.memory_mb", minMemoryMB, defaultMemoryMB)) << 20
+	c.Sockets = int(f.number("limits.sockets", minSockets, defaultSockets))
+	seed := f.word("seed", "", defaultSeed)
+	if f.err == nil {
+		number, err := strconv.ParseUint(seed, 16, 64)
+		c.Seed = number
+		f.err = keyError("seed", err)
+	}
+}
+
+// readSettings reads what is told to all gateways of the deployment.
+func (c *Config) readSettings(f *file) {
+	settings, err := Decode(f.at("settings", gjson.JSON).Raw)
+	c.Settings = settings
+	if f.err == nil {
+		f.err = keyError("settings", err)
+	}
+	if f.err == nil {
+		f.err = keyError("settings", c.check())
+	}
+}
+
+// readCounter reads the address of the shared counter.
+func (c *Config) readCounter(f *file) {
+	if address := f.word("counter", "GW_COUNTER", ""); f.err == nil && address != "" {
+		c.Counter = f.address("counter", address)
+	}
+	if f.err == nil {
 		c.counter()
 	}
-	if s.err == nil {
-		c.Configuration, err = c.configuration(s.obj.Get("configuration").Raw)
-		fail("configuration", err)
+}
+
+// readConfiguration reads the section on the configuration's publishers.
+func (c *Config) readConfiguration(f *file) (err error) {
+	c.Configuration, err = c.configuration(f.obj.Get("configuration").Raw)
+	if err == nil && c.Configuration != nil {
+		err = c.identify()
 	}
-	if s.err == nil && c.Configuration != nil {
-		fail("configuration", c.identify())
+	return keyError("configuration", err)
+}
+
+// readPeers reads the addresses of gossip, where gateways exchange any. A fleet of one may grow by a document.
+func (c *Config) readPeers(f *file) error {
+	mayGrow := c.Configuration != nil && f.obj.Get("peer_listen").Exists()
+	if !c.Membership.Gossip || c.Membership.Count == 1 && !mayGrow {
+		return nil
 	}
-	// A fleet of one may grow by a document.
-	mayGrow := c.Configuration != nil && s.obj.Get("peer_listen").Exists()
-	if s.err == nil && c.Membership.Gossip && (c.Membership.Count > 1 || mayGrow) {
-		c.PeerListen = addr("peer_listen", word("peer_listen", "", ""))
-		for i, p := range s.at("peers", gjson.JSON).Array() {
-			c.Peers = append(c.Peers, addr(fmt.Sprintf("peers.%d", i), p.Str))
-		}
-		if len(c.Peers) != c.Membership.Count {
-			fail("peers", fmt.Errorf("%d addresses for %d gateways", len(c.Peers), c.Membership.Count))
-		}
-		if c.Configuration != nil {
-			fail("configuration", distinct(c.Peers))
-		}
+	c.PeerListen = f.address("peer_listen", f.word("peer_listen", "", ""))
+	for i, peer := range f.at("peers", gjson.JSON).Array() {
+		c.Peers = append(c.Peers, f.address(elementPath("peers", i), peer.Str))
 	}
-	if s.err == nil {
-		c.Counterfactual, err = c.counterfactual(s.obj.Get("counterfactual").Raw)
-		fail("counterfactual", err)
-		if c.Configuration != nil && c.Counterfactual != nil {
-			fail("configuration", errCombined)
-		}
+	if f.err != nil {
+		return f.err
+	}
+	if len(c.Peers) != c.Membership.Count {
+		return keyErrorf("peers", "%d addresses for %d gateways", len(c.Peers), c.Membership.Count)
 	}
-	if s.err == nil {
-		c.Pool, err = c.pool(s.obj.Get("pool").Raw)
-		fail("pool", err)
+	if c.Configuration == nil {
+		return nil
 	}
-	return c, s.err
+	return keyError("configuration", distinct(c.Peers))
+}
+
+// readCounterfactual reads the section on the counterfactual observer.
+func (c *Config) readCounterfactual(f *file) (err error) {
+	c.Counterfactual, err = c.counterfactual(f.obj.Get("counterfactual").Raw)
+	if err != nil {
+		return keyError("counterfactual", err)
+	}
+	if c.Configuration != nil && c.Counterfactual != nil {
+		return keyError("configuration", errCombined)
+	}
+	return nil
+}
+
+// readPool reads the section on the connection quota.
+func (c *Config) readPool(f *file) (err error) {
+	c.Pool, err = c.pool(f.obj.Get("pool").Raw)
+	return keyError("pool", err)
 }
 
 // readText reads a file into one string, with no second copy beside it: the document may be as large as the rest of the
@@ -188,27 +259,19 @@
 	}
 	for i, class := range s.Classes {
 		if err := checkClass(s.ClassNames[i], class); err != nil {
-			return keyed(elementPath("profiles", i)+": ", err)
+			return keyError(elementPath("profiles", i), err)
 		}
 	}
 	for i, name := range s.PlanNames {
 		if err := checkPlan(name); err != nil {
-			return keyed(elementPath("plans", i)+".", err)
+			return keyError(elementPath("plans", i)+".name", err)
 		}
 	}
 	if s.ConnIdle == 0 {
-		s.ConnIdle = int64(30 * time.Second)
+		s.ConnIdle = int64(defaultConnIdle)
 	}
 	if s.ConnectTimeout == 0 {
-		s.ConnectTimeout = int64(250 * time.Millisecond)
+		s.ConnectTimeout = int64(defaultConnectTimeout)
 	}
 	return nil
 }
-
-// keyed puts a path in front of an error, where there is one.
-func keyed(prefix string, err error) error {
-	if err == nil {
-		return nil
-	}
-	return fmt.Errorf("%s%w", prefix, err)
-}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -128,3 +129,19 @@
 		}
 	}
 }
+
+// A fault can be asked for its key, through all sections.
+func TestKeyErrorNamesKey(t *testing.T) {
+	for _, test := range []struct{ settings, path string }{
+		{`{"balancers":1,"rules":{"warm_up_us":-1}}`, "rules.warm_up_us"},
+		{`{"balancers":1,"plans":[{},{"rate":"x"}]}`, "plans.1.rate"},
+		{`{"balancers":1,"membership_mode":"never"}`, "membership_mode"},
+		{`{"balancers":1,"position":1}`, "position"},
+	} {
+		_, err := Decode(test.settings)
+		var fault *KeyError
+		if !errors.As(err, &fault) || fault.Path != test.path || fault.Error() != fault.Path+": "+fault.Err.Error() {
+			t.Errorf("%s: %v, want a fault of %s", test.settings, err, test.path)
+		}
+	}
+}
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"net/netip"
 	"slices"
 
@@ -12,11 +11,7 @@
 // mostPublishers is the largest number of addresses in configuration.publishers.
 const mostPublishers = 7
 
-var (
-	errMissing    = errors.New("missing")
-	errGivenTwice = errors.New("given twice")
-	errCombined   = errors.New("not together with the section counterfactual, whose summaries name request classes by their place in the file")
-)
+var errCombined = errors.New("not together with the section counterfactual, whose summaries name request classes by their place in the file")
 
 // Configuration is the optional section on the configuration that publishers distribute to the whole fleet
 // (docs/configuration-sync.md).
@@ -38,7 +33,7 @@
 		return nil, err
 	}
 	if count := len(text.Publishers); count < 1 || count > mostPublishers {
-		return nil, fmt.Errorf("publishers: %d addresses; 1 to %d wanted", count, mostPublishers)
+		return nil, keyErrorf("publishers", "%d addresses; 1 to %d wanted", count, mostPublishers)
 	}
 	section := &Configuration{Dir: text.Dir}
 	for i, address := range text.Publishers {
@@ -47,12 +42,12 @@
 			err = errGivenTwice
 		}
 		if err != nil {
-			return nil, fmt.Errorf("publishers.%d: %w", i, err)
+			return nil, keyError(elementPath("publishers", i), err)
 		}
 		section.Publishers = append(section.Publishers, publisher)
 	}
 	if section.Dir == "" {
-		return nil, fmt.Errorf("dir: %w", errMissing)
+		return nil, keyError("dir", errMissing)
 	}
 	return section, nil
 }
@@ -63,7 +58,7 @@
 	classes := make(map[string]bool, len(c.ClassNames))
 	for i, name := range c.ClassNames {
 		if classes[name] {
-			return fmt.Errorf("settings.profiles.%d.name: %w", i, errGivenTwice)
+			return keyError(elementPath("settings.profiles", i)+".name", errGivenTwice)
 		}
 		classes[name] = true
 	}
@@ -71,7 +66,7 @@
 	for i, name := range c.PlanNames {
 		id := configsync.PlanID(name)
 		if other, taken := first[id]; taken {
-			return fmt.Errorf("settings.plans.%d.name: %q has the identity of plans.%d, %q", i, name, other, c.PlanNames[other])
+			return keyErrorf(elementPath("settings.plans", i)+".name", "%q has the identity of plans.%d, %q", name, other, c.PlanNames[other])
 		}
 		first[id] = i
 		c.Plans[i].ID = id
@@ -84,7 +79,7 @@
 	first := make(map[netip.AddrPort]int, len(addresses))
 	for i, address := range addresses {
 		if other, taken := first[address]; taken {
-			return fmt.Errorf("peers.%d: %s is the address of peers.%d", i, address, other)
+			return keyErrorf(elementPath("peers", i), "%s is the address of peers.%d", address, other)
 		}
 		first[address] = i
 	}
--- a/internal/config/live_decode.go
+++ b/internal/config/live_decode.go
@@ -75,7 +75,7 @@
 	}
 	plan, _, adjusted := object.plan()
 	if object.err != nil {
-		return keyError(change.Resource, object.err)
+		return resourceError(change.Resource, object.err)
 	}
 	if plan.ID, err = l.identity(edit, name); err != nil {
 		return &ResourceError{Resource: change.Resource, Err: err}
@@ -129,7 +129,7 @@
 	limits.Hedging = false // by all classes together: commitLimits
 	adjusted := object.shapeClass(&class, &limits)
 	if object.err != nil {
-		return keyError(change.Resource, object.err)
+		return resourceError(change.Resource, object.err)
 	}
 	if class.Timeout <= 0 {
 		return &ResourceError{Resource: change.Resource, Key: "hard_limit_us", Err: errTimeout}
@@ -158,7 +158,7 @@
 	limits.RetryAfter = object.yes("retry_after")
 	limits.MaxRetryAfter = object.time("max_retry_after_us")
 	if object.err != nil {
-		return keyError(change.Resource, object.err)
+		return resourceError(change.Resource, object.err)
 	}
 	edit.limits = limits
 	return nil
@@ -225,13 +225,13 @@
 	return nil
 }
 
-// keyError makes a fault of the reader, whose text begins with the key, one of a resource.
-func keyError(resource configsync.Resource, fault error) error {
-	key, text, found := strings.Cut(fault.Error(), ": ")
-	if !found {
+// resourceError makes a fault of the reader one of a resource, and of its key where it is one of a key.
+func resourceError(resource configsync.Resource, fault error) error {
+	var ofKey *KeyError
+	if !errors.As(fault, &ofKey) {
 		return &ResourceError{Resource: resource, Err: fault}
 	}
-	return &ResourceError{Resource: resource, Key: key, Err: errors.New(text)}
+	return &ResourceError{Resource: resource, Key: ofKey.Path, Err: ofKey.Err}
 }
 
 // adjust notes what was not taken by its letter.
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -1,13 +1,6 @@
 package config
 
-import (
-	"errors"
-
-	"ravensill/gateway"
-)
-
-// errNoName is told of a plan that commands could not name.
-var errNoName = errors.New("name: missing")
+import "ravensill/gateway"
 
 // DecodePlan reads one quota plan from its own JSON object, by the same code as the list of a whole configuration: same
 // keys, same checks, and the same meaning where keys contradict each other. path is the plan's place among the settings,
@@ -19,7 +12,7 @@
 	}
 	plan, name, adjusted = item.plan()
 	if item.err == nil {
-		item.err = keyed(path+".", checkPlan(name))
+		item.err = keyError(path+".name", checkPlan(name))
 	}
 	return plan, name, adjusted, item.err
 }
@@ -58,10 +51,10 @@
 	return adjusted
 }
 
-// checkPlan looks for what a gateway on sockets can't do without.
+// checkPlan looks for what a gateway on sockets can't do without: a name, by which commands know the plan.
 func checkPlan(name string) error {
 	if name == "" {
-		return errNoName
+		return errMissing
 	}
 	return nil
 }
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"encoding/hex"
 	"errors"
 	"fmt"
 	"net/netip"
@@ -90,9 +89,9 @@
 			VersionInterval: configsync.DefaultVersionInterval,
 		},
 	}
-	p.Key, err = hex.DecodeString(text.Key)
-	if err != nil || len(p.Key) < 16 {
-		return nil, errors.New("key: 32 hex digits or more wanted")
+	p.Key, err = parseSecret("key", text.Key)
+	if err != nil {
+		return nil, err
 	}
 	return p, p.addresses(&text)
 }
@@ -100,41 +99,33 @@
 // check looks at the numbers.
 func (f *publisherFile) check() error {
 	count := len(f.Raft)
-	if count != 1 && count != 3 && count != 5 {
-		return fmt.Errorf("raft: %d addresses; 1, 3 or 5 wanted", count)
+	if !isCount(count, 1, 3, 5) {
+		return keyErrorf("raft", "%d addresses; 1, 3 or 5 wanted", count)
 	}
 	if len(f.Admin) != count {
-		return fmt.Errorf("admin: %d addresses for %d replicas", len(f.Admin), count)
+		return keyErrorf("admin", "%d addresses for %d replicas", len(f.Admin), count)
 	}
 	if f.Dir == "" {
-		return errors.New("dir: missing")
-	}
-	for _, number := range []struct {
-		key             string
-		value, from, to int
-	}{
-		{"index", f.Index, 0, count - 1},
-		{"election_ms", f.ElectionMS, 100, 30_000},
-		{"max_followers", f.MaxFollowers, 1, 1 << 16},
-		{"history_deltas", f.HistoryDeltas, 1, 1 << 16},
-		{"history_bytes", f.HistoryBytes, 1 << 10, 64 << 20},
-		{"snapshot_bytes_per_s", f.SnapshotRate, 1 << 10, 1 << 30},
-		{"snapshot_burst_bytes", f.SnapshotBurst, 1 << 10, 1 << 30},
-	} {
-		if number.value < number.from || number.value > number.to {
-			return fmt.Errorf("%s: %d is not from %d to %d", number.key, number.value, number.from, number.to)
-		}
+		return keyError("dir", errMissing)
 	}
-	return nil
+	return checkIntegers(
+		integer{"index", f.Index, 0, count - 1},
+		integer{"election_ms", f.ElectionMS, 100, 30_000},
+		integer{"max_followers", f.MaxFollowers, 1, 1 << 16},
+		integer{"history_deltas", f.HistoryDeltas, 1, 1 << 16},
+		integer{"history_bytes", f.HistoryBytes, 1 << 10, 64 << 20},
+		integer{"snapshot_bytes_per_s", f.SnapshotRate, 1 << 10, 1 << 30},
+		integer{"snapshot_burst_bytes", f.SnapshotBurst, 1 << 10, 1 << 30},
+	)
 }
 
 // addresses reads the addresses of the file.
 func (p *Publisher) addresses(text *publisherFile) (err error) {
-	p.Raft, err = addressList("raft", text.Raft)
+	p.Raft, err = parseAddresses("raft", text.Raft)
 	if err != nil {
 		return err
 	}
-	p.Admin, err = addressList("admin", text.Admin)
+	p.Admin, err = parseAddresses("admin", text.Admin)
 	if err != nil {
 		return err
 	}
@@ -149,20 +140,8 @@
 	} {
 		*address.into, err = netip.ParseAddrPort(address.text)
 		if err != nil {
-			return fmt.Errorf("%s: %w", address.key, err)
+			return keyError(address.key, err)
 		}
 	}
 	return nil
 }
-
-func addressList(key string, texts []string) ([]netip.AddrPort, error) {
-	var addresses []netip.AddrPort
-	for i, text := range texts {
-		address, err := netip.ParseAddrPort(text)
-		if err != nil {
-			return nil, fmt.Errorf("%s.%d: %w", key, i, err)
-		}
-		addresses = append(addresses, address)
-	}
-	return addresses, nil
-}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -23,8 +23,11 @@
 	scanned int // bytes that all lookups may have gone through, so that a test sees how they grow
 }
 
-// errNoObject is told of text that should hold a JSON object.
-var errNoObject = errors.New("not a JSON object")
+var (
+	errNoObject = errors.New("not a JSON object")
+	errNoList   = errors.New("not a list")
+	errNegative = errors.New("below zero")
+)
 
 // newSettings reads the one object that a text holds. path is its place among the settings, empty for the whole of them.
 func newSettings(path, text string) (*settings, error) {
@@ -32,7 +35,7 @@
 		if path == "" {
 			return nil, errNoObject
 		}
-		return nil, fmt.Errorf("%s: %w", path, errNoObject)
+		return nil, keyError(path, errNoObject)
 	}
 	s := &settings{obj: gjson.Parse(text)}
 	if path != "" {
@@ -41,6 +44,13 @@
 	return s, nil
 }
 
+// fail notes a fault of the key at a path, unless there is one already.
+func (s *settings) fail(path string, err error) {
+	if s.err == nil {
+		s.err = keyError(s.prefix+path, err)
+	}
+}
+
 // get looks a value up, whatever its type.
 func (s *settings) get(path string) gjson.Result {
 	s.scanned += len(s.obj.Raw)
@@ -56,14 +66,14 @@
 	if slices.Contains(want, v.Type) {
 		return v
 	}
-	s.err = fmt.Errorf("%s%s: unexpected value %.40s", s.prefix, path, v.Raw)
+	s.fail(path, fmt.Errorf("unexpected value %.40s", v.Raw))
 	return gjson.Result{}
 }
 
 func (s *settings) num(path string) float64 {
 	v := s.at(path, gjson.Number).Num
-	if v < 0 && s.err == nil {
-		s.err = fmt.Errorf("%s%s: below zero", s.prefix, path)
+	if v < 0 {
+		s.fail(path, errNegative)
 	}
 	return v
 }
@@ -85,8 +95,8 @@
 			return i
 		}
 	}
-	if v.Exists() && s.err == nil {
-		s.err = fmt.Errorf("%s%s: unknown word %q", s.prefix, path, v.Str)
+	if v.Exists() {
+		s.fail(path, fmt.Errorf("unknown word %q", v.Str))
 	}
 	return 0
 }
@@ -101,8 +111,8 @@
 // through its own object alone: the cost grows with the length of the list, not with its square.
 func (s *settings) each(path string, f func(item *settings)) {
 	list := s.get(path)
-	if list.Exists() && !list.IsArray() && s.err == nil {
-		s.err = fmt.Errorf("%s%s: not a list", s.prefix, path)
+	if list.Exists() && !list.IsArray() {
+		s.fail(path, errNoList)
 	}
 	if !list.IsArray() {
 		return
@@ -163,35 +173,64 @@
 		d.PlanNames = append(d.PlanNames, name)
 		ofPlans = append(ofPlans, adjusted...)
 	})
-	d.Membership = gateway.Membership{
-		Index: s.whole("position"), Count: s.whole("balancers"), Zone: s.whole("locality"),
-		Gossip: s.yes("limits.peer_messages"), MessageRate: s.num("family_info.mail_per_s"),
-	}
-	d.Limits = gateway.Limits{
-		MaxAttempts: s.whole("limits.max_attempts"), Hedging: s.yes("limits.parallel_tries"),
-		Cancellation: s.yes("limits.cancelling"), Probes: s.yes("limits.probes"),
-		RetryAfter: s.yes("limits.retry_after"), MaxRetryAfter: s.time("limits.max_retry_after_us"),
-		PollEndpoints: s.word("membership_mode", "pushed", "on_request") == 1,
-		SettlesUnits:  s.yes("family_info.settles"), SharedCounter: s.yes("family_info.shared_counter"),
+	d.Membership = s.membership()
+	d.Limits = s.limits()
+	d.SlowStart = s.slowStart()
+	d.ReportNames = s.names("report.names")
+	d.LoadReport = s.loadReport(d.ReportNames)
+	d.Zones = s.names("zones")
+	d.Machines = s.names("skus")
+	d.Even = s.word("weights", "off", "nominal", "rough", "live") == 3
+	d.ConnIdle = s.time("limits.conn_idle_us")
+	d.ConnectTimeout = s.time("limits.connect_timeout_us")
+	if d.Membership.Count < 1 || d.Membership.Index >= d.Membership.Count {
+		s.fail("position", fmt.Errorf("%d is not below balancers", d.Membership.Index))
+	}
+	d.shape(s, ofPlans)
+	return d, s.err
+}
+
+func (s *settings) membership() gateway.Membership {
+	return gateway.Membership{
+		Index:       s.whole("position"),
+		Count:       s.whole("balancers"),
+		Zone:        s.whole("locality"),
+		Gossip:      s.yes("limits.peer_messages"),
+		MessageRate: s.num("family_info.mail_per_s"),
+	}
+}
+
+func (s *settings) limits() gateway.Limits {
+	return gateway.Limits{
+		MaxAttempts:    s.whole("limits.max_attempts"),
+		Hedging:        s.yes("limits.parallel_tries"),
+		Cancellation:   s.yes("limits.cancelling"),
+		Probes:         s.yes("limits.probes"),
+		RetryAfter:     s.yes("limits.retry_after"),
+		MaxRetryAfter:  s.time("limits.max_retry_after_us"),
+		PollEndpoints:  s.word("membership_mode", "pushed", "on_request") == 1,
+		SettlesUnits:   s.yes("family_info.settles"),
+		SharedCounter:  s.yes("family_info.shared_counter"),
 		CounterTimeout: s.time("family_info.count_wait_us"),
 	}
-	d.SlowStart = gateway.SlowStart{
-		InitialFraction: s.num("rules.start_capacity"), Duration: s.time("rules.warm_up_us"),
-		OverloadFactor: s.num("rules.fall_multiple"), OverloadWindow: s.time("rules.fall_us"),
+}
+
+func (s *settings) slowStart() gateway.SlowStart {
+	return gateway.SlowStart{
+		InitialFraction: s.num("rules.start_capacity"),
+		Duration:        s.time("rules.warm_up_us"),
+		OverloadFactor:  s.num("rules.fall_multiple"),
+		OverloadWindow:  s.time("rules.fall_us"),
 	}
+}
+
+func (s *settings) loadReport(names []string) gateway.LoadReportForm {
 	how := s.word("report.how", "off", "inline", "on_probe")
-	d.LoadReport = gateway.LoadReportForm{WithAnswers: how == 1, WithProbes: how == 2}
-	d.ReportNames, d.Zones, d.Machines = s.names("report.names"), s.names("zones"), s.names("skus")
-	for _, name := range d.ReportNames {
-		d.LoadReport.Fields = append(d.LoadReport.Fields, field(name))
-	}
-	d.Even = s.word("weights", "off", "nominal", "rough", "live") == 3
-	d.ConnIdle, d.ConnectTimeout = s.time("limits.conn_idle_us"), s.time("limits.connect_timeout_us")
-	if s.err == nil && (d.Membership.Count < 1 || d.Membership.Index >= d.Membership.Count) {
-		s.err = fmt.Errorf("position: %d is not below balancers", d.Membership.Index)
+	form := gateway.LoadReportForm{WithAnswers: how == 1, WithProbes: how == 2}
+	for _, name := range names {
+		form.Fields = append(form.Fields, field(name))
 	}
-	d.shape(s, ofPlans)
-	return d, s.err
+	return form
 }
 
 func (s *settings) names(path string) (names []string) {
--- a/internal/hosts/shortage_test.go
+++ b/internal/hosts/shortage_test.go
@@ -16,8 +16,6 @@
 	"ravensill/internal/sockets/socketstest"
 )
 
-var allStages = []Stage{Connecting, Writing, Sent}
-
 // What the system answers to a call decides what an attempt's end says: a shortage of this machine is never charged to the host,
 // and what may have run is never called "did not run".
 func TestSystemErrorResults(t *testing.T) {
