--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Tidy ends connections whose client has not completed a command in time, is idle, or takes none of its answers. It does not
+// CloseOverdue ends connections whose client has not completed a command in time, is idle, or takes none of its answers. It does not
 // wait until places are short: clients may hold a third of the descriptors only, and idle ones keep others from connecting.
 func (s *Server) CloseOverdue() {
 	now := s.now()
@@ -136,7 +136,7 @@
 	return len(s.unflushed) > 0
 }
 
-// Retire ends each connection once all its commands are answered. A command that crosses the close gets no answer.
+// Drain ends each connection once all its commands are answered. A command that crosses the close gets no answer.
 func (s *Server) Drain() {
 	s.draining = true
 	for c := range s.conns {
@@ -157,5 +157,5 @@
 // Count returns the number of connections.
 func (s *Server) Count() int { return len(s.conns) }
 
-// Over reports whether all connections have ended and none can be accepted any more.
+// Ended reports whether all connections have ended and none can be accepted any more.
 func (s *Server) Ended() bool { return len(s.conns) == 0 && !s.accepting }
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -42,7 +42,7 @@
 	})
 }
 
-// Follow watches the list from the version had last. A watch that still runs ends.
+// WatchEndpoints watches the list from the version had last. A watch that still runs ends.
 func (n *Node) WatchEndpoints() {
 	if n.watch != nil {
 		n.watch.stop()
--- a/lab/fleet/evenness.go
+++ b/lab/fleet/evenness.go
@@ -234,7 +234,7 @@
 	return longest, hosts
 }
 
-// Evenly: over the whole load after its warm-up, at the hosts listed at first, the most and the least loaded were within
+// Evenly returns a check: over the whole load after its warm-up, at the hosts listed at first, the most and the least loaded were within
 // these bounds in windows of 10 s, or within 1.1 times what chance alone gives, where that is wider. Where the rig itself
 // ran late it does not judge: the fleet then steers by the machine's business.
 func Evenly(most, least float64) Check {
--- a/lab/fleet/report.go
+++ b/lab/fleet/report.go
@@ -166,7 +166,7 @@
 // Usual are the checks that hold in every run, whatever is injected.
 var Usual = []Check{OneOutcome, LostByFault, Listed, Drained, OnceOnly, Healthy}
 
-// OneOutcome: every req has exactly one outcome, and what passed is what a host made for it.
+// OneOutcome is a check: every req has exactly one outcome, and what passed is what a host made for it.
 var OneOutcome = Check{"one outcome a req", func(r *Report) string {
 	var wrong []string
 	if r.Open > 0 {
@@ -201,7 +201,7 @@
 	return false
 }
 
-// LostByFault: a req got no answer only where its gateway was down, killed or frozen between its sending and its end.
+// LostByFault is a check: a req got no answer only where its gateway was down, killed or frozen between its sending and its end.
 var LostByFault = Check{"no req lost without a fault", func(r *Report) string {
 	var wrong []string
 	for _, q := range r.Clients.Reqs {
@@ -235,7 +235,7 @@
 	return bad && since <= to
 }
 
-// Listed: no dispatch went to a host that its gateway was never told of.
+// Listed is a check: no dispatch went to a host that its gateway was never told of.
 var Listed = Check{"no dispatch to a host never listed", func(r *Report) string {
 	told := map[string][]standin.Change{}
 	for _, c := range r.Changes {
@@ -259,7 +259,7 @@
 	return some(wrong)
 }}
 
-// Drained: a req that was sent after its gateway had logged that a host drains or is gone does not reach that host,
+// Drained is a check: a req that was sent after its gateway had logged that a host drains or is gone does not reach that host,
 // until the host is told of anew or the gateway has another life.
 var Drained = Check{"nothing for a drained host", func(r *Report) string {
 	type drain struct{ from, to int64 }
@@ -300,7 +300,7 @@
 	return some(wrong)
 }}
 
-// OnceOnly: a req that may not run twice ran at one host at most, unless its client sent it again after a close.
+// OnceOnly is a check: a req that may not run twice ran at one host at most, unless its client sent it again after a close.
 var OnceOnly = Check{"no second run of a non-replayable req", func(r *Report) string {
 	post := map[string]bool{}
 	for _, l := range r.Scenario.Loads {
@@ -324,7 +324,7 @@
 	return some(wrong)
 }}
 
-// Healthy: no process panicked, printed a trace, or ended unless it was told to; no host had a command that no client
+// Healthy is a check: no process panicked, printed a trace, or ended unless it was told to; no host had a command that no client
 // sends.
 var Healthy = Check{"no panic, no end unasked", func(r *Report) string {
 	var wrong []string
@@ -354,7 +354,7 @@
 	return some(wrong)
 }}
 
-// Served: at least a part of the reqs passed. Where the rig itself ran late by busy or more, its hosts and clients were
+// Served returns a check: at least a part of the reqs passed. Where the rig itself ran late by busy or more, its hosts and clients were
 // slow, and so it does not judge.
 func Served(part float64) Check {
 	return Check{fmt.Sprintf("%g of the reqs passed", part), func(r *Report) string {
--- a/lab/rollout/checks.go
+++ b/lab/rollout/checks.go
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%d: %s", len(faults), strings.Join(faults[:min(len(faults), shownFaults)], "; "))
 }
 
-// InOrder: no version came in force twice or after a later one in a life of a gateway, and a life that starts from its disk
+// InOrder is a check: no version came in force twice or after a later one in a life of a gateway, and a life that starts from its disk
 // starts from the last version of the life before, or from the one before that where the process was killed in between.
 var InOrder = Check{"no version twice or backwards", func(r *Record) string {
 	var faults []string
@@ -58,7 +58,7 @@
 		last.Version)
 }
 
-// Known: what came in force was published.
+// Known is a check: what came in force was published.
 var Known = Check{"nothing in force that was not published", func(r *Record) string {
 	published := map[configsync.Version]bool{}
 	for _, change := range r.Published {
@@ -75,7 +75,7 @@
 	return join(faults)
 }}
 
-// Latest: every gateway ends with the latest version in force.
+// Latest is a check: every gateway ends with the latest version in force.
 var Latest = Check{"the latest version in force everywhere", func(r *Record) string {
 	latest := r.latest()
 	var faults []string
@@ -95,7 +95,7 @@
 	return latest
 }
 
-// Digests: all publishers, and the disks of all gateways but some, hold the same content at the end.
+// Digests returns a check: all publishers, and the disks of all gateways but some, hold the same content at the end.
 func Digests(without ...int) Check {
 	return Check{"all digests equal", func(r *Record) string {
 		if len(r.Publishers) == 0 {
@@ -120,7 +120,7 @@
 	}}
 }
 
-// Refusals: the named members refused one version each, by a resource, and nobody else refused any.
+// Refusals returns a check: the named members refused one version each, by a resource, and nobody else refused any.
 func Refusals(resource string, members ...int) Check {
 	return Check{"refused by those who can't take it alone", func(r *Record) string {
 		var faults []string
@@ -143,7 +143,7 @@
 	}}
 }
 
-// Told: the publishers know that the latest version is in force everywhere.
+// Told is a check: the publishers know that the latest version is in force everywhere.
 var Told = Check{"the publishers show what is in force", func(r *Record) string {
 	var faults []string
 	for member := range r.Histories {
@@ -166,10 +166,10 @@
 	return false
 }
 
-// Healthy: no publisher printed a trace or ended by itself.
+// Healthy is a check: no publisher printed a trace or ended by itself.
 var Healthy = Check{"publishers healthy", func(r *Record) string { return join(r.Unhealthy) }}
 
-// Increasing: the publishers numbered the changes in the order in which they were made.
+// Increasing is a check: the publishers numbered the changes in the order in which they were made.
 var Increasing = Check{"published versions increase", func(r *Record) string {
 	var faults []string
 	for i := 1; i < len(r.Published); i++ {
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -181,14 +181,14 @@
 	h.connections.Flush()
 }
 
-// Send sends a message to a peer.
+// SendGossip sends a message to a peer.
 func (h *Hollow) SendGossip(peer int, body []byte) {
 	h.MessagesOut++
 	h.BytesOut += len(body)
 	h.outside.Send(h, peer, body)
 }
 
-// Dispatch makes an attempt of a request at a host.
+// StartAttempt makes an attempt of a request at a host.
 func (h *Hollow) StartAttempt(request string, host uint32, _ int64) {
 	attempt := h.attempts[request]
 	h.attempts[request]++
@@ -206,22 +206,22 @@
 	h.outside.Closed(h, request, outcome)
 }
 
-// Wake sets the module's timer.
+// SetTimer sets the module's timer.
 func (h *Hollow) SetTimer(after int64) { h.wakeAt = h.round.Now + after }
 
-// Count answers that there is no shared counter, as the program does where none is configured.
+// AddToCounter answers that there is no shared counter, as the program does where none is configured.
 func (h *Hollow) AddToCounter(name uint64, _ float64, _ int64) {
 	h.events = append(h.events, gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
 }
 
-// Cancel does nothing: a simulated host answers all the same.
+// CancelAttempt does nothing: a simulated host answers all the same.
 func (h *Hollow) CancelAttempt(string, int) {}
 
-// Probe does nothing: simulated hosts tell their load with answers.
+// SendProbe does nothing: simulated hosts tell their load with answers.
 func (h *Hollow) SendProbe(uint32) {}
 
-// Follow does nothing: the simulated discovery pushes changes.
+// WatchEndpoints does nothing: the simulated discovery pushes changes.
 func (h *Hollow) WatchEndpoints() {}
 
-// Note does nothing: lines of the log are left out.
+// LogNote does nothing: lines of the log are left out.
 func (h *Hollow) LogNote(string) {}
