--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// tidy ends the connection if its client is too slow or idle.
+// closeIfOverdue ends the connection if its client is too slow or idle.
 func (c *Conn) closeIfOverdue(now int64) {
 	switch {
 	case c.stalledSince > 0 && now-c.stalledSince > writeStallTimeout:
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -81,7 +81,7 @@
 	acceptClosed bool          // the accept loop is to end
 	draining     bool          // connections end as soon as they are idle
 
-	lastSweep int64 // time of the last Tidy
+	lastSweep int64 // time of the last CloseOverdue
 	faultLog  logLimiter
 	fullLog   logLimiter
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -15,7 +15,7 @@
 func cut(text string, at int) string {
 	var said strings.Builder
 	r := io.MultiReader(strings.NewReader(text[:at]), strings.NewReader(text[at:]))
-	err := split(r, func() {}, func(list string) { fmt.Fprintf(&said, "%q\n", list) }, func(bool) {})
+	err := splitValues(r, func() {}, func(list string) { fmt.Fprintf(&said, "%q\n", list) }, func(bool) {})
 	return said.String() + err.Error() + "\n"
 }
 
@@ -31,8 +31,8 @@
 			}
 		}
 	}
-	long := "[" + strings.Repeat("\n", mostValue)
-	fmt.Fprint(&all, cut(strings.Repeat("\n", 2*mostValue)+"{}"+long, 9))
+	long := "[" + strings.Repeat("\n", maxListBytes)
+	fmt.Fprint(&all, cut(strings.Repeat("\n", 2*maxListBytes)+"{}"+long, 9))
 	golden.Check(t, all.String())
 }
 
@@ -55,7 +55,7 @@
 // Lists in house words; nothing of a broken one. One entry that can't be made out keeps no other from counting, nor is its
 // host gone, though a whole list names it; an id told twice counts as told last.
 func TestBook(t *testing.T) {
-	b := NewBook([]string{"a", "b"}, []string{"m1", "m2"})
+	b := NewEndpointList([]string{"a", "b"}, []string{"m1", "m2"})
 	var all strings.Builder
 	for _, s := range []string{
 		`{"version":41,"full":true,"servers":[` + server("s-5be2a07c", "10.1.0.18:6379", "active") + "," + server("s-2", "10.1.0.19:6379", "leaving") + `]}`,
@@ -69,16 +69,16 @@
 			server("s-3", "10.1.0.22:6379", "active") + "," + server("s-4", "", "left") + `]}`,
 		`{"version":43,"full":"no","servers":[]}`, `{"full":true}`, `{"version":`, `[]`,
 	} {
-		kind, hosts, odd, err := b.Read(s, func(host uint32, addr netip.AddrPort) { fmt.Fprintf(&all, "%d at %s\n", host, addr) })
+		kind, hosts, odd, err := b.Decode(s, func(host uint32, addr netip.AddrPort) { fmt.Fprintf(&all, "%d at %s\n", host, addr) })
 		fmt.Fprintf(&all, "list %d of version %d: %+v %v %v\n", kind, b.Version, hosts, odd, err)
 	}
 	golden.Check(t, all.String())
 }
 
 func TestEven(t *testing.T) { // weights that tell no size
-	b := NewBook(nil, nil)
+	b := NewEndpointList(nil, nil)
 	b.Even = true
-	_, hosts, _, err := b.Read(`{"version":41,"full":true,"servers":[`+server("s-2", "10.1.0.18:6379", "active")+`]}`,
+	_, hosts, _, err := b.Decode(`{"version":41,"full":true,"servers":[`+server("s-2", "10.1.0.18:6379", "active")+`]}`,
 		func(uint32, netip.AddrPort) {})
 	if err != nil || len(hosts) != 1 || hosts[0].Weight != 1 {
 		t.Errorf("%+v %v", hosts, err)
@@ -87,19 +87,19 @@
 
 // Hosts come under new ids, some at the address of one that has gone, or was not told as gone: what is kept follows.
 func TestReplaced(t *testing.T) {
-	b := NewBook([]string{"b"}, []string{"m2"})
+	b := NewEndpointList([]string{"b"}, []string{"m2"})
 	read := func(version int, full bool, servers ...string) (list string) {
-		_, hosts, _, err := b.Read(fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, version, full, strings.Join(servers, ",")), func(uint32, netip.AddrPort) {})
+		_, hosts, _, err := b.Decode(fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, version, full, strings.Join(servers, ",")), func(uint32, netip.AddrPort) {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, l := range hosts {
-			list += fmt.Sprintf("%s %s\n", b.Name(l.Host), l.State)
+			list += fmt.Sprintf("%s %s\n", b.ID(l.Host), l.State)
 			if l.State == gateway.Gone {
 				b.Forget(l.Host)
 			}
 		}
-		return fmt.Sprintf("list %d\n%skept %d %d %d\n", version, list, len(b.entries), len(b.byNumber), len(b.byAddr))
+		return fmt.Sprintf("list %d\n%skept %d %d %d\n", version, list, len(b.entries), len(b.byNumber), len(b.byAddress))
 	}
 	later := func(s string) string { return strings.Replace(s, "1700000000123", "1700000009999", 1) }
 	golden.Check(t, read(1, true, server("a", "10.0.0.1:1", "active"), server("b", "10.0.0.2:1", "active"), server("c", "10.0.0.3:1", "active"))+
@@ -114,30 +114,30 @@
 		read(7, false, server("c", "10.0.0.4:1", "left"))+
 		read(4, false, server("c", "10.0.0.4:1", "active"), later(server("d", "10.0.0.1:1", "active")))+
 		read(3, false, later(server("c", "10.0.0.4:1", "active")))) // started again
-	for i := range 2 * mostPast {
+	for i := range 2 * maxGone {
 		read(9+i, false, server(fmt.Sprint("n", i), "10.0.1.1:1", "active"))
 		read(9+i, false, server(fmt.Sprint("n", i), "10.0.1.1:1", "left"))
 	}
-	if len(b.left) > mostPast {
-		t.Errorf("%d hosts that are gone are kept", len(b.left))
+	if len(b.gone) > maxGone {
+		t.Errorf("%d hosts that are gone are kept", len(b.gone))
 	}
 }
 
 // Hosts are ranked by number: it follows from the id, in whatever order hosts are seen; ids that meet on one
 // number are kept apart.
 func TestNumbers(t *testing.T) {
-	x, y := NewBook(nil, nil), NewBook(nil, nil)
+	x, y := NewEndpointList(nil, nil), NewEndpointList(nil, nil)
 	for i := range 100 {
-		x.entry(fmt.Sprint("s-", i))
-		y.entry(fmt.Sprint("s-", 99-i))
+		x.entryFor(fmt.Sprint("s-", i))
+		y.entryFor(fmt.Sprint("s-", 99-i))
 	}
 	for i := range 100 {
-		if id := fmt.Sprint("s-", i); x.entry(id).number != y.entry(id).number || x.Name(x.entry(id).number) != id {
-			t.Errorf("%s has numbers %d and %d", id, x.entry(id).number, y.entry(id).number)
+		if id := fmt.Sprint("s-", i); x.entryFor(id).number != y.entryFor(id).number || x.ID(x.entryFor(id).number) != id {
+			t.Errorf("%s has numbers %d and %d", id, x.entryFor(id).number, y.entryFor(id).number)
 		}
 	}
-	a, b := x.entry("costarring").number, x.entry("liquid").number // these meet under FNV-1a
-	if a == b || x.Name(a) != "costarring" || x.Name(b) != "liquid" || b != a+1 {
+	a, b := x.entryFor("costarring").number, x.entryFor("liquid").number // these meet under FNV-1a
+	if a == b || x.ID(a) != "costarring" || x.ID(b) != "liquid" || b != a+1 {
 		t.Errorf("numbers %d and %d", a, b)
 	}
 }
--- a/internal/discovery/feed.go
+++ b/internal/discovery/pending_read.go
@@ -9,36 +9,36 @@
 )
 
 // Feed tells of one watch whether news lie in its connection that have not been handed on.
-type Feed struct{ socket atomic.Pointer[socket] }
+type PendingRead struct{ socket atomic.Pointer[watchedConn] }
 
 // Behind tells so: bytes came that were not read, or those that were read last have not led to all that they hold. It
 // may be asked at any time, by another goroutine. The order counts: what the socket no longer holds is being taken in.
-func (f *Feed) Behind() bool {
+func (f *PendingRead) Pending() bool {
 	s := f.socket.Load()
-	return s != nil && (s.lies() || s.taking.Load())
+	return s != nil && (s.hasBytes() || s.processing.Load())
 }
 
 // socket is a watch's connection that knows whether what it read is still being taken in: until the next Read.
-type socket struct {
+type watchedConn struct {
 	net.Conn
-	raw    syscall.RawConn
-	taking atomic.Bool
+	raw        syscall.RawConn
+	processing atomic.Bool
 }
 
-func newSocket(c net.Conn) (*socket, error) {
+func newWatchedConn(c net.Conn) (*watchedConn, error) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
-	return &socket{Conn: c, raw: raw}, err
+	return &watchedConn{Conn: c, raw: raw}, err
 }
 
-func (s *socket) Read(p []byte) (n int, err error) {
-	s.taking.Store(false)
+func (s *watchedConn) Read(p []byte) (n int, err error) {
+	s.processing.Store(false)
 	if waited := s.raw.Read(func(fd uintptr) bool {
-		s.taking.Store(true)
+		s.processing.Store(true)
 		for n, err = syscall.Read(int(fd), p); err == syscall.EINTR; {
 			n, err = syscall.Read(int(fd), p)
 		}
 		if err == syscall.EAGAIN {
-			s.taking.Store(false)
+			s.processing.Store(false)
 			return false
 		}
 		return true
@@ -54,7 +54,7 @@
 	return n, nil
 }
 
-func (s *socket) lies() (some bool) {
+func (s *watchedConn) hasBytes() (some bool) {
 	s.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, _ := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/discovery/scale_test.go
+++ b/internal/discovery/scale_test.go
@@ -14,14 +14,14 @@
 // TestChangesAlone: a change of one host goes through no list of the others. Each of them here would end the test if it
 // were looked at.
 func TestChangesAlone(t *testing.T) {
-	b := NewBook(nil, nil)
+	b := NewEndpointList(nil, nil)
 	for i := range 87_000 {
 		b.entries[fmt.Sprint("other-", i)] = nil
 	}
 	for version, change := range []string{server("a", "10.0.0.1:1", "active"), server("b", "10.0.0.1:1", "active"),
 		server("b", "10.0.0.1:1", "leaving"), server("b", "10.0.0.1:1", "left")} {
 		text := fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`, version+1, change)
-		if _, hosts, odd, err := b.Read(text, func(uint32, netip.AddrPort) {}); err != nil || odd != nil || len(hosts) == 0 {
+		if _, hosts, odd, err := b.Decode(text, func(uint32, netip.AddrPort) {}); err != nil || odd != nil || len(hosts) == 0 {
 			t.Errorf("%s: %v, %v, %v", change, hosts, odd, err)
 		}
 	}
@@ -29,9 +29,9 @@
 
 // TestNothingOfTheText: what the book keeps of a list holds none of its text in memory.
 func TestNothingOfTheText(t *testing.T) {
-	b := NewBook(nil, nil)
+	b := NewEndpointList(nil, nil)
 	text := `{"version":1,"full":true,"servers":[` + server("a", "10.0.0.1:1", "active") + `]}`
-	b.Read(text, func(uint32, netip.AddrPort) {})
+	b.Decode(text, func(uint32, netip.AddrPort) {})
 	at := strings.Index(text, `"a"`) + 1
 	for id := range b.entries {
 		if unsafe.StringData(id) == unsafe.StringData(text[at:]) {
@@ -51,8 +51,8 @@
 		text := server(fmt.Sprint("s-", i), "10.0.0.1:1", "active")
 		servers = append(servers, strings.Replace(text, "1700000000123", fmt.Sprint(1700000000123+i*7919%hosts), 1))
 	}
-	b := NewBook(nil, nil)
-	_, list, _, err := b.Read(`{"version":1,"full":true,"servers":[`+strings.Join(servers, ",")+`]}`, func(uint32, netip.AddrPort) {})
+	b := NewEndpointList(nil, nil)
+	_, list, _, err := b.Decode(`{"version":1,"full":true,"servers":[`+strings.Join(servers, ",")+`]}`, func(uint32, netip.AddrPort) {})
 	running, gone := 0, 0
 	for _, l := range list {
 		switch l.State {
@@ -76,7 +76,7 @@
 		body := whole + next
 		r := io.MultiReader(strings.NewReader(body[:at]), strings.NewReader(body[at:]))
 		var lists []string
-		err := split(r, func() {}, func(list string) { lists = append(lists, list) }, func(bool) {})
+		err := splitValues(r, func() {}, func(list string) { lists = append(lists, list) }, func(bool) {})
 		if err != io.EOF || len(lists) != 2 || lists[0] != whole || lists[1] != next {
 			t.Errorf("cut at %d: %d lists, %v", at, len(lists), err)
 		}
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -63,30 +63,30 @@
 // it misses is there at 0 too. Each of the tries is lost but the last one, which is answered after slow.
 func told(call bool, first phase, losses int, tries []lost, slow time.Duration) (at time.Duration) {
 	epoch := time.Unix(1, 0)
-	p := NewPace(call)
+	p := NewTimeouts(call)
 	took := time.Duration(0)
 	if first >= 0 {
 		p.enter(first, epoch)
-		took = p.until().Sub(epoch) + look
+		took = p.deadline().Sub(epoch) + lastLook
 	}
 	for at = took; ; losses++ {
 		if call {
 			at += rest(losses, took)
 		} else {
-			at += Again
+			at += RewatchDelay
 		}
 		if len(tries) == 0 {
 			return at + slow
 		}
-		p = NewPace(call)
+		p = NewTimeouts(call)
 		begun := at
 		for _, phase := range []phase{connecting, asked, following, inValue} {
 			p.enter(phase, epoch.Add(at))
 			if tries[0].stuck == phase {
-				at = p.until().Sub(epoch) + look
+				at = p.deadline().Sub(epoch) + lastLook
 				break
 			} else if phase < following && !tries[0].quick { // it takes as long as it may
-				at = p.until().Sub(epoch)
+				at = p.deadline().Sub(epoch)
 			}
 		}
 		took, tries = at-begun, tries[1:]
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	mostHead  = 64 << 10 // bytes before the body
-	mostValue = 32 << 20 // of one list: 87,000 hosts, indented
-	mostKept  = 1 << 20  // of a list that was handed on: a larger buffer is let go of
+	maxHeadBytes = 64 << 10 // bytes before the body
+	maxListBytes = 32 << 20 // of one list: 87,000 hosts, indented
+	maxKeptBytes = 1 << 20  // of a list that was handed on: a larger buffer is let go of
 )
 
 // Watch follows the list after a version until its connection or the context ends, and tells why it did. news
 // takes each list, alive is called for any bytes of the body: empty lines come while nothing changes. Both are
 // called by one goroutine. The pace and the feed are the watch's own.
-func Watch(ctx context.Context, system sockets.System, addr string, after int64, pace *Pace, feed *Feed, alive func(), news func(list string)) (err error) {
+func Watch(ctx context.Context, system sockets.System, addr string, after int64, pace *Timeouts, feed *PendingRead, alive func(), news func(list string)) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			log.Printf("event=panic where=discovery error=%q stack=%q", p, debug.Stack())
@@ -35,21 +35,21 @@
 	}()
 	// A connection of its own for each watch: no proxy of the environment, nothing kept for later, no redirects.
 	pace.enter(connecting, time.Now())
-	dialer := &net.Dialer{Deadline: pace.until()}
-	t := &http.Transport{DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: mostHead,
+	dialer := &net.Dialer{Deadline: pace.deadline()}
+	t := &http.Transport{DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: maxHeadBytes,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			c, err := system.Dial(ctx, dialer, addr)
 			if err != nil {
 				return nil, err
 			}
-			s, err := newSocket(c)
+			s, err := newWatchedConn(c)
 			if err != nil {
 				c.Close()
 				return nil, err
 			}
 			pace.enter(asked, time.Now())
 			feed.socket.Store(s)
-			return patient{s, pace}, nil
+			return timedConn{s, pace}, nil
 		}}
 	defer t.CloseIdleConnections()
 	defer feed.socket.Store(nil)
@@ -68,7 +68,7 @@
 		return fmt.Errorf("answer is %.40q", answer.Status)
 	}
 	pace.enter(following, time.Now())
-	return split(answer.Body, alive, news, func(began bool) {
+	return splitValues(answer.Body, alive, news, func(began bool) {
 		if began {
 			pace.enter(inValue, time.Now())
 		} else {
@@ -78,45 +78,45 @@
 }
 
 // patient is a connection of which a read gives up by the pace.
-type patient struct {
+type timedConn struct {
 	net.Conn
-	pace *Pace
+	timeouts *Timeouts
 }
 
-func (c patient) Read(p []byte) (n int, err error) {
-	c.SetReadDeadline(c.pace.until())
+func (c timedConn) Read(p []byte) (n int, err error) {
+	c.SetReadDeadline(c.timeouts.deadline())
 	if n, err = c.Conn.Read(p); n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		c.SetReadDeadline(time.Now().Add(look))
+		c.SetReadDeadline(time.Now().Add(lastLook))
 		n, err = c.Conn.Read(p)
 	}
 	if n > 0 {
-		c.pace.heard(time.Now())
+		c.timeouts.heard(time.Now())
 	}
 	return n, err
 }
 
 // text takes a JSON value as it was written, with one copy.
-type text string
+type rawValue string
 
-func (t *text) UnmarshalJSON(value []byte) error {
-	*t = text(value)
+func (t *rawValue) UnmarshalJSON(value []byte) error {
+	*t = rawValue(value)
 	return nil
 }
 
 // split hands on each JSON value of a body once it is whole. White space alone lies between values, as little or
 // as much as there is. value is told whether one that is not whole has begun.
-func split(r io.Reader, alive func(), news func(list string), value func(began bool)) error {
-	b := &body{Reader: r, alive: alive, value: value, room: mostValue}
+func splitValues(r io.Reader, alive func(), news func(list string), value func(began bool)) error {
+	b := &body{Reader: r, alive: alive, value: value, room: maxListBytes}
 	for dec := json.NewDecoder(b); ; {
-		var list text
+		var list rawValue
 		if err := dec.Decode(&list); err != nil {
 			return err
 		}
 		news(string(list))
 		rest, _ := io.ReadAll(dec.Buffered())
 		rest = bytes.TrimLeft(rest, space)
-		b.began, b.room = len(rest) > 0, mostValue-len(rest)
-		if len(list) > mostKept {
+		b.began, b.room = len(rest) > 0, maxListBytes-len(rest)
+		if len(list) > maxKeptBytes {
 			dec = json.NewDecoder(io.MultiReader(bytes.NewReader(rest), b))
 		}
 		value(false) // the next one has its own time
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -50,8 +50,8 @@
 }
 
 // slow is a pace for tests in which nothing falls silent.
-func slow() *Pace {
-	return &Pace{waits: [...]time.Duration{20 * time.Second, 20 * time.Second, 20 * time.Second, 20 * time.Second}}
+func slow() *Timeouts {
+	return &Timeouts{waits: [...]time.Duration{20 * time.Second, 20 * time.Second, 20 * time.Second, 20 * time.Second}}
 }
 
 // A watch that brings nothing more ends, wherever in the answer the silence begins.
@@ -60,7 +60,7 @@
 		addr, _ := agent(t, text, stay)
 		p := slow()
 		p.waits[asked], p.waits[following], p.waits[inValue] = 50*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond
-		if err := Watch(context.Background(), sockets.Kernel{}, addr, 1, p, &Feed{}, func() {}, func(string) {}); !errors.Is(err, os.ErrDeadlineExceeded) {
+		if err := Watch(context.Background(), sockets.Kernel{}, addr, 1, p, &PendingRead{}, func() {}, func(string) {}); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("after %q: %v", text, err)
 		}
 	}
@@ -77,13 +77,13 @@
 		p := slow()
 		p.waits[x.at] = time.Second / 2
 		addr, _ := agent(t, x.text, func(c net.Conn) {
-			for err := error(nil); err == nil; time.Sleep(2 * look) { // slower than what the process may have slept over
+			for err := error(nil); err == nil; time.Sleep(2 * lastLook) { // slower than what the process may have slept over
 				_, err = io.WriteString(c, x.drip)
 			}
 		})
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
-		if err := Watch(ctx, sockets.Kernel{}, addr, 1, p, &Feed{}, func() {}, func(string) {}); ctx.Err() != nil || p.phase != x.at {
+		if err := Watch(ctx, sockets.Kernel{}, addr, 1, p, &PendingRead{}, func() {}, func(string) {}); ctx.Err() != nil || p.phase != x.at {
 			t.Errorf("after %q: %v in phase %d", x.text, err, p.phase)
 		}
 	}
@@ -97,10 +97,10 @@
 		head + "4\r\n{\"a\"\r\nA;x=1\r\n:1}\n\n{\"b\":\r\n3\r\n2}\n\r\n1\r\n\n\r\n0\r\n\r\n",
 		"HTTP/1.0 200 OK\r\n\r\n{}\n", head + "x\r\n", head + "2\r\n{}}", head + "2\r\n{}\r\n9\r\n[",
 		"HTTP/1.1 503 Gone\r\n\r\n", "HTTP/1.1 302 Found\r\nLocation: /v1/servers\r\n\r\n", "SSH-2.0\r\n", "",
-		"HTTP/1.1 200 OK\r\nx: " + strings.Repeat("y", mostHead)} {
+		"HTTP/1.1 200 OK\r\nx: " + strings.Repeat("y", maxHeadBytes)} {
 		addr, asked := agent(t, text, end)
 		alive := false
-		err := Watch(context.Background(), sockets.Kernel{}, addr, 41, slow(), &Feed{}, func() { alive = true }, func(list string) { fmt.Fprintf(&all, "%q\n", list) })
+		err := Watch(context.Background(), sockets.Kernel{}, addr, 41, slow(), &PendingRead{}, func() { alive = true }, func(list string) { fmt.Fprintf(&all, "%q\n", list) })
 		fmt.Fprintf(&all, "%.60q: %v, alive %t\n%s\n", text, err, alive, <-asked)
 	}
 	golden.Check(t, regexp.MustCompile(`127.0.0.1:\d+`).ReplaceAllString(all.String(), "ADDR"))
@@ -120,7 +120,7 @@
 			<-asked
 			stop()
 		}()
-		if Watch(ctx, sockets.Kernel{}, addr, 1, slow(), &Feed{}, func() {}, func(string) {}) == nil {
+		if Watch(ctx, sockets.Kernel{}, addr, 1, slow(), &PendingRead{}, func() {}, func(string) {}) == nil {
 			t.Errorf("%q: ended for no reason", text)
 		}
 	}
@@ -146,7 +146,7 @@
 				then(c)
 			})
 			lists := 0
-			err := Watch(context.Background(), sockets.Kernel{}, addr, 1, slow(), &Feed{}, func() {}, func(string) { lists++ })
+			err := Watch(context.Background(), sockets.Kernel{}, addr, 1, slow(), &PendingRead{}, func() {}, func(string) { lists++ })
 			fmt.Fprintf(&all, "%s, %s: %d lists, %t\n", x.name, []string{"ended", "reset"}[how], lists, err != nil)
 		}
 	}
@@ -163,8 +163,8 @@
 	defer l.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	feed, came, taken, ended := &Feed{}, make(chan bool), make(chan bool), make(chan bool)
-	if feed.Behind() {
+	feed, came, taken, ended := &PendingRead{}, make(chan bool), make(chan bool), make(chan bool)
+	if feed.Pending() {
 		t.Error("behind before it is connected")
 	}
 	go func() {
@@ -181,16 +181,16 @@
 	io.WriteString(agent, "HTTP/1.1 200 OK\r\n\r\n{}{}")
 	for range 2 {
 		<-came
-		if !feed.Behind() {
+		if !feed.Pending() {
 			t.Error("not behind while one is taken in")
 		}
 		taken <- true
 	}
-	for feed.Behind() { // until it reads again
+	for feed.Pending() { // until it reads again
 		runtime.Gosched()
 	}
 	io.WriteString(agent, "{}")
-	if <-came; !feed.Behind() {
+	if <-came; !feed.Pending() {
 		t.Error("not behind while one is taken in")
 	}
 	io.WriteString(agent, "{}")
@@ -198,7 +198,7 @@
 	<-came
 	stop()
 	taken <- true
-	if <-ended; feed.Behind() {
+	if <-ended; feed.Pending() {
 		t.Error("behind when it has ended")
 	}
 }
@@ -220,7 +220,7 @@
 // After a stall of the process itself the time is up and the bytes are there: the watch goes on.
 func TestStall(t *testing.T) {
 	for late, want := range []string{"2 <nil>", "2 <nil>", "0 i/o timeout"} {
-		n, err := patient{&stood{late: late}, NewPace(false)}.Read(make([]byte, 9))
+		n, err := timedConn{&stood{late: late}, NewTimeouts(false)}.Read(make([]byte, 9))
 		if got := fmt.Sprint(n, " ", err); got != want {
 			t.Errorf("%d late: %s", late, got)
 		}
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -19,11 +19,11 @@
 // watch is one try to follow the list; only what the newest brings counts.
 type watch struct {
 	stop      context.CancelFunc
-	feed      discovery.Feed
+	feed      discovery.PendingRead
 	skipUntil int64 // what lies in it holds no decision up until then
 }
 
-// start asks for the list, unless that is up to the module. What discovery's agent has counts as told from the first
+// startWatch asks for the list, unless that is up to the module. What discovery's agent has counts as notified from the first
 // moment on, and the list of the configuration may be old: clients are taken in once the agent has answered, which it
 // does at once, or is silent for so long that discovery must be down.
 func (n *Node) startWatch() {
@@ -35,7 +35,7 @@
 	time.AfterFunc(firstListWait, func() {
 		n.runOnLoop(func() {
 			if !n.listAnswered {
-				log.Printf("event=no_first_list version=%d", n.endpointBook.Version)
+				log.Printf("event=no_first_list version=%d", n.endpointList.Version)
 			}
 			n.listAnswered = true
 		})
@@ -50,7 +50,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	w := &watch{stop: stop}
 	n.watch = w
-	after, addr := n.endpointBook.Version, n.cfg.Discovery
+	after, addr := n.endpointList.Version, n.cfg.Discovery
 	go func() {
 		newest := func(f func()) { // of what the watch brings, in the loop
 			n.runOnLoop(func() {
@@ -59,7 +59,7 @@
 				}
 			})
 		}
-		err := discovery.Watch(ctx, n.system, addr, after, discovery.NewPace(n.cfg.Limits.PollEndpoints), &w.feed, func() {
+		err := discovery.Watch(ctx, n.system, addr, after, discovery.NewTimeouts(n.cfg.Limits.PollEndpoints), &w.feed, func() {
 			newest(func() {
 				if n.watchLost {
 					log.Printf("event=watch_back")
@@ -72,14 +72,14 @@
 	}()
 }
 
-// catchUp lets the newest watch hand on what lies in its connection before the module decides. A process that stood still,
-// or has much to read, would else send reqs on past a drain that was told long before.
+// readPendingList lets the newest watch hand on what lies in its connection before the module decides. A process that stood still,
+// or has much to read, would else send requests on past a drain that was notified long before.
 func (n *Node) readPendingList() {
 	if len(n.events) == 0 || n.watch == nil || n.now() < n.watch.skipUntil {
 		return
 	}
-	for limit := n.now() + int64(maxReadDelay); n.watch.feed.Behind(); {
-		if now := n.now(); now >= limit { // it never rests: reqs must not wait for it round after round
+	for limit := n.now() + int64(maxReadDelay); n.watch.feed.Pending(); {
+		if now := n.now(); now >= limit { // it never rests: requests must not wait for it round after round
 			n.watch.skipUntil = now + int64(time.Second)
 			break
 		}
@@ -93,14 +93,14 @@
 }
 
 // Reload takes in the configuration file as it is now: it read it as cfg, or failed to. Only where discovery is
-// can change while the gateway runs; its list, reqs and connections stay as they are.
+// can change while the gateway runs; its list, requests and connections stay as they are.
 func (n *Node) Reload(cfg *config.Config, err error) {
 	n.runOnLoop(func() {
 		if err != nil {
 			log.Printf("event=reload_failed error=%q", err)
 			return
 		}
-		log.Printf("event=reloaded discovery=%s version=%d others_changed=%t", cfg.Discovery, n.endpointBook.Version,
+		log.Printf("event=reloaded discovery=%s version=%d others_changed=%t", cfg.Discovery, n.endpointList.Version,
 			n.cfg.Fixed != cfg.Fixed) // these count from the next start on
 		if cfg.Pool != nil {
 			n.quota.setCapacity(cfg.Pool.Serial, cfg.Pool.Capacity)
@@ -116,20 +116,20 @@
 	})
 }
 
-// ended takes in the end of a watch. Where the list only comes when asked for, the module asks.
+// watchEnded takes in the end of a watch. Where the list only comes when asked for, the module asks.
 func (n *Node) watchEnded(w *watch, err error) {
 	if n.watch != w { // another has taken its place
 		return
 	}
 	if !n.watchLost { // once, not with every try
-		log.Printf("event=watch_lost error=%q version=%d", err, n.endpointBook.Version)
+		log.Printf("event=watch_lost error=%q version=%d", err, n.endpointList.Version)
 	}
 	n.watchLost = true
 	if n.cfg.Limits.PollEndpoints {
 		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
 		return
 	}
-	time.AfterFunc(discovery.Again, func() {
+	time.AfterFunc(discovery.RewatchDelay, func() {
 		n.runOnLoop(func() {
 			if n.watch == w {
 				n.WatchEndpoints()
@@ -138,21 +138,21 @@
 	})
 }
 
-// listed takes in a list or changes of it.
+// updateEndpoints takes in a list or changes of it.
 func (n *Node) updateEndpoints(text string, old bool) {
 	n.listAnswered = n.listAnswered || !old
-	had := n.endpointBook.Version
-	kind, list, odd, err := n.endpointBook.Read(text, func(host uint32, addr netip.AddrPort) { n.transport.SetAddress(host, addr) })
+	had := n.endpointList.Version
+	kind, list, odd, err := n.endpointList.Decode(text, func(host uint32, addr netip.AddrPort) { n.transport.SetAddress(host, addr) })
 	if err != nil {
 		n.droppedLists++
 		log.Printf("event=list_dropped error=%q count=%d", err, n.droppedLists)
 		return
 	}
 	if odd != nil {
-		log.Printf("event=list_odd error=%q version=%d", odd, n.endpointBook.Version)
+		log.Printf("event=list_odd error=%q version=%d", odd, n.endpointList.Version)
 	}
-	if n.endpointBook.Version < had {
-		log.Printf("event=list_older version=%d had=%d", n.endpointBook.Version, had)
+	if n.endpointList.Version < had {
+		log.Printf("event=list_older version=%d had=%d", n.endpointList.Version, had)
 	}
 	if old {
 		kind = gateway.ListCached
@@ -160,14 +160,14 @@
 	n.observer.endpointsListed(list)
 	for _, l := range list {
 		if l.State != gateway.Running {
-			log.Printf("event=host id=%s state=%s version=%d", n.endpointBook.Name(l.Host), l.State, n.endpointBook.Version)
+			log.Printf("event=host id=%s state=%s version=%d", n.endpointList.ID(l.Host), l.State, n.endpointList.Version)
 		}
 		if l.State == gateway.Draining {
 			n.transport.Drain(l.Host)
 		}
 		if l.State == gateway.Gone {
 			n.transport.Remove(l.Host)
-			n.endpointBook.Forget(l.Host)
+			n.endpointList.Forget(l.Host)
 		}
 	}
 	n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: list})
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	formerProcessWait   = 25 * time.Second      // an address is waited for at most so long: a former life of this gateway may drain yet
+	formerProcessWait   = 25 * time.Second      // an address is waited for at most so long: a former process of this gateway may drain yet
 	shortageWait        = 5 * time.Second       // the same for what this machine is short of, such as an interface with the address: it may be a mistake in the file
 	listenRetryInterval = 20 * time.Millisecond // between tries
 	reservedDescriptors = 16                    // descriptors: three streams, the runtime's two, listener, datagrams, counter, watch and the one before, file, others of a section
 )
 
-// addresses takes the gateway's addresses, that of the datagrams first, before anything else of it runs. A former life that
+// openSockets takes the gateway's addresses, that of the datagrams first, before anything else of it runs. A former process that
 // still serves what it has open holds them, its datagrams' address up to its end: a process that gave up then would not
 // start at all.
 func (n *Node) openSockets(stop <-chan struct{}) (listener *net.TCPListener, err error) {
@@ -44,7 +44,7 @@
 
 var errStopped = errors.New("called to stop before it had its addresses")
 
-// claim tries to take an address until it is free, and as long as the machine is short of something for it.
+// listenWithRetry tries to take an address until it is free, and as long as the machine is short of something for it.
 func listenWithRetry(key string, addr netip.AddrPort, stop <-chan struct{}, try func() error) error {
 	began := time.Now()
 	for told := false; ; told = true {
@@ -70,7 +70,7 @@
 	}
 }
 
-// descriptors gives how many the parts of the gateway may share out. Where the system's limit is lower than the
+// sharedDescriptors returns how many the parts of the gateway may share out. Where the system's limit is lower than the
 // configuration's it counts: idle clients that fill a part too large would keep the watch, the hosts and the loop that
 // accepts from theirs. The rest, of what is open once each, is kept clear at any size.
 func sharedDescriptors(most int) int {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -82,7 +82,7 @@
 	observer      *observedActions // nil: off
 	quota         *connectionQuota // nil: off
 
-	endpointBook *discovery.Book
+	endpointList *discovery.EndpointList
 	watch        *watch
 	watchLost    bool // the watch broke, and none has brought anything since
 	listAnswered bool // discovery has answered once, or it was waited for long enough: clients may be taken in
@@ -121,10 +121,10 @@
 		ended:        make(chan struct{}),
 		classes:      slices.Clone(cfg.Classes),
 		requests:     map[string]*request{},
-		endpointBook: discovery.NewBook(cfg.Zones, cfg.Machines),
+		endpointList: discovery.NewEndpointList(cfg.Zones, cfg.Machines),
 		catalog:      clients.NewCatalog(catalogOf(cfg)),
 	}
-	n.endpointBook.Even = cfg.Even
+	n.endpointList.Even = cfg.Even
 	shared := sharedDescriptors(cfg.Sockets)
 	n.clients = clients.NewServer(n.system, n.catalog, shared/3, n.runOnLoop, n.now, n.arrive)
 	idleTimeout := int64(idleFraction * float64(cfg.ConnIdle))
@@ -257,7 +257,7 @@
 	n.listening = true
 	n.clients.Listen(listener)
 	log.Printf("event=serving name=%s listen=%s peer_listen=%s hosts=%d version=%d", n.cfg.Name, listener.Addr(),
-		n.peerTransport.Addr(), n.endpointBook.Count(), n.endpointBook.Version)
+		n.peerTransport.Addr(), n.endpointList.Count(), n.endpointList.Version)
 }
 
 // loop runs until the shutdown has ended.
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -8,15 +8,15 @@
 	"ravensill/internal/observer"
 )
 
-// watching stands between the module and the node where the section counterfactual is on: it is the Writer that is
-// also a Witness, and hands the task a record of each dispatch that ended. Its fields belong to the loop.
+// observedActions stands between the module and the node where the section counterfactual is on: it is the Actions that is
+// also a CandidateObserver, and hands the task a record of each attempt that ended. Its fields belong to the loop.
 type observedActions struct {
 	*Node
 	task     *observer.Observer
 	places   map[uint32]place
 	pending  map[*attempt]*observer.Entry
-	upcoming *observer.Entry   // of the dispatch that comes next
-	finished []*observer.Entry // of dispatches that ended since the last beat
+	upcoming *observer.Entry   // of the attempt that comes next
+	finished []*observer.Entry // of attempts that ended since the last timer
 	recycled []*observer.Entry // to be used again
 	random   *rand.Rand
 }
@@ -29,7 +29,7 @@
 	born uint32
 }
 
-// watchOver starts the task, where it is configured; the returned function ends it.
+// startObserver starts the task, where it is configured; the returned function ends it.
 func (n *Node) startObserver(stop <-chan struct{}) (end func(), err error) {
 	if n.cfg.Counterfactual == nil {
 		return func() {}, nil
@@ -60,7 +60,7 @@
 	return n
 }
 
-// Considered notes what the dispatch that comes next was chosen among.
+// ObserveCandidates notes what the attempt that comes next was chosen among.
 func (w *observedActions) ObserveCandidates(req string, customer uint32, options []gateway.Candidate) {
 	var e *observer.Entry
 	if n := len(w.recycled); n > 0 {
@@ -77,7 +77,7 @@
 	w.upcoming = e
 }
 
-// Dispatch sends the req on; its record waits for the end.
+// StartAttempt sends the request on; its record waits for the end.
 func (w *observedActions) StartAttempt(id string, host uint32, timeout int64) {
 	e := w.upcoming
 	w.upcoming = nil
@@ -94,7 +94,7 @@
 	w.pending[d] = e
 }
 
-// ended hands over the record of a dispatch. One that was never sent says nothing of its host.
+// attemptEnded hands over the record of an attempt. One that was never sent says nothing of its host.
 func (w *observedActions) attemptEnded(d *attempt, result gateway.Result, lag int64) {
 	if w == nil {
 		return
@@ -118,7 +118,7 @@
 	}
 }
 
-// offer hands over what is ready: a batch at a beat, so that the task is not woken for each dispatch.
+// offer hands over what is ready: a batch at a timer, so that the task is not woken for each attempt.
 func (w *observedActions) offer() {
 	if len(w.finished) == 0 {
 		return
@@ -130,24 +130,24 @@
 	}
 }
 
-// Wake sets the module's next beat; the one at hand has come.
+// SetTimer sets the module's next timer; the one at hand has fired.
 func (w *observedActions) SetTimer(after int64) {
 	w.offer()
 	w.Node.SetTimer(after)
 }
 
-// listed notes where hosts stand and when their processes began.
+// endpointsListed notes where hosts stand and when their processes began.
 func (w *observedActions) endpointsListed(list []gateway.Endpoint) {
 	if w == nil {
 		return
 	}
 	for _, l := range list {
 		if l.State != gateway.Gone {
-			w.places[l.Host] = place{w.endpointBook.Name(l.Host), l.Zone, uint32(l.StartedAt / 1e6)}
+			w.places[l.Host] = place{w.endpointList.ID(l.Host), l.Zone, uint32(l.StartedAt / 1e6)}
 		}
 	}
 	for number := range w.places { // one that is gone keeps its id for answers about windows past
-		if len(w.places) > maxPlaces && w.endpointBook.Name(number) == "" {
+		if len(w.places) > maxPlaces && w.endpointList.ID(number) == "" {
 			delete(w.places, number)
 		}
 	}
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -58,7 +58,7 @@
 	configuration *config.Config
 	module        *logic.Gateway
 	form          gossip.Format // of the messages that are taken in
-	book          *discovery.Book
+	book          *discovery.EndpointList
 	connections   *hosts.Transport
 	lists         []gateway.Event // of the host list: they precede other events, as in package node
 	events        []gateway.Event
@@ -77,7 +77,7 @@
 	h.form = messageForm(configuration)
 	h.module = logic.New(configuration.Seed, configuration.Membership, configuration.Classes, configuration.Plans,
 		configuration.Limits, configuration.SlowStart, configuration.LoadReport)
-	h.book = discovery.NewBook(configuration.Zones, configuration.Machines)
+	h.book = discovery.NewEndpointList(configuration.Zones, configuration.Machines)
 	h.book.Even = configuration.Even
 	run := func(work func()) { work() }
 	clock := func() int64 { return h.now }
@@ -107,7 +107,7 @@
 // configuration and may be out of date.
 func (h *Hollow) List(text string, cached bool) {
 	place := func(host uint32, address netip.AddrPort) { h.connections.SetAddress(host, address) }
-	kind, listings, _, err := h.book.Read(text, place)
+	kind, listings, _, err := h.book.Decode(text, place)
 	if err != nil {
 		h.badLists++
 		return
--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -118,8 +118,8 @@
 // follow watches the host list through the program's own client of discovery.
 func (s *Served) follow(ctx context.Context, address string, version int64) {
 	for ctx.Err() == nil {
-		var feed discovery.Feed
-		discovery.Watch(ctx, sockets.Kernel{}, address, version, discovery.NewPace(false), &feed, func() {}, func(text string) {
+		var feed discovery.PendingRead
+		discovery.Watch(ctx, sockets.Kernel{}, address, version, discovery.NewTimeouts(false), &feed, func() {}, func(text string) {
 			taken := make(chan int64, 1)
 			s.do(func() {
 				s.hollow.List(text, false)
@@ -128,7 +128,7 @@
 			version = <-taken
 		})
 		select {
-		case <-time.After(discovery.Again):
+		case <-time.After(discovery.RewatchDelay):
 		case <-ctx.Done():
 		}
 	}
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -32,9 +32,7 @@
 // bounded are the searches within loops that go through a list of a bounded length.
 var bounded = []string{
 	"slices.Contains(section.Publishers)", // seven addresses at most
-	"slices.Contains(n.open)",             // attempts in flight
-	"slices.ContainsFunc(parts)",          // the words of one command
-	"slices.Index(names)",                 // the keys that a command may have
+	"slices.Contains(n.inFlight)",         // attempts in flight
 	"slices.IndexFunc(c.subscriptions)",   // neighbours of one gateway, at a change of the number of gateways alone
 }
 
@@ -99,9 +97,9 @@
 		if _, err := config.Decode(string(settings)); err != nil {
 			t.Fatal(err)
 		}
-		book := discovery.NewBook([]string{"a"}, []string{"m"})
+		book := discovery.NewEndpointList([]string{"a"}, []string{"m"})
 		transport := hosts.NewTransport(sockets.Kernel{}, func(func()) {}, func() int64 { return 0 }, nil, 1, 1, 1)
-		_, listed, _, err := book.Read(string(list), func(host uint32, addr netip.AddrPort) { transport.SetAddress(host, addr) })
+		_, listed, _, err := book.Decode(string(list), func(host uint32, addr netip.AddrPort) { transport.SetAddress(host, addr) })
 		if err != nil || size.Axis == Hosts && len(listed) != size.Count {
 			t.Fatal(len(listed), err)
 		}
