--- a/internal/discovery/pending_read.go
+++ b/internal/discovery/pending_read.go
@@ -8,10 +8,10 @@
 	"syscall"
 )
 
-// Feed tells of one watch whether news lie in its connection that have not been handed on.
+// PendingRead tells of one watch whether news lie in its connection that have not been handed on.
 type PendingRead struct{ socket atomic.Pointer[watchedConn] }
 
-// Behind tells so: bytes came that were not read, or those that were read last have not led to all that they hold. It
+// Pending reports that: bytes came that were not read, or those that were read last have not led to all that they hold. It
 // may be asked at any time, by another goroutine. The order counts: what the socket no longer holds is being taken in.
 func (f *PendingRead) Pending() bool {
 	s := f.socket.Load()
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Pace is how long a follower of the list waits for what, before it gives a watch up. A change counts as told 6 s after
+// Timeouts is how long a follower of the list waits for what, before it gives a watch up. A change counts as told 6 s after
 // discovery had it and could be reached, whatever became of a watch or of a call: within that a silent watch has to be
 // given up, asked for anew and answered, with room for one try that is lost, wherever it is lost. It is fed times and has
 // no clock of its own.
@@ -39,10 +39,10 @@
 	RewatchDelay = 100 * time.Millisecond
 )
 
-// NewPace makes a pace for one watch. call tells that the list comes only when asked for.
-func NewTimeouts(call bool) *Timeouts {
+// NewTimeouts returns the timeouts of one watch. poll tells that the list comes only when asked for.
+func NewTimeouts(poll bool) *Timeouts {
 	p := &Timeouts{waits: [...]time.Duration{connectTimeout, answerTimeout, silenceTimeout, valueTimeout}}
-	if call {
+	if poll {
 		p.waits[asked] = pollTimeout
 	}
 	return p
