--- a/internal/publisher/disk_test.go
+++ b/internal/publisher/disk_test.go
@@ -1,9 +1,12 @@
 package publisher_test
 
 import (
+	"os"
+	"path/filepath"
 	"syscall"
 	"testing"
 
+	"ravensill/internal/config"
 	"ravensill/internal/publisher"
 	"ravensill/internal/publishertest"
 )
@@ -95,3 +98,22 @@
 	}
 	g.Agreed(again)
 }
+
+// landedDigest is that of the content that the folder testdata/landed holds, which the program at 067f03a wrote.
+const landedDigest = "52e2ee77df49aff9779c16b207fb40fdf9a1399fb4fa9f33657cc4aefd6fc078"
+
+// A replica's folder of an earlier release is opened as it was left: the last version is there, and changes go on from it.
+func TestOpensFolderOfEarlierRelease(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "replica")
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "landed"))); err != nil {
+		t.Fatal(err)
+	}
+	g := publishertest.NewGroup(t, 1, func(cfg *config.Publisher) { cfg.Dir = dir })
+	eventually(t, "the last version", func() bool {
+		s := g.Replicas[0].Status()
+		return s.Version == 3 && s.Digest == landedDigest
+	})
+	if next := g.SetRate(0, "gold", 13); next.Version != 4 {
+		t.Errorf("the next version is %d", next.Version)
+	}
+}
--- a/internal/subscriber/store_test.go
+++ b/internal/subscriber/store_test.go
@@ -264,3 +264,14 @@
 		t.Errorf("bytes sent when versions were put in force %d, when they were written %d", sent, disk.sent)
 	}
 }
+
+// landedDigest is that of the content that the files in testdata/landed hold, which the program at 067f03a wrote.
+const landedDigest = "52e2ee77df49aff9779c16b207fb40fdf9a1399fb4fa9f33657cc4aefd6fc078"
+
+// The file of an earlier release is read as it was written: a document, and two deltas after it.
+func TestLoadsFileOfEarlierRelease(t *testing.T) {
+	document, err := Load(filepath.Join("testdata", "landed"))
+	if err != nil || document.Version() != 3 || fmt.Sprintf("%x", document.Digest()) != landedDigest {
+		t.Errorf("version %d, digest %x, %v", document.Version(), document.Digest(), err)
+	}
+}
