--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -6,7 +6,7 @@
 	"ravensill/gateway"
 )
 
-// errBareClass is told of a request class that commands could not name, or whose requests would never end.
+// errBareClass is the fault of a request class that commands could not name, or whose requests would never end.
 var errBareClass = errors.New("name and hard_limit_us wanted")
 
 // DecodeRequestClass reads one request class from its own JSON object, by the same code as the list of a whole
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// Config is all that one gateway on sockets is told.
+// Config is the whole configuration of one gateway on sockets.
 type Config struct {
 	Name       string
 	Listen     netip.AddrPort // where clients connect
@@ -23,7 +23,7 @@
 	Memory     int64 // bytes
 	Sockets    int   // descriptors
 	PeerListen netip.AddrPort
-	Peers      []netip.AddrPort // by seat; none where gateways don't message each other
+	Peers      []netip.AddrPort // by member index; none where gateways exchange no gossip
 	Counter    netip.AddrPort   // the shared counter; none where the settings know none
 	Known      string           // the list as last had; may be empty. A part of the file's text: it keeps all of that in memory
 	Fixed      uint64           // a hash of the keys that count from the start on only; it holds in this process alone
@@ -129,7 +129,7 @@
 	return number
 }
 
-// readOwn reads what is told to this gateway alone. At a reload the file's discovery goes before its variable.
+// readOwn reads what is of this gateway alone. At a reload the file's discovery goes before its variable.
 func (c *Config) readOwn(f *file, again bool) {
 	c.Listen = f.address("listen", f.word("listen", "GW_LISTEN", ""))
 	discovery := f.word("discovery", "", "")
@@ -147,7 +147,7 @@
 	}
 }
 
-// readSettings reads what is told to all gateways of the deployment.
+// readSettings reads what is the same for all gateways of the deployment.
 func (c *Config) readSettings(f *file) {
 	settings, err := Decode(f.at("settings", gjson.JSON).Raw)
 	c.Settings = settings
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -13,7 +13,7 @@
 type Pool struct {
 	Terms    pool.Terms
 	Capacity int              // connections that the store takes
-	Serial   uint64           // of the capacity: the highest serial that any gateway was told counts
+	Serial   uint64           // of the capacity: the highest serial that any gateway is configured with counts
 	Weight   float64          // of this gateway's quota
 	Voters   []netip.AddrPort // UDP of the gateways that record the leases, as this gateway sees them
 	Streams  []netip.AddrPort // TCP of the same; Voters where not given
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -10,7 +10,7 @@
 	"ravensill/configsync"
 )
 
-// Publisher is what one replica of the configuration's publishers is told (docs/configuration-sync.md).
+// Publisher is the configuration of one replica of the publishers (docs/configuration-sync.md).
 type Publisher struct {
 	Index        int            // this replica's among Raft
 	Listen       netip.AddrPort // TCP, for followers
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,4 +1,4 @@
-// Package config reads, checks and gives defaults to all that a gateway is told. Messages name the faulty key.
+// Package config reads and checks the configuration of a gateway and of a publisher, and gives defaults. Messages name the faulty key.
 package config
 
 import (
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -79,7 +79,7 @@
 		return
 	}
 	for limit := n.now() + int64(maxReadDelay); n.watch.feed.Pending(); {
-		if now := n.now(); now >= limit { // it never rests: requests must not wait for it round after round
+		if now := n.now(); now >= limit { // it never rests: requests must not wait for it batch after batch
 			n.watch.skipUntil = now + int64(time.Second)
 			break
 		}
@@ -109,7 +109,7 @@
 			return
 		}
 		n.cfg.Discovery = cfg.Discovery
-		if n.watch != nil { // at once: the old address answers no more, and what the new one has counts as told
+		if n.watch != nil { // at once: the old address answers no more, and what the new one has counts as notified
 			n.watchLost = false
 			n.WatchEndpoints()
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
 // Package node is one gateway on sockets: a loop that hands the module all that came in and carries out what it decides. It decides
 // nothing. One goroutine runs the loop and owns all state; other goroutines hand it functions to run (Node.runOnLoop).
 //
-//   - node.go: the state of a gateway, and its life from the first socket to the last connection
+//   - node.go: the state of a gateway, and its way from the first socket to the last connection
 //   - loop.go: one turn of the loop
 //   - request.go, attempt.go: requests of clients, and what is sent to hosts for them
 //   - shutdown.go: the phases of the end
@@ -234,7 +234,7 @@
 		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached})
 	} else {
 		n.updateEndpoints(n.cfg.Known, true)
-		n.cfg.Known = "" // what it told is in the book, and the file's text need not be kept
+		n.cfg.Known = "" // what it lists is known now, and the text need not be kept
 	}
 	n.step()
 }
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -61,14 +61,14 @@
 }
 
 // ObserveCandidates notes what the attempt that comes next was chosen among.
-func (w *observedActions) ObserveCandidates(req string, customer uint32, options []gateway.Candidate) {
+func (w *observedActions) ObserveCandidates(requestID string, customer uint32, options []gateway.Candidate) {
 	var e *observer.Entry
 	if n := len(w.recycled); n > 0 {
 		e, w.recycled = w.recycled[n-1], w.recycled[:n-1]
 	} else {
 		e = &observer.Entry{}
 	}
-	*e = observer.Entry{Request: req, Record: counterfactual.Record{Customer: customer, Candidates: e.Candidates[:0]}}
+	*e = observer.Entry{Request: requestID, Record: counterfactual.Record{Customer: customer, Candidates: e.Candidates[:0]}}
 	for _, o := range options {
 		p := w.places[o.Host]
 		e.Candidates = append(e.Candidates, counterfactual.Candidate{Host: o.Host, Incarnation: p.born, Zone: p.zone, Chance: o.Chance,
--- a/logic/token_bucket.go
+++ b/logic/token_bucket.go
@@ -38,7 +38,7 @@
 	c.peerRate /= decay
 }
 
-// spend takes an admitted request's units from the copy and this gateway's fraction of the ceiling, and has the peers told. What is
+// spend takes an admitted request's units from the copy and this gateway's fraction of the ceiling, and has it gossiped. What is
 // beyond the cap on requests in flight, by its probability, takes nothing from the quota.
 func (g *Gateway) spend(c *customer, units, withinCap float64) {
 	taken := units * withinCap
