--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -17,6 +17,8 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
+
+	"ravensill/internal/sockets"
 )
 
 const (
@@ -52,6 +54,8 @@
 	SnapshotThreshold uint64 // log entries between snapshots; 0: 4096
 	TrailingEntries   uint64 // log entries kept behind a snapshot; 0: 1024
 
+	Sockets sockets.System // nil: sockets.Kernel
+
 	DiskFault func() error // for tests: the error of the next write to the log or the state on disk, nil for none; nil: never one
 }
 
@@ -76,6 +80,9 @@
 
 // Open starts a replica of the state machine. It listens, opens the log and takes part in elections from then on.
 func Open(cfg Config, machine raft.FSM) (*Replica, error) {
+	if cfg.Sockets == nil {
+		cfg.Sockets = sockets.Kernel{}
+	}
 	err := os.MkdirAll(cfg.Dir, 0o700)
 	if err != nil {
 		return nil, err
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"context"
 	"crypto/hmac"
 	"crypto/sha256"
 	"encoding/json"
@@ -14,12 +15,14 @@
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"ravensill/internal/sockets"
 )
 
 const (
 	greetingTimeout   = time.Second
-	acceptPause       = 10 * time.Millisecond // after an accept that failed, as where no descriptor is free
-	announcementLimit = 256                   // bytes
+	bindWait          = 5 * time.Second // for what this machine is short of when the listener is opened
+	announcementLimit = 256             // bytes
 )
 
 // SignatureSize is the length of a signature in bytes.
@@ -35,7 +38,7 @@
 // transport is the replicas' way to each other for the library: TCP, where the caller first names and signs the id that it
 // wants, so that messages for a replica that lost its disk never reach the one that has taken its place.
 type transport struct {
-	listener  *net.TCPListener
+	listener  *sockets.Listener
 	cfg       *Config
 	id        raft.ServerID
 	announced func(Announcement)
@@ -45,12 +48,16 @@
 }
 
 func listen(cfg *Config, id raft.ServerID, announced func(Announcement)) (*transport, error) {
-	listener, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(cfg.Listen))
+	var listener *net.TCPListener
+	err := sockets.RetryShortage(bindWait, func() (err error) {
+		listener, err = cfg.Sockets.Listen(cfg.Listen)
+		return err
+	})
 	if err != nil {
 		return nil, err
 	}
 	t := &transport{
-		listener:  listener,
+		listener:  &sockets.Listener{TCPListener: listener, System: cfg.Sockets},
 		cfg:       cfg,
 		id:        id,
 		announced: announced,
@@ -65,13 +72,9 @@
 func (t *transport) accept() {
 	for {
 		conn, err := t.listener.Accept()
-		if errors.Is(err, net.ErrClosed) {
+		if err != nil { // closed
 			return
 		}
-		if err != nil {
-			time.Sleep(acceptPause)
-			continue
-		}
 		go t.greet(conn)
 	}
 }
@@ -124,7 +127,7 @@
 
 // announce tells another replica that this one has nothing on disk.
 func (t *transport) announce(to int, a Announcement) error {
-	conn, err := net.DialTimeout("tcp4", t.cfg.Addresses[to].String(), greetingTimeout)
+	conn, err := t.cfg.Sockets.Dial(context.Background(), &net.Dialer{Timeout: greetingTimeout}, t.cfg.Addresses[to].String())
 	if err != nil {
 		return err
 	}
@@ -172,7 +175,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn, err := net.DialTimeout("tcp4", peer.String(), timeout)
+	conn, err := t.cfg.Sockets.Dial(context.Background(), &net.Dialer{Timeout: timeout}, peer.String())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/pending_read.go
+++ b/internal/discovery/pending_read.go
@@ -6,6 +6,8 @@
 	"os"
 	"sync/atomic"
 	"syscall"
+
+	"ravensill/internal/sockets"
 )
 
 // PendingRead tells of one watch whether news lie in its connection that have not been handed on.
@@ -21,34 +23,39 @@
 // socket is a watch's connection that knows whether what it read is still being taken in: until the next Read.
 type watchedConn struct {
 	net.Conn
+	system     sockets.System
 	raw        syscall.RawConn
 	processing atomic.Bool
 }
 
-func newWatchedConn(c net.Conn) (*watchedConn, error) {
+func newWatchedConn(system sockets.System, c net.Conn) (*watchedConn, error) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
-	return &watchedConn{Conn: c, raw: raw}, err
+	return &watchedConn{Conn: c, system: system, raw: raw}, err
 }
 
 func (s *watchedConn) Read(p []byte) (n int, err error) {
 	s.processing.Store(false)
-	if waited := s.raw.Read(func(fd uintptr) bool {
+	if len(p) == 0 {
+		return 0, nil
+	}
+	errno := syscall.Errno(0)
+	err = s.raw.Read(func(fd uintptr) bool {
 		s.processing.Store(true)
-		for n, err = syscall.Read(int(fd), p); err == syscall.EINTR; {
-			n, err = syscall.Read(int(fd), p)
+		for n, errno = s.system.Read(fd, p); errno == syscall.EINTR; {
+			n, errno = s.system.Read(fd, p)
 		}
-		if err == syscall.EAGAIN {
+		if errno == syscall.EAGAIN {
 			s.processing.Store(false)
 			return false
 		}
 		return true
-	}); waited != nil {
-		return 0, waited
-	}
-	if err != nil {
-		return 0, os.NewSyscallError("read", err)
-	}
-	if n == 0 && len(p) > 0 {
+	})
+	switch {
+	case err != nil:
+		return 0, err
+	case errno != 0:
+		return 0, os.NewSyscallError("read", errno)
+	case n == 0:
 		return 0, io.EOF
 	}
 	return n, nil
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -42,7 +42,7 @@
 			if err != nil {
 				return nil, err
 			}
-			s, err := newWatchedConn(c)
+			s, err := newWatchedConn(system, c)
 			if err != nil {
 				c.Close()
 				return nil, err
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -40,7 +40,7 @@
 	}
 	var task *observer.Observer
 	err = listenWithRetry("counterfactual", n.cfg.Counterfactual.Listen, stop, func() (err error) {
-		task, err = observer.Open(n.cfg.Counterfactual, n.cfg.Membership.Index, n.cfg.Membership.Zone, n.cfg.Membership.Count, n.cfg.ClassNames, targets)
+		task, err = observer.Open(n.system, n.cfg.Counterfactual, n.cfg.Membership.Index, n.cfg.Membership.Zone, n.cfg.Membership.Count, n.cfg.ClassNames, targets)
 		return err
 	})
 	if err != nil {
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -29,7 +29,7 @@
 	if cfg == nil {
 		return func() {}, nil
 	}
-	client, err := pooler.Dial(cfg, n.runOnLoop)
+	client, err := pooler.Dial(n.system, cfg, n.runOnLoop)
 	if err != nil {
 		return nil, err
 	}
@@ -37,7 +37,7 @@
 	if index := cfg.VoterIndex(n.cfg.Membership.Index); index >= 0 {
 		var voter *pooler.Voter
 		err := listenWithRetry("pool.listen", cfg.Listen, stop, func() (err error) {
-			voter, err = pooler.StartVoter(cfg, index)
+			voter, err = pooler.StartVoter(n.system, cfg, index)
 			return err
 		})
 		if err != nil {
--- a/internal/observer/datagram.go
+++ b/internal/observer/datagram.go
@@ -40,7 +40,7 @@
 	buf := make([]byte, counterfactual.MaxBytes+2)
 	var pause sockets.ReadPause
 	for {
-		n, from, err := o.udp.ReadFromUDPAddrPort(buf)
+		n, from, err := o.system.ReadPacket(o.udp, buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -17,6 +17,7 @@
 
 	"ravensill/counterfactual"
 	"ravensill/internal/config"
+	"ravensill/internal/sockets"
 )
 
 // Batch is the largest number of records that the loop hands over at a time.
@@ -38,6 +39,7 @@
 
 // Observer is the task. Its fields belong to its goroutine, but for the channels and atomics.
 type Observer struct {
+	system  sockets.System
 	config  *config.Counterfactual
 	member  int // index of this gateway
 	zone    int
@@ -74,11 +76,12 @@
 	loggedAt    time.Time
 }
 
-// Open starts the observer of a gateway, given its member index of so many and its zone. Classes and objectives are the names of
+// Open starts the observer of a gateway on the sockets of system, given its member index of so many and its zone. Classes and objectives are the names of
 // the request classes and their latency objectives in ns. An error names the key of the configuration.
-func Open(config *config.Counterfactual, member, zone, members int, classes []string, objectives []int64) (*Observer, error) {
+func Open(system sockets.System, config *config.Counterfactual, member, zone, members int, classes []string, objectives []int64) (*Observer, error) {
 	started := time.Now()
 	o := &Observer{
+		system:      system,
 		config:      config,
 		member:      member,
 		zone:        zone,
@@ -110,7 +113,7 @@
 
 // openResources opens the sockets and the records file.
 func (o *Observer) openResources() (err error) {
-	o.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(o.config.Listen))
+	o.udp, err = o.system.ListenPacket(o.config.Listen)
 	if err != nil {
 		return fmt.Errorf("counterfactual.listen: %w", err)
 	}
@@ -122,10 +125,11 @@
 		}
 	}
 	if slices.Contains(o.config.Collectors, o.member) {
-		o.tcp, err = net.Listen("tcp4", o.config.Ask.String())
+		listener, err := o.system.Listen(o.config.Ask)
 		if err != nil {
 			return fmt.Errorf("counterfactual.ask: %w", err)
 		}
+		o.tcp = &sockets.Listener{TCPListener: listener, System: o.system}
 	}
 	return nil
 }
--- a/internal/observer/query.go
+++ b/internal/observer/query.go
@@ -68,13 +68,9 @@
 	places := make(chan struct{}, maxQueries)
 	for {
 		conn, err := o.tcp.Accept()
-		if errors.Is(err, net.ErrClosed) {
+		if err != nil { // closed
 			return
 		}
-		if err != nil {
-			time.Sleep(acceptRetryDelay)
-			continue
-		}
 		select {
 		case places <- struct{}{}:
 			o.start(func() {
--- a/internal/pooler/client.go
+++ b/internal/pooler/client.go
@@ -15,6 +15,7 @@
 // Client exchanges reports and grants with the voters for a lease holder. Its fields but the socket belong to the event loop, to
 // which runOnLoop brings work from other goroutines.
 type Client struct {
+	system     sockets.System
 	cfg        *config.Pool
 	runOnLoop  func(func())
 	socket     *net.UDPConn
@@ -28,13 +29,13 @@
 	Dropped  int // invalid datagrams
 }
 
-// Dial opens the client's socket. runOnLoop runs a function on the event loop.
-func Dial(cfg *config.Pool, runOnLoop func(func())) (*Client, error) {
-	socket, err := net.ListenUDP("udp4", nil)
+// Dial opens the client's socket by the calls of system. runOnLoop runs a function on the event loop.
+func Dial(system sockets.System, cfg *config.Pool, runOnLoop func(func())) (*Client, error) {
+	socket, err := system.ListenPacket(netip.AddrPortFrom(netip.IPv4Unspecified(), 0))
 	if err != nil {
 		return nil, err
 	}
-	return &Client{cfg: cfg, runOnLoop: runOnLoop, socket: socket}, nil
+	return &Client{system: system, cfg: cfg, runOnLoop: runOnLoop, socket: socket}, nil
 }
 
 // Close closes the socket and ends Listen.
@@ -66,7 +67,7 @@
 	buffer := make([]byte, maxDatagramBytes+1)
 	var pause sockets.ReadPause
 	for {
-		n, from, err := c.socket.ReadFromUDPAddrPort(buffer)
+		n, from, err := c.system.ReadPacket(c.socket, buffer)
 		if isClosed(err) {
 			return
 		}
--- a/internal/pooler/voter.go
+++ b/internal/pooler/voter.go
@@ -27,6 +27,7 @@
 // Voter is one of the raft voters, which replicate the ledger with package consensus. Its task owns the lease grantor while the
 // voter leads, and sends all datagrams. The fields below epoch belong to the task.
 type Voter struct {
+	system  sockets.System
 	cfg     *config.Pool
 	index   int
 	replica *consensus.Replica
@@ -48,8 +49,9 @@
 }
 
 // StartVoter opens the sockets and the log of the voter with the index, and starts its task.
-func StartVoter(cfg *config.Pool, index int) (*Voter, error) {
+func StartVoter(system sockets.System, cfg *config.Pool, index int) (*Voter, error) {
 	v := &Voter{
+		system:      system,
 		cfg:         cfg,
 		index:       index,
 		inbox:       make(chan func(), inboxSize),
@@ -59,12 +61,13 @@
 		memberAddrs: make([]netip.AddrPort, cfg.Terms.Members),
 	}
 	var err error
-	v.socket, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(cfg.Listen))
+	v.socket, err = system.ListenPacket(cfg.Listen)
 	if err != nil {
 		return nil, err
 	}
 	v.replica, err = consensus.Open(consensus.Config{
 		Name:      "pool",
+		Sockets:   system,
 		Index:     index,
 		Addresses: cfg.Streams,
 		Listen:    cfg.Listen,
@@ -105,7 +108,7 @@
 	buffer := make([]byte, maxDatagramBytes+1)
 	var pause sockets.ReadPause
 	for {
-		n, from, err := v.socket.ReadFromUDPAddrPort(buffer)
+		n, from, err := v.system.ReadPacket(v.socket, buffer)
 		if isClosed(err) {
 			return
 		}
--- a/internal/publisher/disk_test.go
+++ b/internal/publisher/disk_test.go
@@ -9,6 +9,7 @@
 	"ravensill/internal/config"
 	"ravensill/internal/publisher"
 	"ravensill/internal/publishertest"
+	"ravensill/internal/sockets/socketstest"
 )
 
 // followCurrent follows a replica as gateways do: it returns once a heartbeat tells whether the replica is current.
@@ -117,3 +118,27 @@
 		t.Errorf("the next version is %d", next.Version)
 	}
 }
+
+// The system calls of all replicas fail by a seeded chance: they start, agree on each change, and serve followers and operators.
+func TestSystemCallFaults(t *testing.T) {
+	shortages := []socketstest.Fault{{Errno: syscall.EMFILE}, {Errno: syscall.ENFILE}, {Errno: syscall.ENOBUFS}, {Errno: syscall.ENOMEM}}
+	system := socketstest.New(5, map[socketstest.Call]socketstest.Rate{
+		socketstest.Listen: {Chance: 0.5, Faults: shortages},
+		socketstest.Accept: {Chance: 0.3, Faults: shortages},
+		socketstest.Dial:   {Chance: 0.2, Faults: shortages},
+	})
+	g := publishertest.NewGroupOn(t, system, 3, nil)
+	g.Agreed(g.Put())
+	for rate := range 5 {
+		g.Agreed(g.SetRate(rate%3, "gold", 20+rate))
+	}
+	for i := range g.Replicas {
+		f := follow(t, g, i, hello(i))
+		if version, _ := f.version(); version != 6 {
+			t.Errorf("replica %d sends version %d", i, version)
+		}
+	}
+	if failed := system.Count(socketstest.Accept); failed == 0 {
+		t.Error("nothing was accepted through the double")
+	}
+}
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -16,6 +16,7 @@
 	"ravensill/configsync"
 	"ravensill/internal/config"
 	"ravensill/internal/consensus"
+	"ravensill/internal/sockets"
 )
 
 const (
@@ -29,7 +30,8 @@
 type Publisher struct {
 	cfg       *config.Publisher
 	replica   *consensus.Replica
-	listener  *net.TCPListener // of followers
+	system    sockets.System
+	listener  *sockets.Listener // of followers
 	admin     *http.Server
 	adminAddr net.Addr
 
@@ -63,7 +65,8 @@
 
 // Options are what tests change of a replica.
 type Options struct {
-	DiskFault func() error // see consensus.Config
+	Sockets   sockets.System // nil: sockets.Kernel
+	DiskFault func() error   // see consensus.Config
 }
 
 // Start opens the replica's log and its listeners.
@@ -71,8 +74,12 @@
 
 // StartWith is Start with options.
 func StartWith(cfg *config.Publisher, options Options) (*Publisher, error) {
+	if options.Sockets == nil {
+		options.Sockets = sockets.Kernel{}
+	}
 	p := &Publisher{
 		cfg:         cfg,
+		system:      options.Sockets,
 		state:       configsync.NewState(cfg.History),
 		connections: map[configsync.FollowerID]*connection{},
 		holding:     true,
@@ -95,6 +102,7 @@
 		Election:          cfg.Election,
 		SnapshotThreshold: cfg.SnapshotThreshold,
 		TrailingEntries:   cfg.TrailingEntries,
+		Sockets:           options.Sockets,
 		DiskFault:         options.DiskFault,
 	}, &machine{p})
 	if err != nil {
--- a/internal/publisher/serve.go
+++ b/internal/publisher/serve.go
@@ -15,13 +15,12 @@
 )
 
 const (
-	helloTimeout     = 5 * time.Second       // for a follower's first message
-	writeTimeout     = 15 * time.Second      // of one frame, a delta or a part of a snapshot
-	farewellTimeout  = time.Second           // for a follower to close after the last frame
-	unansweredLimit  = 20 * time.Second      // of bytes on the way that the other side's kernel does not confirm
-	acceptPause      = 10 * time.Millisecond // after an accept that failed, as where no descriptor is free
-	sendBuffer       = 256 << 10             // bytes that the kernel holds for a follower that reads slowly
-	maxFollowerFrame = 4 << 10               // bytes; the longest message of a follower is a refusal with its reason
+	helloTimeout     = 5 * time.Second  // for a follower's first message
+	writeTimeout     = 15 * time.Second // of one frame, a delta or a part of a snapshot
+	farewellTimeout  = time.Second      // for a follower to close after the last frame
+	unansweredLimit  = 20 * time.Second // of bytes on the way that the other side's kernel does not confirm
+	sendBuffer       = 256 << 10        // bytes that the kernel holds for a follower that reads slowly
+	maxFollowerFrame = 4 << 10          // bytes; the longest message of a follower is a refusal with its reason
 )
 
 // connection is one follower's connection. Two goroutines serve it: one reads, one writes, so that a follower that reads
@@ -49,15 +48,11 @@
 // accept takes followers in.
 func (p *Publisher) accept() {
 	for {
-		conn, err := p.listener.AcceptTCP()
-		if errors.Is(err, net.ErrClosed) {
+		conn, err := p.listener.Accept()
+		if err != nil { // closed
 			return
 		}
-		if err != nil {
-			time.Sleep(acceptPause)
-			continue
-		}
-		c := p.admit(conn)
+		c := p.admit(conn.(*net.TCPConn))
 		if c == nil {
 			conn.Close()
 			continue
--- a/internal/publishertest/publishertest.go
+++ b/internal/publishertest/publishertest.go
@@ -17,6 +17,7 @@
 	"ravensill/configsync"
 	"ravensill/internal/config"
 	"ravensill/internal/publisher"
+	"ravensill/internal/sockets"
 )
 
 const (
@@ -56,6 +57,7 @@
 	Configs  []*config.Publisher
 	Replicas []*publisher.Publisher // nil: closed
 	t        *testing.T
+	system   sockets.System
 	faults   []atomic.Pointer[error] // of the disks, by replica; nil: none
 }
 
@@ -79,7 +81,12 @@
 // NewGroup starts replicas, each with a folder of its own; change may alter their configurations. They are closed with
 // the test.
 func NewGroup(t *testing.T, replicas int, change func(*config.Publisher)) *Group {
-	g := &Group{t: t, Replicas: make([]*publisher.Publisher, replicas), faults: make([]atomic.Pointer[error], replicas)}
+	return NewGroupOn(t, sockets.Kernel{}, replicas, change)
+}
+
+// NewGroupOn is NewGroup with replicas whose sockets are those of system.
+func NewGroupOn(t *testing.T, system sockets.System, replicas int, change func(*config.Publisher)) *Group {
+	g := &Group{t: t, system: system, Replicas: make([]*publisher.Publisher, replicas), faults: make([]atomic.Pointer[error], replicas)}
 	var raftAddresses, adminAddresses []netip.AddrPort
 	for range replicas {
 		raftAddresses = append(raftAddresses, freeAddress(t))
@@ -110,7 +117,7 @@
 func (g *Group) Open(i int) {
 	g.t.Helper()
 	var err error
-	g.Replicas[i], err = publisher.StartWith(g.Configs[i], publisher.Options{DiskFault: func() error { return g.diskFault(i) }})
+	g.Replicas[i], err = publisher.StartWith(g.Configs[i], publisher.Options{Sockets: g.system, DiskFault: func() error { return g.diskFault(i) }})
 	if err != nil {
 		g.t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/sockets/listener.go
@@ -0,0 +1,45 @@
+package sockets
+
+import (
+	"errors"
+	"net"
+	"time"
+)
+
+const (
+	acceptRetryDelay = 10 * time.Millisecond // after an accept that failed
+	bindRetryDelay   = 20 * time.Millisecond // between tries to open a listener
+)
+
+// Listener is a net.Listener whose Accept fails only once it is closed: every other error is that of one connection, or passes. A
+// server of package net/http ends for good on some of them.
+type Listener struct {
+	*net.TCPListener
+	System System
+}
+
+// Accept waits for the next connection.
+func (l *Listener) Accept() (net.Conn, error) {
+	for {
+		conn, err := l.System.Accept(l.TCPListener)
+		if err == nil {
+			return conn, nil
+		}
+		if errors.Is(err, net.ErrClosed) {
+			return nil, err
+		}
+		time.Sleep(acceptRetryDelay)
+	}
+}
+
+// RetryShortage calls try until it succeeds, fails for another reason than a shortage of this machine, or has failed for so long.
+func RetryShortage(limit time.Duration, try func() error) error {
+	began := time.Now()
+	for {
+		err := try()
+		if err == nil || !IsShortage(err) || time.Since(began) > limit {
+			return err
+		}
+		time.Sleep(bindRetryDelay)
+	}
+}
