--- a/internal/clients/catalog_test.go
+++ b/internal/clients/catalog_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestChangedOnTheWay: a request that was read under one version and reaches the loop under the next is taken by the next.
-func TestChangedOnTheWay(t *testing.T) {
+// TestCatalogChangesWhileCommandIsQueued: a request that was read under one version and reaches the loop under the next is taken by the next.
+func TestCatalogChangesWhileCommandIsQueued(t *testing.T) {
 	s := newTestServer(t, 9)
 	c := s.connect()
 	for i, x := range []struct {
--- a/internal/clients/command_test.go
+++ b/internal/clients/command_test.go
@@ -15,17 +15,17 @@
 	MaxUnits: []float64{8, 8}, Members: 3, Own: 1}
 
 // book writes down what commands say.
-type book struct{ strings.Builder }
+type recordingHandler struct{ strings.Builder }
 
-func (b *book) handleRequest(id, customer []byte, terms Terms, wait int64, again bool, verb, before, after, body []byte) {
+func (b *recordingHandler) handleRequest(id, customer []byte, terms Terms, wait int64, again bool, verb, before, after, body []byte) {
 	fmt.Fprintf(b, "%s of %s, %s: frontend %d, plan %d, %d ms, %g units, %d from %d, again %t; pass on %q %q %q\n", id, customer,
 		verb, terms.Class, terms.Plan, wait/1e6, terms.Units, terms.Spread, terms.First, again, before, after, body)
 }
-func (b *book) handlePing()               { b.WriteString("ping\n") }
-func (b *book) handleMalformed(err error) { fmt.Fprintln(b, err) }
+func (b *recordingHandler) handlePing()               { b.WriteString("ping\n") }
+func (b *recordingHandler) handleMalformed(err error) { fmt.Fprintln(b, err) }
 
 func read(pieces ...string) string {
-	var b book
+	var b recordingHandler
 	in, c := ring.New(resp.Most), Commands{catalog: NewCatalog(startCatalog)}
 	for _, p := range pieces {
 		in.Write([]byte(p))
@@ -93,7 +93,7 @@
 	})
 }
 
-func TestOrder(t *testing.T) { // answers come in the order of the commands, each once
+func TestAnswersKeepOrder(t *testing.T) { // answers come in the order of the commands, each once
 	var let []int
 	l := AnswerQueue{out: ring.New(64), onReady: func(n int) { let = append(let, n) }}
 	a, b, c := l.Add(), l.Add(), l.Add()
--- a/internal/clients/server_test.go
+++ b/internal/clients/server_test.go
@@ -141,10 +141,10 @@
 	return ids
 }
 
-// TestFloodGoes has a client pipeline far more commands than may be in flight and disconnect while they are queued, and another
+// TestFloodOfClientThatLeaves has a client pipeline far more commands than may be in flight and disconnect while they are queued, and another
 // while the first of them are in flight. The reader once waited for a place in flight, did not see the end, and all commands were
 // sent on one after the other.
-func TestFloodGoes(t *testing.T) {
+func TestFloodOfClientThatLeaves(t *testing.T) {
 	server := newTestServer(t, 9)
 	a, b := server.connect(), server.connect()
 	a.send(requestIDs(1000)...)
@@ -168,9 +168,9 @@
 	golden.Check(t, server.trace.String())
 }
 
-// TestFloodStays has a client pipeline more than its reader queues, and stay: reading waits and goes on, and each command is
+// TestFloodOfClientThatStays has a client pipeline more than its reader queues, and stay: reading waits and goes on, and each command is
 // answered.
-func TestFloodStays(t *testing.T) {
+func TestFloodOfClientThatStays(t *testing.T) {
 	server := newTestServer(t, 9)
 	client := server.connect()
 	go client.send(requestIDs(9000)...)
@@ -337,9 +337,9 @@
 	golden.Check(t, all.String())
 }
 
-// TestTurnedAwayUnderAnswer lets a partial command time out while an answer is due: commands that come until the connection can
+// TestCommandsBehindTimeoutAreAnswered lets a partial command time out while an answer is due: commands that come until the connection can
 // end are answered, too.
-func TestTurnedAwayUnderAnswer(t *testing.T) {
+func TestCommandsBehindTimeoutAreAnswered(t *testing.T) {
 	server := newTestServer(t, 9)
 	client := server.connect()
 	client.send("owed")
@@ -380,9 +380,9 @@
 	golden.Check(t, server.trace.String())
 }
 
-// TestClientTakesNothing checks that a client that reads no answers and never closes is disconnected at last and holds no place,
+// TestClientThatReadsNothingIsDisconnected checks that a client that reads no answers and never closes is disconnected at last and holds no place,
 // also if its connection was to end anyway.
-func TestClientTakesNothing(t *testing.T) {
+func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
 	for _, end := range []bool{false, true} {
 		server := newTestServer(t, 9)
 		client := server.connect()
@@ -433,8 +433,8 @@
 	}
 }
 
-// TestUnlistenBehind checks that connections that the system completed before Unlisten, while the loop was busy, are served.
-func TestUnlistenBehind(t *testing.T) {
+// TestUnlistenServesAcceptedConnections checks that connections that the system completed before Unlisten, while the loop was busy, are served.
+func TestUnlistenServesAcceptedConnections(t *testing.T) {
 	server := newTestServer(t, 99)
 	var clients []*testClient
 	for range 20 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-func TestLoad(t *testing.T) { // the file, what goes before it, defaults
+func TestLoadChecksEveryKey(t *testing.T) { // the file, what goes before it, defaults
 	var all strings.Builder
 	for _, x := range []struct {
 		text string
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%s for %s\n  %s\n", by, text, fmt.Sprint(err))
 }
 
-func TestFaults(t *testing.T) { // each message names the key
+func TestSettingsFaultsNameTheirKey(t *testing.T) { // each message names the key
 	var all strings.Builder
 	for _, x := range [][2]string{{`"10.0.0.4:6379"`, `"10.0.0.4"`}, {`"10.0.0.4:6379"`, `7`}, {`"listen"`, `"listens"`}, {`10.2.0.1:8500`, `consul:8500`},
 		{"8c1f", "xyz"}, {`:64,`, `:1,`}, {`:512}`, `:"many"}`}, {`:512}`, `:-5}`}, {`"peer_listen"`, `"p"`}, {`,"10.3.0.2:7946"`, ``}, {`10.3.0.2:7946`, `b`},
@@ -68,9 +68,9 @@
 	golden.Check(t, all.String())
 }
 
-// TestShape: settings that contradict each other start, each with the one meaning that does no harm, told once by its key;
+// TestContradictingSettingsAreAdjusted: settings that contradict each other start, each with the one meaning that does no harm, told once by its key;
 // without a contradiction nothing is told.
-func TestShape(t *testing.T) {
+func TestContradictingSettingsAreAdjusted(t *testing.T) {
 	base := `{"listen":"10.0.0.4:1","discovery":"10.2.0.1:2",COUNTER"settings":{"balancers":1,FAMILY"profiles":[PROFILE],
 	 "plans":[PLAN]LIMITS}}`
 	front, plan := `{"name":"a","target_us":100000,"hard_limit_us":400000}`, `{"name":"b","rate":1,"burst":2}`
--- a/internal/config/configuration_test.go
+++ b/internal/config/configuration_test.go
@@ -9,8 +9,8 @@
 	"ravensill/internal/golden"
 )
 
-// TestConfiguration: the section, its faults by key, and the identities of quota plans, which are there with it alone.
-func TestConfiguration(t *testing.T) {
+// TestConfigurationSection: the section, its faults by key, and the identities of quota plans, which are there with it alone.
+func TestConfigurationSection(t *testing.T) {
 	cfg, err := load(t, fleetFile, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/counterfactual_test.go
+++ b/internal/config/counterfactual_test.go
@@ -11,7 +11,7 @@
 const section = `"counterfactual":{"listen":"10.0.0.4:7070","peers":["10.3.0.1:7070","10.3.0.2:7070"],"collectors":[0],` +
 	`"queue":64,"missing":0.1},"settings"`
 
-func TestCounterfactual(t *testing.T) { // defaults; each message names the key
+func TestCounterfactualSection(t *testing.T) { // defaults; each message names the key
 	var all strings.Builder
 	text := strings.Replace(good, `"settings"`, section, 1)
 	c, err := load(t, text, nil)
--- a/internal/config/live_test.go
+++ b/internal/config/live_test.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestRestore: a start with a held document is in force as if the document had come later, and goes on from there.
-func TestRestore(t *testing.T) {
+// TestRestoreHeldVersion: a start with a held document is in force as if the document had come later, and goes on from there.
+func TestRestoreHeldVersion(t *testing.T) {
 	base := fleetConfig(t)
 	restored, live, err := Restore(base, document(`members/2 "10.3.0.3:7946"`))
 	if err != nil {
@@ -324,8 +324,8 @@
 	}
 }
 
-// TestLiveCost: one change costs as many allocations among 20,000 plans as among 50.
-func TestLiveCost(t *testing.T) {
+// TestLiveApplyCostsWhatChanges: one change costs as many allocations among 20,000 plans as among 50.
+func TestLiveApplyCostsWhatChanges(t *testing.T) {
 	var allocations [2]float64
 	for i, plans := range []int{50, 20_000} {
 		live, round := liveOf(t, plans), 0
--- a/internal/config/pool_test.go
+++ b/internal/config/pool_test.go
@@ -11,7 +11,7 @@
 const pooled = `"pool":{"capacity":60,"reserve":4,"floor":2,"voters":["10.3.0.1:7171","10.3.0.2:7171","10.3.0.3:7171"],` +
 	`"voter_seats":[0,1,2],"listen":"10.0.0.4:7171","dir":"/var/lib/pool","key":"00112233445566778899aabbccddeeff","drift":0.02},"settings"`
 
-func TestPool(t *testing.T) { // defaults; each message names the key
+func TestPoolSection(t *testing.T) { // defaults; each message names the key
 	var all strings.Builder
 	base := strings.Replace(good, `"balancers":2`, `"balancers":3`, 1)
 	text := strings.Replace(base, `"settings"`, pooled, 1)
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestOneByItself: a plan or a class read by itself is what it is as an element of the whole, adjustments and faults too.
-func TestOneByItself(t *testing.T) {
+// TestDecodeOneResource: a plan or a class read by itself is what it is as an element of the whole, adjustments and faults too.
+func TestDecodeOneResource(t *testing.T) {
 	s, err := newSettings("", manyPlans(2, 1))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/start_test.go
+++ b/internal/config/start_test.go
@@ -27,7 +27,7 @@
 func (writer) AddToCounter(uint64, float64, int64) {}
 
 // Draws of all that the operators' pages say the settings may hold start, and a request of each class and plan is decided.
-func TestDraws(t *testing.T) {
+func TestDrawnSettingsNeverRefuseStart(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	one := func(of ...any) any { return of[r.IntN(len(of))] }
 	yes := func() bool { return r.IntN(2) == 0 }
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -75,8 +75,8 @@
 	c.answers = nil
 }
 
-// TestCalls checks that a call is two commands, and its answers: in order, refused, timed out, and what follows a time-out.
-func TestCalls(t *testing.T) {
+// TestCounterCalls checks that a call is two commands, and its answers: in order, refused, timed out, and what follows a time-out.
+func TestCounterCalls(t *testing.T) {
 	c := newTestCounter(t)
 	c.counter.Count(7, 1, 10*int64(time.Second))
 	c.counter.Count(8, -2.5, 1)
@@ -100,8 +100,8 @@
 	c.expect(fmt.Sprint("10 ", int(gateway.Succeeded), " 2"))
 }
 
-// TestLost checks that each call in flight is answered once, whatever ends the connection, and that later calls end at once.
-func TestLost(t *testing.T) {
+// TestCounterConnectionLost checks that each call in flight is answered once, whatever ends the connection, and that later calls end at once.
+func TestCounterConnectionLost(t *testing.T) {
 	for name, fault := range map[string]func(c *testCounter){
 		"garbled":  func(c *testCounter) { c.reply("what\r\n") },
 		"no_float": func(c *testCounter) { c.reply("$3\r\nnan\r\n") },
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -20,7 +20,7 @@
 }
 
 // A body of lists, a line each, indented, or one right behind the other, cut at every byte.
-func TestSplit(t *testing.T) {
+func TestSplitValues(t *testing.T) {
 	var all strings.Builder
 	for _, text := range []string{"{\"a\":1}\n\n{\"b\":\n[2,\r\n\t3]}\n\n \n{}{}[]\n7\n", "\n\n{\"no\":\n\n{}", "{\"a b\":\"  \"}\nx", "{} {"} {
 		whole := cut(text, len(text))
@@ -54,7 +54,7 @@
 
 // Lists in house words; nothing of a broken one. One entry that can't be made out keeps no other from counting, nor is its
 // host gone, though a whole list names it; an id told twice counts as told last.
-func TestBook(t *testing.T) {
+func TestEndpointListDecode(t *testing.T) {
 	b := NewEndpointList([]string{"a", "b"}, []string{"m1", "m2"})
 	var all strings.Builder
 	for _, s := range []string{
@@ -86,7 +86,7 @@
 }
 
 // Hosts come under new ids, some at the address of one that has gone, or was not told as gone: what is kept follows.
-func TestReplaced(t *testing.T) {
+func TestReplacedEndpointTakesAddress(t *testing.T) {
 	b := NewEndpointList([]string{"b"}, []string{"m2"})
 	read := func(version int, full bool, servers ...string) (list string) {
 		_, hosts, _, err := b.Decode(fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, version, full, strings.Join(servers, ",")), func(uint32, netip.AddrPort) {})
--- a/internal/discovery/scale_test.go
+++ b/internal/discovery/scale_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestNothingOfTheText: what the book keeps of a list holds none of its text in memory.
-func TestNothingOfTheText(t *testing.T) {
+// TestListTextIsReleased: what the book keeps of a list holds none of its text in memory.
+func TestListTextIsReleased(t *testing.T) {
 	b := NewEndpointList(nil, nil)
 	text := `{"version":1,"full":true,"servers":[` + server("a", "10.0.0.1:1", "active") + `]}`
 	b.Decode(text, func(uint32, netip.AddrPort) {})
--- a/internal/discovery/timeouts_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -95,7 +95,7 @@
 
 // A change counts as told 6 s after discovery had it and could be reached, pushed or asked for: it is there by then with one
 // try lost, wherever that is. Where it is asked for and a call may wait for 2 s, a try that is refused is lost at once.
-func TestWorstPath(t *testing.T) {
+func TestListWithinDeadlineOnWorstPath(t *testing.T) {
 	var all strings.Builder
 	const term, soonest = 6 * time.Second, time.Second // the latter from when an agent that was down is back
 	hangs, refused, mute := lost{"that hangs", connecting, false}, lost{"refused", -1, true}, lost{"mute", asked, false}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -107,7 +107,7 @@
 }
 
 // A watch leaves nothing behind, however it ends.
-func TestNothingLeft(t *testing.T) {
+func TestWatchLeavesNothingOpen(t *testing.T) {
 	before := runtime.NumGoroutine()
 	for _, text := range []string{head, "HTTP/1.1 503 Gone\r\n\r\n", head + "2\r\n{]\r\n", "?"} {
 		then := end
@@ -154,7 +154,7 @@
 }
 
 // What lies in the socket, or is being taken in, is not handed on yet.
-func TestBehind(t *testing.T) {
+func TestPendingRead(t *testing.T) {
 	var agent net.Conn
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/hosts/begin_test.go
+++ b/internal/hosts/begin_test.go
@@ -14,19 +14,19 @@
 )
 
 // far is a desk whose host is played by the test, connection by connection, and whose loop turns when told.
-type far struct {
-	*desk
+type scriptedHost struct {
+	*testLoop
 	conns chan *net.TCPConn
 	tick  atomic.Pointer[func()] // done once, as the clock is read next
 }
 
-func newFar(t *testing.T) *far {
+func newScriptedHost(t *testing.T) *scriptedHost {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	f := &far{desk: newDesk(t, l.Addr().String(), 9), conns: make(chan *net.TCPConn, 9)}
+	f := &scriptedHost{testLoop: newTestLoop(t, l.Addr().String(), 9), conns: make(chan *net.TCPConn, 9)}
 	f.Transport.now = func() int64 {
 		if tick := f.tick.Swap(nil); tick != nil {
 			(*tick)()
@@ -56,7 +56,7 @@
 }
 
 // ask dispatches a command with a body and does not yet write it.
-func (f *far) ask(name string, body int) *Attempt {
+func (f *scriptedHost) ask(name string, body int) *Attempt {
 	command := Command{Head: []byte(name + " "), Tail: make([]byte, body)}
 	deadline := f.now.Load() + 20e9
 	return f.Send(1, command, deadline, deadline, func(e gateway.Event, value []byte, _ int64) {
@@ -65,14 +65,14 @@
 }
 
 // pass runs the next n pieces of work.
-func (f *far) pass(n int) {
+func (f *scriptedHost) pass(n int) {
 	for range n {
 		(<-f.work)()
 	}
 }
 
 // up runs the loop until no dial is out, and gives the connection.
-func (f *far) up() *net.TCPConn {
+func (f *scriptedHost) up() *net.TCPConn {
 	for f.pool(1).dialing > 0 {
 		f.pass(1)
 	}
@@ -81,7 +81,7 @@
 }
 
 // reads reads a command without a body, and gives its name.
-func (f *far) reads(c *net.TCPConn) string {
+func (f *scriptedHost) reads(c *net.TCPConn) string {
 	var text []byte
 	for b := make([]byte, 1); bytes.Count(text, []byte{'\n'}) < 2; text = append(text, b[0]) {
 		if _, err := io.ReadFull(c, b); err != nil {
@@ -100,7 +100,7 @@
 }
 
 // first serves one command, and gives its connection, free and rested.
-func (f *far) first() *net.TCPConn {
+func (f *scriptedHost) first() *net.TCPConn {
 	f.ask("a", 0)
 	c := f.up()
 	f.reads(c)
@@ -112,7 +112,7 @@
 
 // Whatever comes on a connection at whatever moment before the next command is written on it, that command runs once, on another,
 // and gets no answer but its own. What can only have come before it was written is not taken for its answer either.
-func TestComesBeforeTheNext(t *testing.T) {
+func TestBytesBeforeNextCommand(t *testing.T) {
 	var all strings.Builder
 	for _, x := range []struct {
 		what string
@@ -124,7 +124,7 @@
 		{"a reset", func(c *net.TCPConn) { cut(c) }},
 	} {
 		for _, when := range []string{"before it is chosen", "before it is written", "as it is written"} {
-			f := newFar(t)
+			f := newScriptedHost(t)
 			c := f.first()
 			var late func()
 			comes := func() {
@@ -165,8 +165,8 @@
 
 // A second answer that comes milliseconds after the first, when the next command is out, is not taken for the answer of that:
 // nothing would tell the two apart.
-func TestComesWithTheNext(t *testing.T) {
-	f := newFar(t)
+func TestLateSecondAnswer(t *testing.T) {
+	f := newScriptedHost(t)
 	c := f.first()
 	f.now.Add(4e6 - defaultReuseDelay)
 	f.ask("b", 0)
@@ -180,56 +180,56 @@
 }
 
 // How far a command came when its connection broke tells whether it may have run.
-func TestBreaks(t *testing.T) {
+func TestConnectionBreaksAtEachStage(t *testing.T) {
 	const large = 150 << 10 // more than the sockets take
 	var all strings.Builder
 	for _, x := range []struct {
 		what string
 		body int
-		do   func(f *far, c *net.TCPConn)
+		do   func(f *scriptedHost, c *net.TCPConn)
 	}{
-		{"reset before it is written", 0, func(f *far, c *net.TCPConn) {
+		{"reset before it is written", 0, func(f *scriptedHost, c *net.TCPConn) {
 			cut(c)
 			late := <-f.work
 			f.Flush()
 			late()
 		}},
-		{"reset after a part is written", large, func(f *far, c *net.TCPConn) {
+		{"reset after a part is written", large, func(f *scriptedHost, c *net.TCPConn) {
 			f.Flush()
 			cut(c)
 			f.pass(1)
 		}},
-		{"given up after a part is written", large, func(f *far, c *net.TCPConn) {
+		{"given up after a part is written", large, func(f *scriptedHost, c *net.TCPConn) {
 			f.Flush()
 			f.now.Add(20e9 + 1)
 			f.Flush()
 		}},
-		{"reset after its last byte is written, unread", 0, func(f *far, c *net.TCPConn) {
+		{"reset after its last byte is written, unread", 0, func(f *scriptedHost, c *net.TCPConn) {
 			f.Flush()
 			cut(c)
 			f.pass(1)
 		}},
-		{"ended after it is read", 0, func(f *far, c *net.TCPConn) {
+		{"ended after it is read", 0, func(f *scriptedHost, c *net.TCPConn) {
 			f.Flush()
 			f.reads(c)
 			c.CloseWrite()
 			f.pass(1)
 		}},
-		{"reset in the answer", 0, func(f *far, c *net.TCPConn) {
+		{"reset in the answer", 0, func(f *scriptedHost, c *net.TCPConn) {
 			f.Flush()
 			f.reads(c)
 			io.WriteString(c, value("v")[:12])
 			cut(c)
 			f.pass(1)
 		}},
-		{"ended in the answer", 0, func(f *far, c *net.TCPConn) {
+		{"ended in the answer", 0, func(f *scriptedHost, c *net.TCPConn) {
 			f.Flush()
 			f.reads(c)
 			io.WriteString(c, value("v")[:12])
 			c.CloseWrite()
 			f.pass(1)
 		}},
-		{"reset after the answer", 0, func(f *far, c *net.TCPConn) {
+		{"reset after the answer", 0, func(f *scriptedHost, c *net.TCPConn) {
 			f.Flush()
 			f.reads(c)
 			io.WriteString(c, value("v"))
@@ -238,7 +238,7 @@
 			f.pass(1)
 		}},
 	} {
-		f := newFar(t)
+		f := newScriptedHost(t)
 		f.ask("a", x.body)
 		f.pass(1)
 		x.do(f, <-f.conns)
@@ -249,8 +249,8 @@
 }
 
 // A connection that comes up when the time of what waits for it is over carries nothing of it.
-func TestComesUpLate(t *testing.T) {
-	f := newFar(t)
+func TestConnectionAfterDeadline(t *testing.T) {
+	f := newScriptedHost(t)
 	up := make(chan struct{})
 	dial := f.Dial
 	f.Dial = func(addr string) (net.Conn, error) {
--- a/internal/hosts/deadline_test.go
+++ b/internal/hosts/deadline_test.go
@@ -16,7 +16,7 @@
 )
 
 // readTold reads a command without a body from a host's side, and returns the time that it tells the host, in nanoseconds.
-func (f *far) readTold(c *net.TCPConn) int64 {
+func (f *scriptedHost) readTold(c *net.TCPConn) int64 {
 	f.Helper()
 	reader := bufio.NewReader(c)
 	text := ""
@@ -40,9 +40,9 @@
 	const wait = int64(7 * time.Second)
 	tests := []struct {
 		name  string
-		write func(f *far) *net.TCPConn // makes an attempt, and lets wait pass before its command is written
+		write func(f *scriptedHost) *net.TCPConn // makes an attempt, and lets wait pass before its command is written
 	}{
-		{"new connection", func(f *far) *net.TCPConn {
+		{"new connection", func(f *scriptedHost) *net.TCPConn {
 			up := make(chan struct{})
 			dial := f.Dial
 			f.Dial = func(addr string) (net.Conn, error) {
@@ -54,14 +54,14 @@
 			close(up)
 			return f.up()
 		}},
-		{"idle connection, loop held up", func(f *far) *net.TCPConn {
+		{"idle connection, loop held up", func(f *scriptedHost) *net.TCPConn {
 			c := f.first()
 			f.ask("b", 0)
 			f.now.Add(wait)
 			f.Flush()
 			return c
 		}},
-		{"retry on another connection", func(f *far) *net.TCPConn {
+		{"retry on another connection", func(f *scriptedHost) *net.TCPConn {
 			c := f.first()
 			f.ask("b", 0)
 			f.now.Add(wait / 2)
@@ -72,7 +72,7 @@
 			f.now.Add(wait - wait/2)
 			return f.up()
 		}},
-		{"queue of a connection quota", func(f *far) *net.TCPConn {
+		{"queue of a connection quota", func(f *scriptedHost) *net.TCPConn {
 			allowed := 0
 			limiter := f.LimitConnections(0, 19*time.Second, func(int64) int { return allowed }, func(int64) {})
 			f.ask("a", 0)
@@ -90,7 +90,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFar(t)
+			f := newScriptedHost(t)
 			c := test.write(f)
 			left := clientWait - wait
 			if told := f.readTold(c); told > left || told < left-int64(10*time.Millisecond) {
@@ -102,7 +102,7 @@
 
 // A process that is held up between its clock and the write tells too much by no more than the slack.
 func TestCommandTellsTimeLeftUnderStall(t *testing.T) {
-	f := newFar(t)
+	f := newScriptedHost(t)
 	c := f.first()
 	f.ask("b", 0)
 	f.now.Add(int64(time.Second))
--- a/internal/hosts/hosts_test.go
+++ b/internal/hosts/hosts_test.go
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("result %d, value %q, null %t, used %d, %g units, load %v, %v", e.Result, value, value == nil, e.Usage, e.Units, e.LoadReport, err)
 }
 
-func TestReplies(t *testing.T) {
+func TestParseAnswers(t *testing.T) {
 	var all strings.Builder
 	for _, s := range []string{"*3\r\n$2\r\nab\r\n$14\r\nused=37,cost=4\r\n$30\r\noutstanding=7,utilization=0.61\r\n",
 		"*3\r\n$2\r\nab\r\n$-1\r\n$-1\r\n", "*1\r\n$0\r\n\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "*2\r\n$1\r\na\r\n$4\r\nused\r\n",
@@ -47,7 +47,7 @@
 	f.Fuzz(func(t *testing.T, s string) { reply(s) })
 }
 
-func TestResults(t *testing.T) { // how far it had come tells whether it may have run
+func TestFailureResults(t *testing.T) { // how far it had come tells whether it may have run
 	var all strings.Builder
 	for _, why := range []error{errMalformed, io.EOF, ErrTimedOut, ErrCanceled} {
 		for stage := Connecting; stage <= Sent; stage++ {
@@ -59,7 +59,7 @@
 }
 
 // desk is the event loop of a transport with one host, and the results of its attempts.
-type desk struct {
+type testLoop struct {
 	*testing.T
 	*Transport
 	work chan func()
@@ -67,15 +67,15 @@
 	out  []string
 }
 
-func newDesk(t *testing.T, addr string, most int) *desk {
-	d := &desk{T: t, work: make(chan func(), 99)}
+func newTestLoop(t *testing.T, addr string, most int) *testLoop {
+	d := &testLoop{T: t, work: make(chan func(), 99)}
 	d.Transport = NewTransport(sockets.Kernel{}, func(f func()) { d.work <- f }, func() int64 { return 0 }, nil, 250e6, 1e9, most)
 	d.Transport.now = func() int64 { return d.now.Load() }
 	d.SetAddress(1, netip.MustParseAddrPort(addr))
 	return d
 }
 
-func (d *desk) send() *Attempt {
+func (d *testLoop) send() *Attempt {
 	command := Command{Head: []byte("*2\r\n"), Before: []byte("d=")}
 	s := d.Send(1, command, d.now.Load()+2e6, 1e18, func(e gateway.Event, value []byte, _ int64) {
 		d.out = append(d.out, fmt.Sprintf("result %d, value %q", e.Result, value))
@@ -85,7 +85,7 @@
 }
 
 // until runs the loop until n sends ended.
-func (d *desk) until(n int) {
+func (d *testLoop) until(n int) {
 	for len(d.out) < n {
 		select {
 		case f := <-d.work:
@@ -121,7 +121,7 @@
 			}()
 		}
 	}()
-	d := newDesk(t, l.Addr().String(), 2)
+	d := newTestLoop(t, l.Addr().String(), 2)
 	d.send()
 	d.send()
 	d.send() // no descriptor is left for it: it never ran
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := newDesk(t, l.Addr().String(), 9)
+	d := newTestLoop(t, l.Addr().String(), 9)
 	s := d.send()
 	s.Cancel(ErrTimedOut)
 	s.Cancel(ErrTimedOut) // once only
@@ -178,7 +178,7 @@
 
 // Each connection's answers in turn, cut at |. A value is served whatever comes with it or behind it, each send gets
 // its own, and what is spoilt ends its connection.
-func TestGarble(t *testing.T) {
+func TestMalformedAnswers(t *testing.T) {
 	v := func(s string) string { return "*3\r\n$1\r\n" + s + "\r\n$-1\r\n$-1\r\n" }
 	var all strings.Builder
 	for _, x := range []string{
@@ -216,7 +216,7 @@
 				}
 			}
 		}()
-		d := newDesk(t, l.Addr().String(), 9)
+		d := newTestLoop(t, l.Addr().String(), 9)
 		d.send()
 		d.until(1)
 		if strings.Contains(x, "late") {
@@ -256,7 +256,7 @@
 
 func TestCanceled(t *testing.T) { // a dispatch called off may have run, and the host is told by its connection's end
 	addr, read, ended := one(t, "")
-	d := newDesk(t, addr, 9)
+	d := newTestLoop(t, addr, 9)
 	s := d.send()
 	(<-d.work)()
 	d.Flush()
@@ -271,7 +271,7 @@
 	for _, x := range []string{"$16\r\nutilization=0.25\r\n", "*1\r\n$1\r\nv\r\n", "-NOPERM\r\n"} {
 		for _, probe := range []bool{true, false} {
 			addr, _, _ := one(t, x)
-			d := newDesk(t, addr, 9)
+			d := newTestLoop(t, addr, 9)
 			d.loadFields = []string{"utilization"}
 			if probe {
 				d.Probe(1, func(e gateway.Event, value []byte, _ int64) {
--- a/internal/hosts/limiter_test.go
+++ b/internal/hosts/limiter_test.go
@@ -14,7 +14,7 @@
 
 // With a quota of one connection a send waits for the one that is there, urgent ones first; one whose turn would come too
 // late is turned away at once. A store that refuses is asked again; none of its refusals ends a send.
-func TestGate(t *testing.T) {
+func TestConnectionQuota(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 			}()
 		}
 	}()
-	d := newDesk(t, l.Addr().String(), 99)
+	d := newTestLoop(t, l.Addr().String(), 99)
 	clock := time.Now()
 	d.Transport.now = func() int64 { return int64(time.Since(clock)) }
 	allowed := 1
--- a/internal/hosts/scale_test.go
+++ b/internal/hosts/scale_test.go
@@ -18,9 +18,9 @@
 	return waiting, dialing, free
 }
 
-// TestCounts: the transport's own counts and order of idle connections are those of its hosts, whatever befalls these.
-func TestCounts(t *testing.T) {
-	f := newFar(t)
+// TestPoolCounts: the transport's own counts and order of idle connections are those of its hosts, whatever befalls these.
+func TestPoolCounts(t *testing.T) {
+	f := newScriptedHost(t)
 	check := func(after string) {
 		t.Helper()
 		waiting, dialing, free := f.countAll()
@@ -67,7 +67,7 @@
 // TestIdleHosts: what is done with each turn and tick goes through no list of hosts. Each host here would end the test if it
 // were looked at.
 func TestIdleHosts(t *testing.T) {
-	d := newDesk(t, "127.0.0.1:1", 1)
+	d := newTestLoop(t, "127.0.0.1:1", 1)
 	g := d.LimitConnections(0, 1, func(int64) int { return 0 }, func(int64) {})
 	for id := range uint32(87_000) {
 		d.SetAddress(id+2, netip.MustParseAddrPort("127.0.0.1:1"))
--- a/internal/hosts/shortage_test.go
+++ b/internal/hosts/shortage_test.go
@@ -47,7 +47,7 @@
 }
 
 // newFaultyDesk is a desk of one host that answers every command, on a system whose calls the test makes fail.
-func newFaultyDesk(t *testing.T) (*desk, *socketstest.System) {
+func newFaultyDesk(t *testing.T) (*testLoop, *socketstest.System) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 			}()
 		}
 	}()
-	d := newDesk(t, l.Addr().String(), 9)
+	d := newTestLoop(t, l.Addr().String(), 9)
 	system := socketstest.New(1, nil)
 	d.system = system
 	d.Dial = func(addr string) (net.Conn, error) { return system.Dial(t.Context(), &net.Dialer{}, addr) }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -21,10 +21,10 @@
 	"ravensill/logic"
 )
 
-const patience = 20 * time.Second // for what must happen; no test passes by waiting
+const waitLimit = 20 * time.Second // for what must happen; no test passes by waiting
 
 // live is a gateway with the real decision module and one host, whose configuration the test changes.
-type live struct {
+type liveGateway struct {
 	*testing.T
 	node    *Node
 	config  *config.Live
@@ -41,8 +41,8 @@
  "profiles":[{"name":"lookup","hard_limit_us":19000000,"points":1},{"name":"order","effect":"unsafe","hard_limit_us":19000000,"points":1}],
  "plans":[{"name":"gold","rate":0.001,"burst":2,"worth_factor":1}],"family_info":{"mail_per_s":40}}`
 
-func newLive(t *testing.T, set func(*config.Config)) *live {
-	l := &live{T: t, lines: make(chan string, 99), held: make(chan struct{}, 9), gate: make(chan struct{}), over: make(chan error, 1), ended: make(chan struct{})}
+func newLiveGateway(t *testing.T, set func(*config.Config)) *liveGateway {
+	l := &liveGateway{T: t, lines: make(chan string, 99), held: make(chan struct{}, 9), gate: make(chan struct{}), over: make(chan error, 1), ended: make(chan struct{})}
 	settings, err := config.Decode(liveSettings)
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 	return len(line), nil
 }
 
-func (l *live) stop() {
+func (l *liveGateway) stop() {
 	select {
 	case <-l.ended:
 	default:
@@ -94,7 +94,7 @@
 }
 
 // host answers commands of four words each with "v".
-func (l *live) host() (addr string) {
+func (l *liveGateway) host() (addr string) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		l.Fatal(err)
@@ -112,7 +112,7 @@
 	return listener.Addr().String()
 }
 
-func (l *live) answer(c net.Conn) {
+func (l *liveGateway) answer(c net.Conn) {
 	defer c.Close()
 	for in := bufio.NewReader(c); ; {
 		var lines [9]string
@@ -132,7 +132,7 @@
 }
 
 // apply puts changes, lines of a resource and its value, in force.
-func (l *live) apply(lines ...string) {
+func (l *liveGateway) apply(lines ...string) {
 	l.Helper()
 	var changes []configsync.Change
 	for _, line := range lines {
@@ -150,7 +150,7 @@
 }
 
 // send sends a request of customer 1 on a connection of its own.
-func (l *live) send(id, class, plan string) net.Conn {
+func (l *liveGateway) send(id, class, plan string) net.Conn {
 	c := dial(l.T, l.addr)
 	verb := "CALL.POST"
 	if class != "order" && class != "pay" {
@@ -183,7 +183,7 @@
 
 // TestConfigurationInForce: each change counts from the next request on; one in flight ends as it would have.
 func TestConfigurationInForce(t *testing.T) {
-	l := newLive(t, nil)
+	l := newLiveGateway(t, nil)
 	var trace strings.Builder
 	ids := 0
 	ask := func(class, plan string) {
@@ -192,7 +192,7 @@
 	}
 	// until asks again until it is served: a raised rate gives no units at once.
 	until := func(class, plan string) {
-		limit := time.Now().Add(patience)
+		limit := time.Now().Add(waitLimit)
 		for line(l.send(fmt.Sprint("r", ids), class, plan)) != "v" && time.Now().Before(limit) {
 			ids++
 		}
@@ -243,10 +243,10 @@
 			t.Fatal(err)
 		}
 		defer socket.Close()
-		socket.SetReadDeadline(time.Now().Add(patience))
+		socket.SetReadDeadline(time.Now().Add(waitLimit))
 		sockets = append(sockets, socket)
 	}
-	l := newLive(t, func(cfg *config.Config) {
+	l := newLiveGateway(t, func(cfg *config.Config) {
 		cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
 		cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}
 	})
@@ -287,8 +287,8 @@
 	o.told <- fmt.Sprint(update.Members, " members")
 }
 
-// TestBetweenBatches: what came in before a change is decided before it, though both wait for the loop together.
-func TestBetweenBatches(t *testing.T) {
+// TestConfigurationChangesBetweenBatches: what came in before a change is decided before it, though both wait for the loop together.
+func TestConfigurationChangesBetweenBatches(t *testing.T) {
 	o := &order{told: make(chan string, 9)}
 	var n *Node
 	addr, stop, ended := serve(t, o, func(node *Node) { n = node })
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -20,25 +20,25 @@
 )
 
 // rig is a node on sockets with one host. Its module sends each req to that and again where it never ran, at most twice.
-type rig struct {
+type testGateway struct {
 	*testing.T
 	*Node
-	addr  chan string // where it listens
-	host  uint32      // by number
-	runs  bool        // it is not told as leaving
-	at    string      // its address
-	told  chan string // each event, as the module takes it
-	names []string    // of reqs, as the host got them
-	mu    sync.Mutex  // of names
+	addr     chan string // where it listens
+	host     uint32      // by number
+	running  bool        // it is not told as leaving
+	hostAddr string      // its address
+	events   chan string // each event, as the module takes it
+	names    []string    // of reqs, as the host got them
+	mu       sync.Mutex  // of names
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{T: t, addr: make(chan string, 1), told: make(chan string, 99)}
+func newTestGateway(t *testing.T) *testGateway {
+	r := &testGateway{T: t, addr: make(chan string, 1), events: make(chan string, 99)}
 	host, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.at = host.Addr().String()
+	r.hostAddr = host.Addr().String()
 	go func() {
 		for {
 			c, err := host.Accept()
@@ -49,7 +49,7 @@
 		}
 	}()
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100,
-		Known: fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, r.at),
+		Known: fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, r.hostAddr),
 		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}}, ClassNames: []string{"lookup"},
 			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 20e9, Limits: gateway.Limits{PollEndpoints: true}}}
 	r.Node = New(cfg, r)
@@ -66,7 +66,7 @@
 	return r
 }
 
-func (r *rig) Write(line []byte) (int, error) { // of the log
+func (r *testGateway) Write(line []byte) (int, error) { // of the log
 	if _, rest, ok := bytes.Cut(line, []byte("event=serving name= listen=")); ok {
 		addr, _, _ := bytes.Cut(rest, []byte{' '})
 		r.addr <- string(addr)
@@ -74,7 +74,7 @@
 	return len(line), nil
 }
 
-func (r *rig) serve(c net.Conn) {
+func (r *testGateway) serve(c net.Conn) {
 	defer c.Close()
 	for in := bufio.NewReader(c); ; {
 		for i := range 9 {
@@ -92,27 +92,27 @@
 	}
 }
 
-func (r *rig) Reconfigure(_ int64, update *gateway.Update) {
-	r.told <- fmt.Sprintf("reconfigured: %d plans, %d classes", len(update.Plans), len(update.Classes))
+func (r *testGateway) Reconfigure(_ int64, update *gateway.Update) {
+	r.events <- fmt.Sprintf("reconfigured: %d plans, %d classes", len(update.Plans), len(update.Classes))
 }
 
-func (r *rig) Decide(in *gateway.Batch, out gateway.Actions) {
+func (r *testGateway) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		switch e.Kind {
 		case gateway.EndpointsListed:
 			for _, l := range e.Endpoints {
-				r.told <- "told of " + l.State.String()
-				r.host, r.runs = l.Host, l.State == gateway.Running
+				r.events <- "told of " + l.State.String()
+				r.host, r.running = l.Host, l.State == gateway.Running
 			}
 		case gateway.RequestArrived:
-			r.told <- "arrived " + e.RequestID
+			r.events <- "arrived " + e.RequestID
 			out.StartAttempt(e.RequestID, r.host, 0)
 		case gateway.ClientGone:
-			r.told <- "left " + e.RequestID
+			r.events <- "left " + e.RequestID
 		case gateway.AttemptEnded:
-			r.told <- fmt.Sprintf("ended %s %d: result %d, closed %t", e.RequestID, e.Attempt, e.Result, e.Closed)
+			r.events <- fmt.Sprintf("ended %s %d: result %d, closed %t", e.RequestID, e.Attempt, e.Result, e.Closed)
 			switch {
-			case e.Result.NeverRan() && e.Attempt == 0 && r.runs: // also where its client left: the module may not know yet
+			case e.Result.NeverRan() && e.Attempt == 0 && r.running: // also where its client left: the module may not know yet
 				out.StartAttempt(e.RequestID, r.host, 0)
 			case e.Result != gateway.Succeeded:
 				out.Reject(e.RequestID, 0)
@@ -122,7 +122,7 @@
 }
 
 // hold has connections to the host come up once up is closed; each is told on dials.
-func (r *rig) hold() (_, _ chan struct{}) {
+func (r *testGateway) holdConnections() (_, _ chan struct{}) {
 	dials, up := make(chan struct{}, 9), make(chan struct{})
 	r.runOnLoop(func() {
 		dial := r.transport.Dial
@@ -136,7 +136,7 @@
 }
 
 // ask connects and sends a req.
-func (r *rig) ask(id string) net.Conn {
+func (r *testGateway) sendRequest(id string) net.Conn {
 	addr := <-r.addr
 	r.addr <- addr
 	c, err := net.Dial("tcp4", addr)
@@ -149,14 +149,14 @@
 }
 
 // last asks for a req that is served, and gives all that the module was told until its end, and what the host got.
-func (r *rig) last() string {
-	c := r.ask("z")
+func (r *testGateway) lastRequest() string {
+	c := r.sendRequest("z")
 	if _, err := io.ReadFull(c, make([]byte, 7)); err != nil {
 		r.Fatal(err)
 	}
 	var told []string
 	for len(told) == 0 || !strings.HasPrefix(told[len(told)-1], "ended z") {
-		told = append(told, <-r.told)
+		told = append(told, <-r.events)
 	}
 	held := make(chan int)
 	r.runOnLoop(func() { held <- len(r.requests) + len(r.inFlight) })
@@ -167,32 +167,32 @@
 }
 
 // A req whose client goes while it waits for a connection is not sent on, when that comes up at last.
-func TestLeftWhileItConnects(t *testing.T) {
-	r := newRig(t)
-	dials, up := r.hold()
-	c := r.ask("a")
+func TestNothingSentForClientGoneWhileConnecting(t *testing.T) {
+	r := newTestGateway(t)
+	dials, up := r.holdConnections()
+	c := r.sendRequest("a")
 	<-dials
-	arrived := <-r.told + "\n" + <-r.told
+	arrived := <-r.events + "\n" + <-r.events
 	c.Close()
-	left := <-r.told
+	left := <-r.events
 	close(up)
-	golden.Check(t, arrived+"\n"+left+"\n"+r.last())
+	golden.Check(t, arrived+"\n"+left+"\n"+r.lastRequest())
 }
 
 // What waits for a connection to a host that is told as leaving is not sent when that comes up.
-func TestDrainWhileItConnects(t *testing.T) {
-	r := newRig(t)
-	dials, up := r.hold()
-	r.ask("a")
+func TestNothingSentToHostDrainingWhileConnecting(t *testing.T) {
+	r := newTestGateway(t)
+	dials, up := r.holdConnections()
+	r.sendRequest("a")
 	<-dials
-	told := <-r.told + "\n" + <-r.told + "\n"
+	told := <-r.events + "\n" + <-r.events + "\n"
 	for i, state := range []string{"leaving", "active"} {
-		list := fmt.Sprintf(`{"version":%d,"full":false,"servers":[{"id":"s","addr":"%s","state":"%s","weight":1}]}`, 2+i, r.at, state)
+		list := fmt.Sprintf(`{"version":%d,"full":false,"servers":[{"id":"s","addr":"%s","state":"%s","weight":1}]}`, 2+i, r.hostAddr, state)
 		r.runOnLoop(func() { r.updateEndpoints(list, false) })
 		if i == 0 {
-			told += <-r.told + "\n"
+			told += <-r.events + "\n"
 		}
 	}
 	close(up)
-	golden.Check(t, told+r.last())
+	golden.Check(t, told+r.lastRequest())
 }
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -19,11 +19,11 @@
 )
 
 // eager sends each req on, and again after each end while it is open; it prints what it hears.
-type eager struct{ strings.Builder }
+type retryingDecider struct{ strings.Builder }
 
-func (*eager) Reconfigure(int64, *gateway.Update) {}
+func (*retryingDecider) Reconfigure(int64, *gateway.Update) {}
 
-func (m *eager) Decide(in *gateway.Batch, out gateway.Actions) {
+func (m *retryingDecider) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		switch e.Kind {
 		case gateway.RequestArrived:
@@ -43,13 +43,13 @@
 
 // A client goes in each moment of its request. Whatever its going crosses, nothing is sent on afterwards, and each attempt
 // that the module decided on ends for it: else it would hold it as out for ever, and its limit would close.
-func TestClientLeaves(t *testing.T) {
+func TestNoAttemptAfterClientGone(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	m := &eager{}
+	m := &retryingDecider{}
 	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
 		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
@@ -82,13 +82,13 @@
 }
 
 // leaver has the client of each req go while the loop is busy with the round of its arrival, and sends it on.
-type leaver struct {
-	eager
+type clientGoneDecider struct {
+	retryingDecider
 	n    *Node
 	left func()
 }
 
-func (m *leaver) Decide(in *gateway.Batch, out gateway.Actions) {
+func (m *clientGoneDecider) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		if e.Kind == gateway.RequestArrived {
 			m.left()
@@ -97,18 +97,18 @@
 			}
 		}
 	}
-	m.eager.Decide(in, out)
+	m.retryingDecider.Decide(in, out)
 }
 
 // The news that a client has gone overtakes what the loop is busy with: nothing is sent on behind it.
-func TestClientLeavesUnderRound(t *testing.T) {
+func TestClientGoneDuringBatch(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	all := make(chan net.Conn, 1)
-	m := &leaver{left: func() { (<-all).Close() }}
+	m := &clientGoneDecider{left: func() { (<-all).Close() }}
 	addr, stop, ended := serve(t, m, func(n *Node) {
 		m.n = n
 		n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
@@ -125,13 +125,13 @@
 }
 
 // A repeat of what may have run whose connection comes up when hosts no longer drop it is not written.
-func TestWindowPasses(t *testing.T) {
+func TestNoRetryAfterDedupWindow(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	m := &eager{}
+	m := &retryingDecider{}
 	for _, effect := range []gateway.Effect{gateway.Idempotent, gateway.Deduplicated} {
 		n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1},
 			Classes: []gateway.RequestClass{{Effect: effect, DedupWindow: 1}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
@@ -169,7 +169,7 @@
 		{"within the allowance", stallAllowance - 1e6, gateway.Unreachable},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			m := &eager{}
+			m := &retryingDecider{}
 			n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1},
 				Classes: []gateway.RequestClass{{Effect: gateway.Deduplicated, DedupWindow: window}}, Plans: []gateway.Plan{{}},
 				ConnectTimeout: 1e9}}, m)
@@ -197,10 +197,10 @@
 }
 
 // A panic where a dispatch is sent, or where its answer is handed on, leaves it neither out for the module nor held here.
-func TestPanics(t *testing.T) {
+func TestPanicLeavesNoAttemptInFlight(t *testing.T) {
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
-	m := &eager{}
+	m := &retryingDecider{}
 	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
 		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:1"))
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -10,7 +10,7 @@
 )
 
 // An address that can't be had for a moment is waited for; an error that does not pass ends the start at once, with the key.
-func TestClaimWaitsForPassingErrors(t *testing.T) {
+func TestListenRetriesPassingErrors(t *testing.T) {
 	address := netip.MustParseAddrPort("127.0.0.1:1")
 	bindError := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,11 +17,11 @@
 )
 
 // faulty denies reqs, panics on those of customer f, and names what is not there on those of b.
-type faulty struct{}
+type panickingDecider struct{}
 
-func (faulty) Reconfigure(int64, *gateway.Update) {}
+func (panickingDecider) Reconfigure(int64, *gateway.Update) {}
 
-func (faulty) Decide(in *gateway.Batch, out gateway.Actions) {
+func (panickingDecider) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
 		if e.Kind == gateway.RequestArrived {
 			switch e.Customer[15] {
@@ -110,7 +110,7 @@
 
 // A panic in the module costs the round's reqs an abort; the program and the connection live on.
 func TestModulePanics(t *testing.T) {
-	addr, stop, ended := serve(t, faulty{}, nil, "panic where=module")
+	addr, stop, ended := serve(t, panickingDecider{}, nil, "panic where=module")
 	c := dial(t, addr)
 	got := ask(t, c, "", 0) // the module here never asks to be woken: PING is answered all the same
 	for i, customer := range []string{"a", "f", "b"} {
@@ -128,13 +128,13 @@
 
 // tired is woken often, and panics outside its rounds, once.
 type tired struct {
-	faulty
+	panickingDecider
 	told bool
 }
 
 func (m *tired) Decide(in *gateway.Batch, out gateway.Actions) {
 	out.SetTimer(1)
-	m.faulty.Decide(in, out)
+	m.panickingDecider.Decide(in, out)
 }
 
 func (m *tired) DecisionCounts() string {
@@ -166,7 +166,7 @@
 func (mute) Reconfigure(int64, *gateway.Update)     {}
 
 // A client that is owed an answer for ever, and does not close, holds the program no longer than its time.
-func TestStopBound(t *testing.T) {
+func TestShutdownIsBounded(t *testing.T) {
 	addr, stop, ended := serve(t, mute{}, nil, "cut_off clients=1", "stopped")
 	c := dial(t, addr)
 	ask(t, c, "", 0)
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// TestListsAreLetGo: a list that the module has taken in stays neither in the configuration nor in the loop's events: it may
+// TestEndpointListsAreReleased: a list that the module has taken in stays neither in the configuration nor in the loop's events: it may
 // be as large as all else together.
-func TestListsAreLetGo(t *testing.T) {
-	r := newRig(t)
-	<-r.told // the list of the configuration
+func TestEndpointListsAreReleased(t *testing.T) {
+	r := newTestGateway(t)
+	<-r.events // the list of the configuration
 	left := make(chan []string, 1)
 	r.runOnLoop(func() {
 		var held []string
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -10,9 +10,9 @@
 	"ravensill/internal/sockets/socketstest"
 )
 
-// TestListen: a message counts as of the peer whose address it came from; one of a stranger, and one that can't be read,
+// TestListenTellsSenders: a message counts as of the peer whose address it came from; one of a stranger, and one that can't be read,
 // are dropped.
-func TestListen(t *testing.T) {
+func TestListenTellsSenders(t *testing.T) {
 	anywhere := netip.MustParseAddrPort("127.0.0.1:0")
 	open := func(peers ...netip.AddrPort) *Transport {
 		transport, err := Open(sockets.Kernel{}, anywhere, peers, gossip.Format{Plans: 1, Members: max(len(peers), 1)})
@@ -40,9 +40,9 @@
 	<-dropped
 }
 
-// TestChange: after a change senders are known by their new addresses alone, and messages go there; a message of another
+// TestSetMembers: after a change senders are known by their new addresses alone, and messages go there; a message of another
 // format, as of a fleet of another size, is dropped.
-func TestChange(t *testing.T) {
+func TestSetMembers(t *testing.T) {
 	anywhere := netip.MustParseAddrPort("127.0.0.1:0")
 	var transports []*Transport
 	var at []netip.AddrPort
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -37,7 +37,7 @@
 
 // referee plays clients, hosts, discovery and the counter to one gateway, as a node does, and holds every decision
 // against the rules as the settings tell them.
-type referee struct {
+type ruleChecker struct {
 	*testing.T
 	what    string
 	front   gateway.RequestClass // as told
@@ -52,7 +52,7 @@
 	finals  [3]int
 }
 
-func (r *referee) find(id string) *asked {
+func (r *ruleChecker) find(id string) *asked {
 	for _, q := range r.reqs {
 		if q.id == id {
 			return q
@@ -61,12 +61,12 @@
 	return nil
 }
 
-func (r *referee) foul(q *asked, format string, args ...any) {
+func (r *ruleChecker) foul(q *asked, format string, args ...any) {
 	r.Helper()
 	r.Fatalf("%s: %s at %d ms: %s", r.what, q.id, r.now/ms, fmt.Sprintf(format, args...))
 }
 
-func (r *referee) StartAttempt(id string, host uint32, timeout int64) {
+func (r *ruleChecker) StartAttempt(id string, host uint32, timeout int64) {
 	q := r.find(id)
 	zone := func(h uint32) uint32 { return h % 2 }
 	cell := func(h uint32) uint32 { return h % 3 }
@@ -97,7 +97,7 @@
 	}
 }
 
-func (r *referee) final(id string, kind int) {
+func (r *ruleChecker) final(id string, kind int) {
 	q := r.find(id)
 	if q.gone {
 		return
@@ -115,24 +115,24 @@
 	q.done = true
 	r.finals[kind]++
 }
-func (r *referee) Reject(id string, _ int64) { r.final(id, 0) }
-func (r *referee) Fail(id string)            { r.final(id, 1) }
-func (r *referee) CancelAttempt(id string, _ int) {
+func (r *ruleChecker) Reject(id string, _ int64) { r.final(id, 0) }
+func (r *ruleChecker) Fail(id string)            { r.final(id, 1) }
+func (r *ruleChecker) CancelAttempt(id string, _ int) {
 	if q := r.find(id); q.out != nil {
 		q.out.called = true
 	}
 }
-func (r *referee) AddToCounter(name uint64, _ float64, _ int64) {
+func (r *ruleChecker) AddToCounter(name uint64, _ float64, _ int64) {
 	r.calls = append(r.calls, call{name, r.now})
 }
-func (r *referee) SendGossip(int, []byte) {}
-func (r *referee) SendProbe(uint32)       { r.Fatal(r.what, ": probes") }
-func (r *referee) SetTimer(int64)         {}
-func (r *referee) WatchEndpoints()        {}
-func (r *referee) LogNote(string)         {}
+func (r *ruleChecker) SendGossip(int, []byte) {}
+func (r *ruleChecker) SendProbe(uint32)       { r.Fatal(r.what, ": probes") }
+func (r *ruleChecker) SetTimer(int64)         {}
+func (r *ruleChecker) WatchEndpoints()        {}
+func (r *ruleChecker) LogNote(string)         {}
 
 // ends gives how the attempt of a request ends now, if it does.
-func (r *referee) ends(q *asked) (e gateway.Event, ok bool) {
+func (r *ruleChecker) ends(q *asked) (e gateway.Event, ok bool) {
 	results := []gateway.Result{gateway.Succeeded, gateway.Succeeded, gateway.Errored, gateway.Busy, gateway.Unreachable, gateway.Disconnected,
 		gateway.Malformed, gateway.NotSent}
 	res := results[r.rnd.Intn(len(results))]
@@ -161,7 +161,7 @@
 }
 
 // play lets some 300 requests in over a few seconds with stalls, leaving clients, hosts that come and go.
-func (r *referee) play(g *logic.Gateway) {
+func (r *ruleChecker) play(g *logic.Gateway) {
 	const hosts = 6
 	list := gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete}
 	for h := range uint32(hosts) {
@@ -224,7 +224,7 @@
 // Every mixture starts, and under every one the rules are kept as the settings tell them, whatever hosts, clients and lists do;
 // also by the module alone, which gets the settings by their letter.
 func TestRulesHoldForAllSettings(t *testing.T) {
-	sum := map[string]*referee{}
+	sum := map[string]*ruleChecker{}
 	for i := range 3 * 3 * 3 * 2 * 2 * 2 * 2 {
 		n := i
 		of := func(k int) int { n, k = n/k, n%k; return k }
@@ -245,7 +245,7 @@
 		if letter {
 			s.Classes[0], s.Limits.Hedging = told, two
 		}
-		r := &referee{T: t, what: text, front: told, limits: s.Limits, now: 100_000 * ms, rnd: rand.New(rand.NewSource(int64(i))),
+		r := &ruleChecker{T: t, what: text, front: told, limits: s.Limits, now: 100_000 * ms, rnd: rand.New(rand.NewSource(int64(i))),
 			state: map[uint32]gateway.EndpointState{}}
 		g := logic.New(uint64(i), s.Membership, s.Classes, s.Plans, s.Limits, s.SlowStart, s.LoadReport)
 		r.play(g)
@@ -254,7 +254,7 @@
 		}
 		kind := fmt.Sprintf("%s %s %d", effect, group, window)
 		if sum[kind] == nil {
-			sum[kind] = &referee{}
+			sum[kind] = &ruleChecker{}
 		}
 		sum[kind].repeats, sum[kind].again = sum[kind].repeats+r.repeats, sum[kind].again+r.again
 		for k, n := range r.finals {
