--- a/internal/clients/command.go
+++ b/internal/clients/command.go
@@ -92,11 +92,10 @@
 
 // checkWords looks at the words of a request: verb, customer, id, arguments, and a body where the verb takes one.
 func checkWords(words [][]byte) error {
-	verb := string(words[0])
 	if len(words) < minCommandWords || len(words) > maxCommandWords {
-		return fmt.Errorf("%s: %d words, not 4 or 5", verb, len(words))
+		return fmt.Errorf("%s: %d words, not 4 or 5", words[0], len(words))
 	}
-	if verb == verbGet && len(words) == maxCommandWords {
+	if string(words[0]) == verbGet && len(words) == maxCommandWords {
 		return errors.New("CALL.GET takes no body")
 	}
 	customer, id, list := words[1], words[2], words[3]
@@ -123,8 +122,24 @@
 	return !bytes.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-// argumentNames are the names that mean something here; hosts may know others.
-var argumentNames = []string{"c", "t", "d", "k", "r", "units", "spread", "first"}
+// argument is a name that means something here; hosts may know others.
+type argument int
+
+const (
+	argumentClass argument = iota
+	argumentPlan
+	argumentWait
+	argumentKey
+	argumentRetry
+	argumentUnits
+	argumentSpread
+	argumentFirst
+	argumentUnknown argument = -1
+)
+
+var argumentNames = []string{"c", "t", "d", "k", "r", "units", "spread", "first"} // by argument
+
+func argumentNamed(name []byte) argument { return argument(slices.Index(argumentNames, string(name))) }
 
 const unset = -1
 
@@ -136,7 +151,7 @@
 	retry     bool
 	waitStart int  // of the number of d in the list
 	waitEnd   int  // of the same
-	seen      uint // bits by argumentNames
+	seen      uint // bits by argument
 }
 
 func newArguments(list []byte, readOnly bool) *arguments {
@@ -158,52 +173,44 @@
 			length = len(a.list) - at
 		}
 		name, value, _ := bytes.Cut(a.list[at:at+length], []byte{'='})
-		if !a.noteName(name) { // what the host would take is not known
-			return fmt.Errorf("%s: given twice", name)
+		if which := argumentNamed(name); which != argumentUnknown {
+			if a.seen&(1<<which) > 0 { // what the host would take is not known
+				return fmt.Errorf("%s: given twice", name)
+			}
+			a.seen |= 1 << which
+			a.set(catalog, members, which, value, at)
 		}
-		a.set(catalog, members, string(name), value, at)
 		at += length + 1
 	}
 	return a.missing()
 }
 
-// noteName notes a name, and reports whether it is the first time or one that means nothing here.
-func (a *arguments) noteName(name []byte) bool {
-	i := slices.Index(argumentNames, string(name))
-	if i < 0 {
-		return true
-	}
-	known := a.seen&(1<<i) > 0
-	a.seen |= 1 << i
-	return !known
-}
-
 // set reads one value, whose argument starts at an offset of the list. What can't be read stays unset.
-func (a *arguments) set(catalog *Catalog, members int, name string, value []byte, offset int) {
-	switch name {
-	case "c":
+func (a *arguments) set(catalog *Catalog, members int, which argument, value []byte, offset int) {
+	switch which {
+	case argumentClass:
 		a.terms.Class = catalog.class(value)
-	case "t":
+	case argumentPlan:
 		a.terms.Plan = catalog.plan(value)
-	case "d":
+	case argumentWait:
 		milliseconds, err := strconv.ParseUint(string(value), 10, 31)
 		if err == nil && milliseconds > 0 {
 			a.wait = int64(milliseconds) * int64(time.Millisecond)
 			a.waitStart = offset + len("d=")
 			a.waitEnd = a.waitStart + len(value)
 		}
-	case "units":
+	case argumentUnits:
 		units, err := strconv.ParseFloat(string(value), 64)
 		if err == nil && units > 0 && units <= maxUnits {
 			a.terms.Units = units
 		}
-	case "spread":
+	case argumentSpread:
 		a.terms.Spread = parseIndex(value, 1, members)
-	case "first":
+	case argumentFirst:
 		a.terms.First = parseIndex(value, 0, members-1)
-	case "k":
+	case argumentKey:
 		a.terms.Key = len(value) > 0
-	case "r":
+	case argumentRetry:
 		a.retry = string(value) == "1"
 	}
 }
