--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -31,19 +31,21 @@
 	return initial + (1-initial)*float64(max(age, 0))/float64(s.slowStart.Duration)
 }
 
-// countAttempt counts an attempt, which takes from the allowance of an endpoint that warms up and lets the allowances grow.
+// countAttempt counts an attempt, which takes from the allowance of an endpoint that warms up. A request's first one lets the
+// allowances grow. Retries don't: where the other endpoints fail each request brings several, and one that warms up would get as
+// many times its fraction.
 func (s *endpointSet) countAttempt(to *endpoint, class *class, retry bool, now int64) {
 	s.inFlight++
 	s.markContacted(to)
-	s.growAllowances(class, retry, now)
+	if !retry {
+		s.growAllowances(class, now)
+	}
 	to.allowance--
 }
 
 // growAllowances has the allowance of every endpoint that warms up grow by its fraction of the capacity of all that serve the
-// class. Where most fail it is that of the subset, by the bound that an endpoint bears. A retry lets it grow by the fraction of the
-// whole subset: where the other endpoints fail each request brings several attempts, and one that warms up would get as many times
-// what it bears.
-func (s *endpointSet) growAllowances(class *class, retry bool, now int64) {
+// class. Where most fail it is that of the subset, by the bound that an endpoint bears.
+func (s *endpointSet) growAllowances(class *class, now int64) {
 	serving := 0.0
 	subset := 0.0
 	for _, e := range s.nearby {
@@ -57,9 +59,6 @@
 		}
 	}
 	capacity := max(serving, subset*overloadMargin/max(s.slowStart.OverloadFactor, 1), 1)
-	if retry {
-		capacity = max(subset, 1)
-	}
 	for _, e := range s.nearby {
 		if warm := s.warmUpFraction(e, now); warm < 1 && e.InSubset {
 			e.allowance = min(e.allowance+warm/capacity, maxAllowance)
