--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -122,9 +122,9 @@
 	case t.Floor*members > t.Capacity-t.Reserve:
 		return keyErrorf("floor", "%d for each of %d gateways is more than capacity less reserve, %d", t.Floor, members,
 			t.Capacity-t.Reserve)
-	case !isCount(voters, 1, 3, 5, 7):
+	case !slices.Contains([]int{1, 3, 5, 7}, voters):
 		return keyErrorf("voters", "%d addresses; 1, 3, 5 or 7 wanted", voters)
-	case !isCount(len(t.Streams), 0, voters):
+	case !slices.Contains([]int{0, voters}, len(t.Streams)):
 		return keyErrorf("streams", "%d addresses for %d voters", len(t.Streams), voters)
 	case len(t.Seats) != voters:
 		return keyErrorf("voter_seats", "%d seats for %d voters", len(t.Seats), voters)
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net/netip"
 	"os"
+	"slices"
 	"time"
 
 	"ravensill/configsync"
@@ -99,7 +100,7 @@
 // check looks at the numbers.
 func (f *publisherFile) check() error {
 	count := len(f.Raft)
-	if !isCount(count, 1, 3, 5) {
+	if !slices.Contains([]int{1, 3, 5}, count) {
 		return keyErrorf("raft", "%d addresses; 1, 3 or 5 wanted", count)
 	}
 	if len(f.Admin) != count {
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -62,16 +62,6 @@
 	return secret, nil
 }
 
-// isCount reports whether a number is one of those wanted.
-func isCount(count int, wanted ...int) bool {
-	for _, w := range wanted {
-		if count == w {
-			return true
-		}
-	}
-	return false
-}
-
 // fractionError returns an error unless a number lies within bounds; least is excluded if open is set.
 func fractionError(key string, value, least, most float64, open bool) error {
 	within := value >= least && value <= most
--- a/internal/observer/query.go
+++ b/internal/observer/query.go
@@ -13,11 +13,10 @@
 )
 
 const (
-	maxQuery         = 4 << 10 // bytes of a query
-	maxQueries       = 8       // connections at a time; more are closed at once
-	maxWindows       = 1 << 20 // windows that a query may ask for
-	queryTimeout     = 10 * time.Second
-	acceptRetryDelay = 100 * time.Millisecond // after a failed accept: no descriptor is free
+	maxQuery     = 4 << 10 // bytes of a query
+	maxQueries   = 8       // connections at a time; more are closed at once
+	maxWindows   = 1 << 20 // windows that a query may ask for
+	queryTimeout = 10 * time.Second
 )
 
 // Query is a question to a collector.
