--- a/internal/ring/link.go
+++ b/internal/bufconn/link.go
@@ -1,4 +1,4 @@
-package ring
+package bufconn
 
 import (
 	"io"
--- a/internal/ring/ring.go
+++ b/internal/bufconn/ring.go
@@ -1,6 +1,6 @@
-// Package ring provides the ring buffers of a connection, one for each direction, and the thin driver between them and its
+// Package bufconn provides the ring buffers of a connection, one for each direction, and the thin driver between them and its
 // socket. It knows no protocol.
-package ring
+package bufconn
 
 const minSize = 4096 // bytes of a ring's first buffer
 
--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -7,8 +7,8 @@
 	"os"
 	"time"
 
+	"ravensill/internal/bufconn"
 	"ravensill/internal/resp"
-	"ravensill/internal/ring"
 )
 
 // acceptDeadlines is how often accepting may time out after Unlisten before the listener is closed. Connections that the system
@@ -65,7 +65,7 @@
 }
 
 // open starts a connection. The loop registers it before it answers the next admission, so that it counts there.
-func (s *Server) open(link *ring.Link) {
+func (s *Server) open(link *bufconn.Link) {
 	c := &Conn{
 		server:       s,
 		link:         link,
@@ -80,12 +80,12 @@
 }
 
 // accept accepts one connection and sets up its buffers.
-func (s *Server) accept(listener *net.TCPListener) (*ring.Link, error) {
+func (s *Server) accept(listener *net.TCPListener) (*bufconn.Link, error) {
 	conn, err := s.system.Accept(listener)
 	if err != nil {
 		return nil, err
 	}
-	link, err := ring.NewLink(s.system, conn, resp.Most, maxUnsentBytes)
+	link, err := bufconn.NewLink(s.system, conn, resp.Most, maxUnsentBytes)
 	if err != nil {
 		conn.Close()
 	}
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
+	"ravensill/internal/bufconn"
 	"ravensill/internal/resp"
-	"ravensill/internal/ring"
 )
 
 // Answer is the place of one command's answer in the order of its connection. The first one given counts.
@@ -21,7 +21,7 @@
 
 // AnswerQueue keeps the answers of one connection in the order of its commands.
 type AnswerQueue struct {
-	out        *ring.Ring
+	out        *bufconn.Ring
 	waiting    []*Answer
 	full       bool        // an answer did not fit: the client reads too slowly
 	onReady    func(int)   // called with how many answers went out with the one just given
--- a/internal/clients/command.go
+++ b/internal/clients/command.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
+	"ravensill/internal/bufconn"
 	"ravensill/internal/resp"
-	"ravensill/internal/ring"
 )
 
 // Bounds of what a command holds.
@@ -43,7 +43,7 @@
 
 // Next hands the next whole command to the handler and reports whether there was one. After an error the stream can't be trusted
 // further.
-func (c *Commands) Next(in *ring.Ring, handler commandHandler) (bool, error) {
+func (c *Commands) Next(in *bufconn.Ring, handler commandHandler) (bool, error) {
 	value, whole, err := c.parser.Next(in)
 	if err != nil || !whole {
 		return false, err
--- a/internal/clients/command_test.go
+++ b/internal/clients/command_test.go
@@ -6,9 +6,9 @@
 	"testing"
 
 	"ravensill/gateway"
+	"ravensill/internal/bufconn"
 	"ravensill/internal/golden"
 	"ravensill/internal/resp"
-	"ravensill/internal/ring"
 )
 
 var startCatalog = CatalogConfig{Classes: []string{"lookup", "order"}, Plans: []string{"basic", "team"}, Effects: []gateway.Effect{gateway.Idempotent, gateway.Deduplicated},
@@ -26,7 +26,7 @@
 
 func read(pieces ...string) string {
 	var b recordingHandler
-	in, c := ring.New(resp.Most), Commands{catalog: NewCatalog(startCatalog)}
+	in, c := bufconn.New(resp.Most), Commands{catalog: NewCatalog(startCatalog)}
 	for _, p := range pieces {
 		in.Write([]byte(p))
 		for ok := true; ok; {
@@ -95,7 +95,7 @@
 
 func TestAnswersKeepOrder(t *testing.T) { // answers come in the order of the commands, each once
 	var let []int
-	l := AnswerQueue{out: ring.New(64), onReady: func(n int) { let = append(let, n) }}
+	l := AnswerQueue{out: bufconn.New(64), onReady: func(n int) { let = append(let, n) }}
 	a, b, c := l.Add(), l.Add(), l.Add()
 	b.give(rejection(1_000_001))
 	c.give(errorReply("no\r\n+such"))
@@ -111,7 +111,7 @@
 }
 
 func BenchmarkCommands(b *testing.B) {
-	in, c, one := ring.New(resp.Most), Commands{catalog: NewCatalog(startCatalog)}, []byte(command("CALL.GET", get, "9b1f03aa5c7e2d41", list))
+	in, c, one := bufconn.New(resp.Most), Commands{catalog: NewCatalog(startCatalog)}, []byte(command("CALL.GET", get, "9b1f03aa5c7e2d41", list))
 	b.ReportAllocs()
 	for b.Loop() {
 		in.Write(one)
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -5,14 +5,14 @@
 	"log"
 	"runtime/debug"
 
-	"ravensill/internal/ring"
+	"ravensill/internal/bufconn"
 )
 
 // Conn is one client connection. Its fields belong to the loop, but for the queue and the reader's fields. Times are in
 // nanoseconds of the server's clock.
 type Conn struct {
 	server *Server
-	link   *ring.Link
+	link   *bufconn.Link
 	AnswerQueue
 	commandQueue
 	receiveFunc  func()        // receive as a value, made once
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"ravensill/gateway"
+	"ravensill/internal/bufconn"
 	"ravensill/internal/resp"
-	"ravensill/internal/ring"
 	"ravensill/internal/sockets"
 )
 
@@ -48,8 +48,8 @@
 	runOnLoop      func(func())
 	now            func() int64
 	onAnswer       func(gateway.Event)
-	link           *ring.Link // nil: not connected
-	inFlight       []call     // in the order of their commands
+	link           *bufconn.Link // nil: not connected
+	inFlight       []call        // in the order of their commands
 	dialing        bool
 	closed         bool
 	loggedState    string // the state logged last
@@ -170,12 +170,12 @@
 }
 
 // dial opens a connection to the server.
-func (c *Counter) dial() (*ring.Link, error) {
+func (c *Counter) dial() (*bufconn.Link, error) {
 	conn, err := c.system.Dial(context.Background(), &net.Dialer{Timeout: dialTimeout}, c.addr.String())
 	if err != nil {
 		return nil, err
 	}
-	link, err := ring.NewLink(c.system, conn, maxUnsent, maxUnsent)
+	link, err := bufconn.NewLink(c.system, conn, maxUnsent, maxUnsent)
 	if err != nil {
 		conn.Close()
 	}
@@ -183,7 +183,7 @@
 }
 
 // connected takes over a new connection.
-func (c *Counter) connected(link *ring.Link) {
+func (c *Counter) connected(link *bufconn.Link) {
 	c.dialing = false
 	if c.closed {
 		link.Close()
@@ -196,7 +196,7 @@
 }
 
 // readReplies passes the server's replies to the loop until the connection ends.
-func (c *Counter) readReplies(link *ring.Link) {
+func (c *Counter) readReplies(link *bufconn.Link) {
 	defer func() {
 		if p := recover(); p != nil {
 			log.Printf("event=panic where=counter error=%q stack=%q", p, debug.Stack())
@@ -217,7 +217,7 @@
 }
 
 // parseReplies passes all whole replies to the loop.
-func (c *Counter) parseReplies(link *ring.Link, parser *resp.Parser) error {
+func (c *Counter) parseReplies(link *bufconn.Link, parser *resp.Parser) error {
 	for {
 		value, ok, err := parser.Next(link.In)
 		if err != nil || !ok {
@@ -244,7 +244,7 @@
 }
 
 // handleReply handles one reply: a number, or a line of its kind.
-func (c *Counter) handleReply(link *ring.Link, kind byte, text string, total float64) {
+func (c *Counter) handleReply(link *bufconn.Link, kind byte, text string, total float64) {
 	switch {
 	case c.link != link:
 		return
@@ -273,7 +273,7 @@
 }
 
 // closeLink closes a connection. The calls in flight on it may have been executed.
-func (c *Counter) closeLink(link *ring.Link, reason string) {
+func (c *Counter) closeLink(link *bufconn.Link, reason string) {
 	if c.link != link || link == nil {
 		return
 	}
--- a/internal/hosts/command.go
+++ b/internal/hosts/command.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"ravensill/internal/ring"
+	"ravensill/internal/bufconn"
 )
 
 // Command is the text of a request for a host. Head is followed by one bulk string that consists of Before, the time left
@@ -20,7 +20,7 @@
 // write appends the command to a connection's output, with the time from now, in nanoseconds, that is left until the deadline.
 // The time is computed here and not where the attempt was decided on: until its connection is up, or a quota has room, much of
 // it may have passed, and a host that was told a longer time would work for a client that is gone.
-func (c *Command) write(out *ring.Ring, now, deadline int64) {
+func (c *Command) write(out *bufconn.Ring, now, deadline int64) {
 	out.Write(c.Head)
 	if c.constant {
 		return
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"ravensill/gateway"
+	"ravensill/internal/bufconn"
 	"ravensill/internal/resp"
-	"ravensill/internal/ring"
 )
 
 const (
@@ -32,8 +32,8 @@
 type conn struct {
 	pool        *hostPool
 	addr        netip.AddrPort
-	link        *ring.Link // nil until the dial succeeded
-	attempt     *Attempt   // the one that it carries
+	link        *bufconn.Link // nil until the dial succeeded
+	attempt     *Attempt      // the one that it carries
 	idleSince   int64
 	idleElement *list.Element // in the transport's idle list; nil unless idle
 	answers     int           // received
@@ -81,12 +81,12 @@
 }
 
 // dial connects to the host. It runs on the connection's goroutine.
-func (c *conn) dial() (*ring.Link, error) {
+func (c *conn) dial() (*bufconn.Link, error) {
 	socket, err := c.pool.transport.Dial(c.addr.String())
 	if err != nil {
 		return nil, err
 	}
-	link, err := ring.NewLink(c.pool.transport.system, socket.(*net.TCPConn), resp.Most, maxCommandBytes)
+	link, err := bufconn.NewLink(c.pool.transport.system, socket.(*net.TCPConn), resp.Most, maxCommandBytes)
 	if err != nil {
 		socket.Close()
 		return nil, err
@@ -105,7 +105,7 @@
 }
 
 // readAnswer reads the next answer. It runs on the connection's goroutine.
-func (c *conn) readAnswer(link *ring.Link, parser *resp.Parser) (answer, error) {
+func (c *conn) readAnswer(link *bufconn.Link, parser *resp.Parser) (answer, error) {
 	t := c.pool.transport
 	split := false
 	for {
--- a/internal/hosts/hosts_test.go
+++ b/internal/hosts/hosts_test.go
@@ -11,14 +11,14 @@
 	"time"
 
 	"ravensill/gateway"
+	"ravensill/internal/bufconn"
 	"ravensill/internal/golden"
 	"ravensill/internal/resp"
-	"ravensill/internal/ring"
 	"ravensill/internal/sockets"
 )
 
 func reply(text string) string {
-	in, p := ring.New(resp.Most), resp.Parser{}
+	in, p := bufconn.New(resp.Most), resp.Parser{}
 	in.Write([]byte(text))
 	v, ok, err := p.Next(in)
 	if err != nil || !ok {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -6,7 +6,7 @@
 	"errors"
 	"strconv"
 
-	"ravensill/internal/ring"
+	"ravensill/internal/bufconn"
 )
 
 // Limits of a value.
@@ -53,7 +53,7 @@
 
 // Next returns the next whole value, or false if it has not arrived. The value is valid until the next call and until more bytes
 // are read into the ring.
-func (p *Parser) Next(r *ring.Ring) (v Value, ok bool, err error) {
+func (p *Parser) Next(r *bufconn.Ring) (v Value, ok bool, err error) {
 	if p.consumed > 0 {
 		r.Drop(p.consumed)
 		p.consumed = 0
@@ -121,10 +121,10 @@
 }
 
 // More reports whether the ring holds bytes after the value that Next returned last.
-func (p *Parser) More(r *ring.Ring) bool { return r.Len() > p.consumed }
+func (p *Parser) More(r *bufconn.Ring) bool { return r.Len() > p.consumed }
 
 // value returns the value, all of whose bytes have arrived, and resets the parser.
-func (p *Parser) value(r *ring.Ring) Value {
+func (p *Parser) value(r *bufconn.Ring) Value {
 	p.spans = p.spans[:0]
 	for _, element := range p.elements {
 		if element.size < 0 {
@@ -140,7 +140,7 @@
 }
 
 // lineLength returns the length of the line at an offset, without its CR LF; -1 if it has not arrived.
-func lineLength(r *ring.Ring, offset int) (int, error) {
+func lineLength(r *bufconn.Ring, offset int) (int, error) {
 	for length := 0; offset+length < r.Len(); length++ {
 		if r.At(offset+length) != '\n' {
 			continue
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -5,14 +5,14 @@
 	"strings"
 	"testing"
 
+	"ravensill/internal/bufconn"
 	"ravensill/internal/golden"
-	"ravensill/internal/ring"
 )
 
 // parse parses the pieces in turn and returns a trace of all values.
 func parse(pieces ...string) string {
 	var trace strings.Builder
-	in, p := ring.New(Most), Parser{}
+	in, p := bufconn.New(Most), Parser{}
 	for _, piece := range pieces {
 		in.Write([]byte(piece))
 		for {
--- a/lab/knownred/knownred_test.go
+++ b/lab/knownred/knownred_test.go
@@ -25,7 +25,7 @@
 func run(t *testing.T, lines string, files map[string]string) (out string, failed bool) {
 	dir := t.TempDir()
 	all := map[string]string{"go.mod": "module m\n\ngo 1.26\n"}
-	for _, name := range []string{"clients", "hosts", "discovery", "node", "ring", "consensus", "publisher", "subscriber"} {
+	for _, name := range []string{"clients", "hosts", "discovery", "node", "bufconn", "consensus", "publisher", "subscriber"} {
 		all["internal/"+name+"/x.go"] = "package x\n"
 	}
 	if lines != "" {
@@ -51,7 +51,7 @@
 var failing = regexp.MustCompile(`(?m)^ *--- FAIL: (\S+)|^FAIL\t(\S+)`)
 
 func TestPassesOverOnlyNamed(t *testing.T) {
-	const line, race = "a TestRed | breaks | issue 1\n", "internal/ring TestRed | breaks | issue 2"
+	const line, race = "a TestRed | breaks | issue 1\n", "internal/bufconn TestRed | breaks | issue 2"
 	for _, c := range []struct {
 		name, lines string
 		files       map[string]string
@@ -59,13 +59,13 @@
 	}{
 		{"none named", "# words\n\n", map[string]string{"a/x_test.go": red("TestRed")}, []string{"TestRed", "m/a"}},
 		{"three named, last line open", "# words\n" + line + "a TestOther | breaks too | issue 1\n" + race, map[string]string{
-			"a/x_test.go":             red("TestRed", "TestOther"),
-			"internal/ring/x_test.go": red("TestRed")}, nil},
+			"a/x_test.go":                red("TestRed", "TestOther"),
+			"internal/bufconn/x_test.go": red("TestRed")}, nil},
 		{"namesakes", line, map[string]string{
 			"a/x_test.go":   red("TestRed", "TestRedder", "TestRe") + "func TestSub(t *testing.T) { t.Run(\"TestRed\", TestRed) }\n",
 			"a/b/x_test.go": red("TestRed"), "b/x_test.go": red("TestRed")},
 			[]string{"TestRedder", "TestRe", "TestSub", "TestSub/TestRed", "m/a", "TestRed", "m/a/b", "TestRed", "m/b"}},
-		{"race", "", map[string]string{"internal/ring/x_test.go": "//go:build race\n\n" + red("TestRace")}, []string{"TestRace", "m/internal/ring"}},
+		{"race", "", map[string]string{"internal/bufconn/x_test.go": "//go:build race\n\n" + red("TestRace")}, []string{"TestRace", "m/internal/bufconn"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			out, failed := run(t, c.lines, c.files)
@@ -93,7 +93,7 @@
 		line + strings.ReplaceAll(line, "Red", "Other") + strings.ReplaceAll(line, "Red", "Third") + strings.ReplaceAll(line, "Red", "Fourth"): "more than three tests",
 		line + "a TestGone | c | issue 1\n":         "names no test: a TestGone",
 		"a TestRe | c | issue 1\n":                  "names no test",
-		"internal/ring TestRed | c | issue 1\n":     "names no test",
+		"internal/bufconn TestRed | c | issue 1\n":  "names no test",
 		"gone TestRed | c | issue 1\n":              "names no test",
 		"a Test.* | c | issue 1\n":                  "not 'package",
 		"... TestRed | c | issue 1\n":               "not 'package",
