--- a/lab/standin/load.go
+++ b/lab/emulator/load.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"fmt"
--- a/lab/standin/model.go
+++ b/lab/emulator/model.go
@@ -1,7 +1,7 @@
-// Package standin provides the rig's stand-ins for what a gateway speaks to: hosts, the discovery agent, the shared counter and
+// Package emulator provides the rig's stand-ins for what a gateway speaks to: hosts, the discovery agent, the shared counter and
 // clients. Each is a task that owns its sockets and state and is controlled by messages. Their protocols are those of the
 // operators' page on the wire; all random draws follow from a seed or from a request's id.
-package standin
+package emulator
 
 import (
 	"hash/fnv"
--- a/lab/fleet/cases.go
+++ b/lab/fleet/cases.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/relay"
-	"ravensill/lab/standin"
 )
 
 // Size is how large the scenarios of Cases are.
@@ -16,15 +16,15 @@
 }
 
 // three is the load of all three kinds of reqs.
-func (z Size) three() standin.Load {
-	return standin.Load{Seed: z.Seed, Rate: z.Rate, Customers: 40 * z.Gateways, Skew: 0.5, Spread: max(1, z.Gateways/3), Body: "body",
-		Classes: []standin.Class{{Name: "lookup", Wait: 8 * time.Second, Part: 0.6},
+func (z Size) three() emulator.Load {
+	return emulator.Load{Seed: z.Seed, Rate: z.Rate, Customers: 40 * z.Gateways, Skew: 0.5, Spread: max(1, z.Gateways/3), Body: "body",
+		Classes: []emulator.Class{{Name: "lookup", Wait: 8 * time.Second, Part: 0.6},
 			{Name: "order", Post: true, Keyed: true, Wait: 8 * time.Second, Part: 0.2},
 			{Name: "pay", Post: true, Wait: 8 * time.Second, Part: 0.2}}}
 }
 
 func (z Size) case1(name string, length time.Duration, served float64, steps ...Step) Scenario {
-	return Scenario{Name: name, Plan: Plan{Gateways: z.Gateways, Hosts: z.Hosts, Seed: z.Seed}, Loads: []standin.Load{z.three()},
+	return Scenario{Name: name, Plan: Plan{Gateways: z.Gateways, Hosts: z.Hosts, Seed: z.Seed}, Loads: []emulator.Load{z.three()},
 		Warm: 2 * time.Second, For: length, Steps: steps, Holds: append([]Check{Served(served)}, Usual...)}
 }
 
@@ -34,7 +34,7 @@
 	for i := from; i < p.Hosts; i++ {
 		p.Unlisted[i] = true
 	}
-	p.Host = func(i int, h *standin.HostPlan) {
+	p.Host = func(i int, h *emulator.HostPlan) {
 		if h.Model.Cold, h.Model.Warm = 4, 10*time.Second; i < from {
 			h.Model.Cold = 1
 		}
@@ -61,9 +61,9 @@
 	lists.Plan.Hosts = h + 2
 	cold(&lists.Plan, h)
 	old := Seats(0, g/2)
-	lists.Steps = append([]Step{Agents(0, old, "half have received nothing since", func(m *standin.Mode) { m.Frozen = true }),
+	lists.Steps = append([]Step{Agents(0, old, "half have received nothing since", func(m *emulator.Mode) { m.Frozen = true }),
 		Join(500*time.Millisecond, h, h+1),
-		Agents(6500*time.Millisecond, old, "half have what they missed", func(m *standin.Mode) { m.Frozen = false })},
+		Agents(6500*time.Millisecond, old, "half have what they missed", func(m *emulator.Mode) { m.Frozen = false })},
 		Tell(500*time.Millisecond, nil, "leaving", 0, 1))
 
 	replaced := z.case1("six in ten hosts replaced in 7 s", 10*second, 0.9)
@@ -90,7 +90,7 @@
 	alone.Plan.Gateways, alone.Loads[0].Spread = 1, 0
 
 	light := z.case1("a host with a quarter of the weight", 4*second, 0.95)
-	light.Plan.Host = func(i int, hp *standin.HostPlan) {
+	light.Plan.Host = func(i int, hp *emulator.HostPlan) {
 		if i == 0 {
 			hp.Weight, hp.Speed, hp.Model.Slots = 0.25, 0.25, hp.Model.Slots/4
 		}
@@ -116,6 +116,6 @@
 func (z Size) Steady(length time.Duration, holds ...Check) Scenario {
 	s := z.case1("steady", length, 0.95)
 	s.Holds = append(s.Holds, holds...)
-	s.Loads[0].Skew, s.Loads[0].Classes = 0, []standin.Class{{Name: "lookup", Wait: 8 * time.Second, Part: 1}}
+	s.Loads[0].Skew, s.Loads[0].Classes = 0, []emulator.Class{{Name: "lookup", Wait: 8 * time.Second, Part: 1}}
 	return s
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/relay"
-	"ravensill/lab/standin"
 	"ravensill/lab/task"
 )
 
@@ -29,7 +29,7 @@
 	Gateways, Hosts   int
 	Seed              uint64
 	Zones             []string
-	Host              func(i int, h *standin.HostPlan)                // changes a host before it starts
+	Host              func(i int, h *emulator.HostPlan)               // changes a host before it starts
 	Settings          func(s map[string]any)                          // changes the deployment's settings, the same for all
 	Config            func(f *Fleet, i int, cfg map[string]any) error // adds to one gateway's configuration
 	Prepare           func(f *Fleet) error                            // makes nets and streams of the relay, before any gateway is configured
@@ -46,14 +46,14 @@
 // Fleet is what runs.
 type Fleet struct {
 	Plan    Plan
-	Agent   *standin.Agent
-	Counter *standin.Counter
+	Agent   *emulator.Agent
+	Counter *emulator.Counter
 	Relay   *relay.Relay
-	Clients *standin.Clients
+	Clients *emulator.Clients
 	Gossip  *relay.Datagrams // between the gateways; nil where they are alone
 	Dir     string
 	Took    time.Duration // until all served
-	hosts   []*standin.Host
+	hosts   []*emulator.Host
 	gates   []*Gateway
 	later   errgroup.Group // steps that go on
 }
@@ -65,10 +65,10 @@
 func (f *Fleet) Gateways() []*Gateway { return f.gates }
 
 // Host gives one by its number.
-func (f *Fleet) Host(i int) *standin.Host { return f.hosts[i] }
+func (f *Fleet) Host(i int) *emulator.Host { return f.hosts[i] }
 
 // Hosts gives all.
-func (f *Fleet) Hosts() []*standin.Host { return f.hosts }
+func (f *Fleet) Hosts() []*emulator.Host { return f.hosts }
 
 // Name is a gateway's name, in the relay's rules too.
 func Name(i int) string { return fmt.Sprintf("g%d", i) }
@@ -108,14 +108,14 @@
 	if f.Dir, err = os.MkdirTemp("", "ravensill-run-"); err != nil {
 		return f, err
 	}
-	var entries []standin.Entry
+	var entries []emulator.Entry
 	for i := range p.Hosts {
-		hp := standin.HostPlan{ID: fmt.Sprintf("s-%04d", i), Listen: "127.0.0.1:0", Zone: p.Zones[i%len(p.Zones)], Kind: "m",
-			Cell: i % 3, Model: standin.Usual(), Report: []string{"utilization"}}
+		hp := emulator.HostPlan{ID: fmt.Sprintf("s-%04d", i), Listen: "127.0.0.1:0", Zone: p.Zones[i%len(p.Zones)], Kind: "m",
+			Cell: i % 3, Model: emulator.Usual(), Report: []string{"utilization"}}
 		if p.Host != nil {
 			p.Host(i, &hp)
 		}
-		h, err := standin.NewHost(hp)
+		h, err := emulator.NewHost(hp)
 		if err != nil {
 			return f, err
 		}
@@ -123,11 +123,11 @@
 			entries = append(entries, h.Entry("active"))
 		}
 	}
-	if f.Agent, err = standin.NewAgent(agents, p.Gateways, entries...); err != nil {
+	if f.Agent, err = emulator.NewAgent(agents, p.Gateways, entries...); err != nil {
 		return f, err
 	}
 	if p.Counter {
-		if f.Counter, err = standin.NewCounter(); err != nil {
+		if f.Counter, err = emulator.NewCounter(); err != nil {
 			return f, err
 		}
 	}
@@ -136,7 +136,7 @@
 			return f, err
 		}
 	}
-	f.Clients = standin.NewClients(make([]string, p.Gateways))
+	f.Clients = emulator.NewClients(make([]string, p.Gateways))
 	if p.Prepare != nil {
 		if err = p.Prepare(f); err != nil {
 			return f, err
@@ -213,7 +213,7 @@
 }
 
 func (f *Fleet) config(i int) (map[string]any, error) {
-	cfg := map[string]any{"name": Name(i), "listen": netip.AddrPortFrom(standin.Loopback(homes, i), 0).String(),
+	cfg := map[string]any{"name": Name(i), "listen": netip.AddrPortFrom(emulator.Loopback(homes, i), 0).String(),
 		"discovery": f.Agent.Addr(i), "seed": fmt.Sprintf("%016x", f.Plan.Seed*1000003+uint64(i)+1),
 		"limits": map[string]any{"memory_mb": 192, "sockets": 1024}, "known": f.Agent.Known(i), "settings": f.settings(i)}
 	if f.Gossip != nil {
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"ravensill/lab/standin"
+	"ravensill/lab/emulator"
 )
 
 const patience = 60 * time.Second // for what must happen; no test passes by waiting
@@ -34,7 +34,7 @@
 // A small fleet serves, and a gateway that is killed comes back at the same address.
 func TestStart(t *testing.T) {
 	f, ctx := run(t, Plan{Gateways: 3, Hosts: 4, Seed: 1})
-	load := f.Clients.Start(standin.Load{Seed: 1, Rate: 300, Customers: 20})
+	load := f.Clients.Start(emulator.Load{Seed: 1, Rate: 300, Customers: 20})
 	must(t, f.Sent(ctx, 200))
 	addr := f.Gateway(1).Addr()
 	must(t, f.Gateway(1).Kill(), f.Sent(ctx, 100), f.Gateway(1).Restart(ctx, true), f.Sent(ctx, 200))
@@ -42,14 +42,14 @@
 	if n := f.Clients.Wait(patience); n > 0 {
 		t.Errorf("%d reqs open", n)
 	}
-	ended := map[standin.Result]int{}
+	ended := map[emulator.Result]int{}
 	for _, q := range f.Clients.Log().Reqs {
 		ended[q.Result]++
-		if q.Result == standin.Refused && q.Gateway != 1 {
+		if q.Result == emulator.Refused && q.Gateway != 1 {
 			t.Errorf("refused at gateway %d, which never went down", q.Gateway)
 		}
 	}
-	if ended[standin.Passed] < 200 || ended[standin.Refused] == 0 || ended[standin.Wrong]+ended[standin.Unheard] > 0 {
+	if ended[emulator.Passed] < 200 || ended[emulator.Refused] == 0 || ended[emulator.Wrong]+ended[emulator.Unheard] > 0 {
 		t.Errorf("ended %v", ended)
 	}
 	if g := f.Gateway(1); g.Addr() != addr || g.Counts()["serving"] != 2 {
@@ -114,14 +114,14 @@
 	}{
 		{OneOutcome, func(r *Report) { r.Open = 1 }},
 		{OneOutcome, func(r *Report) { r.Clients.Stray = 1 }},
-		{OneOutcome, func(r *Report) { r.Clients.Reqs[last].Result = standin.Wrong }},
-		{OneOutcome, func(r *Report) { r.Clients.Reqs[last].Result, r.Clients.Reqs[last].Host = standin.Passed, "s-0002" }},
-		{LostByFault, func(r *Report) { r.Clients.Reqs[last].Result = standin.Unheard }},
-		{Listed, func(r *Report) { r.Hosts[2].Commands = []standin.Command{twice} }},
-		{Listed, func(r *Report) { r.Hosts[1].Commands = []standin.Command{{ID: "none"}} }},
+		{OneOutcome, func(r *Report) { r.Clients.Reqs[last].Result = emulator.Wrong }},
+		{OneOutcome, func(r *Report) { r.Clients.Reqs[last].Result, r.Clients.Reqs[last].Host = emulator.Passed, "s-0002" }},
+		{LostByFault, func(r *Report) { r.Clients.Reqs[last].Result = emulator.Unheard }},
+		{Listed, func(r *Report) { r.Hosts[2].Commands = []emulator.Command{twice} }},
+		{Listed, func(r *Report) { r.Hosts[1].Commands = []emulator.Command{{ID: "none"}} }},
 		{Drained, func(r *Report) {
 			q := reqs[last]
-			r.Hosts[0].Commands = append(slices.Clone(r.Hosts[0].Commands), standin.Command{ID: q.ID, At: q.At + 1})
+			r.Hosts[0].Commands = append(slices.Clone(r.Hosts[0].Commands), emulator.Command{ID: q.ID, At: q.At + 1})
 		}},
 		{OnceOnly, func(r *Report) { r.Hosts[1].Commands = append(slices.Clone(r.Hosts[1].Commands), twice) }},
 		{Healthy, func(r *Report) { r.Gates[1].Counts = map[string]int{"panic": 1} }},
@@ -135,7 +135,7 @@
 		}},
 		{Served(0.9), func(r *Report) {
 			for i := range r.Clients.Reqs {
-				r.Clients.Reqs[i].Result = standin.Denied
+				r.Clients.Reqs[i].Result = emulator.Denied
 			}
 		}},
 	} {
--- a/lab/fleet/report.go
+++ b/lab/fleet/report.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/relay"
-	"ravensill/lab/standin"
 )
 
 // Report is what came of a run, gathered when all reqs had ended: counts, and the logs they are of.
@@ -19,10 +19,10 @@
 	Began, Ended int64  // of the load
 	Injected     []Injected
 	Open         int // reqs that never ended
-	Clients      standin.ClientLog
+	Clients      emulator.ClientLog
 	Hosts        []HostReport
 	Gates        []GateReport
-	Changes      []standin.Change
+	Changes      []emulator.Change
 	Gossip       relay.Counts
 	Broken       []string // what does not hold
 
@@ -38,8 +38,8 @@
 
 // HostReport is what came to one host.
 type HostReport struct {
-	standin.HostPlan
-	standin.HostLog
+	emulator.HostPlan
+	emulator.HostLog
 }
 
 // GateReport is what befell one gateway.
@@ -122,7 +122,7 @@
 }
 
 // Req finds a req by its id.
-func (r *Report) Req(id string) (q standin.Req, ok bool) {
+func (r *Report) Req(id string) (q emulator.Req, ok bool) {
 	i, ok := r.byID[id]
 	if ok {
 		q = r.Clients.Reqs[i]
@@ -131,8 +131,8 @@
 }
 
 // Results counts the reqs' outcomes.
-func (r *Report) Results() map[standin.Result]int {
-	n := map[standin.Result]int{}
+func (r *Report) Results() map[emulator.Result]int {
+	n := map[emulator.Result]int{}
 	for _, q := range r.Clients.Reqs {
 		n[q.Result]++
 	}
@@ -176,17 +176,17 @@
 		wrong = append(wrong, fmt.Sprintf("%d answers to nothing", r.Clients.Stray))
 	}
 	for _, q := range r.Clients.Reqs {
-		if q.Result == standin.Wrong {
+		if q.Result == emulator.Wrong {
 			wrong = append(wrong, q.ID+" got another's value")
 		}
-		if q.Result == standin.Passed && !r.ran(q) {
+		if q.Result == emulator.Passed && !r.ran(q) {
 			wrong = append(wrong, q.ID+" passed, but "+q.Host+" never had it")
 		}
 	}
 	return some(wrong)
 }}
 
-func (r *Report) ran(q standin.Req) bool {
+func (r *Report) ran(q emulator.Req) bool {
 	for _, h := range r.Hosts {
 		if h.ID != q.Host {
 			continue
@@ -206,7 +206,7 @@
 	var wrong []string
 	for _, q := range r.Clients.Reqs {
 		switch q.Result {
-		case standin.Refused, standin.Reset, standin.Crossing, standin.Unheard:
+		case emulator.Refused, emulator.Reset, emulator.Crossing, emulator.Unheard:
 			if !r.Gates[q.Gateway].fault(q.At, q.Ended) {
 				wrong = append(wrong, fmt.Sprintf("%s at %s: %s, sent %.1f s after the load's start", q.ID, Name(q.Gateway),
 					q.Result, float64(q.At-r.Began)/1e9))
@@ -237,7 +237,7 @@
 
 // Listed is a check: no dispatch went to a host that its gateway was never told of.
 var Listed = Check{"no dispatch to a host never listed", func(r *Report) string {
-	told := map[string][]standin.Change{}
+	told := map[string][]emulator.Change{}
 	for _, c := range r.Changes {
 		for _, e := range c.Entries {
 			told[e.ID] = append(told[e.ID], c)
@@ -249,7 +249,7 @@
 			q, ok := r.Req(c.ID)
 			if !ok {
 				wrong = append(wrong, c.ID+" was sent by no client")
-			} else if !slices.ContainsFunc(told[h.ID], func(t standin.Change) bool {
+			} else if !slices.ContainsFunc(told[h.ID], func(t emulator.Change) bool {
 				return t.At <= c.At && (t.Only == nil || slices.Contains(t.Only, q.Gateway))
 			}) {
 				wrong = append(wrong, fmt.Sprintf("%s by %s to %s", c.ID, Name(q.Gateway), h.ID))
@@ -358,7 +358,7 @@
 // slow, and so it does not judge.
 func Served(part float64) Check {
 	return Check{fmt.Sprintf("%g of the reqs passed", part), func(r *Report) string {
-		if got := float64(r.Results()[standin.Passed]) / float64(max(1, len(r.Clients.Reqs))); got < part {
+		if got := float64(r.Results()[emulator.Passed]) / float64(max(1, len(r.Clients.Reqs))); got < part {
 			if clients, hosts := r.Late(); max(clients, hosts) > busy {
 				return ""
 			}
--- a/lab/fleet/scenario.go
+++ b/lab/fleet/scenario.go
@@ -11,8 +11,8 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/relay"
-	"ravensill/lab/standin"
 	"ravensill/lab/task"
 )
 
@@ -20,7 +20,7 @@
 type Scenario struct {
 	Name  string
 	Plan  Plan
-	Loads []standin.Load
+	Loads []emulator.Load
 	Warm  time.Duration // clients send before the first step; steps' times count from its end
 	Steps []Step
 	For   time.Duration // clients send so long after Warm
@@ -52,7 +52,7 @@
 
 // Some draws n seats out of all by the seed and a name, so that a run injects the same again.
 func (f *Fleet) Some(n int, name string) []int {
-	seed := uint64(standin.Uniform(name) * (1 << 53))
+	seed := uint64(emulator.Uniform(name) * (1 << 53))
 	some := rand.New(rand.NewPCG(f.Plan.Seed, seed)).Perm(f.Plan.Gateways)[:n]
 	slices.Sort(some)
 	return some
@@ -139,7 +139,7 @@
 // state.
 func Tell(at time.Duration, gateways []int, state string, hosts ...int) Step {
 	return Step{at, fmt.Sprintf("tell %d hosts %s", len(hosts), state), func(ctx context.Context, f *Fleet) error {
-		var entries []standin.Entry
+		var entries []emulator.Entry
 		for _, h := range hosts {
 			entries = append(entries, f.hosts[h].Entry(state))
 		}
@@ -149,7 +149,7 @@
 }
 
 // Agents is a step that changes how the agents of some gateways behave; nil stands for all.
-func Agents(at time.Duration, gateways []int, what string, set func(*standin.Mode)) Step {
+func Agents(at time.Duration, gateways []int, what string, set func(*emulator.Mode)) Step {
 	return Step{at, "agents: " + what, func(ctx context.Context, f *Fleet) error {
 		f.Agent.Set(gateways, set)
 		return nil
@@ -159,7 +159,7 @@
 // Join is a step that starts hosts anew, cold where their model says so, and tells all gateways of them at once.
 func Join(at time.Duration, hosts ...int) Step {
 	return Step{at, fmt.Sprintf("start %d hosts and list them", len(hosts)), func(ctx context.Context, f *Fleet) error {
-		var entries []standin.Entry
+		var entries []emulator.Entry
 		for _, h := range hosts {
 			if _, err := f.hosts[h].Start(); err != nil {
 				return err
@@ -203,7 +203,7 @@
 	}
 	r := &Report{Scenario: s, Fleet: f, before: f.usage()}
 	r.Began = task.Now()
-	var runs []*standin.Run
+	var runs []*emulator.Run
 	for _, l := range s.Loads {
 		runs = append(runs, f.Clients.Start(l))
 	}
--- a/lab/groundtruth/cases.go
+++ b/lab/groundtruth/cases.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
 	"ravensill/lab/relay"
-	"ravensill/lab/standin"
 )
 
 const second = time.Second
@@ -43,8 +43,8 @@
 	half := s.Duration / 2
 
 	loadedHost := s.newCase("a host slow only under load, each customer at one gateway")
-	loadedHost.ConfigureLoad = func(l *standin.Load) { l.Spread = 1 }
-	loadedHost.ConfigureHost = func(i int, h *standin.HostPlan) {
+	loadedHost.ConfigureLoad = func(l *emulator.Load) { l.Spread = 1 }
+	loadedHost.ConfigureHost = func(i int, h *emulator.HostPlan) {
 		if i == 1 {
 			h.Model.Knee, h.Model.Slope = 0.75, 2
 		}
--- a/lab/groundtruth/cost.go
+++ b/lab/groundtruth/cost.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
-	"ravensill/lab/standin"
 )
 
 // Cost is the processor time that a request costs a gateway with the section counterfactual enabled and disabled.
@@ -33,7 +33,7 @@
 		enabled, disabled = 2, 1
 	}
 	plan.Alone = true
-	plan.Host = func(i int, h *standin.HostPlan) { h.Model.Most = 0 }
+	plan.Host = func(i int, h *emulator.HostPlan) { h.Model.Most = 0 }
 	section := plan.Config
 	plan.Config = func(rig *fleet.Fleet, i int, cfg map[string]any) error {
 		if err := section(rig, i, cfg); err != nil || i == disabled {
@@ -50,8 +50,8 @@
 		return Cost{}, err
 	}
 	defer rig.Close()
-	run := rig.Clients.Start(standin.Load{Seed: seed, Rate: rate, Customers: 300, Spread: 0,
-		Hot: map[int]float64{0: 0}, Classes: []standin.Class{{Name: "lookup", Wait: 3 * time.Second, Part: 1}}})
+	run := rig.Clients.Start(emulator.Load{Seed: seed, Rate: rate, Customers: 300, Spread: 0,
+		Hot: map[int]float64{0: 0}, Classes: []emulator.Class{{Name: "lookup", Wait: 3 * time.Second, Part: 1}}})
 	if err := wait(ctx, 2*time.Second); err != nil { // connections are up by then
 		return Cost{}, err
 	}
--- a/lab/groundtruth/groundtruth.go
+++ b/lab/groundtruth/groundtruth.go
@@ -14,10 +14,10 @@
 
 	"ravensill/counterfactual"
 	"ravensill/internal/observer"
+	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
 	"ravensill/lab/relay"
 	"ravensill/lab/simenv"
-	"ravensill/lab/standin"
 )
 
 const (
@@ -36,8 +36,8 @@
 	Duration         time.Duration
 	Window           time.Duration // of the observers' summaries
 	Seed             uint64
-	ConfigureLoad    func(l *standin.Load)            // may be nil
-	ConfigureHost    func(i int, h *standin.HostPlan) // may be nil
+	ConfigureLoad    func(l *emulator.Load)            // may be nil
+	ConfigureHost    func(i int, h *emulator.HostPlan) // may be nil
 	Steps            []fleet.Step
 	RefusedWith      string // the refusal that all answers must give; "": none
 }
@@ -63,7 +63,7 @@
 		if err != nil {
 			return err
 		}
-		address, err := standin.Free(121, 0)
+		address, err := emulator.Free(121, 0)
 		if err != nil {
 			return err
 		}
@@ -91,12 +91,12 @@
 }
 
 // configureHost gives a host its speed and response times.
-func (c *Case) configureHost(i int, h *standin.HostPlan) {
-	h.Speed = 0.7 + 0.9*standin.Uniform("speed", fmt.Sprint(i))
+func (c *Case) configureHost(i int, h *emulator.HostPlan) {
+	h.Speed = 0.7 + 0.9*emulator.Uniform("speed", fmt.Sprint(i))
 	if h.Zone == "b" {
 		h.Speed *= 0.7
 	}
-	h.Model = standin.Model{Base: 30 * time.Millisecond, Sigma: 0.4, Slots: 4, Knee: 0.25, Slope: 0.5}
+	h.Model = emulator.Model{Base: 30 * time.Millisecond, Sigma: 0.4, Slots: 4, Knee: 0.25, Slope: 0.5}
 	if c.ConfigureHost != nil {
 		c.ConfigureHost(i, h)
 	}
@@ -155,13 +155,13 @@
 
 // runLoad runs the clients and the case's steps, and waits for the last answers.
 func (c *Case) runLoad(ctx context.Context, f *fleet.Fleet) error {
-	load := standin.Load{
+	load := emulator.Load{
 		Seed:      c.Seed,
 		Rate:      c.RequestRate,
 		Customers: 25 * c.Gateways,
 		Skew:      0.4,
 		Spread:    3,
-		Classes:   []standin.Class{{Name: "lookup", Wait: clientWait, Part: 1}},
+		Classes:   []emulator.Class{{Name: "lookup", Wait: clientWait, Part: 1}},
 	}
 	if c.ConfigureLoad != nil {
 		c.ConfigureLoad(&load)
--- a/lab/groundtruth/records.go
+++ b/lab/groundtruth/records.go
@@ -9,9 +9,9 @@
 
 	"ravensill/counterfactual"
 	"ravensill/internal/observer"
+	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
 	"ravensill/lab/simenv"
-	"ravensill/lab/standin"
 )
 
 // attemptRecords holds the response times of all attempts that gateways recorded, as each rule and each host would have had them.
@@ -25,12 +25,12 @@
 // received is a command as a host received it.
 type received struct {
 	host    int
-	command standin.Command
+	command emulator.Command
 }
 
 // hostLogs is what the stand-in hosts logged.
 type hostLogs struct {
-	logs     []standin.HostLog     // by host
+	logs     []emulator.HostLog    // by host
 	commands map[string][]received // by request id
 	numbers  map[uint32]int        // host by its number in the gateways' records
 }
@@ -79,7 +79,7 @@
 // readHostLogs reads the hosts' logs and finds the hosts' numbers, which are known from requests that went to one host only.
 func readHostLogs(f *fleet.Fleet, entries []observer.Entry) *hostLogs {
 	hosts := &hostLogs{
-		logs:     make([]standin.HostLog, len(f.Hosts())),
+		logs:     make([]emulator.HostLog, len(f.Hosts())),
 		commands: map[string][]received{},
 		numbers:  map[uint32]int{},
 	}
@@ -155,7 +155,7 @@
 }
 
 // responseTimes returns the response time of an attempt at each candidate in ms: +Inf where it fails, NaN where it is not known.
-func responseTimes(f *fleet.Fleet, hosts *hostLogs, entry *observer.Entry, command standin.Command, overhead float64) []float64 {
+func responseTimes(f *fleet.Fleet, hosts *hostLogs, entry *observer.Entry, command emulator.Command, overhead float64) []float64 {
 	times := make([]float64, len(entry.Candidates))
 	for k, candidate := range entry.Candidates {
 		times[k] = math.NaN()
--- a/lab/pools/pools.go
+++ b/lab/pools/pools.go
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
 	"ravensill/lab/relay"
-	"ravensill/lab/standin"
 	"ravensill/lab/task"
 )
 
@@ -60,8 +60,8 @@
 func (z Size) Plan() (*Rig, fleet.Plan) {
 	r := &Rig{Size: z, streams: map[int][]string{}}
 	p := fleet.Plan{Gateways: z.Gateways, Hosts: 1, Seed: z.Seed}
-	p.Host = func(i int, h *standin.HostPlan) {
-		h.Model = standin.Model{Base: z.Service, Sigma: 0.2, Slots: 1 << 20}
+	p.Host = func(i int, h *emulator.HostPlan) {
+		h.Model = emulator.Model{Base: z.Service, Sigma: 0.2, Slots: 1 << 20}
 		h.Conns, h.Refuse = z.Capacity, "-BUSY\r\n"
 	}
 	p.Settings = func(s map[string]any) {
@@ -76,7 +76,7 @@
 			return err
 		}
 		for k := range z.Voters {
-			at, err := standin.Free(120, k)
+			at, err := emulator.Free(120, k)
 			if err != nil {
 				return err
 			}
@@ -122,13 +122,13 @@
 }
 
 // Load gives the clients' traffic.
-func (z Size) Load() standin.Load {
+func (z Size) Load() emulator.Load {
 	hot := map[int]float64{}
 	for i := range z.Hot {
 		hot[z.Gateways-1-i] = z.Times
 	}
-	return standin.Load{Seed: z.Seed, Rate: z.Rate, Customers: 40 * z.Gateways, Plan: "team", Hot: hot, Body: "x",
-		Classes: []standin.Class{{Name: "lookup", Wait: z.Longest(), Part: 0.6},
+	return emulator.Load{Seed: z.Seed, Rate: z.Rate, Customers: 40 * z.Gateways, Plan: "team", Hot: hot, Body: "x",
+		Classes: []emulator.Class{{Name: "lookup", Wait: z.Longest(), Part: 0.6},
 			{Name: "order", Post: true, Keyed: true, Wait: z.Longest(), Part: 0.2},
 			{Name: "pay", Post: true, Wait: z.Longest(), Part: 0.2}}}
 }
@@ -200,13 +200,13 @@
 			continue
 		}
 		switch q.Result {
-		case standin.Passed:
+		case emulator.Passed:
 			g.Passed++
 			got[q.Gateway]++
 			times = append(times, q.Ended-q.At)
 			waits = append(waits, q.Ended-q.At)
 			continue
-		case standin.Denied:
+		case emulator.Denied:
 			g.Denied++
 			denied = append(denied, q.Ended-q.At)
 		default:
--- a/lab/pools/pools_test.go
+++ b/lab/pools/pools_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
-	"ravensill/lab/standin"
 )
 
 var full = os.Getenv("FULL_SIZE") == "1"
@@ -26,7 +26,7 @@
 func play(t *testing.T, name string, z Size, long, from time.Duration, holds []fleet.Check, steps func(*Rig) []fleet.Step) (g Figures, r *fleet.Report) {
 	t.Helper()
 	rig, plan := z.Plan()
-	s := fleet.Scenario{Name: name, Plan: plan, Loads: []standin.Load{z.Load()}, For: long, Holds: holds}
+	s := fleet.Scenario{Name: name, Plan: plan, Loads: []emulator.Load{z.Load()}, For: long, Holds: holds}
 	if steps != nil {
 		s.Steps = steps(rig)
 	}
@@ -145,11 +145,11 @@
 	}}}, fleet.Usual...)
 	rig, plan := z.Plan()
 	usual := plan.Host
-	plan.Host = func(i int, h *standin.HostPlan) {
+	plan.Host = func(i int, h *emulator.HostPlan) {
 		usual(i, h)
 		h.Conns *= 2 // counts, and refuses nobody
 	}
-	s := fleet.Scenario{Name: "stuck", Plan: plan, Loads: []standin.Load{z.Load()}, For: 16 * time.Second, Holds: holds, Steps: rig.Stuck(5 * time.Second)}
+	s := fleet.Scenario{Name: "stuck", Plan: plan, Loads: []emulator.Load{z.Load()}, For: 16 * time.Second, Holds: holds, Steps: rig.Stuck(5 * time.Second)}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
 	r, err := s.Play(ctx)
--- a/lab/rollout/baseline.go
+++ b/lab/rollout/baseline.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
-	"ravensill/lab/standin"
 )
 
 // Baseline is what a fleet does without this: each change goes into the gateways' files, and every process is restarted by
@@ -33,7 +33,7 @@
 	scenario := fleet.Scenario{
 		Name:  "restart on each change",
 		Plan:  fleet.Plan{Gateways: b.Size.Gateways, Hosts: b.Size.Hosts, Seed: b.Size.Seed},
-		Loads: []standin.Load{b.Size.load()},
+		Loads: []emulator.Load{b.Size.load()},
 		Holds: fleet.Usual,
 	}
 	for i := range b.Changes {
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	counts := report.Results()
-	result.Lost = counts[standin.Refused] + counts[standin.Reset] + counts[standin.Unheard] + counts[standin.Crossing]
+	result.Lost = counts[emulator.Refused] + counts[emulator.Reset] + counts[emulator.Unheard] + counts[emulator.Crossing]
 	result.Requests = report.Summary()
 	result.Broken = report.Broken
 	return result, nil
--- a/lab/rollout/effects.go
+++ b/lab/rollout/effects.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"ravensill/configsync"
+	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
-	"ravensill/lab/standin"
 )
 
 const (
@@ -26,7 +26,7 @@
 			continue
 		}
 		sent++
-		if request.Result == standin.Passed {
+		if request.Result == emulator.Passed {
 			passed++
 		}
 	}
@@ -37,9 +37,9 @@
 }}
 
 // probe sends one request of a customer on a quota plan to one gateway, as a client of its own.
-func (r *Run) probe(member int, plan, customer string) standin.Req {
+func (r *Run) probe(member int, plan, customer string) emulator.Req {
 	number := r.probes.Add(1)
-	request := standin.Req{ID: probePrefix + fmt.Sprintf("%012x", number), Customer: customer, Class: "lookup", Gateway: member}
+	request := emulator.Req{ID: probePrefix + fmt.Sprintf("%012x", number), Customer: customer, Class: "lookup", Gateway: member}
 	list := fmt.Sprintf("c=lookup,t=%s,d=%d,units=1,spread=1,first=%d", plan, probeWait.Milliseconds(), member)
 	return r.Fleet.Clients.Send(request, list, "", false, probeWait)
 }
@@ -56,10 +56,10 @@
 func (r *Run) wantServed(ctx context.Context, member int, plan string) error {
 	for {
 		answer := r.probe(member, plan, customerOf(member, plan))
-		if answer.Result == standin.Passed {
+		if answer.Result == emulator.Passed {
 			return nil
 		}
-		if answer.Result != standin.Denied {
+		if answer.Result != emulator.Denied {
 			return fmt.Errorf("%s: a request on plan %q: %s %s", fleet.Name(member), plan, answer.Result, answer.Text)
 		}
 		select {
@@ -73,7 +73,7 @@
 // wantRemoved tells of a probe that was not answered by the error that says that its plan was removed.
 func (r *Run) wantRemoved(member int, plan string) error {
 	answer := r.probe(member, plan, customerOf(member, plan))
-	if answer.Result != standin.Aborted || answer.Text != removedError {
+	if answer.Result != emulator.Aborted || answer.Text != removedError {
 		return fmt.Errorf("%s: a request on the removed plan %q: %s %q", fleet.Name(member), plan, answer.Result, answer.Text)
 	}
 	return nil
@@ -84,9 +84,9 @@
 	for range requests {
 		answer := r.probe(member, plan, customerOf(member, plan))
 		switch answer.Result {
-		case standin.Passed:
+		case emulator.Passed:
 			count++
-		case standin.Denied:
+		case emulator.Denied:
 		default:
 			return count, fmt.Errorf("%s: a request on plan %q: %s %s", fleet.Name(member), plan, answer.Result, answer.Text)
 		}
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -15,9 +15,9 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
 	"ravensill/lab/relay"
-	"ravensill/lab/standin"
 )
 
 const (
@@ -121,7 +121,7 @@
 	for i := range all {
 		first := (number*publisherRoom + i) * each
 		for k, into := range []*netip.AddrPort{&all[i].followers, &all[i].raft, &all[i].admin} {
-			address, err := standin.Free(addressNet, first+k)
+			address, err := emulator.Free(addressNet, first+k)
 			if err != nil {
 				return nil, err
 			}
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"ravensill/internal/subscriber"
+	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
 	"ravensill/lab/relay"
-	"ravensill/lab/standin"
 )
 
 const (
@@ -87,7 +87,7 @@
 	scenario := fleet.Scenario{
 		Name:  s.Name,
 		Plan:  run.plan(ctx),
-		Loads: []standin.Load{s.Size.load()},
+		Loads: []emulator.Load{s.Size.load()},
 		Steps: run.steps(),
 		Holds: append([]fleet.Check{{Name: "record", Look: run.gather(ctx)}, loadServed}, fleet.Usual...),
 	}
@@ -140,16 +140,16 @@
 }
 
 // load gives the clients' traffic, of all three kinds of requests. It runs until the last step is done.
-func (z *Size) load() standin.Load {
+func (z *Size) load() emulator.Load {
 	const patience = 8 * time.Second
-	return standin.Load{
+	return emulator.Load{
 		Seed:      z.Seed,
 		Rate:      z.Rate,
 		Customers: 20 * z.Gateways,
 		Skew:      0.5,
 		Spread:    max(2, z.Gateways/3), // the front has another gateway to go to where one is down
 		Body:      "body",
-		Classes: []standin.Class{
+		Classes: []emulator.Class{
 			{Name: "lookup", Wait: patience, Part: 0.6},
 			{Name: "order", Post: true, Keyed: true, Wait: patience, Part: 0.2},
 			{Name: "pay", Post: true, Wait: patience, Part: 0.2},
--- a/lab/scale/compare.go
+++ b/lab/scale/compare.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
-	"ravensill/lab/standin"
 )
 
 // Comparison says how real and hollow gateways are compared: in one fleet, at the same time, each gateway with the same
@@ -220,8 +220,8 @@
 }
 
 // load has clients send the same to each gateway: real clients of the rig to real ones, simulated ones to hollow ones.
-func (m *mixed) load() (*standin.Run, error) {
-	load := standin.Load{Seed: m.Seed, Rate: m.Rate * float64(m.Gateways[Real]), Customers: m.Customers, Plan: "team", Hot: map[int]float64{}}
+func (m *mixed) load() (*emulator.Run, error) {
+	load := emulator.Load{Seed: m.Seed, Rate: m.Rate * float64(m.Gateways[Real]), Customers: m.Customers, Plan: "team", Hot: map[int]float64{}}
 	for i, kind := range m.kind {
 		if kind != Real {
 			load.Hot[i] = 0
@@ -319,7 +319,7 @@
 	log := m.fleet.Clients.Log()
 	var times []int64
 	for _, request := range log.Reqs {
-		if host, ran := atHost[request.ID]; ran && request.Result == standin.Passed {
+		if host, ran := atHost[request.ID]; ran && request.Result == emulator.Passed {
 			times = append(times, request.Ended-request.At-host)
 		}
 	}
--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -11,7 +11,7 @@
 	"ravensill/internal/discovery"
 	"ravensill/internal/peers"
 	"ravensill/internal/sockets"
-	"ravensill/lab/standin"
+	"ravensill/lab/emulator"
 )
 
 // workWaiting are pieces of work that wait for a served gateway's loop, as in package node.
@@ -153,9 +153,9 @@
 func (s *Served) request() {
 	s.requests++
 	seats := s.hollow.configuration.Membership.Count
-	// A customer's name and first gateway are those that lab/standin gives it.
+	// A customer's name and first gateway are those that lab/emulator gives it.
 	name := fmt.Sprintf("%08x%08x", s.load.Seed&1, s.random.IntN(s.load.Customers)+1)
-	first := int(standin.Uniform("first", name, strconv.FormatUint(s.load.Seed, 16)) * float64(seats))
+	first := int(emulator.Uniform("first", name, strconv.FormatUint(s.load.Seed, 16)) * float64(seats))
 	s.hollow.Request(Request{ID: fmt.Sprintf("%08x%08x", s.Index(), s.requests), Customer: name,
 		Class: s.load.Class, Plan: s.load.Plan, Deadline: s.now() + int64(clientTimeout),
 		Spread: s.load.Spread, First: first})
--- a/lab/startcost/startcost.go
+++ b/lab/startcost/startcost.go
@@ -17,7 +17,7 @@
 
 	"github.com/prometheus/procfs"
 
-	"ravensill/lab/standin"
+	"ravensill/lab/emulator"
 )
 
 // Axis is what a configuration has many of, all else being small.
@@ -64,7 +64,7 @@
 	defer os.RemoveAll(folder)
 	discovery := "127.0.0.1:1" // nobody listens there
 	if size.Axis == Delivered {
-		agent, err := standin.NewAgent(agents, 1, entries(size.Count)...)
+		agent, err := emulator.NewAgent(agents, 1, entries(size.Count)...)
 		if err != nil {
 			return cost, err
 		}
@@ -246,9 +246,9 @@
 	return plans
 }
 
-func entries(count int) (hosts []standin.Entry) {
+func entries(count int) (hosts []emulator.Entry) {
 	for i := range count {
-		hosts = append(hosts, standin.Entry{
+		hosts = append(hosts, emulator.Entry{
 			ID:     fmt.Sprintf("s-%05d", i),
 			Addr:   fmt.Sprintf("10.%d.%d.%d:6380", i>>16, i>>8&255, i&255),
 			Zone:   "a",
