--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"ravensill/lab/task"
+	"ravensill/lab/actor"
 )
 
 const keepAliveInterval = 2 * time.Second // between the empty lines that keep a watch alive
@@ -50,7 +50,7 @@
 // Agent stands in for the discovery agents: one server that is a different agent for each gateway, distinguished by the address in
 // 127.0.0.0/8 that the gateway calls.
 type Agent struct {
-	*task.Task
+	*actor.Actor
 	server    *http.Server
 	port      uint16
 	network   byte
@@ -122,8 +122,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
-	agent := &Agent{Task: task.New(), network: network, port: netip.MustParseAddrPort(listener.Addr().String()).Port(),
-		changes: []Change{{}, {At: task.Now(), Entries: entries}}, calls: map[int]int{}}
+	agent := &Agent{Actor: actor.New(), network: network, port: netip.MustParseAddrPort(listener.Addr().String()).Port(),
+		changes: []Change{{}, {At: actor.Now(), Entries: entries}}, calls: map[int]int{}}
 	for i := range gateways {
 		agent.views = append(agent.views, &agentView{gateway: i, version: 1, watches: map[*watcher]bool{}})
 	}
@@ -141,7 +141,7 @@
 // Close ends the agents.
 func (a *Agent) Close() {
 	a.server.Close()
-	a.Task.Stop()
+	a.Actor.Stop()
 }
 
 // sendKeepAlives sends an empty line on each watch, again and again.
@@ -184,7 +184,7 @@
 func (a *Agent) PushTo(gateways []int, entries ...Entry) (version int) {
 	a.Ask(func() {
 		version = len(a.changes)
-		a.changes = append(a.changes, Change{task.Now(), entries, gateways})
+		a.changes = append(a.changes, Change{actor.Now(), entries, gateways})
 		for _, view := range a.views {
 			if view.mode.Delay > 0 {
 				a.After(view.mode.Delay, func() { a.receive(view, version) })
@@ -220,7 +220,7 @@
 		watch.truncated = true
 		list = list[:int(float64(len(list))*min(view.mode.Part, 1))]
 	} else {
-		a.delivered = append(a.delivered, Told{view.gateway, view.version, task.Now()})
+		a.delivered = append(a.delivered, Told{view.gateway, view.version, actor.Now()})
 	}
 	watch.send(list)
 	if watch.truncated {
@@ -342,7 +342,7 @@
 			a.deliver(view, w)
 		} else {
 			chunk, _ := a.encodeList(view, 0)
-			if a.delivered = append(a.delivered, Told{gateway, view.version, task.Now()}); mode.Part > 0 {
+			if a.delivered = append(a.delivered, Told{gateway, view.version, actor.Now()}); mode.Part > 0 {
 				chunk = chunk[:int(float64(len(chunk))*min(mode.Part, 1))]
 			}
 			w.send(chunk)
--- a/lab/emulator/clients.go
+++ b/lab/emulator/clients.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"ravensill/lab/task"
+	"ravensill/lab/actor"
 )
 
 // Result is how a request ended for its client.
@@ -26,7 +26,7 @@
 	Crossing Result = "crossing" // sent again on a new connection, since a close crossed it, and lost there too
 )
 
-// Req is one request and its one outcome. Times are in nanoseconds of task.Now.
+// Req is one request and its one outcome. Times are in nanoseconds of actor.Now.
 type Req struct {
 	ID       string
 	Customer string
@@ -58,7 +58,7 @@
 
 // Clients are all clients: a task with their connections to each gateway.
 type Clients struct {
-	*task.Task
+	*actor.Actor
 	grace           time.Duration // beyond a request's timeout, until it counts as unheard
 	addrs           []string      // by gateway; "": the load balancer does not use it
 	outOfUse        map[int]bool  // by gateway
@@ -74,7 +74,7 @@
 // NewClients starts clients of gateways at these addresses. They send nothing yet.
 func NewClients(addrs []string) *Clients {
 	return &Clients{
-		Task:            task.New(),
+		Actor:           actor.New(),
 		grace:           20 * time.Second,
 		addrs:           slices.Clone(addrs),
 		outOfUse:        map[int]bool{},
@@ -113,7 +113,7 @@
 	c.Ask(func() {
 		for _, gateway := range gateways {
 			if on {
-				c.restartingSince[gateway] = task.Now()
+				c.restartingSince[gateway] = actor.Now()
 			} else {
 				delete(c.restartingSince, gateway)
 			}
@@ -133,7 +133,7 @@
 	if c.outOfUse[gateway] {
 		return true
 	}
-	return c.restartingLongerThan(gateway, task.Now(), newConnsAfterStop) && len(c.idle[gateway]) == 0
+	return c.restartingLongerThan(gateway, actor.Now(), newConnsAfterStop) && len(c.idle[gateway]) == 0
 }
 
 // Send sends a single request and returns it once it has ended.
@@ -155,7 +155,7 @@
 
 // begin logs a request and sends it.
 func (c *Clients) begin(request *pending) {
-	request.Req.At = task.Now()
+	request.Req.At = actor.Now()
 	request.index = len(c.log.Reqs)
 	c.log.Reqs = append(c.log.Reqs, request.Req)
 	c.inFlight++
@@ -175,7 +175,7 @@
 	addr := c.addrs[gateway]
 	go func() {
 		conn, err := net.DialTimeout("tcp4", addr, request.timeout)
-		dialed := task.Now()
+		dialed := actor.Now()
 		c.Do(func() { c.dialed(request, gateway, conn, err, dialed) })
 	}()
 }
@@ -234,7 +234,7 @@
 		c.log.Stray++ // would be a second outcome
 		return
 	}
-	entry.Ended = task.Now()
+	entry.Ended = actor.Now()
 	entry.Result = result
 	entry.Host = request.Host
 	entry.After = request.After
@@ -291,5 +291,5 @@
 			conn.close()
 		}
 	})
-	c.Task.Stop()
+	c.Actor.Stop()
 }
--- a/lab/emulator/counter.go
+++ b/lab/emulator/counter.go
@@ -8,12 +8,12 @@
 
 	"github.com/tidwall/redcon"
 
-	"ravensill/lab/task"
+	"ravensill/lab/actor"
 )
 
 // Counter stands in for the shared counter: named numbers, with INCRBYFLOAT and PEXPIRE NX as in Redis.
 type Counter struct {
-	*task.Task
+	*actor.Actor
 	listener net.Listener
 	numbers  map[string]*counterEntry
 	conns    map[net.Conn]bool
@@ -24,7 +24,7 @@
 // counterEntry is one number.
 type counterEntry struct {
 	value     float64
-	expiresAt int64 // ns of task.Now; 0: never
+	expiresAt int64 // ns of actor.Now; 0: never
 }
 
 // NewCounter starts a counter on a loopback port.
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	counter := &Counter{Task: task.New(), listener: listener, numbers: map[string]*counterEntry{}, conns: map[net.Conn]bool{}}
+	counter := &Counter{Actor: actor.New(), listener: listener, numbers: map[string]*counterEntry{}, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -69,7 +69,7 @@
 func (c *Counter) Close() {
 	c.listener.Close()
 	c.Reset()
-	c.Task.Stop()
+	c.Actor.Stop()
 }
 
 // serve answers the commands of one connection.
@@ -120,7 +120,7 @@
 		if ms, _ = strconv.Atoi(string(args[2])); entry == nil || entry.expiresAt > 0 {
 			return redcon.AppendInt(nil, 0)
 		}
-		entry.expiresAt = task.Now() + int64(ms)*int64(time.Millisecond)
+		entry.expiresAt = actor.Now() + int64(ms)*int64(time.Millisecond)
 		return redcon.AppendInt(nil, 1)
 	}
 	return redcon.AppendError(nil, "ERR unknown command")
@@ -129,7 +129,7 @@
 // lookUp returns a number that has not expired; nil: there is none.
 func (c *Counter) lookUp(name string) *counterEntry {
 	entry := c.numbers[name]
-	if entry != nil && entry.expiresAt > 0 && task.Now() >= entry.expiresAt {
+	if entry != nil && entry.expiresAt > 0 && actor.Now() >= entry.expiresAt {
 		delete(c.numbers, name)
 		return nil
 	}
--- a/lab/emulator/host.go
+++ b/lab/emulator/host.go
@@ -11,7 +11,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"ravensill/lab/task"
+	"ravensill/lab/actor"
 )
 
 // HostPlan is the configuration of a stand-in host.
@@ -33,7 +33,7 @@
 // Host stands in for one host of the back end: a task with its listener, its connections and its log.
 type Host struct {
 	HostPlan
-	*task.Task
+	*actor.Actor
 	addr      string
 	listener  net.Listener
 	conns     map[*hostConn]bool
@@ -55,9 +55,9 @@
 	if p.Speed == 0 {
 		p.Speed = 1
 	}
-	h := &Host{HostPlan: p, Task: task.New(), addr: p.Listen, slowdown: 1, conns: map[*hostConn]bool{}}
+	h := &Host{HostPlan: p, Actor: actor.New(), addr: p.Listen, slowdown: 1, conns: map[*hostConn]bool{}}
 	if err := h.listen(); err != nil {
-		h.Task.Stop()
+		h.Actor.Stop()
 		return nil, err
 	}
 	return h, nil
@@ -91,7 +91,7 @@
 
 // recordStep logs a change of load or slowness.
 func (h *Host) recordStep() {
-	s := Step{At: task.Now(), Open: h.inFlight, Factor: h.slowdown / h.Speed, Conns: len(h.conns)}
+	s := Step{At: actor.Now(), Open: h.inFlight, Factor: h.slowdown / h.Speed, Conns: len(h.conns)}
 	if h.warming {
 		s.Began = h.startedAt
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	h.log.Opened++
-	h.log.Opens = append(h.log.Opens, task.Now())
+	h.log.Opens = append(h.log.Opens, actor.Now())
 	client := &hostConn{host: h, number: h.log.Opened, conn: conn, replies: make(chan []byte, 256)}
 	h.conns[client] = true
 	h.log.Peak = max(h.log.Peak, len(h.conns))
@@ -240,7 +240,7 @@
 func (h *Host) Start() (startedMS int64, err error) {
 	h.Ask(func() {
 		h.kill()
-		h.startedAt, h.warming = task.Now(), h.Model.Cold > 1
+		h.startedAt, h.warming = actor.Now(), h.Model.Cold > 1
 		startedMS, err = h.startedAt/1e6, h.listen()
 	})
 	return startedMS, err
@@ -249,7 +249,7 @@
 // Close ends the host for good.
 func (h *Host) Close() {
 	h.Kill()
-	h.Task.Stop()
+	h.Actor.Stop()
 }
 
 // Log returns a copy of the log so far.
--- a/lab/emulator/hostconn.go
+++ b/lab/emulator/hostconn.go
@@ -7,7 +7,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"ravensill/lab/task"
+	"ravensill/lab/actor"
 )
 
 // hostConn is one connection of a gateway.
@@ -86,7 +86,7 @@
 		c.sendReply([]byte("-SYNTAX\r\n"))
 		return
 	}
-	c.Command = Command{At: task.Now(), ID: args[2], Customer: args[1], Class: Value(args[3], "c"), Connection: c.conn.number,
+	c.Command = Command{At: actor.Now(), ID: args[2], Customer: args[1], Class: Value(args[3], "c"), Connection: c.conn.number,
 		Load: float64(h.inFlight)}
 	factor := h.slowdown / h.Speed
 	if h.warming {
@@ -140,7 +140,7 @@
 	if c.index >= 0 && c.Outcome == "" {
 		c.Outcome = outcome
 		entry := &h.log.Commands[c.index]
-		entry.Outcome, entry.Ended = outcome, task.Now()
+		entry.Outcome, entry.Ended = outcome, actor.Now()
 		if outcome != "busy" {
 			h.inFlight--
 			h.recordStep()
--- a/lab/emulator/load.go
+++ b/lab/emulator/load.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"ravensill/lab/task"
+	"ravensill/lab/actor"
 )
 
 // Class is a request class as clients use it.
@@ -57,7 +57,7 @@
 	if len(load.Classes) == 0 {
 		load.Classes = []Class{{Name: "lookup", Wait: 3 * time.Second, Part: 1}}
 	}
-	run := &Run{clients: c, load: load, random: rand.New(rand.NewPCG(load.Seed, 0x636c69656e7473)), began: task.Now()}
+	run := &Run{clients: c, load: load, random: rand.New(rand.NewPCG(load.Seed, 0x636c69656e7473)), began: actor.Now()}
 	total := 0.0
 	for i := range max(load.Customers, 1) {
 		total += 1 / math.Pow(float64(i+1), load.Skew)
@@ -87,7 +87,7 @@
 	if r.stopped {
 		return
 	}
-	now := float64(task.Now()-r.began) / 1e9
+	now := float64(actor.Now()-r.began) / 1e9
 	for r.nextArrival <= now {
 		if r.nextArrival > 0 {
 			r.clients.log.Late = max(r.clients.log.Late, time.Duration((now-r.nextArrival)*1e9))
--- a/lab/emulator/model.go
+++ b/lab/emulator/model.go
@@ -1,5 +1,5 @@
 // Package emulator provides the rig's stand-ins for what a gateway speaks to: hosts, the discovery agent, the shared counter and
-// clients. Each is a task that owns its sockets and state and is controlled by messages. Their protocols are those of the
+// clients. Each is an actor that owns its sockets and state and is controlled by messages. Their protocols are those of the
 // operators' page on the wire; all random draws follow from a seed or from a request's id.
 package emulator
 
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -13,9 +13,9 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"ravensill/lab/actor"
 	"ravensill/lab/emulator"
 	"ravensill/lab/relay"
-	"ravensill/lab/task"
 )
 
 const (
@@ -143,7 +143,7 @@
 		}
 	}
 	for i := range p.Gateways {
-		g := &Gateway{Task: task.New(), Index: i, Name: Name(i), Dir: filepath.Join(f.Dir, Name(i), "disk"),
+		g := &Gateway{Actor: actor.New(), Index: i, Name: Name(i), Dir: filepath.Join(f.Dir, Name(i), "disk"),
 			file: filepath.Join(f.Dir, Name(i), "config.json"), binary: p.Binary, variable: "GW_CONFIG", ready: "serving", env: p.Env, counts: map[string]int{},
 			serves: f.serves, dies: f.dies}
 		f.gates = append(f.gates, g)
@@ -238,7 +238,7 @@
 			if g.Running() {
 				g.Kill()
 			}
-			g.Task.Stop()
+			g.Actor.Stop()
 			return nil
 		})
 	}
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -19,7 +19,7 @@
 
 	"github.com/prometheus/procfs"
 
-	"ravensill/lab/task"
+	"ravensill/lab/actor"
 )
 
 const keptLines = 4000 // of a process's log, over its lives
@@ -67,7 +67,7 @@
 
 // Gateway is one process in its lives: a task that owns its log and its present life.
 type Gateway struct {
-	*task.Task
+	*actor.Actor
 	Index    int
 	Name     string
 	Dir      string         // a folder of its own for what it keeps on disk; the configuration file is beside it
@@ -111,7 +111,7 @@
 // NewProcess makes a process that is not yet launched. The caller kills it and stops its task.
 func NewProcess(p ProcessPlan) *Process {
 	return &Process{
-		Task:     task.New(),
+		Actor:    actor.New(),
 		Index:    p.Index,
 		Name:     p.Name,
 		Dir:      p.Dir,
@@ -136,7 +136,7 @@
 }
 
 func (g *Gateway) moment(what string) {
-	g.past = append(g.past, Moment{At: task.Now(), What: what, Life: g.lives})
+	g.past = append(g.past, Moment{At: actor.Now(), What: what, Life: g.lives})
 }
 
 // Past gives all that befell the process, in order.
@@ -244,7 +244,7 @@
 		event, _, _ := strings.Cut(rest, " ")
 		g.counts[event]++
 		if event == "host" {
-			g.past = append(g.past, Moment{task.Now(), "told", g.lives, field(line, "id"), field(line, "state")})
+			g.past = append(g.past, Moment{actor.Now(), "told", g.lives, field(line, "id"), field(line, "state")})
 		}
 		if event == g.ready {
 			g.moment("serving")
--- a/lab/fleet/scenario.go
+++ b/lab/fleet/scenario.go
@@ -11,9 +11,9 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"ravensill/lab/actor"
 	"ravensill/lab/emulator"
 	"ravensill/lab/relay"
-	"ravensill/lab/task"
 )
 
 // Scenario is one run as data: what runs, what clients send, what is injected when, and what must hold at the end.
@@ -202,14 +202,14 @@
 		return nil, err
 	}
 	r := &Report{Scenario: s, Fleet: f, before: f.usage()}
-	r.Began = task.Now()
+	r.Began = actor.Now()
 	var runs []*emulator.Run
 	for _, l := range s.Loads {
 		runs = append(runs, f.Clients.Start(l))
 	}
 	wait := func(until time.Duration) error {
 		select {
-		case <-time.After(time.Duration(r.Began + int64(until) - task.Now())):
+		case <-time.After(time.Duration(r.Began + int64(until) - actor.Now())):
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
@@ -221,7 +221,7 @@
 		if err := wait(s.Warm + step.At); err != nil {
 			return nil, err
 		}
-		r.Injected = append(r.Injected, Injected{task.Now(), step.What})
+		r.Injected = append(r.Injected, Injected{actor.Now(), step.What})
 		if err := step.Do(ctx, f); err != nil {
 			return nil, fmt.Errorf("%s: step %q: %w", s.Name, step.What, err)
 		}
@@ -235,7 +235,7 @@
 	for _, run := range runs {
 		run.Stop()
 	}
-	r.Ended = task.Now()
+	r.Ended = actor.Now()
 	r.Open = f.Clients.Wait(time.Minute)
 	r.gather()
 	for _, c := range s.Holds {
--- a/lab/pools/pools.go
+++ b/lab/pools/pools.go
@@ -12,10 +12,10 @@
 	"strings"
 	"time"
 
+	"ravensill/lab/actor"
 	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
 	"ravensill/lab/relay"
-	"ravensill/lab/task"
 )
 
 // Size says how large a run is.
@@ -236,7 +236,7 @@
 	g.Jain = sum * sum / (n * max(squares, 1))
 	if rig.net != nil && !z.Off {
 		_, each := rig.net.Counts()
-		long := time.Duration(task.Now()-r.Began).Seconds() + r.Fleet.Took.Seconds()
+		long := time.Duration(actor.Now()-r.Began).Seconds() + r.Fleet.Took.Seconds()
 		for i, c := range each {
 			if rate := float64(c.Sent) / long; i < z.Gateways {
 				g.EachTold = math.Max(g.EachTold, rate)
--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"ravensill/lab/task"
+	"ravensill/lab/actor"
 )
 
 // Way is what happens between two ends. Ways of several rules add up.
@@ -42,7 +42,7 @@
 
 // Relay is one task that owns the rules; each net of datagrams and each stream asks it.
 type Relay struct {
-	*task.Task
+	*actor.Actor
 	seed    uint64
 	rules   map[string][]Rule
 	ways    map[[2]string]Way
@@ -58,7 +58,7 @@
 
 // New starts one without faults.
 func New(seed uint64) *Relay {
-	return &Relay{Task: task.New(), seed: seed, rules: map[string][]Rule{}, ways: map[[2]string]Way{}}
+	return &Relay{Actor: actor.New(), seed: seed, rules: map[string][]Rule{}, ways: map[[2]string]Way{}}
 }
 
 // Set puts rules in force under a name, in place of those it had; none takes them away.
@@ -117,7 +117,7 @@
 			s.close()
 		}
 	})
-	r.Task.Stop()
+	r.Actor.Stop()
 }
 
 // chance is the generator of the k-th datagram of a pair.
--- a/lab/relay/stream.go
+++ b/lab/relay/stream.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"ravensill/lab/task"
+	"ravensill/lab/actor"
 )
 
 const piece = 32 << 10 // bytes carried at once
@@ -149,7 +149,7 @@
 	case d := <-w.pass:
 		return d, true
 	case <-p.over:
-	case <-p.stream.relay.Over():
+	case <-p.stream.relay.Stopped():
 	}
 	return 0, false
 }
@@ -181,7 +181,7 @@
 			n, err := src.Read(buf)
 			if n > 0 {
 				select {
-				case pieces <- bytesAt{task.Now(), buf[:n]}:
+				case pieces <- bytesAt{actor.Now(), buf[:n]}:
 				case <-p.over:
 					return
 				}
@@ -196,7 +196,7 @@
 	}()
 	for b := range pieces {
 		wait, ok := p.ask(from, to)
-		if !ok || !p.sleep(time.Duration(b.at+int64(wait)-task.Now())) {
+		if !ok || !p.sleep(time.Duration(b.at+int64(wait)-actor.Now())) {
 			return
 		}
 		if _, err := dst.Write(b.body); err != nil {
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -220,7 +220,7 @@
 		if process.Running() {
 			process.Kill()
 		}
-		process.Task.Stop()
+		process.Actor.Stop()
 		return nil
 	})
 }
