--- a/lab/standing/standing.go
+++ b/lab/acceptance/acceptance.go
@@ -1,7 +1,7 @@
-// Package standing reads the journal of the mass standing test and tells how near each day came to its gates: what
+// Package acceptance reads the journal of the mass standing test and tells how near each day came to its gates: what
 // was served over what the gate wants, for the day, its classes and its plans, the price of sends beyond quotas beside the
 // late-seeing policy's, and the short days over a whole set. Thirds of days are in no journal. It decides nothing.
-package standing
+package acceptance
 
 import (
 	"encoding/json"
--- a/lab/standing/standing_test.go
+++ b/lab/acceptance/acceptance_test.go
@@ -1,4 +1,4 @@
-package standing
+package acceptance
 
 import (
 	"maps"
