--- a/lab/coldsim/coldsim.go
+++ b/lab/slowstartsim/slowstartsim.go
@@ -1,8 +1,8 @@
-// Package coldsim plays a fleet of gateways of package logic against hosts that start cold, and counts what all
+// Package slowstartsim plays a fleet of gateways of package logic against hosts that start cold, and counts what all
 // gateways together send each of them: the rule on cold hosts holds for the sum, and no gateway sees that. Hosts
 // answer after a fixed time and never fall, so that a break is counted rather than acted out. Every dispatch that a
 // host gets counts, repeats too. It does no I/O, and the same Config gives the same Report.
-package coldsim
+package slowstartsim
 
 import (
 	"bytes"
--- a/lab/coldsim/coldsim_test.go
+++ b/lab/slowstartsim/slowstartsim_test.go
@@ -1,4 +1,4 @@
-package coldsim
+package slowstartsim
 
 import (
 	"fmt"
