--- a/lab/spreadsim/rules.go
+++ b/lab/subsetsim/rules.go
@@ -1,7 +1,7 @@
-// Package spreadsim measures how evenly a fleet of gateways uses its hosts: what rules of subsetting give by
+// Package subsetsim measures how evenly a fleet of gateways uses its hosts: what rules of subsetting give by
 // computing alone (this file, table.go), and what gateways of package logic send in a simulated day (day.go).
 // It does no I/O, and the same seed gives the same figures.
-package spreadsim
+package subsetsim
 
 import (
 	"cmp"
--- a/lab/spreadsim/spreadsim_test.go
+++ b/lab/subsetsim/subsetsim_test.go
@@ -1,4 +1,4 @@
-package spreadsim
+package subsetsim
 
 import (
 	"fmt"
