--- a/lab/poolsim/poolsim.go
+++ b/lab/leasesim/leasesim.go
@@ -1,8 +1,8 @@
-// Package poolsim simulates package pool, the quota of connections, in simulated time: gateways with clocks that run
+// Package leasesim simulates package pool, the quota of connections, in simulated time: gateways with clocks that run
 // apart, a network that loses, doubles, delays and reorders, an agreed ledger whose leader changes and whose deposed
 // leaders go on, processes that die, freeze and start anew, and a store that counts. It stands in for the agreement
 // (a library's in the program) by its promise alone: one order of batches, none from a leader after its successor's election.
-package poolsim
+package leasesim
 
 import (
 	"container/heap"
--- a/lab/poolsim/poolsim_test.go
+++ b/lab/leasesim/leasesim_test.go
@@ -1,4 +1,4 @@
-package poolsim
+package leasesim
 
 import (
 	"math"
