--- a/lab/subsetsim/day.go
+++ b/lab/subsetsim/day.go
@@ -9,7 +9,7 @@
 	"ravensill/gateway"
 	"ravensill/lab/schedule"
 	"ravensill/logic"
-	"ravensill/spread"
+	"ravensill/subset"
 )
 
 // Step is one thing that happens in a day, From after its start. The Kind says what the other fields mean.
@@ -47,7 +47,7 @@
 	Work            time.Duration // mean of a req's exponential time
 	Length          time.Duration
 	Steps           []Step
-	Rule            func(seat, seats int, hosts []spread.Endpoint) []int // nil: the module's own
+	Rule            func(seat, seats int, hosts []subset.Endpoint) []int // nil: the module's own
 }
 
 const (
@@ -56,7 +56,7 @@
 	cold   = 0.3
 )
 
-// Landed is the rule that the module had before package spread.
+// Landed is the rule that the module had before package subset.
 var Landed = rendezvous
 
 type world struct {
@@ -201,12 +201,12 @@
 	if g.w.day.Rule == nil {
 		return
 	}
-	var hosts []spread.Endpoint
+	var hosts []subset.Endpoint
 	var ids []uint32
 	held := map[uint32]bool{}
 	for _, h := range g.w.hosts {
 		if g.knows[h.id] {
-			hosts, ids = append(hosts, spread.Endpoint{Hash: mix(uint64(h.id) + 1), Weight: h.weight}), append(ids, h.id)
+			hosts, ids = append(hosts, subset.Endpoint{Hash: mix(uint64(h.id) + 1), Weight: h.weight}), append(ids, h.id)
 		}
 	}
 	for _, i := range g.w.day.Rule(g.i, g.w.day.Gateways, hosts) {
--- a/lab/subsetsim/rules.go
+++ b/lab/subsetsim/rules.go
@@ -9,13 +9,13 @@
 	"math/bits"
 	"slices"
 
-	"ravensill/spread"
+	"ravensill/subset"
 )
 
 // Rule tells for each seat which hosts of a list its gateway holds, as numbers in the list.
 type Rule struct {
 	Name string
-	Held func(seats int, hosts []spread.Endpoint) [][]int
+	Held func(seats int, hosts []subset.Endpoint) [][]int
 }
 
 // Rules are the ones that were weighed, the landed one first and the one in use last. They are built from the
@@ -26,8 +26,8 @@
 	{"rounds, hashed order", hashedRounds},
 	{"rings, low discrepancy", rings},
 	{"aperture", aperture},
-	{"hosts choose", func(seats int, hosts []spread.Endpoint) [][]int { return claims(seats, hosts, math.Inf(1)) }},
-	{"hosts choose, bound 1.25", func(seats int, hosts []spread.Endpoint) [][]int { return claims(seats, hosts, 1.25) }},
+	{"hosts choose", func(seats int, hosts []subset.Endpoint) [][]int { return claims(seats, hosts, math.Inf(1)) }},
+	{"hosts choose, bound 1.25", func(seats int, hosts []subset.Endpoint) [][]int { return claims(seats, hosts, 1.25) }},
 	{"emptier of two", emptier},
 	{"deal", Deal},
 }
@@ -42,16 +42,16 @@
 	return x ^ x>>31
 }
 
-// Deal is package spread's.
-func Deal(seats int, hosts []spread.Endpoint) [][]int {
-	all := make([]*spread.Endpoint, len(hosts))
+// Deal is package subset's.
+func Deal(seats int, hosts []subset.Endpoint) [][]int {
+	all := make([]*subset.Endpoint, len(hosts))
 	held := make([][]int, seats)
 	for seat := range seats {
 		own := slices.Clone(hosts) // in the order of the list, which all gateways of the model share
 		for i := range own {
 			all[i] = &own[i]
 		}
-		spread.AssignSubset(seat, seats, all)
+		subset.AssignSubset(seat, seats, all)
 		for i := range own {
 			if own[i].InSubset {
 				held[seat] = append(held[seat], i)
@@ -62,7 +62,7 @@
 }
 
 // Rendezvous is the landed rule: each gateway takes the hosts that rank first by a weighted hash of both.
-func Rendezvous(seats int, hosts []spread.Endpoint) [][]int {
+func Rendezvous(seats int, hosts []subset.Endpoint) [][]int {
 	held := make([][]int, seats)
 	for seat := range seats {
 		held[seat] = rendezvous(seat, seats, hosts)
@@ -70,7 +70,7 @@
 	return held
 }
 
-func rendezvous(seat, seats int, hosts []spread.Endpoint) []int {
+func rendezvous(seat, seats int, hosts []subset.Endpoint) []int {
 	order, rank := numbers(len(hosts)), make([]float64, len(hosts))
 	for i, h := range hosts {
 		rank[i] = math.Log((float64(mix(mix(uint64(seat)+1)^h.Hash)>>11)+0.5)/(1<<53)) / max(h.Weight, 0.01)
@@ -88,14 +88,14 @@
 }
 
 // byHash orders the hosts by their hash with salt.
-func byHash(hosts []spread.Endpoint, salt uint64) []int {
+func byHash(hosts []subset.Endpoint, salt uint64) []int {
 	order := numbers(len(hosts))
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(mix(hosts[a].Hash^salt), mix(hosts[b].Hash^salt)) })
 	return order
 }
 
 // rounds are the SRE book's: gateways in rounds of hosts/holds; a round shuffles the list, each takes its slice.
-func rounds(seats int, hosts []spread.Endpoint) [][]int {
+func rounds(seats int, hosts []subset.Endpoint) [][]int {
 	return sliced(seats, hosts, func(round uint64) []int {
 		order, rnd := byHash(hosts, 0), mix(round+77)
 		for i := len(order) - 1; i > 0; i-- {
@@ -108,11 +108,11 @@
 }
 
 // hashedRounds orders each round's list by a hash, so that a host that comes shifts the slices by one place at most.
-func hashedRounds(seats int, hosts []spread.Endpoint) [][]int {
+func hashedRounds(seats int, hosts []subset.Endpoint) [][]int {
 	return sliced(seats, hosts, func(round uint64) []int { return byHash(hosts, mix(round+77)) })
 }
 
-func sliced(seats int, hosts []spread.Endpoint, order func(round uint64) []int) [][]int {
+func sliced(seats int, hosts []subset.Endpoint, order func(round uint64) []int) [][]int {
 	held, size, n := make([][]int, seats), max(len(hosts)/holds(seats, len(hosts)), 1), len(hosts)
 	for seat := range seats {
 		i := seat % size
@@ -123,7 +123,7 @@
 
 // rings are rounds whose gateways stand on a ring of the hashed hosts at places of a low-discrepancy sequence (the
 // radical inverse), so that a further gateway moves none; each takes the next hosts clockwise.
-func rings(seats int, hosts []spread.Endpoint) [][]int {
+func rings(seats int, hosts []subset.Endpoint) [][]int {
 	held, k, n := make([][]int, seats), holds(seats, len(hosts)), len(hosts)
 	size := max(n/k, 1)
 	for seat := range seats {
@@ -138,7 +138,7 @@
 
 // aperture is a ring of gateways over a ring of hosts with arcs by weight; a gateway holds all that its arc touches.
 // Its ends are parts of hosts: sent to by these parts all are even, sent to evenly they are not.
-func aperture(seats int, hosts []spread.Endpoint) [][]int {
+func aperture(seats int, hosts []subset.Endpoint) [][]int {
 	held, order, sum := make([][]int, seats), byHash(hosts, 0), 0.0
 	for _, h := range hosts {
 		sum += h.Weight
@@ -158,7 +158,7 @@
 
 // claims lets each host go through its own order of the gateways for its part of all places; a gateway takes bound
 // times its own part at most.
-func claims(seats int, hosts []spread.Endpoint, bound float64) [][]int {
+func claims(seats int, hosts []subset.Endpoint, bound float64) [][]int {
 	k := holds(seats, len(hosts))
 	held, most := make([][]int, seats), math.Ceil(bound*float64(k))
 	eachTurn(seats, hosts, func(i int, next func() int) {
@@ -173,7 +173,7 @@
 }
 
 // emptier lets each host take, of the next two gateways in its order, the one that holds fewer.
-func emptier(seats int, hosts []spread.Endpoint) [][]int {
+func emptier(seats int, hosts []subset.Endpoint) [][]int {
 	held := make([][]int, seats)
 	eachTurn(seats, hosts, func(i int, next func() int) {
 		a, b := next(), next()
@@ -188,7 +188,7 @@
 }
 
 // eachTurn gives the hosts their turns by weight; next leads through a host's own order of the gateways.
-func eachTurn(seats int, hosts []spread.Endpoint, turn func(host int, next func() int)) {
+func eachTurn(seats int, hosts []subset.Endpoint, turn func(host int, next func() int)) {
 	ring, most, order := uint64(1)<<bits.Len(uint(seats-1)), 0.0, byHash(hosts, 0)
 	for _, h := range hosts {
 		most = max(most, h.Weight)
--- a/lab/subsetsim/subsetsim_test.go
+++ b/lab/subsetsim/subsetsim_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ravensill/internal/golden"
-	"ravensill/spread"
+	"ravensill/subset"
 )
 
 // TestTable: the table of docs/spread.md, with fewer lists. That "deal" is the most even is read off its rows.
@@ -44,9 +44,9 @@
 func BenchmarkDeal(b *testing.B) {
 	for _, f := range []Fleet{{3, 10, 0}, {80, 60, 0}, {300, 60, 0.25}, {300, 200, 0}, {300, 200, 0.25}} {
 		b.Run(fmt.Sprintf("%d x %d", f.Gateways, f.Hosts), func(b *testing.B) {
-			hosts, all := make([]spread.Endpoint, f.Hosts), make([]*spread.Endpoint, f.Hosts)
+			hosts, all := make([]subset.Endpoint, f.Hosts), make([]*subset.Endpoint, f.Hosts)
 			for i := range hosts {
-				hosts[i] = spread.Endpoint{Hash: mix(uint64(i + 1)), Weight: 1}
+				hosts[i] = subset.Endpoint{Hash: mix(uint64(i + 1)), Weight: 1}
 				if float64(i) < f.Light*float64(f.Hosts) {
 					hosts[i].Weight = 0.25
 				}
@@ -58,7 +58,7 @@
 				rendezvous(i%f.Gateways, f.Gateways, hosts)
 				landed += time.Since(start)
 				start = time.Now()
-				spread.AssignSubset(i%f.Gateways, f.Gateways, all)
+				subset.AssignSubset(i%f.Gateways, f.Gateways, all)
 				now += time.Since(start)
 			}
 			b.ReportMetric(float64(now)/float64(b.N), "ns/deal")
--- a/lab/subsetsim/table.go
+++ b/lab/subsetsim/table.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"strings"
 
-	"ravensill/spread"
+	"ravensill/subset"
 )
 
 // Fleet is a size to compute a rule for. Light is the part of the hosts with a quarter of the weight.
@@ -31,8 +31,8 @@
 // Compute gives a rule's figures over some lists, drawn by seed.
 func Compute(r Rule, f Fleet, lists int, seed uint64) Figures {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	draw := func() spread.Endpoint {
-		h := spread.Endpoint{Hash: mix(rnd.Uint64()), Weight: 1}
+	draw := func() subset.Endpoint {
+		h := subset.Endpoint{Hash: mix(rnd.Uint64()), Weight: 1}
 		if rnd.Float64() < f.Light {
 			h.Weight = 0.25
 		}
@@ -41,7 +41,7 @@
 	inf := math.Inf(1)
 	g := Figures{HeldLeast: inf, LoadLeast: inf, SkewLeast: inf, MixLeast: inf, Fewest: math.MaxInt, Zone: math.MaxInt}
 	for range lists {
-		var hosts []spread.Endpoint
+		var hosts []subset.Endpoint
 		traffic, even := make([]float64, f.Gateways), make([]float64, f.Gateways)
 		for range f.Hosts {
 			hosts = append(hosts, draw())
@@ -65,8 +65,8 @@
 		g.SkewLeast, g.SkewMost = extremes(parts(hosts, held, traffic), g.SkewLeast, g.SkewMost)
 		const tries = 4
 		for i := range tries {
-			less := append(append([]spread.Endpoint{}, hosts[:i]...), hosts[i+1:]...)
-			more := append(append([]spread.Endpoint{}, hosts...), draw())
+			less := append(append([]subset.Endpoint{}, hosts[:i]...), hosts[i+1:]...)
+			more := append(append([]subset.Endpoint{}, hosts...), draw())
 			a := opened(hosts, held, less, r.Held(f.Gateways, less))
 			b := opened(hosts, held, more, r.Held(f.Gateways, more))
 			g.Worst = max(g.Worst, a, b)
@@ -87,7 +87,7 @@
 }
 
 // parts gives what each host gets over its part by weight; traffic nil counts the gateways that hold it.
-func parts(hosts []spread.Endpoint, held [][]int, traffic []float64) []float64 {
+func parts(hosts []subset.Endpoint, held [][]int, traffic []float64) []float64 {
 	got, sum, weight := make([]float64, len(hosts)), 0.0, 0.0
 	for s, own := range held {
 		for _, i := range own {
@@ -116,7 +116,7 @@
 }
 
 // opened counts the gateways' hosts that they did not hold before.
-func opened(before []spread.Endpoint, held [][]int, after []spread.Endpoint, now [][]int) (n int) {
+func opened(before []subset.Endpoint, held [][]int, after []subset.Endpoint, now [][]int) (n int) {
 	for s, own := range now {
 		was := map[uint64]bool{}
 		if s < len(held) {
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -3,7 +3,7 @@
 import (
 	"ravensill/gateway"
 	"ravensill/limit"
-	"ravensill/spread"
+	"ravensill/subset"
 )
 
 // initialInFlight is how many attempts may be in flight at each endpoint to start with, from all gateways together.
@@ -29,7 +29,7 @@
 
 // endpoint is one of the list.
 type endpoint struct {
-	spread.Endpoint
+	subset.Endpoint
 	id              uint32
 	state           gateway.EndpointState
 	contacted       bool  // sent to since it is in the list
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"ravensill/gateway"
-	"ravensill/spread"
+	"ravensill/subset"
 )
 
 // updateList takes in a list of endpoints, or changes of it. A record ends with its endpoint, as does its part of the limit on
@@ -56,7 +56,7 @@
 			continue
 		}
 		if added[l.Host] == nil {
-			added[l.Host] = &endpoint{id: l.Host, Endpoint: spread.Endpoint{Hash: mix(uint64(l.Host) + 1)}, announcedStart: math.MinInt64}
+			added[l.Host] = &endpoint{id: l.Host, Endpoint: subset.Endpoint{Hash: mix(uint64(l.Host) + 1)}, announcedStart: math.MinInt64}
 			s.all = append(s.all, added[l.Host])
 		}
 		records[i] = added[l.Host]
@@ -70,14 +70,14 @@
 // chooseSubset takes this gateway's subset of the endpoints: a gateway of many keeps few connections and hears often of each. The
 // others serve where none of the subset will do.
 func (s *endpointSet) chooseSubset() {
-	var running []*spread.Endpoint
+	var running []*subset.Endpoint
 	for _, e := range s.all {
 		e.InSubset = false
 		if e.state == gateway.Running {
 			running = append(running, &e.Endpoint)
 		}
 	}
-	spread.AssignSubset(s.memberIndex, s.memberCount, running)
+	subset.AssignSubset(s.memberIndex, s.memberCount, running)
 	s.collectNearby()
 }
 
--- a/spread/subset.go
+++ b/subset/subset.go
@@ -1,8 +1,8 @@
-// Package spread assigns each gateway its subset of the endpoints, from the list and its member index alone: every gateway computes
+// Package subset assigns each gateway its subset of the endpoints, from the list and its member index alone: every gateway computes
 // the same assignment, with no message. Endpoints claim gateways in turns, as Maglev fills its table (Eisenbud et al., NSDI 2016).
 // Each endpoint is held by gateways in proportion to its weight, each gateway holds as many endpoints as any other, and a change of
 // the list moves few.
-package spread
+package subset
 
 import "math/bits"
 
--- a/spread/subset_test.go
+++ b/subset/subset_test.go
@@ -1,4 +1,4 @@
-package spread
+package subset
 
 import (
 	"math"
