--- a/limit/limiter.go
+++ b/concurrency/limiter.go
@@ -1,7 +1,7 @@
-// Package limit bounds the attempts that one gateway has in flight, so that they can be answered in time: by additive increase and
+// Package concurrency bounds the attempts that one gateway has in flight, so that they can be answered in time: by additive increase and
 // multiplicative decrease (AIMD; Chiu and Jain, 1989) on the lateness of answers, and at once where endpoints report that they have
 // capacity left.
-package limit
+package concurrency
 
 const (
 	MaxLateness          = 0.35 // mean fraction of the latency objective that answers may take before the limit is decreased
--- a/limit/limiter_test.go
+++ b/concurrency/limiter_test.go
@@ -1,4 +1,4 @@
-package limit
+package concurrency
 
 import (
 	"math/rand/v2"
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -41,7 +41,7 @@
 func TestSearches(t *testing.T) {
 	const root = "../.."
 	for _, name := range []string{"configsync", "internal/clients", "internal/config", "internal/discovery", "internal/gossip",
-		"internal/hosts", "internal/node", "internal/peers", "internal/subscriber", "limit", "logic", "subset"} {
+		"internal/hosts", "internal/node", "internal/peers", "internal/subscriber", "concurrency", "logic", "subset"} {
 		found, err := Searches(os.DirFS(root + "/" + name))
 		if err != nil {
 			t.Fatal(err)
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -1,8 +1,8 @@
 package logic
 
 import (
+	"ravensill/concurrency"
 	"ravensill/gateway"
-	"ravensill/limit"
 	"ravensill/subset"
 )
 
@@ -21,7 +21,7 @@
 	inFlight         int // attempts from here
 	memberIndex      int // of this gateway,
 	memberCount      int // among so many: for its subset
-	limit            limit.Limiter
+	limit            concurrency.Limiter
 	listReceived     bool  // a list that was not the cached one was received
 	stallEnd         int64 // the gateway last stood still until then,
 	stallLength      int64 // for so long
--- a/logic/endpoint_test.go
+++ b/logic/endpoint_test.go
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
+	"ravensill/concurrency"
 	"ravensill/gateway"
 	"ravensill/internal/golden"
-	"ravensill/limit"
 )
 
 // TestNothingNewToDrainingEndpoint: nothing new to a draining or removed host, from the round it is told.
@@ -87,7 +87,7 @@
 func TestReplacedEndpointsAreForgotten(t *testing.T) {
 	w := newSimulation(1, 4, nil)
 	f := &w.gateways[0].gateway.endpoints
-	f.limit = limit.Limiter{Start: 2.5}
+	f.limit = concurrency.Limiter{Start: 2.5}
 	f.limit.SetEndpoints(4) // 10, as if learned
 	tell := func() {
 		fmt.Fprintf(&w.trace, "%d hosts, limit %.1f\n", len(f.all), f.limit.Limit())
