--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ravensill/internal/hosts"
-	"ravensill/internal/pooler"
+	"ravensill/internal/poolrunner"
 	"ravensill/pool"
 )
 
@@ -16,7 +16,7 @@
 	node        *Node
 	leaseholder *pool.Leaseholder
 	limiter     *hosts.ConnectionLimiter
-	client      *pooler.Client
+	client      *poolrunner.Client
 	urgent      []bool // by request class
 	lastLog     int64  // time of the last line in the log, in ns
 }
@@ -29,15 +29,15 @@
 	if cfg == nil {
 		return func() {}, nil
 	}
-	client, err := pooler.Dial(n.system, cfg, n.runOnLoop)
+	client, err := poolrunner.Dial(n.system, cfg, n.runOnLoop)
 	if err != nil {
 		return nil, err
 	}
 	end = client.Close
 	if index := cfg.VoterIndex(n.cfg.Membership.Index); index >= 0 {
-		var voter *pooler.Voter
+		var voter *poolrunner.Voter
 		err := listenWithRetry("pool.listen", cfg.Listen, stop, func() (err error) {
-			voter, err = pooler.StartVoter(n.system, cfg, index)
+			voter, err = poolrunner.StartVoter(n.system, cfg, index)
 			return err
 		})
 		if err != nil {
--- a/internal/pooler/client.go
+++ b/internal/poolrunner/client.go
@@ -1,4 +1,4 @@
-package pooler
+package poolrunner
 
 import (
 	"net"
--- a/internal/pooler/codec.go
+++ b/internal/poolrunner/codec.go
@@ -1,6 +1,6 @@
-// Package pooler is the I/O of package pool: datagrams between lease holders and the raft voter that leads, and the replicated log
+// Package poolrunner is the I/O of package pool: datagrams between lease holders and the raft voter that leads, and the replicated log
 // of the voters.
-package pooler
+package poolrunner
 
 import (
 	"crypto/hmac"
