--- a/cmd/ravensill-publisher/main.go
+++ b/cmd/ravensill-publisher/main.go
@@ -3,12 +3,13 @@
 package main
 
 import (
-	"log"
+	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
 
 	"ravensill/internal/config"
+	"ravensill/internal/logging"
 	"ravensill/internal/publisher"
 )
 
@@ -19,24 +20,28 @@
 )
 
 func main() {
-	log.SetFlags(log.LUTC | log.Ldate | log.Ltime | log.Lmicroseconds)
+	logging.SetOutput(os.Stderr)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGPIPE, syscall.SIGHUP) // whoever reads the log may go
 	cfg, err := config.LoadPublisher(os.Getenv)
 	if err != nil {
-		log.Printf("event=start_failed error=%q", err)
+		slog.Error("start_failed", "error", err)
 		os.Exit(exitBadSettings)
 	}
 	p, err := publisher.Start(cfg)
 	if err != nil {
-		log.Printf("event=start_failed error=%q", err)
+		slog.Error("start_failed", "error", err)
 		os.Exit(exitFailed)
 	}
-	log.Printf("event=publisher_started index=%d listen=%s admin_listen=%s version=%d", cfg.Index, p.Addr(), p.AdminAddr(),
-		p.Status().Version)
+	slog.Info("publisher_started",
+		"index", cfg.Index,
+		"listen", p.Addr(),
+		"admin_listen", p.AdminAddr(),
+		"version", p.Status().Version,
+	)
 	<-stop
-	log.Printf("event=stopping")
+	slog.Info("stopping")
 	p.Close()
-	log.Printf("event=stopped")
+	slog.Info("stopped")
 }
--- a/cmd/ravensill/configuration_test.go
+++ b/cmd/ravensill/configuration_test.go
@@ -143,7 +143,7 @@
 		{"whole", fmt.Sprint("configuration_held version=", last.Version), text, 0, unknown, "v"},
 		{"torn", fmt.Sprint("configuration_held version=", last.Version-1), text[:len(text)-1], 0, "v", "v"},
 		{"unreadable", "configuration_damaged", text[1:], 0, "v", unknown},
-		{"refused", fmt.Sprintf("configuration_refused version=%d resource=\"classes/lookup\"", last.Version), text, 4500000, "v", unknown},
+		{"refused", fmt.Sprintf("configuration_refused version=%d resource=classes/lookup ", last.Version), text, 4500000, "v", unknown},
 	} {
 		if err := os.WriteFile(file, x.text, 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"log"
+	"log/slog"
 	"net"
 	"os"
 	"time"
@@ -43,7 +43,7 @@
 			return
 		default:
 			if now := s.now(); failureLog.due(now) {
-				log.Printf("event=accept_failed error=%q count=%d", err, failureLog.logged(now))
+				slog.Warn("accept_failed", "error", err, "count", failureLog.logged(now))
 			}
 			time.Sleep(acceptRetryDelay)
 		}
@@ -119,7 +119,11 @@
 		return
 	}
 	if s.fullLog.due(now) {
-		log.Printf("event=clients_full clients=%d room_made=%t count=%d", len(s.conns), victim != nil, s.fullLog.logged(now))
+		slog.Warn("clients_full",
+			"clients", len(s.conns),
+			"room_made", victim != nil,
+			"count", s.fullLog.logged(now),
+		)
 	}
 	if victim == nil {
 		return
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"log"
+	"log/slog"
 	"runtime/debug"
 
 	"ravensill/internal/bufconn"
@@ -75,7 +75,7 @@
 	answer := c.Add()
 	defer func() {
 		if p := recover(); p != nil {
-			log.Printf("event=panic where=loop error=%q stack=%q", fmt.Sprint(p), debug.Stack())
+			slog.Error("panic", "where", "loop", "error", fmt.Sprint(p), "stack", debug.Stack())
 			answer.Fail("aborted")
 		}
 	}()
@@ -181,7 +181,7 @@
 	s := c.server
 	now := s.now()
 	if s.faultLog.due(now) {
-		log.Printf("event=client_fault error=%q open=%d count=%d", err, len(c.waiting), s.faultLog.logged(now))
+		slog.Warn("client_fault", "error", err, "open", len(c.waiting), "count", s.faultLog.logged(now))
 	}
 	c.closing = true
 	c.halfCloseIfIdle()
--- a/internal/clients/reader.go
+++ b/internal/clients/reader.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"log"
+	"log/slog"
 	"runtime/debug"
 	"sync"
 	"time"
@@ -42,7 +42,7 @@
 	s := c.server
 	defer func() {
 		if p := recover(); p != nil {
-			log.Printf("event=panic where=client error=%q stack=%q", p, debug.Stack())
+			slog.Error("panic", "where", "client", "error", p, "stack", debug.Stack())
 		}
 		c.clientGone.Store(true)
 		s.runOnLoop(c.close)
--- a/internal/clients/server_test.go
+++ b/internal/clients/server_test.go
@@ -4,9 +4,7 @@
 	"bufio"
 	"fmt"
 	"io"
-	"log"
 	"net"
-	"os"
 	"strings"
 	"sync/atomic"
 	"syscall"
@@ -14,6 +12,7 @@
 	"time"
 
 	"ravensill/internal/golden"
+	"ravensill/internal/logging"
 	"ravensill/internal/sockets"
 	"ravensill/internal/sockets/socketstest"
 )
@@ -260,12 +259,12 @@
 	server.requests[0].Reject(0)
 	server.Flush()
 	server.clock.Add(logInterval + 1)
-	log.SetOutput(writerFunc(func(line []byte) (int, error) { // of the line between the two
+	restoreLog := logging.SetOutput(writerFunc(func(line []byte) (int, error) { // of the line between the two
 		client.send("second")
 		server.waitFor("second read", func() bool { return client.conn.link.Reads() > client.conn.readsSeen })
 		return len(line), nil
 	}))
-	defer log.SetOutput(os.Stderr)
+	defer restoreLog()
 	server.makeRoom()
 	server.runLoop("second arrived", func() bool { return len(server.requests) == 2 })
 	server.requests[1].Reject(0)
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -1,7 +1,7 @@
 package consensus
 
 import (
-	"log"
+	"log/slog"
 	"runtime"
 	"sync"
 	"sync/atomic"
@@ -51,9 +51,9 @@
 	}
 	switch failed := err != nil; {
 	case failed && !d.failing.Swap(true):
-		log.Printf("event=%s_disk_failing error=%q", d.name, err)
+		slog.Error(d.name+"_disk_failing", "error", err)
 	case !failed && d.failing.Swap(false):
-		log.Printf("event=%s_disk_back", d.name)
+		slog.Info(d.name + "_disk_back")
 	}
 	return err
 }
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -1,7 +1,7 @@
 package consensus
 
 import (
-	"log"
+	"log/slog"
 	"time"
 
 	"github.com/hashicorp/raft"
@@ -118,7 +118,7 @@
 		return
 	}
 	err := m.replica.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
-	log.Printf("event=%s_founded voters=%d error=%v", cfg.Name, len(servers), err)
+	slog.Info(cfg.Name+"_founded", "voters", len(servers), "error", err)
 }
 
 func server(id raft.ServerID) raft.Server {
@@ -148,5 +148,5 @@
 		s := server(raft.ServerID(a.ID))
 		err = m.replica.raft.AddVoter(s.ID, s.Address, 0, changeTimeout).Error()
 	}
-	log.Printf("event=%s_voter_replaced voter=%d error=%v", m.replica.cfg.Name, a.Index, err)
+	slog.Info(m.replica.cfg.Name+"_voter_replaced", "voter", a.Index, "error", err)
 }
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -6,7 +6,7 @@
 import (
 	"context"
 	"errors"
-	"log"
+	"log/slog"
 	"math"
 	"net"
 	"net/netip"
@@ -199,7 +199,7 @@
 func (c *Counter) readReplies(link *bufconn.Link) {
 	defer func() {
 		if p := recover(); p != nil {
-			log.Printf("event=panic where=counter error=%q stack=%q", p, debug.Stack())
+			slog.Error("panic", "where", "counter", "error", p, "stack", debug.Stack())
 			c.runOnLoop(func() { c.closeLink(link, "panic") })
 		}
 	}()
@@ -258,7 +258,7 @@
 		c.inFlight = c.inFlight[1:]
 		if kind == '-' && !c.noExpiryLogged { // older servers don't support NX: their numbers never expire
 			c.noExpiryLogged = true
-			log.Printf("event=counter_no_expiry addr=%s error=%q", c.addr, text)
+			slog.Warn("counter_no_expiry", "addr", c.addr, "error", text)
 		}
 		return
 	case kind == '-': // not executed
@@ -293,7 +293,11 @@
 		return
 	}
 	c.loggedState = state
-	log.Printf("event=counter_%s addr=%s error=%q", state, c.addr, reason)
+	if state == stateLost {
+		slog.Warn("counter_lost", "addr", c.addr, "error", reason)
+	} else {
+		slog.Info("counter_back", "addr", c.addr)
+	}
 }
 
 // Close closes the connection for good.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -7,7 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
-	"log"
+	"log/slog"
 	"net"
 	"net/http"
 	"os"
@@ -29,7 +29,7 @@
 func Watch(ctx context.Context, system sockets.System, addr string, after int64, pace *Timeouts, feed *PendingRead, alive func(), news func(list string)) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			log.Printf("event=panic where=discovery error=%q stack=%q", p, debug.Stack())
+			slog.Error("panic", "where", "discovery", "error", p, "stack", debug.Stack())
 			err = fmt.Errorf("panic: %v", p)
 		}
 	}()
--- a/internal/hosts/attempt.go
+++ b/internal/hosts/attempt.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"log"
+	"log/slog"
 	"slices"
 
 	"ravensill/gateway"
@@ -71,11 +71,11 @@
 	pool := a.pool
 	if !pool.failing && !pool.removed && failure.byHost() {
 		pool.failing = true
-		log.Printf("event=host_failing addr=%s stage=%s error=%q", pool.addr, failure.Stage, failure.Err)
+		slog.Warn("host_failing", "addr", pool.addr, "stage", failure.Stage, "error", failure.Err)
 	}
 	if failure.byShortage() && !pool.transport.short {
 		pool.transport.short = true
-		log.Printf("event=dials_short error=%q", failure.Err)
+		slog.Warn("dials_short", "error", failure.Err)
 	}
 	a.onResult(gateway.Event{Result: failure.Result()}, nil, pool.transport.now())
 }
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -4,7 +4,7 @@
 	"container/list"
 	"errors"
 	"fmt"
-	"log"
+	"log/slog"
 	"net"
 	"net/netip"
 	"os"
@@ -48,7 +48,7 @@
 	t := c.pool.transport
 	defer func() {
 		if p := recover(); p != nil {
-			log.Printf("event=panic where=host error=%q stack=%q", p, debug.Stack())
+			slog.Error("panic", "where", "host", "error", p, "stack", debug.Stack())
 			t.runOnLoop(func() { c.fail(errors.New("panic")) })
 		}
 	}()
@@ -142,7 +142,7 @@
 func (t *Transport) dialSucceeded() {
 	if t.short {
 		t.short = false
-		log.Printf("event=dials_back")
+		slog.Info("dials_back")
 	}
 }
 
@@ -294,7 +294,7 @@
 	attempt.done = true
 	if c.pool.failing {
 		c.pool.failing = false
-		log.Printf("event=host_answers addr=%s", c.pool.addr)
+		slog.Info("host_answers", "addr", c.pool.addr)
 	}
 	if a.more {
 		c.close()
--- a/internal/hosts/shortage_test.go
+++ b/internal/hosts/shortage_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"fmt"
 	"io"
-	"log"
 	"net"
 	"os"
 	"strings"
@@ -13,6 +12,7 @@
 	"time"
 
 	"ravensill/gateway"
+	"ravensill/internal/logging"
 	"ravensill/internal/sockets/socketstest"
 )
 
@@ -81,8 +81,7 @@
 // and another of its end.
 func TestDialShortage(t *testing.T) {
 	var lines bytes.Buffer
-	log.SetOutput(&lines)
-	defer log.SetOutput(os.Stderr)
+	defer logging.SetOutput(&lines)()
 	d, system := newFaultyDesk(t)
 	system.Script(socketstest.Dial, socketstest.Errors(syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENOBUFS)...)
 	for n := range 4 {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"log"
+	"log/slog"
 
 	"ravensill/configsync"
 	"ravensill/gateway"
@@ -112,11 +112,15 @@
 func (n *Node) logRevision(next *revision) {
 	for i, adjusted := range next.Adjusted {
 		if i == maxAdjustedLines {
-			log.Printf("event=settings_adjusted more=%d", len(next.Adjusted)-i)
+			slog.Warn("settings_adjusted", "more", len(next.Adjusted)-i)
 			break
 		}
-		log.Printf("event=settings_adjusted key=%q meaning=%q", adjusted.Key, adjusted.Meaning)
+		slog.Warn("settings_adjusted", "key", adjusted.Key, "meaning", adjusted.Meaning)
 	}
-	log.Printf("event=configuration_applied version=%d plans=%d classes=%d members=%d", next.version, next.PlanCount,
-		next.ClassCount, next.MemberCount)
+	slog.Info("configuration_applied",
+		"version", next.version,
+		"plans", next.PlanCount,
+		"classes", next.ClassCount,
+		"members", next.MemberCount,
+	)
 }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -5,10 +5,8 @@
 	"errors"
 	"fmt"
 	"io"
-	"log"
 	"net"
 	"net/netip"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -18,6 +16,7 @@
 	"ravensill/internal/config"
 	"ravensill/internal/golden"
 	"ravensill/internal/gossip"
+	"ravensill/internal/logging"
 	"ravensill/logic"
 )
 
@@ -60,8 +59,8 @@
 	l.config = config.NewLive(cfg)
 	l.node = New(cfg, logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport))
 	serving := make(chan string, 1)
-	log.SetOutput(logWriter(func(line string) {
-		if _, rest, found := strings.Cut(line, "event=serving name= listen="); found {
+	restoreLog := logging.SetOutput(logWriter(func(line string) {
+		if _, rest, found := strings.Cut(line, "event=serving name=\"\" listen="); found {
 			serving <- strings.Fields(rest)[0]
 		}
 		if at := strings.Index(line, "event=configuration"); at >= 0 {
@@ -71,7 +70,7 @@
 	go func() { l.over <- l.node.Run(l.ended) }()
 	t.Cleanup(func() {
 		l.stop()
-		log.SetOutput(os.Stderr)
+		restoreLog()
 	})
 	l.addr = <-serving
 	return l
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -5,10 +5,8 @@
 	"bytes"
 	"fmt"
 	"io"
-	"log"
 	"net"
 	"net/netip"
-	"os"
 	"slices"
 	"strings"
 	"sync"
@@ -17,6 +15,7 @@
 	"ravensill/gateway"
 	"ravensill/internal/config"
 	"ravensill/internal/golden"
+	"ravensill/internal/logging"
 )
 
 // rig is a node on sockets with one host. Its module sends each req to that and again where it never ran, at most twice.
@@ -54,20 +53,20 @@
 			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 20e9, Limits: gateway.Limits{PollEndpoints: true}}}
 	r.Node = New(cfg, r)
 
-	log.SetOutput(r)
+	restoreLog := logging.SetOutput(r)
 	stop, ended := make(chan struct{}), make(chan error, 1)
 	t.Cleanup(func() {
 		close(stop)
 		<-ended
 		host.Close()
-		log.SetOutput(os.Stderr)
+		restoreLog()
 	})
 	go func() { ended <- r.Node.Run(stop) }()
 	return r
 }
 
 func (r *testGateway) Write(line []byte) (int, error) { // of the log
-	if _, rest, ok := bytes.Cut(line, []byte("event=serving name= listen=")); ok {
+	if _, rest, ok := bytes.Cut(line, []byte("event=serving name=\"\" listen=")); ok {
 		addr, _, _ := bytes.Cut(rest, []byte{' '})
 		r.addr <- string(addr)
 	}
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"log"
+	"log/slog"
 	"net/netip"
 	"time"
 
@@ -35,7 +35,7 @@
 	time.AfterFunc(firstListWait, func() {
 		n.runOnLoop(func() {
 			if !n.listAnswered {
-				log.Printf("event=no_first_list version=%d", n.endpointList.Version)
+				slog.Warn("no_first_list", "version", n.endpointList.Version)
 			}
 			n.listAnswered = true
 		})
@@ -62,7 +62,7 @@
 		err := discovery.Watch(ctx, n.system, addr, after, discovery.NewTimeouts(n.cfg.Limits.PollEndpoints), &w.feed, func() {
 			newest(func() {
 				if n.watchLost {
-					log.Printf("event=watch_back")
+					slog.Info("watch_back")
 				}
 				n.watchLost = false
 			})
@@ -97,11 +97,14 @@
 func (n *Node) Reload(cfg *config.Config, err error) {
 	n.runOnLoop(func() {
 		if err != nil {
-			log.Printf("event=reload_failed error=%q", err)
+			slog.Error("reload_failed", "error", err)
 			return
 		}
-		log.Printf("event=reloaded discovery=%s version=%d others_changed=%t", cfg.Discovery, n.endpointList.Version,
-			n.cfg.Fixed != cfg.Fixed) // these count from the next start on
+		slog.Info("reloaded",
+			"discovery", cfg.Discovery,
+			"version", n.endpointList.Version,
+			"others_changed", n.cfg.Fixed != cfg.Fixed,
+		) // these count from the next start on
 		if cfg.Pool != nil {
 			n.quota.setCapacity(cfg.Pool.Serial, cfg.Pool.Capacity)
 		}
@@ -122,7 +125,7 @@
 		return
 	}
 	if !n.watchLost { // once, not with every try
-		log.Printf("event=watch_lost error=%q version=%d", err, n.endpointList.Version)
+		slog.Warn("watch_lost", "error", err, "version", n.endpointList.Version)
 	}
 	n.watchLost = true
 	if n.cfg.Limits.PollEndpoints {
@@ -145,14 +148,14 @@
 	kind, list, odd, err := n.endpointList.Decode(text, func(host uint32, addr netip.AddrPort) { n.transport.SetAddress(host, addr) })
 	if err != nil {
 		n.droppedLists++
-		log.Printf("event=list_dropped error=%q count=%d", err, n.droppedLists)
+		slog.Warn("list_dropped", "error", err, "count", n.droppedLists)
 		return
 	}
 	if odd != nil {
-		log.Printf("event=list_odd error=%q version=%d", odd, n.endpointList.Version)
+		slog.Warn("list_odd", "error", odd, "version", n.endpointList.Version)
 	}
 	if n.endpointList.Version < had {
-		log.Printf("event=list_older version=%d had=%d", n.endpointList.Version, had)
+		slog.Warn("list_older", "version", n.endpointList.Version, "had", had)
 	}
 	if old {
 		kind = gateway.ListCached
@@ -160,7 +163,11 @@
 	n.observer.endpointsListed(list)
 	for _, l := range list {
 		if l.State != gateway.Running {
-			log.Printf("event=host id=%s state=%s version=%d", n.endpointList.ID(l.Host), l.State, n.endpointList.Version)
+			slog.Info("host",
+				"id", n.endpointList.ID(l.Host),
+				"state", l.State,
+				"version", n.endpointList.Version,
+			)
 		}
 		if l.State == gateway.Draining {
 			n.transport.Drain(l.Host)
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -3,10 +3,8 @@
 import (
 	"fmt"
 	"io"
-	"log"
 	"net"
 	"net/netip"
-	"os"
 	"runtime"
 	"strings"
 	"testing"
@@ -16,6 +14,7 @@
 	"ravensill/internal/config"
 	"ravensill/internal/golden"
 	"ravensill/internal/hosts"
+	"ravensill/internal/logging"
 )
 
 // eager sends each req on, and again after each end while it is open; it prints what it hears.
@@ -198,8 +197,7 @@
 
 // A panic where a dispatch is sent, or where its answer is handed on, leaves it neither out for the module nor held here.
 func TestPanicLeavesNoAttemptInFlight(t *testing.T) {
-	log.SetOutput(io.Discard)
-	defer log.SetOutput(os.Stderr)
+	defer logging.SetOutput(io.Discard)()
 	m := &retryingDecider{}
 	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
 		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 	"fmt"
-	"log"
+	"log/slog"
 	"net"
 	"net/netip"
 	"syscall"
@@ -60,7 +60,7 @@
 			return fmt.Errorf("%s: %w", key, err)
 		}
 		if !told {
-			log.Printf("event=%s key=%s addr=%s wait=%s error=%q", event, key, addr, wait, err)
+			slog.Warn(event, "key", key, "addr", addr, "wait", wait, "error", err)
 		}
 		select {
 		case <-stop:
@@ -76,7 +76,7 @@
 func sharedDescriptors(most int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(most) {
-		log.Printf("event=few_descriptors limit=%d sockets=%d", limit.Cur, most)
+		slog.Warn("few_descriptors", "limit", limit.Cur, "sockets", most)
 		most = int(limit.Cur)
 	}
 	return min(most, max(most-reservedDescriptors, 1)*15/11) // of which clients get 5, hosts 6
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"log"
+	"log/slog"
 	"runtime/debug"
 	"time"
 
@@ -57,7 +57,7 @@
 	n.transport.CloseIdle()
 	n.clients.CloseOverdue()
 	if n.droppedDatagrams > 0 && now-n.droppedLoggedAt > droppedLogInterval {
-		log.Printf("event=datagrams_dropped count=%d", n.droppedDatagrams)
+		slog.Warn("datagrams_dropped", "count", n.droppedDatagrams)
 		n.droppedDatagrams = 0
 		n.droppedLoggedAt = now
 	}
@@ -65,10 +65,18 @@
 	counter, counts := n.module.(DecisionCounter)
 	if counts && now-n.countsLoggedAt >= countsLogInterval {
 		n.countsLoggedAt = now
-		log.Printf("event=decisions %s", counter.DecisionCounts())
+		logDecisions(counter.DecisionCounts())
 	}
 }
 
+func logDecisions(counts []gateway.DecisionCount) {
+	fields := make([]any, 0, len(counts))
+	for _, count := range counts {
+		fields = append(fields, slog.Int(count.Outcome, count.Count))
+	}
+	slog.Info("decisions", fields...)
+}
+
 func (n *Node) hasEvents() bool { return len(n.events)+len(n.listEvents) > 0 }
 
 // decide hands the module a batch of all events.
@@ -137,7 +145,7 @@
 func (n *Node) recoverPanics(where string, f func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			log.Printf("event=panic where=%s error=%q stack=%q", where, fmt.Sprint(p), debug.Stack())
+			slog.Error("panic", "where", where, "error", fmt.Sprint(p), "stack", debug.Stack())
 		}
 	}()
 	f()
@@ -166,4 +174,4 @@
 func (n *Node) counterReplied(event gateway.Event) { n.events = append(n.events, event) }
 
 // LogNote implements gateway.Actions.
-func (n *Node) LogNote(text string) { log.Printf("event=note text=%q", text) }
+func (n *Node) LogNote(text string) { slog.Info("note", "text", text) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,7 +13,7 @@
 
 import (
 	"errors"
-	"log"
+	"log/slog"
 	"net"
 	"slices"
 	"time"
@@ -43,7 +43,7 @@
 // DecisionCounter is a module that counts its decisions; the node logs them every countsLogInterval, for on-call and for counting
 // over a fleet from the logs.
 type DecisionCounter interface {
-	DecisionCounts() string
+	DecisionCounts() []gateway.DecisionCount
 }
 
 // Platform is what a gateway runs on. Zero values mean the process's own.
@@ -179,7 +179,7 @@
 	if err != nil && !errors.Is(err, errStopped) {
 		return err
 	}
-	log.Printf("event=stopped")
+	slog.Info("stopped")
 	return nil
 }
 
@@ -256,8 +256,13 @@
 	}
 	n.listening = true
 	n.clients.Listen(listener)
-	log.Printf("event=serving name=%s listen=%s peer_listen=%s hosts=%d version=%d", n.cfg.Name, listener.Addr(),
-		n.peerTransport.Addr(), n.endpointList.Count(), n.endpointList.Version)
+	slog.Info("serving",
+		"name", n.cfg.Name,
+		"listen", listener.Addr(),
+		"peer_listen", n.peerTransport.Addr(),
+		"hosts", n.endpointList.Count(),
+		"version", n.endpointList.Version,
+	)
 }
 
 // loop runs until the shutdown has ended.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -4,16 +4,15 @@
 	"bufio"
 	"fmt"
 	"io"
-	"log"
 	"net"
 	"net/netip"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/config"
+	"ravensill/internal/logging"
 )
 
 // faulty denies reqs, panics on those of customer f, and names what is not there on those of b.
@@ -41,8 +40,7 @@
 // serve runs a gateway with a module on an address of its own. lines gives those of its log that hold an event named there.
 func serve(t *testing.T, m Decider, set func(*Node), events ...string) (addr string, stop func(), ended func() (lines []string)) {
 	r, w := io.Pipe()
-	log.SetOutput(w)
-	t.Cleanup(func() { log.SetOutput(os.Stderr) })
+	t.Cleanup(logging.SetOutput(w))
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100,
 		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}}, ClassNames: []string{"lookup"},
 			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 1e9}}
@@ -137,12 +135,12 @@
 	m.panickingDecider.Decide(in, out)
 }
 
-func (m *tired) DecisionCounts() string {
+func (m *tired) DecisionCounts() []gateway.DecisionCount {
 	if !m.told {
 		m.told = true
 		panic("fault")
 	}
-	return ""
+	return nil
 }
 
 // A panic in the loop's own work costs that work, not the program.
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -1,7 +1,7 @@
 package node
 
 import (
-	"log"
+	"log/slog"
 	"time"
 
 	"ravensill/internal/hosts"
@@ -58,7 +58,12 @@
 	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.Turn, p.leaseholder.Allowed, p.leaseholder.AddRejected)
 	n.quota = p
 	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
-	log.Printf("event=pool_on seat=%d floor=%d capacity=%d voters=%d", n.cfg.Membership.Index, cfg.Terms.Floor, cfg.Capacity, len(cfg.Voters))
+	slog.Info("pool_on",
+		"seat", n.cfg.Membership.Index,
+		"floor", cfg.Terms.Floor,
+		"capacity", cfg.Capacity,
+		"voters", len(cfg.Voters),
+	)
 	return end, nil
 }
 
@@ -76,9 +81,19 @@
 	if now-p.lastLog >= poolLogInterval {
 		p.lastLog = now
 		limiter, client := p.limiter, p.client
-		log.Printf("event=pool_quota allowed=%d held=%d use=%d waited=%d turned_away=%d dials=%d refused=%d told=%d heard=%d dropped=%d silent_ms=%d",
-			p.leaseholder.Allowed(now), held, demand, limiter.Queued, limiter.Rejected, limiter.Dials, limiter.Refused,
-			client.Sent, client.Received, client.Dropped, (now-p.leaseholder.LastAnswered())/1e6)
+		slog.Info("pool_quota",
+			"allowed", p.leaseholder.Allowed(now),
+			"held", held,
+			"use", demand,
+			"waited", limiter.Queued,
+			"turned_away", limiter.Rejected,
+			"dials", limiter.Dials,
+			"refused", limiter.Refused,
+			"told", client.Sent,
+			"heard", client.Received,
+			"dropped", client.Dropped,
+			"silent_ms", (now-p.leaseholder.LastAnswered())/1e6,
+		)
 	}
 	return p.leaseholder.Due(now)
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -1,7 +1,7 @@
 package node
 
 import (
-	"log"
+	"log/slog"
 	"time"
 )
 
@@ -67,5 +67,5 @@
 func (n *Node) shutdownEnded() bool { return n.phase >= closed && n.clients.Ended() }
 
 func (n *Node) logPhase(event string) {
-	log.Printf("event=%s clients=%d open=%d", event, n.clients.Count(), len(n.requests))
+	slog.Info(event, "clients", n.clients.Count(), "open", len(n.requests))
 }
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -5,7 +5,7 @@
 
 import (
 	"fmt"
-	"log"
+	"log/slog"
 	"net"
 	"os"
 	"runtime"
@@ -107,7 +107,7 @@
 	}
 	o.start(o.readDatagrams)
 	o.start(o.loop)
-	log.Printf("event=witnessing listen=%s ask=%s", o.udp.LocalAddr(), queryAddr)
+	slog.Info("witnessing", "listen", o.udp.LocalAddr(), "ask", queryAddr)
 	return o, nil
 }
 
@@ -170,7 +170,7 @@
 		defer o.tasks.Done()
 		defer func() {
 			if p := recover(); p != nil {
-				log.Printf("event=panic where=witness error=%q stack=%q", fmt.Sprint(p), debug.Stack())
+				slog.Error("panic", "where", "witness", "error", fmt.Sprint(p), "stack", debug.Stack())
 			}
 		}()
 		f()
--- a/internal/observer/records.go
+++ b/internal/observer/records.go
@@ -2,7 +2,7 @@
 
 import (
 	"encoding/json"
-	"log"
+	"log/slog"
 )
 
 // fold folds a batch of records into the window under way and writes them to the records file.
@@ -31,7 +31,7 @@
 		o.recordsWritten += n
 	}
 	if err != nil {
-		log.Printf("event=records_failed error=%q", err)
+		slog.Error("records_failed", "error", err)
 		o.recordsWritten = limit
 	}
 }
--- a/internal/observer/summary.go
+++ b/internal/observer/summary.go
@@ -1,7 +1,7 @@
 package observer
 
 import (
-	"log"
+	"log/slog"
 	"slices"
 	"time"
 
@@ -93,7 +93,7 @@
 		return
 	}
 	o.malformed.Add(-malformed)
-	log.Printf("event=witness_dropped records=%d summaries=%d datagrams=%d", o.lostRecords, o.abandoned, malformed)
+	slog.Warn("witness_dropped", "records", o.lostRecords, "summaries", o.abandoned, "datagrams", malformed)
 	o.lostRecords = 0
 	o.abandoned = 0
 	o.loggedAt = now
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -3,7 +3,7 @@
 
 import (
 	"errors"
-	"log"
+	"log/slog"
 	"net"
 	"net/netip"
 	"runtime/debug"
@@ -97,7 +97,7 @@
 func (t *Transport) Listen(received func(member int, body []byte), dropped func()) {
 	defer func() {
 		if e := recover(); e != nil {
-			log.Printf("event=panic where=peers error=%q stack=%q", e, debug.Stack())
+			slog.Error("panic", "where", "peers", "error", e, "stack", debug.Stack())
 		}
 	}()
 	buf := make([]byte, gossip.MaxMessageBytes+1)
--- a/internal/poolrunner/voter.go
+++ b/internal/poolrunner/voter.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"errors"
 	"io"
-	"log"
+	"log/slog"
 	"net"
 	"net/netip"
 	"time"
@@ -142,7 +142,7 @@
 			v.leading = leading
 			v.grantor = nil
 			v.term++
-			log.Printf("event=pool_leads yes=%t", leading)
+			slog.Info("pool_leads", "yes", leading)
 			if leading {
 				v.startLeading()
 			}
@@ -170,7 +170,7 @@
 func (v *Voter) propose(batch *pool.Batch, committed func(*pool.Ledger)) {
 	text, err := json.Marshal(batch)
 	if err != nil {
-		log.Printf("event=pool_failed error=%q", err)
+		slog.Error("pool_failed", "error", err)
 		return
 	}
 	term := v.term
@@ -184,7 +184,7 @@
 			case err == nil:
 				committed(ledger.(*pool.Ledger))
 			default:
-				log.Printf("event=pool_unsure error=%q", err)
+				slog.Warn("pool_unsure", "error", err)
 				v.restartLeading()
 			}
 		})
@@ -216,7 +216,7 @@
 		case *pool.Grant:
 			v.send(v.memberAddrs[action.Member], &Message{Grant: action})
 		case pool.Note:
-			log.Printf("event=pool_%s seat=%d life=%d units=%d", action.What, action.Member, action.Incarnation, action.Units)
+			slog.Warn("pool_"+action.What, "seat", action.Member, "life", action.Incarnation, "units", action.Units)
 		}
 	}
 }
@@ -257,11 +257,24 @@
 	v.lastStatus = now
 	dropped := v.dropped + v.replica.Dropped()
 	if v.grantor == nil {
-		log.Printf("event=pool_voter leads=false in=%d out=%d dropped=%d", v.received, v.sent, dropped)
+		slog.Info("pool_voter", "leads", false, "in", v.received, "out", v.sent, "dropped", dropped)
 		return
 	}
-	log.Printf("event=pool_voter leads=true in=%d out=%d dropped=%d batches=%d %s", v.received, v.sent, dropped, v.batches,
-		v.grantor)
+	totals := v.grantor.Totals()
+	slog.Info("pool_voter",
+		"leads", true,
+		"in", v.received,
+		"out", v.sent,
+		"dropped", dropped,
+		"batches", v.batches,
+		"capacity", totals.Capacity,
+		"serial", totals.Serial,
+		"lent", totals.Lent,
+		"free", totals.Free,
+		"stranded", totals.Stranded,
+		"held", totals.Held,
+		"heard", totals.Reporting,
+	)
 }
 
 func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
@@ -273,7 +286,7 @@
 func (m *ledgerMachine) Apply(entry *raft.Log) any {
 	var batch pool.Batch
 	if err := json.Unmarshal(entry.Data, &batch); err != nil {
-		log.Printf("event=pool_batch_dropped error=%q", err)
+		slog.Error("pool_batch_dropped", "error", err)
 	}
 	m.ledger.Apply(&batch)
 	return m.ledger.Clone()
--- a/internal/program/configuration.go
+++ b/internal/program/configuration.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"log"
+	"log/slog"
 
 	"ravensill/configsync"
 	"ravensill/internal/config"
@@ -24,13 +24,21 @@
 func newFollowing(platform node.Platform, file *config.Config) *following {
 	held, err := subscriber.Load(file.Configuration.Dir)
 	if err != nil { // torn or altered: the document is the last one before that
-		log.Printf("event=configuration_damaged dir=%s version=%d error=%q", file.Configuration.Dir, held.Version(), err)
+		slog.Warn("configuration_damaged",
+			"dir", file.Configuration.Dir,
+			"version", held.Version(),
+			"error", err,
+		)
 	}
 	if held.Version() > 0 {
 		cfg, live, err := config.Restore(file, held.Changes())
 		if err == nil {
-			log.Printf("event=configuration_held version=%d plans=%d classes=%d members=%d", held.Version(), len(cfg.Plans),
-				len(cfg.Classes), cfg.Membership.Count)
+			slog.Info("configuration_held",
+				"version", held.Version(),
+				"plans", len(cfg.Plans),
+				"classes", len(cfg.Classes),
+				"members", cfg.Membership.Count,
+			)
 			return &following{platform: platform, cfg: cfg, live: live, held: held}
 		}
 		logRefused(held.Version(), err)
@@ -45,7 +53,7 @@
 	if errors.As(err, &refused) {
 		resource = refused.Resource
 	}
-	log.Printf("event=configuration_refused version=%d resource=%q reason=%q", version, resource, err)
+	slog.Warn("configuration_refused", "version", version, "resource", resource, "reason", err)
 }
 
 // start runs the subscriber; the returned function ends it.
@@ -53,7 +61,7 @@
 	dir := f.cfg.Configuration.Dir
 	incarnation, err := subscriber.NextIncarnation(dir, f.platform.Clock)
 	if err != nil {
-		log.Printf("event=incarnation_not_stored dir=%s incarnation=%d error=%q", dir, incarnation, err)
+		slog.Warn("incarnation_not_stored", "dir", dir, "incarnation", incarnation, "error", err)
 	}
 	s := subscriber.Start(subscriber.Config{
 		Publishers:  f.cfg.Configuration.Publishers,
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -2,7 +2,7 @@
 package program
 
 import (
-	"log"
+	"log/slog"
 	"os"
 	"os/signal"
 	"runtime"
@@ -10,20 +10,21 @@
 	"syscall"
 
 	"ravensill/internal/config"
+	"ravensill/internal/logging"
 	"ravensill/internal/node"
 	"ravensill/logic"
 )
 
 // Main runs one gateway on a platform, and ends the process with a status other than 0 if it fails.
 func Main(platform node.Platform) {
-	log.SetFlags(log.LUTC | log.Ldate | log.Ltime | log.Lmicroseconds)
+	logging.SetOutput(os.Stderr)
 	calls, reloads := make(chan os.Signal, 2), make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP) // first of all: not asked for, each would end the program as a crash does
 	signal.Notify(calls, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGPIPE) // who reads the log may go: a line to nobody would end the program
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
-		log.Printf("event=start_failed error=%q", err)
+		slog.Error("start_failed", "error", err)
 		os.Exit(2)
 	}
 	var follows *following // nil: off
@@ -32,7 +33,7 @@
 		cfg = follows.cfg
 	}
 	for _, a := range cfg.Adjusted {
-		log.Printf("event=settings_adjusted key=%s meaning=%q", a.Key, a.Meaning)
+		slog.Warn("settings_adjusted", "key", a.Key, "meaning", a.Meaning)
 	}
 	runtime.GOMAXPROCS(1) // the loop and the connections take turns on the one core
 	debug.SetMemoryLimit(cfg.Memory * 3 / 4)
@@ -43,10 +44,10 @@
 		close(stop)
 		for s := range calls {
 			if s == syscall.SIGINT { // from a terminal; the platform that means at once has SIGKILL
-				log.Printf("event=stopped_at_once")
+				slog.Warn("stopped_at_once")
 				os.Exit(1)
 			}
-			log.Printf("event=stopping_already") // its end is near and has its time: a second call must not lose what is open
+			slog.Info("stopping_already") // its end is near and has its time: a second call must not lose what is open
 		}
 	}()
 	n := node.NewOn(platform, cfg, logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport))
@@ -60,7 +61,7 @@
 		}
 	}()
 	if err := n.Run(stop); err != nil {
-		log.Printf("event=failed error=%q", err)
+		slog.Error("failed", "error", err)
 		os.Exit(1)
 	}
 }
--- a/internal/publisher/fleet.go
+++ b/internal/publisher/fleet.go
@@ -27,14 +27,6 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// String gives the replica's status as a log line.
-func (r ReplicaStatus) String() string {
-	if r.Status == nil {
-		return fmt.Sprintf("replica=%d error=%q", r.Replica, r.Error)
-	}
-	return r.Status.String()
-}
-
 // Fleet asks the other replicas.
 func (p *Publisher) Fleet(ctx context.Context) *Fleet {
 	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
--- a/internal/publisher/publish.go
+++ b/internal/publisher/publish.go
@@ -5,7 +5,7 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
-	"log"
+	"log/slog"
 	"time"
 
 	"ravensill/configsync"
@@ -114,7 +114,11 @@
 		return Publication{}, err
 	}
 	p.counters.published.Add(1)
-	log.Printf("event=configuration_published version=%d changes=%d digest=%x", delta.To, len(delta.Changes), delta.Digest[:8])
+	slog.Info("configuration_published",
+		"version", delta.To,
+		"changes", len(delta.Changes),
+		"digest", fmt.Sprintf("%x", delta.Digest[:8]),
+	)
 	return newPublication(delta), nil
 }
 
@@ -162,7 +166,7 @@
 	}
 	err = p.mirror.follow(next)
 	if err != nil {
-		log.Printf("event=published_version_refused error=%q", err)
+		slog.Error("published_version_refused", "error", err)
 	}
 	err = p.mirror.check(command.Changes, func() []configsync.Change { return p.contentAfter(command.Changes) })
 	if err != nil {
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -6,7 +6,7 @@
 import (
 	"context"
 	"fmt"
-	"log"
+	"log/slog"
 	"net"
 	"net/http"
 	"sync"
@@ -130,7 +130,7 @@
 	p.tasks.Wait()
 	err := p.replica.Resign()
 	if err != nil {
-		log.Printf("event=publisher_resign_failed error=%q", err)
+		slog.Warn("publisher_resign_failed", "error", err)
 	}
 	p.replica.Close()
 }
@@ -150,14 +150,14 @@
 	for {
 		select {
 		case leads := <-p.replica.Leadership():
-			log.Printf("event=publisher_leads yes=%t", leads)
+			slog.Info("publisher_leads", "yes", leads)
 		case <-contact.C:
 			released := p.observe()
 			if released {
 				contact.Reset(contactInterval)
 			}
 		case <-line.C:
-			log.Printf("event=publisher %s", p.Status())
+			slog.LogAttrs(context.Background(), slog.LevelInfo, "publisher", p.Status().LogAttrs()...)
 		case <-p.done:
 			return
 		}
--- a/internal/publisher/serve.go
+++ b/internal/publisher/serve.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 	"io"
-	"log"
+	"log/slog"
 	"net"
 	"sync/atomic"
 	"time"
@@ -208,8 +208,12 @@
 
 func (c *connection) receive(message configsync.Message) error {
 	if refusal, ok := message.(*configsync.Refusal); ok {
-		log.Printf("event=version_refused follower=%s version=%d resource=%q reason=%q", c.conn.RemoteAddr(), refusal.Version,
-			refusal.Resource, refusal.Reason)
+		slog.Warn("version_refused",
+			"follower", c.conn.RemoteAddr(),
+			"version", refusal.Version,
+			"resource", refusal.Resource,
+			"reason", refusal.Reason,
+		)
 	}
 	p := c.publisher
 	p.mu.Lock()
@@ -274,7 +278,7 @@
 	var protocol *configsync.ProtocolError
 	if errors.As(err, &malformed) || errors.As(err, &protocol) {
 		c.publisher.counters.malformed.Add(1)
-		log.Printf("event=follower_malformed follower=%s error=%q", c.conn.RemoteAddr(), err)
+		slog.Warn("follower_malformed", "follower", c.conn.RemoteAddr(), "error", err)
 	}
 }
 
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -2,12 +2,14 @@
 
 import (
 	"encoding/hex"
-	"fmt"
+	"log/slog"
 	"time"
 
 	"ravensill/configsync"
 )
 
+const loggedDigestDigits = 16 // of the digest, in a log line
+
 // Status is what a replica knows: of the log, of itself, and of the gateways that follow or followed it.
 type Status struct {
 	Replica   int                `json:"replica"`
@@ -93,8 +95,8 @@
 	}
 }
 
-// String gives the status as a log line without the single followers.
-func (s *Status) String() string {
+// LogAttrs returns the status as the fields of a log line, the followers only as counts.
+func (s *Status) LogAttrs() []slog.Attr {
 	inForce := 0
 	refused := 0
 	for i := range s.Followers {
@@ -107,8 +109,21 @@
 		}
 	}
 	c := &s.Counters
-	return fmt.Sprintf("leads=%t leader=%d current=%t version=%d digest=%.16s followers=%d in_force=%d refused=%d"+
-		" connections=%d turned_off=%d malformed=%d bytes_in=%d bytes_out=%d published=%d rejected=%d",
-		s.Leads, s.Leader, s.Current, s.Version, s.Digest, s.Connected, inForce, refused,
-		c.Connections, c.TurnedOff, c.Malformed, c.BytesIn, c.BytesOut, c.Published, c.Rejected)
+	return []slog.Attr{
+		slog.Bool("leads", s.Leads),
+		slog.Int("leader", s.Leader),
+		slog.Bool("current", s.Current),
+		slog.Uint64("version", uint64(s.Version)),
+		slog.String("digest", s.Digest[:loggedDigestDigits]),
+		slog.Int("followers", s.Connected),
+		slog.Int("in_force", inForce),
+		slog.Int("refused", refused),
+		slog.Int64("connections", c.Connections),
+		slog.Int64("turned_off", c.TurnedOff),
+		slog.Int64("malformed", c.Malformed),
+		slog.Int64("bytes_in", c.BytesIn),
+		slog.Int64("bytes_out", c.BytesOut),
+		slog.Int64("published", c.Published),
+		slog.Int64("rejected", c.Rejected),
+	}
 }
--- a/internal/subscriber/status.go
+++ b/internal/subscriber/status.go
@@ -2,13 +2,16 @@
 
 import (
 	"cmp"
-	"fmt"
-	"log"
+	"context"
+	"encoding/hex"
+	"log/slog"
 	"time"
 
 	"ravensill/configsync"
 )
 
+const loggedDigestBytes = 8 // of the digest, in a log line
+
 // Status is how a subscriber stands.
 type Status struct {
 	Version   configsync.Version // in force
@@ -51,13 +54,25 @@
 		return
 	}
 	s.lineAt = now
-	log.Printf("event=configuration %s", s.Status())
+	slog.LogAttrs(context.Background(), slog.LevelInfo, "configuration", s.Status().LogAttrs()...)
 }
 
-// String gives the state as the fields of a log line.
-func (s Status) String() string {
+// LogAttrs returns the state as the fields of a log line.
+func (s Status) LogAttrs() []slog.Attr {
 	c := &s.Counters
-	return fmt.Sprintf("version=%d digest=%x latest=%d refused=%d publisher=%s bytes_in=%d bytes_out=%d accepted=%d"+
-		" refusals=%d lost=%d malformed=%d deferred=%d unsaved=%d", s.Version, s.Digest[:8], s.Latest, s.Refused,
-		cmp.Or(s.Publisher, "none"), s.BytesIn, s.BytesOut, c.Accepted, c.Refused, c.Lost, c.Malformed, c.Deferred, s.Unsaved)
+	return []slog.Attr{
+		slog.Uint64("version", uint64(s.Version)),
+		slog.String("digest", hex.EncodeToString(s.Digest[:loggedDigestBytes])),
+		slog.Uint64("latest", uint64(s.Latest)),
+		slog.Uint64("refused", uint64(s.Refused)),
+		slog.String("publisher", cmp.Or(s.Publisher, "none")),
+		slog.Int64("bytes_in", s.BytesIn),
+		slog.Int64("bytes_out", s.BytesOut),
+		slog.Uint64("accepted", c.Accepted),
+		slog.Uint64("refusals", c.Refused),
+		slog.Uint64("lost", c.Lost),
+		slog.Uint64("malformed", c.Malformed),
+		slog.Uint64("deferred", c.Deferred),
+		slog.Int("unsaved", s.Unsaved),
+	}
 }
--- a/internal/subscriber/store.go
+++ b/internal/subscriber/store.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 	"io/fs"
-	"log"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"time"
@@ -124,10 +124,10 @@
 		s.retryAt = time.Now().Add(saveRetryInterval)
 	}
 	if err != nil && !s.failing {
-		log.Printf("event=configuration_not_saved dir=%s version=%d error=%q", s.dir, document.Version(), err)
+		slog.Warn("configuration_not_saved", "dir", s.dir, "version", document.Version(), "error", err)
 	}
 	if err == nil && s.failing {
-		log.Printf("event=configuration_saved_again dir=%s version=%d", s.dir, document.Version())
+		slog.Info("configuration_saved_again", "dir", s.dir, "version", document.Version())
 	}
 	s.failing = err != nil
 	return err == nil
--- a/internal/subscriber/store_test.go
+++ b/internal/subscriber/store_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"log"
 	"os"
 	"path/filepath"
 	"slices"
@@ -15,6 +14,7 @@
 	"time"
 
 	"ravensill/configsync"
+	"ravensill/internal/logging"
 	"ravensill/internal/publishertest"
 )
 
@@ -126,8 +126,7 @@
 
 func testSaveFault(t *testing.T, disk *faultyFiles, errno syscall.Errno, compacted bool) {
 	var lines bytes.Buffer
-	log.SetOutput(&lines)
-	defer log.SetOutput(os.Stderr)
+	defer logging.SetOutput(&lines)()
 	h := newHistory(t, 3)
 	s := newStore(filepath.Join(t.TempDir(), "folder"), disk)
 	defer s.close()
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -6,7 +6,7 @@
 import (
 	"context"
 	"errors"
-	"log"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/netip"
@@ -240,7 +240,7 @@
 		resource = fault.Resource
 		reason = strings.TrimPrefix(reason, string(resource)+": ")
 	}
-	log.Printf("event=configuration_refused version=%d resource=%q reason=%q", update.To, resource, reason)
+	slog.Warn("configuration_refused", "version", update.To, "resource", resource, "reason", reason)
 	l.send(s.follower.Refuse(now, resource, reason))
 }
 
@@ -256,5 +256,5 @@
 	if err != nil {
 		text = err.Error()
 	}
-	log.Printf("event=configuration_publisher_lost publisher=%s cause=%q error=%q", address, decision.Cause, text)
+	slog.Warn("configuration_publisher_lost", "publisher", address, "cause", decision.Cause, "error", text)
 }
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"log"
 	"net"
 	"net/netip"
 	"os"
@@ -16,6 +15,7 @@
 
 	"ravensill/configsync"
 	"ravensill/internal/config"
+	"ravensill/internal/logging"
 	"ravensill/internal/publisher"
 	"ravensill/internal/publishertest"
 )
@@ -266,8 +266,7 @@
 // A disk that can't be written is told once, the gateway goes on, and saves again when it can.
 func TestUnwritableDisk(t *testing.T) {
 	var lines bytes.Buffer
-	log.SetOutput(&lines)
-	defer log.SetOutput(os.Stderr)
+	defer logging.SetOutput(&lines)()
 	document := configsync.NewDocument("log")
 	s := newStore(filepath.Join(t.TempDir(), "file"), diskFiles{})
 	if err := os.WriteFile(s.dir, nil, 0o600); err != nil { // a file where the folder should be
--- a/lab/rollout/checks_test.go
+++ b/lab/rollout/checks_test.go
@@ -77,14 +77,14 @@
 
 // TestHistory: what a gateway's log lines tell.
 func TestHistory(t *testing.T) {
-	const at = "2026/12/02 05:00:01.500000 "
+	const at = "time=2026-12-02T05:00:01.500000Z level=INFO "
 	h := &History{}
 	for _, line := range []string{
 		at + "event=serving name=g0",
 		at + "event=configuration_applied version=7 plans=2 classes=3 members=4",
-		at + `event=configuration_refused version=8 resource="members/3" reason="missing"`,
+		at + `event=configuration_refused version=8 resource=members/3 reason=missing`,
 		`event=exited status="signal: killed"`,
-		at + `event=configuration_damaged dir=configuration version=6 error="torn"`,
+		at + `event=configuration_damaged dir=configuration version=6 error=torn`,
 		at + "event=configuration_held version=6 plans=2 classes=3 members=4",
 		"no event",
 	} {
--- a/lab/rollout/hollow/hollow_test.go
+++ b/lab/rollout/hollow/hollow_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
-	"log"
 	"math"
 	"os"
 	"testing"
 	"time"
+
+	"ravensill/internal/logging"
 )
 
 const testTimeout = 3 * time.Minute // no verdict, only an end
@@ -15,7 +16,7 @@
 var lines Lines
 
 func TestMain(m *testing.M) {
-	log.SetOutput(&lines)
+	logging.SetOutput(&lines)
 	os.Exit(m.Run())
 }
 
--- a/lab/rollout/hollow/lines.go
+++ b/lab/rollout/hollow/lines.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"maps"
 	"strconv"
+	"strings"
 	"sync"
 )
 
@@ -13,7 +14,7 @@
 	events map[string]int
 }
 
-// Write takes in one line, as package log writes it.
+// Write counts one line, as package logging writes it.
 func (l *Lines) Write(line []byte) (int, error) {
 	_, rest, found := bytes.Cut(line, []byte("event="))
 	event, rest, _ := bytes.Cut(rest, []byte(" "))
@@ -23,7 +24,7 @@
 	name := string(event)
 	_, rest, found = bytes.Cut(rest, []byte("cause="))
 	if found {
-		name += ": " + firstQuoted(string(rest))
+		name += ": " + firstValue(string(rest))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,11 +35,12 @@
 	return len(line), nil
 }
 
-// firstQuoted gives the quoted text that another begins with, without its quotes.
-func firstQuoted(text string) string {
+// firstValue returns the value that a text begins with, without its quotes if it has any.
+func firstValue(text string) string {
 	quoted, err := strconv.QuotedPrefix(text)
 	if err != nil {
-		return ""
+		word, _, _ := strings.Cut(text, " ")
+		return strings.TrimSpace(word)
 	}
 	unquoted, err := strconv.Unquote(quoted)
 	if err != nil {
--- a/lab/rollout/record.go
+++ b/lab/rollout/record.go
@@ -7,13 +7,11 @@
 	"time"
 
 	"ravensill/configsync"
+	"ravensill/internal/logging"
 	"ravensill/internal/publisher"
 	"ravensill/lab/fleet"
 )
 
-// logTime is the layout of the time that begins each log line, in UTC.
-const logTime = "2006/01/02 15:04:05.000000"
-
 // Applied is a version that came in force at a gateway, by its log line.
 type Applied struct {
 	Life     int // number of the process's life, from 1 on
@@ -141,7 +139,8 @@
 }
 
 func timeOf(line string) time.Time {
-	at, err := time.Parse(logTime, line[:min(len(line), len(logTime))])
+	_, text, _ := strings.Cut(line, "time=")
+	at, err := time.Parse(logging.TimeLayout, text[:min(len(text), len(logging.TimeLayout))])
 	if err != nil {
 		return time.Time{}
 	}
--- a/lab/scale/testdata/heap_report.go
+++ b/lab/scale/testdata/heap_report.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"log"
+	"log/slog"
 	"os"
 	"os/signal"
 	"runtime"
@@ -18,7 +18,7 @@
 			runtime.GC()
 			var stats runtime.MemStats
 			runtime.ReadMemStats(&stats)
-			log.Printf("event=live_heap bytes=%d", stats.HeapAlloc)
+			slog.Info("live_heap", "bytes", stats.HeapAlloc)
 		}
 	}()
 }
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -122,8 +122,12 @@
 	w := newSimulation(1, 2, nil)
 	w.arrive(0, "a", 12) // a burst of 10: two lack the units
 	g := w.gateways[0].gateway
-	if got, want := g.DecisionCounts(), "passed=10 quota=2 ceiling=0 unanswered=0 late=0 cap=0 hosts=0 failure=0"; got != want {
-		t.Fatalf("tally %q, want %q", got, want)
+	var got strings.Builder
+	for _, count := range g.DecisionCounts() {
+		fmt.Fprintf(&got, "%s=%d ", count.Outcome, count.Count)
+	}
+	if want := "passed=10 quota=2 ceiling=0 unanswered=0 late=0 cap=0 hosts=0 failure=0 "; got.String() != want {
+		t.Fatalf("counts %q, want %q", got.String(), want)
 	}
 	w.finishAttempt(0, 0, gateway.Unreachable, false) // never ran: sent again, not denied
 	if x := g.Gauges(); x.Admitted != 10 || x.Rejected != [Reasons]int{OverQuota: 2} || x.InFlight != 10 {
--- a/logic/metrics.go
+++ b/logic/metrics.go
@@ -1,9 +1,6 @@
 package logic
 
-import (
-	"fmt"
-	"strings"
-)
+import "ravensill/gateway"
 
 // Gauges are figures of what the gateway holds, for metrics and the laboratory; nothing is decided by them.
 type Gauges struct {
@@ -39,15 +36,14 @@
 	return c.level, c.peerRate, true
 }
 
-// DecisionCounts returns the decisions since the start as words for the log: passed=N, then the rejections by reason.
-func (g *Gateway) DecisionCounts() string {
-	var text strings.Builder
-	fmt.Fprintf(&text, "passed=%d", g.admitted)
+// DecisionCounts returns the decisions since the start: the requests sent on, then the rejections by reason.
+func (g *Gateway) DecisionCounts() []gateway.DecisionCount {
+	counts := []gateway.DecisionCount{{Outcome: "passed", Count: g.admitted}}
 	for reason, count := range g.rejected {
-		fmt.Fprintf(&text, " %v=%d", Reason(reason), count)
+		counts = append(counts, gateway.DecisionCount{Outcome: Reason(reason).String(), Count: count})
 	}
 	if g.format.ByID {
-		fmt.Fprintf(&text, " totals_unmatched=%d", g.unmatchedCounters)
+		counts = append(counts, gateway.DecisionCount{Outcome: "totals_unmatched", Count: g.unmatchedCounters})
 	}
-	return text.String()
+	return counts
 }
--- a/pool/grantor.go
+++ b/pool/grantor.go
@@ -1,8 +1,6 @@
 package pool
 
-import (
-	"fmt"
-)
+import ()
 
 // Propose asks for a batch to be committed to the agreed ledger. The lease grantor waits for Written before it proposes again.
 type Propose struct{ Batch Batch }
@@ -282,16 +280,31 @@
 	return connections
 }
 
-// String returns the state, for the operators.
-func (g *Grantor) String() string {
-	lent, stranded, reporting := 0, 0, 0
+// Totals are sums over the ledger of a lease grantor, for the operators.
+type Totals struct {
+	Capacity  int
+	Serial    uint64
+	Lent      int
+	Free      int
+	Stranded  int
+	Held      int // connections that the members report
+	Reporting int // members that have reported
+}
+
+// Totals returns the present sums.
+func (g *Grantor) Totals() Totals {
+	totals := Totals{
+		Capacity: g.ledger.Capacity,
+		Serial:   g.ledger.Serial,
+		Free:     g.ledger.Free(),
+		Held:     g.Connections(),
+	}
 	for i, entry := range g.ledger.Entries {
-		lent += entry.Units
-		stranded += entry.Stranded
+		totals.Lent += entry.Units
+		totals.Stranded += entry.Stranded
 		if g.members[i].lastReport > 0 {
-			reporting++
+			totals.Reporting++
 		}
 	}
-	return fmt.Sprintf("capacity=%d serial=%d lent=%d free=%d stranded=%d held=%d heard=%d", g.ledger.Capacity, g.ledger.Serial,
-		lent, g.ledger.Free(), stranded, g.Connections(), reporting)
+	return totals
 }
