--- a/lab/knownred/knownred_test.go
+++ b/lab/knownred/knownred_test.go
@@ -50,15 +50,17 @@
 
 var failing = regexp.MustCompile(`(?m)^ *--- FAIL: (\S+)|^FAIL\t(\S+)`)
 
+// TestPassesOverOnlyNamed: exactly the tests of KNOWN-RED.txt are passed over, and printed.
 func TestPassesOverOnlyNamed(t *testing.T) {
-	const line, race = "a TestRed | breaks | issue 1\n", "internal/bufconn TestRed | breaks | issue 2"
+	const line = "a TestRed | go test ./a -run TestRed, seed 1 | breaks | issue 1\n"
+	const race = "internal/bufconn TestRed | go test ./internal/bufconn -run TestRed -race, seed none | breaks | issue 2"
 	for _, c := range []struct {
 		name, lines string
 		files       map[string]string
 		fails       []string // tests, and their packages after them
 	}{
 		{"none named", "# words\n\n", map[string]string{"a/x_test.go": red("TestRed")}, []string{"TestRed", "m/a"}},
-		{"three named, last line open", "# words\n" + line + "a TestOther | breaks too | issue 1\n" + race, map[string]string{
+		{"three named, last line open", "# words\n" + line + "a TestOther | go test ./a -run TestOther, seed 7 | breaks too | issue 1\n" + race, map[string]string{
 			"a/x_test.go":                red("TestRed", "TestOther"),
 			"internal/bufconn/x_test.go": red("TestRed")}, nil},
 		{"namesakes", line, map[string]string{
@@ -85,23 +87,34 @@
 	}
 }
 
-// Lines that are too many, name no test or can't be made out fail the run before any test.
-func TestRefuses(t *testing.T) {
-	const line = "a TestRed | breaks | issue 1\n"
+// TestRefusesMalformedEntry: lines that are too many, name no test or lack a part fail the run before any test.
+func TestRefusesMalformedEntry(t *testing.T) {
+	const line = "a TestRed | go test ./a -run TestRed, seed 1 | breaks | issue 1\n"
 	files := map[string]string{"a/x_test.go": red("TestRed", "TestOther", "TestThird", "TestFourth")}
+	four := line
+	for _, other := range []string{"Other", "Third", "Fourth"} {
+		four += strings.ReplaceAll(line, "Red", other)
+	}
 	for lines, says := range map[string]string{
-		line + strings.ReplaceAll(line, "Red", "Other") + strings.ReplaceAll(line, "Red", "Third") + strings.ReplaceAll(line, "Red", "Fourth"): "more than three tests",
-		line + "a TestGone | c | issue 1\n":         "names no test: a TestGone",
-		"a TestRe | c | issue 1\n":                  "names no test",
-		"internal/bufconn TestRed | c | issue 1\n":  "names no test",
-		"gone TestRed | c | issue 1\n":              "names no test",
-		"a Test.* | c | issue 1\n":                  "not 'package",
-		"... TestRed | c | issue 1\n":               "not 'package",
-		"a TestRed/x | c | issue 1\n":               "not 'package",
-		"a TestRed |  | issue 1\n":                  "not 'package",
-		"a TestRed | c\n":                           "not 'package",
-		"a TestRed | c | issue\n":                   "not 'package",
-		"a TestRed | c | issue 1 and TestOther too": "not 'package",
+		four:                                    "more than three tests",
+		strings.ReplaceAll(line, "Red", "Gone"): "names no test: a TestGone",
+		strings.ReplaceAll(line, "Red", "Re"):   "names no test",
+		"internal/bufconn TestRed | go test ./internal/bufconn -run TestRed, seed 1 | c | issue 1\n": "names no test",
+		"gone TestRed | go test ./gone -run TestRed, seed 1 | c | issue 1\n":                         "names no test",
+		"a Test.* | go test ./a -run Test.*, seed 1 | c | issue 1\n":                                 "not 'package",
+		"... TestRed | go test ./... -run TestRed, seed 1 | c | issue 1\n":                           "not 'package",
+		"a TestRed/x | go test ./a -run TestRed/x, seed 1 | c | issue 1\n":                           "not 'package",
+		"a TestRed | c | issue 1\n":                                                    "not 'package",
+		"a TestRed |  | c | issue 1\n":                                                 "not 'package",
+		"a TestRed | go test ./a -run TestRed | c | issue 1\n":                         "not 'package",
+		"a TestRed | go test ./a -run TestRed, seed  | c | issue 1\n":                  "not 'package",
+		"a TestRed | go test ./a -run TestRed, seed 1 |  | issue 1\n":                  "not 'package",
+		"a TestRed | go test ./a -run TestRed, seed 1 | c\n":                           "not 'package",
+		"a TestRed | go test ./a -run TestRed, seed 1 | c | issue\n":                   "not 'package",
+		"a TestRed | go test ./a -run TestRed, seed 1 | c | issue 1 and TestOther too": "not 'package",
+		"a TestRed | go test ./b -run TestRed, seed 1 | c | issue 1\n":                 "does not run TestRed of ./a",
+		"a TestRed | go test ./a -run TestOther, seed 1 | c | issue 1\n":               "does not run TestRed of ./a",
+		"a TestRed | go test ./a -run TestRedder, seed 1 | c | issue 1\n":              "does not run TestRed of ./a",
 	} {
 		if out, failed := run(t, lines, files); !failed || !strings.Contains(out, says) || strings.Contains(out, "--- FAIL") {
 			t.Errorf("%q: failed %v, want %q:\n%s", lines, failed, says, out)
@@ -109,8 +122,8 @@
 	}
 }
 
-// What CI runs is what the README names.
-func TestSameCommand(t *testing.T) {
+// TestReadmeNamesCommandOfCI: what CI runs is what the README names.
+func TestReadmeNamesCommandOfCI(t *testing.T) {
 	for file, line := range map[string]string{"../../.ci/run": "\nbash .ci/test\n", "../../README.md": "\n    bash .ci/test "} {
 		if text, err := os.ReadFile(file); err != nil || !strings.Contains(string(text), line) {
 			t.Errorf("%s lacks %q: %v", file, line, err)
