--- a/concurrency/limiter.go
+++ b/concurrency/limiter.go
@@ -3,6 +3,12 @@
 // capacity left.
 package concurrency
 
+import (
+	"time"
+
+	"ravensill/gateway"
+)
+
 const (
 	MaxLateness          = 0.35 // mean fraction of the latency objective that answers may take before the limit is decreased
 	UtilizationObjective = 0.85 // utilization that the limit lets the fleet reach where endpoints report it
@@ -26,7 +32,7 @@
 	meanInFlight     float64 // attempts, as seen by answers
 	utilization      float64 // mean of the reports
 	utilizationKnown bool
-	lastDecrease     int64 // ns
+	lastDecrease     gateway.Time
 }
 
 // SetEndpoints sets how many endpoints there are now: the limit follows in proportion.
@@ -50,7 +56,7 @@
 
 // ObserveAnswer takes in an answer that came a latency after its attempt started, with the objective of its class, both in
 // nanoseconds, and the utilization that the endpoint reported with it, below 0 for none.
-func (l *Limiter) ObserveAnswer(latency, objective, now int64, inFlight int, utilization float64) {
+func (l *Limiter) ObserveAnswer(latency, objective time.Duration, now gateway.Time, inFlight int, utilization float64) {
 	late := min(float64(latency)/float64(objective), 1)
 	l.lateness += (late - l.lateness) / min(2+l.limit, maxLatenessWindow)
 	if utilization >= 0 {
@@ -58,7 +64,7 @@
 	}
 	l.meanInFlight += (float64(inFlight) - l.meanInFlight) * inFlightWeight
 	if l.lateness > MaxLateness {
-		l.decreaseOnce(now, int64(MaxLateness*float64(objective)))
+		l.decreaseOnce(now, time.Duration(MaxLateness*float64(objective)))
 		return
 	}
 	if float64(inFlight+2) > l.limit {
@@ -80,8 +86,8 @@
 }
 
 // decreaseOnce decreases the limit, once in an interval.
-func (l *Limiter) decreaseOnce(now, interval int64) {
-	if now-l.lastDecrease < interval {
+func (l *Limiter) decreaseOnce(now gateway.Time, interval time.Duration) {
+	if now.Sub(l.lastDecrease) < interval {
 		return
 	}
 	l.limit = max(minLimit, l.limit*decrease)
--- a/concurrency/limiter_test.go
+++ b/concurrency/limiter_test.go
@@ -3,9 +3,12 @@
 import (
 	"math/rand/v2"
 	"testing"
+	"time"
+
+	"ravensill/gateway"
 )
 
-const ms = int64(1e6)
+const ms = time.Millisecond
 
 // TestLimitBelowOneIsAProbability: under one, the bound lets some dispatches go, one at a time; from two on, all that fit.
 func TestLimitBelowOneIsAProbability(t *testing.T) {
@@ -51,9 +54,9 @@
 func TestLateAnswersDecreaseOnceAnInterval(t *testing.T) {
 	o := Limiter{Start: 1}
 	o.SetEndpoints(10)
-	now := int64(0)
+	now := gateway.Time(0)
 	for range 50 {
-		now += 10 * ms
+		now = now.Add(10 * ms)
 		o.ObserveAnswer(900*ms, 1000*ms, now, 9, -1)
 	}
 	// 500 ms of late answers, cuts 350 ms apart at least: one cut of what the first answers grew it to.
@@ -61,7 +64,7 @@
 		t.Errorf("bound %.2f after 0.5 s of late answers, want one cut of 10 to 10.5", l)
 	}
 	for range 40 {
-		now += 10 * ms
+		now = now.Add(10 * ms)
 		o.ObserveAnswer(900*ms, 1000*ms, now, 9, -1)
 	}
 	if l := o.Limit(); l < 10*decrease*decrease || l > 10.5*decrease*decrease {
@@ -80,7 +83,7 @@
 		o := Limiter{Start: 6.0 / 60}
 		o.SetEndpoints(40) // 4 dispatches to start with
 		for k := range 24 {
-			o.ObserveAnswer(300*ms, 2000*ms, int64(k)*40*ms, 4, busy)
+			o.ObserveAnswer(300*ms, 2000*ms, gateway.Time(k)*gateway.Time(40*ms), 4, busy)
 		}
 		return o.Limit()
 	}
@@ -98,8 +101,8 @@
 func BenchmarkAnswered(b *testing.B) {
 	o := Limiter{Start: 0.1}
 	o.SetEndpoints(100)
-	for i := int64(0); b.Loop(); i++ {
-		o.ObserveAnswer(300*ms, 2000*ms, i*ms, 4, 0.5)
+	for now := gateway.Time(0); b.Loop(); now = now.Add(ms) {
+		o.ObserveAnswer(300*ms, 2000*ms, now, 4, 0.5)
 		o.Allows(4, 1, 0.5)
 	}
 }
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -1,5 +1,7 @@
 package gateway
 
+import "time"
+
 // EventKind is the kind of an Event.
 type EventKind int
 
@@ -67,7 +69,7 @@
 	Machine   int // index of the machine kind
 	State     EndpointState
 	Weight    float64
-	StartedAt int64 // last start, by the wall clock of the host; 0: long ago
+	StartedAt Time // last start, by the wall clock of the host; 0: long ago
 }
 
 // Event is an event at a gateway. Which fields are set depends on Kind.
@@ -77,8 +79,8 @@
 	Customer     string
 	Class        int
 	Plan         int
-	Deadline     int64   // of the client
-	StopAt       int64   // for a RequestArrived: the gateway, which was called to stop, answers nothing after it; 0: not called to stop
+	Deadline     Time    // of the client
+	StopAt       Time    // for a RequestArrived: the gateway, which was called to stop, answers nothing after it; 0: not called to stop
 	Units        float64 // of the quota; for an AttemptEnded with success the settled units, 0 if unsettled
 	Spread       int     // the customer's requests come in at this many gateways,
 	FirstGateway int     // from this member index on, cyclically
@@ -87,7 +89,7 @@
 	Host         uint32
 	Attempt      int // number of the request's attempts, from 0 on
 	Result       Result
-	Latency      int64
+	Latency      time.Duration
 	Usage        int       // 1 + the customer's metered use in percent; 0: not reported
 	LoadReport   []float64 // as LoadReportForm.Fields; nil: not reported
 	ListKind     ListKind
@@ -100,6 +102,6 @@
 
 // Batch is the events that came in at one gateway up to a time, in order. Now and the events' times are of its monotonic clock.
 type Batch struct {
-	Now    int64
+	Now    Time
 	Events []Event
 }
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -1,5 +1,7 @@
 package gateway
 
+import "time"
+
 // Effect says whether the requests of a class may run more than once.
 type Effect int
 
@@ -24,9 +26,9 @@
 type RequestClass struct {
 	Effect           Effect
 	Group            Group
-	DedupWindow      int64 // deduplicated: repeats are dropped for so long after the first attempt
-	LatencyObjective int64
-	Timeout          int64 // client timeout, of all attempts together
+	DedupWindow      time.Duration // deduplicated: repeats are dropped for so long after the first attempt
+	LatencyObjective time.Duration
+	Timeout          time.Duration // client timeout, of all attempts together
 	Value            float64
 	LateValue        float64 // fraction of the value that is earned after the latency objective
 	Stream           bool
@@ -61,20 +63,20 @@
 	Hedging        bool // whether two attempts of a request may be in flight
 	Cancellation   bool
 	Probes         bool
-	RetryAfter     bool  // whether clients are told when to come back
-	MaxRetryAfter  int64 // the longest that clients observe
-	PollEndpoints  bool  // the endpoint list is sent only on request
-	SettlesUnits   bool  // units are settled by the answer
-	SharedCounter  bool  // there is one
-	CounterTimeout int64 // of its calls
+	RetryAfter     bool          // whether clients are told when to come back
+	MaxRetryAfter  time.Duration // the longest that clients observe
+	PollEndpoints  bool          // the endpoint list is sent only on request
+	SettlesUnits   bool          // units are settled by the answer
+	SharedCounter  bool          // there is one
+	CounterTimeout time.Duration // of its calls
 }
 
 // SlowStart describes how endpoints warm up.
 type SlowStart struct {
-	InitialFraction float64 // of its capacity that an endpoint starts with, at least
-	Duration        int64   // until it has all of it, at most
-	OverloadFactor  float64 // an endpoint that is sent more than this multiple of its capacity
-	OverloadWindow  int64   // for so long fails
+	InitialFraction float64       // of its capacity that an endpoint starts with, at least
+	Duration        time.Duration // until it has all of it, at most
+	OverloadFactor  float64       // an endpoint that is sent more than this multiple of its capacity
+	OverloadWindow  time.Duration // for so long fails
 }
 
 // LoadField is a field of a load report.
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -32,9 +32,9 @@
 	class = gateway.RequestClass{
 		Effect:           gateway.Effect(s.word("effect", "safe", "keyed", "unsafe")),
 		Group:            gateway.Group(s.word("group", "all", "zone", "cell")),
-		DedupWindow:      s.time("window_us"),
-		LatencyObjective: s.time("target_us"),
-		Timeout:          s.time("hard_limit_us"),
+		DedupWindow:      s.duration("window_us"),
+		LatencyObjective: s.duration("target_us"),
+		Timeout:          s.duration("hard_limit_us"),
 		Value:            s.num("points"),
 		LateValue:        s.num("late_worth"),
 		Stream:           s.yes("stream"),
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -268,10 +268,10 @@
 		}
 	}
 	if s.ConnIdle == 0 {
-		s.ConnIdle = int64(defaultConnIdle)
+		s.ConnIdle = defaultConnIdle
 	}
 	if s.ConnectTimeout == 0 {
-		s.ConnectTimeout = int64(defaultConnectTimeout)
+		s.ConnectTimeout = defaultConnectTimeout
 	}
 	return nil
 }
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -6,6 +6,7 @@
 	"net/netip"
 	"runtime"
 	"strings"
+	"time"
 
 	"ravensill/configsync"
 	"ravensill/gateway"
@@ -59,8 +60,8 @@
 // fileSettings is what the gateway's own file says and no document changes.
 type fileSettings struct {
 	limits         gateway.Limits
-	longestTimeout int64 // of request classes, in nanoseconds; 0: not bounded
-	fixedSize      bool  // the number of members can't change
+	longestTimeout time.Duration // of request classes; 0: not bounded
+	fixedSize      bool          // the number of members can't change
 }
 
 // NewLive starts from what the file of a gateway says.
--- a/internal/config/live_decode.go
+++ b/internal/config/live_decode.go
@@ -156,7 +156,7 @@
 	limits.Hedging = object.yes("parallel_tries")
 	limits.Cancellation = object.yes("cancelling")
 	limits.RetryAfter = object.yes("retry_after")
-	limits.MaxRetryAfter = object.time("max_retry_after_us")
+	limits.MaxRetryAfter = object.duration("max_retry_after_us")
 	if object.err != nil {
 		return resourceError(change.Resource, object.err)
 	}
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -83,11 +83,11 @@
 	if t.Turn > 0 {
 		return
 	}
-	objective := int64(math.MaxInt64)
+	objective := time.Duration(math.MaxInt64)
 	for i := range c.Classes {
 		objective = min(objective, c.Classes[i].LatencyObjective)
 	}
-	quarter := objective / int64(4*time.Millisecond)
+	quarter := objective / (4 * time.Millisecond)
 	t.Turn = int(max(min(quarter, math.MaxInt32), 1))
 }
 
@@ -135,7 +135,7 @@
 // pool converts the numbers.
 func (t *poolSection) pool(c *Config) *Pool {
 	const ms = int64(time.Millisecond)
-	longest := int64(0)
+	longest := time.Duration(0)
 	for i := range c.Classes {
 		longest = max(longest, c.Classes[i].Timeout)
 	}
@@ -152,7 +152,7 @@
 			Floor:          t.Floor,
 			Reserve:        t.Reserve,
 			Lease:          lease,
-			Drain:          longest + lease,
+			Drain:          int64(longest) + lease,
 			Drift:          t.Drift,
 			TargetHold:     int64(t.Hold) * ms,
 			ReportInterval: int64(t.Tell) * ms,
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,6 +7,7 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/tidwall/gjson"
 
@@ -78,9 +79,9 @@
 	return v
 }
 
-func (s *settings) whole(path string) int  { return int(s.num(path)) }
-func (s *settings) time(path string) int64 { return int64(s.num(path) * us) }
-func (s *settings) yes(path string) bool   { return s.at(path, gjson.True, gjson.False).Bool() }
+func (s *settings) whole(path string) int              { return int(s.num(path)) }
+func (s *settings) duration(path string) time.Duration { return time.Duration(s.num(path) * us) }
+func (s *settings) yes(path string) bool               { return s.at(path, gjson.True, gjson.False).Bool() }
 
 // text gives a copy: a part of the document would keep all of it in memory.
 func (s *settings) text(path string) string {
@@ -143,8 +144,8 @@
 	SlowStart  gateway.SlowStart
 	LoadReport gateway.LoadReportForm
 
-	ClassNames, PlanNames, ReportNames, Zones, Machines []string // by index
-	ConnIdle, ConnectTimeout                            int64    // of connections to hosts
+	ClassNames, PlanNames, ReportNames, Zones, Machines []string      // by index
+	ConnIdle, ConnectTimeout                            time.Duration // of connections to hosts
 
 	Even     bool         // the list's shares are figures of the moment, no sizes: each host counts as 1
 	Adjusted []Adjustment // what was not taken by its letter
@@ -181,8 +182,8 @@
 	d.Zones = s.names("zones")
 	d.Machines = s.names("skus")
 	d.Even = s.word("weights", "off", "nominal", "rough", "live") == 3
-	d.ConnIdle = s.time("limits.conn_idle_us")
-	d.ConnectTimeout = s.time("limits.connect_timeout_us")
+	d.ConnIdle = s.duration("limits.conn_idle_us")
+	d.ConnectTimeout = s.duration("limits.connect_timeout_us")
 	if d.Membership.Count < 1 || d.Membership.Index >= d.Membership.Count {
 		s.fail("position", fmt.Errorf("%d is not below balancers", d.Membership.Index))
 	}
@@ -207,20 +208,20 @@
 		Cancellation:   s.yes("limits.cancelling"),
 		Probes:         s.yes("limits.probes"),
 		RetryAfter:     s.yes("limits.retry_after"),
-		MaxRetryAfter:  s.time("limits.max_retry_after_us"),
+		MaxRetryAfter:  s.duration("limits.max_retry_after_us"),
 		PollEndpoints:  s.word("membership_mode", "pushed", "on_request") == 1,
 		SettlesUnits:   s.yes("family_info.settles"),
 		SharedCounter:  s.yes("family_info.shared_counter"),
-		CounterTimeout: s.time("family_info.count_wait_us"),
+		CounterTimeout: s.duration("family_info.count_wait_us"),
 	}
 }
 
 func (s *settings) slowStart() gateway.SlowStart {
 	return gateway.SlowStart{
 		InitialFraction: s.num("rules.start_capacity"),
-		Duration:        s.time("rules.warm_up_us"),
+		Duration:        s.duration("rules.warm_up_us"),
 		OverloadFactor:  s.num("rules.fall_multiple"),
-		OverloadWindow:  s.time("rules.fall_us"),
+		OverloadWindow:  s.duration("rules.fall_us"),
 	}
 }
 
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -33,7 +33,7 @@
 		s.adjust("family_info.count_wait_us", "ignored: family_info.shared_counter is not true")
 		l.CounterTimeout = 0
 	case l.SharedCounter && l.CounterTimeout == 0:
-		l.CounterTimeout = int64(countWait)
+		l.CounterTimeout = countWait
 	}
 	if s.Even {
 		s.adjust("weights", "live figures tell no size: every host counts as of one size")
--- a/internal/config/start_test.go
+++ b/internal/config/start_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"path/filepath"
 	"testing"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/config"
@@ -15,16 +16,16 @@
 
 type writer struct{ gateway.Actions }
 
-func (writer) StartAttempt(string, uint32, int64)  {}
-func (writer) Reject(string, int64)                {}
-func (writer) Fail(string)                         {}
-func (writer) CancelAttempt(string, int)           {}
-func (writer) LogNote(string)                      {}
-func (writer) SendProbe(uint32)                    {}
-func (writer) SetTimer(int64)                      {}
-func (writer) WatchEndpoints()                     {}
-func (writer) SendGossip(int, []byte)              {}
-func (writer) AddToCounter(uint64, float64, int64) {}
+func (writer) StartAttempt(string, uint32, time.Duration)  {}
+func (writer) Reject(string, time.Duration)                {}
+func (writer) Fail(string)                                 {}
+func (writer) CancelAttempt(string, int)                   {}
+func (writer) LogNote(string)                              {}
+func (writer) SendProbe(uint32)                            {}
+func (writer) SetTimer(time.Duration)                      {}
+func (writer) WatchEndpoints()                             {}
+func (writer) SendGossip(int, []byte)                      {}
+func (writer) AddToCounter(uint64, float64, time.Duration) {}
 
 // Draws of all that the operators' pages say the settings may hold start, and a request of each class and plan is decided.
 func TestDrawnSettingsNeverRefuseStart(t *testing.T) {
@@ -92,13 +93,13 @@
 		round := gateway.Batch{Now: 1e9, Events: []gateway.Event{{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached, Endpoints: []gateway.Endpoint{{Host: 1, State: gateway.Running, Weight: 1}, {Host: 2, State: gateway.Running, StartedAt: 9e8}}}}}
 		for f := range c.Classes {
 			for p := range c.Plans {
-				round.Events = append(round.Events, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(f, p), Customer: "0000000000000001", Class: f, Plan: p, Deadline: 1e9 + c.Classes[f].Timeout,
+				round.Events = append(round.Events, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(f, p), Customer: "0000000000000001", Class: f, Plan: p, Deadline: gateway.Time(1e9).Add(c.Classes[f].Timeout),
 					Units: 1, Spread: 1 + r.IntN(n), FirstGateway: r.IntN(n)})
 			}
 		}
 		g.Decide(&round, writer{})
 		for k := range 60 {
-			g.Decide(&gateway.Batch{Now: 1e9 + int64(k)*4e7, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, writer{})
+			g.Decide(&gateway.Batch{Now: 1e9 + gateway.Time(k)*4e7, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, writer{})
 		}
 	}
 }
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -115,7 +115,7 @@
 		CounterName:  call.name,
 		Result:       result,
 		CounterTotal: total,
-		Latency:      c.now() - call.started,
+		Latency:      time.Duration(c.now() - call.started),
 	})
 }
 
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -36,7 +36,7 @@
 	id        string
 	number    uint32
 	address   netip.AddrPort
-	startedAt int64
+	startedAt gateway.Time
 	draining  bool
 }
 
@@ -194,7 +194,7 @@
 		Machine:   max(slices.Index(l.machines, text.Get("kind").Str), 0),
 		Cell:      int(text.Get("cell").Int()),
 		Weight:    text.Get("weight").Num,
-		StartedAt: text.Get("started_ms").Int() * int64(time.Millisecond),
+		StartedAt: gateway.Time(text.Get("started_ms").Int() * int64(time.Millisecond)),
 	}
 	if l.Even {
 		e.Weight = 1
@@ -203,7 +203,7 @@
 }
 
 // goneSince reports whether an endpoint has gone that started no earlier.
-func (l *EndpointList) goneSince(id string, startedAt int64) bool {
+func (l *EndpointList) goneSince(id string, startedAt gateway.Time) bool {
 	return slices.ContainsFunc(l.gone, func(e entry) bool { return e.id == id && startedAt <= e.startedAt })
 }
 
--- a/internal/discovery/timeouts_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -25,8 +25,8 @@
 	asked bool
 }
 
-func (m *module) SetTimer(after int64) { m.wake = after }
-func (m *module) WatchEndpoints()      { m.asked = true }
+func (m *module) SetTimer(after time.Duration) { m.wake = int64(after) }
+func (m *module) WatchEndpoints()              { m.asked = true }
 
 // rest gives the module's longest wait, over many draws, until it asks again after so many losses of the list in a row. The
 // last call was lost after it took so long; each loss comes just after a wake-up that asked for nothing.
@@ -38,16 +38,16 @@
 		now := int64(1e9)
 		wake := func() {
 			now += m.wake
-			g.Decide(&gateway.Batch{Now: now, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, m)
+			g.Decide(&gateway.Batch{Now: gateway.Time(now), Events: []gateway.Event{{Kind: gateway.TimerFired}}}, m)
 		}
-		g.Decide(&gateway.Batch{Now: now}, m)
+		g.Decide(&gateway.Batch{Now: gateway.Time(now)}, m)
 		for i := range losses {
 			for asked := now; i == losses-1 && now+m.wake < asked+int64(took); {
 				wake()
 			}
 			now++
 			lost := now
-			g.Decide(&gateway.Batch{Now: now, Events: []gateway.Event{{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable}}}, m)
+			g.Decide(&gateway.Batch{Now: gateway.Time(now), Events: []gateway.Event{{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable}}}, m)
 			for m.asked = false; !m.asked; {
 				wake()
 			}
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	probeTimeout = int64(time.Second)
+	probeTimeout = time.Second
 
-	// stallAllowance is for how long the process may be held up between reading its clock and writing, in nanoseconds: what must
+	// stallAllowance is for how long the process may be held up between reading its clock and writing: what must
 	// not be written after a time is not begun within so long before it.
-	stallAllowance = int64(150 * time.Millisecond)
+	stallAllowance = 150 * time.Millisecond
 )
 
 // attempt is one that is in flight. A probe has no request.
@@ -22,18 +22,18 @@
 	request   *request
 	host      uint32
 	number    int // of the request's attempts
-	startedAt int64
-	deadline  int64
+	startedAt gateway.Time
+	deadline  gateway.Time
 	send      *hosts.Attempt
 }
 
 // StartAttempt implements gateway.Actions.
-func (n *Node) StartAttempt(id string, host uint32, timeout int64) {
+func (n *Node) StartAttempt(id string, host uint32, timeout time.Duration) {
 	r := n.requests[id]
 	if r == nil {
 		return
 	}
-	wait := r.deadline - n.batch.Now
+	wait := r.deadline.Sub(n.batch.Now)
 	if timeout > 0 {
 		wait = min(wait, timeout)
 	}
@@ -44,12 +44,12 @@
 	// and the module must hear of the end or it counts it as in flight for ever.
 	if r.closed || r.answer.IsClientGone() {
 		r.closed = true
-		a.end(gateway.Event{Result: gateway.NotSent}, nil, n.now())
+		a.end(gateway.Event{Result: gateway.NotSent}, nil, n.unixNano())
 		return
 	}
 	n.quota.setUrgency(r)
 	command := hosts.Command{Head: r.command.Head, Before: r.command.Before, After: r.command.After, Tail: r.command.Tail}
-	a.send = n.transport.Send(host, command, a.deadline, a.writeDeadline(), a.end)
+	a.send = n.transport.Send(host, command, int64(a.deadline), int64(a.writeDeadline()), a.end)
 	if r.closed { // its client left meanwhile: the end of another attempt may have ended its connection
 		a.withdraw()
 	}
@@ -57,12 +57,12 @@
 
 // writeDeadline is when the attempt is begun at the latest. Hosts drop a repeat within a window only, and a connection may come up
 // after it.
-func (a *attempt) writeDeadline() int64 {
+func (a *attempt) writeDeadline() gateway.Time {
 	r := a.request
 	if r.mayHaveRunAt == 0 || r.class.Effect != gateway.Deduplicated {
 		return a.deadline
 	}
-	return min(a.deadline, r.mayHaveRunAt+r.class.DedupWindow-stallAllowance)
+	return min(a.deadline, r.mayHaveRunAt.Add(r.class.DedupWindow-stallAllowance))
 }
 
 // SendProbe implements gateway.Actions.
@@ -72,13 +72,13 @@
 }
 
 // newAttempt notes an attempt that is to end within a time.
-func (n *Node) newAttempt(r *request, host uint32, wait int64) *attempt {
+func (n *Node) newAttempt(r *request, host uint32, wait time.Duration) *attempt {
 	a := &attempt{
 		node:      n,
 		request:   r,
 		host:      host,
 		startedAt: n.batch.Now,
-		deadline:  n.batch.Now + wait,
+		deadline:  n.batch.Now.Add(wait),
 		send:      hosts.NeverStarted,
 	}
 	if r != nil {
@@ -107,7 +107,7 @@
 	event.Kind = gateway.AttemptEnded
 	event.Host = a.host
 	event.Attempt = a.number
-	event.Latency = received - a.startedAt
+	event.Latency = gateway.Time(received).Sub(a.startedAt)
 	if r == nil {
 		event.Kind = gateway.ProbeEnded
 		n.events = append(n.events, event)
@@ -141,7 +141,7 @@
 }
 
 // expire ends the attempts whose time is up. Each ends at once, also one whose send a panic has swallowed.
-func (n *Node) expire(now int64) {
+func (n *Node) expire(now gateway.Time) {
 	if n.nextExpiry == 0 || now < n.nextExpiry {
 		return
 	}
@@ -157,7 +157,7 @@
 	for _, a := range due {
 		n.recoverPanics("loop", func() { a.send.Cancel(hosts.ErrTimedOut) })
 		if slices.Contains(n.inFlight, a) {
-			n.recoverPanics("loop", func() { a.end(gateway.Event{Result: gateway.TimedOut}, nil, now) })
+			n.recoverPanics("loop", func() { a.end(gateway.Event{Result: gateway.TimedOut}, nil, int64(now)) })
 		}
 	}
 }
--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -14,13 +14,13 @@
 func TestNowIgnoresWallClockSteps(t *testing.T) {
 	fake := clock.NewFake(time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC))
 	n := NewOn(Platform{Clock: fake}, &config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}}}, &retryingDecider{})
-	want := fake.Wall().UnixNano()
+	want := gateway.Time(fake.Wall().UnixNano())
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		fake.StepWall(step)
 		fake.Advance(time.Second)
-		want += int64(time.Second)
+		want = want.Add(time.Second)
 		if got := n.now(); got != want {
-			t.Errorf("after a step by %v: %v off", step, time.Duration(got-want))
+			t.Errorf("after a step by %v: %v off", step, got.Sub(want))
 		}
 	}
 }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -282,7 +282,7 @@
 	}
 }
 
-func (o *order) Reconfigure(_ int64, update *gateway.Update) {
+func (o *order) Reconfigure(_ gateway.Time, update *gateway.Update) {
 	o.told <- fmt.Sprint(update.Members, " members")
 }
 
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func (r *testGateway) Reconfigure(_ int64, update *gateway.Update) {
+func (r *testGateway) Reconfigure(_ gateway.Time, update *gateway.Update) {
 	r.events <- fmt.Sprintf("reconfigured: %d plans, %d classes", len(update.Plans), len(update.Classes))
 }
 
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -20,7 +20,7 @@
 type watch struct {
 	stop      context.CancelFunc
 	feed      discovery.PendingRead
-	skipUntil int64 // what lies in it holds no decision up until then
+	skipUntil gateway.Time // what lies in it holds no decision up until then
 }
 
 // startWatch asks for the list, unless that is up to the module. What discovery's agent has counts as notified from the first
@@ -78,9 +78,9 @@
 	if len(n.events) == 0 || n.watch == nil || n.now() < n.watch.skipUntil {
 		return
 	}
-	for limit := n.now() + int64(maxReadDelay); n.watch.feed.Pending(); {
+	for limit := n.now().Add(maxReadDelay); n.watch.feed.Pending(); {
 		if now := n.now(); now >= limit { // it never rests: requests must not wait for it batch after batch
-			n.watch.skipUntil = now + int64(time.Second)
+			n.watch.skipUntil = now.Add(time.Second)
 			break
 		}
 		select {
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -8,6 +8,7 @@
 	"runtime"
 	"strings"
 	"testing"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/clients"
@@ -20,7 +21,7 @@
 // eager sends each req on, and again after each end while it is open; it prints what it hears.
 type retryingDecider struct{ strings.Builder }
 
-func (*retryingDecider) Reconfigure(int64, *gateway.Update) {}
+func (*retryingDecider) Reconfigure(gateway.Time, *gateway.Update) {}
 
 func (m *retryingDecider) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
@@ -54,7 +55,7 @@
 	n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
 	arrive := func(id string) *clients.Answer {
 		a := new(clients.AnswerQueue).Add()
-		n.arrive(a, &clients.Request{ID: id, Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
+		n.arrive(a, &clients.Request{ID: id, Customer: "c", Deadline: n.unixNano() + 1e12, Units: 1, Spread: 1})
 		return a
 	}
 	arrive("before-it-is-heard-of").ClientGone()
@@ -135,7 +136,7 @@
 		n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1},
 			Classes: []gateway.RequestClass{{Effect: effect, DedupWindow: 1}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 		n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
-		n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
+		n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.unixNano() + 1e12, Units: 1, Spread: 1})
 		n.turn()
 		for i, r := 0, n.requests["r"]; i < 2; i++ {
 			for ; !r.attempts[i].send.Written(); n.turn() {
@@ -158,14 +159,14 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	const window = int64(10e9)
+	const window = 10 * time.Second
 	for _, test := range []struct {
 		name   string
-		left   int64 // of the window, when the connection is up
+		left   time.Duration // of the window, when the connection is up
 		result gateway.Result
 	}{
-		{"clear of the end", stallAllowance + 2e9, gateway.TimedOut},
-		{"within the allowance", stallAllowance - 1e6, gateway.Unreachable},
+		{"clear of the end", stallAllowance + 2*time.Second, gateway.TimedOut},
+		{"within the allowance", stallAllowance - time.Millisecond, gateway.Unreachable},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := &retryingDecider{}
@@ -173,7 +174,7 @@
 				Classes: []gateway.RequestClass{{Effect: gateway.Deduplicated, DedupWindow: window}}, Plans: []gateway.Plan{{}},
 				ConnectTimeout: 1e9}}, m)
 			n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
-			n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
+			n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.unixNano() + 1e12, Units: 1, Spread: 1})
 			n.turn()
 			r := n.requests["r"]
 			written := func(i int) {
@@ -184,7 +185,7 @@
 			written(0)
 			r.attempts[0].send.Cancel(hosts.ErrTimedOut) // it may have run
 			n.turn()
-			n.unix += window - test.left
+			n.unix += int64(window - test.left)
 			written(1)
 			r.attempts[1].send.Cancel(hosts.ErrTimedOut)
 			n.turn()
@@ -204,13 +205,13 @@
 	n.transport.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:1"))
 	arrive := func(id string) *clients.Answer {
 		a := new(clients.AnswerQueue).Add() // its line has no ring: an answer panics
-		n.arrive(a, &clients.Request{ID: id, Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
+		n.arrive(a, &clients.Request{ID: id, Customer: "c", Deadline: n.unixNano() + 1e12, Units: 1, Spread: 1})
 		return a
 	}
 	arrive("answered")
 	n.step()
 	d := n.requests["answered"].attempts[0]
-	n.recoverPanics("loop", func() { d.end(gateway.Event{Result: gateway.Succeeded}, []byte("v"), n.now()) })
+	n.recoverPanics("loop", func() { d.end(gateway.Event{Result: gateway.Succeeded}, []byte("v"), n.unixNano()) })
 	n.step()
 	fleet := n.transport
 	n.transport = nil
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	flushRetryInterval = 5 * time.Millisecond   // until bytes that a socket did not take are tried again
-	droppedLogInterval = int64(time.Second)     // between lines on dropped datagrams
-	countsLogInterval  = int64(5 * time.Second) // between lines of the module's decisions
-	maxWait            = time.Hour              // of a turn in which nothing is due
+	flushRetryInterval = 5 * time.Millisecond // until bytes that a socket did not take are tried again
+	droppedLogInterval = time.Second          // between lines on dropped datagrams
+	countsLogInterval  = 5 * time.Second      // between lines of the module's decisions
+	maxWait            = time.Hour            // of a turn in which nothing is due
 )
 
 // runQueued runs the functions that wait by now.
@@ -41,7 +41,7 @@
 		n.timerFired(now)
 	}
 	unsent := false
-	counterDue := int64(0)
+	counterDue := gateway.Time(0)
 	for more := true; more; more = n.hasEvents() { // a write that fails is an event, too
 		if n.hasEvents() {
 			n.decide()
@@ -52,18 +52,18 @@
 }
 
 // timerFired does what goes with the module's timer.
-func (n *Node) timerFired(now int64) {
+func (n *Node) timerFired(now gateway.Time) {
 	n.timerAt = 0
 	n.transport.CloseIdle()
 	n.clients.CloseOverdue()
-	if n.droppedDatagrams > 0 && now-n.droppedLoggedAt > droppedLogInterval {
+	if n.droppedDatagrams > 0 && now.Sub(n.droppedLoggedAt) > droppedLogInterval {
 		slog.Warn("datagrams_dropped", "count", n.droppedDatagrams)
 		n.droppedDatagrams = 0
 		n.droppedLoggedAt = now
 	}
 	n.events = append(n.events, gateway.Event{Kind: gateway.TimerFired})
 	counter, counts := n.module.(DecisionCounter)
-	if counts && now-n.countsLoggedAt >= countsLogInterval {
+	if counts && now.Sub(n.countsLoggedAt) >= countsLogInterval {
 		n.countsLoggedAt = now
 		logDecisions(counter.DecisionCounts())
 	}
@@ -108,7 +108,7 @@
 
 // failUndecided ends the requests of a batch that have no attempt in flight.
 func (n *Node) failUndecided() {
-	n.SetTimer(int64(flushRetryInterval))
+	n.SetTimer(flushRetryInterval)
 	for _, event := range n.batch.Events {
 		if r := n.requests[event.RequestID]; r != nil && r.inFlight == 0 {
 			n.Fail(event.RequestID)
@@ -117,22 +117,22 @@
 }
 
 // flush writes what is to be written. It reports whether a socket did not take all, and when the counter is due; 0: it is not.
-func (n *Node) flush() (unsent bool, counterDue int64) {
+func (n *Node) flush() (unsent bool, counterDue gateway.Time) {
 	unsent = n.clients.Flush()
 	unsent = n.transport.Flush() || unsent
 	if n.counter != nil {
 		unsent = n.counter.Flush() || unsent
-		counterDue = n.counter.Expire(n.now())
+		counterDue = gateway.Time(n.counter.Expire(n.unixNano()))
 	}
 	return unsent, counterDue
 }
 
 // waitFor returns the time until something is due.
-func (n *Node) waitFor(unsent bool, counterDue int64) time.Duration {
+func (n *Node) waitFor(unsent bool, counterDue gateway.Time) time.Duration {
 	wait := maxWait
-	for _, at := range []int64{n.timerAt, n.nextExpiry, n.nextPhaseAt, counterDue, n.quota.report()} {
+	for _, at := range []gateway.Time{n.timerAt, n.nextExpiry, n.nextPhaseAt, counterDue, n.quota.report()} {
 		if at > 0 {
-			wait = min(wait, time.Duration(at-n.now()))
+			wait = min(wait, at.Sub(n.now()))
 		}
 	}
 	if unsent {
@@ -152,7 +152,7 @@
 }
 
 // SetTimer implements gateway.Actions.
-func (n *Node) SetTimer(after int64) { n.timerAt = n.batch.Now + after }
+func (n *Node) SetTimer(after time.Duration) { n.timerAt = n.batch.Now.Add(after) }
 
 // SendGossip implements gateway.Actions.
 func (n *Node) SendGossip(peer int, message []byte) {
@@ -162,12 +162,12 @@
 }
 
 // AddToCounter implements gateway.Actions. Without a counter the call is answered as unreachable: the module does without.
-func (n *Node) AddToCounter(name uint64, amount float64, lifetime int64) {
+func (n *Node) AddToCounter(name uint64, amount float64, lifetime time.Duration) {
 	if n.counter == nil {
 		n.counterReplied(gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
 		return
 	}
-	n.counter.Count(name, amount, lifetime)
+	n.counter.Count(name, amount, int64(lifetime))
 }
 
 // counterReplied takes in an answer of the counter.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,7 +37,7 @@
 // Decider is the module.
 type Decider interface {
 	Decide(batch *gateway.Batch, actions gateway.Actions)
-	Reconfigure(now int64, update *gateway.Update) // between two batches
+	Reconfigure(now gateway.Time, update *gateway.Update) // between two batches
 }
 
 // DecisionCounter is a module that counts its decisions; the node logs them every countsLogInterval, for on-call and for counting
@@ -67,12 +67,12 @@
 
 	listEvents []gateway.Event // of the list: they go first, so that no attempt of the batch passes by a drain
 	batch      gateway.Batch
-	batchCount int   // batches handed to the module
-	timerAt    int64 // the module's timer; 0: not set
+	batchCount int          // batches handed to the module
+	timerAt    gateway.Time // the module's timer; 0: not set
 
 	requests   map[string]*request
 	inFlight   []*attempt
-	nextExpiry int64 // the first attempt in flight times out then at the earliest; 0: none is
+	nextExpiry gateway.Time // the first attempt in flight times out then at the earliest; 0: none is
 
 	catalog       *clients.Catalog
 	clients       *clients.Server
@@ -92,12 +92,12 @@
 
 	listening   bool // clients are taken in
 	phase       phase
-	nextPhaseAt int64 // the phase ends then; 0: it does not
-	answerBy    int64 // what is taken has its answer by then; 0: not called to stop
+	nextPhaseAt gateway.Time // the phase ends then; 0: it does not
+	answerBy    gateway.Time // what is taken has its answer by then; 0: not called to stop
 
 	droppedDatagrams int // since the last line on them
-	droppedLoggedAt  int64
-	countsLoggedAt   int64
+	droppedLoggedAt  gateway.Time
+	countsLoggedAt   gateway.Time
 }
 
 // New makes a gateway that is not yet reachable.
@@ -126,11 +126,11 @@
 	}
 	n.endpointList.Even = cfg.Even
 	shared := sharedDescriptors(cfg.Sockets)
-	n.clients = clients.NewServer(n.system, n.catalog, shared/3, n.runOnLoop, n.now, n.arrive)
-	idleTimeout := int64(idleFraction * float64(cfg.ConnIdle))
-	n.transport = hosts.NewTransport(n.system, n.runOnLoop, n.now, cfg.ReportNames, cfg.ConnectTimeout, idleTimeout, shared*2/5)
+	n.clients = clients.NewServer(n.system, n.catalog, shared/3, n.runOnLoop, n.unixNano, n.arrive)
+	idleTimeout := time.Duration(idleFraction * float64(cfg.ConnIdle))
+	n.transport = hosts.NewTransport(n.system, n.runOnLoop, n.unixNano, cfg.ReportNames, int64(cfg.ConnectTimeout), int64(idleTimeout), shared*2/5)
 	if cfg.Counter.IsValid() {
-		n.counter = counter.New(n.system, cfg.Counter, cfg.Limits.CounterTimeout, n.runOnLoop, n.now, n.counterReplied)
+		n.counter = counter.New(n.system, cfg.Counter, int64(cfg.Limits.CounterTimeout), n.runOnLoop, n.unixNano, n.counterReplied)
 	}
 	return n
 }
@@ -165,9 +165,12 @@
 // runOnLoop has the loop run a function. It waits while the inbox is full.
 func (n *Node) runOnLoop(f func()) { n.work <- f }
 
-// now returns the time in nanoseconds since 1970 as the wall clock had it at the start of the gateway. It runs with the monotonic
-// clock from then on: steps of the wall clock don't change it.
-func (n *Node) now() int64 { return n.unix + int64(n.clock.Monotonic()) }
+// now returns the wall clock's time at the start of the gateway plus the monotonic time since: steps of the wall clock don't change
+// it.
+func (n *Node) now() gateway.Time { return gateway.Time(n.unixNano()) }
+
+// unixNano returns now in nanoseconds since 1970, as the packages of the connections take it.
+func (n *Node) unixNano() int64 { return n.unix + int64(n.clock.Monotonic()) }
 
 // WhileRunning has Run start a task beside the loop once the gateway has its addresses: a former process of this gateway that
 // serves to its end runs no more then. Run calls what start returns after the loop has ended, and waits for it.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,7 +18,7 @@
 // faulty denies reqs, panics on those of customer f, and names what is not there on those of b.
 type panickingDecider struct{}
 
-func (panickingDecider) Reconfigure(int64, *gateway.Update) {}
+func (panickingDecider) Reconfigure(gateway.Time, *gateway.Update) {}
 
 func (panickingDecider) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
@@ -160,8 +160,8 @@
 // mute decides nothing.
 type mute struct{}
 
-func (mute) Decide(*gateway.Batch, gateway.Actions) {}
-func (mute) Reconfigure(int64, *gateway.Update)     {}
+func (mute) Decide(*gateway.Batch, gateway.Actions)    {}
+func (mute) Reconfigure(gateway.Time, *gateway.Update) {}
 
 // A client that is owed an answer for ever, and does not close, holds the program no longer than its time.
 func TestShutdownIsBounded(t *testing.T) {
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"time"
 
 	"ravensill/counterfactual"
 	"ravensill/gateway"
@@ -36,7 +37,7 @@
 	}
 	var targets []int64
 	for _, f := range n.cfg.Classes {
-		targets = append(targets, f.LatencyObjective)
+		targets = append(targets, int64(f.LatencyObjective))
 	}
 	var task *observer.Observer
 	err = listenWithRetry("counterfactual", n.cfg.Counterfactual.Listen, stop, func() (err error) {
@@ -78,7 +79,7 @@
 }
 
 // StartAttempt sends the request on; its record waits for the end.
-func (w *observedActions) StartAttempt(id string, host uint32, timeout int64) {
+func (w *observedActions) StartAttempt(id string, host uint32, timeout time.Duration) {
 	e := w.upcoming
 	w.upcoming = nil
 	w.Node.StartAttempt(id, host, timeout)
@@ -90,12 +91,12 @@
 	if d.request != r { // it has ended already, unsent
 		return
 	}
-	e.Class, e.Attempt, e.SentAt = r.command.Class, d.number, d.startedAt
+	e.Class, e.Attempt, e.SentAt = r.command.Class, d.number, int64(d.startedAt)
 	w.pending[d] = e
 }
 
 // attemptEnded hands over the record of an attempt. One that was never sent says nothing of its host.
-func (w *observedActions) attemptEnded(d *attempt, result gateway.Result, lag int64) {
+func (w *observedActions) attemptEnded(d *attempt, result gateway.Result, lag time.Duration) {
 	if w == nil {
 		return
 	}
@@ -104,7 +105,7 @@
 		return
 	}
 	delete(w.pending, d)
-	switch e.Latency = lag; result {
+	switch e.Latency = int64(lag); result {
 	case gateway.NotSent:
 		return
 	case gateway.Succeeded:
@@ -131,7 +132,7 @@
 }
 
 // SetTimer sets the module's next timer; the one at hand has fired.
-func (w *observedActions) SetTimer(after int64) {
+func (w *observedActions) SetTimer(after time.Duration) {
 	w.offer()
 	w.Node.SetTimer(after)
 }
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"time"
 
+	"ravensill/gateway"
 	"ravensill/internal/hosts"
 	"ravensill/internal/poolrunner"
 	"ravensill/pool"
@@ -17,11 +18,11 @@
 	leaseholder *pool.Leaseholder
 	limiter     *hosts.ConnectionLimiter
 	client      *poolrunner.Client
-	urgent      []bool // by request class
-	lastLog     int64  // time of the last line in the log, in ns
+	urgent      []bool       // by request class
+	lastLog     gateway.Time // time of the last line in the log
 }
 
-const poolLogInterval = int64(5 * time.Second)
+const poolLogInterval = 5 * time.Second
 
 // startQuota starts the lease holder, and the voter if this gateway is one. The returned function ends them.
 func (n *Node) startQuota(stop <-chan struct{}) (end func(), err error) {
@@ -51,13 +52,13 @@
 	}
 	now := n.now()
 	p := &connectionQuota{node: n, client: client, lastLog: now,
-		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Membership.Index, uint64(n.unix), cfg.Weight, cfg.Serial, cfg.Capacity, now)}
+		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Membership.Index, uint64(n.unix), cfg.Weight, cfg.Serial, cfg.Capacity, int64(now))}
 	for index, name := range n.cfg.ClassNames {
 		p.addClass(index, name)
 	}
 	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.Turn, p.leaseholder.Allowed, p.leaseholder.AddRejected)
 	n.quota = p
-	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
+	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.unixNano(), grant) })
 	slog.Info("pool_on",
 		"seat", n.cfg.Membership.Index,
 		"floor", cfg.Terms.Floor,
@@ -68,21 +69,21 @@
 }
 
 // report sends a report if one is due, and returns the time by which to call it again, 0 without a quota.
-func (p *connectionQuota) report() int64 {
+func (p *connectionQuota) report() gateway.Time {
 	if p == nil {
 		return 0
 	}
 	now := p.node.now()
 	held, demand := p.limiter.Usage()
-	p.leaseholder.SetUsage(now, held, demand)
-	if report := p.leaseholder.Report(now); report != nil {
+	p.leaseholder.SetUsage(int64(now), held, demand)
+	if report := p.leaseholder.Report(int64(now)); report != nil {
 		p.client.Send(report)
 	}
-	if now-p.lastLog >= poolLogInterval {
+	if now.Sub(p.lastLog) >= poolLogInterval {
 		p.lastLog = now
 		limiter, client := p.limiter, p.client
 		slog.Info("pool_quota",
-			"allowed", p.leaseholder.Allowed(now),
+			"allowed", p.leaseholder.Allowed(int64(now)),
 			"held", held,
 			"use", demand,
 			"waited", limiter.Queued,
@@ -92,10 +93,10 @@
 			"told", client.Sent,
 			"heard", client.Received,
 			"dropped", client.Dropped,
-			"silent_ms", (now-p.leaseholder.LastAnswered())/1e6,
+			"silent_ms", (int64(now)-p.leaseholder.LastAnswered())/1e6,
 		)
 	}
-	return p.leaseholder.Due(now)
+	return gateway.Time(p.leaseholder.Due(int64(now)))
 }
 
 // addClass adds a request class; a new one has the next index.
@@ -117,14 +118,14 @@
 	if p == nil || r.closed || r.inFlight > 0 || p.limiter.RetryAfter() == 0 {
 		return
 	}
-	after := p.limiter.RetryAfter()
+	after := time.Duration(p.limiter.RetryAfter())
 	if !p.node.cfg.Limits.RetryAfter {
 		after = 0
 	}
 	if most := p.node.cfg.Limits.MaxRetryAfter; most > 0 {
 		after = min(after, most)
 	}
-	r.answer.Reject(after)
+	r.answer.Reject(int64(after))
 	r.closed = true
 }
 
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -1,6 +1,8 @@
 package node
 
 import (
+	"time"
+
 	"ravensill/gateway"
 	"ravensill/internal/clients"
 )
@@ -12,13 +14,13 @@
 	answer       *clients.Answer // nil: its client is gone
 	command      *clients.Request
 	class        gateway.RequestClass // as it was when the request arrived
-	deadline     int64
+	deadline     gateway.Time
 	attempts     []*attempt // by their numbers
 	inFlight     int        // attempts, and 1 from its client's end until the module has heard of that
 	closed       bool
-	mayHaveRunAt int64 // when the first attempt that may have run started; 0: none has ended so
-	batchNumber  int   // of the batch that its arrival is in,
-	eventIndex   int   // and its place there
+	mayHaveRunAt gateway.Time // when the first attempt that may have run started; 0: none has ended so
+	batchNumber  int          // of the batch that its arrival is in,
+	eventIndex   int          // and its place there
 }
 
 // arrive takes in a request of a client.
@@ -27,7 +29,7 @@
 		answer.Fail("id: in use")
 		return
 	}
-	deadline := command.Deadline
+	deadline := gateway.Time(command.Deadline)
 	if n.answerBy > 0 {
 		deadline = min(deadline, n.answerBy)
 	}
@@ -102,9 +104,9 @@
 }
 
 // Reject implements gateway.Actions.
-func (n *Node) Reject(id string, retryAfter int64) {
+func (n *Node) Reject(id string, retryAfter time.Duration) {
 	if r := n.requests[id]; r != nil && !r.closed {
-		r.answer.Reject(retryAfter)
+		r.answer.Reject(int64(retryAfter))
 		r.close()
 	}
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -29,14 +29,14 @@
 
 // beginShutdown begins the end. A gateway that serves nobody yet ends at once.
 func (n *Node) beginShutdown() {
-	longest := int64(0)
+	longest := time.Duration(0)
 	for _, class := range n.classes {
 		longest = max(longest, class.Timeout)
 	}
 	now := n.now()
 	n.phase = stopping
-	n.nextPhaseAt = now + int64(acceptGrace)
-	n.answerBy = now + min(longest, int64(maxDrainWait)) + int64(drainMargin)
+	n.nextPhaseAt = now.Add(acceptGrace)
+	n.answerBy = now.Add(min(longest, maxDrainWait) + drainMargin)
 	if !n.listening {
 		n.nextPhaseAt = now
 	}
@@ -53,7 +53,7 @@
 		n.logPhase("closed_to_new")
 	case closed:
 		n.phase = draining
-		n.nextPhaseAt = n.now() + int64(lingerLimit)
+		n.nextPhaseAt = n.now().Add(lingerLimit)
 		n.clients.Drain()
 	default:
 		n.phase = cutOff
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -6,6 +6,7 @@
 	"math"
 	"strconv"
 	"strings"
+	"time"
 
 	"ravensill/gateway"
 )
@@ -77,11 +78,13 @@
 	return 0
 }
 
-func (f *fields) whole(name string, most int) int { return int(f.value(name, float64(most), true)) }
-func (f *fields) decimal(name string) float64     { return f.value(name, 1e15, false) }
-func (f *fields) signed(name string) float64      { return f.between(name, -1e15, 1e15, false) }
-func (f *fields) time(name string) int64          { return int64(f.value(name, math.MaxInt64/us/2, true)) * us }
-func (f *fields) yes(name string) bool            { return f.whole(name, 1) == 1 }
+func (f *fields) whole(name string, most int) int    { return int(f.value(name, float64(most), true)) }
+func (f *fields) decimal(name string) float64        { return f.value(name, 1e15, false) }
+func (f *fields) signed(name string) float64         { return f.between(name, -1e15, 1e15, false) }
+func (f *fields) time(name string) int64             { return int64(f.value(name, math.MaxInt64/us/2, true)) * us }
+func (f *fields) duration(name string) time.Duration { return time.Duration(f.time(name)) }
+func (f *fields) instant(name string) gateway.Time   { return gateway.Time(f.time(name)) }
+func (f *fields) yes(name string) bool               { return f.whole(name, 1) == 1 }
 
 func (f *fields) number(name string) uint64 {
 	part := f.text(name)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -12,6 +12,7 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/config"
@@ -143,31 +144,31 @@
 	case "ARRIVAL":
 		e.Kind, e.RequestID = gateway.RequestArrived, f.text("xid")
 		e.Class, e.Plan = f.whole("type", seat.fronts-1), f.whole("grade_of_service", seat.plans-1)
-		e.Customer, e.Deadline, e.Units = f.text("account"), f.time("deadline_us"), f.decimal("weight")
+		e.Customer, e.Deadline, e.Units = f.text("account"), f.instant("deadline_us"), f.decimal("weight")
 		e.Spread, e.FirstGateway = f.whole("n_entries", seat.seats), f.whole("first", seat.seats-1)
 		e.Retry = f.whole("bits", math.MaxInt32)&2 != 0
 	case "ATTEMPT_END":
 		e.Kind, e.RequestID, e.Closed = gateway.AttemptEnded, f.text("xid"), f.yes("closed")
 		e.Host, e.Units = uint32(f.whole("host", math.MaxUint32)), f.decimal("billed")
-		e.Result, e.Latency = f.result("disposition"), f.time("lag_us")
+		e.Result, e.Latency = f.result("disposition"), f.duration("lag_us")
 		e.Usage, e.Attempt = f.whole("metered", math.MaxInt32), f.whole("send_no", math.MaxInt32)
 		e.LoadReport = f.row("pressure")
 	case "FIRST":
 		e.Kind, e.RequestID, e.Attempt = gateway.StreamStarted, f.text("xid"), f.whole("send_no", math.MaxInt32)
-		e.Latency, e.Host = f.time("lag_us"), uint32(f.whole("host", math.MaxUint32))
+		e.Latency, e.Host = f.duration("lag_us"), uint32(f.whole("host", math.MaxUint32))
 	case "CLIENT_GONE":
 		e.Kind, e.RequestID = gateway.ClientGone, f.text("xid")
 	case "FROM_PEER":
 		e.Kind, e.Peer, e.Message = gateway.GossipReceived, f.whole("sender", seat.seats-1), f.bytes("contents")
 	case "ECHO":
 		e.Kind, e.Host = gateway.ProbeEnded, uint32(f.whole("host", math.MaxUint32))
-		e.Latency, e.Result, e.LoadReport = f.time("lag_us"), f.result("disposition"), f.row("pressure")
+		e.Latency, e.Result, e.LoadReport = f.duration("lag_us"), f.result("disposition"), f.row("pressure")
 	case "TIMER":
 		f.number("nonce")
 		e.Kind = gateway.TimerFired
 	case "COUNTER_REPLY":
 		e.Kind, e.Result, e.CounterName = gateway.CounterReplied, f.result("disposition"), f.number("name")
-		e.CounterTotal, e.Latency = f.signed("total"), f.time("lag_us")
+		e.CounterTotal, e.Latency = f.signed("total"), f.duration("lag_us")
 	case "ANNOUNCE":
 		e.Kind = gateway.EndpointsListed
 		e.ListKind = gateway.ListKind(f.choice("kind", "incr", "total", "warm_copy", "lost"))
@@ -202,7 +203,7 @@
 func (h *host) round() *gateway.Batch {
 	seat := h.seats[h.id]
 	if seat.round == nil {
-		seat.round = &gateway.Batch{Now: h.clock}
+		seat.round = &gateway.Batch{Now: gateway.Time(h.clock)}
 		h.order = append(h.order, h.id)
 	}
 	return seat.round
@@ -228,7 +229,7 @@
 		l := gateway.Endpoint{Host: uint32(f.whole("host", math.MaxUint32)), Zone: f.whole("az", math.MaxInt32),
 			Machine: f.whole("class_of_host", math.MaxInt32), Cell: f.whole("pod", math.MaxInt32)}
 		l.State = gateway.EndpointState(f.choice("status", "Running", "Stopping", "Deleted"))
-		l.Weight, l.StartedAt = f.decimal("share"), f.time("since_us")
+		l.Weight, l.StartedAt = f.decimal("share"), f.instant("since_us")
 		if err := f.end(); err != nil {
 			return err
 		}
@@ -270,17 +271,19 @@
 	fmt.Fprintf(w.out, format+"\n", args...)
 }
 
-func (w *writer) StartAttempt(req string, host uint32, timeout int64) {
-	w.line("PLACE %s %d %d", req, host, timeout/us)
+func (w *writer) StartAttempt(req string, host uint32, timeout time.Duration) {
+	w.line("PLACE %s %d %d", req, host, timeout.Microseconds())
 }
 func (w *writer) CancelAttempt(req string, dispatch int) { w.line("CANCEL %s %d", req, dispatch) }
-func (w *writer) Reject(req string, after int64)         { w.line("BOUNCE %s %d", req, after/us) }
-func (w *writer) Fail(req string)                        { w.line("GIVE_UP %s", req) }
-func (w *writer) SendProbe(host uint32)                  { w.line("TEST %d", host) }
-func (w *writer) SetTimer(after int64)                   { w.line("SCHEDULE %d 0", after/us) }
-func (w *writer) WatchEndpoints()                        { w.line("WATCH 1") }
-func (w *writer) AddToCounter(name uint64, amount float64, life int64) {
-	w.line("INCR %d %s %d", life/us, strconv.FormatFloat(amount, 'g', -1, 64), name)
+func (w *writer) Reject(req string, after time.Duration) {
+	w.line("BOUNCE %s %d", req, after.Microseconds())
+}
+func (w *writer) Fail(req string)              { w.line("GIVE_UP %s", req) }
+func (w *writer) SendProbe(host uint32)        { w.line("TEST %d", host) }
+func (w *writer) SetTimer(after time.Duration) { w.line("SCHEDULE %d 0", after.Microseconds()) }
+func (w *writer) WatchEndpoints()              { w.line("WATCH 1") }
+func (w *writer) AddToCounter(name uint64, amount float64, life time.Duration) {
+	w.line("INCR %d %s %d", life.Microseconds(), strconv.FormatFloat(amount, 'g', -1, 64), name)
 }
 func (w *writer) LogNote(text string) { w.line("NOTE_DOWN %s", text) }
 func (w *writer) SendGossip(peer int, body []byte) {
--- a/lab/fleetsim/sim.go
+++ b/lab/fleetsim/sim.go
@@ -80,13 +80,13 @@
 	config := &s.config
 	classes := []gateway.RequestClass{{
 		Effect:           gateway.Idempotent,
-		LatencyObjective: int64(config.Objective),
-		Timeout:          int64(config.Deadline),
+		LatencyObjective: config.Objective,
+		Timeout:          config.Deadline,
 		Value:            1,
 		LateValue:        0.2,
 	}}
-	limits := gateway.Limits{MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * second}
-	warmUp := gateway.SlowStart{InitialFraction: 0.3, Duration: 15 * second, OverloadFactor: 3, OverloadWindow: 3 * second}
+	limits := gateway.Limits{MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second}
+	warmUp := gateway.SlowStart{InitialFraction: 0.3, Duration: 15 * time.Second, OverloadFactor: 3, OverloadWindow: 3 * time.Second}
 	loadReport := gateway.LoadReportForm{Fields: []gateway.LoadField{gateway.Utilization}, WithAnswers: true}
 	for i := range config.Gateways {
 		member := gateway.Membership{
@@ -261,7 +261,7 @@
 		Host:       uint32(a.host + 1),
 		Attempt:    a.number,
 		Result:     result,
-		Latency:    s.now - r.arrived,
+		Latency:    time.Duration(s.now - r.arrived),
 		Closed:     r.answered,
 		LoadReport: load,
 	})
@@ -288,7 +288,7 @@
 		RequestID:    r.id,
 		Customer:     c.name,
 		Plan:         c.plan,
-		Deadline:     deadline,
+		Deadline:     gateway.Time(deadline),
 		Units:        1,
 		Spread:       c.spread,
 		FirstGateway: c.first,
@@ -298,7 +298,7 @@
 // runBatch gives a gateway a batch of one event.
 func (s *simulation) runBatch(i int, e gateway.Event) {
 	s.report.Batches++
-	batch := &gateway.Batch{Now: s.now, Events: []gateway.Event{e}}
+	batch := &gateway.Batch{Now: gateway.Time(s.now), Events: []gateway.Event{e}}
 	s.gateways[i].module.Decide(batch, writer{s, i})
 }
 
--- a/lab/fleetsim/writer.go
+++ b/lab/fleetsim/writer.go
@@ -1,5 +1,7 @@
 package fleetsim
 
+import "time"
+
 // writer carries out one gateway's decisions.
 type writer struct {
 	sim     *simulation
@@ -7,7 +9,7 @@
 }
 
 // Dispatch starts an attempt. The first one of a request takes its unit from the true buckets.
-func (w writer) StartAttempt(id string, host uint32, timeout int64) {
+func (w writer) StartAttempt(id string, host uint32, timeout time.Duration) {
 	s := w.sim
 	r := s.requests[id]
 	if r == nil {
@@ -24,7 +26,7 @@
 	s.gateways[w.gateway].hostsUsed[a.host] = true
 	wait := r.deadline - s.now
 	if timeout > 0 {
-		wait = min(wait, timeout)
+		wait = min(wait, int64(timeout))
 	}
 	arrival := s.now + int64(s.config.NetDelay)
 	s.add(&event{at: arrival, kind: attemptArrives, host: a.host, request: r, number: a.number})
@@ -40,7 +42,7 @@
 }
 
 // Reject rejects a request, which its client may retry after the time that it is told.
-func (w writer) Reject(id string, after int64) {
+func (w writer) Reject(id string, after time.Duration) {
 	s := w.sim
 	r := s.requests[id]
 	if r == nil || r.answered {
@@ -51,7 +53,7 @@
 	if r.retries >= s.config.Retries {
 		return
 	}
-	retryAt := s.now + max(after, 50*millisecond)
+	retryAt := s.now + max(int64(after), 50*millisecond)
 	if retryAt < r.deadline {
 		s.add(&event{
 			at:       retryAt,
@@ -87,9 +89,9 @@
 }
 
 // Wake sets the gateway's timer.
-func (w writer) SetTimer(after int64) {
+func (w writer) SetTimer(after time.Duration) {
 	s := w.sim
-	at := s.now + after
+	at := s.now + int64(after)
 	s.gateways[w.gateway].timerAt = at
 	s.add(&event{at: at, kind: timerFires, gateway: w.gateway})
 }
@@ -101,7 +103,7 @@
 func (w writer) WatchEndpoints() {}
 
 // Count does nothing: there is no shared counter.
-func (w writer) AddToCounter(uint64, float64, int64) {}
+func (w writer) AddToCounter(uint64, float64, time.Duration) {}
 
 // Note does nothing: nobody reads a log.
 func (w writer) LogNote(string) {}
--- a/lab/rollout/hollow/follower.go
+++ b/lab/rollout/hollow/follower.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"ravensill/configsync"
+	"ravensill/gateway"
 	"ravensill/internal/config"
 	"ravensill/internal/subscriber"
 	"ravensill/lab/fleet"
@@ -116,7 +117,7 @@
 		f.fault("version %d: %v", update.To, err)
 		return err
 	}
-	f.module.Reconfigure(time.Now().UnixNano(), &revision.Update)
+	f.module.Reconfigure(gateway.Time(time.Now().UnixNano()), &revision.Update)
 	now := time.Now().UnixNano()
 	if before := f.inForce.Swap(uint64(update.To)); uint64(update.To) <= before {
 		f.fault("version %d after %d", update.To, before)
--- a/lab/scale/follow.go
+++ b/lab/scale/follow.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ravensill/configsync"
+	"ravensill/gateway"
 	"ravensill/internal/config"
 )
 
@@ -113,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	h.module.Reconfigure(h.now, &revision.Update)
+	h.module.Reconfigure(gateway.Time(h.now), &revision.Update)
 	acknowledge := h.follower.Accept(time.Unix(0, h.now))
 	if update.Delta != nil {
 		configsync.EncodeFileDelta(update.Delta)
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -81,8 +81,8 @@
 	h.book.Even = configuration.Even
 	run := func(work func()) { work() }
 	clock := func() int64 { return h.now }
-	h.connections = hosts.NewTransport(sockets.Kernel{}, run, clock, configuration.ReportNames, configuration.ConnectTimeout,
-		configuration.ConnIdle, int(connectionsPerSocket*float64(configuration.Sockets)))
+	h.connections = hosts.NewTransport(sockets.Kernel{}, run, clock, configuration.ReportNames, int64(configuration.ConnectTimeout),
+		int64(configuration.ConnIdle), int(connectionsPerSocket*float64(configuration.Sockets)))
 	if configuration.Configuration != nil {
 		h.follow()
 	}
@@ -146,7 +146,7 @@
 func (h *Hollow) Request(request Request) {
 	h.attempts[request.ID] = 0
 	h.events = append(h.events, gateway.Event{Kind: gateway.RequestArrived, RequestID: request.ID, Customer: request.Customer,
-		Class: request.Class, Plan: request.Plan, Deadline: request.Deadline, Units: 1,
+		Class: request.Class, Plan: request.Plan, Deadline: gateway.Time(request.Deadline), Units: 1,
 		Spread: request.Spread, FirstGateway: request.First})
 }
 
@@ -154,7 +154,7 @@
 func (h *Hollow) Answered(request string, host uint32, attempt int, after time.Duration) {
 	delete(h.attempts, request)
 	h.events = append(h.events, gateway.Event{Kind: gateway.AttemptEnded, RequestID: request, Host: host, Attempt: attempt,
-		Result: gateway.Succeeded, Latency: int64(after), Closed: true, LoadReport: []float64{hostUtilization}})
+		Result: gateway.Succeeded, Latency: time.Duration(after), Closed: true, LoadReport: []float64{hostUtilization}})
 }
 
 // Due is when the gateway's timer falls due; 0 never.
@@ -170,7 +170,7 @@
 		h.events = append(h.events, gateway.Event{Kind: gateway.TimerFired})
 	}
 	for len(h.lists)+len(h.events) > 0 {
-		h.round.Now = now
+		h.round.Now = gateway.Time(now)
 		h.round.Events = append(append(h.round.Events[:0], h.lists...), h.events...)
 		clear(h.lists) // a whole list must not stay in memory until the next comes
 		h.lists, h.events = h.lists[:0], h.events[:0]
@@ -189,14 +189,14 @@
 }
 
 // StartAttempt makes an attempt of a request at a host.
-func (h *Hollow) StartAttempt(request string, host uint32, _ int64) {
+func (h *Hollow) StartAttempt(request string, host uint32, _ time.Duration) {
 	attempt := h.attempts[request]
 	h.attempts[request]++
 	h.outside.Attempt(h, request, host, attempt)
 }
 
 // Reject rejects a request.
-func (h *Hollow) Reject(request string, _ int64) { h.close(request, Rejected) }
+func (h *Hollow) Reject(request string, _ time.Duration) { h.close(request, Rejected) }
 
 // Fail fails a request.
 func (h *Hollow) Fail(request string) { h.close(request, Failed) }
@@ -207,10 +207,10 @@
 }
 
 // SetTimer sets the module's timer.
-func (h *Hollow) SetTimer(after int64) { h.wakeAt = h.round.Now + after }
+func (h *Hollow) SetTimer(after time.Duration) { h.wakeAt = int64(h.round.Now.Add(after)) }
 
 // AddToCounter answers that there is no shared counter, as the program does where none is configured.
-func (h *Hollow) AddToCounter(name uint64, _ float64, _ int64) {
+func (h *Hollow) AddToCounter(name uint64, _ float64, _ time.Duration) {
 	h.events = append(h.events, gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
 }
 
--- a/lab/slowstartsim/slowstartsim.go
+++ b/lab/slowstartsim/slowstartsim.go
@@ -111,13 +111,13 @@
 		for h := range c.Hosts {
 			l := gateway.Endpoint{Host: uint32(h), State: gateway.Running, Weight: 1}
 			if h < c.Cold {
-				l.StartedAt = cold
+				l.StartedAt = gateway.Time(cold)
 			}
 			list = append(list, l)
 		}
 		return list
 	}
-	fronts := []gateway.RequestClass{{LatencyObjective: int64(time.Second), Timeout: int64(3 * time.Second), Value: 1}}
+	fronts := []gateway.RequestClass{{LatencyObjective: time.Second, Timeout: 3 * time.Second, Value: 1}}
 	plans := []gateway.Plan{{Rate: 1e9, Burst: 1e9, PriorityWeight: 1}}
 	for i := range c.Gateways {
 		s.gws = append(s.gws, logic.New(s.rnd.Uint64(), gateway.Membership{Index: i, Count: c.Gateways, Gossip: c.Gossip, MessageRate: perSec},
@@ -165,15 +165,15 @@
 	}
 	s.reqs++
 	s.round(i, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(s.reqs), Customer: fmt.Sprint(s.rnd.IntN(5000)),
-		Deadline: s.now + int64(3*time.Second), Units: 1, Spread: s.Gateways})
+		Deadline: gateway.Time(s.now).Add(3 * time.Second), Units: 1, Spread: s.Gateways})
 }
 
 func (s *sim) round(i int, e gateway.Event) {
 	s.turn = i
-	s.gws[i].Decide(&gateway.Batch{Now: s.now, Events: []gateway.Event{e}}, s)
+	s.gws[i].Decide(&gateway.Batch{Now: gateway.Time(s.now), Events: []gateway.Event{e}}, s)
 }
 
-func (s *sim) StartAttempt(req string, host uint32, timeout int64) {
+func (s *sim) StartAttempt(req string, host uint32, timeout time.Duration) {
 	e, lag := gateway.Event{Kind: gateway.AttemptEnded, RequestID: req, Host: host, Attempt: s.tries[req]}, answers
 	failing := s.Cold + int(s.Failing*float64(s.Hosts-s.Cold))
 	switch s.tries[req]++; {
@@ -184,11 +184,11 @@
 	case s.InTurn:
 		took := s.capacity(s.Settings.Duration)
 		if int(host) < s.Cold && s.now >= s.since {
-			took = s.capacity(s.now - s.since)
+			took = s.capacity(time.Duration(s.now - s.since))
 		}
 		s.free[host] = max(s.free[host], s.now) + int64(1e9/took)
-		if lag += time.Duration(s.free[host] - s.now); int64(lag) > timeout {
-			lag, e.Result = time.Duration(timeout), gateway.TimedOut
+		if lag += time.Duration(s.free[host] - s.now); lag > timeout {
+			lag, e.Result = timeout, gateway.TimedOut
 		}
 	}
 	if s.now >= s.since && e.Result != gateway.Unreachable {
@@ -197,7 +197,7 @@
 			s.sent[host] = append(s.sent[host], call{s.now, s.told[s.turn]})
 		}
 	}
-	e.Latency, e.Closed = int64(lag), e.Result == gateway.Succeeded
+	e.Latency, e.Closed = lag, e.Result == gateway.Succeeded
 	s.q.Add(s.now+int64(lag), event{gw: s.turn, e: e})
 }
 
@@ -212,20 +212,20 @@
 	}
 }
 
-func (s *sim) SetTimer(after int64) {
-	s.q.Add(s.now+max(after, int64(beat)), event{gw: s.turn, e: gateway.Event{Kind: gateway.TimerFired}})
+func (s *sim) SetTimer(after time.Duration) {
+	s.q.Add(s.now+int64(max(after, beat)), event{gw: s.turn, e: gateway.Event{Kind: gateway.TimerFired}})
 }
 
-func (s *sim) CancelAttempt(string, int)           {}
-func (s *sim) Reject(string, int64)                {}
-func (s *sim) Fail(string)                         {}
-func (s *sim) SendProbe(uint32)                    {}
-func (s *sim) WatchEndpoints()                     {}
-func (s *sim) LogNote(string)                      {}
-func (s *sim) AddToCounter(uint64, float64, int64) {}
+func (s *sim) CancelAttempt(string, int)                   {}
+func (s *sim) Reject(string, time.Duration)                {}
+func (s *sim) Fail(string)                                 {}
+func (s *sim) SendProbe(uint32)                            {}
+func (s *sim) WatchEndpoints()                             {}
+func (s *sim) LogNote(string)                              {}
+func (s *sim) AddToCounter(uint64, float64, time.Duration) {}
 
 // capacity is what a host takes in a second t after its start, in reqs.
-func (s *sim) capacity(t int64) float64 {
+func (s *sim) capacity(t time.Duration) float64 {
 	warm := min(s.Settings.InitialFraction+(1-s.Settings.InitialFraction)*float64(t)/float64(s.Settings.Duration), 1)
 	return warm * s.PerSecond / s.Load / float64(s.Hosts)
 }
@@ -238,19 +238,19 @@
 			r.Idle++
 		}
 		told := 0
-		for i, k := 0, 0; i < len(at) && at[i].at-s.since < s.Settings.Duration; i++ { // the window that ends with the ith
-			for told += count(at[i]); at[i].at-at[k].at > s.Settings.OverloadWindow; k++ {
+		for i, k := 0, 0; i < len(at) && time.Duration(at[i].at-s.since) < s.Settings.Duration; i++ { // the window that ends with the ith
+			for told += count(at[i]); time.Duration(at[i].at-at[k].at) > s.Settings.OverloadWindow; k++ {
 				told -= count(at[k])
 			}
-			n := s.Settings.OverloadFactor * s.capacity(at[i].at-s.since) * seconds(s.Settings.OverloadWindow)
+			n := s.Settings.OverloadFactor * s.capacity(time.Duration(at[i].at-s.since)) * seconds(s.Settings.OverloadWindow)
 			bound := Budget(n)
 			if sent := i - k + 1; 3*told > 2*sent && (r.Bound == 0 || float64(sent)/bound > r.Sent/r.Bound) {
 				r.Sent, r.Allowed, r.Bound, r.At = float64(sent), n, bound, time.Duration(at[i].at-s.since)
 			}
 		}
 	}
-	for t := int64(0); t < int64(s.Length); t += int64(time.Second) {
-		part += s.capacity(t) / s.capacity(s.Settings.Duration) / seconds(int64(s.Length)) / float64(s.Hosts) * float64(s.Cold)
+	for t := time.Duration(0); t < s.Length; t += time.Second {
+		part += s.capacity(t) / s.capacity(s.Settings.Duration) / seconds(s.Length) / float64(s.Hosts) * float64(s.Cold)
 	}
 	r.Share = float64(got) / max(float64(s.all)*part, 1)
 	return r
@@ -263,4 +263,4 @@
 	return 0
 }
 
-func seconds(ns int64) float64 { return float64(ns) / 1e9 }
+func seconds(d time.Duration) float64 { return float64(d) / 1e9 }
--- a/lab/slowstartsim/slowstartsim_test.go
+++ b/lab/slowstartsim/slowstartsim_test.go
@@ -18,8 +18,8 @@
 // three, twenty or thirty gateways all hold most hosts, and the windows there are narrower.
 func TestFleetKeepsColdBudget(t *testing.T) {
 	const s = time.Second
-	wide := gateway.SlowStart{InitialFraction: 0.2, Duration: int64(10 * s), OverloadFactor: 3, OverloadWindow: int64(2 * s)}
-	narrow := gateway.SlowStart{InitialFraction: 0.16, Duration: int64(10 * s), OverloadFactor: 2, OverloadWindow: int64(s)}
+	wide := gateway.SlowStart{InitialFraction: 0.2, Duration: 10 * s, OverloadFactor: 3, OverloadWindow: 2 * s}
+	narrow := gateway.SlowStart{InitialFraction: 0.16, Duration: 10 * s, OverloadFactor: 2, OverloadWindow: s}
 	var all strings.Builder
 	var plays []Config
 	for _, z := range []struct {
--- a/lab/subsetsim/day.go
+++ b/lab/subsetsim/day.go
@@ -176,16 +176,16 @@
 
 // boot starts a gateway anew with the list as it is.
 func (w *world) boot(g *gw) {
-	fronts := []gateway.RequestClass{{LatencyObjective: int64(2 * time.Second), Timeout: int64(8 * time.Second), Value: 1, LateValue: 0.2}}
-	limits := gateway.Limits{MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: int64(2 * time.Second)}
+	fronts := []gateway.RequestClass{{LatencyObjective: 2 * time.Second, Timeout: 8 * time.Second, Value: 1, LateValue: 0.2}}
+	limits := gateway.Limits{MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second}
 	g.g = logic.New(w.rnd.Uint64(), gateway.Membership{Index: g.i, Count: w.day.Gateways}, fronts, []gateway.Plan{{PriorityWeight: 1}},
-		limits, gateway.SlowStart{InitialFraction: cold, Duration: int64(warmUp), OverloadFactor: 3, OverloadWindow: int64(3 * time.Second)},
+		limits, gateway.SlowStart{InitialFraction: cold, Duration: warmUp, OverloadFactor: 3, OverloadWindow: 3 * time.Second},
 		gateway.LoadReportForm{Fields: []gateway.LoadField{gateway.Utilization}, WithAnswers: true})
 	g.life, g.dead, g.out, g.knows = g.life+1, false, map[string]*try{}, map[uint32]bool{}
 	var list []gateway.Endpoint
 	for _, h := range w.hosts {
 		if h.to == math.MaxInt64 {
-			list = append(list, gateway.Endpoint{Host: h.id, Weight: h.weight, StartedAt: h.since})
+			list = append(list, gateway.Endpoint{Host: h.id, Weight: h.weight, StartedAt: gateway.Time(h.since)})
 		}
 	}
 	g.listed(gateway.ListComplete, list)
@@ -244,7 +244,7 @@
 	h.to = w.now
 	n := w.add(since, h.weight < 1)
 	w.tell(late, gateway.Endpoint{Host: h.id, Weight: h.weight, State: gateway.Gone},
-		gateway.Endpoint{Host: n.id, Weight: n.weight, StartedAt: since})
+		gateway.Endpoint{Host: n.id, Weight: n.weight, StartedAt: gateway.Time(since)})
 }
 
 func (w *world) step(s Step) {
@@ -254,7 +254,7 @@
 	case Join:
 		for range s.N {
 			h := w.add(w.now, false)
-			w.tell(false, gateway.Endpoint{Host: h.id, Weight: 1, StartedAt: h.since})
+			w.tell(false, gateway.Endpoint{Host: h.id, Weight: 1, StartedAt: gateway.Time(h.since)})
 		}
 	case Hush:
 		for _, h := range up[:s.N] {
@@ -305,7 +305,7 @@
 				w.reqs++
 				w.result.Reqs++
 				g.round(gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint("r", w.reqs), Customer: name,
-					Deadline: w.now + int64(8*time.Second), Units: 1, Spread: spread, FirstGateway: first})
+					Deadline: gateway.Time(w.now).Add(8 * time.Second), Units: 1, Spread: spread, FirstGateway: first})
 				return
 			}
 		}
@@ -314,11 +314,11 @@
 
 func (g *gw) round(e gateway.Event) {
 	if !g.dead {
-		g.g.Decide(&gateway.Batch{Now: g.w.now, Events: []gateway.Event{e}}, g)
+		g.g.Decide(&gateway.Batch{Now: gateway.Time(g.w.now), Events: []gateway.Event{e}}, g)
 	}
 }
 
-func (g *gw) StartAttempt(id string, number uint32, timeout int64) {
+func (g *gw) StartAttempt(id string, number uint32, timeout time.Duration) {
 	w := g.w
 	t := &try{id: id, at: w.now, owner: g, life: g.life, host: w.byID[number]}
 	if last := g.out[id]; last != nil {
@@ -371,14 +371,14 @@
 		return
 	}
 	t.over = true
-	e := gateway.Event{Kind: gateway.AttemptEnded, RequestID: t.id, Host: t.host.id, Attempt: t.n, Result: res, Latency: g.w.now - t.at,
+	e := gateway.Event{Kind: gateway.AttemptEnded, RequestID: t.id, Host: t.host.id, Attempt: t.n, Result: res, Latency: time.Duration(g.w.now - t.at),
 		Closed: res == gateway.Succeeded}
 	if util >= 0 {
 		e.LoadReport = []float64{util}
 	}
 	if res == gateway.Succeeded {
 		g.w.result.Passed++
-		g.w.result.lag += e.Latency
+		g.w.result.lag += int64(e.Latency)
 		delete(g.out, t.id)
 	}
 	g.round(e)
@@ -390,19 +390,19 @@
 	}
 }
 
-func (g *gw) SetTimer(after int64) {
+func (g *gw) SetTimer(after time.Duration) {
 	life := g.life
-	g.w.at(g.w.now+after, func() {
+	g.w.at(g.w.now+int64(after), func() {
 		if g.life == life {
 			g.round(gateway.Event{Kind: gateway.TimerFired})
 		}
 	})
 }
 
-func (g *gw) Reject(id string, after int64)       { g.w.result.Denied++; delete(g.out, id) }
-func (g *gw) Fail(id string)                      { delete(g.out, id) }
-func (g *gw) SendGossip(int, []byte)              {}
-func (g *gw) SendProbe(uint32)                    {}
-func (g *gw) WatchEndpoints()                     {}
-func (g *gw) AddToCounter(uint64, float64, int64) {}
-func (g *gw) LogNote(string)                      {}
+func (g *gw) Reject(id string, after time.Duration)       { g.w.result.Denied++; delete(g.out, id) }
+func (g *gw) Fail(id string)                              { delete(g.out, id) }
+func (g *gw) SendGossip(int, []byte)                      {}
+func (g *gw) SendProbe(uint32)                            {}
+func (g *gw) WatchEndpoints()                             {}
+func (g *gw) AddToCounter(uint64, float64, time.Duration) {}
+func (g *gw) LogNote(string)                              {}
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"time"
 
 	"ravensill/gateway"
 )
@@ -32,10 +33,10 @@
 }
 
 const (
-	unansweredLimit    = 0.5    // fraction of a customer's requests; beyond it only one is admitted in unansweredInterval
-	unansweredInterval = second // between two requests of such a customer
-	answerMemory       = 0.75   // weight of the earlier requests in that fraction
-	maxUnseenBursts    = 0.5    // by which a copy is taken for lower at most, for what peers admit meanwhile
+	unansweredLimit    = 0.5         // fraction of a customer's requests; beyond it only one is admitted in unansweredInterval
+	unansweredInterval = time.Second // between two requests of such a customer
+	answerMemory       = 0.75        // weight of the earlier requests in that fraction
+	maxUnseenBursts    = 0.5         // by which a copy is taken for lower at most, for what peers admit meanwhile
 )
 
 // admit decides a request, the ordinary path from top to bottom. withinCap is the probability that the customer is within its cap
@@ -70,13 +71,13 @@
 // objection returns why a request can't be admitted with what is known here, and the time in nanoseconds after which to come back.
 func (g *Gateway) objection(r *request, level float64) (reason Reason, retryAfter float64, objection bool) {
 	c := r.customer
-	timeLeft := float64(r.stopAt - g.now)
+	timeLeft := float64(r.stopAt.Sub(g.now))
 	switch {
 	case c.plan.Rate > 0 && level < r.units:
-		return OverQuota, (r.units - level) / c.plan.Rate * float64(second), true
+		return OverQuota, (r.units - level) / c.plan.Rate * float64(time.Second), true
 	case c.plan.CeilingRate > 0 && c.ceilingLevel < r.units:
-		return OverCeiling, (r.units - c.ceilingLevel) / c.ceilingRate * float64(second), true
-	case c.unansweredFraction > unansweredLimit && g.now-c.lastAdmission < unansweredInterval:
+		return OverCeiling, (r.units - c.ceilingLevel) / c.ceilingRate * float64(time.Second), true
+	case c.unansweredFraction > unansweredLimit && g.now.Sub(c.lastAdmission) < unansweredInterval:
 		return CustomerUnanswered, float64(unansweredInterval), true
 	case g.inVain(r):
 		return TooLate, r.class.typicalLatency, true
@@ -91,7 +92,7 @@
 	if r.deadline <= g.now {
 		return true
 	}
-	expected := float64(g.now-r.arrived) + r.class.typicalLatency
+	expected := float64(g.now.Sub(r.arrived)) + r.class.typicalLatency
 	return r.class.LateValue == 0 && expected > float64(r.class.LatencyObjective)
 }
 
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/golden"
@@ -18,7 +19,7 @@
 	w.arrive(0, "a", 1)
 	w.finishAll(0)
 	w.recordLevels("a")
-	w.advance(5*second, true)
+	w.advance(5*time.Second, true)
 	w.recordLevels("a")
 	golden.Check(t, w.trace.String())
 }
@@ -43,8 +44,8 @@
 // TestCopyWithoutPeersKeepsItsShare: no peer heard for four intervals: half of rate and burst; heard again: all.
 func TestCopyWithoutPeersKeepsItsShare(t *testing.T) {
 	w := newSimulation(2, 4, nil)
-	w.advance(second, true)
-	w.advance(2*second, false)
+	w.advance(time.Second, true)
+	w.advance(2*time.Second, false)
 	w.arrive(0, "a", 6)
 	w.finishAll(0)
 	w.advance(400*ms, false)
@@ -63,7 +64,7 @@
 	w.arrive(0, "a", 1)
 	w.advance(500*ms, true)
 	w.arrive(0, "a", 3)
-	w.advance(5*second, true)
+	w.advance(5*time.Second, true)
 	w.arrive(0, "a", 5)
 	w.restart(0, 4, 2)
 	w.arrive(0, "a", 1)
@@ -93,7 +94,7 @@
 	for i := range 15 {
 		for f := range 2 {
 			w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprintf("worth%.0f.%d", w.classes[f].Value, i),
-				Customer: "a", Deadline: w.now + 2500*ms, Units: 1, Spread: 1, Class: f})
+				Customer: "a", Deadline: w.now.Add(2500 * ms), Units: 1, Spread: 1, Class: f})
 		}
 	}
 	golden.Check(t, w.trace.String())
@@ -147,7 +148,7 @@
 	w := newSimulation(30, 4, nil)
 	w.arrive(0, "a", 1)
 	w.finishAll(0)
-	w.advance(8*second, false)
+	w.advance(8*time.Second, false)
 	w.trace.Reset()
 	for range 30 { // 0.33 units a second are its due
 		w.arrive(0, "a", 1)
@@ -184,13 +185,13 @@
 	w.deliver(0, gateway.Event{Kind: gateway.ClientGone, RequestID: "left0.0"})
 	w.deliver(0, gateway.Event{Kind: gateway.CounterReplied, CounterName: 77, CounterTotal: 1}) // nobody asked
 	w.finishAll(0)
-	w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: "hasty", Customer: "hasty", Deadline: w.now + 90*ms, Units: 1, Spread: 2})
+	w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: "hasty", Customer: "hasty", Deadline: w.now.Add(90 * ms), Units: 1, Spread: 2})
 	for len(w.gateways[0].counterNames) > 0 {
 		w.answerCounter(0, gateway.TimedOut, 0)
 	}
 	w.arrive(0, "deaf", 1)
 	w.finishAll(0)
-	w.advance(second+timerInterval, true)
+	w.advance(time.Second+timerInterval, true)
 	w.arrive(0, "again", 1)
 	w.answerCounter(0, gateway.Succeeded, 1) // a lower total than any before
 	w.finishAll(0)
--- a/logic/candidates_test.go
+++ b/logic/candidates_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"testing"
+	"time"
 
 	"ravensill/gateway"
 )
@@ -16,7 +17,7 @@
 	told    int
 }
 
-func (w *watcher) StartAttempt(req string, host uint32, timeout int64) {
+func (w *watcher) StartAttempt(req string, host uint32, timeout time.Duration) {
 	w.hosts = append(w.hosts, host)
 }
 func (w *watcher) ObserveCandidates(_ string, _ uint32, o []gateway.Candidate) {
@@ -37,9 +38,9 @@
 		}
 		chances, chosen := map[uint32]float64{}, map[uint32]float64{}
 		for i := range 4000 {
-			w.now += ms
+			w.now = w.now.Add(ms)
 			s.gateway.Decide(&gateway.Batch{Now: w.now, Events: []gateway.Event{{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(i),
-				Customer: fmt.Sprint("c", i), Deadline: w.now + second, Units: 1, Spread: 1}}}, out)
+				Customer: fmt.Sprint("c", i), Deadline: w.now.Add(time.Second), Units: 1, Spread: 1}}}, out)
 			if len(watch.hosts) != i+1 {
 				t.Fatalf("req %d is not dispatched", i)
 			}
@@ -63,7 +64,7 @@
 					if len(h.inFlight) > 0 {
 						x := h.inFlight[0]
 						s.gateway.Decide(&gateway.Batch{Now: w.now, Events: []gateway.Event{{Kind: gateway.AttemptEnded, RequestID: x.request.id,
-							Host: h.id, Attempt: x.number, Latency: ms * int64(h.id), Closed: true}}}, out)
+							Host: h.id, Attempt: x.number, Latency: ms * time.Duration(h.id), Closed: true}}}, out)
 					}
 				}
 			}
@@ -97,10 +98,10 @@
 			round := &gateway.Batch{Events: make([]gateway.Event, 1)}
 			b.ReportAllocs()
 			for b.Loop() {
-				w.now += ms
+				w.now = w.now.Add(ms)
 				watch.hosts = watch.hosts[:0]
 				round.Now, round.Events[0] = w.now, gateway.Event{Kind: gateway.RequestArrived, RequestID: "r", Customer: "c",
-					Deadline: w.now + second, Units: 1, Spread: 1}
+					Deadline: w.now.Add(time.Second), Units: 1, Spread: 1}
 				s.gateway.Decide(round, out)
 				round.Events[0] = gateway.Event{Kind: gateway.AttemptEnded, RequestID: "r", Latency: 5 * ms, Closed: true}
 				s.gateway.Decide(round, out)
--- a/logic/ceiling.go
+++ b/logic/ceiling.go
@@ -13,7 +13,7 @@
 
 // startCeiling fills the ceiling of a new record from the start of this gateway on: its former incarnation may have just spent it.
 func (g *Gateway) startCeiling(c *customer) {
-	c.ceilingLevel = min(c.ceilingBurst, c.ceilingRate*seconds(g.now-g.start))
+	c.ceilingLevel = min(c.ceilingBurst, c.ceilingRate*seconds(g.now.Sub(g.start)))
 }
 
 // refillCeiling adds what the ceiling is filled by in so many seconds.
--- a/logic/concurrency_cap.go
+++ b/logic/concurrency_cap.go
@@ -2,15 +2,16 @@
 
 import (
 	"math"
+	"time"
 
 	"ravensill/gateway"
 )
 
 const (
-	counterSpan         = 5 * second // a number at the shared counter covers so long
-	counterRetryDelay   = second     // in which the counter is not asked after maxCounterFailures
-	maxCounterFailures  = 4          // in a row
-	counterTimeoutsLeft = 2          // that a client must still wait for when the counter is asked
+	counterSpan         = 5 * time.Second // a number at the shared counter covers so long
+	counterRetryDelay   = time.Second     // in which the counter is not asked after maxCounterFailures
+	maxCounterFailures  = 4               // in a row
+	counterTimeoutsLeft = 2               // that a client must still wait for when the counter is asked
 )
 
 // withinCapProbability is the probability that the customer keeps to its cap on requests in flight: peers have a random number in
@@ -19,7 +20,7 @@
 	if c.plan.MaxInFlight == 0 {
 		return 1
 	}
-	elsewhere := c.peerRate / class.typicalUnits * class.typicalLatency / float64(second)
+	elsewhere := c.peerRate / class.typicalUnits * class.typicalLatency / float64(time.Second)
 	probability := 0.0
 	term := math.Exp(-elsewhere)
 	for k := range max(c.plan.MaxInFlight-c.inFlight, 0) {
@@ -42,14 +43,14 @@
 // will still be there.
 func (g *Gateway) mayAskCounter(r *request) bool {
 	capped := r.customer.plan.MaxInFlight > 0 && len(r.customer.subscriptions) > 0
-	timeLeft := r.deadline - g.now
+	timeLeft := r.deadline.Sub(g.now)
 	return g.limits.SharedCounter && capped && g.now >= g.counterRetry && timeLeft > counterTimeoutsLeft*g.limits.CounterTimeout
 }
 
 // askCounter counts a request as in flight at the shared counter; counterReplied goes on with it. All gateways' clocks give a
 // customer's number one name for a span. The next span counts anew, or what a killed gateway had in flight would stay.
 func (g *Gateway) askCounter(r *request) {
-	span := uint64(g.now / counterSpan)
+	span := uint64(g.now / gateway.Time(counterSpan))
 	r.counterName = mix(uint64(r.customer.hash)<<32|span) >> 1
 	g.callCounter(r.counterName, 1, r)
 }
@@ -102,6 +103,6 @@
 	}
 	g.counterFailures++
 	if g.counterFailures >= maxCounterFailures {
-		g.counterRetry = g.now + counterRetryDelay
+		g.counterRetry = g.now.Add(counterRetryDelay)
 	}
 }
--- a/logic/customer.go
+++ b/logic/customer.go
@@ -14,15 +14,15 @@
 	spread        int            // gateways that the customer's requests come in at,
 	firstGateway  int            // from this member index on, cyclically
 	subscriptions []subscription // the peers that send or are sent its counters
-	created       int64
+	created       gateway.Time
 
-	refilled       int64   // the last time
-	lastAdmission  int64   // here or at a peer
-	level          float64 // units in the bucket; below 0 it owes
-	peerRate       float64 // units a second that the peers admit
-	requestedUnits float64 // lately
-	admittedUnits  float64 // lately
-	presumedUnits  float64 // taken for peers that were not heard
+	refilled       gateway.Time // the last time
+	lastAdmission  gateway.Time // here or at a peer
+	level          float64      // units in the bucket; below 0 it owes
+	peerRate       float64      // units a second that the peers admit
+	requestedUnits float64      // lately
+	admittedUnits  float64      // lately
+	presumedUnits  float64      // taken for peers that were not heard
 	counters       [2]float64
 
 	ceilingLevel float64 // units in this gateway's fraction of the ceiling
@@ -81,7 +81,7 @@
 // forgettable reports whether nothing is lost when the customer is forgotten.
 func (g *Gateway) forgettable(c *customer) bool {
 	g.refill(c)
-	if c.inFlight > 0 || g.now-c.lastAdmission <= g.peerTimeout {
+	if c.inFlight > 0 || g.now.Sub(c.lastAdmission) <= g.peerTimeout {
 		return false
 	}
 	bucketFull := c.level >= c.plan.Burst || c.plan.Rate == 0
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -1,6 +1,8 @@
 package logic
 
 import (
+	"time"
+
 	"ravensill/concurrency"
 	"ravensill/gateway"
 	"ravensill/subset"
@@ -22,9 +24,9 @@
 	memberIndex      int // of this gateway,
 	memberCount      int // among so many: for its subset
 	limit            concurrency.Limiter
-	listReceived     bool  // a list that was not the cached one was received
-	stallEnd         int64 // the gateway last stood still until then,
-	stallLength      int64 // for so long
+	listReceived     bool          // a list that was not the cached one was received
+	stallEnd         gateway.Time  // the gateway last stood still until then,
+	stallLength      time.Duration // for so long
 }
 
 // endpoint is one of the list.
@@ -32,9 +34,9 @@
 	subset.Endpoint
 	id              uint32
 	state           gateway.EndpointState
-	contacted       bool  // sent to since it is in the list
-	announcedStart  int64 // its last start as the list tells it, by its wall clock; 0: long ago
-	startedAt       int64 // the same by this gateway's clock: startOf
+	contacted       bool         // sent to since it is in the list
+	announcedStart  gateway.Time // its last start as the list tells it, by its wall clock; 0: long ago
+	startedAt       gateway.Time // the same by this gateway's clock: startOf
 	inFlight        []*attempt
 	inBusy          bool    // in the set's busy
 	relativeLatency float64 // of its answers, against the typical one
@@ -46,11 +48,11 @@
 
 // health is how an endpoint serves a request class: it may fail one and serve the others.
 type health struct {
-	lastGood           int64
-	lastAnswer         int64
-	lastFailure        int64
-	unansweredFraction float64 // of the attempts,
-	unansweredAt       int64   // as it was then
+	lastGood           gateway.Time
+	lastAnswer         gateway.Time
+	lastFailure        gateway.Time
+	unansweredFraction float64      // of the attempts,
+	unansweredAt       gateway.Time // as it was then
 }
 
 // healthFor returns how the endpoint serves a class. Most endpoints of a large list are never asked: records are made late.
--- a/logic/endpoint_choice.go
+++ b/logic/endpoint_choice.go
@@ -16,8 +16,8 @@
 
 // choose returns the customer's first endpoint in rank that has no more than a little above the least load, nil if there is none or
 // the limit on attempts in flight is reached. share is the fraction of the limit that is open to the request; last is not chosen.
-func (s *endpointSet) choose(c *customer, class *class, now int64, share float64, last *endpoint) *endpoint {
-	if s.stallEnd > 0 && now-s.stallEnd < s.stallLength { // what came in meanwhile comes on top
+func (s *endpointSet) choose(c *customer, class *class, now gateway.Time, share float64, last *endpoint) *endpoint {
+	if s.stallEnd > 0 && now.Sub(s.stallEnd) < s.stallLength { // what came in meanwhile comes on top
 		share *= stallShare
 	}
 	if !s.limit.Allows(s.inFlight, share, s.random.fraction()) {
@@ -57,7 +57,7 @@
 }
 
 // weigh sets the loads of endpoints for a class, infinite for one that may get nothing now, and returns the least.
-func (s *endpointSet) weigh(endpoints []*endpoint, class *class, now int64, last *endpoint) float64 {
+func (s *endpointSet) weigh(endpoints []*endpoint, class *class, now gateway.Time, last *endpoint) float64 {
 	least := math.Inf(1)
 	s.lastWeighed = endpoints
 	for _, e := range endpoints {
@@ -71,15 +71,15 @@
 }
 
 // available reports whether an endpoint may get an attempt now.
-func (s *endpointSet) available(e *endpoint, now int64) bool {
+func (s *endpointSet) available(e *endpoint, now gateway.Time) bool {
 	return e.state == gateway.Running && (s.warmUpFraction(e, now) >= 1 || e.allowance >= 1)
 }
 
 // expectedLoad is how long an answer of the endpoint would take, against a typical one of an idle endpoint.
-func (e *endpoint) expectedLoad(class *class, now int64) float64 {
+func (e *endpoint) expectedLoad(class *class, now gateway.Time) float64 {
 	h := e.healthFor(class)
 	// What it reported and how it answered wears off, or an endpoint once thought busy would never be asked again.
-	age := float64(now - h.lastAnswer)
+	age := float64(now.Sub(h.lastAnswer))
 	load := 1 + (e.relativeLatency*(1+busyPenalty*e.utilization)-1)*math.Exp(-age/float64(decayTime))
 	// Still of use: where all are suspected the cause is shared; the others of the subset go first.
 	load *= float64(len(e.inFlight)+1) * (1 + suspectPenalty*h.suspicion(now))
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -11,7 +11,7 @@
 
 // updateList takes in a list of endpoints, or changes of it. A record ends with its endpoint, as does its part of the limit on
 // attempts in flight.
-func (s *endpointSet) updateList(kind gateway.ListKind, listed []gateway.Endpoint, now int64) {
+func (s *endpointSet) updateList(kind gateway.ListKind, listed []gateway.Endpoint, now gateway.Time) {
 	if kind == gateway.ListComplete || kind == gateway.ListCached {
 		for _, e := range s.all {
 			e.state = gateway.Gone
@@ -29,7 +29,7 @@
 }
 
 // updateEndpoint takes in one entry of a list. After a new start what was learned of the former process is void.
-func (s *endpointSet) updateEndpoint(e *endpoint, listed *gateway.Endpoint, now int64) {
+func (s *endpointSet) updateEndpoint(e *endpoint, listed *gateway.Endpoint, now gateway.Time) {
 	if listed.StartedAt != e.announcedStart {
 		e.announcedStart = listed.StartedAt
 		e.startedAt = s.startOf(listed.StartedAt, now)
--- a/logic/endpoint_poll.go
+++ b/logic/endpoint_poll.go
@@ -2,14 +2,15 @@
 
 import (
 	"math"
+	"time"
 
 	"ravensill/gateway"
 )
 
 const (
-	firstPollPause   = int64(3e8) // before a lost list is polled again
-	maxPollPauses    = 13         // times that pause at most
-	maxPollDoublings = 5          // failures in a row that double the pause
+	firstPollPause   = 300 * time.Millisecond // before a lost list is polled again
+	maxPollPauses    = 13                     // times that pause at most
+	maxPollDoublings = 5                      // failures in a row that double the pause
 )
 
 // schedulePoll sets when a lost endpoint list is polled again: by chance, in pauses that double from call to call, so that a fleet
@@ -24,9 +25,9 @@
 	if g.failedPolls == 1 {
 		g.lastPoll = g.now
 	}
-	drawn := int64((0.5 + g.random.fraction()) * float64(firstPollPause<<(g.failedPolls-1)))
+	drawn := time.Duration((0.5 + g.random.fraction()) * float64(firstPollPause<<(g.failedPolls-1)))
 	pause := min(drawn, maxPollPauses*firstPollPause)
-	g.nextPoll = max(g.lastPoll+pause, g.now+pause/8)
+	g.nextPoll = max(g.lastPoll.Add(pause), g.now.Add(pause/8))
 }
 
 // pollIfDue polls a lost endpoint list.
--- a/logic/endpoint_test.go
+++ b/logic/endpoint_test.go
@@ -7,6 +7,7 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
 
 	"ravensill/concurrency"
 	"ravensill/gateway"
@@ -155,16 +156,16 @@
 // doubling, and what was still to be asked: the watch that brought it goes on.
 func TestFleetPollsListAtDifferentTimes(t *testing.T) {
 	w := newSimulation(20, 4, func(w *simulation) { w.limits.PollEndpoints = true })
-	lose := func() int64 {
+	lose := func() gateway.Time {
 		for i, s := range w.gateways {
 			s.listRequestedAt = nil
 			w.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
 		}
 		return w.now
 	}
-	spans := [][2]int64{{150 * ms, 450 * ms}, {300 * ms, 900 * ms}, {600 * ms, 1800 * ms}, {1200 * ms, 3600 * ms}, {2400 * ms, 3900 * ms}, {2400 * ms, 3900 * ms}}
+	spans := [][2]time.Duration{{150 * ms, 450 * ms}, {300 * ms, 900 * ms}, {600 * ms, 1800 * ms}, {1200 * ms, 3600 * ms}, {2400 * ms, 3900 * ms}, {2400 * ms, 3900 * ms}}
 	t0 := lose()
-	for w.now < t0+16*second { // each call is turned away at once
+	for w.now < t0.Add(16*time.Second) { // each call is turned away at once
 		var asked [20]int
 		for i, s := range w.gateways {
 			asked[i] = len(s.listRequestedAt)
@@ -177,7 +178,7 @@
 		}
 	}
 	for k, span := range spans {
-		distinct := map[int64]bool{}
+		distinct := map[gateway.Time]bool{}
 		for i, s := range w.gateways {
 			if len(s.listRequestedAt) <= k {
 				t.Fatalf("gateway %d asked %d times only", i, len(s.listRequestedAt))
@@ -186,8 +187,8 @@
 			if k > 0 {
 				last = s.listRequestedAt[k-1]
 			}
-			if gap := s.listRequestedAt[k] - last; gap < span[0] || gap > span[1]+timerInterval {
-				t.Errorf("loss %d: gateway %d asked after %d ms, want %d to %d", k+1, i, gap/ms, span[0]/ms, span[1]/ms)
+			if gap := s.listRequestedAt[k].Sub(last); gap < span[0] || gap > span[1]+timerInterval {
+				t.Errorf("loss %d: gateway %d asked after %v, want %v to %v", k+1, i, gap, span[0], span[1])
 			}
 			distinct[s.listRequestedAt[k]] = true
 		}
@@ -201,7 +202,7 @@
 	t0 = lose()
 	w.advance(450*ms+timerInterval, false)
 	for i, s := range w.gateways {
-		if len(s.listRequestedAt) != 1 || s.listRequestedAt[0]-t0 > 450*ms+timerInterval {
+		if len(s.listRequestedAt) != 1 || s.listRequestedAt[0].Sub(t0) > 450*ms+timerInterval {
 			t.Fatalf("after a list: gateway %d asked %d times, first %v", i, len(s.listRequestedAt), s.listRequestedAt)
 		}
 	}
@@ -229,7 +230,7 @@
 		for k := range rounds {
 			for f := range 6 {
 				w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprintf("f%d.%d.%d", f, w.now, k), Customer: fmt.Sprint(k, f),
-					Deadline: w.now + 2500*ms, Units: 1, Spread: 1, Class: f % 2})
+					Deadline: w.now.Add(2500 * ms), Units: 1, Spread: 1, Class: f % 2})
 			}
 			w.advance(80*ms, true)
 			for _, h := range w.gateways[0].gateway.endpoints.all {
@@ -262,7 +263,7 @@
 func TestListUpdatesAreHandledBeforeRequests(t *testing.T) {
 	for k := range 8 {
 		w := newSimulation(1, 2, nil)
-		w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: "r", Customer: fmt.Sprint(k), Units: 1, Spread: 1, Deadline: w.now + second},
+		w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: "r", Customer: fmt.Sprint(k), Units: 1, Spread: 1, Deadline: w.now.Add(time.Second)},
 			gateway.Event{Kind: gateway.EndpointsListed, Endpoints: []gateway.Endpoint{{Host: 1, State: gateway.Draining}}})
 		if got := w.trace.String(); !strings.Contains(got, "to host 2,") {
 			t.Errorf("host 1 drains, yet: %s", got)
--- a/logic/gateway.go
+++ b/logic/gateway.go
@@ -22,20 +22,19 @@
 
 import (
 	"slices"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/gossip"
 )
 
-const (
-	second         = int64(1e9)
-	stallThreshold = second / 10 // with no batch for so long the gateway stood still
-)
+// stallThreshold is the time without a batch from which on the gateway counts as stalled.
+const stallThreshold = 100 * time.Millisecond
 
 // Gateway decides for one gateway. It belongs to one goroutine.
 type Gateway struct {
-	now     int64
-	start   int64 // -1 before the first batch
+	now     gateway.Time
+	start   gateway.Time // -1 before the first batch
 	random  *generator
 	actions gateway.Actions // of the batch
 
@@ -52,26 +51,26 @@
 	endpoints    endpointSet
 
 	format            gossip.Format
-	gridRows          int     // of the grid that the gateways stand in
-	neighbours        []*peer // the gateways that this one sends to or hears
-	peers             []*peer // by member index; nil: no neighbour
-	nextHops          []*peer // by member index: the neighbour on the way there
-	previousHops      []*peer // by member index: the neighbour on the way from there
-	messageRate       float64 // messages a second to a peer
-	counterAge        float64 // seconds that a counter is old when it comes
-	heartbeatInterval int64   // between messages to a peer that has no news
-	peerTimeout       int64   // with no message for so long, peers are gone
-	partitionTimeout  int64   // with no message for so long, a network partition is suspected
-	lastGossip        int64   // last message of any peer
-	resizedAt         int64   // the fleet's size changed last
-
-	lastTimer       int64
-	nextSweep       int64 // of customers that can be forgotten
-	nextPoll        int64 // of the endpoint list
-	lastPoll        int64 // it was polled, or lost
-	failedPolls     int   // in a row
-	counterRetry    int64 // the shared counter is not asked until then
-	counterFailures int   // calls of it without an answer, in a row
+	gridRows          int           // of the grid that the gateways stand in
+	neighbours        []*peer       // the gateways that this one sends to or hears
+	peers             []*peer       // by member index; nil: no neighbour
+	nextHops          []*peer       // by member index: the neighbour on the way there
+	previousHops      []*peer       // by member index: the neighbour on the way from there
+	messageRate       float64       // messages a second to a peer
+	counterAge        float64       // seconds that a counter is old when it comes
+	heartbeatInterval time.Duration // between messages to a peer that has no news
+	peerTimeout       time.Duration // with no message for so long, peers are gone
+	partitionTimeout  time.Duration // with no message for so long, a network partition is suspected
+	lastGossip        gateway.Time  // last message of any peer
+	resizedAt         gateway.Time  // the fleet's size changed last
+
+	lastTimer       gateway.Time
+	nextSweep       gateway.Time // of customers that can be forgotten
+	nextPoll        gateway.Time // of the endpoint list
+	lastPoll        gateway.Time // it was polled, or lost
+	failedPolls     int          // in a row
+	counterRetry    gateway.Time // the shared counter is not asked until then
+	counterFailures int          // calls of it without an answer, in a row
 
 	largestRequest    float64 // units of a request, the most seen
 	meanValue         float64 // of a request for its time
@@ -130,18 +129,18 @@
 			g.handleNews(event)
 		}
 	}
-	count := int64(len(batch.Events))
+	count := time.Duration(len(batch.Events))
 	for i := range batch.Events {
 		if event := &batch.Events[i]; !isNews(event) {
-			remaining := count - int64(i)
-			g.handle(event, g.now-stalled*remaining/count) // what came during a stall came evenly
+			remaining := count - time.Duration(i)
+			g.handle(event, g.now.Add(-stalled*remaining/count)) // what came during a stall came evenly
 		}
 	}
 }
 
 // enter begins a batch and returns for how long the gateway stood still before it.
-func (g *Gateway) enter(batch *gateway.Batch, actions gateway.Actions) (stalled int64) {
-	sinceLast := batch.Now - g.now
+func (g *Gateway) enter(batch *gateway.Batch, actions gateway.Actions) (stalled time.Duration) {
+	sinceLast := batch.Now.Sub(g.now)
 	g.now = batch.Now
 	g.actions = actions
 	if g.start < 0 {
@@ -174,7 +173,7 @@
 }
 
 // handle handles an event that is no news; arrived is when it came in.
-func (g *Gateway) handle(event *gateway.Event, arrived int64) {
+func (g *Gateway) handle(event *gateway.Event, arrived gateway.Time) {
 	switch event.Kind {
 	case gateway.RequestArrived:
 		g.arrive(event, arrived)
--- a/logic/gossip_receive.go
+++ b/logic/gossip_receive.go
@@ -35,7 +35,7 @@
 			g.customers[hash].queueCounters(false, p)
 		}
 	}
-	if restarted || g.now-p.lastReceived > 2*g.peerTimeout { // its counters are first counters again
+	if restarted || g.now.Sub(p.lastReceived) > 2*g.peerTimeout { // its counters are first counters again
 		p.incarnation = incarnation
 		p.firstReceived = g.now
 	}
@@ -52,7 +52,7 @@
 	if incarnation == p.incarnation {
 		return sequence <= p.sequence
 	}
-	return incarnation < p.incarnation && g.now-p.lastReceived <= g.peerTimeout
+	return incarnation < p.incarnation && g.now.Sub(p.lastReceived) <= g.peerTimeout
 }
 
 // planIndex returns the index of the plan that a counter names. It is not known if there is no such plan here, or if the customer
--- a/logic/gossip_send.go
+++ b/logic/gossip_send.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 
+	"ravensill/gateway"
 	"ravensill/internal/gossip"
 )
 
@@ -19,7 +20,7 @@
 	}
 	var tags []uint16
 	if due {
-		p.heartbeatDue = g.now + g.heartbeatInterval
+		p.heartbeatDue = g.now.Add(g.heartbeatInterval)
 		tags = g.healthyTags()
 	}
 	p.sentMessages++
@@ -32,7 +33,7 @@
 func (g *Gateway) healthyTags() (tags []uint16) {
 	for _, e := range g.endpoints.nearby {
 		for class, h := range e.health {
-			recent := h.lastGood > 0 && g.now-h.lastGood <= g.heartbeatInterval
+			recent := h.lastGood > 0 && g.now.Sub(h.lastGood) <= g.heartbeatInterval
 			if recent && h.unansweredFraction < suspicionLimit && len(tags) < gossip.MaxTags {
 				tags = append(tags, e.gossipTag(class))
 			}
@@ -75,7 +76,7 @@
 // owed is what the copy at a peer has to subtract if the counter is the first that it receives, in parts of a unit.
 func (g *Gateway) owed(s *subscription, total uint64) uint64 {
 	c := s.customer
-	recent := func(at int64) bool { return g.now-at < g.peerTimeout }
+	recent := func(at gateway.Time) bool { return g.now.Sub(at) < g.peerTimeout }
 	lack := max(c.plan.Burst-c.level, 0) * counterScale
 	switch {
 	case recent(c.created) && c.created >= g.resizedAt: // a copy there has not heard of it: the whole
--- a/logic/gossip_test.go
+++ b/logic/gossip_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/golden"
@@ -28,7 +29,7 @@
 	w := newSimulation(3, 4, func(w *simulation) { w.plans[0].Rate = 1 })
 	w.arrive(0, "a", 8)
 	w.finishAll(0)
-	w.advance(3*second, true) // no record is young
+	w.advance(3*time.Second, true) // no record is young
 	w.trace.Reset()
 	w.restart(2, 4, 3)
 	w.arrive(2, "a", 1) // it can't know
@@ -44,7 +45,7 @@
 // TestFirstCounterSentLateIsCharged: a total that had to wait 3 s for its first message is charged, less what refilled.
 func TestFirstCounterSentLateIsCharged(t *testing.T) {
 	w := newSimulation(3, 4, func(w *simulation) { w.plans[0].Rate = 0.5 })
-	w.advance(5*second, true) // no life is young
+	w.advance(5*time.Second, true) // no life is young
 	w.arrive(0, "a", 4)
 	w.finishAll(0)
 	w.trace.Reset()
@@ -63,11 +64,11 @@
 		w.arrive(0, fmt.Sprint("c", i), 1)
 		w.finishAll(0)
 	}
-	w.advance(8*second, true)
+	w.advance(8*time.Second, true)
 	w.restart(2, 4, 3)
 	w.trace.Reset()
 	told := [3]int{}
-	for range 2 * second / timerInterval {
+	for range 2 * time.Second / timerInterval {
 		for k, to := range w.gateways[0].receivers {
 			told[to] += len(w.gateways[0].messages[k])
 		}
@@ -81,7 +82,7 @@
 func TestMalformedGossipIsDropped(t *testing.T) {
 	w := newSimulation(2, 1, nil)
 	w.arrive(1, "a", 4)
-	for w.gateways[1].messages = nil; len(w.gateways[1].messages) == 0; w.now += timerInterval {
+	for w.gateways[1].messages = nil; len(w.gateways[1].messages) == 0; w.now = w.now.Add(timerInterval) {
 		w.deliver(1, gateway.Event{Kind: gateway.TimerFired})
 	}
 	good := w.gateways[1].messages[0]
@@ -103,7 +104,7 @@
 	w.arrive(290, "a", 3)
 	w.arrive(5, "a", 2)
 	w.trace.Reset()
-	w.advance(4*second, true)
+	w.advance(4*time.Second, true)
 	low, high, links := 100.0, 0.0, 0
 	for _, s := range w.gateways {
 		level := s.gateway.customerFor(hashText("a"), 0, 300, 0).level
@@ -128,12 +129,12 @@
 			w.arrive((i+k)%80, fmt.Sprintf("c%d", k), 1)
 		}
 	}
-	w.advance(2*second, true)
+	w.advance(2*time.Second, true)
 	for range 10 { // 5 s in all, with new admissions
 		for k := range 40 {
 			w.arrive((k*13)%80, fmt.Sprintf("c%d", k), 1)
 		}
-		sent += w.advance(second/2, true)
+		sent += w.advance(time.Second/2, true)
 	}
 	perSecond := float64(sent) / 80 / 5
 	if budget := 0.4 * 40.0; perSecond > budget*1.1 {
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -5,13 +5,14 @@
 	"maps"
 	"math"
 	"slices"
+	"time"
 )
 
 const (
-	gossipInterval  = second / 2 // between counters to a peer, longer where a gateway may not take in that much
-	silentIntervals = 4          // intervals with no message, after which a peer counts as gone
-	gossipShare     = 0.4        // fraction of what a gateway takes in that its peers use, up to twice that
-	minMessageRate  = 0.01       // messages a second to a peer
+	gossipInterval  = time.Second / 2 // between counters to a peer, longer where a gateway may not take in that much
+	silentIntervals = 4               // intervals with no message, after which a peer counts as gone
+	gossipShare     = 0.4             // fraction of what a gateway takes in that its peers use, up to twice that
+	minMessageRate  = 0.01            // messages a second to a peer
 )
 
 // setFleetSize takes in how many gateways there are: which of them this one sends to and hears, and how often. Counters are first
@@ -27,10 +28,10 @@
 	partners := max(count/g.gridRows+g.gridRows-2, 1)
 	hops := min(g.gridRows, 2)
 	g.messageRate = max(budget/float64(partners), minMessageRate)
-	g.heartbeatInterval = max(gossipInterval, int64(float64(second)/g.messageRate))
+	g.heartbeatInterval = max(gossipInterval, time.Duration(float64(time.Second)/g.messageRate))
 	g.peerTimeout = silentIntervals * g.heartbeatInterval
 	g.counterAge = 0.5 / g.messageRate * float64(hops)
-	overdue := g.peerTimeout / int64(max(len(g.neighbours), 1)) // several heartbeats are, from one peer or another
+	overdue := g.peerTimeout / time.Duration(max(len(g.neighbours), 1)) // several heartbeats are, from one peer or another
 	g.partitionTimeout = max(overdue, 2*stallThreshold)
 	g.endpoints.memberCount = count
 	g.endpoints.limit.Start = initialInFlight / float64(count)
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -2,36 +2,37 @@
 
 import (
 	"math"
+	"time"
 
 	"ravensill/gateway"
 )
 
 const (
-	decayTime         = 4 * second // in which what is known against an endpoint wears off
-	suspicionLimit    = 0.3        // fraction unanswered from which an endpoint's silence is its own
-	suspectedFraction = 0.9        // fraction that counts as unanswered of an endpoint that fails
-	latencyWeight     = 1.0 / 32   // of an answer in an endpoint's relative latency
-	typicalWeight     = 1.0 / 64   // of an answer in a class's typical latency
-	minLatency        = 0.2        // least relative latency of an endpoint
-	maxLatency        = 10         // most that rejections bring it to
-	rejectionFactor   = 1.5        // of a rejection, in the relative latency
-	overdueFactor     = 5          // times the typical latency: an attempt takes much longer than usual
-	noUtilization     = -1.0       // the answer reports none
+	decayTime         = 4 * time.Second // in which what is known against an endpoint wears off
+	suspicionLimit    = 0.3             // fraction unanswered from which an endpoint's silence is its own
+	suspectedFraction = 0.9             // fraction that counts as unanswered of an endpoint that fails
+	latencyWeight     = 1.0 / 32        // of an answer in an endpoint's relative latency
+	typicalWeight     = 1.0 / 64        // of an answer in a class's typical latency
+	minLatency        = 0.2             // least relative latency of an endpoint
+	maxLatency        = 10              // most that rejections bring it to
+	rejectionFactor   = 1.5             // of a rejection, in the relative latency
+	overdueFactor     = 5               // times the typical latency: an attempt takes much longer than usual
+	noUtilization     = -1.0            // the answer reports none
 )
 
 // suspicion is the fraction that likely goes unanswered; it wears off, so that the endpoint is tried again.
-func (h *health) suspicion(now int64) float64 {
-	return h.unansweredFraction * math.Exp(-float64(now-h.unansweredAt)/float64(decayTime))
+func (h *health) suspicion(now gateway.Time) float64 {
+	return h.unansweredFraction * math.Exp(-float64(now.Sub(h.unansweredAt))/float64(decayTime))
 }
 
 // markSuspected takes the endpoint for one that fails the class.
-func (h *health) markSuspected(now int64) {
+func (h *health) markSuspected(now gateway.Time) {
 	h.unansweredFraction = suspectedFraction
 	h.unansweredAt = now
 }
 
 // observeResult takes in what an ended attempt says of its endpoint.
-func (s *endpointSet) observeResult(a *attempt, result gateway.Result, latency int64, report []float64, now int64) {
+func (s *endpointSet) observeResult(a *attempt, result gateway.Result, latency time.Duration, report []float64, now gateway.Time) {
 	e := a.host
 	class := a.request.class
 	h := e.healthFor(class)
@@ -77,16 +78,16 @@
 }
 
 // observeLatency takes in how long an answer of a class took.
-func (e *endpoint) observeLatency(latency int64, class *class) {
+func (e *endpoint) observeLatency(latency time.Duration, class *class) {
 	relative := float64(latency) / class.typicalLatency
 	e.relativeLatency = max(e.relativeLatency+(relative-e.relativeLatency)*latencyWeight, minLatency)
 }
 
 // overdue reports whether the endpoint holds an attempt and has answered nothing of its class for much longer than usual.
-func (e *endpoint) overdue(a *attempt, now int64) bool {
+func (e *endpoint) overdue(a *attempt, now gateway.Time) bool {
 	class := a.request.class
-	silent := now - max(a.startedAt, e.healthFor(class).lastAnswer)
-	usual := int64(overdueFactor * class.typicalLatency * e.relativeLatency)
+	silent := now.Sub(max(a.startedAt, e.healthFor(class).lastAnswer))
+	usual := time.Duration(overdueFactor * class.typicalLatency * e.relativeLatency)
 	return silent > max(usual, class.LatencyObjective/2)
 }
 
--- a/logic/peer.go
+++ b/logic/peer.go
@@ -1,5 +1,7 @@
 package logic
 
+import "ravensill/gateway"
+
 // peer is another gateway that this one sends to or hears.
 type peer struct {
 	member            int // its member index
@@ -8,13 +10,13 @@
 	counter           int  // which of the customers' counters it is sent: rowCounter where it is in another row
 	sends             bool // it is sent counters
 
-	lastReceived    int64  // last message
-	firstReceived   int64  // first message after a silence, or of an incarnation
-	incarnationSeen int64  // first message of this incarnation
-	incarnation     uint64 // its start by its own clock, in milliseconds
-	sequence        uint64 // number of its last message
+	lastReceived    gateway.Time // last message
+	firstReceived   gateway.Time // first message after a silence, or of an incarnation
+	incarnationSeen gateway.Time // first message of this incarnation
+	incarnation     uint64       // its start by its own clock, in milliseconds
+	sequence        uint64       // number of its last message
 
-	heartbeatDue int64
+	heartbeatDue gateway.Time
 	queue        []*subscription // with counters to send
 	sentMessages uint64
 	credit       float64 // messages that it can take
@@ -24,11 +26,11 @@
 type subscription struct {
 	customer      *customer
 	peer          *peer
-	lastReceived  int64   // time of the last counter received
-	receivedTotal uint64  // that counter, in parts of a unit (counterScale)
-	sentTotal     float64 // last counter sent, in units
-	sends         bool    // counters go to the peer
-	queued        bool    // in the peer's queue
+	lastReceived  gateway.Time // time of the last counter received
+	receivedTotal uint64       // that counter, in parts of a unit (counterScale)
+	sentTotal     float64      // last counter sent, in units
+	sends         bool         // counters go to the peer
+	queued        bool         // in the peer's queue
 }
 
 // unsent returns the units that were not sent to the peer yet.
--- a/logic/random.go
+++ b/logic/random.go
@@ -1,8 +1,11 @@
 package logic
 
-import "hash/fnv"
+import (
+	"hash/fnv"
+	"time"
+)
 
-func seconds(nanoseconds int64) float64 { return float64(nanoseconds) / float64(second) }
+func seconds(d time.Duration) float64 { return float64(d) / float64(time.Second) }
 
 // generator is a multiply-with-carry generator of random numbers (Marsaglia, 1994).
 type generator uint64
--- a/logic/request.go
+++ b/logic/request.go
@@ -2,12 +2,13 @@
 
 import (
 	"slices"
+	"time"
 
 	"ravensill/gateway"
 )
 
-// minAttemptTimeout is the least time that an attempt is given, in nanoseconds.
-const minAttemptTimeout = 1000
+// minAttemptTimeout is the least time that an attempt is given.
+const minAttemptTimeout = time.Microsecond
 
 // request is held from its arrival until it is closed and no attempt is in flight.
 type request struct {
@@ -15,9 +16,9 @@
 	customer    *customer
 	class       *class
 	units       float64
-	arrived     int64
-	deadline    int64 // the client gives up then
-	stopAt      int64 // this gateway ends then; 0: it is not called to stop
+	arrived     gateway.Time
+	deadline    gateway.Time // the client gives up then
+	stopAt      gateway.Time // this gateway ends then; 0: it is not called to stop
 	attempts    int
 	current     *attempt // in flight; nil: none
 	mayHaveRun  *attempt // the first that may have run; nil: none
@@ -30,7 +31,7 @@
 	request   *request
 	host      *endpoint
 	number    int // of the request's attempts, from 0 on
-	startedAt int64
+	startedAt gateway.Time
 }
 
 // The way of a request, in this order:
@@ -42,7 +43,7 @@
 //	close           its final answer is given
 
 // arrive takes in a request that came in at a time.
-func (g *Gateway) arrive(event *gateway.Event, at int64) {
+func (g *Gateway) arrive(event *gateway.Event, at gateway.Time) {
 	c := g.customerFor(hashText(event.Customer), event.Plan, event.Spread, event.FirstGateway)
 	r := &request{
 		id:       event.RequestID,
@@ -73,7 +74,7 @@
 	r.customer.inFlight++
 	to.inFlight = append(to.inFlight, r.current)
 	g.endpoints.countAttempt(to, r.class, r.attempts > 1, g.now)
-	g.actions.StartAttempt(r.id, to.id, max(g.answerDeadline(r)-g.now, minAttemptTimeout))
+	g.actions.StartAttempt(r.id, to.id, max(g.answerDeadline(r).Sub(g.now), minAttemptTimeout))
 }
 
 // attemptEnded takes in how an attempt ended, and sends the request again where that may help and is allowed.
@@ -116,7 +117,7 @@
 	if !g.limits.RetryAfter {
 		retryAfter = 0
 	}
-	g.actions.Reject(r.id, int64(retryAfter))
+	g.actions.Reject(r.id, time.Duration(retryAfter))
 	g.close(r)
 }
 
--- a/logic/request_test.go
+++ b/logic/request_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/golden"
@@ -90,16 +91,16 @@
 	w := newSimulation(1, 4, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 100, 100 })
 	w.arrive(0, "a", 2)
 	limit := w.gateways[0].gateway.endpoints.limit.Limit()
-	w.now += 2 * second
+	w.now = w.now.Add(2 * time.Second)
 	var in []gateway.Event
 	for _, h := range w.gateways[0].gateway.endpoints.all {
 		for _, s := range h.inFlight {
-			in = append(in, gateway.Event{Kind: gateway.AttemptEnded, RequestID: s.request.id, Host: h.id, Latency: 2 * second, Closed: true})
+			in = append(in, gateway.Event{Kind: gateway.AttemptEnded, RequestID: s.request.id, Host: h.id, Latency: 2 * time.Second, Closed: true})
 		}
 	}
 	for k := range 6 {
 		in = append(in, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint("late", k), Customer: "b", Units: 1, Spread: 1,
-			Deadline: w.now + 2*second})
+			Deadline: w.now.Add(2 * time.Second)})
 	}
 	w.deliver(0, in...)
 	w.gateways[0].record("limit moved by %.1f", w.gateways[0].gateway.endpoints.limit.Limit()-limit)
@@ -111,7 +112,7 @@
 	for _, every := range []int{4, 2} {
 		w := newSimulation(1, 4, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 1000, 1000 })
 		for i := range 100 {
-			w.now += 50 * ms
+			w.now = w.now.Add(50 * ms)
 			w.arrive(0, "a", 1)
 			if i >= 20 && i%every == 0 {
 				w.finishAttempt(0, 0, gateway.Disconnected, false)
@@ -134,15 +135,15 @@
 	}{{0.2, false, "timeout 800 ms"}, {0, true, "timeout 800 ms"}, {0.2, true, "timeout 1240 ms"}, {1, true, "timeout 2500 ms"}} {
 		w := newSimulation(1, 2, func(w *simulation) { w.classes[0].LateValue = x.late })
 		if x.stood {
-			w.now += 2 * second
+			w.now = w.now.Add(2 * time.Second)
 			w.deliver(0, gateway.Event{Kind: gateway.TimerFired})
-			w.now += 100 * ms
+			w.now = w.now.Add(100 * ms)
 		}
 		w.arrive(0, "a", 1) // its client gives up after 2.5 s
 		if got := w.trace.String(); !strings.Contains(got, x.want) {
 			t.Errorf("late answers earn %.1f, stood still %t: %q, want %s", x.late, x.stood, got, x.want)
 		}
-		w.advance(5*second, true) // what was learned of the stall wears off
+		w.advance(5*time.Second, true) // what was learned of the stall wears off
 		w.finishAll(0)
 		w.trace.Reset()
 		if w.arrive(0, "b", 1); !strings.Contains(w.trace.String(), "timeout 800 ms") {
@@ -155,8 +156,8 @@
 // was dispatched for a microsecond, and a non-replayable one then aborted, since it may have run.
 func TestNoAttemptAfterDeadline(t *testing.T) {
 	w := newSimulation(1, 3, nil)
-	for i, left := range []int64{second, 0, -second} {
-		w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint("a", i), Customer: "a", Deadline: w.now + left, Units: 1, Spread: 1})
+	for i, left := range []time.Duration{time.Second, 0, -time.Second} {
+		w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint("a", i), Customer: "a", Deadline: w.now.Add(left), Units: 1, Spread: 1})
 	}
 	golden.Check(t, w.trace.String())
 }
@@ -166,7 +167,7 @@
 func TestRejectsWhatEndsWithGateway(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		left   int64 // until the gateway ends; 0: it is not called to stop
+		left   time.Duration // until the gateway ends; 0: it is not called to stop
 		reject bool
 	}{
 		{"not called to stop", 0, false},
@@ -175,9 +176,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			w := newSimulation(1, 2, nil)
-			request := gateway.Event{Kind: gateway.RequestArrived, RequestID: "r", Customer: "a", Deadline: w.now + 2500*ms, Units: 1, Spread: 1}
+			request := gateway.Event{Kind: gateway.RequestArrived, RequestID: "r", Customer: "a", Deadline: w.now.Add(2500 * ms), Units: 1, Spread: 1}
 			if test.left > 0 {
-				request.StopAt = w.now + test.left
+				request.StopAt = w.now.Add(test.left)
 				request.Deadline = min(request.Deadline, request.StopAt)
 			}
 			w.trace.Reset()
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -2,23 +2,24 @@
 
 import (
 	"cmp"
+	"time"
 
 	"ravensill/gateway"
 )
 
 const (
-	windowMargin     = second / 5 // kept clear of the end of a deduplicated request's window
-	retryBudgetShare = 0.25       // that each admitted request adds to the budget of retries of what may have run
+	windowMargin     = time.Second / 5 // kept clear of the end of a deduplicated request's window
+	retryBudgetShare = 0.25            // that each admitted request adds to the budget of retries of what may have run
 	maxRetryBudget   = 10
 )
 
 // repeatable reports whether a repeat now of what was first sent at a time does no harm: the endpoints drop it within a window.
-func (c *class) repeatable(first, now int64) bool {
+func (c *class) repeatable(first, now gateway.Time) bool {
 	switch c.Effect {
 	case gateway.Idempotent:
 		return true
 	case gateway.Deduplicated:
-		return c.Group == gateway.AllHosts && now <= first+c.DedupWindow-windowMargin
+		return c.Group == gateway.AllHosts && now <= first.Add(c.DedupWindow-windowMargin)
 	}
 	return false
 }
@@ -30,12 +31,12 @@
 
 // answerDeadline is when the answer of a request is waited for no longer. After a stall answers lie waiting, and late ones that
 // still earn something, too.
-func (g *Gateway) answerDeadline(r *request) int64 {
-	late := int64(0)
-	if g.endpoints.stallEnd > 0 && g.now-g.endpoints.stallEnd < decayTime {
-		late = int64(r.class.LateValue * float64(r.class.Timeout-r.class.LatencyObjective))
+func (g *Gateway) answerDeadline(r *request) gateway.Time {
+	late := time.Duration(0)
+	if g.endpoints.stallEnd > 0 && g.now.Sub(g.endpoints.stallEnd) < decayTime {
+		late = time.Duration(r.class.LateValue * float64(r.class.Timeout-r.class.LatencyObjective))
 	}
-	return min(r.deadline, r.arrived+r.class.LatencyObjective+late)
+	return min(r.deadline, r.arrived.Add(r.class.LatencyObjective+late))
 }
 
 // retry sends a request to another endpoint than last, and reports whether it did.
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -5,24 +5,25 @@
 	"math/rand"
 	"slices"
 	"testing"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/config"
 	"ravensill/logic"
 )
 
-const ms = int64(1e6)
+const ms = time.Millisecond
 
 type attempt struct {
 	host           uint32
-	startedAt, due int64
+	startedAt, due gateway.Time
 	called         bool // off
 	skipped        bool // never sent: its client had left
 }
 
 type asked struct { // a request, as the rules see it
 	id    string
-	until int64
+	until gateway.Time
 	out   *attempt
 	sent  int
 	ran   *attempt // the first that may have run
@@ -32,7 +33,7 @@
 
 type call struct {
 	name uint64
-	at   int64
+	at   gateway.Time
 }
 
 // referee plays clients, hosts, discovery and the counter to one gateway, as a node does, and holds every decision
@@ -42,7 +43,7 @@
 	what    string
 	front   gateway.RequestClass // as told
 	limits  gateway.Limits
-	now     int64
+	now     gateway.Time
 	rnd     *rand.Rand
 	reqs    []*asked
 	state   map[uint32]gateway.EndpointState
@@ -63,10 +64,10 @@
 
 func (r *ruleChecker) foul(q *asked, format string, args ...any) {
 	r.Helper()
-	r.Fatalf("%s: %s at %d ms: %s", r.what, q.id, r.now/ms, fmt.Sprintf(format, args...))
+	r.Fatalf("%s: %s at %d ms: %s", r.what, q.id, r.now/gateway.Time(ms), fmt.Sprintf(format, args...))
 }
 
-func (r *ruleChecker) StartAttempt(id string, host uint32, timeout int64) {
+func (r *ruleChecker) StartAttempt(id string, host uint32, timeout time.Duration) {
 	q := r.find(id)
 	zone := func(h uint32) uint32 { return h % 2 }
 	cell := func(h uint32) uint32 { return h % 3 }
@@ -84,7 +85,7 @@
 	case ran == nil:
 	case f.Effect == gateway.NonIdempotent:
 		r.foul(q, "may have run, and is sent again")
-	case f.Effect == gateway.Deduplicated && (r.now > ran.startedAt+f.DedupWindow || f.Group == gateway.SameZone && zone(host) != zone(ran.host) ||
+	case f.Effect == gateway.Deduplicated && (r.now > ran.startedAt.Add(f.DedupWindow) || f.Group == gateway.SameZone && zone(host) != zone(ran.host) ||
 		f.Group == gateway.SameCell && cell(host) != cell(ran.host)):
 		r.foul(q, "may have run, and is sent again past its window or group")
 	default:
@@ -93,7 +94,7 @@
 	q.sent++
 	q.out = &attempt{host: host, startedAt: r.now, due: q.until, skipped: q.gone}
 	if timeout > 0 {
-		q.out.due = min(q.until, r.now+timeout)
+		q.out.due = min(q.until, r.now.Add(timeout))
 	}
 }
 
@@ -109,25 +110,25 @@
 		f.Effect == gateway.Deduplicated && f.Group != gateway.AllHosts) {
 		r.foul(q, "may have run, and a repeat is told to be harmless")
 	}
-	if f := r.front; kind == 0 && q.ran != nil && f.Effect == gateway.Deduplicated && r.now > q.ran.startedAt+f.DedupWindow {
+	if f := r.front; kind == 0 && q.ran != nil && f.Effect == gateway.Deduplicated && r.now > q.ran.startedAt.Add(f.DedupWindow) {
 		r.foul(q, "may have run, and a repeat is invited past its window")
 	}
 	q.done = true
 	r.finals[kind]++
 }
-func (r *ruleChecker) Reject(id string, _ int64) { r.final(id, 0) }
-func (r *ruleChecker) Fail(id string)            { r.final(id, 1) }
+func (r *ruleChecker) Reject(id string, _ time.Duration) { r.final(id, 0) }
+func (r *ruleChecker) Fail(id string)                    { r.final(id, 1) }
 func (r *ruleChecker) CancelAttempt(id string, _ int) {
 	if q := r.find(id); q.out != nil {
 		q.out.called = true
 	}
 }
-func (r *ruleChecker) AddToCounter(name uint64, _ float64, _ int64) {
+func (r *ruleChecker) AddToCounter(name uint64, _ float64, _ time.Duration) {
 	r.calls = append(r.calls, call{name, r.now})
 }
 func (r *ruleChecker) SendGossip(int, []byte) {}
 func (r *ruleChecker) SendProbe(uint32)       { r.Fatal(r.what, ": probes") }
-func (r *ruleChecker) SetTimer(int64)         {}
+func (r *ruleChecker) SetTimer(time.Duration) {}
 func (r *ruleChecker) WatchEndpoints()        {}
 func (r *ruleChecker) LogNote(string)         {}
 
@@ -156,7 +157,7 @@
 		q.done = true
 		r.finals[2]++
 	}
-	return gateway.Event{Kind: gateway.AttemptEnded, RequestID: q.id, Host: a.host, Attempt: q.sent - 1, Result: res, Latency: r.now - a.startedAt,
+	return gateway.Event{Kind: gateway.AttemptEnded, RequestID: q.id, Host: a.host, Attempt: q.sent - 1, Result: res, Latency: r.now.Sub(a.startedAt),
 		Closed: q.done}, true
 }
 
@@ -178,9 +179,9 @@
 		}
 		r.reqs = slices.DeleteFunc(r.reqs, func(q *asked) bool { return q.done && q.out == nil })
 		events = []gateway.Event{{Kind: gateway.TimerFired}}
-		r.now += int64(r.rnd.Intn(20)) * ms
+		r.now = r.now.Add(time.Duration(r.rnd.Intn(20)) * ms)
 		if r.rnd.Intn(25) == 0 { // a stall: past many a target, and some deadlines
-			r.now += int64(r.rnd.Intn(int(r.front.Timeout/ms))) * ms
+			r.now = r.now.Add(time.Duration(r.rnd.Intn(int(r.front.Timeout/ms))) * ms)
 		}
 		for _, q := range r.reqs {
 			left := gateway.Event{Kind: gateway.ClientGone, RequestID: q.id}
@@ -198,7 +199,7 @@
 				events = append(events, left)
 			}
 		}
-		for len(r.calls) > 0 && (r.rnd.Intn(2) == 0 || r.now-r.calls[0].at >= r.limits.CounterTimeout) {
+		for len(r.calls) > 0 && (r.rnd.Intn(2) == 0 || r.now.Sub(r.calls[0].at) >= r.limits.CounterTimeout) {
 			e := gateway.Event{Kind: gateway.CounterReplied, CounterName: r.calls[0].name, Result: gateway.TimedOut}
 			if r.rnd.Intn(3) > 0 {
 				e.Result, e.CounterTotal = gateway.Succeeded, float64(r.rnd.Intn(8))
@@ -209,10 +210,10 @@
 			h := uint32(r.rnd.Intn(hosts))
 			r.state[h] = gateway.EndpointState(r.rnd.Intn(3))
 			events = append(events, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: []gateway.Endpoint{{Host: h,
-				Zone: int(h % 2), Cell: int(h % 3), Weight: 1, State: r.state[h], StartedAt: r.now * int64(r.rnd.Intn(2))}}})
+				Zone: int(h % 2), Cell: int(h % 3), Weight: 1, State: r.state[h], StartedAt: r.now * gateway.Time(r.rnd.Intn(2))}}})
 		}
 		for k := r.rnd.Intn(3); n < 300 && k > 0; k-- {
-			q := &asked{id: fmt.Sprint("q", n, ".", k), until: r.now + r.front.Timeout/int64(1+r.rnd.Intn(3))}
+			q := &asked{id: fmt.Sprint("q", n, ".", k), until: r.now.Add(r.front.Timeout / time.Duration(1+r.rnd.Intn(3)))}
 			r.reqs = append(r.reqs, q)
 			events = append(events, gateway.Event{Kind: gateway.RequestArrived, RequestID: q.id, Customer: fmt.Sprint("c", r.rnd.Intn(4)),
 				Plan: r.rnd.Intn(3), Deadline: q.until, Units: 1, Spread: 1})
@@ -241,11 +242,11 @@
 		}
 		told := gateway.RequestClass{Effect: gateway.Effect(slices.Index([]string{"safe", "keyed", "unsafe"}, effect)),
 			Group:       gateway.Group(slices.Index([]string{"all", "zone", "cell"}, group)),
-			DedupWindow: int64(window) * 1000, LatencyObjective: int64(target) * 1000, Timeout: int64(limit) * 1000, Value: 1, LateValue: 0.5}
+			DedupWindow: time.Duration(window) * time.Microsecond, LatencyObjective: time.Duration(target) * time.Microsecond, Timeout: time.Duration(limit) * time.Microsecond, Value: 1, LateValue: 0.5}
 		if letter {
 			s.Classes[0], s.Limits.Hedging = told, two
 		}
-		r := &ruleChecker{T: t, what: text, front: told, limits: s.Limits, now: 100_000 * ms, rnd: rand.New(rand.NewSource(int64(i))),
+		r := &ruleChecker{T: t, what: text, front: told, limits: s.Limits, now: gateway.Time(100_000 * ms), rnd: rand.New(rand.NewSource(int64(i))),
 			state: map[uint32]gateway.EndpointState{}}
 		g := logic.New(uint64(i), s.Membership, s.Classes, s.Plans, s.Limits, s.SlowStart, s.LoadReport)
 		r.play(g)
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 	"testing"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/gossip"
@@ -20,10 +21,10 @@
 	for i := range hosts {
 		list = append(list, gateway.Endpoint{Host: uint32(hosts - i), Weight: 1})
 	}
-	round := func(at int64, events ...gateway.Event) {
+	round := func(at gateway.Time, events ...gateway.Event) {
 		g.Decide(&gateway.Batch{Now: at, Events: events}, w.gateways[0])
 	}
-	round(second, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete, Endpoints: list})
+	round(gateway.Time(time.Second), gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete, Endpoints: list})
 	if near := len(g.endpoints.nearby); near == 0 || near > hosts/10 {
 		t.Fatalf("%d of %d hosts are near", near, hosts)
 	}
@@ -33,11 +34,11 @@
 		}
 		if !h.InSubset {
 			h.inFlight = []*attempt{nil}
-			h.health = []health{{lastGood: 2 * second, unansweredFraction: 0.2}} // a walk would tell peers of it, or heal it
+			h.health = []health{{lastGood: gateway.Time(2 * time.Second), unansweredFraction: 0.2}} // a walk would tell peers of it, or heal it
 		}
 	}
-	round(2*second, gateway.Event{Kind: gateway.TimerFired}, gateway.Event{Kind: gateway.RequestArrived, RequestID: "a", Customer: "c", Spread: 1,
-		Units: 1, Deadline: 10 * second})
+	round(2*gateway.Time(time.Second), gateway.Event{Kind: gateway.TimerFired}, gateway.Event{Kind: gateway.RequestArrived, RequestID: "a", Customer: "c", Spread: 1,
+		Units: 1, Deadline: gateway.Time(10 * time.Second)})
 	if len(w.gateways[0].messages) == 0 {
 		t.Fatal("no message to a peer")
 	}
@@ -62,13 +63,13 @@
 	for i := range 1000 {
 		list = append(list, gateway.Endpoint{Host: uint32(i), Weight: 1})
 	}
-	g.Decide(&gateway.Batch{Now: second, Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}}}, w.gateways[0])
+	g.Decide(&gateway.Batch{Now: gateway.Time(time.Second), Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}}}, w.gateways[0])
 	for _, h := range g.endpoints.nearby {
 		h.relativeLatency = 1000
-		h.healthFor(g.classes[0]).lastAnswer = second
+		h.healthFor(g.classes[0]).lastAnswer = gateway.Time(time.Second)
 	}
 	c := g.customerFor(1, 0, 1, 0)
-	if h := g.endpoints.choose(c, g.classes[0], second, 1, nil); h == nil || h.InSubset {
+	if h := g.endpoints.choose(c, g.classes[0], gateway.Time(time.Second), 1, nil); h == nil || h.InSubset {
 		t.Fatalf("pick gave %v, not a host outside the subset", h)
 	}
 }
@@ -81,15 +82,15 @@
 	for i := range 1000 {
 		list = append(list, gateway.Endpoint{Host: uint32(i), Weight: 1})
 	}
-	g.Decide(&gateway.Batch{Now: second, Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}}}, w.gateways[0])
-	arrival := gateway.Event{Kind: gateway.RequestArrived, RequestID: "a", Customer: "c", Spread: 1, Units: 1, Deadline: 10 * second}
-	g.Decide(&gateway.Batch{Now: second, Events: []gateway.Event{arrival}}, w.gateways[0])
+	g.Decide(&gateway.Batch{Now: gateway.Time(time.Second), Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}}}, w.gateways[0])
+	arrival := gateway.Event{Kind: gateway.RequestArrived, RequestID: "a", Customer: "c", Spread: 1, Units: 1, Deadline: gateway.Time(10 * time.Second)}
+	g.Decide(&gateway.Batch{Now: gateway.Time(time.Second), Events: []gateway.Event{arrival}}, w.gateways[0])
 	for _, h := range g.endpoints.all {
 		if len(h.inFlight) == 0 {
 			h.inFlight = []*attempt{nil}
 		}
 	}
-	g.Decide(&gateway.Batch{Now: 2 * second, Events: []gateway.Event{{Kind: gateway.TimerFired}}}, w.gateways[0])
+	g.Decide(&gateway.Batch{Now: gateway.Time(2 * time.Second), Events: []gateway.Event{{Kind: gateway.TimerFired}}}, w.gateways[0])
 	if len(g.endpoints.busy) != 1 {
 		t.Errorf("%d hosts are walked by a tick, 1 has an attempt in flight", len(g.endpoints.busy))
 	}
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -5,7 +5,7 @@
 // Reconfigure puts a new version of the settings that may change while a gateway runs in force, between two batches. What is in
 // flight keeps its class; a customer comes under its plan's new version when it is next looked at (refill), in a second at the
 // latest.
-func (g *Gateway) Reconfigure(now int64, update *gateway.Update) {
+func (g *Gateway) Reconfigure(now gateway.Time, update *gateway.Update) {
 	for i := range update.Plans {
 		g.setPlan(&update.Plans[i])
 	}
--- a/logic/settings_test.go
+++ b/logic/settings_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/gossip"
@@ -24,7 +25,7 @@
 	g := w.gateways[i].gateway
 	passed := g.admitted
 	w.deliver(i, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprintf("%s %d %d", customer, w.now, passed), Customer: customer,
-		Plan: plan, Deadline: w.now + 2500*ms, Units: units, Spread: len(w.gateways)})
+		Plan: plan, Deadline: w.now.Add(2500 * ms), Units: units, Spread: len(w.gateways)})
 	w.finishAll(i)
 	return g.admitted > passed
 }
@@ -47,7 +48,7 @@
 	if got := w.level(0, "c"); got > 2.1 {
 		t.Errorf("a raise gave units at once: %.1f, 2 were left", got)
 	}
-	w.advance(second, true)
+	w.advance(time.Second, true)
 	if got := w.level(0, "c"); got < 900 {
 		t.Errorf("the raised rate is not in force after a second: %.1f units", got)
 	}
@@ -56,7 +57,7 @@
 func TestLoweredPlanBindsAtOnce(t *testing.T) {
 	w := fleetOf(1, gateway.Plan{ID: 7, Rate: 1000, Burst: 1000, PriorityWeight: 1},
 		gateway.Plan{ID: 9, Rate: 1000, Burst: 1000, PriorityWeight: 1, CeilingRate: 1000, CeilingBurst: 1000})
-	w.advance(2*second, true)
+	w.advance(2*time.Second, true)
 	w.request(0, "quota", 0, 1)
 	w.request(0, "c", 1, 1)
 	w.reconfigure(setPlan(0, gateway.Plan{ID: 7, Rate: 10, Burst: 10, PriorityWeight: 1}))
@@ -80,10 +81,10 @@
 	w.gateways[1].gateway = New(2, gateway.Membership{Index: 1, Count: 2, Gossip: true, MessageRate: 40}, w.classes,
 		[]gateway.Plan{b}, w.limits, w.cold, gateway.LoadReportForm{})
 	w.deliver(1, gateway.Event{Kind: gateway.EndpointsListed, Endpoints: []gateway.Endpoint{{Host: 1}}})
-	w.advance(second, true)
+	w.advance(time.Second, true)
 	w.request(0, "on-a", 0, 6)
 	w.request(0, "on-b", 1, 6)
-	w.advance(second, true)
+	w.advance(time.Second, true)
 	other := w.gateways[1].gateway
 	if other.customers[hashText("on-a")] != nil || other.unmatchedCounters == 0 {
 		t.Error("a total of an unknown plan was charged, or was not counted")
@@ -94,12 +95,12 @@
 	w.request(1, "moves", 0, 1)
 	before := w.level(1, "moves")
 	w.request(0, "moves", 0, 5)
-	w.advance(second, true)
+	w.advance(time.Second, true)
 	if got := w.level(1, "moves"); got < before {
 		t.Errorf("plan a's admissions were charged to plan b's copy: %.1f of %.1f", got, before)
 	}
 	w.request(0, "moves", 1, 2) // it is on plan b at both now
-	w.advance(second, true)
+	w.advance(time.Second, true)
 	if got := w.level(1, "moves"); got < before-3 || got > before-0.5 {
 		t.Errorf("of plan b's 2 units and none of plan a's 5 the copy holds %.1f of %.1f", got, before)
 	}
@@ -117,14 +118,14 @@
 	if w.gateways[0].gateway.endpoints.inFlight != 0 {
 		t.Error("a request was sent again that was unsafe when it was sent")
 	}
-	w.advance(second/10, true)
+	w.advance(time.Second/10, true)
 	w.arrive(0, "c", 1)
 	w.finishAttempt(0, 0, gateway.Disconnected, false)
 	if w.gateways[0].gateway.endpoints.inFlight != 1 {
 		t.Error("the class's new effect is not in force")
 	}
 	w.finishAll(0)
-	w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: "new class", Customer: "d", Class: 1, Deadline: w.now + second, Units: 1, Spread: 1})
+	w.deliver(0, gateway.Event{Kind: gateway.RequestArrived, RequestID: "new class", Customer: "d", Class: 1, Deadline: w.now.Add(time.Second), Units: 1, Spread: 1})
 	if w.gateways[0].gateway.endpoints.inFlight != 1 {
 		t.Error("the added class is not served")
 	}
@@ -133,9 +134,9 @@
 // The fleet grows from 3 to 4 gateways, one after the other. What was admitted and not told is told, nothing is charged twice.
 func TestMembersJoin(t *testing.T) {
 	w := fleetOf(3, gateway.Plan{ID: 7, Rate: 1, Burst: 100, PriorityWeight: 1})
-	w.advance(3*second, true)
+	w.advance(3*time.Second, true)
 	w.request(0, "c", 0, 40)
-	w.advance(3*second, true)
+	w.advance(3*time.Second, true)
 	if got := w.level(1, "c"); got < 60 || got > 67 {
 		t.Fatalf("copy holds %.1f, 60 and what was refilled wanted", got)
 	}
@@ -156,12 +157,12 @@
 	w.gateways = append(w.gateways, &simulatedGateway{simulation: w, index: 3})
 	w.restart(3, 4, 4)
 	w.request(0, "c", 0, 5)
-	w.advance(3*second, true)
+	w.advance(3*time.Second, true)
 	if got := w.level(1, "c"); got < 48 || got > 65 {
 		t.Errorf("copy holds %.1f after the change: 60 less 5 or 15, and 6 refilled, wanted", got)
 	}
 	w.request(1, "c", 0, 10)
-	w.advance(second, true)
+	w.advance(time.Second, true)
 	if got, here := w.level(2, "c"), w.level(1, "c"); got > here+1 || got < here-1 {
 		t.Errorf("copies differ after the change: %.1f and %.1f", got, here)
 	}
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -3,15 +3,19 @@
 import (
 	"fmt"
 	"strings"
+	"time"
 
 	"ravensill/gateway"
 )
 
-const ms = int64(1e6)
+const ms = time.Millisecond
+
+// simulationStart is the time at which a simulation starts.
+const simulationStart = gateway.Time(100 * time.Second)
 
 // simulation runs gateways on a simulated clock and records their decisions. Hosts, clients and the network are the test's.
 type simulation struct {
-	now      int64
+	now      gateway.Time
 	gateways []*simulatedGateway
 	trace    strings.Builder
 	classes  []gateway.RequestClass
@@ -25,26 +29,26 @@
 	simulation      *simulation
 	index           int
 	gateway         *Gateway
-	clockOffset     int64    // by which its clock is ahead
-	messages        [][]byte // sent and not yet delivered
-	receivers       []int    // of each message
-	listRequestedAt []int64  // times at which it asked for the host list
-	counterNames    []uint64 // names of the shared counter's entries, by call
+	clockOffset     time.Duration  // by which its clock is ahead
+	messages        [][]byte       // sent and not yet delivered
+	receivers       []int          // of each message
+	listRequestedAt []gateway.Time // times at which it asked for the host list
+	counterNames    []uint64       // names of the shared counter's entries, by call
 }
 
 // record writes a line of the trace.
 func (s *simulatedGateway) record(format string, args ...any) {
-	fmt.Fprintf(&s.simulation.trace, "%5d ms  gateway %d  %s\n", s.simulation.now/ms, s.index, fmt.Sprintf(format, args...))
+	fmt.Fprintf(&s.simulation.trace, "%5d ms  gateway %d  %s\n", s.simulation.now/gateway.Time(ms), s.index, fmt.Sprintf(format, args...))
 }
 
-func (s *simulatedGateway) StartAttempt(req string, host uint32, timeout int64) {
+func (s *simulatedGateway) StartAttempt(req string, host uint32, timeout time.Duration) {
 	s.record("dispatch %s to host %d, timeout %d ms", req, host, timeout/ms)
 }
 
 func (s *simulatedGateway) CancelAttempt(req string, n int) {
 	s.record("cancel dispatch %d of %s", n, req)
 }
-func (s *simulatedGateway) Reject(req string, after int64) {
+func (s *simulatedGateway) Reject(req string, after time.Duration) {
 	s.record("deny %s, come back after %d ms", req, after/ms)
 }
 func (s *simulatedGateway) Fail(req string)       { s.record("abort %s", req) }
@@ -53,9 +57,9 @@
 	s.record("follow the list")
 	s.listRequestedAt = append(s.listRequestedAt, s.simulation.now)
 }
-func (s *simulatedGateway) LogNote(text string) { s.record("note %s", text) }
-func (s *simulatedGateway) SetTimer(int64)      {}
-func (s *simulatedGateway) AddToCounter(name uint64, amount float64, life int64) {
+func (s *simulatedGateway) LogNote(text string)    { s.record("note %s", text) }
+func (s *simulatedGateway) SetTimer(time.Duration) {}
+func (s *simulatedGateway) AddToCounter(name uint64, amount float64, life time.Duration) {
 	s.record("count %+g, to live %d ms", amount, life/ms)
 	s.counterNames = append(s.counterNames, name)
 }
@@ -70,7 +74,7 @@
 	w := &simulation{classes: []gateway.RequestClass{{LatencyObjective: 800 * ms, Timeout: 3000 * ms, Value: 1}},
 		plans:  []gateway.Plan{{Rate: 10, Burst: 10, PriorityWeight: 1, OverQuotaCost: 0.5}},
 		limits: gateway.Limits{MaxAttempts: 3, Cancellation: true, RetryAfter: true},
-		cold:   gateway.SlowStart{InitialFraction: 0.2, Duration: 10 * second, OverloadFactor: 2, OverloadWindow: 2 * second}, now: 100 * second}
+		cold:   gateway.SlowStart{InitialFraction: 0.2, Duration: 10 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second}, now: simulationStart}
 	if set != nil {
 		set(w)
 	}
@@ -97,14 +101,14 @@
 // deliver has gateway i handle a batch of events.
 func (w *simulation) deliver(i int, e ...gateway.Event) {
 	s := w.gateways[i]
-	s.gateway.Decide(&gateway.Batch{Now: w.now + s.clockOffset, Events: e}, s)
+	s.gateway.Decide(&gateway.Batch{Now: w.now.Add(s.clockOffset), Events: e}, s)
 }
 
 // arrive delivers n requests of customer c to gateway i, of one unit each.
 func (w *simulation) arrive(i int, c string, n int) {
 	for k := range n {
-		w.deliver(i, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprintf("%s%d.%d", c, (w.now-100*second)/ms, k),
-			Customer: c, Deadline: w.now + w.gateways[i].clockOffset + 2500*ms, Units: 1, Spread: len(w.gateways)})
+		w.deliver(i, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprintf("%s%d.%d", c, w.now.Sub(simulationStart)/ms, k),
+			Customer: c, Deadline: w.now.Add(w.gateways[i].clockOffset + 2500*ms), Units: 1, Spread: len(w.gateways)})
 	}
 }
 
@@ -114,7 +118,7 @@
 		if len(x.inFlight) > 0 && (h == 0 || x.id == h) {
 			s := x.inFlight[0]
 			w.deliver(i, gateway.Event{Kind: gateway.AttemptEnded, RequestID: s.request.id, Host: x.id, Attempt: s.number, Result: res,
-				Latency: w.now + w.gateways[i].clockOffset - s.startedAt, Closed: closed})
+				Latency: w.now.Add(w.gateways[i].clockOffset).Sub(s.startedAt), Closed: closed})
 			return
 		}
 	}
@@ -128,9 +132,9 @@
 }
 
 // advance lets time pass in ticks. Messages are delivered at once if carry is set, else lost. It returns how many were sent.
-func (w *simulation) advance(t int64, carry bool) (sent int) {
-	for end := w.now + t; w.now < end; {
-		w.now += timerInterval
+func (w *simulation) advance(t time.Duration, carry bool) (sent int) {
+	for end := w.now.Add(t); w.now < end; {
+		w.now = w.now.Add(timerInterval)
 		for i, s := range w.gateways {
 			w.deliver(i, gateway.Event{Kind: gateway.TimerFired})
 			sent += len(s.messages)
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -11,7 +11,7 @@
 // off by an hour. So a start that is notified while this gateway runs counts from its notification, at which the endpoint is as old
 // or older; by the clocks alone, a gateway whose clock is ahead would take every endpoint for warm. Of endpoints in the first list
 // nothing else is known than what that says; a start to come counts as one of now.
-func (s *endpointSet) startOf(announced, now int64) int64 {
+func (s *endpointSet) startOf(announced, now gateway.Time) gateway.Time {
 	if announced <= 0 { // long ago
 		return announced
 	}
@@ -22,8 +22,8 @@
 }
 
 // warmUpFraction is the fraction of its capacity that an endpoint surely has.
-func (s *endpointSet) warmUpFraction(e *endpoint, now int64) float64 {
-	age := now - e.startedAt
+func (s *endpointSet) warmUpFraction(e *endpoint, now gateway.Time) float64 {
+	age := now.Sub(e.startedAt)
 	if e.startedAt <= 0 || age >= s.slowStart.Duration || s.slowStart.Duration <= 0 {
 		return 1
 	}
@@ -34,7 +34,7 @@
 // countAttempt counts an attempt, which takes from the allowance of an endpoint that warms up. A request's first one lets the
 // allowances grow. Retries don't: where the other endpoints fail each request brings several, and one that warms up would get as
 // many times its fraction.
-func (s *endpointSet) countAttempt(to *endpoint, class *class, retry bool, now int64) {
+func (s *endpointSet) countAttempt(to *endpoint, class *class, retry bool, now gateway.Time) {
 	s.inFlight++
 	s.markContacted(to)
 	if !retry {
@@ -45,7 +45,7 @@
 
 // growAllowances has the allowance of every endpoint that warms up grow by its fraction of the capacity of all that serve the
 // class. Where most fail it is that of the subset, by the bound that an endpoint bears.
-func (s *endpointSet) growAllowances(class *class, now int64) {
+func (s *endpointSet) growAllowances(class *class, now gateway.Time) {
 	serving := 0.0
 	subset := 0.0
 	for _, e := range s.nearby {
--- a/logic/timer.go
+++ b/logic/timer.go
@@ -1,10 +1,13 @@
 package logic
 
-import "maps"
+import (
+	"maps"
+	"time"
+)
 
 const (
-	timerInterval = second / 25
-	sweepInterval = second // between walks of all customers
+	timerInterval = time.Second / 25
+	sweepInterval = time.Second // between walks of all customers
 )
 
 // handleTimer does what is due: polls, attempts that take too long, gossip, and customers that can be forgotten.
@@ -19,14 +22,14 @@
 		g.sendGossip(p, credit)
 	}
 	if g.now >= g.nextSweep {
-		g.nextSweep = g.now + sweepInterval
+		g.nextSweep = g.now.Add(sweepInterval)
 		maps.DeleteFunc(g.customers, func(_ uint32, c *customer) bool { return g.forgettable(c) })
 	}
 }
 
 // messageCredit is how many messages each peer can take since the last timer: more with many requests, up to twice as many.
 func (g *Gateway) messageCredit() float64 {
-	elapsed := seconds(g.now - g.lastTimer)
+	elapsed := seconds(g.now.Sub(g.lastTimer))
 	byRequests := float64(g.arrivals) / max(g.membership.MessageRate*gossipShare, 1)
 	return g.messageRate * max(elapsed, min(byRequests, 2*elapsed))
 }
--- a/logic/token_bucket.go
+++ b/logic/token_bucket.go
@@ -8,11 +8,11 @@
 // refill brings a copy up to now. Where no peer is heard, the design rejects everything. The copy keeps its due instead, as if all
 // of the customer's gateways were cut off alike: safe, but the last one alive serves a fraction only.
 func (g *Gateway) refill(c *customer) {
-	elapsed := seconds(g.now - c.refilled)
+	elapsed := seconds(g.now.Sub(c.refilled))
 	c.refilled = g.now
 	decay := math.Exp(-elapsed / seconds(g.peerTimeout))
 	fraction := 1.0
-	silence := g.now - g.lastGossip
+	silence := g.now.Sub(g.lastGossip)
 	if silence > g.peerTimeout {
 		fraction /= float64(max(c.spread, 1))
 	} else if silence > g.partitionTimeout {
