--- a/cmd/ravensill/clients_test.go
+++ b/cmd/ravensill/clients_test.go
@@ -150,7 +150,7 @@
 	watch := receive(gateway, gateway.watches)
 	gateway.discoveryAgent.Close()
 	watch.Close()
-	gateway.waitForLog("event=watch_lost")
+	gateway.waitForLog("event=endpoint_watch_lost")
 	for range 100 {
 		gateway.connect()
 	}
@@ -166,7 +166,7 @@
 	go gateway.serveDiscovery(agent)
 	receive(gateway, gateway.watchRequests)
 	sendHostList(receive(gateway, gateway.watches), 42, hostEntry("h0", a.Addr().String(), "leaving"))
-	gateway.waitForLog("event=host id=h0 state=draining version=42")
+	gateway.waitForLog("event=endpoint_state id=h0 state=draining version=42")
 	for i := range 8 {
 		gateway.connect() // one that is silent before each that asks
 		if got := gateway.connect().roundTrip(requestCommand("lookup", i)); got != "v" || len(a.takeReceived()) > 0 {
--- a/cmd/ravensill/membership_test.go
+++ b/cmd/ravensill/membership_test.go
@@ -21,9 +21,9 @@
 	}
 	watch := receive(gateway, gateway.watches)
 	io.WriteString(watch, "1\r\n\n\r\n9\r\n{\"no\":\n1}\r\n")
-	gateway.waitForLog("event=list_dropped")
+	gateway.waitForLog("event=endpoint_list_rejected")
 	sendHostList(watch, 43, hostEntry("h0", a.Addr().String(), "leaving"), hostEntry("h2", c.Addr().String(), "active"))
-	gateway.waitForLog("event=host id=h0 state=draining version=43")
+	gateway.waitForLog("event=endpoint_state id=h0 state=draining version=43")
 	serveEight := func() {
 		for i := range 8 {
 			if got := gateway.connect().roundTrip(requestCommand("lookup", 100+i)); got != "v" {
@@ -36,16 +36,16 @@
 		t.Error("the drain was not kept")
 	}
 	watch.Close()
-	gateway.waitForLog("event=watch_lost")
+	gateway.waitForLog("event=endpoint_watch_lost")
 	if serveEight := receive(gateway, gateway.watchRequests); !strings.Contains(serveEight, "after=43 ") {
 		t.Errorf("asked for the list with %q", serveEight)
 	}
 	watch = receive(gateway, gateway.watches)
 	sendHostList(watch, 44, hostEntry("h1", "", "left"))
-	gateway.waitForLog("event=watch_back")
-	gateway.waitForLog("event=host id=h1 state=gone version=44")
+	gateway.waitForLog("event=endpoint_watch_restored")
+	gateway.waitForLog("event=endpoint_state id=h1 state=gone version=44")
 	io.WriteString(watch, "2\r\n{]\r\n") // what follows can't be told apart
-	gateway.waitForLog(`event=watch_lost error="invalid character`)
+	gateway.waitForLog(`event=endpoint_watch_lost error="invalid character`)
 	if serveEight := receive(gateway, gateway.watchRequests); !strings.Contains(serveEight, "after=44 ") {
 		t.Errorf("asked for the list with %q", serveEight)
 	}
@@ -131,7 +131,7 @@
 						t.Errorf("asked with %q, not %s", ask, want)
 					}
 				}
-				gateway.waitForLog("event=host id=h0 state=draining version=44")
+				gateway.waitForLog("event=endpoint_state id=h0 state=draining version=44")
 				got, want := gateway.connect().roundTrip(requestCommand("lookup", 1)), "v"
 				if name == "whole, reset" { // told as leaving, both
 					want = "-BUSY"
@@ -186,7 +186,7 @@
 	gateway := startGateway(t, func(config, _ map[string]any) {
 		config["agent"] = []any{hostEntry("h0", a.Addr().String(), "leaving")}
 	}, a, b)
-	gateway.waitForLog("event=host id=h0 state=draining version=41")
+	gateway.waitForLog("event=endpoint_state id=h0 state=draining version=41")
 	gateway.waitForLog("event=serving")
 	for i := range 8 {
 		if got := gateway.connect().roundTrip(requestCommand("lookup", i)); got != "v" || len(a.takeReceived()) > 0 {
@@ -199,7 +199,7 @@
 	}
 	defer silent.Close()
 	gateway = startGateway(t, func(config, _ map[string]any) { config["discovery"] = silent.Addr().String() }, a)
-	gateway.waitForLog("event=no_first_list version=41")
+	gateway.waitForLog("event=endpoint_list_timeout version=41")
 	gateway.waitForLog("event=serving")
 	if got := gateway.connect().roundTrip(requestCommand("lookup", 1)); got != "v" {
 		t.Error(got)
--- a/cmd/ravensill/reload_test.go
+++ b/cmd/ravensill/reload_test.go
@@ -43,14 +43,14 @@
 	gateway.config["discovery"] = next.Addr().String()
 	gateway.writeConfig()
 	gateway.cmd.Process.Signal(syscall.SIGHUP)
-	gateway.waitForLog("event=reloaded discovery=" + next.Addr().String() + " version=41 others_changed=false")
+	gateway.waitForLog("event=reloaded discovery=" + next.Addr().String() + " version=41 other_keys_changed=false")
 	if ask := receive(gateway, gateway.watchRequests); !strings.Contains(ask, "after=41 ") {
 		t.Errorf("asked for the list with %q", ask)
 	}
 	watch := receive(gateway, gateway.watches)
 	sendHostList(old, 42, hostEntry("h0", "", "left"))
 	sendHostList(watch, 43, hostEntry("h0", a.Addr().String(), "leaving"), hostEntry("h1", b.Addr().String(), "active"))
-	if l := gateway.waitForLog("event=host id="); !strings.Contains(l, "id=h0 state=draining version=43") {
+	if l := gateway.waitForLog("event=endpoint_state id="); !strings.Contains(l, "id=h0 state=draining version=43") {
 		t.Errorf("the old address was heard: %s", l)
 	}
 	if a := gateway.connect().roundTrip(requestCommand("lookup", 2)); a != "of b" {
@@ -64,13 +64,13 @@
 	gateway.config["limits"] = map[string]any{"memory_mb": 64}
 	gateway.writeConfig()
 	gateway.cmd.Process.Signal(syscall.SIGHUP)
-	gateway.waitForLog("others_changed=true")
+	gateway.waitForLog("other_keys_changed=true")
 	if ask := receive(gateway, gateway.watchRequests); !strings.Contains(ask, "after=43 ") {
 		t.Errorf("asked for the list with %q", ask)
 	}
 	sendHostList(receive(gateway, gateway.watches), 42, hostEntry("h0", a.Addr().String(), "active")) // it is behind
-	gateway.waitForLog("event=list_older version=42 had=43")
-	gateway.waitForLog("event=host id=h0 state=draining version=42")
+	gateway.waitForLog("event=endpoint_list_stale version=42 previous=43")
+	gateway.waitForLog("event=endpoint_state id=h0 state=draining version=42")
 	for i := range 8 {
 		if a := gateway.connect().roundTrip(requestCommand("lookup", 10+i)); a != "of b" {
 			t.Errorf("a list older than had put the host back that leaves: %s", a)
--- a/internal/hosts/attempt.go
+++ b/internal/hosts/attempt.go
@@ -75,7 +75,7 @@
 	}
 	if failure.byShortage() && !pool.transport.short {
 		pool.transport.short = true
-		slog.Warn("dials_short", "error", failure.Err)
+		slog.Warn("dial_resources_exhausted", "error", failure.Err)
 	}
 	a.onResult(gateway.Event{Result: failure.Result()}, nil, pool.transport.now())
 }
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -142,7 +142,7 @@
 func (t *Transport) dialSucceeded() {
 	if t.short {
 		t.short = false
-		slog.Info("dials_back")
+		slog.Info("dial_resources_restored")
 	}
 }
 
@@ -294,7 +294,7 @@
 	attempt.done = true
 	if c.pool.failing {
 		c.pool.failing = false
-		slog.Info("host_answers", "addr", c.pool.addr)
+		slog.Info("host_recovered", "addr", c.pool.addr)
 	}
 	if a.more {
 		c.close()
--- a/internal/hosts/shortage_test.go
+++ b/internal/hosts/shortage_test.go
@@ -97,7 +97,7 @@
 	if d.out[3] != `result 0, value "v"` {
 		t.Errorf("afterwards: %s", d.out[3])
 	}
-	for text, want := range map[string]int{"event=dials_short": 1, "event=dials_back": 1, "event=host_failing": 0} {
+	for text, want := range map[string]int{"event=dial_resources_exhausted": 1, "event=dial_resources_restored": 1, "event=host_failing": 0} {
 		if got := strings.Count(lines.String(), text); got != want {
 			t.Errorf("%d lines %s, want %d\n%s", got, text, want, &lines)
 		}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -14,11 +14,11 @@
 	var lines strings.Builder
 	restore := logging.SetOutput(&lines)
 	before := time.Now().Truncate(time.Microsecond)
-	slog.Warn("watch_lost", "error", errors.New("i/o timeout"), "version", 43)
+	slog.Warn("endpoint_watch_lost", "error", errors.New("i/o timeout"), "version", 43)
 	restore()
 	slog.Info("not here")
 	stamp, rest, found := strings.Cut(strings.TrimPrefix(lines.String(), "time="), " ")
-	if want := "level=WARN event=watch_lost error=\"i/o timeout\" version=43\n"; !found || rest != want {
+	if want := "level=WARN event=endpoint_watch_lost error=\"i/o timeout\" version=43\n"; !found || rest != want {
 		t.Errorf("line %q, want one that ends with %q", lines.String(), want)
 	}
 	at, err := time.Parse(logging.TimeLayout, stamp)
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -35,7 +35,7 @@
 	time.AfterFunc(firstListWait, func() {
 		n.runOnLoop(func() {
 			if !n.listAnswered {
-				slog.Warn("no_first_list", "version", n.endpointList.Version)
+				slog.Warn("endpoint_list_timeout", "version", n.endpointList.Version)
 			}
 			n.listAnswered = true
 		})
@@ -62,7 +62,7 @@
 		err := discovery.Watch(ctx, n.system, addr, after, discovery.NewTimeouts(n.cfg.Limits.PollEndpoints), &w.feed, func() {
 			newest(func() {
 				if n.watchLost {
-					slog.Info("watch_back")
+					slog.Info("endpoint_watch_restored")
 				}
 				n.watchLost = false
 			})
@@ -103,7 +103,7 @@
 		slog.Info("reloaded",
 			"discovery", cfg.Discovery,
 			"version", n.endpointList.Version,
-			"others_changed", n.cfg.Fixed != cfg.Fixed,
+			"other_keys_changed", n.cfg.Fixed != cfg.Fixed,
 		) // these count from the next start on
 		if cfg.Pool != nil {
 			n.quota.setCapacity(cfg.Pool.Serial, cfg.Pool.Capacity)
@@ -125,7 +125,7 @@
 		return
 	}
 	if !n.watchLost { // once, not with every try
-		slog.Warn("watch_lost", "error", err, "version", n.endpointList.Version)
+		slog.Warn("endpoint_watch_lost", "error", err, "version", n.endpointList.Version)
 	}
 	n.watchLost = true
 	if n.cfg.Limits.PollEndpoints {
@@ -148,14 +148,14 @@
 	kind, list, odd, err := n.endpointList.Decode(text, func(host uint32, addr netip.AddrPort) { n.transport.SetAddress(host, addr) })
 	if err != nil {
 		n.droppedLists++
-		slog.Warn("list_dropped", "error", err, "count", n.droppedLists)
+		slog.Warn("endpoint_list_rejected", "error", err, "count", n.droppedLists)
 		return
 	}
 	if odd != nil {
-		slog.Warn("list_odd", "error", odd, "version", n.endpointList.Version)
+		slog.Warn("endpoint_invalid", "error", odd, "version", n.endpointList.Version)
 	}
 	if n.endpointList.Version < had {
-		slog.Warn("list_older", "version", n.endpointList.Version, "had", had)
+		slog.Warn("endpoint_list_stale", "version", n.endpointList.Version, "previous", had)
 	}
 	if old {
 		kind = gateway.ListCached
@@ -163,7 +163,7 @@
 	n.observer.endpointsListed(list)
 	for _, l := range list {
 		if l.State != gateway.Running {
-			slog.Info("host",
+			slog.Info("endpoint_state",
 				"id", n.endpointList.ID(l.Host),
 				"state", l.State,
 				"version", n.endpointList.Version,
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -243,7 +243,7 @@
 	if _, rest, ok := strings.Cut(line, "event="); ok {
 		event, _, _ := strings.Cut(rest, " ")
 		g.counts[event]++
-		if event == "host" {
+		if event == "endpoint_state" {
 			g.past = append(g.past, Moment{actor.Now(), "told", g.lives, field(line, "id"), field(line, "state")})
 		}
 		if event == g.ready {
--- a/lab/rollout/faults.go
+++ b/lab/rollout/faults.go
@@ -117,7 +117,7 @@
 		h := r.Fleet.Host(host)
 		r.Fleet.Agent.Push(h.Entry("leaving"))
 		return r.Fleet.Each(r.members(), func(g *fleet.Gateway) error {
-			_, err := g.WaitAfter(ctx, marks[g.Index], "event=host id="+h.ID+" ")
+			_, err := g.WaitAfter(ctx, marks[g.Index], "event=endpoint_state id="+h.ID+" ")
 			return err
 		})
 	}}
