--- a/cmd/ravensill-publisher/main.go
+++ b/cmd/ravensill-publisher/main.go
@@ -41,7 +41,7 @@
 		"version", p.Status().Version,
 	)
 	<-stop
-	slog.Info("stopping")
+	slog.Info("shutdown_started")
 	p.Close()
 	slog.Info("stopped")
 }
--- a/cmd/ravensill/clients_test.go
+++ b/cmd/ravensill/clients_test.go
@@ -145,7 +145,7 @@
 	answer := func([]string) string { return successReply("v") }
 	a, b := newHost(t, answer), newHost(t, answer)
 	gateway := startGateway(t, func(config, _ map[string]any) { config["ulimit"] = 64 }, a, b)
-	gateway.waitForLog("event=few_descriptors limit=64 sockets=1024")
+	gateway.waitForLog("event=descriptor_limit_low limit=64 sockets=1024")
 	receive(gateway, gateway.watchRequests)
 	watch := receive(gateway, gateway.watches)
 	gateway.discoveryAgent.Close()
@@ -154,7 +154,7 @@
 	for range 100 {
 		gateway.connect()
 	}
-	gateway.waitForLog("event=clients_full") // of their own part, far below the configuration's
+	gateway.waitForLog("event=client_limit_reached") // of their own part, far below the configuration's
 	if a := gateway.connect().roundTrip(respArray("PING")); a != "+PONG" {
 		t.Errorf("with the descriptors filled: %s", a)
 	}
--- a/cmd/ravensill/counter_test.go
+++ b/cmd/ravensill/counter_test.go
@@ -37,7 +37,7 @@
 			settings["family_info"] = map[string]any{"mail_per_s": 40, "shared_counter": true, "count_wait_us": 50000}
 			settings["plans"] = []any{map[string]any{"name": "team", "parallel": 2, "beyond_costs": 0.5, "worth_factor": 1}}
 		}, h)
-		gateway.waitForLog("event=counter_back")
+		gateway.waitForLog("event=counter_restored")
 		c := gateway.connect()
 		ask := func(n int) string {
 			return c.roundTrip(strings.Replace(requestCommand("lookup", n), "spread=1", "spread=2", 1))
--- a/cmd/ravensill/harness_test.go
+++ b/cmd/ravensill/harness_test.go
@@ -153,7 +153,7 @@
 	if strings.Contains(line, "event=settings") {
 		return false
 	}
-	return strings.Contains(line, "event=s") || strings.Contains(line, "event=address") || strings.Contains(line, "event=failed")
+	return strings.Contains(line, "event=s") || strings.Contains(line, "event=listen_address") || strings.Contains(line, "event=gateway_failed")
 }
 
 // writeConfig writes config to the configuration file.
@@ -321,9 +321,9 @@
 // sendAllSignals sends each signal that a platform sends, in the worst order: none may end the program before its time.
 func (g *gatewayProcess) sendAllSignals() {
 	g.signal(syscall.SIGHUP, "event=reloaded")
-	g.signal(syscall.SIGTERM, "event=stopping clients=")
+	g.signal(syscall.SIGTERM, "event=shutdown_started clients=")
 	g.signal(syscall.SIGHUP, "event=reloaded")
-	g.signal(syscall.SIGTERM, "event=stopping_already")
+	g.signal(syscall.SIGTERM, "event=shutdown_signal_repeated")
 }
 
 // waitUntilHalfClosed waits until the gateway has closed its sending side; received bytes stay unread.
--- a/cmd/ravensill/shutdown_test.go
+++ b/cmd/ravensill/shutdown_test.go
@@ -30,7 +30,7 @@
 		receive(gateway, received)
 		stopRequested := time.Now()
 		gateway.cmd.Process.Signal(syscall.SIGTERM)
-		gateway.waitForLog("event=stopping")
+		gateway.waitForLog("event=shutdown_started")
 		if c, err := net.Dial("tcp4", gateway.addr); err == nil {
 			defer c.Close()
 			late := &testClient{gateway, c, bufio.NewReader(c)}
@@ -40,7 +40,7 @@
 		} else if time.Since(stopRequested) < 300*time.Millisecond { // a machine that stood still tells nothing
 			t.Error(err)
 		}
-		gateway.waitForLog("event=closed_to_new")
+		gateway.waitForLog("event=listener_closed")
 		answers := make(chan string, 2)
 		go func() {
 			for range 2 {
@@ -92,7 +92,7 @@
 		sendAll()
 		stopRequested := time.Now()
 		gateway.cmd.Process.Signal(syscall.SIGTERM)
-		gateway.waitForLog("event=closed_to_new")
+		gateway.waitForLog("event=listener_closed")
 		for i := range 3 {
 			if served := sendAll(); served < len(clients) {
 				return faultUnlessLate(t, stopRequested, fmt.Sprintf("round %d after the listener closed: %d of %d have an answer", i, served, len(clients)))
--- a/cmd/ravensill/signals_test.go
+++ b/cmd/ravensill/signals_test.go
@@ -46,7 +46,7 @@
 		f.Close()
 		if s == syscall.SIGHUP {
 			gateway.waitForLog("event=serving") // without a list: the agent says nothing
-			gateway.signal(syscall.SIGTERM, "event=stopping clients=0")
+			gateway.signal(syscall.SIGTERM, "event=shutdown_started clients=0")
 		}
 		fmt.Fprintf(&trace, "%v: %s\n", s, gateway.exitStatus())
 	}
@@ -80,7 +80,7 @@
 	}
 	defer c.Close()
 	gateway.signal(syscall.SIGHUP, "event=reloaded")
-	gateway.signal(syscall.SIGTERM, "event=stopping")
+	gateway.signal(syscall.SIGTERM, "event=shutdown_started")
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // too late
 	sendHostList(c, 1)
 	var lines []string
@@ -107,7 +107,7 @@
 	close(release)
 	trace := fmt.Sprintln("open:", c.readAnswer())
 	trace += fmt.Sprintln("after:", c.roundTrip(requestCommand("lookup", 2)))
-	gateway.waitForLog("event=closed_to_new")
+	gateway.waitForLog("event=listener_closed")
 	trace += fmt.Sprintln("after it takes in no more:", c.roundTrip(requestCommand("lookup", 3)))
 	c.Close()
 	golden.Check(t, trace+gateway.exitStatus()+"\n")
@@ -148,7 +148,7 @@
 	gateway.sendAllSignals()
 	c.waitUntilHalfClosed() // it has taken nothing of its answers yet
 	c.send(requestCommand("lookup", 4))
-	gateway.signal(syscall.SIGTERM, "event=stopping_already")
+	gateway.signal(syscall.SIGTERM, "event=shutdown_signal_repeated")
 	var trace strings.Builder
 	for range 3 {
 		a := c.readAnswer()
@@ -164,8 +164,8 @@
 func TestInterruptTwice(t *testing.T) {
 	gateway := startGateway(t, nil, newHost(t, func([]string) string { return "" }))
 	gateway.connect().roundTrip(respArray("PING"))
-	gateway.signal(syscall.SIGINT, "event=stopping")
-	gateway.signal(syscall.SIGINT, "event=stopped_at_once")
+	gateway.signal(syscall.SIGINT, "event=shutdown_started")
+	gateway.signal(syscall.SIGINT, "event=shutdown_aborted")
 	var exit *exec.ExitError
 	if err := receive(gateway, gateway.exited); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 		t.Error(err)
--- a/cmd/ravensill/startup_test.go
+++ b/cmd/ravensill/startup_test.go
@@ -38,15 +38,15 @@
 			config["counterfactual"] = map[string]any{"listen": recordsAddr, "peers": []string{recordsAddr, "127.0.0.1:1"}, "collectors": []int{1}}
 		}, newHost(t, func([]string) string { return successReply("v") }))
 		if outcome == "strange" {
-			gateway.waitForLog(`event=failed error="listen: listen tcp4 192.0.2.1:6379: bind`)
+			gateway.waitForLog(`event=gateway_failed error="listen: listen tcp4 192.0.2.1:6379: bind`)
 			if receive(gateway, gateway.exited) == nil {
 				t.Error("it ended well")
 			}
 			continue
 		}
-		gateway.waitForLog("event=address_taken key=peer_listen addr=" + peerAddr)
+		gateway.waitForLog("event=listen_address_in_use key=peer_listen addr=" + peerAddr)
 		datagrams.Close()
-		gateway.waitForLog("event=address_taken key=listen addr=" + listener.Addr().String())
+		gateway.waitForLog("event=listen_address_in_use key=listen addr=" + listener.Addr().String())
 		if outcome == "stop" {
 			gateway.cmd.Process.Signal(syscall.SIGTERM)
 			gateway.waitForLog("event=stopped")
@@ -56,7 +56,7 @@
 			continue
 		}
 		listener.Close()
-		gateway.waitForLog("event=address_taken key=counterfactual addr=" + recordsAddr)
+		gateway.waitForLog("event=listen_address_in_use key=counterfactual addr=" + recordsAddr)
 		records.Close()
 		gateway.waitForLog("event=serving")
 		gateway.addr = listener.Addr().String()
--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -119,9 +119,9 @@
 		return
 	}
 	if s.fullLog.due(now) {
-		slog.Warn("clients_full",
+		slog.Warn("client_limit_reached",
 			"clients", len(s.conns),
-			"room_made", victim != nil,
+			"evicted", victim != nil,
 			"count", s.fullLog.logged(now),
 		)
 	}
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -181,7 +181,7 @@
 	s := c.server
 	now := s.now()
 	if s.faultLog.due(now) {
-		slog.Warn("client_fault", "error", err, "open", len(c.waiting), "count", s.faultLog.logged(now))
+		slog.Warn("client_fault", "error", err, "in_flight", len(c.waiting), "count", s.faultLog.logged(now))
 	}
 	c.closing = true
 	c.halfCloseIfIdle()
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -258,7 +258,7 @@
 		c.inFlight = c.inFlight[1:]
 		if kind == '-' && !c.noExpiryLogged { // older servers don't support NX: their numbers never expire
 			c.noExpiryLogged = true
-			slog.Warn("counter_no_expiry", "addr", c.addr, "error", text)
+			slog.Warn("counter_expiry_unsupported", "addr", c.addr, "error", text)
 		}
 		return
 	case kind == '-': // not executed
@@ -296,7 +296,7 @@
 	if state == stateLost {
 		slog.Warn("counter_lost", "addr", c.addr, "error", reason)
 	} else {
-		slog.Info("counter_back", "addr", c.addr)
+		slog.Info("counter_restored", "addr", c.addr)
 	}
 }
 
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -47,20 +47,20 @@
 // listenWithRetry tries to take an address until it is free, and as long as the machine is short of something for it.
 func listenWithRetry(key string, addr netip.AddrPort, stop <-chan struct{}, try func() error) error {
 	began := time.Now()
-	for told := false; ; told = true {
+	for logged := false; ; logged = true {
 		err := try()
 		if err == nil {
 			return nil
 		}
-		event, wait := "address_taken", formerProcessWait
+		wait := formerProcessWait
 		if sockets.IsShortage(err) {
-			event, wait = "address_unavailable", shortageWait
+			wait = shortageWait
 		}
 		if !sockets.IsPassing(err) || time.Since(began) > wait {
 			return fmt.Errorf("%s: %w", key, err)
 		}
-		if !told {
-			slog.Warn(event, "key", key, "addr", addr, "wait", wait, "error", err)
+		if !logged {
+			logRetry(key, addr, wait, err)
 		}
 		select {
 		case <-stop:
@@ -70,13 +70,22 @@
 	}
 }
 
+// logRetry logs that an address will be tried again for the time of wait.
+func logRetry(key string, addr netip.AddrPort, wait time.Duration, err error) {
+	if sockets.IsShortage(err) {
+		slog.Warn("listen_address_unavailable", "key", key, "addr", addr, "wait", wait, "error", err)
+	} else {
+		slog.Warn("listen_address_in_use", "key", key, "addr", addr, "wait", wait, "error", err)
+	}
+}
+
 // sharedDescriptors returns how many the parts of the gateway may share out. Where the system's limit is lower than the
 // configuration's it counts: idle clients that fill a part too large would keep the watch, the hosts and the loop that
 // accepts from theirs. The rest, of what is open once each, is kept clear at any size.
 func sharedDescriptors(most int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(most) {
-		slog.Warn("few_descriptors", "limit", limit.Cur, "sockets", most)
+		slog.Warn("descriptor_limit_low", "limit", limit.Cur, "sockets", most)
 		most = int(limit.Cur)
 	}
 	return min(most, max(most-reservedDescriptors, 1)*15/11) // of which clients get 5, hosts 6
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -174,4 +174,4 @@
 func (n *Node) counterReplied(event gateway.Event) { n.events = append(n.events, event) }
 
 // LogNote implements gateway.Actions.
-func (n *Node) LogNote(text string) { slog.Info("note", "text", text) }
+func (n *Node) LogNote(text string) { slog.Info("module_message", "text", text) }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -165,12 +165,12 @@
 
 // A client that is owed an answer for ever, and does not close, holds the program no longer than its time.
 func TestShutdownIsBounded(t *testing.T) {
-	addr, stop, ended := serve(t, mute{}, nil, "cut_off clients=1", "stopped")
+	addr, stop, ended := serve(t, mute{}, nil, "connections_aborted clients=1", "stopped")
 	c := dial(t, addr)
 	ask(t, c, "", 0)
 	io.WriteString(c, command("a", 1))
 	stop()
-	if got := fmt.Sprint(ended()); got != "[cut_off clients=1 stopped]" {
+	if got := fmt.Sprint(ended()); got != "[connections_aborted clients=1 stopped]" {
 		t.Error(got)
 	}
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -40,7 +40,7 @@
 	if !n.listening {
 		n.nextPhaseAt = now
 	}
-	n.logPhase("stopping")
+	slog.Info("shutdown_started", "clients", n.clients.Count(), "in_flight", len(n.requests))
 }
 
 // enterNextPhase takes the next step to the end. One client that neither reads nor closes must not hold the program.
@@ -50,7 +50,7 @@
 		n.phase = closed
 		n.nextPhaseAt = n.answerBy
 		n.clients.Unlisten()
-		n.logPhase("closed_to_new")
+		slog.Info("listener_closed", "clients", n.clients.Count(), "in_flight", len(n.requests))
 	case closed:
 		n.phase = draining
 		n.nextPhaseAt = n.now() + int64(lingerLimit)
@@ -58,14 +58,10 @@
 	default:
 		n.phase = cutOff
 		n.nextPhaseAt = 0
-		n.logPhase("cut_off")
+		slog.Info("connections_aborted", "clients", n.clients.Count(), "in_flight", len(n.requests))
 		n.clients.End()
 	}
 }
 
 // shutdownEnded reports whether the gateway owes nothing more.
 func (n *Node) shutdownEnded() bool { return n.phase >= closed && n.clients.Ended() }
-
-func (n *Node) logPhase(event string) {
-	slog.Info(event, "clients", n.clients.Count(), "open", len(n.requests))
-}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -44,10 +44,10 @@
 		close(stop)
 		for s := range calls {
 			if s == syscall.SIGINT { // from a terminal; the platform that means at once has SIGKILL
-				slog.Warn("stopped_at_once")
+				slog.Warn("shutdown_aborted")
 				os.Exit(1)
 			}
-			slog.Info("stopping_already") // its end is near and has its time: a second call must not lose what is open
+			slog.Info("shutdown_signal_repeated") // its end is near and has its time: a second call must not lose what is open
 		}
 	}()
 	n := node.NewOn(platform, cfg, logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport))
@@ -61,7 +61,7 @@
 		}
 	}()
 	if err := n.Run(stop); err != nil {
-		slog.Error("failed", "error", err)
+		slog.Error("gateway_failed", "error", err)
 		os.Exit(1)
 	}
 }
