--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -43,7 +43,7 @@
 
 // Config describes one replica.
 type Config struct {
-	Name      string           // begins the names of the events in the log: event=NAME_founded
+	Name      string           // of the cluster, in log lines: cluster=NAME
 	Index     int              // this replica's place in Addresses
 	Addresses []netip.AddrPort // TCP addresses of all replicas, as this one sees them
 	Listen    netip.AddrPort   // TCP
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -22,7 +22,7 @@
 	raft.LogStore
 	raft.StableStore
 
-	name    string       // begins the names of the events in the log
+	cluster string       // its name in log lines
 	fault   func() error // Config.DiskFault; nil: none
 	failing atomic.Bool  // the last write failed
 	missed  atomic.Bool  // a write failed, and what it missed may not be carried out yet
@@ -31,7 +31,7 @@
 }
 
 func newDisk(cfg *Config, entries raft.LogStore, state raft.StableStore) *disk {
-	return &disk{LogStore: entries, StableStore: state, name: cfg.Name, fault: cfg.DiskFault, closing: make(chan struct{})}
+	return &disk{LogStore: entries, StableStore: state, cluster: cfg.Name, fault: cfg.DiskFault, closing: make(chan struct{})}
 }
 
 // close ends the retries of writes.
@@ -51,9 +51,9 @@
 	}
 	switch failed := err != nil; {
 	case failed && !d.failing.Swap(true):
-		slog.Error(d.name+"_disk_failing", "error", err)
+		slog.Error("raft_disk_failing", "cluster", d.cluster, "error", err)
 	case !failed && d.failing.Swap(false):
-		slog.Info(d.name + "_disk_back")
+		slog.Info("raft_disk_restored", "cluster", d.cluster)
 	}
 	return err
 }
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -118,7 +118,11 @@
 		return
 	}
 	err := m.replica.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
-	slog.Info(cfg.Name+"_founded", "voters", len(servers), "error", err)
+	if err != nil {
+		slog.Warn("raft_cluster_bootstrap_failed", "cluster", cfg.Name, "voters", len(servers), "error", err)
+		return
+	}
+	slog.Info("raft_cluster_bootstrapped", "cluster", cfg.Name, "voters", len(servers))
 }
 
 func server(id raft.ServerID) raft.Server {
@@ -148,5 +152,9 @@
 		s := server(raft.ServerID(a.ID))
 		err = m.replica.raft.AddVoter(s.ID, s.Address, 0, changeTimeout).Error()
 	}
-	slog.Info(m.replica.cfg.Name+"_voter_replaced", "voter", a.Index, "error", err)
+	if err != nil {
+		slog.Warn("raft_voter_replacement_failed", "cluster", m.replica.cfg.Name, "voter", a.Index, "error", err)
+		return
+	}
+	slog.Info("raft_voter_replaced", "cluster", m.replica.cfg.Name, "voter", a.Index)
 }
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -58,8 +58,8 @@
 	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.Turn, p.leaseholder.Allowed, p.leaseholder.AddRejected)
 	n.quota = p
 	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
-	slog.Info("pool_on",
-		"seat", n.cfg.Membership.Index,
+	slog.Info("pool_enabled",
+		"member", n.cfg.Membership.Index,
 		"floor", cfg.Terms.Floor,
 		"capacity", cfg.Capacity,
 		"voters", len(cfg.Voters),
@@ -81,18 +81,18 @@
 	if now-p.lastLog >= poolLogInterval {
 		p.lastLog = now
 		limiter, client := p.limiter, p.client
-		slog.Info("pool_quota",
+		slog.Info("pool_quota_status",
 			"allowed", p.leaseholder.Allowed(now),
-			"held", held,
-			"use", demand,
-			"waited", limiter.Queued,
-			"turned_away", limiter.Rejected,
+			"connections", held,
+			"demand", demand,
+			"queued", limiter.Queued,
+			"rejected", limiter.Rejected,
 			"dials", limiter.Dials,
-			"refused", limiter.Refused,
-			"told", client.Sent,
-			"heard", client.Received,
-			"dropped", client.Dropped,
-			"silent_ms", (now-p.leaseholder.LastAnswered())/1e6,
+			"dials_refused", limiter.Refused,
+			"datagrams_sent", client.Sent,
+			"datagrams_received", client.Received,
+			"datagrams_dropped", client.Dropped,
+			"since_grant_ms", (now-p.leaseholder.LastAnswered())/1e6,
 		)
 	}
 	return p.leaseholder.Due(now)
--- a/internal/poolrunner/voter.go
+++ b/internal/poolrunner/voter.go
@@ -142,7 +142,7 @@
 			v.leading = leading
 			v.grantor = nil
 			v.term++
-			slog.Info("pool_leads", "yes", leading)
+			slog.Info("pool_leader_changed", "leader", leading)
 			if leading {
 				v.startLeading()
 			}
@@ -170,7 +170,7 @@
 func (v *Voter) propose(batch *pool.Batch, committed func(*pool.Ledger)) {
 	text, err := json.Marshal(batch)
 	if err != nil {
-		slog.Error("pool_failed", "error", err)
+		slog.Error("pool_batch_encode_failed", "error", err)
 		return
 	}
 	term := v.term
@@ -184,7 +184,7 @@
 			case err == nil:
 				committed(ledger.(*pool.Ledger))
 			default:
-				slog.Warn("pool_unsure", "error", err)
+				slog.Warn("pool_lease_uncertain", "error", err)
 				v.restartLeading()
 			}
 		})
@@ -216,7 +216,11 @@
 		case *pool.Grant:
 			v.send(v.memberAddrs[action.Member], &Message{Grant: action})
 		case pool.Note:
-			slog.Warn("pool_"+action.What, "seat", action.Member, "life", action.Incarnation, "units", action.Units)
+			slog.Warn(action.Event,
+				"member", action.Member,
+				"incarnation", action.Incarnation,
+				"units", action.Units,
+			)
 		}
 	}
 }
@@ -257,23 +261,28 @@
 	v.lastStatus = now
 	dropped := v.dropped + v.replica.Dropped()
 	if v.grantor == nil {
-		slog.Info("pool_voter", "leads", false, "in", v.received, "out", v.sent, "dropped", dropped)
+		slog.Info("pool_voter_status",
+			"leading", false,
+			"datagrams_received", v.received,
+			"datagrams_sent", v.sent,
+			"datagrams_dropped", dropped,
+		)
 		return
 	}
 	totals := v.grantor.Totals()
-	slog.Info("pool_voter",
-		"leads", true,
-		"in", v.received,
-		"out", v.sent,
-		"dropped", dropped,
+	slog.Info("pool_voter_status",
+		"leading", true,
+		"datagrams_received", v.received,
+		"datagrams_sent", v.sent,
+		"datagrams_dropped", dropped,
 		"batches", v.batches,
 		"capacity", totals.Capacity,
 		"serial", totals.Serial,
-		"lent", totals.Lent,
+		"leased", totals.Lent,
 		"free", totals.Free,
 		"stranded", totals.Stranded,
-		"held", totals.Held,
-		"heard", totals.Reporting,
+		"connections", totals.Held,
+		"members_reporting", totals.Reporting,
 	)
 }
 
--- a/lab/leasesim/leasesim.go
+++ b/lab/leasesim/leasesim.go
@@ -205,7 +205,7 @@
 		case pool.Propose:
 			l.pending, l.until = &m.Batch, w.Now+int64(w.rng.Uint64N(uint64(20*Ms)))
 		case pool.Note:
-			w.Noted[m.What]++
+			w.Noted[m.Event]++
 		case *pool.Grant:
 			g := w.Gateways[m.Member]
 			w.send(m.Member, "down", func() { w.deliver(g, m) })
--- a/lab/leasesim/leasesim_test.go
+++ b/lab/leasesim/leasesim_test.go
@@ -255,7 +255,7 @@
 			w.Step(10 * Ms)
 			most = max(most, w.Open())
 		}
-		if most > 40+held-1 || most <= 40 || w.Noted["not_given_back"] == 0 {
+		if most > 40+held-1 || most <= 40 || w.Noted[pool.EventQuotaExceeded] == 0 {
 			t.Fatalf("%d open of 40, %d of them frozen, noted %v", most, held, w.Noted)
 		}
 		w.advance(2000 * Ms)
--- a/lab/pools/cases.go
+++ b/lab/pools/cases.go
@@ -98,7 +98,7 @@
 // NotGivenBack sums what the lenders reported as taken back from gateways that had not given it back.
 func NotGivenBack(f *fleet.Fleet) (units int) {
 	for _, g := range f.Gateways() {
-		for _, l := range g.Lines("event=pool_not_given_back") {
+		for _, l := range g.Lines("event=pool_quota_exceeded") {
 			_, word, _ := strings.Cut(l, " units=")
 			n, _ := strconv.Atoi(word)
 			units += n
--- a/lab/pools/pools.go
+++ b/lab/pools/pools.go
@@ -156,7 +156,7 @@
 	err = fleet.Until(ctx, "a leader", func() bool {
 		for i := range r.Voters {
 			if g := f.Gateway(i); g.Running() {
-				if lines := g.Lines("event=pool_leads"); len(lines) > 0 && strings.HasSuffix(lines[len(lines)-1], "yes=true") {
+				if lines := g.Lines("event=pool_leader_changed"); len(lines) > 0 && strings.HasSuffix(lines[len(lines)-1], "leader=true") {
 					seat = i
 					return true
 				}
@@ -258,7 +258,7 @@
 
 // Quota gives the last figures that each gateway logged of its quota.
 func Quota(g *fleet.Gateway, name string) int {
-	lines := g.Lines("event=pool_quota")
+	lines := g.Lines("event=pool_quota_status ")
 	if len(lines) == 0 {
 		return -1
 	}
--- a/pool/grantor.go
+++ b/pool/grantor.go
@@ -11,10 +11,18 @@
 // Tick tells the time; the lease grantor proposes at ticks only.
 type Tick struct{}
 
+// Events of notes, as the log names them.
+const (
+	EventRecallOverdue   = "pool_recall_overdue"   // a member keeps units that were recalled
+	EventQuotaExceeded   = "pool_quota_exceeded"   // a lease ran out, and its units were not returned
+	EventUnitsStranded   = "pool_units_stranded"   // a member restarted; the units of its former incarnation stay leased for a time
+	EventCapacityRefused = "pool_capacity_refused" // a capacity below the floors and the reserve
+)
+
 // Note is a message to the operators.
 type Note struct {
-	What        string // recall_overdue, not_given_back, stranded, capacity_refused
-	Member      int    // index
+	Event       string
+	Member      int // index
 	Incarnation uint64
 	Units       int
 }
@@ -169,7 +177,7 @@
 	if member.unproposed != nil {
 		g.proposeReport(now, p, i)
 	} else if entry.Units > 0 && now > member.leaseEnd+drained {
-		g.notes = append(g.notes, Note{"not_given_back", i, entry.Incarnation, entry.Units})
+		g.notes = append(g.notes, Note{EventQuotaExceeded, i, entry.Incarnation, entry.Units})
 		p.add(Change{Member: i})
 		member.target = 0
 	}
@@ -190,7 +198,7 @@
 	case report.Incarnation > entry.Incarnation:
 		if entry.Units > 0 {
 			member.strandedUntil = max(member.strandedUntil, member.leaseEnd)
-			g.notes = append(g.notes, Note{"stranded", i, entry.Incarnation, entry.Units})
+			g.notes = append(g.notes, Note{EventUnitsStranded, i, entry.Incarnation, entry.Units})
 		}
 		p.add(Change{Member: i, Incarnation: report.Incarnation})
 		member.target = 0
@@ -206,7 +214,7 @@
 		return
 	}
 	if report.Capacity < terms.Floor*terms.Members+terms.Reserve {
-		g.notes = append(g.notes, Note{"capacity_refused", i, report.Incarnation, report.Capacity})
+		g.notes = append(g.notes, Note{EventCapacityRefused, i, report.Incarnation, report.Capacity})
 		return
 	}
 	p.batch.Serial = report.Serial
--- a/pool/plan.go
+++ b/pool/plan.go
@@ -119,7 +119,7 @@
 			member.overTargetSince = p.now
 		case !member.recallNoted && p.now-member.overTargetSince > p.terms.Drain+p.terms.Lease/2:
 			member.recallNoted = true
-			p.notes = append(p.notes, Note{"recall_overdue", i, entry.Incarnation, entry.Units - member.target})
+			p.notes = append(p.notes, Note{EventRecallOverdue, i, entry.Incarnation, entry.Units - member.target})
 		}
 	}
 }
