--- a/logic/admission.go
+++ b/logic/admission.go
@@ -21,7 +21,15 @@
 	Reasons                          // their number
 )
 
-var reasonNames = [Reasons]string{"quota", "ceiling", "unanswered", "late", "cap", "hosts", "failure"}
+var reasonNames = [Reasons]string{
+	OverQuota:          "over_quota",
+	OverCeiling:        "over_ceiling",
+	CustomerUnanswered: "customer_unanswered",
+	TooLate:            "too_late",
+	OverConcurrencyCap: "over_concurrency_cap",
+	NoEndpoint:         "no_endpoint",
+	AttemptFailed:      "attempt_failed",
+}
 
 // String returns the reason as log lines name it.
 func (r Reason) String() string {
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -126,7 +126,8 @@
 	for _, count := range g.DecisionCounts() {
 		fmt.Fprintf(&got, "%s=%d ", count.Outcome, count.Count)
 	}
-	if want := "passed=10 quota=2 ceiling=0 unanswered=0 late=0 cap=0 hosts=0 failure=0 "; got.String() != want {
+	if want := "admitted=10 over_quota=2 over_ceiling=0 customer_unanswered=0 too_late=0 " +
+		"over_concurrency_cap=0 no_endpoint=0 attempt_failed=0 "; got.String() != want {
 		t.Fatalf("counts %q, want %q", got.String(), want)
 	}
 	w.finishAttempt(0, 0, gateway.Unreachable, false) // never ran: sent again, not denied
--- a/logic/metrics.go
+++ b/logic/metrics.go
@@ -38,12 +38,12 @@
 
 // DecisionCounts returns the decisions since the start: the requests sent on, then the rejections by reason.
 func (g *Gateway) DecisionCounts() []gateway.DecisionCount {
-	counts := []gateway.DecisionCount{{Outcome: "passed", Count: g.admitted}}
+	counts := []gateway.DecisionCount{{Outcome: "admitted", Count: g.admitted}}
 	for reason, count := range g.rejected {
 		counts = append(counts, gateway.DecisionCount{Outcome: Reason(reason).String(), Count: count})
 	}
 	if g.format.ByID {
-		counts = append(counts, gateway.DecisionCount{Outcome: "totals_unmatched", Count: g.unmatchedCounters})
+		counts = append(counts, gateway.DecisionCount{Outcome: "counters_unmatched", Count: g.unmatchedCounters})
 	}
 	return counts
 }
