--- a/cmd/ravensill-publisher/main_test.go
+++ b/cmd/ravensill-publisher/main_test.go
@@ -94,7 +94,7 @@
 func TestProgram(t *testing.T) {
 	file := write(t, settings(t))
 	p := start(t, file)
-	p.line("event=publisher_leads yes=true")
+	p.line("event=publisher_leader_changed leader=true")
 	request, err := http.NewRequest("PUT", "http://"+p.started[2]+"/v1/configuration", strings.NewReader(publishertest.FirstContent))
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 	p.line("event=configuration_published version=1 changes=4")
 	p.stop()
 	p = start(t, file)
-	p.line("event=publisher_leads yes=true")
+	p.line("event=publisher_leader_changed leader=true")
 	publishertest.Eventually(t, "the version of before", func() bool {
 		response, err := http.Get("http://" + p.started[2] + "/v1/status")
 		if err != nil {
--- a/cmd/ravensill/configuration_test.go
+++ b/cmd/ravensill/configuration_test.go
@@ -140,8 +140,8 @@
 		longest    int // of the file's request classes, in microseconds: longer ones of the document are refused where pool is on
 		team, gold string
 	}{
-		{"whole", fmt.Sprint("configuration_held version=", last.Version), text, 0, unknown, "v"},
-		{"torn", fmt.Sprint("configuration_held version=", last.Version-1), text[:len(text)-1], 0, "v", "v"},
+		{"whole", fmt.Sprint("configuration_loaded version=", last.Version), text, 0, unknown, "v"},
+		{"torn", fmt.Sprint("configuration_loaded version=", last.Version-1), text[:len(text)-1], 0, "v", "v"},
 		{"unreadable", "configuration_damaged", text[1:], 0, "v", unknown},
 		{"refused", fmt.Sprintf("configuration_refused version=%d resource=classes/lookup ", last.Version), text, 4500000, "v", unknown},
 	} {
--- a/cmd/ravensill/counterfactual_test.go
+++ b/cmd/ravensill/counterfactual_test.go
@@ -57,7 +57,7 @@
 		t.Errorf("%d sockets for datagrams", n)
 	}
 	ask := func(q string) string {
-		at := gateway.observerLine[strings.Index(gateway.observerLine, "ask=")+4:]
+		_, at, _ := strings.Cut(gateway.observerLine, " query_listen=")
 		c, err := net.Dial("tcp4", at)
 		if err != nil {
 			t.Fatal(err)
@@ -71,7 +71,7 @@
 		}
 		return line
 	}
-	far, _ := net.ResolveUDPAddr("udp4", strings.Fields(gateway.observerLine[strings.Index(gateway.observerLine, "listen=")+7:])[0])
+	far, _ := net.ResolveUDPAddr("udp4", strings.Fields(gateway.observerLine[strings.Index(gateway.observerLine, " listen=")+8:])[0])
 	part := func(seat uint32) []byte {
 		return append([]byte{'S'}, counterfactual.Encode(counterfactual.Part{Gateway: seat, Incarnation: 1, WindowLength: 100}, nil)[0](0)...)
 	}
@@ -88,7 +88,7 @@
 	dropped := 0
 	for dropped < len(bad) { // an empty one counts for none; the stranger's does
 		n := 0
-		l := gateway.waitForLog("event=witness_dropped")
+		l := gateway.waitForLog("event=observer_dropped")
 		fmt.Sscanf(l[strings.Index(l, "datagrams="):], "datagrams=%d", &n)
 		dropped += n
 	}
--- a/cmd/ravensill/harness_test.go
+++ b/cmd/ravensill/harness_test.go
@@ -136,7 +136,7 @@
 	line, lines := "", []string(nil)
 	for !endsStart(line) {
 		line = g.waitForLog("event=")
-		if lines = append(lines, line); strings.Contains(line, "event=witnessing") {
+		if lines = append(lines, line); strings.Contains(line, "event=observer_started") {
 			g.observerLine = line
 		}
 	}
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -107,7 +107,7 @@
 	}
 	o.start(o.readDatagrams)
 	o.start(o.loop)
-	slog.Info("witnessing", "listen", o.udp.LocalAddr(), "ask", queryAddr)
+	slog.Info("observer_started", "listen", o.udp.LocalAddr(), "query_listen", queryAddr)
 	return o, nil
 }
 
--- a/internal/observer/records.go
+++ b/internal/observer/records.go
@@ -31,7 +31,7 @@
 		o.recordsWritten += n
 	}
 	if err != nil {
-		slog.Error("records_failed", "error", err)
+		slog.Warn("observer_records_write_failed", "error", err)
 		o.recordsWritten = limit
 	}
 }
--- a/internal/observer/summary.go
+++ b/internal/observer/summary.go
@@ -93,7 +93,7 @@
 		return
 	}
 	o.malformed.Add(-malformed)
-	slog.Warn("witness_dropped", "records", o.lostRecords, "summaries", o.abandoned, "datagrams", malformed)
+	slog.Warn("observer_dropped", "records", o.lostRecords, "summaries", o.abandoned, "datagrams", malformed)
 	o.lostRecords = 0
 	o.abandoned = 0
 	o.loggedAt = now
--- a/internal/program/configuration.go
+++ b/internal/program/configuration.go
@@ -33,7 +33,7 @@
 	if held.Version() > 0 {
 		cfg, live, err := config.Restore(file, held.Changes())
 		if err == nil {
-			slog.Info("configuration_held",
+			slog.Info("configuration_loaded",
 				"version", held.Version(),
 				"plans", len(cfg.Plans),
 				"classes", len(cfg.Classes),
@@ -61,7 +61,7 @@
 	dir := f.cfg.Configuration.Dir
 	incarnation, err := subscriber.NextIncarnation(dir, f.platform.Clock)
 	if err != nil {
-		slog.Warn("incarnation_not_stored", "dir", dir, "incarnation", incarnation, "error", err)
+		slog.Warn("incarnation_save_failed", "dir", dir, "incarnation", incarnation, "error", err)
 	}
 	s := subscriber.Start(subscriber.Config{
 		Publishers:  f.cfg.Configuration.Publishers,
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -150,14 +150,14 @@
 	for {
 		select {
 		case leads := <-p.replica.Leadership():
-			slog.Info("publisher_leads", "yes", leads)
+			slog.Info("publisher_leader_changed", "leader", leads)
 		case <-contact.C:
 			released := p.observe()
 			if released {
 				contact.Reset(contactInterval)
 			}
 		case <-line.C:
-			slog.LogAttrs(context.Background(), slog.LevelInfo, "publisher", p.Status().LogAttrs()...)
+			slog.LogAttrs(context.Background(), slog.LevelInfo, "publisher_status", p.Status().LogAttrs()...)
 		case <-p.done:
 			return
 		}
--- a/internal/publisher/serve.go
+++ b/internal/publisher/serve.go
@@ -278,7 +278,7 @@
 	var protocol *configsync.ProtocolError
 	if errors.As(err, &malformed) || errors.As(err, &protocol) {
 		c.publisher.counters.malformed.Add(1)
-		slog.Warn("follower_malformed", "follower", c.conn.RemoteAddr(), "error", err)
+		slog.Warn("follower_message_malformed", "follower", c.conn.RemoteAddr(), "error", err)
 	}
 }
 
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -110,20 +110,20 @@
 	}
 	c := &s.Counters
 	return []slog.Attr{
-		slog.Bool("leads", s.Leads),
+		slog.Bool("leading", s.Leads),
 		slog.Int("leader", s.Leader),
 		slog.Bool("current", s.Current),
 		slog.Uint64("version", uint64(s.Version)),
 		slog.String("digest", s.Digest[:loggedDigestDigits]),
 		slog.Int("followers", s.Connected),
-		slog.Int("in_force", inForce),
-		slog.Int("refused", refused),
+		slog.Int("followers_current", inForce),
+		slog.Int("followers_refusing", refused),
 		slog.Int64("connections", c.Connections),
-		slog.Int64("turned_off", c.TurnedOff),
+		slog.Int64("connections_rejected", c.TurnedOff),
 		slog.Int64("malformed", c.Malformed),
 		slog.Int64("bytes_in", c.BytesIn),
 		slog.Int64("bytes_out", c.BytesOut),
 		slog.Int64("published", c.Published),
-		slog.Int64("rejected", c.Rejected),
+		slog.Int64("requests_rejected", c.Rejected),
 	}
 }
--- a/internal/subscriber/status.go
+++ b/internal/subscriber/status.go
@@ -54,7 +54,7 @@
 		return
 	}
 	s.lineAt = now
-	slog.LogAttrs(context.Background(), slog.LevelInfo, "configuration", s.Status().LogAttrs()...)
+	slog.LogAttrs(context.Background(), slog.LevelInfo, "configuration_status", s.Status().LogAttrs()...)
 }
 
 // LogAttrs returns the state as the fields of a log line.
@@ -63,16 +63,16 @@
 	return []slog.Attr{
 		slog.Uint64("version", uint64(s.Version)),
 		slog.String("digest", hex.EncodeToString(s.Digest[:loggedDigestBytes])),
-		slog.Uint64("latest", uint64(s.Latest)),
-		slog.Uint64("refused", uint64(s.Refused)),
+		slog.Uint64("latest_version", uint64(s.Latest)),
+		slog.Uint64("refused_version", uint64(s.Refused)),
 		slog.String("publisher", cmp.Or(s.Publisher, "none")),
 		slog.Int64("bytes_in", s.BytesIn),
 		slog.Int64("bytes_out", s.BytesOut),
-		slog.Uint64("accepted", c.Accepted),
-		slog.Uint64("refusals", c.Refused),
-		slog.Uint64("lost", c.Lost),
+		slog.Uint64("versions_accepted", c.Accepted),
+		slog.Uint64("versions_refused", c.Refused),
+		slog.Uint64("connections_lost", c.Lost),
 		slog.Uint64("malformed", c.Malformed),
-		slog.Uint64("deferred", c.Deferred),
-		slog.Int("unsaved", s.Unsaved),
+		slog.Uint64("snapshots_deferred", c.Deferred),
+		slog.Int("versions_unsaved", s.Unsaved),
 	}
 }
--- a/internal/subscriber/store.go
+++ b/internal/subscriber/store.go
@@ -124,10 +124,10 @@
 		s.retryAt = time.Now().Add(saveRetryInterval)
 	}
 	if err != nil && !s.failing {
-		slog.Warn("configuration_not_saved", "dir", s.dir, "version", document.Version(), "error", err)
+		slog.Warn("configuration_save_failed", "dir", s.dir, "version", document.Version(), "error", err)
 	}
 	if err == nil && s.failing {
-		slog.Info("configuration_saved_again", "dir", s.dir, "version", document.Version())
+		slog.Info("configuration_save_restored", "dir", s.dir, "version", document.Version())
 	}
 	s.failing = err != nil
 	return err == nil
--- a/internal/subscriber/store_test.go
+++ b/internal/subscriber/store_test.go
@@ -160,7 +160,7 @@
 	if failed {
 		want = 1
 	}
-	for _, event := range []string{"event=configuration_not_saved", "event=configuration_saved_again"} {
+	for _, event := range []string{"event=configuration_save_failed", "event=configuration_save_restored"} {
 		if got := strings.Count(lines.String(), event); got != want {
 			t.Errorf("%d lines %s, want %d", got, event, want)
 		}
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -277,7 +277,7 @@
 		s.save(document, nil)
 	}
 	s.save(document, nil) // not tried again so soon
-	if got := strings.Count(lines.String(), "event=configuration_not_saved"); got != 1 || s.unsaved != 4 {
+	if got := strings.Count(lines.String(), "event=configuration_save_failed"); got != 1 || s.unsaved != 4 {
 		t.Errorf("%d lines on %d failures", got, s.unsaved)
 	}
 	if err := os.Remove(s.dir); err != nil {
@@ -290,7 +290,7 @@
 	s.retryAt = time.Time{}
 	s.save(document, nil)
 	defer s.close()
-	if got := strings.Count(lines.String(), "event=configuration_saved_again"); got != 2 || s.unsaved != 5 {
+	if got := strings.Count(lines.String(), "event=configuration_save_restored"); got != 2 || s.unsaved != 5 {
 		t.Errorf("%d times saved again, %d unsaved\n%s", got, s.unsaved, &lines)
 	}
 	if _, err := Load(s.dir); err != nil {
--- a/lab/rollout/cases.go
+++ b/lab/rollout/cases.go
@@ -86,7 +86,7 @@
 			FalsePublisher(0, 0), Refuted(0), More(2)}},
 
 		{Name: "a disk that can't be written and one that was altered", Size: z, Holds: []Check{Digests(0), Refusals("")},
-			Steps: []Step{More(8), BlockDisk(0), More(3), Lines("configuration_not_saved", 1, 0), DamageDisk(1), More(3),
+			Steps: []Step{More(8), BlockDisk(0), More(3), Lines("configuration_save_failed", 1, 0), DamageDisk(1), More(3),
 				Lines("configuration_damaged", 1, 1), Served(0, 1)}},
 	}
 }
--- a/lab/rollout/checks_test.go
+++ b/lab/rollout/checks_test.go
@@ -85,7 +85,7 @@
 		at + `event=configuration_refused version=8 resource=members/3 reason=missing`,
 		`event=exited status="signal: killed"`,
 		at + `event=configuration_damaged dir=configuration version=6 error=torn`,
-		at + "event=configuration_held version=6 plans=2 classes=3 members=4",
+		at + "event=configuration_loaded version=6 plans=2 classes=3 members=4",
 		"no event",
 	} {
 		h.take(line)
--- a/lab/rollout/faults.go
+++ b/lab/rollout/faults.go
@@ -256,7 +256,7 @@
 			return err
 		}
 		return r.Fleet.Each(members, func(g *fleet.Gateway) error {
-			_, err := g.Wait(ctx, "event=configuration_not_saved")
+			_, err := g.Wait(ctx, "event=configuration_save_failed")
 			return err
 		})
 	}}
--- a/lab/rollout/record.go
+++ b/lab/rollout/record.go
@@ -88,7 +88,7 @@
 	switch event {
 	case "configuration_damaged":
 		h.damaged = true
-	case "configuration_held":
+	case "configuration_loaded":
 		applied.FromDisk = true
 		applied.Damaged = h.damaged
 		h.Applied = append(h.Applied, applied)
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -223,7 +223,7 @@
 		r.Record.Unhealthy = r.Publishers.Unhealthy()
 		r.publishersAfter = r.Publishers.usage()
 		for member, g := range r.Fleet.Gateways() {
-			r.Record.Histories[member].Counters = countersOf(g.Lines("event=configuration "))
+			r.Record.Histories[member].Counters = countersOf(g.Lines("event=configuration_status "))
 		}
 		var err error
 		r.Record.Publishers, err = r.Publishers.states(ctx)
