--- a/cmd/ravensill/clients_test.go
+++ b/cmd/ravensill/clients_test.go
@@ -145,16 +145,16 @@
 	answer := func([]string) string { return successReply("v") }
 	a, b := newHost(t, answer), newHost(t, answer)
 	gateway := startGateway(t, func(config, _ map[string]any) { config["ulimit"] = 64 }, a, b)
-	gateway.waitForLog("event=few_descriptors limit=64 sockets=1024")
+	gateway.waitForLog("event=descriptor_limit_low limit=64 sockets=1024")
 	receive(gateway, gateway.watchRequests)
 	watch := receive(gateway, gateway.watches)
 	gateway.discoveryAgent.Close()
 	watch.Close()
-	gateway.waitForLog("event=watch_lost")
+	gateway.waitForLog("event=endpoint_watch_lost")
 	for range 100 {
 		gateway.connect()
 	}
-	gateway.waitForLog("event=clients_full") // of their own part, far below the configuration's
+	gateway.waitForLog("event=client_limit_reached") // of their own part, far below the configuration's
 	if a := gateway.connect().roundTrip(respArray("PING")); a != "+PONG" {
 		t.Errorf("with the descriptors filled: %s", a)
 	}
@@ -166,7 +166,7 @@
 	go gateway.serveDiscovery(agent)
 	receive(gateway, gateway.watchRequests)
 	sendHostList(receive(gateway, gateway.watches), 42, hostEntry("h0", a.Addr().String(), "leaving"))
-	gateway.waitForLog("event=host id=h0 state=draining version=42")
+	gateway.waitForLog("event=endpoint_state id=h0 state=draining version=42")
 	for i := range 8 {
 		gateway.connect() // one that is silent before each that asks
 		if got := gateway.connect().roundTrip(requestCommand("lookup", i)); got != "v" || len(a.takeReceived()) > 0 {
