--- a/internal/bufconn/ring.go
+++ b/internal/bufconn/buffer.go
@@ -4,8 +4,8 @@
 
 const minSize = 4096 // bytes of a ring's first buffer
 
-// Ring is a byte buffer that is read in the order in which it was written. It grows when full, up to a limit.
-type Ring struct {
+// Buffer is a byte buffer that is read in the order in which it was written. It grows when full, up to a limit.
+type Buffer struct {
 	buf     []byte
 	wrapped []byte // copies of spans that wrap around the end of buf
 	head    int    // index of the first byte in buf
@@ -13,14 +13,14 @@
 	maxSize int    // bytes that buf may grow to
 }
 
-// New returns an empty ring that grows up to maxSize bytes.
-func New(maxSize int) *Ring { return &Ring{maxSize: maxSize} }
+// NewBuffer returns an empty ring that grows up to maxSize bytes.
+func NewBuffer(maxSize int) *Buffer { return &Buffer{maxSize: maxSize} }
 
 // Len returns the number of bytes held.
-func (r *Ring) Len() int { return r.length }
+func (r *Buffer) Len() int { return r.length }
 
-// Room returns free space to be filled from its start, or none if the ring is full and may not grow.
-func (r *Ring) Room() []byte {
+// FreeSpace returns free space to be filled from its start, or none if the ring is full and may not grow.
+func (r *Buffer) FreeSpace() []byte {
 	if r.length == len(r.buf) && !r.grow(r.length+1) {
 		return nil
 	}
@@ -31,16 +31,16 @@
 	return r.buf[tail:]
 }
 
-// Filled appends the first n bytes of the last Room to the ring.
-func (r *Ring) Filled(n int) { r.length += n }
+// Extend appends the first n bytes of the last Room to the ring.
+func (r *Buffer) Extend(n int) { r.length += n }
 
 // Write appends all of p, or returns false and appends nothing if there is no room.
-func (r *Ring) Write(p []byte) bool {
+func (r *Buffer) Write(p []byte) bool {
 	if r.length+len(p) > len(r.buf) && !r.grow(r.length+len(p)) {
 		return false
 	}
 	for len(p) > 0 {
-		n := copy(r.Room(), p)
+		n := copy(r.FreeSpace(), p)
 		r.length += n
 		p = p[n:]
 	}
@@ -48,10 +48,10 @@
 }
 
 // Head returns the first bytes, as far as they are contiguous.
-func (r *Ring) Head() []byte { return r.buf[r.head:min(r.head+r.length, len(r.buf))] }
+func (r *Buffer) Head() []byte { return r.buf[r.head:min(r.head+r.length, len(r.buf))] }
 
 // Drop removes the first n bytes. An empty ring that has grown releases its memory.
-func (r *Ring) Drop(n int) {
+func (r *Buffer) Drop(n int) {
 	r.length -= n
 	r.head += n
 	if r.head >= len(r.buf) {
@@ -68,10 +68,10 @@
 }
 
 // At returns the byte at an offset from the first one.
-func (r *Ring) At(offset int) byte { return r.buf[r.index(offset)] }
+func (r *Buffer) At(offset int) byte { return r.buf[r.index(offset)] }
 
 // index returns the place in buf of the byte at an offset.
-func (r *Ring) index(offset int) int {
+func (r *Buffer) index(offset int) int {
 	i := r.head + offset
 	if i >= len(r.buf) {
 		i -= len(r.buf)
@@ -80,7 +80,7 @@
 }
 
 // Span returns bytes from an offset on as one slice. It is valid until the ring changes or Loosen is called.
-func (r *Ring) Span(offset, length int) []byte {
+func (r *Buffer) Span(offset, length int) []byte {
 	start := r.index(offset)
 	if start+length <= len(r.buf) {
 		return r.buf[start : start+length]
@@ -91,11 +91,11 @@
 	return r.wrapped[first:]
 }
 
-// Loosen ends the validity of all spans, so that their copies are reused.
-func (r *Ring) Loosen() { r.wrapped = r.wrapped[:0] }
+// ReleaseSpans ends the validity of all spans, so that their copies are reused.
+func (r *Buffer) ReleaseSpans() { r.wrapped = r.wrapped[:0] }
 
 // grow moves the bytes to a larger buffer, or returns false if so many bytes are not allowed.
-func (r *Ring) grow(needed int) bool {
+func (r *Buffer) grow(needed int) bool {
 	size := max(2*len(r.buf), minSize)
 	for size < needed {
 		size *= 2
--- a/internal/bufconn/link.go
+++ b/internal/bufconn/link.go
@@ -23,8 +23,8 @@
 
 // Link drives one TCP connection. One goroutine reads into In; another one, the loop, writes out of Out.
 type Link struct {
-	In  *Ring
-	Out *Ring
+	In  *Buffer
+	Out *Buffer
 
 	system    sockets.System
 	conn      *net.TCPConn
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	link := &Link{In: New(maxIn), Out: New(maxOut), system: system, conn: conn, raw: raw}
+	link := &Link{In: NewBuffer(maxIn), Out: NewBuffer(maxOut), system: system, conn: conn, raw: raw}
 	link.writeFunc = link.writeSocket
 	link.readFunc = link.readSocket
 	link.peekFunc = link.peekSocket
@@ -63,14 +63,14 @@
 
 // Read waits for bytes and appends them to In.
 func (l *Link) Read() error {
-	l.readBuffer = l.In.Room()
+	l.readBuffer = l.In.FreeSpace()
 	if len(l.readBuffer) == 0 {
 		return io.ErrShortBuffer
 	}
 	if err := l.raw.Read(l.readFunc); err != nil {
 		return err
 	}
-	l.In.Filled(l.readCount)
+	l.In.Extend(l.readCount)
 	return l.readErr
 }
 
@@ -152,8 +152,8 @@
 	l.wouldBlock = errno == syscall.EAGAIN
 }
 
-// Patience limits how long the next Reads wait, all together; 0 removes the limit.
-func (l *Link) Patience(limit time.Duration) {
+// SetReadTimeout limits how long the next Reads wait, all together; 0 removes the limit.
+func (l *Link) SetReadTimeout(limit time.Duration) {
 	deadline := time.Time{}
 	if limit > 0 {
 		deadline = time.Now().Add(limit)
--- a/internal/bufconn/ring_test.go
+++ b/internal/bufconn/ring_test.go
@@ -16,7 +16,7 @@
 
 // TestWrap checks that bytes come out in the order written, around the end of the buffer and while it grows.
 func TestWrap(t *testing.T) {
-	r := New(4 * minSize)
+	r := NewBuffer(4 * minSize)
 	var want, got []byte
 	for i := 0; len(want) < 40*minSize; i++ {
 		p := bytes.Repeat([]byte{byte(i)}, 1+i*37%1500)
@@ -32,7 +32,7 @@
 			}
 			got = append(got, span...)
 			r.Drop(n)
-			r.Loosen()
+			r.ReleaseSpans()
 		}
 	}
 	for r.Len() > 0 {
@@ -46,7 +46,7 @@
 	if r.Write(make([]byte, 4*minSize+1)) || r.Len() != 0 {
 		t.Error("took more than its most")
 	}
-	if !r.Write(make([]byte, 4*minSize)) || r.Room() != nil {
+	if !r.Write(make([]byte, 4*minSize)) || r.FreeSpace() != nil {
 		t.Error("gave room when full")
 	}
 }
--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -11,12 +11,12 @@
 	"ravensill/internal/resp"
 )
 
-// acceptDeadlines is how often accepting may time out after Unlisten before the listener is closed. Connections that the system
+// acceptDeadlines is how often accepting may time out after StopAccepting before the listener is closed. Connections that the system
 // has completed by then are accepted first, as closing the listener would reset them.
 const acceptDeadlines = 2
 
-// Listen accepts connections until Unlisten.
-func (s *Server) Listen(listener *net.TCPListener) {
+// StartAccepting starts to accept connections until StopAccepting.
+func (s *Server) StartAccepting(listener *net.TCPListener) {
 	s.listener = listener
 	s.accepting = true
 	go s.acceptLoop(listener)
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	link, err := bufconn.NewLink(s.system, conn, resp.Most, maxUnsentBytes)
+	link, err := bufconn.NewLink(s.system, conn, resp.MaxValueBytes, maxUnsentBytes)
 	if err != nil {
 		conn.Close()
 	}
@@ -172,8 +172,8 @@
 	return c.halfClosed || c.link.Quiet(c.readsSeen)
 }
 
-// Unlisten stops accepting connections; open ones are still served.
-func (s *Server) Unlisten() {
+// StopAccepting stops accepting connections; open ones are still served.
+func (s *Server) StopAccepting() {
 	s.acceptClosed = true
 	if s.listener != nil { // nil if the stop comes before Listen
 		s.listener.SetDeadline(time.Now())
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -21,7 +21,7 @@
 
 // AnswerQueue keeps the answers of one connection in the order of its commands.
 type AnswerQueue struct {
-	out        *bufconn.Ring
+	out        *bufconn.Buffer
 	waiting    []*Answer
 	full       bool        // an answer did not fit: the client reads too slowly
 	onReady    func(int)   // called with how many answers went out with the one just given
@@ -79,7 +79,7 @@
 }
 
 func successReply(value []byte) []byte {
-	return resp.Bulk(make([]byte, 0, len(value)+16), value)
+	return resp.AppendBulk(make([]byte, 0, len(value)+16), value)
 }
 
 func rejection(retryAfter int64) []byte {
--- a/internal/clients/catalog.go
+++ b/internal/clients/catalog.go
@@ -18,8 +18,8 @@
 	Own      int       // member index of this one
 }
 
-// Edit changes what commands may name.
-type Edit struct {
+// CatalogEdit changes what commands may name.
+type CatalogEdit struct {
 	Classes []ClassEdit
 	Plans   []PlanEdit
 	Members int // gateways of the fleet; 0: unchanged
@@ -49,13 +49,13 @@
 
 func (e *RemovedError) Error() string { return e.What + ": removed" }
 
-// Terms are what a command tells of its request beside its text.
-type Terms struct {
+// requestTerms are what a command tells of its request beside its text.
+type requestTerms struct {
 	Class, Plan   int // by index
 	Units         float64
 	Spread, First int  // the set of gateways that the customer's requests come in at
 	ReadOnly      bool // sent by CALL.GET
-	Key           bool // it has a key by which hosts drop repeats
+	HasKey        bool // it has a key by which hosts drop repeats
 	version       uint64
 }
 
@@ -98,7 +98,7 @@
 }
 
 // Apply makes a change; a reader sees all of it or nothing. An index is that of a known name, or the next one.
-func (c *Catalog) Apply(edit Edit) {
+func (c *Catalog) Apply(edit CatalogEdit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version++
@@ -149,7 +149,7 @@
 }
 
 // check tells why a request can't be taken in by what is known now, and notes in its terms that it was asked.
-func (c *Catalog) check(terms *Terms) error {
+func (c *Catalog) check(terms *requestTerms) error {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	terms.version = c.version
@@ -158,14 +158,14 @@
 
 // recheck tells the same of a request that was checked before, perhaps under an earlier version. It is called on the
 // loop, which alone changes the catalog.
-func (c *Catalog) recheck(terms *Terms) error {
+func (c *Catalog) recheck(terms *requestTerms) error {
 	if terms.version == c.version {
 		return nil
 	}
 	return c.fault(terms)
 }
 
-func (c *Catalog) fault(terms *Terms) error {
+func (c *Catalog) fault(terms *requestTerms) error {
 	class, plan := &c.classes[terms.Class], &c.plans[terms.Plan]
 	switch {
 	case class.Removed:
@@ -174,7 +174,7 @@
 		return &RemovedError{"plan"}
 	case terms.ReadOnly != (class.Effect == gateway.Idempotent):
 		return fmt.Errorf("c: %s is not served by %s", class.Name, verb(terms.ReadOnly))
-	case class.Effect == gateway.Deduplicated && !terms.Key:
+	case class.Effect == gateway.Deduplicated && !terms.HasKey:
 		return errNoKey
 	case plan.MaxUnits > 0 && terms.Units > plan.MaxUnits:
 		return fmt.Errorf("units: %g are more than %s ever grants", terms.Units, plan.Name)
--- a/internal/clients/catalog_test.go
+++ b/internal/clients/catalog_test.go
@@ -12,7 +12,7 @@
 
 // ask gives what a command gets that names a class and a plan.
 func (c *Catalog) ask(verb, class, plan string) error {
-	terms := Terms{Class: c.class([]byte(class)), Plan: c.plan([]byte(plan)), Units: 4, Spread: 3, First: 0, ReadOnly: verb == verbGet}
+	terms := requestTerms{Class: c.class([]byte(class)), Plan: c.plan([]byte(plan)), Units: 4, Spread: 3, First: 0, ReadOnly: verb == verbGet}
 	if terms.Class < 0 || terms.Plan < 0 {
 		return errors.New("unknown")
 	}
@@ -23,7 +23,7 @@
 func TestCatalog(t *testing.T) {
 	c := NewCatalog(startCatalog)
 	var all strings.Builder
-	for _, edit := range []Edit{
+	for _, edit := range []CatalogEdit{
 		{},
 		{Plans: []PlanEdit{{Index: 0, Name: "basic", Removed: true}, {Index: 2, Name: "gold", MaxUnits: 3}}, Members: 4},
 		{Plans: []PlanEdit{{Index: 0, Name: "basic", MaxUnits: 9}, {Index: 2, Name: "gold"}}, Classes: []ClassEdit{{Index: 0, Name: "lookup", Removed: true},
@@ -66,16 +66,16 @@
 	s := newTestServer(t, 9)
 	c := s.connect()
 	for i, x := range []struct {
-		edit Edit
+		edit CatalogEdit
 		want string
 	}{
-		{Edit{Plans: []PlanEdit{{Index: 1, Name: "team", Removed: true}}}, "-ERR plan: removed"},
-		{Edit{Plans: []PlanEdit{{Index: 1, Name: "team", MaxUnits: 1}}}, "-ERR units: 2 are more than team ever grants"},
-		{Edit{Plans: []PlanEdit{{Index: 1, Name: "team"}}, Classes: []ClassEdit{{Index: 0, Name: "lookup", Effect: gateway.Deduplicated}}},
+		{CatalogEdit{Plans: []PlanEdit{{Index: 1, Name: "team", Removed: true}}}, "-ERR plan: removed"},
+		{CatalogEdit{Plans: []PlanEdit{{Index: 1, Name: "team", MaxUnits: 1}}}, "-ERR units: 2 are more than team ever grants"},
+		{CatalogEdit{Plans: []PlanEdit{{Index: 1, Name: "team"}}, Classes: []ClassEdit{{Index: 0, Name: "lookup", Effect: gateway.Deduplicated}}},
 			"-ERR c: lookup is not served by CALL.GET"},
-		{Edit{Classes: []ClassEdit{{Index: 0, Name: "lookup", Removed: true}}}, "-ERR class: removed"},
+		{CatalogEdit{Classes: []ClassEdit{{Index: 0, Name: "lookup", Removed: true}}}, "-ERR class: removed"},
 	} {
-		s.catalog.Apply(Edit{Plans: []PlanEdit{{Index: 1, Name: "team"}}, Classes: []ClassEdit{{Index: 0, Name: "lookup"}}})
+		s.catalog.Apply(CatalogEdit{Plans: []PlanEdit{{Index: 1, Name: "team"}}, Classes: []ClassEdit{{Index: 0, Name: "lookup"}}})
 		c.send("a")
 		s.waitFor("read", func() bool {
 			c.conn.mu.Lock()
--- a/internal/clients/command.go
+++ b/internal/clients/command.go
@@ -28,13 +28,13 @@
 type commandHandler interface {
 	// handleRequest takes in a request. wait is how long its client waits, in nanoseconds. before and after are its list of
 	// arguments around the number of d; body is nil where there is none.
-	handleRequest(id, customer []byte, terms Terms, wait int64, retry bool, verb, before, after, body []byte)
+	handleRequest(id, customer []byte, terms requestTerms, wait int64, retry bool, verb, before, after, body []byte)
 	handlePing()
 	handleMalformed(why error) // a command that can't be understood
 }
 
-// Commands is the state machine of the bytes that a client sends.
-type Commands struct {
+// CommandParser is the state machine of the bytes that a client sends.
+type CommandParser struct {
 	catalog *Catalog
 	parser  resp.Parser
 }
@@ -43,7 +43,7 @@
 
 // Next hands the next whole command to the handler and reports whether there was one. After an error the stream can't be trusted
 // further.
-func (c *Commands) Next(in *bufconn.Ring, handler commandHandler) (bool, error) {
+func (c *CommandParser) Next(in *bufconn.Buffer, handler commandHandler) (bool, error) {
 	value, whole, err := c.parser.Next(in)
 	if err != nil || !whole {
 		return false, err
@@ -58,7 +58,7 @@
 }
 
 // handle hands one command to the handler, or returns why it can't be understood.
-func (c *Commands) handle(words [][]byte, handler commandHandler) error {
+func (c *CommandParser) handle(words [][]byte, handler commandHandler) error {
 	if slices.ContainsFunc(words, func(word []byte) bool { return word == nil }) {
 		return errors.New("null in a command")
 	}
@@ -146,7 +146,7 @@
 // arguments is the list of names and values of a request.
 type arguments struct {
 	list      []byte
-	terms     Terms
+	terms     requestTerms
 	wait      int64 // nanoseconds
 	retry     bool
 	waitStart int  // of the number of d in the list
@@ -155,7 +155,7 @@
 }
 
 func newArguments(list []byte, readOnly bool) *arguments {
-	terms := Terms{Class: unset, Plan: unset, Units: unset, Spread: unset, First: unset, ReadOnly: readOnly}
+	terms := requestTerms{Class: unset, Plan: unset, Units: unset, Spread: unset, First: unset, ReadOnly: readOnly}
 	return &arguments{list: list, terms: terms, wait: unset}
 }
 
@@ -209,7 +209,7 @@
 	case argumentFirst:
 		a.terms.First = parseIndex(value, 0, members-1)
 	case argumentKey:
-		a.terms.Key = len(value) > 0
+		a.terms.HasKey = len(value) > 0
 	case argumentRetry:
 		a.retry = string(value) == "1"
 	}
--- a/internal/clients/command_test.go
+++ b/internal/clients/command_test.go
@@ -17,7 +17,7 @@
 // book writes down what commands say.
 type recordingHandler struct{ strings.Builder }
 
-func (b *recordingHandler) handleRequest(id, customer []byte, terms Terms, wait int64, again bool, verb, before, after, body []byte) {
+func (b *recordingHandler) handleRequest(id, customer []byte, terms requestTerms, wait int64, again bool, verb, before, after, body []byte) {
 	fmt.Fprintf(b, "%s of %s, %s: frontend %d, plan %d, %d ms, %g units, %d from %d, again %t; pass on %q %q %q\n", id, customer,
 		verb, terms.Class, terms.Plan, wait/1e6, terms.Units, terms.Spread, terms.First, again, before, after, body)
 }
@@ -26,7 +26,7 @@
 
 func read(pieces ...string) string {
 	var b recordingHandler
-	in, c := bufconn.New(resp.Most), Commands{catalog: NewCatalog(startCatalog)}
+	in, c := bufconn.NewBuffer(resp.MaxValueBytes), CommandParser{catalog: NewCatalog(startCatalog)}
 	for _, p := range pieces {
 		in.Write([]byte(p))
 		for ok := true; ok; {
@@ -41,9 +41,9 @@
 
 // command is words as an array of bulks.
 func command(words ...string) string {
-	text := resp.Array(nil, len(words))
+	text := resp.AppendArrayHeader(nil, len(words))
 	for _, w := range words {
-		text = resp.Bulk(text, w)
+		text = resp.AppendBulk(text, w)
 	}
 	return string(text)
 }
@@ -84,7 +84,7 @@
 	f.Add(stream, 100)
 	f.Add(command("CALL.GET", get, "a", "d=,c==,,t"), 30)
 	f.Fuzz(func(t *testing.T, s string, at int) {
-		if at < 0 || at > len(s) || len(s) > resp.MostBulk {
+		if at < 0 || at > len(s) || len(s) > resp.MaxBulkBytes {
 			return
 		}
 		if whole, cut := read(s), read(s[:at], s[at:]); whole != cut {
@@ -95,7 +95,7 @@
 
 func TestAnswersKeepOrder(t *testing.T) { // answers come in the order of the commands, each once
 	var let []int
-	l := AnswerQueue{out: bufconn.New(64), onReady: func(n int) { let = append(let, n) }}
+	l := AnswerQueue{out: bufconn.NewBuffer(64), onReady: func(n int) { let = append(let, n) }}
 	a, b, c := l.Add(), l.Add(), l.Add()
 	b.give(rejection(1_000_001))
 	c.give(errorReply("no\r\n+such"))
@@ -111,7 +111,7 @@
 }
 
 func BenchmarkCommands(b *testing.B) {
-	in, c, one := bufconn.New(resp.Most), Commands{catalog: NewCatalog(startCatalog)}, []byte(command("CALL.GET", get, "9b1f03aa5c7e2d41", list))
+	in, c, one := bufconn.NewBuffer(resp.MaxValueBytes), CommandParser{catalog: NewCatalog(startCatalog)}, []byte(command("CALL.GET", get, "9b1f03aa5c7e2d41", list))
 	b.ReportAllocs()
 	for b.Loop() {
 		in.Write(one)
@@ -123,6 +123,7 @@
 
 type nobody struct{}
 
-func (nobody) handleRequest([]byte, []byte, Terms, int64, bool, []byte, []byte, []byte, []byte) {}
-func (nobody) handlePing()                                                                      {}
-func (nobody) handleMalformed(err error)                                                        { panic(err) }
+func (nobody) handleRequest([]byte, []byte, requestTerms, int64, bool, []byte, []byte, []byte, []byte) {
+}
+func (nobody) handlePing()               {}
+func (nobody) handleMalformed(err error) { panic(err) }
--- a/internal/clients/reader.go
+++ b/internal/clients/reader.go
@@ -47,7 +47,7 @@
 		c.clientGone.Store(true)
 		s.runOnLoop(c.close)
 	}()
-	commands := Commands{catalog: s.catalog}
+	commands := CommandParser{catalog: s.catalog}
 	for {
 		if err := c.link.Read(); err != nil {
 			return // the client is gone, or the connection was closed here
@@ -72,7 +72,7 @@
 }
 
 // parseCommands queues all whole commands that were read. An error ends the connection.
-func (c *Conn) parseCommands(commands *Commands) error {
+func (c *Conn) parseCommands(commands *CommandParser) error {
 	for {
 		ok, err := commands.Next(c.link.In, c)
 		if err != nil {
@@ -89,20 +89,20 @@
 
 // Arrive implements Door: it copies the request out of the read buffer, as the command to send to a host, and queues it. What
 // changes in the catalog until the loop takes the request in counts too.
-func (c *Conn) handleRequest(id, customer []byte, terms Terms, wait int64, retry bool, verb, before, after, body []byte) {
+func (c *Conn) handleRequest(id, customer []byte, terms requestTerms, wait int64, retry bool, verb, before, after, body []byte) {
 	elements, receivedAt := 4, c.readAt
 	if body != nil {
 		elements = 5
 	}
 	text := make([]byte, 0, len(verb)+len(customer)+len(id)+len(before)+len(after)+len(body)+64)
-	text = resp.Bulk(resp.Bulk(resp.Bulk(resp.Array(text, elements), verb), customer), id)
+	text = resp.AppendBulk(resp.AppendBulk(resp.AppendBulk(resp.AppendArrayHeader(text, elements), verb), customer), id)
 	idEnd := len(text)
 	text = append(text, before...)
 	beforeEnd := len(text)
 	text = append(text, after...)
 	afterEnd := len(text)
 	if body != nil {
-		text = resp.Bulk(text, body)
+		text = resp.AppendBulk(text, body)
 	}
 	c.malformed = 0
 	requestID, customerID := string(id), string(customer)
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// End closes the listener and all connections at once.
-func (s *Server) End() {
+// CloseAll closes the listener and all connections at once.
+func (s *Server) CloseAll() {
 	if s.listener != nil {
 		s.listener.Close()
 	}
@@ -157,5 +157,5 @@
 // Count returns the number of connections.
 func (s *Server) Count() int { return len(s.conns) }
 
-// Ended reports whether all connections have ended and none can be accepted any more.
-func (s *Server) Ended() bool { return len(s.conns) == 0 && !s.accepting }
+// Closed reports whether all connections have ended and none can be accepted any more.
+func (s *Server) Closed() bool { return len(s.conns) == 0 && !s.accepting }
--- a/internal/clients/server_test.go
+++ b/internal/clients/server_test.go
@@ -47,9 +47,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.End)
+	t.Cleanup(s.CloseAll)
 	s.addr = listener.Addr().String()
-	s.Listen(listener)
+	s.StartAccepting(listener)
 	return s
 }
 
@@ -432,8 +432,8 @@
 	}
 }
 
-// TestUnlistenServesAcceptedConnections checks that connections that the system completed before Unlisten, while the loop was busy, are served.
-func TestUnlistenServesAcceptedConnections(t *testing.T) {
+// TestStopAcceptingServesCompletedConnections checks that connections that the system completed before StopAccepting, while the loop was busy, are served.
+func TestStopAcceptingServesCompletedConnections(t *testing.T) {
 	server := newTestServer(t, 99)
 	var clients []*testClient
 	for range 20 {
@@ -446,7 +446,7 @@
 		io.WriteString(c, command("PING"))
 		clients = append(clients, &testClient{testServer: server, TCPConn: c.(*net.TCPConn), reader: bufio.NewReader(c)})
 	}
-	server.Unlisten()
+	server.StopAccepting()
 	server.runLoop("no more taken in", func() bool { return !server.accepting })
 	server.runLoop("asked", func() bool {
 		n := 0
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -97,9 +97,9 @@
 
 // appendCommand appends an encoded command.
 func appendCommand(dst []byte, elements ...string) []byte {
-	dst = resp.Array(dst, len(elements))
+	dst = resp.AppendArrayHeader(dst, len(elements))
 	for _, element := range elements {
-		dst = resp.Bulk(dst, element)
+		dst = resp.AppendBulk(dst, element)
 	}
 	return dst
 }
--- a/internal/hosts/command.go
+++ b/internal/hosts/command.go
@@ -20,7 +20,7 @@
 // write appends the command to a connection's output, with the time from now, in nanoseconds, that is left until the deadline.
 // The time is computed here and not where the attempt was decided on: until its connection is up, or a quota has room, much of
 // it may have passed, and a host that was told a longer time would work for a client that is gone.
-func (c *Command) write(out *bufconn.Ring, now, deadline int64) {
+func (c *Command) write(out *bufconn.Buffer, now, deadline int64) {
 	out.Write(c.Head)
 	if c.constant {
 		return
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -75,7 +75,7 @@
 			return
 		}
 		if answer.split {
-			link.Patience(0)
+			link.SetReadTimeout(0)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	link, err := bufconn.NewLink(c.pool.transport.system, socket.(*net.TCPConn), resp.Most, maxCommandBytes)
+	link, err := bufconn.NewLink(c.pool.transport.system, socket.(*net.TCPConn), resp.MaxValueBytes, maxCommandBytes)
 	if err != nil {
 		socket.Close()
 		return nil, err
@@ -121,7 +121,7 @@
 		if !whole && err == nil {
 			if !split && link.In.Len() > 0 {
 				split = true
-				link.Patience(answerTimeout)
+				link.SetReadTimeout(answerTimeout)
 			}
 			continue
 		}
--- a/internal/hosts/hosts_test.go
+++ b/internal/hosts/hosts_test.go
@@ -18,7 +18,7 @@
 )
 
 func reply(text string) string {
-	in, p := bufconn.New(resp.Most), resp.Parser{}
+	in, p := bufconn.NewBuffer(resp.MaxValueBytes), resp.Parser{}
 	in.Write([]byte(text))
 	v, ok, err := p.Next(in)
 	if err != nil || !ok {
--- a/internal/hosts/transport.go
+++ b/internal/hosts/transport.go
@@ -104,7 +104,7 @@
 
 // Probe asks a host for its load report.
 func (t *Transport) Probe(id uint32, onResult ResultHandler) *Attempt {
-	command := &Command{Head: resp.Bulk(resp.Bulk(resp.Array(nil, 2), "INFO"), "load"), constant: true}
+	command := &Command{Head: resp.AppendBulk(resp.AppendBulk(resp.AppendArrayHeader(nil, 2), "INFO"), "load"), constant: true}
 	deadline := t.now() + probeTimeout
 	return t.start(id, &Attempt{command: command, deadline: deadline, writeDeadline: deadline, probe: true, onResult: onResult})
 }
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -76,8 +76,8 @@
 }
 
 // catalogEdit tells what commands may name from now on.
-func catalogEdit(next *config.Revision) clients.Edit {
-	edit := clients.Edit{Members: next.MemberCount}
+func catalogEdit(next *config.Revision) clients.CatalogEdit {
+	edit := clients.CatalogEdit{Members: next.MemberCount}
 	for i := range next.Update.Plans {
 		update := &next.Update.Plans[i]
 		edit.Plans = append(edit.Plans, clients.PlanEdit{
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -255,7 +255,7 @@
 		return
 	}
 	n.listening = true
-	n.clients.Listen(listener)
+	n.clients.StartAccepting(listener)
 	slog.Info("serving",
 		"name", n.cfg.Name,
 		"listen", listener.Addr(),
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -49,7 +49,7 @@
 	case stopping:
 		n.phase = closed
 		n.nextPhaseAt = n.answerBy
-		n.clients.Unlisten()
+		n.clients.StopAccepting()
 		n.logPhase("closed_to_new")
 	case closed:
 		n.phase = draining
@@ -59,12 +59,12 @@
 		n.phase = cutOff
 		n.nextPhaseAt = 0
 		n.logPhase("cut_off")
-		n.clients.End()
+		n.clients.CloseAll()
 	}
 }
 
 // shutdownEnded reports whether the gateway owes nothing more.
-func (n *Node) shutdownEnded() bool { return n.phase >= closed && n.clients.Ended() }
+func (n *Node) shutdownEnded() bool { return n.phase >= closed && n.clients.Closed() }
 
 func (n *Node) logPhase(event string) {
 	slog.Info(event, "clients", n.clients.Count(), "open", len(n.requests))
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -11,10 +11,10 @@
 
 // Limits of a value.
 const (
-	MostBulk    = 64 << 10  // bytes of a bulk string
-	Most        = 128 << 10 // bytes of a value: a ring of this size holds any that is accepted
-	maxLine     = 4 << 10   // bytes of a line
-	maxElements = 16        // elements of an array
+	MaxBulkBytes  = 64 << 10  // bytes of a bulk string
+	MaxValueBytes = 128 << 10 // bytes of a value: a ring of this size holds any that is accepted
+	maxLine       = 4 << 10   // bytes of a line
+	maxElements   = 16        // elements of an array
 )
 
 // Errors of the stream. None is recoverable: where the next value begins is not known.
@@ -53,12 +53,12 @@
 
 // Next returns the next whole value, or false if it has not arrived. The value is valid until the next call and until more bytes
 // are read into the ring.
-func (p *Parser) Next(r *bufconn.Ring) (v Value, ok bool, err error) {
+func (p *Parser) Next(r *bufconn.Buffer) (v Value, ok bool, err error) {
 	if p.consumed > 0 {
 		r.Drop(p.consumed)
 		p.consumed = 0
 	}
-	r.Loosen()
+	r.ReleaseSpans()
 	for {
 		if p.inBulk {
 			if r.Len() < p.offset+p.bulkSize+2 {
@@ -106,9 +106,9 @@
 			case ok && count == -1:
 				p.elements = append(p.elements, element{0, -1})
 				p.elementsLeft--
-			case !ok || count < 0 || count > MostBulk:
+			case !ok || count < 0 || count > MaxBulkBytes:
 				return v, false, ErrCount
-			case p.offset+count+2 > Most:
+			case p.offset+count+2 > MaxValueBytes:
 				return v, false, ErrSize
 			default:
 				p.bulkSize, p.inBulk = count, true
@@ -121,10 +121,10 @@
 }
 
 // More reports whether the ring holds bytes after the value that Next returned last.
-func (p *Parser) More(r *bufconn.Ring) bool { return r.Len() > p.consumed }
+func (p *Parser) More(r *bufconn.Buffer) bool { return r.Len() > p.consumed }
 
 // value returns the value, all of whose bytes have arrived, and resets the parser.
-func (p *Parser) value(r *bufconn.Ring) Value {
+func (p *Parser) value(r *bufconn.Buffer) Value {
 	p.spans = p.spans[:0]
 	for _, element := range p.elements {
 		if element.size < 0 {
@@ -140,7 +140,7 @@
 }
 
 // lineLength returns the length of the line at an offset, without its CR LF; -1 if it has not arrived.
-func lineLength(r *bufconn.Ring, offset int) (int, error) {
+func lineLength(r *bufconn.Buffer, offset int) (int, error) {
 	for length := 0; offset+length < r.Len(); length++ {
 		if r.At(offset+length) != '\n' {
 			continue
@@ -165,11 +165,11 @@
 	return n, err == nil && text[0] != '+' && (text[0] != '0' || n == 0)
 }
 
-// Array appends the header of an array of n bulk strings.
-func Array(dst []byte, n int) []byte { return appendHeader(dst, '*', n) }
+// AppendArrayHeader appends the header of an array of n bulk strings.
+func AppendArrayHeader(dst []byte, n int) []byte { return appendHeader(dst, '*', n) }
 
-// Bulk appends a bulk string.
-func Bulk[T []byte | string](dst []byte, b T) []byte {
+// AppendBulk appends a bulk string.
+func AppendBulk[T []byte | string](dst []byte, b T) []byte {
 	return append(append(appendHeader(dst, '$', len(b)), b...), '\r', '\n')
 }
 
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -12,7 +12,7 @@
 // parse parses the pieces in turn and returns a trace of all values.
 func parse(pieces ...string) string {
 	var trace strings.Builder
-	in, p := bufconn.New(Most), Parser{}
+	in, p := bufconn.NewBuffer(MaxValueBytes), Parser{}
 	for _, piece := range pieces {
 		in.Write([]byte(piece))
 		for {
@@ -50,7 +50,7 @@
 	var all strings.Builder
 	for _, s := range []string{"x", "\n", "PING\r\n", "+a\n", "*0\r\n", "*-1\r\n", "*17\r\n", "*1\r\n+a\r\n", "*1\r\n*1\r\n", "$-2\r\n",
 		"$65537\r\n", "$99999999\r\n", "$01\r\n", "$+1\r\n", "$1\r\nab\r\n", "$1\r\na\rb", "*2\r\n$1\r\na\r\nb",
-		"+" + strings.Repeat("a", maxLine), fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$%[1]d\r\n", MostBulk, strings.Repeat("b", MostBulk))} {
+		"+" + strings.Repeat("a", maxLine), fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$%[1]d\r\n", MaxBulkBytes, strings.Repeat("b", MaxBulkBytes))} {
 		got := strings.TrimSpace(parse(s))
 		fmt.Fprintf(&all, "%.20q %s\n", s, got)
 	}
@@ -62,7 +62,7 @@
 	f.Add(stream, 7)
 	f.Add("*1\r\n$3\r\nabc\r\n*", 3)
 	f.Fuzz(func(t *testing.T, s string, at int) {
-		if at < 0 || at > len(s) || len(s) > Most/2 {
+		if at < 0 || at > len(s) || len(s) > MaxValueBytes/2 {
 			return
 		}
 		if whole, cut := parse(s), parse(s[:at], s[at:]); whole != cut {
