--- a/internal/hosts/answer.go
+++ b/internal/hosts/answer.go
@@ -1,5 +1,3 @@
-// Package hosts sends attempts to hosts and parses their answers. The names of the wire protocol are known here only. It makes
-// no routing decisions and never sends a command twice.
 package hosts
 
 import (
@@ -12,14 +10,14 @@
 	"ravensill/internal/resp"
 )
 
-// maxFigure bounds the figures of usage and load reports.
-const maxFigure = 1e9
+// maxReportedNumber bounds the numbers in usage and load reports.
+const maxReportedNumber = 1e9
 
 var errMalformed = errors.New("malformed answer")
 
-// parseAnswer parses an answer. It returns the value, nil without one, and sets the result, usage and load report in event.
-// loadFields names the fields of a load report. The value shares memory with the parsed bytes. Usage and load reports that can't
-// be parsed are ignored: the value is the client's whatever comes with it.
+// parseAnswer parses an answer. It returns the value, nil without one, and sets the result, usage and load report in
+// event. loadFields names the fields of a load report. The value shares memory with the parsed bytes. Usage and load
+// reports that can't be parsed are ignored: the value is the client's whatever comes with it.
 func parseAnswer(answer resp.Value, loadFields []string, event *gateway.Event) (value []byte, err error) {
 	switch answer.Kind {
 	case '*':
@@ -73,12 +71,12 @@
 func parseUsage(text []byte, event *gateway.Event) {
 	used := 0
 	units := 0.0
-	valid := forEachPair(text, func(name string, figure float64) {
+	valid := forEachPair(text, func(name string, number float64) {
 		switch name {
 		case "used":
-			used = 1 + int(figure)
+			used = 1 + int(number)
 		case "cost":
-			units = figure
+			units = number
 		}
 	})
 	if valid {
@@ -91,9 +89,9 @@
 func parseLoad(text []byte, loadFields []string, event *gateway.Event) {
 	report := make([]float64, len(loadFields))
 	seen := 0
-	valid := forEachPair(text, func(name string, figure float64) {
+	valid := forEachPair(text, func(name string, number float64) {
 		if i := slices.Index(loadFields, name); i >= 0 {
-			report[i] = figure
+			report[i] = number
 			seen++
 		}
 	})
@@ -102,19 +100,19 @@
 	}
 }
 
-// forEachPair calls f for each name=figure of a comma-separated list, and reports whether all of them are valid. It stops at
-// the first that is not.
-func forEachPair(text []byte, f func(name string, figure float64)) bool {
+// forEachPair calls f for each name=number of a comma-separated list, and reports whether all of them are valid. It
+// stops at the first that is not.
+func forEachPair(text []byte, f func(name string, number float64)) bool {
 	for len(text) > 0 {
 		var pair []byte
 		pair, text, _ = bytes.Cut(text, []byte{','})
 		name, value, found := bytes.Cut(pair, []byte{'='})
-		figure, err := strconv.ParseFloat(string(value), 64)
-		inRange := figure >= 0 && figure <= maxFigure // false for NaN
+		number, err := strconv.ParseFloat(string(value), 64)
+		inRange := number >= 0 && number <= maxReportedNumber // false for NaN
 		if !found || err != nil || !inRange {
 			return false
 		}
-		f(string(name), figure)
+		f(string(name), number)
 	}
 	return true
 }
--- /dev/null
+++ b/internal/hosts/answer_test.go
@@ -0,0 +1,62 @@
+package hosts
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"ravensill/gateway"
+	"ravensill/internal/bufconn"
+	"ravensill/internal/golden"
+	"ravensill/internal/resp"
+)
+
+// parseTrace returns a trace of what an answer is parsed as.
+func parseTrace(text string) string {
+	in := bufconn.NewBuffer(resp.MaxValueBytes)
+	in.Write([]byte(text))
+	var parser resp.Parser
+	parsed, complete, err := parser.Next(in)
+	if err != nil || !complete {
+		return fmt.Sprintf("complete %t, %v", complete, err)
+	}
+	var event gateway.Event
+	value, err := parseAnswer(parsed, []string{"outstanding", "utilization"}, &event)
+	return fmt.Sprintf("result %d, value %q, null %t, used %d, %g units, load %v, %v",
+		event.Result, value, value == nil, event.Usage, event.Units, event.LoadReport, err)
+}
+
+func TestParseAnswer(t *testing.T) {
+	answers := []string{
+		"*3\r\n$2\r\nab\r\n$14\r\nused=37,cost=4\r\n$30\r\noutstanding=7,utilization=0.61\r\n",
+		"*3\r\n$2\r\nab\r\n$-1\r\n$-1\r\n",
+		"*1\r\n$0\r\n\r\n",
+		"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+		"*2\r\n$1\r\na\r\n$4\r\nused\r\n",
+		"*2\r\n$1\r\na\r\n$7\r\nused=-1\r\n",
+		"*4\r\n$1\r\na\r\n$-1\r\n$-1\r\n$-1\r\n",
+		"-ERR failed\r\n",
+		"-ERR failed used=120 utilization=1\r\n",
+		"-ERR failed utilization=x\r\n",
+		"-BUSY\r\n",
+		"-BUSY used=5 outstanding=9\r\n",
+		"-SYNTAX no\r\n",
+		"$16\r\nutilization=0.25\r\n",
+		"$-1\r\n",
+		"+PONG\r\n",
+		":1\r\n",
+		"*3\r\n$2\r\nab\r\n$-1\r\n",
+	}
+	var trace strings.Builder
+	for _, answer := range answers {
+		fmt.Fprintf(&trace, "%q\n  %s\n", answer, parseTrace(answer))
+	}
+	golden.Check(t, trace.String())
+}
+
+// FuzzParseAnswer checks that no answer panics.
+func FuzzParseAnswer(f *testing.F) {
+	f.Add("*3\r\n$2\r\nab\r\n$14\r\nused=37,cost=4\r\n$16\r\nutilization=0.61\r\n")
+	f.Add("-ERR failed used=1 utilization=0.1\r\n")
+	f.Fuzz(func(t *testing.T, answer string) { parseTrace(answer) })
+}
--- a/internal/hosts/attempt.go
+++ b/internal/hosts/attempt.go
@@ -1,31 +1,36 @@
 package hosts
 
 import (
-	"errors"
 	"log/slog"
 	"slices"
 
 	"ravensill/gateway"
+	"ravensill/internal/clock"
 )
 
-// ResultHandler receives the result of an attempt or probe: in event the result, the usage and the load report; value is the
-// host's answer, nil without one; received is the time at which the answer was read.
+// ResultHandler receives the result of an attempt or probe. event has the result, the usage and the load report; value
+// is the host's answer, nil without one; received is the time at which the answer was read, in nanoseconds.
 type ResultHandler func(event gateway.Event, value []byte, received int64)
 
 // Attempt is one command sent, or to be sent, to a host.
 type Attempt struct {
-	pool          *hostPool
-	conn          *conn    // nil until one is assigned
-	command       *Command // nil once it was written, unless it may have to be written again
-	done          bool     // whether onResult was called
-	probe         bool
-	onResult      ResultHandler
-	urgent        bool  // whether its request class is urgent
-	queueDeadline int64 // with a connection quota, the latest time at which it leaves the queue
-	deadline      int64 // the answer is waited for until then, as the host is told
-	writeDeadline int64 // its last byte is written by then, or it is given up
-	started       bool  // whether bytes of it were written
-	startedAt     int64 // no byte was written before this time
+	pool     *hostPool
+	conn     *conn    // nil until one is assigned
+	command  *Command // nil once it was written, unless it may have to be written again
+	onResult ResultHandler
+	probe    bool
+	urgent   bool // whether its request class is urgent
+	done     bool // whether onResult was called
+
+	// deadline is the time until which the answer is waited for. The command has the time left until then.
+	deadline clock.Instant
+	// writeDeadline is the latest time at which the last byte is written; the attempt fails after it.
+	writeDeadline clock.Instant
+	// queueDeadline is the latest time at which the attempt leaves the queue of a connection quota.
+	queueDeadline clock.Instant
+
+	started   bool          // whether bytes of it were written
+	startedAt clock.Instant // no byte was written before this time
 }
 
 // NeverStarted is an attempt that is over and was never sent.
@@ -59,28 +64,25 @@
 	if limiter := pool.transport.limiter; limiter != nil {
 		limiter.dequeue(a)
 	}
-	a.fail(&Failure{Connecting, reason})
+	a.fail(Connecting, reason)
 }
 
-// fail reports a failure as the attempt's result, and logs the first one of a host that answered before.
-func (a *Attempt) fail(failure *Failure) {
+// fail reports a failure as the attempt's result. It logs the first failure of a host that answered before, and the
+// first shortage on this machine.
+func (a *Attempt) fail(stage Stage, err error) {
 	if a.done {
 		return
 	}
 	a.done = true
+	failure := &Failure{stage, err}
 	pool := a.pool
-	if !pool.failing && !pool.removed && failure.byHost() {
+	if !pool.failing && !pool.removed && failure.isHostFault() {
 		pool.failing = true
 		slog.Warn("host_failing", "addr", pool.addr, "stage", failure.Stage, "error", failure.Err)
 	}
-	if failure.byShortage() && !pool.transport.short {
-		pool.transport.short = true
+	if failure.isShortage() && !pool.transport.dialShortage {
+		pool.transport.dialShortage = true
 		slog.Warn("dials_short", "error", failure.Err)
 	}
-	a.onResult(gateway.Event{Result: failure.Result()}, nil, pool.transport.now())
-}
-
-// byHost reports whether the failure is the host's, and not one of time, cancellation, the connection quota or this machine.
-func (f *Failure) byHost() bool {
-	return !errors.Is(f, ErrTimedOut) && !errors.Is(f, ErrCanceled) && !errors.Is(f, errQueueTimeout) && !f.byShortage()
+	a.onResult(gateway.Event{Result: failure.Result()}, nil, int64(pool.transport.now()))
 }
--- /dev/null
+++ b/internal/hosts/command_test.go
@@ -0,0 +1,124 @@
+package hosts
+
+import (
+	"bufio"
+	"net"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"ravensill/internal/clock"
+)
+
+// readTimeLeft reads a command without a body and returns the time left that it has.
+func (h *scriptedHost) readTimeLeft(c *net.TCPConn) time.Duration {
+	h.Helper()
+	reader := bufio.NewReader(c)
+	text := ""
+	for range 2 { // the lines before the tail
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			h.Fatalf("%q, then %v", text+line, err)
+		}
+		text = strings.TrimSpace(line)
+	}
+	milliseconds, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		h.Fatalf("no time in %q: %v", text, err)
+	}
+	return time.Duration(milliseconds) * time.Millisecond
+}
+
+// Each of these makes an attempt, lets the given time pass before its command is written, and returns its connection.
+
+func writeOnNewConnection(h *scriptedHost, wait time.Duration) *net.TCPConn {
+	release := h.holdDials()
+	h.schedule("a", 0)
+	h.advance(wait)
+	release()
+	return h.accept()
+}
+
+func writeOnIdleConnection(h *scriptedHost, wait time.Duration) *net.TCPConn {
+	c := h.serveFirst()
+	h.schedule("b", 0)
+	h.advance(wait)
+	h.Flush()
+	return c
+}
+
+func writeAfterConnectionEnded(h *scriptedHost, wait time.Duration) *net.TCPConn {
+	c := h.serveFirst()
+	h.schedule("b", 0)
+	h.advance(wait / 2)
+	c.Close()
+	handleEnd := <-h.work // the end has arrived, and the loop receives it after the flush
+	h.Flush()
+	handleEnd()
+	h.advance(wait - wait/2)
+	return h.accept()
+}
+
+func writeAfterQuotaQueue(h *scriptedHost, wait time.Duration) *net.TCPConn {
+	allowed := 0
+	limiter := h.LimitConnections(0, 19*time.Second, func(int64) int { return allowed }, func(int64) {})
+	h.schedule("a", 0)
+	h.advance(wait)
+	allowed = 1
+	limiter.serveQueue()
+	h.runUntilConnected()
+	c := <-h.conns
+	h.advance(limitedReuseDelay)
+	h.Flush()
+	return c
+}
+
+// The time in a command is what is left when it is written, not when the attempt was decided on: else a host would work
+// on for a client that is gone, for as long as the attempt waited for its connection.
+func TestCommandHasTimeLeftWhenWritten(t *testing.T) {
+	const wait = 7 * time.Second
+	tests := []struct {
+		name  string
+		write func(h *scriptedHost, wait time.Duration) *net.TCPConn
+	}{
+		{"new connection", writeOnNewConnection},
+		{"idle connection, late flush", writeOnIdleConnection},
+		{"retry on another connection", writeAfterConnectionEnded},
+		{"queue of a connection quota", writeAfterQuotaQueue},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			h := newScriptedHost(t)
+			c := test.write(h, wait)
+			want := attemptTimeout - wait
+			if got := h.readTimeLeft(c); got > want || got < want-10*time.Millisecond {
+				t.Errorf("command has %v, %v left", got, want)
+			}
+		})
+	}
+}
+
+// A process that is stalled between reading its clock and the write exceeds the time left by no more than the slack.
+func TestCommandTimeLeftUnderStall(t *testing.T) {
+	const (
+		wait  = time.Second
+		stall = 150 * time.Millisecond // between the clock reading that the command is written by and the write
+		slack = 150 * time.Millisecond
+	)
+	h := newScriptedHost(t)
+	c := h.serveFirst()
+	h.schedule("b", 0)
+	h.advance(wait)
+	reading := clock.Instant(h.clock.Load())
+	h.Transport.now = func() clock.Instant {
+		defer h.advance(stall)
+		return reading
+	}
+	h.Flush()
+	stalled := clock.Instant(h.clock.Load()).Sub(reading)
+	left := attemptTimeout - wait - stalled
+	if got := h.readTimeLeft(c); got > left+slack {
+		t.Errorf("command has %v, %v left and %v of slack", got, left, slack)
+	}
+}
--- /dev/null
+++ b/internal/hosts/conn_reader.go
@@ -0,0 +1,122 @@
+package hosts
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"runtime/debug"
+	"slices"
+	"time"
+
+	"ravensill/gateway"
+	"ravensill/internal/bufconn"
+	"ravensill/internal/clock"
+	"ravensill/internal/resp"
+)
+
+const (
+	// maxCommandBytes holds the command with the largest body and all its other words.
+	maxCommandBytes = 160 << 10
+	// answerTimeout is the longest time from an answer's first byte to its last.
+	answerTimeout = 500 * time.Millisecond
+)
+
+// answer is a complete answer of a host.
+type answer struct {
+	event    gateway.Event
+	value    []byte        // nil without one
+	received clock.Instant // when its last byte was read
+	reads    int64         // the link's Reads at that time
+	more     bool          // whether further bytes follow it
+	split    bool          // whether it came in several reads, the later ones under answerTimeout
+}
+
+// run dials the host, then passes answers to the event loop until the connection fails or an answer is followed by more
+// bytes. It runs on the connection's goroutine, which ends when the event loop closes the connection.
+func (c *conn) run() {
+	t := c.pool.transport
+	defer func() {
+		if p := recover(); p != nil {
+			slog.Error("panic", "where", "host", "error", p, "stack", debug.Stack())
+			t.runOnLoop(func() { c.fail(errors.New("panic")) })
+		}
+	}()
+	link, err := c.dial()
+	if err != nil {
+		t.runOnLoop(func() { c.dialFailed(err) })
+		return
+	}
+	t.runOnLoop(func() { c.dialSucceeded(link) })
+	c.readAnswers(link)
+}
+
+// dial connects to the host. It runs on the connection's goroutine.
+func (c *conn) dial() (*bufconn.Link, error) {
+	t := c.pool.transport
+	socket, err := t.Dial(c.addr.String())
+	if err != nil {
+		return nil, err
+	}
+	link, err := bufconn.NewLink(t.system, socket.(*net.TCPConn), resp.MaxValueBytes, maxCommandBytes)
+	if err != nil {
+		socket.Close()
+		return nil, fmt.Errorf("set up connection to %v: %w", c.addr, err)
+	}
+	return link, nil
+}
+
+// readAnswers passes answers to the event loop. It runs on the connection's goroutine.
+func (c *conn) readAnswers(link *bufconn.Link) {
+	t := c.pool.transport
+	var parser resp.Parser
+	for {
+		answer, err := c.readAnswer(link, &parser)
+		if err != nil {
+			t.runOnLoop(func() { c.fail(err) })
+			return
+		}
+		t.runOnLoop(func() { c.handleAnswer(answer) })
+		if answer.more {
+			return
+		}
+		if answer.split {
+			link.SetReadTimeout(0)
+		}
+	}
+}
+
+// readAnswer reads the next answer. It runs on the connection's goroutine.
+func (c *conn) readAnswer(link *bufconn.Link, parser *resp.Parser) (answer, error) {
+	t := c.pool.transport
+	split := false
+	for {
+		if err := link.Read(); err != nil {
+			if split && errors.Is(err, os.ErrDeadlineExceeded) {
+				err = fmt.Errorf("%w: incomplete after %v", errInvalidAnswer, answerTimeout)
+			}
+			return answer{}, err
+		}
+		reads := link.Reads()
+		received := t.now()
+		parsed, complete, err := parser.Next(link.In)
+		if !complete && err == nil {
+			if !split && link.In.Len() > 0 {
+				split = true
+				link.SetReadTimeout(answerTimeout)
+			}
+			continue
+		}
+		a := answer{received: received, reads: reads, split: split}
+		if err == nil {
+			a.value, err = parseAnswer(parsed, t.loadFields, &a.event)
+		}
+		if err != nil {
+			return answer{}, fmt.Errorf("%w: %w", errInvalidAnswer, err)
+		}
+		a.value = slices.Clone(a.value)
+		a.more = parser.More(link.In)
+		return a, nil
+	}
+}
--- a/internal/hosts/failure.go
+++ b/internal/hosts/failure.go
@@ -8,7 +8,7 @@
 	"ravensill/internal/sockets"
 )
 
-// Stage says how far an attempt had come when it failed.
+// Stage is how far an attempt had come when it failed.
 type Stage int
 
 const (
@@ -17,6 +17,7 @@
 	Sent                    // its last byte is written: the host may have run it
 )
 
+// String returns the stage as log lines name it.
 func (s Stage) String() string { return [...]string{"connecting", "writing", "sent"}[s] }
 
 // Reasons for which the gateway ends an attempt.
@@ -26,9 +27,9 @@
 )
 
 var (
-	errInvalidAnswer = errors.New("spoilt answer")
-	errNoDescriptor  = errors.New("no descriptor free")
-	errHostRemoved   = errors.New("the host is gone")
+	errInvalidAnswer = errors.New("invalid answer")
+	errNoDescriptor  = errors.New("no free descriptor")
+	errHostRemoved   = errors.New("host removed")
 )
 
 // Failure is the error of an attempt that got no valid answer.
@@ -45,7 +46,7 @@
 // Result returns the failure as a result of the gateway interface.
 func (f *Failure) Result() gateway.Result {
 	switch {
-	case f.Stage < Sent && f.byGateway():
+	case f.Stage < Sent && f.isGatewayCause():
 		return gateway.NotSent
 	case f.Stage < Sent:
 		return gateway.Unreachable
@@ -59,12 +60,26 @@
 	return gateway.Disconnected
 }
 
-// byGateway reports whether the attempt ended for a cause at the gateway, which says nothing of the host: a gateway that is short of
-// ports would else take all hosts for outliers.
-func (f *Failure) byGateway() bool {
-	return errors.Is(f.Err, ErrCanceled) || errors.Is(f.Err, errNoDescriptor) || errors.Is(f.Err, errHostRemoved) ||
-		errors.Is(f.Err, errQueueTimeout) || f.byShortage()
+// isHostFault reports whether the failure is the host's, and not one of time, cancellation, the connection quota or
+// this machine.
+func (f *Failure) isHostFault() bool {
+	switch {
+	case errors.Is(f.Err, ErrTimedOut), errors.Is(f.Err, ErrCanceled), errors.Is(f.Err, errQueueTimeout):
+		return false
+	}
+	return !f.isShortage()
+}
+
+// isGatewayCause reports whether the attempt ended for a cause at the gateway. Such a failure must not count against
+// the host: a gateway that is short of ports would take all hosts for outliers.
+func (f *Failure) isGatewayCause() bool {
+	for _, cause := range []error{ErrCanceled, errNoDescriptor, errHostRemoved, errQueueTimeout} {
+		if errors.Is(f.Err, cause) {
+			return true
+		}
+	}
+	return f.isShortage()
 }
 
-// byShortage reports whether no connection could be opened for want of something on this machine.
-func (f *Failure) byShortage() bool { return f.Stage == Connecting && sockets.IsShortage(f.Err) }
+// isShortage reports whether no connection could be opened because this machine lacks a resource.
+func (f *Failure) isShortage() bool { return f.Stage == Connecting && sockets.IsShortage(f.Err) }
--- /dev/null
+++ b/internal/hosts/failure_test.go
@@ -0,0 +1,74 @@
+package hosts
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+
+	"ravensill/gateway"
+	"ravensill/internal/golden"
+)
+
+// How far an attempt had come decides whether it may have run.
+func TestFailureResultDependsOnStage(t *testing.T) {
+	var trace strings.Builder
+	for _, cause := range []error{errMalformed, io.EOF, ErrTimedOut, ErrCanceled} {
+		for stage := Connecting; stage <= Sent; stage++ {
+			failure := &Failure{stage, cause}
+			result := failure.Result()
+			fmt.Fprintf(&trace, "%v: result %d, never ran %t\n", failure, result, result.NeverRan())
+		}
+	}
+	golden.Check(t, trace.String())
+}
+
+// A shortage on this machine never counts against the host, and an attempt that may have run is never reported as one
+// that did not.
+func TestSystemErrorResultDependsOnStage(t *testing.T) {
+	local := []syscall.Errno{
+		syscall.EMFILE,
+		syscall.ENFILE,
+		syscall.ENOBUFS,
+		syscall.ENOMEM,
+		syscall.EADDRNOTAVAIL,
+		syscall.ENETUNREACH,
+		syscall.ENETDOWN,
+		syscall.EINTR,
+	}
+	remote := []syscall.Errno{
+		syscall.ECONNREFUSED,
+		syscall.ECONNRESET,
+		syscall.ETIMEDOUT,
+		syscall.EHOSTUNREACH,
+		syscall.EPIPE,
+	}
+	check := func(errno syscall.Errno, stage Stage, result gateway.Result, hostFault bool) {
+		t.Helper()
+		failure := &Failure{stage, &net.OpError{Op: "dial", Err: os.NewSyscallError("call", errno)}}
+		if got := failure.Result(); got != result {
+			t.Errorf("%v: result %d, want %d", failure, got, result)
+		}
+		if got := failure.isHostFault(); got != hostFault {
+			t.Errorf("%v: host fault %t, want %t", failure, got, hostFault)
+		}
+	}
+	for _, errno := range local {
+		check(errno, Connecting, gateway.NotSent, false)
+		check(errno, Writing, gateway.Unreachable, true)
+		check(errno, Sent, gateway.Disconnected, true)
+	}
+	for _, errno := range remote {
+		check(errno, Connecting, gateway.Unreachable, true)
+		check(errno, Writing, gateway.Unreachable, true)
+		check(errno, Sent, gateway.Disconnected, true)
+	}
+	for _, errno := range append(local, remote...) {
+		if failure := (&Failure{Sent, errno}); failure.Result().NeverRan() {
+			t.Errorf("%v: never ran", failure)
+		}
+	}
+}
--- /dev/null
+++ b/internal/hosts/helpers_test.go
@@ -0,0 +1,256 @@
+package hosts
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/netip"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"ravensill/gateway"
+	"ravensill/internal/clock"
+	"ravensill/internal/sockets"
+)
+
+const (
+	attemptTimeout = 20 * time.Second // of the attempts of testLoop.schedule
+	testTimeout    = 20 * time.Second // after which a test that waits fails
+
+	// manyConns is a connection limit that a test does not reach.
+	manyConns = 9
+	// noWriteDeadline is later than any time of a test.
+	noWriteDeadline = int64(1e18)
+)
+
+// testLoop is the event loop of a transport with one host, number 1. It records the results of its attempts.
+type testLoop struct {
+	*testing.T
+	*Transport
+	work    chan func()  // for the event loop
+	clock   atomic.Int64 // read by the transport, in nanoseconds
+	results []string
+}
+
+func newTestLoop(t *testing.T, addr string, maxConns int) *testLoop {
+	const connectTimeout = 250 * time.Millisecond
+	l := &testLoop{T: t, work: make(chan func(), 99)}
+	runOnLoop := func(f func()) { l.work <- f }
+	l.Transport = NewTransport(sockets.Kernel{}, runOnLoop, l.clock.Load, nil,
+		int64(connectTimeout), int64(time.Second), maxConns)
+	l.SetAddress(1, netip.MustParseAddrPort(addr))
+	return l
+}
+
+// advance sets the clock forward.
+func (l *testLoop) advance(d time.Duration) { l.clock.Add(int64(d)) }
+
+// useRealTime lets the clock follow real time.
+func (l *testLoop) useRealTime() {
+	start := time.Now()
+	l.Transport.now = func() clock.Instant { return clock.Instant(time.Since(start)) }
+}
+
+// send makes an attempt with two milliseconds left and flushes it.
+func (l *testLoop) send() *Attempt {
+	command := Command{Head: []byte("*2\r\n"), Before: []byte("d=")}
+	deadline := l.Transport.now().Add(2 * time.Millisecond)
+	attempt := l.Send(1, command, int64(deadline), noWriteDeadline, l.recordResult("result"))
+	l.Flush()
+	return attempt
+}
+
+// schedule makes an attempt with a named command and a body, and does not flush it.
+func (l *testLoop) schedule(name string, body int) *Attempt {
+	command := Command{Head: []byte(name + " "), Tail: make([]byte, body)}
+	deadline := int64(l.Transport.now().Add(attemptTimeout))
+	return l.Send(1, command, deadline, deadline, l.recordResult(name+": result"))
+}
+
+// recordResult returns a handler that records the result under a label.
+func (l *testLoop) recordResult(label string) ResultHandler {
+	return func(event gateway.Event, value []byte, _ int64) {
+		l.results = append(l.results, fmt.Sprintf("%s %d, value %q", label, event.Result, value))
+	}
+}
+
+// trace returns the results, one a line.
+func (l *testLoop) trace() string { return strings.Join(l.results, "\n") + "\n" }
+
+// runWork runs the next n functions for the event loop.
+func (l *testLoop) runWork(n int) {
+	for range n {
+		(<-l.work)()
+	}
+}
+
+// runUntilConnected runs the event loop until no dial is in progress.
+func (l *testLoop) runUntilConnected() {
+	for l.pool(1).dialing > 0 {
+		l.runWork(1)
+	}
+}
+
+// runUntilResults runs the event loop until n attempts have ended.
+func (l *testLoop) runUntilResults(n int) {
+	l.Helper()
+	for len(l.results) < n {
+		select {
+		case f := <-l.work:
+			f()
+			l.Flush()
+		case <-time.After(testTimeout):
+			l.Fatalf("only these ended: %q", l.results)
+		}
+	}
+}
+
+// listen returns a listener on a loopback port, which is closed at the end of the test.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	return listener
+}
+
+// serveConns accepts connections, numbered from 0 on, and runs handle for each on a goroutine. At the end of the test
+// it closes all of them and waits for the goroutines.
+func serveConns(t *testing.T, handle func(number int, c *net.TCPConn)) (addr string) {
+	t.Helper()
+	var (
+		listener  = listen(t)
+		conns     []net.Conn // of the accepting goroutine until it has ended
+		accepting sync.WaitGroup
+		handling  sync.WaitGroup
+	)
+	accepting.Go(func() {
+		for number := 0; ; number++ {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			conns = append(conns, c)
+			handling.Go(func() { handle(number, c.(*net.TCPConn)) })
+		}
+	})
+	t.Cleanup(func() {
+		listener.Close()
+		accepting.Wait()
+		for _, c := range conns {
+			c.Close()
+		}
+		handling.Wait()
+	})
+	return listener.Addr().String()
+}
+
+// answerEach calls answer for each command that arrives in one read, until the connection ends or answer returns false.
+func answerEach(c net.Conn, answer func(command string) bool) {
+	buf := make([]byte, 99)
+	for {
+		n, err := c.Read(buf)
+		if err != nil || !answer(string(buf[:n])) {
+			return
+		}
+	}
+}
+
+// valueAnswer returns an answer of a value without usage and load report.
+func valueAnswer(value string) string { return fmt.Sprintf("*3\r\n$1\r\n%s\r\n$-1\r\n$-1\r\n", value) }
+
+// reset closes a connection with a reset.
+func reset(c *net.TCPConn) {
+	c.SetLinger(0)
+	c.Close()
+}
+
+// scriptedHost is a testLoop whose host is the test itself, connection by connection. Both ends have small buffers.
+type scriptedHost struct {
+	*testLoop
+	conns chan *net.TCPConn // accepted
+
+	// onClockRead is called once, when the clock is read next.
+	onClockRead atomic.Pointer[func()]
+}
+
+func newScriptedHost(t *testing.T) *scriptedHost {
+	const bufferBytes = 4096
+	conns := make(chan *net.TCPConn, manyConns)
+	addr := serveConns(t, func(_ int, c *net.TCPConn) {
+		c.SetReadBuffer(bufferBytes)
+		conns <- c
+	})
+	h := &scriptedHost{testLoop: newTestLoop(t, addr, manyConns), conns: conns}
+	h.Transport.now = func() clock.Instant {
+		if f := h.onClockRead.Swap(nil); f != nil {
+			(*f)()
+		}
+		return clock.Instant(h.clock.Load())
+	}
+	dial := h.Dial
+	h.Dial = func(addr string) (net.Conn, error) {
+		c, err := dial(addr)
+		if err == nil {
+			c.(*net.TCPConn).SetWriteBuffer(bufferBytes)
+		}
+		return c, err
+	}
+	return h
+}
+
+// holdDials blocks dials until release is called.
+func (h *scriptedHost) holdDials() (release func()) {
+	released := make(chan struct{})
+	dial := h.Dial
+	h.Dial = func(addr string) (net.Conn, error) {
+		<-released
+		return dial(addr)
+	}
+	return func() { close(released) }
+}
+
+// accept completes all dials, writes what is scheduled, and returns the next accepted connection.
+func (h *scriptedHost) accept() *net.TCPConn {
+	h.runUntilConnected()
+	h.Flush()
+	return <-h.conns
+}
+
+// readCommand reads a command without a body and returns its name.
+func (h *scriptedHost) readCommand(c *net.TCPConn) string {
+	h.Helper()
+	var text []byte
+	b := make([]byte, 1)
+	for bytes.Count(text, []byte{'\n'}) < 2 {
+		if _, err := io.ReadFull(c, b); err != nil {
+			h.Fatalf("%q and %v", text, err)
+		}
+		text = append(text, b[0])
+	}
+	name, _, _ := strings.Cut(string(text), " ")
+	return name
+}
+
+// answerCommand reads a command without a body and answers with its name.
+func (h *scriptedHost) answerCommand(c *net.TCPConn) {
+	h.Helper()
+	io.WriteString(c, valueAnswer(h.readCommand(c)))
+}
+
+// serveFirst serves the command "a" and returns its connection, which is idle and past the reuse delay.
+func (h *scriptedHost) serveFirst() *net.TCPConn {
+	h.Helper()
+	h.schedule("a", 0)
+	c := h.accept()
+	h.answerCommand(c)
+	h.runWork(1)
+	h.advance(defaultReuseDelay)
+	return c
+}
--- a/internal/hosts/idle.go
+++ b/internal/hosts/idle.go
@@ -1,15 +1,19 @@
 package hosts
 
-import "slices"
+import (
+	"slices"
+
+	"ravensill/internal/clock"
+)
 
 // addIdle marks the connection as idle from now on.
-func (c *conn) addIdle(now int64) {
+func (c *conn) addIdle(now clock.Instant) {
 	c.idleSince = now
 	c.pool.idle = append(c.pool.idle, c)
 	c.idleElement = c.pool.transport.idle.PushBack(c)
 }
 
-// removeIdle takes the connection out of the idle ones, if it is idle.
+// removeIdle removes the connection from the idle ones, if it is idle.
 func (c *conn) removeIdle() {
 	if c.idleElement == nil {
 		return
@@ -21,13 +25,13 @@
 	}
 }
 
-// reusableConn returns the most recently used connection that has been idle for the reuse delay, nil if there is none. Some
-// hosts send more after an answer, even a second copy, some milliseconds later, which must not be taken for the answer of the
-// next request. What arrives within the delay is detected before the next command is written; what arrives later could not be
-// told from its answer.
-func (p *hostPool) reusableConn(now int64) *conn {
+// reusableConn returns the most recently used connection that has been idle for the reuse delay, nil if there is
+// none. Some hosts send more after an answer, even a second copy, some milliseconds later, which must not be taken
+// for the answer of the next request. What arrives within the delay is detected before the next command is written;
+// what arrives later could not be distinguished from its answer.
+func (p *hostPool) reusableConn(now clock.Instant) *conn {
 	for _, c := range slices.Backward(p.idle) {
-		if now-c.idleSince >= p.transport.reuseDelay {
+		if now.Sub(c.idleSince) >= p.transport.reuseDelay {
 			return c
 		}
 	}
@@ -41,17 +45,12 @@
 	}
 }
 
-// makeRoom reports whether one more connection may be opened. At the limit it closes the longest idle one.
-func (t *Transport) makeRoom() bool {
+// ensureCapacity reports whether one more connection may be opened. At the limit it closes the longest idle one.
+func (t *Transport) ensureCapacity() bool {
 	if t.openConns < t.maxConns {
 		return true
 	}
-	longest := t.longestIdle()
-	if longest == nil {
-		return false
-	}
-	longest.close()
-	return true
+	return t.closeLongestIdle()
 }
 
 // longestIdle returns the connection that has been idle the longest, nil if none is idle.
@@ -63,25 +62,21 @@
 	return first.Value.(*conn)
 }
 
-// closeLongestIdle closes the connection that has been idle the longest, and reports whether there was one. Where except is
-// not nil, it spares connections to that host and to hosts that a queued attempt goes to.
-func (t *Transport) closeLongestIdle(except *hostPool) bool {
-	for element := t.idle.Front(); element != nil; element = element.Next() {
-		c := element.Value.(*conn)
-		if c.pool == except || except != nil && t.limiter.hasQueued(c.pool) {
-			continue
-		}
-		c.close()
-		return true
+// closeLongestIdle closes the connection that has been idle the longest, and reports whether there was one.
+func (t *Transport) closeLongestIdle() bool {
+	longest := t.longestIdle()
+	if longest == nil {
+		return false
 	}
-	return false
+	longest.close()
+	return true
 }
 
-// CloseIdle closes connections that have been idle for longer than the idle timeout. Hosts close theirs soon after, and a
-// request that is on its way then might have run. It looks only at the connections that it closes and one more.
+// CloseIdle closes connections that have been idle for longer than the idle timeout. Hosts close theirs soon after, and
+// a request that is sent at that moment may have run. It checks only the connections that it closes and one more.
 func (t *Transport) CloseIdle() {
 	now := t.now()
-	for c := t.longestIdle(); c != nil && now-c.idleSince > t.idleTimeout; c = t.longestIdle() {
+	for c := t.longestIdle(); c != nil && now.Sub(c.idleSince) > t.idleTimeout; c = t.longestIdle() {
 		c.close()
 	}
 }
--- a/internal/hosts/limiter.go
+++ b/internal/hosts/limiter.go
@@ -6,16 +6,24 @@
 	"syscall"
 	"time"
 
+	"ravensill/internal/clock"
 	"ravensill/internal/sockets"
 )
 
 const (
-	limitedReuseDelay = int64(time.Millisecond)       // reuse delay under a quota, whose connections are too few for the default
-	minDialBackoff    = int64(50 * time.Millisecond)  // pause of dials after a refusal, doubled with each
-	maxDialBackoff    = int64(400 * time.Millisecond) // up to this
-	minRetryAfter     = int64(50 * time.Millisecond)  // bounds of the time after which a rejected client is told to retry
-	maxRetryAfter     = int64(2 * time.Second)
-	serviceTimeWeight = 1.0 / 16 // of the latest attempt in the average service time
+	// limitedReuseDelay is the reuse delay under a quota, whose connections are too few for the default.
+	limitedReuseDelay = time.Millisecond
+
+	// Bounds of the pause of dials after a refusal, which doubles with each.
+	minDialBackoff = 50 * time.Millisecond
+	maxDialBackoff = 400 * time.Millisecond
+
+	// Bounds of RetryAfter.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
+
+	// serviceTimeWeight is the weight of the latest attempt in the average service time.
+	serviceTimeWeight = 1.0 / 16
 )
 
 var (
@@ -23,28 +31,33 @@
 	errStoreRefused = errors.New("the store refused the connection")
 )
 
-// ConnectionLimiter keeps a transport within a quota of connections, dials included, over all hosts: they share one store.
-// Attempts without a connection queue, urgent ones first while fewer than the urgent floor are in flight. An attempt that
-// would wait too long is rejected at once, with a time to retry after. Where the store refuses a connection, the attempt stays
-// in the queue and dials pause. Times and durations are in nanoseconds.
+// ConnectionLimiter keeps a transport within a quota of connections, dials included, over all hosts: they share one
+// store. Attempts without a connection queue, urgent ones first while fewer than the urgent floor are in flight. An
+// attempt that would wait too long is rejected at once, with a time to retry after. Where the store refuses a
+// connection, the attempt stays in the queue and dials pause. Times and durations in its exported methods are in
+// nanoseconds.
 type ConnectionLimiter struct {
-	transport      *Transport
-	allowed        func(now int64) int     // the quota at a time
-	onRejected     func(serviceTime int64) // called for each rejected attempt, with the expected time of its use of a connection
-	urgentFloor    int                     // urgent attempts go first while fewer of them are in flight
-	maxWait        int64                   // in the queue
-	queue          []*Attempt              // the longest waiting first
-	serviceTime    float64                 // moving average of an attempt's time on a connection
-	urgentInFlight int                     // urgent attempts on a connection
-	dialBackoff    int64                   // latest pause of dials after a refusal
-	nextDial       int64                   // no dial starts earlier
-	timerSet       bool                    // whether a timer for serveQueue is running
-	retryAfter     int64                   // see RetryAfter
-
-	Queued   int // attempts that had to wait, since the start
-	Rejected int // attempts rejected, since the start
-	Refused  int // connections that the store refused, since the start
-	Dials    int // since the start
+	transport *Transport
+	// allowed returns the quota at a time.
+	allowed func(now int64) int
+	// onRejected is called for each rejected attempt, with the expected time for which it would use a connection.
+	onRejected  func(serviceTime int64)
+	urgentFloor int           // urgent attempts go first while fewer of them are in flight
+	maxWait     time.Duration // in the queue
+
+	queue          []*Attempt    // the longest waiting first
+	serviceTime    float64       // moving average of an attempt's time on a connection, in nanoseconds
+	urgentInFlight int           // urgent attempts on a connection
+	dialBackoff    time.Duration // latest pause of dials after a refusal
+	nextDial       clock.Instant // no dial starts earlier
+	timerSet       bool          // whether a timer for serveQueue is running
+	retryAfter     time.Duration // see RetryAfter
+
+	// Cumulative counters.
+	Queued   int // attempts that had to wait
+	Rejected int // attempts rejected
+	Refused  int // connections that the store refused
+	Dials    int
 }
 
 // LimitConnections puts the transport under a quota of connections. It is called before the first attempt.
@@ -56,62 +69,66 @@
 		allowed:     allowed,
 		onRejected:  onRejected,
 		urgentFloor: urgentFloor,
-		maxWait:     int64(maxWait),
+		maxWait:     maxWait,
 	}
 	return t.limiter
 }
 
+// quota returns the number of connections allowed now.
+func (l *ConnectionLimiter) quota(now clock.Instant) int { return l.allowed(int64(now)) }
+
 // SetUrgent sets whether the attempts made from now on are of an urgent request class.
 func (l *ConnectionLimiter) SetUrgent(urgent bool) { l.transport.nextUrgent = urgent }
 
 // RetryAfter returns the time after which to retry while a rejected attempt reports its result, and 0 otherwise.
-func (l *ConnectionLimiter) RetryAfter() int64 { return l.retryAfter }
+func (l *ConnectionLimiter) RetryAfter() int64 { return int64(l.retryAfter) }
 
-// Usage returns the connections held, dials included, and the attempts that are on one or wait for one.
-func (l *ConnectionLimiter) Usage() (held, demand int) {
+// Usage returns the number of open connections, dials included, and the number of attempts that are on a connection or
+// wait for one.
+func (l *ConnectionLimiter) Usage() (open, demand int) {
 	t := l.transport
 	unassigned := t.idle.Len() + t.dialingCount
 	assigned := max(t.openConns-unassigned, 0)
 	return t.openConns, len(l.queue) + t.pendingCount + assigned
 }
 
-// enqueue adds an attempt to the queue and serves it. If the attempt is still there and is expected to wait past its queue
-// deadline, it is rejected at once.
+// enqueue adds an attempt to the queue and serves the queue. If the attempt is still there and is expected to wait past
+// its queue deadline, it is rejected at once.
 func (l *ConnectionLimiter) enqueue(attempt *Attempt) {
 	now := l.transport.now()
-	attempt.queueDeadline = now + min(l.maxWait, (attempt.deadline-now)/2)
+	attempt.queueDeadline = now.Add(min(l.maxWait, attempt.deadline.Sub(now)/2))
 	l.queue = append(l.queue, attempt)
 	l.serveQueue()
 	if attempt.done || attempt.conn != nil || !slices.Contains(l.queue, attempt) {
 		return
 	}
 	l.Queued++
-	if now+l.expectedWait(attempt, now) > attempt.queueDeadline {
+	if now.Add(l.expectedWait(attempt, now)) > attempt.queueDeadline {
 		l.reject(attempt)
 		return
 	}
-	time.AfterFunc(time.Duration(attempt.queueDeadline-now), func() { l.transport.runOnLoop(l.serveQueue) })
+	time.AfterFunc(attempt.queueDeadline.Sub(now), func() { l.transport.runOnLoop(l.serveQueue) })
 }
 
 // expectedWait returns the time until a queued attempt is expected to get a connection.
-func (l *ConnectionLimiter) expectedWait(attempt *Attempt, now int64) int64 {
-	allowed := l.allowed(now)
+func (l *ConnectionLimiter) expectedWait(attempt *Attempt, now clock.Instant) time.Duration {
+	allowed := l.quota(now)
 	_, demand := l.Usage()
 	busy := demand - len(l.queue)
 	available := max(allowed-busy, 0)
 	ahead := float64(max(slices.Index(l.queue, attempt)+1-available, 0))
-	return int64(ahead * l.serviceTime / float64(max(allowed, 1)))
+	return time.Duration(ahead * l.serviceTime / float64(max(allowed, 1)))
 }
 
-// reject fails an attempt for want of a connection, with a time to retry after.
+// reject fails an attempt that gets no connection in time, and sets the time to retry after.
 func (l *ConnectionLimiter) reject(attempt *Attempt) {
 	now := l.transport.now()
 	l.dequeue(attempt)
 	l.Rejected++
 	l.onRejected(int64(l.serviceTime))
-	drainTime := int64(float64(len(l.queue)+1) * l.serviceTime / float64(max(l.allowed(now), 1)))
-	l.retryAfter = min(max(drainTime, l.nextDial-now, minRetryAfter), maxRetryAfter)
-	attempt.fail(&Failure{Connecting, errQueueTimeout})
+	drainTime := time.Duration(float64(len(l.queue)+1) * l.serviceTime / float64(max(l.quota(now), 1)))
+	l.retryAfter = min(max(drainTime, l.nextDial.Sub(now), minRetryAfter), maxRetryAfter)
+	attempt.fail(Connecting, errQueueTimeout)
 	l.retryAfter = 0
 }
 
@@ -126,24 +143,28 @@
 	if l.urgentInFlight >= l.urgentFloor {
 		return ordered
 	}
-	slices.SortStableFunc(ordered, func(a, b *Attempt) int {
-		switch {
-		case a.urgent == b.urgent:
-			return 0
-		case a.urgent:
-			return -1
-		}
-		return 1
-	})
+	slices.SortStableFunc(ordered, urgentFirst)
 	return ordered
 }
 
-// serveQueue closes idle connections above the quota, and gives connections and dials to queued attempts in their order.
+// urgentFirst compares attempts to sort urgent ones before others.
+func urgentFirst(a, b *Attempt) int {
+	switch {
+	case a.urgent == b.urgent:
+		return 0
+	case a.urgent:
+		return -1
+	}
+	return 1
+}
+
+// serveQueue closes idle connections above the quota, and assigns connections and dials to queued attempts in their
+// order.
 func (l *ConnectionLimiter) serveQueue() {
 	t := l.transport
 	now := t.now()
-	allowed := l.allowed(now)
-	for t.openConns > allowed && t.closeLongestIdle(nil) {
+	allowed := l.quota(now)
+	for t.openConns > allowed && t.closeLongestIdle() {
 	}
 	if len(l.queue) == 0 {
 		return
@@ -154,9 +175,9 @@
 	l.setTimer(now)
 }
 
-// serve assigns an idle connection to a queued attempt, or dials one where the quota has room. It ends attempts whose host is
-// removed or whose queue deadline has passed.
-func (l *ConnectionLimiter) serve(attempt *Attempt, now int64, allowed int) {
+// serve assigns an idle connection to a queued attempt, or dials one within the quota. It ends attempts whose host is
+// removed or whose queue deadline is over.
+func (l *ConnectionLimiter) serve(attempt *Attempt, now clock.Instant, allowed int) {
 	pool := attempt.pool
 	switch {
 	case attempt.done:
@@ -164,7 +185,7 @@
 		return
 	case pool.removed:
 		l.dequeue(attempt)
-		attempt.fail(&Failure{Connecting, errHostRemoved})
+		attempt.fail(Connecting, errHostRemoved)
 		return
 	case now >= attempt.queueDeadline:
 		l.reject(attempt)
@@ -175,7 +196,7 @@
 		c.assign(attempt)
 		return
 	}
-	if now < l.nextDial || len(pool.idle) > 0 || !l.makeRoom(pool, allowed) {
+	if now < l.nextDial || len(pool.idle) > 0 || !l.ensureQuota(pool, allowed) {
 		return
 	}
 	l.dequeue(attempt)
@@ -184,23 +205,38 @@
 	pool.dialPending()
 }
 
-// makeRoom reports whether one more connection is within the quota. At the quota it closes an idle one of another host.
-func (l *ConnectionLimiter) makeRoom(pool *hostPool, allowed int) bool {
+// ensureQuota reports whether one more connection to a host is within the quota. At the quota it closes an idle one of
+// another host.
+func (l *ConnectionLimiter) ensureQuota(pool *hostPool, allowed int) bool {
 	t := l.transport
 	if t.openConns < allowed {
 		return true
 	}
-	return t.openConns == allowed && t.closeLongestIdle(pool)
+	return t.openConns == allowed && l.closeIdleExcept(pool)
 }
 
-// setTimer has the queue served again when a connection or dial may become available with time, unless that is due already.
-func (l *ConnectionLimiter) setTimer(now int64) {
+// closeIdleExcept closes the longest idle connection and reports whether there was one. It spares connections to the
+// given host and to the hosts of queued attempts.
+func (l *ConnectionLimiter) closeIdleExcept(pool *hostPool) bool {
+	for element := l.transport.idle.Front(); element != nil; element = element.Next() {
+		c := element.Value.(*conn)
+		if c.pool != pool && !l.hasQueued(c.pool) {
+			c.close()
+			return true
+		}
+	}
+	return false
+}
+
+// setTimer starts a timer that serves the queue again when a connection or dial may become available, unless one is
+// running.
+func (l *ConnectionLimiter) setTimer(now clock.Instant) {
 	delay := l.untilNextCheck(now)
 	if delay == 0 || l.timerSet {
 		return
 	}
 	l.timerSet = true
-	time.AfterFunc(time.Duration(delay), func() {
+	time.AfterFunc(delay, func() {
 		l.transport.runOnLoop(func() {
 			l.timerSet = false
 			l.serveQueue()
@@ -208,16 +244,16 @@
 	})
 }
 
-// untilNextCheck returns the time until a connection within its reuse delay, or a dial that is paused, may serve the queue; 0
-// where only an answer can. Each answer has the queue served anyway.
-func (l *ConnectionLimiter) untilNextCheck(now int64) int64 {
+// untilNextCheck returns the time until a connection within its reuse delay, or a dial that is paused, may serve the
+// queue; 0 where only an answer can. The queue is served after each answer anyway.
+func (l *ConnectionLimiter) untilNextCheck(now clock.Instant) time.Duration {
 	for _, attempt := range l.queue {
 		if len(attempt.pool.idle) > 0 {
 			return limitedReuseDelay
 		}
 	}
 	if len(l.queue) > 0 && now < l.nextDial {
-		return l.nextDial - now
+		return l.nextDial.Sub(now)
 	}
 	return 0
 }
@@ -227,12 +263,11 @@
 	return slices.ContainsFunc(l.queue, func(attempt *Attempt) bool { return attempt.pool == pool })
 }
 
-// requeueRefused puts an attempt back at the head of the queue if err says that the store refused its connection, or that this
-// machine is short of something for a dial, and reports whether it did. Other errors of a dial are the host's.
+// requeueRefused puts an attempt back at the head of the queue if err means that the store refused its connection, or
+// that this machine lacks a resource for a dial, and reports whether it did. Other errors of a dial are the host's.
 func (l *ConnectionLimiter) requeueRefused(attempt *Attempt, err error) bool {
-	refused := errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, errStoreRefused)
 	switch {
-	case refused:
+	case isStoreRefusal(err):
 		l.Refused++
 	case !sockets.IsShortage(err):
 		return false
@@ -249,15 +284,20 @@
 	return true
 }
 
+// isStoreRefusal reports whether the error means that the store refused a connection.
+func isStoreRefusal(err error) bool {
+	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, errStoreRefused)
+}
+
 // backOff pauses dials, longer with each call in a row.
 func (l *ConnectionLimiter) backOff() {
 	l.dialBackoff = min(max(2*l.dialBackoff, minDialBackoff), maxDialBackoff)
-	l.nextDial = l.transport.now() + l.dialBackoff
+	l.nextDial = l.transport.now().Add(l.dialBackoff)
 }
 
-// requeuePending moves the host's longest pending attempt back to the queue when its connection comes up, which so stays idle
-// for the reuse delay first: a full store may accept a connection and close it at once, and a request written to it might have
-// run.
+// requeuePending moves the host's longest pending attempt back to the queue when its connection comes up. The
+// connection so stays idle for the reuse delay first: a full store may accept a connection and close it at once, and
+// a request written to it might have run.
 func (l *ConnectionLimiter) requeuePending(pool *hostPool) {
 	if len(pool.pending) > 0 {
 		l.queue = append([]*Attempt{pool.takePending()}, l.queue...)
@@ -271,7 +311,8 @@
 	}
 }
 
-// attemptDone counts an attempt that left its connection. An answer ends the backoff and updates the average service time.
+// attemptDone counts an attempt that left its connection. An answer ends the backoff and updates the average service
+// time.
 func (l *ConnectionLimiter) attemptDone(attempt *Attempt, answered bool) {
 	if attempt.urgent {
 		l.urgentInFlight--
@@ -280,7 +321,7 @@
 		return
 	}
 	l.dialBackoff = 0
-	serviceTime := float64(l.transport.now() - attempt.startedAt)
+	serviceTime := float64(l.transport.now().Sub(attempt.startedAt))
 	if l.serviceTime == 0 {
 		l.serviceTime = serviceTime
 		return
--- a/internal/hosts/pool.go
+++ b/internal/hosts/pool.go
@@ -1,6 +1,7 @@
 package hosts
 
 import (
+	"log/slog"
 	"net/netip"
 	"slices"
 )
@@ -12,7 +13,7 @@
 	idle      []*conn // the longest idle first
 	pending   []*Attempt
 	dialing   int  // dials in progress
-	failing   bool // whether the last attempt failed for a cause on the host's side; logged when it changes
+	failing   bool // whether the latest attempt failed by the host's fault; logged when it changes
 	removed   bool // whether the host is removed: no attempt is made to it
 }
 
@@ -26,14 +27,15 @@
 	p.dialPending()
 }
 
-// dialPending starts a dial for each pending attempt that has none. Attempts for which no connection may be opened fail.
+// dialPending starts a dial for each pending attempt that has none. Attempts for which no connection may be opened
+// fail, the latest first.
 func (p *hostPool) dialPending() {
 	for p.dialing < len(p.pending) {
-		if !p.transport.makeRoom() {
-			last := len(p.pending) - 1
-			attempt := p.pending[last]
-			p.setPending(p.pending[:last])
-			attempt.fail(&Failure{Connecting, errNoDescriptor})
+		if !p.transport.ensureCapacity() {
+			latest := len(p.pending) - 1
+			attempt := p.pending[latest]
+			p.setPending(p.pending[:latest])
+			attempt.fail(Connecting, errNoDescriptor)
 			continue
 		}
 		p.addDialing(1)
@@ -66,6 +68,14 @@
 	}
 }
 
+// hostAnswered logs that the host answers again if its latest attempt failed.
+func (p *hostPool) hostAnswered() {
+	if p.failing {
+		p.failing = false
+		slog.Info("host_answers", "addr", p.addr)
+	}
+}
+
 // cancelUnstarted cancels all attempts to the host of which no byte is written.
 func (p *hostPool) cancelUnstarted(reason error) {
 	t := p.transport
--- a/internal/hosts/transport.go
+++ b/internal/hosts/transport.go
@@ -1,3 +1,5 @@
+// Package hosts sends attempts to hosts and parses their answers. The names of the wire protocol are known here only.
+// It makes no routing decisions and never sends a command twice.
 package hosts
 
 import (
@@ -7,53 +9,59 @@
 	"net/netip"
 	"time"
 
+	"ravensill/internal/clock"
 	"ravensill/internal/resp"
 	"ravensill/internal/sockets"
 )
 
-// defaultReuseDelay is the time for which a connection is not used again after an answer, in nanoseconds: whatever else the
-// host sends for that answer arrives within it.
-const defaultReuseDelay = int64(10 * time.Millisecond)
+// defaultReuseDelay is the time for which a connection is not used again after an answer: whatever else the host sends
+// for that answer arrives within it.
+const defaultReuseDelay = 10 * time.Millisecond
 
 // probeTimeout bounds a load probe, its wait for a connection included.
-const probeTimeout = int64(time.Second)
+const probeTimeout = time.Second
 
-// Transport owns the connections to all hosts. It is not safe for concurrent use: its methods and callbacks run on one
-// event loop, to which runOnLoop brings work from other goroutines. Times and durations are in nanoseconds.
+// Transport owns the connections to all hosts. It is not safe for concurrent use: its methods and callbacks run on
+// one event loop, to which runOnLoop brings work from other goroutines. Times and durations in its exported functions
+// are in nanoseconds.
 type Transport struct {
-	runOnLoop    func(func())
-	now          func() int64
-	loadFields   []string // names of a load report's fields
-	idleTimeout  int64    // idle connections are closed after it
-	maxConns     int      // limit of openConns
-	openConns    int      // connections, dials in progress included
-	reuseDelay   int64    // minimum idle time before a connection is used again
+	system      sockets.System
+	runOnLoop   func(func())
+	now         func() clock.Instant
+	loadFields  []string           // names of a load report's fields
+	idleTimeout time.Duration      // idle connections are closed after it
+	reuseDelay  time.Duration      // minimum idle time before a connection is used again
+	limiter     *ConnectionLimiter // nil without a connection quota
+	maxConns    int                // limit of openConns
+
 	addrs        map[uint32]netip.AddrPort
 	pools        map[uint32]*hostPool // of the hosts that an attempt was made to
+	openConns    int                  // connections, dials in progress included
 	pendingCount int                  // attempts that wait for a connection, over all pools
 	dialingCount int                  // dials in progress, over all pools
 	idle         *list.List           // of *conn, over all pools, the longest idle first
 	toFlush      []*conn              // connections with something to write
-	system       sockets.System
-	limiter      *ConnectionLimiter // nil without a connection quota
-	short        bool               // whether the last dial failed for want of something on this machine; logged when it changes
-	nextUrgent   bool               // whether the next attempt is of an urgent request class
+	nextUrgent   bool                 // whether the next attempt is of an urgent request class
+
+	// dialShortage is set while dials fail because this machine lacks a resource. It is logged when it changes.
+	dialShortage bool
 
 	// Dial opens a connection, which must be a *net.TCPConn. Tests replace it.
 	Dial func(addr string) (net.Conn, error)
 }
 
-// NewTransport returns a transport without hosts, whose sockets are those of system. runOnLoop runs a function on the event loop, loadFields names the fields of
-// a load report; connectTimeout and idleTimeout are in nanoseconds, and at most maxConns connections are open at a time.
+// NewTransport returns a transport without hosts, which dials, reads and writes by the calls of system. runOnLoop
+// runs a function on the event loop, loadFields names the fields of a load report, connectTimeout and idleTimeout are
+// in nanoseconds, and at most maxConns connections are open at a time.
 func NewTransport(system sockets.System, runOnLoop func(func()), now func() int64, loadFields []string,
 	connectTimeout, idleTimeout int64, maxConns int) *Transport {
 	dialer := &net.Dialer{Timeout: time.Duration(connectTimeout), KeepAlive: -1}
 	return &Transport{
 		system:      system,
 		runOnLoop:   runOnLoop,
-		now:         now,
+		now:         func() clock.Instant { return clock.Instant(now()) },
 		loadFields:  loadFields,
-		idleTimeout: idleTimeout,
+		idleTimeout: time.Duration(idleTimeout),
 		maxConns:    maxConns,
 		reuseDelay:  defaultReuseDelay,
 		addrs:       map[uint32]netip.AddrPort{},
@@ -73,7 +81,8 @@
 	}
 }
 
-// Remove forgets a host. Its idle connections are closed and attempts that wait for one fail; attempts that have started go on.
+// Remove removes a host. Its idle connections are closed and attempts that wait for one fail; attempts that have
+// started continue.
 func (t *Transport) Remove(id uint32) {
 	delete(t.addrs, id)
 	pool := t.pools[id]
@@ -88,25 +97,39 @@
 	pool.cancelUnstarted(errHostRemoved)
 }
 
-// Drain cancels the attempts to a host that have not started: a connection that they wait for may come up after the host's
-// grace period. The policy knows of the drain before these results reach it, and makes its next attempts elsewhere.
+// Drain cancels the attempts to a host that have not started: a connection that they wait for may come up after the
+// host's grace period. The policy knows of the drain before these results reach it, and makes its next attempts
+// elsewhere.
 func (t *Transport) Drain(id uint32) {
 	if pool := t.pools[id]; pool != nil {
 		pool.cancelUnstarted(ErrCanceled)
 	}
 }
 
-// Send makes an attempt. Its client, or the gateway, waits for the answer until deadline; the command tells the host the time
-// left until then. It is not started after writeDeadline. onResult is called once, possibly before Send returns.
+// Send makes an attempt. Its client, or the gateway, waits for the answer until deadline; the command has the time left
+// until then. It is not started after writeDeadline. onResult is called once, possibly before Send returns.
 func (t *Transport) Send(id uint32, command Command, deadline, writeDeadline int64, onResult ResultHandler) *Attempt {
-	return t.start(id, &Attempt{command: &command, deadline: deadline, writeDeadline: writeDeadline, onResult: onResult})
+	return t.start(id, &Attempt{
+		command:       &command,
+		deadline:      clock.Instant(deadline),
+		writeDeadline: clock.Instant(writeDeadline),
+		onResult:      onResult,
+	})
 }
 
 // Probe asks a host for its load report.
 func (t *Transport) Probe(id uint32, onResult ResultHandler) *Attempt {
-	command := &Command{Head: resp.AppendBulk(resp.AppendBulk(resp.AppendArrayHeader(nil, 2), "INFO"), "load"), constant: true}
-	deadline := t.now() + probeTimeout
-	return t.start(id, &Attempt{command: command, deadline: deadline, writeDeadline: deadline, probe: true, onResult: onResult})
+	request := resp.AppendArrayHeader(nil, 2)
+	request = resp.AppendBulk(request, "INFO")
+	request = resp.AppendBulk(request, "load")
+	deadline := t.now().Add(probeTimeout)
+	return t.start(id, &Attempt{
+		command:       &Command{Head: request, constant: true},
+		deadline:      deadline,
+		writeDeadline: deadline,
+		probe:         true,
+		onResult:      onResult,
+	})
 }
 
 // start makes an attempt whose command, deadlines and handler are set.
@@ -114,7 +137,7 @@
 	attempt.pool = t.pool(id)
 	if attempt.pool == nil {
 		attempt.pool = &hostPool{transport: t, removed: true}
-		attempt.fail(&Failure{Connecting, errHostRemoved})
+		attempt.fail(Connecting, errHostRemoved)
 		return attempt
 	}
 	attempt.urgent = t.nextUrgent
@@ -140,8 +163,9 @@
 	return pool
 }
 
-// Flush writes the commands scheduled since the last call, with one write per connection, and reports whether bytes are left
-// to be written. A write that fails may schedule its attempt on another connection and so extend the list while it is walked.
+// Flush writes the commands scheduled since the previous call, with one write per connection, and reports whether bytes
+// are left to be written. A write that fails may schedule its attempt on another connection, which then joins the list
+// that is being iterated.
 func (t *Transport) Flush() bool {
 	if t.limiter != nil {
 		t.limiter.serveQueue()
--- /dev/null
+++ b/internal/hosts/transport_test.go
@@ -0,0 +1,138 @@
+package hosts
+
+import (
+	"io"
+	"net"
+	"net/netip"
+	"slices"
+	"testing"
+	"time"
+
+	"ravensill/gateway"
+	"ravensill/internal/golden"
+)
+
+// hostAddr returns the address of a listener as that of a host.
+func hostAddr(listener net.Listener) netip.AddrPort {
+	return netip.MustParseAddrPort(listener.Addr().String())
+}
+
+// A connection carries one attempt at a time until its host has moved or it is idle for too long. An attempt beyond the
+// connection limit never runs.
+func TestConnectionIsReusedUntilMovedOrIdle(t *testing.T) {
+	addr := serveConns(t, func(_ int, c *net.TCPConn) {
+		answerEach(c, func(command string) bool {
+			if command != "*2\r\n$3\r\nd=2\r\n" {
+				c.Close()
+				return false
+			}
+			io.WriteString(c, "*1\r\n$1\r\nv\r\n")
+			return true
+		})
+	})
+	loop := newTestLoop(t, addr, 2)
+	loop.send()
+	loop.send()
+	loop.send()
+	loop.runUntilResults(3)
+	loop.advance(defaultReuseDelay)
+	loop.send()
+	loop.runUntilResults(4)
+	loop.runUntilConnected() // the first connection may have served all before the second was up
+	if idle := len(loop.pool(1).idle); loop.openConns != 2 || idle != 2 {
+		t.Errorf("%d connections, %d idle", loop.openConns, idle)
+	}
+	loop.advance(defaultReuseDelay)
+	loop.send()
+	loop.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:1"))
+	loop.runUntilResults(5)
+	if loop.openConns != 0 {
+		t.Errorf("%d connections to the earlier address", loop.openConns)
+	}
+	loop.SetAddress(1, netip.MustParseAddrPort(addr))
+	loop.send()
+	loop.runUntilResults(6)
+	loop.advance(2 * time.Second)
+	loop.CloseIdle()
+	if loop.openConns != 0 {
+		t.Errorf("%d connections idle for too long", loop.openConns)
+	}
+	golden.Check(t, loop.trace())
+}
+
+// checkCounts compares the transport's counts with those of its pools.
+func (h *scriptedHost) checkCounts(moment string) {
+	h.Helper()
+	pending, dialing, idle := 0, 0, 0
+	for _, pool := range h.pools {
+		pending += len(pool.pending)
+		dialing += pool.dialing
+		idle += len(pool.idle)
+	}
+	if h.pendingCount != pending || h.dialingCount != dialing || h.idle.Len() != idle {
+		h.Errorf("%s: counted %d pending, %d dialing, %d idle; pools have %d, %d, %d",
+			moment, h.pendingCount, h.dialingCount, h.idle.Len(), pending, dialing, idle)
+	}
+}
+
+// The transport's counts and order of idle connections are those of its pools, whatever happens to a host.
+func TestTransportCountsMatchPools(t *testing.T) {
+	h := newScriptedHost(t)
+	for _, name := range []string{"a", "b", "c"} {
+		h.schedule(name, 1)
+	}
+	h.checkCounts("three attempts")
+	h.schedule("d", 1).Cancel(ErrCanceled)
+	h.checkCounts("one of four canceled")
+	h.runUntilConnected()
+	h.Flush()
+	h.checkCounts("connected")
+	for range 4 {
+		io.WriteString(<-h.conns, "*1\r\n$1\r\nv\r\n")
+	}
+	for len(h.results) < 4 { // one connection carries no attempt: its answer ends it
+		h.runWork(1)
+	}
+	h.checkCounts("answered")
+	if !slices.IsSortedFunc(h.pool(1).idle, func(a, b *conn) int { return int(a.idleSince - b.idleSince) }) {
+		t.Error("idle connections are out of order")
+	}
+	h.advance(1)
+	h.closeLongestIdle()
+	h.checkCounts("longest idle closed")
+	h.schedule("e", 1)
+	h.schedule("f", 1)
+	h.checkCounts("two more attempts")
+	h.Remove(1)
+	h.checkCounts("host removed")
+	for h.openConns > 0 {
+		h.runWork(1)
+	}
+	h.checkCounts("all ended")
+}
+
+// Work of each tick iterates over no list of hosts. Each host here has a nil pool and would panic if it were visited.
+func TestPeriodicWorkVisitsNoIdleHost(t *testing.T) {
+	const hosts = 87_000
+	loop := newTestLoop(t, "127.0.0.1:1", 1)
+	limiter := loop.LimitConnections(0, 1, func(int64) int { return 0 }, func(int64) {})
+	for id := range uint32(hosts) {
+		loop.SetAddress(id+2, netip.MustParseAddrPort("127.0.0.1:1"))
+		loop.pools[id+2] = nil
+	}
+	loop.CloseIdle()
+	limiter.Usage()
+	loop.Flush()
+	loop.ensureCapacity()
+	loop.closeLongestIdle()
+	loop.Remove(1)
+	allocations := testing.AllocsPerRun(10, func() {
+		loop.CloseIdle()
+		limiter.Usage()
+	})
+	if allocations != 0 {
+		t.Errorf("%v allocations for a tick", allocations)
+	}
+	loop.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:2"))
+	loop.Probe(1, func(gateway.Event, []byte, int64) {}).Cancel(ErrCanceled)
+}
