--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -49,7 +49,7 @@
 	case stopping:
 		n.phase = closed
 		n.nextPhaseAt = n.answerBy
-		n.clients.Unlisten()
+		n.clients.StopAccepting()
 		slog.Info("listener_closed", "clients", n.clients.Count(), "in_flight", len(n.requests))
 	case closed:
 		n.phase = draining
@@ -59,9 +59,9 @@
 		n.phase = cutOff
 		n.nextPhaseAt = 0
 		slog.Info("connections_aborted", "clients", n.clients.Count(), "in_flight", len(n.requests))
-		n.clients.End()
+		n.clients.CloseAll()
 	}
 }
 
 // shutdownEnded reports whether the gateway owes nothing more.
-func (n *Node) shutdownEnded() bool { return n.phase >= closed && n.clients.Ended() }
+func (n *Node) shutdownEnded() bool { return n.phase >= closed && n.clients.Closed() }
