--- a/internal/subscriber/store_test.go
+++ b/internal/subscriber/store_test.go
@@ -264,13 +264,42 @@
 	}
 }
 
-// landedDigest is that of the content that the files in testdata/landed hold, which the program at 067f03a wrote.
-const landedDigest = "52e2ee77df49aff9779c16b207fb40fdf9a1399fb4fa9f33657cc4aefd6fc078"
+// landedFolders are folders of subscribers as the program at each commit left them: a document, and deltas after it.
+var landedFolders = []struct {
+	commit  string
+	folder  string
+	version configsync.Version
+	digest  string
+}{
+	{
+		commit:  "067f03a",
+		folder:  "landed",
+		version: 3,
+		digest:  "52e2ee77df49aff9779c16b207fb40fdf9a1399fb4fa9f33657cc4aefd6fc078",
+	},
+	{
+		commit:  "6d43e16",
+		folder:  "landed-6d43e16",
+		version: 4,
+		digest:  "3c340acfeaa985ec8bc1cdf04a4398512099743ce86ebdba594ac30e6f2ec836",
+	},
+}
 
-// The file of an earlier release is read as it was written: a document, and two deltas after it.
+// The file of an earlier release is read as it was written.
 func TestLoadsFileOfEarlierRelease(t *testing.T) {
-	document, err := Load(filepath.Join("testdata", "landed"))
-	if err != nil || document.Version() != 3 || fmt.Sprintf("%x", document.Digest()) != landedDigest {
-		t.Errorf("version %d, digest %x, %v", document.Version(), document.Digest(), err)
+	for _, landed := range landedFolders {
+		document, err := Load(filepath.Join("testdata", landed.folder))
+		digest := fmt.Sprintf("%x", document.Digest())
+		if err != nil || document.Version() != landed.version || digest != landed.digest {
+			t.Errorf("%s: version %d, digest %s, %v", landed.commit, document.Version(), digest, err)
+		}
+	}
+}
+
+// The number of the last start that an earlier release stored is read as it was written.
+func TestReadsIncarnationOfEarlierRelease(t *testing.T) {
+	number, err := readIncarnation(filepath.Join("testdata", "landed-6d43e16", incarnationFile))
+	if err != nil || number != 1796287495249295062 {
+		t.Errorf("%d, %v", number, err)
 	}
 }
