--- a/configsync/codec_test.go
+++ b/configsync/codec_test.go
@@ -13,7 +13,7 @@
 )
 
 var testMessages = []Message{
-	&Hello{Protocol: Protocol, Member: 7, Name: "gateway-7", Incarnation: 3, Log: testLog, Held: 5, Digest: Digest{1}, Refused: 6, Whole: true},
+	&Hello{Protocol: Protocol, Member: 7, Name: "gateway-7", Incarnation: 3, Log: testLog, InForce: 5, Digest: Digest{1}, Refused: 6, WantSnapshot: true},
 	&Delta{Log: testLog, From: 1, To: 3, Changes: []Change{set("limits", "1"), remove("plans/a")}, Digest: Digest{2}},
 	&SnapshotPart{Log: testLog, Version: 4, Digest: Digest{3}, Part: 1, Parts: 2, Changes: []Change{set("plans/b", "2")}},
 	&Heartbeat{Log: testLog, Latest: 9, Current: true},
@@ -76,7 +76,7 @@
 		"member":             Encode(&Hello{Member: MaxMembers}),
 		"negative member":    Encode(&Hello{Member: -1}),
 		"long name":          Encode(&Hello{Name: strings.Repeat("x", MaxNameBytes+1)}),
-		"held of no log":     Encode(&Hello{Held: 1}),
+		"held of no log":     Encode(&Hello{InForce: 1}),
 		"refused of no log":  Encode(&Hello{Refused: 1}),
 		"deferral backwards": Encode(&Deferral{After: -1}),
 		"long reason":        Encode(&Refusal{Reason: strings.Repeat("x", MaxReasonBytes+1)}),
--- a/configsync/document.go
+++ b/configsync/document.go
@@ -151,10 +151,10 @@
 		return err
 	}
 	if d.log != "" && d.log != delta.Log {
-		return &WrongLogError{Held: d.log, Got: delta.Log}
+		return &WrongLogError{Current: d.log, Got: delta.Log}
 	}
 	if d.version != delta.From {
-		return &WrongFromError{Held: d.version, From: delta.From}
+		return &WrongFromError{Current: d.version, From: delta.From}
 	}
 	if delta.To <= delta.From {
 		return &NotIncreasingError{From: delta.From, To: delta.To}
--- a/configsync/errors.go
+++ b/configsync/errors.go
@@ -6,22 +6,22 @@
 
 // WrongLogError tells that something belongs to another log than the one that is held.
 type WrongLogError struct {
-	Held LogID
-	Got  LogID
+	Current LogID
+	Got     LogID
 }
 
 func (e *WrongLogError) Error() string {
-	return fmt.Sprintf("of log %q, not of log %q", e.Got, e.Held)
+	return fmt.Sprintf("of log %q, not of log %q", e.Got, e.Current)
 }
 
 // WrongFromError tells that a delta starts from another version than the one that is held.
 type WrongFromError struct {
-	Held Version
-	From Version
+	Current Version
+	From    Version
 }
 
 func (e *WrongFromError) Error() string {
-	return fmt.Sprintf("a delta from version %d, not from version %d", e.From, e.Held)
+	return fmt.Sprintf("a delta from version %d, not from version %d", e.From, e.Current)
 }
 
 // NotIncreasingError tells that a delta doesn't lead to a later version.
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -19,7 +19,7 @@
 // owns the connection tells it of events with their times and does what it says. It is not safe for concurrent use.
 //
 // The task waits until NextAttempt, connects to Publisher within ConnectTimeout, and sends what Connected gives. It calls
-// Heard for bytes and Receive for messages, and Tick at Deadline. After an Update, it calls Accept or Refuse once the
+// ReceivedBytes for bytes and Receive for messages, and Tick at Deadline. After an Update, it calls Accept or Refuse once the
 // gateway has taken it or not.
 type Follower struct {
 	config FollowerConfig
@@ -59,19 +59,19 @@
 
 // FollowerCounters count what happened since the start.
 type FollowerCounters struct {
-	Accepted  uint64 // versions put in force
-	Refused   uint64 // versions that the gateway couldn't take
-	Ignored   uint64 // deltas and snapshots that were repeated or older
-	OtherLog  uint64 // messages of another log than the one held
-	Gaps      uint64 // deltas that start from a version that isn't held
-	Digests   uint64 // deltas that lead to another content than announced
-	Malformed uint64 // messages that break the protocol
-	Silent    uint64 // connections given up after SilenceTimeout
-	Stale     uint64 // connections given up after StaleTimeout
-	Stalled   uint64 // connections given up after StallTimeout
-	Behind    uint64 // publishers that had less than is held
-	Deferred  uint64 // snapshots put off by a publisher
-	Lost      uint64 // connections that failed or were ended by the other side
+	Accepted         uint64 // versions put in force
+	Refused          uint64 // versions that the gateway couldn't take
+	Ignored          uint64 // deltas and snapshots that were repeated or older
+	OtherLog         uint64 // messages of another log than the one held
+	Gaps             uint64 // deltas that start from a version that isn't held
+	DigestMismatches uint64 // deltas that lead to another content than announced
+	Malformed        uint64 // messages that break the protocol
+	Silent           uint64 // connections given up after SilenceTimeout
+	Stale            uint64 // connections given up after StaleTimeout
+	Stalled          uint64 // connections given up after StallTimeout
+	Behind           uint64 // publishers that had less than is held
+	Deferred         uint64 // snapshots put off by a publisher
+	Lost             uint64 // connections that failed or were ended by the other side
 }
 
 // DecisionKind says what the task has to do.
@@ -151,14 +151,14 @@
 func (f *Follower) Connected(now time.Time) []Message {
 	f.connection = &connection{since: now, heard: now, current: now, progress: now}
 	hello := &Hello{
-		Protocol:    Protocol,
-		Member:      f.config.Member,
-		Name:        f.config.Name,
-		Incarnation: f.config.Incarnation,
-		Log:         f.document.Log(),
-		Held:        f.document.Version(),
-		Digest:      f.document.Digest(),
-		Whole:       f.whole,
+		Protocol:     Protocol,
+		Member:       f.config.Member,
+		Name:         f.config.Name,
+		Incarnation:  f.config.Incarnation,
+		Log:          f.document.Log(),
+		InForce:      f.document.Version(),
+		Digest:       f.document.Digest(),
+		WantSnapshot: f.whole,
 	}
 	// Where the first version ever was refused, no log is held, and a version without its log tells nothing.
 	if f.refused == nil || f.refusedLog != hello.Log {
@@ -180,8 +180,8 @@
 	return f.reconnect(now, CauseMalformed, err)
 }
 
-// Heard tells that bytes came in, of whole messages or not, so that a slow connection isn't taken for a silent one.
-func (f *Follower) Heard(now time.Time) {
+// ReceivedBytes tells that bytes came in, of whole messages or not, so that a slow connection isn't taken for a silent one.
+func (f *Follower) ReceivedBytes(now time.Time) {
 	if f.connection != nil {
 		f.connection.heard = now
 	}
@@ -261,7 +261,7 @@
 
 func (f *Follower) otherLog(now time.Time, log LogID) Decision {
 	f.counters.OtherLog++
-	return f.reconnect(now, CauseOtherLog, &WrongLogError{Held: f.document.Log(), Got: log})
+	return f.reconnect(now, CauseOtherLog, &WrongLogError{Current: f.document.Log(), Got: log})
 }
 
 // isOtherLog tells whether a log can't be compared with the one held.
@@ -297,7 +297,7 @@
 	}
 	if f.pending != nil || delta.From != f.document.Version() {
 		f.counters.Gaps++
-		return f.reconnect(now, CauseGap, &WrongFromError{Held: f.document.Version(), From: delta.From})
+		return f.reconnect(now, CauseGap, &WrongFromError{Current: f.document.Version(), From: delta.From})
 	}
 	err := f.document.Check(delta)
 	if _, isDigest := err.(*DigestError); isDigest {
@@ -333,7 +333,7 @@
 }
 
 func (f *Follower) digestDiffers(now time.Time, err error) Decision {
-	f.counters.Digests++
+	f.counters.DigestMismatches++
 	f.whole = true
 	return f.reconnect(now, CauseDigest, err)
 }
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -61,7 +61,7 @@
 		t.Error("the greeting of a long name:", err)
 	}
 	hello := follower.Connected(start)[0].(*Hello)
-	if hello.Log != "" || hello.Held != 0 {
+	if hello.Log != "" || hello.InForce != 0 {
 		t.Errorf("%+v", hello)
 	}
 	first := next(NewDocument(testLog), set("limits", "x"))
@@ -97,7 +97,7 @@
 		t.Errorf("sent again: %+v", decision)
 	}
 	messages := follower.Connected(start)
-	if hello := messages[0].(*Hello); hello.Refused != 2 || hello.Held != 1 || messages[1] != Message(refusal) {
+	if hello := messages[0].(*Hello); hello.Refused != 2 || hello.InForce != 1 || messages[1] != Message(refusal) {
 		t.Errorf("%+v", messages)
 	}
 	later := next(follower.Document(), set("plans/b", "3"))
@@ -132,8 +132,8 @@
 		counters FollowerCounters
 	}{
 		"gap":                {receive(gap), CauseGap, FollowerCounters{Gaps: 1}},
-		"digest":             {receive(wrong), CauseDigest, FollowerCounters{Digests: 1}},
-		"digest of snapshot": {receive(wrongPart), CauseDigest, FollowerCounters{Digests: 1}},
+		"digest":             {receive(wrong), CauseDigest, FollowerCounters{DigestMismatches: 1}},
+		"digest of snapshot": {receive(wrongPart), CauseDigest, FollowerCounters{DigestMismatches: 1}},
 		"delta of other log": {receive(other), CauseOtherLog, FollowerCounters{OtherLog: 1}},
 		"part of other log":  {receive(&SnapshotPart{Log: "log-b", Version: 2, Parts: 1}), CauseOtherLog, FollowerCounters{OtherLog: 1}},
 		"other log":          {receive(&OtherLog{Log: "log-b"}), CauseOtherLog, FollowerCounters{OtherLog: 1}},
@@ -162,8 +162,8 @@
 			t.Errorf("%s: no wait", name)
 		}
 		hello := follower.Connected(start)[0].(*Hello)
-		if hello.Whole != (test.cause == CauseDigest) {
-			t.Errorf("%s: asks for a snapshot: %v", name, hello.Whole)
+		if hello.WantSnapshot != (test.cause == CauseDigest) {
+			t.Errorf("%s: asks for a snapshot: %v", name, hello.WantSnapshot)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 		if decision := follower.Tick(deadline); decision.Kind != Reconnect || decision.Cause != test.cause || follower.Counters() != test.counts {
 			t.Errorf("%s: %+v, %+v", name, decision, follower.Counters())
 		}
-		follower.Heard(deadline)
+		follower.ReceivedBytes(deadline)
 		if late := follower.Tick(deadline); late != (Decision{}) {
 			t.Errorf("%s: %+v without a connection", name, late)
 		}
@@ -215,7 +215,7 @@
 	if deadline, _ := follower.Deadline(); !deadline.Equal(at(SilenceTimeout)) {
 		t.Errorf("deadline %v", deadline.Sub(start))
 	}
-	follower.Heard(second(2)) // part of a message
+	follower.ReceivedBytes(second(2)) // part of a message
 	if decision := follower.Tick(second(4)); decision.Cause == CauseSilent {
 		t.Error("bytes aren't silence")
 	}
@@ -373,7 +373,7 @@
 	wrong := next(follower.Document(), remove("limits"))
 	wrong.Digest[0]++
 	follower.Receive(start, wrong)
-	if hello := follower.Connected(start)[0].(*Hello); !hello.Whole {
+	if hello := follower.Connected(start)[0].(*Hello); !hello.WantSnapshot {
 		t.Errorf("%+v", hello)
 	}
 	content := newTestDocument(t, set("limits", "5"))
@@ -384,7 +384,7 @@
 		}
 		follower.Accept(start)
 	}
-	if hello := follower.Connected(start)[0].(*Hello); hello.Whole || hello.Held != 3 {
+	if hello := follower.Connected(start)[0].(*Hello); hello.WantSnapshot || hello.InForce != 3 {
 		t.Errorf("%+v", hello)
 	}
 }
--- a/configsync/history.go
+++ b/configsync/history.go
@@ -65,7 +65,7 @@
 // append adds the delta that has just been applied to the document.
 func (h *History) append(delta *Delta, previous []Change) error {
 	if delta.From != h.latest {
-		return &WrongFromError{Held: h.latest, From: delta.From}
+		return &WrongFromError{Current: h.latest, From: delta.From}
 	}
 	entry := historyEntry{Delta: *delta, Previous: previous}
 	h.entries = append(h.entries, entry)
--- a/configsync/messages.go
+++ b/configsync/messages.go
@@ -19,15 +19,15 @@
 
 // Hello is the first message of a follower on a connection: who it is and what it holds.
 type Hello struct {
-	Protocol    uint32  `cbor:"1,keyasint"`
-	Member      int     `cbor:"2,keyasint"` // member index
-	Name        string  `cbor:"3,keyasint"`
-	Incarnation uint64  `cbor:"4,keyasint"`           // grows with each start of the gateway
-	Log         LogID   `cbor:"5,keyasint,omitempty"` // empty: none yet
-	Held        Version `cbor:"6,keyasint"`
-	Digest      Digest  `cbor:"7,keyasint"`
-	Refused     Version `cbor:"8,keyasint,omitempty"` // the last version that was refused; 0: none
-	Whole       bool    `cbor:"9,keyasint,omitempty"` // a snapshot is wanted whatever is held, since a delta didn't fit
+	Protocol     uint32  `cbor:"1,keyasint"`
+	Member       int     `cbor:"2,keyasint"` // member index
+	Name         string  `cbor:"3,keyasint"`
+	Incarnation  uint64  `cbor:"4,keyasint"`           // grows with each start of the gateway
+	Log          LogID   `cbor:"5,keyasint,omitempty"` // empty: none yet
+	InForce      Version `cbor:"6,keyasint"`
+	Digest       Digest  `cbor:"7,keyasint"`
+	Refused      Version `cbor:"8,keyasint,omitempty"` // the last version that was refused; 0: none
+	WantSnapshot bool    `cbor:"9,keyasint,omitempty"` // a snapshot is wanted whatever is held, since a delta didn't fit
 }
 
 // SnapshotPart is one part of a document, from 0 on. Its changes are sorted, across the parts too, and remove nothing.
@@ -153,7 +153,7 @@
 	if len(m.Name) > MaxNameBytes {
 		return &MalformedError{Reason: "name too long"}
 	}
-	if m.Log == "" && (m.Held != 0 || m.Refused != 0) {
+	if m.Log == "" && (m.InForce != 0 || m.Refused != 0) {
 		return &MalformedError{Reason: "a version of no log"}
 	}
 	return checkOptionalLog(m.Log)
--- a/configsync/sender.go
+++ b/configsync/sender.go
@@ -35,7 +35,7 @@
 	limiter   *rate.Limiter
 	interval  time.Duration // the least between two versions for a follower
 	current   bool
-	held      bool // no version is sent
+	paused    bool // no version is sent
 	followers map[FollowerID]*followerSession
 	members   map[int]*memberRecord
 	deltas    deltaCache
@@ -105,7 +105,7 @@
 	Refused     Version // a later version that it couldn't take; 0: none
 	Resource    Resource
 	Reason      string
-	Heard       time.Time // the last message
+	LastMessage time.Time // the last message
 }
 
 type memberRecord struct {
@@ -149,9 +149,9 @@
 // SetCurrent tells whether the publisher is in contact with a quorum of publishers.
 func (s *Sender) SetCurrent(current bool) { s.current = current }
 
-// Hold has followers get heartbeats alone, as long as the state may be an earlier one than was agreed on: a version of it
+// SetPaused has followers get heartbeats alone, as long as the state may be an earlier one than was agreed on: a version of it
 // would lead a gateway back to what is no longer in force, and a follower of a later one would be sent away.
-func (s *Sender) Hold(held bool) { s.held = held }
+func (s *Sender) SetPaused(paused bool) { s.paused = paused }
 
 // Len is the number of connected followers.
 func (s *Sender) Len() int { return len(s.followers) }
@@ -174,10 +174,10 @@
 	s.followers[id] = &followerSession{
 		member:    hello.Member,
 		log:       hello.Log,
-		held:      hello.Held,
+		held:      hello.InForce,
 		digest:    hello.Digest,
 		refused:   hello.Refused,
-		whole:     hello.Whole,
+		whole:     hello.WantSnapshot,
 		heartbeat: now,
 	}
 	return replaced, nil
@@ -189,9 +189,9 @@
 		Name:        hello.Name,
 		Incarnation: hello.Incarnation,
 		Connected:   true,
-		InForce:     hello.Held,
+		InForce:     hello.InForce,
 		Refused:     hello.Refused,
-		Heard:       now,
+		LastMessage: now,
 	}}
 }
 
@@ -215,7 +215,7 @@
 		return nil
 	}
 	record := s.members[follower.member]
-	record.Heard = now
+	record.LastMessage = now
 	switch message := message.(type) {
 	case *Acknowledge:
 		return s.receiveAcknowledge(follower, record, message)
@@ -288,7 +288,7 @@
 	if follower == nil {
 		return Action{Close: true}
 	}
-	if s.held {
+	if s.paused {
 		return s.heartbeatAlone(now, follower)
 	}
 	if farewell := s.farewell(follower); farewell != nil {
@@ -348,7 +348,7 @@
 		Latest:  s.state.document.version,
 		Current: s.current,
 	}
-	if s.held {
+	if s.paused {
 		heartbeat = &Heartbeat{}
 	}
 	return Action{Frame: Encode(heartbeat), Wake: follower.heartbeat}
--- a/configsync/sender_test.go
+++ b/configsync/sender_test.go
@@ -31,7 +31,7 @@
 // hello is the greeting of a follower that holds a version which the history knows.
 func (r *senderRig) hello(member int, held Version) *Hello {
 	digest, _ := r.state.History().DigestAt(held)
-	return &Hello{Protocol: Protocol, Member: member, Log: testLog, Held: held, Digest: digest}
+	return &Hello{Protocol: Protocol, Member: member, Log: testLog, InForce: held, Digest: digest}
 }
 
 func (r *senderRig) connect(now time.Time, hello *Hello) FollowerID {
@@ -131,9 +131,9 @@
 // versions, and goes on from there.
 func TestSenderHold(t *testing.T) {
 	r := newSenderRig(t, 2, SenderLimits{})
-	r.sender.Hold(true)
+	r.sender.SetPaused(true)
 	earlier := r.connect(start, r.hello(1, 1))
-	later := r.connect(start, &Hello{Protocol: Protocol, Member: 2, Log: testLog, Held: 9})
+	later := r.connect(start, &Hello{Protocol: Protocol, Member: 2, Log: testLog, InForce: 9})
 	for _, id := range []FollowerID{earlier, later} {
 		action := r.sender.Next(start, id)
 		message, err := Decode(action.Frame)
@@ -145,7 +145,7 @@
 			t.Errorf("after the heartbeat: %+v", action)
 		}
 	}
-	r.sender.Hold(false)
+	r.sender.SetPaused(false)
 	if delta, ok := r.next(start, earlier).(*Delta); !ok || delta.To != 2 {
 		t.Errorf("%+v", delta)
 	}
@@ -212,8 +212,8 @@
 		"oldest of history":  {2, nil, &Delta{}},
 		"recent":             {4, nil, &Delta{}},
 		"latest":             {5, nil, nil},
-		"a snapshot wanted":  {5, func(h *Hello) { h.Whole = true }, &SnapshotPart{}},
-		"wanted, not latest": {4, func(h *Hello) { h.Whole = true }, &SnapshotPart{}},
+		"a snapshot wanted":  {5, func(h *Hello) { h.WantSnapshot = true }, &SnapshotPart{}},
+		"wanted, not latest": {4, func(h *Hello) { h.WantSnapshot = true }, &SnapshotPart{}},
 		"other content":      {5, func(h *Hello) { h.Digest[0]++ }, &SnapshotPart{}},
 		"other, not latest":  {4, func(h *Hello) { h.Digest[0]++ }, &SnapshotPart{}},
 		"refused the latest": {3, func(h *Hello) { h.Refused = 5 }, nil},
@@ -234,7 +234,7 @@
 	}
 	fresh := NewSender(NewState(testLimits), SenderLimits{})
 	r := &senderRig{t: t, state: fresh.state, sender: fresh}
-	if message := r.next(start, r.connect(start, &Hello{Protocol: Protocol, Log: testLog, Held: 1})); reflect.TypeOf(message) != reflect.TypeOf(&Behind{}) {
+	if message := r.next(start, r.connect(start, &Hello{Protocol: Protocol, Log: testLog, InForce: 1})); reflect.TypeOf(message) != reflect.TypeOf(&Behind{}) {
 		t.Errorf("a publisher without a log: %T", message)
 	}
 }
@@ -248,7 +248,7 @@
 		changes = append(changes, Change{Resource(fmt.Sprintf("plans/%d", i)), bytes.Repeat([]byte("x"), MaxValueBytes)})
 	}
 	publish(t, r.state, changes...)
-	whole := func(member int) *Hello { return &Hello{Protocol: Protocol, Member: member, Whole: true} }
+	whole := func(member int) *Hello { return &Hello{Protocol: Protocol, Member: member, WantSnapshot: true} }
 	id := r.connect(start, whole(1))
 	assembler := &Assembler{}
 	var document *Document
@@ -270,7 +270,7 @@
 		t.Error("encoded again, though a delta leads on")
 	}
 	current := whole(5)
-	current.Log, current.Held = testLog, 2
+	current.Log, current.InForce = testLog, 2
 	if part := r.next(start, r.connect(start, current)).(*SnapshotPart); part.Version != 2 {
 		t.Errorf("sent version %d to one that holds version 2", part.Version)
 	}
@@ -301,7 +301,7 @@
 	served := 0
 	var waits []time.Duration
 	fresh := func(now time.Time, member int) {
-		switch message := r.next(now, r.connect(now, &Hello{Protocol: Protocol, Member: member, Whole: true})).(type) {
+		switch message := r.next(now, r.connect(now, &Hello{Protocol: Protocol, Member: member, WantSnapshot: true})).(type) {
 		case *SnapshotPart:
 			served++
 		case *Deferral:
@@ -326,9 +326,9 @@
 	}
 	large := newSenderRig(t, 0, SenderLimits{SnapshotRate: 1 << 20, SnapshotBurst: 1})
 	publish(t, large.state, Change{"limits", make([]byte, MaxValueBytes)})
-	large.connect(start, &Hello{Protocol: Protocol, Whole: true})
+	large.connect(start, &Hello{Protocol: Protocol, WantSnapshot: true})
 	large.next(start, 1)
-	if message := large.next(at(time.Second), large.connect(at(time.Second), &Hello{Protocol: Protocol, Whole: true})); reflect.TypeOf(message) != reflect.TypeOf(&SnapshotPart{}) {
+	if message := large.next(at(time.Second), large.connect(at(time.Second), &Hello{Protocol: Protocol, WantSnapshot: true})); reflect.TypeOf(message) != reflect.TypeOf(&SnapshotPart{}) {
 		t.Errorf("a document beyond the burst is never sent: %T", message)
 	}
 }
@@ -343,7 +343,7 @@
 	if message := r.next(start, id); message != nil {
 		t.Errorf("after a refusal: %+v", message)
 	}
-	want := MemberStatus{Member: 9, Connected: true, InForce: 1, Refused: 2, Resource: "limits", Reason: "no", Heard: at(time.Second)}
+	want := MemberStatus{Member: 9, Connected: true, InForce: 1, Refused: 2, Resource: "limits", Reason: "no", LastMessage: at(time.Second)}
 	if status := r.sender.Status()[0]; status != want {
 		t.Errorf("%+v", status)
 	}
@@ -354,7 +354,7 @@
 	}
 	r.acknowledge(id, 3, delta.Digest)
 	r.sender.Disconnect(id)
-	want = MemberStatus{Member: 9, InForce: 3, Heard: start}
+	want = MemberStatus{Member: 9, InForce: 3, LastMessage: start}
 	if status := r.sender.Status()[0]; status != want {
 		t.Errorf("%+v", status)
 	}
--- a/configsync/state.go
+++ b/configsync/state.go
@@ -134,7 +134,7 @@
 // Check tells, without a change, why a proposal would be refused at this moment; the errors are those of Apply.
 func (s *State) Check(command *Command) error {
 	if s.document.log == "" || command.Log != s.document.log {
-		return &WrongLogError{Held: s.document.log, Got: command.Log}
+		return &WrongLogError{Current: s.document.log, Got: command.Log}
 	}
 	if command.Base != s.document.version {
 		return &ConflictError{Base: command.Base, Current: s.document.version}
--- a/internal/publisher/fleet.go
+++ b/internal/publisher/fleet.go
@@ -98,5 +98,5 @@
 	if f.Connected != other.Connected {
 		return f.Connected
 	}
-	return f.HeardMS < other.HeardMS
+	return f.SinceMessageMS < other.SinceMessageMS
 }
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -54,13 +54,13 @@
 
 // counters count since the start.
 type counters struct {
-	connected atomic.Int64 // followers' connections taken in
-	turnedOff atomic.Int64 // connections beyond the most allowed
-	malformed atomic.Int64 // messages that broke the protocol; each ended its connection
-	bytesIn   atomic.Int64 // from followers
-	bytesOut  atomic.Int64 // to followers
-	published atomic.Int64 // versions published by this replica as the leader
-	rejected  atomic.Int64 // requests for a publication that were answered by an error
+	connected           atomic.Int64 // followers' connections taken in
+	rejectedConnections atomic.Int64 // connections beyond the most allowed
+	malformed           atomic.Int64 // messages that broke the protocol; each ended its connection
+	bytesIn             atomic.Int64 // from followers
+	bytesOut            atomic.Int64 // to followers
+	published           atomic.Int64 // versions published by this replica as the leader
+	rejected            atomic.Int64 // requests for a publication that were answered by an error
 }
 
 // Options are what tests change of a replica.
@@ -87,7 +87,7 @@
 		done:        make(chan struct{}),
 	}
 	p.sender = configsync.NewSender(p.state, cfg.Sending)
-	p.sender.Hold(true)
+	p.sender.SetPaused(true)
 	admin, err := p.listen()
 	if err != nil {
 		return nil, err
@@ -175,7 +175,7 @@
 		return false
 	}
 	p.holding = false
-	p.sender.Hold(false)
+	p.sender.SetPaused(false)
 	p.wakeAll()
 	return true
 }
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -141,7 +141,7 @@
 	empty := follow(t, g, 0, hello(1))
 	later := hello(2)
 	later.Log = last.Log
-	later.Held = last.Version
+	later.InForce = last.Version
 	ahead := follow(t, g, 0, later)
 	for range 2 {
 		for _, f := range []*follower{empty, ahead} {
@@ -297,11 +297,11 @@
 	}
 	again := hello(2)
 	again.Incarnation++
-	again.Log, again.Held, again.Digest = mended.Log, version, digest
+	again.Log, again.InForce, again.Digest = mended.Log, version, digest
 	follow(t, g, 0, again)
 	f.ended()
 	other := hello(3)
-	other.Log, other.Held = "another", 4
+	other.Log, other.InForce = "another", 4
 	if _, ok := follow(t, g, 0, other).next().(*configsync.OtherLog); !ok {
 		t.Error("a follower of another log is served")
 	}
@@ -386,6 +386,6 @@
 	}
 	eventually(t, "one beyond the most to be turned off", func() bool {
 		s := g.Replicas[0].Status()
-		return s.Counters.TurnedOff >= 1 && s.Connected+int(s.Counters.TurnedOff) == mostFollowers+1
+		return s.Counters.RejectedConnections >= 1 && s.Connected+int(s.Counters.RejectedConnections) == mostFollowers+1
 	})
 }
--- a/internal/publisher/serve.go
+++ b/internal/publisher/serve.go
@@ -71,7 +71,7 @@
 	default:
 	}
 	if len(p.connections) >= p.cfg.MaxFollowers {
-		p.counters.turnedOff.Add(1)
+		p.counters.rejectedConnections.Add(1)
 		return nil
 	}
 	p.counters.connected.Add(1)
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -27,25 +27,25 @@
 
 // Counters count since the start of the replica.
 type Counters struct {
-	Connections int64 `json:"connections"`
-	TurnedOff   int64 `json:"turned_off"` // connections beyond max_followers
-	Malformed   int64 `json:"malformed"`  // messages that broke the protocol; each ended its connection
-	BytesIn     int64 `json:"bytes_in"`   // from followers
-	BytesOut    int64 `json:"bytes_out"`  // to followers
-	Published   int64 `json:"published"`
-	Rejected    int64 `json:"rejected"` // requests answered by an error
+	Connections         int64 `json:"connections"`
+	RejectedConnections int64 `json:"turned_off"` // connections beyond max_followers
+	Malformed           int64 `json:"malformed"`  // messages that broke the protocol; each ended its connection
+	BytesIn             int64 `json:"bytes_in"`   // from followers
+	BytesOut            int64 `json:"bytes_out"`  // to followers
+	Published           int64 `json:"published"`
+	Rejected            int64 `json:"rejected"` // requests answered by an error
 }
 
 // Follower is what a replica knows of one gateway.
 type Follower struct {
-	Member    int                 `json:"member"`
-	Name      string              `json:"name"`
-	Connected bool                `json:"connected"`
-	InForce   configsync.Version  `json:"in_force"`
-	Refused   configsync.Version  `json:"refused,omitempty"` // a later version that it could not take
-	Resource  configsync.Resource `json:"resource,omitempty"`
-	Reason    string              `json:"reason,omitempty"`
-	HeardMS   int64               `json:"heard_ms"` // milliseconds since its last message
+	Member         int                 `json:"member"`
+	Name           string              `json:"name"`
+	Connected      bool                `json:"connected"`
+	InForce        configsync.Version  `json:"in_force"`
+	Refused        configsync.Version  `json:"refused,omitempty"` // a later version that it could not take
+	Resource       configsync.Resource `json:"resource,omitempty"`
+	Reason         string              `json:"reason,omitempty"`
+	SinceMessageMS int64               `json:"heard_ms"` // milliseconds since its last message
 }
 
 // Status gives the replica's own view; each gateway follows one replica at a time.
@@ -57,13 +57,13 @@
 		Current:   p.replica.Current(),
 		Followers: []Follower{},
 		Counters: Counters{
-			Connections: p.counters.connected.Load(),
-			TurnedOff:   p.counters.turnedOff.Load(),
-			Malformed:   p.counters.malformed.Load(),
-			BytesIn:     p.counters.bytesIn.Load(),
-			BytesOut:    p.counters.bytesOut.Load(),
-			Published:   p.counters.published.Load(),
-			Rejected:    p.counters.rejected.Load(),
+			Connections:         p.counters.connected.Load(),
+			RejectedConnections: p.counters.rejectedConnections.Load(),
+			Malformed:           p.counters.malformed.Load(),
+			BytesIn:             p.counters.bytesIn.Load(),
+			BytesOut:            p.counters.bytesOut.Load(),
+			Published:           p.counters.published.Load(),
+			Rejected:            p.counters.rejected.Load(),
 		},
 	}
 	p.mu.Lock()
@@ -84,14 +84,14 @@
 
 func newFollower(now time.Time, member *configsync.MemberStatus) Follower {
 	return Follower{
-		Member:    member.Member,
-		Name:      member.Name,
-		Connected: member.Connected,
-		InForce:   member.InForce,
-		Refused:   member.Refused,
-		Resource:  member.Resource,
-		Reason:    member.Reason,
-		HeardMS:   now.Sub(member.Heard).Milliseconds(),
+		Member:         member.Member,
+		Name:           member.Name,
+		Connected:      member.Connected,
+		InForce:        member.InForce,
+		Refused:        member.Refused,
+		Resource:       member.Resource,
+		Reason:         member.Reason,
+		SinceMessageMS: now.Sub(member.LastMessage).Milliseconds(),
 	}
 }
 
@@ -119,7 +119,7 @@
 		slog.Int("in_force", inForce),
 		slog.Int("refused", refused),
 		slog.Int64("connections", c.Connections),
-		slog.Int64("turned_off", c.TurnedOff),
+		slog.Int64("turned_off", c.RejectedConnections),
 		slog.Int64("malformed", c.Malformed),
 		slog.Int64("bytes_in", c.BytesIn),
 		slog.Int64("bytes_out", c.BytesOut),
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -188,7 +188,7 @@
 		return s.receive(r)
 	case <-timer.C:
 		if l.readSince() {
-			s.follower.Heard(l.lastRead(time.Now()))
+			s.follower.ReceivedBytes(l.lastRead(time.Now()))
 		}
 		return s.follower.Tick(time.Now()), nil
 	case <-s.ctx.Done():
@@ -221,7 +221,7 @@
 		return false
 	}
 	now := time.Now()
-	s.follower.Heard(now)
+	s.follower.ReceivedBytes(now)
 	if err != nil {
 		s.refuse(l, now, update, err)
 		return true
--- a/lab/rollout/hollow/followers.go
+++ b/lab/rollout/hollow/followers.go
@@ -241,7 +241,7 @@
 		Unsaved:  status.Unsaved,
 		Lost:     counters.Lost,
 		Given:    counters.Silent + counters.Stale + counters.Stalled + counters.Behind + counters.OtherLog,
-		Broken:   counters.Malformed + counters.Gaps + counters.Digests,
+		Broken:   counters.Malformed + counters.Gaps + counters.DigestMismatches,
 	})
 }
 
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -179,10 +179,10 @@
 		return configsync.Encode(&configsync.Heartbeat{Log: otherLog, Latest: farAheadVersion, Current: true})
 	}
 	all["a delta that does not lead on"] = func(hello *configsync.Hello) []byte {
-		return configsync.Encode(falseDelta(hello, hello.Held+1))
+		return configsync.Encode(falseDelta(hello, hello.InForce+1))
 	}
 	all["a delta to another content than it says"] = func(hello *configsync.Hello) []byte {
-		return configsync.Encode(falseDelta(hello, hello.Held))
+		return configsync.Encode(falseDelta(hello, hello.InForce))
 	}
 	return all
 }
