--- a/configsync/codec.go
+++ b/configsync/codec.go
@@ -1,5 +1,3 @@
-// The frames of messages.
-
 package configsync
 
 import (
@@ -16,8 +14,8 @@
 	kindBytes        = 1
 )
 
-// Limits of the decoder. Messages nest three deep: the message, its changes, a change. A snapshot of the state nests six
-// deep: the state, its history, an entry, its delta, its changes, a change.
+// Limits of the decoder. Messages nest three deep: the message, its changes, a change. A snapshot of the state nests
+// six deep: the state, its history, an entry, its delta, its changes, a change.
 const (
 	messageNesting  = 4
 	fileNesting     = 8
@@ -31,7 +29,7 @@
 	fileDecoder    = newDecoder(fileNesting, maxFileElements)
 )
 
-// newEncoder makes no difference between a nil slice and an empty one, so that equal states have equal bytes.
+// newEncoder returns an encoder that writes a nil slice as an empty one, so that equal states have equal bytes.
 func newEncoder() cbor.EncMode {
 	mode, err := cbor.EncOptions{NilContainers: cbor.NilContainerAsEmpty}.EncMode()
 	if err != nil {
@@ -64,7 +62,7 @@
 	return body
 }
 
-// Encode gives the frame of a message. A message beyond the bounds of this package gives a frame that Decode refuses.
+// Encode returns the frame of a message. Decode refuses the frame of a message beyond the bounds of this package.
 func Encode(message Message) []byte {
 	body := marshal(message)
 	frame := make([]byte, 0, FrameHeaderBytes+kindBytes+len(body))
@@ -73,8 +71,8 @@
 	return append(frame, body...)
 }
 
-// FrameSize reads the first FrameHeaderBytes of a frame and gives the number of bytes that follow them. The error is a
-// *MalformedError where it is beyond MaxFrameBytes, so that nobody reserves memory for it.
+// FrameSize reads the first FrameHeaderBytes of a frame and returns the number of bytes that follow them. The error
+// is a *MalformedError where the frame is longer than MaxFrameBytes, so that no memory is reserved for it.
 func FrameSize(header []byte) (int, error) {
 	if len(header) < FrameHeaderBytes {
 		return 0, &MalformedError{Reason: "frame cut short"}
@@ -86,7 +84,7 @@
 	return int(size), nil
 }
 
-// Decode reads one whole frame and checks the bounds of its message. The error is a *MalformedError, or a
+// Decode reads one complete frame and checks the bounds of its message. The error is a *MalformedError, or a
 // *NotIncreasingError for a delta that leads backwards.
 func Decode(frame []byte) (Message, error) {
 	size, err := FrameSize(frame)
--- a/configsync/configsync.go
+++ b/configsync/configsync.go
@@ -1,21 +1,23 @@
-// Package configsync holds the rules by which one configuration reaches a fleet of gateways: numbered versions, the
-// deltas between them, what a publisher sends to whom, and when a gateway accepts, refuses or falls back. It does no
-// I/O and keeps no clock: internal/publisher and internal/subscriber own sockets, disks and time, and ask it.
+// Package configsync has the rules by which one configuration reaches a fleet of gateways: numbered versions, the
+// deltas between them, what a publisher sends to which follower, and when a gateway accepts a version, refuses it or
+// reconnects. It does no I/O and reads no clock: internal/publisher and internal/subscriber own the sockets, the
+// disks and the time.
 //
 // The design is that of delta distribution with acknowledgement (xDS incremental, envoyproxy.io) over a replicated log
 // (Raft, Ongaro and Ousterhout 2014), with followers that start from their own last good copy (static stability).
-// docs/configuration-sync.md has the options weighed.
+// docs/configuration-sync.md compares the options.
 package configsync
 
-// LogID names one replicated log of versions. It is drawn once, when the publishers' log is made; versions of different
-// logs can't be compared, so a gateway that holds a version of one log takes nothing of another.
+// LogID names one replicated log of versions. It is drawn at random once, when the publishers' log is created.
+// Versions of different logs can't be compared, so a gateway with a version of one log accepts no message of another.
 type LogID string
 
 // Version numbers the states of the configuration in a log, from 1 on. 0 is the state before the first publication, in
-// which a gateway goes by its own configuration file.
+// which a gateway uses its own configuration file.
 type Version uint64
 
-// Digest identifies the content of a Document: equal documents have equal digests, whatever order their changes came in.
+// Digest identifies the content of a Document: equal documents have equal digests, whatever order their changes came
+// in.
 type Digest [32]byte
 
 // Resource names one part of the configuration. The kinds are listed at the constants below.
@@ -35,7 +37,7 @@
 	Value    []byte   `cbor:"2,keyasint,omitempty"` // JSON; empty: the resource is removed
 }
 
-// Removed tells whether the change removes its resource.
+// Removed reports whether the change removes its resource.
 func (c *Change) Removed() bool { return len(c.Value) == 0 }
 
 // Delta leads from one version of a log to a later one. Its changes are sorted by resource, each named once.
--- a/configsync/document.go
+++ b/configsync/document.go
@@ -1,5 +1,3 @@
-// The content of one version and its digest.
-
 package configsync
 
 import (
@@ -12,8 +10,8 @@
 	"strings"
 )
 
-// Document is the content of one version: named resources with their values. Values are shared between documents, deltas
-// and histories, and are never changed in place. It is not safe for concurrent use.
+// Document is the content of one version: named resources with their values. Values are shared between documents,
+// deltas and histories, and are never changed in place. It is not safe for concurrent use.
 type Document struct {
 	log       LogID
 	version   Version
@@ -22,34 +20,34 @@
 	size      int // bytes of names and values
 }
 
-// NewDocument gives the empty document, version 0 of a log. Where log is empty, the document belongs to none yet and
-// takes the log of the first delta that is applied.
+// NewDocument returns the empty document, version 0 of a log. If log is empty, the document belongs to no log yet, and
+// belongs to that of the first delta that is applied.
 func NewDocument(log LogID) *Document {
 	return &Document{log: log, resources: map[Resource][]byte{}}
 }
 
-// Log is the log that the document's version counts in; empty where it belongs to none yet.
+// Log returns the log of the document's version, empty where it belongs to none yet.
 func (d *Document) Log() LogID { return d.log }
 
-// Version is the version of the content.
+// Version returns the version of the content.
 func (d *Document) Version() Version { return d.version }
 
-// Digest identifies the content. It is kept up to date by each change, so asking costs nothing.
+// Digest returns the digest of the content. Apply updates it, so a call costs nothing.
 func (d *Document) Digest() Digest { return d.digest }
 
-// Len is the number of resources.
+// Len returns the number of resources.
 func (d *Document) Len() int { return len(d.resources) }
 
-// Bytes is the number of bytes of all names and values.
+// Bytes returns the number of bytes of all names and values.
 func (d *Document) Bytes() int { return d.size }
 
-// Get gives the value of a resource, which must not be changed.
+// Get returns the value of a resource, which must not be changed.
 func (d *Document) Get(resource Resource) (value []byte, found bool) {
 	value, found = d.resources[resource]
 	return value, found
 }
 
-// All iterates over the resources in the order of their names.
+// All returns an iterator over the resources in the order of their names.
 func (d *Document) All() iter.Seq2[Resource, []byte] {
 	return func(yield func(Resource, []byte) bool) {
 		for _, resource := range slices.Sorted(maps.Keys(d.resources)) {
@@ -60,7 +58,7 @@
 	}
 }
 
-// Changes gives the whole content as sorted changes from the empty document.
+// Changes returns the complete content as sorted changes from the empty document.
 func (d *Document) Changes() []Change {
 	changes := make([]Change, 0, len(d.resources))
 	for resource, value := range d.All() {
@@ -69,14 +67,14 @@
 	return changes
 }
 
-// Clone copies the document. It costs as much as the document has resources; values are shared.
+// Clone returns a copy of the document that shares its values. Its cost is proportional to the number of resources.
 func (d *Document) Clone() *Document {
 	clone := *d
 	clone.resources = maps.Clone(d.resources)
 	return &clone
 }
 
-// Diff gives the sorted changes that lead from the document to the whole content wanted. An empty value there counts as no
+// Diff returns the sorted changes from the document to the wanted content, in which an empty value counts as no
 // resource.
 func (d *Document) Diff(wanted map[Resource][]byte) []Change {
 	var changes []Change
@@ -94,14 +92,16 @@
 	return changes
 }
 
-// Check tells whether Apply would succeed and changes nothing. Its cost goes with the delta, not with the document.
+// Check returns the error that Apply would return, and changes nothing. Its cost is proportional to the delta, not to
+// the document.
 func (d *Document) Check(delta *Delta) error {
 	_, err := d.effect(delta)
 	return err
 }
 
-// Apply leads the document to a later version. The error is a *WrongLogError, *WrongFromError, *NotIncreasingError,
-// *MalformedError or *DigestError, and then nothing has changed. Its cost goes with the delta, not with the document.
+// Apply applies a delta to the document. The error is a *WrongLogError, *WrongFromError, *NotIncreasingError,
+// *MalformedError or *DigestError, and then nothing has changed. Its cost is proportional to the delta, not to the
+// document.
 func (d *Document) Apply(delta *Delta) error {
 	after, err := d.effect(delta)
 	if err != nil {
@@ -121,27 +121,27 @@
 	return nil
 }
 
-// totals are what a document keeps about all of its resources.
-type totals struct {
+// summary is what a document records about all of its resources.
+type summary struct {
 	digest Digest
 	size   int
 	count  int
 }
 
-// effect gives the totals that a delta leads to, or why it can't be applied.
-func (d *Document) effect(delta *Delta) (totals, error) {
+// effect returns the summary of the document after a delta, or an error if the delta can't be applied.
+func (d *Document) effect(delta *Delta) (summary, error) {
 	if err := d.checkPosition(delta); err != nil {
-		return totals{}, err
+		return summary{}, err
 	}
 	if err := checkChanges(delta.Changes); err != nil {
-		return totals{}, err
+		return summary{}, err
 	}
-	after := d.totalsAfter(delta.Changes)
+	after := d.summaryAfter(delta.Changes)
 	if err := after.check(); err != nil {
-		return totals{}, err
+		return summary{}, err
 	}
 	if after.digest != delta.Digest {
-		return totals{}, &DigestError{Version: delta.To, Want: delta.Digest, Got: after.digest}
+		return summary{}, &DigestError{Version: delta.To, Want: delta.Digest, Got: after.digest}
 	}
 	return after, nil
 }
@@ -162,8 +162,8 @@
 	return nil
 }
 
-func (d *Document) totalsAfter(changes []Change) totals {
-	after := totals{digest: d.digest, size: d.size, count: len(d.resources)}
+func (d *Document) summaryAfter(changes []Change) summary {
+	after := summary{digest: d.digest, size: d.size, count: len(d.resources)}
 	for i := range changes {
 		change := &changes[i]
 		if old, found := d.resources[change.Resource]; found {
@@ -180,14 +180,14 @@
 	return after
 }
 
-func (t *totals) check() error {
-	if t.size > MaxDocumentBytes || t.count > MaxDocumentResources {
+func (s *summary) check() error {
+	if s.size > MaxDocumentBytes || s.count > MaxDocumentResources {
 		return &MalformedError{Reason: "the document would be too large"}
 	}
 	return nil
 }
 
-// previous gives, for each change, the value that its resource has now; empty where it has none.
+// previous returns the present value of each resource to be changed, empty where it has none.
 func (d *Document) previous(changes []Change) []Change {
 	previous := make([]Change, len(changes))
 	for i, change := range changes {
@@ -196,8 +196,8 @@
 	return previous
 }
 
-// toggle adds a resource to the digest, or takes it out again. The exclusive or tells apart what faults produce, which is
-// what it is for; it doesn't withstand somebody who chooses values to make two documents agree.
+// toggle adds a resource to the digest, or removes one that was added. The exclusive or detects faults; it doesn't
+// withstand an attacker who chooses values so that two documents agree.
 func (d *Digest) toggle(resource Resource, value []byte) {
 	text := make([]byte, 0, 4+len(resource)+len(value))
 	text = binary.BigEndian.AppendUint32(text, uint32(len(resource)))
--- a/configsync/document_test.go
+++ b/configsync/document_test.go
@@ -24,7 +24,7 @@
 		From:    document.Version(),
 		To:      document.Version() + 1,
 		Changes: changes,
-		Digest:  document.totalsAfter(changes).digest,
+		Digest:  document.summaryAfter(changes).digest,
 	}
 }
 
@@ -103,7 +103,7 @@
 
 func TestDocumentHasABoundedCount(t *testing.T) {
 	for count, want := range map[int]bool{MaxDocumentResources: true, MaxDocumentResources + 1: false} {
-		after := totals{count: count}
+		after := summary{count: count}
 		if after.check() == nil != want {
 			t.Errorf("%d resources", count)
 		}
@@ -180,7 +180,7 @@
 		document := NewDocument(testLog)
 		for range rapid.IntRange(1, 10).Draw(t, "versions") {
 			changes := drawChanges(t)
-			after := document.totalsAfter(changes)
+			after := document.summaryAfter(changes)
 			if err := document.Apply(next(document, changes...)); err != nil || after.count != document.Len() {
 				t.Fatal(err, after.count, document.Len())
 			}
--- a/configsync/errors.go
+++ b/configsync/errors.go
@@ -1,10 +1,8 @@
-// The typed errors of this package.
-
 package configsync
 
 import "fmt"
 
-// WrongLogError tells that something belongs to another log than the one that is held.
+// WrongLogError reports that a message or a command belongs to another log than the current one.
 type WrongLogError struct {
 	Current LogID
 	Got     LogID
@@ -14,7 +12,7 @@
 	return fmt.Sprintf("of log %q, not of log %q", e.Got, e.Current)
 }
 
-// WrongFromError tells that a delta starts from another version than the one that is held.
+// WrongFromError reports that a delta starts from another version than the current one.
 type WrongFromError struct {
 	Current Version
 	From    Version
@@ -24,7 +22,7 @@
 	return fmt.Sprintf("a delta from version %d, not from version %d", e.From, e.Current)
 }
 
-// NotIncreasingError tells that a delta doesn't lead to a later version.
+// NotIncreasingError reports that a delta doesn't lead to a later version.
 type NotIncreasingError struct {
 	From Version
 	To   Version
@@ -34,7 +32,7 @@
 	return fmt.Sprintf("a delta from version %d to version %d, which is not later", e.From, e.To)
 }
 
-// DigestError tells that the content doesn't have the digest that was announced for its version.
+// DigestError reports that the content of a version doesn't have the digest that was announced for it.
 type DigestError struct {
 	Version Version
 	Want    Digest
@@ -45,7 +43,8 @@
 	return fmt.Sprintf("version %d has digest %x, not %x", e.Version, e.Got[:8], e.Want[:8])
 }
 
-// MalformedError tells that something breaks the rules of its form. Resource is empty where no single one is at fault.
+// MalformedError reports that a message, a command or a file breaks the rules of its format. Resource is empty where no
+// single one is at fault.
 type MalformedError struct {
 	Resource Resource
 	Reason   string
@@ -58,7 +57,7 @@
 	return fmt.Sprintf("%.*q: %s", MaxResourceBytes, string(e.Resource), e.Reason)
 }
 
-// ConflictError tells that a command was made for another version than the current one.
+// ConflictError reports that a command was made for another version than the current one.
 type ConflictError struct {
 	Base    Version
 	Current Version
@@ -68,9 +67,9 @@
 	return fmt.Sprintf("based on version %d, the current one is %d", e.Base, e.Current)
 }
 
-// PlanIDError tells that a quota plan can't have its name, because its id belongs to another name, live or removed.
+// PlanIDError reports that a quota plan can't have its name, because its id belongs to another name, live or removed.
 type PlanIDError struct {
-	Resource Resource // the one refused
+	Resource Resource // of the plan that was refused
 	ID       uint32
 	Owner    string // the name that has the id
 }
@@ -79,7 +78,7 @@
 	return fmt.Sprintf("%s: its id %08x is reserved for plan %q; choose another name", e.Resource, e.ID, e.Owner)
 }
 
-// NoChangeError tells that a command changes nothing, so that there is no new version.
+// NoChangeError reports that a command changes nothing, so that there is no new version.
 type NoChangeError struct {
 	Current Version
 }
@@ -88,18 +87,18 @@
 	return fmt.Sprintf("nothing to change in version %d", e.Current)
 }
 
-// LogExistsError tells that the log was created before.
+// LogExistsError reports that the log was created before.
 type LogExistsError struct {
 	Log LogID
 }
 
 func (e *LogExistsError) Error() string { return fmt.Sprintf("log %q exists", e.Log) }
 
-// FileError tells where a file stops to be sound. What comes before Offset is.
+// FileError reports the first byte from which a file is damaged. All before Offset is intact.
 type FileError struct {
 	Offset int // bytes
 	Reason string
-	Err    error // nil, or the cause
+	Err    error // the cause; nil: none but Reason
 }
 
 func (e *FileError) Error() string {
--- a/configsync/file.go
+++ b/configsync/file.go
@@ -1,5 +1,3 @@
-// The file with a gateway's last good version.
-
 package configsync
 
 import (
@@ -13,7 +11,7 @@
 //	magic (8 bytes), format (1), kind (1), length of the body (4, big endian),
 //	SHA-256 of these 14 bytes and the body (32), body (CBOR)
 //
-// so that a record that was cut short or altered is noticed.
+// so that a record that was truncated or altered is detected.
 const (
 	fileMagic     = "RAVENCFG"
 	fileFormat    = 1
@@ -37,24 +35,24 @@
 	Changes []Change `cbor:"4,keyasint"`
 }
 
-// EncodeFile gives the file of a document, to be written aside, synced and renamed.
+// EncodeFile returns the file of a document. It has to be written to a temporary file, synced and renamed.
 func EncodeFile(document *Document) []byte {
 	return encodeRecord(recordDocument, marshal(fileDocumentOf(document)))
 }
 
-// EncodeFileDelta gives what has to be appended to the file when its document is led on by a delta.
+// EncodeFileDelta returns the record to append to the file of a document when a delta is applied to the document.
 func EncodeFileDelta(delta *Delta) []byte {
 	return encodeRecord(recordDelta, marshal(delta))
 }
 
-// NeedsCompaction tells whether a file is to be written anew by EncodeFile: its appended deltas are as long as its
-// document, so that the rewriting at most doubles what is written in all. Both lengths are in bytes.
+// NeedsCompaction reports whether a file has to be rewritten by EncodeFile: its appended deltas are as long as its
+// document, so that rewriting at most doubles the bytes written in all. Both lengths are in bytes.
 func NeedsCompaction(documentBytes, appendedBytes int64) bool {
 	return appendedBytes >= max(documentBytes, minCompactedBytes)
 }
 
-// DecodeFile reads a file. Where it is torn or altered, the error is a *FileError, whose Offset is the length up to which
-// the file is sound; the document is then the one of that part, or nil where not even the first record is sound.
+// DecodeFile reads a file. If it is truncated or altered, the error is a *FileError whose Offset is the length of the
+// intact part. The document is then the one of that part, or nil where not even the first record is intact.
 func DecodeFile(file []byte) (*Document, error) {
 	kind, body, size, err := decodeRecord(file, 0)
 	if err != nil {
@@ -88,7 +86,7 @@
 	return document, nil
 }
 
-// applyRecord leads the document on by the delta at an offset and gives the length of its record.
+// applyRecord applies the delta at an offset of the file to the document and returns the length of its record.
 func applyRecord(document *Document, file []byte, offset int) (size int, err error) {
 	kind, body, size, err := decodeRecord(file, offset)
 	if err != nil {
@@ -130,7 +128,7 @@
 	return append(record, body...)
 }
 
-// recordSum is the checksum of a record by the first bytes of its header and its body.
+// recordSum returns the checksum of a record, which covers the first checkedHeader bytes of its header and its body.
 func recordSum(header, body []byte) [sha256.Size]byte {
 	hash := sha256.New()
 	hash.Write(header[:checkedHeader])
@@ -138,7 +136,7 @@
 	return [sha256.Size]byte(hash.Sum(nil))
 }
 
-// decodeRecord reads the record at an offset of a file. size is the length of the whole record.
+// decodeRecord reads the record at an offset of a file. size is the length of the record with its header.
 func decodeRecord(file []byte, offset int) (kind recordKind, body []byte, size int, err error) {
 	record := file[offset:]
 	fail := func(reason string) (recordKind, []byte, int, error) {
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -367,7 +367,8 @@
 	}
 }
 
-// A snapshot that a differing digest called for ends the wish for one, and another one can follow on the same connection.
+// A snapshot that a differing digest called for ends the wish for one, and another one can follow on the same
+// connection.
 func TestFollowerTakesSnapshotsInTurn(t *testing.T) {
 	follower := newTestFollower(t)
 	wrong := next(follower.Document(), remove("limits"))
--- a/configsync/history.go
+++ b/configsync/history.go
@@ -1,16 +1,15 @@
-// Recent deltas: merged for followers, undone for rollbacks.
-
 package configsync
 
 import (
 	"bytes"
+	"cmp"
 	"slices"
 )
 
-// entryOverhead is what an entry of a history counts beside its names and values, in bytes.
+// entryOverhead is the number of bytes that an entry of a history counts beside its names and values.
 const entryOverhead = 128
 
-// HistoryLimits bounds a History; the oldest deltas go first.
+// HistoryLimits bounds a History, which drops its oldest deltas first.
 type HistoryLimits struct {
 	Deltas int // number of deltas
 	Bytes  int // names, new values and previous values
@@ -19,20 +18,20 @@
 // History keeps the most recent deltas of a log with the values that they replaced. It is not safe for concurrent use.
 type History struct {
 	limits  HistoryLimits
-	oldest  Version // the earliest version that a delta leads on from
+	oldest  Version // the earliest version that a delta starts from
 	digest  Digest  // of the document at oldest
 	latest  Version
 	entries []historyEntry
 	size    int
 }
 
-// historyEntry is one delta and, for each of its changes, what the resource's value was; empty where it had none.
+// historyEntry is one delta with the previous value of each changed resource, empty where there was none.
 type historyEntry struct {
 	Delta    Delta    `cbor:"1,keyasint"`
 	Previous []Change `cbor:"2,keyasint"`
 }
 
-// NewHistory gives a history without deltas that starts at a document's version.
+// NewHistory returns a history without deltas that starts at the version of a document.
 func NewHistory(limits HistoryLimits, start *Document) *History {
 	return &History{
 		limits: limits,
@@ -42,19 +41,19 @@
 	}
 }
 
-// Oldest is the earliest version that Since and ContentAt know.
+// Oldest returns the earliest version that Since and ContentAt know.
 func (h *History) Oldest() Version { return h.oldest }
 
-// Latest is the version that the last delta leads to.
+// Latest returns the version that the latest delta leads to.
 func (h *History) Latest() Version { return h.latest }
 
-// DigestAt gives the digest of the document at a version; ok is false where the history doesn't reach to it.
+// DigestAt returns the digest of the document at a version. ok is false where the history doesn't reach it.
 func (h *History) DigestAt(version Version) (digest Digest, ok bool) {
 	if version == h.oldest {
 		return h.digest, true
 	}
 	index, found := slices.BinarySearchFunc(h.entries, version, func(entry historyEntry, version Version) int {
-		return compareVersions(entry.Delta.To, version)
+		return cmp.Compare(entry.Delta.To, version)
 	})
 	if !found {
 		return Digest{}, false
@@ -62,7 +61,7 @@
 	return h.entries[index].Delta.Digest, true
 }
 
-// append adds the delta that has just been applied to the document.
+// append adds the delta that was just applied to the document.
 func (h *History) append(delta *Delta, previous []Change) error {
 	if delta.From != h.latest {
 		return &WrongFromError{Current: h.latest, From: delta.From}
@@ -82,7 +81,7 @@
 	h.size -= first.size()
 	h.oldest = first.Delta.To
 	h.digest = first.Delta.Digest
-	*first = historyEntry{} // so that its values can be freed
+	*first = historyEntry{} // releases its values
 	h.entries = h.entries[1:]
 }
 
@@ -90,8 +89,9 @@
 	return entryOverhead + changesSize(e.Delta.Changes) + changesSize(e.Previous)
 }
 
-// Since merges all deltas after a version into one: a resource has its last value, and one that ends as it began is left
-// out. ok is false where there is no later version or the history doesn't reach back to it.
+// Since merges all deltas after a version into one: each resource has its latest value, and one whose value is the
+// same as at the version is left out. ok is false where there is no later version or the history doesn't reach back
+// to it.
 func (h *History) Since(version Version) (delta Delta, ok bool) {
 	entries, _ := h.after(version)
 	if len(entries) == 0 {
@@ -101,7 +101,7 @@
 }
 
 // SinceWithin merges as many deltas after a version as the bounds of a delta on the wire allow, and at least one. ok is
-// false where Since has none or where the first alone is beyond the bounds.
+// false where Since has none, or where the first delta alone exceeds the bounds.
 func (h *History) SinceWithin(version Version) (delta Delta, ok bool) {
 	entries, _ := h.after(version)
 	end := 0
@@ -124,7 +124,7 @@
 	return len(changes) <= MaxDeltaChanges && changesSize(changes) <= MaxDeltaBytes
 }
 
-// ContentAt gives the sorted changes that lead the latest content back to the content of a version, for a rollback by a
+// ContentAt returns the sorted changes from the latest content back to the content of a version, for a rollback by a
 // new version. ok is false where the history doesn't reach back to it.
 func (h *History) ContentAt(version Version) (changes []Change, ok bool) {
 	entries, ok := h.after(version)
@@ -134,13 +134,13 @@
 	return merge(entries).undo(), true
 }
 
-// after gives the entries from a version on.
+// after returns the entries from a version on.
 func (h *History) after(version Version) (entries []historyEntry, ok bool) {
 	if version == h.latest {
 		return nil, true
 	}
 	index, found := slices.BinarySearchFunc(h.entries, version, func(entry historyEntry, version Version) int {
-		return compareVersions(entry.Delta.From, version)
+		return cmp.Compare(entry.Delta.From, version)
 	})
 	if !found {
 		return nil, false
@@ -148,21 +148,11 @@
 	return h.entries[index:], true
 }
 
-func compareVersions(a, b Version) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
-	}
-	return 0
-}
-
-// merger collects what each resource was before the first delta added and is after the last one; empty: absent.
+// merger collects the value of each resource before the first delta added and after the last one; empty: absent.
 type merger struct {
 	first map[Resource][]byte
 	last  map[Resource][]byte
-	size  int // bytes of names and values of last
+	size  int // bytes of the names and values in last
 }
 
 func newMerger() *merger {
@@ -189,16 +179,16 @@
 	}
 }
 
-// delta gives the merged delta from a version to where the last one leads.
+// delta returns the merged delta from a version to the one that the last delta leads to.
 func (m *merger) delta(from Version, last *Delta) Delta {
 	changes := netChanges(m.first, m.last)
 	return Delta{Log: last.Log, From: from, To: last.To, Changes: changes, Digest: last.Digest}
 }
 
-// undo gives the changes from the end to the beginning.
+// undo returns the changes from the values after the last delta to those before the first one.
 func (m *merger) undo() []Change { return netChanges(m.last, m.first) }
 
-// netChanges gives the sorted changes between two states of the same resources.
+// netChanges returns the sorted changes between two states of the same resources.
 func netChanges(before, after map[Resource][]byte) []Change {
 	changes := []Change{}
 	for resource, value := range after {
--- a/configsync/limits.go
+++ b/configsync/limits.go
@@ -1,5 +1,3 @@
-// Bounds of sizes and times, with their reasons.
-
 package configsync
 
 import "time"
@@ -24,8 +22,8 @@
 	MaxDeltaChanges = 8 << 10   // with the encoding's 24 bytes a change or less, such a delta fits into a frame
 	MaxPartBytes    = 256 << 10 // the encoded changes of one part of a snapshot that is read
 
-	// PartBytes is how many a part that is sent has, unless one value has more: one within StallTimeout is 8 KB a second, so
-	// that a snapshot comes to its end over a slow way too.
+	// PartBytes is the size of a part that is sent, unless one value is longer. One part within StallTimeout is 8 KB a
+	// second, so that a snapshot also completes over a slow link.
 	PartBytes        = 32 << 10
 	MaxPartChanges   = 8 << 10
 	MaxSnapshotParts = 8 << 10 // a document of the largest size has some 2,500
@@ -35,53 +33,53 @@
 const (
 	MaxCommandBytes = 16 << 20 // an encoded command: a first publication of the operators' size fits
 
-	// DefaultHistoryDeltas is a fifth of a day at 20,000 changes a day: a gateway that was away for a restart or for a
-	// cut of minutes comes back by a delta.
+	// DefaultHistoryDeltas is a fifth of a day at 20,000 changes a day: a gateway that was disconnected by a restart
+	// or for some minutes catches up by a delta.
 	DefaultHistoryDeltas = 4096
 	DefaultHistoryBytes  = 16 << 20 // names, new and previous values
 )
 
-// Times. A change is to be in force at every reachable gateway within 12 s, also when one publisher is lost at its
-// moment: SilenceTimeout (3 s) + the first backoff (0.2 s at most) + ConnectTimeout (1 s) + one more publisher that
-// refuses (0.4 s) leaves more than 7 s for an election among the publishers, the transfer and the application.
+// Times. A change has to be in force at every reachable gateway within 12 s, also when one publisher fails at the
+// moment of the change: SilenceTimeout (3 s), the first backoff (0.2 s at most), ConnectTimeout (1 s) and one more
+// publisher that refuses (0.4 s) leave more than 7 s for an election among the publishers, the transfer and the
+// application.
 const (
 	HeartbeatInterval = time.Second
 
-	SilenceTimeout = 3 * time.Second // three heartbeats: one lost and one late are borne
+	SilenceTimeout = 3 * time.Second // three heartbeats: one may be lost and one late
 	ConnectTimeout = time.Second     // for a connection to a publisher
 
-	// StaleTimeout is how long a follower stays with a publisher that has no contact with a quorum: an election takes a
-	// second or two, in which no publisher has it, and moving would help nobody.
+	// StaleTimeout is how long a follower stays with a publisher that has no contact with a quorum. During an
+	// election of a second or two no publisher has contact, and changing to another one would not help.
 	StaleTimeout = 3 * time.Second
 
-	// StallTimeout is how long a follower stays with a publisher that announces a later version and sends no part of
-	// it: with StaleTimeout, a second attempt is done in the 12 s.
+	// StallTimeout is how long a follower stays with a publisher that announces a later version and sends no part of it.
+	// With StaleTimeout, a second attempt fits into the 12 s.
 	StallTimeout = 4 * time.Second
 
-	// BackoffBase and BackoffCap bound the mean wait between attempts: doubling from 0.2 s spreads the 200 gateways of a
-	// zone, and at 3 s a publisher that comes back is found within a quarter of the 12 s.
+	// BackoffBase and BackoffCap bound the wait between attempts: doubling from 0.2 s spreads the 200 gateways of a zone,
+	// and at 3 s a publisher that is reachable again is found within a quarter of the 12 s.
 	BackoffBase = 200 * time.Millisecond
 	BackoffCap  = 3 * time.Second
 
-	// MaxDeferral bounds the time that a publisher can put a follower off by, so that a wrong one does no lasting harm.
+	// MaxDeferral bounds the wait that a publisher can ask a follower for, so that a faulty one can't keep it away.
 	MaxDeferral = 4 * time.Second
 
-	// AcknowledgeTimeout is how long a publisher waits for the answer to a version that has been written out. It only
-	// ends connections whose other side is gone or stuck: followers notice a loss by StallTimeout first.
+	// AcknowledgeTimeout is how long a publisher waits for the answer to a version that it has sent. It only ends
+	// connections whose other side is gone or stuck: followers notice a lost version by StallTimeout first.
 	AcknowledgeTimeout = 30 * time.Second
 )
 
-// Default bounds of snapshots at one publisher: 200 gateways that come without their disk share 13 MB documents from
-// three publishers in some 14 s, and a publisher spends half of a gigabit link's rate at most.
+// Default bounds of snapshots at one publisher: 200 gateways that start without their disk get 13 MB documents from
+// three publishers in some 14 s, and a publisher uses half of the rate of a gigabit link at most.
 const (
 	DefaultSnapshotRate  = 64 << 20 // bytes a second
 	DefaultSnapshotBurst = 32 << 20 // bytes
 )
 
-// DefaultVersionInterval lets a burst of hundreds of changes reach a follower by some ten versions a second, in place of one
-// for each change, at less than a hundredth of the 12 s. A change that comes alone is sent at once.
+// DefaultVersionInterval lets a burst of hundreds of changes reach a follower as some ten versions a second in place
+// of one for each change, and adds less than a hundredth of the 12 s. A single change is sent at once.
 const DefaultVersionInterval = 100 * time.Millisecond
 
-// Bounds of the file that a gateway keeps: deltas are appended to the document until they are as long as it is, but a
-// file of less than this isn't worth its rewriting.
+// minCompactedBytes is the least length of appended deltas, in bytes, at which a gateway's file is rewritten.
 const minCompactedBytes = 1 << 20
--- a/configsync/messages.go
+++ b/configsync/messages.go
@@ -1,5 +1,3 @@
-// The messages between publishers and followers, and what is allowed in each.
-
 package configsync
 
 import (
@@ -14,68 +12,68 @@
 // Message is one of *Hello, *Delta, *SnapshotPart, *Heartbeat, *Deferral, *Behind, *OtherLog, *Acknowledge, *Refusal.
 type Message interface {
 	kind() kind
-	check() error // of a message that came in
+	check() error // the rules for a received message
 }
 
-// Hello is the first message of a follower on a connection: who it is and what it holds.
+// Hello is the first message of a follower on a connection: its identity and its version in force.
 type Hello struct {
 	Protocol     uint32  `cbor:"1,keyasint"`
 	Member       int     `cbor:"2,keyasint"` // member index
 	Name         string  `cbor:"3,keyasint"`
-	Incarnation  uint64  `cbor:"4,keyasint"`           // grows with each start of the gateway
+	Incarnation  uint64  `cbor:"4,keyasint"`           // increases with each start of the gateway
 	Log          LogID   `cbor:"5,keyasint,omitempty"` // empty: none yet
 	InForce      Version `cbor:"6,keyasint"`
 	Digest       Digest  `cbor:"7,keyasint"`
-	Refused      Version `cbor:"8,keyasint,omitempty"` // the last version that was refused; 0: none
-	WantSnapshot bool    `cbor:"9,keyasint,omitempty"` // a snapshot is wanted whatever is held, since a delta didn't fit
+	Refused      Version `cbor:"8,keyasint,omitempty"` // latest version that was refused; 0: none
+	WantSnapshot bool    `cbor:"9,keyasint,omitempty"` // no delta, since one led to another digest
 }
 
 // SnapshotPart is one part of a document, from 0 on. Its changes are sorted, across the parts too, and remove nothing.
 type SnapshotPart struct {
 	Log     LogID    `cbor:"1,keyasint"`
 	Version Version  `cbor:"2,keyasint"`
-	Digest  Digest   `cbor:"3,keyasint"` // of the whole document
+	Digest  Digest   `cbor:"3,keyasint"` // of the complete document
 	Part    int      `cbor:"4,keyasint"`
 	Parts   int      `cbor:"5,keyasint"`
 	Changes []Change `cbor:"6,keyasint"`
 }
 
-// Heartbeat tells that the publisher lives and what it has.
+// Heartbeat reports that the publisher is alive, and its latest version.
 type Heartbeat struct {
 	Log     LogID   `cbor:"1,keyasint,omitempty"` // empty: no log has been made yet
 	Latest  Version `cbor:"2,keyasint"`
 	Current bool    `cbor:"3,keyasint,omitempty"` // the publisher is in contact with a quorum of publishers
 }
 
-// Deferral puts a follower off that needs a snapshot; the connection ends.
+// Deferral asks a follower that needs a snapshot to come back later; the connection ends.
 type Deferral struct {
 	After time.Duration `cbor:"1,keyasint"` // nanoseconds
 }
 
-// Behind tells a follower that it holds a later version than the publisher has; the connection ends.
+// Behind reports that the follower has a later version in force than the publisher has; the connection ends.
 type Behind struct {
 	Latest Version `cbor:"1,keyasint"`
 }
 
-// OtherLog tells a follower that the publisher has another log; the connection ends.
+// OtherLog reports that the publisher has another log than the follower; the connection ends.
 type OtherLog struct {
 	Log LogID `cbor:"1,keyasint,omitempty"`
 }
 
-// Acknowledge tells that a version is in force at the follower.
+// Acknowledge reports that a version is in force at the follower.
 type Acknowledge struct {
 	Version Version `cbor:"1,keyasint"`
 	Digest  Digest  `cbor:"2,keyasint"`
 }
 
-// Refusal tells that a follower can't take a version and stays with the one that it holds.
+// Refusal reports that a follower can't apply a version and keeps the one in force.
 type Refusal struct {
 	Version  Version  `cbor:"1,keyasint"`
 	Resource Resource `cbor:"2,keyasint,omitempty"` // the one at fault, where it is known
 	Reason   string   `cbor:"3,keyasint,omitempty"`
 }
 
-// NewRefusal gives a refusal with its reason cut to what a message may have.
+// NewRefusal returns a refusal with its reason cut to MaxReasonBytes. A resource whose name is not valid is left out.
 func NewRefusal(version Version, resource Resource, reason string) *Refusal {
 	if checkResource(resource) != nil {
 		resource = ""
@@ -83,7 +81,7 @@
 	return &Refusal{Version: version, Resource: resource, Reason: cutText(reason, MaxReasonBytes)}
 }
 
-// cutText gives valid UTF-8 of a number of bytes at most.
+// cutText returns the text as valid UTF-8 of at most limit bytes.
 func cutText(text string, limit int) string {
 	text = strings.ToValidUTF8(text, "?")
 	if len(text) <= limit {
@@ -121,7 +119,7 @@
 func (*Acknowledge) kind() kind  { return kindAcknowledge }
 func (*Refusal) kind() kind      { return kindRefusal }
 
-// newMessage gives an empty message of a kind, or nil.
+// newMessage returns an empty message of a kind, or nil for an unknown one.
 func newMessage(k kind) Message {
 	switch k {
 	case kindHello:
--- a/configsync/resource.go
+++ b/configsync/resource.go
@@ -1,5 +1,3 @@
-// The rules of names and values.
-
 package configsync
 
 import (
@@ -9,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// checkResource tells what is wrong with a resource's name, or nil.
+// checkResource returns an error if the name of a resource is not valid.
 func checkResource(resource Resource) error {
 	name := string(resource)
 	if len(name) > MaxResourceBytes {
@@ -34,7 +32,7 @@
 	return checkMember(resource, index)
 }
 
-// checkMember accepts the shortest decimal form of a member index alone, so that each member has one name.
+// checkMember accepts only the shortest decimal form of a member index, so that each member has one name.
 func checkMember(resource Resource, index string) error {
 	number, err := strconv.ParseUint(index, 10, 32)
 	if err != nil || number >= MaxMembers || strconv.FormatUint(number, 10) != index {
@@ -43,7 +41,7 @@
 	return nil
 }
 
-// checkChanges tells what is wrong with the names, the values or the order of changes, or nil.
+// checkChanges returns an error if the names, the values or the order of changes are not valid.
 func checkChanges(changes []Change) error {
 	for i := range changes {
 		change := &changes[i]
@@ -67,7 +65,7 @@
 	return nil
 }
 
-// size is the number of bytes of a change's name and value.
+// size returns the number of bytes of a change's name and value.
 func (c *Change) size() int { return len(c.Resource) + len(c.Value) }
 
 func changesSize(changes []Change) int {
--- a/configsync/sender_test.go
+++ b/configsync/sender_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Late and repeated answers: one to an earlier version doesn't stand for the version on its way, and one is known though
-// the history has gone on.
+// Late and repeated answers: one to an earlier version doesn't stand for the version on its way, and one is known
+// though the history has gone on.
 func TestSenderKnowsItsAnswers(t *testing.T) {
 	r := newSenderRig(t, 3, SenderLimits{})
 	id := r.connect(start, r.hello(1, 0))
@@ -127,8 +127,8 @@
 	}
 }
 
-// A sender whose state may be an earlier one sends heartbeats that tell nothing of it, to followers of earlier and of later
-// versions, and goes on from there.
+// A sender whose state may be an earlier one sends heartbeats that tell nothing of it, to followers of earlier and of
+// later versions, and goes on from there.
 func TestSenderHold(t *testing.T) {
 	r := newSenderRig(t, 2, SenderLimits{})
 	r.sender.SetPaused(true)
@@ -176,7 +176,8 @@
 	}
 }
 
-// That no delta fits is found out once for all followers that hold the same version: it takes a walk through all changes.
+// That no delta fits is found out once for all followers that hold the same version: it takes a walk through all
+// changes.
 func TestSenderRemembersThatNoDeltaFits(t *testing.T) {
 	r := newSenderRig(t, 0, SenderLimits{})
 	var changes []Change
@@ -239,8 +240,8 @@
 	}
 }
 
-// A snapshot goes part by part and ends with its acknowledgement; a later version follows as a delta, and another follower
-// shares the snapshot as long as a delta leads on from it.
+// A snapshot goes part by part and ends with its acknowledgement; a later version follows as a delta, and another
+// follower shares the snapshot as long as a delta leads on from it.
 func TestSenderSendsASnapshot(t *testing.T) {
 	r := newSenderRig(t, 0, SenderLimits{})
 	var changes []Change
@@ -473,7 +474,7 @@
 		t.Errorf("leads to version %d, %d bytes", c.to, r.sender.deltas.size)
 	}
 	r.sender.deltas.size = maxCachedBytes
-	if r.sender.prepareDelta(3); len(r.sender.deltas.byHeld) != 1 {
+	if r.sender.prepareDelta(3); len(r.sender.deltas.byFrom) != 1 {
 		t.Error("a cache of any size")
 	}
 }
--- a/configsync/simulation_test.go
+++ b/configsync/simulation_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The simulation joins the state, senders and followers of this package by frames over a network that loses, repeats and
-// reorders them, with publishers that lag behind and gateways that restart with and without their file.
+// The simulation joins the state, senders and followers of this package by frames over a network that loses, repeats
+// and reorders them, with publishers that lag behind and gateways that restart with and without their file.
 
 const (
 	simulationStep = 100 * time.Millisecond
@@ -298,9 +298,9 @@
 	}
 }
 
-// Whatever happened, versions never go back, and once the network is whole again, and also where a publisher falls silent
-// or loses its quorum at the moment of the change, the latest version is in force everywhere within 12 s, with equal
-// digests.
+// Whatever happened, versions never go back, and once the network is whole again, and also where a publisher falls
+// silent or loses its quorum at the moment of the change, the latest version is in force everywhere within 12 s, with
+// equal digests.
 func TestFleetConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
--- a/configsync/snapshot.go
+++ b/configsync/snapshot.go
@@ -1,12 +1,10 @@
-// A whole document in parts.
-
 package configsync
 
-// encodedChangeBytes is the most that CBOR adds to one change's name and value.
+// encodedChangeBytes bounds the bytes that CBOR adds to the name and the value of one change.
 const encodedChangeBytes = 16
 
-// SplitSnapshot gives the parts of a document, each with at most PartBytes of encoded changes, or one value. It costs as much as the
-// document has resources.
+// SplitSnapshot returns the parts of a document, each with at most PartBytes of encoded changes, or one value. Its
+// cost is proportional to the number of resources.
 func SplitSnapshot(document *Document) []*SnapshotPart {
 	var groups [][]Change
 	var group []Change
@@ -37,16 +35,16 @@
 	return parts
 }
 
-// Assembler puts the parts of one snapshot together. The zero value is ready for the first part.
+// Assembler joins the parts of one snapshot. The zero value is ready for the first part.
 type Assembler struct {
 	first   *SnapshotPart
-	next    int // the part that is due
+	next    int // index of the next part
 	size    int // bytes of names and values so far
 	changes []Change
 }
 
-// Add takes the part that is due. It gives the document once the last part is in, and nil before. The error is a
-// *MalformedError or a *DigestError; the snapshot is given up then, and the Assembler can't go on.
+// Add adds the next part. It returns the document after the last part, and nil before. The error is a *MalformedError
+// or a *DigestError; the Assembler can't be used after an error.
 func (a *Assembler) Add(part *SnapshotPart) (*Document, error) {
 	if a.first == nil {
 		a.first = part
@@ -80,7 +78,7 @@
 	return nil
 }
 
-// buildDocument makes a document of its whole sorted content.
+// buildDocument returns the document with the given content, which has to be sorted.
 func buildDocument(log LogID, version Version, digest Digest, changes []Change) (*Document, error) {
 	if err := checkOptionalLog(log); err != nil {
 		return nil, err
--- a/configsync/state.go
+++ b/configsync/state.go
@@ -1,5 +1,3 @@
-// The state machine of the publishers' replicated log, without the log.
-
 package configsync
 
 import (
@@ -13,8 +11,8 @@
 // maxReservedPlans bounds the plan names of a log, live and removed, so that a snapshot of the state can be read back.
 const maxReservedPlans = maxFileElements
 
-// Command is an entry of the publishers' replicated log. Either Create is set, which makes the log of versions, or the
-// others are, which propose one new version.
+// Command is an entry of the publishers' replicated log. It either sets Create alone, which creates the log of
+// versions, or the other fields, which propose one new version.
 type Command struct {
 	Create  LogID    `cbor:"1,keyasint,omitempty"`
 	Log     LogID    `cbor:"2,keyasint,omitempty"`
@@ -22,14 +20,15 @@
 	Changes []Change `cbor:"4,keyasint,omitempty"` // sorted by resource, each named once
 }
 
-// NewCommand proposes changes, in any order, to a version.
+// NewCommand returns a command that proposes changes, in any order, to a version.
 func NewCommand(log LogID, base Version, changes []Change) *Command {
 	sorted := slices.Clone(changes)
 	sortChanges(sorted)
 	return &Command{Log: log, Base: base, Changes: sorted}
 }
 
-// EncodeCommand gives the bytes for the replicated log. The error is a *MalformedError where they are too many.
+// EncodeCommand returns a command as an entry of the replicated log. The error is a *MalformedError where the command
+// has too many changes.
 func EncodeCommand(command *Command) ([]byte, error) {
 	text := marshal(command)
 	if len(text) > MaxCommandBytes {
@@ -49,16 +48,16 @@
 	return command, nil
 }
 
-// PlanID is the number that stands for a quota plan between gateways: the 32-bit FNV-1a hash of its name, where 0 is taken
-// as 1, since 0 means no plan.
+// PlanID returns the number of a quota plan in messages between gateways: the 32-bit FNV-1a hash of its name, or 1
+// where that is 0, since 0 means no plan.
 func PlanID(name string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
 	return max(hash.Sum32(), 1)
 }
 
-// State is what the publishers' replicated log makes: the current document, its recent history and the ids of all plans
-// that it ever had. The same commands give the same state, byte by byte. It is not safe for concurrent use.
+// State is the state machine of the publishers' replicated log: the current document, its recent history and the ids of
+// all plans of the log. The same commands lead to the same state, byte by byte. It is not safe for concurrent use.
 type State struct {
 	limits   HistoryLimits
 	document *Document
@@ -66,7 +65,7 @@
 	plans    map[uint32]string // names of plans, live and removed, by their ids
 }
 
-// NewState gives the state of an empty replicated log. All publishers need the same limits.
+// NewState returns the state of an empty replicated log. All publishers need the same limits.
 func NewState(limits HistoryLimits) *State {
 	document := NewDocument("")
 	return &State{
@@ -77,15 +76,15 @@
 	}
 }
 
-// Document is the current document. It must not be changed, and changes with the state.
+// Document returns the current document, which changes with the state. The caller must not change it.
 func (s *State) Document() *Document { return s.document }
 
-// History holds the recent deltas. It changes with the state.
+// History returns the recent deltas, which change with the state.
 func (s *State) History() *History { return s.history }
 
-// Apply carries out an encoded command. It gives the delta to the new version, or nil where the log was created. The error
-// is a *MalformedError, *LogExistsError, *WrongLogError, *ConflictError, *NoChangeError or *PlanIDError, and then nothing
-// has changed.
+// Apply applies an encoded command. It returns the delta to the new version, or nil where the log was created. The
+// error is a *MalformedError, *LogExistsError, *WrongLogError, *ConflictError, *NoChangeError or *PlanIDError, and
+// then nothing has changed.
 func (s *State) Apply(text []byte) (*Delta, error) {
 	command, err := decodeCommand(text)
 	if err != nil {
@@ -118,7 +117,7 @@
 		From:    s.document.version,
 		To:      s.document.version + 1,
 		Changes: changes,
-		Digest:  s.document.totalsAfter(changes).digest,
+		Digest:  s.document.summaryAfter(changes).digest,
 	}
 	previous := s.document.previous(changes)
 	if err := s.document.Apply(delta); err != nil {
@@ -131,7 +130,7 @@
 	return delta, nil
 }
 
-// Check tells, without a change, why a proposal would be refused at this moment; the errors are those of Apply.
+// Check returns the error that Apply would return for a proposal at this moment, and changes nothing.
 func (s *State) Check(command *Command) error {
 	if s.document.log == "" || command.Log != s.document.log {
 		return &WrongLogError{Current: s.document.log, Got: command.Log}
@@ -149,14 +148,14 @@
 	if len(changes) == 0 {
 		return &NoChangeError{Current: s.document.version}
 	}
-	after := s.document.totalsAfter(changes)
+	after := s.document.summaryAfter(changes)
 	if err := after.check(); err != nil {
 		return err
 	}
 	return s.checkPlans(changes)
 }
 
-// effective leaves out the changes that set what is set or remove what isn't there.
+// effective returns the changes that differ from the current document.
 func (s *State) effective(changes []Change) []Change {
 	var effective []Change
 	for _, change := range changes {
@@ -168,13 +167,13 @@
 	return effective
 }
 
-// checkPlans refuses a plan whose id belongs to another name, in the state or earlier in the same changes.
+// checkPlans returns an error if the id of a plan belongs to another name, in the state or earlier in the same changes.
 func (s *State) checkPlans(changes []Change) error {
 	added := map[uint32]string{}
 	for i := range changes {
 		change := &changes[i]
 		name, isPlan := strings.CutPrefix(string(change.Resource), PlanPrefix)
-		if !isPlan { // a removed one has its id already
+		if !isPlan {
 			continue
 		}
 		id := PlanID(name)
@@ -207,13 +206,13 @@
 // stateRecord is the body of a snapshot of the state.
 type stateRecord struct {
 	Document fileDocument   `cbor:"1,keyasint"`
-	Oldest   Version        `cbor:"2,keyasint"` // of the history
+	Oldest   Version        `cbor:"2,keyasint"` // oldest version of the history
 	Digest   Digest         `cbor:"3,keyasint"` // at Oldest
 	Entries  []historyEntry `cbor:"4,keyasint"`
 	Plans    []string       `cbor:"5,keyasint"` // names, sorted
 }
 
-// Snapshot gives the whole state as bytes.
+// Snapshot returns the complete state as bytes.
 func (s *State) Snapshot() []byte {
 	record := &stateRecord{
 		Document: *fileDocumentOf(s.document),
@@ -225,8 +224,8 @@
 	return encodeRecord(recordState, marshal(record))
 }
 
-// Restore replaces the state by what Snapshot gave. The error is a *FileError, and then nothing has changed. The pointers
-// that Document and History gave before don't follow.
+// Restore replaces the state by one that Snapshot returned. The error is a *FileError, and then nothing has changed.
+// Documents and histories returned before still belong to the replaced state.
 func (s *State) Restore(snapshot []byte) error {
 	kind, body, size, err := decodeRecord(snapshot, 0)
 	if err != nil {
--- a/configsync/state_test.go
+++ b/configsync/state_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// The same commands give the same bytes, also where a publisher was restored from a snapshot on the way; merged deltas and
-// rollbacks agree with the steps.
+// The same commands give the same bytes, also where a publisher was restored from a snapshot on the way; merged
+// deltas and rollbacks agree with the steps.
 func TestStateAndHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := HistoryLimits{Deltas: rapid.IntRange(1, 20).Draw(t, "deltas"), Bytes: rapid.IntRange(200, 4000).Draw(t, "bytes")}
