--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,17 +16,17 @@
 
 // Config is the whole configuration of one gateway on sockets.
 type Config struct {
-	Name       string
-	Listen     netip.AddrPort // where clients connect
-	Discovery  string
-	Seed       uint64
-	Memory     int64 // bytes
-	Sockets    int   // descriptors
-	PeerListen netip.AddrPort
-	Peers      []netip.AddrPort // by member index; none where gateways exchange no gossip
-	Counter    netip.AddrPort   // the shared counter; none where the settings know none
-	Known      string           // the list as last had; may be empty. A part of the file's text: it keeps all of that in memory
-	Fixed      uint64           // a hash of the keys that count from the start on only; it holds in this process alone
+	Name           string
+	Listen         netip.AddrPort // where clients connect
+	Discovery      string
+	Seed           uint64
+	Memory         int64 // bytes
+	Sockets        int   // descriptors
+	PeerListen     netip.AddrPort
+	Peers          []netip.AddrPort // by member index; none where gateways exchange no gossip
+	Counter        netip.AddrPort   // the shared counter; none where the settings know none
+	KnownEndpoints string           // the list as last had; may be empty. A part of the file's text: it keeps all of that in memory
+	FixedKeysHash  uint64           // a hash of the keys that count from the start on only; it holds in this process alone
 	*Settings
 	Counterfactual *Counterfactual // nil: off
 	Pool           *Pool           // nil: off
@@ -47,9 +47,9 @@
 		return nil, err
 	}
 	c := &Config{
-		Name:  f.word("name", "GW_NAME", defaultName),
-		Known: f.at("known", gjson.JSON).Raw,
-		Fixed: fixedKeys(f.obj),
+		Name:           f.word("name", "GW_NAME", defaultName),
+		KnownEndpoints: f.at("known", gjson.JSON).Raw,
+		FixedKeysHash:  fixedKeys(f.obj),
 	}
 	c.readOwn(f, again)
 	c.readSettings(f)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&all, "%s %s %s seed %x, %d bytes, %d sockets, peers %v at %v, known %q\n  %+v\n", c.Name, c.Listen, c.Discovery,
-			c.Seed, c.Memory, c.Sockets, c.Peers, c.PeerListen, c.Known, *c.Settings)
+			c.Seed, c.Memory, c.Sockets, c.Peers, c.PeerListen, c.KnownEndpoints, *c.Settings)
 	}
 	golden.Check(t, all.String())
 }
@@ -115,7 +115,7 @@
 			t.Error("a call of the counter is never given up")
 		}
 		fmt.Fprintf(&all, "%q\n  %+v\n  %+v\n  %+v\n  counter %v, report %+v %q, even %t\n", c.Adjusted, c.Classes, c.Plans, c.Limits,
-			c.Counter, c.LoadReport, c.ReportNames, c.Even)
+			c.Counter, c.LoadReport, c.ReportNames, c.EqualWeights)
 	}
 	golden.Check(t, all.String())
 	for _, x := range []struct{ key, text string }{ // what can't be understood ends the start still
--- a/internal/config/counterfactual.go
+++ b/internal/config/counterfactual.go
@@ -4,20 +4,20 @@
 
 // Counterfactual is the optional section on estimates of what other hosts would have answered (docs/counterfactual.md).
 type Counterfactual struct {
-	Listen     netip.AddrPort   `json:"listen"`     // UDP for summaries; a collector takes questions there by TCP
-	Peers      []netip.AddrPort `json:"peers"`      // by member index, as this gateway sees them: whom a summary is of follows from it
-	Collectors []int            `json:"collectors"` // members that merge summaries and answer questions
-	Part       float64          `json:"part"`       // fraction of the module's batches that is recorded, drawn at random
-	Window     int              `json:"window_ms"`  // a summary covers so long
-	Grace      int              `json:"grace_ms"`   // summaries that come so late still count
-	Keep       int              `json:"keep_s"`     // a collector's memory reaches so far back
-	Queue      int              `json:"queue"`      // records that wait to be folded; more are counted as lost
-	Cells      int              `json:"cells"`      // of a gateway's window
-	Ledger     int              `json:"ledger"`     // cells that a collector holds
-	Missing    float64          `json:"missing"`    // fraction of the attempts that a figure may lack
-	Records    string           `json:"records"`    // a file that each record is added to; empty: none
-	RecordsMB  int              `json:"records_mb"` // and its most
-	Ask        netip.AddrPort   `json:"ask"`        // where a collector takes questions; Listen where not given
+	Listen           netip.AddrPort   `json:"listen"`     // UDP for summaries; a collector takes questions there by TCP
+	Peers            []netip.AddrPort `json:"peers"`      // by member index, as this gateway sees them: whom a summary is of follows from it
+	Collectors       []int            `json:"collectors"` // members that merge summaries and answer questions
+	RecordedFraction float64          `json:"part"`       // fraction of the module's batches that is recorded, drawn at random
+	Window           int              `json:"window_ms"`  // a summary covers so long
+	Grace            int              `json:"grace_ms"`   // summaries that come so late still count
+	Retention        int              `json:"keep_s"`     // a collector's memory reaches so far back
+	QueueLength      int              `json:"queue"`      // records that wait to be folded; more are counted as lost
+	MaxCells         int              `json:"cells"`      // of a gateway's window
+	MaxLedgerCells   int              `json:"ledger"`     // cells that a collector holds
+	MaxMissing       float64          `json:"missing"`    // fraction of the attempts that a figure may lack
+	RecordsFile      string           `json:"records"`    // a file that each record is added to; empty: none
+	RecordsMB        int              `json:"records_mb"` // and its most
+	QueryListen      netip.AddrPort   `json:"ask"`        // where a collector takes questions; Listen where not given
 }
 
 // counterfactualSection is the section as it is written.
@@ -33,7 +33,7 @@
 	if raw == "" {
 		return nil, nil
 	}
-	s := &Counterfactual{Part: 0.1, Window: 2000, Keep: 120, Queue: 1024, Cells: 8192, Ledger: 200_000, Missing: 0.05,
+	s := &Counterfactual{RecordedFraction: 0.1, Window: 2000, Retention: 120, QueueLength: 1024, MaxCells: 8192, MaxLedgerCells: 200_000, MaxMissing: 0.05,
 		RecordsMB: 64}
 	text := counterfactualSection{Counterfactual: s}
 	if err := strict(raw, &text); err != nil {
@@ -57,9 +57,9 @@
 	if err != nil {
 		return err
 	}
-	s.Ask = s.Listen
+	s.QueryListen = s.Listen
 	if text.Ask != "" {
-		s.Ask, err = parseAddress("ask", text.Ask)
+		s.QueryListen, err = parseAddress("ask", text.Ask)
 	}
 	if err != nil {
 		return err
@@ -79,10 +79,10 @@
 	return checkIntegers(
 		integer{"window_ms", s.Window, 100, 600_000},
 		integer{"grace_ms", s.Grace, 1, 3_600_000},
-		integer{"keep_s", s.Keep, 1, 86_400},
-		integer{"queue", s.Queue, 1, 1 << 20},
-		integer{"cells", s.Cells, 64, 1 << 20},
-		integer{"ledger", s.Ledger, 64, 1 << 24},
+		integer{"keep_s", s.Retention, 1, 86_400},
+		integer{"queue", s.QueueLength, 1, 1 << 20},
+		integer{"cells", s.MaxCells, 64, 1 << 20},
+		integer{"ledger", s.MaxLedgerCells, 64, 1 << 24},
 		integer{"records_mb", s.RecordsMB, 1, 1 << 16},
 	)
 }
@@ -95,14 +95,14 @@
 	if len(s.Collectors) == 0 {
 		return keyError("collectors", errMissing)
 	}
-	if err := fractionError("part", s.Part, 0, 1, true); err != nil {
+	if err := fractionError("part", s.RecordedFraction, 0, 1, true); err != nil {
 		return err
 	}
-	if err := fractionError("missing", s.Missing, 0, 0.5, false); err != nil {
+	if err := fractionError("missing", s.MaxMissing, 0, 0.5, false); err != nil {
 		return err
 	}
-	if s.Keep*1000 < s.Grace+2*s.Window {
-		return keyErrorf("keep_s", "%d s is less than grace_ms and two windows", s.Keep)
+	if s.Retention*1000 < s.Grace+2*s.Window {
+		return keyErrorf("keep_s", "%d s is less than grace_ms and two windows", s.Retention)
 	}
 	for i, member := range s.Collectors {
 		if member < 0 || member >= members {
--- a/internal/config/live_decode.go
+++ b/internal/config/live_decode.go
@@ -94,7 +94,7 @@
 		holder, taken = edit.identities[id]
 	}
 	if taken && holder != name {
-		return 0, &IdentityError{ID: id, Holder: holder}
+		return 0, &IdentityError{ID: id, OtherName: holder}
 	}
 	if !taken {
 		if edit.identities == nil {
@@ -107,12 +107,12 @@
 
 // IdentityError tells that the identity of a quota plan's name, a hash, is that of another name.
 type IdentityError struct {
-	ID     uint32
-	Holder string // the other name; it may have been removed since
+	ID        uint32
+	OtherName string // the other name; it may have been removed since
 }
 
 func (e *IdentityError) Error() string {
-	return fmt.Sprintf("the name's identity %08x is that of plan %q; another name is wanted", e.ID, e.Holder)
+	return fmt.Sprintf("the name's identity %08x is that of plan %q; another name is wanted", e.ID, e.OtherName)
 }
 
 func (l *Live) stageClass(edit *liveEdit, change *configsync.Change, name string) error {
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -11,23 +11,23 @@
 
 // Pool is the optional section on a store that all gateways share and that takes only so many connections (docs/pool.md).
 type Pool struct {
-	Terms    pool.Terms
-	Capacity int              // connections that the store takes
-	Serial   uint64           // of the capacity: the highest serial that any gateway is configured with counts
-	Weight   float64          // of this gateway's quota
-	Voters   []netip.AddrPort // UDP of the gateways that record the leases, as this gateway sees them
-	Streams  []netip.AddrPort // TCP of the same; Voters where not given
-	Seats    []int            // member indices of these gateways
-	Listen   netip.AddrPort   // where a voter listens for them
-	Dir      string           // what a voter keeps on disk
-	Key      []byte           // all messages are signed with it
-	Election time.Duration    // without contact to the leader before another is elected
-	Turn     time.Duration    // the longest that a request waits for a connection
-	Urgent   map[string]bool  // names of request classes that go first within the floor
+	Terms           pool.Terms
+	Capacity        int              // connections that the store takes
+	Serial          uint64           // of the capacity: the highest serial that any gateway is configured with counts
+	Weight          float64          // of this gateway's quota
+	Voters          []netip.AddrPort // UDP of the gateways that record the leases, as this gateway sees them
+	VoterStreams    []netip.AddrPort // TCP of the same; Voters where not given
+	VoterMembers    []int            // member indices of these gateways
+	Listen          netip.AddrPort   // where a voter listens for them
+	Dir             string           // what a voter keeps on disk
+	Key             []byte           // all messages are signed with it
+	ElectionTimeout time.Duration    // without contact to the leader before another is elected
+	MaxWait         time.Duration    // the longest that a request waits for a connection
+	UrgentClasses   map[string]bool  // names of request classes that go first within the floor
 }
 
 // VoterIndex returns the index of a member among the voters, -1 if it is none.
-func (p *Pool) VoterIndex(member int) int { return slices.Index(p.Seats, member) }
+func (p *Pool) VoterIndex(member int) int { return slices.Index(p.VoterMembers, member) }
 
 // poolSection is the section as it is written.
 type poolSection struct {
@@ -141,12 +141,12 @@
 	}
 	lease := int64(t.Lease) * ms
 	return &Pool{
-		Capacity: t.Capacity,
-		Serial:   t.Serial,
-		Weight:   t.Weight,
-		Dir:      t.Dir,
-		Election: time.Duration(t.Election) * time.Millisecond,
-		Turn:     time.Duration(t.Turn) * time.Millisecond,
+		Capacity:        t.Capacity,
+		Serial:          t.Serial,
+		Weight:          t.Weight,
+		Dir:             t.Dir,
+		ElectionTimeout: time.Duration(t.Election) * time.Millisecond,
+		MaxWait:         time.Duration(t.Turn) * time.Millisecond,
 		Terms: pool.Terms{
 			Members:        c.Membership.Count,
 			Floor:          t.Floor,
@@ -158,7 +158,7 @@
 			ReportInterval: int64(t.Tell) * ms,
 			CloseDelay:     int64(t.Rest) * ms,
 		},
-		Urgent: make(map[string]bool, len(t.Urgent)),
+		UrgentClasses: make(map[string]bool, len(t.Urgent)),
 	}
 }
 
@@ -170,9 +170,9 @@
 	if p.Voters, err = parseAddresses("voters", text.Voters); err != nil {
 		return err
 	}
-	p.Streams = p.Voters
+	p.VoterStreams = p.Voters
 	if len(text.Streams) > 0 {
-		p.Streams, err = parseAddresses("streams", text.Streams)
+		p.VoterStreams, err = parseAddresses("streams", text.Streams)
 	}
 	if err != nil {
 		return err
@@ -181,7 +181,7 @@
 		if member < 0 || member >= c.Membership.Count || p.VoterIndex(member) >= 0 {
 			return keyErrorf(elementPath("voter_seats", i), "%d is no seat, or a second time one", member)
 		}
-		p.Seats = append(p.Seats, member)
+		p.VoterMembers = append(p.VoterMembers, member)
 	}
 	if p.VoterIndex(c.Membership.Index) < 0 {
 		return nil
@@ -203,7 +203,7 @@
 		if !known[name] {
 			return keyErrorf(elementPath("urgent", i), "no frontend %q", name)
 		}
-		p.Urgent[name] = true
+		p.UrgentClasses[name] = true
 	}
 	return nil
 }
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -13,18 +13,18 @@
 
 // Publisher is the configuration of one replica of the publishers (docs/configuration-sync.md).
 type Publisher struct {
-	Index        int            // this replica's among Raft
-	Listen       netip.AddrPort // TCP, for followers
-	RaftListen   netip.AddrPort // TCP, for the other replicas
-	Raft         []netip.AddrPort
-	AdminListen  netip.AddrPort // HTTP, for operators; it asks for no password, so it belongs on a network of theirs
-	Admin        []netip.AddrPort
-	Dir          string
-	Key          []byte        // shared by the replicas
-	Election     time.Duration // without contact to the leader before another is elected
-	MaxFollowers int           // connections of followers at once
-	History      configsync.HistoryLimits
-	Sending      configsync.SenderLimits
+	Index           int            // this replica's among Raft
+	Listen          netip.AddrPort // TCP, for followers
+	RaftListen      netip.AddrPort // TCP, for the other replicas
+	Raft            []netip.AddrPort
+	AdminListen     netip.AddrPort // HTTP, for operators; it asks for no password, so it belongs on a network of theirs
+	Admin           []netip.AddrPort
+	Dir             string
+	Key             []byte        // shared by the replicas
+	ElectionTimeout time.Duration // without contact to the leader before another is elected
+	MaxFollowers    int           // connections of followers at once
+	History         configsync.HistoryLimits
+	Sending         configsync.SenderLimits
 
 	SnapshotThreshold uint64 // entries of the replicated log between its snapshots; 0: the default
 	TrailingEntries   uint64 // entries kept behind a snapshot; 0: the default
@@ -79,11 +79,11 @@
 		return nil, err
 	}
 	p := &Publisher{
-		Index:        text.Index,
-		Dir:          text.Dir,
-		Election:     time.Duration(text.ElectionMS) * time.Millisecond,
-		MaxFollowers: text.MaxFollowers,
-		History:      configsync.HistoryLimits{Deltas: text.HistoryDeltas, Bytes: text.HistoryBytes},
+		Index:           text.Index,
+		Dir:             text.Dir,
+		ElectionTimeout: time.Duration(text.ElectionMS) * time.Millisecond,
+		MaxFollowers:    text.MaxFollowers,
+		History:         configsync.HistoryLimits{Deltas: text.HistoryDeltas, Bytes: text.HistoryBytes},
 		Sending: configsync.SenderLimits{
 			SnapshotRate:    text.SnapshotRate,
 			SnapshotBurst:   text.SnapshotBurst,
--- a/internal/config/publisher_test.go
+++ b/internal/config/publisher_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Index != 0 || len(p.Raft) != 3 || p.Admin[2].String() != "10.5.0.3:7402" || p.Election.Milliseconds() != 1000 ||
+	if p.Index != 0 || len(p.Raft) != 3 || p.Admin[2].String() != "10.5.0.3:7402" || p.ElectionTimeout.Milliseconds() != 1000 ||
 		p.MaxFollowers != 8192 || p.History.Deltas != 4096 || p.Sending.SnapshotRate != 64<<20 || len(p.Key) != 16 {
 		t.Errorf("%+v", p)
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -146,8 +146,8 @@
 	ClassNames, PlanNames, ReportNames, Zones, Machines []string // by index
 	ConnIdle, ConnectTimeout                            int64    // of connections to hosts
 
-	Even     bool         // the list's shares are figures of the moment, no sizes: each host counts as 1
-	Adjusted []Adjustment // what was not taken by its letter
+	EqualWeights bool         // the list's shares are figures of the moment, no sizes: each host counts as 1
+	Adjusted     []Adjustment // what was not taken by its letter
 }
 
 // Decode reads the settings object.
@@ -180,7 +180,7 @@
 	d.LoadReport = s.loadReport(d.ReportNames)
 	d.Zones = s.names("zones")
 	d.Machines = s.names("skus")
-	d.Even = s.word("weights", "off", "nominal", "rough", "live") == 3
+	d.EqualWeights = s.word("weights", "off", "nominal", "rough", "live") == 3
 	d.ConnIdle = s.time("limits.conn_idle_us")
 	d.ConnectTimeout = s.time("limits.connect_timeout_us")
 	if d.Membership.Count < 1 || d.Membership.Index >= d.Membership.Count {
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -35,7 +35,7 @@
 	case l.SharedCounter && l.CounterTimeout == 0:
 		l.CounterTimeout = int64(countWait)
 	}
-	if s.Even {
+	if s.EqualWeights {
 		s.adjust("weights", "live figures tell no size: every host counts as of one size")
 	}
 	if s.Limits.SettlesUnits {
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -50,8 +50,8 @@
 	settings.Plans[0].ID = configsync.PlanID("gold")
 	settings.ConnectTimeout, settings.ConnIdle = 20e9, 20e9
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100, Settings: settings,
-		Known:         fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, host),
-		Configuration: &config.Configuration{}}
+		KnownEndpoints: fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, host),
+		Configuration:  &config.Configuration{}}
 	cfg.Limits.PollEndpoints = true // clients are taken in without discovery's agent
 	if set != nil {
 		set(cfg)
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -103,7 +103,7 @@
 		slog.Info("reloaded",
 			"discovery", cfg.Discovery,
 			"version", n.endpointList.Version,
-			"others_changed", n.cfg.Fixed != cfg.Fixed,
+			"others_changed", n.cfg.FixedKeysHash != cfg.FixedKeysHash,
 		) // these count from the next start on
 		if cfg.Pool != nil {
 			n.quota.setCapacity(cfg.Pool.Serial, cfg.Pool.Capacity)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -124,7 +124,7 @@
 		endpointList: discovery.NewEndpointList(cfg.Zones, cfg.Machines),
 		catalog:      clients.NewCatalog(catalogOf(cfg)),
 	}
-	n.endpointList.Even = cfg.Even
+	n.endpointList.Even = cfg.EqualWeights
 	shared := sharedDescriptors(cfg.Sockets)
 	n.clients = clients.NewServer(n.system, n.catalog, shared/3, n.runOnLoop, n.now, n.arrive)
 	idleTimeout := int64(idleFraction * float64(cfg.ConnIdle))
@@ -230,11 +230,11 @@
 
 // decideFirstBatch hands the module the endpoint list of the configuration.
 func (n *Node) decideFirstBatch() {
-	if n.cfg.Known == "" {
+	if n.cfg.KnownEndpoints == "" {
 		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached})
 	} else {
-		n.updateEndpoints(n.cfg.Known, true)
-		n.cfg.Known = "" // what it lists is known now, and the text need not be kept
+		n.updateEndpoints(n.cfg.KnownEndpoints, true)
+		n.cfg.KnownEndpoints = "" // what it lists is known now, and the text need not be kept
 	}
 	n.step()
 }
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -54,7 +54,7 @@
 // actions returns what the module writes a batch to: for a fraction of the batches, drawn at random, the observer. The others
 // cost no more than without.
 func (n *Node) actions() gateway.Actions {
-	if w := n.observer; w != nil && w.random.Float64() < n.cfg.Counterfactual.Part {
+	if w := n.observer; w != nil && w.random.Float64() < n.cfg.Counterfactual.RecordedFraction {
 		return w
 	}
 	return n
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -55,7 +55,7 @@
 	for index, name := range n.cfg.ClassNames {
 		p.addClass(index, name)
 	}
-	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.Turn, p.leaseholder.Allowed, p.leaseholder.AddRejected)
+	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.MaxWait, p.leaseholder.Allowed, p.leaseholder.AddRejected)
 	n.quota = p
 	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
 	slog.Info("pool_on",
@@ -101,7 +101,7 @@
 // addClass adds a request class; a new one has the next index.
 func (p *connectionQuota) addClass(index int, name string) {
 	if p != nil && index == len(p.urgent) {
-		p.urgent = append(p.urgent, p.node.cfg.Pool.Urgent[name])
+		p.urgent = append(p.urgent, p.node.cfg.Pool.UrgentClasses[name])
 	}
 }
 
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -10,7 +10,7 @@
 	left := make(chan []string, 1)
 	r.runOnLoop(func() {
 		var held []string
-		if r.cfg.Known != "" {
+		if r.cfg.KnownEndpoints != "" {
 			held = append(held, "the configuration")
 		}
 		for _, e := range r.listEvents[:cap(r.listEvents)] {
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -86,14 +86,14 @@
 		member:      member,
 		zone:        zone,
 		classes:     classes,
-		records:     make(chan []*Entry, max(config.Queue/Batch, 1)),
+		records:     make(chan []*Entry, max(config.QueueLength/Batch, 1)),
 		recycled:    make(chan []*Entry, 4),
 		datagrams:   make(chan datagram, inboxSize),
 		queries:     make(chan pendingQuery),
 		done:        make(chan struct{}),
 		started:     started,
 		incarnation: uint64(started.UnixNano()),
-		folder:      counterfactual.NewFolder(zone, config.Cells),
+		folder:      counterfactual.NewFolder(zone, config.MaxCells),
 	}
 	if err := o.openResources(); err != nil {
 		o.closeResources()
@@ -118,14 +118,14 @@
 		return fmt.Errorf("counterfactual.listen: %w", err)
 	}
 	o.udp.SetReadBuffer(socketBuffer)
-	if o.config.Records != "" {
-		o.recordsFile, err = os.OpenFile(o.config.Records, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if o.config.RecordsFile != "" {
+		o.recordsFile, err = os.OpenFile(o.config.RecordsFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return fmt.Errorf("counterfactual.records: %w", err)
 		}
 	}
 	if slices.Contains(o.config.Collectors, o.member) {
-		listener, err := o.system.Listen(o.config.Ask)
+		listener, err := o.system.Listen(o.config.QueryListen)
 		if err != nil {
 			return fmt.Errorf("counterfactual.ask: %w", err)
 		}
@@ -153,9 +153,9 @@
 		Gateways:   members,
 		Window:     int64(o.config.Window) * 1e6,
 		Grace:      int64(o.config.Grace) * 1e6,
-		KeptBins:   o.config.Keep*1000/o.config.Window + 1,
-		MaxCells:   o.config.Ledger,
-		MaxMissing: o.config.Missing,
+		KeptBins:   o.config.Retention*1000/o.config.Window + 1,
+		MaxCells:   o.config.MaxLedgerCells,
+		MaxMissing: o.config.MaxMissing,
 		Objectives: objectives,
 		Classes:    o.classes,
 		HostID:     o.hostID,
--- a/internal/poolrunner/voter.go
+++ b/internal/poolrunner/voter.go
@@ -69,11 +69,11 @@
 		Name:      "pool",
 		Sockets:   system,
 		Index:     index,
-		Addresses: cfg.Streams,
+		Addresses: cfg.VoterStreams,
 		Listen:    cfg.Listen,
 		Dir:       cfg.Dir,
 		Key:       cfg.Key,
-		Election:  cfg.Election,
+		Election:  cfg.ElectionTimeout,
 	}, &ledgerMachine{ledger: pool.NewLedger(&cfg.Terms)})
 	if err != nil {
 		v.socket.Close()
@@ -196,7 +196,7 @@
 	v.grantor = nil
 	v.term++
 	term := v.term
-	time.AfterFunc(v.cfg.Election/4, func() {
+	time.AfterFunc(v.cfg.ElectionTimeout/4, func() {
 		v.runInTask(func() {
 			if v.leading && v.term == term {
 				v.startLeading()
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -99,7 +99,7 @@
 		Listen:            cfg.RaftListen,
 		Dir:               cfg.Dir,
 		Key:               cfg.Key,
-		Election:          cfg.Election,
+		Election:          cfg.ElectionTimeout,
 		SnapshotThreshold: cfg.SnapshotThreshold,
 		TrailingEntries:   cfg.TrailingEntries,
 		Sockets:           options.Sockets,
--- a/internal/publishertest/publishertest.go
+++ b/internal/publishertest/publishertest.go
@@ -95,7 +95,7 @@
 	for i := range replicas {
 		cfg := &config.Publisher{Index: i, Listen: freeAddress(t), RaftListen: raftAddresses[i], Raft: raftAddresses,
 			AdminListen: adminAddresses[i], Admin: adminAddresses, Dir: t.TempDir(), Key: []byte("0123456789abcdef"),
-			Election: 200 * time.Millisecond, MaxFollowers: 100,
+			ElectionTimeout: 200 * time.Millisecond, MaxFollowers: 100,
 			History: configsync.HistoryLimits{Deltas: 8, Bytes: 1 << 20}, SnapshotThreshold: 4, TrailingEntries: 2}
 		if change != nil {
 			change(cfg)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -127,7 +127,7 @@
 			return fmt.Errorf("POWER_ON: env: %w", err)
 		}
 		h.seats[h.id] = &instance{decider: h.start(seed, s.Membership, s.Classes, s.Plans, s.Limits, s.SlowStart, s.LoadReport),
-			fronts: len(s.Classes), plans: len(s.Plans), seats: s.Membership.Count, even: s.Even}
+			fronts: len(s.Classes), plans: len(s.Plans), seats: s.Membership.Count, even: s.EqualWeights}
 		h.round()
 		return nil
 	}
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -78,7 +78,7 @@
 	h.module = logic.New(configuration.Seed, configuration.Membership, configuration.Classes, configuration.Plans,
 		configuration.Limits, configuration.SlowStart, configuration.LoadReport)
 	h.book = discovery.NewEndpointList(configuration.Zones, configuration.Machines)
-	h.book.Even = configuration.Even
+	h.book.Even = configuration.EqualWeights
 	run := func(work func()) { work() }
 	clock := func() int64 { return h.now }
 	h.connections = hosts.NewTransport(sockets.Kernel{}, run, clock, configuration.ReportNames, configuration.ConnectTimeout,
@@ -86,8 +86,8 @@
 	if configuration.Configuration != nil {
 		h.follow()
 	}
-	h.List(configuration.Known, true)
-	configuration.Known = "" // as package node: the list is in the book
+	h.List(configuration.KnownEndpoints, true)
+	configuration.KnownEndpoints = "" // as package node: the list is in the book
 	h.Turn(now)
 	return h
 }
