--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -6,79 +6,80 @@
 	"ravensill/gateway"
 )
 
-// errBareClass is the fault of a request class that commands could not name, or whose requests would never end.
-var errBareClass = errors.New("name and hard_limit_us wanted")
+// errIncompleteClass is the error of a request class that commands could not name, or whose requests would never end.
+var errIncompleteClass = errors.New("name and hard_limit_us wanted")
 
-// DecodeRequestClass reads one request class from its own JSON object, by the same code as the list of a whole
-// configuration. path is its place among the settings, such as "profiles.3"; errors and adjustments name keys by it.
-// limits are those in force: of a class that must never run twice, parallel tries are taken out of them.
+// DecodeRequestClass reads one request class from its JSON object, by the same code as the list of the settings. path is
+// its place among the settings, such as "profiles.3"; errors and adjustments name keys by it. limits are those in force:
+// hedging is turned off in them if the class is not idempotent.
 func DecodeRequestClass(path, raw string, limits *gateway.Limits) (class gateway.RequestClass, name string,
 	adjusted []Adjustment, err error) {
-	item, err := newSettings(path, raw)
+	reader, err := newObjectReader(path, raw)
 	if err != nil {
 		return gateway.RequestClass{}, "", nil, err
 	}
-	class, name = item.requestClass()
-	adjusted = item.shapeClass(&class, limits)
-	if item.err == nil {
-		item.err = keyError(path, checkClass(name, class))
+	class, name = reader.requestClass()
+	adjusted = reader.resolveClass(&class, limits)
+	if reader.err == nil {
+		reader.err = keyError(path, checkClass(name, class))
 	}
-	return class, name, adjusted, item.err
+	return class, name, adjusted, reader.err
 }
 
-// requestClass reads the object as one request class, by its letter.
-func (s *settings) requestClass() (class gateway.RequestClass, name string) {
-	name = s.text("name")
+// requestClass reads the object as one request class, without adjustments. Its keys are those of classKeys.
+func (r *objectReader) requestClass() (class gateway.RequestClass, name string) {
+	name = r.text("name")
 	class = gateway.RequestClass{
-		Effect:           gateway.Effect(s.word("effect", "safe", "keyed", "unsafe")),
-		Group:            gateway.Group(s.word("group", "all", "zone", "cell")),
-		DedupWindow:      s.time("window_us"),
-		LatencyObjective: s.time("target_us"),
-		Timeout:          s.time("hard_limit_us"),
-		Value:            s.num("points"),
-		LateValue:        s.num("late_worth"),
-		Stream:           s.yes("stream"),
+		Effect:           gateway.Effect(r.choice("effect", "safe", "keyed", "unsafe")),
+		Group:            gateway.Group(r.choice("group", "all", "zone", "cell")),
+		DedupWindow:      r.microseconds("window_us"),
+		LatencyObjective: r.microseconds("target_us"),
+		Timeout:          r.microseconds("hard_limit_us"),
+		Value:            r.number("points"),
+		LateValue:        r.number("late_worth"),
+		Stream:           r.boolean("stream"),
 	}
 	return class, name
 }
 
-// shapeClass gives keys of a request class that contradict each other, or the limits, their one meaning.
-func (s *settings) shapeClass(class *gateway.RequestClass, limits *gateway.Limits) (adjusted []Adjustment) {
+// resolveClass adjusts keys of a request class that contradict each other or the limits.
+func (r *objectReader) resolveClass(class *gateway.RequestClass, limits *gateway.Limits) (adjusted []Adjustment) {
 	adjust := func(key, meaning string, args ...any) {
 		adjusted = append(adjusted, adjustment(key, meaning, args...))
 	}
 	if limits.Hedging && class.Effect == gateway.NonIdempotent {
-		adjust("limits.parallel_tries", "as false: %seffect is unsafe", s.prefix)
+		adjust("limits.parallel_tries", "as false: %seffect is unsafe", r.prefix)
 		limits.Hedging = false
 	}
-	if class.Effect == gateway.Deduplicated && class.DedupWindow == 0 { // no host drops a repeat
-		if s.get("window_us").Exists() {
-			adjust(s.prefix+"window_us", "0 is no window: as unsafe, what may have run is never sent again")
+	if class.Effect == gateway.Deduplicated && class.DedupWindow == 0 { // no host drops a repeated request
+		if r.get("window_us").Exists() {
+			adjust(r.prefix+"window_us", "0 is no window: as unsafe, what may have run is never sent again")
 		}
 		class.Effect = gateway.NonIdempotent
 	}
 	if class.LateValue > 1 {
-		adjust(s.prefix+"late_worth", "as 1: a late answer earns no more than one in time")
+		adjust(r.prefix+"late_worth", "as 1: a late answer earns no more than one in time")
 		class.LateValue = 1
 	}
 	if class.LatencyObjective == 0 && class.Timeout > 0 {
-		adjust(s.prefix+"target_us", "as hard_limit_us: none is told")
+		adjust(r.prefix+"target_us", "as hard_limit_us: none is told")
 		class.LatencyObjective = class.Timeout
 	}
 	if class.LatencyObjective > class.Timeout && class.Timeout > 0 {
-		adjust(s.prefix+"target_us", "as hard_limit_us: nobody waits for longer")
+		adjust(r.prefix+"target_us", "as hard_limit_us: nobody waits for longer")
 		class.LatencyObjective = class.Timeout
 	}
 	if limits.SharedCounter && 2*limits.CounterTimeout >= class.Timeout && class.Timeout > 0 {
-		adjust("family_info.count_wait_us", "half of %shard_limit_us or more: its reqs are decided without the counter", s.prefix)
+		meaning := "half of %shard_limit_us or more: its reqs are decided without the counter"
+		adjust("family_info.count_wait_us", meaning, r.prefix)
 	}
 	return adjusted
 }
 
-// checkClass looks for what a gateway on sockets can't do without.
+// checkClass returns an error for a request class that a gateway can't serve.
 func checkClass(name string, class gateway.RequestClass) error {
 	if name == "" || class.Timeout <= 0 {
-		return errBareClass
+		return errIncompleteClass
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -2,66 +2,37 @@
 
 import (
 	"errors"
-	"fmt"
-	"hash/maphash"
-	"io"
 	"net/netip"
-	"os"
 	"strconv"
-	"strings"
 	"time"
 
 	"github.com/tidwall/gjson"
 )
 
-// Config is the whole configuration of one gateway on sockets.
+// Config is the configuration of one gateway process.
 type Config struct {
-	Name           string
-	Listen         netip.AddrPort // where clients connect
-	Discovery      string
-	Seed           uint64
-	Memory         int64 // bytes
-	Sockets        int   // descriptors
-	PeerListen     netip.AddrPort
-	Peers          []netip.AddrPort // by member index; none where gateways exchange no gossip
-	Counter        netip.AddrPort   // the shared counter; none where the settings know none
-	KnownEndpoints string           // the list as last had; may be empty. A part of the file's text: it keeps all of that in memory
-	FixedKeysHash  uint64           // a hash of the keys that count from the start on only; it holds in this process alone
+	Name       string
+	Listen     netip.AddrPort // where clients connect
+	Discovery  string
+	Seed       uint64
+	Memory     int64 // bytes
+	Sockets    int   // file descriptors
+	PeerListen netip.AddrPort
+	Peers      []netip.AddrPort // by member index; empty where gateways exchange no gossip
+	Counter    netip.AddrPort   // the shared counter; the zero address where there is none
+
+	// KnownEndpoints is the endpoint list to start with; may be empty. It is a substring of the file's text, which stays
+	// in memory with it.
+	KnownEndpoints string
+	// FixedKeysHash is a hash of the keys that take effect at a start alone. It is comparable within one process.
+	FixedKeysHash uint64
+
 	*Settings
 	Counterfactual *Counterfactual // nil: off
 	Pool           *Pool           // nil: off
 	Configuration  *Configuration  // nil: off
 }
 
-// Load reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_DISCOVERY go before its keys.
-func Load(getenv func(string) string) (*Config, error) { return read(getenv, false) }
-
-// Reload reads the file anew, while running. GW_DISCOVERY tells where discovery was at the start: now it only
-// stands in for a key that the file lacks.
-func Reload(getenv func(string) string) (*Config, error) { return read(getenv, true) }
-
-// read reads, checks and completes the configuration.
-func read(getenv func(string) string, again bool) (*Config, error) {
-	f, err := openFile(getenv)
-	if err != nil {
-		return nil, err
-	}
-	c := &Config{
-		Name:           f.word("name", "GW_NAME", defaultName),
-		KnownEndpoints: f.at("known", gjson.JSON).Raw,
-		FixedKeysHash:  fixedKeys(f.obj),
-	}
-	c.readOwn(f, again)
-	c.readSettings(f)
-	c.readCounter(f)
-	for _, section := range []func(*file) error{c.readConfiguration, c.readPeers, c.readCounterfactual, c.readPool} {
-		if f.err == nil {
-			f.err = section(f)
-		}
-	}
-	return c, f.err
-}
-
 const (
 	defaultName     = "ravensill"
 	defaultSeed     = "1"
@@ -74,72 +45,51 @@
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
-// file is the configuration file with the environment variables that go before its keys. It keeps the first fault.
-type file struct {
-	*settings
-	getenv func(string) string
-}
+// Load reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_DISCOVERY override its keys.
+func Load(getenv func(string) string) (*Config, error) { return read(getenv, false) }
 
-// openFile reads the file that GW_CONFIG names.
-func openFile(getenv func(string) string) (*file, error) {
-	name := getenv("GW_CONFIG")
-	if name == "" {
-		return nil, keyErrorf("GW_CONFIG", "not set; it names the configuration file")
-	}
-	text, err := readText(name)
-	if err != nil {
-		return nil, keyError("GW_CONFIG", err)
-	}
-	s, err := newSettings("", text)
-	if err != nil {
-		return nil, keyErrorf("GW_CONFIG", "the file holds no JSON object")
-	}
-	return &file{settings: s, getenv: getenv}, nil
-}
+// Reload reads the file again in a running gateway. Its discovery address overrides GW_DISCOVERY, which tells where
+// discovery was at the start.
+func Reload(getenv func(string) string) (*Config, error) { return read(getenv, true) }
 
-// word returns the text of a variable or, where that is not set, of a key, or a default. variable is empty for a key that has none.
-func (f *file) word(key, variable, missing string) string {
-	if variable != "" && f.getenv(variable) != "" {
-		return f.getenv(variable)
-	}
-	if text := f.text(key); text != "" {
-		return text
+func read(getenv func(string) string, reload bool) (*Config, error) {
+	f, err := openFile(getenv)
+	if err != nil {
+		return nil, err
 	}
-	return missing
-}
-
-// address reads an address that has to be given.
-func (f *file) address(key, text string) netip.AddrPort {
-	address, err := parseAddress(key, text)
-	if f.err == nil {
-		f.err = err
+	c := &Config{
+		Name:           f.textOr("name", "GW_NAME", defaultName),
+		KnownEndpoints: f.typed("known", gjson.JSON).Raw,
+		FixedKeysHash:  hashFixedKeys(f.object),
 	}
-	return address
-}
-
-// number returns the number of a key, or a default where it is missing.
-func (f *file) number(key string, least, missing float64) float64 {
-	number := f.num(key)
-	if number == 0 {
-		return missing
+	c.readProcess(f, reload)
+	c.readSettings(f)
+	c.readCounter(f)
+	sections := []func(*file) error{
+		c.readConfiguration,
+		c.readPeers,
+		c.readCounterfactual,
+		c.readPool,
 	}
-	if number < least {
-		f.fail(key, fmt.Errorf("%v is below %v", number, least))
+	for _, readSection := range sections {
+		if f.err == nil {
+			f.err = readSection(f)
+		}
 	}
-	return number
+	return c, f.err
 }
 
-// readOwn reads what is of this gateway alone. At a reload the file's discovery goes before its variable.
-func (c *Config) readOwn(f *file, again bool) {
-	c.Listen = f.address("listen", f.word("listen", "GW_LISTEN", ""))
-	discovery := f.word("discovery", "", "")
-	if !again || discovery == "" {
-		discovery = f.word("discovery", "GW_DISCOVERY", "")
+// readProcess reads the keys of this gateway alone.
+func (c *Config) readProcess(f *file, reload bool) {
+	c.Listen = f.address("listen", f.textOr("listen", "GW_LISTEN", ""))
+	discovery := f.textOr("discovery", "", "")
+	if !reload || discovery == "" {
+		discovery = f.textOr("discovery", "GW_DISCOVERY", "")
 	}
 	c.Discovery = f.address("discovery", discovery).String()
-	c.Memory = int64(f.number("limits.memory_mb", minMemoryMB, defaultMemoryMB)) << 20
-	c.Sockets = int(f.number("limits.sockets", minSockets, defaultSockets))
-	seed := f.word("seed", "", defaultSeed)
+	c.Memory = int64(f.numberOr("limits.memory_mb", minMemoryMB, defaultMemoryMB)) << 20
+	c.Sockets = int(f.numberOr("limits.sockets", minSockets, defaultSockets))
+	seed := f.textOr("seed", "", defaultSeed)
 	if f.err == nil {
 		number, err := strconv.ParseUint(seed, 16, 64)
 		c.Seed = number
@@ -147,9 +97,9 @@
 	}
 }
 
-// readSettings reads what is the same for all gateways of the deployment.
+// readSettings reads the settings that all gateways of the deployment share.
 func (c *Config) readSettings(f *file) {
-	settings, err := Decode(f.at("settings", gjson.JSON).Raw)
+	settings, err := Decode(f.typed("settings", gjson.JSON).Raw)
 	c.Settings = settings
 	if f.err == nil {
 		f.err = keyError("settings", err)
@@ -161,31 +111,33 @@
 
 // readCounter reads the address of the shared counter.
 func (c *Config) readCounter(f *file) {
-	if address := f.word("counter", "GW_COUNTER", ""); f.err == nil && address != "" {
+	address := f.textOr("counter", "GW_COUNTER", "")
+	if f.err == nil && address != "" {
 		c.Counter = f.address("counter", address)
 	}
 	if f.err == nil {
-		c.counter()
+		c.resolveCounter()
 	}
 }
 
 // readConfiguration reads the section on the configuration's publishers.
 func (c *Config) readConfiguration(f *file) (err error) {
-	c.Configuration, err = c.configuration(f.obj.Get("configuration").Raw)
+	c.Configuration, err = decodeConfiguration(f.section("configuration"))
 	if err == nil && c.Configuration != nil {
-		err = c.identify()
+		err = c.identifyPlans()
 	}
 	return keyError("configuration", err)
 }
 
-// readPeers reads the addresses of gossip, where gateways exchange any. A fleet of one may grow by a document.
+// readPeers reads the addresses of gossip, where gateways exchange any. A single gateway needs them if a document of the
+// publishers may add members.
 func (c *Config) readPeers(f *file) error {
-	mayGrow := c.Configuration != nil && f.obj.Get("peer_listen").Exists()
+	mayGrow := c.Configuration != nil && f.object.Get("peer_listen").Exists()
 	if !c.Membership.Gossip || c.Membership.Count == 1 && !mayGrow {
 		return nil
 	}
-	c.PeerListen = f.address("peer_listen", f.word("peer_listen", "", ""))
-	for i, peer := range f.at("peers", gjson.JSON).Array() {
+	c.PeerListen = f.address("peer_listen", f.textOr("peer_listen", "", ""))
+	for i, peer := range f.typed("peers", gjson.JSON).Array() {
 		c.Peers = append(c.Peers, f.address(elementPath("peers", i), peer.Str))
 	}
 	if f.err != nil {
@@ -197,12 +149,12 @@
 	if c.Configuration == nil {
 		return nil
 	}
-	return keyError("configuration", distinct(c.Peers))
+	return keyError("configuration", checkDistinct(c.Peers))
 }
 
 // readCounterfactual reads the section on the counterfactual observer.
 func (c *Config) readCounterfactual(f *file) (err error) {
-	c.Counterfactual, err = c.counterfactual(f.obj.Get("counterfactual").Raw)
+	c.Counterfactual, err = decodeCounterfactual(f.section("counterfactual"), c.Membership.Count)
 	if err != nil {
 		return keyError("counterfactual", err)
 	}
@@ -214,45 +166,11 @@
 
 // readPool reads the section on the connection quota.
 func (c *Config) readPool(f *file) (err error) {
-	c.Pool, err = c.pool(f.obj.Get("pool").Raw)
+	c.Pool, err = decodePool(f.section("pool"), c.Settings)
 	return keyError("pool", err)
 }
 
-// readText reads a file into one string, with no second copy beside it: the document may be as large as the rest of the
-// gateway.
-func readText(name string) (string, error) {
-	file, err := os.Open(name)
-	if err != nil {
-		return "", err
-	}
-	defer file.Close()
-	var text strings.Builder
-	if info, err := file.Stat(); err == nil && info.Mode().IsRegular() {
-		text.Grow(int(info.Size()))
-	}
-	_, err = io.Copy(&text, file)
-	return text.String(), err
-}
-
-var fixedSeed = maphash.MakeSeed()
-
-// fixedKeys hashes the keys that count from the start on only.
-func fixedKeys(document gjson.Result) uint64 {
-	var hash maphash.Hash
-	hash.SetSeed(fixedSeed)
-	document.ForEach(func(key, value gjson.Result) bool {
-		if k := key.Str; k != "discovery" && k != "known" && k != "seed" {
-			hash.WriteString(k)
-			hash.WriteByte(' ')
-			hash.WriteString(value.Raw)
-			hash.WriteByte('\n')
-		}
-		return true
-	})
-	return hash.Sum64()
-}
-
-// check looks for what a gateway on sockets can't do without, and gives defaults.
+// check returns an error for settings that a gateway can't serve with, and sets defaults.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 || len(s.Plans) == 0 {
 		return errors.New("profiles, plans: one of each wanted at least")
--- a/internal/config/counterfactual.go
+++ b/internal/config/counterfactual.go
@@ -1,108 +1,148 @@
 package config
 
-import "net/netip"
+import (
+	"net/netip"
+	"time"
+)
 
 // Counterfactual is the optional section on estimates of what other hosts would have answered (docs/counterfactual.md).
 type Counterfactual struct {
-	Listen           netip.AddrPort   `json:"listen"`     // UDP for summaries; a collector takes questions there by TCP
-	Peers            []netip.AddrPort `json:"peers"`      // by member index, as this gateway sees them: whom a summary is of follows from it
-	Collectors       []int            `json:"collectors"` // members that merge summaries and answer questions
-	RecordedFraction float64          `json:"part"`       // fraction of the module's batches that is recorded, drawn at random
-	Window           int              `json:"window_ms"`  // a summary covers so long
-	Grace            int              `json:"grace_ms"`   // summaries that come so late still count
-	Retention        int              `json:"keep_s"`     // a collector's memory reaches so far back
-	QueueLength      int              `json:"queue"`      // records that wait to be folded; more are counted as lost
-	MaxCells         int              `json:"cells"`      // of a gateway's window
-	MaxLedgerCells   int              `json:"ledger"`     // cells that a collector holds
-	MaxMissing       float64          `json:"missing"`    // fraction of the attempts that a figure may lack
-	RecordsFile      string           `json:"records"`    // a file that each record is added to; empty: none
-	RecordsMB        int              `json:"records_mb"` // and its most
-	QueryListen      netip.AddrPort   `json:"ask"`        // where a collector takes questions; Listen where not given
+	Listen      netip.AddrPort   // UDP, for summaries
+	QueryListen netip.AddrPort   // TCP, where a collector answers queries
+	Peers       []netip.AddrPort // by member index, as this gateway sees them: they identify a summary's sender
+	Collectors  []int            // members that merge summaries and answer queries
+
+	RecordedFraction float64       // of the decision module's batches, drawn at random
+	Window           time.Duration // covered by one summary
+	Grace            time.Duration // in which a late summary still counts
+	Retention        time.Duration // of a collector's windows
+	QueueLength      int           // records that wait to be folded; more are counted as lost
+	MaxCells         int           // of a gateway's window
+	MaxLedgerCells   int           // of a collector
+	MaxMissing       float64       // fraction of the attempts that a result may lack
+
+	RecordsFile     string // to which each record is appended; empty: none
+	RecordsMaxBytes int
 }
 
 // counterfactualSection is the section as it is written.
 type counterfactualSection struct {
-	*Counterfactual
-	Listen string   `json:"listen"`
-	Peers  []string `json:"peers"`
-	Ask    string   `json:"ask"`
+	Listen     string   `json:"listen"`
+	Ask        string   `json:"ask"`
+	Peers      []string `json:"peers"`
+	Collectors []int    `json:"collectors"`
+	Part       float64  `json:"part"`
+	WindowMS   int      `json:"window_ms"`
+	GraceMS    int      `json:"grace_ms"`
+	KeepS      int      `json:"keep_s"`
+	Queue      int      `json:"queue"`
+	Cells      int      `json:"cells"`
+	Ledger     int      `json:"ledger"`
+	Missing    float64  `json:"missing"`
+	Records    string   `json:"records"`
+	RecordsMB  int      `json:"records_mb"`
 }
 
-// counterfactual reads the section; nil where there is none.
-func (c *Config) counterfactual(raw string) (*Counterfactual, error) {
+// decodeCounterfactual reads the section; it returns nil where there is none.
+func decodeCounterfactual(raw string, members int) (*Counterfactual, error) {
 	if raw == "" {
 		return nil, nil
 	}
-	s := &Counterfactual{RecordedFraction: 0.1, Window: 2000, Retention: 120, QueueLength: 1024, MaxCells: 8192, MaxLedgerCells: 200_000, MaxMissing: 0.05,
-		RecordsMB: 64}
-	text := counterfactualSection{Counterfactual: s}
-	if err := strict(raw, &text); err != nil {
+	section := &counterfactualSection{
+		Part:      0.1,
+		WindowMS:  2000,
+		KeepS:     120,
+		Queue:     1024,
+		Cells:     8192,
+		Ledger:    200_000,
+		Missing:   0.05,
+		RecordsMB: 64,
+	}
+	if err := decodeSection(raw, section); err != nil {
 		return nil, err
 	}
-	if err := s.addresses(&text); err != nil {
+	c := &Counterfactual{}
+	if err := c.readAddresses(section); err != nil {
 		return nil, err
 	}
-	if s.Grace == 0 {
-		s.Grace = 3 * s.Window
+	if section.GraceMS == 0 {
+		section.GraceMS = 3 * section.WindowMS
 	}
-	if err := s.checkNumbers(); err != nil {
+	if err := section.checkNumbers(); err != nil {
 		return nil, err
 	}
-	return s, s.checkFleet(c.Membership.Count)
+	if err := section.checkFleet(members); err != nil {
+		return nil, err
+	}
+	c.readValues(section)
+	return c, nil
 }
 
-// addresses reads the addresses of the section.
-func (s *Counterfactual) addresses(text *counterfactualSection) (err error) {
-	s.Listen, err = parseAddress("listen", text.Listen)
+func (c *Counterfactual) readAddresses(section *counterfactualSection) (err error) {
+	c.Listen, err = parseAddress("listen", section.Listen)
 	if err != nil {
 		return err
 	}
-	s.QueryListen = s.Listen
-	if text.Ask != "" {
-		s.QueryListen, err = parseAddress("ask", text.Ask)
+	c.QueryListen = c.Listen
+	if section.Ask != "" {
+		c.QueryListen, err = parseAddress("ask", section.Ask)
 	}
 	if err != nil {
 		return err
 	}
-	for i, peer := range text.Peers {
+	for i, peer := range section.Peers {
 		address, err := parseAddress(elementPath("peers", i), peer)
 		if err != nil {
 			return err
 		}
-		s.Peers = append(s.Peers, address)
+		c.Peers = append(c.Peers, address)
 	}
 	return nil
 }
 
-// checkNumbers looks at the numbers that stand for themselves.
-func (s *Counterfactual) checkNumbers() error {
+func (c *Counterfactual) readValues(section *counterfactualSection) {
+	c.Collectors = section.Collectors
+	c.RecordedFraction = section.Part
+	c.Window = milliseconds(section.WindowMS)
+	c.Grace = milliseconds(section.GraceMS)
+	c.Retention = time.Duration(section.KeepS) * time.Second
+	c.QueueLength = section.Queue
+	c.MaxCells = section.Cells
+	c.MaxLedgerCells = section.Ledger
+	c.MaxMissing = section.Missing
+	c.RecordsFile = section.Records
+	c.RecordsMaxBytes = section.RecordsMB << 20
+}
+
+// checkNumbers checks each integer against its bounds.
+func (s *counterfactualSection) checkNumbers() error {
 	return checkIntegers(
-		integer{"window_ms", s.Window, 100, 600_000},
-		integer{"grace_ms", s.Grace, 1, 3_600_000},
-		integer{"keep_s", s.Retention, 1, 86_400},
-		integer{"queue", s.QueueLength, 1, 1 << 20},
-		integer{"cells", s.MaxCells, 64, 1 << 20},
-		integer{"ledger", s.MaxLedgerCells, 64, 1 << 24},
+		integer{"window_ms", s.WindowMS, 100, 600_000},
+		integer{"grace_ms", s.GraceMS, 1, 3_600_000},
+		integer{"keep_s", s.KeepS, 1, 86_400},
+		integer{"queue", s.Queue, 1, 1 << 20},
+		integer{"cells", s.Cells, 64, 1 << 20},
+		integer{"ledger", s.Ledger, 64, 1 << 24},
 		integer{"records_mb", s.RecordsMB, 1, 1 << 16},
 	)
 }
 
-// checkFleet looks at what depends on the number of gateways and on other keys.
-func (s *Counterfactual) checkFleet(members int) error {
+// checkFleet checks what depends on the number of gateways and on other keys.
+func (s *counterfactualSection) checkFleet(members int) error {
 	if len(s.Peers) != members {
 		return keyErrorf("peers", "%d addresses for %d gateways", len(s.Peers), members)
 	}
 	if len(s.Collectors) == 0 {
 		return keyError("collectors", errMissing)
 	}
-	if err := fractionError("part", s.RecordedFraction, 0, 1, true); err != nil {
+	if err := checkFraction("part", s.Part, 0, 1, true); err != nil {
 		return err
 	}
-	if err := fractionError("missing", s.MaxMissing, 0, 0.5, false); err != nil {
+	if err := checkFraction("missing", s.Missing, 0, 0.5, false); err != nil {
 		return err
 	}
-	if s.Retention*1000 < s.Grace+2*s.Window {
-		return keyErrorf("keep_s", "%d s is less than grace_ms and two windows", s.Retention)
+	if s.KeepS*1000 < s.GraceMS+2*s.WindowMS {
+		return keyErrorf("keep_s", "%d s is less than grace_ms and two windows", s.KeepS)
 	}
 	for i, member := range s.Collectors {
 		if member < 0 || member >= members {
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -11,8 +11,8 @@
 	"ravensill/gateway"
 )
 
-// yieldInterval is the number of changes that are decoded in one go, some 0.3 ms: the gateway has one processor, and its
-// requests must not wait for a whole document.
+// yieldInterval is the number of changes that are decoded between two yields of the processor: the gateway has one, and
+// its requests must not wait for a large document.
 const yieldInterval = 64
 
 var (
@@ -24,10 +24,10 @@
 	errUnknown   = errors.New("no such kind of resource")
 )
 
-// ResourceError tells why a change of the configuration can't be taken.
+// ResourceError is an error of one resource of the configuration, for which a change is rejected.
 type ResourceError struct {
 	Resource configsync.Resource
-	Key      string // of the resource's object; empty: the resource as a whole
+	Key      string // of the resource's object; empty: the error is not of one key
 	Err      error
 }
 
@@ -40,30 +40,31 @@
 
 func (e *ResourceError) Unwrap() error { return e.Err }
 
-// Live is the decoded configuration in force: quota plans, request classes, limits and members, as the file says or as
-// the last document changed them. What a document doesn't name at all, the limits or any member, is as the file says.
-// The publishers check a change by the same code before it is published (NewLiveChecker).
+// Live is the decoded configuration in force: quota plans, request classes, limits and members. It starts from the
+// gateway's file, and documents change it. Limits, or members, of which a document names none are those of the file. The
+// publishers check a change by the same code before they publish it (NewLiveChecker).
 //
-// A Live belongs to one goroutine. Apply and Check cost what they change, except for a whole document.
+// A Live belongs to one goroutine. The cost of Apply and Check grows with the number of changes alone, unless the
+// changes are a complete document.
 type Live struct {
-	plans           table[gateway.Plan]
-	classes         table[gateway.RequestClass]
-	identities      map[uint32]string // names of quota plans by identity, removed ones too
-	members         members
-	limits          gateway.Limits // in force
-	requestedLimits gateway.Limits // the same but for Two: as given, whatever the request classes are
-	unsafeClasses   int            // request classes in force that must never run twice
-	file            fileSettings
+	plans                table[gateway.Plan]
+	classes              table[gateway.RequestClass]
+	identities           map[uint32]string // names of quota plans by identity, including removed plans
+	members              members
+	limits               gateway.Limits // in force
+	requestedLimits      gateway.Limits // with Hedging as configured, whatever the request classes are
+	nonIdempotentClasses int            // request classes in force
+	file                 fileSettings
 }
 
-// fileSettings is what the gateway's own file says and no document changes.
+// fileSettings are the settings of the gateway's file that no document changes.
 type fileSettings struct {
 	limits         gateway.Limits
 	longestTimeout int64 // of request classes, in nanoseconds; 0: not bounded
 	fixedSize      bool  // the number of members can't change
 }
 
-// NewLive starts from what the file of a gateway says.
+// NewLive returns the configuration in force of a gateway that has its file alone.
 func NewLive(base *Config) *Live {
 	live := newLive(base)
 	plans := live.plans.edit(len(base.Plans))
@@ -76,18 +77,18 @@
 	for i, name := range base.ClassNames {
 		live.classes.set(&classes, name, base.Classes[i])
 	}
-	live.unsafeClasses = live.unsafeChange(&classes)
+	live.nonIdempotentClasses = live.nonIdempotentChange(&classes)
 	live.classes.commit(&classes)
 	return live
 }
 
-// NewLiveChecker makes a Live for a publisher, which has no gateway's file: it starts with no quota plan and no request
-// class, and of the members it knows only those of the document.
+// NewLiveChecker returns a Live for a publisher, which has no gateway's file: it starts without quota plans, request
+// classes and members.
 func NewLiveChecker() *Live {
 	return &Live{identities: map[uint32]string{}, members: members{own: noMember}}
 }
 
-// newLive makes a Live for a gateway, without the quota plans and request classes of its file.
+// newLive returns a Live for a gateway, without the quota plans and request classes of its file.
 func newLive(base *Config) *Live {
 	live := &Live{
 		identities:      make(map[uint32]string, len(base.Plans)),
@@ -96,7 +97,7 @@
 		members:         newMembers(base),
 		file:            fileSettings{limits: base.Limits, fixedSize: base.Pool != nil},
 	}
-	if base.Pool != nil { // its leases outlive the longest request that the file allows
+	if base.Pool != nil { // its leases are drained for as long as the longest request of the file
 		for _, class := range base.Classes {
 			live.file.longestTimeout = max(live.file.longestTimeout, class.Timeout)
 		}
@@ -104,45 +105,46 @@
 	return live
 }
 
-// Revision is what one change made of the configuration in force.
+// Revision is the difference that changes made to the configuration in force.
 type Revision struct {
 	Update      gateway.Update // for the decision module
 	PlanNames   []string       // of Update.Plans, in its order
 	Classes     []ClassChange  // those of Update.Classes, and the removed ones
 	Members     []MemberChange // addresses that changed
-	MemberCount int            // gateways of the fleet now; indices from here on are gone
-	PlanCount   int            // quota plans in force now
-	ClassCount  int            // request classes in force now
-	Adjusted    []Adjustment   // what was not taken by its letter
+	MemberCount int            // members in force; indices from here on are removed
+	PlanCount   int            // quota plans in force
+	ClassCount  int            // request classes in force
+	Adjusted    []Adjustment
 }
 
 // ClassChange sets or removes a request class.
 type ClassChange struct {
 	Name    string
 	Index   int
-	Class   gateway.RequestClass // as it was last, where it is removed
+	Class   gateway.RequestClass // the last value, where the class is removed
 	Removed bool
 }
 
-// MemberChange sets the address that a gateway gossips at.
+// MemberChange sets the gossip address of a member.
 type MemberChange struct {
 	Index   int
 	Address netip.AddrPort
 }
 
-// Apply puts changes in force, each resource named once; whole: what they don't name is removed. On an error, a
-// *ResourceError, nothing has changed. The removal of what is not there is no change.
-func (l *Live) Apply(changes []configsync.Change, whole bool) (*Revision, error) {
-	edit, err := l.stage(changes, whole)
+// Apply puts changes in force, at most one of each resource. complete says that the changes are a complete document:
+// resources that it doesn't name are removed. On an error, a *ResourceError, nothing has changed. Removing a resource
+// that doesn't exist changes nothing.
+func (l *Live) Apply(changes []configsync.Change, complete bool) (*Revision, error) {
+	edit, err := l.stage(changes, complete)
 	if err != nil {
 		return nil, err
 	}
 	return l.commit(edit), nil
 }
 
-// Check tells what Apply would, and changes nothing.
-func (l *Live) Check(changes []configsync.Change, whole bool) error {
-	_, err := l.stage(changes, whole)
+// Check returns the error that Apply would return, and changes nothing.
+func (l *Live) Check(changes []configsync.Change, complete bool) error {
+	_, err := l.stage(changes, complete)
 	return err
 }
 
@@ -152,10 +154,10 @@
 	classes    tableEdit[gateway.RequestClass]
 	identities map[uint32]string // of new quota plans
 	members    memberEdit
-	limits     gateway.Limits // as given
+	limits     gateway.Limits // as configured
 	adjusted   []Adjustment
 
-	fromNothing bool // of a start: nobody needs the list of what changed
+	initial bool // made at a start: the revision lists no quota plans
 }
 
 // countKinds counts the changes of quota plans and request classes.
@@ -173,17 +175,32 @@
 }
 
 // stage decodes and checks changes.
-func (l *Live) stage(changes []configsync.Change, whole bool) (*liveEdit, error) {
+func (l *Live) stage(changes []configsync.Change, complete bool) (*liveEdit, error) {
 	plans, classes := countKinds(changes)
 	edit := &liveEdit{
 		plans:   l.plans.edit(plans),
 		classes: l.classes.edit(classes),
-		members: l.members.edit(whole),
+		members: l.members.edit(complete),
 		limits:  l.requestedLimits,
 	}
-	if whole {
+	if complete {
 		edit.limits = l.file.limits
 	}
+	named, err := l.stageChanges(edit, changes)
+	if err != nil {
+		return nil, err
+	}
+	if complete {
+		l.removeUnnamed(edit, named)
+	}
+	if err := l.checkEdit(edit); err != nil {
+		return nil, err
+	}
+	return edit, nil
+}
+
+// stageChanges decodes each change into an edit. It returns the resources that the changes name.
+func (l *Live) stageChanges(edit *liveEdit, changes []configsync.Change) (map[configsync.Resource]bool, error) {
 	named := make(map[configsync.Resource]bool, len(changes))
 	for i := range changes {
 		if i%yieldInterval == yieldInterval-1 {
@@ -191,30 +208,38 @@
 		}
 		change := &changes[i]
 		if named[change.Resource] {
-			return nil, &ResourceError{Resource: change.Resource, Err: errGivenTwice}
+			return nil, &ResourceError{Resource: change.Resource, Err: errRepeated}
 		}
 		named[change.Resource] = true
 		if err := l.stageChange(edit, change); err != nil {
 			return nil, err
 		}
 	}
-	if whole {
-		l.plans.removeOthers(&edit.plans, func(name string) bool { return named[configsync.PlanPrefix+configsync.Resource(name)] })
-		l.classes.removeOthers(&edit.classes, func(name string) bool { return named[configsync.ClassPrefix+configsync.Resource(name)] })
-	}
+	return named, nil
+}
+
+// removeUnnamed stages the removal of the quota plans and request classes in force that a complete document lacks.
+func (l *Live) removeUnnamed(edit *liveEdit, named map[configsync.Resource]bool) {
+	l.plans.removeOthers(&edit.plans, func(name string) bool {
+		return named[configsync.PlanPrefix+configsync.Resource(name)]
+	})
+	l.classes.removeOthers(&edit.classes, func(name string) bool {
+		return named[configsync.ClassPrefix+configsync.Resource(name)]
+	})
+}
+
+// checkEdit returns an error if a gateway could not run with the configuration after an edit.
+func (l *Live) checkEdit(edit *liveEdit) error {
 	if edit.plans.count == 0 {
-		return nil, &ResourceError{Resource: configsync.PlanPrefix, Err: errLastPlan}
+		return &ResourceError{Resource: configsync.PlanPrefix, Err: errLastPlan}
 	}
 	if edit.classes.count == 0 {
-		return nil, &ResourceError{Resource: configsync.ClassPrefix, Err: errLastClass}
-	}
-	if err := l.checkMembers(&edit.members); err != nil {
-		return nil, err
+		return &ResourceError{Resource: configsync.ClassPrefix, Err: errLastClass}
 	}
-	return edit, nil
+	return l.checkMembers(&edit.members)
 }
 
-// commit puts an edit in force and tells what it changed.
+// commit puts an edit in force and returns the difference that it made.
 func (l *Live) commit(edit *liveEdit) *Revision {
 	revision := &Revision{Adjusted: edit.adjusted}
 	l.commitPlans(edit, revision)
@@ -230,7 +255,7 @@
 		l.identities[id] = name
 	}
 	revision.PlanCount = l.plans.count
-	if edit.fromNothing || len(edit.plans.entries) == 0 {
+	if edit.initial || len(edit.plans.entries) == 0 {
 		return
 	}
 	revision.Update.Plans = make([]gateway.PlanUpdate, 0, len(edit.plans.entries))
@@ -243,7 +268,7 @@
 }
 
 func (l *Live) commitClasses(edit *liveEdit, revision *Revision) {
-	l.unsafeClasses += l.unsafeChange(&edit.classes)
+	l.nonIdempotentClasses += l.nonIdempotentChange(&edit.classes)
 	l.classes.commit(&edit.classes)
 	revision.ClassCount = l.classes.count
 	for _, staged := range edit.classes.entries {
@@ -259,18 +284,18 @@
 func (l *Live) commitLimits(edit *liveEdit, revision *Revision) {
 	l.requestedLimits = edit.limits
 	limits := edit.limits
-	limits.Hedging = limits.Hedging && l.unsafeClasses == 0
+	limits.Hedging = limits.Hedging && l.nonIdempotentClasses == 0
 	if limits != l.limits {
 		l.limits = limits
 		revision.Update.Limits = &limits
 	}
 }
 
-// unsafeChange tells by how many an edit that is not yet in force changes the number of request classes that must never
-// run twice.
-func (l *Live) unsafeChange(edit *tableEdit[gateway.RequestClass]) (change int) {
+// nonIdempotentChange returns the difference that an edit not yet in force makes to the number of request classes that
+// are not idempotent.
+func (l *Live) nonIdempotentChange(edit *tableEdit[gateway.RequestClass]) (change int) {
 	for _, staged := range edit.entries {
-		if staged.had && l.classes.entries[staged.index].value.Effect == gateway.NonIdempotent {
+		if staged.replaces && l.classes.entries[staged.index].value.Effect == gateway.NonIdempotent {
 			change--
 		}
 		if !staged.removed && staged.value.Effect == gateway.NonIdempotent {
--- a/internal/config/live_decode.go
+++ b/internal/config/live_decode.go
@@ -11,20 +11,21 @@
 	"ravensill/configsync"
 )
 
-// mostNumber bounds the numbers of a resource, in the unit of their key: so far no conversion overflows.
-const mostNumber = 1e12
+// maxNumber bounds the numbers of a resource, in the unit of their key, so that no conversion overflows.
+const maxNumber = 1e12
 
 var (
 	errUnknownKey = errors.New("unknown key")
 	errFixedKey   = errors.New("fixed at the start: it can't change in a running gateway")
 	errNull       = errors.New("unexpected value null")
-	errRange      = fmt.Errorf("larger than %g", mostNumber)
+	errRange      = fmt.Errorf("larger than %g", maxNumber)
 	errBadName    = errors.New("a name is printable ASCII without spaces and commas, as commands give it")
 	errTimeout    = errors.New("a time above 0 wanted")
-	errTooLong    = errors.New("longer than that of any request class of the file, by which the section pool lends connections")
+	errTooLong    = errors.New("longer than that of any request class of the file, " +
+		"by which the section pool lends connections")
 )
 
-// Keys of the objects that a document holds: those of the file that DecodePlan, DecodeRequestClass and Decode read.
+// Keys of the objects in a document. They are the keys that DecodePlan, DecodeRequestClass and Decode read in the file.
 var (
 	planKeys = keySet("name", "rate", "burst", "parallel", "ceiling_rate", "cap_depth", "ceiling_slack", "worth_factor",
 		"extra_worth", "beyond_costs")
@@ -35,7 +36,7 @@
 		"cpu_us_per_request", "cpu_us_per_s")
 )
 
-// keyBits gives each known key a bit, by which a reader notes that it has seen it.
+// keyBits maps each known key to a bit of the set of keys that were seen.
 type keyBits map[string]uint32
 
 func keySet(keys ...string) keyBits {
@@ -77,7 +78,8 @@
 	if object.err != nil {
 		return resourceError(change.Resource, object.err)
 	}
-	if plan.ID, err = l.identity(edit, name); err != nil {
+	plan.ID, err = l.identity(edit, name)
+	if err != nil {
 		return &ResourceError{Resource: change.Resource, Err: err}
 	}
 	l.plans.set(&edit.plans, name, plan)
@@ -85,16 +87,16 @@
 	return nil
 }
 
-// identity gives the identity of a quota plan. One that another name has or had is refused: other gateways may still
-// tell what was admitted to that plan.
+// identity returns the identity of a quota plan. One that another name has or had is an error: other gateways may still
+// gossip what they admitted to that plan.
 func (l *Live) identity(edit *liveEdit, name string) (uint32, error) {
 	id := configsync.PlanID(name)
-	holder, taken := l.identities[id]
+	owner, taken := l.identities[id]
 	if !taken {
-		holder, taken = edit.identities[id]
+		owner, taken = edit.identities[id]
 	}
-	if taken && holder != name {
-		return 0, &IdentityError{ID: id, OtherName: holder}
+	if taken && owner != name {
+		return 0, &IdentityError{ID: id, OtherName: owner}
 	}
 	if !taken {
 		if edit.identities == nil {
@@ -105,10 +107,10 @@
 	return id, nil
 }
 
-// IdentityError tells that the identity of a quota plan's name, a hash, is that of another name.
+// IdentityError is the error of a quota plan's name whose identity, a hash, is that of another name.
 type IdentityError struct {
 	ID        uint32
-	OtherName string // the other name; it may have been removed since
+	OtherName string // of a plan in force or removed
 }
 
 func (e *IdentityError) Error() string {
@@ -126,8 +128,8 @@
 	}
 	class, _ := object.requestClass()
 	limits := l.file.limits
-	limits.Hedging = false // by all classes together: commitLimits
-	adjusted := object.shapeClass(&class, &limits)
+	limits.Hedging = false // commitLimits decides by all classes
+	adjusted := object.resolveClass(&class, &limits)
 	if object.err != nil {
 		return resourceError(change.Resource, object.err)
 	}
@@ -152,11 +154,11 @@
 		return err
 	}
 	limits := l.file.limits
-	limits.MaxAttempts = object.whole("max_attempts")
-	limits.Hedging = object.yes("parallel_tries")
-	limits.Cancellation = object.yes("cancelling")
-	limits.RetryAfter = object.yes("retry_after")
-	limits.MaxRetryAfter = object.time("max_retry_after_us")
+	limits.MaxAttempts = object.integer("max_attempts")
+	limits.Hedging = object.boolean("parallel_tries")
+	limits.Cancellation = object.boolean("cancelling")
+	limits.RetryAfter = object.boolean("retry_after")
+	limits.MaxRetryAfter = object.microseconds("max_retry_after_us")
 	if object.err != nil {
 		return resourceError(change.Resource, object.err)
 	}
@@ -164,24 +166,25 @@
 	return nil
 }
 
-// newResource reads the object of a named resource. Its key name may be left out.
-func newResource(change *configsync.Change, name string, known keyBits) (*settings, error) {
-	if !commandWord(name) {
+// newResource returns a reader of a named resource's object, whose key name is optional.
+func newResource(change *configsync.Change, name string, known keyBits) (*objectReader, error) {
+	if !validName(name) {
 		return nil, &ResourceError{Resource: change.Resource, Err: errBadName}
 	}
 	object, err := newObject(change, known, nil)
 	if err != nil {
 		return nil, err
 	}
-	if given := object.get("name"); given.Exists() && (given.Type != gjson.String || given.Str != name) {
+	given := object.get("name")
+	if given.Exists() && (given.Type != gjson.String || given.Str != name) {
 		err := fmt.Errorf("%.40s is not the resource's name", given.Raw)
 		return nil, &ResourceError{Resource: change.Resource, Key: "name", Err: err}
 	}
 	return object, nil
 }
 
-// commandWord tells whether a client's command can give a name.
-func commandWord(name string) bool {
+// validName reports whether a client's command can contain a name.
+func validName(name string) bool {
 	for i := range len(name) {
 		if name[i] <= ' ' || name[i] > '~' || name[i] == ',' {
 			return false
@@ -190,15 +193,15 @@
 	return name != ""
 }
 
-// newObject reads a resource's object. Unlike the file, which may come from a newer build's tools, it holds known keys
-// only, each once.
-func newObject(change *configsync.Change, known, fixed keyBits) (*settings, error) {
-	object, err := newSettings("", string(change.Value))
+// newObject returns a reader of a resource's object. Unlike the file, which tools of a newer version may have written,
+// the object has known keys alone, each once.
+func newObject(change *configsync.Change, known, fixed keyBits) (*objectReader, error) {
+	object, err := newObjectReader("", string(change.Value))
 	if err != nil {
 		return nil, &ResourceError{Resource: change.Resource, Err: err}
 	}
 	seen := uint32(0)
-	object.obj.ForEach(func(key, value gjson.Result) bool {
+	object.object.ForEach(func(key, value gjson.Result) bool {
 		if err = checkKey(key.Str, value, known, fixed, seen); err != nil {
 			err = &ResourceError{Resource: change.Resource, Key: key.Str, Err: err}
 		}
@@ -208,7 +211,7 @@
 	return object, err
 }
 
-// checkKey looks for what the file's reader passes over.
+// checkKey returns an error for what the reader of the file ignores.
 func checkKey(key string, value gjson.Result, known, fixed keyBits, seen uint32) error {
 	switch {
 	case fixed[key] != 0:
@@ -216,28 +219,28 @@
 	case known[key] == 0:
 		return errUnknownKey
 	case seen&known[key] != 0:
-		return errGivenTwice
+		return errRepeated
 	case value.Type == gjson.Null:
 		return errNull
-	case value.Type == gjson.Number && !(math.Abs(value.Num) <= mostNumber):
+	case value.Type == gjson.Number && !(math.Abs(value.Num) <= maxNumber):
 		return errRange
 	}
 	return nil
 }
 
-// resourceError makes a fault of the reader one of a resource, and of its key where it is one of a key.
-func resourceError(resource configsync.Resource, fault error) error {
+// resourceError wraps an error of the reader with its resource and key.
+func resourceError(resource configsync.Resource, err error) error {
 	var ofKey *KeyError
-	if !errors.As(fault, &ofKey) {
-		return &ResourceError{Resource: resource, Err: fault}
+	if !errors.As(err, &ofKey) {
+		return &ResourceError{Resource: resource, Err: err}
 	}
 	return &ResourceError{Resource: resource, Key: ofKey.Path, Err: ofKey.Err}
 }
 
-// adjust notes what was not taken by its letter.
+// adjust records the adjustments of a resource.
 func (e *liveEdit) adjust(resource configsync.Resource, adjusted []Adjustment) {
-	for _, a := range adjusted {
-		a.Key = fmt.Sprintf("%s: %s", resource, a.Key)
-		e.adjusted = append(e.adjusted, a)
+	for _, adjustment := range adjusted {
+		adjustment.Key = fmt.Sprintf("%s: %s", resource, adjustment.Key)
+		e.adjusted = append(e.adjusted, adjustment)
 	}
 }
--- a/internal/config/live_members.go
+++ b/internal/config/live_members.go
@@ -12,7 +12,8 @@
 	"ravensill/configsync"
 )
 
-const noMember = -1 // the member index of a checker, which is no gateway
+// noMember is the member index of a checker, which is no gateway.
+const noMember = -1
 
 var (
 	errMemberIndex = fmt.Errorf("a member index from 0 to %d wanted", configsync.MaxMembers-1)
@@ -20,14 +21,14 @@
 	errGap         = errors.New("missing: member indices have no gaps")
 )
 
-// members holds the addresses of the fleet's gateways by member index: those of the file until a document names some.
+// members are the gossip addresses of all gateways by member index: those of the file until a document names some.
 type members struct {
-	own       int  // member index of this gateway
-	reachable bool // other members can reach this gateway, or none needs to
-	fileCount int  // gateways of the fleet by the file
-	file      []netip.AddrPort
+	own       int                    // member index of this gateway
+	reachable bool                   // other members can reach this gateway, or none needs to
+	fileCount int                    // members by the file
+	file      []netip.AddrPort       // may be empty
 	document  []netip.AddrPort       // empty: the document names none
-	indices   map[netip.AddrPort]int // of those in document
+	indices   map[netip.AddrPort]int // of the addresses in document
 }
 
 func newMembers(base *Config) members {
@@ -41,22 +42,22 @@
 
 // memberEdit is a change of the members that is checked but not yet in force.
 type memberEdit struct {
-	whole   bool
-	changes map[int]netip.AddrPort // by member index; the zero address: removed
-	count   int                    // of the document's members after the edit
+	complete bool                   // the edit replaces the document
+	changes  map[int]netip.AddrPort // by member index; the zero address removes the member
+	count    int                    // members of the document after the edit
 }
 
-func (m *members) edit(whole bool) memberEdit {
-	edit := memberEdit{whole: whole, count: len(m.document)}
-	if whole {
+func (m *members) edit(complete bool) memberEdit {
+	edit := memberEdit{complete: complete, count: len(m.document)}
+	if complete {
 		edit.count = 0
 	}
 	return edit
 }
 
-// has tells whether an edit finds a member in the document.
+// has reports whether an edit finds a member in the document.
 func (m *members) has(edit *memberEdit, index int) bool {
-	return !edit.whole && index < len(m.document)
+	return !edit.complete && index < len(m.document)
 }
 
 // stageMember decodes the change of one member's address.
@@ -67,15 +68,16 @@
 	}
 	var address netip.AddrPort
 	if !change.Removed() {
-		if address, err = memberAddress(change.Value); err != nil {
+		address, err = memberAddress(change.Value)
+		if err != nil {
 			return &ResourceError{Resource: change.Resource, Err: err}
 		}
 	}
-	had := l.members.has(&edit.members, index)
-	if had && change.Removed() {
+	exists := l.members.has(&edit.members, index)
+	if exists && change.Removed() {
 		edit.members.count--
 	}
-	if !had && !change.Removed() {
+	if !exists && !change.Removed() {
 		edit.members.count++
 	}
 	if edit.members.changes == nil {
@@ -103,7 +105,7 @@
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port()), nil
 }
 
-// checkMembers looks at the members as they are after an edit, in time that grows with the edit alone.
+// checkMembers checks the members after an edit, in time that grows with the edit alone.
 func (l *Live) checkMembers(edit *memberEdit) error {
 	m := &l.members
 	if err := m.checkGaps(edit); err != nil {
@@ -135,25 +137,27 @@
 	return &ResourceError{Resource: configsync.MemberPrefix + configsync.Resource(strconv.Itoa(index)), Err: err}
 }
 
-// checkGaps makes sure that after an edit the members are those from 0 to count-1.
+// checkGaps returns an error unless the members after an edit are those from 0 to count-1.
 func (m *members) checkGaps(edit *memberEdit) error {
 	for index, address := range edit.changes {
 		if address.IsValid() && index >= edit.count {
 			return memberError(m.firstGap(edit), errGap)
 		}
 	}
-	if edit.whole {
+	if edit.complete {
 		return nil
 	}
-	for index := edit.count; index < len(m.document); index++ { // all of them must be removed
-		if address, changed := edit.changes[index]; !changed || address.IsValid() {
+	for index := edit.count; index < len(m.document); index++ {
+		address, changed := edit.changes[index]
+		removed := changed && !address.IsValid()
+		if !removed {
 			return memberError(m.firstGap(edit), errGap)
 		}
 	}
 	return nil
 }
 
-// firstGap finds the lowest member index that an edit leaves without an address.
+// firstGap returns the lowest member index that has no address after an edit.
 func (m *members) firstGap(edit *memberEdit) int {
 	for index := 0; ; index++ {
 		address, changed := edit.changes[index]
@@ -163,21 +167,18 @@
 	}
 }
 
-// checkAddresses makes sure that no two members have one address: a message is known by its sender's.
+// checkAddresses returns an error if two members have the same address, which identifies a message's sender.
 func (m *members) checkAddresses(edit *memberEdit) error {
 	taken := make(map[netip.AddrPort]int, len(edit.changes))
 	for index, address := range edit.changes {
 		if !address.IsValid() {
 			continue
 		}
-		other, given := taken[address]
-		if !given && !edit.whole {
-			other, given = m.indices[address]
-			if _, changed := edit.changes[other]; changed {
-				given = false
-			}
+		other, used := taken[address]
+		if !used && !edit.complete {
+			other, used = m.unchangedOwner(edit, address)
 		}
-		if given && other != index {
+		if used && other != index {
 			err := fmt.Errorf("%s is the address of member %d", address, min(index, other))
 			return memberError(max(index, other), err)
 		}
@@ -186,7 +187,16 @@
 	return nil
 }
 
-// inForce gives the addresses by member index; none where the file names none.
+// unchangedOwner returns the member of the document that has an address and that an edit doesn't change.
+func (m *members) unchangedOwner(edit *memberEdit, address netip.AddrPort) (index int, found bool) {
+	index, found = m.indices[address]
+	if _, changed := edit.changes[index]; changed {
+		return 0, false
+	}
+	return index, found
+}
+
+// inForce returns the number of members and their addresses by member index; no addresses where the file has none.
 func (m *members) inForce() (count int, addresses []netip.AddrPort) {
 	if len(m.document) > 0 {
 		return len(m.document), m.document
@@ -196,21 +206,21 @@
 
 // commit puts an edit in force.
 func (m *members) commit(edit *memberEdit, revision *Revision) {
-	before, addresses := m.inForce()
-	if edit.whole || edit.count == 0 || len(m.document) == 0 {
+	countBefore, addressesBefore := m.inForce()
+	if edit.complete || edit.count == 0 || len(m.document) == 0 {
 		m.replace(edit)
-		_, now := m.inForce()
-		revision.Members = differing(addresses, now)
+		_, addresses := m.inForce()
+		revision.Members = differing(addressesBefore, addresses)
 	} else {
 		revision.Members = m.change(edit)
 	}
 	revision.MemberCount, _ = m.inForce()
-	if revision.MemberCount != before {
+	if revision.MemberCount != countBefore {
 		revision.Update.Members = revision.MemberCount
 	}
 }
 
-// replace makes the document's members those of an edit alone.
+// replace sets the document's members to those of an edit alone.
 func (m *members) replace(edit *memberEdit) {
 	m.document = make([]netip.AddrPort, edit.count)
 	m.indices = make(map[netip.AddrPort]int, edit.count)
@@ -222,7 +232,7 @@
 	}
 }
 
-// change edits the document's members where they are.
+// change changes the document's members in place.
 func (m *members) change(edit *memberEdit) (changes []MemberChange) {
 	for index := range edit.changes {
 		if index < len(m.document) {
@@ -244,10 +254,10 @@
 	return changes
 }
 
-// differing tells which of the new addresses differ from the old ones.
-func differing(old, now []netip.AddrPort) (changes []MemberChange) {
-	for index, address := range now {
-		if index >= len(old) || old[index] != address {
+// differing returns the new addresses that differ from the old ones.
+func differing(before, after []netip.AddrPort) (changes []MemberChange) {
+	for index, address := range after {
+		if index >= len(before) || before[index] != address {
 			changes = append(changes, MemberChange{Index: index, Address: address})
 		}
 	}
--- a/internal/config/live_restore.go
+++ b/internal/config/live_restore.go
@@ -6,18 +6,19 @@
 	"ravensill/configsync"
 )
 
-// Restore gives the configuration of a gateway that starts with a document which it holds already: the file's, with the
-// document's quota plans, request classes, limits and members in place of its own. The Live goes on from there. Where
-// the document can't be taken, a *ResourceError, the gateway starts with base and NewLive(base).
+// Restore returns the configuration of a gateway that starts with a stored document: the file's, with the quota plans,
+// request classes, limits and members of the document in their place. Further changes apply to the Live. On an error, a
+// *ResourceError, the gateway can start with base and NewLive(base).
 func Restore(base *Config, document []configsync.Change) (*Config, *Live, error) {
 	live := newLive(base)
 	edit, err := live.stage(document, true)
 	if err != nil {
 		return nil, nil, err
 	}
-	edit.fromNothing = true
+	edit.initial = true
 	revision := live.commit(edit)
-	restored, settings := *base, *base.Settings
+	restored := *base
+	settings := *base.Settings
 	restored.Settings = &settings
 	settings.PlanNames, settings.Plans = live.plans.inForce()
 	settings.ClassNames, settings.Classes = live.classes.inForce()
@@ -31,9 +32,10 @@
 	return &restored, live, nil
 }
 
-// inForce lists a table none of whose entries was removed, by index.
+// inForce returns the names and values by index of a table none of whose entries was removed.
 func (t *table[T]) inForce() (names []string, values []T) {
-	names, values = make([]string, 0, len(t.entries)), make([]T, 0, len(t.entries))
+	names = make([]string, 0, len(t.entries))
+	values = make([]T, 0, len(t.entries))
 	for i := range t.entries {
 		names = append(names, t.entries[i].name)
 		values = append(values, t.entries[i].value)
--- a/internal/config/live_table.go
+++ b/internal/config/live_table.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// table holds named settings by an index that stands for its name for the life of the process: a removed name keeps its
-// index, so that it is given to no other, and has it again should it return.
+// table contains named settings by index. An index belongs to its name for as long as the process runs: it is reused
+// for no other name, and a name that returns after a removal has the same index.
 type table[T comparable] struct {
 	indices map[string]int // by name
 	entries []tableEntry[T]
@@ -12,11 +12,11 @@
 
 type tableEntry[T comparable] struct {
 	name    string
-	value   T // as it was last, where it is removed
+	value   T // the last one, where the entry is removed
 	removed bool
 }
 
-// tableEdit is a change of a table that is checked but not yet in force. Its entries are sorted as they were staged.
+// tableEdit is a change of a table that is not yet in force, with its entries in the order in which they were staged.
 type tableEdit[T comparable] struct {
 	entries []stagedEntry[T]
 	added   int // names that had no index
@@ -24,12 +24,12 @@
 }
 
 type stagedEntry[T comparable] struct {
-	index int
-	had   bool // a value was in force before
+	index    int
+	replaces bool // a value is in force
 	tableEntry[T]
 }
 
-// edit begins a change of some names.
+// edit returns an empty edit with capacity for changes of some names.
 func (t *table[T]) edit(names int) tableEdit[T] {
 	edit := tableEdit[T]{count: t.count}
 	if names > 1 {
@@ -38,27 +38,26 @@
 	return edit
 }
 
-// set stages a value. A value that is in force already is no change.
+// set stages a value. A value that is in force already changes nothing.
 func (t *table[T]) set(edit *tableEdit[T], name string, value T) {
 	staged := stagedEntry[T]{tableEntry: tableEntry[T]{name: name, value: value}}
 	index, known := t.indices[name]
 	if !known {
 		index = len(t.entries) + edit.added
 		edit.added++
-	} else if old := &t.entries[index]; !old.removed {
-		if old.value == value {
-			return
-		}
-		staged.had = true
 	}
-	if !staged.had {
+	staged.index = index
+	staged.replaces = known && !t.entries[index].removed
+	if staged.replaces && t.entries[index].value == value {
+		return
+	}
+	if !staged.replaces {
 		edit.count++
 	}
-	staged.index = index
 	edit.entries = append(edit.entries, staged)
 }
 
-// remove stages the end of a name. One that is not in force is no change.
+// remove stages the removal of a name. A name that is not in force changes nothing.
 func (t *table[T]) remove(edit *tableEdit[T], name string) {
 	index, known := t.indices[name]
 	if !known || t.entries[index].removed {
@@ -67,12 +66,12 @@
 	edit.count--
 	edit.entries = append(edit.entries, stagedEntry[T]{
 		index:      index,
-		had:        true,
+		replaces:   true,
 		tableEntry: tableEntry[T]{name: name, value: t.entries[index].value, removed: true},
 	})
 }
 
-// removeOthers stages the end of all names in force for which keep is false.
+// removeOthers stages the removal of all names in force for which keep is false.
 func (t *table[T]) removeOthers(edit *tableEdit[T], keep func(name string) bool) {
 	for i := range t.entries {
 		entry := &t.entries[i]
@@ -82,7 +81,7 @@
 	}
 }
 
-// commit puts an edit in force. It must be the only one begun since the last commit.
+// commit puts an edit in force. It must be the only edit since the last commit.
 func (t *table[T]) commit(edit *tableEdit[T]) {
 	if t.indices == nil {
 		t.indices = make(map[string]int, edit.added)
--- a/internal/config/live_test.go
+++ b/internal/config/live_test.go
@@ -201,7 +201,7 @@
 	if update := revision.Update.Plans[0]; restored.PlanNames[update.Index] != "gold" || *revision.Update.Limits != base.Limits {
 		t.Errorf("%+v", revision)
 	}
-	if _, _, err := Restore(base, document(`plans/gold {}`)); !errors.Is(err, errGivenTwice) {
+	if _, _, err := Restore(base, document(`plans/gold {}`)); !errors.Is(err, errRepeated) {
 		t.Error(err)
 	}
 }
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -2,56 +2,58 @@
 
 import "ravensill/gateway"
 
-// DecodePlan reads one quota plan from its own JSON object, by the same code as the list of a whole configuration: same
-// keys, same checks, and the same meaning where keys contradict each other. path is the plan's place among the settings,
-// such as "plans.3"; errors and adjustments name keys by it.
+// DecodePlan reads one quota plan from its JSON object, by the same code as the list of the settings: same keys, same
+// checks, same adjustments. path is the plan's place among the settings, such as "plans.3"; errors and adjustments name
+// keys by it.
 func DecodePlan(path, raw string) (plan gateway.Plan, name string, adjusted []Adjustment, err error) {
-	item, err := newSettings(path, raw)
+	reader, err := newObjectReader(path, raw)
 	if err != nil {
 		return gateway.Plan{}, "", nil, err
 	}
-	plan, name, adjusted = item.plan()
-	if item.err == nil {
-		item.err = keyError(path+".name", checkPlan(name))
+	plan, name, adjusted = reader.plan()
+	if reader.err == nil {
+		reader.err = keyError(path+".name", checkPlan(name))
 	}
-	return plan, name, adjusted, item.err
+	return plan, name, adjusted, reader.err
 }
 
-// plan reads the object as one quota plan.
-func (s *settings) plan() (plan gateway.Plan, name string, adjusted []Adjustment) {
-	name = s.text("name")
+// plan reads the object as one quota plan. Its keys are those of planKeys.
+func (r *objectReader) plan() (plan gateway.Plan, name string, adjusted []Adjustment) {
+	name = r.text("name")
 	plan = gateway.Plan{
-		Rate:           s.num("rate"),
-		Burst:          s.num("burst"),
-		MaxInFlight:    s.whole("parallel"),
-		CeilingRate:    s.num("ceiling_rate"),
-		CeilingBurst:   s.num("cap_depth"),
-		CeilingSlack:   s.num("ceiling_slack"),
-		PriorityWeight: s.num("worth_factor"),
-		OverQuotaValue: s.num("extra_worth"),
-		OverQuotaCost:  s.num("beyond_costs"),
-	}
-	return plan, name, s.shapePlan(&plan)
+		Rate:           r.number("rate"),
+		Burst:          r.number("burst"),
+		MaxInFlight:    r.integer("parallel"),
+		CeilingRate:    r.number("ceiling_rate"),
+		CeilingBurst:   r.number("cap_depth"),
+		CeilingSlack:   r.number("ceiling_slack"),
+		PriorityWeight: r.number("worth_factor"),
+		OverQuotaValue: r.number("extra_worth"),
+		OverQuotaCost:  r.number("beyond_costs"),
+	}
+	return plan, name, r.resolvePlan(&plan)
 }
 
-// shapePlan gives keys of a plan that contradict each other their one meaning.
-func (s *settings) shapePlan(plan *gateway.Plan) (adjusted []Adjustment) {
+// resolvePlan adjusts keys of a plan that contradict each other.
+func (r *objectReader) resolvePlan(plan *gateway.Plan) (adjusted []Adjustment) {
+	adjust := func(key, meaning string) {
+		adjusted = append(adjusted, Adjustment{Key: r.prefix + key, Meaning: meaning})
+	}
 	if plan.Rate == 0 && plan.Burst > 0 {
-		adjusted = append(adjusted, adjustment(s.prefix+"burst", "ignored: without a rate there is no such quota"))
+		adjust("burst", "ignored: without a rate there is no such quota")
 		plan.Burst = 0
 	}
 	if plan.CeilingRate == 0 && plan.CeilingBurst > 0 {
-		adjusted = append(adjusted, adjustment(s.prefix+"cap_depth", "ignored: without a ceiling_rate there is no ceiling"))
+		adjust("cap_depth", "ignored: without a ceiling_rate there is no ceiling")
 		plan.CeilingBurst = 0
 	}
-	if s.says("rate", "0") && plan.MaxInFlight == 0 && plan.CeilingRate == 0 {
-		adjusted = append(adjusted, adjustment(s.prefix+"rate",
-			"0 is no quota, and neither parallel nor ceiling_rate is told: the plan is not bounded"))
+	if r.contains("rate", "0") && plan.MaxInFlight == 0 && plan.CeilingRate == 0 {
+		adjust("rate", "0 is no quota, and neither parallel nor ceiling_rate is told: the plan is not bounded")
 	}
 	return adjusted
 }
 
-// checkPlan looks for what a gateway on sockets can't do without: a name, by which commands know the plan.
+// checkPlan returns an error for a plan without a name, by which commands refer to it.
 func checkPlan(name string) error {
 	if name == "" {
 		return errMissing
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -30,7 +30,7 @@
 	TrailingEntries   uint64 // entries kept behind a snapshot; 0: the default
 }
 
-// publisherFile is the file of a publisher.
+// publisherFile is the file as it is written.
 type publisherFile struct {
 	Index         int      `json:"index"`
 	Listen        string   `json:"listen"`
@@ -70,7 +70,7 @@
 		SnapshotRate:  configsync.DefaultSnapshotRate,
 		SnapshotBurst: configsync.DefaultSnapshotBurst,
 	}
-	err := strict(raw, &text)
+	err := decodeSection(raw, &text)
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 	p := &Publisher{
 		Index:           text.Index,
 		Dir:             text.Dir,
-		ElectionTimeout: time.Duration(text.ElectionMS) * time.Millisecond,
+		ElectionTimeout: milliseconds(text.ElectionMS),
 		MaxFollowers:    text.MaxFollowers,
 		History:         configsync.HistoryLimits{Deltas: text.HistoryDeltas, Bytes: text.HistoryBytes},
 		Sending: configsync.SenderLimits{
@@ -94,10 +94,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return p, p.addresses(&text)
+	return p, p.readAddresses(&text)
 }
 
-// check looks at the numbers.
+// check returns an error for counts and numbers that are out of their bounds.
 func (f *publisherFile) check() error {
 	count := len(f.Raft)
 	if !slices.Contains([]int{1, 3, 5}, count) {
@@ -120,8 +120,7 @@
 	)
 }
 
-// addresses reads the addresses of the file.
-func (p *Publisher) addresses(text *publisherFile) (err error) {
+func (p *Publisher) readAddresses(text *publisherFile) (err error) {
 	p.Raft, err = parseAddresses("raft", text.Raft)
 	if err != nil {
 		return err
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -29,11 +29,11 @@
 func TestReadingIsLinear(t *testing.T) {
 	const times, margin = 16, 1.25
 	scanned := func(plans, classes int) float64 {
-		s, err := newSettings("", manyPlans(plans, classes))
+		s, err := newObjectReader("", manyPlans(plans, classes))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := s.decode(); err != nil {
+		if _, err := s.settings(); err != nil {
 			t.Fatal(err)
 		}
 		return float64(s.scanned)
@@ -49,11 +49,11 @@
 
 // TestDecodeOneResource: a plan or a class read by itself is what it is as an element of the whole, adjustments and faults too.
 func TestDecodeOneResource(t *testing.T) {
-	s, err := newSettings("", manyPlans(2, 1))
+	s, err := newObjectReader("", manyPlans(2, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, err := s.decode()
+	whole, err := s.settings()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -4,14 +4,17 @@
 	"encoding/hex"
 	"fmt"
 	"net/netip"
+	"time"
 
 	"ravensill/internal/strictjson"
 )
 
-// strict reads an optional section, one JSON object, into a struct.
-func strict(raw string, into any) error { return strictjson.Decode(raw, into) }
+// decodeSection reads an optional section, one JSON object, into a struct.
+func decodeSection(raw string, into any) error { return strictjson.Decode(raw, into) }
 
-// integer is a number of a section, with its bounds.
+func milliseconds(count int) time.Duration { return time.Duration(count) * time.Millisecond }
+
+// integer is a value of a section with its bounds.
 type integer struct {
 	key   string
 	value int
@@ -19,7 +22,7 @@
 	most  int
 }
 
-// checkIntegers returns an error of the first number that is out of its bounds.
+// checkIntegers returns an error for the first number that is out of its bounds.
 func checkIntegers(numbers ...integer) error {
 	for _, n := range numbers {
 		if n.value < n.least || n.value > n.most {
@@ -29,7 +32,7 @@
 	return nil
 }
 
-// parseAddress reads an address that has to be given.
+// parseAddress parses an address, which must not be missing.
 func parseAddress(key, text string) (netip.AddrPort, error) {
 	if text == "" {
 		return netip.AddrPort{}, keyError(key, errMissing)
@@ -38,7 +41,7 @@
 	return address, keyError(key, err)
 }
 
-// parseAddresses reads a list of addresses.
+// parseAddresses parses a list of addresses.
 func parseAddresses(key string, texts []string) (addresses []netip.AddrPort, err error) {
 	for i, text := range texts {
 		address, err := netip.ParseAddrPort(text)
@@ -50,10 +53,10 @@
 	return addresses, nil
 }
 
-// minSecretBytes is the least length of a key that messages are signed with.
+// minSecretBytes is the least length of a key that signs messages.
 const minSecretBytes = 16
 
-// parseSecret reads a key that messages are signed with.
+// parseSecret parses a key that signs messages.
 func parseSecret(key, text string) ([]byte, error) {
 	secret, err := hex.DecodeString(text)
 	if err != nil || len(secret) < minSecretBytes {
@@ -62,8 +65,8 @@
 	return secret, nil
 }
 
-// fractionError returns an error unless a number lies within bounds; least is excluded if open is set.
-func fractionError(key string, value, least, most float64, open bool) error {
+// checkFraction returns an error unless a number lies within bounds. least is out of bounds if open is set.
+func checkFraction(key string, value, least, most float64, open bool) error {
 	within := value >= least && value <= most
 	if open {
 		within = value > least && value <= most
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -151,9 +151,9 @@
 func (o *Observer) newLedger(members int, objectives []int64) *counterfactual.Ledger {
 	return counterfactual.NewLedger(counterfactual.Settings{
 		Gateways:   members,
-		Window:     int64(o.config.Window) * 1e6,
-		Grace:      int64(o.config.Grace) * 1e6,
-		KeptBins:   o.config.Retention*1000/o.config.Window + 1,
+		Window:     int64(o.config.Window),
+		Grace:      int64(o.config.Grace),
+		KeptBins:   int(o.config.Retention/o.config.Window) + 1,
 		MaxCells:   o.config.MaxLedgerCells,
 		MaxMissing: o.config.MaxMissing,
 		Objectives: objectives,
@@ -233,7 +233,7 @@
 
 // loop is the task's goroutine.
 func (o *Observer) loop() {
-	tick := time.NewTicker(time.Duration(o.config.Window) * time.Millisecond)
+	tick := time.NewTicker(o.config.Window)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/observer/query.go
+++ b/internal/observer/query.go
@@ -145,7 +145,7 @@
 func (o *Observer) answer(query *Query) (answers []any) {
 	now := o.now()
 	if query.Counts {
-		window := int64(o.config.Window) * 1e6
+		window := int64(o.config.Window)
 		return []any{CollectorState{o.ledger.Counts, now / window, o.ledger.Sealed(now)}}
 	}
 	var classes []int
--- a/internal/observer/records.go
+++ b/internal/observer/records.go
@@ -20,7 +20,7 @@
 // writeRecord appends a record to the records file, up to its configured size. After an error, such as a full disk, nothing more
 // is written; the estimates go on without the file.
 func (o *Observer) writeRecord(entry *Entry) {
-	limit := o.config.RecordsMB << 20
+	limit := o.config.RecordsMaxBytes
 	if o.recordsFile == nil || o.recordsWritten >= limit {
 		return
 	}
--- a/internal/observer/summary.go
+++ b/internal/observer/summary.go
@@ -44,7 +44,7 @@
 		Zone:         uint8(o.zone),
 		Incarnation:  o.incarnation,
 		Window:       o.window,
-		WindowLength: uint32(o.config.Window),
+		WindowLength: uint32(o.config.Window.Milliseconds()),
 		Attempts:     attempts,
 		LostRecords:  lost,
 	}
@@ -75,7 +75,7 @@
 
 // abandonOld gives up messages that are too old to count at a collector, and the oldest ones while there are too many.
 func (o *Observer) abandonOld(now time.Time) {
-	maxAge := time.Duration(o.config.Grace+o.config.Window) * time.Millisecond
+	maxAge := o.config.Grace + o.config.Window
 	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(m *message) bool {
 		if o.unconfirmedBytes <= maxUnconfirmed && now.Sub(m.windowEnd) <= maxAge {
 			return false
