--- a/internal/config/adjustments.go
+++ b/internal/config/adjustments.go
@@ -26,9 +26,9 @@
 	s.Adjusted = append(s.Adjusted, adjustment(key, meaning, args...))
 }
 
-// resolve adjusts settings that contradict each other: nothing that is not idempotent runs twice, each quota and ceiling
-// that is set holds, and what can't be provided is turned off. A key that is absent contradicts nothing and is not
-// reported. ofPlans are the adjustments of the quota plans, each by itself.
+// resolve adjusts settings that contradict each other: nothing that is not idempotent runs twice, each quota and
+// ceiling that is set holds, and what can't be provided is turned off. A key that is absent contradicts nothing and is
+// not reported. ofPlans are the adjustments of the quota plans, each by itself.
 func (s *Settings) resolve(reader *objectReader, ofPlans []Adjustment) {
 	s.resolveCounterTimeout()
 	if s.EqualWeights {
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -9,9 +9,9 @@
 // errIncompleteClass is the error of a request class that commands could not name, or whose requests would never end.
 var errIncompleteClass = errors.New("name and hard_limit_us wanted")
 
-// DecodeRequestClass reads one request class from its JSON object, by the same code as the list of the settings. path is
-// its place among the settings, such as "profiles.3"; errors and adjustments name keys by it. limits are those in force:
-// hedging is turned off in them if the class is not idempotent.
+// DecodeRequestClass reads one request class from its JSON object, by the same code as the list of the settings. path
+// is its place among the settings, such as "profiles.3"; errors and adjustments name keys by it. limits are those in
+// force: hedging is turned off in them if the class is not idempotent.
 func DecodeRequestClass(path, raw string, limits *gateway.Limits) (class gateway.RequestClass, name string,
 	adjusted []Adjustment, err error) {
 	reader, err := newObjectReader(path, raw)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -129,8 +129,8 @@
 	return keyError("configuration", err)
 }
 
-// readPeers reads the addresses of gossip, where gateways exchange any. A single gateway needs them if a document of the
-// publishers may add members.
+// readPeers reads the addresses of gossip, where gateways exchange any. A single gateway needs them if a document of
+// the publishers may add members.
 func (c *Config) readPeers(f *file) error {
 	mayGrow := c.Configuration != nil && f.object.Get("peer_listen").Exists()
 	if !c.Membership.Gossip || c.Membership.Count == 1 && !mayGrow {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"os"
@@ -29,109 +30,227 @@
 	})
 }
 
-func TestLoadChecksEveryKey(t *testing.T) { // the file, what goes before it, defaults
-	var all strings.Builder
-	for _, x := range []struct {
+// The file, the environment variables that override it, and the defaults of what neither has.
+func TestLoadReadsFileEnvironmentAndDefaults(t *testing.T) {
+	overrides := map[string]string{
+		"GW_NAME":      "n4",
+		"GW_LISTEN":    "10.0.0.5:1",
+		"GW_DISCOVERY": "10.2.0.2:2",
+	}
+	const shortest = `{"listen":"10.0.0.4:1","discovery":"10.2.0.1:2","settings":{"balancers":1,
+		"profiles":[{"name":"a","target_us":1,"hard_limit_us":1}],"plans":[{"name":"b"}]}}`
+	var trace strings.Builder
+	for _, test := range []struct {
 		text string
 		env  map[string]string
-	}{{good, nil}, {good, map[string]string{"GW_NAME": "n4", "GW_LISTEN": "10.0.0.5:1", "GW_DISCOVERY": "10.2.0.2:2"}},
-		{`{"listen":"10.0.0.4:1","discovery":"10.2.0.1:2","settings":{"balancers":1,
-		"profiles":[{"name":"a","target_us":1,"hard_limit_us":1}],"plans":[{"name":"b"}]}}`, nil}} {
-		c, err := load(t, x.text, x.env)
+	}{
+		{good, nil},
+		{good, overrides},
+		{shortest, nil},
+	} {
+		c, err := load(t, test.text, test.env)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&all, "%s %s %s seed %x, %d bytes, %d sockets, peers %v at %v, known %q\n  %+v\n", c.Name, c.Listen, c.Discovery,
-			c.Seed, c.Memory, c.Sockets, c.Peers, c.PeerListen, c.KnownEndpoints, *c.Settings)
+		fmt.Fprintf(&trace, "%s %s %s seed %x, %d bytes, %d sockets, peers %v at %v, known %q\n  %+v\n", c.Name, c.Listen,
+			c.Discovery, c.Seed, c.Memory, c.Sockets, c.Peers, c.PeerListen, c.KnownEndpoints, *c.Settings)
 	}
-	golden.Check(t, all.String())
+	golden.Check(t, trace.String())
 }
 
-// fault tells what a configuration with one text in place of another, which has to be there, is refused with.
-func fault(t *testing.T, good, text, by string) string {
-	bad := strings.Replace(good, text, by, 1)
-	if bad == good {
-		t.Errorf("%s is not there", text)
+// replacement puts one text in the place of another.
+type replacement struct{ old, new string }
+
+// in returns the text with the replacement, whose old text must be there.
+func (r replacement) in(t *testing.T, text string) string {
+	t.Helper()
+	if !strings.Contains(text, r.old) || r.old == r.new {
+		t.Errorf("%s is not there", r.old)
 	}
-	_, err := load(t, bad, nil)
-	return fmt.Sprintf("%s for %s\n  %s\n", by, text, fmt.Sprint(err))
+	return strings.Replace(text, r.old, r.new, 1)
+}
+
+// loadError describes a replacement in a file and the error that loading the file returns.
+func loadError(t *testing.T, file string, r replacement) string {
+	t.Helper()
+	_, err := load(t, r.in(t, file), nil)
+	return fmt.Sprintf("%s for %s\n  %s\n", r.new, r.old, fmt.Sprint(err))
 }
 
-func TestSettingsFaultsNameTheirKey(t *testing.T) { // each message names the key
-	var all strings.Builder
-	for _, x := range [][2]string{{`"10.0.0.4:6379"`, `"10.0.0.4"`}, {`"10.0.0.4:6379"`, `7`}, {`"listen"`, `"listens"`}, {`10.2.0.1:8500`, `consul:8500`},
-		{"8c1f", "xyz"}, {`:64,`, `:1,`}, {`:512}`, `:"many"}`}, {`:512}`, `:-5}`}, {`"peer_listen"`, `"p"`}, {`,"10.3.0.2:7946"`, ``}, {`10.3.0.2:7946`, `b`},
-		{`"known":{`, `"known":7,"k":{`}, {`"position":1`, `"position":2`}, {`"settings"`, `"s"`}, {`"profiles":[`, `"profiles":7,"p":[`}, {`"name":"lookup"`, `"name":""`}, {`:600`, `:-1`}, {`:2500`, `:0`}, {`:2500`, `:-1`}, {`"plans":[`, `"p":[`}, {`"gold"`, `7`}, {`"conn_idle_us":5`, `"conn_idle_us":"x"`},
-		{`"lookup"`, `"lookup","effect":"odd"`}, {`}}`, `}`}} {
-		all.WriteString(fault(t, good, x[0], x[1]))
+func TestLoadErrorNamesKey(t *testing.T) {
+	var trace strings.Builder
+	for _, test := range []replacement{
+		{`"10.0.0.4:6379"`, `"10.0.0.4"`},
+		{`"10.0.0.4:6379"`, `7`},
+		{`"listen"`, `"listens"`},
+		{`10.2.0.1:8500`, `consul:8500`},
+		{"8c1f", "xyz"},
+		{`:64,`, `:1,`},
+		{`:512}`, `:"many"}`},
+		{`:512}`, `:-5}`},
+		{`"peer_listen"`, `"p"`},
+		{`,"10.3.0.2:7946"`, ``},
+		{`10.3.0.2:7946`, `b`},
+		{`"known":{`, `"known":7,"k":{`},
+		{`"position":1`, `"position":2`},
+		{`"settings"`, `"s"`},
+		{`"profiles":[`, `"profiles":7,"p":[`},
+		{`"name":"lookup"`, `"name":""`},
+		{`:600`, `:-1`},
+		{`:2500`, `:0`},
+		{`:2500`, `:-1`},
+		{`"plans":[`, `"p":[`},
+		{`"gold"`, `7`},
+		{`"conn_idle_us":5`, `"conn_idle_us":"x"`},
+		{`"lookup"`, `"lookup","effect":"odd"`},
+		{`}}`, `}`},
+	} {
+		trace.WriteString(loadError(t, good, test))
 	}
-	golden.Check(t, all.String())
+	golden.Check(t, trace.String())
+}
+
+// fileParts are texts of a configuration file; empty ones are left out.
+type fileParts struct {
+	counter    string // key and value
+	familyInfo string // of the settings
+	classes    string
+	plans      string
+	more       string // keys of the settings
 }
 
-// TestContradictingSettingsAreAdjusted: settings that contradict each other start, each with the one meaning that does no harm, told once by its key;
-// without a contradiction nothing is told.
-func TestContradictingSettingsAreAdjusted(t *testing.T) {
-	base := `{"listen":"10.0.0.4:1","discovery":"10.2.0.1:2",COUNTER"settings":{"balancers":1,FAMILY"profiles":[PROFILE],
-	 "plans":[PLAN]LIMITS}}`
-	front, plan := `{"name":"a","target_us":100000,"hard_limit_us":400000}`, `{"name":"b","rate":1,"burst":2}`
-	fill := func(counter, family, profile, plan, limits string) string {
-		return strings.NewReplacer("COUNTER", counter, "FAMILY", family, "PROFILE", profile, "PLAN", plan, "LIMITS", limits).Replace(base)
+// file returns a file of the parts, with one request class and one plan where the parts have none.
+func (p fileParts) file() string {
+	settings := []string{`"balancers":1`}
+	if p.familyInfo != "" {
+		settings = append(settings, `"family_info":{`+p.familyInfo+`}`)
 	}
-	at, shared := `"counter":"10.4.0.1:6390",`, `"family_info":{"shared_counter":true},`
-	front2 := func(more string) string { return strings.Replace(front, "}", ","+more+"}", 1) }
-	var all strings.Builder
-	for _, x := range []struct{ key, text string }{
-		{"", fill("", "", front, plan, "")},
-		{"", fill(at, shared, front, `{"name":"b","rate":0,"parallel":2}`, `,"report":{"how":"off"},"limits":{"probes":false},"weights":"rough"`)},
-		{"", fill("", "", front2(`"effect":"keyed"`), plan, "")},
-		{"family_info.shared_counter", fill("", shared, front, plan, "")},
-		{"counter", fill(at, "", front, plan, "")},
-		{"family_info.count_wait_us", fill("", `"family_info":{"count_wait_us":50000},`, front, plan, "")},
-		{"family_info.count_wait_us", fill(at, `"family_info":{"shared_counter":true,"count_wait_us":200000},`, front, plan, "")},
-		{"family_info.settles", fill("", `"family_info":{"settles":true},`, front, plan, "")},
-		{"report.how", fill("", "", front, plan, `,"report":{"how":"on_probe","names":["utilization"]},"limits":{"probes":false}`)},
-		{"report.names", fill("", "", front, plan, `,"report":{"how":"off","names":["utilization"]}`)},
-		{"weights", fill("", "", front, plan, `,"weights":"live"`)},
-		{"plans.0.burst", fill("", "", front, `{"name":"b","burst":4,"parallel":2}`, "")},
-		{"plans.0.cap_depth", fill("", "", front, `{"name":"b","rate":1,"cap_depth":4}`, "")},
-		{"plans.0.rate", fill("", "", front, `{"name":"b","rate":0}`, "")},
-		{"plans.1.name", fill("", "", front, plan+","+plan, "")},
-		{"limits.parallel_tries", fill("", "", front2(`"effect":"unsafe"`)+","+
-			strings.Replace(front2(`"effect":"unsafe"`), `"a"`, `"c"`, 1), plan, `,"limits":{"parallel_tries":true}`)},
-		{"profiles.0.window_us", fill("", "", front2(`"effect":"keyed","window_us":0`), plan, "")},
-		{"profiles.0.late_worth", fill("", "", front2(`"late_worth":1.5`), plan, "")},
-		{"profiles.0.target_us", fill("", "", strings.Replace(front, "100000", "500000", 1), plan, "")},
-		{"profiles.0.target_us", fill("", "", strings.Replace(front, `"target_us":100000,`, "", 1), plan, "")},
+	settings = append(settings, `"profiles":[`+cmp.Or(p.classes, soundClass)+`]`)
+	settings = append(settings, `"plans":[`+cmp.Or(p.plans, soundPlan)+`]`)
+	if p.more != "" {
+		settings = append(settings, p.more)
+	}
+	keys := []string{`"listen":"10.0.0.4:1"`, `"discovery":"10.2.0.1:2"`}
+	if p.counter != "" {
+		keys = append(keys, `"counter":`+p.counter)
+	}
+	keys = append(keys, `"settings":{`+strings.Join(settings, ",")+`}`)
+	return "{" + strings.Join(keys, ",") + "}"
+}
+
+const (
+	soundClass     = `{"name":"a","target_us":100000,"hard_limit_us":400000}`
+	soundPlan      = `{"name":"b","rate":1,"burst":2}`
+	counterAddress = `"10.4.0.1:6390"`
+	sharedCounter  = `"shared_counter":true`
+)
+
+// classWith returns soundClass with more keys.
+func classWith(keys string) string { return strings.TrimSuffix(soundClass, "}") + "," + keys + "}" }
+
+// Settings that contradict each other do not fail a start: each is adjusted, and the adjustment, reported once, names
+// its key.
+func TestLoadAdjustsContradictingSettings(t *testing.T) {
+	var trace strings.Builder
+	for _, test := range []struct {
+		key   string
+		parts fileParts
+	}{
+		{"family_info.shared_counter", fileParts{familyInfo: sharedCounter}},
+		{"counter", fileParts{counter: counterAddress}},
+		{"family_info.count_wait_us", fileParts{familyInfo: `"count_wait_us":50000`}},
+		{"family_info.count_wait_us", fileParts{
+			counter:    counterAddress,
+			familyInfo: sharedCounter + `,"count_wait_us":200000`,
+		}},
+		{"family_info.settles", fileParts{familyInfo: `"settles":true`}},
+		{"report.how", fileParts{
+			more: `"report":{"how":"on_probe","names":["utilization"]},"limits":{"probes":false}`,
+		}},
+		{"report.names", fileParts{more: `"report":{"how":"off","names":["utilization"]}`}},
+		{"weights", fileParts{more: `"weights":"live"`}},
+		{"plans.0.burst", fileParts{plans: `{"name":"b","burst":4,"parallel":2}`}},
+		{"plans.0.cap_depth", fileParts{plans: `{"name":"b","rate":1,"cap_depth":4}`}},
+		{"plans.0.rate", fileParts{plans: `{"name":"b","rate":0}`}},
+		{"plans.1.name", fileParts{plans: soundPlan + "," + soundPlan}},
+		{"limits.parallel_tries", fileParts{
+			classes: classWith(`"effect":"unsafe"`) + "," +
+				replacement{`"a"`, `"c"`}.in(t, classWith(`"effect":"unsafe"`)),
+			more: `"limits":{"parallel_tries":true}`,
+		}},
+		{"profiles.0.window_us", fileParts{classes: classWith(`"effect":"keyed","window_us":0`)}},
+		{"profiles.0.late_worth", fileParts{classes: classWith(`"late_worth":1.5`)}},
+		{"profiles.0.target_us", fileParts{classes: replacement{"100000", "500000"}.in(t, soundClass)}},
+		{"profiles.0.target_us", fileParts{classes: replacement{`"target_us":100000,`, ""}.in(t, soundClass)}},
 	} {
-		c, err := load(t, x.text, nil)
+		c, err := load(t, test.parts.file(), nil)
 		if err != nil {
-			t.Errorf("%s: %v", x.text, err)
+			t.Errorf("%+v: %v", test.parts, err)
 			continue
 		}
-		if x.key == "" && len(c.Adjusted) > 0 || x.key != "" && (len(c.Adjusted) != 1 || c.Adjusted[0].Key != x.key) {
-			t.Errorf("%s: adjusted %q, want %q alone", x.text, c.Adjusted, x.key)
+		if len(c.Adjusted) != 1 || c.Adjusted[0].Key != test.key {
+			t.Errorf("%+v: adjusted %q, want %q alone", test.parts, c.Adjusted, test.key)
 		}
-		if c.Limits.SharedCounter && c.Limits.CounterTimeout == 0 {
-			t.Error("a call of the counter is never given up")
+		writeAdjusted(t, &trace, c)
+	}
+	golden.Check(t, trace.String())
+}
+
+func TestLoadAdjustsNothingWithoutContradiction(t *testing.T) {
+	var trace strings.Builder
+	for _, parts := range []fileParts{
+		{},
+		{
+			counter:    counterAddress,
+			familyInfo: sharedCounter,
+			plans:      `{"name":"b","rate":0,"parallel":2}`,
+			more:       `"report":{"how":"off"},"limits":{"probes":false},"weights":"rough"`,
+		},
+		{classes: classWith(`"effect":"keyed"`)},
+	} {
+		c, err := load(t, parts.file(), nil)
+		if err != nil {
+			t.Errorf("%+v: %v", parts, err)
+			continue
+		}
+		if len(c.Adjusted) > 0 {
+			t.Errorf("%+v: adjusted %q, want nothing", parts, c.Adjusted)
 		}
-		fmt.Fprintf(&all, "%q\n  %+v\n  %+v\n  %+v\n  counter %v, report %+v %q, even %t\n", c.Adjusted, c.Classes, c.Plans, c.Limits,
-			c.Counter, c.LoadReport, c.ReportNames, c.EqualWeights)
+		writeAdjusted(t, &trace, c)
 	}
-	golden.Check(t, all.String())
-	for _, x := range []struct{ key, text string }{ // what can't be understood ends the start still
-		{"counter", fill(`"counter":"here",`, shared, front, plan, "")},
-		{"family_info.shared_counter", fill(at, `"family_info":{"shared_counter":"yes"},`, front, plan, "")},
-		{"weights", fill("", "", front, plan, `,"weights":"heavy"`)},
-		{"profiles.0", fill("", "", `{"name":"a","target_us":100000}`, plan, "")},
+	golden.Check(t, trace.String())
+}
+
+// writeAdjusted writes what the settings are after their adjustments, and checks that a call of the counter is bounded.
+func writeAdjusted(t *testing.T, trace *strings.Builder, c *Config) {
+	t.Helper()
+	if c.Limits.SharedCounter && c.Limits.CounterTimeout == 0 {
+		t.Error("a call of the counter has no timeout")
+	}
+	fmt.Fprintf(trace, "%q\n  %+v\n  %+v\n  %+v\n  counter %v, report %+v %q, even %t\n", c.Adjusted, c.Classes, c.Plans,
+		c.Limits, c.Counter, c.LoadReport, c.ReportNames, c.EqualWeights)
+}
+
+// Settings that can't be understood fail a start, whatever they contradict.
+func TestLoadRejectsUnknownValuesOfContradictingSettings(t *testing.T) {
+	for _, test := range []struct {
+		key   string
+		parts fileParts
+	}{
+		{"counter", fileParts{counter: `"here"`, familyInfo: sharedCounter}},
+		{"family_info.shared_counter", fileParts{counter: counterAddress, familyInfo: `"shared_counter":"yes"`}},
+		{"weights", fileParts{more: `"weights":"heavy"`}},
+		{"profiles.0", fileParts{classes: `{"name":"a","target_us":100000}`}},
 	} {
-		if _, err := load(t, x.text, nil); err == nil || !strings.Contains(err.Error(), x.key) {
-			t.Errorf("%s: %v, want it to name %q", x.text, err, x.key)
+		_, err := load(t, test.parts.file(), nil)
+		if err == nil || !strings.Contains(err.Error(), test.key) {
+			t.Errorf("%+v: %v, want it to name %q", test.parts, err, test.key)
 		}
 	}
 }
 
-// A fault can be asked for its key, through all sections.
-func TestKeyErrorNamesKey(t *testing.T) {
+// A caller can read the key from the error, whatever part of the settings it is of.
+func TestDecodeReturnsKeyError(t *testing.T) {
 	for _, test := range []struct{ settings, path string }{
 		{`{"balancers":1,"rules":{"warm_up_us":-1}}`, "rules.warm_up_us"},
 		{`{"balancers":1,"plans":[{},{"rate":"x"}]}`, "plans.1.rate"},
@@ -139,9 +258,13 @@
 		{`{"balancers":1,"position":1}`, "position"},
 	} {
 		_, err := Decode(test.settings)
-		var fault *KeyError
-		if !errors.As(err, &fault) || fault.Path != test.path || fault.Error() != fault.Path+": "+fault.Err.Error() {
-			t.Errorf("%s: %v, want a fault of %s", test.settings, err, test.path)
+		var keyError *KeyError
+		if !errors.As(err, &keyError) || keyError.Path != test.path {
+			t.Errorf("%s: %v, want an error of %s", test.settings, err, test.path)
+			continue
+		}
+		if keyError.Error() != keyError.Path+": "+keyError.Err.Error() {
+			t.Errorf("%s: %v, want path and error of %s", test.settings, err, test.path)
 		}
 	}
 }
--- a/internal/config/configuration_test.go
+++ b/internal/config/configuration_test.go
@@ -9,8 +9,8 @@
 	"ravensill/internal/golden"
 )
 
-// TestConfigurationSection: the section, its faults by key, and the identities of quota plans, which are there with it alone.
-func TestConfigurationSection(t *testing.T) {
+// Quota plans have identities with the section alone.
+func TestConfigurationSectionIdentifiesPlans(t *testing.T) {
 	cfg, err := load(t, fleetFile, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -18,19 +18,39 @@
 	if id := cfg.Plans[0].ID; id != configsync.PlanID("gold") {
 		t.Errorf("identity %x", id)
 	}
-	var all strings.Builder
-	fmt.Fprintf(&all, "%+v\n", *cfg.Configuration)
-	first, second := colliding()
-	for _, x := range [][2]string{{`"publishers"`, `"publisher"`}, {`["10.5.0.1:7500"]`, `[]`}, {`["10.5.0.1:7500"]`, `"10.5.0.1:7500"`},
-		{`"10.5.0.1:7500"`, `"10.5.0.1:7500","10.5.0.1"`}, {`"10.5.0.1:7500"`, `"10.5.0.1:7500","10.5.0.1:7500"`},
-		{`"10.5.0.1:7500"`, strings.Repeat(`"10.5.0.1:7500",`, 7) + `"10.5.0.1:7500"`}, {`"/var/lib/ravensill"`, `""`}, {`"dir"`, `"folder"`},
-		{`{"publishers":["10.5.0.1:7500"],"dir":"/var/lib/ravensill"}`, `7`}, {`"10.3.0.2:7946"`, `"10.3.0.1:7946"`},
-		{`{"name":"gold"`, fmt.Sprintf(`{"name":"%s"},{"name":"%s"`, first, second)}, {`{"name":"lookup"`, `{"name":"lookup","hard_limit_us":1},{"name":"lookup"`},
-		{`"settings"`, `"counterfactual":{"listen":"10.0.0.4:7947","peers":["10.3.0.1:7947","10.3.0.2:7947"],"collectors":[0]},"settings"`}} {
-		all.WriteString(strings.NewReplacer(first, "FIRST", second, "SECOND").Replace(fault(t, fleetFile, x[0], x[1])))
-	}
-	golden.Check(t, all.String())
-	if cfg, err = load(t, good, nil); err != nil || cfg.Configuration != nil || cfg.Plans[0].ID != 0 {
+	cfg, err = load(t, good, nil)
+	if err != nil || cfg.Configuration != nil || cfg.Plans[0].ID != 0 {
 		t.Errorf("without the section: %+v, %v", cfg, err)
 	}
 }
+
+func TestConfigurationSectionErrorsNameKey(t *testing.T) {
+	cfg, err := load(t, fleetFile, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var trace strings.Builder
+	fmt.Fprintf(&trace, "%+v\n", *cfg.Configuration)
+	first, second := collidingNames()
+	anonymize := strings.NewReplacer(first, "FIRST", second, "SECOND")
+	const counterfactual = `"counterfactual":{"listen":"10.0.0.4:7947",` +
+		`"peers":["10.3.0.1:7947","10.3.0.2:7947"],"collectors":[0]}`
+	for _, test := range []replacement{
+		{`"publishers"`, `"publisher"`},
+		{`["10.5.0.1:7500"]`, `[]`},
+		{`["10.5.0.1:7500"]`, `"10.5.0.1:7500"`},
+		{`"10.5.0.1:7500"`, `"10.5.0.1:7500","10.5.0.1"`},
+		{`"10.5.0.1:7500"`, `"10.5.0.1:7500","10.5.0.1:7500"`},
+		{`"10.5.0.1:7500"`, strings.Repeat(`"10.5.0.1:7500",`, 7) + `"10.5.0.1:7500"`},
+		{`"/var/lib/ravensill"`, `""`},
+		{`"dir"`, `"folder"`},
+		{`{"publishers":["10.5.0.1:7500"],"dir":"/var/lib/ravensill"}`, `7`},
+		{`"10.3.0.2:7946"`, `"10.3.0.1:7946"`},
+		{`{"name":"gold"`, fmt.Sprintf(`{"name":"%s"},{"name":"%s"`, first, second)},
+		{`{"name":"lookup"`, `{"name":"lookup","hard_limit_us":1},{"name":"lookup"`},
+		{`"settings"`, counterfactual + `,"settings"`},
+	} {
+		trace.WriteString(anonymize.Replace(loadError(t, fleetFile, test)))
+	}
+	golden.Check(t, trace.String())
+}
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -41,8 +41,8 @@
 func (e *ResourceError) Unwrap() error { return e.Err }
 
 // Live is the decoded configuration in force: quota plans, request classes, limits and members. It starts from the
-// gateway's file, and documents change it. Limits, or members, of which a document names none are those of the file. The
-// publishers check a change by the same code before they publish it (NewLiveChecker).
+// gateway's file, and documents change it. Limits, or members, of which a document names none are those of the file.
+// The publishers check a change by the same code before they publish it (NewLiveChecker).
 //
 // A Live belongs to one goroutine. The cost of Apply and Check grows with the number of changes alone, unless the
 // changes are a complete document.
--- a/internal/config/live_decode.go
+++ b/internal/config/live_decode.go
@@ -32,8 +32,8 @@
 	classKeys = keySet("name", "effect", "group", "window_us", "target_us", "hard_limit_us", "points", "late_worth",
 		"stream", "aim_stretch")
 	limitKeys      = keySet("max_attempts", "parallel_tries", "cancelling", "retry_after", "max_retry_after_us")
-	fixedLimitKeys = keySet("peer_messages", "probes", "conn_idle_us", "connect_timeout_us", "streams_per_conn", "max_open",
-		"cpu_us_per_request", "cpu_us_per_s")
+	fixedLimitKeys = keySet("peer_messages", "probes", "conn_idle_us", "connect_timeout_us", "streams_per_conn",
+		"max_open", "cpu_us_per_request", "cpu_us_per_s")
 )
 
 // keyBits maps each known key to a bit of the set of keys that were seen.
--- a/internal/config/pool_test.go
+++ b/internal/config/pool_test.go
@@ -8,28 +8,50 @@
 	"ravensill/internal/golden"
 )
 
-const pooled = `"pool":{"capacity":60,"reserve":4,"floor":2,"voters":["10.3.0.1:7171","10.3.0.2:7171","10.3.0.3:7171"],` +
-	`"voter_seats":[0,1,2],"listen":"10.0.0.4:7171","dir":"/var/lib/pool","key":"00112233445566778899aabbccddeeff","drift":0.02},"settings"`
+const poolSectionText = `"pool":{"capacity":60,"reserve":4,"floor":2,` +
+	`"voters":["10.3.0.1:7171","10.3.0.2:7171","10.3.0.3:7171"],"voter_seats":[0,1,2],"listen":"10.0.0.4:7171",` +
+	`"dir":"/var/lib/pool","key":"00112233445566778899aabbccddeeff","drift":0.02},"settings"`
 
-func TestPoolSection(t *testing.T) { // defaults; each message names the key
-	var all strings.Builder
+// The values of the section with its defaults, and the error of each wrong value, which names the key.
+func TestPoolSectionValuesAndErrors(t *testing.T) {
+	var trace strings.Builder
 	base := strings.Replace(good, `"balancers":2`, `"balancers":3`, 1)
-	text := strings.Replace(base, `"settings"`, pooled, 1)
+	text := strings.Replace(base, `"settings"`, poolSectionText, 1)
 	text = strings.Replace(text, `"peers":[`, `"peers":["10.1.0.9:7070",`, 1)
 	c, err := load(t, text, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&all, "%+v\n", *c.Pool)
-	if c, err := load(t, good, nil); err != nil || c.Pool != nil {
-		t.Error("absent, yet on")
+	fmt.Fprintf(&trace, "%+v\n", *c.Pool)
+	c, err = load(t, good, nil)
+	if err != nil || c.Pool != nil {
+		t.Error("on without the section")
 	}
-	for _, x := range [][2]string{{`"floor"`, `"flor"`}, {`"floor":2`, `"floor":"2"`}, {`"floor":2`, `"floor":0`}, {`"floor":2`, `"floor":19`},
-		{`"capacity":60`, `"capacity":-1`}, {`"reserve":4`, `"reserve":55`}, {`,"10.3.0.3:7171"`, ``}, {`"10.3.0.3:7171"`, `"c"`}, {`[0,1,2]`, `[0,1,1]`},
-		{`[0,1,2]`, `[0,1,3]`}, {`[0,1,2]`, `[0,1]`}, {`"listen":"10.0.0.4:7171",`, ``}, {`"dir":"/var/lib/pool",`, ``}, {`00112233445566778899aabbccddeeff`, `0011`},
-		{`"drift":0.02`, `"drift":0.5`}, {`"drift":0.02`, `"lease_ms":20`}, {`"drift":0.02`, `"tell_ms":2000`}, {`"drift":0.02`, `"urgent":["none"]`},
-		{`"drift":0.02`, `"weight":0`}, {`"drift":0.02`, `"serial":0`}, {`"drift":0.02`, `"streams":["10.3.0.1:1"]`}, {pooled, `"pool":7,"settings"`}} {
-		all.WriteString(fault(t, text, x[0], x[1]))
+	for _, test := range []replacement{
+		{`"floor"`, `"flor"`},
+		{`"floor":2`, `"floor":"2"`},
+		{`"floor":2`, `"floor":0`},
+		{`"floor":2`, `"floor":19`},
+		{`"capacity":60`, `"capacity":-1`},
+		{`"reserve":4`, `"reserve":55`},
+		{`,"10.3.0.3:7171"`, ``},
+		{`"10.3.0.3:7171"`, `"c"`},
+		{`[0,1,2]`, `[0,1,1]`},
+		{`[0,1,2]`, `[0,1,3]`},
+		{`[0,1,2]`, `[0,1]`},
+		{`"listen":"10.0.0.4:7171",`, ``},
+		{`"dir":"/var/lib/pool",`, ``},
+		{`00112233445566778899aabbccddeeff`, `0011`},
+		{`"drift":0.02`, `"drift":0.5`},
+		{`"drift":0.02`, `"lease_ms":20`},
+		{`"drift":0.02`, `"tell_ms":2000`},
+		{`"drift":0.02`, `"urgent":["none"]`},
+		{`"drift":0.02`, `"weight":0`},
+		{`"drift":0.02`, `"serial":0`},
+		{`"drift":0.02`, `"streams":["10.3.0.1:1"]`},
+		{poolSectionText, `"pool":7,"settings"`},
+	} {
+		trace.WriteString(loadError(t, text, test))
 	}
-	golden.Check(t, all.String())
+	golden.Check(t, trace.String())
 }
