--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -186,8 +186,8 @@
 	if complete {
 		edit.limits = l.file.limits
 	}
-	named, err := l.stageChanges(edit, changes)
-	if err != nil {
+	named := make(map[configsync.Resource]bool, len(changes))
+	if err := l.stageChanges(edit, changes, named); err != nil {
 		return nil, err
 	}
 	if complete {
@@ -199,23 +199,22 @@
 	return edit, nil
 }
 
-// stageChanges decodes each change into an edit. It returns the resources that the changes name.
-func (l *Live) stageChanges(edit *liveEdit, changes []configsync.Change) (map[configsync.Resource]bool, error) {
-	named := make(map[configsync.Resource]bool, len(changes))
+// stageChanges decodes each change into an edit, and adds the resources that the changes name.
+func (l *Live) stageChanges(edit *liveEdit, changes []configsync.Change, named map[configsync.Resource]bool) error {
 	for i := range changes {
 		if i%yieldInterval == yieldInterval-1 {
 			runtime.Gosched()
 		}
 		change := &changes[i]
 		if named[change.Resource] {
-			return nil, &ResourceError{Resource: change.Resource, Err: errRepeated}
+			return &ResourceError{Resource: change.Resource, Err: errRepeated}
 		}
 		named[change.Resource] = true
 		if err := l.stageChange(edit, change); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	return named, nil
+	return nil
 }
 
 // removeUnnamed stages the removal of the quota plans and request classes in force that a complete document lacks.
