--- /dev/null
+++ b/internal/simwire/events.go
@@ -0,0 +1,141 @@
+package simwire
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strconv"
+
+	"ravensill/gateway"
+)
+
+const retryBit = 2 // of the field bits of ARRIVAL
+
+// eventDecoders decode the events of one instance by the first word of their line. ANNOUNCE, which needs the endpoint
+// lists, is not among them.
+var eventDecoders = map[string]func(r *fieldReader, i *instance) gateway.Event{
+	"ARRIVAL":       decodeArrival,
+	"ATTEMPT_END":   decodeAttemptEnd,
+	"FIRST":         decodeStreamStart,
+	"CLIENT_GONE":   decodeClientGone,
+	"FROM_PEER":     decodeGossip,
+	"ECHO":          decodeProbeEnd,
+	"TIMER":         decodeTimer,
+	"COUNTER_REPLY": decodeCounterReply,
+}
+
+func decodeArrival(r *fieldReader, i *instance) gateway.Event {
+	return gateway.Event{
+		Kind:         gateway.RequestArrived,
+		RequestID:    r.text("xid"),
+		Class:        r.integer("type", i.classes-1),
+		Plan:         r.integer("grade_of_service", i.plans-1),
+		Customer:     r.text("account"),
+		Deadline:     r.microseconds("deadline_us"),
+		Units:        r.decimal("weight"),
+		Spread:       r.integer("n_entries", i.members),
+		FirstGateway: r.integer("first", i.members-1),
+		Retry:        r.integer("bits", math.MaxInt32)&retryBit != 0,
+	}
+}
+
+func decodeAttemptEnd(r *fieldReader, _ *instance) gateway.Event {
+	return gateway.Event{
+		Kind:       gateway.AttemptEnded,
+		RequestID:  r.text("xid"),
+		Closed:     r.boolean("closed"),
+		Host:       r.hostID("host"),
+		Units:      r.decimal("billed"),
+		Result:     r.result("disposition"),
+		Latency:    r.microseconds("lag_us"),
+		Usage:      r.integer("metered", math.MaxInt32),
+		Attempt:    r.integer("send_no", math.MaxInt32),
+		LoadReport: r.loadReport("pressure"),
+	}
+}
+
+func decodeStreamStart(r *fieldReader, _ *instance) gateway.Event {
+	return gateway.Event{
+		Kind:      gateway.StreamStarted,
+		RequestID: r.text("xid"),
+		Attempt:   r.integer("send_no", math.MaxInt32),
+		Latency:   r.microseconds("lag_us"),
+		Host:      r.hostID("host"),
+	}
+}
+
+func decodeClientGone(r *fieldReader, _ *instance) gateway.Event {
+	return gateway.Event{Kind: gateway.ClientGone, RequestID: r.text("xid")}
+}
+
+func decodeGossip(r *fieldReader, i *instance) gateway.Event {
+	return gateway.Event{
+		Kind:    gateway.GossipReceived,
+		Peer:    r.integer("sender", i.members-1),
+		Message: r.gossip("contents"),
+	}
+}
+
+func decodeProbeEnd(r *fieldReader, _ *instance) gateway.Event {
+	return gateway.Event{
+		Kind:       gateway.ProbeEnded,
+		Host:       r.hostID("host"),
+		Latency:    r.microseconds("lag_us"),
+		Result:     r.result("disposition"),
+		LoadReport: r.loadReport("pressure"),
+	}
+}
+
+func decodeTimer(r *fieldReader, _ *instance) gateway.Event {
+	r.unsigned("nonce")
+	return gateway.Event{Kind: gateway.TimerFired}
+}
+
+func decodeCounterReply(r *fieldReader, _ *instance) gateway.Event {
+	return gateway.Event{
+		Kind:         gateway.CounterReplied,
+		Result:       r.result("disposition"),
+		CounterName:  r.unsigned("name"),
+		CounterTotal: r.signedDecimal("total"),
+		Latency:      r.microseconds("lag_us"),
+	}
+}
+
+// endpointLists are the lists of INVENTORY lines by number. All instances share them.
+type endpointLists [16][]gateway.Endpoint
+
+// decodeAnnouncement reads the ANNOUNCE of an endpoint list to an instance.
+func (l *endpointLists) decodeAnnouncement(r *fieldReader, i *instance) (gateway.Event, error) {
+	kind := gateway.ListKind(r.choice("kind", "incr", "total", "warm_copy", "lost"))
+	sheet := r.text("sheet")
+	r.text("gen")
+	event := gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind}
+	if kind == gateway.ListUnavailable {
+		return event, nil
+	}
+	number, err := strconv.Atoi(sheet)
+	if err != nil || number < 0 || number >= len(l) {
+		return gateway.Event{}, fmt.Errorf("ANNOUNCE: sheet: %.40q is no list number", sheet)
+	}
+	event.Endpoints = l[number]
+	if i.equalWeights {
+		event.Endpoints = slices.Clone(event.Endpoints) // other instances share the list
+		for j := range event.Endpoints {
+			event.Endpoints[j].Weight = 1
+		}
+	}
+	return event, nil
+}
+
+// decodeEndpoint reads one endpoint of an INVENTORY.
+func decodeEndpoint(r *fieldReader) gateway.Endpoint {
+	return gateway.Endpoint{
+		Host:      r.hostID("host"),
+		Zone:      r.integer("az", math.MaxInt32),
+		Machine:   r.integer("class_of_host", math.MaxInt32),
+		Cell:      r.integer("pod", math.MaxInt32),
+		State:     gateway.EndpointState(r.choice("status", "Running", "Stopping", "Deleted")),
+		Weight:    r.decimal("share"),
+		StartedAt: r.microseconds("since_us"),
+	}
+}
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -4,132 +4,155 @@
 	"encoding/base64"
 	"fmt"
 	"math"
+	"slices"
 	"strconv"
 	"strings"
 
 	"ravensill/gateway"
 )
 
-// fields reads the values of one line in order and keeps the first fault.
-type fields struct {
-	word, rest string
-	more       bool
-	err        error
+const (
+	nanosecondsPerMicrosecond = 1000
+	maxMicroseconds           = math.MaxInt64 / nanosecondsPerMicrosecond / 2
+	maxDecimal                = 1e15
+
+	absent = "-" // in the place of a value
+)
+
+// fieldReader reads the values of one line in order and keeps the first error.
+type fieldReader struct {
+	word string // the first of the line
+	rest string // of the line, behind the values read
+	more bool   // a value is left, which may be empty
+	err  error
 }
 
-func (f *fields) begin(word, rest string) { *f = fields{word: word, rest: rest, more: rest != ""} }
+func newFieldReader(line string) fieldReader {
+	word, rest, _ := strings.Cut(line, " ")
+	return fieldReader{word: word, rest: rest, more: rest != ""}
+}
 
-func (f *fields) fail(name, why string) {
-	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s: %s", f.word, name, why)
+func (r *fieldReader) fail(name, reason string) {
+	if r.err == nil {
+		r.err = fmt.Errorf("%s: %s: %s", r.word, name, reason)
 	}
 }
 
-// end gives the first fault; a value left over is one.
-func (f *fields) end() error {
-	if f.more && f.err == nil {
-		return fmt.Errorf("%s: too many values", f.word)
+// end returns the first error; a value that was not read is one.
+func (r *fieldReader) end() error {
+	if r.more && r.err == nil {
+		return fmt.Errorf("%s: too many values", r.word)
 	}
-	return f.err
+	return r.err
 }
 
-func (f *fields) text(name string) string {
-	if !f.more {
-		f.fail(name, "missing")
+func (r *fieldReader) text(name string) string {
+	if !r.more {
+		r.fail(name, "missing")
 		return ""
 	}
-	var part string
-	part, f.rest, f.more = strings.Cut(f.rest, " ")
-	if part == "" {
-		f.fail(name, "empty")
+	var value string
+	value, r.rest, r.more = strings.Cut(r.rest, " ")
+	if value == "" {
+		r.fail(name, "empty")
 	}
-	return part
+	return value
 }
 
-// tail takes the rest of the line.
-func (f *fields) tail(name string) string {
-	if !f.more {
-		f.fail(name, "missing")
+// remainder returns the rest of the line.
+func (r *fieldReader) remainder(name string) string {
+	if !r.more {
+		r.fail(name, "missing")
 	}
-	f.more = false
-	return f.rest
+	r.more = false
+	return r.rest
 }
 
-// value reads a number from 0 on that may be absent ("-" reads as 0).
-func (f *fields) value(name string, most float64, whole bool) float64 {
-	return f.between(name, 0, most, whole)
-}
-
-func (f *fields) between(name string, least, most float64, whole bool) float64 {
-	part := f.text(name)
-	if part == "-" || f.err != nil {
+// number reads a number within bounds; an absent one reads as 0.
+func (r *fieldReader) number(name string, least, most float64, integral bool) float64 {
+	text := r.text(name)
+	if text == absent || r.err != nil {
 		return 0
 	}
-	v, err := strconv.ParseFloat(part, 64)
+	value, err := strconv.ParseFloat(text, 64)
 	switch {
-	case err != nil || math.IsNaN(v) || whole && v != math.Trunc(v):
-		f.fail(name, fmt.Sprintf("%.40q is no number of its kind", part))
-	case v < least || v > most:
-		f.fail(name, fmt.Sprintf("%.40s is out of range", part))
+	case err != nil || math.IsNaN(value) || integral && value != math.Trunc(value):
+		r.fail(name, fmt.Sprintf("%.40q is no number of its kind", text))
+	case value < least || value > most:
+		r.fail(name, fmt.Sprintf("%.40s is out of range", text))
 	default:
-		return v
+		return value
 	}
 	return 0
 }
 
-func (f *fields) whole(name string, most int) int { return int(f.value(name, float64(most), true)) }
-func (f *fields) decimal(name string) float64     { return f.value(name, 1e15, false) }
-func (f *fields) signed(name string) float64      { return f.between(name, -1e15, 1e15, false) }
-func (f *fields) time(name string) int64          { return int64(f.value(name, math.MaxInt64/us/2, true)) * us }
-func (f *fields) yes(name string) bool            { return f.whole(name, 1) == 1 }
+func (r *fieldReader) integer(name string, most int) int {
+	return int(r.number(name, 0, float64(most), true))
+}
+
+func (r *fieldReader) boolean(name string) bool { return r.integer(name, 1) == 1 }
 
-func (f *fields) number(name string) uint64 {
-	part := f.text(name)
-	v, err := strconv.ParseUint(part, 10, 64)
+func (r *fieldReader) decimal(name string) float64 { return r.number(name, 0, maxDecimal, false) }
+
+func (r *fieldReader) signedDecimal(name string) float64 {
+	return r.number(name, -maxDecimal, maxDecimal, false)
+}
+
+// microseconds reads an instant or a duration in microseconds, and returns it in nanoseconds.
+func (r *fieldReader) microseconds(name string) int64 {
+	return int64(r.number(name, 0, maxMicroseconds, true)) * nanosecondsPerMicrosecond
+}
+
+func (r *fieldReader) hostID(name string) uint32 { return uint32(r.integer(name, math.MaxUint32)) }
+
+// unsigned reads an integer of 64 bits, of which a float64 would lose some.
+func (r *fieldReader) unsigned(name string) uint64 {
+	text := r.text(name)
+	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		f.fail(name, fmt.Sprintf("%.40q is no whole number", part))
+		r.fail(name, fmt.Sprintf("%.40q is no whole number", text))
 	}
-	return v
+	return value
 }
 
-func (f *fields) choice(name string, words ...string) int {
-	part := f.text(name)
-	for i, w := range words {
-		if part == w {
-			return i
-		}
+// choice returns the index of a value among the words.
+func (r *fieldReader) choice(name string, words ...string) int {
+	text := r.text(name)
+	if i := slices.Index(words, text); i >= 0 {
+		return i
 	}
-	f.fail(name, fmt.Sprintf("unknown word %.40q", part))
+	r.fail(name, fmt.Sprintf("unknown word %.40q", text))
 	return 0
 }
 
-func (f *fields) result(name string) gateway.Result {
-	return gateway.Result(f.choice(name, "done", "err", "busy", "etimedout", "econnrefused", "econnreset",
+func (r *fieldReader) result(name string) gateway.Result {
+	return gateway.Result(r.choice(name, "done", "err", "busy", "etimedout", "econnrefused", "econnreset",
 		"ecanceled", "skipped"))
 }
 
-// bytes reads a peer's message. One that is garbled reads as empty: it is the sender's fault, not the wire's.
-func (f *fields) bytes(name string) []byte {
-	part := f.text(name)
-	b, err := base64.StdEncoding.DecodeString(part)
-	if part == "-" || err != nil {
+// gossip reads a message of a peer. One that is garbled reads as empty: it is an error of the sender, not of the line.
+func (r *fieldReader) gossip(name string) []byte {
+	text := r.text(name)
+	message, err := base64.StdEncoding.DecodeString(text)
+	if text == absent || err != nil {
 		return nil
 	}
-	return b
+	return message
 }
 
-func (f *fields) row(name string) []float64 {
-	part := f.text(name)
-	if part == "-" {
+// loadReport reads the numbers of a load report; an absent number reads as 0.
+func (r *fieldReader) loadReport(name string) []float64 {
+	text := r.text(name)
+	if text == absent {
 		return nil
 	}
-	var row []float64
-	for _, p := range strings.Split(part, ",") {
-		v, err := strconv.ParseFloat(p, 64)
-		if err != nil && p != "-" {
-			f.fail(name, fmt.Sprintf("%.40q is no number", p))
+	var report []float64
+	for _, number := range strings.Split(text, ",") {
+		value, err := strconv.ParseFloat(number, 64)
+		if err != nil && number != absent {
+			r.fail(name, fmt.Sprintf("%.40q is no number", number))
 		}
-		row = append(row, v)
+		report = append(report, value)
 	}
-	return row
+	return report
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,288 +1,267 @@
-// Package simwire speaks the simulator's wire: it turns lines into rounds of package gateway and decisions
-// into lines. Wire names end here; it decides nothing.
+// Package simwire speaks the simulator's line protocol: it decodes lines into batches of events of package gateway, and
+// writes the actions of a decision module as lines. It decides nothing.
 package simwire
 
 import (
 	"bufio"
-	"encoding/base64"
 	"errors"
 	"fmt"
 	"io"
 	"math"
-	"slices"
-	"strconv"
 	"strings"
 
 	"ravensill/gateway"
 	"ravensill/internal/config"
 )
 
-const us = 1000 // nanoseconds
+const bufferBytes = 1 << 20
 
-// Decider is one gateway's decisions.
+// Decider is the decision module of one gateway.
 type Decider interface {
 	Decide(in *gateway.Batch, out gateway.Actions)
 }
 
-// Start begins a gateway that knows nothing but its settings.
-type Start func(seed uint64, seat gateway.Membership, fronts []gateway.RequestClass, plans []gateway.Plan,
-	limits gateway.Limits, cold gateway.SlowStart, report gateway.LoadReportForm) Decider
+// Start returns the decision module of a gateway that starts with nothing but its settings.
+type Start func(seed uint64, membership gateway.Membership, classes []gateway.RequestClass, plans []gateway.Plan,
+	limits gateway.Limits, slowStart gateway.SlowStart, report gateway.LoadReportForm) Decider
 
-// instance is one hosted gateway; round is nil while it has no event in the batch.
+// instance is one simulated gateway.
 type instance struct {
-	decider              Decider
-	round                *gateway.Batch
-	fronts, plans, seats int // how many there are
-	even                 bool
+	decider      Decider
+	batch        *gateway.Batch // nil while it has no event in the batch
+	classes      int            // number of request classes
+	plans        int            // number of quota plans
+	members      int            // number of gateways
+	equalWeights bool
 }
 
-type host struct {
-	in     *bufio.Reader
-	out    *bufio.Writer
-	start  Start
-	line   int
-	clock  int64
-	batch  bool
-	seats  map[int]*instance
-	order  []int // instances with events in this batch
-	sheets [16][]gateway.Endpoint
-	id     int // of the latest ON, -1 before one
-	f      fields
+// server runs all instances of a simulation.
+type server struct {
+	in        *bufio.Reader
+	out       *bufio.Writer
+	start     Start
+	line      int         // number of the latest line read
+	fields    fieldReader // of the latest line read
+	clock     int64
+	inBatch   bool
+	instances map[int]*instance
+	order     []int // instances with events in this batch
+	lists     endpointLists
+	current   int // instance of the latest ON; noInstance before one
 }
 
-// Serve hosts gateways until in ends. A malformed line ends it with an error that names line and field.
+const noInstance = -1
+
+// Serve runs gateways until in ends. A malformed line ends it with an error that names line and field.
 func Serve(in io.Reader, out io.Writer, start Start) (err error) {
-	h := &host{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<20), start: start,
-		seats: map[int]*instance{}, id: -1}
+	s := &server{
+		in:        bufio.NewReaderSize(in, bufferBytes),
+		out:       bufio.NewWriterSize(out, bufferBytes),
+		start:     start,
+		instances: map[int]*instance{},
+		current:   noInstance,
+	}
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("line %d: panic: %v", h.line, p)
+			err = fmt.Errorf("line %d: panic: %v", s.line, p)
 		}
-		if err != nil && h.batch && h.id >= 0 {
-			fmt.Fprintf(h.out, "SPEAKING %d\nFAULT %s\nYIELD\n", h.id, strings.ReplaceAll(err.Error(), "\n", " "))
+		if err != nil && s.inBatch && s.current != noInstance {
+			s.writeFault(err)
 		}
-		err = errors.Join(err, h.out.Flush())
+		err = errors.Join(err, s.out.Flush())
 	}()
 	for {
-		text, rerr := h.in.ReadString('\n')
-		if rerr == io.EOF && text == "" {
-			if h.batch {
-				return errors.New("input ended within a batch")
-			}
+		line, err := s.readLine()
+		if err == io.EOF && s.inBatch {
+			return errors.New("input ended within a batch")
+		}
+		if err == io.EOF {
 			return nil
 		}
-		if rerr != nil && rerr != io.EOF {
-			return rerr
+		if err != nil {
+			return err
 		}
-		h.line++
-		text = strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r")
-		if err := h.take(text); err != nil {
-			return fmt.Errorf("line %d: %w", h.line, err)
+		if err := s.handle(line); err != nil {
+			return fmt.Errorf("line %d: %w", s.line, err)
 		}
 	}
 }
 
-// take handles one line.
-func (h *host) take(text string) error {
-	word, rest, _ := strings.Cut(text, " ")
-	f := &h.f
-	f.begin(word, rest)
-	if word == "MARK" {
-		if h.batch {
-			return errors.New("MARK within a batch")
-		}
-		now := f.time("clock")
-		if f.end() == nil && now < h.clock {
-			return errors.New("MARK: clock: runs back")
-		}
-		h.batch, h.clock, h.id = true, now, -1
-		return f.end()
+// readLine returns the next line without its end. The last line need not have one.
+func (s *server) readLine() (string, error) {
+	line, err := s.in.ReadString('\n')
+	if err == io.EOF && line != "" {
+		err = nil
 	}
-	if !h.batch {
-		return fmt.Errorf("%.40q outside a batch", word)
+	if err != nil {
+		return "", err
 	}
-	switch word {
+	s.line++
+	return strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"), nil
+}
+
+// writeFault ends the batch with an error instead of the current instance's actions.
+func (s *server) writeFault(err error) {
+	reason := strings.ReplaceAll(err.Error(), "\n", " ")
+	fmt.Fprintf(s.out, "SPEAKING %d\nFAULT %s\nYIELD\n", s.current, reason)
+}
+
+// handle handles one line.
+func (s *server) handle(line string) error {
+	s.fields = newFieldReader(line)
+	r := &s.fields
+	if r.word == "MARK" {
+		return s.beginBatch(r)
+	}
+	if !s.inBatch {
+		return fmt.Errorf("%.40q outside a batch", r.word)
+	}
+	switch r.word {
 	case "ON":
-		h.id = f.whole("i", math.MaxInt32)
-		return f.end()
+		s.current = r.integer("i", math.MaxInt32)
+		return r.end()
 	case "INVENTORY":
-		return h.inventory(f)
+		return s.readEndpointList(r)
 	case "YOUR_TURN":
-		if err := f.end(); err != nil {
-			return err
-		}
-		return h.reply()
+		return s.endBatch(r)
 	}
-	if h.id < 0 {
-		return fmt.Errorf("%.40q before any ON", word)
+	if s.current == noInstance {
+		return fmt.Errorf("%.40q before any ON", r.word)
 	}
-	if word == "POWER_ON" {
-		seed := f.number("init_seed")
-		env := f.tail("env")
-		if err := f.end(); err != nil {
-			return err
-		}
-		s, err := config.Decode(env)
-		if err != nil {
-			return fmt.Errorf("POWER_ON: env: %w", err)
-		}
-		h.seats[h.id] = &instance{decider: h.start(seed, s.Membership, s.Classes, s.Plans, s.Limits, s.SlowStart, s.LoadReport),
-			fronts: len(s.Classes), plans: len(s.Plans), seats: s.Membership.Count, even: s.EqualWeights}
-		h.round()
-		return nil
+	if r.word == "POWER_ON" {
+		return s.startInstance(r)
 	}
-	seat := h.seats[h.id]
-	if seat == nil {
-		return fmt.Errorf("%.40q for instance %d, which is not on", word, h.id)
+	if s.instances[s.current] == nil {
+		return fmt.Errorf("%.40q for instance %d, which is not on", r.word, s.current)
 	}
-	e := gateway.Event{}
-	switch word {
-	case "KILL":
-		delete(h.seats, h.id)
-		return f.end()
-	case "ARRIVAL":
-		e.Kind, e.RequestID = gateway.RequestArrived, f.text("xid")
-		e.Class, e.Plan = f.whole("type", seat.fronts-1), f.whole("grade_of_service", seat.plans-1)
-		e.Customer, e.Deadline, e.Units = f.text("account"), f.time("deadline_us"), f.decimal("weight")
-		e.Spread, e.FirstGateway = f.whole("n_entries", seat.seats), f.whole("first", seat.seats-1)
-		e.Retry = f.whole("bits", math.MaxInt32)&2 != 0
-	case "ATTEMPT_END":
-		e.Kind, e.RequestID, e.Closed = gateway.AttemptEnded, f.text("xid"), f.yes("closed")
-		e.Host, e.Units = uint32(f.whole("host", math.MaxUint32)), f.decimal("billed")
-		e.Result, e.Latency = f.result("disposition"), f.time("lag_us")
-		e.Usage, e.Attempt = f.whole("metered", math.MaxInt32), f.whole("send_no", math.MaxInt32)
-		e.LoadReport = f.row("pressure")
-	case "FIRST":
-		e.Kind, e.RequestID, e.Attempt = gateway.StreamStarted, f.text("xid"), f.whole("send_no", math.MaxInt32)
-		e.Latency, e.Host = f.time("lag_us"), uint32(f.whole("host", math.MaxUint32))
-	case "CLIENT_GONE":
-		e.Kind, e.RequestID = gateway.ClientGone, f.text("xid")
-	case "FROM_PEER":
-		e.Kind, e.Peer, e.Message = gateway.GossipReceived, f.whole("sender", seat.seats-1), f.bytes("contents")
-	case "ECHO":
-		e.Kind, e.Host = gateway.ProbeEnded, uint32(f.whole("host", math.MaxUint32))
-		e.Latency, e.Result, e.LoadReport = f.time("lag_us"), f.result("disposition"), f.row("pressure")
-	case "TIMER":
-		f.number("nonce")
-		e.Kind = gateway.TimerFired
-	case "COUNTER_REPLY":
-		e.Kind, e.Result, e.CounterName = gateway.CounterReplied, f.result("disposition"), f.number("name")
-		e.CounterTotal, e.Latency = f.signed("total"), f.time("lag_us")
-	case "ANNOUNCE":
-		e.Kind = gateway.EndpointsListed
-		e.ListKind = gateway.ListKind(f.choice("kind", "incr", "total", "warm_copy", "lost"))
-		sheet := f.text("sheet")
-		f.text("gen")
-		if n, err := strconv.Atoi(sheet); err == nil && n >= 0 && n < len(h.sheets) {
-			e.Endpoints = h.sheets[n]
-		} else if e.ListKind != gateway.ListUnavailable {
-			return fmt.Errorf("ANNOUNCE: sheet: %.40q is no list number", sheet)
-		}
-		if e.ListKind == gateway.ListUnavailable {
-			e.Endpoints = nil
-		}
-		if seat.even { // a sheet is every instance's
-			e.Endpoints = slices.Clone(e.Endpoints)
-			for i := range e.Endpoints {
-				e.Endpoints[i].Weight = 1
-			}
-		}
-	default:
-		return fmt.Errorf("unknown message %.40q", word)
+	if r.word == "KILL" {
+		delete(s.instances, s.current)
+		return r.end()
+	}
+	return s.addEvent(r)
+}
+
+// beginBatch reads the MARK that starts a batch at an instant.
+func (s *server) beginBatch(r *fieldReader) error {
+	if s.inBatch {
+		return errors.New("MARK within a batch")
 	}
-	if err := f.end(); err != nil {
+	now := r.microseconds("clock")
+	if err := r.end(); err != nil {
 		return err
 	}
-	r := h.round()
-	r.Events = append(r.Events, e)
+	if now < s.clock {
+		return errors.New("MARK: clock: runs back")
+	}
+	s.inBatch = true
+	s.clock = now
+	s.current = noInstance
 	return nil
 }
 
-// round gives the present instance's round, begun with its first event in the batch.
-func (h *host) round() *gateway.Batch {
-	seat := h.seats[h.id]
-	if seat.round == nil {
-		seat.round = &gateway.Batch{Now: h.clock}
-		h.order = append(h.order, h.id)
+// startInstance reads the POWER_ON that starts the current instance.
+func (s *server) startInstance(r *fieldReader) error {
+	seed := r.unsigned("init_seed")
+	text := r.remainder("env")
+	if err := r.end(); err != nil {
+		return err
+	}
+	settings, err := config.Decode(text)
+	if err != nil {
+		return fmt.Errorf("POWER_ON: env: %w", err)
 	}
-	return seat.round
+	s.instances[s.current] = &instance{
+		decider: s.start(seed, settings.Membership, settings.Classes, settings.Plans, settings.Limits,
+			settings.SlowStart, settings.LoadReport),
+		classes:      len(settings.Classes),
+		plans:        len(settings.Plans),
+		members:      settings.Membership.Count,
+		equalWeights: settings.EqualWeights,
+	}
+	s.currentBatch() // even without an event, so that the instance decides at its start
+	return nil
 }
 
-func (h *host) inventory(f *fields) error {
-	n, count := f.whole("sheet", len(h.sheets)-1), f.whole("hosts", math.MaxInt32)
-	if err := f.end(); err != nil {
+// addEvent decodes an event of the current instance and adds it to the instance's batch.
+func (s *server) addEvent(r *fieldReader) error {
+	i := s.instances[s.current]
+	event, err := s.decodeEvent(r, i)
+	if err != nil {
+		return err
+	}
+	if err := r.end(); err != nil {
+		return err
+	}
+	batch := s.currentBatch()
+	batch.Events = append(batch.Events, event)
+	return nil
+}
+
+func (s *server) decodeEvent(r *fieldReader, i *instance) (gateway.Event, error) {
+	if r.word == "ANNOUNCE" {
+		return s.lists.decodeAnnouncement(r, i)
+	}
+	decode, known := eventDecoders[r.word]
+	if !known {
+		return gateway.Event{}, fmt.Errorf("unknown message %.40q", r.word)
+	}
+	return decode(r, i), nil
+}
+
+// currentBatch returns the batch of the current instance, a new one before the instance's first event.
+func (s *server) currentBatch() *gateway.Batch {
+	i := s.instances[s.current]
+	if i.batch == nil {
+		i.batch = &gateway.Batch{Now: s.clock}
+		s.order = append(s.order, s.current)
+	}
+	return i.batch
+}
+
+// readEndpointList reads an INVENTORY and the lines of its endpoints. r reads the latest line.
+func (s *server) readEndpointList(r *fieldReader) error {
+	number := r.integer("sheet", len(s.lists)-1)
+	count := r.integer("hosts", math.MaxInt32)
+	if err := r.end(); err != nil {
 		return err
 	}
 	var list []gateway.Endpoint
-	for ; count > 0; count-- {
-		text, err := h.in.ReadString('\n')
+	for range count {
+		line, err := s.in.ReadString('\n')
 		if err != nil {
 			return fmt.Errorf("INVENTORY: hosts: list cut short: %w", err)
 		}
-		h.line++
-		word, rest, _ := strings.Cut(strings.TrimSpace(text), " ")
-		if word != "M" {
-			return fmt.Errorf("INVENTORY: hosts: M wanted, not %.40q", word)
+		s.line++
+		s.fields = newFieldReader(strings.TrimSpace(line))
+		if r.word != "M" {
+			return fmt.Errorf("INVENTORY: hosts: M wanted, not %.40q", r.word)
 		}
-		f.begin(word, rest)
-		l := gateway.Endpoint{Host: uint32(f.whole("host", math.MaxUint32)), Zone: f.whole("az", math.MaxInt32),
-			Machine: f.whole("class_of_host", math.MaxInt32), Cell: f.whole("pod", math.MaxInt32)}
-		l.State = gateway.EndpointState(f.choice("status", "Running", "Stopping", "Deleted"))
-		l.Weight, l.StartedAt = f.decimal("share"), f.time("since_us")
-		if err := f.end(); err != nil {
+		endpoint := decodeEndpoint(r)
+		if err := r.end(); err != nil {
 			return err
 		}
-		list = append(list, l)
+		list = append(list, endpoint)
 	}
-	h.sheets[n] = list
+	s.lists[number] = list
 	return nil
 }
 
-// reply lets every instance with an event decide, and ends the batch.
-func (h *host) reply() error {
-	for _, id := range h.order {
-		seat := h.seats[id]
-		if seat == nil || seat.round == nil {
+// endBatch reads the YOUR_TURN that ends a batch, and lets every instance with an event decide.
+func (s *server) endBatch(r *fieldReader) error {
+	if err := r.end(); err != nil {
+		return err
+	}
+	for _, id := range s.order {
+		i := s.instances[id]
+		if i == nil || i.batch == nil {
 			continue
 		}
-		h.id = id
-		w := writer{h.out, id, false}
-		seat.decider.Decide(seat.round, &w)
-		seat.round = nil
+		s.current = id
+		i.decider.Decide(i.batch, &actionWriter{out: s.out, id: id})
+		i.batch = nil
 	}
-	h.order, h.batch = h.order[:0], false
-	h.out.WriteString("YIELD\n")
-	return h.out.Flush()
-}
-
-// writer writes one instance's decisions as lines.
-type writer struct {
-	out  *bufio.Writer
-	id   int
-	said bool
-}
-
-func (w *writer) line(format string, args ...any) {
-	if !w.said {
-		fmt.Fprintf(w.out, "SPEAKING %d\n", w.id)
-		w.said = true
-	}
-	fmt.Fprintf(w.out, format+"\n", args...)
-}
-
-func (w *writer) StartAttempt(req string, host uint32, timeout int64) {
-	w.line("PLACE %s %d %d", req, host, timeout/us)
-}
-func (w *writer) CancelAttempt(req string, dispatch int) { w.line("CANCEL %s %d", req, dispatch) }
-func (w *writer) Reject(req string, after int64)         { w.line("BOUNCE %s %d", req, after/us) }
-func (w *writer) Fail(req string)                        { w.line("GIVE_UP %s", req) }
-func (w *writer) SendProbe(host uint32)                  { w.line("TEST %d", host) }
-func (w *writer) SetTimer(after int64)                   { w.line("SCHEDULE %d 0", after/us) }
-func (w *writer) WatchEndpoints()                        { w.line("WATCH 1") }
-func (w *writer) AddToCounter(name uint64, amount float64, life int64) {
-	w.line("INCR %d %s %d", life/us, strconv.FormatFloat(amount, 'g', -1, 64), name)
-}
-func (w *writer) LogNote(text string) { w.line("NOTE_DOWN %s", text) }
-func (w *writer) SendGossip(peer int, body []byte) {
-	w.line("PUBLISH %d %s", peer, base64.StdEncoding.EncodeToString(body))
+	s.order = s.order[:0]
+	s.inBatch = false
+	s.out.WriteString("YIELD\n")
+	return s.out.Flush()
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -10,15 +10,16 @@
 )
 
 const env = `{"position":1,"balancers":3,"limits":{"max_attempts":3,"peer_messages":true},"new_key":[1],` +
-	`"profiles":[{"effect":"keyed","group":"zone","window_us":5000000,"target_us":800000}],"plans":[{"rate":2.5,"parallel":2}],` +
+	`"profiles":[{"effect":"keyed","group":"zone","window_us":5000000,"target_us":800000}],` +
+	`"plans":[{"rate":2.5,"parallel":2}],` +
 	`"report":{"how":"inline","names":["utilization","strange"]},"rules":{"start_capacity":0.2,"fall_us":3}}`
 
-// echo writes down all that it is handed, and answers each event with some decision.
-type echo struct{ said *strings.Builder }
+// recorder records the events that it decides on, and answers each with some actions.
+type recorder struct{ events *strings.Builder }
 
-func (d echo) Decide(in *gateway.Batch, out gateway.Actions) {
+func (r recorder) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
-		fmt.Fprintf(d.said, "%d: %+v\n", in.Now, e)
+		fmt.Fprintf(r.events, "%d: %+v\n", in.Now, e)
 		switch e.Kind {
 		case gateway.RequestArrived:
 			out.StartAttempt(e.RequestID, 7, 80_000_000)
@@ -37,58 +38,112 @@
 	}
 }
 
-func serve(in string, said *strings.Builder) (string, error) {
+// serve runs recorders on the input. It returns the output, and adds starts and events to record.
+func serve(in string, record *strings.Builder) (string, error) {
+	start := func(seed uint64, membership gateway.Membership, classes []gateway.RequestClass, plans []gateway.Plan,
+		limits gateway.Limits, slowStart gateway.SlowStart, report gateway.LoadReportForm) Decider {
+		fmt.Fprintf(record, "start %d %+v\n%+v\n%+v\n", seed, membership, classes, plans)
+		fmt.Fprintf(record, "%+v\n%+v\n%+v\n", limits, slowStart, report)
+		return recorder{record}
+	}
 	var out strings.Builder
-	err := Serve(strings.NewReader(in), &out, func(seed uint64, seat gateway.Membership, fronts []gateway.RequestClass,
-		plans []gateway.Plan, limits gateway.Limits, cold gateway.SlowStart, report gateway.LoadReportForm) Decider {
-		fmt.Fprintf(said, "start %d %+v\n%+v\n%+v\n%+v\n%+v\n%+v\n", seed, seat, fronts, plans, limits, cold, report)
-		return echo{said}
-	})
+	err := Serve(strings.NewReader(in), &out, start)
 	return out.String(), err
 }
 
-const on = "MARK 5\nON 3\nPOWER_ON 99 " + env + "\nINVENTORY 0 2\nM 7 1 0 4 Running 1.5 -\nM 8 0 0 0 Stopping 1 4\n" +
-	"ANNOUNCE warm_copy 0 1\n"
+// started are the lines of a batch with one started instance, a list of two endpoints and its announcement.
+const started = "MARK 5\nON 3\nPOWER_ON 99 " + env + `
+INVENTORY 0 2
+M 7 1 0 4 Running 1.5 -
+M 8 0 0 0 Stopping 1 4
+ANNOUNCE warm_copy 0 1
+`
 
-func TestRoundTrip(t *testing.T) { // wire lines to house words and back
-	var said strings.Builder
-	out, err := serve("MARK 1\nYOUR_TURN\n"+on+"YOUR_TURN\nMARK 8\nON 3\nARRIVAL r-a 0 0 c-x 8652250 2 3 1 3\n"+
-		"TIMER 77\nATTEMPT_END r-a 1 7 3 done 18500 86 0 0.62,-\nFIRST r-a 0 9250 7\nCLIENT_GONE r-a\n"+
-		"FROM_PEER 2 aGkgNw==\nFROM_PEER 0 a$\nECHO 7 1400 etimedout -\nYOUR_TURN\nMARK 9\nON 3\nKILL\nYOUR_TURN\n", &said)
-	golden.Check(t, fmt.Sprintf("%s%sending: %v\n", said.String(), out, err))
+func TestServeDecodesEventsAndWritesActions(t *testing.T) {
+	in := "MARK 1\nYOUR_TURN\n" + started + `YOUR_TURN
+MARK 8
+ON 3
+ARRIVAL r-a 0 0 c-x 8652250 2 3 1 3
+TIMER 77
+ATTEMPT_END r-a 1 7 3 done 18500 86 0 0.62,-
+FIRST r-a 0 9250 7
+CLIENT_GONE r-a
+FROM_PEER 2 aGkgNw==
+FROM_PEER 0 a$
+ECHO 7 1400 etimedout -
+YOUR_TURN
+MARK 9
+ON 3
+KILL
+YOUR_TURN
+`
+	var record strings.Builder
+	out, err := serve(in, &record)
+	golden.Check(t, fmt.Sprintf("%s%sending: %v\n", record.String(), out, err))
 }
 
-func TestMalformed(t *testing.T) { // a plain message that names line and field, and a FAULT in the reply
-	var all strings.Builder
+// A malformed line ends the service with an error that names line and field, and with a FAULT in the reply.
+func TestServeRejectsMalformedLine(t *testing.T) {
+	var trace strings.Builder
 	for _, line := range []string{
-		"ARRIVAL r-a 0 0 c-x 8652250 2 3 1", "ARRIVAL r-a 0 0 c-x 8652250 2 3 1 1 9", "ARRIVAL r-a 1 0 c-x 5 2 3 1 1",
-		"ARRIVAL r-a 0 0 c-x -5 2 3 1 1", "ARRIVAL r-a 0 0 c-x 5 two 3 1 1", "ATTEMPT_END r-a 2 7 0 done 1 0 0 -",
-		"ATTEMPT_END r-a 1 7 0 fine 1 0 0 -", "ECHO 4294967296 1 done -", "ECHO 7 1 done 0.5,x", "HELLO 1",
-		"FROM_PEER 3 aGkgNw==", "ANNOUNCE total 16 1", "INVENTORY 0 1\nN 7", "INVENTORY 0 1\nM 7 0 0 0 Resting 1 -",
-		"POWER_ON 1 {\"plans\":[{\"rate\":\"x\"}]}", "POWER_ON 1 {", "POWER_ON x {}", "ON -1", "ON 4\nKILL", "MARK 9",
-		"COUNTER_REPLY done 0 1 2", "TIMER", "YOUR_TURN 1",
+		"ARRIVAL r-a 0 0 c-x 8652250 2 3 1",
+		"ARRIVAL r-a 0 0 c-x 8652250 2 3 1 1 9",
+		"ARRIVAL r-a 1 0 c-x 5 2 3 1 1",
+		"ARRIVAL r-a 0 0 c-x -5 2 3 1 1",
+		"ARRIVAL r-a 0 0 c-x 5 two 3 1 1",
+		"ATTEMPT_END r-a 2 7 0 done 1 0 0 -",
+		"ATTEMPT_END r-a 1 7 0 fine 1 0 0 -",
+		"ECHO 4294967296 1 done -",
+		"ECHO 7 1 done 0.5,x",
+		"HELLO 1",
+		"FROM_PEER 3 aGkgNw==",
+		"ANNOUNCE total 16 1",
+		"INVENTORY 0 1\nN 7",
+		"INVENTORY 0 1\nM 7 0 0 0 Resting 1 -",
+		"POWER_ON 1 {\"plans\":[{\"rate\":\"x\"}]}",
+		"POWER_ON 1 {",
+		"POWER_ON x {}",
+		"ON -1",
+		"ON 4\nKILL",
+		"MARK 9",
+		"COUNTER_REPLY done 0 1 2",
+		"TIMER",
+		"YOUR_TURN 1",
 	} {
-		out, err := serve(on+line+"\nYOUR_TURN\n", &strings.Builder{})
-		fmt.Fprintf(&all, "%s\n  %v\n", line, err)
+		out, err := serve(started+line+"\nYOUR_TURN\n", &strings.Builder{})
+		fmt.Fprintf(&trace, "%s\n  %v\n", line, err)
 		if !strings.Contains(out, "\nFAULT ") && !strings.HasPrefix(line, "ON -1") {
-			fmt.Fprintf(&all, "  no FAULT in %q\n", out)
+			fmt.Fprintf(&trace, "  no FAULT in %q\n", out)
 		}
 	}
 	_, err := serve("TIMER 1\n", &strings.Builder{})
-	fmt.Fprintf(&all, "outside a batch\n  %v\n", err)
-	golden.Check(t, all.String())
+	fmt.Fprintf(&trace, "outside a batch\n  %v\n", err)
+	golden.Check(t, trace.String())
 }
 
-// TestLive: shares of the moment are no sizes. Of two instances that share a sheet, only the one that is told so sees 1.
-func TestLive(t *testing.T) {
-	var said strings.Builder
-	_, err := serve("MARK 5\nON 3\nPOWER_ON 99 {\"balancers\":1,\"weights\":\"live\"}\nON 4\nPOWER_ON 99 {\"balancers\":1}\n"+
-		"INVENTORY 0 1\nM 7 1 0 4 Running 1.5 -\nON 3\nANNOUNCE total 0 1\nON 4\nANNOUNCE total 0 1\nYOUR_TURN\n", &said)
-	var shares []string
-	for _, s := range strings.Split(said.String(), "Weight:")[1:] {
-		shares = append(shares, s[:strings.IndexByte(s, ' ')])
+// Live weights say nothing of a host's size. Of two instances that share a list, the one with live weights reads 1.
+func TestServeReadsLiveWeightsAsEqual(t *testing.T) {
+	const in = `MARK 5
+ON 3
+POWER_ON 99 {"balancers":1,"weights":"live"}
+ON 4
+POWER_ON 99 {"balancers":1}
+INVENTORY 0 1
+M 7 1 0 4 Running 1.5 -
+ON 3
+ANNOUNCE total 0 1
+ON 4
+ANNOUNCE total 0 1
+YOUR_TURN
+`
+	var record strings.Builder
+	_, err := serve(in, &record)
+	var weights []string
+	for _, text := range strings.Split(record.String(), "Weight:")[1:] {
+		weight, _, _ := strings.Cut(text, " ")
+		weights = append(weights, weight)
 	}
-	if err != nil || fmt.Sprint(shares) != "[1 1.5]" {
-		t.Errorf("shares %v: %v", shares, err)
+	if err != nil || fmt.Sprint(weights) != "[1 1.5]" {
+		t.Errorf("weights %v: %v", weights, err)
 	}
 }
