--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -13,24 +13,24 @@
 
 // Publisher is the configuration of one replica of the publishers (docs/configuration-sync.md).
 type Publisher struct {
-	Index        int            // this replica's among Raft
-	Listen       netip.AddrPort // TCP, for followers
-	RaftListen   netip.AddrPort // TCP, for the other replicas
-	Raft         []netip.AddrPort
-	AdminListen  netip.AddrPort // HTTP, for operators; it asks for no password, so it belongs on a network of theirs
-	Admin        []netip.AddrPort
-	Dir          string
-	Key          []byte        // shared by the replicas
-	Election     time.Duration // without contact to the leader before another is elected
-	MaxFollowers int           // connections of followers at once
-	History      configsync.HistoryLimits
-	Sending      configsync.SenderLimits
+	Index           int            // this replica's among Raft
+	Listen          netip.AddrPort // TCP, for followers
+	RaftListen      netip.AddrPort // TCP, for the other replicas
+	Raft            []netip.AddrPort
+	AdminListen     netip.AddrPort // HTTP, for operators; it asks for no password, so it belongs on a network of theirs
+	Admin           []netip.AddrPort
+	Dir             string
+	Key             []byte        // shared by the replicas
+	ElectionTimeout time.Duration // without contact to the leader before another is elected
+	MaxFollowers    int           // connections of followers at once
+	History         configsync.HistoryLimits
+	Sending         configsync.SenderLimits
 
 	SnapshotThreshold uint64 // entries of the replicated log between its snapshots; 0: the default
 	TrailingEntries   uint64 // entries kept behind a snapshot; 0: the default
 }
 
-// publisherFile is the file of a publisher.
+// publisherFile is the file as it is written.
 type publisherFile struct {
 	Index         int      `json:"index"`
 	Listen        string   `json:"listen"`
@@ -70,7 +70,7 @@
 		SnapshotRate:  configsync.DefaultSnapshotRate,
 		SnapshotBurst: configsync.DefaultSnapshotBurst,
 	}
-	err := strict(raw, &text)
+	err := decodeSection(raw, &text)
 	if err != nil {
 		return nil, err
 	}
@@ -79,11 +79,11 @@
 		return nil, err
 	}
 	p := &Publisher{
-		Index:        text.Index,
-		Dir:          text.Dir,
-		Election:     time.Duration(text.ElectionMS) * time.Millisecond,
-		MaxFollowers: text.MaxFollowers,
-		History:      configsync.HistoryLimits{Deltas: text.HistoryDeltas, Bytes: text.HistoryBytes},
+		Index:           text.Index,
+		Dir:             text.Dir,
+		ElectionTimeout: milliseconds(text.ElectionMS),
+		MaxFollowers:    text.MaxFollowers,
+		History:         configsync.HistoryLimits{Deltas: text.HistoryDeltas, Bytes: text.HistoryBytes},
 		Sending: configsync.SenderLimits{
 			SnapshotRate:    text.SnapshotRate,
 			SnapshotBurst:   text.SnapshotBurst,
@@ -94,10 +94,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return p, p.addresses(&text)
+	return p, p.readAddresses(&text)
 }
 
-// check looks at the numbers.
+// check returns an error for counts and numbers that are out of their bounds.
 func (f *publisherFile) check() error {
 	count := len(f.Raft)
 	if !slices.Contains([]int{1, 3, 5}, count) {
@@ -120,8 +120,7 @@
 	)
 }
 
-// addresses reads the addresses of the file.
-func (p *Publisher) addresses(text *publisherFile) (err error) {
+func (p *Publisher) readAddresses(text *publisherFile) (err error) {
 	p.Raft, err = parseAddresses("raft", text.Raft)
 	if err != nil {
 		return err
