--- a/lab/emulator/clientconn.go
+++ b/lab/emulator/clientconn.go
@@ -17,17 +17,17 @@
 	clients  *Clients
 	gateway  int
 	conn     net.Conn
-	current  *pending // the request that it carries; nil: idle
+	current  *pending // the request in flight; nil: idle
 	answers  int      // received
 	timer    *time.Timer
 	commands chan []byte // for the writer; one at a time waits here
 }
 
-// pending is a request that has not ended.
+// pending is a request in flight.
 type pending struct {
-	Req
+	Request
 	index  int  // in the log
-	resent bool // after a close that crossed it
+	resent bool // after a close that was under way as it was sent
 }
 
 // encode returns the command of a request.
@@ -49,10 +49,10 @@
 // send sends a request.
 func (c *clientConn) send(request *pending) {
 	c.current = request
-	c.commands <- request.encode() // never blocks: the request before was answered
+	c.commands <- request.encode() // never blocks: the request before it was answered
 	c.timer = c.clients.After(request.timeout+c.clients.grace, func() {
 		if c.current == request {
-			c.fail(Unheard)
+			c.fail(Unanswered)
 		}
 	})
 }
@@ -64,30 +64,32 @@
 	}
 }
 
-// close forgets and closes the connection.
+// close removes and closes the connection.
 func (c *clientConn) close() {
 	delete(c.clients.conns, c)
 	close(c.commands)
 	c.conn.Close()
 }
 
-// fail ends the connection and, with the result, the request that it carried.
+// fail ends the connection and, with the result, its request in flight.
 func (c *clientConn) fail(result Result) {
 	clients := c.clients
 	if !clients.conns[c] {
 		return
 	}
 	c.close()
-	clients.idle[c.gateway] = slices.DeleteFunc(clients.idle[c.gateway], func(o *clientConn) bool { return o == c })
+	isThis := func(other *clientConn) bool { return other == c }
+	clients.idle[c.gateway] = slices.DeleteFunc(clients.idle[c.gateway], isThis)
 	request := c.current
 	c.current = nil
 	if request == nil {
 		return
 	}
 	c.timer.Stop()
-	if result == Crossing && !request.resent { // a close between requests may cross one: once more, on a new connection
+	if result == ClosedInFlight && !request.resent {
+		// The gateway may close an idle connection just as a request is sent on it: retry on a new one.
 		request.resent = true
-		clients.log.Reqs[request.index].Twice = true
+		clients.log.Requests[request.index].Resent = true
 		clients.send(request)
 		return
 	}
@@ -110,14 +112,14 @@
 	}
 }
 
-// parseAnswers passes on all whole answers and returns the bytes of the one that is not whole yet.
+// parseAnswers handles all complete answers and returns the bytes of the incomplete one.
 func (c *clientConn) parseAnswers(unparsed []byte) []byte {
 	for {
 		n, value := redcon.ReadNextRESP(unparsed)
 		if n == 0 {
 			return unparsed
 		}
-		if value.Type == redcon.Array && value.Count > 0 { // its first element counts
+		if value.Type == redcon.Array && value.Count > 0 { // only the first element counts
 			value.ForEach(func(first redcon.RESP) bool {
 				value = first
 				return false
@@ -131,42 +133,42 @@
 	}
 }
 
-// failure returns the result of a request whose connection ended. An end between two requests may show as a reset, too.
+// failure returns the result of a request whose connection ended. A close between two requests may appear as a reset.
 func (c *clientConn) failure(partial bool, err error) Result {
 	if !partial && (errors.Is(err, io.EOF) || c.answers > 0) {
-		return Crossing
+		return ClosedInFlight
 	}
-	return Reset
+	return ConnectionReset
 }
 
-// receive ends the request with its answer. An answer to nothing is counted.
+// receive ends the request with its answer. An answer without a request is counted.
 func (c *clientConn) receive(kind redcon.Type, text string, null bool) {
 	clients, request := c.clients, c.current
 	if request == nil {
 		if clients.conns[c] {
-			clients.log.Stray++
+			clients.log.UnexpectedAnswers++
 		}
 		return
 	}
 	c.current = nil
 	c.answers++
 	c.timer.Stop()
-	result := Aborted
+	result := Failed
 	switch {
 	case kind == redcon.Bulk && !null:
 		id, host, _ := strings.Cut(strings.TrimPrefix(text, "of "), " by ")
 		request.Host = host
-		result = Passed
+		result = Succeeded
 		if id != request.ID || host == "" {
-			result = Wrong
+			result = WrongValue
 		}
 	case kind == redcon.Error && (text == "BUSY" || strings.HasPrefix(text, "BUSY ")):
-		result = Denied
+		result = Rejected
 		if ms, err := strconv.Atoi(strings.TrimPrefix(text, "BUSY ")); err == nil {
-			request.After = time.Duration(ms) * time.Millisecond
+			request.RetryAfter = time.Duration(ms) * time.Millisecond
 		}
 	case kind == redcon.Error:
-		request.Text = text
+		request.ErrorText = text
 	}
 	clients.idle[c.gateway] = append(clients.idle[c.gateway], c)
 	clients.finish(request, result)
--- a/lab/emulator/clients.go
+++ b/lab/emulator/clients.go
@@ -1,9 +1,11 @@
 package emulator
 
 import (
+	"context"
 	"errors"
 	"net"
 	"slices"
+	"sync"
 	"syscall"
 	"time"
 
@@ -13,33 +15,36 @@
 // Result is how a request ended for its client.
 type Result string
 
-// Results.
+// Results of requests. An empty one means that the request is in flight.
 const (
-	Passed   Result = "passed"   // with a value that a host made for it
-	Wrong    Result = "wrong"    // with another value
-	Denied   Result = "denied"   // -BUSY
-	Aborted  Result = "aborted"  // anything else
-	Unheard  Result = "unheard"  // no answer within the client's timeout and 20 s more
-	Reset    Result = "reset"    // the connection broke after the request was written
-	Refused  Result = "refused"  // no connection came up, so that no gateway received it
-	Unsent   Result = "unsent"   // the rig itself had no descriptor or address left for a connection
-	Crossing Result = "crossing" // sent again on a new connection, since a close crossed it, and lost there too
+	Succeeded         Result = "succeeded"   // with a value that a host made for it
+	WrongValue        Result = "wrong value" // with a value made for another request
+	Rejected          Result = "rejected"    // -BUSY
+	Failed            Result = "failed"      // any other error
+	Unanswered        Result = "unanswered"  // no answer within the client's timeout and the grace after it
+	ConnectionReset   Result = "reset"       // the connection broke after the request was written
+	ConnectionRefused Result = "refused"     // no connection came up, so that no gateway received it
+	LocalLimit        Result = "local limit" // this process had no descriptor or address left for a connection
+	ClosedInFlight    Result = "closed"      // closed as it was sent, and again after the retry on a new connection
 )
 
-// Req is one request and its one outcome. Times are in nanoseconds of actor.Now.
-type Req struct {
-	ID       string
-	Customer string
-	Class    string // request class
-	Gateway  int
-	Key      string // for deduplication; "": none
-	At       int64  // when it was sent
-	Ended    int64
-	Result   Result        // "": still open
-	Host     string        // the host that answered; "": none
-	After    time.Duration // retry-after time of a rejection
-	Text     string        // of an error that is no rejection
-	Twice    bool          // sent again after a close that crossed it
+// answerGrace is how long after a request's timeout its answer is still awaited.
+const answerGrace = 20 * time.Second
+
+// Request is one request and its result. Times are in nanoseconds of actor.Now.
+type Request struct {
+	ID             string
+	Customer       string
+	Class          string // request class
+	Gateway        int
+	IdempotencyKey string // "": none
+	SentAt         int64
+	EndedAt        int64
+	Result         Result
+	Host           string        // the host that answered; "": none
+	RetryAfter     time.Duration // of a rejection
+	ErrorText      string        // of an error that is no rejection
+	Resent         bool          // retried after a close that was under way as it was sent
 
 	arguments string // names and values of its command
 	timeout   time.Duration
@@ -49,47 +54,55 @@
 
 // ClientLog is what clients saw.
 type ClientLog struct {
-	Reqs  []Req
-	Late  time.Duration // the longest delay of a request because the rig itself did not run
-	Stray int           // answers to nothing, second answers to a request among them
-	Conns int           // connections opened
-	Most  int           // connections open at once
+	Requests          []Request
+	MaxDelay          time.Duration // the longest delay of a request because the clients themselves did not run
+	UnexpectedAnswers int           // answers without a request, such as a second answer
+	OpenedConns       int
+	PeakConns         int // connections open at once
 }
 
-// Clients are all clients: a task with their connections to each gateway.
+// Clients are all clients. They are an actor with the connections to each gateway.
 type Clients struct {
 	*actor.Actor
-	grace           time.Duration // beyond a request's timeout, until it counts as unheard
+	grace           time.Duration // after a request's timeout, until it counts as unanswered
 	addrs           []string      // by gateway; "": the load balancer does not use it
 	outOfUse        map[int]bool  // by gateway
-	restartingSince map[int]int64 // by gateway: time of the request to stop
+	restartingSince map[int]int64 // by gateway: time of its shutdown signal
 	idle            [][]*clientConn
 	conns           map[*clientConn]bool
 	log             ClientLog
 	activeLoads     int
 	inFlight        int // requests
 	waiters         []chan struct{}
+
+	dialing    context.Context // ends when the clients are closed
+	stopDials  context.CancelFunc
+	closed     bool
+	goroutines sync.WaitGroup
 }
 
 // NewClients starts clients of gateways at these addresses. They send nothing yet.
 func NewClients(addrs []string) *Clients {
+	dialing, stopDials := context.WithCancel(context.Background())
 	return &Clients{
 		Actor:           actor.New(),
-		grace:           20 * time.Second,
+		grace:           answerGrace,
 		addrs:           slices.Clone(addrs),
 		outOfUse:        map[int]bool{},
 		restartingSince: map[int]int64{},
 		idle:            make([][]*clientConn, len(addrs)),
 		conns:           map[*clientConn]bool{},
+		dialing:         dialing,
+		stopDials:       stopDials,
 	}
 }
 
-// Place sets the address of a gateway.
-func (c *Clients) Place(gateway int, addr string) { c.Ask(func() { c.addrs[gateway] = addr }) }
+// SetAddr sets the address of a gateway.
+func (c *Clients) SetAddr(gateway int, addr string) { c.Ask(func() { c.addrs[gateway] = addr }) }
 
-// Avoid takes gateways out of use, as a load balancer does some seconds after their death, or back into use. A request whose
-// gateway is out of use goes to the next one of its set.
-func (c *Clients) Avoid(out bool, gateways ...int) {
+// SetOutOfUse takes gateways out of use, as a load balancer does some seconds after they crash, or back into use. A
+// request whose gateway is out of use is sent to the next one of its subset.
+func (c *Clients) SetOutOfUse(out bool, gateways ...int) {
 	c.Ask(func() {
 		for _, gateway := range gateways {
 			if out {
@@ -101,15 +114,15 @@
 	})
 }
 
-// The load balancer's part of a planned restart.
+// How a load balancer handles a planned restart.
 const (
-	newConnsAfterStop = 300 * time.Millisecond // new connections are still opened for so long after the request to stop
-	dialsAfterStop    = 400 * time.Millisecond // and those may take a little longer to come up
+	newConnsAfterStop = 300 * time.Millisecond // from the shutdown signal until no more connections are opened
+	dialsAfterStop    = 400 * time.Millisecond // from the shutdown signal until all of those have come up
 )
 
-// Lame tells that gateways are asked to stop from now on, or that this is over. Soon clients open no more connections to them,
-// as a load balancer that knows of their restart; open and idle connections are still used.
-func (c *Clients) Lame(on bool, gateways ...int) {
+// SetRestarting marks gateways as being shut down from now on, or as restarted. Soon after the mark clients open no
+// more connections to them, as a load balancer that knows of the restart; they still use open idle connections.
+func (c *Clients) SetRestarting(on bool, gateways ...int) {
 	c.Ask(func() {
 		for _, gateway := range gateways {
 			if on {
@@ -121,14 +134,14 @@
 	})
 }
 
-// restartingLongerThan reports whether at a time a gateway had been asked to stop for longer than that. The clock decides, as a
-// timer may itself be late.
+// restartingLongerThan reports whether a gateway's shutdown signal was longer ago than a duration. It reads the clock
+// because a timer may be late.
 func (c *Clients) restartingLongerThan(gateway int, at int64, than time.Duration) bool {
 	since, restarting := c.restartingSince[gateway]
 	return restarting && at-since > int64(than)
 }
 
-// unavailable reports whether no request may be sent to a gateway now.
+// unavailable reports whether clients send no request to a gateway now.
 func (c *Clients) unavailable(gateway int) bool {
 	if c.outOfUse[gateway] {
 		return true
@@ -137,17 +150,17 @@
 }
 
 // Send sends a single request and returns it once it has ended.
-func (c *Clients) Send(template Req, arguments, body string, post bool, timeout time.Duration) Req {
-	request := &pending{Req: template}
+func (c *Clients) Send(template Request, arguments, body string, post bool, timeout time.Duration) Request {
+	request := &pending{Request: template}
 	request.arguments = arguments
 	request.body = body
 	request.post = post
 	request.timeout = timeout
 	c.Ask(func() { c.begin(request) })
 	for {
-		var now Req
-		if !c.Ask(func() { now = c.log.Reqs[request.index] }) || now.Result != "" {
-			return now
+		var current Request
+		if !c.Ask(func() { current = c.log.Requests[request.index] }) || current.Result != "" {
+			return current
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -155,9 +168,9 @@
 
 // begin logs a request and sends it.
 func (c *Clients) begin(request *pending) {
-	request.Req.At = actor.Now()
-	request.index = len(c.log.Reqs)
-	c.log.Reqs = append(c.log.Reqs, request.Req)
+	request.Request.SentAt = actor.Now()
+	request.index = len(c.log.Requests)
+	c.log.Requests = append(c.log.Requests, request.Request)
 	c.inFlight++
 	c.send(request)
 }
@@ -173,21 +186,28 @@
 		return
 	}
 	addr := c.addrs[gateway]
-	go func() {
-		conn, err := net.DialTimeout("tcp4", addr, request.timeout)
-		dialed := actor.Now()
-		c.Do(func() { c.dialed(request, gateway, conn, err, dialed) })
-	}()
+	c.goroutines.Go(func() {
+		dialer := net.Dialer{Timeout: request.timeout}
+		conn, err := dialer.DialContext(c.dialing, "tcp4", addr)
+		at := actor.Now()
+		c.Do(func() { c.dialed(request, gateway, conn, err, at) })
+	})
 }
 
 // dialed sends a request on the new connection, if there is one.
 func (c *Clients) dialed(request *pending, gateway int, conn net.Conn, err error, at int64) {
+	if c.closed {
+		if err == nil {
+			conn.Close()
+		}
+		return
+	}
 	if isLimit(err) {
-		c.finish(request, Unsent)
+		c.finish(request, LocalLimit)
 		return
 	}
 	if !request.resent && c.restartingLongerThan(gateway, at, dialsAfterStop) {
-		// The rig was late: a load balancer would not have opened this connection any more.
+		// This process was late: a load balancer would not have opened this connection any more.
 		if err == nil {
 			conn.Close()
 		}
@@ -195,55 +215,55 @@
 		return
 	}
 	if err != nil {
-		c.finish(request, Refused)
+		c.finish(request, ConnectionRefused)
 		return
 	}
 	client := &clientConn{clients: c, gateway: gateway, conn: conn, commands: make(chan []byte, 1)}
 	c.conns[client] = true
-	c.log.Conns++
-	c.log.Most = max(c.log.Most, len(c.conns))
-	go client.readAnswers()
-	go client.writeCommands()
+	c.log.OpenedConns++
+	c.log.PeakConns = max(c.log.PeakConns, len(c.conns))
+	c.goroutines.Go(client.readAnswers)
+	c.goroutines.Go(client.writeCommands)
 	client.send(request)
 }
 
-// isLimit reports whether an error is a limit of the rig's own machine.
+// isLimit reports whether an error is a limit of this machine.
 func isLimit(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
 // sendElsewhere sends a request to the next gateway that is available.
 func (c *Clients) sendElsewhere(request *pending) {
-	for k := 1; k < len(c.addrs); k++ {
-		gateway := (request.Gateway + k) % len(c.addrs)
+	for offset := 1; offset < len(c.addrs); offset++ {
+		gateway := (request.Gateway + offset) % len(c.addrs)
 		if c.unavailable(gateway) {
 			continue
 		}
 		request.Gateway = gateway
-		c.log.Reqs[request.index].Gateway = gateway
+		c.log.Requests[request.index].Gateway = gateway
 		c.send(request)
 		return
 	}
-	c.finish(request, Refused)
+	c.finish(request, ConnectionRefused)
 }
 
 // finish logs the outcome of a request.
 func (c *Clients) finish(request *pending, result Result) {
-	entry := &c.log.Reqs[request.index]
+	entry := &c.log.Requests[request.index]
 	if entry.Result != "" {
-		c.log.Stray++ // would be a second outcome
+		c.log.UnexpectedAnswers++
 		return
 	}
-	entry.Ended = actor.Now()
+	entry.EndedAt = actor.Now()
 	entry.Result = result
 	entry.Host = request.Host
-	entry.After = request.After
-	entry.Text = request.Text
+	entry.RetryAfter = request.RetryAfter
+	entry.ErrorText = request.ErrorText
 	c.inFlight--
 	c.notifyWhenIdle()
 }
 
-// notifyWhenIdle ends the calls of Wait when no load runs and no request is open.
+// notifyWhenIdle ends the calls of WaitIdle when no load runs and no request is in flight.
 func (c *Clients) notifyWhenIdle() {
 	if c.inFlight > 0 || c.activeLoads > 0 {
 		return
@@ -254,8 +274,9 @@
 	c.waiters = nil
 }
 
-// Wait waits until no load runs and no request is open, or until the limit, and returns how many are open then.
-func (c *Clients) Wait(limit time.Duration) (open int) {
+// WaitIdle waits until no load runs and no request is in flight, or until the limit. It returns how many requests are
+// in flight then.
+func (c *Clients) WaitIdle(limit time.Duration) (open int) {
 	done := make(chan struct{})
 	c.Ask(func() {
 		c.waiters = append(c.waiters, done)
@@ -273,23 +294,26 @@
 func (c *Clients) Log() (log ClientLog) {
 	c.Ask(func() {
 		log = c.log
-		log.Reqs = slices.Clone(log.Reqs)
+		log.Requests = slices.Clone(log.Requests)
 	})
 	return log
 }
 
 // Sent returns the number of requests sent so far.
 func (c *Clients) Sent() (n int) {
-	c.Ask(func() { n = len(c.log.Reqs) })
+	c.Ask(func() { n = len(c.log.Requests) })
 	return n
 }
 
-// Close ends all connections.
+// Close ends all connections and waits for their goroutines.
 func (c *Clients) Close() {
+	c.stopDials()
 	c.Ask(func() {
+		c.closed = true
 		for conn := range c.conns {
 			conn.close()
 		}
 	})
+	c.goroutines.Wait()
 	c.Actor.Stop()
 }
--- a/lab/emulator/counter.go
+++ b/lab/emulator/counter.go
@@ -1,9 +1,11 @@
 package emulator
 
 import (
+	"fmt"
 	"net"
 	"strconv"
 	"strings"
+	"sync"
 	"time"
 
 	"github.com/tidwall/redcon"
@@ -11,14 +13,17 @@
 	"ravensill/lab/actor"
 )
 
-// Counter stands in for the shared counter: named numbers, with INCRBYFLOAT and PEXPIRE NX as in Redis.
+// Counter emulates the shared counter: named numbers, with INCRBYFLOAT and PEXPIRE NX as in Redis.
 type Counter struct {
 	*actor.Actor
 	listener net.Listener
 	numbers  map[string]*counterEntry
 	conns    map[net.Conn]bool
-	Silent   bool // accepts commands and answers none; to be set within Ask
+	Silent   bool // commands are accepted and not answered; set it within Ask
 	calls    int
+
+	accepting sync.WaitGroup
+	serving   sync.WaitGroup
 }
 
 // counterEntry is one number.
@@ -31,22 +36,30 @@
 func NewCounter() (*Counter, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("counter: %w", err)
 	}
-	counter := &Counter{Actor: actor.New(), listener: listener, numbers: map[string]*counterEntry{}, conns: map[net.Conn]bool{}}
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			counter.Do(func() { counter.conns[conn] = true })
-			go counter.serve(conn)
-		}
-	}()
+	counter := &Counter{
+		Actor:    actor.New(),
+		listener: listener,
+		numbers:  map[string]*counterEntry{},
+		conns:    map[net.Conn]bool{},
+	}
+	counter.accepting.Go(counter.acceptConns)
 	return counter, nil
 }
 
+// acceptConns serves connections until the listener is closed.
+func (c *Counter) acceptConns() {
+	for {
+		conn, err := c.listener.Accept()
+		if err != nil {
+			return
+		}
+		c.Do(func() { c.conns[conn] = true })
+		c.serving.Go(func() { c.serve(conn) })
+	}
+}
+
 // Addr returns the counter's address.
 func (c *Counter) Addr() string { return c.listener.Addr().String() }
 
@@ -65,10 +78,12 @@
 	})
 }
 
-// Close ends the counter.
+// Close ends the counter and waits for its goroutines.
 func (c *Counter) Close() {
 	c.listener.Close()
+	c.accepting.Wait()
 	c.Reset()
+	c.serving.Wait()
 	c.Actor.Stop()
 }
 
@@ -104,29 +119,40 @@
 	case verb == "PING":
 		return redcon.AppendString(nil, "PONG")
 	case verb == "INCRBYFLOAT" && len(args) == 3:
-		amount, err := strconv.ParseFloat(string(args[2]), 64)
-		if err != nil {
-			return redcon.AppendError(nil, "ERR value is not a valid float")
-		}
-		entry := c.lookUp(string(args[1]))
-		if entry == nil {
-			entry = &counterEntry{}
-			c.numbers[string(args[1])] = entry
-		}
-		entry.value += amount
-		return redcon.AppendBulkString(nil, strconv.FormatFloat(entry.value, 'f', -1, 64))
+		return c.increment(string(args[1]), string(args[2]))
 	case verb == "PEXPIRE" && len(args) == 4 && strings.EqualFold(string(args[3]), "NX"):
-		entry, ms := c.lookUp(string(args[1])), 0
-		if ms, _ = strconv.Atoi(string(args[2])); entry == nil || entry.expiresAt > 0 {
-			return redcon.AppendInt(nil, 0)
-		}
-		entry.expiresAt = actor.Now() + int64(ms)*int64(time.Millisecond)
-		return redcon.AppendInt(nil, 1)
+		return c.expireIfUnset(string(args[1]), string(args[2]))
 	}
 	return redcon.AppendError(nil, "ERR unknown command")
 }
 
-// lookUp returns a number that has not expired; nil: there is none.
+// increment adds an amount to a number and returns the reply of INCRBYFLOAT.
+func (c *Counter) increment(name, amountText string) []byte {
+	amount, err := strconv.ParseFloat(amountText, 64)
+	if err != nil {
+		return redcon.AppendError(nil, "ERR value is not a valid float")
+	}
+	entry := c.lookUp(name)
+	if entry == nil {
+		entry = &counterEntry{}
+		c.numbers[name] = entry
+	}
+	entry.value += amount
+	return redcon.AppendBulkString(nil, strconv.FormatFloat(entry.value, 'f', -1, 64))
+}
+
+// expireIfUnset sets the expiry of a number that has none and returns the reply of PEXPIRE NX.
+func (c *Counter) expireIfUnset(name, milliseconds string) []byte {
+	entry := c.lookUp(name)
+	if entry == nil || entry.expiresAt > 0 {
+		return redcon.AppendInt(nil, 0)
+	}
+	ttl, _ := strconv.Atoi(milliseconds)
+	entry.expiresAt = actor.Now() + int64(ttl)*int64(time.Millisecond)
+	return redcon.AppendInt(nil, 1)
+}
+
+// lookUp returns the entry of a number that has not expired; nil if there is none.
 func (c *Counter) lookUp(name string) *counterEntry {
 	entry := c.numbers[name]
 	if entry != nil && entry.expiresAt > 0 && actor.Now() >= entry.expiresAt {
--- a/lab/emulator/host.go
+++ b/lab/emulator/host.go
@@ -6,61 +6,72 @@
 	"slices"
 	"strconv"
 	"strings"
-	"syscall"
+	"sync"
 	"time"
 
-	"github.com/tidwall/redcon"
-
 	"ravensill/lab/actor"
 )
 
-// HostPlan is the configuration of a stand-in host.
-type HostPlan struct {
+const replyQueue = 256 // replies of a connection that wait to be written
+
+// HostOptions configure an emulated host.
+type HostOptions struct {
 	ID     string
-	Listen string // address; port 0: a free one
+	Listen string // address; with port 0 a free port is chosen
 	Zone   string
 	Kind   string
 	Cell   int
 	Weight float64 // in the host list; 0: 1
 	Speed  float64 // 0: 1
 	Model  Model
-	Report []string // fields of the load report, as the settings name them; none: no report
-	Probes bool     // INFO load is answered
-	Conns  int      // connections beyond it are refused; 0: no limit
-	Refuse string   // sent to a refused connection before it is closed, such as "-ERR max number of clients reached\r\n"
+	// ReportFields are the fields of the load report, by their names in the settings; none: no report.
+	ReportFields        []string
+	AnswersHealthChecks bool // with a load report to INFO load
+	MaxConns            int  // further connections are refused; 0: no limit
+	// RefusalReply is written to a refused connection before it is closed, such as
+	// "-ERR max number of clients reached\r\n"; "": the connection is reset.
+	RefusalReply string
 }
 
-// Host stands in for one host of the back end: a task with its listener, its connections and its log.
+// Host emulates one host of the back end. It is an actor with a listener, connections and a log.
 type Host struct {
-	HostPlan
+	HostOptions
 	*actor.Actor
 	addr      string
 	listener  net.Listener
 	conns     map[*hostConn]bool
 	startedAt int64 // last start
-	warming   bool  // it began cold
+	warming   bool  // it started cold
 	hanging   bool
 	slowdown  float64
-	withheld  []*command // commands held back while it hangs
+	withheld  []*command // commands to answer once it hangs no longer
 	inFlight  int
 	log       HostLog
 	running   bool
+
+	goroutines sync.WaitGroup
 }
 
 // NewHost starts a host, warmed up.
-func NewHost(p HostPlan) (*Host, error) {
-	if p.Weight == 0 {
-		p.Weight = 1
+func NewHost(options HostOptions) (*Host, error) {
+	if options.Weight == 0 {
+		options.Weight = 1
 	}
-	if p.Speed == 0 {
-		p.Speed = 1
+	if options.Speed == 0 {
+		options.Speed = 1
 	}
-	h := &Host{HostPlan: p, Actor: actor.New(), addr: p.Listen, slowdown: 1, conns: map[*hostConn]bool{}}
-	if err := h.listen(); err != nil {
-		h.Actor.Stop()
+	host := &Host{
+		HostOptions: options,
+		Actor:       actor.New(),
+		addr:        options.Listen,
+		slowdown:    1,
+		conns:       map[*hostConn]bool{},
+	}
+	if err := host.listen(); err != nil {
+		host.Actor.Stop()
 		return nil, err
 	}
-	return h, nil
+	return host, nil
 }
 
 // Addr returns the host's address, which stays over restarts.
@@ -72,215 +83,221 @@
 	if err != nil {
 		return fmt.Errorf("host %s: %w", h.ID, err)
 	}
-	if h.addr != listener.Addr().String() { // at the first start; other goroutines read it later
+	if h.addr != listener.Addr().String() { // at the first start only: later ones would race with Addr
 		h.addr = listener.Addr().String()
 	}
-	h.listener, h.running = listener, true
-	h.recordStep()
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			h.Do(func() { h.accept(listener, conn) })
-		}
-	}()
+	h.listener = listener
+	h.running = true
+	h.recordLoad()
+	h.goroutines.Go(func() { h.acceptConns(listener) })
 	return nil
 }
 
-// recordStep logs a change of load or slowness.
-func (h *Host) recordStep() {
-	s := Step{At: actor.Now(), Open: h.inFlight, Factor: h.slowdown / h.Speed, Conns: len(h.conns)}
+// acceptConns accepts connections until the listener is closed.
+func (h *Host) acceptConns(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		h.Do(func() { h.accept(listener, conn) })
+	}
+}
+
+// recordLoad logs a change of load or slowdown.
+func (h *Host) recordLoad() {
+	step := LoadStep{
+		At:        actor.Now(),
+		InFlight:  h.inFlight,
+		Slowdown:  h.slowdown / h.Speed,
+		OpenConns: len(h.conns),
+	}
 	if h.warming {
-		s.Began = h.startedAt
+		step.WarmingSince = h.startedAt
 	}
-	h.log.Steps = append(h.log.Steps, s)
+	h.log.Steps = append(h.log.Steps, step)
 }
 
 // resetConn closes a connection with a reset.
-func resetConn(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+func resetConn(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
 
-// accept takes over a new connection, or refuses it beyond the limit.
+// accept serves a new connection, or refuses it beyond the limit.
 func (h *Host) accept(listener net.Listener, conn net.Conn) {
 	if !h.running || listener != h.listener {
 		resetConn(conn)
 		return
 	}
-	if h.Conns > 0 && len(h.conns) >= h.Conns {
-		h.log.Refused++
-		if h.Refuse != "" {
-			conn.Write([]byte(h.Refuse))
-			conn.Close()
-		} else {
-			resetConn(conn)
-		}
+	if h.MaxConns > 0 && len(h.conns) >= h.MaxConns {
+		h.refuse(conn)
 		return
 	}
-	h.log.Opened++
-	h.log.Opens = append(h.log.Opens, actor.Now())
-	client := &hostConn{host: h, number: h.log.Opened, conn: conn, replies: make(chan []byte, 256)}
+	h.log.Accepted++
+	h.log.AcceptedAt = append(h.log.AcceptedAt, actor.Now())
+	client := &hostConn{host: h, number: h.log.Accepted, conn: conn, replies: make(chan []byte, replyQueue)}
 	h.conns[client] = true
-	h.log.Peak = max(h.log.Peak, len(h.conns))
-	h.recordStep()
-	go func() {
-		for b := range client.replies {
-			if _, err := conn.Write(b); err != nil {
-				break
-			}
-		}
-		for range client.replies {
-		}
-	}()
-	go func() {
-		for r := redcon.NewReader(conn); ; {
-			command, err := r.ReadCommand()
-			if err != nil {
-				h.Do(func() { client.fail("gone") })
-				return
-			}
-			words := make([]string, len(command.Args))
-			for i, a := range command.Args {
-				words[i] = string(a)
-			}
-			h.Do(func() { client.receive(words) })
-		}
-	}()
+	h.log.PeakConns = max(h.log.PeakConns, len(h.conns))
+	h.recordLoad()
+	h.goroutines.Go(client.writeReplies)
+	h.goroutines.Go(client.readCommands)
+}
+
+// refuse closes a connection beyond the limit.
+func (h *Host) refuse(conn net.Conn) {
+	h.log.Refused++
+	if h.RefusalReply == "" {
+		resetConn(conn)
+		return
+	}
+	conn.Write([]byte(h.RefusalReply))
+	conn.Close()
 }
 
 // loadReport returns the load report.
 func (h *Host) loadReport() string {
 	var parts []string
-	for _, name := range h.Report {
-		x := 0.0
+	for _, name := range h.ReportFields {
+		value := 0.0
 		switch name {
 		case "outstanding", "inflight":
-			x = float64(h.inFlight)
+			value = float64(h.inFlight)
 		case "utilization", "util":
-			x = min(1, float64(h.inFlight)/max(1, h.Model.Slots))
+			value = min(1, float64(h.inFlight)/max(1, h.Model.Slots))
 		case "backlog", "queue":
-			x = max(0, float64(h.inFlight)-h.Model.Slots)
+			value = max(0, float64(h.inFlight)-h.Model.Slots)
 		case "recent_ms":
-			x = float64(h.Model.Base) / 1e6 * h.slowdown / h.Speed
+			value = float64(h.Model.BaseTime) / 1e6 * h.slowdown / h.Speed
 		}
-		parts = append(parts, name+"="+strconv.FormatFloat(x, 'f', 3, 64))
+		parts = append(parts, name+"="+strconv.FormatFloat(value, 'f', 3, 64))
 	}
 	return strings.Join(parts, ",")
 }
 
-// Value returns the value of a name in a list of names and values; "": it is absent.
+// Value returns the value of a name in a list such as "a=1,b=2"; "" if the name is absent.
 func Value(list, name string) string {
 	for pair := range strings.SplitSeq(list, ",") {
-		if k, v, _ := strings.Cut(pair, "="); k == name {
-			return v
+		key, value, _ := strings.Cut(pair, "=")
+		if key == name {
+			return value
 		}
 	}
 	return ""
 }
 
-// Hang makes the host accept commands and answer none; they are answered when that is over.
-func (h *Host) Hang(on bool) {
+// SetHanging makes the host accept commands and answer none. They are answered once it hangs no longer.
+func (h *Host) SetHanging(on bool) {
 	h.Ask(func() {
 		h.hanging = on
-		if !on {
-			held := h.withheld
-			h.withheld = nil
-			for _, c := range held {
-				c.finish()
-			}
+		if on {
+			return
+		}
+		withheld := h.withheld
+		h.withheld = nil
+		for _, command := range withheld {
+			command.finish()
 		}
 	})
 }
 
-// Slow makes commands that begin from now on take factor times as long; 1 ends that.
-func (h *Host) Slow(factor float64) {
+// SetSlowdown makes commands that begin from now on take factor times as long; 1 ends that.
+func (h *Host) SetSlowdown(factor float64) {
 	h.Ask(func() {
 		h.slowdown = factor
-		h.recordStep()
+		h.recordLoad()
 	})
 }
 
-// Change sets another model and another limit on connections; open connections beyond it stay.
-func (h *Host) Change(f func(*Model), conns int) {
+// SetModel sets another model and another limit on connections; open connections beyond it stay.
+func (h *Host) SetModel(change func(*Model), conns int) {
 	h.Ask(func() {
-		if f != nil {
-			f(&h.Model)
+		if change != nil {
+			change(&h.Model)
 		}
-		h.Conns = conns
-		h.recordStep()
+		h.MaxConns = conns
+		h.recordLoad()
 	})
 }
 
 // Kill ends the host as the death of its process does: connections are reset, new ones refused.
 func (h *Host) Kill() { h.Ask(h.kill) }
 
-// kill is Kill within the task.
+// kill is Kill within the actor.
 func (h *Host) kill() {
 	if !h.running {
 		return
 	}
-	h.running, h.hanging, h.withheld = false, false, nil
-	// A child process that is being started holds copies of the descriptors until it runs: closing alone would leave the listener open.
-	if raw, err := h.listener.(*net.TCPListener).SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
-	}
-	h.listener.Close()
-	for k := range h.conns {
-		k.fail("lost")
+	h.running = false
+	h.hanging = false
+	h.withheld = nil
+	closeListener(h.listener)
+	for conn := range h.conns {
+		conn.fail(OutcomeHostKilled)
 	}
 }
 
-// Start restarts the host at the same address, cold if its model says so. It returns the start time in milliseconds, as in the host
-// list.
+// Start restarts the host at the same address, cold if its model has a ColdFactor. It returns the start time in
+// milliseconds, as in the host list.
 func (h *Host) Start() (startedMS int64, err error) {
 	h.Ask(func() {
 		h.kill()
-		h.startedAt, h.warming = actor.Now(), h.Model.Cold > 1
-		startedMS, err = h.startedAt/1e6, h.listen()
+		h.startedAt = actor.Now()
+		h.warming = h.Model.ColdFactor > 1
+		startedMS = h.startedAt / int64(time.Millisecond)
+		err = h.listen()
 	})
 	return startedMS, err
 }
 
-// Close ends the host for good.
+// Close ends the host for good and waits for its goroutines.
 func (h *Host) Close() {
 	h.Kill()
+	h.goroutines.Wait()
 	h.Actor.Stop()
 }
 
 // Log returns a copy of the log so far.
-func (h *Host) Log() (l HostLog) {
+func (h *Host) Log() (log HostLog) {
 	h.Ask(func() {
-		l = h.log
-		l.Commands, l.Steps, l.Opens = slices.Clone(l.Commands), slices.Clone(l.Steps), slices.Clone(l.Opens)
+		log = h.log
+		log.Commands = slices.Clone(log.Commands)
+		log.Steps = slices.Clone(log.Steps)
+		log.AcceptedAt = slices.Clone(log.AcceptedAt)
 	})
-	return l
+	return log
 }
 
-// Held returns the number of open connections.
-func (h *Host) Held() (n int) {
+// OpenConns returns the number of connections that are open.
+func (h *Host) OpenConns() (n int) {
 	h.Ask(func() { n = len(h.conns) })
 	return n
 }
 
-// Would returns how long the host would take for a request under a load, as it is now and warmed up.
-func (h *Host) Would(id, class string, load float64) (d time.Duration) {
-	h.Ask(func() { d = h.Model.Time(id, class, load, h.slowdown/h.Speed) })
-	return d
+// ResponseTime returns how long the host would take for a request under a load, as it is now and warmed up.
+func (h *Host) ResponseTime(id, class string, load float64) (responseTime time.Duration) {
+	h.Ask(func() { responseTime = h.Model.ResponseTime(id, class, load, h.slowdown/h.Speed) })
+	return responseTime
 }
 
 // Entry returns the host's entry in the host list.
-func (h *Host) Entry(state string) (e Entry) {
-	h.Ask(func() { e = h.listEntry(state) })
-	return e
+func (h *Host) Entry(state string) (entry Entry) {
+	h.Ask(func() { entry = h.listEntry(state) })
+	return entry
 }
 
-// listEntry is Entry within the task.
+// listEntry is Entry within the actor.
 func (h *Host) listEntry(state string) Entry {
-	return Entry{ID: h.ID, Addr: h.addr, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, State: state, Weight: h.Weight,
-		StartedMS: h.startedAt / 1e6}
+	return Entry{
+		ID:        h.ID,
+		Addr:      h.addr,
+		Zone:      h.Zone,
+		Kind:      h.Kind,
+		Cell:      h.Cell,
+		State:     state,
+		Weight:    h.Weight,
+		StartedMS: h.startedAt / int64(time.Millisecond),
+	}
 }
--- a/lab/emulator/hostconn.go
+++ b/lab/emulator/hostconn.go
@@ -16,7 +16,7 @@
 	number  int
 	conn    net.Conn
 	replies chan []byte
-	queue   []*command // in the order of arrival, which is that of the replies
+	queue   []*command // unanswered, in the order of arrival, which is that of the replies
 }
 
 // command is one command that was not answered yet.
@@ -24,12 +24,40 @@
 	Command
 	index int // in the log
 	conn  *hostConn
-	reply []byte // once it has ended
+	reply []byte // nil: not ended
 	timer *time.Timer
 }
 
+// writeReplies writes the replies until the connection fails, and drops those after that.
+func (c *hostConn) writeReplies() {
+	for reply := range c.replies {
+		if _, err := c.conn.Write(reply); err != nil {
+			break
+		}
+	}
+	for range c.replies {
+	}
+}
+
+// readCommands reads the commands until the connection ends.
+func (c *hostConn) readCommands() {
+	reader := redcon.NewReader(c.conn)
+	for {
+		command, err := reader.ReadCommand()
+		if err != nil {
+			c.host.Do(func() { c.fail(OutcomeClientGone) })
+			return
+		}
+		args := make([]string, len(command.Args))
+		for i, arg := range command.Args {
+			args[i] = string(arg)
+		}
+		c.host.Do(func() { c.receive(args) })
+	}
+}
+
 // fail ends a connection and the commands on it.
-func (c *hostConn) fail(outcome string) {
+func (c *hostConn) fail(outcome Outcome) {
 	h := c.host
 	if !h.conns[c] {
 		return
@@ -42,7 +70,7 @@
 	}
 	close(c.replies)
 	resetConn(c.conn)
-	h.recordStep()
+	h.recordLoad()
 }
 
 // receive queues and begins a command.
@@ -55,7 +83,7 @@
 	newCommand.execute(args)
 }
 
-// execute begins a command.
+// execute answers a command at once, or begins a call.
 func (c *command) execute(args []string) {
 	h := c.conn.host
 	verb := ""
@@ -70,7 +98,7 @@
 		c.sendReply(redcon.AppendOK(nil))
 		return
 	case "INFO":
-		if h.Probes {
+		if h.AnswersHealthChecks {
 			c.sendReply(redcon.AppendBulkString(nil, h.loadReport()))
 		} else {
 			c.sendReply([]byte("-NOPERM\r\n"))
@@ -81,35 +109,52 @@
 		c.sendReply([]byte("-ERR unknown command\r\n"))
 		return
 	}
-	if len(args) < 4 || len(args) > 5 || len(args[1]) != 16 || args[2] == "" || Value(args[3], "c") == "" {
-		h.log.Bad++
+	if !wellFormed(args) {
+		h.log.Malformed++
 		c.sendReply([]byte("-SYNTAX\r\n"))
 		return
 	}
-	c.Command = Command{At: actor.Now(), ID: args[2], Customer: args[1], Class: Value(args[3], "c"), Connection: c.conn.number,
-		Load: float64(h.inFlight)}
+	c.beginCall(args)
+}
+
+// wellFormed reports whether the arguments are those of a call.
+func wellFormed(args []string) bool {
+	return (len(args) == 4 || len(args) == 5) && len(args[1]) == 16 && args[2] != "" && Value(args[3], "c") != ""
+}
+
+// beginCall logs a call and sets the time of its end, or rejects it.
+func (c *command) beginCall(args []string) {
+	h := c.conn.host
+	c.Command = Command{
+		ReceivedAt: actor.Now(),
+		ID:         args[2],
+		Customer:   args[1],
+		Class:      Value(args[3], "c"),
+		Connection: c.conn.number,
+		InFlight:   float64(h.inFlight),
+	}
 	factor := h.slowdown / h.Speed
 	if h.warming {
-		factor *= h.Model.warmUpFactor(time.Duration(c.At - h.startedAt))
+		factor *= h.Model.warmUpFactor(time.Duration(c.ReceivedAt - h.startedAt))
 	}
-	c.Time = h.Model.Time(c.ID, c.Class, c.Load, factor)
+	c.ResponseTime = h.Model.ResponseTime(c.ID, c.Class, c.InFlight, factor)
 	c.index = len(h.log.Commands)
 	h.log.Commands = append(h.log.Commands, c.Command)
-	if h.Model.Most > 0 && h.inFlight >= h.Model.Most {
+	if h.Model.MaxInFlight > 0 && h.inFlight >= h.Model.MaxInFlight {
 		h.log.Busy++
-		c.end("busy", []byte("-BUSY\r\n"))
+		c.end(OutcomeBusy, []byte("-BUSY\r\n"))
 		return
 	}
 	h.inFlight++
-	h.recordStep()
+	h.recordLoad()
 	if h.hanging {
 		h.withheld = append(h.withheld, c)
 		return
 	}
-	c.timer = h.After(c.Time, c.finish)
+	c.timer = h.After(c.ResponseTime, c.finish)
 }
 
-// finish ends a command whose time has passed, unless the host hangs.
+// finish ends a command whose response time is over, unless the host hangs.
 func (c *command) finish() {
 	h := c.conn.host
 	if c.reply != nil || c.Outcome != "" {
@@ -120,30 +165,31 @@
 		return
 	}
 	if h.Model.Fails(c.ID) {
-		c.end("errored", []byte("-ERR failed\r\n"))
+		c.end(OutcomeErrored, []byte("-ERR failed\r\n"))
 		return
 	}
-	b := redcon.AppendArray(nil, 3)
-	b = redcon.AppendBulkString(b, "of "+c.ID+" by "+h.ID)
-	b = redcon.AppendNull(b)
-	if len(h.Report) > 0 {
-		b = redcon.AppendBulkString(b, h.loadReport())
+	reply := redcon.AppendArray(nil, 3)
+	reply = redcon.AppendBulkString(reply, "of "+c.ID+" by "+h.ID)
+	reply = redcon.AppendNull(reply)
+	if len(h.ReportFields) > 0 {
+		reply = redcon.AppendBulkString(reply, h.loadReport())
 	} else {
-		b = redcon.AppendNull(b)
+		reply = redcon.AppendNull(reply)
 	}
-	c.end("passed", b)
+	c.end(OutcomeSucceeded, reply)
 }
 
 // end ends a command and logs its outcome; reply is nil if nobody is left to read it.
-func (c *command) end(outcome string, reply []byte) {
+func (c *command) end(outcome Outcome, reply []byte) {
 	h := c.conn.host
 	if c.index >= 0 && c.Outcome == "" {
 		c.Outcome = outcome
 		entry := &h.log.Commands[c.index]
-		entry.Outcome, entry.Ended = outcome, actor.Now()
-		if outcome != "busy" {
+		entry.Outcome = outcome
+		entry.EndedAt = actor.Now()
+		if outcome != OutcomeBusy {
 			h.inFlight--
-			h.recordStep()
+			h.recordLoad()
 		}
 	}
 	if c.timer != nil {
@@ -163,7 +209,7 @@
 		case conn.replies <- conn.queue[0].reply:
 			conn.queue = conn.queue[1:]
 		default: // the other side does not read
-			conn.fail("gone")
+			conn.fail(OutcomeClientGone)
 			return
 		}
 	}
--- a/lab/emulator/listener.go
+++ b/lab/emulator/listener.go
@@ -5,12 +5,12 @@
 	"syscall"
 )
 
-// closeListener ends a listener at once. A process that this one is just starting holds copies of its descriptors until it
-// runs: closed alone, the listener would go on until then.
-func closeListener(l net.Listener) {
-	raw, err := l.(*net.TCPListener).SyscallConn()
+// closeListener shuts a listener down before it closes it. A child process that is being started holds copies of all
+// descriptors until it runs, so that closing alone would leave the port in use.
+func closeListener(listener net.Listener) {
+	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err == nil {
 		raw.Control(func(descriptor uintptr) { syscall.Shutdown(int(descriptor), syscall.SHUT_RDWR) })
 	}
-	l.Close()
+	listener.Close()
 }
--- a/lab/fleet/cases.go
+++ b/lab/fleet/cases.go
@@ -17,10 +17,10 @@
 
 // three is the load of all three kinds of reqs.
 func (z Size) three() emulator.Load {
-	return emulator.Load{Seed: z.Seed, Rate: z.Rate, Customers: 40 * z.Gateways, Skew: 0.5, Spread: max(1, z.Gateways/3), Body: "body",
-		Classes: []emulator.Class{{Name: "lookup", Wait: 8 * time.Second, Part: 0.6},
-			{Name: "order", Post: true, Keyed: true, Wait: 8 * time.Second, Part: 0.2},
-			{Name: "pay", Post: true, Wait: 8 * time.Second, Part: 0.2}}}
+	return emulator.Load{Seed: z.Seed, Rate: z.Rate, Customers: 40 * z.Gateways, ZipfExponent: 0.5, SubsetSize: max(1, z.Gateways/3), Body: "body",
+		Classes: []emulator.Class{{Name: "lookup", Timeout: 8 * time.Second, Fraction: 0.6},
+			{Name: "order", Post: true, Idempotent: true, Timeout: 8 * time.Second, Fraction: 0.2},
+			{Name: "pay", Post: true, Timeout: 8 * time.Second, Fraction: 0.2}}}
 }
 
 func (z Size) case1(name string, length time.Duration, served float64, steps ...Step) Scenario {
@@ -34,9 +34,9 @@
 	for i := from; i < p.Hosts; i++ {
 		p.Unlisted[i] = true
 	}
-	p.Host = func(i int, h *emulator.HostPlan) {
-		if h.Model.Cold, h.Model.Warm = 4, 10*time.Second; i < from {
-			h.Model.Cold = 1
+	p.Host = func(i int, h *emulator.HostOptions) {
+		if h.Model.ColdFactor, h.Model.WarmUpTime = 4, 10*time.Second; i < from {
+			h.Model.ColdFactor = 1
 		}
 	}
 }
@@ -80,17 +80,17 @@
 	cold(&one.Plan, h)
 
 	hot := z.case1("one gateway with ten times the mean traffic", 4*second, 0.95)
-	hot.Loads[0].Hot = map[int]float64{0: 10}
-	hot.Loads[0].Spread = 0
+	hot.Loads[0].GatewayWeights = map[int]float64{0: 10}
+	hot.Loads[0].SubsetSize = 0
 
 	few := z.case1("a quarter as many gateways as hosts", 4*second, 0.95)
-	few.Plan.Gateways, few.Loads[0].Spread = max(2, h/4), 0
+	few.Plan.Gateways, few.Loads[0].SubsetSize = max(2, h/4), 0
 
 	alone := z.case1("one gateway alone", 4*second, 0.95)
-	alone.Plan.Gateways, alone.Loads[0].Spread = 1, 0
+	alone.Plan.Gateways, alone.Loads[0].SubsetSize = 1, 0
 
 	light := z.case1("a host with a quarter of the weight", 4*second, 0.95)
-	light.Plan.Host = func(i int, hp *emulator.HostPlan) {
+	light.Plan.Host = func(i int, hp *emulator.HostOptions) {
 		if i == 0 {
 			hp.Weight, hp.Speed, hp.Model.Slots = 0.25, 0.25, hp.Model.Slots/4
 		}
@@ -116,6 +116,6 @@
 func (z Size) Steady(length time.Duration, holds ...Check) Scenario {
 	s := z.case1("steady", length, 0.95)
 	s.Holds = append(s.Holds, holds...)
-	s.Loads[0].Skew, s.Loads[0].Classes = 0, []emulator.Class{{Name: "lookup", Wait: 8 * time.Second, Part: 1}}
+	s.Loads[0].ZipfExponent, s.Loads[0].Classes = 0, []emulator.Class{{Name: "lookup", Timeout: 8 * time.Second, Fraction: 1}}
 	return s
 }
--- a/lab/fleet/evenness.go
+++ b/lab/fleet/evenness.go
@@ -39,8 +39,8 @@
 func (r *Report) hits(hosts []int, from, to int64) (hits []hit) {
 	for k, h := range hosts {
 		for _, c := range r.Hosts[h].Commands {
-			if c.At >= from && c.At < to {
-				hits = append(hits, hit{c.At, k})
+			if c.ReceivedAt >= from && c.ReceivedAt < to {
+				hits = append(hits, hit{c.ReceivedAt, k})
 			}
 		}
 	}
@@ -66,17 +66,17 @@
 	for _, h := range hosts {
 		gates := map[int]bool{}
 		for _, c := range r.Hosts[h].Commands {
-			if q, ok := r.Req(c.ID); ok && c.At >= from && c.At < to {
+			if q, ok := r.Req(c.ID); ok && c.ReceivedAt >= from && c.ReceivedAt < to {
 				gates[q.Gateway] = true
 			}
 		}
-		for _, at := range r.Hosts[h].Opens {
+		for _, at := range r.Hosts[h].AcceptedAt {
 			if at >= from && at < to {
 				fleet.Opened++
 			}
 		}
-		if s, ok := r.Hosts[h].At(from); ok {
-			fleet.Standing += s.Conns
+		if s, ok := r.Hosts[h].LoadAt(from); ok {
+			fleet.Standing += s.OpenConns
 		}
 		all += len(gates)
 		least, most = min(least, float64(len(gates))), max(most, float64(len(gates)))
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -29,7 +29,7 @@
 	Gateways, Hosts   int
 	Seed              uint64
 	Zones             []string
-	Host              func(i int, h *emulator.HostPlan)               // changes a host before it starts
+	Host              func(i int, h *emulator.HostOptions)            // changes a host before it starts
 	Settings          func(s map[string]any)                          // changes the deployment's settings, the same for all
 	Config            func(f *Fleet, i int, cfg map[string]any) error // adds to one gateway's configuration
 	Prepare           func(f *Fleet) error                            // makes nets and streams of the relay, before any gateway is configured
@@ -110,8 +110,8 @@
 	}
 	var entries []emulator.Entry
 	for i := range p.Hosts {
-		hp := emulator.HostPlan{ID: fmt.Sprintf("s-%04d", i), Listen: "127.0.0.1:0", Zone: p.Zones[i%len(p.Zones)], Kind: "m",
-			Cell: i % 3, Model: emulator.Usual(), Report: []string{"utilization"}}
+		hp := emulator.HostOptions{ID: fmt.Sprintf("s-%04d", i), Listen: "127.0.0.1:0", Zone: p.Zones[i%len(p.Zones)], Kind: "m",
+			Cell: i % 3, Model: emulator.DefaultModel(), ReportFields: []string{"utilization"}}
 		if p.Host != nil {
 			p.Host(i, &hp)
 		}
@@ -172,7 +172,7 @@
 
 // serves takes in that a life of a gateway serves.
 func (f *Fleet) serves(g *Gateway, listen, peer string) {
-	f.Clients.Place(g.Index, listen)
+	f.Clients.SetAddr(g.Index, listen)
 	if at, err := netip.ParseAddrPort(peer); err == nil && f.Gossip != nil {
 		f.Gossip.Place(g.Index, at)
 	}
@@ -215,7 +215,7 @@
 func (f *Fleet) config(i int) (map[string]any, error) {
 	cfg := map[string]any{"name": Name(i), "listen": netip.AddrPortFrom(emulator.Loopback(homes, i), 0).String(),
 		"discovery": f.Agent.Addr(i), "seed": fmt.Sprintf("%016x", f.Plan.Seed*1000003+uint64(i)+1),
-		"limits": map[string]any{"memory_mb": 192, "sockets": 1024}, "known": f.Agent.Known(i), "settings": f.settings(i)}
+		"limits": map[string]any{"memory_mb": 192, "sockets": 1024}, "known": f.Agent.FullList(i), "settings": f.settings(i)}
 	if f.Gossip != nil {
 		cfg["peer_listen"], cfg["peers"] = "127.0.0.1:0", f.Gossip.Peers(i)
 	}
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -39,17 +39,17 @@
 	addr := f.Gateway(1).Addr()
 	must(t, f.Gateway(1).Kill(), f.Sent(ctx, 100), f.Gateway(1).Restart(ctx, true), f.Sent(ctx, 200))
 	load.Stop()
-	if n := f.Clients.Wait(patience); n > 0 {
+	if n := f.Clients.WaitIdle(patience); n > 0 {
 		t.Errorf("%d reqs open", n)
 	}
 	ended := map[emulator.Result]int{}
-	for _, q := range f.Clients.Log().Reqs {
+	for _, q := range f.Clients.Log().Requests {
 		ended[q.Result]++
-		if q.Result == emulator.Refused && q.Gateway != 1 {
+		if q.Result == emulator.ConnectionRefused && q.Gateway != 1 {
 			t.Errorf("refused at gateway %d, which never went down", q.Gateway)
 		}
 	}
-	if ended[emulator.Passed] < 200 || ended[emulator.Refused] == 0 || ended[emulator.Wrong]+ended[emulator.Unheard] > 0 {
+	if ended[emulator.Succeeded] < 200 || ended[emulator.ConnectionRefused] == 0 || ended[emulator.WrongValue]+ended[emulator.Unanswered] > 0 {
 		t.Errorf("ended %v", ended)
 	}
 	if g := f.Gateway(1); g.Addr() != addr || g.Counts()["serving"] != 2 {
@@ -103,8 +103,8 @@
 	defer cancel()
 	r, err := s.Play(ctx)
 	must(t, err, r.Err())
-	reqs, last := r.Clients.Reqs, len(r.Clients.Reqs)-1
-	for i := 0; r.Hosts[0].Commands[i].Outcome != "passed" || r.Hosts[0].Commands[i].Class != "pay"; {
+	reqs, last := r.Clients.Requests, len(r.Clients.Requests)-1
+	for i := 0; r.Hosts[0].Commands[i].Outcome != emulator.OutcomeSucceeded || r.Hosts[0].Commands[i].Class != "pay"; {
 		r.Hosts[0].Commands = r.Hosts[0].Commands[1:]
 	}
 	twice := r.Hosts[0].Commands[0]
@@ -113,34 +113,36 @@
 		doctor func(r *Report)
 	}{
 		{OneOutcome, func(r *Report) { r.Open = 1 }},
-		{OneOutcome, func(r *Report) { r.Clients.Stray = 1 }},
-		{OneOutcome, func(r *Report) { r.Clients.Reqs[last].Result = emulator.Wrong }},
-		{OneOutcome, func(r *Report) { r.Clients.Reqs[last].Result, r.Clients.Reqs[last].Host = emulator.Passed, "s-0002" }},
-		{LostByFault, func(r *Report) { r.Clients.Reqs[last].Result = emulator.Unheard }},
+		{OneOutcome, func(r *Report) { r.Clients.UnexpectedAnswers = 1 }},
+		{OneOutcome, func(r *Report) { r.Clients.Requests[last].Result = emulator.WrongValue }},
+		{OneOutcome, func(r *Report) {
+			r.Clients.Requests[last].Result, r.Clients.Requests[last].Host = emulator.Succeeded, "s-0002"
+		}},
+		{LostByFault, func(r *Report) { r.Clients.Requests[last].Result = emulator.Unanswered }},
 		{Listed, func(r *Report) { r.Hosts[2].Commands = []emulator.Command{twice} }},
 		{Listed, func(r *Report) { r.Hosts[1].Commands = []emulator.Command{{ID: "none"}} }},
 		{Drained, func(r *Report) {
 			q := reqs[last]
-			r.Hosts[0].Commands = append(slices.Clone(r.Hosts[0].Commands), emulator.Command{ID: q.ID, At: q.At + 1})
+			r.Hosts[0].Commands = append(slices.Clone(r.Hosts[0].Commands), emulator.Command{ID: q.ID, ReceivedAt: q.SentAt + 1})
 		}},
 		{OnceOnly, func(r *Report) { r.Hosts[1].Commands = append(slices.Clone(r.Hosts[1].Commands), twice) }},
 		{Healthy, func(r *Report) { r.Gates[1].Counts = map[string]int{"panic": 1} }},
 		{Healthy, func(r *Report) { r.Gates[1].Past = append(slices.Clone(r.Gates[1].Past), Moment{What: "exited"}) }},
-		{Healthy, func(r *Report) { r.Hosts[1].Bad = 1 }},
+		{Healthy, func(r *Report) { r.Hosts[1].Malformed = 1 }},
 		{Evenly(1.25, 0.75), func(r *Report) {
-			r.Clients.Late = 0
+			r.Clients.MaxDelay = 0
 			for i := range r.Hosts {
 				r.Hosts[i].Commands = nil
 			}
 		}},
 		{Served(0.9), func(r *Report) {
-			for i := range r.Clients.Reqs {
-				r.Clients.Reqs[i].Result = emulator.Denied
+			for i := range r.Clients.Requests {
+				r.Clients.Requests[i].Result = emulator.Rejected
 			}
 		}},
 	} {
 		c := *r
-		c.Clients.Reqs, c.Hosts, c.Gates = slices.Clone(reqs), slices.Clone(r.Hosts), slices.Clone(r.Gates)
+		c.Clients.Requests, c.Hosts, c.Gates = slices.Clone(reqs), slices.Clone(r.Hosts), slices.Clone(r.Gates)
 		x.doctor(&c)
 		if x.check.Look(&c) == "" {
 			t.Errorf("%s: holds on a doctored report", x.check.Name)
--- a/lab/fleet/report.go
+++ b/lab/fleet/report.go
@@ -38,7 +38,7 @@
 
 // HostReport is what came to one host.
 type HostReport struct {
-	emulator.HostPlan
+	emulator.HostOptions
 	emulator.HostLog
 }
 
@@ -55,7 +55,7 @@
 	after := f.usage()
 	r.Clients = f.Clients.Log()
 	for _, h := range f.hosts {
-		r.Hosts = append(r.Hosts, HostReport{h.HostPlan, h.Log()})
+		r.Hosts = append(r.Hosts, HostReport{h.HostOptions, h.Log()})
 	}
 	for i, g := range f.gates {
 		r.Gates = append(r.Gates, GateReport{g.Past(), g.Counts(), r.before[i], after[i]})
@@ -82,8 +82,8 @@
 	var over []time.Duration
 	for _, h := range r.Hosts {
 		for _, c := range h.Commands {
-			if c.Outcome == "passed" {
-				over = append(over, time.Duration(c.Ended-c.At)-c.Time)
+			if c.Outcome == emulator.OutcomeSucceeded {
+				over = append(over, time.Duration(c.EndedAt-c.ReceivedAt)-c.ResponseTime)
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 	if n := len(over); n > 0 {
 		hosts = over[n*99/100]
 	}
-	return r.Clients.Late, hosts
+	return r.Clients.MaxDelay, hosts
 }
 
 // Cost is what the processes that lived through the load used: the mean and the largest of their memory, and the part
@@ -110,22 +110,22 @@
 	}
 	return fmt.Sprintf("%d lived through: memory %.1f MB each, at most %.1f MB; %.4f of a core each, %.2f ms of processor a req",
 		n, float64(rss)/float64(n)/1e6, float64(most)/1e6, cpu.Seconds()/float64(n)/(float64(r.Ended-r.Began)/1e9),
-		cpu.Seconds()*1000/float64(len(r.Clients.Reqs))*float64(len(r.Gates))/float64(n))
+		cpu.Seconds()*1000/float64(len(r.Clients.Requests))*float64(len(r.Gates))/float64(n))
 }
 
 // Index makes reqs findable by their ids; Play has done so.
 func (r *Report) Index() {
 	r.byID = map[string]int{}
-	for i, q := range r.Clients.Reqs {
+	for i, q := range r.Clients.Requests {
 		r.byID[q.ID] = i
 	}
 }
 
 // Req finds a req by its id.
-func (r *Report) Req(id string) (q emulator.Req, ok bool) {
+func (r *Report) Req(id string) (q emulator.Request, ok bool) {
 	i, ok := r.byID[id]
 	if ok {
-		q = r.Clients.Reqs[i]
+		q = r.Clients.Requests[i]
 	}
 	return q, ok
 }
@@ -133,7 +133,7 @@
 // Results counts the reqs' outcomes.
 func (r *Report) Results() map[emulator.Result]int {
 	n := map[emulator.Result]int{}
-	for _, q := range r.Clients.Reqs {
+	for _, q := range r.Clients.Requests {
 		n[q.Result]++
 	}
 	return n
@@ -149,7 +149,7 @@
 	for _, h := range r.Hosts {
 		dispatches += len(h.Commands)
 	}
-	return fmt.Sprintf("%d reqs (%s), %d dispatches, %d datagrams (%d lost)", len(r.Clients.Reqs), strings.Join(some, ", "),
+	return fmt.Sprintf("%d reqs (%s), %d dispatches, %d datagrams (%d lost)", len(r.Clients.Requests), strings.Join(some, ", "),
 		dispatches, r.Gossip.Sent, r.Gossip.Lost)
 }
 
@@ -172,27 +172,27 @@
 	if r.Open > 0 {
 		wrong = append(wrong, fmt.Sprintf("%d reqs without one", r.Open))
 	}
-	if r.Clients.Stray > 0 {
-		wrong = append(wrong, fmt.Sprintf("%d answers to nothing", r.Clients.Stray))
+	if r.Clients.UnexpectedAnswers > 0 {
+		wrong = append(wrong, fmt.Sprintf("%d answers to nothing", r.Clients.UnexpectedAnswers))
 	}
-	for _, q := range r.Clients.Reqs {
-		if q.Result == emulator.Wrong {
+	for _, q := range r.Clients.Requests {
+		if q.Result == emulator.WrongValue {
 			wrong = append(wrong, q.ID+" got another's value")
 		}
-		if q.Result == emulator.Passed && !r.ran(q) {
+		if q.Result == emulator.Succeeded && !r.ran(q) {
 			wrong = append(wrong, q.ID+" passed, but "+q.Host+" never had it")
 		}
 	}
 	return some(wrong)
 }}
 
-func (r *Report) ran(q emulator.Req) bool {
+func (r *Report) ran(q emulator.Request) bool {
 	for _, h := range r.Hosts {
 		if h.ID != q.Host {
 			continue
 		}
-		i := sort.Search(len(h.Commands), func(i int) bool { return h.Commands[i].At >= q.At })
-		for ; i < len(h.Commands) && h.Commands[i].At <= q.Ended; i++ {
+		i := sort.Search(len(h.Commands), func(i int) bool { return h.Commands[i].ReceivedAt >= q.SentAt })
+		for ; i < len(h.Commands) && h.Commands[i].ReceivedAt <= q.EndedAt; i++ {
 			if h.Commands[i].ID == q.ID {
 				return true
 			}
@@ -204,12 +204,12 @@
 // LostByFault is a check: a req got no answer only where its gateway was down, killed or frozen between its sending and its end.
 var LostByFault = Check{"no req lost without a fault", func(r *Report) string {
 	var wrong []string
-	for _, q := range r.Clients.Reqs {
+	for _, q := range r.Clients.Requests {
 		switch q.Result {
-		case emulator.Refused, emulator.Reset, emulator.Crossing, emulator.Unheard:
-			if !r.Gates[q.Gateway].fault(q.At, q.Ended) {
+		case emulator.ConnectionRefused, emulator.ConnectionReset, emulator.ClosedInFlight, emulator.Unanswered:
+			if !r.Gates[q.Gateway].fault(q.SentAt, q.EndedAt) {
 				wrong = append(wrong, fmt.Sprintf("%s at %s: %s, sent %.1f s after the load's start", q.ID, Name(q.Gateway),
-					q.Result, float64(q.At-r.Began)/1e9))
+					q.Result, float64(q.SentAt-r.Began)/1e9))
 			}
 		}
 	}
@@ -250,7 +250,7 @@
 			if !ok {
 				wrong = append(wrong, c.ID+" was sent by no client")
 			} else if !slices.ContainsFunc(told[h.ID], func(t emulator.Change) bool {
-				return t.At <= c.At && (t.Only == nil || slices.Contains(t.Only, q.Gateway))
+				return t.At <= c.ReceivedAt && (t.Gateways == nil || slices.Contains(t.Gateways, q.Gateway))
 			}) {
 				wrong = append(wrong, fmt.Sprintf("%s by %s to %s", c.ID, Name(q.Gateway), h.ID))
 			}
@@ -291,7 +291,7 @@
 		for _, c := range h.Commands {
 			q, _ := r.Req(c.ID)
 			for _, d := range drains[Name(q.Gateway)+" "+h.ID] {
-				if q.At > d.from && c.At < d.to {
+				if q.SentAt > d.from && c.ReceivedAt < d.to {
 					wrong = append(wrong, fmt.Sprintf("%s by %s to %s", c.ID, Name(q.Gateway), h.ID))
 				}
 			}
@@ -305,17 +305,17 @@
 	post := map[string]bool{}
 	for _, l := range r.Scenario.Loads {
 		for _, c := range l.Classes {
-			post[c.Name] = c.Post && !c.Keyed
+			post[c.Name] = c.Post && !c.Idempotent
 		}
 	}
 	runs, wrong := map[string]int{}, []string{}
 	for _, h := range r.Hosts {
 		for _, c := range h.Commands {
-			if c.Outcome == "busy" || !post[c.Class] {
+			if c.Outcome == emulator.OutcomeBusy || !post[c.Class] {
 				continue
 			}
 			if runs[c.ID]++; runs[c.ID] == 2 {
-				if q, _ := r.Req(c.ID); !q.Twice {
+				if q, _ := r.Req(c.ID); !q.Resent {
 					wrong = append(wrong, c.ID)
 				}
 			}
@@ -347,8 +347,8 @@
 		}
 	}
 	for _, h := range r.Hosts {
-		if h.Bad > 0 {
-			wrong = append(wrong, fmt.Sprintf("%s: %d commands that no client sent so", h.ID, h.Bad))
+		if h.Malformed > 0 {
+			wrong = append(wrong, fmt.Sprintf("%s: %d commands that no client sent so", h.ID, h.Malformed))
 		}
 	}
 	return some(wrong)
@@ -358,7 +358,7 @@
 // slow, and so it does not judge.
 func Served(part float64) Check {
 	return Check{fmt.Sprintf("%g of the reqs passed", part), func(r *Report) string {
-		if got := float64(r.Results()[emulator.Passed]) / float64(max(1, len(r.Clients.Reqs))); got < part {
+		if got := float64(r.Results()[emulator.Succeeded]) / float64(max(1, len(r.Clients.Requests))); got < part {
 			if clients, hosts := r.Late(); max(clients, hosts) > busy {
 				return ""
 			}
--- a/lab/fleet/scenario.go
+++ b/lab/fleet/scenario.go
@@ -76,7 +76,7 @@
 		err := f.Each(some, (*Gateway).Kill)
 		f.Clients.After(notice, func() {
 			down := slices.DeleteFunc(slices.Clone(some), func(i int) bool { return f.gates[i].Running() })
-			go f.Clients.Avoid(true, down...)
+			go f.Clients.SetOutOfUse(true, down...)
 		})
 		return err
 	}}
@@ -87,7 +87,7 @@
 	return Step{at, fmt.Sprintf("restart %d gateways (%s)", n, name), func(ctx context.Context, f *Fleet) error {
 		some := f.Some(n, name)
 		err := f.Each(some, func(g *Gateway) error { return g.Restart(ctx, empty) })
-		f.Clients.Avoid(false, some...)
+		f.Clients.SetOutOfUse(false, some...)
 		return err
 	}}
 }
@@ -98,7 +98,7 @@
 	return Step{at, fmt.Sprintf("roll %d gateways (%s)", n, name), func(ctx context.Context, f *Fleet) error {
 		some := f.Some(n, name)
 		if err := f.Each(some, func(g *Gateway) error {
-			f.Clients.Lame(true, g.Index)
+			f.Clients.SetRestarting(true, g.Index)
 			return g.Term()
 		}); err != nil {
 			return err
@@ -107,7 +107,7 @@
 			err := f.Each(some, func(g *Gateway) error {
 				return errors.Join(g.WaitExit(ctx), g.Restart(ctx, false))
 			})
-			f.Clients.Lame(false, some...)
+			f.Clients.SetRestarting(false, some...)
 			return err
 		})
 		return nil
@@ -151,7 +151,7 @@
 // Agents is a step that changes how the agents of some gateways behave; nil stands for all.
 func Agents(at time.Duration, gateways []int, what string, set func(*emulator.Mode)) Step {
 	return Step{at, "agents: " + what, func(ctx context.Context, f *Fleet) error {
-		f.Agent.Set(gateways, set)
+		f.Agent.SetMode(gateways, set)
 		return nil
 	}}
 }
@@ -203,7 +203,7 @@
 	}
 	r := &Report{Scenario: s, Fleet: f, before: f.usage()}
 	r.Began = actor.Now()
-	var runs []*emulator.Run
+	var runs []*emulator.LoadRun
 	for _, l := range s.Loads {
 		runs = append(runs, f.Clients.Start(l))
 	}
@@ -236,7 +236,7 @@
 		run.Stop()
 	}
 	r.Ended = actor.Now()
-	r.Open = f.Clients.Wait(time.Minute)
+	r.Open = f.Clients.WaitIdle(time.Minute)
 	r.gather()
 	for _, c := range s.Holds {
 		if text := c.Look(r); text != "" {
--- a/lab/groundtruth/cases.go
+++ b/lab/groundtruth/cases.go
@@ -43,8 +43,8 @@
 	half := s.Duration / 2
 
 	loadedHost := s.newCase("a host slow only under load, each customer at one gateway")
-	loadedHost.ConfigureLoad = func(l *emulator.Load) { l.Spread = 1 }
-	loadedHost.ConfigureHost = func(i int, h *emulator.HostPlan) {
+	loadedHost.ConfigureLoad = func(l *emulator.Load) { l.SubsetSize = 1 }
+	loadedHost.ConfigureHost = func(i int, h *emulator.HostOptions) {
 		if i == 1 {
 			h.Model.Knee, h.Model.Slope = 0.75, 2
 		}
@@ -57,13 +57,13 @@
 	replaced.Steps = append(replaced.Steps, fleet.Leave(half, second, 0)...)
 	slowHost := s.newCase("a host that slows down fourfold and times out", fleet.Step{At: half, What: "slow",
 		Do: func(_ context.Context, f *fleet.Fleet) error {
-			f.Host(2).Slow(4)
+			f.Host(2).SetSlowdown(4)
 			return nil
 		}})
 	killedGateways := s.newCase("a third of the gateways killed for good", fleet.Step{At: half, What: "kill a third",
 		Do: func(_ context.Context, f *fleet.Fleet) error {
 			killed := fleet.Seats(1, 1+s.Gateways/3)
-			f.Clients.Avoid(true, killed...)
+			f.Clients.SetOutOfUse(true, killed...)
 			return f.Each(killed, (*fleet.Gateway).Kill)
 		}})
 	killedGateways.RefusedWith = "gateways missing"
--- a/lab/groundtruth/cost.go
+++ b/lab/groundtruth/cost.go
@@ -33,7 +33,7 @@
 		enabled, disabled = 2, 1
 	}
 	plan.Alone = true
-	plan.Host = func(i int, h *emulator.HostPlan) { h.Model.Most = 0 }
+	plan.Host = func(i int, h *emulator.HostOptions) { h.Model.MaxInFlight = 0 }
 	section := plan.Config
 	plan.Config = func(rig *fleet.Fleet, i int, cfg map[string]any) error {
 		if err := section(rig, i, cfg); err != nil || i == disabled {
@@ -50,8 +50,8 @@
 		return Cost{}, err
 	}
 	defer rig.Close()
-	run := rig.Clients.Start(emulator.Load{Seed: seed, Rate: rate, Customers: 300, Spread: 0,
-		Hot: map[int]float64{0: 0}, Classes: []emulator.Class{{Name: "lookup", Wait: 3 * time.Second, Part: 1}}})
+	run := rig.Clients.Start(emulator.Load{Seed: seed, Rate: rate, Customers: 300, SubsetSize: 0,
+		GatewayWeights: map[int]float64{0: 0}, Classes: []emulator.Class{{Name: "lookup", Timeout: 3 * time.Second, Fraction: 1}}})
 	if err := wait(ctx, 2*time.Second); err != nil { // connections are up by then
 		return Cost{}, err
 	}
@@ -77,7 +77,7 @@
 	last := rig.Clients.Sent()
 	run.Stop()
 	var requests [3]int
-	for _, request := range rig.Clients.Log().Reqs[sent:last] {
+	for _, request := range rig.Clients.Log().Requests[sent:last] {
 		requests[request.Gateway]++
 	}
 	if requests[0] > 0 || requests[enabled] < 100 || requests[disabled] < 100 {
--- a/lab/groundtruth/groundtruth.go
+++ b/lab/groundtruth/groundtruth.go
@@ -36,8 +36,8 @@
 	Duration         time.Duration
 	Window           time.Duration // of the observers' summaries
 	Seed             uint64
-	ConfigureLoad    func(l *emulator.Load)            // may be nil
-	ConfigureHost    func(i int, h *emulator.HostPlan) // may be nil
+	ConfigureLoad    func(l *emulator.Load)               // may be nil
+	ConfigureHost    func(i int, h *emulator.HostOptions) // may be nil
 	Steps            []fleet.Step
 	RefusedWith      string // the refusal that all answers must give; "": none
 }
@@ -63,7 +63,7 @@
 		if err != nil {
 			return err
 		}
-		address, err := emulator.Free(121, 0)
+		address, err := emulator.FreeAddr(121, 0)
 		if err != nil {
 			return err
 		}
@@ -91,12 +91,12 @@
 }
 
 // configureHost gives a host its speed and response times.
-func (c *Case) configureHost(i int, h *emulator.HostPlan) {
+func (c *Case) configureHost(i int, h *emulator.HostOptions) {
 	h.Speed = 0.7 + 0.9*emulator.Uniform("speed", fmt.Sprint(i))
 	if h.Zone == "b" {
 		h.Speed *= 0.7
 	}
-	h.Model = emulator.Model{Base: 30 * time.Millisecond, Sigma: 0.4, Slots: 4, Knee: 0.25, Slope: 0.5}
+	h.Model = emulator.Model{BaseTime: 30 * time.Millisecond, Sigma: 0.4, Slots: 4, Knee: 0.25, Slope: 0.5}
 	if c.ConfigureHost != nil {
 		c.ConfigureHost(i, h)
 	}
@@ -156,12 +156,12 @@
 // runLoad runs the clients and the case's steps, and waits for the last answers.
 func (c *Case) runLoad(ctx context.Context, f *fleet.Fleet) error {
 	load := emulator.Load{
-		Seed:      c.Seed,
-		Rate:      c.RequestRate,
-		Customers: 25 * c.Gateways,
-		Skew:      0.4,
-		Spread:    3,
-		Classes:   []emulator.Class{{Name: "lookup", Wait: clientWait, Part: 1}},
+		Seed:         c.Seed,
+		Rate:         c.RequestRate,
+		Customers:    25 * c.Gateways,
+		ZipfExponent: 0.4,
+		SubsetSize:   3,
+		Classes:      []emulator.Class{{Name: "lookup", Timeout: clientWait, Fraction: 1}},
 	}
 	if c.ConfigureLoad != nil {
 		c.ConfigureLoad(&load)
@@ -180,7 +180,7 @@
 		return err
 	}
 	run.Stop()
-	if open := f.Clients.Wait(drainWait); open > 0 {
+	if open := f.Clients.WaitIdle(drainWait); open > 0 {
 		return fmt.Errorf("%d requests open", open)
 	}
 	return nil
--- a/lab/groundtruth/records.go
+++ b/lab/groundtruth/records.go
@@ -122,8 +122,8 @@
 		return
 	}
 	command := commands[i].command
-	hostTime := float64(command.Time) / 1e6
-	overhead := max(float64(entry.Latency-int64(command.Time))/1e6, 0) // ms; of an attempt that was cut off, at least
+	hostTime := float64(command.ResponseTime) / 1e6
+	overhead := max(float64(entry.Latency-int64(command.ResponseTime))/1e6, 0) // ms; of an attempt that was cut off, at least
 	if overhead > 10+hostTime/4 {
 		r.delayed++
 	}
@@ -165,8 +165,8 @@
 		}
 		model := f.Host(number).Model
 		if k == 0 {
-			times[k] = float64(command.Time)/1e6 + overhead
-		} else if time, _, ok := hosts.logs[number].WouldAt(model, entry.Request, command.Class, entry.SentAt); ok {
+			times[k] = float64(command.ResponseTime)/1e6 + overhead
+		} else if time, _, ok := hosts.logs[number].ResponseTimeAt(model, entry.Request, command.Class, entry.SentAt); ok {
 			times[k] = float64(time)/1e6 + overhead
 		}
 		if model.Fails(entry.Request) {
--- a/lab/pools/cases.go
+++ b/lab/pools/cases.go
@@ -16,7 +16,7 @@
 // Kill is a step that ends some seats by SIGKILL; clients avoid them at once, as a front that has noticed does.
 func (r *Rig) Kill(at time.Duration, seats ...int) fleet.Step {
 	return fleet.Step{At: at, What: fmt.Sprintf("kill seats %v", seats), Do: func(ctx context.Context, f *fleet.Fleet) error {
-		f.Clients.Avoid(true, seats...)
+		f.Clients.SetOutOfUse(true, seats...)
 		return f.Each(seats, (*fleet.Gateway).Kill)
 	}}
 }
@@ -25,7 +25,7 @@
 func (r *Rig) Start(at time.Duration, empty bool, seats ...int) fleet.Step {
 	return fleet.Step{At: at, What: fmt.Sprintf("start seats %v, empty disk %t", seats, empty), Do: func(ctx context.Context, f *fleet.Fleet) error {
 		err := f.Each(seats, func(g *fleet.Gateway) error { return g.Restart(ctx, empty) })
-		f.Clients.Avoid(false, seats...)
+		f.Clients.SetOutOfUse(false, seats...)
 		return err
 	}}
 }
@@ -81,8 +81,8 @@
 // than it takes.
 func (z Size) Holds() []fleet.Check {
 	return append([]fleet.Check{{Name: "the store never has more than it takes", Look: func(r *fleet.Report) string {
-		if h := r.Hosts[0].HostLog; h.Refused > 0 || h.Peak > z.Capacity {
-			return fmt.Sprintf("%d connections at once, %d refused, capacity %d", h.Peak, h.Refused, z.Capacity)
+		if h := r.Hosts[0].HostLog; h.Refused > 0 || h.PeakConns > z.Capacity {
+			return fmt.Sprintf("%d connections at once, %d refused, capacity %d", h.PeakConns, h.Refused, z.Capacity)
 		}
 		return ""
 	}}}, fleet.Usual...)
@@ -115,7 +115,7 @@
 		if s.At < since {
 			continue
 		}
-		if over = s.Conns > most; over {
+		if over = s.OpenConns > most; over {
 			last = s.At
 		}
 	}
--- a/lab/pools/pools.go
+++ b/lab/pools/pools.go
@@ -60,9 +60,9 @@
 func (z Size) Plan() (*Rig, fleet.Plan) {
 	r := &Rig{Size: z, streams: map[int][]string{}}
 	p := fleet.Plan{Gateways: z.Gateways, Hosts: 1, Seed: z.Seed}
-	p.Host = func(i int, h *emulator.HostPlan) {
-		h.Model = emulator.Model{Base: z.Service, Sigma: 0.2, Slots: 1 << 20}
-		h.Conns, h.Refuse = z.Capacity, "-BUSY\r\n"
+	p.Host = func(i int, h *emulator.HostOptions) {
+		h.Model = emulator.Model{BaseTime: z.Service, Sigma: 0.2, Slots: 1 << 20}
+		h.MaxConns, h.RefusalReply = z.Capacity, "-BUSY\r\n"
 	}
 	p.Settings = func(s map[string]any) {
 		for _, f := range s["profiles"].([]any) {
@@ -76,7 +76,7 @@
 			return err
 		}
 		for k := range z.Voters {
-			at, err := emulator.Free(120, k)
+			at, err := emulator.FreeAddr(120, k)
 			if err != nil {
 				return err
 			}
@@ -127,10 +127,10 @@
 	for i := range z.Hot {
 		hot[z.Gateways-1-i] = z.Times
 	}
-	return emulator.Load{Seed: z.Seed, Rate: z.Rate, Customers: 40 * z.Gateways, Plan: "team", Hot: hot, Body: "x",
-		Classes: []emulator.Class{{Name: "lookup", Wait: z.Longest(), Part: 0.6},
-			{Name: "order", Post: true, Keyed: true, Wait: z.Longest(), Part: 0.2},
-			{Name: "pay", Post: true, Wait: z.Longest(), Part: 0.2}}}
+	return emulator.Load{Seed: z.Seed, Rate: z.Rate, Customers: 40 * z.Gateways, QuotaPlan: "team", GatewayWeights: hot, Body: "x",
+		Classes: []emulator.Class{{Name: "lookup", Timeout: z.Longest(), Fraction: 0.6},
+			{Name: "order", Post: true, Idempotent: true, Timeout: z.Longest(), Fraction: 0.2},
+			{Name: "pay", Post: true, Timeout: z.Longest(), Fraction: 0.2}}}
 }
 
 // Lower has the store take fewer connections, and the operators tell so: the serial in all files is raised and they are
@@ -195,20 +195,20 @@
 	start := r.Began + int64(from)
 	var times, denied, waits []int64
 	got := make([]float64, z.Gateways)
-	for _, q := range r.Clients.Reqs {
-		if q.At < start || q.At > r.Ended-int64(time.Second) {
+	for _, q := range r.Clients.Requests {
+		if q.SentAt < start || q.SentAt > r.Ended-int64(time.Second) {
 			continue
 		}
 		switch q.Result {
-		case emulator.Passed:
+		case emulator.Succeeded:
 			g.Passed++
 			got[q.Gateway]++
-			times = append(times, q.Ended-q.At)
-			waits = append(waits, q.Ended-q.At)
+			times = append(times, q.EndedAt-q.SentAt)
+			waits = append(waits, q.EndedAt-q.SentAt)
 			continue
-		case emulator.Denied:
+		case emulator.Rejected:
 			g.Denied++
-			denied = append(denied, q.Ended-q.At)
+			denied = append(denied, q.EndedAt-q.SentAt)
 		default:
 			g.Lost++
 		}
@@ -217,14 +217,14 @@
 	g.P50, g.P99, g.DeniedP99 = rank(times, 0.5), rank(times, 0.99), rank(denied, 0.99)
 	g.Wait = rank(waits, 0.99)
 	h := r.Hosts[0].HostLog
-	g.Refused, g.Opened, g.Peak = h.Refused, h.Opened, h.Peak
+	g.Refused, g.Opened, g.Peak = h.Refused, h.Accepted, h.PeakConns
 	busy := 0.0
 	for _, c := range h.Commands {
-		end := c.Ended
+		end := c.EndedAt
 		if end == 0 {
 			end = r.Ended
 		}
-		busy += float64(max(min(end, r.Ended)-max(c.At, start), 0))
+		busy += float64(max(min(end, r.Ended)-max(c.ReceivedAt, start), 0))
 	}
 	g.Used = busy / float64(r.Ended-start) / float64(z.Capacity-z.Reserve)
 	sum, squares, n := 0.0, 0.0, 0.0
--- a/lab/pools/pools_test.go
+++ b/lab/pools/pools_test.go
@@ -137,7 +137,7 @@
 	z.Lease = 600 * time.Millisecond
 	most, units := 0, 0
 	holds := append([]fleet.Check{{Name: "beyond the capacity by what the stopped ones had been lent", Look: func(r *fleet.Report) string {
-		most, units = r.Hosts[0].Peak, NotGivenBack(r.Fleet)
+		most, units = r.Hosts[0].PeakConns, NotGivenBack(r.Fleet)
 		if most > z.Capacity-z.Reserve+units {
 			return fmt.Sprintf("%d connections at once, %d units not given back", most, units)
 		}
@@ -145,9 +145,9 @@
 	}}}, fleet.Usual...)
 	rig, plan := z.Plan()
 	usual := plan.Host
-	plan.Host = func(i int, h *emulator.HostPlan) {
+	plan.Host = func(i int, h *emulator.HostOptions) {
 		usual(i, h)
-		h.Conns *= 2 // counts, and refuses nobody
+		h.MaxConns *= 2 // counts, and refuses nobody
 	}
 	s := fleet.Scenario{Name: "stuck", Plan: plan, Loads: []emulator.Load{z.Load()}, For: 16 * time.Second, Holds: holds, Steps: rig.Stuck(5 * time.Second)}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
--- a/lab/rollout/baseline.go
+++ b/lab/rollout/baseline.go
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	counts := report.Results()
-	result.Lost = counts[emulator.Refused] + counts[emulator.Reset] + counts[emulator.Unheard] + counts[emulator.Crossing]
+	result.Lost = counts[emulator.ConnectionRefused] + counts[emulator.ConnectionReset] + counts[emulator.Unanswered] + counts[emulator.ClosedInFlight]
 	result.Requests = report.Summary()
 	result.Broken = report.Broken
 	return result, nil
@@ -73,13 +73,13 @@
 // restartWith restarts some gateways as planned, with another burst of a quota plan in their files.
 func restartWith(ctx context.Context, f *fleet.Fleet, batch []int, number int) error {
 	for _, member := range batch {
-		f.Clients.Lame(true, member)
+		f.Clients.SetRestarting(true, member)
 	}
 	err := f.Each(batch, func(g *fleet.Gateway) error {
 		plans := g.Config["settings"].(map[string]any)["plans"].([]any)
 		plans[1].(map[string]any)["burst"] = float64(41 + number)
 		return errors.Join(g.Term(), g.WaitExit(ctx), g.Restart(ctx, false))
 	})
-	f.Clients.Lame(false, batch...)
+	f.Clients.SetRestarting(false, batch...)
 	return err
 }
--- a/lab/rollout/effects.go
+++ b/lab/rollout/effects.go
@@ -20,13 +20,13 @@
 // loadServed: most of the clients' requests beside the probes passed.
 var loadServed = fleet.Check{Name: "clients served", Look: func(r *fleet.Report) string {
 	sent, passed := 0, 0
-	for i := range r.Clients.Reqs {
-		request := &r.Clients.Reqs[i]
+	for i := range r.Clients.Requests {
+		request := &r.Clients.Requests[i]
 		if strings.HasPrefix(request.ID, probePrefix) {
 			continue
 		}
 		sent++
-		if request.Result == emulator.Passed {
+		if request.Result == emulator.Succeeded {
 			passed++
 		}
 	}
@@ -37,9 +37,9 @@
 }}
 
 // probe sends one request of a customer on a quota plan to one gateway, as a client of its own.
-func (r *Run) probe(member int, plan, customer string) emulator.Req {
+func (r *Run) probe(member int, plan, customer string) emulator.Request {
 	number := r.probes.Add(1)
-	request := emulator.Req{ID: probePrefix + fmt.Sprintf("%012x", number), Customer: customer, Class: "lookup", Gateway: member}
+	request := emulator.Request{ID: probePrefix + fmt.Sprintf("%012x", number), Customer: customer, Class: "lookup", Gateway: member}
 	list := fmt.Sprintf("c=lookup,t=%s,d=%d,units=1,spread=1,first=%d", plan, probeWait.Milliseconds(), member)
 	return r.Fleet.Clients.Send(request, list, "", false, probeWait)
 }
@@ -56,16 +56,16 @@
 func (r *Run) wantServed(ctx context.Context, member int, plan string) error {
 	for {
 		answer := r.probe(member, plan, customerOf(member, plan))
-		if answer.Result == emulator.Passed {
+		if answer.Result == emulator.Succeeded {
 			return nil
 		}
-		if answer.Result != emulator.Denied {
-			return fmt.Errorf("%s: a request on plan %q: %s %s", fleet.Name(member), plan, answer.Result, answer.Text)
+		if answer.Result != emulator.Rejected {
+			return fmt.Errorf("%s: a request on plan %q: %s %s", fleet.Name(member), plan, answer.Result, answer.ErrorText)
 		}
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%s: requests on plan %q are denied: %w", fleet.Name(member), plan, ctx.Err())
-		case <-time.After(answer.After):
+		case <-time.After(answer.RetryAfter):
 		}
 	}
 }
@@ -73,8 +73,8 @@
 // wantRemoved tells of a probe that was not answered by the error that says that its plan was removed.
 func (r *Run) wantRemoved(member int, plan string) error {
 	answer := r.probe(member, plan, customerOf(member, plan))
-	if answer.Result != emulator.Aborted || answer.Text != removedError {
-		return fmt.Errorf("%s: a request on the removed plan %q: %s %q", fleet.Name(member), plan, answer.Result, answer.Text)
+	if answer.Result != emulator.Failed || answer.ErrorText != removedError {
+		return fmt.Errorf("%s: a request on the removed plan %q: %s %q", fleet.Name(member), plan, answer.Result, answer.ErrorText)
 	}
 	return nil
 }
@@ -84,11 +84,11 @@
 	for range requests {
 		answer := r.probe(member, plan, customerOf(member, plan))
 		switch answer.Result {
-		case emulator.Passed:
+		case emulator.Succeeded:
 			count++
-		case emulator.Denied:
+		case emulator.Rejected:
 		default:
-			return count, fmt.Errorf("%s: a request on plan %q: %s %s", fleet.Name(member), plan, answer.Result, answer.Text)
+			return count, fmt.Errorf("%s: a request on plan %q: %s %s", fleet.Name(member), plan, answer.Result, answer.ErrorText)
 		}
 	}
 	return count, nil
--- a/lab/rollout/faults.go
+++ b/lab/rollout/faults.go
@@ -194,14 +194,14 @@
 func Restart(disk Disk, members ...int) Step {
 	what := fmt.Sprintf("restart %d gateways on %s", len(members), diskNames[disk])
 	return Step{what, func(ctx context.Context, r *Run) error {
-		r.Fleet.Clients.Avoid(true, members...)
+		r.Fleet.Clients.SetOutOfUse(true, members...)
 		r.leave(members)
 		err := r.Fleet.Each(members, func(g *fleet.Gateway) error { return g.Restart(ctx, disk == DiskEmpty) })
 		if err != nil {
 			return err
 		}
 		r.comeBack(members)
-		r.Fleet.Clients.Avoid(false, members...)
+		r.Fleet.Clients.SetOutOfUse(false, members...)
 		if disk == DiskEmpty {
 			return nil
 		}
@@ -286,7 +286,7 @@
 
 // replaceDisk ends gateways, changes the folder of their last good version and starts them again.
 func (r *Run) replaceDisk(ctx context.Context, members []int, change func(folder string) error) error {
-	r.Fleet.Clients.Avoid(true, members...)
+	r.Fleet.Clients.SetOutOfUse(true, members...)
 	r.leave(members)
 	err := r.Fleet.Each(members, func(g *fleet.Gateway) error {
 		return errors.Join(g.Kill(), change(filepath.Join(g.Dir, diskFolder)), g.Restart(ctx, false))
@@ -295,6 +295,6 @@
 		return err
 	}
 	r.comeBack(members)
-	r.Fleet.Clients.Avoid(false, members...)
+	r.Fleet.Clients.SetOutOfUse(false, members...)
 	return nil
 }
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -264,7 +264,7 @@
 	return Step{"nothing of a false publisher in force", func(_ context.Context, r *Run) error {
 		for _, member := range members {
 			answer := r.probe(member, strangerName, customerOf(member, strangerName))
-			if !strings.HasPrefix(answer.Text, "ERR ") {
+			if !strings.HasPrefix(answer.ErrorText, "ERR ") {
 				return fmt.Errorf("%s: a request on the plan of a false publisher: %s", fleet.Name(member), answer.Result)
 			}
 		}
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -121,7 +121,7 @@
 	for i := range all {
 		first := (number*publisherRoom + i) * each
 		for k, into := range []*netip.AddrPort{&all[i].followers, &all[i].raft, &all[i].admin} {
-			address, err := emulator.Free(addressNet, first+k)
+			address, err := emulator.FreeAddr(addressNet, first+k)
 			if err != nil {
 				return nil, err
 			}
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -143,16 +143,16 @@
 func (z *Size) load() emulator.Load {
 	const patience = 8 * time.Second
 	return emulator.Load{
-		Seed:      z.Seed,
-		Rate:      z.Rate,
-		Customers: 20 * z.Gateways,
-		Skew:      0.5,
-		Spread:    max(2, z.Gateways/3), // the front has another gateway to go to where one is down
-		Body:      "body",
+		Seed:         z.Seed,
+		Rate:         z.Rate,
+		Customers:    20 * z.Gateways,
+		ZipfExponent: 0.5,
+		SubsetSize:   max(2, z.Gateways/3), // the front has another gateway to go to where one is down
+		Body:         "body",
 		Classes: []emulator.Class{
-			{Name: "lookup", Wait: patience, Part: 0.6},
-			{Name: "order", Post: true, Keyed: true, Wait: patience, Part: 0.2},
-			{Name: "pay", Post: true, Wait: patience, Part: 0.2},
+			{Name: "lookup", Timeout: patience, Fraction: 0.6},
+			{Name: "order", Post: true, Idempotent: true, Timeout: patience, Fraction: 0.2},
+			{Name: "pay", Post: true, Timeout: patience, Fraction: 0.2},
 		},
 	}
 }
--- a/lab/scale/compare.go
+++ b/lab/scale/compare.go
@@ -220,11 +220,11 @@
 }
 
 // load has clients send the same to each gateway: real clients of the rig to real ones, simulated ones to hollow ones.
-func (m *mixed) load() (*emulator.Run, error) {
-	load := emulator.Load{Seed: m.Seed, Rate: m.Rate * float64(m.Gateways[Real]), Customers: m.Customers, Plan: "team", Hot: map[int]float64{}}
+func (m *mixed) load() (*emulator.LoadRun, error) {
+	load := emulator.Load{Seed: m.Seed, Rate: m.Rate * float64(m.Gateways[Real]), Customers: m.Customers, QuotaPlan: "team", GatewayWeights: map[int]float64{}}
 	for i, kind := range m.kind {
 		if kind != Real {
-			load.Hot[i] = 0
+			load.GatewayWeights[i] = 0
 		}
 	}
 	order := Order{Load: &Load{Rate: m.Rate, Customers: m.Customers, Spread: len(m.kind), Seed: m.Seed}}
@@ -311,19 +311,19 @@
 	atHost := map[string]int64{}
 	for _, host := range m.fleet.Hosts() {
 		for _, command := range host.Log().Commands {
-			if command.Ended > 0 {
-				atHost[command.ID] += command.Ended - command.At
+			if command.EndedAt > 0 {
+				atHost[command.ID] += command.EndedAt - command.ReceivedAt
 			}
 		}
 	}
 	log := m.fleet.Clients.Log()
 	var times []int64
-	for _, request := range log.Reqs {
-		if host, ran := atHost[request.ID]; ran && request.Result == emulator.Passed {
-			times = append(times, request.Ended-request.At-host)
+	for _, request := range log.Requests {
+		if host, ran := atHost[request.ID]; ran && request.Result == emulator.Succeeded {
+			times = append(times, request.EndedAt-request.SentAt-host)
 		}
 	}
-	added := Added{Requests: len(times), Late: float64(log.Late) / nanosPerMillisecond}
+	added := Added{Requests: len(times), Late: float64(log.MaxDelay) / nanosPerMillisecond}
 	if len(times) > 0 {
 		added.Median = quantile(times, 0.5) / nanosPerMillisecond
 		added.Tail = quantile(times, 0.99) / nanosPerMillisecond
