--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -31,7 +31,7 @@
 
 // bounded are the searches within loops that go through a list of a bounded length.
 var bounded = []string{
-	"slices.Contains(section.Publishers)", // seven addresses at most
+	"slices.Contains(c.Publishers)", // seven addresses at most
 	"slices.Contains(n.inFlight)",         // attempts in flight
 	"slices.IndexFunc(c.subscriptions)",   // neighbours of one gateway, at a change of the number of gateways alone
 }
