--- a/concurrency/limiter.go
+++ b/concurrency/limiter.go
@@ -1,6 +1,6 @@
-// Package concurrency bounds the attempts that one gateway has in flight, so that they can be answered in time: by additive increase and
-// multiplicative decrease (AIMD; Chiu and Jain, 1989) on the lateness of answers, and at once where endpoints report that they have
-// capacity left.
+// Package concurrency bounds the attempts that one gateway has in flight, so that they can be answered in time:
+// by additive increase and multiplicative decrease (AIMD; Chiu and Jain, 1989) on the lateness of answers, and
+// at once where endpoints report that they have capacity left.
 package concurrency
 
 import (
@@ -10,7 +10,8 @@
 )
 
 const (
-	MaxLateness          = 0.35 // mean fraction of the latency objective that answers may take before the limit is decreased
+	// mean fraction of the latency objective that answers may take before the limit is decreased
+	MaxLateness          = 0.35
 	UtilizationObjective = 0.85 // utilization that the limit lets the fleet reach where endpoints report it
 
 	increase = 0.05 // fraction of its start by which the limit grows in a round trip while it is reached
@@ -45,17 +46,17 @@
 	l.endpoints = count
 }
 
-// Allows reports whether one more attempt may start beside those in flight, within a fraction of the limit. random is a random
-// number from 0 to 1 by which one more may start: requests arrive in random clusters, and a limit under one is a probability. A
-// fraction that is not a number limits nothing.
+// Allows reports whether one more attempt may start beside those in flight, within a fraction of the limit.
+// random is a random number from 0 to 1 by which one more may start: requests arrive in random clusters, and a
+// limit under one is a probability. A fraction that is not a number limits nothing.
 func (l *Limiter) Allows(inFlight int, fraction, random float64) bool {
 	limit := l.limit * fraction
 	exceeded := float64(inFlight+1) > limit+random*(1+min(limit, 1))
 	return !exceeded
 }
 
-// ObserveAnswer takes in an answer that came a latency after its attempt started, with the objective of its class, both in
-// nanoseconds, and the utilization that the endpoint reported with it, below 0 for none.
+// ObserveAnswer takes in an answer that came a latency after its attempt started, with the objective of its
+// class, both in nanoseconds, and the utilization that the endpoint reported with it, below 0 for none.
 func (l *Limiter) ObserveAnswer(latency, objective time.Duration, now gateway.Time, inFlight int, utilization float64) {
 	late := min(float64(latency)/float64(objective), 1)
 	l.lateness += (late - l.lateness) / min(2+l.limit, maxLatenessWindow)
--- a/concurrency/limiter_test.go
+++ b/concurrency/limiter_test.go
@@ -10,7 +10,8 @@
 
 const ms = time.Millisecond
 
-// TestLimitBelowOneIsAProbability: under one, the bound lets some dispatches go, one at a time; from two on, all that fit.
+// TestLimitBelowOneIsAProbability: under one, the bound lets some dispatches go, one at a time; from two on, all
+// that fit.
 func TestLimitBelowOneIsAProbability(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for _, c := range []struct {
@@ -50,7 +51,8 @@
 	}
 }
 
-// TestLateAnswersDecreaseOnceAnInterval: answers that take most of their target cut the bound, once in each 0.35 of the target.
+// TestLateAnswersDecreaseOnceAnInterval: answers that take most of their target cut the bound, once in each 0.35
+// of the target.
 func TestLateAnswersDecreaseOnceAnInterval(t *testing.T) {
 	o := Limiter{Start: 1}
 	o.SetEndpoints(10)
--- a/gateway/actions.go
+++ b/gateway/actions.go
@@ -22,7 +22,7 @@
 	WatchEndpoints()
 	// LogNote logs a line for the operators.
 	LogNote(text string)
-	// AddToCounter adds an amount, which may be 0 or negative, to a number that all gateways share. A CounterReplied event follows.
-	// A new number starts at 0 and expires after lifetime.
+	// AddToCounter adds an amount, which may be 0 or negative, to a number that all gateways share. A
+	// CounterReplied event follows. A new number starts at 0 and expires after lifetime.
 	AddToCounter(name uint64, amount float64, lifetime time.Duration)
 }
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -5,17 +5,26 @@
 // EventKind is the kind of an Event.
 type EventKind int
 
-// The kinds of events.
+// The kinds of events, with the fields that each sets beside Kind. Fields that an adapter can't know stay zero.
 const (
-	RequestArrived  EventKind = iota
-	AttemptEnded              // an attempt ended
-	StreamStarted             // a streamed answer began
-	ClientGone                // the client of a request is gone
-	EndpointsListed           // an update of the endpoint list
-	GossipReceived            // a gossip message of another gateway
-	ProbeEnded                // a probe ended
-	TimerFired                // the timer set with SetTimer
-	CounterReplied            // a call of the shared counter ended
+	// RequestArrived is a client's new request: RequestID, Customer, Class, Plan, Deadline, StopAt, Units, Spread, FirstGateway, Retry.
+	RequestArrived EventKind = iota
+	// AttemptEnded is the end of an attempt: RequestID, Host, Attempt, Result, Latency, Units, Usage, LoadReport, Closed.
+	AttemptEnded
+	// StreamStarted is the begin of a streamed answer: RequestID, Host, Attempt, Latency.
+	StreamStarted
+	// ClientGone is the disconnect of a request's client: RequestID.
+	ClientGone
+	// EndpointsListed is an update of the endpoint list: ListKind, Endpoints.
+	EndpointsListed
+	// GossipReceived is a gossip message of another gateway: Peer, Message.
+	GossipReceived
+	// ProbeEnded is the end of a probe: Host, Result, Latency, LoadReport.
+	ProbeEnded
+	// TimerFired is the timer set with SetTimer. It sets no further field.
+	TimerFired
+	// CounterReplied is the end of a call of the shared counter: CounterName, Result, CounterTotal, Latency.
+	CounterReplied
 )
 
 // Result is how an attempt, a probe or a call of the counter ended.
@@ -45,7 +54,7 @@
 	ListChanges     ListKind = iota // changed endpoints only
 	ListComplete                    // all endpoints
 	ListCached                      // all endpoints as this gateway last received them, perhaps long ago
-	ListUnavailable                 // a poll of the list failed
+	ListUnavailable                 // a poll of the list failed; there are no endpoints
 )
 
 // EndpointState is an endpoint's state in the list.
@@ -69,38 +78,41 @@
 	Machine   int // index of the machine kind
 	State     EndpointState
 	Weight    float64
-	StartedAt Time // last start, by the wall clock of the host; 0: long ago
+	StartedAt Time // last start, by the host's wall clock; 0: long ago
 }
 
-// Event is an event at a gateway. Which fields are set depends on Kind.
+// Event is an event at a gateway. EventKind has the fields that each kind sets.
 type Event struct {
-	Kind         EventKind
-	RequestID    string
-	Customer     string
-	Class        int
-	Plan         int
-	Deadline     Time    // of the client
-	StopAt       Time    // for a RequestArrived: the gateway, which was called to stop, answers nothing after it; 0: not called to stop
-	Units        float64 // of the quota; for an AttemptEnded with success the settled units, 0 if unsettled
-	Spread       int     // the customer's requests come in at this many gateways,
-	FirstGateway int     // from this member index on, cyclically
-	Retry        bool    // marked by the client as a retry
-	Closed       bool    // the request is over
+	Kind      EventKind
+	RequestID string
+	Customer  string
+	Class     int  // index of the request class
+	Plan      int  // index of the quota plan
+	Deadline  Time // the client gives up then
+	StopAt    Time // the gateway that shuts down answers nothing later; 0: it does not shut down
+
+	// Units of the quota that a request asks for; for the end of an attempt the settled units, 0 if unsettled.
+	Units float64
+
+	Spread       int  // gateways that the customer's requests arrive at,
+	FirstGateway int  // from this member index on, cyclically
+	Retry        bool // the client marked the request as a retry
+	Closed       bool // the request has its final answer, or its client is gone
 	Host         uint32
-	Attempt      int // number of the request's attempts, from 0 on
+	Attempt      int // number of the request's attempt, from 0 on
 	Result       Result
 	Latency      time.Duration
 	Usage        int       // 1 + the customer's metered use in percent; 0: not reported
 	LoadReport   []float64 // as LoadReportForm.Fields; nil: not reported
 	ListKind     ListKind
 	Endpoints    []Endpoint
-	Peer         int    // member index
+	Peer         int    // member index of the sender
 	Message      []byte // of gossip
 	CounterName  uint64
-	CounterTotal float64 // for a CounterReplied with success: the number after the call
+	CounterTotal float64 // the number after a call that succeeded
 }
 
-// Batch is the events that came in at one gateway up to a time, in order. Now and the events' times are of its monotonic clock.
+// Batch is the events that arrived at one gateway up to Now, in order. All times are of the gateway's clock.
 type Batch struct {
 	Now    Time
 	Events []Event
--- a/gateway/update.go
+++ b/gateway/update.go
@@ -1,8 +1,8 @@
 package gateway
 
-// Update is a new version of those settings that may change while a gateway runs. It is applied between two batches: what
-// came in before is decided under the old version. An index keeps its quota plan or request class for the life of the
-// process; a new one takes the next index.
+// Update is a new version of those settings that may change while a gateway runs. It is applied between two
+// batches: what came in before is decided under the old version. An index keeps its quota plan or request class
+// for the life of the process; a new one takes the next index.
 type Update struct {
 	Plans   []PlanUpdate
 	Classes []ClassUpdate
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -40,8 +40,8 @@
 	a := n.newAttempt(r, host, wait)
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	// Its client left in this batch, or has left by what its reader saw, though that still waits for the loop: nothing is sent,
-	// and the module must hear of the end or it counts it as in flight for ever.
+	// Its client left in this batch, or has left by what its reader saw, though that still waits for the loop:
+	// nothing is sent, and the module must hear of the end or it counts it as in flight for ever.
 	if r.closed || r.answer.IsClientGone() {
 		r.closed = true
 		a.end(gateway.Event{Result: gateway.NotSent}, nil, n.unixNano())
@@ -55,8 +55,8 @@
 	}
 }
 
-// writeDeadline is when the attempt is begun at the latest. Hosts drop a repeat within a window only, and a connection may come up
-// after it.
+// writeDeadline is when the attempt is begun at the latest. Hosts drop a repeat within a window only, and a
+// connection may come up after it.
 func (a *attempt) writeDeadline() gateway.Time {
 	r := a.request
 	if r.mayHaveRunAt == 0 || r.class.Effect != gateway.Deduplicated {
@@ -91,8 +91,8 @@
 	return a
 }
 
-// withdraw gives up an attempt that has not begun: it waits for a connection, or its last byte is not yet written. Its connection
-// may come up long after, and then carry a request whose client is gone.
+// withdraw gives up an attempt that has not begun: it waits for a connection, or its last byte is not yet
+// written. Its connection may come up long after, and then carry a request whose client is gone.
 func (a *attempt) withdraw() {
 	if !a.send.Written() {
 		a.send.Cancel(hosts.ErrCanceled)
--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -9,8 +9,8 @@
 	"ravensill/internal/config"
 )
 
-// Steps of the wall clock while the gateway runs change no time that it measures: deadlines, windows, waits and graces are all
-// counted from now.
+// Steps of the wall clock while the gateway runs change no time that it measures: deadlines, windows, waits and
+// graces are all counted from now.
 func TestNowIgnoresWallClockSteps(t *testing.T) {
 	fake := clock.NewFake(time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC))
 	n := NewOn(Platform{Clock: fake}, &config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}}}, &retryingDecider{})
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// applyPending puts the pending revisions in force, and tells whether there were any. It is called after a turn: all that
-// came in before has been decided under the version before.
+// applyPending puts the pending revisions in force, and tells whether there were any. It is called after a turn:
+// all that came in before has been decided under the version before.
 func (n *Node) applyPending() bool {
 	pending := n.pendingRevisions
 	n.pendingRevisions = nil
@@ -53,7 +53,8 @@
 	return len(pending) > 0
 }
 
-// applyRevision changes all that goes by the configuration, the module first: no other part may name an index that it lacks.
+// applyRevision changes all that goes by the configuration, the module first: no other part may name an index
+// that it lacks.
 func (n *Node) applyRevision(next *revision) {
 	n.module.Reconfigure(n.now(), &next.Update)
 	if next.Update.Limits != nil {
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -232,8 +232,8 @@
 	}
 }
 
-// TestMembersInForce: a fleet of one grows by a member, whose address is replaced then: messages, by the identity of quota
-// plans, go where the configuration says.
+// TestMembersInForce: a fleet of one grows by a member, whose address is replaced then: messages, by the
+// identity of quota plans, go where the configuration says.
 func TestMembersInForce(t *testing.T) {
 	var sockets []*net.UDPConn
 	for range 2 {
@@ -286,7 +286,8 @@
 	o.told <- fmt.Sprint(update.Members, " members")
 }
 
-// TestConfigurationChangesBetweenBatches: what came in before a change is decided before it, though both wait for the loop together.
+// TestConfigurationChangesBetweenBatches: what came in before a change is decided before it, though both wait
+// for the loop together.
 func TestConfigurationChangesBetweenBatches(t *testing.T) {
 	o := &order{told: make(chan string, 9)}
 	var n *Node
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -18,7 +18,8 @@
 	"ravensill/internal/logging"
 )
 
-// rig is a node on sockets with one host. Its module sends each req to that and again where it never ran, at most twice.
+// rig is a node on sockets with one host. Its module sends each req to that and again where it never ran, at
+// most twice.
 type testGateway struct {
 	*testing.T
 	*Node
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -23,9 +23,9 @@
 	skipUntil gateway.Time // what lies in it holds no decision up until then
 }
 
-// startWatch asks for the list, unless that is up to the module. What discovery's agent has counts as notified from the first
-// moment on, and the list of the configuration may be old: clients are taken in once the agent has answered, which it
-// does at once, or is silent for so long that discovery must be down.
+// startWatch asks for the list, unless that is up to the module. What discovery's agent has counts as notified
+// from the first moment on, and the list of the configuration may be old: clients are taken in once the agent
+// has answered, which it does at once, or is silent for so long that discovery must be down.
 func (n *Node) startWatch() {
 	if n.cfg.Limits.PollEndpoints {
 		n.listAnswered = true
@@ -72,8 +72,8 @@
 	}()
 }
 
-// readPendingList lets the newest watch hand on what lies in its connection before the module decides. A process that stood still,
-// or has much to read, would else send requests on past a drain that was notified long before.
+// readPendingList lets the newest watch hand on what lies in its connection before the module decides. A process
+// that stood still, or has much to read, would else send requests on past a drain that was notified long before.
 func (n *Node) readPendingList() {
 	if len(n.events) == 0 || n.watch == nil || n.now() < n.watch.skipUntil {
 		return
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -41,8 +41,9 @@
 	}
 }
 
-// A client goes in each moment of its request. Whatever its going crosses, nothing is sent on afterwards, and each attempt
-// that the module decided on ends for it: else it would hold it as out for ever, and its limit would close.
+// A client goes in each moment of its request. Whatever its going crosses, nothing is sent on afterwards, and
+// each attempt that the module decided on ends for it: else it would hold it as out for ever, and its limit
+// would close.
 func TestNoAttemptAfterClientGone(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -152,7 +153,8 @@
 	golden.Check(t, m.String())
 }
 
-// A repeat of what may have run is not written so late that a stall between the clock and the write takes it past the window.
+// A repeat of what may have run is not written so late that a stall between the clock and the write takes it
+// past the window.
 func TestRetryKeepsStallAllowanceBeforeWindowEnd(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -196,7 +198,8 @@
 	}
 }
 
-// A panic where a dispatch is sent, or where its answer is handed on, leaves it neither out for the module nor held here.
+// A panic where a dispatch is sent, or where its answer is handed on, leaves it neither out for the module nor
+// held here.
 func TestPanicLeavesNoAttemptInFlight(t *testing.T) {
 	defer logging.SetOutput(io.Discard)()
 	m := &retryingDecider{}
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -15,15 +15,20 @@
 )
 
 const (
-	formerProcessWait   = 25 * time.Second      // an address is waited for at most so long: a former process of this gateway may drain yet
-	shortageWait        = 5 * time.Second       // the same for what this machine is short of, such as an interface with the address: it may be a mistake in the file
+	// an address is waited for at most so long: a former process of this gateway may drain yet
+	formerProcessWait   = 25 * time.Second
+	// the same for what this machine is short of, such as an interface with the address: it may be a mistake in
+	// the file
+	shortageWait        = 5 * time.Second
 	listenRetryInterval = 20 * time.Millisecond // between tries
-	reservedDescriptors = 16                    // descriptors: three streams, the runtime's two, listener, datagrams, counter, watch and the one before, file, others of a section
+	// descriptors: three streams, the runtime's two, listener, datagrams, counter, watch and the one before,
+	// file, others of a section
+	reservedDescriptors = 16
 )
 
-// openSockets takes the gateway's addresses, that of the datagrams first, before anything else of it runs. A former process that
-// still serves what it has open holds them, its datagrams' address up to its end: a process that gave up then would not
-// start at all.
+// openSockets takes the gateway's addresses, that of the datagrams first, before anything else of it runs. A
+// former process that still serves what it has open holds them, its datagrams' address up to its end: a process
+// that gave up then would not start at all.
 func (n *Node) openSockets(stop <-chan struct{}) (listener *net.TCPListener, err error) {
 	if len(n.cfg.Peers) > 0 {
 		err = listenWithRetry("peer_listen", n.cfg.PeerListen, stop, func() (err error) {
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// An address that can't be had for a moment is waited for; an error that does not pass ends the start at once, with the key.
+// An address that can't be had for a moment is waited for; an error that does not pass ends the start at once,
+// with the key.
 func TestListenRetriesPassingErrors(t *testing.T) {
 	address := netip.MustParseAddrPort("127.0.0.1:1")
 	bindError := func(errno syscall.Errno) error {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -30,7 +30,8 @@
 	return wait
 }
 
-// turn does what is due, lets the module decide on what came in, and carries it out. It returns for how long nothing more is due.
+// turn does what is due, lets the module decide on what came in, and carries it out. It returns for how long
+// nothing more is due.
 func (n *Node) turn() time.Duration {
 	now := n.now()
 	if n.nextPhaseAt > 0 && now >= n.nextPhaseAt {
@@ -46,7 +47,8 @@
 		if n.hasEvents() {
 			n.decide()
 		}
-		unsent, counterDue = n.flush() // also when there is nothing to decide: an answer to PING must not wait for the next timer
+		// also when there is nothing to decide: an answer to PING must not wait for the next timer
+		unsent, counterDue = n.flush()
 	}
 	return n.waitFor(unsent, counterDue)
 }
@@ -92,8 +94,8 @@
 	clear(n.batch.Events)
 }
 
-// callModule calls the module. Should it panic, what it left without a decision fails: a fault must not hold a request until its
-// client gives up, nor take the others along.
+// callModule calls the module. Should it panic, what it left without a decision fails: a fault must not hold a
+// request until its client gives up, nor take the others along.
 func (n *Node) callModule() {
 	n.recoverPanics("module", func() {
 		defer func() {
@@ -116,7 +118,8 @@
 	}
 }
 
-// flush writes what is to be written. It reports whether a socket did not take all, and when the counter is due; 0: it is not.
+// flush writes what is to be written. It reports whether a socket did not take all, and when the counter is due;
+// 0: it is not.
 func (n *Node) flush() (unsent bool, counterDue gateway.Time) {
 	unsent = n.clients.Flush()
 	unsent = n.transport.Flush() || unsent
@@ -161,7 +164,8 @@
 	}
 }
 
-// AddToCounter implements gateway.Actions. Without a counter the call is answered as unreachable: the module does without.
+// AddToCounter implements gateway.Actions. Without a counter the call is answered as unreachable: the module
+// does without.
 func (n *Node) AddToCounter(name uint64, amount float64, lifetime time.Duration) {
 	if n.counter == nil {
 		n.counterReplied(gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,6 @@
-// Package node is one gateway on sockets: a loop that hands the module all that came in and carries out what it decides. It decides
-// nothing. One goroutine runs the loop and owns all state; other goroutines hand it functions to run (Node.runOnLoop).
+// Package node is one gateway on sockets: a loop that hands the module all that came in and carries out what it
+// decides. It decides nothing. One goroutine runs the loop and owns all state; other goroutines hand it
+// functions to run (Node.runOnLoop).
 //
 //   - node.go: the state of a gateway, and its way from the first socket to the last connection
 //   - loop.go: one turn of the loop
@@ -40,8 +41,8 @@
 	Reconfigure(now gateway.Time, update *gateway.Update) // between two batches
 }
 
-// DecisionCounter is a module that counts its decisions; the node logs them every countsLogInterval, for on-call and for counting
-// over a fleet from the logs.
+// DecisionCounter is a module that counts its decisions; the node logs them every countsLogInterval, for on-call
+// and for counting over a fleet from the logs.
 type DecisionCounter interface {
 	DecisionCounts() []gateway.DecisionCount
 }
@@ -165,15 +166,16 @@
 // runOnLoop has the loop run a function. It waits while the inbox is full.
 func (n *Node) runOnLoop(f func()) { n.work <- f }
 
-// now returns the wall clock's time at the start of the gateway plus the monotonic time since: steps of the wall clock don't change
-// it.
+// now returns the wall clock's time at the start of the gateway plus the monotonic time since: steps of the wall
+// clock don't change it.
 func (n *Node) now() gateway.Time { return gateway.Time(n.unixNano()) }
 
 // unixNano returns now in nanoseconds since 1970, as the packages of the connections take it.
 func (n *Node) unixNano() int64 { return n.unix + int64(n.clock.Monotonic()) }
 
-// WhileRunning has Run start a task beside the loop once the gateway has its addresses: a former process of this gateway that
-// serves to its end runs no more then. Run calls what start returns after the loop has ended, and waits for it.
+// WhileRunning has Run start a task beside the loop once the gateway has its addresses: a former process of this
+// gateway that serves to its end runs no more then. Run calls what start returns after the loop has ended, and
+// waits for it.
 func (n *Node) WhileRunning(start func() (end func())) { n.tasks = append(n.tasks, start) }
 
 // Run serves until it is called to stop and owes nothing more.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// serve runs a gateway with a module on an address of its own. lines gives those of its log that hold an event named there.
+// serve runs a gateway with a module on an address of its own. lines gives those of its log that hold an event
+// named there.
 func serve(t *testing.T, m Decider, set func(*Node), events ...string) (addr string, stop func(), ended func() (lines []string)) {
 	r, w := io.Pipe()
 	t.Cleanup(logging.SetOutput(w))
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -9,8 +9,9 @@
 	"ravensill/internal/observer"
 )
 
-// observedActions stands between the module and the node where the section counterfactual is on: it is the Actions that is
-// also a CandidateObserver, and hands the task a record of each attempt that ended. Its fields belong to the loop.
+// observedActions stands between the module and the node where the section counterfactual is on: it is the
+// Actions that is also a CandidateObserver, and hands the task a record of each attempt that ended. Its fields
+// belong to the loop.
 type observedActions struct {
 	*Node
 	task     *observer.Observer
@@ -52,8 +53,8 @@
 	return task.Close, nil
 }
 
-// actions returns what the module writes a batch to: for a fraction of the batches, drawn at random, the observer. The others
-// cost no more than without.
+// actions returns what the module writes a batch to: for a fraction of the batches, drawn at random, the
+// observer. The others cost no more than without.
 func (n *Node) actions() gateway.Actions {
 	if w := n.observer; w != nil && w.random.Float64() < n.cfg.Counterfactual.RecordedFraction {
 		return w
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -10,9 +10,9 @@
 	"ravensill/pool"
 )
 
-// connectionQuota keeps the gateway to its quota of connections where the section pool is configured: the lease holder says how many
-// may be open, the connection limiter enforces it, and the client exchanges reports and grants with the voters. Its fields belong to
-// the loop. The methods do nothing on nil, without a quota.
+// connectionQuota keeps the gateway to its quota of connections where the section pool is configured: the lease
+// holder says how many may be open, the connection limiter enforces it, and the client exchanges reports and
+// grants with the voters. Its fields belong to the loop. The methods do nothing on nil, without a quota.
 type connectionQuota struct {
 	node        *Node
 	leaseholder *pool.Leaseholder
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -60,9 +60,10 @@
 	})
 }
 
-// clientGone takes in that the client is gone. Where the module has not heard of the request yet it never does: behind a stall or
-// a flood the arrival and this wait together, and the request would be sent on for nobody. Else the request is held until the
-// batch in which the module hears of this: what it decides before that meets a closed request.
+// clientGone takes in that the client is gone. Where the module has not heard of the request yet it never does:
+// behind a stall or a flood the arrival and this wait together, and the request would be sent on for nobody.
+// Else the request is held until the batch in which the module hears of this: what it decides before that meets
+// a closed request.
 func (r *request) clientGone() {
 	n := r.node
 	if n.requests[r.id] != r { // the module has heard of its end: the id may be another's by now
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestEndpointListsAreReleased: a list that the module has taken in stays neither in the configuration nor in the loop's events: it may
-// be as large as all else together.
+// TestEndpointListsAreReleased: a list that the module has taken in stays neither in the configuration nor in
+// the loop's events: it may be as large as all else together.
 func TestEndpointListsAreReleased(t *testing.T) {
 	r := newTestGateway(t)
 	<-r.events // the list of the configuration
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -9,14 +9,15 @@
 	acceptGrace  = 450 * time.Millisecond  // new clients still come for so long after the call to stop
 	maxDrainWait = 3 * time.Second         // of the longest client timeout: the platform counts no more
 	drainMargin  = 500 * time.Millisecond  // it kills 0.7 s after that: by then all that was taken is answered
-	lingerLimit  = 1500 * time.Millisecond // after that clients are read to their end for a second; what stays then is cut off
+	// after that clients are read to their end for a second; what stays then is cut off
+	lingerLimit  = 1500 * time.Millisecond
 )
 
 // phase is how far the shutdown has come. Each phase ends at Node.nextPhaseAt.
 //
-// Clients go on sending on what they have open, and a close that crosses a command leaves that unanswered. So what is open is
-// served until shortly before the platform kills, which counts from the longest client timeout, and ends then: a kill that crosses
-// a command would lose it.
+// Clients go on sending on what they have open, and a close that crosses a command leaves that unanswered. So
+// what is open is served until shortly before the platform kills, which counts from the longest client timeout,
+// and ends then: a kill that crosses a command would lose it.
 type phase int
 
 const (
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -100,7 +100,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestDemandRatioLowersSpendableLevel: a customer that asks five times its rate at 100 gateways, with totals a second old.
+// TestDemandRatioLowersSpendableLevel: a customer that asks five times its rate at 100 gateways, with totals a
+// second old.
 func TestDemandRatioLowersSpendableLevel(t *testing.T) {
 	w := newSimulation(100, 100, nil)
 	said := ""
@@ -143,8 +144,8 @@
 	}
 }
 
-// TestPeersCutOff: in incident i4c236e 39 gateways heard nobody for 10 s. A thirtieth of a burst is less than a request, so that
-// copies which could hold no more denied everyone, whatever their part of the rate.
+// TestPeersCutOff: in incident i4c236e 39 gateways heard nobody for 10 s. A thirtieth of a burst is less than a
+// request, so that copies which could hold no more denied everyone, whatever their part of the rate.
 func TestPeersCutOff(t *testing.T) {
 	w := newSimulation(30, 4, nil)
 	w.arrive(0, "a", 1)
@@ -169,8 +170,9 @@
 	w.deliver(i, gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: res, CounterTotal: total, Latency: 5 * ms})
 }
 
-// TestSharedCounterDecidesCap: a plan with an open cap and no rate asks the counter; without an answer the guess decides, and a counter
-// that stays silent is left alone for a second. What was admitted leaves no debt behind: there is no store.
+// TestSharedCounterDecidesCap: a plan with an open cap and no rate asks the counter; without an answer the guess
+// decides, and a counter that stays silent is left alone for a second. What was admitted leaves no debt behind:
+// there is no store.
 func TestSharedCounterDecidesCap(t *testing.T) {
 	w := newSimulation(2, 4, func(w *simulation) {
 		w.plans[0] = gateway.Plan{MaxInFlight: 2, PriorityWeight: 1, OverQuotaCost: 0.5}
@@ -201,8 +203,9 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestPartitionIsPresumedFromSilence: the network between 100 gateways is cut under a customer that asks four times its rate: what they send on while
-// nobody is heard stays near what it was. Copies refilled at the full rate and sent on all that was asked, 38% beyond quotas.
+// TestPartitionIsPresumedFromSilence: the network between 100 gateways is cut under a customer that asks four
+// times its rate: what they send on while nobody is heard stays near what it was. Copies refilled at the full
+// rate and sent on all that was asked, 38% beyond quotas.
 func TestPartitionIsPresumedFromSilence(t *testing.T) {
 	w := newSimulation(100, 400, nil)
 	var all strings.Builder
--- a/logic/ceiling.go
+++ b/logic/ceiling.go
@@ -1,6 +1,7 @@
 package logic
 
-// assignCeiling sets this gateway's fraction of a customer's hard ceiling, none where the customer's requests don't come in here.
+// assignCeiling sets this gateway's fraction of a customer's hard ceiling: 0 if the customer's requests do not
+// arrive here.
 func (g *Gateway) assignCeiling(c *customer) {
 	count := len(g.peers)
 	place := (g.membership.Index - c.firstGateway%count + count) % count
@@ -11,12 +12,13 @@
 	}
 }
 
-// startCeiling fills the ceiling of a new record from the start of this gateway on: its former incarnation may have just spent it.
+// startCeiling fills the ceiling of a new record as from the start of this process: the process before may have
+// just spent it.
 func (g *Gateway) startCeiling(c *customer) {
 	c.ceilingLevel = min(c.ceilingBurst, c.ceilingRate*seconds(g.now.Sub(g.start)))
 }
 
-// refillCeiling adds what the ceiling is filled by in so many seconds.
+// refillCeiling adds what the ceiling gains in a time in seconds.
 func (c *customer) refillCeiling(elapsed float64) {
 	c.ceilingLevel = min(c.ceilingLevel+c.ceilingRate*elapsed, c.ceilingBurst)
 }
--- a/logic/clock_test.go
+++ b/logic/clock_test.go
@@ -14,8 +14,8 @@
 // epoch is the time at which these tests begin: far enough from 0 for a clock to be set back.
 const epoch = gateway.Time(1_000_000 * time.Second)
 
-// A gateway restarts after its wall clock was set. Its peer hears it again within the time that makes a peer count as gone, and
-// takes the admissions of both incarnations off its copy.
+// A gateway restarts after its wall clock was set. Its peer hears it again within the time that makes a peer
+// count as gone, and takes the admissions of both incarnations off its copy.
 func TestPeerRestartAfterClockStep(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// A host starts while a gateway runs whose wall clock is off, after a long time without news. The gateway takes the host for as
-// warm as it is, or colder by no more than the notification took, whatever the clocks say.
+// A host starts while a gateway runs whose wall clock is off, after a long time without news. The gateway takes
+// the host for as warm as it is, or colder by no more than the notification took, whatever the clocks say.
 func TestSlowStartUnderClockStep(t *testing.T) {
 	const delay = 100 * ms // of the notification
 	for _, step := range append([]time.Duration{0}, clockSteps...) {
@@ -95,7 +95,8 @@
 	}
 }
 
-// A host whose own wall clock was set back restarts: its start is lower than the one before, and it is cold all the same.
+// A host whose own wall clock was set back restarts: its start is lower than the one before, and it is cold all
+// the same.
 func TestSlowStartOfHostWithClockSetBack(t *testing.T) {
 	w := newSimulation(1, 3, func(w *simulation) { w.now = epoch })
 	notify := func(since gateway.Time) {
--- a/logic/concurrency_cap.go
+++ b/logic/concurrency_cap.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	counterSpan         = 5 * time.Second // a number at the shared counter covers so long
-	counterRetryDelay   = time.Second     // in which the counter is not asked after maxCounterFailures
+	counterSpan         = 5 * time.Second // time that one name at the shared counter covers
+	counterRetryDelay   = time.Second     // without calls after maxCounterFailures
 	maxCounterFailures  = 4               // in a row
-	counterTimeoutsLeft = 2               // that a client must still wait for when the counter is asked
+	counterTimeoutsLeft = 2               // left to the client at least, for a call to be made
 )
 
-// withinCapProbability is the probability that the customer keeps to its cap on requests in flight: peers have a random number in
-// flight, Poisson by what they admit (Little's law for the mean).
+// withinCapProbability returns the probability that the customer is within its cap on requests in flight. The
+// number that peers have in flight is taken as Poisson distributed, with its mean by Little's law.
 func (c *customer) withinCapProbability(class *class) float64 {
 	if c.plan.MaxInFlight == 0 {
 		return 1
@@ -30,44 +30,49 @@
 	return probability
 }
 
-// worthOverCap reports whether a request is worth sending at a probability to be within the cap. One that is surely beyond it is
-// not; the customer may come back.
-func (c *customer) worthOverCap(withinCap, demand float64) bool {
+// mayExceedCap reports whether a request is worth sending at a probability to be within the cap. A request that
+// surely exceeds it is not.
+func (c *customer) mayExceedCap(withinCap, demand float64) bool {
 	if withinCap == 0 {
 		return false
 	}
 	return withinCap/2 >= (1-withinCap)*c.plan.OverQuotaCost*demand
 }
 
-// mayAskCounter reports whether the shared counter can be asked whether a request is within the cap: it answers, and the client
-// will still be there.
+// mayAskCounter reports whether the shared counter can be asked if a request is within the cap: there is one,
+// it answers, and the client still waits then.
 func (g *Gateway) mayAskCounter(r *request) bool {
+	if !g.limits.SharedCounter || g.now < g.counterRetry {
+		return false
+	}
 	capped := r.customer.plan.MaxInFlight > 0 && len(r.customer.subscriptions) > 0
 	timeLeft := r.deadline.Sub(g.now)
-	return g.limits.SharedCounter && capped && g.now >= g.counterRetry && timeLeft > counterTimeoutsLeft*g.limits.CounterTimeout
+	return capped && timeLeft > counterTimeoutsLeft*g.limits.CounterTimeout
 }
 
-// askCounter counts a request as in flight at the shared counter; counterReplied goes on with it. All gateways' clocks give a
-// customer's number one name for a span. The next span counts anew, or what a killed gateway had in flight would stay.
+// askCounter counts a request as in flight at the shared counter; counterReplied continues with it. The
+// counter's name follows from the customer and the current span of time, alike on all gateways. Each span
+// starts from zero, or requests in flight at a killed gateway would count forever.
 func (g *Gateway) askCounter(r *request) {
 	span := uint64(g.now / gateway.Time(counterSpan))
 	r.counterName = mix(uint64(r.customer.hash)<<32|span) >> 1
 	g.callCounter(r.counterName, 1, r)
 }
 
-// callCounter adds to a number of requests in flight, and may leave a request to wait for the answer.
+// callCounter adds to a number of requests in flight. r, if not nil, waits for the answer.
 func (g *Gateway) callCounter(name uint64, amount float64, r *request) {
 	g.counterCalls[name] = append(g.counterCalls[name], r)
 	g.actions.AddToCounter(name, amount, 2*counterSpan)
 }
 
-// counterReplied takes in an answer of the counter, or that there is none: then the estimate decides.
+// counterReplied continues with the request that waits for an answer of the counter. Without an answer the
+// estimate decides.
 func (g *Gateway) counterReplied(event *gateway.Event) {
-	r, known := g.takeCounterCall(event.CounterName)
+	r, known := g.removeCounterCall(event.CounterName)
 	if !known {
 		return
 	}
-	g.noteCounterResult(event.Result)
+	g.recordCounterResult(event.Result)
 	if r == nil || r.closed {
 		return
 	}
@@ -82,8 +87,9 @@
 	g.admit(r, withinCap, false)
 }
 
-// takeCounterCall removes the first call of a name that has no answer yet, and returns the request that waits for it, nil for none.
-func (g *Gateway) takeCounterCall(name uint64) (r *request, known bool) {
+// removeCounterCall removes the first call of a counter that has no answer yet. It returns the request that
+// waits for it, nil for none.
+func (g *Gateway) removeCounterCall(name uint64) (r *request, known bool) {
 	calls := g.counterCalls[name]
 	if len(calls) == 0 {
 		return nil, false
@@ -95,8 +101,8 @@
 	return calls[0], true
 }
 
-// noteCounterResult has the counter left alone for a while after several failures in a row.
-func (g *Gateway) noteCounterResult(result gateway.Result) {
+// recordCounterResult suspends calls of the counter for a while after several failures in a row.
+func (g *Gateway) recordCounterResult(result gateway.Result) {
 	if result == gateway.Succeeded {
 		g.counterFailures = 0
 		return
--- a/logic/customer.go
+++ b/logic/customer.go
@@ -6,31 +6,31 @@
 	"ravensill/gateway"
 )
 
-// customer is this gateway's copy of a customer's token bucket, with what its peers sent of it.
+// customer is this gateway's copy of a customer's token bucket, with what its peers have sent of it.
 type customer struct {
 	hash          uint32
 	plan          *gateway.Plan
 	planIndex     int
-	spread        int            // gateways that the customer's requests come in at,
+	spread        int            // gateways that the customer's requests arrive at,
 	firstGateway  int            // from this member index on, cyclically
-	subscriptions []subscription // the peers that send or are sent its counters
+	subscriptions []subscription // peers that send its counters or are sent them
 	created       gateway.Time
 
-	refilled       gateway.Time // the last time
+	refilled       gateway.Time // latest refill
 	lastAdmission  gateway.Time // here or at a peer
-	level          float64      // units in the bucket; below 0 it owes
+	level          float64      // units in the bucket; negative: debt
 	peerRate       float64      // units a second that the peers admit
-	requestedUnits float64      // lately
-	admittedUnits  float64      // lately
-	presumedUnits  float64      // taken for peers that were not heard
+	requestedUnits float64      // decaying sum
+	admittedUnits  float64      // decaying sum
+	presumedUnits  float64      // decaying sum of units subtracted without messages of the peers
 	counters       [2]float64
 
 	ceilingLevel float64 // units in this gateway's fraction of the ceiling
-	ceilingRate  float64 // units a second that it is filled by
-	ceilingBurst float64 // units that it holds at most
+	ceilingRate  float64 // units a second
+	ceilingBurst float64 // most units
 
 	inFlight           int     // attempts from here
-	unansweredFraction float64 // of its requests, lately
+	unansweredFraction float64 // moving average over its requests
 }
 
 // The cumulative counters of a customer, in units, as they are gossiped.
@@ -39,7 +39,7 @@
 	rowCounter = 1 // admitted here and by the others of this gateway's row
 )
 
-// customerFor finds a customer, or starts one with a full copy.
+// customerFor returns a customer's record, a new one with a full copy if there is none.
 func (g *Gateway) customerFor(hash uint32, plan, spread, firstGateway int) *customer {
 	if c := g.customers[hash]; c != nil {
 		return c
@@ -62,8 +62,9 @@
 	return c
 }
 
-// changePlan puts a customer under another plan, or a new version of its own. It gives no units, and binds at once. Counters are of
-// one plan: under another they begin anew, or peers would charge that for this one.
+// changePlan applies another plan to a customer, or a new version of its plan. The change adds no units and
+// takes effect at once. Counters belong to one plan: with another ID they start again from zero, or peers would
+// charge units of the former plan to this one.
 func (g *Gateway) changePlan(c *customer, plan *gateway.Plan) {
 	if plan.ID != c.plan.ID {
 		c.counters = [2]float64{}
@@ -78,7 +79,7 @@
 	c.ceilingLevel = min(c.ceilingLevel, c.ceilingBurst)
 }
 
-// forgettable reports whether nothing is lost when the customer is forgotten.
+// forgettable reports whether a customer's record can be dropped without loss.
 func (g *Gateway) forgettable(c *customer) bool {
 	g.refill(c)
 	if c.inFlight > 0 || g.now.Sub(c.lastAdmission) <= g.peerTimeout {
@@ -86,5 +87,6 @@
 	}
 	bucketFull := c.level >= c.plan.Burst || c.plan.Rate == 0
 	ceilingFull := c.ceilingLevel >= c.ceilingBurst || c.ceilingRate == 0
-	return bucketFull && ceilingFull && !slices.ContainsFunc(c.subscriptions, func(s subscription) bool { return s.queued })
+	queued := slices.ContainsFunc(c.subscriptions, func(s subscription) bool { return s.queued })
+	return bucketFull && ceilingFull && !queued
 }
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -55,7 +55,8 @@
 	unansweredAt       gateway.Time // as it was then
 }
 
-// healthFor returns how the endpoint serves a class. Most endpoints of a large list are never asked: records are made late.
+// healthFor returns how the endpoint serves a class. Most endpoints of a large list are never asked: records are
+// made late.
 func (e *endpoint) healthFor(class *class) *health {
 	if missing := class.index + 1 - len(e.health); missing > 0 {
 		e.health = append(e.health, make([]health, missing)...)
--- a/logic/endpoint_choice.go
+++ b/logic/endpoint_choice.go
@@ -14,8 +14,9 @@
 	stallShare     = 2    // times its share of the limit, for what came in while the gateway stood still
 )
 
-// choose returns the customer's first endpoint in rank that has no more than a little above the least load, nil if there is none or
-// the limit on attempts in flight is reached. share is the fraction of the limit that is open to the request; last is not chosen.
+// choose returns the customer's first endpoint in rank that has no more than a little above the least load, nil
+// if there is none or the limit on attempts in flight is reached. share is the fraction of the limit that is
+// open to the request; last is not chosen.
 func (s *endpointSet) choose(c *customer, class *class, now gateway.Time, share float64, last *endpoint) *endpoint {
 	if s.stallEnd > 0 && now.Sub(s.stallEnd) < s.stallLength { // what came in meanwhile comes on top
 		share *= stallShare
@@ -33,8 +34,8 @@
 	return s.firstInRank(c, c.acceptableLoad(least))
 }
 
-// firstInRank returns the customer's first endpoint in rank (rendezvous hashing) of those last weighed that have no more than a
-// load, nil for none.
+// firstInRank returns the customer's first endpoint in rank (rendezvous hashing) of those last weighed that have
+// no more than a load, nil for none.
 func (s *endpointSet) firstInRank(c *customer, most float64) *endpoint {
 	var first *endpoint
 	for _, e := range s.lastWeighed {
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -9,8 +9,8 @@
 	"ravensill/subset"
 )
 
-// updateList takes in a list of endpoints, or changes of it. A record ends with its endpoint, as does its part of the limit on
-// attempts in flight.
+// updateList takes in a list of endpoints, or changes of it. A record ends with its endpoint, as does its part
+// of the limit on attempts in flight.
 func (s *endpointSet) updateList(kind gateway.ListKind, listed []gateway.Endpoint, now gateway.Time) {
 	if kind == gateway.ListComplete || kind == gateway.ListCached {
 		for _, e := range s.all {
@@ -44,8 +44,8 @@
 
 func byID(e *endpoint, id uint32) int { return cmp.Compare(e.id, id) }
 
-// recordsFor returns the record of each endpoint of a list, new ones for those that are not known yet. It sorts the whole once, not
-// each new endpoint into its place: a list of n endpoints would take n squared moves.
+// recordsFor returns the record of each endpoint of a list, new ones for those that are not known yet. It sorts
+// the whole once, not each new endpoint into its place: a list of n endpoints would take n squared moves.
 func (s *endpointSet) recordsFor(listed []gateway.Endpoint) []*endpoint {
 	known := s.all
 	added := map[uint32]*endpoint{}
@@ -67,8 +67,8 @@
 	return records
 }
 
-// chooseSubset takes this gateway's subset of the endpoints: a gateway of many keeps few connections and hears often of each. The
-// others serve where none of the subset will do.
+// chooseSubset takes this gateway's subset of the endpoints: a gateway of many keeps few connections and hears
+// often of each. The others serve where none of the subset will do.
 func (s *endpointSet) chooseSubset() {
 	var running []*subset.Endpoint
 	for _, e := range s.all {
@@ -81,8 +81,8 @@
 	s.collectNearby()
 }
 
-// collectNearby collects the endpoints near this gateway: its subset, and those that it has sent to. All walks but the rare one of
-// choose are of these, so that what a request or a timer costs does not grow with the list.
+// collectNearby collects the endpoints near this gateway: its subset, and those that it has sent to. All walks
+// but the rare one of choose are of these, so that what a request or a timer costs does not grow with the list.
 func (s *endpointSet) collectNearby() {
 	s.nearby = s.nearby[:0]
 	for _, e := range s.all {
@@ -92,8 +92,8 @@
 	}
 }
 
-// withAttempts returns the endpoints with attempts in flight, in the order of their ids. A timer walks these alone: to a gateway by
-// itself all endpoints are near, and at rest it has none in flight.
+// withAttempts returns the endpoints with attempts in flight, in the order of their ids. A timer walks these
+// alone: to a gateway by itself all endpoints are near, and at rest it has none in flight.
 func (s *endpointSet) withAttempts() []*endpoint {
 	s.busy = slices.DeleteFunc(s.busy, func(e *endpoint) bool {
 		e.inBusy = len(e.inFlight) > 0 && e.state != gateway.Gone
@@ -102,8 +102,8 @@
 	return s.busy
 }
 
-// markContacted notes that an endpoint is sent to.
-func (s *endpointSet) markContacted(e *endpoint) {
+// recordContact notes that an endpoint is sent to.
+func (s *endpointSet) recordContact(e *endpoint) {
 	if !e.inBusy {
 		e.inBusy = true
 		s.busy = insertByID(s.busy, e)
--- a/logic/endpoint_test.go
+++ b/logic/endpoint_test.go
@@ -57,7 +57,8 @@
 		w.finishAttempt(0, 1, gateway.Canceled, false)
 	}
 	w.arrive(0, "b", 2)
-	w.gateways[1].gateway.endpoints.all[0].healthFor(w.gateways[1].gateway.classes[0]).lastGood = w.now // the peer hears well of it
+	// the peer hears well of it
+	w.gateways[1].gateway.endpoints.all[0].healthFor(w.gateways[1].gateway.classes[0]).lastGood = w.now
 	w.advance(600*ms, true)
 	w.arrive(0, "c", 2)
 	golden.Check(t, w.trace.String())
@@ -84,7 +85,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestReplacedEndpointsAreForgotten: hosts are replaced one by one under new ids: records and the limit stay with those there are.
+// TestReplacedEndpointsAreForgotten: hosts are replaced one by one under new ids: records and the limit stay
+// with those there are.
 func TestReplacedEndpointsAreForgotten(t *testing.T) {
 	w := newSimulation(1, 4, nil)
 	f := &w.gateways[0].gateway.endpoints
@@ -109,7 +111,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestMalformedAnswersMarkEndpointSuspected: a spoilt answer among good ones may have run, and sets nobody aside: they come from any host.
+// TestMalformedAnswersMarkEndpointSuspected: a spoilt answer among good ones may have run, and sets nobody
+// aside: they come from any host.
 func TestMalformedAnswersMarkEndpointSuspected(t *testing.T) {
 	w := newSimulation(1, 2, nil)
 	w.arrive(0, "a", 1)
@@ -151,9 +154,10 @@
 	}
 }
 
-// TestFleetPollsListAtDifferentTimes: in on_request mode, a fleet that loses the list at once (discovery overbooked) asks again after pauses from
-// call to call that double up to 3.9 s and are drawn by chance, not all in the same tick; a list that comes ends the
-// doubling, and what was still to be asked: the watch that brought it goes on.
+// TestFleetPollsListAtDifferentTimes: in on_request mode, a fleet that loses the list at once (discovery
+// overbooked) asks again after pauses from call to call that double up to 3.9 s and are drawn by chance, not all
+// in the same tick; a list that comes ends the doubling, and what was still to be asked: the watch that brought
+// it goes on.
 func TestFleetPollsListAtDifferentTimes(t *testing.T) {
 	w := newSimulation(20, 4, func(w *simulation) { w.limits.PollEndpoints = true })
 	lose := func() gateway.Time {
@@ -218,8 +222,8 @@
 	}
 }
 
-// TestHealthIsKeptByClass: hosts 1 and 2 leave one class's requests unanswered and serve the other (class_fail). Requests of the first
-// go elsewhere, those of the second still go there, and the time-outs cut no limit.
+// TestHealthIsKeptByClass: hosts 1 and 2 leave one class's requests unanswered and serve the other (class_fail).
+// Requests of the first go elsewhere, those of the second still go there, and the time-outs cut no limit.
 func TestHealthIsKeptByClass(t *testing.T) {
 	w := newSimulation(1, 4, func(w *simulation) {
 		w.plans[0].Rate, w.plans[0].Burst = 1000, 1000
@@ -259,7 +263,8 @@
 	}
 }
 
-// TestListUpdatesAreHandledBeforeRequests: a batch of events is decided on all that is known. A drain that follows an arrival in the batch takes effect before it.
+// TestListUpdatesAreHandledBeforeRequests: a batch of events is decided on all that is known. A drain that
+// follows an arrival in the batch takes effect before it.
 func TestListUpdatesAreHandledBeforeRequests(t *testing.T) {
 	for k := range 8 {
 		w := newSimulation(1, 2, nil)
@@ -271,8 +276,8 @@
 	}
 }
 
-// TestSubset: of 180 hosts every gateway of 300 holds 8, and in whatever order lists come all deal alike: hosts of twice
-// the size are held by twice as many, within one, and when a host goes few gateways take in another.
+// TestSubset: of 180 hosts every gateway of 300 holds 8, and in whatever order lists come all deal alike: hosts
+// of twice the size are held by twice as many, within one, and when a host goes few gateways take in another.
 func TestSubset(t *testing.T) {
 	w := newSimulation(300, 180, nil)
 	var all []gateway.Endpoint
--- a/logic/gateway.go
+++ b/logic/gateway.go
@@ -1,17 +1,20 @@
-// Package logic holds all decisions on the path of a request. It does no I/O: Decide takes a batch of events and writes actions.
+// Package logic holds all decisions on the path of a request. It does no I/O: Decide takes a batch of events and
+// writes actions.
 //
-// The design (docs/design.md) decides each request's ordinary path. Every gateway holds an undivided copy of each customer's token
-// bucket, refilled at the full rate. What peers admit is gossiped as cumulative counters and subtracted from the copy, down to a
-// bounded debt. A copy without the units rejects. Beside that stand these mechanisms, each in a file of its own:
+// The design (docs/design.md) decides each request's ordinary path. Every gateway holds an undivided copy of
+// each customer's token bucket, refilled at the full rate. What peers admit is gossiped as cumulative counters
+// and subtracted from the copy, down to a bounded debt. A copy without the units rejects. Beside that stand
+// these mechanisms, each in a file of its own:
 //
 //   - request.go: the way of a request, from its arrival to its final answer
 //   - admission.go: whether a request is admitted, the checks in their order
 //   - token_bucket.go: the copy of a customer's bucket
 //   - ceiling.go: this gateway's fraction of a plan's hard ceiling
 //   - concurrency_cap.go: the cap on requests in flight, asked of the shared counter, else estimated
-//   - load_shedding.go: the limit on attempts in flight (package limit); requests of low value give way first
+//   - load_shedding.go: the limit on attempts in flight (package concurrency); requests of low value give way
+//     first
 //   - retry.go: retries, their budget, and until when an answer is waited for
-//   - endpoint_list.go, endpoint_choice.go: the endpoint list, this gateway's subset of it (package spread), and the choice
+//   - endpoint_list.go, endpoint_choice.go: the endpoint list, this gateway's subset of it (package subset), the choice
 //   - slow_start.go: what an endpoint may get while it warms up
 //   - outlier.go: endpoints that fail a request class or fall silent
 //   - gossip_send.go, gossip_receive.go, membership.go: the exchange with peers
@@ -42,46 +45,46 @@
 	limits     gateway.Limits
 	classes    []*class        // by index
 	plans      []*gateway.Plan // by index; nil: removed
-	byID       map[uint32]int  // indices of the plans by their IDs
+	planByID   map[uint32]int  // indices of the plans by their IDs
 	candidates []gateway.Candidate
 
 	customers    map[uint32]*customer // by the hash of their names
 	requests     map[string]*request
-	counterCalls map[uint64][]*request // of the shared counter, by its number, in order
+	counterCalls map[uint64][]*request // calls of the shared counter in flight, by the counter's name, in order
 	endpoints    endpointSet
 
 	format            gossip.Format
-	gridRows          int           // of the grid that the gateways stand in
-	neighbours        []*peer       // the gateways that this one sends to or hears
+	gridRows          int           // of the grid in which members are arranged
+	neighbours        []*peer       // the members that this one sends gossip to or receives it from
 	peers             []*peer       // by member index; nil: no neighbour
 	nextHops          []*peer       // by member index: the neighbour on the way there
 	previousHops      []*peer       // by member index: the neighbour on the way from there
 	messageRate       float64       // messages a second to a peer
-	counterAge        float64       // seconds that a counter is old when it comes
-	heartbeatInterval time.Duration // between messages to a peer that has no news
-	peerTimeout       time.Duration // with no message for so long, peers are gone
-	partitionTimeout  time.Duration // with no message for so long, a network partition is suspected
-	lastGossip        gateway.Time  // last message of any peer
-	resizedAt         gateway.Time  // the fleet's size changed last
+	counterAge        float64       // mean age of a received counter, in seconds
+	heartbeatInterval time.Duration // between messages to a peer without new counters
+	peerTimeout       time.Duration // without a message for so long, peers count as gone
+	partitionTimeout  time.Duration // without a message for so long, a network partition is suspected
+	lastGossip        gateway.Time  // latest message of any peer
+	resizedAt         gateway.Time  // latest change of the fleet's size
 
 	lastTimer       gateway.Time
 	nextSweep       gateway.Time // of customers that can be forgotten
 	nextPoll        gateway.Time // of the endpoint list
-	lastPoll        gateway.Time // it was polled, or lost
+	lastPoll        gateway.Time // latest poll of the endpoint list, or its loss
 	failedPolls     int          // in a row
-	counterRetry    gateway.Time // the shared counter is not asked until then
+	counterRetry    gateway.Time // the shared counter is not asked before
 	counterFailures int          // calls of it without an answer, in a row
 
-	largestRequest    float64 // units of a request, the most seen
+	largestRequest    float64 // most units that a request asked for
 	meanValue         float64 // of a request for its time
-	retryBudget       float64 // retries of what may have run
+	retryBudget       float64 // retries of attempts that may have run
 	arrivals          int     // requests since the last timer
 	admitted          int     // requests sent to an endpoint, since the start
 	rejected          [Reasons]int
-	unmatchedCounters int // of peers, dropped for their plan, since the start
+	unmatchedCounters int // of peers, dropped for an unknown plan, since the start
 }
 
-// class is a request class, with what was learned of it.
+// class is a request class, with what was measured of it.
 type class struct {
 	gateway.RequestClass
 	index          int
@@ -98,7 +101,7 @@
 		membership:   membership,
 		limits:       limits,
 		random:       &random,
-		byID:         map[uint32]int{},
+		planByID:     map[uint32]int{},
 		customers:    map[uint32]*customer{},
 		requests:     map[string]*request{},
 		counterCalls: map[uint64][]*request{},
@@ -120,26 +123,26 @@
 	return g
 }
 
-// Decide handles a batch of events and writes the actions that they call for. What waited together is decided on everything that
-// the endpoint list and the peers tell, so these events go first.
+// Decide handles a batch of events and writes the actions that they call for. Updates of endpoints and of peers
+// are handled first, so that every request of the batch is decided on all that is known.
 func (g *Gateway) Decide(batch *gateway.Batch, actions gateway.Actions) {
-	stalled := g.enter(batch, actions)
+	stalled := g.beginBatch(batch, actions)
 	for i := range batch.Events {
-		if event := &batch.Events[i]; isNews(event) {
-			g.handleNews(event)
+		if event := &batch.Events[i]; isStateUpdate(event) {
+			g.handleStateUpdate(event)
 		}
 	}
 	count := time.Duration(len(batch.Events))
 	for i := range batch.Events {
-		if event := &batch.Events[i]; !isNews(event) {
+		if event := &batch.Events[i]; !isStateUpdate(event) {
 			remaining := count - time.Duration(i)
-			g.handle(event, g.now.Add(-stalled*remaining/count)) // what came during a stall came evenly
+			g.handle(event, g.now.Add(-stalled*remaining/count)) // requests that arrived during a stall are taken to have arrived evenly
 		}
 	}
 }
 
-// enter begins a batch and returns for how long the gateway stood still before it.
-func (g *Gateway) enter(batch *gateway.Batch, actions gateway.Actions) (stalled time.Duration) {
+// beginBatch begins a batch and returns for how long the gateway was stalled before it.
+func (g *Gateway) beginBatch(batch *gateway.Batch, actions gateway.Actions) (stalled time.Duration) {
 	sinceLast := batch.Now.Sub(g.now)
 	g.now = batch.Now
 	g.actions = actions
@@ -158,12 +161,12 @@
 	return sinceLast
 }
 
-// isNews reports whether an event tells of endpoints or peers.
-func isNews(event *gateway.Event) bool {
+// isStateUpdate reports whether an event is an update of the endpoint list or of a peer.
+func isStateUpdate(event *gateway.Event) bool {
 	return event.Kind == gateway.EndpointsListed || event.Kind == gateway.GossipReceived
 }
 
-func (g *Gateway) handleNews(event *gateway.Event) {
+func (g *Gateway) handleStateUpdate(event *gateway.Event) {
 	if event.Kind == gateway.GossipReceived {
 		g.receiveGossip(event.Peer, event.Message)
 		return
@@ -172,7 +175,7 @@
 	g.schedulePoll(event.ListKind)
 }
 
-// handle handles an event that is no news; arrived is when it came in.
+// handle handles any other event; arrived is when it came in.
 func (g *Gateway) handle(event *gateway.Event, arrived gateway.Time) {
 	switch event.Kind {
 	case gateway.RequestArrived:
--- a/logic/gossip_receive.go
+++ b/logic/gossip_receive.go
@@ -18,7 +18,7 @@
 			g.unmatchedCounters++
 			return
 		}
-		g.charge(p, g.customerFor(hash, index, spread, firstGateway), total, owed)
+		g.subtractReceived(p, g.customerFor(hash, index, spread, firstGateway), total, owed)
 	}
 	g.format.Decode(message, header, g.endpoints.clearSuspicion, counter)
 }
@@ -45,9 +45,10 @@
 	return true
 }
 
-// overtaken reports whether a later message of the peer was received before this one. Incarnations are numbered by the peer's wall
-// clock, so one that restarts after its clock was set back has a lower number. Its messages are taken for overtaken ones as long
-// as such a message may be under way: until the later incarnation has been silent for as long as makes any peer count as gone.
+// overtaken reports whether a later message of the peer was received before this one. Incarnations are numbered
+// by the peer's wall clock, so one that restarts after its clock was set back has a lower number. Its messages
+// are taken for overtaken ones as long as such a message may be under way: until the later incarnation has been
+// silent for as long as makes any peer count as gone.
 func (g *Gateway) overtaken(p *peer, incarnation, sequence uint64) bool {
 	if incarnation == p.incarnation {
 		return sequence <= p.sequence
@@ -55,22 +56,22 @@
 	return incarnation < p.incarnation && g.now.Sub(p.lastReceived) <= g.peerTimeout
 }
 
-// planIndex returns the index of the plan that a counter names. It is not known if there is no such plan here, or if the customer
-// is not on it.
+// planIndex returns the index of the plan that a counter names. It is not known if there is no such plan here,
+// or if the customer is not on it.
 func (g *Gateway) planIndex(hash, plan uint32) (index int, known bool) {
 	if !g.format.ByID {
 		return int(plan), true
 	}
-	index, known = g.byID[plan]
+	index, known = g.planByID[plan]
 	if c := g.customers[hash]; c != nil && c.planIndex != index {
 		return index, false
 	}
 	return index, known
 }
 
-// charge subtracts what a peer admitted since its last message, and passes it on to the other rows. Of a first or lower counter it
-// subtracts what the peer says this copy owes; the rest is only recorded.
-func (g *Gateway) charge(p *peer, c *customer, total, owed uint64) {
+// subtractReceived subtracts what a peer admitted since its last message, and passes it on to the other rows. Of a first
+// or lower counter it subtracts what the peer says this copy owes; the rest is only recorded.
+func (g *Gateway) subtractReceived(p *peer, c *customer, total, owed uint64) {
 	i := slices.IndexFunc(c.subscriptions, func(s subscription) bool { return s.peer == p })
 	if i < 0 {
 		return
--- a/logic/gossip_send.go
+++ b/logic/gossip_send.go
@@ -10,8 +10,8 @@
 
 const counterScale = 16 // counters are sent in these parts of a unit
 
-// sendGossip sends a peer the counters that changed, as soon as it can take a message, and heartbeats with the tags of endpoints
-// that serve well.
+// sendGossip sends a peer the counters that changed, as soon as it can take a message, and heartbeats with the
+// tags of endpoints that serve well.
 func (g *Gateway) sendGossip(p *peer, credit float64) {
 	p.credit = min(p.credit+credit, max(g.messageRate, 1))
 	due := g.now >= p.heartbeatDue
@@ -42,7 +42,8 @@
 	return tags
 }
 
-// appendCounters appends the counters that wait for a peer to a message, those with the most unsent units first, as many as fit.
+// appendCounters appends the counters that wait for a peer to a message, those with the most unsent units first,
+// as many as fit.
 func (g *Gateway) appendCounters(message []byte, p *peer) []byte {
 	slices.SortStableFunc(p.queue, func(a, b *subscription) int { return cmp.Compare(b.unsent(), a.unsent()) })
 	for len(p.queue) > 0 {
@@ -50,7 +51,7 @@
 		c := s.customer
 		total := uint64(c.counters[p.counter] * counterScale)
 		g.refill(c)
-		owed := g.owed(s, total)
+		owed := g.initialDebt(s, total)
 		entry := g.format.Counter(c.hash, g.planName(c), c.spread, c.firstGateway, total, owed)
 		if owed > 0 || s.unsent() > 0 {
 			if len(message)+len(entry) > gossip.MaxMessageBytes {
@@ -73,8 +74,8 @@
 	return uint32(c.planIndex)
 }
 
-// owed is what the copy at a peer has to subtract if the counter is the first that it receives, in parts of a unit.
-func (g *Gateway) owed(s *subscription, total uint64) uint64 {
+// initialDebt returns what the copy at a peer has to subtract if the counter is the first that it receives, in parts of a unit.
+func (g *Gateway) initialDebt(s *subscription, total uint64) uint64 {
 	c := s.customer
 	recent := func(at gateway.Time) bool { return g.now.Sub(at) < g.peerTimeout }
 	lack := max(c.plan.Burst-c.level, 0) * counterScale
--- a/logic/gossip_test.go
+++ b/logic/gossip_test.go
@@ -24,7 +24,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// TestRestartedGatewayHearsWhatIsOwedOnce: a restarted gateway hears from both peers what its full copy lacks, and takes it off once.
+// TestRestartedGatewayHearsWhatIsOwedOnce: a restarted gateway hears from both peers what its full copy lacks,
+// and takes it off once.
 func TestRestartedGatewayHearsWhatIsOwedOnce(t *testing.T) {
 	w := newSimulation(3, 4, func(w *simulation) { w.plans[0].Rate = 1 })
 	w.arrive(0, "a", 8)
@@ -145,7 +146,8 @@
 	}
 }
 
-// TestGossipRateFollowsRequests: a gateway with many requests tells its peers more often than one with few, up to twice.
+// TestGossipRateFollowsRequests: a gateway with many requests tells its peers more often than one with few, up
+// to twice.
 func TestGossipRateFollowsRequests(t *testing.T) {
 	var sent []int
 	for _, reqs := range []int{1, 4} { // a tick and gateway: 25 and 100 a second, against 16 messages
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -15,8 +15,9 @@
 	minMessageRate  = 0.01            // messages a second to a peer
 )
 
-// setFleetSize takes in how many gateways there are: which of them this one sends to and hears, and how often. Counters are first
-// counters again on both sides: among another number of gateways who sends what to whom may differ.
+// setFleetSize takes in how many gateways there are: which of them this one sends to and hears, and how often.
+// Counters are first counters again on both sides: among another number of gateways who sends what to whom may
+// differ.
 func (g *Gateway) setFleetSize(count int) {
 	budget := g.membership.MessageRate * gossipShare
 	g.format.Members = count
@@ -37,11 +38,12 @@
 	g.endpoints.limit.Start = initialInFlight / float64(count)
 }
 
-// The grid in which gateways tell each other what they admit: where a message to each peer an interval is more than they take in,
-// each tells its own admissions to its row, and its row's to its column. That takes two steps, and few messages for any number.
+// The grid in which gateways tell each other what they admit: where a message to each peer an interval is more
+// than they take in, each tells its own admissions to its row, and its row's to its column. That takes two
+// steps, and few messages for any number.
 
-// buildTopology sets which peers this gateway sends to and hears among so many gateways. What is known of a peer's incarnation
-// stays.
+// buildTopology sets which peers this gateway sends to and hears among so many gateways. What is known of a
+// peer's incarnation stays.
 func (g *Gateway) buildTopology(count int) {
 	former := g.peers
 	self := g.membership.Index
@@ -62,7 +64,8 @@
 	}
 }
 
-// otherEnd returns the gateway at the other end of this gateway's step on the way between two, of which other is not this one.
+// otherEnd returns the gateway at the other end of this gateway's step on the way between two, of which other is
+// not this one.
 func (g *Gateway) otherEnd(from, to, other int) int {
 	via := g.via(from, to)
 	if via == g.membership.Index {
@@ -108,7 +111,8 @@
 	return min(g.rowStart(fromRow)+column, last)
 }
 
-// subscribe links a customer to the peers that send or are sent its counters. What was not sent yet to one is still to be sent.
+// subscribe links a customer to the peers that send or are sent its counters. What was not sent yet to one is
+// still to be sent.
 func (g *Gateway) subscribe(c *customer) {
 	former := c.subscriptions
 	c.subscriptions = make([]subscription, 0, min(c.spread, len(g.neighbours)))
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -60,7 +60,8 @@
 		}
 		h.lastFailure = now
 	}
-	explained := customerSilent || h.unansweredFraction >= suspicionLimit // the silence is the customer's or the endpoint's own
+	// the silence is the customer's or the endpoint's own
+	explained := customerSilent || h.unansweredFraction >= suspicionLimit
 	if sinceStall && (result == gateway.Succeeded || result == gateway.TimedOut && !explained) {
 		e.observeLatency(latency, class)
 		s.limit.ObserveAnswer(latency, class.LatencyObjective, now, s.inFlight, utilization)
@@ -83,7 +84,8 @@
 	e.relativeLatency = max(e.relativeLatency+(relative-e.relativeLatency)*latencyWeight, minLatency)
 }
 
-// overdue reports whether the endpoint holds an attempt and has answered nothing of its class for much longer than usual.
+// overdue reports whether the endpoint holds an attempt and has answered nothing of its class for much longer
+// than usual.
 func (e *endpoint) overdue(a *attempt, now gateway.Time) bool {
 	class := a.request.class
 	silent := now.Sub(max(a.startedAt, e.healthFor(class).lastAnswer))
--- a/logic/peer.go
+++ b/logic/peer.go
@@ -36,8 +36,8 @@
 // unsent returns the units that were not sent to the peer yet.
 func (s *subscription) unsent() float64 { return s.customer.counters[s.peer.counter] - s.sentTotal }
 
-// queueCounters has the customer's counters sent: after admissions here to all peers, after those of the row to the peers in other
-// rows.
+// queueCounters has the customer's counters sent: after admissions here to all peers, after those of the row to
+// the peers in other rows.
 func (c *customer) queueCounters(admittedHere bool, only *peer) {
 	for i := range c.subscriptions {
 		s := &c.subscriptions[i]
--- a/logic/request.go
+++ b/logic/request.go
@@ -7,10 +7,10 @@
 	"ravensill/gateway"
 )
 
-// minAttemptTimeout is the least time that an attempt is given.
+// minAttemptTimeout is the shortest timeout of an attempt.
 const minAttemptTimeout = time.Microsecond
 
-// request is held from its arrival until it is closed and no attempt is in flight.
+// request is kept from its arrival until it is closed and no attempt is in flight.
 type request struct {
 	id          string
 	customer    *customer
@@ -18,15 +18,15 @@
 	units       float64
 	arrived     gateway.Time
 	deadline    gateway.Time // the client gives up then
-	stopAt      gateway.Time // this gateway ends then; 0: it is not called to stop
+	stopAt      gateway.Time // end of this gateway's shutdown; 0: it does not shut down
 	attempts    int
 	current     *attempt // in flight; nil: none
-	mayHaveRun  *attempt // the first that may have run; nil: none
+	mayHaveRun  *attempt // first attempt that may have run; nil: none
 	closed      bool
-	counterName uint64 // the shared counter's number that counts it as in flight; 0: none
+	counterName uint64 // name at the shared counter under which it counts as in flight; 0: none
 }
 
-// attempt is one sending of a request to an endpoint.
+// attempt is a request sent to one endpoint.
 type attempt struct {
 	request   *request
 	host      *endpoint
@@ -34,15 +34,15 @@
 	startedAt gateway.Time
 }
 
-// The way of a request, in this order:
+// A request passes through these functions, in this order:
 //
-//	arrive          it is noted, with its customer and class
-//	admit           it is rejected, or admitted to an endpoint (admission.go); the shared counter may be asked first
-//	startAttempt    it is sent to the endpoint
-//	attemptEnded    it succeeded, is sent again (retry.go), rejected or failed
-//	close           its final answer is given
+//	arrive          records it with its customer and class
+//	admit           rejects it, or admits it to an endpoint (admission.go); the shared counter may be asked first
+//	startAttempt    sends it to the endpoint
+//	attemptEnded    ends it, sends it again (retry.go), rejects or fails it
+//	close           drops its record
 
-// arrive takes in a request that came in at a time.
+// arrive handles a request that arrived at a time.
 func (g *Gateway) arrive(event *gateway.Event, at gateway.Time) {
 	c := g.customerFor(hashText(event.Customer), event.Plan, event.Spread, event.FirstGateway)
 	r := &request{
@@ -58,7 +58,7 @@
 	r.class.typicalUnits += (r.units - r.class.typicalUnits) / 64
 	g.arrivals++
 	g.largestRequest = max(g.largestRequest, r.units)
-	if g.format.ByID { // its plan may be gone, or it is on another now
+	if g.format.ByID { // plans may be removed and customers change plans
 		c.planIndex = event.Plan
 	}
 	g.refill(c)
@@ -77,13 +77,14 @@
 	g.actions.StartAttempt(r.id, to.id, max(g.answerDeadline(r).Sub(g.now), minAttemptTimeout))
 }
 
-// attemptEnded takes in how an attempt ended, and sends the request again where that may help and is allowed.
+// attemptEnded handles the end of an attempt: the request is closed, sent again where that is allowed and may
+// help, rejected, or failed.
 func (g *Gateway) attemptEnded(event *gateway.Event) {
 	r := g.requests[event.RequestID]
 	if r == nil || r.current == nil || r.current.number != event.Attempt {
 		return
 	}
-	ended := g.takeCurrent(r, event.Result)
+	ended := g.endCurrentAttempt(r, event.Result)
 	if !event.Result.NeverRan() && r.mayHaveRun == nil {
 		r.mayHaveRun = ended
 	}
@@ -100,18 +101,18 @@
 	}
 }
 
-// takeCurrent ends the attempt that a request has in flight and returns it.
-func (g *Gateway) takeCurrent(r *request, result gateway.Result) *attempt {
+// endCurrentAttempt removes the attempt that a request has in flight and returns it.
+func (g *Gateway) endCurrentAttempt(r *request, result gateway.Result) *attempt {
 	ended := r.current
 	r.current = nil
 	r.customer.inFlight--
-	r.customer.noteAnswer(result)
+	r.customer.recordAnswered(result)
 	ended.host.inFlight = slices.DeleteFunc(ended.host.inFlight, func(other *attempt) bool { return other == ended })
 	g.endpoints.inFlight--
 	return ended
 }
 
-// reject gives the final answer that makes a repeat harmless, with the time in nanoseconds after which to come back.
+// reject ends a request with the final answer that allows a safe retry, after a time in nanoseconds.
 func (g *Gateway) reject(r *request, reason Reason, retryAfter float64) {
 	g.rejected[reason]++
 	if !g.limits.RetryAfter {
@@ -121,7 +122,7 @@
 	g.close(r)
 }
 
-// close ends a request; it is forgotten once its attempt has ended, too.
+// close ends a request. Its record is dropped once no attempt is in flight.
 func (g *Gateway) close(r *request) {
 	r.closed = true
 	if r.current != nil {
--- a/logic/request_test.go
+++ b/logic/request_test.go
@@ -152,8 +152,9 @@
 	}
 }
 
-// TestNoAttemptAfterDeadline: a request whose time is up when it comes, as near the end of a gateway that was told to stop, is denied at once. It
-// was dispatched for a microsecond, and a non-replayable one then aborted, since it may have run.
+// TestNoAttemptAfterDeadline: a request whose time is up when it comes, as near the end of a gateway that was
+// told to stop, is denied at once. It was dispatched for a microsecond, and a non-replayable one then aborted,
+// since it may have run.
 func TestNoAttemptAfterDeadline(t *testing.T) {
 	w := newSimulation(1, 3, nil)
 	for i, left := range []time.Duration{time.Second, 0, -time.Second} {
@@ -162,8 +163,8 @@
 	golden.Check(t, w.trace.String())
 }
 
-// A gateway that is called to stop rejects a request at once if it is to end before the answer usually comes: the client still
-// has the time to go to another. The same request at a gateway that goes on is sent to a host.
+// A gateway that is called to stop rejects a request at once if it is to end before the answer usually comes:
+// the client still has the time to go to another. The same request at a gateway that goes on is sent to a host.
 func TestRejectsWhatEndsWithGateway(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	windowMargin     = time.Second / 5 // kept clear of the end of a deduplicated request's window
-	retryBudgetShare = 0.25            // that each admitted request adds to the budget of retries of what may have run
+	windowMargin     = time.Second / 5 // left of a deduplicated request's window, at least, for a repeat
+	retryBudgetShare = 0.25            // retries that each admitted request adds to the budget for attempts that may have run
 	maxRetryBudget   = 10
 )
 
-// repeatable reports whether a repeat now of what was first sent at a time does no harm: the endpoints drop it within a window.
+// repeatable reports whether a request that was first sent at a time may be repeated now without effect: its
+// endpoints drop repeats within a window.
 func (c *class) repeatable(first, now gateway.Time) bool {
 	switch c.Effect {
 	case gateway.Idempotent:
@@ -24,13 +25,13 @@
 	return false
 }
 
-// addRetryBudget adds to the budget of retries what an admitted request brings.
+// addRetryBudget adds an admitted request's share to the budget of retries.
 func (g *Gateway) addRetryBudget() {
 	g.retryBudget = min(g.retryBudget+retryBudgetShare, maxRetryBudget)
 }
 
-// answerDeadline is when the answer of a request is waited for no longer. After a stall answers lie waiting, and late ones that
-// still earn something, too.
+// answerDeadline returns the time at which the gateway stops waiting for an answer. After a stall, answers that
+// were received but not yet read are late, and the ones that are still of some value are waited for.
 func (g *Gateway) answerDeadline(r *request) gateway.Time {
 	late := time.Duration(0)
 	if g.endpoints.stallEnd > 0 && g.now.Sub(g.endpoints.stallEnd) < decayTime {
@@ -39,7 +40,7 @@
 	return min(r.deadline, r.arrived.Add(r.class.LatencyObjective+late))
 }
 
-// retry sends a request to another endpoint than last, and reports whether it did.
+// retry sends a request to another endpoint than the last one, and reports whether it did.
 func (g *Gateway) retry(r *request, last *endpoint) bool {
 	if r.attempts >= g.limits.MaxAttempts || g.now >= g.answerDeadline(r) {
 		return false
@@ -58,8 +59,8 @@
 	return true
 }
 
-// cancelOverdue marks endpoints that hold attempts for much longer than usual as suspected, and cancels attempts that may be made
-// elsewhere: each is sent again once its end is confirmed.
+// cancelOverdue marks endpoints whose attempts take much longer than usual as suspected, and cancels those
+// attempts whose requests may be sent again. A request is sent again once the end of its attempt is confirmed.
 func (g *Gateway) cancelOverdue() {
 	for _, e := range g.endpoints.withAttempts() {
 		for _, a := range e.inFlight {
@@ -74,7 +75,7 @@
 	}
 }
 
-// mayCancel reports whether an attempt's request could be sent again if it were canceled.
+// mayCancel reports whether an attempt's request could be sent again after a cancellation.
 func (g *Gateway) mayCancel(a *attempt) bool {
 	r := a.request
 	first := cmp.Or(r.mayHaveRun, a)
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -221,9 +221,10 @@
 	}
 }
 
-// TestRulesHoldForAllSettings: operators vary the effect, group, window and times of a profile and parallel_tries on running deployments.
-// Every mixture starts, and under every one the rules are kept as the settings tell them, whatever hosts, clients and lists do;
-// also by the module alone, which gets the settings by their letter.
+// TestRulesHoldForAllSettings: operators vary the effect, group, window and times of a profile and
+// parallel_tries on running deployments. Every mixture starts, and under every one the rules are kept as the
+// settings tell them, whatever hosts, clients and lists do; also by the module alone, which gets the settings by
+// their letter.
 func TestRulesHoldForAllSettings(t *testing.T) {
 	sum := map[string]*ruleChecker{}
 	for i := range 3 * 3 * 3 * 2 * 2 * 2 * 2 {
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -9,9 +9,9 @@
 	"ravensill/internal/gossip"
 )
 
-// A gateway of many holds few of the hosts. What a tick, a request and a peer's message cost must not grow with the list: at
-// 87,000 hosts a tick that walked them all took 15% of a core at rest. A record that is not near is spoilt here, so that a
-// walk that comes to it panics.
+// A gateway of many holds few of the hosts. What a tick, a request and a peer's message cost must not grow with
+// the list: at 87,000 hosts a tick that walked them all took 15% of a core at rest. A record that is not near is
+// spoilt here, so that a walk that comes to it panics.
 func TestRequestWalksOnlyNearbyEndpoints(t *testing.T) {
 	const hosts = 5000
 	w := newSimulation(1, 1, func(w *simulation) { w.limits.Cancellation = true })
@@ -34,7 +34,8 @@
 		}
 		if !h.InSubset {
 			h.inFlight = []*attempt{nil}
-			h.health = []health{{lastGood: gateway.Time(2 * time.Second), unansweredFraction: 0.2}} // a walk would tell peers of it, or heal it
+			// a walk would tell peers of it, or heal it
+			h.health = []health{{lastGood: gateway.Time(2 * time.Second), unansweredFraction: 0.2}}
 		}
 	}
 	round(2*gateway.Time(time.Second), gateway.Event{Kind: gateway.TimerFired}, gateway.Event{Kind: gateway.RequestArrived, RequestID: "a", Customer: "c", Spread: 1,
@@ -74,7 +75,8 @@
 	}
 }
 
-// To a gateway by itself all hosts are near. At rest its ticks must not walk them: with 87,000 they took 4.7% of a core.
+// To a gateway by itself all hosts are near. At rest its ticks must not walk them: with 87,000 they took 4.7% of
+// a core.
 func TestTimerAtRestWalksNoEndpoint(t *testing.T) {
 	w := newSimulation(1, 1, nil)
 	g := New(1, gateway.Membership{Count: 1}, w.classes, w.plans, w.limits, gateway.SlowStart{}, gateway.LoadReportForm{})
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -2,9 +2,9 @@
 
 import "ravensill/gateway"
 
-// Reconfigure puts a new version of the settings that may change while a gateway runs in force, between two batches. What is in
-// flight keeps its class; a customer comes under its plan's new version when it is next looked at (refill), in a second at the
-// latest.
+// Reconfigure puts a new version of the settings that may change while a gateway runs in force, between two
+// batches. What is in flight keeps its class; a customer comes under its plan's new version when it is next
+// looked at (refill), in a second at the latest.
 func (g *Gateway) Reconfigure(now gateway.Time, update *gateway.Update) {
 	for i := range update.Plans {
 		g.setPlan(&update.Plans[i])
@@ -28,11 +28,11 @@
 	g.plans = append(g.plans, make([]*gateway.Plan, missing)...)
 	if update.Removed {
 		g.plans[update.Index] = nil
-		delete(g.byID, update.Plan.ID)
+		delete(g.planByID, update.Plan.ID)
 		return
 	}
 	g.plans[update.Index] = &update.Plan
-	g.byID[update.Plan.ID] = update.Index
+	g.planByID[update.Plan.ID] = update.Index
 }
 
 // setClass sets a class of requests. One that changes keeps what was learned of its answers.
--- a/logic/settings_test.go
+++ b/logic/settings_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Two gateways whose versions differ: one has the plans in another order and lacks one. No plan's admissions are charged to
-// another, also when a customer moves from plan to plan.
+// Two gateways whose versions differ: one has the plans in another order and lacks one. No plan's admissions are
+// charged to another, also when a customer moves from plan to plan.
 func TestTotalsNamePlansByID(t *testing.T) {
 	a, b := gateway.Plan{ID: 7, Rate: 0.1, Burst: 10, PriorityWeight: 1}, gateway.Plan{ID: 9, Rate: 0.1, Burst: 10, PriorityWeight: 1}
 	w := fleetOf(2, a, b)
@@ -106,7 +106,8 @@
 	}
 }
 
-// What is in flight under a class keeps it: a class that becomes safe must not make a request repeat that was sent as unsafe.
+// What is in flight under a class keeps it: a class that becomes safe must not make a request repeat that was
+// sent as unsafe.
 func TestInFlightKeepsClass(t *testing.T) {
 	w := newSimulation(1, 4, func(w *simulation) { w.classes[0].Effect = gateway.NonIdempotent })
 	w.gateways[0].gateway.retryBudget = 5
@@ -131,7 +132,8 @@
 	}
 }
 
-// The fleet grows from 3 to 4 gateways, one after the other. What was admitted and not told is told, nothing is charged twice.
+// The fleet grows from 3 to 4 gateways, one after the other. What was admitted and not told is told, nothing is
+// charged twice.
 func TestMembersJoin(t *testing.T) {
 	w := fleetOf(3, gateway.Plan{ID: 7, Rate: 1, Burst: 100, PriorityWeight: 1})
 	w.advance(3*time.Second, true)
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -13,7 +13,8 @@
 // simulationStart is the time at which a simulation starts.
 const simulationStart = gateway.Time(100 * time.Second)
 
-// simulation runs gateways on a simulated clock and records their decisions. Hosts, clients and the network are the test's.
+// simulation runs gateways on a simulated clock and records their decisions. Hosts, clients and the network are
+// the test's.
 type simulation struct {
 	now      gateway.Time
 	gateways []*simulatedGateway
@@ -68,8 +69,8 @@
 	s.messages, s.receivers = append(s.messages, body), append(s.receivers, peer)
 }
 
-// newSimulation starts n gateways with one replayable class and a plan of 10 units a second and a burst of 10, unless set changes
-// these.
+// newSimulation starts n gateways with one replayable class and a plan of 10 units a second and a burst of 10,
+// unless set changes these.
 func newSimulation(n, hosts int, set func(w *simulation)) *simulation {
 	w := &simulation{classes: []gateway.RequestClass{{LatencyObjective: 800 * ms, Timeout: 3000 * ms, Value: 1}},
 		plans:  []gateway.Plan{{Rate: 10, Burst: 10, PriorityWeight: 1, OverQuotaCost: 0.5}},
@@ -131,7 +132,8 @@
 	}
 }
 
-// advance lets time pass in ticks. Messages are delivered at once if carry is set, else lost. It returns how many were sent.
+// advance lets time pass in ticks. Messages are delivered at once if carry is set, else lost. It returns how
+// many were sent.
 func (w *simulation) advance(t time.Duration, carry bool) (sent int) {
 	for end := w.now.Add(t); w.now < end; {
 		w.now = w.now.Add(timerInterval)
--- a/logic/timer.go
+++ b/logic/timer.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// messageCredit is how many messages each peer can take since the last timer: more with many requests, up to twice as many.
+// messageCredit is how many messages each peer can take since the last timer: more with many requests, up to
+// twice as many.
 func (g *Gateway) messageCredit() float64 {
 	elapsed := seconds(g.now.Sub(g.lastTimer))
 	byRequests := float64(g.arrivals) / max(g.membership.MessageRate*gossipShare, 1)
--- a/logic/token_bucket.go
+++ b/logic/token_bucket.go
@@ -2,11 +2,12 @@
 
 import "math"
 
-// maxDebt is what a copy may owe, in bursts of its plan: the design's default.
+// maxDebt is the most units that a copy may owe, in bursts of its plan.
 const maxDebt = 1.0
 
-// refill brings a copy up to now. Where no peer is heard, the design rejects everything. The copy keeps its due instead, as if all
-// of the customer's gateways were cut off alike: safe, but the last one alive serves a fraction only.
+// refill brings a copy up to the present. Without messages of any peer, the design rejects everything. The copy
+// is refilled at this gateway's fraction of the rate instead, as if all of the customer's gateways were
+// partitioned from each other: that is safe, but a gateway that is the only one left serves just that fraction.
 func (g *Gateway) refill(c *customer) {
 	elapsed := seconds(g.now.Sub(c.refilled))
 	c.refilled = g.now
@@ -30,7 +31,8 @@
 	}
 }
 
-// presumePeers takes off the copy what peers admit if they go on as before: nobody is heard, but they may be there.
+// presumePeers subtracts what peers admit if they go on at their latest rate: without messages they may be
+// running all the same.
 func (c *customer) presumePeers(elapsed, decay float64) {
 	taken := max(min(c.peerRate*elapsed, c.level+maxDebt*c.plan.Burst), 0)
 	c.level -= taken
@@ -38,8 +40,9 @@
 	c.peerRate /= decay
 }
 
-// spend takes an admitted request's units from the copy and this gateway's fraction of the ceiling, and has it gossiped. What is
-// beyond the cap on requests in flight, by its probability, takes nothing from the quota.
+// spend takes an admitted request's units from the copy and from this gateway's fraction of the ceiling, and
+// queues the counters for gossip. The part that exceeds the cap on requests in flight, by its probability,
+// takes nothing from the quota.
 func (g *Gateway) spend(c *customer, units, withinCap float64) {
 	taken := units * withinCap
 	if c.plan.Rate > 0 {
@@ -53,7 +56,8 @@
 	c.queueCounters(true, nil)
 }
 
-// subtract takes off the copy what a peer admitted, down to the bounded debt. What was presumed of peers already is not taken twice.
+// subtract takes what a peer admitted off the copy, down to the bounded debt. Units that were presumed of peers
+// are not taken twice.
 func (g *Gateway) subtract(c *customer, units float64) {
 	known := min(units, c.presumedUnits)
 	c.presumedUnits -= known
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,7 +1,7 @@
-// Package subset assigns each gateway its subset of the endpoints, from the list and its member index alone: every gateway computes
-// the same assignment, with no message. Endpoints claim gateways in turns, as Maglev fills its table (Eisenbud et al., NSDI 2016).
-// Each endpoint is held by gateways in proportion to its weight, each gateway holds as many endpoints as any other, and a change of
-// the list moves few.
+// Package subset assigns each gateway its subset of the endpoints, from the list and its member index alone:
+// every gateway computes the same assignment, with no message. Endpoints claim gateways in turns, as Maglev
+// fills its table (Eisenbud et al., NSDI 2016). Each endpoint is held by gateways in proportion to its weight,
+// each gateway holds as many endpoints as any other, and a change of the list moves few.
 package subset
 
 import "math/bits"
@@ -24,7 +24,8 @@
 	turns     uint64  // gateways in its order that it has asked
 }
 
-// AssignSubset sets which endpoints the gateway with a member index holds, of those that run, in an order that all gateways share.
+// AssignSubset sets which endpoints the gateway with a member index holds, of those that run, in an order that
+// all gateways share.
 func AssignSubset(member, members int, endpoints []*Endpoint) {
 	size := (gatewaysPerEndpoint*len(endpoints) + members - 1) / members
 	a := assignment{
@@ -44,7 +45,8 @@
 	for a.left > 0 {
 		for _, e := range endpoints {
 			e.claimsDue += max(e.Weight/maxWeight, minWeight)
-			waits := e.claimsDue < 1 && e.turns > 0 // the first claim comes early, so that each endpoint is held; with no weights none waits
+			// the first claim comes early, so that each endpoint is held; with no weights none waits
+			waits := e.claimsDue < 1 && e.turns > 0
 			if a.left > 0 && !waits {
 				e.claimsDue--
 				a.claim(e)
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -47,8 +47,8 @@
 	return rapid.IntRange(1, 150).Draw(t, "gateways"), list
 }
 
-// TestGatewaysHoldEndpointsEvenly: gateways hold equally many and all that there are if they are few; every host is held; by weight held
-// counts are within one of their parts and, where gateways hold nearly all, a tenth.
+// TestGatewaysHoldEndpointsEvenly: gateways hold equally many and all that there are if they are few; every host
+// is held; by weight held counts are within one of their parts and, where gateways hold nearly all, a tenth.
 func TestGatewaysHoldEndpointsEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seats, list := draw(t, 1)
@@ -68,8 +68,9 @@
 	})
 }
 
-// TestEndpointsAreHeldByWeight: a host of a quarter of the weight is held by a quarter as many, within one and a half; nobody is
-// left out, however light, and weights that make no sense count as light or, if none does, as even.
+// TestEndpointsAreHeldByWeight: a host of a quarter of the weight is held by a quarter as many, within one and a
+// half; nobody is left out, however light, and weights that make no sense count as light or, if none does, as
+// even.
 func TestEndpointsAreHeldByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seats, list := draw(t, 1, 1, 1, 0.25)
@@ -91,8 +92,8 @@
 	})
 }
 
-// TestListChangeMovesFewEndpoints: a host that comes or goes makes the fleet open at most eight connections for each that it holds, and one
-// at each gateway where the number that they hold grows.
+// TestListChangeMovesFewEndpoints: a host that comes or goes makes the fleet open at most eight connections for
+// each that it holds, and one at each gateway where the number that they hold grows.
 func TestListChangeMovesFewEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seats, list := draw(t, 1)
