--- a/logic/candidates.go
+++ b/logic/candidates.go
@@ -6,10 +6,10 @@
 	"ravensill/gateway"
 )
 
-// reportCandidates tells an observer among which endpoints the one of an attempt was chosen, by the loads that
-// choose has just set: every endpoint of the subset that could be chosen, and any other that was. The ranking is
-// a hash, so that over customers each endpoint within bounds is first with the same probability. It records
-// only; nothing is decided by it.
+// reportCandidates reports to an observer among which endpoints an attempt's was chosen, by the loads that
+// choose has set: every endpoint of the subset that could be chosen, and any other that was. The ranking is a
+// hash, so over customers each acceptable endpoint is the first with the same probability. Nothing is decided
+// by the report.
 func (g *Gateway) reportCandidates(r *request, chosen *endpoint) {
 	observer, on := g.actions.(gateway.CandidateObserver)
 	if !on {
--- a/logic/endpoint_choice.go
+++ b/logic/endpoint_choice.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	loadSlack      = 1.2  // times the least load: an endpoint up to that will do
+	loadSlack      = 1.2  // times the least load, up to which an endpoint may be chosen
 	suspectPenalty = 16.0 // times its load, for an endpoint that is surely suspected
-	outsidePenalty = 6.0  // times its load, for an endpoint outside the subset: for much traffic
+	outsidePenalty = 6.0  // times its load, for an endpoint outside the subset
 	busyPenalty    = 4.0  // times its load at most, for an endpoint that reports that it is busy
-	stallShare     = 2    // times its share of the limit, for what came in while the gateway stood still
+	stallShare     = 2    // times its fraction of the limit, for what arrived during a stall
 )
 
-// choose returns the customer's first endpoint in rank that has no more than a little above the least load, nil
-// if there is none or the limit on attempts in flight is reached. share is the fraction of the limit that is
-// open to the request; last is not chosen.
-func (s *endpointSet) choose(c *customer, class *class, now gateway.Time, share float64, last *endpoint) *endpoint {
-	if s.stallEnd > 0 && now.Sub(s.stallEnd) < s.stallLength { // what came in meanwhile comes on top
-		share *= stallShare
+// choose returns the customer's first endpoint in rank whose load is close enough to the least one. It returns
+// nil if there is none, or if the limit on attempts in flight is reached. fraction is the part of the limit
+// that is open to the request; last is not chosen.
+func (s *endpointSet) choose(c *customer, class *class, now gateway.Time, fraction float64, last *endpoint) *endpoint {
+	if s.stallEnd > 0 && now.Sub(s.stallEnd) < s.stallLength { // what arrived meanwhile comes in addition
+		fraction *= stallShare
 	}
-	if !s.limit.Allows(s.inFlight, share, s.random.fraction()) {
+	if !s.limit.Allows(s.inFlight, fraction, s.random.fraction()) {
 		return nil
 	}
 	least := s.weigh(s.nearby, class, now, last)
-	if c.acceptableLoad(least) >= outsidePenalty { // any other endpoint is idle, of that load
+	if c.acceptableLoad(least) >= outsidePenalty { // an idle endpoint outside the subset has that load
 		least = s.weigh(s.all, class, now, last)
 	}
 	if math.IsInf(least, 1) {
@@ -34,8 +34,8 @@
 	return s.firstInRank(c, c.acceptableLoad(least))
 }
 
-// firstInRank returns the customer's first endpoint in rank (rendezvous hashing) of those last weighed that have
-// no more than a load, nil for none.
+// firstInRank returns the customer's first endpoint in rank (rendezvous hashing) among those last weighed with
+// at most a load, nil for none.
 func (s *endpointSet) firstInRank(c *customer, most float64) *endpoint {
 	var first *endpoint
 	for _, e := range s.lastWeighed {
@@ -46,18 +46,19 @@
 	return first
 }
 
-// rank is the endpoint's place for a customer: the highest goes first.
+// rank returns the endpoint's rank for a customer; the highest is the first.
 func (e *endpoint) rank(c *customer) uint64 { return mix(uint64(c.hash) ^ e.Hash) }
 
-// acceptableLoad is the load up to which an endpoint will do, where the least is that.
+// acceptableLoad returns the highest load of an endpoint that may be chosen where least is the lowest.
 func (c *customer) acceptableLoad(least float64) float64 {
-	if c.plan.MaxInFlight > 0 { // the sooner it is answered, the sooner its place is free
+	if c.plan.MaxInFlight > 0 { // the sooner the answer, the sooner another request may start
 		return least
 	}
 	return least * loadSlack
 }
 
-// weigh sets the loads of endpoints for a class, infinite for one that may get nothing now, and returns the least.
+// weigh sets the loads of endpoints for a class, infinite for those that may not be sent an attempt now, and
+// returns the least.
 func (s *endpointSet) weigh(endpoints []*endpoint, class *class, now gateway.Time, last *endpoint) float64 {
 	least := math.Inf(1)
 	s.lastWeighed = endpoints
@@ -71,18 +72,19 @@
 	return least
 }
 
-// available reports whether an endpoint may get an attempt now.
+// available reports whether an endpoint may be sent an attempt now.
 func (s *endpointSet) available(e *endpoint, now gateway.Time) bool {
 	return e.state == gateway.Running && (s.warmUpFraction(e, now) >= 1 || e.allowance >= 1)
 }
 
-// expectedLoad is how long an answer of the endpoint would take, against a typical one of an idle endpoint.
+// expectedLoad returns how long an answer of the endpoint would take, over the typical latency of an idle
+// endpoint.
 func (e *endpoint) expectedLoad(class *class, now gateway.Time) float64 {
 	h := e.healthFor(class)
-	// What it reported and how it answered wears off, or an endpoint once thought busy would never be asked again.
+	// Reports and latencies decay, or an endpoint once found busy would never be tried again.
 	age := float64(now.Sub(h.lastAnswer))
 	load := 1 + (e.relativeLatency*(1+busyPenalty*e.utilization)-1)*math.Exp(-age/float64(decayTime))
-	// Still of use: where all are suspected the cause is shared; the others of the subset go first.
+	// A suspected endpoint stays usable: if all are suspected, the cause is shared.
 	load *= float64(len(e.inFlight)+1) * (1 + suspectPenalty*h.suspicion(now))
 	if !e.InSubset {
 		load *= outsidePenalty
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -9,8 +9,8 @@
 	"ravensill/subset"
 )
 
-// updateList takes in a list of endpoints, or changes of it. A record ends with its endpoint, as does its part
-// of the limit on attempts in flight.
+// updateList applies a list of endpoints, or changes of it. An endpoint that is gone loses its record and its
+// part of the limit on attempts in flight.
 func (s *endpointSet) updateList(kind gateway.ListKind, listed []gateway.Endpoint, now gateway.Time) {
 	if kind == gateway.ListComplete || kind == gateway.ListCached {
 		for _, e := range s.all {
@@ -28,7 +28,7 @@
 	s.chooseSubset()
 }
 
-// updateEndpoint takes in one entry of a list. After a new start what was learned of the former process is void.
+// updateEndpoint applies one entry of a list. A new start voids what was measured of the process before.
 func (s *endpointSet) updateEndpoint(e *endpoint, listed *gateway.Endpoint, now gateway.Time) {
 	if listed.StartedAt != e.announcedStart {
 		e.announcedStart = listed.StartedAt
@@ -42,10 +42,11 @@
 	e.Weight = listed.Weight
 }
 
+// byID compares an endpoint with an id, for binary searches.
 func byID(e *endpoint, id uint32) int { return cmp.Compare(e.id, id) }
 
-// recordsFor returns the record of each endpoint of a list, new ones for those that are not known yet. It sorts
-// the whole once, not each new endpoint into its place: a list of n endpoints would take n squared moves.
+// recordsFor returns the record of each endpoint of a list, new ones for unknown endpoints. It sorts once: an
+// insertion for each new endpoint would take a number of moves quadratic in the list's length.
 func (s *endpointSet) recordsFor(listed []gateway.Endpoint) []*endpoint {
 	known := s.all
 	added := map[uint32]*endpoint{}
@@ -56,7 +57,11 @@
 			continue
 		}
 		if added[l.Host] == nil {
-			added[l.Host] = &endpoint{id: l.Host, Endpoint: subset.Endpoint{Hash: mix(uint64(l.Host) + 1)}, announcedStart: math.MinInt64}
+			added[l.Host] = &endpoint{
+				Endpoint:       subset.Endpoint{Hash: mix(uint64(l.Host) + 1)},
+				id:             l.Host,
+				announcedStart: math.MinInt64,
+			}
 			s.all = append(s.all, added[l.Host])
 		}
 		records[i] = added[l.Host]
@@ -67,8 +72,8 @@
 	return records
 }
 
-// chooseSubset takes this gateway's subset of the endpoints: a gateway of many keeps few connections and hears
-// often of each. The others serve where none of the subset will do.
+// chooseSubset marks this gateway's subset of the endpoints, so that it keeps few connections and gets answers
+// from each often. The other endpoints serve when none of the subset can.
 func (s *endpointSet) chooseSubset() {
 	var running []*subset.Endpoint
 	for _, e := range s.all {
@@ -81,8 +86,8 @@
 	s.collectNearby()
 }
 
-// collectNearby collects the endpoints near this gateway: its subset, and those that it has sent to. All walks
-// but the rare one of choose are of these, so that what a request or a timer costs does not grow with the list.
+// collectNearby collects the endpoints of the subset and those that were sent an attempt. Walks are over these,
+// but for a rare one in choose: their cost does not grow with the list.
 func (s *endpointSet) collectNearby() {
 	s.nearby = s.nearby[:0]
 	for _, e := range s.all {
@@ -92,8 +97,7 @@
 	}
 }
 
-// withAttempts returns the endpoints with attempts in flight, in the order of their ids. A timer walks these
-// alone: to a gateway by itself all endpoints are near, and at rest it has none in flight.
+// withAttempts returns the endpoints with attempts in flight, ordered by id.
 func (s *endpointSet) withAttempts() []*endpoint {
 	s.busy = slices.DeleteFunc(s.busy, func(e *endpoint) bool {
 		e.inBusy = len(e.inFlight) > 0 && e.state != gateway.Gone
@@ -102,7 +106,7 @@
 	return s.busy
 }
 
-// recordContact notes that an endpoint is sent to.
+// recordContact records that an endpoint is sent an attempt.
 func (s *endpointSet) recordContact(e *endpoint) {
 	if !e.inBusy {
 		e.inBusy = true
@@ -114,6 +118,7 @@
 	e.contacted = true
 }
 
+// insertByID inserts an endpoint into a list that is ordered by id.
 func insertByID(list []*endpoint, e *endpoint) []*endpoint {
 	i, _ := slices.BinarySearchFunc(list, e.id, byID)
 	return slices.Insert(list, i, e)
--- a/logic/endpoint_poll.go
+++ b/logic/endpoint_poll.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	firstPollPause   = 300 * time.Millisecond // before a lost list is polled again
-	maxPollPauses    = 13                     // times that pause at most
+	firstPollPause   = 300 * time.Millisecond // mean pause before a lost list is polled again
+	maxPollPauses    = 13                     // longest pause, in first pauses
 	maxPollDoublings = 5                      // failures in a row that double the pause
 )
 
-// schedulePoll sets when a lost endpoint list is polled again: by chance, in pauses that double from call to
-// call, so that a fleet polls at different times and each gateway has its list within 6 s.
+// schedulePoll sets when a lost endpoint list is polled again, with exponential backoff and jitter: gateways of
+// a fleet poll at different times, and each has its list within 6 s.
 func (g *Gateway) schedulePoll(kind gateway.ListKind) {
 	if kind != gateway.ListUnavailable {
 		g.failedPolls = 0
--- a/logic/gateway.go
+++ b/logic/gateway.go
@@ -135,8 +135,9 @@
 	count := time.Duration(len(batch.Events))
 	for i := range batch.Events {
 		if event := &batch.Events[i]; !isStateUpdate(event) {
+			// What arrived during a stall is taken to have arrived evenly over it.
 			remaining := count - time.Duration(i)
-			g.handle(event, g.now.Add(-stalled*remaining/count)) // requests that arrived during a stall are taken to have arrived evenly
+			g.handle(event, g.now.Add(-stalled*remaining/count))
 		}
 	}
 }
--- a/logic/gossip_receive.go
+++ b/logic/gossip_receive.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// receiveGossip takes in a message of a peer.
+// receiveGossip handles a message of a peer.
 func (g *Gateway) receiveGossip(from int, message []byte) {
 	if from < 0 || from >= len(g.peers) || g.peers[from] == nil {
 		return
@@ -23,7 +23,8 @@
 	g.format.Decode(message, header, g.endpoints.clearSuspicion, counter)
 }
 
-// receiveHeader notes that a peer was heard. It returns false for a message that was overtaken, which is not read on.
+// receiveHeader records that a peer is alive. It returns false for a message that was overtaken by a later one;
+// the rest of it is not read.
 func (g *Gateway) receiveHeader(p *peer, incarnation, sequence uint64) bool {
 	if g.overtaken(p, incarnation, sequence) {
 		return false
@@ -35,7 +36,7 @@
 			g.customers[hash].queueCounters(false, p)
 		}
 	}
-	if restarted || g.now.Sub(p.lastReceived) > 2*g.peerTimeout { // its counters are first counters again
+	if restarted || g.now.Sub(p.lastReceived) > 2*g.peerTimeout { // its next counters are first ones again
 		p.incarnation = incarnation
 		p.firstReceived = g.now
 	}
@@ -47,8 +48,8 @@
 
 // overtaken reports whether a later message of the peer was received before this one. Incarnations are numbered
 // by the peer's wall clock, so one that restarts after its clock was set back has a lower number. Its messages
-// are taken for overtaken ones as long as such a message may be under way: until the later incarnation has been
-// silent for as long as makes any peer count as gone.
+// count as overtaken as long as such a message may be under way: until the later incarnation has been silent
+// for the peer timeout.
 func (g *Gateway) overtaken(p *peer, incarnation, sequence uint64) bool {
 	if incarnation == p.incarnation {
 		return sequence <= p.sequence
@@ -56,8 +57,8 @@
 	return incarnation < p.incarnation && g.now.Sub(p.lastReceived) <= g.peerTimeout
 }
 
-// planIndex returns the index of the plan that a counter names. It is not known if there is no such plan here,
-// or if the customer is not on it.
+// planIndex returns the index of the plan that a counter names. It is unknown if there is no such plan here, or
+// if the customer is on another one.
 func (g *Gateway) planIndex(hash, plan uint32) (index int, known bool) {
 	if !g.format.ByID {
 		return int(plan), true
@@ -69,8 +70,8 @@
 	return index, known
 }
 
-// subtractReceived subtracts what a peer admitted since its last message, and passes it on to the other rows. Of a first
-// or lower counter it subtracts what the peer says this copy owes; the rest is only recorded.
+// subtractReceived subtracts what a peer admitted since its last counter, and queues that for the other rows.
+// Of a first or lower counter it subtracts the debt that the peer states; the rest is only recorded.
 func (g *Gateway) subtractReceived(p *peer, c *customer, total, owed uint64) {
 	i := slices.IndexFunc(c.subscriptions, func(s subscription) bool { return s.peer == p })
 	if i < 0 {
--- a/logic/gossip_send.go
+++ b/logic/gossip_send.go
@@ -8,10 +8,11 @@
 	"ravensill/internal/gossip"
 )
 
-const counterScale = 16 // counters are sent in these parts of a unit
+// counterScale is the number of parts that a unit has in counters on the wire.
+const counterScale = 16
 
-// sendGossip sends a peer the counters that changed, as soon as it can take a message, and heartbeats with the
-// tags of endpoints that serve well.
+// sendGossip sends a peer the counters that changed as soon as its rate limit allows, and heartbeats with the
+// tags of healthy endpoints.
 func (g *Gateway) sendGossip(p *peer, credit float64) {
 	p.credit = min(p.credit+credit, max(g.messageRate, 1))
 	due := g.now >= p.heartbeatDue
@@ -29,7 +30,8 @@
 	g.actions.SendGossip(p.member, g.appendCounters(header, p))
 }
 
-// healthyTags returns the tags of endpoints that have answered a request class well lately, as many as a message holds.
+// healthyTags returns the tags of endpoints and request classes with good answers lately, as many as fit in a
+// message.
 func (g *Gateway) healthyTags() (tags []uint16) {
 	for _, e := range g.endpoints.nearby {
 		for class, h := range e.health {
@@ -42,8 +44,8 @@
 	return tags
 }
 
-// appendCounters appends the counters that wait for a peer to a message, those with the most unsent units first,
-// as many as fit.
+// appendCounters appends the queued counters of a peer to a message, those with the most unsent units first, as
+// many as fit.
 func (g *Gateway) appendCounters(message []byte, p *peer) []byte {
 	slices.SortStableFunc(p.queue, func(a, b *subscription) int { return cmp.Compare(b.unsent(), a.unsent()) })
 	for len(p.queue) > 0 {
@@ -51,9 +53,9 @@
 		c := s.customer
 		total := uint64(c.counters[p.counter] * counterScale)
 		g.refill(c)
-		owed := g.initialDebt(s, total)
-		entry := g.format.Counter(c.hash, g.planName(c), c.spread, c.firstGateway, total, owed)
-		if owed > 0 || s.unsent() > 0 {
+		debt := g.initialDebt(s, total)
+		entry := g.format.Counter(c.hash, g.planName(c), c.spread, c.firstGateway, total, debt)
+		if debt > 0 || s.unsent() > 0 {
 			if len(message)+len(entry) > gossip.MaxMessageBytes {
 				break
 			}
@@ -74,20 +76,21 @@
 	return uint32(c.planIndex)
 }
 
-// initialDebt returns what the copy at a peer has to subtract if the counter is the first that it receives, in parts of a unit.
+// initialDebt returns what the copy at a peer has to subtract if the counter is the first that it receives, in
+// parts of a unit (counterScale).
 func (g *Gateway) initialDebt(s *subscription, total uint64) uint64 {
 	c := s.customer
 	recent := func(at gateway.Time) bool { return g.now.Sub(at) < g.peerTimeout }
-	lack := max(c.plan.Burst-c.level, 0) * counterScale
+	missing := max(c.plan.Burst-c.level, 0) * counterScale
 	switch {
-	case recent(c.created) && c.created >= g.resizedAt: // a copy there has not heard of it: the whole
+	case recent(c.created) && c.created >= g.resizedAt: // the peer has no copy yet: all of it
 		return total
-	case recent(s.peer.incarnationSeen): // the copy of a new incarnation is full: this gateway's fraction of what is gone
-		return uint64(lack / float64(len(c.subscriptions)))
-	case g.resizedAt > 0 && recent(g.resizedAt): // what was not sent before the fleet's size changed
+	case recent(s.peer.incarnationSeen): // a new incarnation has a full copy: this gateway's share of what is missing
+		return uint64(missing / float64(len(c.subscriptions)))
+	case g.resizedAt > 0 && recent(g.resizedAt): // what was unsent when the fleet's size changed
 		return uint64(s.unsent() * counterScale)
-	case s.sentTotal == 0: // first sent late: what has not been refilled since
-		return min(total, uint64(lack))
+	case s.sentTotal == 0: // sent late for the first time: what has not been refilled since
+		return min(total, uint64(missing))
 	}
 	return 0
 }
--- a/logic/lab.go
+++ b/logic/lab.go
@@ -1,10 +1,10 @@
 package logic
 
-// HoldSubset has the gateway hold other endpoints than package spread says, until the next list. It is the
-// laboratory's, to compare rules in one run; nothing calls it in production.
-func (g *Gateway) HoldSubset(held func(host uint32) bool) {
-	for _, h := range g.endpoints.all {
-		h.InSubset = held(h.id)
+// HoldSubset replaces the subset of package subset by another, until the next list. Simulations compare rules
+// with it; nothing calls it in production.
+func (g *Gateway) HoldSubset(inSubset func(host uint32) bool) {
+	for _, e := range g.endpoints.all {
+		e.InSubset = inSubset(e.id)
 	}
 	g.endpoints.collectNearby()
 }
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -9,15 +9,14 @@
 )
 
 const (
-	gossipInterval  = time.Second / 2 // between counters to a peer, longer where a gateway may not take in that much
-	silentIntervals = 4               // intervals with no message, after which a peer counts as gone
-	gossipShare     = 0.4             // fraction of what a gateway takes in that its peers use, up to twice that
+	gossipInterval  = time.Second / 2 // between messages to a peer, longer if a gateway can't receive that many
+	silentIntervals = 4               // intervals without a message, after which a peer counts as gone
+	gossipShare     = 0.4             // fraction of the messages a gateway can receive that its peers use
 	minMessageRate  = 0.01            // messages a second to a peer
 )
 
-// setFleetSize takes in how many gateways there are: which of them this one sends to and hears, and how often.
-// Counters are first counters again on both sides: among another number of gateways who sends what to whom may
-// differ.
+// setFleetSize sets the number of gateways: with which of them this one exchanges gossip, and how often. The
+// next counters of each peer are first ones again on both sides, since who sends what to whom may differ.
 func (g *Gateway) setFleetSize(count int) {
 	budget := g.membership.MessageRate * gossipShare
 	g.format.Members = count
@@ -32,18 +31,17 @@
 	g.heartbeatInterval = max(gossipInterval, time.Duration(float64(time.Second)/g.messageRate))
 	g.peerTimeout = silentIntervals * g.heartbeatInterval
 	g.counterAge = 0.5 / g.messageRate * float64(hops)
-	overdue := g.peerTimeout / time.Duration(max(len(g.neighbours), 1)) // several heartbeats are, from one peer or another
+	// After this time several heartbeats, of one peer or another, are overdue.
+	overdue := g.peerTimeout / time.Duration(max(len(g.neighbours), 1))
 	g.partitionTimeout = max(overdue, 2*stallThreshold)
 	g.endpoints.memberCount = count
 	g.endpoints.limit.Start = initialInFlight / float64(count)
 }
 
-// The grid in which gateways tell each other what they admit: where a message to each peer an interval is more
-// than they take in, each tells its own admissions to its row, and its row's to its column. That takes two
-// steps, and few messages for any number.
-
-// buildTopology sets which peers this gateway sends to and hears among so many gateways. What is known of a
-// peer's incarnation stays.
+// buildTopology sets the peers that this gateway sends gossip to and receives it from. If a message to every
+// member in each interval is more than members can receive, they form a grid: each sends its own counters to
+// its row, and its row's counters to its column. That takes two hops, and few messages for any number of
+// members. What is known of a peer's incarnation is kept.
 func (g *Gateway) buildTopology(count int) {
 	former := g.peers
 	self := g.membership.Index
@@ -64,8 +62,8 @@
 	}
 }
 
-// otherEnd returns the gateway at the other end of this gateway's step on the way between two, of which other is
-// not this one.
+// otherEnd returns the gateway at the other end of this gateway's hop on the path between two members, of which
+// other is not this gateway.
 func (g *Gateway) otherEnd(from, to, other int) int {
 	via := g.via(from, to)
 	if via == g.membership.Index {
@@ -74,7 +72,7 @@
 	return via
 }
 
-// neighbour returns the peer with a member index, a new one with what is known from before if it is no neighbour yet.
+// neighbour returns the peer with a member index. A new one keeps what former knows of its incarnation.
 func (g *Gateway) neighbour(member int, former []*peer) *peer {
 	if p := g.peers[member]; p != nil {
 		return p
@@ -93,13 +91,14 @@
 	return p
 }
 
-// row returns the row of the grid in which a gateway stands.
+// row returns the grid row of a member.
 func (g *Gateway) row(member int) int { return member * g.gridRows / len(g.peers) }
 
 // rowStart returns the first member of a row.
 func (g *Gateway) rowStart(row int) int { return (row*len(g.peers) + g.gridRows - 1) / g.gridRows }
 
-// via returns the gateway in from's row that tells to what the row admits: the one in to's column, or the row's last.
+// via returns the member in from's row that forwards the row's counters to a member: the one in its column, or
+// the last of the row.
 func (g *Gateway) via(from, to int) int {
 	fromRow := g.row(from)
 	toRow := g.row(to)
@@ -111,8 +110,8 @@
 	return min(g.rowStart(fromRow)+column, last)
 }
 
-// subscribe links a customer to the peers that send or are sent its counters. What was not sent yet to one is
-// still to be sent.
+// subscribe links a customer to the peers that send its counters or are sent them. Units that were unsent under
+// the topology before stay unsent.
 func (g *Gateway) subscribe(c *customer) {
 	former := c.subscriptions
 	c.subscriptions = make([]subscription, 0, min(c.spread, len(g.neighbours)))
@@ -143,7 +142,7 @@
 	s.sends = s.sends || sends
 }
 
-// keepSent carries over what was sent to a peer under an earlier topology.
+// keepSent carries over what was sent to a peer under the topology before.
 func (g *Gateway) keepSent(c *customer, former *subscription) {
 	member := former.peer.member
 	if member >= len(g.peers) {
--- a/logic/metrics.go
+++ b/logic/metrics.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Copy returns the level of this gateway's copy of a customer's bucket, in units, as of its last refill, and the
-// units a second that its peers are taken to admit. A customer that it holds no record of is not known.
+// Copy returns the level of this gateway's copy of a customer's bucket, in units, as of its latest refill, and
+// the units a second that its peers admit. known is false if there is no record of the customer.
 func (g *Gateway) Copy(customer string) (level, peerRate float64, known bool) {
 	c := g.customers[hashText(customer)]
 	if c == nil {
--- a/logic/peer.go
+++ b/logic/peer.go
@@ -2,42 +2,42 @@
 
 import "ravensill/gateway"
 
-// peer is another gateway that this one sends to or hears.
+// peer is another gateway that this one sends gossip to or receives it from.
 type peer struct {
-	member            int // its member index
-	subscriptionIndex int // of its subscription in those of lastSubscriber
+	member            int // member index
+	subscriptionIndex int // of its subscription, in the subscriptions of lastSubscriber
 	lastSubscriber    *customer
-	counter           int  // which of the customers' counters it is sent: rowCounter where it is in another row
-	sends             bool // it is sent counters
+	counter           int  // which of the customers' counters it is sent: rowCounter if it is in another row
+	sends             bool // whether it is sent counters
 
-	lastReceived    gateway.Time // last message
-	firstReceived   gateway.Time // first message after a silence, or of an incarnation
+	lastReceived    gateway.Time // latest message
+	firstReceived   gateway.Time // first message after a silence or of an incarnation
 	incarnationSeen gateway.Time // first message of this incarnation
-	incarnation     uint64       // its start by its own clock, in milliseconds
-	sequence        uint64       // number of its last message
+	incarnation     uint64       // its start by its own clock, in Unix milliseconds
+	sequence        uint64       // number of its latest message
 
 	heartbeatDue gateway.Time
-	queue        []*subscription // with counters to send
+	queue        []*subscription // of counters to send
 	sentMessages uint64
-	credit       float64 // messages that it can take
+	credit       float64 // messages that may be sent to it now
 }
 
-// subscription is what a customer's copy here and at a peer know of each other.
+// subscription is what a customer's copies here and at a peer have exchanged.
 type subscription struct {
 	customer      *customer
 	peer          *peer
-	lastReceived  gateway.Time // time of the last counter received
+	lastReceived  gateway.Time // time of the latest counter received
 	receivedTotal uint64       // that counter, in parts of a unit (counterScale)
-	sentTotal     float64      // last counter sent, in units
-	sends         bool         // counters go to the peer
-	queued        bool         // in the peer's queue
+	sentTotal     float64      // latest counter sent, in units
+	sends         bool         // whether counters are sent to the peer
+	queued        bool         // whether it is in the peer's queue
 }
 
 // unsent returns the units that were not sent to the peer yet.
 func (s *subscription) unsent() float64 { return s.customer.counters[s.peer.counter] - s.sentTotal }
 
-// queueCounters has the customer's counters sent: after admissions here to all peers, after those of the row to
-// the peers in other rows.
+// queueCounters queues the customer's counters: after admissions here for all peers, after admissions in the
+// row for the peers in other rows. only, if not nil, is the one peer to queue them for.
 func (c *customer) queueCounters(admittedHere bool, only *peer) {
 	for i := range c.subscriptions {
 		s := &c.subscriptions[i]
--- a/logic/request.go
+++ b/logic/request.go
@@ -88,7 +88,7 @@
 	if !event.Result.NeverRan() && r.mayHaveRun == nil {
 		r.mayHaveRun = ended
 	}
-	g.endpoints.observeResult(ended, event.Result, event.Latency, event.LoadReport, g.now)
+	g.endpoints.observeResult(ended, event, g.now)
 	switch {
 	case r.closed || event.Closed:
 		g.close(r)
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -9,7 +9,7 @@
 
 const (
 	windowMargin     = time.Second / 5 // left of a deduplicated request's window, at least, for a repeat
-	retryBudgetShare = 0.25            // retries that each admitted request adds to the budget for attempts that may have run
+	retryBudgetShare = 0.25            // of a retry, that each admitted request adds to the budget
 	maxRetryBudget   = 10
 )
 
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -2,9 +2,9 @@
 
 import "ravensill/gateway"
 
-// Reconfigure puts a new version of the settings that may change while a gateway runs in force, between two
-// batches. What is in flight keeps its class; a customer comes under its plan's new version when it is next
-// looked at (refill), in a second at the latest.
+// Reconfigure applies a new version of the settings that may change while a gateway runs. It is called between
+// two batches. A request in flight keeps its class; a customer is moved to its plan's new version by the next
+// refill, within a second.
 func (g *Gateway) Reconfigure(now gateway.Time, update *gateway.Update) {
 	for i := range update.Plans {
 		g.setPlan(&update.Plans[i])
@@ -22,7 +22,7 @@
 	}
 }
 
-// setPlan sets or removes a plan. An index is of one plan for good.
+// setPlan sets or removes a plan. An index belongs to one plan for good.
 func (g *Gateway) setPlan(update *gateway.PlanUpdate) {
 	missing := max(update.Index+1-len(g.plans), 0)
 	g.plans = append(g.plans, make([]*gateway.Plan, missing)...)
@@ -35,7 +35,7 @@
 	g.planByID[update.Plan.ID] = update.Index
 }
 
-// setClass sets a class of requests. One that changes keeps what was learned of its answers.
+// setClass sets a request class. A class that changes keeps what was measured of its answers.
 func (g *Gateway) setClass(update *gateway.ClassUpdate) {
 	next := &class{
 		RequestClass:   update.Class,
@@ -45,9 +45,9 @@
 	}
 	missing := max(update.Index+1-len(g.classes), 0)
 	g.classes = append(g.classes, make([]*class, missing)...)
-	if last := g.classes[update.Index]; last != nil {
-		next.typicalLatency = last.typicalLatency
-		next.typicalUnits = last.typicalUnits
+	if previous := g.classes[update.Index]; previous != nil {
+		next.typicalLatency = previous.typicalLatency
+		next.typicalUnits = previous.typicalUnits
 	}
 	g.classes[update.Index] = next
 }
--- a/logic/timer.go
+++ b/logic/timer.go
@@ -7,10 +7,11 @@
 
 const (
 	timerInterval = time.Second / 25
-	sweepInterval = time.Second // between walks of all customers
+	sweepInterval = time.Second // between walks over all customers
 )
 
-// handleTimer does what is due: polls, attempts that take too long, gossip, and customers that can be forgotten.
+// handleTimer does what is due: polls, the cancellation of overdue attempts, gossip, and the removal of
+// customers that can be forgotten.
 func (g *Gateway) handleTimer() {
 	g.actions.SetTimer(timerInterval)
 	credit := g.messageCredit()
@@ -27,8 +28,8 @@
 	}
 }
 
-// messageCredit is how many messages each peer can take since the last timer: more with many requests, up to
-// twice as many.
+// messageCredit returns the number of messages that each peer may be sent since the last timer: the message
+// rate, and up to twice that while many requests arrive.
 func (g *Gateway) messageCredit() float64 {
 	elapsed := seconds(g.now.Sub(g.lastTimer))
 	byRequests := float64(g.arrivals) / max(g.membership.MessageRate*gossipShare, 1)
