--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -13,7 +13,10 @@
 // graces are all counted from now.
 func TestNowIgnoresWallClockSteps(t *testing.T) {
 	fake := clock.NewFake(time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC))
-	n := NewOn(Platform{Clock: fake}, &config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}}}, &retryingDecider{})
+	n := NewOn(Platform{Clock: fake}, &config.Config{
+		Sockets:  100,
+		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}},
+	}, &retryingDecider{})
 	want := gateway.Time(fake.Wall().UnixNano())
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		fake.StepWall(step)
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -41,7 +41,14 @@
  "plans":[{"name":"gold","rate":0.001,"burst":2,"worth_factor":1}],"family_info":{"mail_per_s":40}}`
 
 func newLiveGateway(t *testing.T, set func(*config.Config)) *liveGateway {
-	l := &liveGateway{T: t, lines: make(chan string, 99), held: make(chan struct{}, 9), gate: make(chan struct{}), over: make(chan error, 1), ended: make(chan struct{})}
+	l := &liveGateway{
+		T:     t,
+		lines: make(chan string, 99),
+		held:  make(chan struct{}, 9),
+		gate:  make(chan struct{}),
+		over:  make(chan error, 1),
+		ended: make(chan struct{}),
+	}
 	settings, err := config.Decode(liveSettings)
 	if err != nil {
 		t.Fatal(err)
@@ -49,9 +56,14 @@
 	host := l.host()
 	settings.Plans[0].ID = configsync.PlanID("gold")
 	settings.ConnectTimeout, settings.ConnIdle = 20e9, 20e9
-	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100, Settings: settings,
+	cfg := &config.Config{
+		Listen:         netip.MustParseAddrPort("127.0.0.1:0"),
+		Discovery:      "127.0.0.1:1",
+		Sockets:        100,
+		Settings:       settings,
 		KnownEndpoints: fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, host),
-		Configuration:  &config.Configuration{}}
+		Configuration:  &config.Configuration{},
+	}
 	cfg.Limits.PollEndpoints = true // clients are taken in without discovery's agent
 	if set != nil {
 		set(cfg)
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -50,8 +50,15 @@
 	}()
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100,
 		KnownEndpoints: fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, r.hostAddr),
-		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}}, ClassNames: []string{"lookup"},
-			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 20e9, Limits: gateway.Limits{PollEndpoints: true}}}
+		Settings: &config.Settings{
+			Membership:     gateway.Membership{Count: 1},
+			Classes:        []gateway.RequestClass{{}},
+			ClassNames:     []string{"lookup"},
+			Plans:          []gateway.Plan{{}},
+			PlanNames:      []string{"team"},
+			ConnectTimeout: 20e9,
+			Limits:         gateway.Limits{PollEndpoints: true},
+		}}
 	r.Node = New(cfg, r)
 
 	restoreLog := logging.SetOutput(r)
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -51,8 +51,11 @@
 	}
 	defer l.Close()
 	m := &retryingDecider{}
-	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
-		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
+	n := New(&config.Config{
+		Sockets: 100,
+		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
+			Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9},
+	}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
 	arrive := func(id string) *clients.Answer {
 		a := new(clients.AnswerQueue).Add()
@@ -135,9 +138,18 @@
 	m := &retryingDecider{}
 	for _, effect := range []gateway.Effect{gateway.Idempotent, gateway.Deduplicated} {
 		n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1},
-			Classes: []gateway.RequestClass{{Effect: effect, DedupWindow: 1}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
+			Classes: []gateway.RequestClass{{
+				Effect:      effect,
+				DedupWindow: 1,
+			}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 		n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
-		n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.unixNano() + 1e12, Units: 1, Spread: 1})
+		n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{
+			ID:       "r",
+			Customer: "c",
+			Deadline: n.unixNano() + 1e12,
+			Units:    1,
+			Spread:   1,
+		})
 		n.turn()
 		for i, r := 0, n.requests["r"]; i < 2; i++ {
 			for ; !r.attempts[i].send.Written(); n.turn() {
@@ -176,7 +188,13 @@
 				Classes: []gateway.RequestClass{{Effect: gateway.Deduplicated, DedupWindow: window}}, Plans: []gateway.Plan{{}},
 				ConnectTimeout: 1e9}}, m)
 			n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
-			n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.unixNano() + 1e12, Units: 1, Spread: 1})
+			n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{
+				ID:       "r",
+				Customer: "c",
+				Deadline: n.unixNano() + 1e12,
+				Units:    1,
+				Spread:   1,
+			})
 			n.turn()
 			r := n.requests["r"]
 			written := func(i int) {
@@ -203,8 +221,11 @@
 func TestPanicLeavesNoAttemptInFlight(t *testing.T) {
 	defer logging.SetOutput(io.Discard)()
 	m := &retryingDecider{}
-	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
-		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
+	n := New(&config.Config{
+		Sockets: 100,
+		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
+			Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9},
+	}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:1"))
 	arrive := func(id string) *clients.Answer {
 		a := new(clients.AnswerQueue).Add() // its line has no ring: an answer panics
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -16,7 +16,14 @@
 	bindError := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}
 	}
-	passing := []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
+	passing := []syscall.Errno{
+		syscall.EADDRINUSE,
+		syscall.EADDRNOTAVAIL,
+		syscall.EMFILE,
+		syscall.ENFILE,
+		syscall.ENOBUFS,
+		syscall.ENOMEM,
+	}
 	for _, errno := range passing {
 		tries := 0
 		err := listenWithRetry("listen", address, nil, func() error {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -43,8 +43,14 @@
 	r, w := io.Pipe()
 	t.Cleanup(logging.SetOutput(w))
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100,
-		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}}, ClassNames: []string{"lookup"},
-			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 1e9}}
+		Settings: &config.Settings{
+			Membership:     gateway.Membership{Count: 1},
+			Classes:        []gateway.RequestClass{{}},
+			ClassNames:     []string{"lookup"},
+			Plans:          []gateway.Plan{{}},
+			PlanNames:      []string{"team"},
+			ConnectTimeout: 1e9,
+		}}
 	call, over := make(chan struct{}), make(chan error, 1)
 	n := New(cfg, m)
 	if set != nil {
--- a/logic/candidates_test.go
+++ b/logic/candidates_test.go
@@ -3,108 +3,181 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"testing"
 	"time"
 
 	"ravensill/gateway"
 )
 
-// watcher is a Witness over a member index that drops what the member index would trace.
-type watcher struct {
+// candidateRecorder records the candidates of each attempt in place of the trace.
+type candidateRecorder struct {
 	*simulatedGateway
-	options []gateway.Candidate
-	hosts   []uint32
-	told    int
+	candidates []gateway.Candidate // of the latest attempt
+	hosts      []uint32            // chosen, by attempt
+	observed   int                 // calls of ObserveCandidates
 }
 
-func (w *watcher) StartAttempt(req string, host uint32, timeout time.Duration) {
-	w.hosts = append(w.hosts, host)
+func (r *candidateRecorder) StartAttempt(_ string, host uint32, _ time.Duration) {
+	r.hosts = append(r.hosts, host)
 }
-func (w *watcher) ObserveCandidates(_ string, _ uint32, o []gateway.Candidate) {
-	w.options, w.told = append(w.options[:0], o...), w.told+1
+
+func (r *candidateRecorder) ObserveCandidates(_ string, _ uint32, candidates []gateway.Candidate) {
+	r.candidates = append(r.candidates[:0], candidates...)
+	r.observed++
 }
 
-// The chosen host is the first of the options; their chances add up to one; over customers each host with a chance is
-// chosen as often as that says, and what the Witness is told changes no decision.
-func TestCandidatesOfAnAttempt(t *testing.T) {
-	var picked [2][]uint32
-	for on := range 2 {
-		w := newSimulation(1, 8, nil)
-		s := w.gateways[0]
-		watch := &watcher{simulatedGateway: s}
-		var out gateway.Actions = watch
-		if on == 0 {
-			out = struct{ gateway.Actions }{watch} // hides what the Witness adds
+// withoutObserver hides that a candidateRecorder observes candidates.
+type withoutObserver struct{ gateway.Actions }
+
+// candidatesRun has one gateway decide on requests of 4000 customers, observed or not.
+type candidatesRun struct {
+	t        *testing.T
+	sim      *simulation
+	recorder *candidateRecorder
+	actions  gateway.Actions
+	chances  map[uint32]float64 // sum over requests, by host
+	chosen   map[uint32]float64 // attempts, by host
+}
+
+func newCandidatesRun(t *testing.T, observed bool) *candidatesRun {
+	sim := newSimulation(1, 8, nil)
+	recorder := &candidateRecorder{simulatedGateway: sim.gateways[0]}
+	r := &candidatesRun{
+		t:        t,
+		sim:      sim,
+		recorder: recorder,
+		actions:  recorder,
+		chances:  map[uint32]float64{},
+		chosen:   map[uint32]float64{},
+	}
+	if !observed {
+		r.actions = withoutObserver{recorder}
+	}
+	return r
+}
+
+func (r *candidatesRun) decide(event gateway.Event) {
+	r.recorder.gateway.Decide(&gateway.Batch{Now: r.sim.now, Events: []gateway.Event{event}}, r.actions)
+}
+
+// request sends request i of a customer of its own.
+func (r *candidatesRun) request(i int) {
+	r.sim.now = r.sim.now.Add(ms)
+	r.decide(gateway.Event{
+		Kind:      gateway.RequestArrived,
+		RequestID: fmt.Sprint(i),
+		Customer:  fmt.Sprint("c", i),
+		Deadline:  r.sim.now.Add(time.Second),
+		Units:     1,
+		Spread:    1,
+	})
+	if len(r.recorder.hosts) != i+1 {
+		r.t.Fatalf("request %d was not sent", i)
+	}
+}
+
+// check checks the candidates of request i, and adds them up.
+func (r *candidatesRun) check(i int) {
+	candidates := r.recorder.candidates
+	host := r.recorder.hosts[i]
+	sum := 0.0
+	for k, c := range candidates {
+		sum += c.Chance
+		r.chances[c.Host] += c.Chance
+		finite := c.Load > 0 && c.Load < math.Inf(1)
+		nextWithoutChance := k == 1 && c.Chance == 0 && len(candidates) > 2 && candidates[2].Chance > 0
+		if !finite || nextWithoutChance {
+			r.t.Fatalf("candidates %+v", candidates)
 		}
-		chances, chosen := map[uint32]float64{}, map[uint32]float64{}
-		for i := range 4000 {
-			w.now = w.now.Add(ms)
-			s.gateway.Decide(&gateway.Batch{Now: w.now, Events: []gateway.Event{{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(i),
-				Customer: fmt.Sprint("c", i), Deadline: w.now.Add(time.Second), Units: 1, Spread: 1}}}, out)
-			if len(watch.hosts) != i+1 {
-				t.Fatalf("req %d is not dispatched", i)
-			}
-			if on == 1 {
-				sum := 0.0
-				for k, o := range watch.options {
-					sum += o.Chance
-					chances[o.Host] += o.Chance
-					if !(o.Load > 0 && o.Load < math.Inf(1)) || k == 1 && o.Chance == 0 && len(watch.options) > 2 &&
-						watch.options[2].Chance > 0 {
-						t.Fatalf("options %+v", watch.options)
-					}
-				}
-				if first := watch.options[0]; first.Host != watch.hosts[i] || math.Abs(sum-1) > 1e-9 || first.Chance == 0 {
-					t.Fatalf("host %d of %+v", watch.hosts[i], watch.options)
-				}
-				chosen[watch.hosts[i]]++
+	}
+	first := candidates[0]
+	if first.Host != host || math.Abs(sum-1) > 1e-9 || first.Chance == 0 {
+		r.t.Fatalf("host %d of %+v", host, candidates)
+	}
+	r.chosen[host]++
+}
+
+// finishOneAtEachHost ends the first attempt in flight at each host, after a time that grows with the host.
+func (r *candidatesRun) finishOneAtEachHost() {
+	for _, e := range r.recorder.gateway.endpoints.all {
+		if len(e.inFlight) == 0 {
+			continue
+		}
+		a := e.inFlight[0]
+		r.decide(gateway.Event{
+			Kind:      gateway.AttemptEnded,
+			RequestID: a.request.id,
+			Host:      e.id,
+			Attempt:   a.number,
+			Latency:   ms * time.Duration(e.id),
+			Closed:    true,
+		})
+	}
+}
+
+// The chosen host is the first candidate, chances add up to one, and hosts are chosen as often as their chances say.
+// Observing changes no decision.
+func TestCandidatesOfAnAttempt(t *testing.T) {
+	const requests = 4000
+	var hosts [2][]uint32
+	for k, observed := range []bool{false, true} {
+		r := newCandidatesRun(t, observed)
+		for i := range requests {
+			r.request(i)
+			if observed {
+				r.check(i)
 			}
 			if i%3 == 0 {
-				for _, h := range s.gateway.endpoints.all {
-					if len(h.inFlight) > 0 {
-						x := h.inFlight[0]
-						s.gateway.Decide(&gateway.Batch{Now: w.now, Events: []gateway.Event{{Kind: gateway.AttemptEnded, RequestID: x.request.id,
-							Host: h.id, Attempt: x.number, Latency: ms * time.Duration(h.id), Closed: true}}}, out)
-					}
-				}
+				r.finishOneAtEachHost()
 			}
 		}
-		for h, n := range chances {
-			if n > 100 && math.Abs(chosen[h]-n) > 5*math.Sqrt(n) {
-				t.Errorf("host %d was chosen %g times, by the chances told %.0f", h, chosen[h], n)
+		for host, expected := range r.chances {
+			if expected > 100 && math.Abs(r.chosen[host]-expected) > 5*math.Sqrt(expected) {
+				t.Errorf("host %d was chosen %g times, want %.0f by the chances", host, r.chosen[host], expected)
 			}
 		}
-		if told := []int{0, 4000}[on]; watch.told != told {
-			t.Errorf("told %d times, not %d", watch.told, told)
+		wantObserved := 0
+		if observed {
+			wantObserved = requests
+		}
+		if r.recorder.observed != wantObserved {
+			t.Errorf("observed %d times, want %d", r.recorder.observed, wantObserved)
 		}
-		picked[on] = watch.hosts
+		hosts[k] = r.recorder.hosts
 	}
-	if fmt.Sprint(picked[0]) != fmt.Sprint(picked[1]) {
+	if !slices.Equal(hosts[0], hosts[1]) {
 		t.Error("the decisions differ")
 	}
 }
 
-// The cost of a request in the module without and with a Witness.
-func BenchmarkConsidered(b *testing.B) {
-	for on, name := range []string{"off", "on"} {
+// BenchmarkRequestWithObserver measures a request with and without an observer of candidates.
+func BenchmarkRequestWithObserver(b *testing.B) {
+	for _, name := range []string{"off", "on"} {
 		b.Run(name, func(b *testing.B) {
-			w := newSimulation(1, 12, func(w *simulation) { w.plans[0].Rate, w.plans[0].Burst = 1e9, 1e9 })
-			s := w.gateways[0]
-			watch := &watcher{simulatedGateway: s}
-			var out gateway.Actions = watch
-			if on == 0 {
-				out = struct{ gateway.Actions }{watch}
+			sim := newSimulation(1, 12, func(sim *simulation) { sim.setQuota(1e9) })
+			recorder := &candidateRecorder{simulatedGateway: sim.gateways[0]}
+			var actions gateway.Actions = recorder
+			if name == "off" {
+				actions = withoutObserver{recorder}
 			}
-			round := &gateway.Batch{Events: make([]gateway.Event, 1)}
+			batch := &gateway.Batch{Events: make([]gateway.Event, 1)}
 			b.ReportAllocs()
 			for b.Loop() {
-				w.now = w.now.Add(ms)
-				watch.hosts = watch.hosts[:0]
-				round.Now, round.Events[0] = w.now, gateway.Event{Kind: gateway.RequestArrived, RequestID: "r", Customer: "c",
-					Deadline: w.now.Add(time.Second), Units: 1, Spread: 1}
-				s.gateway.Decide(round, out)
-				round.Events[0] = gateway.Event{Kind: gateway.AttemptEnded, RequestID: "r", Latency: 5 * ms, Closed: true}
-				s.gateway.Decide(round, out)
+				sim.now = sim.now.Add(ms)
+				recorder.hosts = recorder.hosts[:0]
+				batch.Now = sim.now
+				batch.Events[0] = gateway.Event{
+					Kind:      gateway.RequestArrived,
+					RequestID: "r",
+					Customer:  "c",
+					Deadline:  sim.now.Add(time.Second),
+					Units:     1,
+					Spread:    1,
+				}
+				recorder.gateway.Decide(batch, actions)
+				batch.Events[0] = gateway.Event{Kind: gateway.AttemptEnded, RequestID: "r", Latency: 5 * ms, Closed: true}
+				recorder.gateway.Decide(batch, actions)
 			}
 		})
 	}
--- a/logic/clock_test.go
+++ b/logic/clock_test.go
@@ -8,32 +8,37 @@
 	"ravensill/gateway"
 )
 
-// clockSteps are the steps of a wall clock that tests play, in both directions.
+// expectedWarmUp returns the fraction of its capacity that an endpoint of an age has.
+func expectedWarmUp(s gateway.SlowStart, age time.Duration) float64 {
+	return s.InitialFraction + (1-s.InitialFraction)*float64(age)/float64(s.Duration)
+}
+
+// clockSteps are steps of a wall clock in both directions.
 var clockSteps = []time.Duration{3600 * time.Second, -3600 * time.Second, 5 * time.Second, -5 * time.Second}
 
 // epoch is the time at which these tests begin: far enough from 0 for a clock to be set back.
 const epoch = gateway.Time(1_000_000 * time.Second)
 
-// A gateway restarts after its wall clock was set. Its peer hears it again within the time that makes a peer
-// count as gone, and takes the admissions of both incarnations off its copy.
+// A peer that restarts after a step of its wall clock is heard within the peer timeout, and the admissions of
+// both incarnations are subtracted.
 func TestPeerRestartAfterClockStep(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
-			w := newSimulation(2, 4, func(w *simulation) { w.now, w.plans[0].Rate = epoch, 0.001 })
-			w.arrive(1, "a", 3)
-			w.finishAll(1)
-			w.advance(3*time.Second, true)
-			w.gateways[1].clockOffset = step
-			w.restart(1, 4, 2)
-			peer := w.gateways[0].gateway.peers[1]
-			w.advance(w.gateways[0].gateway.peerTimeout+time.Second, true)
-			w.arrive(1, "a", 4)
-			w.finishAll(1)
-			w.advance(time.Second, true)
-			if quiet := w.now.Sub(peer.lastReceived); quiet > w.gateways[0].gateway.heartbeatInterval {
+			sim := newSimulation(2, 4, func(sim *simulation) { sim.now, sim.plans[0].Rate = epoch, 0.001 })
+			sim.arrive(1, "a", 3)
+			sim.finishAll(1)
+			sim.advance(3*time.Second, true)
+			sim.gateways[1].clockOffset = step
+			sim.restart(1, 4, 2)
+			peer := sim.gateways[0].gateway.peers[1]
+			sim.advance(sim.gateways[0].gateway.peerTimeout+time.Second, true)
+			sim.arrive(1, "a", 4)
+			sim.finishAll(1)
+			sim.advance(time.Second, true)
+			if quiet := sim.now.Sub(peer.lastReceived); quiet > sim.gateways[0].gateway.heartbeatInterval {
 				t.Errorf("the peer counts as silent for %v", quiet)
 			}
-			c := w.gateways[0].gateway.customers[hashText("a")]
+			c := sim.gateways[0].gateway.customers[hashText("a")]
 			const left, presumed = 10 - 3 - 4, 3 // presumed: taken for a peer that is not heard, which goes on as before
 			if c == nil || c.level > left+0.1 || c.level < left-presumed {
 				t.Errorf("the copy at the peer: %+v", c)
@@ -42,52 +47,53 @@
 	}
 }
 
-// A datagram of the incarnation before that comes late changes nothing while the later incarnation is heard.
+// A late datagram of the former incarnation changes nothing while the later one is heard.
 func TestOvertakenDatagramOfFormerIncarnation(t *testing.T) {
-	w := newSimulation(2, 4, nil)
-	w.arrive(1, "a", 3)
-	w.finishAll(1)
+	sim := newSimulation(2, 4, nil)
+	sim.arrive(1, "a", 3)
+	sim.finishAll(1)
 	var overtaken []byte
-	for ; overtaken == nil; w.now = w.now.Add(timerInterval) {
-		w.deliver(1, gateway.Event{Kind: gateway.TimerFired})
-		if messages := w.gateways[1].messages; len(messages) > 0 {
+	for ; overtaken == nil; sim.now = sim.now.Add(timerInterval) {
+		sim.deliver(1, gateway.Event{Kind: gateway.TimerFired})
+		if messages := sim.gateways[1].messages; len(messages) > 0 {
 			overtaken = messages[0]
 		}
 	}
-	w.restart(1, 4, 2)
-	w.advance(time.Second, true)
-	peer := w.gateways[0].gateway.peers[1]
-	incarnation, level := peer.incarnation, w.gateways[0].gateway.customerFor(hashText("a"), 0, 2, 0).level
-	w.deliver(0, gateway.Event{Kind: gateway.GossipReceived, Peer: 1, Message: overtaken})
-	if peer.incarnation != incarnation || w.gateways[0].gateway.customers[hashText("a")].level != level {
+	sim.restart(1, 4, 2)
+	sim.advance(time.Second, true)
+	peer := sim.gateways[0].gateway.peers[1]
+	incarnation, level := peer.incarnation, sim.gateways[0].gateway.customerFor(hashText("a"), 0, 2, 0).level
+	sim.deliver(0, gateway.Event{Kind: gateway.GossipReceived, Peer: 1, Message: overtaken})
+	if peer.incarnation != incarnation || sim.gateways[0].gateway.customers[hashText("a")].level != level {
 		t.Errorf("incarnation %d, then %d", incarnation, peer.incarnation)
 	}
 }
 
-// A host starts while a gateway runs whose wall clock is off, after a long time without news. The gateway takes
-// the host for as warm as it is, or colder by no more than the notification took, whatever the clocks say.
+// An endpoint that starts while the gateway's wall clock is off counts as warm as it is, or colder by the delay
+// of its announcement.
 func TestSlowStartUnderClockStep(t *testing.T) {
 	const delay = 100 * ms // of the notification
 	for _, step := range append([]time.Duration{0}, clockSteps...) {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
-			w := newSimulation(1, 3, func(w *simulation) { w.now = epoch })
-			w.gateways[0].clockOffset = step
-			w.restart(0, 3, 1)
-			pool := &w.gateways[0].gateway.endpoints
+			sim := newSimulation(1, 3, func(sim *simulation) { sim.now = epoch })
+			sim.gateways[0].clockOffset = step
+			sim.restart(0, 3, 1)
+			pool := &sim.gateways[0].gateway.endpoints
 			notify := func(l gateway.Endpoint) {
-				w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: []gateway.Endpoint{l}})
+				sim.list(0, gateway.ListChanges, []gateway.Endpoint{l})
 			}
 			notify(gateway.Endpoint{Host: 2, Cell: 0})
-			w.now = w.now.Add(100 * time.Second)
-			started := w.now
-			w.now = w.now.Add(delay)
+			sim.now = sim.now.Add(100 * time.Second)
+			started := sim.now
+			sim.now = sim.now.Add(delay)
 			notify(gateway.Endpoint{Host: 3, StartedAt: started})
 			h := pool.all[2]
-			for _, age := range []time.Duration{delay, 3 * time.Second, w.cold.Duration / 2, w.cold.Duration + delay} {
-				w.now = started.Add(age)
-				most := w.cold.InitialFraction + (1-w.cold.InitialFraction)*float64(age)/float64(w.cold.Duration)
-				least := w.cold.InitialFraction + (1-w.cold.InitialFraction)*float64(age-delay)/float64(w.cold.Duration)
-				if warm := pool.warmUpFraction(h, w.now.Add(step)); warm > min(most, 1) || warm < min(least, 1) {
+			duration := sim.slowStart.Duration
+			for _, age := range []time.Duration{delay, 3 * time.Second, duration / 2, duration + delay} {
+				sim.now = started.Add(age)
+				most := expectedWarmUp(sim.slowStart, age)
+				least := expectedWarmUp(sim.slowStart, age-delay)
+				if warm := pool.warmUpFraction(h, sim.now.Add(step)); warm > min(most, 1) || warm < min(least, 1) {
 					t.Errorf("at the age of %v: %.3f warm, want %.3f to %.3f", age, warm, least, most)
 				}
 			}
@@ -95,19 +101,18 @@
 	}
 }
 
-// A host whose own wall clock was set back restarts: its start is lower than the one before, and it is cold all
-// the same.
+// An endpoint that restarts after its own wall clock was set back warms up like any other.
 func TestSlowStartOfHostWithClockSetBack(t *testing.T) {
-	w := newSimulation(1, 3, func(w *simulation) { w.now = epoch })
+	sim := newSimulation(1, 3, func(sim *simulation) { sim.now = epoch })
 	notify := func(since gateway.Time) {
 		l := gateway.Endpoint{Host: 3, StartedAt: since}
-		w.deliver(0, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: []gateway.Endpoint{l}})
+		sim.list(0, gateway.ListChanges, []gateway.Endpoint{l})
 	}
-	notify(w.now)
-	w.advance(w.cold.Duration+time.Second, true)
-	notify(w.now.Add(-3600 * time.Second))
-	pool := &w.gateways[0].gateway.endpoints
-	if warm := pool.warmUpFraction(pool.all[2], w.now); warm > w.cold.InitialFraction+0.15 {
+	notify(sim.now)
+	sim.advance(sim.slowStart.Duration+time.Second, true)
+	notify(sim.now.Add(-3600 * time.Second))
+	pool := &sim.gateways[0].gateway.endpoints
+	if warm := pool.warmUpFraction(pool.all[2], sim.now); warm > sim.slowStart.InitialFraction+0.15 {
 		t.Errorf("%.2f warm", warm)
 	}
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,265 +8,353 @@
 	"time"
 
 	"ravensill/gateway"
-	"ravensill/internal/config"
 	"ravensill/logic"
 )
 
 const ms = time.Millisecond
 
-type attempt struct {
-	host           uint32
-	startedAt, due gateway.Time
-	called         bool // off
-	skipped        bool // never sent: its client had left
+// sentAttempt is an attempt that the gateway sent.
+type sentAttempt struct {
+	host            uint32
+	startedAt       gateway.Time
+	due             gateway.Time
+	canceled        bool
+	clientGoneFirst bool // its client was gone before: the adapter does not send it
 }
 
-type asked struct { // a request, as the rules see it
-	id    string
-	until gateway.Time
-	out   *attempt
-	sent  int
-	ran   *attempt // the first that may have run
-	done  bool
-	gone  bool // its client left in this round: what is decided on what came before that counts for nothing
+// clientRequest is a request as its client sees it.
+type clientRequest struct {
+	id         string
+	deadline   gateway.Time
+	inFlight   *sentAttempt
+	attempts   int
+	mayHaveRun *sentAttempt // the first that may have run
+	done       bool         // it has its final answer, or its client is gone
+	goneNow    bool         // its client left in this batch: actions on earlier events of the batch don't count
 }
 
-type call struct {
+// counterCall is a call of the shared counter.
+type counterCall struct {
 	name uint64
 	at   gateway.Time
 }
 
-// referee plays clients, hosts, discovery and the counter to one gateway, as a node does, and holds every decision
-// against the rules as the settings tell them.
+// The final answers of a request.
+const (
+	rejected = iota
+	failed
+	succeeded
+	answerKinds
+)
+
+// ruleChecker simulates the clients, hosts, endpoint list and counter of one gateway, as a node connects them to it. It
+// checks every decision against the rules that the settings state.
 type ruleChecker struct {
 	*testing.T
-	what    string
-	front   gateway.RequestClass // as told
-	limits  gateway.Limits
-	now     gateway.Time
-	rnd     *rand.Rand
-	reqs    []*asked
-	state   map[uint32]gateway.EndpointState
-	calls   []call
-	repeats int // of what may have run
-	again   int // of what surely did not
-	finals  [3]int
+	settings   string               // for messages
+	class      gateway.RequestClass // as the settings state it
+	limits     gateway.Limits
+	now        gateway.Time
+	random     *rand.Rand
+	requests   []*clientRequest
+	hostStates map[uint32]gateway.EndpointState
+	calls      []counterCall
+	repeats    int // attempts of requests that may have run
+	resends    int // attempts of requests that never ran
+	answers    [answerKinds]int
 }
 
-func (r *ruleChecker) find(id string) *asked {
-	for _, q := range r.reqs {
-		if q.id == id {
-			return q
+func (r *ruleChecker) find(id string) *clientRequest {
+	for _, request := range r.requests {
+		if request.id == id {
+			return request
 		}
 	}
 	return nil
 }
 
-func (r *ruleChecker) foul(q *asked, format string, args ...any) {
+func (r *ruleChecker) violated(request *clientRequest, format string, args ...any) {
 	r.Helper()
-	r.Fatalf("%s: %s at %d ms: %s", r.what, q.id, r.now/gateway.Time(ms), fmt.Sprintf(format, args...))
+	r.Fatalf("%s: %s at %d ms: %s", r.settings, request.id, r.now/gateway.Time(ms), fmt.Sprintf(format, args...))
 }
 
+func zoneOf(host uint32) uint32 { return host % 2 }
+
+func cellOf(host uint32) uint32 { return host % 3 }
+
+// StartAttempt checks that a request may be sent to a host, and records the attempt.
 func (r *ruleChecker) StartAttempt(id string, host uint32, timeout time.Duration) {
-	q := r.find(id)
-	zone := func(h uint32) uint32 { return h % 2 }
-	cell := func(h uint32) uint32 { return h % 3 }
-	switch ran, f := q.ran, r.front; {
-	case q.done && !q.gone:
-		r.foul(q, "sent after its end")
-	case q.out != nil:
-		r.foul(q, "two attempts are out")
-	case q.sent >= r.limits.MaxAttempts:
-		r.foul(q, "attempt %d", q.sent)
-	case r.state[host] != gateway.Running:
-		r.foul(q, "sent to a host that leaves")
-	case ran == nil && q.sent > 0:
-		r.again++
-	case ran == nil:
-	case f.Effect == gateway.NonIdempotent:
-		r.foul(q, "may have run, and is sent again")
-	case f.Effect == gateway.Deduplicated && (r.now > ran.startedAt.Add(f.DedupWindow) || f.Group == gateway.SameZone && zone(host) != zone(ran.host) ||
-		f.Group == gateway.SameCell && cell(host) != cell(ran.host)):
-		r.foul(q, "may have run, and is sent again past its window or group")
-	default:
-		r.repeats++
+	request := r.find(id)
+	switch {
+	case request.done && !request.goneNow:
+		r.violated(request, "sent after its end")
+	case request.inFlight != nil:
+		r.violated(request, "two attempts are in flight")
+	case request.attempts >= r.limits.MaxAttempts:
+		r.violated(request, "attempt %d", request.attempts)
+	case r.hostStates[host] != gateway.Running:
+		r.violated(request, "sent to a draining or removed host")
+	}
+	r.checkRepeat(request, host)
+	request.attempts++
+	request.inFlight = &sentAttempt{
+		host:            host,
+		startedAt:       r.now,
+		due:             request.deadline,
+		clientGoneFirst: request.goneNow,
 	}
-	q.sent++
-	q.out = &attempt{host: host, startedAt: r.now, due: q.until, skipped: q.gone}
 	if timeout > 0 {
-		q.out.due = min(q.until, r.now.Add(timeout))
+		request.inFlight.due = min(request.deadline, r.now.Add(timeout))
 	}
 }
 
-func (r *ruleChecker) final(id string, kind int) {
-	q := r.find(id)
-	if q.gone {
+// checkRepeat checks that a request which may have run is repeated only where its class allows that.
+func (r *ruleChecker) checkRepeat(request *clientRequest, host uint32) {
+	first := request.mayHaveRun
+	if first == nil {
+		if request.attempts > 0 {
+			r.resends++
+		}
 		return
 	}
-	if q.done {
-		r.foul(q, "a second final answer")
+	if r.class.Effect == gateway.NonIdempotent {
+		r.violated(request, "may have run, and is sent again")
+	}
+	if r.class.Effect == gateway.Deduplicated {
+		pastWindow := r.now > first.startedAt.Add(r.class.DedupWindow)
+		otherZone := r.class.Group == gateway.SameZone && zoneOf(host) != zoneOf(first.host)
+		otherCell := r.class.Group == gateway.SameCell && cellOf(host) != cellOf(first.host)
+		if pastWindow || otherZone || otherCell {
+			r.violated(request, "may have run, and is sent again past its window or group")
+		}
 	}
-	if f := r.front; kind == 0 && (q.ran != nil || q.out != nil) && (f.Effect == gateway.NonIdempotent ||
-		f.Effect == gateway.Deduplicated && f.Group != gateway.AllHosts) {
-		r.foul(q, "may have run, and a repeat is told to be harmless")
+	r.repeats++
+}
+
+// end checks and records the final answer of a request.
+func (r *ruleChecker) end(id string, answer int) {
+	request := r.find(id)
+	if request.goneNow {
+		return
 	}
-	if f := r.front; kind == 0 && q.ran != nil && f.Effect == gateway.Deduplicated && r.now > q.ran.startedAt.Add(f.DedupWindow) {
-		r.foul(q, "may have run, and a repeat is invited past its window")
+	if request.done {
+		r.violated(request, "a second final answer")
 	}
-	q.done = true
-	r.finals[kind]++
+	if answer == rejected {
+		r.checkRejection(request)
+	}
+	request.done = true
+	r.answers[answer]++
 }
-func (r *ruleChecker) Reject(id string, _ time.Duration) { r.final(id, 0) }
-func (r *ruleChecker) Fail(id string)                    { r.final(id, 1) }
+
+// checkRejection checks that the client may repeat a rejected request.
+func (r *ruleChecker) checkRejection(request *clientRequest) {
+	first := request.mayHaveRun
+	unsafe := r.class.Effect == gateway.NonIdempotent ||
+		r.class.Effect == gateway.Deduplicated && r.class.Group != gateway.AllHosts
+	if unsafe && (first != nil || request.inFlight != nil) {
+		r.violated(request, "may have run, and is rejected as safe to repeat")
+	}
+	deduplicated := r.class.Effect == gateway.Deduplicated
+	if first != nil && deduplicated && r.now > first.startedAt.Add(r.class.DedupWindow) {
+		r.violated(request, "may have run, and is rejected past its window")
+	}
+}
+
+func (r *ruleChecker) Reject(id string, _ time.Duration) { r.end(id, rejected) }
+
+func (r *ruleChecker) Fail(id string) { r.end(id, failed) }
+
 func (r *ruleChecker) CancelAttempt(id string, _ int) {
-	if q := r.find(id); q.out != nil {
-		q.out.called = true
+	if request := r.find(id); request.inFlight != nil {
+		request.inFlight.canceled = true
 	}
 }
+
 func (r *ruleChecker) AddToCounter(name uint64, _ float64, _ time.Duration) {
-	r.calls = append(r.calls, call{name, r.now})
+	r.calls = append(r.calls, counterCall{name, r.now})
 }
+
+func (r *ruleChecker) SendProbe(uint32) { r.Fatal(r.settings, ": probes") }
+
 func (r *ruleChecker) SendGossip(int, []byte) {}
-func (r *ruleChecker) SendProbe(uint32)       { r.Fatal(r.what, ": probes") }
 func (r *ruleChecker) SetTimer(time.Duration) {}
 func (r *ruleChecker) WatchEndpoints()        {}
 func (r *ruleChecker) LogNote(string)         {}
 
-// ends gives how the attempt of a request ends now, if it does.
-func (r *ruleChecker) ends(q *asked) (e gateway.Event, ok bool) {
-	results := []gateway.Result{gateway.Succeeded, gateway.Succeeded, gateway.Errored, gateway.Busy, gateway.Unreachable, gateway.Disconnected,
-		gateway.Malformed, gateway.NotSent}
-	res := results[r.rnd.Intn(len(results))]
-	switch a := q.out; {
-	case a == nil:
-		return e, false
-	case q.done && a.skipped:
-		res = gateway.NotSent
-	case r.now >= a.due:
-		res = gateway.TimedOut
-	case a.called && r.rnd.Intn(2) == 0:
-		res = gateway.Canceled
-	case r.rnd.Intn(5) > 0:
-		return e, false
+// attemptResults are drawn for attempts that end before they are due.
+var attemptResults = []gateway.Result{
+	gateway.Succeeded,
+	gateway.Succeeded,
+	gateway.Errored,
+	gateway.Busy,
+	gateway.Unreachable,
+	gateway.Disconnected,
+	gateway.Malformed,
+	gateway.NotSent,
+}
+
+// drawResult returns how the attempt of a request ends now, if it does.
+func (r *ruleChecker) drawResult(request *clientRequest) (result gateway.Result, ends bool) {
+	result = attemptResults[r.random.Intn(len(attemptResults))]
+	attempt := request.inFlight
+	switch {
+	case attempt == nil:
+		return 0, false
+	case request.done && attempt.clientGoneFirst:
+		return gateway.NotSent, true
+	case r.now >= attempt.due:
+		return gateway.TimedOut, true
+	case attempt.canceled && r.random.Intn(2) == 0:
+		return gateway.Canceled, true
+	case r.random.Intn(5) > 0:
+		return 0, false
+	}
+	return result, true
+}
+
+// endAttempt returns the event of the attempt's end, if it ends now.
+func (r *ruleChecker) endAttempt(request *clientRequest) (event gateway.Event, ends bool) {
+	result, ends := r.drawResult(request)
+	if !ends {
+		return event, false
 	}
-	a := q.out
-	if q.out = nil; !res.NeverRan() && q.ran == nil {
-		q.ran = a
+	attempt := request.inFlight
+	request.inFlight = nil
+	if !result.NeverRan() && request.mayHaveRun == nil {
+		request.mayHaveRun = attempt
 	}
-	if res == gateway.Succeeded && !q.done {
-		q.done = true
-		r.finals[2]++
+	if result == gateway.Succeeded && !request.done {
+		request.done = true
+		r.answers[succeeded]++
 	}
-	return gateway.Event{Kind: gateway.AttemptEnded, RequestID: q.id, Host: a.host, Attempt: q.sent - 1, Result: res, Latency: r.now.Sub(a.startedAt),
-		Closed: q.done}, true
+	return gateway.Event{
+		Kind:      gateway.AttemptEnded,
+		RequestID: request.id,
+		Host:      attempt.host,
+		Attempt:   request.attempts - 1,
+		Result:    result,
+		Latency:   r.now.Sub(attempt.startedAt),
+		Closed:    request.done,
+	}, true
 }
 
-// play lets some 300 requests in over a few seconds with stalls, leaving clients, hosts that come and go.
-func (r *ruleChecker) play(g *logic.Gateway) {
-	const hosts = 6
+const (
+	ruleHosts   = 6
+	ruleBatches = 300 // with new requests
+)
+
+// hostEndpoint returns the list's entry of a host.
+func hostEndpoint(host uint32, state gateway.EndpointState) gateway.Endpoint {
+	return gateway.Endpoint{Host: host, Zone: int(zoneOf(host)), Cell: int(cellOf(host)), Weight: 1, State: state}
+}
+
+// run sends some 300 requests over a few seconds with stalls, clients that leave, and hosts that come and go.
+func (r *ruleChecker) run(g *logic.Gateway) {
 	list := gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete}
-	for h := range uint32(hosts) {
-		list.Endpoints = append(list.Endpoints, gateway.Endpoint{Host: h, Zone: int(h % 2), Cell: int(h % 3), Weight: 1})
-		r.state[h] = gateway.Running
+	for host := range uint32(ruleHosts) {
+		list.Endpoints = append(list.Endpoints, hostEndpoint(host, gateway.Running))
+		r.hostStates[host] = gateway.Running
 	}
 	events := []gateway.Event{list}
-	for n := 0; n < 300 || len(r.reqs) > 0; n++ {
+	for n := 0; n < ruleBatches || len(r.requests) > 0; n++ {
 		g.Decide(&gateway.Batch{Now: r.now, Events: events}, r)
-		for _, q := range r.reqs {
-			if q.until <= r.now && !q.done {
-				r.foul(q, "no answer at its deadline")
-			}
-		}
-		r.reqs = slices.DeleteFunc(r.reqs, func(q *asked) bool { return q.done && q.out == nil })
+		r.checkDeadlines()
+		r.requests = slices.DeleteFunc(r.requests, func(q *clientRequest) bool { return q.done && q.inFlight == nil })
 		events = []gateway.Event{{Kind: gateway.TimerFired}}
-		r.now = r.now.Add(time.Duration(r.rnd.Intn(20)) * ms)
-		if r.rnd.Intn(25) == 0 { // a stall: past many a target, and some deadlines
-			r.now = r.now.Add(time.Duration(r.rnd.Intn(int(r.front.Timeout/ms))) * ms)
-		}
-		for _, q := range r.reqs {
-			left := gateway.Event{Kind: gateway.ClientGone, RequestID: q.id}
-			q.gone = false
-			leaves := !q.done && r.rnd.Intn(60) == 0
-			if first := r.rnd.Intn(2) == 0; leaves && first { // its going crosses the end of its attempt either way
-				q.done, q.gone = true, true
-				events = append(events, left)
-			}
-			if e, ok := r.ends(q); ok {
-				events = append(events, e)
-			}
-			if leaves && !q.done {
-				q.done, q.gone = true, true
-				events = append(events, left)
-			}
-		}
-		for len(r.calls) > 0 && (r.rnd.Intn(2) == 0 || r.now.Sub(r.calls[0].at) >= r.limits.CounterTimeout) {
-			e := gateway.Event{Kind: gateway.CounterReplied, CounterName: r.calls[0].name, Result: gateway.TimedOut}
-			if r.rnd.Intn(3) > 0 {
-				e.Result, e.CounterTotal = gateway.Succeeded, float64(r.rnd.Intn(8))
-			}
-			events, r.calls = append(events, e), r.calls[1:]
-		}
-		if r.rnd.Intn(20) == 0 {
-			h := uint32(r.rnd.Intn(hosts))
-			r.state[h] = gateway.EndpointState(r.rnd.Intn(3))
-			events = append(events, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: []gateway.Endpoint{{Host: h,
-				Zone: int(h % 2), Cell: int(h % 3), Weight: 1, State: r.state[h], StartedAt: r.now * gateway.Time(r.rnd.Intn(2))}}})
-		}
-		for k := r.rnd.Intn(3); n < 300 && k > 0; k-- {
-			q := &asked{id: fmt.Sprint("q", n, ".", k), until: r.now.Add(r.front.Timeout / time.Duration(1+r.rnd.Intn(3)))}
-			r.reqs = append(r.reqs, q)
-			events = append(events, gateway.Event{Kind: gateway.RequestArrived, RequestID: q.id, Customer: fmt.Sprint("c", r.rnd.Intn(4)),
-				Plan: r.rnd.Intn(3), Deadline: q.until, Units: 1, Spread: 1})
+		r.passTime()
+		events = append(events, r.clientAndHostEvents()...)
+		events = append(events, r.counterEvents()...)
+		events = append(events, r.listEvents()...)
+		if count := r.random.Intn(3); n < ruleBatches {
+			events = append(events, r.arrivals(n, count)...)
 		}
 	}
 }
 
-// TestRulesHoldForAllSettings: operators vary the effect, group, window and times of a profile and
-// parallel_tries on running deployments. Every mixture starts, and under every one the rules are kept as the
-// settings tell them, whatever hosts, clients and lists do; also by the module alone, which gets the settings by
-// their letter.
-func TestRulesHoldForAllSettings(t *testing.T) {
-	sum := map[string]*ruleChecker{}
-	for i := range 3 * 3 * 3 * 2 * 2 * 2 * 2 {
-		n := i
-		of := func(k int) int { n, k = n/k, n%k; return k }
-		effect, group := []string{"safe", "keyed", "unsafe"}[of(3)], []string{"all", "zone", "cell"}[of(3)]
-		window, limit := []int{0, 250_000, 10_000_000}[of(3)], []int{150_000, 2_000_000}[of(2)]
-		target, two, letter := limit*[]int{1, 8}[of(2)]/4, of(2) == 1, of(2) == 1
-		text := fmt.Sprintf(`{"balancers":1,"limits":{"max_attempts":3,"parallel_tries":%t,"cancelling":true,"retry_after":true},
-			"family_info":{"shared_counter":true,"count_wait_us":30000},
-			"profiles":[{"name":"a","effect":%q,"group":%q,"window_us":%d,"target_us":%d,"hard_limit_us":%d,"late_worth":0.5,"points":1}],
-			"plans":[{"name":"p","rate":50,"burst":50},{"name":"q","parallel":3},{"name":"r"}]}`, two, effect, group, window, target, limit)
-		s, err := config.Decode(text)
-		if err != nil {
-			t.Fatalf("%s: %v", text, err)
-		}
-		told := gateway.RequestClass{Effect: gateway.Effect(slices.Index([]string{"safe", "keyed", "unsafe"}, effect)),
-			Group:       gateway.Group(slices.Index([]string{"all", "zone", "cell"}, group)),
-			DedupWindow: time.Duration(window) * time.Microsecond, LatencyObjective: time.Duration(target) * time.Microsecond, Timeout: time.Duration(limit) * time.Microsecond, Value: 1, LateValue: 0.5}
-		if letter {
-			s.Classes[0], s.Limits.Hedging = told, two
+func (r *ruleChecker) checkDeadlines() {
+	for _, request := range r.requests {
+		if request.deadline <= r.now && !request.done {
+			r.violated(request, "no answer at its deadline")
 		}
-		r := &ruleChecker{T: t, what: text, front: told, limits: s.Limits, now: gateway.Time(100_000 * ms), rnd: rand.New(rand.NewSource(int64(i))),
-			state: map[uint32]gateway.EndpointState{}}
-		g := logic.New(uint64(i), s.Membership, s.Classes, s.Plans, s.Limits, s.SlowStart, s.LoadReport)
-		r.play(g)
-		if left := g.Gauges(); left.InFlight != 0 || left.OpenRequests != 0 {
-			t.Errorf("%s: %d dispatches and %d reqs are held with none open", text, left.InFlight, left.OpenRequests)
+	}
+}
+
+// passTime advances the clock, now and then by a stall past latency objectives and some deadlines.
+func (r *ruleChecker) passTime() {
+	r.now = r.now.Add(time.Duration(r.random.Intn(20)) * ms)
+	if r.random.Intn(25) == 0 {
+		r.now = r.now.Add(time.Duration(r.random.Intn(int(r.class.Timeout/ms))) * ms)
+	}
+}
+
+// clientAndHostEvents returns ends of attempts and disconnects of clients, in either order for a request of both.
+func (r *ruleChecker) clientAndHostEvents() (events []gateway.Event) {
+	for _, request := range r.requests {
+		request.goneNow = false
+		leaves := !request.done && r.random.Intn(60) == 0
+		leavesFirst := r.random.Intn(2) == 0
+		if leaves && leavesFirst {
+			events = append(events, r.disconnect(request))
 		}
-		kind := fmt.Sprintf("%s %s %d", effect, group, window)
-		if sum[kind] == nil {
-			sum[kind] = &ruleChecker{}
+		if event, ends := r.endAttempt(request); ends {
+			events = append(events, event)
 		}
-		sum[kind].repeats, sum[kind].again = sum[kind].repeats+r.repeats, sum[kind].again+r.again
-		for k, n := range r.finals {
-			sum[kind].finals[k] += n
+		if leaves && !request.done {
+			events = append(events, r.disconnect(request))
 		}
 	}
-	for kind, s := range sum { // else it shows nothing
-		if s.finals[0] == 0 || s.finals[2] == 0 || s.again == 0 || (kind == "safe all 0" || kind == "keyed all 10000000") && s.repeats == 0 {
-			t.Errorf("%s: %d denied, %d aborted, %d passed; sent again: %d, %d that may have run", kind, s.finals[0], s.finals[1],
-				s.finals[2], s.again, s.repeats)
+	return events
+}
+
+func (r *ruleChecker) disconnect(request *clientRequest) gateway.Event {
+	request.done = true
+	request.goneNow = true
+	return gateway.Event{Kind: gateway.ClientGone, RequestID: request.id}
+}
+
+// counterEvents returns answers of the counter and timeouts of its calls.
+func (r *ruleChecker) counterEvents() (events []gateway.Event) {
+	for len(r.calls) > 0 && (r.random.Intn(2) == 0 || r.now.Sub(r.calls[0].at) >= r.limits.CounterTimeout) {
+		event := gateway.Event{Kind: gateway.CounterReplied, CounterName: r.calls[0].name, Result: gateway.TimedOut}
+		if r.random.Intn(3) > 0 {
+			event.Result = gateway.Succeeded
+			event.CounterTotal = float64(r.random.Intn(8))
 		}
+		events = append(events, event)
+		r.calls = r.calls[1:]
+	}
+	return events
+}
+
+// listEvents returns, now and then, a change of a host's state.
+func (r *ruleChecker) listEvents() []gateway.Event {
+	if r.random.Intn(20) != 0 {
+		return nil
+	}
+	host := uint32(r.random.Intn(ruleHosts))
+	r.hostStates[host] = gateway.EndpointState(r.random.Intn(3))
+	endpoint := hostEndpoint(host, r.hostStates[host])
+	endpoint.StartedAt = r.now * gateway.Time(r.random.Intn(2))
+	changed := []gateway.Endpoint{endpoint}
+	return []gateway.Event{{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: changed}}
+}
+
+// arrivals returns so many new requests in batch n.
+func (r *ruleChecker) arrivals(n, count int) (events []gateway.Event) {
+	for k := count; k > 0; k-- {
+		timeout := r.class.Timeout / time.Duration(1+r.random.Intn(3))
+		request := &clientRequest{id: fmt.Sprint("q", n, ".", k), deadline: r.now.Add(timeout)}
+		r.requests = append(r.requests, request)
+		events = append(events, gateway.Event{
+			Kind:      gateway.RequestArrived,
+			RequestID: request.id,
+			Customer:  fmt.Sprint("c", r.random.Intn(4)),
+			Plan:      r.random.Intn(3),
+			Deadline:  request.deadline,
+			Units:     1,
+			Spread:    1,
+		})
 	}
+	return events
 }
