--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -170,7 +170,7 @@
 		defer o.tasks.Done()
 		defer func() {
 			if p := recover(); p != nil {
-				slog.Error("panic", "where", "witness", "error", fmt.Sprint(p), "stack", debug.Stack())
+				slog.Error("panic", "where", "observer", "error", fmt.Sprint(p), "stack", debug.Stack())
 			}
 		}()
 		f()
