--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,5 @@
-// Package logging sets up the log of a process: one line an event, as key=value pairs that begin with time, level and event.
+// Package logging sets up the log of a process: one line an event, as key=value pairs that begin with time, level and
+// event.
 package logging
 
 import (
