--- a/internal/hosts/pool.go
+++ b/internal/hosts/pool.go
@@ -72,7 +72,7 @@
 func (p *hostPool) hostAnswered() {
 	if p.failing {
 		p.failing = false
-		slog.Info("host_answers", "addr", p.addr)
+		slog.Info("host_recovered", "addr", p.addr)
 	}
 }
 
--- a/internal/logging/events_test.go
+++ b/internal/logging/events_test.go
@@ -52,6 +52,31 @@
 	}
 }
 
+// TestOnCallPageNamesFilesThatExist looks at each path in backquotes; a bare file name is in the directory named before
+// it in the row.
+func TestOnCallPageNamesFilesThatExist(t *testing.T) {
+	text, err := os.ReadFile(onCallPage)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const top = `cmd|configsync|concurrency|docs|internal|logic|pool`
+	name := regexp.MustCompile("`((?:" + top + `)/[a-z_/-]+(?:\.[a-z]+)?|[a-z_]+\.go)` + "`")
+	for line := range strings.Lines(string(text)) {
+		dir := ""
+		for _, match := range name.FindAllStringSubmatch(line, -1) {
+			path := match[1]
+			if strings.Contains(path, "/") {
+				dir = filepath.Dir(path)
+			} else {
+				path = filepath.Join(dir, path)
+			}
+			if _, err := os.Stat(filepath.Join(moduleRoot, path)); err != nil {
+				t.Errorf("%v, in: %s", err, line)
+			}
+		}
+	}
+}
+
 func TestComparisonReportsEachDifference(t *testing.T) {
 	code := map[string]event{
 		"host_failing":   {"WARN", []string{"addr", "error"}, "a.go:1"},
