--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"log/slog"
 	"net"
 	"os"
@@ -11,26 +12,41 @@
 	"ravensill/internal/resp"
 )
 
-// acceptDeadlines is how often accepting may time out after StopAccepting before the listener is closed. Connections that the system
-// has completed by then are accepted first, as closing the listener would reset them.
-const acceptDeadlines = 2
+const (
+	// acceptDeadlines is how often accepting may time out after StopAccepting before the listener is closed. Connections
+	// that the system has completed by then are accepted first, as closing the listener would reset them.
+	acceptDeadlines = 2
+	// slotRetryInterval is the time between two requests of the accept loop for a free slot.
+	slotRetryInterval = 20 * time.Millisecond
+	// acceptRetryDelay is the pause after a failed accept.
+	acceptRetryDelay = 10 * time.Millisecond
+)
 
-// StartAccepting starts to accept connections until StopAccepting.
+// StartAccepting starts to accept connections from the listener, until StopAccepting or CloseAll. The accept loop has
+// ended when Closed returns true.
 func (s *Server) StartAccepting(listener *net.TCPListener) {
 	s.listener = listener
 	s.accepting = true
 	go s.acceptLoop(listener)
 }
 
-// acceptLoop accepts connections while there are places for them.
+// StopAccepting stops accepting connections; open ones are still served.
+func (s *Server) StopAccepting() {
+	s.acceptClosed = true
+	if s.listener != nil { // nil before StartAccepting
+		s.listener.SetDeadline(time.Now())
+	}
+}
+
+// acceptLoop accepts connections while there are free slots.
 func (s *Server) acceptLoop(listener *net.TCPListener) {
 	defer s.runOnLoop(func() { s.accepting = false })
 	failureLog := logLimiter{}
 	timeouts := 0
 	for {
-		s.waitForPlace()
-		if timeouts > 0 { // set late: earlier it could pass while this waits for a place
-			listener.SetDeadline(time.Now().Add(placeRetryInterval))
+		s.waitForSlot()
+		if timeouts > 0 { // set here: it must not pass while the loop waits for a slot
+			listener.SetDeadline(time.Now().Add(slotRetryInterval))
 		}
 		link, err := s.accept(listener)
 		switch {
@@ -50,33 +66,30 @@
 	}
 }
 
-// waitForPlace returns once the loop has a place for one more connection.
-func (s *Server) waitForPlace() {
+// waitForSlot returns once the loop has a slot for one more connection.
+func (s *Server) waitForSlot() {
 	for {
 		s.runOnLoop(s.answerAdmission)
 		if <-s.admissions {
 			return
 		}
 		select {
-		case <-s.placeFreed:
-		case <-time.After(placeRetryInterval):
+		case <-s.slotFreed:
+		case <-time.After(slotRetryInterval):
 		}
 	}
 }
 
-// open starts a connection. The loop registers it before it answers the next admission, so that it counts there.
-func (s *Server) open(link *bufconn.Link) {
-	c := &Conn{
-		server:       s,
-		link:         link,
-		AnswerQueue:  AnswerQueue{out: link.Out},
-		commandQueue: commandQueue{hasRoom: make(chan struct{}, 1)},
-		done:         make(chan struct{}),
+// answerAdmission sends the waiting accept loop whether there is a slot for one more connection. It sends even if it
+// panics, since nothing else would release that loop. Slots are counted from the connections themselves, so none can
+// leak.
+func (s *Server) answerAdmission() {
+	admitted := false
+	defer func() { s.admissions <- admitted }()
+	if len(s.conns) >= s.maxConns && !s.acceptClosed {
+		s.evictConn()
 	}
-	c.onReady = c.answerReady
-	c.receiveFunc = c.receive
-	s.runOnLoop(c.register)
-	go c.readCommands()
+	admitted = s.acceptClosed || len(s.conns) < s.maxConns
 }
 
 // accept accepts one connection and sets up its buffers.
@@ -88,94 +101,22 @@
 	link, err := bufconn.NewLink(s.system, conn, resp.MaxValueBytes, maxUnsentBytes)
 	if err != nil {
 		conn.Close()
+		return nil, fmt.Errorf("set up accepted connection: %w", err)
 	}
-	return link, err
-}
-
-// answerAdmission tells the waiting accept loop whether there is a place for one more connection. It answers even if it
-// panics, since nothing else would release that loop. Places are counted from the connections themselves, so none can leak.
-func (s *Server) answerAdmission() {
-	admitted := false
-	defer func() { s.admissions <- admitted }()
-	if len(s.conns) >= s.maxConns && !s.acceptClosed {
-		s.makeRoom()
-	}
-	admitted = s.acceptClosed || len(s.conns) < s.maxConns
-}
-
-// makeRoom closes the connection that is best done without, if there is one. Connections that sent no command could take all
-// places from those that do: they go first, like those that are half-closed; then those with a single command; then the one
-// idle the longest. It is closed at once, as a client that stays would keep the place of a half-closed connection, and each new
-// client would wait for that.
-func (s *Server) makeRoom() {
-	now := s.now()
-	var victim *Conn
-	for c := range s.conns {
-		if c.evictable(now) && c.evictedBefore(victim) && c.nothingUnread() {
-			victim = c
-		}
-	}
-	if victim != nil && now-victim.lastAnswer <= answerTransit { // it can be closed soon
-		return
-	}
-	if s.fullLog.due(now) {
-		slog.Warn("clients_full",
-			"clients", len(s.conns),
-			"room_made", victim != nil,
-			"count", s.fullLog.logged(now),
-		)
-	}
-	if victim == nil {
-		return
-	}
-	if victim.halfClosed {
-		victim.close()
-		return
-	}
-	victim.closeIfQuiet() // else the next question makes room
-}
-
-// evictable reports whether a connection may be closed to make room: it is idle, not new, and no answer is on its way.
-func (c *Conn) evictable(now int64) bool {
-	sinceAnswer := now - c.lastAnswer
-	if !c.idle() {
-		return false
-	}
-	if c.commandCount == 0 && sinceAnswer <= connectGrace {
-		return false
-	}
-	return !c.closing || c.halfClosed && sinceAnswer > answerTransit
-}
-
-// evictedBefore reports whether a connection is rather closed than another, which may be nil.
-func (c *Conn) evictedBefore(other *Conn) bool {
-	if other == nil {
-		return true
-	}
-	rank, otherRank := c.evictionRank(), other.evictionRank()
-	if rank != otherRank {
-		return rank < otherRank
-	}
-	return c.lastAnswer < other.lastAnswer
-}
-
-// evictionRank is low for a connection that can be done without.
-func (c *Conn) evictionRank() int {
-	if c.halfClosed {
-		return 0
-	}
-	return min(c.commandCount, 2)
+	return link, nil
 }
 
-// nothingUnread reports whether no further command is unread, or read and on its way to the loop. After a half-close none counts.
-func (c *Conn) nothingUnread() bool {
-	return c.halfClosed || c.link.Quiet(c.readsSeen)
-}
-
-// StopAccepting stops accepting connections; open ones are still served.
-func (s *Server) StopAccepting() {
-	s.acceptClosed = true
-	if s.listener != nil { // nil if the stop comes before Listen
-		s.listener.SetDeadline(time.Now())
+// open starts a connection. The loop registers it before it answers the next admission, so that it counts there.
+func (s *Server) open(link *bufconn.Link) {
+	c := &Conn{
+		server:       s,
+		link:         link,
+		AnswerQueue:  AnswerQueue{out: link.Out},
+		commandQueue: commandQueue{hasSpace: make(chan struct{}, 1)},
+		done:         make(chan struct{}),
 	}
+	c.onReady = c.answerReady
+	c.receiveFunc = c.receive
+	s.runOnLoop(c.register)
+	go c.readCommands()
 }
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -11,7 +11,8 @@
 	"ravensill/internal/resp"
 )
 
-// Answer is the place of one command's answer in the order of its connection. The first one given counts.
+// Answer is the answer to one command, at its place in the order of its connection. It is set once; later calls have no
+// effect.
 type Answer struct {
 	queue      *AnswerQueue
 	text       []byte
@@ -19,16 +20,20 @@
 	ClientGone func() // called if the client goes away before the answer
 }
 
-// AnswerQueue keeps the answers of one connection in the order of its commands.
+// AnswerQueue writes the answers of one connection in the order of its commands.
 type AnswerQueue struct {
-	out        *bufconn.Buffer
-	waiting    []*Answer
-	full       bool        // an answer did not fit: the client reads too slowly
-	onReady    func(int)   // called with how many answers went out with the one just given
-	clientGone atomic.Bool // as the reader saw: that overtakes all that waits for the loop
+	out     *bufconn.Buffer
+	waiting []*Answer
+	full    bool // an answer did not fit: the client reads too slowly
+
+	// onReady is called after each answer, with the number of answers that were written to out.
+	onReady func(count int)
+
+	// clientGone is set by the connection's reader, before the loop receives the end of the connection.
+	clientGone atomic.Bool
 }
 
-// Add adds a place for the answer of the next command.
+// Add adds a place for the answer to the next command.
 func (q *AnswerQueue) Add() *Answer {
 	a := &Answer{queue: q}
 	q.waiting = append(q.waiting, a)
@@ -36,19 +41,20 @@
 }
 
 // Succeed answers with a value.
-func (a *Answer) Succeed(value []byte) { a.give(successReply(value)) }
+func (a *Answer) Succeed(value []byte) { a.set(successReply(value)) }
 
-// Reject answers that the request did not run, and when to come back, in nanoseconds; 0: at once.
-func (a *Answer) Reject(retryAfter int64) { a.give(rejection(retryAfter)) }
+// Reject answers that the request did not run, with the time to retry after, in nanoseconds; 0: at once.
+func (a *Answer) Reject(retryAfter int64) { a.set(rejection(time.Duration(retryAfter))) }
 
 // Fail answers with an error: the request may have run.
-func (a *Answer) Fail(why string) { a.give(errorReply(why)) }
+func (a *Answer) Fail(reason string) { a.set(errorReply(reason)) }
 
-// IsClientGone reports whether the client has left, also while that is on the way to the loop: nothing more is sent on for it.
+// IsClientGone reports whether the client has left, even if the loop has not received that yet. No attempt is made for
+// such a client.
 func (a *Answer) IsClientGone() bool { return a.queue.clientGone.Load() }
 
-// give sets the answer, and lets out all that no earlier command holds back.
-func (a *Answer) give(text []byte) {
+// set sets the answer, and writes all answers that no earlier command holds back.
+func (a *Answer) set(text []byte) {
 	if a.done {
 		return
 	}
@@ -66,7 +72,7 @@
 	q.onReady(count)
 }
 
-// end forgets the queue: its client is gone.
+// end drops all answers that are not written: the client is gone.
 func (q *AnswerQueue) end() {
 	waiting := q.waiting
 	q.waiting = nil
@@ -78,25 +84,33 @@
 	}
 }
 
+// pongReply is the answer to a PING.
+const pongReply = "+PONG\r\n"
+
+// successReply returns the answer of a value.
 func successReply(value []byte) []byte {
-	return resp.AppendBulk(make([]byte, 0, len(value)+16), value)
+	const maxHeader = 16 // bytes around the value
+	return resp.AppendBulk(make([]byte, 0, len(value)+maxHeader), value)
 }
 
-func rejection(retryAfter int64) []byte {
+// rejection returns the answer to a request that did not run, with the time to retry after; 0: at once.
+func rejection(retryAfter time.Duration) []byte {
 	if retryAfter <= 0 {
 		return []byte("-BUSY\r\n")
 	}
-	const millisecond = int64(time.Millisecond)
-	milliseconds := (retryAfter + millisecond - 1) / millisecond // rounded up: earlier would be in vain
-	return append(strconv.AppendInt([]byte("-BUSY "), milliseconds, 10), "\r\n"...)
+	roundedUp := (retryAfter + time.Millisecond - 1).Milliseconds() // an earlier retry would be rejected again
+	text := strconv.AppendInt([]byte("-BUSY "), roundedUp, 10)
+	return append(text, "\r\n"...)
 }
 
-func errorReply(why string) []byte {
-	clean := bytes.Map(func(r rune) rune {
+// errorReply returns the answer of an error, in one line.
+func errorReply(reason string) []byte {
+	line := bytes.Map(func(r rune) rune {
 		if r < ' ' {
 			return ' '
 		}
 		return r
-	}, []byte(why))
-	return append(append([]byte("-ERR "), clean...), "\r\n"...)
+	}, []byte(reason))
+	text := append([]byte("-ERR "), line...)
+	return append(text, "\r\n"...)
 }
--- a/internal/clients/catalog.go
+++ b/internal/clients/catalog.go
@@ -8,12 +8,12 @@
 	"ravensill/gateway"
 )
 
-// CatalogConfig is what the catalog starts with: names by index, and the bounds of the figures in commands.
+// CatalogConfig is what the catalog starts with: names by index, and the bounds of the numbers in commands.
 type CatalogConfig struct {
 	Classes  []string
 	Effects  []gateway.Effect // by request class
 	Plans    []string
-	MaxUnits []float64 // of one request, by quota plan; 0: any
+	MaxUnits []float64 // of one request, by quota plan; 0: unlimited
 	Members  int       // gateways of the fleet
 	Own      int       // member index of this one
 }
@@ -37,42 +37,49 @@
 type PlanEdit struct {
 	Index    int
 	Name     string
-	MaxUnits float64 // of one request; 0: any
+	MaxUnits float64 // of one request; 0: unlimited
 	Removed  bool
 }
 
-// RemovedError tells that a command names what the configuration held once. The command is understood, and its answer
-// is final.
+// RemovedError is the error of a command that names a class or plan which the configuration no longer has. The command
+// is well formed, and its answer is final.
 type RemovedError struct {
 	What string // "plan" or "class"
 }
 
 func (e *RemovedError) Error() string { return e.What + ": removed" }
 
-// requestTerms are what a command tells of its request beside its text.
+var (
+	errNoKey    = errors.New("k: missing")
+	errNotOfSet = errors.New("first, spread: this gateway is not of that set")
+)
+
+// requestTerms are the arguments of a request that the catalog checks.
 type requestTerms struct {
-	Class, Plan   int // by index
-	Units         float64
-	Spread, First int  // the set of gateways that the customer's requests come in at
-	ReadOnly      bool // sent by CALL.GET
-	HasKey        bool // it has a key by which hosts drop repeats
-	version       uint64
+	class        int // index
+	plan         int // index
+	units        float64
+	spread       int    // the customer's requests come in at this many gateways,
+	firstGateway int    // from this member index on
+	readOnly     bool   // sent by CALL.GET
+	hasKey       bool   // it has a key by which hosts drop repeats
+	version      uint64 // of the catalog when it was checked
 }
 
-// Catalog knows the request classes, the quota plans and the size of the fleet. Connections' readers look names up in
+// Catalog holds the request classes, the quota plans and the size of the fleet. Connections' readers look names up in
 // it; only the loop changes it.
 type Catalog struct {
 	mu           sync.RWMutex
 	version      uint64         // counts the edits
 	classIndices map[string]int // by name, removed ones too
 	planIndices  map[string]int
-	classes      []ClassEdit // by index, as last set
+	classes      []ClassEdit // by index, as set by the latest edit
 	plans        []PlanEdit
 	members      int // gateways of the fleet
 	own          int // member index of this one
 }
 
-// NewCatalog starts with what the gateway starts with. A name that is given twice stands for its first index.
+// NewCatalog returns a catalog with the content of config. A name that occurs twice stands for its first index.
 func NewCatalog(config CatalogConfig) *Catalog {
 	c := &Catalog{
 		classIndices: make(map[string]int, len(config.Classes)),
@@ -84,20 +91,23 @@
 	}
 	for i, name := range config.Classes {
 		c.classes = append(c.classes, ClassEdit{Index: i, Name: name, Effect: config.Effects[i]})
-		if _, known := c.classIndices[name]; !known {
-			c.classIndices[name] = i
-		}
+		addName(c.classIndices, name, i)
 	}
 	for i, name := range config.Plans {
 		c.plans = append(c.plans, PlanEdit{Index: i, Name: name, MaxUnits: config.MaxUnits[i]})
-		if _, known := c.planIndices[name]; !known {
-			c.planIndices[name] = i
-		}
+		addName(c.planIndices, name, i)
 	}
 	return c
 }
 
-// Apply makes a change; a reader sees all of it or nothing. An index is that of a known name, or the next one.
+// addName adds a name with its index, unless the name is known.
+func addName(indices map[string]int, name string, index int) {
+	if _, known := indices[name]; !known {
+		indices[name] = index
+	}
+}
+
+// Apply applies an edit, of which a reader sees all or nothing. An index is that of a known name, or the next one.
 func (c *Catalog) Apply(edit CatalogEdit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,82 +131,77 @@
 	}
 }
 
-// size tells how many gateways the fleet has.
-func (c *Catalog) size() int {
+// memberCount returns the number of gateways of the fleet.
+func (c *Catalog) memberCount() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.members
 }
 
-// class gives the index of a request class by its name, -1 for an unknown one.
+// class returns the index of a request class by its name, unset for an unknown one.
 func (c *Catalog) class(name []byte) int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	if index, known := c.classIndices[string(name)]; known {
 		return index
 	}
-	return -1
+	return unset
 }
 
-// plan gives the index of a quota plan by its name, -1 for an unknown one.
+// plan returns the index of a quota plan by its name, unset for an unknown one.
 func (c *Catalog) plan(name []byte) int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	if index, known := c.planIndices[string(name)]; known {
 		return index
 	}
-	return -1
+	return unset
 }
 
-// check tells why a request can't be taken in by what is known now, and notes in its terms that it was asked.
+// check returns an error if a request with these terms can't be served, and sets the version that it was checked by.
 func (c *Catalog) check(terms *requestTerms) error {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	terms.version = c.version
-	return c.fault(terms)
+	return c.validate(terms)
 }
 
-// recheck tells the same of a request that was checked before, perhaps under an earlier version. It is called on the
-// loop, which alone changes the catalog.
+// recheck is check for a request that was checked before, perhaps by an earlier version. It is called on the loop,
+// which alone changes the catalog.
 func (c *Catalog) recheck(terms *requestTerms) error {
 	if terms.version == c.version {
 		return nil
 	}
-	return c.fault(terms)
+	return c.validate(terms)
 }
 
-func (c *Catalog) fault(terms *requestTerms) error {
-	class, plan := &c.classes[terms.Class], &c.plans[terms.Plan]
+// validate returns an error if a request with these terms can't be served. It is called with mu locked or on the loop.
+func (c *Catalog) validate(terms *requestTerms) error {
+	class := &c.classes[terms.class]
+	plan := &c.plans[terms.plan]
+	isIdempotent := class.Effect == gateway.Idempotent
 	switch {
 	case class.Removed:
 		return &RemovedError{"class"}
 	case plan.Removed:
 		return &RemovedError{"plan"}
-	case terms.ReadOnly != (class.Effect == gateway.Idempotent):
-		return fmt.Errorf("c: %s is not served by %s", class.Name, verb(terms.ReadOnly))
-	case class.Effect == gateway.Deduplicated && !terms.HasKey:
+	case terms.readOnly != isIdempotent:
+		return fmt.Errorf("c: %s is not served by %s", class.Name, verbOf(terms.readOnly))
+	case class.Effect == gateway.Deduplicated && !terms.hasKey:
 		return errNoKey
-	case plan.MaxUnits > 0 && terms.Units > plan.MaxUnits:
-		return fmt.Errorf("units: %g are more than %s ever grants", terms.Units, plan.Name)
-	case terms.Spread > c.members || (c.own-terms.First+c.members)%c.members >= terms.Spread || terms.First >= c.members:
+	case plan.MaxUnits > 0 && terms.units > plan.MaxUnits:
+		return fmt.Errorf("units: %g are more than %s ever grants", terms.units, plan.Name)
+	case !c.isOwnSet(terms.firstGateway, terms.spread):
 		return errNotOfSet
 	}
 	return nil
 }
 
-const (
-	verbGet  = "CALL.GET"
-	verbPost = "CALL.POST"
-)
-
-func verb(readOnly bool) string {
-	if readOnly {
-		return verbGet
+// isOwnSet reports whether this gateway is one of the spread gateways from the member index first on, cyclically.
+func (c *Catalog) isOwnSet(first, spread int) bool {
+	if first >= c.members || spread > c.members {
+		return false
 	}
-	return verbPost
+	distance := (c.own - first + c.members) % c.members
+	return distance < spread
 }
-
-var (
-	errNoKey    = errors.New("k: missing")
-	errNotOfSet = errors.New("first, spread: this gateway is not of that set")
-)
--- a/internal/clients/catalog_test.go
+++ b/internal/clients/catalog_test.go
@@ -10,85 +10,138 @@
 	"ravensill/internal/golden"
 )
 
-// ask gives what a command gets that names a class and a plan.
-func (c *Catalog) ask(verb, class, plan string) error {
-	terms := requestTerms{Class: c.class([]byte(class)), Plan: c.plan([]byte(plan)), Units: 4, Spread: 3, First: 0, ReadOnly: verb == verbGet}
-	if terms.Class < 0 || terms.Plan < 0 {
+// checkCommand returns the error of a command with a verb that names a class and a plan.
+func (c *Catalog) checkCommand(verb, class, plan string) error {
+	terms := requestTerms{
+		class:        c.class([]byte(class)),
+		plan:         c.plan([]byte(plan)),
+		units:        4,
+		spread:       3,
+		firstGateway: 0,
+		readOnly:     verb == verbGet,
+	}
+	if terms.class == unset || terms.plan == unset {
 		return errors.New("unknown")
 	}
 	return c.check(&terms)
 }
 
-// TestCatalog: what commands may name follows the edits; a removed name is told as such, an unknown one as before.
-func TestCatalog(t *testing.T) {
-	c := NewCatalog(startCatalog)
-	var all strings.Builder
-	for _, edit := range []CatalogEdit{
+// What commands may name follows the edits. The error of a removed name differs from that of an unknown one.
+func TestCatalogCheckFollowsEdits(t *testing.T) {
+	edits := []CatalogEdit{
 		{},
-		{Plans: []PlanEdit{{Index: 0, Name: "basic", Removed: true}, {Index: 2, Name: "gold", MaxUnits: 3}}, Members: 4},
-		{Plans: []PlanEdit{{Index: 0, Name: "basic", MaxUnits: 9}, {Index: 2, Name: "gold"}}, Classes: []ClassEdit{{Index: 0, Name: "lookup", Removed: true},
-			{Index: 2, Name: "pay", Effect: gateway.NonIdempotent}}},
+		{
+			Plans: []PlanEdit{
+				{Index: 0, Name: "basic", Removed: true},
+				{Index: 2, Name: "gold", MaxUnits: 3},
+			},
+			Members: 4,
+		},
+		{
+			Plans: []PlanEdit{
+				{Index: 0, Name: "basic", MaxUnits: 9},
+				{Index: 2, Name: "gold"},
+			},
+			Classes: []ClassEdit{
+				{Index: 0, Name: "lookup", Removed: true},
+				{Index: 2, Name: "pay", Effect: gateway.NonIdempotent},
+			},
+		},
 		{Members: 2},
-	} {
-		c.Apply(edit)
-		fmt.Fprintf(&all, "%+v\n", edit)
-		for _, x := range [][3]string{{verbGet, "lookup", "basic"}, {verbGet, "lookup", "gold"}, {verbPost, "order", "team"}, {verbPost, "pay", "gold"}} {
-			fmt.Fprintf(&all, "  %q: %v\n", x, c.ask(x[0], x[1], x[2]))
+	}
+	commands := [][3]string{
+		{verbGet, "lookup", "basic"},
+		{verbGet, "lookup", "gold"},
+		{verbPost, "order", "team"},
+		{verbPost, "pay", "gold"},
+	}
+	catalog := NewCatalog(startCatalog)
+	var trace strings.Builder
+	for _, edit := range edits {
+		catalog.Apply(edit)
+		fmt.Fprintf(&trace, "%+v\n", edit)
+		for _, words := range commands {
+			fmt.Fprintf(&trace, "  %q: %v\n", words, catalog.checkCommand(words[0], words[1], words[2]))
 		}
 	}
-	golden.Check(t, all.String())
+	golden.Check(t, trace.String())
 }
 
-// TestCatalogFinds: the cost of a name doesn't grow with their number; of two alike the first counts.
-func TestCatalogFinds(t *testing.T) {
-	many := CatalogConfig{Classes: []string{"lookup"}, Effects: make([]gateway.Effect, 1), Members: 1}
-	for i := range 54_000 {
-		many.Plans = append(many.Plans, fmt.Sprint("plan-", i))
+// A lookup allocates nothing, however many names there are. A name that occurs twice stands for its first index.
+func TestCatalogLookupAmongManyNames(t *testing.T) {
+	const plans = 54_000
+	config := CatalogConfig{
+		Classes:  []string{"lookup"},
+		Effects:  make([]gateway.Effect, 1),
+		MaxUnits: make([]float64, plans),
+		Members:  1,
 	}
-	many.Plans[53_999], many.MaxUnits = many.Plans[7], make([]float64, 54_000)
-	c, last := NewCatalog(many), []byte("plan-53998")
-	if at := c.plan(last); at != 53_998 || c.plans[at].Name != "plan-53998" {
-		t.Errorf("%s is at %d", last, at)
+	for i := range plans {
+		config.Plans = append(config.Plans, fmt.Sprint("plan-", i))
 	}
-	if at := c.plan([]byte("plan-7")); at != 7 {
-		t.Errorf("of two alike the one at %d counts, want the first", at)
+	config.Plans[plans-1] = config.Plans[7]
+	catalog := NewCatalog(config)
+	latest := []byte("plan-53998")
+	if index := catalog.plan(latest); index != 53_998 || catalog.plans[index].Name != "plan-53998" {
+		t.Errorf("%s has the index %d", latest, index)
 	}
-	if at := c.plan([]byte("plan-53999")); at != -1 {
-		t.Errorf("what is not there is found at %d", at)
+	if index := catalog.plan([]byte("plan-7")); index != 7 {
+		t.Errorf("a name that occurs twice has the index %d, want the first", index)
 	}
-	if n := testing.AllocsPerRun(100, func() { c.plan(last) }); n != 0 {
+	if index := catalog.plan([]byte("plan-53999")); index != unset {
+		t.Errorf("an unknown name has the index %d", index)
+	}
+	if n := testing.AllocsPerRun(100, func() { catalog.plan(latest) }); n != 0 {
 		t.Errorf("%v allocations for a name", n)
 	}
 }
 
-// TestCatalogChangesWhileCommandIsQueued: a request that was read under one version and reaches the loop under the next is taken by the next.
+// A request that is read before an edit and reaches the loop after it is checked by the edited catalog.
 func TestCatalogChangesWhileCommandIsQueued(t *testing.T) {
 	s := newTestServer(t, 9)
 	c := s.connect()
-	for i, x := range []struct {
+	tests := []struct {
 		edit CatalogEdit
 		want string
 	}{
-		{CatalogEdit{Plans: []PlanEdit{{Index: 1, Name: "team", Removed: true}}}, "-ERR plan: removed"},
-		{CatalogEdit{Plans: []PlanEdit{{Index: 1, Name: "team", MaxUnits: 1}}}, "-ERR units: 2 are more than team ever grants"},
-		{CatalogEdit{Plans: []PlanEdit{{Index: 1, Name: "team"}}, Classes: []ClassEdit{{Index: 0, Name: "lookup", Effect: gateway.Deduplicated}}},
-			"-ERR c: lookup is not served by CALL.GET"},
-		{CatalogEdit{Classes: []ClassEdit{{Index: 0, Name: "lookup", Removed: true}}}, "-ERR class: removed"},
-	} {
-		s.catalog.Apply(CatalogEdit{Plans: []PlanEdit{{Index: 1, Name: "team"}}, Classes: []ClassEdit{{Index: 0, Name: "lookup"}}})
+		{
+			CatalogEdit{Plans: []PlanEdit{{Index: 1, Name: "team", Removed: true}}},
+			"-ERR plan: removed",
+		},
+		{
+			CatalogEdit{Plans: []PlanEdit{{Index: 1, Name: "team", MaxUnits: 1}}},
+			"-ERR units: 2 are more than team ever grants",
+		},
+		{
+			CatalogEdit{
+				Plans:   []PlanEdit{{Index: 1, Name: "team"}},
+				Classes: []ClassEdit{{Index: 0, Name: "lookup", Effect: gateway.Deduplicated}},
+			},
+			"-ERR c: lookup is not served by CALL.GET",
+		},
+		{
+			CatalogEdit{Classes: []ClassEdit{{Index: 0, Name: "lookup", Removed: true}}},
+			"-ERR class: removed",
+		},
+	}
+	for i, test := range tests {
+		s.catalog.Apply(CatalogEdit{
+			Plans:   []PlanEdit{{Index: 1, Name: "team"}},
+			Classes: []ClassEdit{{Index: 0, Name: "lookup"}},
+		})
 		c.send("a")
-		s.waitFor("read", func() bool {
+		s.waitFor("queued", func() bool {
 			c.conn.mu.Lock()
 			defer c.conn.mu.Unlock()
 			return len(c.conn.commands) > c.conn.head
 		})
-		s.catalog.Apply(x.edit)
+		s.catalog.Apply(test.edit)
 		s.runLoop("answered", func() bool { return c.conn.commandCount == i+1 })
-		if a := c.readLine(); a != x.want {
-			t.Errorf("%q, want %q", a, x.want)
+		if got := c.readLine(); got != test.want {
+			t.Errorf("%q, want %q", got, test.want)
 		}
 	}
 	if len(s.requests) > 0 {
-		t.Errorf("%d taken in", len(s.requests))
+		t.Errorf("%d requests received", len(s.requests))
 	}
 }
--- a/internal/clients/command_test.go
+++ b/internal/clients/command_test.go
@@ -5,125 +5,138 @@
 	"strings"
 	"testing"
 
-	"ravensill/gateway"
 	"ravensill/internal/bufconn"
 	"ravensill/internal/golden"
 	"ravensill/internal/resp"
 )
 
-var startCatalog = CatalogConfig{Classes: []string{"lookup", "order"}, Plans: []string{"basic", "team"}, Effects: []gateway.Effect{gateway.Idempotent, gateway.Deduplicated},
-	MaxUnits: []float64{8, 8}, Members: 3, Own: 1}
-
-// book writes down what commands say.
+// recordingHandler records what commands are parsed as.
 type recordingHandler struct{ strings.Builder }
 
-func (b *recordingHandler) handleRequest(id, customer []byte, terms requestTerms, wait int64, again bool, verb, before, after, body []byte) {
-	fmt.Fprintf(b, "%s of %s, %s: frontend %d, plan %d, %d ms, %g units, %d from %d, again %t; pass on %q %q %q\n", id, customer,
-		verb, terms.Class, terms.Plan, wait/1e6, terms.Units, terms.Spread, terms.First, again, before, after, body)
+func (h *recordingHandler) handleRequest(r parsedRequest) {
+	terms := r.terms
+	fmt.Fprintf(h, "%s of %s, %s: class %d, plan %d, %d ms, %g units, %d from %d, retry %t; send %q %q %q\n",
+		r.id, r.customer, r.verb, terms.class, terms.plan, r.wait.Milliseconds(), terms.units,
+		terms.spread, terms.firstGateway, r.retry, r.before, r.after, r.body)
 }
-func (b *recordingHandler) handlePing()               { b.WriteString("ping\n") }
-func (b *recordingHandler) handleMalformed(err error) { fmt.Fprintln(b, err) }
-
-func read(pieces ...string) string {
-	var b recordingHandler
-	in, c := bufconn.NewBuffer(resp.MaxValueBytes), CommandParser{catalog: NewCatalog(startCatalog)}
-	for _, p := range pieces {
-		in.Write([]byte(p))
-		for ok := true; ok; {
-			var err error
-			if ok, err = c.Next(in, &b); err != nil {
-				return b.String() + "ended: " + err.Error() + "\n"
+
+func (h *recordingHandler) handlePing() { h.WriteString("ping\n") }
+
+func (h *recordingHandler) handleMalformed(err error) { fmt.Fprintln(h, err) }
+
+// parseTrace returns a trace of what the commands in a stream, read in pieces, are parsed as.
+func parseTrace(pieces ...string) string {
+	var handler recordingHandler
+	in := bufconn.NewBuffer(resp.MaxValueBytes)
+	parser := CommandParser{catalog: NewCatalog(startCatalog)}
+	for _, piece := range pieces {
+		in.Write([]byte(piece))
+		for {
+			ok, err := parser.Next(in, &handler)
+			if err != nil {
+				return handler.String() + "ended: " + err.Error() + "\n"
+			}
+			if !ok {
+				break
 			}
 		}
 	}
-	return b.String()
+	return handler.String()
 }
 
-// command is words as an array of bulks.
-func command(words ...string) string {
-	text := resp.AppendArrayHeader(nil, len(words))
-	for _, w := range words {
-		text = resp.AppendBulk(text, w)
-	}
-	return string(text)
-}
-
-const get, list = "00000000b4d65521", "c=lookup,t=team,d=480,units=2,spread=3,first=1"
-
-var stream = command("CALL.GET", get, "9b1f03aa5c7e2d41", list) + command("PING") + command("CALL.POST", get, "a", "d=20,c=order,k=5c0f,x,t=basic,units=1.5,spread=3,first=0,r=1", "BO\r\nDY")
-
-func TestCommands(t *testing.T) { // also cut at every byte
-	whole := read(stream)
-	golden.Check(t, whole)
-	for i := range stream {
-		if got := read(stream[:i], stream[i:]); got != whole {
+// validStream holds a command of each verb.
+var validStream = command(verbGet, testCustomer, "9b1f03aa5c7e2d41", testArguments) +
+	command(verbPing) +
+	command(verbPost, testCustomer, "a", "d=20,c=order,k=5c0f,x,t=basic,units=1.5,spread=3,first=0,r=1", "BO\r\nDY")
+
+// Commands are parsed the same wherever the stream is cut between two reads.
+func TestCommandsAreParsedAcrossReads(t *testing.T) {
+	uncut := parseTrace(validStream)
+	golden.Check(t, uncut)
+	for i := range validStream {
+		if got := parseTrace(validStream[:i], validStream[i:]); got != uncut {
 			t.Errorf("cut at %d: %s", i, got)
 		}
 	}
 }
 
-func TestFaults(t *testing.T) { // the connection goes on after all but those of the stream
-	var all strings.Builder
-	for _, s := range []string{command("EVAL", "x"), command("CALL.GET", get, "a"), command("CALL.GET", "B4D65521", "a", list),
-		command("CALL.GET", get, "", list), command("CALL.POST", get, "a", list), command("CALL.GET", get, "a", strings.Replace(list, "lookup", "order", 1)),
-		command("CALL.GET", get, "a", strings.Replace(list, "team", "gold", 1)), command("CALL.GET", get, "a", strings.Replace(list, "480", "-1", 1)),
-		command("CALL.GET", get, "a", strings.Replace(list, "units=2", "units=NaN", 1)), command("CALL.GET", get, "a", strings.Replace(list, "=3", "=4", 1)),
-		command("CALL.GET", get, "a", strings.Replace(list, "first=1", "first=3", 1)), command("CALL.GET", get, "a", "c=lookup"),
-		command("CALL.GET", "0000000200000000", "a", list), command("CALL.GET", get, "a b", list), command("CALL.GET", get, "a", list, "BODY"),
-		command("CALL.GET", get, "a", strings.Replace(list, "480", "0", 1)), command("CALL.GET", get, "a", strings.Replace(list, "units=2", "units=0", 1)),
-		command("CALL.GET", get, "a", strings.Replace(list, "units=2", "units=8.5", 1)), command("CALL.GET", get, "a", strings.Replace(list, "spread=3", "spread=0", 1)),
-		command("CALL.GET", get, "a", strings.Replace(list, "spread=3,first=1", "spread=2,first=2", 1)), command("CALL.GET", get, "a", list+",d=9000"),
-		command("CALL.GET", get, "a", list+",x=\r\n"), command("CALL.POST", get, "a", strings.Replace(list, "lookup", "order", 1)),
-		"*1\r\n$-1\r\n", "+PING\r\n", "PING\r\n", "*4\r\n$8\r\nCALL.GET\r\n$70000\r\n"} {
-		fmt.Fprintf(&all, "%.60q\n  %s", s, read(s, command("PING")))
+// withArguments returns a request of testArguments in which one part is replaced.
+func withArguments(verb, old, replacement string) string {
+	return command(verb, testCustomer, "a", strings.Replace(testArguments, old, replacement, 1))
+}
+
+// The stream goes on after a malformed command, and ends where it is unknown where the next command starts.
+func TestMalformedCommandIsReported(t *testing.T) {
+	streams := []string{
+		command("EVAL", "x"),
+		command(verbGet, testCustomer, "a"),
+		command(verbGet, "B4D65521", "a", testArguments),
+		command(verbGet, testCustomer, "", testArguments),
+		command(verbPost, testCustomer, "a", testArguments),
+		withArguments(verbGet, "lookup", "order"),
+		withArguments(verbGet, "team", "gold"),
+		withArguments(verbGet, "480", "-1"),
+		withArguments(verbGet, "units=2", "units=NaN"),
+		withArguments(verbGet, "=3", "=4"),
+		withArguments(verbGet, "first=1", "first=3"),
+		command(verbGet, testCustomer, "a", "c=lookup"),
+		command(verbGet, "0000000200000000", "a", testArguments),
+		command(verbGet, testCustomer, "a b", testArguments),
+		command(verbGet, testCustomer, "a", testArguments, "BODY"),
+		withArguments(verbGet, "480", "0"),
+		withArguments(verbGet, "units=2", "units=0"),
+		withArguments(verbGet, "units=2", "units=8.5"),
+		withArguments(verbGet, "spread=3", "spread=0"),
+		withArguments(verbGet, "spread=3,first=1", "spread=2,first=2"),
+		command(verbGet, testCustomer, "a", testArguments+",d=9000"),
+		command(verbGet, testCustomer, "a", testArguments+",x=\r\n"),
+		withArguments(verbPost, "lookup", "order"),
+		"*1\r\n$-1\r\n",
+		"+PING\r\n",
+		"PING\r\n",
+		"*4\r\n$8\r\nCALL.GET\r\n$70000\r\n",
+	}
+	var trace strings.Builder
+	for _, stream := range streams {
+		fmt.Fprintf(&trace, "%.60q\n  %s", stream, parseTrace(stream, command(verbPing)))
 	}
-	golden.Check(t, all.String())
+	golden.Check(t, trace.String())
 }
 
-func FuzzCommands(f *testing.F) {
-	f.Add(stream, 100)
-	f.Add(command("CALL.GET", get, "a", "d=,c==,,t"), 30)
-	f.Fuzz(func(t *testing.T, s string, at int) {
-		if at < 0 || at > len(s) || len(s) > resp.MaxBulkBytes {
+// FuzzCommandParser checks that no stream panics, and that one is parsed the same wherever it is cut.
+func FuzzCommandParser(f *testing.F) {
+	f.Add(validStream, 100)
+	f.Add(command(verbGet, testCustomer, "a", "d=,c==,,t"), 30)
+	f.Fuzz(func(t *testing.T, stream string, at int) {
+		if at < 0 || at > len(stream) || len(stream) > resp.MaxBulkBytes {
 			return
 		}
-		if whole, cut := read(s), read(s[:at], s[at:]); whole != cut {
-			t.Errorf("whole %q, cut at %d %q", whole, at, cut)
+		uncut := parseTrace(stream)
+		if cut := parseTrace(stream[:at], stream[at:]); cut != uncut {
+			t.Errorf("uncut %q, cut at %d %q", uncut, at, cut)
 		}
 	})
 }
 
-func TestAnswersKeepOrder(t *testing.T) { // answers come in the order of the commands, each once
-	var let []int
-	l := AnswerQueue{out: bufconn.NewBuffer(64), onReady: func(n int) { let = append(let, n) }}
-	a, b, c := l.Add(), l.Add(), l.Add()
-	b.give(rejection(1_000_001))
-	c.give(errorReply("no\r\n+such"))
-	if l.out.Len() > 0 {
-		t.Error("an answer went before its turn")
-	}
-	a.give(successReply([]byte("v\r\n")))
-	a.give(rejection(0))
-	golden.Check(t, fmt.Sprintf("%sanswers let out: %v\n", l.out.Span(0, l.out.Len()), let))
-	if l.Add().give(make([]byte, 65)); !l.full {
-		t.Error("an answer that does not fit is not told")
-	}
-}
-
+// BenchmarkCommands measures the parsing of one request.
 func BenchmarkCommands(b *testing.B) {
-	in, c, one := bufconn.NewBuffer(resp.MaxValueBytes), CommandParser{catalog: NewCatalog(startCatalog)}, []byte(command("CALL.GET", get, "9b1f03aa5c7e2d41", list))
+	in := bufconn.NewBuffer(resp.MaxValueBytes)
+	parser := CommandParser{catalog: NewCatalog(startCatalog)}
+	request := []byte(command(verbGet, testCustomer, "9b1f03aa5c7e2d41", testArguments))
 	b.ReportAllocs()
 	for b.Loop() {
-		in.Write(one)
-		if ok, err := c.Next(in, nobody{}); !ok || err != nil {
+		in.Write(request)
+		if ok, err := parser.Next(in, discardingHandler{}); !ok || err != nil {
 			b.Fatal(ok, err)
 		}
 	}
 }
 
-type nobody struct{}
+// discardingHandler discards valid commands.
+type discardingHandler struct{}
 
-func (nobody) handleRequest([]byte, []byte, requestTerms, int64, bool, []byte, []byte, []byte, []byte) {
-}
-func (nobody) handlePing()               {}
-func (nobody) handleMalformed(err error) { panic(err) }
+func (discardingHandler) handleRequest(parsedRequest) {}
+
+func (discardingHandler) handlePing() {}
+
+func (discardingHandler) handleMalformed(err error) { panic(err) }
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -6,10 +6,10 @@
 	"runtime/debug"
 
 	"ravensill/internal/bufconn"
+	"ravensill/internal/clock"
 )
 
-// Conn is one client connection. Its fields belong to the loop, but for the queue and the reader's fields. Times are in
-// nanoseconds of the server's clock.
+// Conn is one client connection. Its fields belong to the loop, except the queue and the reader's fields.
 type Conn struct {
 	server *Server
 	link   *bufconn.Link
@@ -18,19 +18,19 @@
 	receiveFunc  func()        // receive as a value, made once
 	done         chan struct{} // closed when the connection has ended: its reader waits for nothing then
 	readsSeen    int64         // the link's count of reads whose commands the loop has received
-	partialSince int64         // when the first byte of an incomplete command was read, as far as received; 0: none is
+	partialSince clock.Instant // when the first byte of an incomplete command was read, as far as received; 0: none
 	flushPending bool          // in the server's list of unflushed or stalled connections
-	commandCount int           // whole commands received
-	lastAnswer   int64         // when the last answer was given; before that, when it connected
-	stalledSince int64         // when its client last took some of the unsent bytes; 0: nothing is unsent
-	closing      bool          // no command is sent on; it ends when all are answered
+	commandCount int           // complete commands received
+	lastAnswer   clock.Instant // when the latest answer was set; before that, when it connected
+	stalledSince clock.Instant // when its client last accepted some of the unsent bytes; 0: nothing is unsent
+	closing      bool          // no command is started; it ends when all are answered
 	halfClosed   bool          // the sending side is closed
 	closed       bool
 
 	// The reader's.
-	readAt       int64 // when the bytes last read arrived
-	partialBegan int64 // when the first byte of an incomplete command was read; 0: none is
-	malformed    int   // malformed commands in a row
+	readAt       clock.Instant // when the latest bytes arrived
+	partialBegan clock.Instant // when the first byte of an incomplete command was read; 0: none
+	malformed    int           // malformed commands in a row
 }
 
 // register adds the connection to its server.
@@ -40,19 +40,16 @@
 	c.halfCloseIfIdle()
 }
 
-// receive takes over what the reader has queued.
+// receive receives what the reader has queued.
 func (c *Conn) receive() {
-	c.mu.Lock()
-	c.notified = false
-	c.readsSeen = c.readsPosted
-	c.partialSince = c.partialPosted
-	c.mu.Unlock()
+	c.readsSeen, c.partialSince = c.receiveProgress()
 	c.startCommands()
 	c.rejectOverflow()
 	c.halfCloseIfIdle()
 }
 
-// startCommands starts queued commands up to the limit of commands in flight, and none of a client that is known to be gone.
+// startCommands starts queued commands up to the limit of commands in flight, and none of a client that is known to be
+// gone.
 func (c *Conn) startCommands() {
 	for !c.closed && !c.clientGone.Load() && len(c.waiting) < maxInFlight {
 		command, ok := c.dequeue()
@@ -63,7 +60,7 @@
 		switch {
 		case c.halfClosed: // the close crossed the command: the client sees the end and sends it again elsewhere
 		case c.closing, command.rejected > 0:
-			c.Add().Reject(0) // never sent on: the client may retry elsewhere at once, idempotent or not
+			c.Add().Reject(0) // never started: the client may retry elsewhere at once, idempotent or not
 		default:
 			c.start(command.run)
 		}
@@ -97,9 +94,9 @@
 }
 
 // closeIfOverdue ends the connection if its client is too slow or idle.
-func (c *Conn) closeIfOverdue(now int64) {
+func (c *Conn) closeIfOverdue(now clock.Instant) {
 	switch {
-	case c.stalledSince > 0 && now-c.stalledSince > writeStallTimeout:
+	case c.stalledSince > 0 && now.Sub(c.stalledSince) > writeStallTimeout:
 		c.closeOnFault(errSlowReader)
 		c.close()
 	case c.closing, c.server.draining:
@@ -111,65 +108,72 @@
 	}
 }
 
-// commandOverdue reports whether a command is incomplete, or the first one missing, for too long. One whose rest is read, or
-// about to be, is not: the connection would end over a whole command.
-func (c *Conn) commandOverdue(now int64) bool {
+// commandOverdue reports whether a command is incomplete, or the first one missing, for too long. One whose rest is
+// read, or about to be, is not: the connection would end over a complete command.
+func (c *Conn) commandOverdue(now clock.Instant) bool {
 	since := c.partialSince
 	if since == 0 && c.commandCount == 0 {
 		since = c.lastAnswer
 	}
-	return since > 0 && now-since > commandTimeout && c.link.Quiet(c.readsSeen)
+	return since > 0 && now.Sub(since) > commandTimeout && c.link.Quiet(c.readsSeen)
 }
 
 // idleTooLong reports whether a connection that had commands is idle for too long.
-func (c *Conn) idleTooLong(now int64) bool {
-	return c.idle() && c.commandCount > 0 && c.partialSince == 0 && now-c.lastAnswer > idleTimeout
+func (c *Conn) idleTooLong(now clock.Instant) bool {
+	return c.idle() && c.commandCount > 0 && c.partialSince == 0 && now.Sub(c.lastAnswer) > idleTimeout
 }
 
-// flush writes answers, as far as the socket takes them, and starts commands that waited for them.
+// flush writes answers, as far as the socket accepts them, and starts commands that waited for them.
 func (c *Conn) flush() {
 	unsentBefore := c.out.Len()
 	if err := c.link.Flush(); err != nil {
 		c.close()
 		return
 	}
+	c.updateStall(unsentBefore)
+	c.startCommands()
+	c.halfCloseIfIdle()
+}
+
+// updateStall notes whether the latest flush has left unsent bytes, which the next Flush writes.
+func (c *Conn) updateStall(unsentBefore int) {
 	unsent := c.out.Len()
 	if unsent == 0 {
 		c.stalledSince = 0
-	} else {
-		if unsent < unsentBefore || c.stalledSince == 0 {
-			c.stalledSince = c.server.now()
-		}
-		c.flushPending = true
-		c.server.stalled = append(c.server.stalled, c)
+		return
 	}
-	c.startCommands()
-	c.halfCloseIfIdle()
+	if unsent < unsentBefore || c.stalledSince == 0 {
+		c.stalledSince = c.server.now()
+	}
+	c.flushPending = true
+	c.server.stalled = append(c.server.stalled, c)
 }
 
 // idle reports whether no command is in flight and no answer unsent.
 func (c *Conn) idle() bool { return len(c.waiting) == 0 && c.out.Len() == 0 }
 
-// halfCloseIfIdle closes the sending side of a connection that is to end and owes nothing, so that neither the last answer nor
-// a command on its way is reset away. While the server drains, a whole command that is unread, or on its way to the loop, is
-// received first; a partial one is not waited for.
+// halfCloseIfIdle closes the sending side of a connection that is to end and has no answer due. So neither the latest
+// answer nor a command on its way is reset away. While the server drains, a complete command that is unread, or on its
+// way to the loop, is received first; a partial one is not waited for.
 func (c *Conn) halfCloseIfIdle() {
 	if c.closed || c.halfClosed || !c.idle() {
 		return
 	}
-	if c.closing {
+	switch {
+	case c.closing:
 		c.halfClosed = true
 		c.link.CloseWrite(lingerTimeout)
-	} else if c.server.draining {
+	case c.server.draining:
 		c.halfCloseIfQuiet()
 	}
 }
 
-// halfCloseIfQuiet closes the sending side of an idle connection from which nothing has come that the loop has not received. No
-// command can be read between that look and the close: it would never be answered.
+// halfCloseIfQuiet closes the sending side of an idle connection if nothing has arrived that the loop has not received.
+// No command can be read between that check and the close: it would never be answered.
 func (c *Conn) halfCloseIfQuiet() {
 	if c.link.CloseWriteIfQuiet(c.readsSeen, lingerTimeout) {
-		c.closing, c.halfClosed = true, true
+		c.closing = true
+		c.halfClosed = true
 	}
 }
 
@@ -188,21 +192,19 @@
 }
 
 // closeWithError ends the connection with an error line after the answers that are due.
-func (c *Conn) closeWithError(why error) {
-	c.Add().give(errorReply(why.Error()))
-	c.closeOnFault(why)
+func (c *Conn) closeWithError(err error) {
+	c.Add().set(errorReply(err.Error()))
+	c.closeOnFault(err)
 }
 
-// closeIfQuiet is close if nothing has come that the loop has not received; it reports whether it closed.
-func (c *Conn) closeIfQuiet() bool {
-	if !c.link.CloseIfQuiet(c.readsSeen) {
-		return false
+// closeIfQuiet closes the connection if nothing has arrived that the loop has not received.
+func (c *Conn) closeIfQuiet() {
+	if c.link.CloseIfQuiet(c.readsSeen) {
+		c.close()
 	}
-	c.close()
-	return true
 }
 
-// close ends the connection at once. Its place is released first, whatever happens in the callbacks after that.
+// close ends the connection at once. Its slot is released first, whatever happens in the callbacks after that.
 func (c *Conn) close() {
 	if c.closed {
 		return
@@ -212,7 +214,7 @@
 	close(c.done)
 	c.link.Close()
 	select {
-	case c.server.placeFreed <- struct{}{}:
+	case c.server.slotFreed <- struct{}{}:
 	default:
 	}
 	c.AnswerQueue.end()
--- /dev/null
+++ b/internal/clients/reader_test.go
@@ -0,0 +1,108 @@
+package clients
+
+import (
+	"strings"
+	"testing"
+
+	"ravensill/internal/golden"
+)
+
+// No command starts whose client is known to be gone, whether it left before the loop received the first of its
+// commands or while some of them were in flight.
+func TestFloodOfGoneClientStartsNoCommand(t *testing.T) {
+	server := newTestServer(t, 9)
+	early, late := server.connect(), server.connect()
+	early.send(requestIDs(1000)...)
+	early.Close()
+	early.waitUntilGone()
+	early.runUntilClosed()
+	server.record("of a client gone before the loop ran: %d arrived", len(server.requests))
+	late.send(requestIDs(1000)...)
+	server.runUntilRequests(maxInFlight)
+	late.Close()
+	late.waitUntilGone()
+	for _, answer := range server.requests[:9] {
+		if !answer.IsClientGone() {
+			t.Error("a request in flight does not report that its client is gone")
+		}
+		answer.Reject(0)
+	}
+	server.Flush() // the loop has not received the end, yet starts no other command
+	late.runUntilClosed()
+	server.record("of one that leaves later: %d arrived", len(server.requests))
+	golden.Check(t, server.trace.String())
+}
+
+// The reader of a client that sends more than it queues waits, and continues: each command is answered.
+func TestFloodOfCommandsIsAnswered(t *testing.T) {
+	const commands = 9000
+	server := newTestServer(t, 9)
+	client := server.connect()
+	go client.send(requestIDs(commands)...)
+	server.waitFor("the reader waits", func() bool { return client.conn.loadQueuedBytes() > maxQueuedBytes })
+	answers := make(chan int)
+	go func() {
+		n := 0
+		for n < commands && client.readLine() == "-BUSY" {
+			n++
+		}
+		answers <- n
+	}()
+	server.runLoop("all answered", func() bool {
+		for _, answer := range server.requests {
+			answer.Reject(0)
+		}
+		server.requests = nil
+		select {
+		case n := <-answers:
+			server.record("%d answers; %d bytes queued, %d in flight", n, client.conn.queuedBytes, len(client.conn.waiting))
+			return true
+		default:
+			return false
+		}
+	})
+	golden.Check(t, server.trace.String())
+}
+
+// The reader sees the end of a client behind more than it queues, though no command in flight is answered. No queued
+// command starts after that.
+func TestEndBehindFullQueueStartsNoCommand(t *testing.T) {
+	server := newTestServer(t, 9)
+	client := server.connect()
+	go func() {
+		for range 30 { // several times the queue
+			client.send(requestIDs(1000)...)
+		}
+		client.CloseWrite() // no reset, which a write of answers would notice
+	}()
+	server.runLoop("the client is gone", client.conn.clientGone.Load)
+	client.checkNoStartAfterEnd()
+}
+
+// The reader sees the end of a client behind malformed bytes, which follow more commands than may be in flight. No
+// queued command starts after that.
+func TestEndBehindMalformedBytesStartsNoCommand(t *testing.T) {
+	server := newTestServer(t, 9)
+	client := server.connect()
+	client.SetWriteBuffer(8 << 20)
+	client.send(requestIDs(2 * maxInFlight)...)
+	server.runUntilRequests(maxInFlight)
+	go func() {
+		client.sendText(strings.Repeat("malformed\r\n", 100_000))
+		client.CloseWrite()
+	}()
+	client.waitUntilGone()
+	client.checkNoStartAfterEnd()
+}
+
+// checkNoStartAfterEnd answers some of the commands in flight of a client that is gone, which must start no others.
+func (c *testClient) checkNoStartAfterEnd() {
+	c.Helper()
+	for _, answer := range c.requests[:9] {
+		answer.Reject(0)
+	}
+	c.runUntilClosed()
+	if n := len(c.requests); n != maxInFlight {
+		c.Errorf("%d requests arrived, %d of them after the end", n, n-maxInFlight)
+	}
+}
