--- a/internal/clients/command_queue.go
+++ b/internal/clients/command_queue.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"ravensill/internal/clock"
+	"ravensill/gateway"
 )
 
 // queuedOverhead is the memory of a queued command beside its text, in bytes.
@@ -18,7 +18,7 @@
 	head          int             // index of the next one to start
 	queuedBytes   int             // size of the commands from head on
 	readsPosted   int64           // the link's count of reads at the latest notification
-	partialPosted clock.Instant   // partialBegan at that time
+	partialPosted gateway.Time    // partialBegan at that time
 	notified      bool            // a notification is on its way to the loop
 	hasSpace      chan struct{}   // holds a value once at most maxQueuedBytes are queued
 }
@@ -44,7 +44,7 @@
 
 // postProgress sets the reader's progress for the next notification. It reports whether a notification has to be
 // sent, and the number of queued bytes.
-func (q *commandQueue) postProgress(reads int64, partialBegan clock.Instant) (notify bool, queuedBytes int) {
+func (q *commandQueue) postProgress(reads int64, partialBegan gateway.Time) (notify bool, queuedBytes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.readsPosted = reads
@@ -55,7 +55,7 @@
 }
 
 // receiveProgress ends a notification and returns the reader's progress.
-func (q *commandQueue) receiveProgress() (reads int64, partialBegan clock.Instant) {
+func (q *commandQueue) receiveProgress() (reads int64, partialBegan gateway.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.notified = false
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"runtime/debug"
 
+	"ravensill/gateway"
 	"ravensill/internal/bufconn"
-	"ravensill/internal/clock"
 )
 
 // Conn is one client connection. Its fields belong to the loop, except the queue and the reader's fields.
@@ -18,19 +18,19 @@
 	receiveFunc  func()        // receive as a value, made once
 	done         chan struct{} // closed when the connection has ended: its reader waits for nothing then
 	readsSeen    int64         // the link's count of reads whose commands the loop has received
-	partialSince clock.Instant // when the first byte of an incomplete command was read, as far as received; 0: none
+	partialSince gateway.Time  // when the first byte of an incomplete command was read, as far as received; 0: none
 	flushPending bool          // in the server's list of unflushed or stalled connections
 	commandCount int           // complete commands received
-	lastAnswer   clock.Instant // when the latest answer was set; before that, when it connected
-	stalledSince clock.Instant // when its client last accepted some of the unsent bytes; 0: nothing is unsent
+	lastAnswer   gateway.Time  // when the latest answer was set; before that, when it connected
+	stalledSince gateway.Time  // when its client last accepted some of the unsent bytes; 0: nothing is unsent
 	closing      bool          // no command is started; it ends when all are answered
 	halfClosed   bool          // the sending side is closed
 	closed       bool
 
 	// The reader's.
-	readAt       clock.Instant // when the latest bytes arrived
-	partialBegan clock.Instant // when the first byte of an incomplete command was read; 0: none
-	malformed    int           // malformed commands in a row
+	readAt       gateway.Time // when the latest bytes arrived
+	partialBegan gateway.Time // when the first byte of an incomplete command was read; 0: none
+	malformed    int          // malformed commands in a row
 }
 
 // register adds the connection to its server.
@@ -94,7 +94,7 @@
 }
 
 // closeIfOverdue ends the connection if its client is too slow or idle.
-func (c *Conn) closeIfOverdue(now clock.Instant) {
+func (c *Conn) closeIfOverdue(now gateway.Time) {
 	switch {
 	case c.stalledSince > 0 && now.Sub(c.stalledSince) > writeStallTimeout:
 		c.closeOnFault(errSlowReader)
@@ -110,7 +110,7 @@
 
 // commandOverdue reports whether a command is incomplete, or the first one missing, for too long. One whose rest is
 // read, or about to be, is not: the connection would end over a complete command.
-func (c *Conn) commandOverdue(now clock.Instant) bool {
+func (c *Conn) commandOverdue(now gateway.Time) bool {
 	since := c.partialSince
 	if since == 0 && c.commandCount == 0 {
 		since = c.lastAnswer
@@ -119,7 +119,7 @@
 }
 
 // idleTooLong reports whether a connection that had commands is idle for too long.
-func (c *Conn) idleTooLong(now clock.Instant) bool {
+func (c *Conn) idleTooLong(now gateway.Time) bool {
 	return c.idle() && c.commandCount > 0 && c.partialSince == 0 && now.Sub(c.lastAnswer) > idleTimeout
 }
 
--- a/internal/clients/eviction.go
+++ b/internal/clients/eviction.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"ravensill/internal/clock"
+	"ravensill/gateway"
 )
 
 const (
@@ -47,7 +47,7 @@
 }
 
 // evictable reports whether a connection may be evicted: it is idle, not new, and no answer is on its way.
-func (c *Conn) evictable(now clock.Instant) bool {
+func (c *Conn) evictable(now gateway.Time) bool {
 	sinceAnswer := now.Sub(c.lastAnswer)
 	if !c.idle() {
 		return false
--- a/internal/clients/log_limiter.go
+++ b/internal/clients/log_limiter.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ravensill/internal/clock"
+	"ravensill/gateway"
 )
 
 // logInterval is the time between log lines of one kind.
@@ -11,18 +11,18 @@
 
 // logLimiter limits log lines that any client can cause by the thousand to one in logInterval, and counts the others.
 type logLimiter struct {
-	suppressed int           // events since the latest line
-	loggedAt   clock.Instant // of the latest line; 0: none yet
+	suppressed int          // events since the latest line
+	loggedAt   gateway.Time // of the latest line; 0: none yet
 }
 
 // due counts an event and reports whether a line may be logged now.
-func (l *logLimiter) due(now clock.Instant) bool {
+func (l *logLimiter) due(now gateway.Time) bool {
 	l.suppressed++
 	return l.loggedAt == 0 || now.Sub(l.loggedAt) >= logInterval
 }
 
 // logged notes that a line is logged now and returns the number of events that it stands for.
-func (l *logLimiter) logged(now clock.Instant) (count int) {
+func (l *logLimiter) logged(now gateway.Time) (count int) {
 	count = l.suppressed
 	l.suppressed = 0
 	l.loggedAt = now
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ravensill/internal/clock"
+	"ravensill/gateway"
 	"ravensill/internal/resp"
 )
 
@@ -35,7 +35,7 @@
 type queuedRequest struct {
 	id         string
 	customer   string
-	receivedAt clock.Instant
+	receivedAt gateway.Time
 	wait       time.Duration
 	terms      requestTerms
 	retry      bool
@@ -48,7 +48,7 @@
 }
 
 // newQueuedRequest returns a request that shares no memory with the parsed one.
-func newQueuedRequest(parsed *parsedRequest, receivedAt clock.Instant) *queuedRequest {
+func newQueuedRequest(parsed *parsedRequest, receivedAt gateway.Time) *queuedRequest {
 	const maxHeaders = 64 // bytes around the words
 	words := minCommandWords
 	if parsed.body != nil {
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -8,7 +8,7 @@
 	"net"
 	"time"
 
-	"ravensill/internal/clock"
+	"ravensill/gateway"
 	"ravensill/internal/sockets"
 )
 
@@ -47,7 +47,7 @@
 	catalog   *Catalog
 	maxConns  int // further connections wait in the listen queue
 	runOnLoop func(func())
-	now       func() clock.Instant
+	now       func() gateway.Time
 	onRequest RequestHandler
 
 	conns     map[*Conn]bool
@@ -61,7 +61,7 @@
 	acceptClosed bool          // the accept loop is to end
 	draining     bool          // connections end as soon as they are idle
 
-	lastSweep clock.Instant // time of the latest CloseOverdue
+	lastSweep gateway.Time // time of the latest CloseOverdue
 	faultLog  logLimiter
 	fullLog   logLimiter
 }
@@ -76,7 +76,7 @@
 		catalog:    catalog,
 		maxConns:   maxConns,
 		runOnLoop:  runOnLoop,
-		now:        func() clock.Instant { return clock.Instant(now()) },
+		now:        func() gateway.Time { return gateway.Time(now()) },
 		onRequest:  onRequest,
 		conns:      map[*Conn]bool{},
 		admissions: make(chan bool, 1),
--- a/internal/hosts/attempt.go
+++ b/internal/hosts/attempt.go
@@ -5,7 +5,6 @@
 	"slices"
 
 	"ravensill/gateway"
-	"ravensill/internal/clock"
 )
 
 // ResultHandler receives the result of an attempt or probe. event has the result, the usage and the load report; value
@@ -23,14 +22,14 @@
 	done     bool // whether onResult was called
 
 	// deadline is the time until which the answer is waited for. The command has the time left until then.
-	deadline clock.Instant
+	deadline gateway.Time
 	// writeDeadline is the latest time at which the last byte is written; the attempt fails after it.
-	writeDeadline clock.Instant
+	writeDeadline gateway.Time
 	// queueDeadline is the latest time at which the attempt leaves the queue of a connection quota.
-	queueDeadline clock.Instant
+	queueDeadline gateway.Time
 
-	started   bool          // whether bytes of it were written
-	startedAt clock.Instant // no byte was written before this time
+	started   bool         // whether bytes of it were written
+	startedAt gateway.Time // no byte was written before this time
 }
 
 // NeverStarted is an attempt that is over and was never sent.
--- a/internal/hosts/command_test.go
+++ b/internal/hosts/command_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ravensill/internal/clock"
+	"ravensill/gateway"
 )
 
 // readTimeLeft reads a command without a body and returns the time left that it has.
@@ -110,13 +110,13 @@
 	c := h.serveFirst()
 	h.schedule("b", 0)
 	h.advance(wait)
-	reading := clock.Instant(h.clock.Load())
-	h.Transport.now = func() clock.Instant {
+	reading := gateway.Time(h.clock.Load())
+	h.Transport.now = func() gateway.Time {
 		defer h.advance(stall)
 		return reading
 	}
 	h.Flush()
-	stalled := clock.Instant(h.clock.Load()).Sub(reading)
+	stalled := gateway.Time(h.clock.Load()).Sub(reading)
 	left := attemptTimeout - wait - stalled
 	if got := h.readTimeLeft(c); got > left+slack {
 		t.Errorf("command has %v, %v left and %v of slack", got, left, slack)
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -9,7 +9,6 @@
 
 	"ravensill/gateway"
 	"ravensill/internal/bufconn"
-	"ravensill/internal/clock"
 )
 
 var (
@@ -24,7 +23,7 @@
 	addr        netip.AddrPort
 	link        *bufconn.Link // nil until the dial succeeded
 	attempt     *Attempt      // nil while it carries none
-	idleSince   clock.Instant
+	idleSince   gateway.Time
 	idleElement *list.Element // in the transport's idle list; nil unless idle
 	answers     int           // received
 	readsSeen   int64         // the link's Reads at the latest answer
@@ -137,7 +136,7 @@
 }
 
 // startAttempt writes the command of the connection's attempt to the output buffer.
-func (c *conn) startAttempt(now clock.Instant) {
+func (c *conn) startAttempt(now gateway.Time) {
 	attempt := c.attempt
 	attempt.started = true
 	attempt.startedAt = now
--- a/internal/hosts/conn_reader.go
+++ b/internal/hosts/conn_reader.go
@@ -12,7 +12,6 @@
 
 	"ravensill/gateway"
 	"ravensill/internal/bufconn"
-	"ravensill/internal/clock"
 	"ravensill/internal/resp"
 )
 
@@ -26,11 +25,11 @@
 // answer is a complete answer of a host.
 type answer struct {
 	event    gateway.Event
-	value    []byte        // nil without one
-	received clock.Instant // when its last byte was read
-	reads    int64         // the link's Reads at that time
-	more     bool          // whether further bytes follow it
-	split    bool          // whether it came in several reads, the later ones under answerTimeout
+	value    []byte       // nil without one
+	received gateway.Time // when its last byte was read
+	reads    int64        // the link's Reads at that time
+	more     bool         // whether further bytes follow it
+	split    bool         // whether it came in several reads, the later ones under answerTimeout
 }
 
 // run dials the host, then passes answers to the event loop until the connection fails or an answer is followed by more
--- a/internal/hosts/helpers_test.go
+++ b/internal/hosts/helpers_test.go
@@ -13,7 +13,6 @@
 	"time"
 
 	"ravensill/gateway"
-	"ravensill/internal/clock"
 	"ravensill/internal/sockets"
 )
 
@@ -52,7 +51,7 @@
 // useRealTime lets the clock follow real time.
 func (l *testLoop) useRealTime() {
 	start := time.Now()
-	l.Transport.now = func() clock.Instant { return clock.Instant(time.Since(start)) }
+	l.Transport.now = func() gateway.Time { return gateway.Time(time.Since(start)) }
 }
 
 // send makes an attempt with two milliseconds left and flushes it.
@@ -188,11 +187,11 @@
 		conns <- c
 	})
 	h := &scriptedHost{testLoop: newTestLoop(t, addr, manyConns), conns: conns}
-	h.Transport.now = func() clock.Instant {
+	h.Transport.now = func() gateway.Time {
 		if f := h.onClockRead.Swap(nil); f != nil {
 			(*f)()
 		}
-		return clock.Instant(h.clock.Load())
+		return gateway.Time(h.clock.Load())
 	}
 	dial := h.Dial
 	h.Dial = func(addr string) (net.Conn, error) {
--- a/internal/hosts/idle.go
+++ b/internal/hosts/idle.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 
-	"ravensill/internal/clock"
+	"ravensill/gateway"
 )
 
 // addIdle marks the connection as idle from now on.
-func (c *conn) addIdle(now clock.Instant) {
+func (c *conn) addIdle(now gateway.Time) {
 	c.idleSince = now
 	c.pool.idle = append(c.pool.idle, c)
 	c.idleElement = c.pool.transport.idle.PushBack(c)
@@ -29,7 +29,7 @@
 // none. Some hosts send more after an answer, even a second copy, some milliseconds later, which must not be taken
 // for the answer of the next request. What arrives within the delay is detected before the next command is written;
 // what arrives later could not be distinguished from its answer.
-func (p *hostPool) reusableConn(now clock.Instant) *conn {
+func (p *hostPool) reusableConn(now gateway.Time) *conn {
 	for _, c := range slices.Backward(p.idle) {
 		if now.Sub(c.idleSince) >= p.transport.reuseDelay {
 			return c
--- a/internal/hosts/limiter.go
+++ b/internal/hosts/limiter.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"ravensill/internal/clock"
+	"ravensill/gateway"
 	"ravensill/internal/sockets"
 )
 
@@ -49,7 +49,7 @@
 	serviceTime    float64       // moving average of an attempt's time on a connection, in nanoseconds
 	urgentInFlight int           // urgent attempts on a connection
 	dialBackoff    time.Duration // latest pause of dials after a refusal
-	nextDial       clock.Instant // no dial starts earlier
+	nextDial       gateway.Time  // no dial starts earlier
 	timerSet       bool          // whether a timer for serveQueue is running
 	retryAfter     time.Duration // see RetryAfter
 
@@ -75,7 +75,7 @@
 }
 
 // quota returns the number of connections allowed now.
-func (l *ConnectionLimiter) quota(now clock.Instant) int { return l.allowed(int64(now)) }
+func (l *ConnectionLimiter) quota(now gateway.Time) int { return l.allowed(int64(now)) }
 
 // SetUrgent sets whether the attempts made from now on are of an urgent request class.
 func (l *ConnectionLimiter) SetUrgent(urgent bool) { l.transport.nextUrgent = urgent }
@@ -111,7 +111,7 @@
 }
 
 // expectedWait returns the time until a queued attempt is expected to get a connection.
-func (l *ConnectionLimiter) expectedWait(attempt *Attempt, now clock.Instant) time.Duration {
+func (l *ConnectionLimiter) expectedWait(attempt *Attempt, now gateway.Time) time.Duration {
 	allowed := l.quota(now)
 	_, demand := l.Usage()
 	busy := demand - len(l.queue)
@@ -177,7 +177,7 @@
 
 // serve assigns an idle connection to a queued attempt, or dials one within the quota. It ends attempts whose host is
 // removed or whose queue deadline is over.
-func (l *ConnectionLimiter) serve(attempt *Attempt, now clock.Instant, allowed int) {
+func (l *ConnectionLimiter) serve(attempt *Attempt, now gateway.Time, allowed int) {
 	pool := attempt.pool
 	switch {
 	case attempt.done:
@@ -230,7 +230,7 @@
 
 // setTimer starts a timer that serves the queue again when a connection or dial may become available, unless one is
 // running.
-func (l *ConnectionLimiter) setTimer(now clock.Instant) {
+func (l *ConnectionLimiter) setTimer(now gateway.Time) {
 	delay := l.untilNextCheck(now)
 	if delay == 0 || l.timerSet {
 		return
@@ -246,7 +246,7 @@
 
 // untilNextCheck returns the time until a connection within its reuse delay, or a dial that is paused, may serve the
 // queue; 0 where only an answer can. The queue is served after each answer anyway.
-func (l *ConnectionLimiter) untilNextCheck(now clock.Instant) time.Duration {
+func (l *ConnectionLimiter) untilNextCheck(now gateway.Time) time.Duration {
 	for _, attempt := range l.queue {
 		if len(attempt.pool.idle) > 0 {
 			return limitedReuseDelay
--- a/internal/hosts/transport.go
+++ b/internal/hosts/transport.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"time"
 
-	"ravensill/internal/clock"
+	"ravensill/gateway"
 	"ravensill/internal/resp"
 	"ravensill/internal/sockets"
 )
@@ -27,7 +27,7 @@
 type Transport struct {
 	system      sockets.System
 	runOnLoop   func(func())
-	now         func() clock.Instant
+	now         func() gateway.Time
 	loadFields  []string           // names of a load report's fields
 	idleTimeout time.Duration      // idle connections are closed after it
 	reuseDelay  time.Duration      // minimum idle time before a connection is used again
@@ -59,7 +59,7 @@
 	return &Transport{
 		system:      system,
 		runOnLoop:   runOnLoop,
-		now:         func() clock.Instant { return clock.Instant(now()) },
+		now:         func() gateway.Time { return gateway.Time(now()) },
 		loadFields:  loadFields,
 		idleTimeout: time.Duration(idleTimeout),
 		maxConns:    maxConns,
@@ -111,8 +111,8 @@
 func (t *Transport) Send(id uint32, command Command, deadline, writeDeadline int64, onResult ResultHandler) *Attempt {
 	return t.start(id, &Attempt{
 		command:       &command,
-		deadline:      clock.Instant(deadline),
-		writeDeadline: clock.Instant(writeDeadline),
+		deadline:      gateway.Time(deadline),
+		writeDeadline: gateway.Time(writeDeadline),
 		onResult:      onResult,
 	})
 }
