--- a/internal/bufconn/link.go
+++ b/internal/bufconn/link.go
@@ -1,6 +1,7 @@
 package bufconn
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"os"
@@ -13,15 +14,15 @@
 	"ravensill/internal/sockets"
 )
 
-// The pace of Discard. The end of a peer that has closed lies behind what the two systems hold of its bytes (MaxHeldBytes, by
-// the default limits of Linux, tcp_rmem and tcp_wmem), and has to be seen soon.
+// The pace of Discard. The end of a peer that has closed comes behind the bytes that both systems hold in transit,
+// and has to be seen soon.
 const (
-	DiscardChunk = 256 << 10 // bytes
-	DiscardPause = 2 * time.Millisecond
-	MaxHeldBytes = 10 << 20
+	discardChunkBytes = 256 << 10
+	discardPause      = 2 * time.Millisecond
 )
 
-// Link drives one TCP connection. One goroutine reads into In; another one, the loop, writes out of Out.
+// Link reads and writes one TCP connection. One goroutine, the reader, reads into In; another one, the loop, writes out
+// of Out.
 type Link struct {
 	In  *Buffer
 	Out *Buffer
@@ -40,19 +41,19 @@
 	reads      atomic.Int64 // reads that returned bytes or an end
 	reading    atomic.Bool  // a read is between taking bytes from the socket and being counted
 
-	readMutex  sync.Mutex // held from taking bytes from the socket until the read is counted
-	readsEnded bool       // guarded by readMutex: nothing is taken from the socket any more
+	readMutex  sync.Mutex // locked from taking bytes from the socket until the read is counted
+	readsEnded bool       // guarded by readMutex: no more is read from the socket
 
 	// The loop's.
 	wouldBlock bool // result of peekSocket: nothing to read
 	writeErr   error
 }
 
-// NewLink returns the driver of a connection, with rings of at most so many bytes. It reads and writes by the calls of system.
+// NewLink returns a link whose buffers grow up to maxIn and maxOut bytes. It reads and writes by the calls of system.
 func NewLink(system sockets.System, conn *net.TCPConn, maxIn, maxOut int) (*Link, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("descriptor of %v: %w", conn.RemoteAddr(), err)
 	}
 	link := &Link{In: NewBuffer(maxIn), Out: NewBuffer(maxOut), system: system, conn: conn, raw: raw}
 	link.writeFunc = link.writeSocket
@@ -61,7 +62,7 @@
 	return link, nil
 }
 
-// Read waits for bytes and appends them to In.
+// Read waits for bytes and appends them to In. It returns io.EOF at the end of the stream.
 func (l *Link) Read() error {
 	l.readBuffer = l.In.FreeSpace()
 	if len(l.readBuffer) == 0 {
@@ -74,43 +75,50 @@
 	return l.readErr
 }
 
-// readSocket reads what the socket holds; it returns false if that is nothing.
+// readSocket reads what the socket holds, and returns false if that is nothing.
 func (l *Link) readSocket(fd uintptr) bool {
 	l.readMutex.Lock()
 	defer l.readMutex.Unlock()
 	l.reading.Store(true)
 	defer l.reading.Store(false)
 	if l.readsEnded {
-		l.readCount, l.readErr = 0, net.ErrClosed
+		l.setReadResult(0, net.ErrClosed)
 		return true
 	}
-	for {
-		n, errno := l.system.Read(fd, l.readBuffer)
-		switch {
-		case errno == syscall.EINTR:
-			continue
-		case errno == syscall.EAGAIN:
-			return false
-		case errno != 0:
-			l.readCount, l.readErr = 0, os.NewSyscallError("read", errno)
-		case n == 0:
-			l.readCount, l.readErr = 0, io.EOF
-		default:
-			l.readCount, l.readErr = n, nil
-		}
-		l.reads.Add(1)
-		return true
+	n, errno := l.system.Read(fd, l.readBuffer)
+	for errno == syscall.EINTR {
+		n, errno = l.system.Read(fd, l.readBuffer)
 	}
+	switch {
+	case errno == syscall.EAGAIN:
+		return false
+	case errno != 0:
+		l.setReadResult(0, os.NewSyscallError("read", errno))
+	case n == 0:
+		l.setReadResult(0, io.EOF)
+	default:
+		l.setReadResult(n, nil)
+	}
+	l.reads.Add(1)
+	return true
 }
 
-// Quiet reports whether nothing, neither bytes nor an end, has come since so many reads. It may be called while a Read waits.
-// The order of the checks matters: what the socket no longer holds is either being counted or has been.
+// setReadResult sets the result of a read.
+func (l *Link) setReadResult(count int, err error) {
+	l.readCount = count
+	l.readErr = err
+}
+
+// Quiet reports whether nothing, neither bytes nor an end, has arrived since Reads returned reads. It may be called
+// while a Read waits. The order of the checks matters: what the socket no longer holds is either being counted or has
+// been.
 func (l *Link) Quiet(reads int64) bool {
 	return l.socketEmpty() && !l.reading.Load() && l.reads.Load() == reads
 }
 
-// CloseIfQuiet closes the connection if nothing has come since so many reads, and reports whether it did. No read can take bytes
-// between the look and the close, as it could between Quiet and Close: a command that is read has to be answered.
+// CloseIfQuiet closes the connection if nothing has arrived since Reads returned reads, and reports whether it did.
+// No read can take bytes between the check and the close, as it could between Quiet and Close: a command that is read
+// has to be answered.
 func (l *Link) CloseIfQuiet(reads int64) bool {
 	l.readMutex.Lock()
 	quiet := l.socketEmpty() && l.reads.Load() == reads
@@ -122,8 +130,8 @@
 	return quiet
 }
 
-// CloseWriteIfQuiet is CloseWrite if nothing has come since so many reads, and reports whether it was. What is read after it was
-// read after the end that the peer sees.
+// CloseWriteIfQuiet calls CloseWrite if nothing has arrived since Reads returned reads, and reports whether it did.
+// Bytes that are read after that arrived after the end was sent.
 func (l *Link) CloseWriteIfQuiet(reads int64, limit time.Duration) bool {
 	l.readMutex.Lock()
 	defer l.readMutex.Unlock()
@@ -134,8 +142,8 @@
 	return true
 }
 
-// Fresh reports whether nothing has come at all. A Read under way does not count: the first one of a connection begins together
-// with its first write, and there is no earlier answer whose rest it could bring.
+// Fresh reports whether nothing has arrived at all. It ignores a Read that waits: the first Read of a connection begins
+// together with its first write, and there is no earlier answer whose rest it could return.
 func (l *Link) Fresh() bool { return l.socketEmpty() && l.reads.Load() == 0 }
 
 // socketEmpty reports whether the socket holds neither bytes nor an end.
@@ -144,7 +152,7 @@
 // Reads returns the number of reads that returned bytes or an end.
 func (l *Link) Reads() int64 { return l.reads.Load() }
 
-// peekSocket looks whether the socket has something to read.
+// peekSocket sets wouldBlock to whether the socket has nothing to read.
 func (l *Link) peekSocket(fd uintptr) {
 	var b [1]byte
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&b[0])), 1,
@@ -152,7 +160,7 @@
 	l.wouldBlock = errno == syscall.EAGAIN
 }
 
-// SetReadTimeout limits how long the next Reads wait, all together; 0 removes the limit.
+// SetReadTimeout limits the total time for which the next Reads wait; 0 removes the limit.
 func (l *Link) SetReadTimeout(limit time.Duration) {
 	deadline := time.Time{}
 	if limit > 0 {
@@ -161,19 +169,21 @@
 	l.conn.SetReadDeadline(deadline)
 }
 
-// Discard reads and drops what still comes, until the peer closes or the time limit of CloseWrite has passed: closing over unread
-// bytes would reset away the last answer. It reads no faster than DiscardChunk in each DiscardPause: a peer with 60 MB to send
-// must not cost others their processor time.
+// Discard reads and discards bytes until the peer closes or the time limit of CloseWrite is over: closing over unread
+// bytes would reset away the latest answer. It reads at most discardChunkBytes in each discardPause: a peer with 60
+// MB to send must not cost others their processor time.
 func (l *Link) Discard() {
-	for buf := make([]byte, DiscardChunk); ; time.Sleep(DiscardPause) {
+	buf := make([]byte, discardChunkBytes)
+	for {
 		if _, err := l.conn.Read(buf); err != nil {
 			return
 		}
+		time.Sleep(discardPause)
 	}
 }
 
-// Flush writes what the socket takes at once and never waits: a slow peer must not delay the loop, which serves all others. The
-// rest stays in Out for the next Flush.
+// Flush writes what the socket accepts at once and never waits: a slow peer must not delay the loop, which serves all
+// others. The rest stays in Out for the next Flush.
 func (l *Link) Flush() error {
 	l.writeErr = nil
 	if err := l.raw.Write(l.writeFunc); err != nil {
@@ -182,7 +192,7 @@
 	return l.writeErr
 }
 
-// writeSocket writes what the socket takes.
+// writeSocket writes what the socket accepts.
 func (l *Link) writeSocket(fd uintptr) bool {
 	for l.Out.Len() > 0 {
 		n, errno := l.system.Write(fd, l.Out.Head())
@@ -190,7 +200,7 @@
 		case errno == 0 && n > 0:
 			l.Out.Drop(n)
 		case errno == syscall.EINTR:
-		case errno == 0, errno == syscall.EAGAIN: // nothing is taken now: trying on would be a busy loop
+		case errno == 0, errno == syscall.EAGAIN: // a retry now would be a busy loop
 			return true
 		default:
 			l.writeErr = os.NewSyscallError("write", errno)
@@ -200,11 +210,11 @@
 	return true
 }
 
-// CloseWrite closes the sending side; the peer may be read for so long.
+// CloseWrite closes the sending side, and ends reads after the time limit.
 func (l *Link) CloseWrite(limit time.Duration) {
 	l.conn.CloseWrite()
 	l.conn.SetReadDeadline(time.Now().Add(limit))
 }
 
-// Close ends the connection; a waiting Read returns.
+// Close closes the connection; a waiting Read returns net.ErrClosed.
 func (l *Link) Close() { l.conn.Close() }
--- /dev/null
+++ b/internal/bufconn/link_test.go
@@ -0,0 +1,338 @@
+package bufconn
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+
+	"ravensill/internal/sockets"
+	"ravensill/internal/sockets/socketstest"
+)
+
+// connPair returns the two ends of a connection.
+func connPair(t testing.TB) (near, peer *net.TCPConn) {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	dialed, err := net.Dial("tcp4", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { dialed.Close() })
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { accepted.Close() })
+	return dialed.(*net.TCPConn), accepted.(*net.TCPConn)
+}
+
+// newLink returns the link of a connection on a system.
+func newLink(t testing.TB, system sockets.System, conn *net.TCPConn, maxIn, maxOut int) *Link {
+	t.Helper()
+	link, err := NewLink(system, conn, maxIn, maxOut)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return link
+}
+
+// newLinkPair returns the link of one end of a connection, and the other end.
+func newLinkPair(t *testing.T) (link *Link, peer *net.TCPConn) {
+	near, peer := connPair(t)
+	return newLink(t, sockets.Kernel{}, near, 1<<20, 1<<10), peer
+}
+
+// waitFor waits for a state that the system brings about.
+func waitFor(t *testing.T, what string, reached func() bool) {
+	t.Helper()
+	deadline := time.Now().Add(20 * time.Second)
+	for !reached() {
+		if time.Now().After(deadline) {
+			t.Fatalf("never: %s", what)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// Flush returns at once with a peer that reads nothing, and the rest is written later.
+func TestFlushDoesNotWaitForSlowPeer(t *testing.T) {
+	near, peer := connPair(t)
+	link := newLink(t, sockets.Kernel{}, near, 1<<20, 64<<20)
+	want := bytes.Repeat([]byte("ravensill"), 4<<20)
+	link.Out.Write(want)
+	if err := link.Flush(); err != nil || link.Out.Len() == 0 {
+		t.Fatalf("left %d, error %v", link.Out.Len(), err)
+	}
+	got := make([]byte, 0, len(want))
+	buf := make([]byte, 1<<20)
+	for len(got) < len(want) {
+		n, err := peer.Read(buf)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got = append(got, buf[:n]...)
+		if err := link.Flush(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if !bytes.Equal(got, want) {
+		t.Error("other bytes were read than written")
+	}
+}
+
+// The system delays no small write, on dialed and accepted connections: a reset that follows would discard it.
+func TestSmallWritesAreNotDelayed(t *testing.T) {
+	near, peer := connPair(t)
+	for _, conn := range []*net.TCPConn{near, peer} {
+		link := newLink(t, sockets.Kernel{}, conn, 1, 1)
+		link.raw.Control(func(fd uintptr) {
+			noDelay, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+			if noDelay == 0 || err != nil {
+				t.Error(noDelay, err)
+			}
+		})
+	}
+}
+
+// Discard comes within a tenth of a second to the end of a peer that has closed, behind all bytes that the systems may
+// hold. Attempts for that peer that begin later break the rules.
+func TestDiscardReachesEndInTime(t *testing.T) {
+	const (
+		maxBytesInTransit = 10 << 20 // by the default limits of Linux, tcp_rmem and tcp_wmem
+		chunks            = maxBytesInTransit / discardChunkBytes
+	)
+	if took := chunks * discardPause; took > 100*time.Millisecond {
+		t.Errorf("%v for %d bytes", took, maxBytesInTransit)
+	}
+}
+
+// A connection is closed only if nothing has arrived since the reads that the caller knows of.
+func TestCloseIfQuietKeepsConnectionWithUnknownBytes(t *testing.T) {
+	closers := map[string]func(link *Link, reads int64) bool{
+		"close":       (*Link).CloseIfQuiet,
+		"close write": func(link *Link, reads int64) bool { return link.CloseWriteIfQuiet(reads, time.Minute) },
+	}
+	for name, closeIfQuiet := range closers {
+		t.Run(name, func(t *testing.T) {
+			link, peer := newLinkPair(t)
+			peer.Write([]byte("a"))
+			waitFor(t, "a byte has arrived", func() bool { return !link.socketEmpty() })
+			if closeIfQuiet(link, 0) {
+				t.Error("closed over an unread byte")
+			}
+			if err := link.Read(); err != nil {
+				t.Fatal(err)
+			}
+			if closeIfQuiet(link, 0) {
+				t.Error("closed over a byte that the caller does not know of")
+			}
+			if !closeIfQuiet(link, 1) {
+				t.Error("not closed though nothing has arrived")
+			}
+			if n, err := peer.Read(make([]byte, 1)); n > 0 || err != io.EOF {
+				t.Errorf("the peer reads %d bytes, %v", n, err)
+			}
+		})
+	}
+}
+
+// CloseIfQuiet ends a read that waits for bytes, and one that is about to take some, and no byte is taken after it.
+func TestCloseIfQuietEndsRead(t *testing.T) {
+	for range 200 {
+		link, peer := newLinkPair(t)
+		ended := make(chan error)
+		go func() { ended <- link.Read() }()
+		go peer.Write([]byte("a"))
+		closed := link.CloseIfQuiet(0)
+		err := <-ended
+		hasByte := link.Reads() > 0 && link.In.Len() > 0
+		if closed != (err != nil) || closed == hasByte {
+			t.Fatalf("closed %t, read %v, %d bytes", closed, err, link.In.Len())
+		}
+	}
+}
+
+// fault returns the fault of a system call that fails, or transfers only a part of its bytes.
+func fault(errno syscall.Errno, bytes int) *socketstest.Fault {
+	return &socketstest.Fault{Errno: errno, Bytes: bytes}
+}
+
+// faultyCalls are scripts of system calls for the transfer of ten bytes.
+var faultyCalls = []struct {
+	name   string
+	reads  []*socketstest.Fault
+	writes []*socketstest.Fault
+	err    syscall.Errno // of the first call that fails for good; 0: none
+}{
+	{
+		name: "none",
+	},
+	{
+		name:   "interrupted",
+		reads:  []*socketstest.Fault{fault(syscall.EINTR, 0), fault(syscall.EINTR, 0)},
+		writes: []*socketstest.Fault{fault(syscall.EINTR, 0), fault(syscall.EINTR, 0)},
+	},
+	{
+		name:   "short",
+		reads:  []*socketstest.Fault{fault(0, 1), fault(0, 2), nil, fault(0, 3)},
+		writes: []*socketstest.Fault{fault(0, 1), fault(0, 2), fault(0, 3)},
+	},
+	{
+		name: "would block after a part",
+		writes: []*socketstest.Fault{
+			fault(0, 2),
+			fault(syscall.EAGAIN, 0),
+			fault(0, 1),
+			fault(syscall.EAGAIN, 0),
+		},
+	},
+	{
+		name:   "writes nothing",
+		writes: []*socketstest.Fault{fault(0, 0), fault(0, 1), fault(0, 0)},
+	},
+	{
+		name:  "read times out",
+		reads: socketstest.Errors(syscall.ETIMEDOUT),
+		err:   syscall.ETIMEDOUT,
+	},
+	{
+		name:  "read finds no host",
+		reads: socketstest.Errors(syscall.EHOSTUNREACH),
+		err:   syscall.EHOSTUNREACH,
+	},
+	{
+		name:  "read reset",
+		reads: socketstest.Errors(syscall.ECONNRESET),
+		err:   syscall.ECONNRESET,
+	},
+	{
+		name:   "write times out",
+		writes: socketstest.Errors(syscall.ETIMEDOUT),
+		err:    syscall.ETIMEDOUT,
+	},
+	{
+		name:   "write to a closed one",
+		writes: socketstest.Errors(syscall.EPIPE),
+		err:    syscall.EPIPE,
+	},
+	{
+		name:   "write out of memory",
+		writes: socketstest.Errors(syscall.ENOBUFS),
+		err:    syscall.ENOBUFS,
+	},
+}
+
+// Calls that are interrupted, transfer a part or transfer nothing lose and repeat no byte. Other errors are returned as
+// they are.
+func TestFaultyCallsLoseNoByte(t *testing.T) {
+	want := []byte("0123456789")
+	for _, test := range faultyCalls {
+		t.Run(test.name, func(t *testing.T) {
+			near, peer := connPair(t)
+			system := socketstest.New(1, nil)
+			system.Script(socketstest.Read, test.reads...)
+			system.Script(socketstest.Write, test.writes...)
+			sender := newLink(t, system, near, 1<<10, 1<<10)
+			receiver := newLink(t, system, peer, 1<<10, 1<<10)
+			err := transfer(t, sender, receiver, want, len(test.writes))
+			if test.err != 0 {
+				if !errors.Is(err, test.err) {
+					t.Errorf("%v, want %v", err, test.err)
+				}
+				return
+			}
+			got := receiver.In.Span(0, receiver.In.Len())
+			if err != nil || !bytes.Equal(got, want) {
+				t.Errorf("%v; %q", err, got)
+			}
+		})
+	}
+}
+
+// transfer sends bytes over a connection until they are received or a call fails. It allows one flush more than
+// maxFaults.
+func transfer(t *testing.T, sender, receiver *Link, text []byte, maxFaults int) error {
+	t.Helper()
+	sender.Out.Write(text)
+	for flushes := 0; sender.Out.Len() > 0; flushes++ {
+		if flushes > maxFaults {
+			t.Fatalf("%d flushes leave %d bytes", flushes, sender.Out.Len())
+		}
+		if err := sender.Flush(); err != nil {
+			return err
+		}
+	}
+	for receiver.In.Len() < len(text) {
+		if err := receiver.Read(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// When Close returns, the connection is closed even if a Read waits on it: an attempt that begins after an earlier one
+// was canceled must not run beside it.
+func TestCloseEndsWaitingRead(t *testing.T) {
+	near, _ := connPair(t)
+	link := newLink(t, sockets.Kernel{}, near, 1<<10, 1<<10)
+	var descriptor uintptr
+	link.raw.Control(func(fd uintptr) { descriptor = fd })
+	reading := make(chan struct{})
+	readSocket := link.readFunc
+	link.readFunc = func(fd uintptr) bool {
+		defer close(reading)
+		return readSocket(fd)
+	}
+	ended := make(chan error)
+	go func() { ended <- link.Read() }()
+	<-reading // nothing has arrived: it waits, or is about to, and holds the descriptor
+	link.Close()
+	if _, _, errno := syscall.Syscall(syscall.SYS_FCNTL, descriptor, syscall.F_GETFD, 0); errno != syscall.EBADF {
+		t.Errorf("the descriptor is still open: %v", errno)
+	}
+	if err := <-ended; !errors.Is(err, net.ErrClosed) {
+		t.Error(err)
+	}
+}
+
+// BenchmarkReading compares a link with a bufio.Reader in front of a buffer, for writes of one command of 120 bytes.
+func BenchmarkReading(b *testing.B) {
+	command := bytes.Repeat([]byte("c"), 120)
+	b.Run("ring", func(b *testing.B) {
+		near, peer := connPair(b)
+		link := newLink(b, sockets.Kernel{}, peer, 1<<16, 1<<16)
+		b.ReportAllocs()
+		for b.Loop() {
+			near.Write(command)
+			for link.In.Len() < len(command) {
+				link.Read()
+			}
+			link.In.Drop(link.In.Len())
+		}
+	})
+	b.Run("bufio and ring", func(b *testing.B) {
+		near, peer := connPair(b)
+		buffer := NewBuffer(1 << 16)
+		reader := bufio.NewReaderSize(peer, minBufferBytes)
+		b.ReportAllocs()
+		for b.Loop() {
+			near.Write(command)
+			for buffer.Len() < len(command) {
+				reader.Peek(1)
+				buffered, _ := reader.Peek(reader.Buffered())
+				buffer.Write(buffered)
+				reader.Discard(len(buffered))
+			}
+			buffer.Drop(buffer.Len())
+		}
+	})
+}
--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
 	"os"
@@ -101,7 +100,7 @@
 	link, err := bufconn.NewLink(s.system, conn, resp.MaxValueBytes, maxUnsentBytes)
 	if err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("set up accepted connection: %w", err)
+		return nil, err
 	}
 	return link, nil
 }
--- a/internal/hosts/conn_reader.go
+++ b/internal/hosts/conn_reader.go
@@ -61,7 +61,7 @@
 	link, err := bufconn.NewLink(t.system, socket.(*net.TCPConn), resp.MaxValueBytes, maxCommandBytes)
 	if err != nil {
 		socket.Close()
-		return nil, fmt.Errorf("set up connection to %v: %w", c.addr, err)
+		return nil, err
 	}
 	return link, nil
 }
