--- a/gateway/time.go
+++ b/gateway/time.go
@@ -1,12 +1,6 @@
 package gateway
 
-import "time"
+import "ravensill/internal/clock"
 
-// Time is an instant in nanoseconds. A gateway's clock starts at the Unix time of its wall clock and runs evenly from there.
-type Time int64
-
-// Add returns the instant a duration later.
-func (t Time) Add(d time.Duration) Time { return t + Time(d) }
-
-// Sub returns the duration from an earlier instant to this one.
-func (t Time) Sub(earlier Time) time.Duration { return time.Duration(t - earlier) }
+// Time is an instant of a gateway's clock, which starts at the Unix time of the wall clock and runs evenly from there.
+type Time = clock.Instant
--- a/internal/clients/eviction.go
+++ b/internal/clients/eviction.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"ravensill/gateway"
+	"ravensill/internal/clock"
 )
 
 const (
@@ -30,9 +30,9 @@
 		return
 	}
 	if s.fullLog.due(now) {
-		slog.Warn("clients_full",
+		slog.Warn("client_limit_reached",
 			"clients", len(s.conns),
-			"room_made", victim != nil,
+			"evicted", victim != nil,
 			"count", s.fullLog.logged(now),
 		)
 	}
@@ -47,7 +47,7 @@
 }
 
 // evictable reports whether a connection may be evicted: it is idle, not new, and no answer is on its way.
-func (c *Conn) evictable(now gateway.Time) bool {
+func (c *Conn) evictable(now clock.Instant) bool {
 	sinceAnswer := now.Sub(c.lastAnswer)
 	if !c.idle() {
 		return false
--- a/internal/hosts/attempt.go
+++ b/internal/hosts/attempt.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"ravensill/gateway"
+	"ravensill/internal/clock"
 )
 
 // ResultHandler receives the result of an attempt or probe. event has the result, the usage and the load report; value
@@ -22,14 +23,14 @@
 	done     bool // whether onResult was called
 
 	// deadline is the time until which the answer is waited for. The command has the time left until then.
-	deadline gateway.Time
+	deadline clock.Instant
 	// writeDeadline is the latest time at which the last byte is written; the attempt fails after it.
-	writeDeadline gateway.Time
+	writeDeadline clock.Instant
 	// queueDeadline is the latest time at which the attempt leaves the queue of a connection quota.
-	queueDeadline gateway.Time
+	queueDeadline clock.Instant
 
-	started   bool         // whether bytes of it were written
-	startedAt gateway.Time // no byte was written before this time
+	started   bool          // whether bytes of it were written
+	startedAt clock.Instant // no byte was written before this time
 }
 
 // NeverStarted is an attempt that is over and was never sent.
@@ -81,7 +82,7 @@
 	}
 	if failure.isShortage() && !pool.transport.dialShortage {
 		pool.transport.dialShortage = true
-		slog.Warn("dials_short", "error", failure.Err)
+		slog.Warn("dial_resources_exhausted", "error", failure.Err)
 	}
 	a.onResult(gateway.Event{Result: failure.Result()}, nil, int64(pool.transport.now()))
 }
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -9,6 +9,7 @@
 
 	"ravensill/gateway"
 	"ravensill/internal/bufconn"
+	"ravensill/internal/clock"
 )
 
 var (
@@ -23,7 +24,7 @@
 	addr        netip.AddrPort
 	link        *bufconn.Link // nil until the dial succeeded
 	attempt     *Attempt      // nil while it carries none
-	idleSince   gateway.Time
+	idleSince   clock.Instant
 	idleElement *list.Element // in the transport's idle list; nil unless idle
 	answers     int           // received
 	readsSeen   int64         // the link's Reads at the latest answer
@@ -38,7 +39,7 @@
 	t := c.pool.transport
 	if t.dialShortage {
 		t.dialShortage = false
-		slog.Info("dials_back")
+		slog.Info("dial_resources_restored")
 	}
 	c.pool.addDialing(-1)
 	c.release()
@@ -136,7 +137,7 @@
 }
 
 // startAttempt writes the command of the connection's attempt to the output buffer.
-func (c *conn) startAttempt(now gateway.Time) {
+func (c *conn) startAttempt(now clock.Instant) {
 	attempt := c.attempt
 	attempt.started = true
 	attempt.startedAt = now
