--- a/configsync/bench_test.go
+++ b/configsync/bench_test.go
@@ -12,6 +12,7 @@
 	benchFollowers = 6_000
 )
 
+// BenchmarkApply applies a delta of one change to documents of several sizes.
 func BenchmarkApply(b *testing.B) {
 	for _, resources := range []int{600, 6_000, benchResources} {
 		b.Run(fmt.Sprint(resources), func(b *testing.B) {
@@ -25,7 +26,7 @@
 	}
 }
 
-// BenchmarkPublish is one version to all followers, with their acknowledgements.
+// BenchmarkPublish sends one version to all followers and receives their acknowledgements.
 func BenchmarkPublish(b *testing.B) {
 	for _, followers := range []int{60, 600, benchFollowers} {
 		b.Run(fmt.Sprint(followers), func(b *testing.B) {
@@ -53,7 +54,7 @@
 	}
 }
 
-// BenchmarkSnapshot is the encoding of a whole document, once for all followers that get it.
+// BenchmarkSnapshot encodes a complete document, once for all followers that get it.
 func BenchmarkSnapshot(b *testing.B) {
 	document := largeDocument(b, benchResources)
 	for b.Loop() {
@@ -61,7 +62,7 @@
 	}
 }
 
-// BenchmarkFile is what a gateway's start takes for its last good version.
+// BenchmarkFile reads the file of a gateway's last good version, as at its start.
 func BenchmarkFile(b *testing.B) {
 	file := EncodeFile(largeDocument(b, benchResources))
 	b.SetBytes(int64(len(file)))
@@ -72,7 +73,7 @@
 	}
 }
 
-// BenchmarkSince merges 300 deltas, a burst.
+// BenchmarkSince merges a burst of 300 deltas.
 func BenchmarkSince(b *testing.B) {
 	state := newTestState(b, HistoryLimits{Deltas: 1000, Bytes: 1 << 20})
 	for i := range 300 {
--- a/configsync/document_test.go
+++ b/configsync/document_test.go
@@ -17,7 +17,7 @@
 
 func remove(resource Resource) Change { return Change{Resource: resource} }
 
-// next gives the delta by which changes, which have to be sorted, lead a document to its next version.
+// next returns the delta that leads a document to its next version by sorted changes.
 func next(document *Document, changes ...Change) *Delta {
 	return &Delta{
 		Log:     testLog,
@@ -37,12 +37,13 @@
 	return document
 }
 
-// describe gives all that a document holds, for comparisons.
-func describe(document *Document) string {
-	return fmt.Sprintf("%s %d %x %d %q", document.Log(), document.Version(), document.Digest(), document.Bytes(), document.Changes())
+// describe returns the complete document as text, for comparisons.
+func describe(d *Document) string {
+	return fmt.Sprintf("%s %d %x %d %q", d.Log(), d.Version(), d.Digest(), d.Bytes(), d.Changes())
 }
 
-func TestApplyRefusesAndChangesNothing(t *testing.T) {
+// A refused delta leaves the document as it was.
+func TestApplyRefusesInvalidDelta(t *testing.T) {
 	long := strings.Repeat("x", MaxResourceBytes)
 	for name, test := range map[string]struct {
 		spoil func(*Delta)
@@ -80,7 +81,7 @@
 	}
 }
 
-func TestDocumentHasABoundedSize(t *testing.T) {
+func TestApplyBoundsDocumentSize(t *testing.T) {
 	document := NewDocument(testLog)
 	document.size = MaxDocumentBytes - 10
 	err := document.Apply(next(document, set("plans/a", "1234")))
@@ -93,30 +94,43 @@
 	}
 }
 
-func TestLogIDs(t *testing.T) {
-	for log, want := range map[LogID]bool{"a": true, "": false, "a\xff": false, LogID(make([]byte, MaxLogBytes)): true, LogID(make([]byte, MaxLogBytes+1)): false} {
-		if checkLog(log) == nil != want {
-			t.Errorf("%q", log)
+func TestCheckLogBoundsLength(t *testing.T) {
+	for log, valid := range map[LogID]bool{
+		"a":                                true,
+		"":                                 false,
+		"a\xff":                            false,
+		LogID(make([]byte, MaxLogBytes)):   true,
+		LogID(make([]byte, MaxLogBytes+1)): false,
+	} {
+		err := checkLog(log)
+		if (err == nil) != valid {
+			t.Errorf("%q: %v", log, err)
 		}
 	}
 }
 
-func TestDocumentHasABoundedCount(t *testing.T) {
-	for count, want := range map[int]bool{MaxDocumentResources: true, MaxDocumentResources + 1: false} {
+func TestSummaryBoundsResourceCount(t *testing.T) {
+	for count, valid := range map[int]bool{MaxDocumentResources: true, MaxDocumentResources + 1: false} {
 		after := summary{count: count}
-		if after.check() == nil != want {
-			t.Errorf("%d resources", count)
+		err := after.check()
+		if (err == nil) != valid {
+			t.Errorf("%d resources: %v", count, err)
 		}
 	}
 }
 
-// A digest covers names and values, and where one ends and the other begins.
-func TestDigestCoversAll(t *testing.T) {
+// A digest covers names, values and the boundary between them.
+func TestDigestCoversNamesAndValues(t *testing.T) {
 	digests := map[Digest]Change{}
-	for _, change := range []Change{set("plans/a", "b1"), set("plans/ab", "1"), set("plans/b", "b1"), set("plans/a", "b2")} {
+	for _, change := range []Change{
+		set("plans/a", "b1"),
+		set("plans/ab", "1"),
+		set("plans/b", "b1"),
+		set("plans/a", "b2"),
+	} {
 		digest := newTestDocument(t, change).Digest()
 		if other, found := digests[digest]; found {
-			t.Errorf("%s and %s agree", change.Resource, other.Resource)
+			t.Errorf("%s and %s have the same digest", change.Resource, other.Resource)
 		}
 		digests[digest] = change
 	}
@@ -126,19 +140,22 @@
 	}
 }
 
-func TestCloneIsApart(t *testing.T) {
+func TestCloneIsIndependent(t *testing.T) {
 	document := newTestDocument(t, set("plans/a", "1"))
 	clone := document.Clone()
 	if err := clone.Apply(next(clone, remove("plans/a"))); err != nil {
 		t.Fatal(err)
 	}
-	if _, found := document.Get("plans/a"); !found || clone.Len() != 0 || clone.Bytes() != 0 || clone.Digest() != (Digest{}) {
-		t.Error(describe(document), describe(clone))
+	if _, found := document.Get("plans/a"); !found {
+		t.Error("changed with its clone:", describe(document))
+	}
+	if clone.Len() != 0 || clone.Bytes() != 0 || clone.Digest() != (Digest{}) {
+		t.Error("not empty:", describe(clone))
 	}
 }
 
 // A change costs the same in a large document: a digest of all resources would take an allocation for each.
-func TestApplyCostsByItsChange(t *testing.T) {
+func TestApplyCostIsIndependentOfDocumentSize(t *testing.T) {
 	cost := func(resources int) float64 {
 		document := largeDocument(t, resources)
 		return testing.AllocsPerRun(100, func() {
@@ -152,7 +169,16 @@
 	}
 }
 
-// largeDocument gives a document of plans of some 200 bytes each.
+// longPlans returns changes that set quota plans, each with a value of the largest size.
+func longPlans(namePrefix string, count int) []Change {
+	changes := make([]Change, count)
+	for i := range changes {
+		changes[i] = set(Resource(fmt.Sprintf("%s%s%02d", PlanPrefix, namePrefix, i)), strings.Repeat("x", MaxValueBytes))
+	}
+	return changes
+}
+
+// largeDocument returns a document of plans of some 200 bytes each.
 func largeDocument(t testing.TB, resources int) *Document {
 	changes := make([]Change, resources)
 	for i := range changes {
@@ -161,7 +187,7 @@
 	return newTestDocument(t, changes...)
 }
 
-// drawChanges draws changes of a few resources, so that they often meet.
+// drawChanges draws changes of a few resources, so that the same one is often changed again.
 func drawChanges(t *rapid.T) []Change {
 	drawn := rapid.MapOfN(
 		rapid.SampledFrom([]Resource{"classes/a", "classes/b", "limits", "members/0", "members/11", "plans/a", "plans/b"}),
@@ -174,8 +200,8 @@
 	return changes
 }
 
-// The digest and the size depend on the content alone, not on the changes that led to it; Diff leads to any content.
-func TestDigestAndDiff(t *testing.T) {
+// The digest and the size depend on the content alone, not on the changes before, and Diff leads to any content.
+func TestDigestDependsOnContentAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		document := NewDocument(testLog)
 		for range rapid.IntRange(1, 10).Draw(t, "versions") {
@@ -196,7 +222,8 @@
 		if err := other.Apply(next(other, drawChanges(t)...)); err != nil {
 			t.Fatal(err)
 		}
-		if err := other.Apply(next(other, other.Diff(document.resources)...)); err != nil || other.Digest() != document.Digest() {
+		err = other.Apply(next(other, other.Diff(document.resources)...))
+		if err != nil || other.Digest() != document.Digest() {
 			t.Fatal(err, describe(other), describe(document))
 		}
 	})
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -1,7 +1,6 @@
 package configsync
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"reflect"
 	"strings"
@@ -13,24 +12,28 @@
 
 func at(offset time.Duration) time.Time { return start.Add(offset) }
 
-// newTestFollower gives a connected follower with member index 1 and three publishers, that holds version 1.
+// newTestFollower returns a connected follower with member index 1, three publishers, and version 1 in force.
 func newTestFollower(t testing.TB) *Follower {
-	held := newTestDocument(t, set("limits", "1"), set("plans/a", "2"))
+	document := newTestDocument(t, set("limits", "1"), set("plans/a", "2"))
 	config := FollowerConfig{Member: 1, Name: "gateway-1", Incarnation: 7, Publishers: 3}
-	follower := NewFollower(config, held, rand.New(rand.NewPCG(1, 2)))
+	follower := NewFollower(config, document, rand.New(rand.NewPCG(1, 2)))
 	follower.Connected(start)
 	return follower
 }
 
-func TestFollowerTakesADelta(t *testing.T) {
+func TestFollowerAppliesDeltaOnce(t *testing.T) {
 	follower := newTestFollower(t)
 	delta := next(follower.Document(), set("plans/b", "3"))
 	decision := follower.Receive(start, delta)
-	if decision.Kind != Apply || decision.Update.From != 1 || decision.Update.To != 2 || decision.Update.Delta != delta {
+	if decision.Kind != Apply {
 		t.Fatalf("%+v", decision)
 	}
+	update := decision.Update
+	if update.From != 1 || update.To != 2 || update.Delta != delta {
+		t.Fatalf("%+v", update)
+	}
 	if follower.Document().Version() != 1 {
-		t.Error("in force before the gateway took it")
+		t.Error("in force before the gateway accepted it")
 	}
 	if decision := follower.Receive(start, delta); decision.Kind != Ignore {
 		t.Errorf("repeated while pending: %+v", decision)
@@ -43,7 +46,7 @@
 		t.Errorf("%+v", answer)
 	}
 	if follower.Accept(start) != nil || follower.Refuse(start, "", "") != nil {
-		t.Error("an answer to nothing")
+		t.Error("an answer without a pending update")
 	}
 	decision = follower.Receive(start, delta)
 	if decision.Kind != Ignore || !reflect.DeepEqual(decision.Reply, answer) || follower.Counters().Ignored != 2 {
@@ -51,14 +54,14 @@
 	}
 }
 
-func TestFollowerStartsWithoutALog(t *testing.T) {
+func TestFollowerWithoutLogAcceptsAnyLog(t *testing.T) {
 	follower := NewFollower(FollowerConfig{Member: 5, Publishers: 3}, NewDocument(""), rand.New(rand.NewPCG(1, 2)))
 	if follower.Publisher() != 2 {
 		t.Error("start positions aren't spread")
 	}
 	alone := NewFollower(FollowerConfig{Member: 5, Name: strings.Repeat("x", MaxNameBytes+1)}, NewDocument(""), nil)
 	if _, err := Decode(Encode(alone.Connected(start)[0])); err != nil || alone.Publisher() != 0 {
-		t.Error("the greeting of a long name:", err)
+		t.Error("the hello with a long name:", err)
 	}
 	hello := follower.Connected(start)[0].(*Hello)
 	if hello.Log != "" || hello.InForce != 0 {
@@ -84,14 +87,17 @@
 	}
 }
 
-func TestFollowerRefuses(t *testing.T) {
+func TestFollowerKeepsVersionAfterRefusal(t *testing.T) {
 	follower := newTestFollower(t)
 	bad := next(follower.Document(), set("plans/b", "x"))
 	follower.Receive(start, bad)
 	refusal := follower.Refuse(start, "plans/b", "not an object")
-	if *refusal != (Refusal{2, "plans/b", "not an object"}) || follower.Counters().Refused != 1 || follower.Document().Version() != 1 {
+	if *refusal != (Refusal{2, "plans/b", "not an object"}) {
 		t.Errorf("%+v", refusal)
 	}
+	if follower.Counters().Refused != 1 || follower.Document().Version() != 1 {
+		t.Errorf("%+v, version %d", follower.Counters(), follower.Document().Version())
+	}
 	decision := follower.Receive(start, bad)
 	if decision.Kind != Ignore || decision.Reply != Message(refusal) {
 		t.Errorf("sent again: %+v", decision)
@@ -105,13 +111,14 @@
 	if decision := follower.Receive(start, later); decision.Kind != Apply {
 		t.Fatalf("%+v", decision)
 	}
-	if follower.Accept(start); follower.Refused() != nil {
+	follower.Accept(start)
+	if follower.Refused() != nil {
 		t.Error("still refused")
 	}
 }
 
-// Each event that ends a connection: the cause, the counter, and the next publisher after a wait.
-func TestFollowerReconnects(t *testing.T) {
+// Each event that ends a connection has its cause and counter, and leads to the next publisher after a wait.
+func TestFollowerReconnectsToNextPublisher(t *testing.T) {
 	document := newTestDocument(t, set("limits", "1"), set("plans/a", "2"))
 	gap := &Delta{Log: testLog, From: 2, To: 3}
 	wrong := next(document, set("limits", "2"))
@@ -123,9 +130,12 @@
 	later.To = 3
 	part := &SnapshotPart{Log: testLog, Version: 2, Parts: 2, Part: 1}
 	wrongPart := &SnapshotPart{Log: testLog, Version: 2, Parts: 1, Digest: Digest{1}}
+	otherPart := &SnapshotPart{Log: "log-b", Version: 2, Parts: 1}
 	receive := func(message Message) func(*Follower) Decision {
 		return func(f *Follower) Decision { return f.Receive(start, message) }
 	}
+	malformed := func(f *Follower) Decision { return f.Malformed(start, nil) }
+	lost := func(f *Follower) Decision { return f.Lost(start) }
 	for name, test := range map[string]struct {
 		event    func(*Follower) Decision
 		cause    Cause
@@ -135,16 +145,16 @@
 		"digest":             {receive(wrong), CauseDigest, FollowerCounters{DigestMismatches: 1}},
 		"digest of snapshot": {receive(wrongPart), CauseDigest, FollowerCounters{DigestMismatches: 1}},
 		"delta of other log": {receive(other), CauseOtherLog, FollowerCounters{OtherLog: 1}},
-		"part of other log":  {receive(&SnapshotPart{Log: "log-b", Version: 2, Parts: 1}), CauseOtherLog, FollowerCounters{OtherLog: 1}},
+		"part of other log":  {receive(otherPart), CauseOtherLog, FollowerCounters{OtherLog: 1}},
 		"other log":          {receive(&OtherLog{Log: "log-b"}), CauseOtherLog, FollowerCounters{OtherLog: 1}},
 		"heartbeat of other": {receive(&Heartbeat{Log: "log-b"}), CauseOtherLog, FollowerCounters{OtherLog: 1}},
 		"unsorted":           {receive(unsorted), CauseMalformed, FollowerCounters{Malformed: 1}},
 		"part out of order":  {receive(part), CauseMalformed, FollowerCounters{Malformed: 1}},
 		"a follower's":       {receive(&Hello{}), CauseMalformed, FollowerCounters{Malformed: 1}},
-		"malformed":          {func(f *Follower) Decision { return f.Malformed(start, nil) }, CauseMalformed, FollowerCounters{Malformed: 1}},
+		"malformed":          {malformed, CauseMalformed, FollowerCounters{Malformed: 1}},
 		"behind":             {receive(&Behind{}), CauseBehind, FollowerCounters{Behind: 1}},
 		"deferral":           {receive(&Deferral{After: time.Second}), CauseDeferred, FollowerCounters{Deferred: 1}},
-		"lost":               {func(f *Follower) Decision { return f.Lost(start) }, CauseLost, FollowerCounters{Lost: 1}},
+		"lost":               {lost, CauseLost, FollowerCounters{Lost: 1}},
 		"another one pending": {func(f *Follower) Decision {
 			f.Receive(start, next(document, remove("limits")))
 			return f.Receive(start, later)
@@ -168,16 +178,19 @@
 	}
 }
 
-func TestFollowerGivesUpConnections(t *testing.T) {
+// A follower stays until the time limit for silence, a lost quorum or an overdue version, and not a moment longer.
+func TestFollowerEndsSilentStaleAndStalledConnections(t *testing.T) {
 	second := func(n int) time.Time { return at(time.Duration(n) * time.Second) }
 	current := &Heartbeat{Log: testLog, Latest: 1, Current: true}
 	for name, test := range map[string]struct {
-		events func(*Follower)
-		last   time.Time // the last moment at which it stays
-		cause  Cause
-		counts FollowerCounters
+		events   func(*Follower)
+		deadline time.Time
+		cause    Cause
+		counters FollowerCounters
 	}{
-		"silent": {func(f *Follower) { f.Receive(second(1), current) }, second(4), CauseSilent, FollowerCounters{Silent: 1}},
+		"silent": {func(f *Follower) {
+			f.Receive(second(1), current)
+		}, second(4), CauseSilent, FollowerCounters{Silent: 1}},
 		"stale": {func(f *Follower) {
 			f.Receive(second(1), current)
 			for i := 2; i < 5; i++ {
@@ -193,13 +206,14 @@
 		follower := newTestFollower(t)
 		test.events(follower)
 		deadline, _ := follower.Deadline()
-		if !deadline.Equal(test.last) {
+		if !deadline.Equal(test.deadline) {
 			t.Errorf("%s: deadline %v", name, deadline.Sub(start))
 		}
 		if decision := follower.Tick(deadline.Add(-1)); decision.Kind != Ignore {
 			t.Errorf("%s: %+v too early", name, decision)
 		}
-		if decision := follower.Tick(deadline); decision.Kind != Reconnect || decision.Cause != test.cause || follower.Counters() != test.counts {
+		decision := follower.Tick(deadline)
+		if decision.Kind != Reconnect || decision.Cause != test.cause || follower.Counters() != test.counters {
 			t.Errorf("%s: %+v, %+v", name, decision, follower.Counters())
 		}
 		follower.ReceivedBytes(deadline)
@@ -221,21 +235,24 @@
 	}
 }
 
-// A version that is pending, refused, held or on its way isn't waited for.
-func TestFollowerIsNotStalled(t *testing.T) {
+// A version that is pending, refused, in force or in transfer doesn't count as overdue.
+func TestFollowerDoesNotStallWithoutDueVersion(t *testing.T) {
 	announce := func(f *Follower, times int, latest Version) {
 		for i := range times {
 			f.Receive(at(time.Duration(i)*time.Second), &Heartbeat{Log: testLog, Latest: latest, Current: true})
 		}
 	}
 	for name, events := range map[string]func(*Follower){
-		"pending": func(f *Follower) { f.Receive(start, next(f.Document(), remove("limits"))); announce(f, 6, 2) },
+		"pending": func(f *Follower) {
+			f.Receive(start, next(f.Document(), remove("limits")))
+			announce(f, 6, 2)
+		},
 		"refused": func(f *Follower) {
 			f.Receive(start, next(f.Document(), remove("limits")))
 			f.Refuse(start, "", "")
 			announce(f, 6, 2)
 		},
-		"held": func(f *Follower) {
+		"in force": func(f *Follower) {
 			f.Receive(start, next(f.Document(), remove("limits")))
 			f.Accept(start)
 			announce(f, 6, 2)
@@ -261,7 +278,7 @@
 			f.Receive(at(5*time.Second), &Heartbeat{Log: testLog, Latest: 2, Current: true})
 		},
 		"no log there": func(f *Follower) { f.Receive(at(5*time.Second), &Heartbeat{Current: true}) },
-		"on its way": func(f *Follower) {
+		"in transfer": func(f *Follower) {
 			announce(f, 6, 2)
 			f.Receive(at(5*time.Second), &SnapshotPart{Log: testLog, Version: 2, Parts: 2})
 		},
@@ -277,7 +294,7 @@
 	}
 }
 
-func TestBackoff(t *testing.T) {
+func TestFollowerBackoffDoublesUpToCap(t *testing.T) {
 	follower := newTestFollower(t)
 	longest := make([]time.Duration, 8)
 	for range 2000 {
@@ -297,7 +314,7 @@
 	follower.Connected(start)
 	follower.Receive(start, &Heartbeat{Log: testLog, Latest: 1, Current: true})
 	if follower.failures == 0 {
-		t.Error("a connection that isn't proven ends the backoff")
+		t.Error("a new connection ends the backoff")
 	}
 	follower.Receive(at(SilenceTimeout), &Heartbeat{Log: testLog, Latest: 1})
 	if follower.failures == 0 {
@@ -309,13 +326,18 @@
 	}
 	follower.failures = 3
 	follower.Receive(at(SilenceTimeout), next(follower.Document(), remove("limits")))
-	if follower.Accept(start); follower.failures != 0 {
+	follower.Accept(start)
+	if follower.failures != 0 {
 		t.Error("the backoff doesn't end with a version")
 	}
 }
 
-func TestDeferralIsBounded(t *testing.T) {
-	for after, want := range map[time.Duration]time.Duration{0: BackoffBase, time.Second: time.Second, time.Hour: MaxDeferral} {
+func TestFollowerBoundsDeferral(t *testing.T) {
+	for after, want := range map[time.Duration]time.Duration{
+		0:           BackoffBase,
+		time.Second: time.Second,
+		time.Hour:   MaxDeferral,
+	} {
 		follower := newTestFollower(t)
 		follower.Receive(start, &Deferral{After: after})
 		wait := follower.NextAttempt().Sub(start)
@@ -324,68 +346,3 @@
 		}
 	}
 }
-
-func TestFollowerTakesASnapshot(t *testing.T) {
-	for name, test := range map[string]struct {
-		version Version
-		changes []Change
-		want    DecisionKind
-	}{
-		"later":           {4, []Change{set("limits", "1"), set("plans/b", "3")}, Apply},
-		"held":            {1, []Change{set("limits", "1"), set("plans/a", "2")}, Ignore},
-		"held, otherwise": {1, []Change{set("limits", "1"), set("plans/a", "9")}, Apply},
-	} {
-		follower := newTestFollower(t)
-		content := newTestDocument(t, test.changes...)
-		content.version = test.version
-		decision := follower.Receive(start, SplitSnapshot(content)[0])
-		if decision.Kind != test.want {
-			t.Errorf("%s: %+v", name, decision)
-		}
-		if test.want != Apply {
-			continue
-		}
-		want := follower.Document().Diff(content.resources)
-		if fmt.Sprint(decision.Update.Changes) != fmt.Sprint(want) || decision.Update.Delta != nil || decision.Update.To != test.version {
-			t.Errorf("%s: %+v", name, decision.Update)
-		}
-		if follower.Accept(start); describe(follower.Document()) != describe(content) {
-			t.Errorf("%s: another document", name)
-		}
-	}
-	follower := newTestFollower(t)
-	later := newTestDocument(t, set("limits", "1"))
-	later.version = 4
-	if decision := follower.Receive(start, next(follower.Document(), remove("limits"))); decision.Kind != Apply {
-		t.Fatalf("%+v", decision)
-	}
-	if decision := follower.Receive(start, SplitSnapshot(later)[0]); decision.Cause != CauseGap || follower.Counters().Gaps != 1 {
-		t.Errorf("while another version is pending: %+v", decision)
-	}
-	if answer := follower.Accept(start); answer.Version != 2 { // without a connection
-		t.Errorf("%+v", answer)
-	}
-}
-
-// A snapshot that a differing digest called for ends the wish for one, and another one can follow on the same
-// connection.
-func TestFollowerTakesSnapshotsInTurn(t *testing.T) {
-	follower := newTestFollower(t)
-	wrong := next(follower.Document(), remove("limits"))
-	wrong.Digest[0]++
-	follower.Receive(start, wrong)
-	if hello := follower.Connected(start)[0].(*Hello); !hello.WantSnapshot {
-		t.Errorf("%+v", hello)
-	}
-	content := newTestDocument(t, set("limits", "5"))
-	for version := Version(2); version < 4; version++ {
-		content.version = version
-		if decision := follower.Receive(start, SplitSnapshot(content)[0]); decision.Kind != Apply {
-			t.Fatalf("version %d: %+v", version, decision)
-		}
-		follower.Accept(start)
-	}
-	if hello := follower.Connected(start)[0].(*Hello); hello.WantSnapshot || hello.InForce != 3 {
-		t.Errorf("%+v", hello)
-	}
-}
--- a/configsync/simulation_test.go
+++ b/configsync/simulation_test.go
@@ -32,15 +32,15 @@
 	sender  *Sender
 	applied int  // commands of the log
 	lagging bool // applies nothing and has no contact with a quorum
-	down    bool // takes frames and connections, and answers none
+	silent  bool // accepts connections and frames, and sends nothing
 }
 
 type simGateway struct {
 	follower    *Follower
 	incarnation uint64
-	highest     Version // the version in force, which never goes back but by a loss of the disk
+	highest     Version // the version in force, which never decreases unless the disk is lost
 	file        []byte
-	update      *Update // handed to the gateway
+	update      *Update // not accepted or refused yet
 	link        *simLink
 }
 
@@ -56,7 +56,8 @@
 	limits := HistoryLimits{Deltas: 4, Bytes: 1 << 20}
 	for range 3 {
 		state := NewState(limits)
-		s.publishers = append(s.publishers, &simPublisher{state: state, sender: NewSender(state, SenderLimits{SnapshotRate: 20000, SnapshotBurst: 2000})})
+		sender := NewSender(state, SenderLimits{SnapshotRate: 20000, SnapshotBurst: 2000})
+		s.publishers = append(s.publishers, &simPublisher{state: state, sender: sender})
 	}
 	for range 4 {
 		s.gateways = append(s.gateways, &simGateway{})
@@ -69,28 +70,29 @@
 // restart starts a gateway from its file, if it has one.
 func (s *simulation) restart(index int, withFile bool) {
 	g := s.gateways[index]
-	held := NewDocument("")
+	document := NewDocument("")
 	if !withFile {
 		g.file = nil
 	}
 	if g.file != nil {
 		var err error
-		if held, err = DecodeFile(g.file); err != nil {
+		document, err = DecodeFile(g.file)
+		if err != nil {
 			s.t.Fatal(err)
 		}
 	}
-	if held.Version() < g.highest && withFile {
-		s.t.Fatalf("gateway %d starts at version %d after %d", index, held.Version(), g.highest)
+	if document.Version() < g.highest && withFile {
+		s.t.Fatalf("gateway %d starts at version %d after %d", index, document.Version(), g.highest)
 	}
-	g.highest = held.Version()
+	g.highest = document.Version()
 	g.incarnation++
 	config := FollowerConfig{Member: index, Incarnation: g.incarnation, Publishers: len(s.publishers)}
-	g.follower = NewFollower(config, held, s.random)
+	g.follower = NewFollower(config, document, s.random)
 	g.update = nil
-	g.link = nil // half open at the publisher
+	g.link = nil // the publisher isn't notified, as after a crash
 }
 
-// propose publishes changes by the publisher that has the whole log, as the leader has.
+// propose publishes changes at a publisher with the complete log, as the leader has it.
 func (s *simulation) propose(changes []Change) {
 	leader := NewState(testLimits)
 	for _, text := range s.log {
@@ -131,11 +133,11 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		if !s.obey(g, g.follower.Receive(s.now, message)) {
+		if !s.execute(g, g.follower.Receive(s.now, message)) {
 			return
 		}
 	}
-	s.obey(g, g.follower.Tick(s.now))
+	s.execute(g, g.follower.Tick(s.now))
 }
 
 func (s *simulation) connect(g *simGateway) {
@@ -149,8 +151,8 @@
 	}
 }
 
-// obey does what the follower decided; it is false where the connection has ended.
-func (s *simulation) obey(g *simGateway, decision Decision) bool {
+// execute executes a decision of the follower and reports whether the connection is still open.
+func (s *simulation) execute(g *simGateway, decision Decision) bool {
 	switch decision.Kind {
 	case Reconnect:
 		g.link.publisher.sender.Disconnect(g.link.id)
@@ -165,7 +167,7 @@
 	return true
 }
 
-// finishUpdate is the gateway's answer to an update, a step later than it came.
+// finishUpdate accepts or refuses the update of the step before.
 func (s *simulation) finishUpdate(g *simGateway) {
 	update := g.update
 	if update == nil {
@@ -177,7 +179,7 @@
 		answer = g.follower.Refuse(s.now, badResource, "bad")
 	} else {
 		answer = g.follower.Accept(s.now)
-		s.inForce(g, update)
+		s.putInForce(g, update)
 	}
 	if g.link != nil {
 		g.link.toPublisher = append(g.link.toPublisher, Encode(answer))
@@ -193,7 +195,7 @@
 	return false
 }
 
-func (s *simulation) inForce(g *simGateway, update *Update) {
+func (s *simulation) putInForce(g *simGateway, update *Update) {
 	version := g.follower.Document().Version()
 	if version <= g.highest {
 		s.t.Fatalf("version %d in force after %d", version, g.highest)
@@ -207,7 +209,7 @@
 }
 
 func (s *simulation) stepPublisher(link *simLink) {
-	if link == nil || link.publisher.down {
+	if link == nil || link.publisher.silent {
 		return
 	}
 	frames := link.toPublisher
@@ -217,7 +219,7 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		if !s.takeIn(link, message) {
+		if !s.receive(link, message) {
 			return
 		}
 	}
@@ -235,8 +237,8 @@
 	}
 }
 
-// takeIn hands a message to the sender; a connection that it ends stays silent for the follower.
-func (s *simulation) takeIn(link *simLink, message Message) bool {
+// receive passes a message to the sender and reports whether the sender accepts it. The follower isn't notified if not.
+func (s *simulation) receive(link *simLink, message Message) bool {
 	sender := link.publisher.sender
 	if hello, isHello := message.(*Hello); isHello {
 		_, err := sender.Connect(s.now, link.id, hello)
@@ -249,7 +251,7 @@
 	return true
 }
 
-// disturb loses, repeats or swaps frames that are on their way to a follower or a publisher.
+// disturb drops, repeats or reorders frames in flight to a follower or a publisher.
 func (s *simulation) disturb(t *rapid.T) {
 	link := s.drawGateway(t).link
 	if link == nil {
@@ -277,7 +279,7 @@
 	return rapid.SampledFrom(s.gateways).Draw(t, "gateway")
 }
 
-// converge lets a time pass and wants the latest version in force everywhere at its end.
+// converge runs the simulation for a duration, after which the latest version must be in force everywhere.
 func (s *simulation) converge(within time.Duration) {
 	for end := s.now.Add(within); s.now.Before(end); {
 		s.step()
@@ -289,7 +291,8 @@
 	for i, g := range s.gateways {
 		got := g.follower.Document()
 		if got.Version() != want.Document().Version() || got.Digest() != want.Document().Digest() {
-			s.t.Fatalf("gateway %d holds version %d, not %d: %+v", i, got.Version(), want.Document().Version(), g.follower.Counters())
+			s.t.Fatalf("gateway %d has version %d, not %d: %+v",
+				i, got.Version(), want.Document().Version(), g.follower.Counters())
 		}
 		stored, err := DecodeFile(g.file)
 		if err != nil || describe(stored) != describe(got) {
@@ -298,9 +301,8 @@
 	}
 }
 
-// Whatever happened, versions never go back, and once the network is whole again, and also where a publisher falls
-// silent or loses its quorum at the moment of the change, the latest version is in force everywhere within 12 s, with
-// equal digests.
+// Versions never decrease, and once all faults are over, also if one publisher then falls silent or loses its quorum,
+// the latest version is in force everywhere within 12 s.
 func TestFleetConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
@@ -323,13 +325,14 @@
 			},
 			"fall silent": func(t *rapid.T) {
 				p := rapid.SampledFrom(s.publishers).Draw(t, "publisher")
-				p.down = !p.down
+				p.silent = !p.silent
 			},
 			"restart": func(t *rapid.T) {
 				s.restart(rapid.IntRange(0, len(s.gateways)-1).Draw(t, "gateway"), rapid.Bool().Draw(t, "with file"))
 			},
 			"cut": func(t *rapid.T) {
-				if g := s.drawGateway(t); g.link != nil {
+				g := s.drawGateway(t)
+				if g.link != nil {
 					g.follower.Lost(s.now)
 					g.link = nil
 				}
@@ -337,14 +340,14 @@
 		})
 		for _, p := range s.publishers {
 			p.lagging = false
-			p.down = false
+			p.silent = false
 		}
 		s.propose([]Change{remove(badResource)})
 		s.propose([]Change{set("limits", "healed")})
 		s.converge(inForceWithin)
 		lost := rapid.SampledFrom(s.publishers).Draw(t, "lost")
 		if rapid.Bool().Draw(t, "silent") {
-			lost.down = true
+			lost.silent = true
 		} else {
 			lost.lagging = true
 		}
--- a/configsync/state_test.go
+++ b/configsync/state_test.go
@@ -14,18 +14,19 @@
 func newTestState(t testing.TB, limits HistoryLimits) *State {
 	t.Helper()
 	state := NewState(limits)
-	apply(t, state, &Command{Create: testLog})
+	mustApply(t, state, &Command{Create: testLog})
 	return state
 }
 
-func apply(t testing.TB, state *State, command *Command) {
+func mustApply(t testing.TB, state *State, command *Command) {
 	t.Helper()
-	if err := try(t, state, command); err != nil {
+	if err := applyCommand(t, state, command); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func try(t testing.TB, state *State, command *Command) error {
+// applyCommand returns the error of State.Apply.
+func applyCommand(t testing.TB, state *State, command *Command) error {
 	t.Helper()
 	text, err := EncodeCommand(command)
 	if err != nil {
@@ -37,18 +38,27 @@
 
 func publish(t testing.TB, state *State, changes ...Change) {
 	t.Helper()
-	apply(t, state, NewCommand(testLog, state.Document().Version(), changes))
+	mustApply(t, state, NewCommand(testLog, state.Document().Version(), changes))
 }
 
-func TestPlanID(t *testing.T) { // by the published test vectors of FNV-1a, and by a name whose hash is 0
-	for name, want := range map[string]uint32{"": 0x811c9dc5, "a": 0xe40c292c, "foobar": 0xbf9cf968, "ppkttia": 1} {
+// Plan ids match the published test vectors of FNV-1a, and a name whose hash is 0 has the id 1.
+func TestPlanIDMatchesFNVVectors(t *testing.T) {
+	for name, want := range map[string]uint32{
+		"":        0x811c9dc5,
+		"a":       0xe40c292c,
+		"foobar":  0xbf9cf968,
+		"ppkttia": 1,
+	} {
 		if got := PlanID(name); got != want {
 			t.Errorf("%q: %08x, not %08x", name, got, want)
 		}
 	}
 }
 
-func TestStateRefusesAndChangesNothing(t *testing.T) {
+// A refused command leaves the state as it was, and Check returns the same error before.
+func TestStateRefusesCommandWithoutChange(t *testing.T) {
+	unsorted := []Change{set("plans/b", "1"), set("limits", "1")}
+	sameID := []Change{set("plans/altarage", "1"), set("plans/zinke", "1")}
 	state := newTestState(t, testLimits)
 	publish(t, state, set("plans/costarring", "1"), set("plans/a", "1"))
 	publish(t, state, remove("plans/costarring"))
@@ -66,11 +76,11 @@
 		"removed absent":   {NewCommand(testLog, 2, []Change{remove("limits")}), &NoChangeError{}},
 		"unknown kind":     {NewCommand(testLog, 2, []Change{set("routes/a", "1")}), &MalformedError{}},
 		"named twice":      {NewCommand(testLog, 2, []Change{set("limits", "1"), set("limits", "2")}), &MalformedError{}},
-		"unsorted":         {&Command{Log: testLog, Base: 2, Changes: []Change{set("plans/b", "1"), set("limits", "1")}}, &MalformedError{}},
+		"unsorted":         {&Command{Log: testLog, Base: 2, Changes: unsorted}, &MalformedError{}},
 		"id of removed":    {NewCommand(testLog, 2, []Change{set("plans/liquid", "1")}), &PlanIDError{}},
-		"id in one change": {NewCommand(testLog, 2, []Change{set("plans/altarage", "1"), set("plans/zinke", "1")}), &PlanIDError{}},
+		"id in one change": {NewCommand(testLog, 2, sameID), &PlanIDError{}},
 	} {
-		err := try(t, state, test.command)
+		err := applyCommand(t, state, test.command)
 		if reflect.TypeOf(err) != reflect.TypeOf(test.want) {
 			t.Errorf("%s: %T %v", name, err, err)
 		}
@@ -84,13 +94,23 @@
 			}
 		}
 	}
-	err := try(t, state, NewCommand(testLog, 2, []Change{set("plans/liquid", "1")}))
+}
+
+// The id of a removed plan stays reserved for its name, so that counters of two plans are never mixed.
+func TestStateReservesIDOfRemovedPlan(t *testing.T) {
+	state := newTestState(t, testLimits)
+	publish(t, state, set("plans/costarring", "1"), set("plans/a", "1"))
+	publish(t, state, remove("plans/costarring"))
+	err := applyCommand(t, state, NewCommand(testLog, 2, []Change{set("plans/liquid", "1")}))
 	if refused, ok := err.(*PlanIDError); !ok || refused.Resource != "plans/liquid" || refused.Owner != "costarring" {
 		t.Errorf("%+v", err)
 	}
-	publish(t, state, set("plans/costarring", "2")) // the owner may come back
+	publish(t, state, set("plans/costarring", "2")) // the name itself may be used again
+}
+
+func TestStateRefusesMalformedCommand(t *testing.T) {
 	if _, err := EncodeCommand(&Command{Changes: []Change{{Value: make([]byte, MaxCommandBytes)}}}); err == nil {
-		t.Error("a command of any size")
+		t.Error("a command of any size was encoded")
 	}
 	for name, text := range map[string][]byte{
 		"any size":   marshal(map[int]any{1: "log", 99: make([]byte, MaxCommandBytes)}),
@@ -104,18 +124,22 @@
 			t.Errorf("a command of %s applied: %v", name, err)
 		}
 	}
-	err = try(t, NewState(testLimits), NewCommand("", 0, []Change{set("limits", "1")}))
+	err := applyCommand(t, NewState(testLimits), NewCommand("", 0, []Change{set("limits", "1")}))
 	if _, ok := err.(*WrongLogError); !ok {
 		t.Errorf("a version without a log: %v", err)
 	}
 }
 
-// The same commands give the same bytes, also where a publisher was restored from a snapshot on the way; merged
-// deltas and rollbacks agree with the steps.
-func TestStateAndHistory(t *testing.T) {
+// The same commands lead to the same bytes, also after a restore from a snapshot, and merged deltas and rollbacks
+// lead to the same content as the single steps.
+func TestStateAndHistoryAreDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := HistoryLimits{Deltas: rapid.IntRange(1, 20).Draw(t, "deltas"), Bytes: rapid.IntRange(200, 4000).Draw(t, "bytes")}
-		state, twin := NewState(limits), NewState(limits)
+		limits := HistoryLimits{
+			Deltas: rapid.IntRange(1, 20).Draw(t, "deltas"),
+			Bytes:  rapid.IntRange(200, 4000).Draw(t, "bytes"),
+		}
+		state := NewState(limits)
+		replica := NewState(limits)
 		contents := map[Version]*Document{0: state.Document().Clone()}
 		for i := range rapid.IntRange(1, 30).Draw(t, "commands") {
 			command := NewCommand(testLog, state.Document().Version(), drawChanges(t))
@@ -127,18 +151,18 @@
 				t.Fatal(err)
 			}
 			_, err = state.Apply(text)
-			_, twinErr := twin.Apply(text)
-			if fmt.Sprint(err) != fmt.Sprint(twinErr) {
-				t.Fatal(err, twinErr)
+			_, replicaErr := replica.Apply(text)
+			if fmt.Sprint(err) != fmt.Sprint(replicaErr) {
+				t.Fatal(err, replicaErr)
 			}
 			if rapid.Bool().Draw(t, "restore") {
 				restored := NewState(limits)
-				if err := restored.Restore(twin.Snapshot()); err != nil {
+				if err := restored.Restore(replica.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
-				twin = restored
+				replica = restored
 			}
-			if !bytes.Equal(state.Snapshot(), twin.Snapshot()) {
+			if !bytes.Equal(state.Snapshot(), replica.Snapshot()) {
 				t.Fatal("different states from the same commands")
 			}
 			contents[state.Document().Version()] = state.Document().Clone()
@@ -149,9 +173,10 @@
 	})
 }
 
-// checkHistory compares what the history says about a version with its content.
+// checkHistory compares the digest, the delta and the rollback that the history has for a version with its content.
 func checkHistory(t *rapid.T, state *State, version Version, content *Document) {
-	history, latest := state.History(), state.Document()
+	history := state.History()
+	latest := state.Document()
 	known := version >= history.Oldest()
 	digest, found := history.DigestAt(version)
 	if found != known || known && digest != content.Digest() {
@@ -179,8 +204,11 @@
 	}
 }
 
-func TestHistoryIsBounded(t *testing.T) {
-	for _, limits := range []HistoryLimits{{Deltas: 3, Bytes: 1 << 20}, {Deltas: 100, Bytes: 3 * (entryOverhead + 2*len("limits") + 2)}} {
+func TestHistoryDropsOldestDeltas(t *testing.T) {
+	for _, limits := range []HistoryLimits{
+		{Deltas: 3, Bytes: 1 << 20},
+		{Deltas: 100, Bytes: 3 * (entryOverhead + 2*len("limits") + 2)},
+	} {
 		state := newTestState(t, limits)
 		for i := range 10 {
 			publish(t, state, set("limits", fmt.Sprint(i)))
@@ -197,8 +225,8 @@
 	}
 }
 
-// A merged delta that is beyond the wire's bounds goes as several.
-func TestDeltaWithinTheWire(t *testing.T) {
+// Merged deltas beyond the bounds of a message become several messages.
+func TestHistorySplitsMergedDeltaBySize(t *testing.T) {
 	state := newTestState(t, HistoryLimits{Deltas: 100, Bytes: 8 << 20})
 	for i := range 20 {
 		publish(t, state, Change{Resource(fmt.Sprintf("plans/%02d", i)), bytes.Repeat([]byte("x"), MaxValueBytes)})
@@ -219,17 +247,13 @@
 	if _, ok := state.History().SinceWithin(21); ok {
 		t.Error("a delta from the future")
 	}
-	var large []Change
-	for i := range 20 {
-		large = append(large, Change{Resource(fmt.Sprintf("plans/%02d", i)), bytes.Repeat([]byte("y"), MaxValueBytes)})
-	}
-	publish(t, state, large...)
+	publish(t, state, longPlans("new", 20)...)
 	if _, ok := state.History().SinceWithin(20); ok {
-		t.Error("a delta beyond the wire")
+		t.Error("a delta beyond the bounds of a message")
 	}
 }
 
-func TestDeltaWithinTheWiresCount(t *testing.T) {
+func TestHistorySplitsMergedDeltaByCount(t *testing.T) {
 	state := newTestState(t, HistoryLimits{Deltas: 100, Bytes: 8 << 20})
 	for i := range 2 {
 		var changes []Change
@@ -243,7 +267,7 @@
 	}
 }
 
-func TestStateIsBounded(t *testing.T) {
+func TestStateRefusesExcessiveSizes(t *testing.T) {
 	isMalformed := func(name string, state *State, changes []Change) {
 		err := state.Check(NewCommand(testLog, state.Document().Version(), changes))
 		if _, ok := err.(*MalformedError); !ok {
@@ -260,7 +284,7 @@
 	isMalformed("a large document", full, []Change{set("limits", "1")})
 	named := newTestState(t, testLimits)
 	for id := range uint32(maxReservedPlans) {
-		named.plans[id] = "of before"
+		named.plans[id] = "an earlier plan"
 	}
 	isMalformed("many plans", named, []Change{set("plans/a", "1")})
 	publish(t, named, set("classes/a", "1")) // reserves no id
@@ -269,7 +293,7 @@
 	}
 }
 
-func TestRestoreRefuses(t *testing.T) {
+func TestRestoreRefusesDamagedSnapshots(t *testing.T) {
 	state := newTestState(t, testLimits)
 	publish(t, state, set("limits", "1"))
 	good := state.Snapshot()
@@ -288,13 +312,19 @@
 	altered := bytes.Clone(good)
 	altered[len(altered)-1] ^= 1
 	for name, text := range map[string][]byte{
-		"altered": altered, "cut": good[:len(good)-1], "longer": append(bytes.Clone(good), 0),
-		"a document": EncodeFile(state.Document()), "history apart": short.Snapshot(),
-		"history with a gap": gap.Snapshot(), "history without values": unpaired.Snapshot(), "digest": wrong.Snapshot(),
-		"another kind": encodeRecord(recordDocument, good[fileHeader:]), "not CBOR": encodeRecord(recordState, []byte("\xff")),
+		"altered":                 altered,
+		"truncated":               good[:len(good)-1],
+		"longer":                  append(bytes.Clone(good), 0),
+		"a document":              EncodeFile(state.Document()),
+		"history before document": short.Snapshot(),
+		"history with a gap":      gap.Snapshot(),
+		"history without values":  unpaired.Snapshot(),
+		"digest":                  wrong.Snapshot(),
+		"another kind":            encodeRecord(recordDocument, good[fileHeader:]),
+		"not CBOR":                encodeRecord(recordState, []byte("\xff")),
 	} {
 		if err := state.Restore(text); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 		if !bytes.Equal(state.Snapshot(), good) {
 			t.Fatalf("%s: the state changed", name)
