--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -21,8 +21,7 @@
 
 const (
 	greetingTimeout   = time.Second
-	bindWait          = 5 * time.Second // for what this machine is short of when the listener is opened
-	announcementLimit = 256             // bytes
+	announcementLimit = 256 // bytes
 )
 
 // SignatureSize is the length of a signature in bytes.
@@ -48,16 +47,12 @@
 }
 
 func listen(cfg *Config, id raft.ServerID, announced func(Announcement)) (*transport, error) {
-	var listener *net.TCPListener
-	err := sockets.RetryShortage(bindWait, func() (err error) {
-		listener, err = cfg.Sockets.Listen(cfg.Listen)
-		return err
-	})
+	listener, err := sockets.Listen(cfg.Sockets, cfg.Listen)
 	if err != nil {
 		return nil, err
 	}
 	t := &transport{
-		listener:  &sockets.Listener{TCPListener: listener, System: cfg.Sockets},
+		listener:  listener,
 		cfg:       cfg,
 		id:        id,
 		announced: announced,
--- a/internal/sockets/listener.go
+++ b/internal/sockets/listener.go
@@ -3,12 +3,14 @@
 import (
 	"errors"
 	"net"
+	"net/netip"
 	"time"
 )
 
 const (
 	acceptRetryDelay = 10 * time.Millisecond // after an accept that failed
-	bindRetryDelay   = 20 * time.Millisecond // between tries to open a listener
+	bindRetryDelay   = 20 * time.Millisecond // between attempts to open a listener
+	bindTimeout      = 5 * time.Second       // for resources that this machine is short of
 )
 
 // Listener is a net.Listener whose Accept fails only once it is closed: every other error is that of one connection, or passes. A
@@ -43,3 +45,16 @@
 		time.Sleep(bindRetryDelay)
 	}
 }
+
+// Listen opens a TCP listener by the calls of system. It retries for some seconds while this machine is short of resources.
+func Listen(system System, address netip.AddrPort) (*Listener, error) {
+	var listener *net.TCPListener
+	err := RetryShortage(bindTimeout, func() (err error) {
+		listener, err = system.Listen(address)
+		return err
+	})
+	if err != nil {
+		return nil, err
+	}
+	return &Listener{TCPListener: listener, System: system}, nil
+}
