--- a/internal/publisher/admin.go
+++ b/internal/publisher/admin.go
@@ -16,37 +16,37 @@
 	"ravensill/internal/strictjson"
 )
 
-// forwardedHeader marks a request that another replica passed on to the leader, so that it isn't passed on again.
+// forwardedHeader marks a request that another replica forwarded to the leader, so that it isn't forwarded again.
 const forwardedHeader = "Ravensill-Forwarded"
 
-// handler gives the HTTP interface of operators:
+// handler returns the HTTP interface for operators:
 //
-//	PUT /v1/configuration    the whole content: {"plans": [..], "profiles": [..], "peers": [..], "limits": {..}}
+//	PUT /v1/configuration    the complete content: {"plans": [..], "profiles": [..], "peers": [..], "limits": {..}}
 //	PATCH /v1/configuration  {"set": {resource: value}, "remove": [resource]}
 //	GET /v1/configuration    the content in force by resource
 //	POST /v1/rollback        {"to": version}: its content as a new version
 //	GET /v1/status           this replica's Status
 //	GET /v1/fleet            Fleet: the followers of all replicas
 //
-// Changes are passed on to the leader. With the header If-Match, a quoted version, they are made only where that is the
-// current one (RFC 9110, section 13.1.1).
+// Changes are forwarded to the leader. With the header If-Match, a quoted version, a change is made only if that is the
+// current version (RFC 9110, section 13.1.1).
 func (p *Publisher) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT /v1/configuration", p.atLeader(p.put))
-	mux.HandleFunc("PATCH /v1/configuration", p.atLeader(p.patch))
-	mux.HandleFunc("POST /v1/rollback", p.atLeader(p.rollback))
+	mux.HandleFunc("PUT /v1/configuration", p.atLeader(parsePut))
+	mux.HandleFunc("PATCH /v1/configuration", p.atLeader(parsePatch))
+	mux.HandleFunc("POST /v1/rollback", p.atLeader(parseRollback))
 	mux.HandleFunc("GET /v1/configuration", p.getConfiguration)
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, http.StatusOK, p.Status())
+		writeJSON(w, http.StatusOK, p.Status())
 	})
 	mux.HandleFunc("GET /v1/fleet", func(w http.ResponseWriter, r *http.Request) {
-		answer(w, http.StatusOK, p.Fleet(r.Context()))
+		writeJSON(w, http.StatusOK, p.Fleet(r.Context()))
 	})
 	return mux
 }
 
-// atLeader has a request handled by the leader: here, or there by passing it on.
-func (p *Publisher) atLeader(handle func(body string) (draft, error)) http.HandlerFunc {
+// atLeader returns a handler that handles a change at this replica, or forwards it if another one leads.
+func (p *Publisher) atLeader(parse func(body string) (draft, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		leader := p.replica.Leader()
 		elsewhere := leader >= 0 && leader < len(p.cfg.Admin) && leader != p.cfg.Index
@@ -54,17 +54,17 @@
 			p.forward(w, r, leader)
 			return
 		}
-		publication, err := p.change(w, r, handle)
+		publication, err := p.change(w, r, parse)
 		if err != nil {
 			p.counters.rejected.Add(1)
-			fail(w, err)
+			writeError(w, err)
 			return
 		}
-		answer(w, http.StatusOK, publication)
+		writeJSON(w, http.StatusOK, publication)
 	}
 }
 
-// forward passes a request on to the leader.
+// forward sends a request to the leader and returns its response.
 func (p *Publisher) forward(w http.ResponseWriter, r *http.Request, leader int) {
 	target := &url.URL{Scheme: "http", Host: p.cfg.Admin[leader].String()}
 	proxy := &httputil.ReverseProxy{
@@ -74,14 +74,18 @@
 		},
 		ErrorHandler: func(w http.ResponseWriter, _ *http.Request, _ error) {
 			p.counters.rejected.Add(1)
-			fail(w, &NotLeaderError{leader})
+			writeError(w, &NotLeaderError{leader})
 		},
 	}
 	proxy.ServeHTTP(w, r)
 }
 
-// change reads a request for a change and carries it out.
-func (p *Publisher) change(w http.ResponseWriter, r *http.Request, handle func(body string) (draft, error)) (Publication, error) {
+// change reads a request for a change and publishes it.
+func (p *Publisher) change(
+	w http.ResponseWriter,
+	r *http.Request,
+	parse func(body string) (draft, error),
+) (Publication, error) {
 	base, err := ifMatch(r)
 	if err != nil {
 		return Publication{}, err
@@ -90,14 +94,14 @@
 	if err != nil {
 		return Publication{}, &RequestError{Reason: err.Error()}
 	}
-	changesFor, err := handle(string(body))
+	changesFor, err := parse(string(body))
 	if err != nil {
 		return Publication{}, err
 	}
 	return p.publish(changesFor, base)
 }
 
-// ifMatch gives the version that a request is made for, nil where it is made for any.
+// ifMatch returns the version that a request is made for, or nil if it is made for any.
 func ifMatch(r *http.Request) (*configsync.Version, error) {
 	text := r.Header.Get("If-Match")
 	if text == "" || text == "*" {
@@ -111,7 +115,7 @@
 	return &version, nil
 }
 
-func (p *Publisher) put(body string) (draft, error) {
+func parsePut(body string) (draft, error) {
 	wanted, err := parseContent(body)
 	if err != nil {
 		return nil, err
@@ -119,7 +123,7 @@
 	return putDraft(wanted), nil
 }
 
-func (p *Publisher) patch(body string) (draft, error) {
+func parsePatch(body string) (draft, error) {
 	changes, err := parseChanges(body)
 	if err != nil {
 		return nil, err
@@ -127,7 +131,7 @@
 	return patchDraft(changes), nil
 }
 
-func (p *Publisher) rollback(body string) (draft, error) {
+func parseRollback(body string) (draft, error) {
 	var request struct {
 		To *configsync.Version `json:"to"`
 	}
@@ -141,6 +145,17 @@
 	return rollbackDraft(*request.To), nil
 }
 
+// configurationBody is the body of the answer to GET /v1/configuration.
+type configurationBody struct {
+	Resources map[configsync.Resource]json.RawMessage `json:"resources"`
+	Version   configsync.Version                      `json:"version"`
+}
+
+// errorBody is the body of an answer with an error.
+type errorBody struct {
+	Error string `json:"error"`
+}
+
 func (p *Publisher) getConfiguration(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	version := p.state.Document().Version()
@@ -151,20 +166,20 @@
 		resources[change.Resource] = change.Value
 	}
 	w.Header().Set("ETag", fmt.Sprintf("%q", strconv.FormatUint(uint64(version), 10)))
-	answer(w, http.StatusOK, map[string]any{"version": version, "resources": resources})
+	writeJSON(w, http.StatusOK, configurationBody{Resources: resources, Version: version})
 }
 
-// fail answers by an error. Its text begins with the path of the key at fault, where there is one.
-func fail(w http.ResponseWriter, err error) {
+// writeError answers with an error, whose text begins with the path of the key at fault, if there is one.
+func writeError(w http.ResponseWriter, err error) {
 	status := statusOf(err)
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", "1")
 	}
-	answer(w, status, map[string]string{"error": err.Error()})
+	writeJSON(w, status, errorBody{err.Error()})
 }
 
-// statusOf gives the HTTP status of an error of publish. What is not known here is a fault of the request: the decoder's
-// errors and those of the state's rules.
+// statusOf returns the HTTP status for an error of publish. All other errors are faults of the request: those of the
+// decoder and of the rules of configsync.State.
 func statusOf(err error) int {
 	var notLeader *NotLeaderError
 	var conflict *configsync.ConflictError
@@ -180,7 +195,7 @@
 	return http.StatusBadRequest
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(body)
--- a/internal/publisher/content.go
+++ b/internal/publisher/content.go
@@ -12,9 +12,9 @@
 	"ravensill/internal/strictjson"
 )
 
-// RequestError tells what is wrong with a request, by the path of the key.
+// RequestError reports a fault of a request, by the path of the key at fault.
 type RequestError struct {
-	Path   string // empty: the request as a whole
+	Path   string // empty: no single key is at fault
 	Reason string
 }
 
@@ -25,17 +25,17 @@
 	return e.Path + ": " + e.Reason
 }
 
-// wholeContent is the body of PUT /v1/configuration: keys as in the gateway's settings, and its peers.
-type wholeContent struct {
+// completeContent is the body of PUT /v1/configuration: keys as in the gateway's settings, and its peers.
+type completeContent struct {
 	Plans    []json.RawMessage `json:"plans"`
 	Profiles []json.RawMessage `json:"profiles"`
 	Peers    []string          `json:"peers"` // by member index
 	Limits   json.RawMessage   `json:"limits"`
 }
 
-// parseContent gives the resources of a whole content.
+// parseContent returns the resources of a complete content.
 func parseContent(body string) (map[configsync.Resource][]byte, error) {
-	var content wholeContent
+	var content completeContent
 	err := strictjson.Decode(body, &content)
 	if err != nil {
 		return nil, &RequestError{Reason: err.Error()}
@@ -62,8 +62,13 @@
 	return resources, nil
 }
 
-// addNamed adds the objects of a list under their names.
-func addNamed(resources map[configsync.Resource][]byte, prefix configsync.Resource, key string, list []json.RawMessage) error {
+// addNamed adds the objects of the list under a key, each as a resource with the prefix and its name.
+func addNamed(
+	resources map[configsync.Resource][]byte,
+	prefix configsync.Resource,
+	key string,
+	list []json.RawMessage,
+) error {
 	for i, text := range list {
 		path := fmt.Sprintf("%s.%d", key, i)
 		var object struct{ Name string }
@@ -89,7 +94,7 @@
 	Remove []configsync.Resource                   `json:"remove"`
 }
 
-// parseChanges gives the changes of a partial content.
+// parseChanges returns the changes of a partial content.
 func parseChanges(body string) ([]configsync.Change, error) {
 	var content partialContent
 	err := strictjson.Decode(body, &content)
@@ -112,7 +117,7 @@
 	return changes, nil
 }
 
-// compact leaves out spaces, so that another layout is no change. The text is valid JSON: it was decoded before.
+// compact removes spaces, so that another layout is no change. The text was decoded before, so it is valid JSON.
 func compact(text json.RawMessage) []byte {
 	var buffer bytes.Buffer
 	if json.Compact(&buffer, text) != nil {
--- a/internal/publisher/content_test.go
+++ b/internal/publisher/content_test.go
@@ -7,7 +7,7 @@
 	"ravensill/configsync"
 )
 
-// FuzzContent: whatever body an operator sends, it gives resources or a *RequestError, and each resource once.
+// FuzzContent checks that any body yields resources or a *RequestError, and each resource once.
 func FuzzContent(f *testing.F) {
 	f.Add(`{"plans":[{"name":"gold"}],"profiles":[{"name":"a"}],"peers":["10.0.0.1:1"],"limits":{}}`)
 	f.Add(`{"set":{"plans/gold":{"name":"gold"},"limits":null},"remove":["plans/team"]}`)
--- a/internal/publisher/disk_test.go
+++ b/internal/publisher/disk_test.go
@@ -13,17 +13,16 @@
 	"ravensill/internal/sockets/socketstest"
 )
 
-// followCurrent follows a replica as gateways do: it returns once a heartbeat tells whether the replica is current.
-func followCurrent(t *testing.T, g *publishertest.Group, replica int, want bool) {
+// waitForHeartbeat follows a replica until a heartbeat reports that it is current, or that it is not.
+func waitForHeartbeat(t *testing.T, g *publishertest.Group, replica int, current bool) {
 	t.Helper()
 	f := follow(t, g, replica, hello(1))
-	eventually(t, "the heartbeats of the replica", func() bool { return f.heartbeat().Current == want })
+	eventually(t, "the heartbeats of the replica", func() bool { return f.heartbeat().Current == current })
 	f.conn.Close()
 }
 
-// The disk of a replica that doesn't lead is full: it misses what the others agree on, must not call itself current meanwhile, to
-// operators or to followers, and catches up by itself once there is room. A replica in contact with its leader once counted as
-// current, so a third of a fleet would have stayed behind with it.
+// A replica with a full disk misses commits, so it must not call itself current to operators or followers, although
+// it is in contact with the leader. It catches up by itself when the disk has free space.
 func TestReplicaWithFullDiskIsNotCurrent(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -34,25 +33,25 @@
 			eventually(t, "the replica to be current", func() bool { return g.Replicas[full].Status().Current })
 			g.SetDiskFault(full, errno)
 			last := publisher.Publication{}
-			for rate := range 12 { // beyond the log entries kept, so that a snapshot is wanted
+			for rate := range 12 { // more than the log entries kept, so that a snapshot is needed
 				last = g.SetRate(leader, "gold", 20+rate)
 			}
 			eventually(t, "the replica not to be current", func() bool { return !g.Replicas[full].Status().Current })
 			if s := g.Replicas[full].Status(); s.Version == last.Version {
-				t.Fatalf("it has version %d: its disk did not fail", s.Version)
+				t.Fatalf("version %d in spite of the disk", s.Version)
 			}
-			followCurrent(t, g, full, false)
+			waitForHeartbeat(t, g, full, false)
 			g.SetDiskFault(full, nil)
 			g.Agreed(last)
 			eventually(t, "the replica to be current again", func() bool { return g.Replicas[full].Status().Current })
-			followCurrent(t, g, full, true)
+			waitForHeartbeat(t, g, full, true)
 		})
 	}
 }
 
-// All disks are full while a leader is elected: the library would end each process over a term that can't be stored. The replicas
-// wait, close when they are told to, and elect a leader once there is room.
-func TestElectionWithFullDisks(t *testing.T) {
+// With all disks full, replicas retry the write of a new term, which would otherwise end the process. They can be
+// closed meanwhile, and elect a leader when the disks have free space.
+func TestElectionWaitsForFullDisks(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
 	first := g.Put()
 	g.Agreed(first)
@@ -65,7 +64,7 @@
 	for _, i := range others {
 		eventually(t, "the lost leader to be noticed", func() bool { return !g.Replicas[i].Status().Current })
 	}
-	g.Close(others[0]) // under a write that is tried again and again
+	g.Close(others[0]) // while a write is being retried
 	g.SetDiskFault(others[0], nil)
 	g.Open(others[0])
 	g.SetDiskFault(others[1], nil)
@@ -73,8 +72,9 @@
 	g.Agreed(g.SetRate(others[1], "gold", 7))
 }
 
-// A change that the disks of a quorum don't hold is not acknowledged, and a version that was is there after all of them restart.
-func TestAcknowledgedVersionIsOnDisks(t *testing.T) {
+// A change that a quorum can't store is not acknowledged, and an acknowledged version survives a restart of all
+// replicas.
+func TestAcknowledgedVersionSurvivesRestart(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
 	g.Agreed(g.Put())
 	last := g.SetRate(0, "gold", 11)
@@ -82,7 +82,8 @@
 		g.SetDiskFault(i, syscall.EIO)
 	}
 	for i := range g.Replicas {
-		status, answer := g.Request(i, "PATCH", "/v1/configuration", `{"set":{"plans/gold":{"name":"gold","rate":99,"burst":5}}}`, "")
+		body := `{"set":{"plans/gold":{"name":"gold","rate":99,"burst":5}}}`
+		status, answer := g.Request(i, "PATCH", "/v1/configuration", body, "")
 		if status != 503 && status != 0 {
 			t.Errorf("replica %d: %d %s", i, status, answer)
 		}
@@ -122,7 +123,8 @@
 	},
 }
 
-// A replica's folder of an earlier release is opened as it was left: the last version is there, and changes go on from it.
+// A replica's folder of an earlier release is opened as it was left: the last version is there, and changes go on
+// from it.
 func TestOpensFolderOfEarlierRelease(t *testing.T) {
 	for _, landed := range landedFolders {
 		t.Run(landed.commit, func(t *testing.T) {
@@ -144,9 +146,15 @@
 	}
 }
 
-// The system calls of all replicas fail by a seeded chance: they start, agree on each change, and serve followers and operators.
-func TestSystemCallFaults(t *testing.T) {
-	shortages := []socketstest.Fault{{Errno: syscall.EMFILE}, {Errno: syscall.ENFILE}, {Errno: syscall.ENOBUFS}, {Errno: syscall.ENOMEM}}
+// With system calls that fail by a seeded chance, replicas start, commit each change, and serve followers and
+// operators.
+func TestReplicasSurviveSystemCallFaults(t *testing.T) {
+	shortages := []socketstest.Fault{
+		{Errno: syscall.EMFILE},
+		{Errno: syscall.ENFILE},
+		{Errno: syscall.ENOBUFS},
+		{Errno: syscall.ENOMEM},
+	}
 	system := socketstest.New(5, map[socketstest.Call]socketstest.Rate{
 		socketstest.Listen: {Chance: 0.5, Faults: shortages},
 		socketstest.Accept: {Chance: 0.3, Faults: shortages},
@@ -164,6 +172,6 @@
 		}
 	}
 	if failed := system.Count(socketstest.Accept); failed == 0 {
-		t.Error("nothing was accepted through the double")
+		t.Error("no accept failed")
 	}
 }
--- a/internal/publisher/fleet.go
+++ b/internal/publisher/fleet.go
@@ -8,43 +8,43 @@
 	"maps"
 	"net/http"
 	"slices"
+	"sync"
 	"time"
 )
 
-// fleetTimeout is how long another replica is waited for.
+// fleetTimeout bounds the wait for the other replicas.
 const fleetTimeout = 2 * time.Second
 
-// Fleet is what all replicas know together.
+// Fleet is the status of all replicas and of their followers.
 type Fleet struct {
-	Replicas  []ReplicaStatus `json:"replicas"`
-	Followers []Follower      `json:"followers"` // by member index; each as the replica tells that it follows, or followed last
+	Replicas []ReplicaStatus `json:"replicas"`
+
+	// Followers are sorted by member index. Each is as its present replica reports it, or the latest one.
+	Followers []Follower `json:"followers"`
 }
 
-// ReplicaStatus is a replica's status without its followers, or why it could not be had.
+// ReplicaStatus is the status of a replica without its followers, or the error of the request for it.
 type ReplicaStatus struct {
 	*Status
 	Replica int    `json:"replica"`
 	Error   string `json:"error,omitempty"`
 }
 
-// Fleet asks the other replicas.
+// Fleet returns the status of all replicas. It requests those of the others and waits for them for a short time.
 func (p *Publisher) Fleet(ctx context.Context) *Fleet {
 	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 	defer cancel()
-	answers := make([]chan ReplicaStatus, len(p.cfg.Admin))
-	for i := range answers {
-		answers[i] = make(chan ReplicaStatus, 1)
-		go func() { answers[i] <- p.statusAt(ctx, i) }()
-	}
-	fleet := &Fleet{}
-	for i := range answers {
-		fleet.Replicas = append(fleet.Replicas, <-answers[i])
+	fleet := &Fleet{Replicas: make([]ReplicaStatus, len(p.cfg.Admin))}
+	var requests sync.WaitGroup
+	for i := range fleet.Replicas {
+		requests.Go(func() { fleet.Replicas[i] = p.statusAt(ctx, i) })
 	}
+	requests.Wait()
 	fleet.Followers = mergeFollowers(fleet.Replicas)
 	return fleet
 }
 
-// statusAt gives the status of a replica.
+// statusAt returns the status of a replica, which it requests unless the replica is this one.
 func (p *Publisher) statusAt(ctx context.Context, replica int) ReplicaStatus {
 	if replica == p.cfg.Index {
 		return ReplicaStatus{Status: p.Status(), Replica: replica}
@@ -73,8 +73,8 @@
 	return status, json.NewDecoder(response.Body).Decode(status)
 }
 
-// mergeFollowers takes the followers out of the replicas' statuses, each gateway once: as the replica tells that is connected
-// to it, or else that heard of it last.
+// mergeFollowers moves the followers out of the statuses of the replicas, each gateway once: as reported by the
+// replica that it is connected to, or otherwise by the one with its latest message.
 func mergeFollowers(replicas []ReplicaStatus) []Follower {
 	latest := map[int]Follower{}
 	for _, replica := range replicas {
--- a/internal/publisher/machine.go
+++ b/internal/publisher/machine.go
@@ -10,17 +10,17 @@
 	"ravensill/internal/consensus"
 )
 
-// machine is the state machine that the replicas agree on. Its methods are called by the library, one at a time.
-type machine struct{ publisher *Publisher }
+// stateMachine is the replicated state machine. The raft library calls its methods one at a time.
+type stateMachine struct{ publisher *Publisher }
 
-// outcome is what an entry of the log led to.
+// outcome is the result of an entry of the replicated log.
 type outcome struct {
 	delta *configsync.Delta // nil: no new version
 	err   error
 }
 
-// Apply carries out an entry that was agreed on, and wakes the followers' connections where it made a new version.
-func (m *machine) Apply(entry *raft.Log) any {
+// Apply applies a committed entry, and wakes the connections of followers if the entry led to a new version.
+func (m *stateMachine) Apply(entry *raft.Log) any {
 	p := m.publisher
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -31,8 +31,8 @@
 	return outcome{delta, err}
 }
 
-// Snapshot gives the whole state.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+// Snapshot returns a snapshot of the complete state.
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	p := m.publisher
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,8 +44,8 @@
 	return consensus.SnapshotWriter(write), nil
 }
 
-// Restore replaces the state by a snapshot of the leader's, or of this replica's disk at the start.
-func (m *machine) Restore(r io.ReadCloser) error {
+// Restore replaces the state by a snapshot of the leader, or at the start by that on this replica's disk.
+func (m *stateMachine) Restore(r io.ReadCloser) error {
 	text, err := io.ReadAll(r)
 	err = errors.Join(err, r.Close())
 	if err != nil {
--- a/internal/publisher/mirror.go
+++ b/internal/publisher/mirror.go
@@ -7,59 +7,59 @@
 	"ravensill/internal/config"
 )
 
-// mirror keeps the decoded configuration at the current version, by the gateways' own code, so that a change is checked at
-// the cost of what it touches.
+// mirror has the current version decoded by the code of the gateways, so that the cost of checking a change is
+// proportional to the change.
 type mirror struct {
-	live    *config.Live // nil: made anew at the next use
+	live    *config.Live // nil: decoded anew at the next use
 	version configsync.Version
 	digest  configsync.Digest
 }
 
-// catchUp is what leads a mirror on to the current version.
-type catchUp struct {
-	changes []configsync.Change
-	whole   bool
-	version configsync.Version
-	digest  configsync.Digest
+// mirrorUpdate leads a mirror to the current version.
+type mirrorUpdate struct {
+	changes  []configsync.Change
+	complete bool // the changes are the complete content
+	version  configsync.Version
+	digest   configsync.Digest
 }
 
-// behind tells what the mirror lacks of a state. The state must not change meanwhile; the values that the result holds
-// never do.
-func (m *mirror) behind(state *configsync.State) catchUp {
+// updateTo returns the update that leads the mirror to a state. The state must not change during the call. The result
+// stays valid after it, since values are never changed in place.
+func (m *mirror) updateTo(state *configsync.State) mirrorUpdate {
 	document := state.Document()
-	next := catchUp{version: document.Version(), digest: document.Digest()}
+	update := mirrorUpdate{version: document.Version(), digest: document.Digest()}
 	digest, known := state.History().DigestAt(m.version)
 	delta, ok := state.History().Since(m.version)
 	if m.live != nil && known && ok && digest == m.digest {
-		next.changes = delta.Changes
-		return next
+		update.changes = delta.Changes
+		return update
 	}
-	next.changes = document.Changes()
-	next.whole = true
-	return next
+	update.changes = document.Changes()
+	update.complete = true
+	return update
 }
 
-// follow leads the mirror on. Where it can't take what is published already, as by an earlier program, the mirror
-// is given up, and the error tells why.
-func (m *mirror) follow(next catchUp) error {
-	if next.whole {
+// apply applies an update. On an error the mirror is dropped: the published version is not valid for this program, as
+// after an upgrade with stricter rules.
+func (m *mirror) apply(update mirrorUpdate) error {
+	if update.complete {
 		m.live = config.NewLiveChecker()
 	}
-	m.version = next.version
-	m.digest = next.digest
-	if len(next.changes) == 0 {
+	m.version = update.version
+	m.digest = update.digest
+	if len(update.changes) == 0 {
 		return nil
 	}
-	_, err := m.live.Apply(next.changes, next.whole)
+	_, err := m.live.Apply(update.changes, update.complete)
 	if err != nil {
 		m.live = nil
-		return fmt.Errorf("version %d: %w", next.version, err)
+		return fmt.Errorf("version %d: %w", update.version, err)
 	}
 	return nil
 }
 
-// check tells why a gateway that holds the current version could not take changes, or nil. Where there is no mirror, it is
-// the whole content after the changes that is checked.
+// check returns the error of a gateway of the current version that applies changes. If the mirror was dropped, it
+// checks the complete content after the changes.
 func (m *mirror) check(changes []configsync.Change, contentAfter func() []configsync.Change) error {
 	if m.live != nil {
 		return m.live.Check(changes, false)
--- a/internal/publisher/publish.go
+++ b/internal/publisher/publish.go
@@ -13,12 +13,14 @@
 
 const (
 	proposeTimeout = 5 * time.Second // for a place in the leader's queue
-	logIDBytes     = 16              // of chance
-	draftAttempts  = 5               // where another leader's version came between
+	logIDBytes     = 16              // random bytes of a LogID
+	draftAttempts  = 5               // attempts when another leader publishes a version in between
 )
 
-// NotLeaderError tells that this replica does not lead.
-type NotLeaderError struct{ Leader int } // index of the leading replica; -1: not known
+// NotLeaderError reports that this replica does not lead.
+type NotLeaderError struct {
+	Leader int // index of the leading replica; -1: not known
+}
 
 func (e *NotLeaderError) Error() string {
 	if e.Leader < 0 {
@@ -27,10 +29,10 @@
 	return fmt.Sprintf("replica %d leads", e.Leader)
 }
 
-// HistoryError tells that a version can't be gone back to.
+// HistoryError reports that a rollback to a version is not possible, since the history doesn't reach it.
 type HistoryError struct {
 	Version configsync.Version
-	Oldest  configsync.Version // the earliest that can be gone back to
+	Oldest  configsync.Version // the earliest possible one
 	Latest  configsync.Version
 }
 
@@ -38,30 +40,30 @@
 	return fmt.Sprintf("to: version %d is not in the history, which holds %d to %d", e.Version, e.Oldest, e.Latest)
 }
 
-// Publication is the outcome of a change.
+// Publication is the result of a change.
 type Publication struct {
 	Log     configsync.LogID   `json:"log"`
 	Version configsync.Version `json:"version"`
 	Digest  string             `json:"digest"`
-	Changes int                `json:"changes"` // resources set or removed; 0: nothing to change, the version is the one before
+	Changes int                `json:"changes"` // resources set or removed; 0: there is no new version
 }
 
-// draft gives the changes for the current state. It is called again where another version came first.
+// draft returns the changes to publish for the current state. It is called again if another version is published first.
 type draft func(state *configsync.State) ([]configsync.Change, error)
 
-// putDraft makes the content whole.
+// putDraft returns a draft that replaces the complete content.
 func putDraft(wanted map[configsync.Resource][]byte) draft {
 	return func(state *configsync.State) ([]configsync.Change, error) {
 		return state.Document().Diff(wanted), nil
 	}
 }
 
-// patchDraft sets and removes resources.
+// patchDraft returns a draft with the given changes.
 func patchDraft(changes []configsync.Change) draft {
 	return func(*configsync.State) ([]configsync.Change, error) { return changes, nil }
 }
 
-// rollbackDraft goes back to the content of a version.
+// rollbackDraft returns a draft that restores the content of a version.
 func rollbackDraft(to configsync.Version) draft {
 	return func(state *configsync.State) ([]configsync.Change, error) {
 		changes, ok := state.History().ContentAt(to)
@@ -72,8 +74,9 @@
 	}
 }
 
-// publish checks changes and has them agreed on as a new version. Where base is not nil, it has to be the current version.
-// The error is a *NotLeaderError, a *HistoryError, one of consensus, of configsync.State.Check, or a *config.ResourceError.
+// publish checks changes and proposes them as a new version, which is in force once it returns. If base is not nil,
+// it has to be the current version. The error is a *NotLeaderError, a *HistoryError, one of consensus, of
+// configsync.State.Check, or a *config.ResourceError.
 func (p *Publisher) publish(changesFor draft, base *configsync.Version) (Publication, error) {
 	p.publishing.Lock()
 	defer p.publishing.Unlock()
@@ -131,7 +134,7 @@
 	}
 }
 
-// current gives the current version as the outcome of a change that changes nothing.
+// current returns the current version, as the result of a change that changes nothing.
 func (p *Publisher) current() Publication {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +143,7 @@
 	return Publication{Log: document.Log(), Version: document.Version(), Digest: hex.EncodeToString(digest[:])}
 }
 
-// createLog makes the log of versions where there is none.
+// createLog creates the log of versions if there is none.
 func (p *Publisher) createLog() error {
 	p.mu.Lock()
 	created := p.state.Document().Log() != ""
@@ -158,44 +161,48 @@
 	return err
 }
 
-// prepare gives the command for changes that the state and the gateways' decoder would take.
+// prepare returns the command for changes, after checking them by the rules of the state and of the gateways.
 func (p *Publisher) prepare(changesFor draft, base *configsync.Version) (*configsync.Command, error) {
-	command, next, err := p.draftCommand(changesFor, base)
+	command, update, err := p.draftCommand(changesFor, base)
 	if err != nil {
 		return nil, err
 	}
-	err = p.mirror.follow(next)
+	err = p.mirror.apply(update)
 	if err != nil {
 		slog.Error("published_version_refused", "error", err)
 	}
-	err = p.mirror.check(command.Changes, func() []configsync.Change { return p.contentAfter(command.Changes) })
+	contentAfter := func() []configsync.Change { return p.contentAfter(command.Changes) }
+	err = p.mirror.check(command.Changes, contentAfter)
 	if err != nil {
 		return nil, err
 	}
 	return command, nil
 }
 
-// draftCommand makes a command for the state at hand, and gives what the mirror lacks of that state.
-func (p *Publisher) draftCommand(changesFor draft, base *configsync.Version) (*configsync.Command, catchUp, error) {
+// draftCommand returns a command for the current state, and the update that leads the mirror to that state.
+func (p *Publisher) draftCommand(
+	changesFor draft,
+	base *configsync.Version,
+) (*configsync.Command, mirrorUpdate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	document := p.state.Document()
 	if base != nil && *base != document.Version() {
-		return nil, catchUp{}, &configsync.ConflictError{Base: *base, Current: document.Version()}
+		return nil, mirrorUpdate{}, &configsync.ConflictError{Base: *base, Current: document.Version()}
 	}
 	changes, err := changesFor(p.state)
 	if err != nil {
-		return nil, catchUp{}, err
+		return nil, mirrorUpdate{}, err
 	}
 	command := configsync.NewCommand(document.Log(), document.Version(), changes)
 	err = p.state.Check(command)
 	if err != nil {
-		return nil, catchUp{}, err
+		return nil, mirrorUpdate{}, err
 	}
-	return command, p.mirror.behind(p.state), nil
+	return command, p.mirror.updateTo(p.state), nil
 }
 
-// contentAfter gives the whole content as changes would leave it.
+// contentAfter returns the complete content after changes.
 func (p *Publisher) contentAfter(changes []configsync.Change) []configsync.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,7 +222,7 @@
 	return content
 }
 
-// propose has a command agreed on and applied here.
+// propose proposes a command to the group and waits until it is committed and applied here.
 func (p *Publisher) propose(command *configsync.Command) (*configsync.Delta, error) {
 	text, err := configsync.EncodeCommand(command)
 	if err != nil {
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -1,6 +1,6 @@
-// Package publisher is one of the replicas that hold the log of versions of the configuration: it agrees with the others
-// by package consensus, takes changes over HTTP where it leads, and serves followers over TCP whether it leads or not. The
-// rules are package configsync's.
+// Package publisher runs one of the replicas of the log of configuration versions. It replicates the log by package
+// consensus, accepts changes over HTTP while it leads, and serves followers over TCP whether it leads or not. Package
+// configsync has the rules.
 package publisher
 
 import (
@@ -20,10 +20,10 @@
 )
 
 const (
-	contactInterval = 200 * time.Millisecond // between looks whether the replica is in contact with a quorum
-	replayInterval  = 20 * time.Millisecond  // the same, as long as the replica replays its log
+	contactInterval = 200 * time.Millisecond // between checks of the contact with a quorum
+	replayInterval  = 20 * time.Millisecond  // the same, while the replica replays its log
 	lineInterval    = 10 * time.Second       // between log lines on the replica's state
-	shutdownTimeout = 2 * time.Second        // for HTTP requests under way
+	shutdownTimeout = 2 * time.Second        // for HTTP requests in flight
 )
 
 // Publisher is one replica. Its methods may be called from any goroutine.
@@ -38,14 +38,14 @@
 	mu          sync.Mutex // guards the fields below
 	state       *configsync.State
 	sender      *configsync.Sender
-	holding     bool // the sender holds versions back, as the log is being replayed
+	replaying   bool // the log is being replayed, so the sender is paused
 	connections map[configsync.FollowerID]*connection
 	lastID      configsync.FollowerID
-	woken       time.Time // when all writers were woken last
-	waking      bool      // they will be again, once the least time between versions is over
+	lastWake    time.Time // when all writers were last woken
+	waking      bool      // they will be woken again after the version interval
 
-	publishing sync.Mutex // held during one publication; guards mirror
-	mirror     *mirror    // of the state that the last publication found
+	publishing sync.Mutex // locked during a publication; guards mirror
+	mirror     *mirror    // of the state at the latest publication
 
 	counters counters
 	done     chan struct{}
@@ -54,8 +54,8 @@
 
 // counters count since the start.
 type counters struct {
-	connected           atomic.Int64 // followers' connections taken in
-	rejectedConnections atomic.Int64 // connections beyond the most allowed
+	connected           atomic.Int64 // followers' connections accepted
+	rejectedConnections atomic.Int64 // connections beyond max_followers
 	malformed           atomic.Int64 // messages that broke the protocol; each ended its connection
 	bytesIn             atomic.Int64 // from followers
 	bytesOut            atomic.Int64 // to followers
@@ -63,7 +63,7 @@
 	rejected            atomic.Int64 // requests for a publication that were answered by an error
 }
 
-// Options are what tests change of a replica.
+// Options are settings of a replica for tests.
 type Options struct {
 	Sockets   sockets.System // nil: sockets.Kernel
 	DiskFault func() error   // see consensus.Config
@@ -82,7 +82,7 @@
 		system:      options.Sockets,
 		state:       configsync.NewState(cfg.History),
 		connections: map[configsync.FollowerID]*connection{},
-		holding:     true,
+		replaying:   true,
 		mirror:      &mirror{},
 		done:        make(chan struct{}),
 	}
@@ -104,7 +104,7 @@
 		TrailingEntries:   cfg.TrailingEntries,
 		Sockets:           options.Sockets,
 		DiskFault:         options.DiskFault,
-	}, &machine{p})
+	}, &stateMachine{p})
 	if err != nil {
 		p.listener.Close()
 		admin.Close()
@@ -116,8 +116,8 @@
 	return p, nil
 }
 
-// Close ends the replica: its listeners, its followers' connections and its part in the group, whose lead it hands on. It
-// waits for requests under way for a short time.
+// Close closes the listeners and the connections, transfers the lead to another replica if this one leads, and closes
+// the replica. It waits for HTTP requests in flight for a short time.
 func (p *Publisher) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -135,13 +135,13 @@
 	p.replica.Close()
 }
 
-// Addr is the address at which followers are served.
+// Addr returns the address at which followers are served.
 func (p *Publisher) Addr() net.Addr { return p.listener.Addr() }
 
-// AdminAddr is the address of the HTTP interface.
+// AdminAddr returns the address of the HTTP interface.
 func (p *Publisher) AdminAddr() net.Addr { return p.adminAddr }
 
-// run keeps an eye on the quorum and tells the log how the replica stands.
+// run watches the contact with the quorum, and logs changes of leadership and the status, until Close.
 func (p *Publisher) run() {
 	contact := time.NewTicker(replayInterval)
 	defer contact.Stop()
@@ -152,8 +152,8 @@
 		case leads := <-p.replica.Leadership():
 			slog.Info("publisher_leads", "yes", leads)
 		case <-contact.C:
-			released := p.observe()
-			if released {
+			replayed := p.updateSender()
+			if replayed {
 				contact.Reset(contactInterval)
 			}
 		case <-line.C:
@@ -164,17 +164,17 @@
 	}
 }
 
-// observe tells the sender how the replica stands. released is true once, when the log has been replayed.
-func (p *Publisher) observe() (released bool) {
-	replayed := p.replica.CaughtUp()
+// updateSender passes the state of the replica to the sender. It returns true once, when the log has been replayed.
+func (p *Publisher) updateSender() (replayed bool) {
+	caughtUp := p.replica.CaughtUp()
 	current := p.replica.Current()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sender.SetCurrent(current)
-	if !replayed || !p.holding {
+	if !caughtUp || !p.replaying {
 		return false
 	}
-	p.holding = false
+	p.replaying = false
 	p.sender.SetPaused(false)
 	p.wakeAll()
 	return true
--- a/internal/publisher/serve.go
+++ b/internal/publisher/serve.go
@@ -5,6 +5,7 @@
 	"io"
 	"log/slog"
 	"net"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -17,35 +18,36 @@
 const (
 	helloTimeout     = 5 * time.Second  // for a follower's first message
 	writeTimeout     = 15 * time.Second // of one frame, a delta or a part of a snapshot
-	farewellTimeout  = time.Second      // for a follower to close after the last frame
-	unansweredLimit  = 20 * time.Second // of bytes on the way that the other side's kernel does not confirm
-	sendBuffer       = 256 << 10        // bytes that the kernel holds for a follower that reads slowly
+	closeTimeout     = time.Second      // for a follower to close after the final frame
+	unansweredLimit  = 20 * time.Second // of sent bytes without a TCP acknowledgement
+	sendBuffer       = 256 << 10        // bytes that the kernel buffers for a slow follower
 	maxFollowerFrame = 4 << 10          // bytes; the longest message of a follower is a refusal with its reason
 )
 
-// connection is one follower's connection. Two goroutines serve it: one reads, one writes, so that a follower that reads
-// slowly holds up its own writer alone.
+// connection is the connection of one follower. One goroutine reads from it and one writes to it, so that a slow
+// follower blocks only its own writer.
 type connection struct {
 	publisher *Publisher
 	conn      *net.TCPConn
 	id        configsync.FollowerID
-	wake      chan struct{} // holds one: there may be something to send
+	wake      chan struct{} // of capacity 1: there may be something to send
 	ended     chan struct{} // closed by the reader
 }
 
-// counted counts the bytes read from a connection.
-type counted struct {
+// countingReader counts the bytes read from a connection.
+type countingReader struct {
 	source io.Reader
 	bytes  *atomic.Int64
 }
 
-func (c counted) Read(buffer []byte) (int, error) {
+// Read implements io.Reader.
+func (c countingReader) Read(buffer []byte) (int, error) {
 	n, err := c.source.Read(buffer)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// accept takes followers in.
+// accept accepts followers' connections until the listener is closed.
 func (p *Publisher) accept() {
 	for {
 		conn, err := p.listener.Accept()
@@ -61,7 +63,7 @@
 	}
 }
 
-// admit gives a connection its place, nil where there is none.
+// admit registers a connection. It returns nil beyond the limit of followers and after Close.
 func (p *Publisher) admit(conn *net.TCPConn) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +89,7 @@
 	return c
 }
 
-// closeConnections ends all connections; no further one is admitted once done is closed.
+// closeConnections closes all connections. None is admitted after done is closed.
 func (p *Publisher) closeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,14 +98,14 @@
 	}
 }
 
-// announce has every writer look what its follower needs: at once, or, where that was a moment ago, once for all versions of
-// the moment. Thousands of writers that look at each change of a burst would hold up the next one. The lock is held by the
-// caller.
+// announce wakes all writers for a new version: at once, or, within the version interval after the wake before, once
+// for all versions of the interval. Waking thousands of writers for each change of a burst would delay the next
+// change. The caller holds the lock.
 func (p *Publisher) announce() {
 	if p.waking {
 		return
 	}
-	wait := p.cfg.Sending.VersionInterval - time.Since(p.woken)
+	wait := p.cfg.Sending.VersionInterval - time.Since(p.lastWake)
 	if wait <= 0 {
 		p.wakeAll()
 		return
@@ -112,7 +114,7 @@
 	time.AfterFunc(wait, p.announceLate)
 }
 
-// announceLate wakes the writers for the versions that came since they were woken last.
+// announceLate wakes all writers for the versions published since the wake before.
 func (p *Publisher) announceLate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,9 +122,9 @@
 	p.wakeAll()
 }
 
-// wakeAll has every writer look what its follower needs. The lock is held by the caller.
+// wakeAll wakes all writers. The caller holds the lock.
 func (p *Publisher) wakeAll() {
-	p.woken = time.Now()
+	p.lastWake = time.Now()
 	for _, c := range p.connections {
 		c.signal()
 	}
@@ -137,27 +139,24 @@
 
 // serve reads a follower's messages until its connection ends.
 func (c *connection) serve() {
-	defer c.forget()
+	defer c.remove()
 	c.conn.SetWriteBuffer(sendBuffer)
 	setUnansweredLimit(c.conn)
-	reader := frames.NewReader(counted{c.conn, &c.publisher.counters.bytesIn}, maxFollowerFrame)
-	err := c.greet(reader)
+	reader := frames.NewReader(countingReader{c.conn, &c.publisher.counters.bytesIn}, maxFollowerFrame)
+	err := c.readHello(reader)
 	if err != nil {
-		c.note(err)
+		c.countMalformed(err)
 		return
 	}
-	writing := make(chan struct{})
-	go func() {
-		defer close(writing)
-		c.write()
-	}()
-	c.note(c.read(reader))
+	var writer sync.WaitGroup
+	writer.Go(c.write)
+	c.countMalformed(c.read(reader))
 	close(c.ended)
-	c.conn.Close() // ends a write under way
-	<-writing
+	c.conn.Close() // ends a write in progress
+	writer.Wait()
 }
 
-// setUnansweredLimit ends connections whose other side is gone, as behind a link that was cut.
+// setUnansweredLimit has the kernel end a connection whose other side is gone, as after a network failure.
 func setUnansweredLimit(conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -169,8 +168,8 @@
 	})
 }
 
-// greet reads the first message and takes the follower in.
-func (c *connection) greet(reader *frames.Reader) error {
+// readHello reads the first message and adds the follower to the sender.
+func (c *connection) readHello(reader *frames.Reader) error {
 	c.conn.SetReadDeadline(time.Now().Add(helloTimeout))
 	message, err := reader.Next()
 	if err != nil {
@@ -185,13 +184,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	replaced, err := p.sender.Connect(time.Now(), c.id, hello)
-	if former := p.connections[replaced]; former != nil {
-		former.conn.Close()
+	if previous := p.connections[replaced]; previous != nil {
+		previous.conn.Close()
 	}
 	return err
 }
 
-// read hands the follower's messages to the sender.
+// read passes the messages of the follower to the sender until the connection ends.
 func (c *connection) read(reader *frames.Reader) error {
 	for {
 		message, err := reader.Next()
@@ -221,8 +220,8 @@
 	return p.sender.Receive(time.Now(), c.id, message)
 }
 
-// write sends what the sender decides, one frame at a time. What changes while a frame is being written is looked at after
-// it, so a follower has one frame pending, however slowly it reads.
+// write executes the actions of the sender, one frame at a time. A version published while a frame is being written is
+// considered after it, so a slow follower has at most one frame pending.
 func (c *connection) write() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -233,7 +232,7 @@
 			return
 		}
 		if action.Close {
-			c.farewell()
+			c.closeWrite()
 			return
 		}
 		if action.Frame != nil {
@@ -266,14 +265,15 @@
 	return err == nil
 }
 
-// farewell ends the connection after its last frame. The follower closes first, so that no reset overtakes the frame.
-func (c *connection) farewell() {
+// closeWrite ends the connection after its final frame. The follower closes first, so that no reset overtakes the
+// frame.
+func (c *connection) closeWrite() {
 	c.conn.CloseWrite()
-	c.conn.SetReadDeadline(time.Now().Add(farewellTimeout))
+	c.conn.SetReadDeadline(time.Now().Add(closeTimeout))
 }
 
-// note counts what ended a connection where it broke the protocol.
-func (c *connection) note(err error) {
+// countMalformed counts and logs an error that ended a connection, if it was a breach of the protocol.
+func (c *connection) countMalformed(err error) {
 	var malformed *frames.MalformedError
 	var protocol *configsync.ProtocolError
 	if errors.As(err, &malformed) || errors.As(err, &protocol) {
@@ -282,8 +282,8 @@
 	}
 }
 
-// forget gives the connection's place away and ends it.
-func (c *connection) forget() {
+// remove unregisters the connection and closes it.
+func (c *connection) remove() {
 	defer c.conn.Close()
 	p := c.publisher
 	p.mu.Lock()
--- a/internal/publisher/serve_test.go
+++ b/internal/publisher/serve_test.go
@@ -8,8 +8,8 @@
 	"ravensill/internal/config"
 )
 
-// The first version of a burst wakes the writers at once, the others once together.
-func TestAnnounce(t *testing.T) {
+// The first version of a burst wakes the writers at once, and the others wake them once after the interval.
+func TestAnnounceWakesWritersOncePerInterval(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	c := &connection{wake: make(chan struct{}, 1)}
 	p := &Publisher{
@@ -25,17 +25,17 @@
 	select {
 	case <-c.wake:
 	default:
-		t.Fatal("the first version wakes nobody")
+		t.Fatal("the first version wakes no writer")
 	}
 	p.mu.Lock()
-	first := p.woken
+	first := p.lastWake
 	p.mu.Unlock()
 	announce()
 	announce()
 	<-c.wake
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if late := p.woken.Sub(first); late < interval {
+	if late := p.lastWake.Sub(first); late < interval {
 		t.Errorf("woken again after %v", late)
 	}
 }
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -10,16 +10,16 @@
 
 const loggedDigestDigits = 16 // of the digest, in a log line
 
-// Status is what a replica knows: of the log, of itself, and of the gateways that follow or followed it.
+// Status is the status of a replica, and of the gateways that are or were connected to it.
 type Status struct {
 	Replica   int                `json:"replica"`
 	Leader    int                `json:"leader"` // -1: not known
 	Leads     bool               `json:"leads"`
-	Current   bool               `json:"current"` // in contact with a quorum, and has carried out what that agreed on
+	Current   bool               `json:"current"` // in contact with a quorum, and all that is committed is applied
 	Log       configsync.LogID   `json:"log"`
 	Version   configsync.Version `json:"version"`
 	Digest    string             `json:"digest"`
-	Oldest    configsync.Version `json:"oldest"` // the earliest that deltas lead on from, and that a rollback reaches
+	Oldest    configsync.Version `json:"oldest"` // the earliest version of the history, for deltas and rollbacks
 	Connected int                `json:"connected"`
 	Counters  Counters           `json:"counters"`
 	Followers []Follower         `json:"followers,omitempty"`
@@ -36,19 +36,19 @@
 	Rejected            int64 `json:"rejected"` // requests answered by an error
 }
 
-// Follower is what a replica knows of one gateway.
+// Follower is the status of one gateway at a replica.
 type Follower struct {
 	Member         int                 `json:"member"`
 	Name           string              `json:"name"`
 	Connected      bool                `json:"connected"`
 	InForce        configsync.Version  `json:"in_force"`
-	Refused        configsync.Version  `json:"refused,omitempty"` // a later version that it could not take
+	Refused        configsync.Version  `json:"refused,omitempty"` // a later version that it could not apply
 	Resource       configsync.Resource `json:"resource,omitempty"`
 	Reason         string              `json:"reason,omitempty"`
-	SinceMessageMS int64               `json:"heard_ms"` // milliseconds since its last message
+	SinceMessageMS int64               `json:"heard_ms"` // milliseconds since its latest message
 }
 
-// Status gives the replica's own view; each gateway follows one replica at a time.
+// Status returns the status of this replica. Each gateway is connected to one replica at a time.
 func (p *Publisher) Status() *Status {
 	status := &Status{
 		Replica:   p.cfg.Index,
