--- a/internal/subscriber/clock_test.go
+++ b/internal/subscriber/clock_test.go
@@ -14,7 +14,7 @@
 
 var wallSteps = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}
 
-// A step of the wall clock does not change for how long a publisher has been silent.
+// A step of the wall clock does not change how long a publisher counts as silent.
 func TestLastReadIgnoresWallClockSteps(t *testing.T) {
 	const silence = 700 * time.Millisecond
 	for _, step := range wallSteps {
@@ -39,29 +39,29 @@
 	}
 }
 
-// Each start has a higher number than the one before, whichever way the wall clock was set between them.
+// Each start has a higher incarnation than the one before, whichever way the wall clock was set between them.
 func TestNextIncarnationGrows(t *testing.T) {
 	for _, step := range wallSteps {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			fake := clock.NewFake(time.Now())
 			dir := filepath.Join(t.TempDir(), "configuration")
-			last := uint64(0)
+			previous := uint64(0)
 			for start := range 4 {
 				number, err := NextIncarnation(dir, fake)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if number <= last {
-					t.Errorf("start %d has the number %d after %d", start, number, last)
+				if number <= previous {
+					t.Errorf("start %d has the incarnation %d after %d", start, number, previous)
 				}
-				last = number
+				previous = number
 				fake.StepWall(step)
 			}
 		})
 	}
 }
 
-// A number that can't be read or stored keeps no gateway from starting: the wall clock numbers the start.
+// A gateway starts with the wall clock as its incarnation if the stored one can't be read or a new one can't be stored.
 func TestNextIncarnationWithoutStoredNumber(t *testing.T) {
 	fake := clock.NewFake(time.Now())
 	dir := t.TempDir()
@@ -78,7 +78,7 @@
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	number, err := NextIncarnation(file, fake) // no folder
+	number, err := NextIncarnation(file, fake) // not a directory
 	if err == nil || number != uint64(fake.Wall().UnixNano()) {
 		t.Errorf("%d, %v", number, err)
 	}
--- a/internal/subscriber/incarnation.go
+++ b/internal/subscriber/incarnation.go
@@ -12,13 +12,15 @@
 	"ravensill/internal/clock"
 )
 
-// incarnationFile is the file of the number of the last start in the subscriber's folder: decimal digits and a line feed.
+// incarnationFile is the file with the number of the latest start in the subscriber's directory: decimal digits and a
+// line feed.
 const incarnationFile = "incarnation"
 
-// NextIncarnation numbers this start of the gateway: above the number of every earlier start that the folder knows of, and
-// otherwise by the wall clock, in nanoseconds since 1970. The wall clock alone would give a gateway that restarts after its clock
-// was set back a lower number than before, and a publisher that still holds its former connection would turn it away. The number
-// holds also if it could not be stored; the error then tells why. A nil clock is clock.System.
+// NextIncarnation returns the incarnation of this start of the gateway: the wall clock in nanoseconds since 1970, or
+// one above the incarnation stored in the directory if that is later. By the wall clock alone, a gateway that
+// restarts after its clock was set back would have a lower incarnation than before, and a publisher that still has
+// its previous connection would reject it. An error reports that the incarnation could not be read or stored; the one
+// returned is usable nevertheless. A nil clock is clock.System.
 func NextIncarnation(dir string, source clock.Clock) (uint64, error) {
 	if source == nil {
 		source = clock.System{}
@@ -37,7 +39,7 @@
 	return number, replaceFile(diskFiles{}, path, []byte(strconv.FormatUint(number, 10)+"\n"))
 }
 
-// readIncarnation reads the number of the last start, 0 where there is none. One that can't be made out counts as none.
+// readIncarnation returns the incarnation of the latest start, or 0 if there is none or the file is damaged.
 func readIncarnation(path string) (uint64, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/subscriber/link.go
+++ b/internal/subscriber/link.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"net"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -11,26 +12,31 @@
 	"ravensill/internal/frames"
 )
 
-// receivedRoom is how many messages are read ahead while the gateway puts a version in force: heartbeats of so many seconds.
-const receivedRoom = 16
+// receivedCapacity is the number of messages that are read ahead while the gateway applies a version. They are
+// heartbeats, one a second.
+const receivedCapacity = 16
 
-// link is a connection to a publisher with a goroutine that reads it.
+// link is a connection to a publisher, with a goroutine that reads from it until close.
 type link struct {
 	conn     net.Conn
 	in       *atomic.Int64 // bytes
 	out      *atomic.Int64 // bytes
 	received chan received
 	closed   chan struct{}
-	ended    chan struct{} // the goroutine has ended
+	reader   sync.WaitGroup
 	clock    clock.Clock
-	readAt   atomic.Int64 // monotonic time of the last bytes, in nanoseconds; 0: none came
-	taken    int64        // readAt as of the last call of readSince
+
+	// readAt is the monotonic time of the latest bytes as a time.Duration; 0: none yet.
+	readAt atomic.Int64
+
+	// seenReadAt is readAt as of the latest call of readSince.
+	seenReadAt time.Duration
 }
 
-// received is a message, or why there are no more.
+// received is a message, or the error that ended the connection.
 type received struct {
 	message   configsync.Message
-	malformed bool  // err tells how the other side broke the protocol
+	malformed bool  // err reports a breach of the protocol
 	err       error // nil: message is set
 }
 
@@ -39,23 +45,22 @@
 		conn:     conn,
 		in:       in,
 		out:      out,
-		received: make(chan received, receivedRoom),
+		received: make(chan received, receivedCapacity),
 		closed:   make(chan struct{}),
-		ended:    make(chan struct{}),
 		clock:    clock,
 	}
-	go l.read()
+	l.reader.Go(l.read)
 	return l
 }
 
-// close ends the connection and its goroutine.
+// close closes the connection and waits for its goroutine.
 func (l *link) close() {
 	close(l.closed)
 	l.conn.Close()
-	<-l.ended
+	l.reader.Wait()
 }
 
-// Read counts what comes in.
+// Read implements io.Reader. It notes the count and the time of the bytes.
 func (l *link) Read(buffer []byte) (int, error) {
 	n, err := l.conn.Read(buffer)
 	l.in.Add(int64(n))
@@ -65,9 +70,8 @@
 	return n, err
 }
 
-// read reads messages up to the end of the connection.
+// read reads messages until the connection ends.
 func (l *link) read() {
-	defer close(l.ended)
 	reader := frames.NewReader(l, configsync.MaxFrameBytes)
 	for {
 		message, err := reader.Next()
@@ -84,7 +88,7 @@
 	}
 }
 
-// send writes a message. An error needs no answer: the reader notices the end of the connection.
+// send writes a message. After an error it closes the connection, which the reader notices.
 func (l *link) send(message configsync.Message) {
 	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	n, err := l.conn.Write(configsync.Encode(message))
@@ -94,16 +98,16 @@
 	}
 }
 
-// readSince tells whether bytes came since the last call, of whole messages or not.
+// readSince reports whether bytes were received since the call before, of complete messages or not.
 func (l *link) readSince() bool {
-	at := l.readAt.Load()
-	since := at != l.taken
-	l.taken = at
+	readAt := time.Duration(l.readAt.Load())
+	since := readAt != l.seenReadAt
+	l.seenReadAt = readAt
 	return since
 }
 
-// lastRead returns the time of the last bytes, given the time now. It goes by monotonic time: by the wall clock, a step forward
-// would make a live publisher silent, and a step back would hide one that is.
+// lastRead returns the time of the latest bytes seen by readSince, given the time now. It uses monotonic time: with
+// the wall clock, a step forward would make a live publisher seem silent, and a step back would hide a silent one.
 func (l *link) lastRead(now time.Time) time.Time {
-	return now.Add(time.Duration(l.taken) - l.clock.Monotonic())
+	return now.Add(l.seenReadAt - l.clock.Monotonic())
 }
--- a/internal/subscriber/status.go
+++ b/internal/subscriber/status.go
@@ -12,20 +12,20 @@
 
 const loggedDigestBytes = 8 // of the digest, in a log line
 
-// Status is how a subscriber stands.
+// Status is the status of a subscriber.
 type Status struct {
 	Version   configsync.Version // in force
 	Digest    configsync.Digest  // of its content
-	Latest    configsync.Version // at the publisher followed last, as it told
-	Refused   configsync.Version // a later version that the gateway could not take; 0: none
-	Publisher string             // the one connected to; empty: none
+	Latest    configsync.Version // as the publisher followed last announced it
+	Refused   configsync.Version // a later version that the gateway could not apply; 0: none
+	Publisher string             // the address connected to; empty: none
 	BytesIn   int64              // since the start
-	BytesOut  int64
-	Unsaved   int // versions in force that could not be kept on disk
+	BytesOut  int64              // since the start
+	Unsaved   int                // versions in force that could not be saved to disk
 	Counters  configsync.FollowerCounters
 }
 
-// Status gives the state after the last event.
+// Status returns the status after the latest event.
 func (s *Subscriber) Status() Status { return *s.status.Load() }
 
 func (s *Subscriber) updateStatus() {
@@ -46,9 +46,9 @@
 	s.status.Store(status)
 }
 
-// logLine tells the operators how the subscriber stands, once in a while. The subscriber has something to do at least each
-// few seconds, connected or not.
-func (s *Subscriber) logLine() {
+// logStatus logs the status if the latest line is older than lineInterval. It is called after each event, and there
+// is one every few seconds, connected or not.
+func (s *Subscriber) logStatus() {
 	now := time.Now()
 	if now.Sub(s.lineAt) < lineInterval {
 		return
--- a/internal/subscriber/store.go
+++ b/internal/subscriber/store.go
@@ -13,15 +13,15 @@
 	"ravensill/configsync"
 )
 
-// fileName is the file of the last good version in the subscriber's folder: a document, and the deltas since.
+// fileName is the file with the last good version in the subscriber's directory: a document, and the deltas after it.
 const fileName = "configuration"
 
-// saveRetryInterval is the time after a failure before the disk is tried again: to write a large document at each change
-// onto a disk that is full would cost the gateway more than it may.
+// saveRetryInterval is the least time between a failed save and the next attempt. Writing a large document to a full
+// disk at each change would cost the gateway too much.
 const saveRetryInterval = 30 * time.Second
 
-// Load gives the last good version on disk, or an empty document. Where the file is torn or altered, the error is a
-// *configsync.FileError, and the document is the last one up to there; the gateway can start from it.
+// Load returns the last good version on disk, or an empty document if there is none. If the file is damaged, the
+// error is a *configsync.FileError and the document is that of the intact part, from which the gateway can start.
 func Load(dir string) (*configsync.Document, error) {
 	text, err := os.ReadFile(filepath.Join(dir, fileName))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -37,14 +37,13 @@
 	return document, err
 }
 
-// files are the steps by which the store writes, so that tests can have each of them fail.
+// files has the steps by which the store writes to the disk, each of which can fail in tests.
 type files interface {
-	// Replace puts a file with a text at a path: the file is the old one or the new one at any moment, and the new one is on the
-	// disk when it returns nil.
+	// Replace replaces the file at a path atomically. The new one is on the disk when it returns nil.
 	Replace(path string, text []byte) error
-	// SyncFolder puts the names in a folder on the disk (fsync(2)).
-	SyncFolder(dir string) error
-	// OpenAppend opens a file that is there, to append to it.
+	// SyncDir syncs the names in a directory to the disk (fsync(2)).
+	SyncDir(dir string) error
+	// OpenAppend opens an existing file for appending.
 	OpenAppend(path string) (appendFile, error)
 }
 
@@ -55,7 +54,7 @@
 	Close() error
 }
 
-// diskFiles writes to the disk.
+// diskFiles implements files on the disk.
 type diskFiles struct{}
 
 // Replace implements files.
@@ -63,13 +62,13 @@
 	return renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(filepath.Dir(path)))
 }
 
-// SyncFolder implements files.
-func (diskFiles) SyncFolder(dir string) error {
-	folder, err := os.Open(dir)
+// SyncDir implements files.
+func (diskFiles) SyncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
 
 // OpenAppend implements files.
@@ -77,35 +76,36 @@
 	return os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0)
 }
 
-// replaceFile writes a file aside, syncs it, renames it and syncs the folder: after any of these steps the file at the path is the
-// old one or the new one, and once it returns nil a power failure does not bring the old one back.
+// replaceFile replaces the file at a path and syncs the directory. After any step the file is the old one or the new
+// one, and once it returns nil the old one can't come back by a power failure.
 func replaceFile(disk files, path string, text []byte) error {
 	err := disk.Replace(path, text)
 	if err != nil {
 		return err
 	}
-	return disk.SyncFolder(filepath.Dir(path))
+	return disk.SyncDir(filepath.Dir(path))
 }
 
-// store keeps the version in force on disk. A document is written aside, synced and renamed; a delta is appended and
-// synced. Whenever the power fails, there is a whole document and some of the deltas after it. After a failure the document is
-// written anew: what a failed sync has left in memory counts as written, and a further sync would say that it is on the disk.
+// store saves the version in force to disk. It replaces the file to save a document, and appends and syncs to save a
+// delta, so that the file has a complete document and some of the deltas after it whenever the power fails. After a
+// failure it writes the complete document: the kernel may mark pages of a failed sync as clean, and a further sync
+// succeed without them.
 type store struct {
 	dir           string
 	disk          files
-	file          appendFile // nil: the document has to be written anew
+	file          appendFile // nil: the complete document has to be written
 	documentBytes int64
 	appendedBytes int64
-	unsaved       int  // versions
-	failing       bool // the last version was not saved, which is logged
-	retryAt       time.Time
+	unsaved       int       // number of versions not saved
+	failing       bool      // the latest save failed, which has been logged
+	retryAt       time.Time // of the next attempt after a failure
 }
 
-// newStore returns the store of a folder, which is made when it is first needed.
+// newStore returns the store of a directory, which is created at the first save.
 func newStore(dir string, disk files) *store { return &store{dir: dir, disk: disk} }
 
-// save keeps a new version of the document. Where delta is not nil, it leads from the document saved before to this one. A failure
-// is logged once; the gateway goes on without.
+// save saves a new version of the document. If delta is not nil, it leads from the document saved before to this one.
+// The first failure in a row is logged; the gateway continues without a saved version.
 func (s *store) save(document *configsync.Document, delta *configsync.Delta) {
 	tooEarly := s.failing && time.Now().Before(s.retryAt)
 	if tooEarly || !s.attempt(document, delta) {
@@ -113,10 +113,10 @@
 	}
 }
 
-// attempt tries to write the document and tells whether it is on the disk.
+// attempt tries to save a document or its delta, and reports whether it is on the disk.
 func (s *store) attempt(document *configsync.Document, delta *configsync.Delta) (saved bool) {
 	err := s.append(delta)
-	if errors.Is(err, errWholeWanted) {
+	if errors.Is(err, errRewriteNeeded) {
 		err = s.write(document)
 	}
 	if err != nil {
@@ -133,21 +133,21 @@
 	return err == nil
 }
 
-// retry saves the document in force if its last save failed and the time to try again has come: the next version may be days
-// away.
+// retry saves the document in force if the latest save failed and saveRetryInterval is over. The next version, which
+// would save it too, may be days away.
 func (s *store) retry(document *configsync.Document) {
 	if s.failing && !time.Now().Before(s.retryAt) {
 		s.attempt(document, nil)
 	}
 }
 
-// errWholeWanted tells that the document has to be written as a whole.
-var errWholeWanted = errors.New("the document has to be written anew")
+// errRewriteNeeded reports that the complete document has to be written.
+var errRewriteNeeded = errors.New("the document has to be written anew")
 
-// append adds a delta to the file.
+// append appends a delta to the file. It returns errRewriteNeeded if that isn't possible.
 func (s *store) append(delta *configsync.Delta) error {
 	if s.file == nil || delta == nil || configsync.NeedsCompaction(s.documentBytes, s.appendedBytes) {
-		return errWholeWanted
+		return errRewriteNeeded
 	}
 	n, err := s.file.Write(configsync.EncodeFileDelta(delta))
 	s.appendedBytes += int64(n)
@@ -157,7 +157,7 @@
 	return s.file.Sync()
 }
 
-// write replaces the file by one with the document alone.
+// write replaces the file by one with only the document.
 func (s *store) write(document *configsync.Document) error {
 	s.close()
 	err := os.MkdirAll(s.dir, 0o700)
@@ -177,7 +177,7 @@
 	return err
 }
 
-// removeLeftovers removes what a write that was killed left beside the file.
+// removeLeftovers removes temporary files of writes that were interrupted.
 func (s *store) removeLeftovers() {
 	names, err := filepath.Glob(filepath.Join(s.dir, "."+fileName+"*"))
 	if err != nil {
@@ -188,7 +188,7 @@
 	}
 }
 
-// close has the next save write the document anew.
+// close closes the file. The next save writes the complete document.
 func (s *store) close() {
 	if s.file != nil {
 		s.file.Close()
--- a/internal/subscriber/store_test.go
+++ b/internal/subscriber/store_test.go
@@ -23,13 +23,13 @@
 
 const (
 	stepReplace    step = "replace"
-	stepSyncFolder step = "sync folder"
+	stepSyncDir    step = "sync directory"
 	stepOpenAppend step = "open to append"
 	stepWrite      step = "write"
 	stepSync       step = "sync"
 )
 
-// faultyFiles writes to the disk; one step fails for a while.
+// faultyFiles writes to the disk, except that one step fails while err is set.
 type faultyFiles struct {
 	diskFiles
 	fault    step
@@ -38,7 +38,8 @@
 	replaced int // documents written
 }
 
-func (f *faultyFiles) fails(at step) error {
+// faultAt returns the error of a step, or nil.
+func (f *faultyFiles) faultAt(at step) error {
 	if f.err != nil && f.fault == at {
 		return f.err
 	}
@@ -46,22 +47,22 @@
 }
 
 func (f *faultyFiles) Replace(path string, text []byte) error {
-	if err := f.fails(stepReplace); err != nil {
+	if err := f.faultAt(stepReplace); err != nil {
 		return err
 	}
 	f.replaced++
 	return f.diskFiles.Replace(path, text)
 }
 
-func (f *faultyFiles) SyncFolder(dir string) error {
-	if err := f.fails(stepSyncFolder); err != nil {
+func (f *faultyFiles) SyncDir(dir string) error {
+	if err := f.faultAt(stepSyncDir); err != nil {
 		return err
 	}
-	return f.diskFiles.SyncFolder(dir)
+	return f.diskFiles.SyncDir(dir)
 }
 
 func (f *faultyFiles) OpenAppend(path string) (appendFile, error) {
-	if err := f.fails(stepOpenAppend); err != nil {
+	if err := f.faultAt(stepOpenAppend); err != nil {
 		return nil, err
 	}
 	file, err := f.diskFiles.OpenAppend(path)
@@ -74,7 +75,7 @@
 }
 
 func (f *faultyFile) Write(text []byte) (int, error) {
-	if err := f.files.fails(stepWrite); err != nil {
+	if err := f.files.faultAt(stepWrite); err != nil {
 		n, _ := f.appendFile.Write(text[:min(f.files.partial, len(text))])
 		return n, err
 	}
@@ -82,7 +83,7 @@
 }
 
 func (f *faultyFile) Sync() error {
-	if err := f.files.fails(stepSync); err != nil {
+	if err := f.files.faultAt(stepSync); err != nil {
 		return err
 	}
 	return f.appendFile.Sync()
@@ -95,12 +96,20 @@
 }
 
 func newHistory(t *testing.T, versions int) *history {
-	h := &history{documents: []*configsync.Document{configsync.NewDocument("log")}, deltas: []*configsync.Delta{nil}}
+	h := &history{
+		documents: []*configsync.Document{configsync.NewDocument("log")},
+		deltas:    []*configsync.Delta{nil},
+	}
 	for version := 1; version <= versions; version++ {
 		document := h.documents[version-1].Clone()
 		content := map[configsync.Resource][]byte{"limits": []byte(fmt.Sprintf(`{"max_attempts":%d}`, version))}
-		delta := &configsync.Delta{Log: "log", From: configsync.Version(version - 1), To: configsync.Version(version),
-			Changes: document.Diff(content), Digest: digestOf(content)}
+		delta := &configsync.Delta{
+			Log:     "log",
+			From:    configsync.Version(version - 1),
+			To:      configsync.Version(version),
+			Changes: document.Diff(content),
+			Digest:  digestOf(content),
+		}
 		if err := document.Apply(delta); err != nil {
 			t.Fatal(err)
 		}
@@ -110,13 +119,13 @@
 	return h
 }
 
-// Each step of a save fails for a while, as on a disk that is full or broken: what was saved before stays, one line tells of it,
-// and the version is saved by itself once the step succeeds again, by a new file and not by a further sync.
-func TestSaveSurvivesFaults(t *testing.T) {
-	for _, fault := range []step{stepReplace, stepSyncFolder, stepOpenAppend, stepWrite, stepSync} {
+// While a step of a save fails, the version saved before stays and one line is logged. Once the step succeeds, the
+// store saves the version by a new file, since a further sync of the old one proves nothing.
+func TestStoreRecoversFromFailedStep(t *testing.T) {
+	for _, fault := range []step{stepReplace, stepSyncDir, stepOpenAppend, stepWrite, stepSync} {
 		for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
-			for _, compacted := range []bool{false, true} { // whether the version is appended or written as a document
-				t.Run(fmt.Sprintf("%s, %v, whole %t", fault, errno, compacted), func(t *testing.T) {
+			for _, compacted := range []bool{false, true} { // the version is written as a document, not appended
+				t.Run(fmt.Sprintf("%s, %v, compacted %t", fault, errno, compacted), func(t *testing.T) {
 					testSaveFault(t, &faultyFiles{fault: fault, partial: 9}, errno, compacted)
 				})
 			}
@@ -140,8 +149,11 @@
 	failed := s.failing
 	document, err := Load(s.dir)
 	var damaged *configsync.FileError
-	if err != nil && !errors.As(err, &damaged) || document.Version() < 1 || !failed && document.Version() != 2 {
-		t.Errorf("failed %t: version %d on the disk, %v", failed, document.Version(), err)
+	if err != nil && !errors.As(err, &damaged) {
+		t.Errorf("failed %t: %v", failed, err)
+	}
+	if document.Version() < 1 || !failed && document.Version() != 2 {
+		t.Errorf("failed %t: version %d on the disk", failed, document.Version())
 	}
 	written := disk.replaced
 	s.retry(h.documents[2]) // too early
@@ -170,12 +182,12 @@
 	}
 }
 
-// The process is killed after any byte of the file, or the power fails: the document is the last one that is whole.
-func TestFileCutAtEachByte(t *testing.T) {
+// After a crash or a power failure at any byte of the file, the gateway starts from the latest complete version in it.
+func TestLoadReturnsIntactPartOfTruncatedFile(t *testing.T) {
 	h := newHistory(t, 3)
 	dir := t.TempDir()
 	s := newStore(dir, diskFiles{})
-	ends := map[int]configsync.Version{} // lengths of the file after each version
+	versions := map[int]configsync.Version{} // by the length of the file after the version
 	for version := 1; version <= 3; version++ {
 		delta := h.deltas[version]
 		if version == 1 {
@@ -186,43 +198,44 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ends[len(text)] = configsync.Version(version)
+		versions[len(text)] = configsync.Version(version)
 	}
 	s.close()
 	text, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(ends) != 3 {
-		t.Fatalf("versions end at %v: no deltas were appended", ends)
+	if len(versions) != 3 {
+		t.Fatalf("lengths %v: no deltas were appended", versions)
 	}
 	want := configsync.Version(0)
 	for length := range len(text) + 1 {
-		whole := false
-		if version, ok := ends[length]; ok {
-			want, whole = version, true
+		version, intact := versions[length]
+		if intact {
+			want = version
 		}
 		if err := os.WriteFile(filepath.Join(dir, fileName), text[:length], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		document, err := Load(dir)
-		if document.Version() != want || (err == nil) != whole {
+		if document.Version() != want || (err == nil) != intact {
 			t.Errorf("%d bytes: version %d, want %d; %v", length, document.Version(), want, err)
 		}
 	}
 }
 
-// orderedFiles notes the bytes that a subscriber has sent when it writes a version.
+// orderedFiles records how many bytes a subscriber has sent at each write of a version.
 type orderedFiles struct {
 	diskFiles
 	subscriber atomic.Pointer[Subscriber]
 	sent       []int64 // by write
 }
 
-func (f *orderedFiles) note() { f.sent = append(f.sent, f.subscriber.Load().out.Load()) }
+// record appends the number of bytes sent so far.
+func (f *orderedFiles) record() { f.sent = append(f.sent, f.subscriber.Load().out.Load()) }
 
 func (f *orderedFiles) Replace(path string, text []byte) error {
-	f.note()
+	f.record()
 	return f.diskFiles.Replace(path, text)
 }
 
@@ -237,26 +250,26 @@
 }
 
 func (f *orderedFile) Write(text []byte) (int, error) {
-	f.files.note()
+	f.files.record()
 	return f.appendFile.Write(text)
 }
 
-// A version is acknowledged once it is saved: a gateway that is killed in between starts with no less than it has told.
-func TestSavedBeforeAcknowledged(t *testing.T) {
+// A gateway that is killed at any moment restarts with no earlier version than it has acknowledged.
+func TestSubscriberSavesVersionBeforeAcknowledging(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	disk := &orderedFiles{}
 	var sent []int64 // when each version was put in force
 	g := newGateway(t, 0, listenAddresses(group))
 	g.cfg.disk = disk
-	g.cfg.Apply = func(u *configsync.Update, whole bool) error {
+	g.cfg.Apply = func(update *configsync.Update, complete bool) error {
 		sent = append(sent, disk.subscriber.Load().out.Load())
-		return g.apply(u, whole)
+		return g.apply(update, complete)
 	}
 	g.start()
 	disk.subscriber.Store(g.sub)
-	g.has(group.Put())
+	g.waitInForce(group.Put())
 	for rate := range 5 {
-		g.has(group.SetRate(0, "gold", 20+rate))
+		g.waitInForce(group.SetRate(0, "gold", 20+rate))
 	}
 	g.stop()
 	if !slices.Equal(disk.sent, sent) || len(sent) < 6 {
@@ -264,7 +277,8 @@
 	}
 }
 
-// landedFolders are folders of subscribers as the program at each commit left them: a document, and deltas after it.
+// landedFolders are directories of subscribers as the program at each commit left them: a document, and deltas after
+// it.
 var landedFolders = []struct {
 	commit  string
 	folder  string
@@ -296,7 +310,7 @@
 	}
 }
 
-// The number of the last start that an earlier release stored is read as it was written.
+// The incarnation that an earlier release stored is read as it was written.
 func TestReadsIncarnationOfEarlierRelease(t *testing.T) {
 	number, err := readIncarnation(filepath.Join("testdata", "landed-6d43e16", incarnationFile))
 	if err != nil || number != 1796287495249295062 {
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -1,6 +1,6 @@
-// Package subscriber is the task in a gateway that follows the publishers of the configuration: it owns the connection and
-// the last good version on disk. Which publisher it follows, and what it makes of each message, are package configsync's
-// rules. It needs no publisher: without one the gateway stays with the version that it has.
+// Package subscriber follows the publishers of the configuration for a gateway: it owns the connection to a publisher
+// and the last good version on disk. Package configsync decides which publisher to follow and how to handle each
+// message. Without a publisher the gateway keeps its version.
 package subscriber
 
 import (
@@ -11,6 +11,7 @@
 	"net"
 	"net/netip"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -23,53 +24,54 @@
 const (
 	lineInterval      = 10 * time.Second // between log lines on the subscriber's state
 	causeLineInterval = time.Minute      // between log lines on lost connections of one cause
-	sendTimeout       = 3 * time.Second  // of a message to the publisher; all are short
+	sendTimeout       = 3 * time.Second  // of a message to a publisher
 )
 
-// ErrStopped is what Apply returns when the gateway is about to end: the version is neither in force nor refused.
+// ErrStopped is returned by Config.Apply when the gateway is shutting down: the version is neither in force nor
+// refused.
 var ErrStopped = errors.New("the gateway has ended")
 
-// Config says whom to follow and for whom.
+// Config configures a Subscriber.
 type Config struct {
 	Publishers  []netip.AddrPort // TCP, one or more
-	Dir         string           // of the last good version; made if it is not there
+	Dir         string           // of the last good version; created if needed
 	Member      int              // member index
 	Name        string
-	Incarnation uint64         // grows with each start of the gateway: NextIncarnation
+	Incarnation uint64         // of this start of the gateway: NextIncarnation
 	Clock       clock.Clock    // nil: clock.System
 	Sockets     sockets.System // nil: sockets.Kernel
 
 	disk files // nil: diskFiles
 
-	// Apply puts an update in force and returns once it is; it is called on the subscriber's goroutine. Where whole is set,
-	// the changes are the whole content, which replaces that of the gateway's own file; else they lead on from the version
-	// before. On an error but ErrStopped the version is refused, and the one before stays in force; a *config.ResourceError
-	// names the resource at fault.
-	Apply func(update *configsync.Update, whole bool) error
+	// Apply puts an update in force, and returns when it is. It is called on the subscriber's goroutine. If complete
+	// is set, the changes are the complete content, which replaces that of the gateway's own file; otherwise they
+	// lead on from the version in force. On any error but ErrStopped the version is refused, and the one in force
+	// stays; a *config.ResourceError names the resource at fault.
+	Apply func(update *configsync.Update, complete bool) error
 }
 
 // Subscriber follows the publishers until Close.
 type Subscriber struct {
 	cfg    Config
-	ctx    context.Context // done: closing
+	ctx    context.Context // canceled by Close
 	cancel context.CancelFunc
-	ended  chan struct{}
+	task   sync.WaitGroup
 	status atomic.Pointer[Status]
 	in     atomic.Int64 // bytes
 	out    atomic.Int64 // bytes
 
-	// The fields below belong to the goroutine.
+	// The fields below belong to the goroutine of run.
 	follower  *configsync.Follower
 	store     *store
-	latest    configsync.Version // of the publisher followed last
-	publisher string             // the one connected to; empty: none
-	lineAt    time.Time
-	causes    map[configsync.Cause]time.Time // of the last log line
+	latest    configsync.Version             // as the publisher followed last announced it
+	publisher string                         // the address connected to; empty: none
+	lineAt    time.Time                      // of the latest status line
+	causes    map[configsync.Cause]time.Time // of the latest log line on a lost connection
 }
 
-// Start follows the publishers from the version that is held: what Load gave, where the gateway could take it, or
-// configsync.NewDocument(""). The document belongs to the subscriber from then on.
-func Start(cfg Config, held *configsync.Document) *Subscriber {
+// Start starts to follow the publishers from the document in force: the one that Load returned, if the gateway could
+// apply it, or configsync.NewDocument(""). The subscriber takes ownership of the document.
+func Start(cfg Config, document *configsync.Document) *Subscriber {
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System{}
 	}
@@ -84,7 +86,6 @@
 		cfg:    cfg,
 		ctx:    ctx,
 		cancel: cancel,
-		ended:  make(chan struct{}),
 		store:  newStore(cfg.Dir, cfg.disk),
 		lineAt: time.Now(),
 		causes: map[configsync.Cause]time.Time{},
@@ -95,31 +96,31 @@
 		Name:        cfg.Name,
 		Incarnation: cfg.Incarnation,
 		Publishers:  len(cfg.Publishers),
-	}, held, random)
+	}, document, random)
 	s.updateStatus()
-	go s.run()
+	s.task.Go(s.run)
 	return s
 }
 
-// Close ends the connection and waits for the goroutine. An Apply under way has to return.
+// Close closes the connection and waits until the goroutine has ended, for which a Config.Apply in progress has to
+// return.
 func (s *Subscriber) Close() {
 	s.cancel()
-	<-s.ended
+	s.task.Wait()
 }
 
-// run connects again and again.
+// run follows one publisher after another until Close.
 func (s *Subscriber) run() {
-	defer close(s.ended)
 	defer s.store.close()
 	for s.waitUntil(s.follower.NextAttempt()) {
 		s.connect()
 		s.store.retry(s.follower.Document())
 		s.updateStatus()
-		s.logLine()
+		s.logStatus()
 	}
 }
 
-// waitUntil tells whether the time has come before the end of the subscriber.
+// waitUntil waits for a time and returns true, or false if Close is called before.
 func (s *Subscriber) waitUntil(at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -131,7 +132,7 @@
 	}
 }
 
-// connect follows one publisher until the connection ends.
+// connect connects to a publisher and follows it until the connection ends.
 func (s *Subscriber) connect() {
 	address := s.cfg.Publishers[s.follower.Publisher()].String()
 	conn, err := s.cfg.Sockets.Dial(s.ctx, &net.Dialer{Timeout: configsync.ConnectTimeout}, address)
@@ -146,7 +147,7 @@
 	s.publisher = ""
 }
 
-// follow exchanges messages with the publisher until the connection has to end.
+// follow exchanges messages with the publisher until the connection ends.
 func (s *Subscriber) follow(l *link) {
 	for _, message := range s.follower.Connected(time.Now()) {
 		l.send(message)
@@ -168,12 +169,12 @@
 		}
 		s.store.retry(s.follower.Document())
 		s.updateStatus()
-		s.logLine()
+		s.logStatus()
 	}
 }
 
-// next waits for an event and gives what the rules make of it. What has come already goes before the deadline: while a
-// version was being put in force, nothing was looked at.
+// next waits for an event and returns the decision about it. Messages received already precede the deadline, which
+// may have passed while a version was being applied.
 func (s *Subscriber) next(l *link) (configsync.Decision, error) {
 	select {
 	case r := <-l.received:
@@ -196,7 +197,7 @@
 	}
 }
 
-// receive takes in a message, or the end of the connection.
+// receive handles a message, or the end of the connection.
 func (s *Subscriber) receive(r received) (configsync.Decision, error) {
 	now := time.Now()
 	if r.malformed {
@@ -212,10 +213,10 @@
 	return decision, decision.Err
 }
 
-// apply has an update put in force and keeps it on disk, or refuses it. It is false where the gateway ends.
+// apply puts an update in force and saves it, or refuses it. It returns false if the gateway is shutting down.
 func (s *Subscriber) apply(l *link, update *configsync.Update) bool {
-	whole := update.From == 0
-	err := s.cfg.Apply(update, whole)
+	complete := update.From == 0
+	err := s.cfg.Apply(update, complete)
 	if errors.Is(err, ErrStopped) {
 		<-s.ctx.Done()
 		return false
@@ -227,7 +228,9 @@
 		return true
 	}
 	accepted := s.follower.Accept(now)
-	s.store.save(s.follower.Document(), update.Delta) // first: a gateway that is killed in between must not hold less than it told
+	// A gateway that is killed must not restart with an earlier version than it acknowledged, so the version is saved
+	// first.
+	s.store.save(s.follower.Document(), update.Delta)
 	l.send(accepted)
 	return true
 }
@@ -244,7 +247,7 @@
 	l.send(s.follower.Refuse(now, resource, reason))
 }
 
-// logLost tells of the end of a connection, or of a publisher that can't be reached, each cause once in a while.
+// logLost logs the end of a connection or an unreachable publisher, at most once per causeLineInterval for each cause.
 func (s *Subscriber) logLost(address string, decision configsync.Decision, err error) {
 	now := time.Now()
 	last, logged := s.causes[decision.Cause]
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -22,7 +22,7 @@
 
 var eventually = publishertest.Eventually
 
-// gateway stands for what a gateway makes of updates: it keeps the resources in force.
+// gateway is a test gateway that records the versions and the content in force.
 type gateway struct {
 	t   *testing.T
 	cfg Config
@@ -31,18 +31,23 @@
 	mu       sync.Mutex
 	inForce  *configsync.Document // built from the changes alone
 	versions []configsync.Version
-	refuse   func(u *configsync.Update) error // nil: takes all
+	refuse   func(update *configsync.Update) error // nil: applies all updates
 }
 
 func newGateway(t *testing.T, member int, publishers []netip.AddrPort) *gateway {
 	g := &gateway{t: t}
-	g.cfg = Config{Publishers: publishers, Dir: filepath.Join(t.TempDir(), "configuration"), Member: member,
-		Name: fmt.Sprint("g", member), Apply: g.apply}
+	g.cfg = Config{
+		Publishers: publishers,
+		Dir:        filepath.Join(t.TempDir(), "configuration"),
+		Member:     member,
+		Name:       fmt.Sprint("g", member),
+		Apply:      g.apply,
+	}
 	t.Cleanup(g.stop)
 	return g
 }
 
-// start begins with what lies on disk.
+// start starts the gateway with the version on its disk.
 func (g *gateway) start() {
 	g.t.Helper()
 	document, err := Load(g.cfg.Dir)
@@ -61,7 +66,8 @@
 	}
 }
 
-func (g *gateway) apply(u *configsync.Update, whole bool) error {
+// apply checks that versions increase and puts an update in force.
+func (g *gateway) apply(u *configsync.Update, complete bool) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.refuse != nil {
@@ -69,8 +75,8 @@
 			return err
 		}
 	}
-	if u.To < g.inForce.Version() || whole != (g.inForce.Version() == 0) {
-		g.t.Errorf("version %d, whole %t, after %d", u.To, whole, g.inForce.Version())
+	if u.To < g.inForce.Version() || complete != (g.inForce.Version() == 0) {
+		g.t.Errorf("version %d, complete %t, after %d", u.To, complete, g.inForce.Version())
 	}
 	content := map[configsync.Resource][]byte{}
 	for resource, value := range g.inForce.All() {
@@ -84,10 +90,15 @@
 	}
 	g.inForce = configsync.NewDocument(u.Log)
 	g.versions = append(g.versions, u.To)
-	return g.inForce.Apply(&configsync.Delta{Log: u.Log, To: u.To, Changes: g.inForce.Diff(content), Digest: digestOf(content)})
+	return g.inForce.Apply(&configsync.Delta{
+		Log:     u.Log,
+		To:      u.To,
+		Changes: g.inForce.Diff(content),
+		Digest:  digestOf(content),
+	})
 }
 
-// digestOf gives the digest of a content by having a document of it refused.
+// digestOf returns the digest of a content, which it takes from the error for a delta with a wrong one.
 func digestOf(content map[configsync.Resource][]byte) configsync.Digest {
 	d := configsync.NewDocument("any")
 	var wrong *configsync.DigestError
@@ -95,8 +106,8 @@
 	return wrong.Got
 }
 
-// has waits until a publication is in force at the gateway, content and all.
-func (g *gateway) has(want publisher.Publication) {
+// waitInForce waits until a publication is in force at the gateway, and checks its content.
+func (g *gateway) waitInForce(want publisher.Publication) {
 	g.t.Helper()
 	eventually(g.t, fmt.Sprintf("version %d at gateway %d", want.Version, g.cfg.Member), func() bool {
 		return g.sub.Status().Version == want.Version
@@ -108,8 +119,8 @@
 	}
 }
 
-// saved waits until a publication lies on the gateway's disk.
-func (g *gateway) saved(want publisher.Publication) {
+// waitSaved waits until a publication is on the gateway's disk.
+func (g *gateway) waitSaved(want publisher.Publication) {
 	g.t.Helper()
 	eventually(g.t, "the version on disk", func() bool {
 		document, err := Load(g.cfg.Dir)
@@ -117,6 +128,18 @@
 	})
 }
 
+// checkVersionsIncrease checks that each version put in force was later than the one before, except after version 4 at a
+// gateway that then lost its disk.
+func (g *gateway) checkVersionsIncrease(lostDisk bool) {
+	g.t.Helper()
+	for i := 1; i < len(g.versions); i++ {
+		restarted := lostDisk && g.versions[i-1] == 4
+		if g.versions[i] <= g.versions[i-1] && !restarted {
+			g.t.Errorf("gateway %d: versions %d", g.cfg.Member, g.versions)
+		}
+	}
+}
+
 func listenAddresses(group *publishertest.Group) (addresses []netip.AddrPort) {
 	for _, cfg := range group.Configs {
 		addresses = append(addresses, cfg.Listen)
@@ -124,9 +147,9 @@
 	return addresses
 }
 
-// Gateways follow through the loss of the leader and of all publishers, and after their own restarts with and without their
-// disk; no version comes twice or backwards.
-func TestFollow(t *testing.T) {
+// Gateways follow through the loss of the leader and of all publishers, and through their own restarts with and
+// without their disk. No version comes twice or decreases.
+func TestSubscriberFollowsThroughRestarts(t *testing.T) {
 	group := publishertest.NewGroup(t, 3, nil)
 	var gateways []*gateway
 	for i := range 3 {
@@ -137,7 +160,7 @@
 	all := func(want publisher.Publication) {
 		t.Helper()
 		for _, g := range gateways {
-			g.has(want)
+			g.waitInForce(want)
 		}
 	}
 	all(group.Put())
@@ -149,7 +172,7 @@
 	for i := range group.Replicas {
 		group.Close(i)
 	}
-	gateways[0].saved(publisher.Publication{Version: 3})
+	gateways[0].waitSaved(publisher.Publication{Version: 3})
 	gateways[0].stop()
 	gateways[0].start() // with no publisher up
 	if s := gateways[0].sub.Status(); s.Version != 3 {
@@ -173,12 +196,8 @@
 	gateways[2].start() // with its disk, to which deltas were appended
 	all(group.SetRate(0, "gold", 7))
 	for _, g := range gateways {
-		for i, version := range g.versions {
-			restarted := g.cfg.Member == 1 && i > 0 && g.versions[i-1] == 4
-			if i > 0 && version <= g.versions[i-1] && !restarted {
-				t.Errorf("gateway %d: versions %d", g.cfg.Member, g.versions)
-			}
-		}
+		lostDisk := g.cfg.Member == 1
+		g.checkVersionsIncrease(lostDisk)
 	}
 	eventually(t, "all acknowledgements", func() bool {
 		inForce := map[int]bool{}
@@ -191,8 +210,8 @@
 	})
 }
 
-// A version that the gateway can't take is refused by its resource; the one before stays, and the next is taken.
-func TestRefusedVersion(t *testing.T) {
+// A version that the gateway can't apply is refused with the resource at fault, and the next one is applied.
+func TestSubscriberKeepsVersionAfterRefusal(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	g := newGateway(t, 0, listenAddresses(group))
 	g.refuse = func(u *configsync.Update) error {
@@ -204,7 +223,7 @@
 		return nil
 	}
 	g.start()
-	g.has(group.Put())
+	g.waitInForce(group.Put())
 	refused := group.SetRate(0, "gold", 666)
 	eventually(t, "the refusal", func() bool {
 		f := group.Replicas[0].Status().Followers[0]
@@ -213,20 +232,20 @@
 	if s := g.sub.Status(); s.Version != 1 || s.Refused != refused.Version {
 		t.Errorf("%+v", s)
 	}
-	g.has(group.SetRate(0, "gold", 6))
+	g.waitInForce(group.SetRate(0, "gold", 6))
 	if s := g.sub.Status(); s.Refused != 0 || s.Counters.Refused != 1 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// A torn or altered file gives what is sound of it, and the gateway gets the rest from the publishers.
-func TestDamagedFile(t *testing.T) {
+// A gateway with a damaged file starts from the intact part and gets the rest from the publishers.
+func TestSubscriberRecoversFromDamagedFile(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	g := newGateway(t, 0, listenAddresses(group))
 	g.start()
-	g.has(group.Put())
-	whole := group.SetRate(0, "gold", 11)
-	g.saved(whole)
+	g.waitInForce(group.Put())
+	latest := group.SetRate(0, "gold", 11)
+	g.waitSaved(latest)
 	g.stop()
 	file := filepath.Join(g.cfg.Dir, fileName)
 	text, err := os.ReadFile(file)
@@ -238,12 +257,12 @@
 		text    []byte
 		version configsync.Version
 	}{
-		{"torn in the delta", text[:len(text)-5], 1},
-		{"torn in the document", text[:40], 0},
+		{"truncated in the delta", text[:len(text)-5], 1},
+		{"truncated in the document", text[:40], 0},
 		{"altered in the document", bytes.Replace(text, []byte("burst"), []byte("bursts"), 1), 0},
 		{"altered in the delta", append(bytes.Clone(text[:len(text)-1]), text[len(text)-1]^1), 1},
 		{"empty", nil, 0},
-		{"not such a file", []byte(strings.Repeat("x", 100)), 0},
+		{"another kind of file", []byte(strings.Repeat("x", 100)), 0},
 	} {
 		if err := os.WriteFile(file, x.text, 0o600); err != nil {
 			t.Fatal(err)
@@ -254,8 +273,8 @@
 			t.Errorf("%s: version %d, %v", x.name, document.Version(), err)
 		}
 		g.start()
-		g.has(whole)
-		g.saved(whole)
+		g.waitInForce(latest)
+		g.waitSaved(latest)
 		g.stop()
 	}
 	if document, err := Load(filepath.Join(g.cfg.Dir, "none")); err != nil || document.Version() != 0 {
@@ -263,13 +282,13 @@
 	}
 }
 
-// A disk that can't be written is told once, the gateway goes on, and saves again when it can.
-func TestUnwritableDisk(t *testing.T) {
+// A disk that can't be written is logged once, and saving resumes when it can.
+func TestStoreLogsUnwritableDiskOnce(t *testing.T) {
 	var lines bytes.Buffer
 	defer logging.SetOutput(&lines)()
 	document := configsync.NewDocument("log")
 	s := newStore(filepath.Join(t.TempDir(), "file"), diskFiles{})
-	if err := os.WriteFile(s.dir, nil, 0o600); err != nil { // a file where the folder should be
+	if err := os.WriteFile(s.dir, nil, 0o600); err != nil { // a file in place of the directory
 		t.Fatal(err)
 	}
 	for range 3 {
@@ -298,8 +317,8 @@
 	}
 }
 
-// What a publisher sends that makes no sense is counted, the connection ended, and another publisher followed.
-func TestMalformedPublisher(t *testing.T) {
+// A malformed message is counted and ends the connection, and the gateway follows another publisher.
+func TestSubscriberLeavesMalformedPublisher(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	first := group.Put()
 	for _, text := range [][]byte{
@@ -327,7 +346,7 @@
 		bad := l.Addr().(*net.TCPAddr).AddrPort()
 		g := newGateway(t, 0, []netip.AddrPort{bad, group.Configs[0].Listen})
 		g.start()
-		g.has(first)
+		g.waitInForce(first)
 		if s := g.sub.Status(); s.Counters.Malformed == 0 {
 			t.Errorf("%x: %+v", text, s)
 		}
@@ -336,12 +355,15 @@
 	}
 }
 
-// A gateway that ends while a version is being put in force neither takes nor refuses it.
-func TestStopped(t *testing.T) {
+// A gateway that shuts down while a version is being applied neither accepts nor refuses it.
+func TestSubscriberIgnoresVersionAfterErrStopped(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	g := newGateway(t, 0, listenAddresses(group))
 	stopped := make(chan struct{})
-	g.refuse = func(*configsync.Update) error { close(stopped); return ErrStopped }
+	g.refuse = func(*configsync.Update) error {
+		close(stopped)
+		return ErrStopped
+	}
 	g.start()
 	group.Put()
 	<-stopped
