--- a/internal/poolrunner/voter_test.go
+++ b/internal/poolrunner/voter_test.go
@@ -52,12 +52,12 @@
 			Drain:          int64(time.Minute),
 			ReportInterval: int64(time.Second),
 		},
-		Voters:   []netip.AddrPort{address},
-		Streams:  []netip.AddrPort{address},
-		Listen:   address,
-		Dir:      dir,
-		Key:      []byte("0123456789abcdef"),
-		Election: 200 * time.Millisecond,
+		Voters:          []netip.AddrPort{address},
+		VoterStreams:    []netip.AddrPort{address},
+		Listen:          address,
+		Dir:             dir,
+		Key:             []byte("0123456789abcdef"),
+		ElectionTimeout: 200 * time.Millisecond,
 	}, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -99,7 +99,7 @@
 		Listen:            cfg.RaftListen,
 		Dir:               cfg.Dir,
 		Key:               cfg.Key,
-		Election:          cfg.Election,
+		Election:          cfg.ElectionTimeout,
 		SnapshotThreshold: cfg.SnapshotThreshold,
 		TrailingEntries:   cfg.TrailingEntries,
 		Sockets:           options.Sockets,
@@ -150,14 +150,14 @@
 	for {
 		select {
 		case leads := <-p.replica.Leadership():
-			slog.Info("publisher_leads", "yes", leads)
+			slog.Info("publisher_leader_changed", "leader", leads)
 		case <-contact.C:
 			replayed := p.updateSender()
 			if replayed {
 				contact.Reset(contactInterval)
 			}
 		case <-line.C:
-			slog.LogAttrs(context.Background(), slog.LevelInfo, "publisher", p.Status().LogAttrs()...)
+			slog.LogAttrs(context.Background(), slog.LevelInfo, "publisher_status", p.Status().LogAttrs()...)
 		case <-p.done:
 			return
 		}
