--- a/cmd/ravensill-publisher/main.go
+++ b/cmd/ravensill-publisher/main.go
@@ -1,5 +1,5 @@
-// Command ravensill-publisher is one replica of the publishers of the gateways' configuration. PUBLISHER_CONFIG names its
-// file.
+// Command ravensill-publisher runs one replica of the publishers of the gateways' configuration. The environment
+// variable PUBLISHER_CONFIG names its file.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	logging.SetOutput(os.Stderr)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGPIPE, syscall.SIGHUP) // whoever reads the log may go
+	signal.Ignore(syscall.SIGPIPE, syscall.SIGHUP) // the reader of the log may exit
 	cfg, err := config.LoadPublisher(os.Getenv)
 	if err != nil {
 		slog.Error("start_failed", "error", err)
--- a/cmd/ravensill-publisher/main_test.go
+++ b/cmd/ravensill-publisher/main_test.go
@@ -17,7 +17,8 @@
 	"ravensill/internal/publishertest"
 )
 
-const runMain = "RAVENSILL_PUBLISHER_TEST_MAIN" // set: the test program is the publisher
+// runMain is an environment variable. If it is set, the test program runs as the publisher.
+const runMain = "RAVENSILL_PUBLISHER_TEST_MAIN"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(runMain) != "" {
@@ -32,7 +33,7 @@
 	t       *testing.T
 	cmd     *exec.Cmd
 	lines   *bufio.Scanner
-	started []string // index, admin address and version of the line that it has started
+	started []string // match of the publisher_started line: index, admin address, version
 }
 
 func start(t *testing.T, file string) *process {
@@ -51,7 +52,7 @@
 	return p
 }
 
-// line reads the log up to a line that matches.
+// line reads the log up to a line that matches a pattern, and returns the match.
 func (p *process) line(pattern string) []string {
 	p.t.Helper()
 	for p.lines.Scan() {
@@ -72,7 +73,8 @@
 	}
 }
 
-func write(t *testing.T, settings map[string]any) string {
+// writeSettings writes a settings file and returns its path.
+func writeSettings(t *testing.T, settings map[string]any) string {
 	text, err := json.Marshal(settings)
 	if err != nil {
 		t.Fatal(err)
@@ -85,17 +87,26 @@
 }
 
 func settings(t *testing.T) map[string]any {
-	return map[string]any{"index": 0, "listen": "127.0.0.1:0", "raft_listen": "127.0.0.1:0", "raft": []string{"127.0.0.1:1"},
-		"admin_listen": "127.0.0.1:0", "admin": []string{"127.0.0.1:1"}, "dir": t.TempDir(), "key": strings.Repeat("0f", 16),
-		"election_ms": 200}
+	return map[string]any{
+		"index":        0,
+		"listen":       "127.0.0.1:0",
+		"raft_listen":  "127.0.0.1:0",
+		"raft":         []string{"127.0.0.1:1"},
+		"admin_listen": "127.0.0.1:0",
+		"admin":        []string{"127.0.0.1:1"},
+		"dir":          t.TempDir(),
+		"key":          strings.Repeat("0f", 16),
+		"election_ms":  200,
+	}
 }
 
-// A publisher keeps its versions through a stop by SIGTERM; one with an unknown key does not start.
-func TestProgram(t *testing.T) {
-	file := write(t, settings(t))
+// A publisher keeps its versions through a stop by SIGTERM.
+func TestPublisherKeepsVersionsAfterSIGTERM(t *testing.T) {
+	file := writeSettings(t, settings(t))
 	p := start(t, file)
 	p.line("event=publisher_leader_changed leader=true")
-	request, err := http.NewRequest("PUT", "http://"+p.started[2]+"/v1/configuration", strings.NewReader(publishertest.FirstContent))
+	url := "http://" + p.started[2] + "/v1/configuration"
+	request, err := http.NewRequest("PUT", url, strings.NewReader(publishertest.FirstContent))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +122,7 @@
 	p.stop()
 	p = start(t, file)
 	p.line("event=publisher_leader_changed leader=true")
-	publishertest.Eventually(t, "the version of before", func() bool {
+	publishertest.Eventually(t, "the version before the restart", func() bool {
 		response, err := http.Get("http://" + p.started[2] + "/v1/status")
 		if err != nil {
 			return false
@@ -121,13 +132,18 @@
 		return json.NewDecoder(response.Body).Decode(&status) == nil && status.Version == 1
 	})
 	p.stop()
+}
+
+// A publisher with an unknown key in its settings exits with the code for bad settings and names the key.
+func TestPublisherRefusesUnknownKey(t *testing.T) {
 	bad := settings(t)
 	bad["adress"] = ""
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), runMain+"=1", "PUBLISHER_CONFIG="+write(t, bad))
+	cmd.Env = append(os.Environ(), runMain+"=1", "PUBLISHER_CONFIG="+writeSettings(t, bad))
 	cmd.WaitDelay = time.Minute
 	output, _ := cmd.CombinedOutput()
-	if code := cmd.ProcessState.ExitCode(); code != exitBadSettings || !strings.Contains(string(output), `unknown field \"adress\"`) {
+	code := cmd.ProcessState.ExitCode()
+	if code != exitBadSettings || !strings.Contains(string(output), `unknown field \"adress\"`) {
 		t.Errorf("exit %d: %s", code, output)
 	}
 }
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -1,7 +1,7 @@
-// Package consensus runs one replica of a replicated state machine: what every user of hashicorp/raft in this module
-// needs around the library (Ongaro and Ousterhout, In search of an understandable consensus algorithm, 2014). It owns the
-// replica's identity on disk, its log and snapshots, the authenticated transport, and the membership of a replica that
-// lost its disk. The agreement itself is the library's.
+// Package consensus runs one replica of a replicated state machine. It has what all users of hashicorp/raft in this
+// module need around the library (Ongaro and Ousterhout, In search of an understandable consensus algorithm, 2014):
+// the identity of a replica on disk, its log and snapshots, the authenticated transport, and the membership of a
+// replica that lost its disk. The library has the consensus algorithm.
 package consensus
 
 import (
@@ -26,7 +26,7 @@
 	snapshotsKept     = 2
 	snapshotInterval  = 30 * time.Second
 	snapshotThreshold = 4096 // log entries since the last snapshot
-	trailingEntries   = 1024 // log entries kept behind a snapshot, for replicas that are a little behind
+	trailingEntries   = 1024 // log entries kept after a snapshot, for replicas that are slightly behind
 	commitTimeout     = 20 * time.Millisecond
 	connectionPool    = 2 // idle connections kept to each replica
 
@@ -38,7 +38,7 @@
 // ErrNotLeader is the error of a proposal at a replica that does not lead.
 var ErrNotLeader = errors.New("this replica does not lead")
 
-// ErrUnknownOutcome is the error of a proposal that may or may not be agreed on later.
+// ErrUnknownOutcome is the error of a proposal that may or may not be committed later.
 var ErrUnknownOutcome = errors.New("the outcome of the proposal is not known")
 
 // Config describes one replica.
@@ -47,34 +47,35 @@
 	Index     int              // this replica's place in Addresses
 	Addresses []netip.AddrPort // TCP addresses of all replicas, as this one sees them
 	Listen    netip.AddrPort   // TCP
-	Dir       string           // made if it is not there
+	Dir       string           // created if needed
 	Key       []byte           // shared by the replicas; signs each connection's greeting
-	Election  time.Duration    // without contact to the leader before another is elected
+	Election  time.Duration    // time without contact with the leader before an election
 
 	SnapshotThreshold uint64 // log entries between snapshots; 0: 4096
-	TrailingEntries   uint64 // log entries kept behind a snapshot; 0: 1024
+	TrailingEntries   uint64 // log entries kept after a snapshot; 0: 1024
 
 	Sockets sockets.System // nil: sockets.Kernel
 
-	DiskFault func() error // for tests: the error of the next write to the log or the state on disk, nil for none; nil: never one
+	// DiskFault is for tests. It returns the error of the next write to the log or the state on disk. nil: no errors.
+	DiskFault func() error
 }
 
 // Replica is one running replica. All its methods may be called from any goroutine.
 //
-// A replica is known by an id that lies on its disk. One that lost its disk has another id, and the one before is removed
-// from the membership: the votes that it gave are lost with the disk, so it must not count twice.
+// A replica is identified by an id on its disk. One that lost its disk gets another id, and its previous id is
+// removed from the membership: the record of its votes is lost with the disk, so the previous id must not vote again.
 type Replica struct {
 	cfg        Config
 	id         raft.ServerID
 	raft       *raft.Raft
 	transport  *transport
 	store      *raftboltdb.BoltStore
-	entries    raft.LogStore // disk
-	disk       *disk         // store with the latest entries in memory
+	entries    raft.LogStore // the same as disk
+	disk       *disk         // store, with the latest entries cached in memory
 	membership *membership
 	dropped    atomic.Int64
-	caughtUp   atomic.Uint64 // the last term in which CatchUp succeeded
-	machine    *tracked
+	caughtUp   atomic.Uint64 // the latest term in which CatchUp succeeded
+	machine    *trackedMachine
 	replayed   atomic.Bool // CaughtUp has been true
 }
 
@@ -87,13 +88,13 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Replica{cfg: cfg, machine: &tracked{FSM: machine}}
+	r := &Replica{cfg: cfg, machine: &trackedMachine{FSM: machine}}
 	r.id, err = identity(cfg.Dir, cfg.Index)
 	if err != nil {
 		return nil, err
 	}
 	r.membership = newMembership(r)
-	r.transport, err = listen(&r.cfg, r.id, r.membership.hear)
+	r.transport, err = listen(&r.cfg, r.id, r.membership.receive)
 	if err != nil {
 		return nil, err
 	}
@@ -128,7 +129,7 @@
 	return err
 }
 
-// options gives the library's settings.
+// options returns the settings of the library.
 func (r *Replica) options(logger hclog.Logger) *raft.Config {
 	c := raft.DefaultConfig()
 	c.LocalID = r.id
@@ -149,7 +150,7 @@
 	return c
 }
 
-// Close ends the replica and waits until its goroutines are gone.
+// Close shuts the replica down and waits until its goroutines have ended.
 func (r *Replica) Close() {
 	r.disk.close()
 	r.raft.Shutdown().Error()
@@ -157,21 +158,23 @@
 	r.release()
 }
 
+// release closes the transport and the store.
 func (r *Replica) release() {
 	r.transport.Close()
+	r.transport.tasks.Wait()
 	if r.store != nil {
 		r.store.Close()
 	}
 }
 
-// Leadership delivers true each time that this replica comes to lead, and false each time that it ceases to. A change that
-// is not read in time is replaced by the next one.
+// Leadership returns a channel that delivers true when this replica becomes the leader, and false when it ceases to
+// be. A change that is not read in time is replaced by the next one.
 func (r *Replica) Leadership() <-chan bool { return r.raft.LeaderCh() }
 
-// Leads tells whether this replica leads, as far as it knows.
+// Leads reports whether this replica leads, as far as it knows.
 func (r *Replica) Leads() bool { return r.raft.State() == raft.Leader }
 
-// Leader gives the index of the leading replica as far as it is known, -1 where it is not.
+// Leader returns the index of the leading replica, or -1 if it is not known.
 func (r *Replica) Leader() int {
 	_, id := r.raft.LeaderWithID()
 	if id == "" {
@@ -180,8 +183,8 @@
 	return IndexOf(id)
 }
 
-// InContact tells whether this replica is in contact with a quorum: it leads, which it ceases to without a quorum within
-// half of the election timeout, or it heard of a leader within twice the election timeout.
+// InContact reports whether this replica is in contact with a quorum: it leads, which it ceases to without a quorum
+// within half of the election timeout, or it was in contact with a leader within twice the election timeout.
 func (r *Replica) InContact() bool {
 	if r.Leads() {
 		return true
@@ -189,9 +192,9 @@
 	return r.Leader() >= 0 && time.Since(r.raft.LastContact()) < 2*r.cfg.Election
 }
 
-// Current tells whether this replica is in contact with a quorum and has carried out what that has agreed on. One whose disk fails
-// is in contact: the library answers heartbeats without the disk. But it misses every entry until a write has succeeded again and
-// all that came with it is carried out.
+// Current reports whether this replica is in contact with a quorum and has applied what that has committed. A replica
+// whose disk fails stays in contact, since the library answers heartbeats without the disk, but it misses entries
+// until a write has succeeded again and all entries up to then are applied.
 func (r *Replica) Current() bool {
 	if !r.InContact() || r.disk.failing.Load() {
 		return false
@@ -202,8 +205,8 @@
 	return !r.disk.missed.Load()
 }
 
-// Resign hands the lead to another replica, so that the group need not wait for an election after this one has ended. It
-// does nothing where this replica does not lead, and waits no longer than the election timeout.
+// Resign transfers the lead to another replica, so that the group need not wait for an election after this one is
+// closed. It does nothing if this replica does not lead, and waits no longer than the election timeout.
 func (r *Replica) Resign() error {
 	if !r.Leads() || len(r.cfg.Addresses) == 1 {
 		return nil
@@ -211,19 +214,21 @@
 	return r.raft.LeadershipTransfer().Error()
 }
 
-// Dropped counts announcements of other replicas that made no sense.
+// Dropped returns the number of announcements of other replicas that were not valid.
 func (r *Replica) Dropped() int { return int(r.dropped.Load()) }
 
-// Propose puts an entry to the group, in the order of the calls. The timeout is for its place in the queue.
+// Propose proposes an entry to the group, in the order of the calls. The timeout is for a place in the queue.
 func (r *Replica) Propose(entry []byte, timeout time.Duration) Proposal {
 	return Proposal{r.raft.Apply(entry, timeout)}
 }
 
-// Proposal is an entry that was put to the group.
-type Proposal struct{ future raft.ApplyFuture }
+// Proposal is an entry that was proposed to the group.
+type Proposal struct {
+	future raft.ApplyFuture
+}
 
-// Wait waits for the outcome and gives what the state machine here returned for the entry. The error is ErrNotLeader where
-// the entry was not taken, and wraps ErrUnknownOutcome where it may yet be agreed on.
+// Wait waits for the outcome and returns the result of the entry in the state machine of this replica. The error is
+// ErrNotLeader if the entry was not accepted, and wraps ErrUnknownOutcome if it may be committed later.
 func (p Proposal) Wait() (any, error) {
 	err := outcomeError(p.future.Error())
 	if err != nil {
@@ -232,6 +237,7 @@
 	return p.future.Response(), nil
 }
 
+// outcomeError returns the error of this package for one of the library.
 func outcomeError(err error) error {
 	switch {
 	case err == nil:
@@ -242,8 +248,8 @@
 	return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 }
 
-// CatchUp waits until this replica, as the leader, has applied all that was agreed on under earlier leaders. It costs one
-// entry in each term. The error is as that of Wait.
+// CatchUp waits until this replica, as the leader, has applied all that was committed under earlier leaders. It costs
+// one log entry in each term. The errors are those of Proposal.Wait.
 func (r *Replica) CatchUp(timeout time.Duration) error {
 	term := r.raft.CurrentTerm()
 	if r.caughtUp.Load() == term {
@@ -256,11 +262,11 @@
 	return err
 }
 
-// Snapshot takes a snapshot of the state machine now, beside those that the library takes by itself.
+// Snapshot takes a snapshot of the state machine now, in addition to those that the library takes by itself.
 func (r *Replica) Snapshot() error { return r.raft.Snapshot().Error() }
 
-// SnapshotWriter writes a snapshot of a state machine. It is called on another goroutine than the state machine's, so what
-// it writes must not change.
+// SnapshotWriter writes a snapshot of a state machine. It is called on another goroutine than the methods of the state
+// machine, so the data that it writes must not change.
 type SnapshotWriter func(w io.Writer) error
 
 // Persist writes the snapshot to disk.
@@ -273,5 +279,5 @@
 	return sink.Close()
 }
 
-// Release has nothing to do.
+// Release does nothing.
 func (write SnapshotWriter) Release() {}
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -22,7 +22,7 @@
 	testPoll    = 5 * time.Millisecond
 )
 
-// eventually waits for a state that another goroutine brings about.
+// eventually waits until a condition is true, which other goroutines bring about.
 func eventually(t *testing.T, what string, reached func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
@@ -34,7 +34,7 @@
 	}
 }
 
-// list is a state machine that keeps its entries.
+// list is a state machine that stores its entries in order.
 type list struct {
 	mu      sync.Mutex
 	entries []string
@@ -69,7 +69,7 @@
 	return errors.Join(err, r.Close())
 }
 
-// group is three replicas on loopback.
+// group is a group of three replicas on loopback.
 type group struct {
 	t         *testing.T
 	addresses []netip.AddrPort
@@ -82,7 +82,7 @@
 	g := &group{t: t, lists: make([]*list, 3), replicas: make([]*Replica, 3)}
 	for range 3 {
 		host := netip.AddrFrom4([4]byte{127, byte(64 + rand.IntN(64)), byte(rand.IntN(256)), byte(1 + rand.IntN(254))})
-		l, err := net.Listen("tcp4", netip.AddrPortFrom(host, 0).String()) // where nobody else takes a port meanwhile
+		l, err := net.Listen("tcp4", netip.AddrPortFrom(host, 0).String()) // a random host, so that the port stays free
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,8 +102,17 @@
 }
 
 func (g *group) config(i int) Config {
-	return Config{Name: "test", Index: i, Addresses: g.addresses, Listen: g.addresses[i], Dir: g.dirs[i],
-		Key: []byte("0123456789abcdef"), Election: 200 * time.Millisecond, SnapshotThreshold: 4, TrailingEntries: 2}
+	return Config{
+		Name:              "test",
+		Index:             i,
+		Addresses:         g.addresses,
+		Listen:            g.addresses[i],
+		Dir:               g.dirs[i],
+		Key:               []byte("0123456789abcdef"),
+		Election:          200 * time.Millisecond,
+		SnapshotThreshold: 4,
+		TrailingEntries:   2,
+	}
 }
 
 func (g *group) open(i int) {
@@ -123,10 +132,10 @@
 	}
 }
 
-// propose has an entry agreed on at whichever replica leads, and gives which.
+// propose proposes an entry to the leader until it is committed, and returns the index of the leader.
 func (g *group) propose(entry string) (leader int) {
 	g.t.Helper()
-	eventually(g.t, "an entry to be agreed on", func() bool {
+	eventually(g.t, "an entry to be committed", func() bool {
 		for i, r := range g.replicas {
 			if r == nil || !r.Leads() {
 				continue
@@ -142,7 +151,8 @@
 	return leader
 }
 
-func (g *group) same(want ...string) {
+// waitForEntries waits until all running replicas have applied the entries.
+func (g *group) waitForEntries(want ...string) {
 	g.t.Helper()
 	for i, r := range g.replicas {
 		if r != nil {
@@ -151,11 +161,11 @@
 	}
 }
 
-// A group founds itself, goes on without its leader, and takes back a replica with its disk, and one without.
-func TestGroup(t *testing.T) {
+// A group bootstraps itself, goes on without its leader, and takes back a replica with its disk or without.
+func TestGroupSurvivesLossOfLeaderAndOfDisk(t *testing.T) {
 	g := newGroup(t)
 	first := g.propose("a")
-	g.same("a")
+	g.waitForEntries("a")
 	for i, r := range g.replicas {
 		eventually(t, "contact with a quorum", func() bool { return r.InContact() && r.Leader() == first })
 		if i == first {
@@ -172,44 +182,44 @@
 	eventually(t, "another to lead", func() bool { return !g.replicas[first].Leads() })
 	g.close(first)
 	second := g.propose("b")
-	g.same("a", "b")
+	g.waitForEntries("a", "b")
 	if err := g.replicas[second].Snapshot(); err != nil {
 		t.Fatal(err)
 	}
 	g.open(first)
-	g.same("a", "b")
+	g.waitForEntries("a", "b")
 	lost := 3 - first - second
-	former := g.replicas[lost].id
+	previous := g.replicas[lost].id
 	g.close(lost)
 	if err := os.RemoveAll(g.dirs[lost]); err != nil {
 		t.Fatal(err)
 	}
 	g.propose("c")
 	g.open(lost)
-	if g.replicas[lost].id == former || IndexOf(g.replicas[lost].id) != lost {
-		t.Errorf("id %s after %s", g.replicas[lost].id, former)
+	if g.replicas[lost].id == previous || IndexOf(g.replicas[lost].id) != lost {
+		t.Errorf("id %s after %s", g.replicas[lost].id, previous)
 	}
-	g.same("a", "b", "c")
+	g.waitForEntries("a", "b", "c")
 	g.close(first)
-	g.propose("d") // the replica that lost its disk counts again
-	g.same("a", "b", "c", "d")
+	g.propose("d") // the replica that lost its disk votes again
+	g.waitForEntries("a", "b", "c", "d")
 }
 
-// A replica has caught up once it carried out what was agreed on before it started, from its log, from a snapshot of its own
-// disk, or from one of the leader's; never without a leader.
-func TestCaughtUp(t *testing.T) {
+// A replica has caught up when it has applied what was committed before its start, from its log, its own snapshot or
+// one of the leader. Without a leader it never has.
+func TestReplicaCatchesUpOnlyWithLeader(t *testing.T) {
 	g := newGroup(t)
 	g.propose("a")
 	for _, r := range g.replicas {
 		eventually(t, "all to be caught up", r.CaughtUp)
 	}
-	g.same("a")
+	g.waitForEntries("a")
 	err := g.replicas[0].Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.propose("b")
-	g.same("a", "b")
+	g.waitForEntries("a", "b")
 	for i := range g.replicas {
 		g.close(i)
 	}
@@ -226,7 +236,7 @@
 			t.Errorf("replica %d is caught up with %v", i, got)
 		}
 	}
-	for _, entry := range []string{"c", "d", "e", "f", "g", "h"} { // beyond the entries kept behind a snapshot
+	for _, entry := range []string{"c", "d", "e", "f", "g", "h"} { // more than the entries kept after a snapshot
 		g.propose(entry)
 	}
 	for _, r := range g.replicas[:2] {
@@ -242,20 +252,20 @@
 	}
 }
 
-// The latest entry is looked up in memory: the leader does so all the time, and the entry may have megabytes.
-func TestLatestEntryInMemory(t *testing.T) {
+// The latest entry is read from memory: the leader reads it all the time, and it may have megabytes.
+func TestLatestEntryIsCached(t *testing.T) {
 	g := newGroup(t)
 	r := g.replicas[g.propose(strings.Repeat("a", 1<<20))]
 	index := r.machine.applied.Load()
 	var first, second raft.Log
 	err := errors.Join(r.entries.GetLog(index, &first), r.entries.GetLog(index, &second))
 	if err != nil || len(first.Data) == 0 || &first.Data[0] != &second.Data[0] {
-		t.Errorf("entry %d with %d bytes is decoded at each look, %v", index, len(first.Data), err)
+		t.Errorf("entry %d with %d bytes is decoded at each read, %v", index, len(first.Data), err)
 	}
 }
 
-// A minority neither agrees nor claims to be in contact.
-func TestMinority(t *testing.T) {
+// A minority neither commits an entry nor reports contact with a quorum.
+func TestMinorityCommitsNothing(t *testing.T) {
 	g := newGroup(t)
 	leader := g.propose("a")
 	for i := range g.replicas {
@@ -266,12 +276,13 @@
 	eventually(t, "the leader to step down", func() bool { return !g.replicas[leader].InContact() })
 	_, err := g.replicas[leader].Propose([]byte("b"), time.Second).Wait()
 	if err == nil {
-		t.Error("a minority agreed")
+		t.Error("a minority committed an entry")
 	}
 }
 
-// A directory belongs to one replica; a connection without a good greeting is ended.
-func TestStrangers(t *testing.T) {
+// A connection without a valid greeting is closed, invalid announcements are dropped, and a directory belongs to one
+// replica.
+func TestReplicaRejectsForeignConnectionsAndDirectory(t *testing.T) {
 	g := newGroup(t)
 	g.propose("a")
 	conn, err := net.Dial("tcp4", g.addresses[1].String())
@@ -282,7 +293,7 @@
 	conn.Write(make([]byte, SignatureSize))
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	if n, err := conn.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%d bytes for a stranger, %v", n, err)
+		t.Errorf("%d bytes after an invalid greeting, %v", n, err)
 	}
 	for _, a := range []Announcement{{Index: 7, ID: "7-aa"}, {Index: 2, ID: "1-aa"}, {Index: -1}} {
 		if err := g.replicas[0].transport.announce(1, a); err != nil {
@@ -293,7 +304,8 @@
 	g.close(0)
 	cfg := g.config(0)
 	cfg.Index = 1
-	if _, err := Open(cfg, &list{}); err == nil || !strings.Contains(err.Error(), filepath.Join(g.dirs[0], identityFile)) {
+	_, err = Open(cfg, &list{})
+	if err == nil || !strings.Contains(err.Error(), filepath.Join(g.dirs[0], identityFile)) {
 		t.Errorf("the directory of another replica: %v", err)
 	}
 }
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -10,34 +10,43 @@
 	"github.com/hashicorp/raft"
 )
 
-// Bounds of the pause before a write of the replica's term or vote is tried again.
+// Bounds of the backoff between attempts to write the term or the vote.
 const (
 	minWriteRetry = 50 * time.Millisecond
 	maxWriteRetry = time.Second
 )
 
-// disk is the replica's log and its state on disk. It tells of writes that fail, as on a full disk, and keeps the library from
-// ending the process over one.
+// disk is the replica's log and its state on disk. It logs failed writes, as on a full disk, and keeps the library
+// from ending the process after one.
 type disk struct {
 	raft.LogStore
 	raft.StableStore
 
 	cluster string       // its name in log lines
 	fault   func() error // Config.DiskFault; nil: none
-	failing atomic.Bool  // the last write failed
-	missed  atomic.Bool  // a write failed, and what it missed may not be carried out yet
+	failing atomic.Bool  // the latest write failed
+	missed  atomic.Bool  // a write failed, and the entries that it missed may not be applied yet
 	closing chan struct{}
 	once    sync.Once
 }
 
 func newDisk(cfg *Config, entries raft.LogStore, state raft.StableStore) *disk {
-	return &disk{LogStore: entries, StableStore: state, cluster: cfg.Name, fault: cfg.DiskFault, closing: make(chan struct{})}
+	return &disk{
+		LogStore:    entries,
+		StableStore: state,
+		cluster:     cfg.Name,
+		fault:       cfg.DiskFault,
+		closing:     make(chan struct{}),
+	}
 }
 
 // close ends the retries of writes.
-func (d *disk) close() { d.once.Do(func() { close(d.closing) }) }
+func (d *disk) close() {
+	d.once.Do(func() { close(d.closing) })
+}
 
-// write makes a write and notes how it ended. The first failure in a row is logged, and the first success after it.
+// write makes a write and records its outcome. It logs the first of consecutive failures, and the first success after
+// one.
 func (d *disk) write(do func() error) error {
 	err := error(nil)
 	if d.fault != nil {
@@ -49,10 +58,12 @@
 	if err != nil {
 		d.missed.Store(true)
 	}
-	switch failed := err != nil; {
-	case failed && !d.failing.Swap(true):
+	failed := err != nil
+	failedBefore := d.failing.Swap(failed)
+	switch {
+	case failed && !failedBefore:
 		slog.Error("raft_disk_failing", "cluster", d.cluster, "error", err)
-	case !failed && d.failing.Swap(false):
+	case !failed && failedBefore:
 		slog.Info("raft_disk_restored", "cluster", d.cluster)
 	}
 	return err
@@ -83,12 +94,12 @@
 	return d.writeState(func() error { return d.StableStore.SetUint64(key, value) })
 }
 
-// writeState writes the term or the vote, as often as it takes. The library ends the process where the term can't be stored
-// ("failed to save current term"), so an election during which the disk is full would kill the replica, at each start again. One
-// that waits instead neither votes nor follows, as if it were down, and goes on once there is room. When the replica closes, the
-// goroutine that waits ends: the library can't be given an error.
+// writeState writes the term or the vote, with retries until it succeeds. The library ends the process if the term
+// can't be stored ("failed to save current term"), so an election while the disk is full would kill the replica, at
+// each start again. A replica that waits neither votes nor follows, as if it were down, and continues when the disk
+// has free space. When the replica is closed, the waiting goroutine exits, since an error would end the process.
 func (d *disk) writeState(do func() error) error {
-	for pause := minWriteRetry; ; pause = min(2*pause, maxWriteRetry) {
+	for backoff := minWriteRetry; ; backoff = min(2*backoff, maxWriteRetry) {
 		err := d.write(do)
 		if err == nil {
 			return nil
@@ -96,7 +107,7 @@
 		select {
 		case <-d.closing:
 			runtime.Goexit()
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
 	}
 }
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -16,10 +16,10 @@
 
 const (
 	identityFile  = "id"
-	identityBytes = 8 // of chance
+	identityBytes = 8 // random bytes of an id
 )
 
-// identity reads the replica's id, or makes one: its index, a dash and hex digits drawn by chance.
+// identity returns the replica's id from its directory, or creates one: the index, a dash and random hex digits.
 func identity(dir string, index int) (raft.ServerID, error) {
 	file := filepath.Join(dir, identityFile)
 	text, err := os.ReadFile(file)
@@ -35,10 +35,11 @@
 	random := make([]byte, identityBytes)
 	rand.Read(random)
 	id := strconv.Itoa(index) + "-" + hex.EncodeToString(random)
-	return raft.ServerID(id), renameio.WriteFile(file, []byte(id), 0o600) // synced: an empty file after a power failure is no id
+	err = renameio.WriteFile(file, []byte(id), 0o600) // syncs the file, which must not be empty after a power failure
+	return raft.ServerID(id), err
 }
 
-// IndexOf gives the index of the replica that an id belongs to, -1 where it is no id.
+// IndexOf returns the index of the replica with an id, or -1 if the id is not valid.
 func IndexOf(id raft.ServerID) int {
 	text, _, found := strings.Cut(string(id), "-")
 	index, err := strconv.Atoi(text)
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -9,26 +9,30 @@
 
 const (
 	announceInterval = 300 * time.Millisecond
-	announcementLife = 5 * announceInterval // an announcement older than that no longer counts
-	changeTimeout    = 5 * time.Second      // of one change of the membership
-	announcementRoom = 64                   // announcements that wait to be handled; more are dropped
+	announcementTTL  = 5 * announceInterval
+	changeTimeout    = 5 * time.Second // of one change of the membership
+
+	// announcementCapacity bounds the announcements that wait to be handled. More are dropped.
+	announcementCapacity = 64
 )
 
-// Announcement is what a replica without anything on its disk tells the others, until it has something.
+// Announcement is the message of a replica with an empty log to the others. It repeats it until its log has an entry.
 type Announcement struct {
 	Index int    `json:"v"`
 	ID    string `json:"i"`
 }
 
-type heardAnnouncement struct {
-	id string
-	at time.Time
+// receivedAnnouncement is the latest announcement of a replica.
+type receivedAnnouncement struct {
+	id         string
+	receivedAt time.Time
 }
 
-// membership founds the group and takes back replicas that lost their disk. Its fields belong to its goroutine.
+// membership bootstraps the group and replaces replicas that lost their disk. Its fields belong to the goroutine of
+// run.
 type membership struct {
 	replica   *Replica
-	heard     map[int]heardAnnouncement
+	latest    map[int]receivedAnnouncement // by replica index
 	announced chan Announcement
 	done      chan struct{}
 	ended     chan struct{}
@@ -37,21 +41,22 @@
 func newMembership(r *Replica) *membership {
 	return &membership{
 		replica:   r,
-		heard:     map[int]heardAnnouncement{},
-		announced: make(chan Announcement, announcementRoom),
+		latest:    map[int]receivedAnnouncement{},
+		announced: make(chan Announcement, announcementCapacity),
 		done:      make(chan struct{}),
 		ended:     make(chan struct{}),
 	}
 }
 
-// close ends the goroutine. The library has to be shut down by then, so that no change of the membership is waited for.
+// close ends the goroutine and waits for it. The library has to be shut down before, which ends a membership change in
+// progress.
 func (m *membership) close() {
 	close(m.done)
 	<-m.ended
 }
 
-// hear takes in an announcement from any goroutine. One that finds no room is said again by its sender.
-func (m *membership) hear(a Announcement) {
+// receive queues an announcement, from any goroutine. It drops one if the queue is full, since the sender repeats it.
+func (m *membership) receive(a Announcement) {
 	select {
 	case m.announced <- a:
 	default:
@@ -81,36 +86,38 @@
 		m.replica.dropped.Add(1)
 		return
 	}
-	m.heard[a.Index] = heardAnnouncement{a.ID, time.Now()}
+	m.latest[a.Index] = receivedAnnouncement{a.ID, time.Now()}
 	if m.replica.Leads() {
 		m.replace(a)
 	}
 }
 
-// tick announces this replica while it has nothing on disk. The first replica founds the group once all are there and all
-// have nothing: then no earlier group can have agreed on anything.
+// tick announces this replica while its log is empty. The replica with index 0 bootstraps the group when all replicas
+// have announced an empty log: no earlier group can have committed anything then.
 func (m *membership) tick() {
 	if m.replica.raft.LastIndex() > 0 {
 		return
 	}
 	cfg := &m.replica.cfg
 	own := Announcement{cfg.Index, string(m.replica.id)}
+	transport := m.replica.transport
 	for i := range cfg.Addresses {
 		if i != cfg.Index {
-			go m.replica.transport.announce(i, own)
+			transport.tasks.Go(func() { transport.announce(i, own) })
 		}
 	}
 	if cfg.Index == 0 {
-		m.found()
+		m.bootstrap()
 	}
 }
 
-func (m *membership) found() {
+// bootstrap starts the group if all other replicas have announced themselves lately.
+func (m *membership) bootstrap() {
 	cfg := &m.replica.cfg
 	servers := []raft.Server{server(m.replica.id)}
 	for i := 1; i < len(cfg.Addresses); i++ {
-		a, ok := m.heard[i]
-		if ok && time.Since(a.at) < announcementLife {
+		a, ok := m.latest[i]
+		if ok && time.Since(a.receivedAt) < announcementTTL {
 			servers = append(servers, server(raft.ServerID(a.id)))
 		}
 	}
@@ -125,28 +132,29 @@
 	slog.Info("raft_cluster_bootstrapped", "cluster", cfg.Name, "voters", len(servers))
 }
 
+// server returns the voter with an id, whose address is the id itself: transport resolves it.
 func server(id raft.ServerID) raft.Server {
 	return raft.Server{Suffrage: raft.Voter, ID: id, Address: raft.ServerAddress(id)}
 }
 
-// replace removes what a replica was before it lost its disk, and adds it anew.
+// replace removes the previous id of a replica that lost its disk from the membership, and adds its new id.
 func (m *membership) replace(a Announcement) {
 	future := m.replica.raft.GetConfiguration()
 	if future.Error() != nil {
 		return
 	}
-	former := raft.ServerID("")
+	previous := raft.ServerID("")
 	for _, s := range future.Configuration().Servers {
 		if string(s.ID) == a.ID {
 			return
 		}
 		if IndexOf(s.ID) == a.Index {
-			former = s.ID
+			previous = s.ID
 		}
 	}
 	var err error
-	if former != "" {
-		err = m.replica.raft.RemoveServer(former, 0, changeTimeout).Error()
+	if previous != "" {
+		err = m.replica.raft.RemoveServer(previous, 0, changeTimeout).Error()
 	}
 	if err == nil {
 		s := server(raft.ServerID(a.ID))
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -7,29 +7,29 @@
 	"github.com/hashicorp/raft"
 )
 
-// tracked is a state machine that notes the last entry it carried out. The library's own index of applied entries counts
-// those that the machine has yet to be given.
-type tracked struct {
+// trackedMachine is a state machine that records the index of the last entry applied. The index of the library also
+// counts entries that are still queued for the state machine.
+type trackedMachine struct {
 	raft.FSM
 	applied atomic.Uint64 // index in the log
 }
 
-// Apply carries out an entry.
-func (t *tracked) Apply(entry *raft.Log) any {
+// Apply implements raft.FSM.
+func (t *trackedMachine) Apply(entry *raft.Log) any {
 	outcome := t.FSM.Apply(entry)
 	t.applied.Store(entry.Index)
 	return outcome
 }
 
-// CaughtUp tells whether this replica has once since its start, in contact with a leader, carried out all that was agreed
-// on before that one was elected. Before that its state may be any earlier one: the log is replayed from the last snapshot
-// on, and only a leader knows how far it was agreed on.
+// CaughtUp reports whether this replica, at any time since its start, has applied all that was committed before the
+// election of the present leader. Until then its state may be any earlier one: the log is replayed from the latest
+// snapshot on, and only a leader knows which of its entries are committed.
 func (r *Replica) CaughtUp() bool {
 	if r.replayed.Load() {
 		return true
 	}
 	if !r.InContact() {
-		return false // nothing to look up for, as long as there is no leader
+		return false
 	}
 	committed := r.raft.AppliedIndex()
 	if r.termOf(committed) != r.raft.CurrentTerm() || r.machine.applied.Load() < r.lastProposal(committed) {
@@ -39,15 +39,15 @@
 	return true
 }
 
-// termOf gives the term of the entry at an index that was agreed on, 0 where it isn't known. A leader's first entry is of
-// its own term, and all that was agreed on before comes before it.
+// termOf returns the term of the committed entry at an index, or 0 if it isn't known. The first entry of a leader has
+// the leader's term, and all that was committed under earlier leaders precedes it.
 func (r *Replica) termOf(index uint64) uint64 {
 	var entry raft.Log
 	err := r.entries.GetLog(index, &entry)
 	if err == nil {
 		return entry.Term
 	}
-	stats := r.raft.Stats() // the entry may have given way to the snapshot that ends with it
+	stats := r.raft.Stats() // the entry may have been compacted into the snapshot that ends with it
 	if stats["last_snapshot_index"] != strconv.FormatUint(index, 10) {
 		return 0
 	}
@@ -58,8 +58,8 @@
 	return term
 }
 
-// lastProposal gives the index of the last entry up to another that the state machine has to carry out, 0 where none is in
-// the log. Others, such as the first entry of each leader, are few between two proposals.
+// lastProposal returns the index of the last entry for the state machine up to an index, or 0 if there is none in the
+// log. There are few entries for the library between two of them, such as the first one of each leader.
 func (r *Replica) lastProposal(upTo uint64) uint64 {
 	var entry raft.Log
 	for index := upTo; index > 0; index-- {
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -27,55 +27,62 @@
 // SignatureSize is the length of a signature in bytes.
 const SignatureSize = 16
 
-// Sign gives the signature of a text: HMAC-SHA-256, cut to SignatureSize.
+// Sign returns the signature of a text: HMAC-SHA-256, truncated to SignatureSize.
 func Sign(key, text []byte) []byte {
 	m := hmac.New(sha256.New, key)
 	m.Write(text)
 	return m.Sum(nil)[:SignatureSize]
 }
 
-// transport is the replicas' way to each other for the library: TCP, where the caller first names and signs the id that it
-// wants, so that messages for a replica that lost its disk never reach the one that has taken its place.
+// transport connects the replicas for the library by TCP. The caller first sends a signature of the id that it wants to
+// reach, so that messages for a replica that lost its disk don't reach the one with a new id at the same address.
 type transport struct {
 	listener  *sockets.Listener
 	cfg       *Config
 	id        raft.ServerID
 	announced func(Announcement)
-	greeted   chan net.Conn
-	done      chan struct{}
+	greeted   chan net.Conn   // connections of the library with a valid greeting
+	ctx       context.Context // canceled by Close
+	cancel    context.CancelFunc
+	tasks     sync.WaitGroup
 	closeOnce sync.Once
 }
 
+// listen opens the listener and starts to accept connections. It calls announced for each announcement.
 func listen(cfg *Config, id raft.ServerID, announced func(Announcement)) (*transport, error) {
 	listener, err := sockets.Listen(cfg.Sockets, cfg.Listen)
 	if err != nil {
 		return nil, err
 	}
+	ctx, cancel := context.WithCancel(context.Background())
 	t := &transport{
 		listener:  listener,
 		cfg:       cfg,
 		id:        id,
 		announced: announced,
 		greeted:   make(chan net.Conn),
-		done:      make(chan struct{}),
+		ctx:       ctx,
+		cancel:    cancel,
 	}
-	go t.accept()
+	t.tasks.Go(t.accept)
 	return t, nil
 }
 
-// accept takes connections in and checks each one's greeting beside the others.
+// accept accepts connections until the listener is closed, and starts a goroutine for each greeting.
 func (t *transport) accept() {
 	for {
 		conn, err := t.listener.Accept()
 		if err != nil { // closed
 			return
 		}
-		go t.greet(conn)
+		t.tasks.Go(func() { t.greet(conn) })
 	}
 }
 
-// greet reads a connection's greeting and hands it on, or ends it.
+// greet reads the greeting of a connection and passes the connection to the library if it is valid.
 func (t *transport) greet(conn net.Conn) {
+	stopClosing := context.AfterFunc(t.ctx, func() { conn.Close() })
+	defer stopClosing()
 	conn.SetDeadline(time.Now().Add(greetingTimeout))
 	greeting := make([]byte, SignatureSize)
 	_, err := io.ReadFull(conn, greeting)
@@ -92,9 +99,10 @@
 		return
 	}
 	conn.SetDeadline(time.Time{})
+	stopClosing() // the library closes its connections
 	select {
 	case t.greeted <- conn:
-	case <-t.done:
+	case <-t.ctx.Done():
 		conn.Close()
 	}
 }
@@ -103,14 +111,15 @@
 
 func idGreeting(id raft.ServerID) []byte { return []byte("to " + id) }
 
-// readAnnouncement reads what a replica without anything on disk tells: its index and id, signed.
+// readAnnouncement reads a signed announcement.
 func (t *transport) readAnnouncement(conn net.Conn) {
 	defer conn.Close()
 	text, err := io.ReadAll(io.LimitReader(conn, announcementLimit))
 	if err != nil || len(text) <= SignatureSize {
 		return
 	}
-	signature, text := text[:SignatureSize], text[SignatureSize:]
+	signature := text[:SignatureSize]
+	text = text[SignatureSize:]
 	if !hmac.Equal(signature, Sign(t.cfg.Key, text)) {
 		return
 	}
@@ -120,9 +129,10 @@
 	}
 }
 
-// announce tells another replica that this one has nothing on disk.
+// announce sends an announcement to another replica.
 func (t *transport) announce(to int, a Announcement) error {
-	conn, err := t.cfg.Sockets.Dial(context.Background(), &net.Dialer{Timeout: greetingTimeout}, t.cfg.Addresses[to].String())
+	dialer := &net.Dialer{Timeout: greetingTimeout}
+	conn, err := t.cfg.Sockets.Dial(t.ctx, dialer, t.cfg.Addresses[to].String())
 	if err != nil {
 		return err
 	}
@@ -136,27 +146,27 @@
 	return err
 }
 
-// Accept gives the next connection with a good greeting.
+// Accept returns the next connection with a valid greeting.
 func (t *transport) Accept() (net.Conn, error) {
 	select {
 	case conn := <-t.greeted:
 		return conn, nil
-	case <-t.done:
+	case <-t.ctx.Done():
 		return nil, net.ErrClosed
 	}
 }
 
-// Close may be called more than once: by the library and by the replica.
+// Close closes the listener. It may be called more than once: the library and the replica both do.
 func (t *transport) Close() error {
 	err := error(nil)
 	t.closeOnce.Do(func() {
-		close(t.done)
+		t.cancel()
 		err = t.listener.Close()
 	})
 	return err
 }
 
-// Addr is the replica's id: where it is found each replica knows from its own configuration.
+// Addr returns the replica's id as an address. Each replica resolves it by its own configuration.
 func (t *transport) Addr() net.Addr { return address(t.id) }
 
 type address string
@@ -184,7 +194,7 @@
 	return conn, nil
 }
 
-// find gives the address of the replica that an id belongs to.
+// find returns the address of the replica with an id.
 func (t *transport) find(id raft.ServerID) (netip.AddrPort, error) {
 	index := IndexOf(id)
 	if index < 0 || index >= len(t.cfg.Addresses) {
--- a/internal/frames/frames.go
+++ b/internal/frames/frames.go
@@ -1,5 +1,4 @@
-// Package frames reads and writes the messages of package configsync on connections. It is what publishers and subscribers
-// share of them.
+// Package frames reads the messages of package configsync from connections, for publishers and subscribers.
 package frames
 
 import (
@@ -10,11 +9,13 @@
 	"ravensill/configsync"
 )
 
-// keptBuffer is the largest buffer, in bytes, that a Reader keeps between two frames.
-const keptBuffer = 16 << 10
+// maxRetainedBuffer is the largest buffer, in bytes, that a Reader retains between two frames.
+const maxRetainedBuffer = 16 << 10
 
-// MalformedError tells that a frame was too long, was cut short or holds no message. Nothing after it can be read.
-type MalformedError struct{ Err error }
+// MalformedError reports that a frame is too long, is truncated or contains no message. Nothing after it can be read.
+type MalformedError struct {
+	Err error
+}
 
 func (e *MalformedError) Error() string { return "malformed message: " + e.Err.Error() }
 
@@ -27,17 +28,17 @@
 	buffer []byte
 }
 
-// NewReader gives a reader that refuses frames of more than limit bytes after their header. A limit beyond that of
-// configsync changes nothing.
+// NewReader returns a reader that refuses frames of more than limit bytes after their header, in addition to those
+// beyond the limit of configsync.
 func NewReader(source io.Reader, limit int) *Reader { return &Reader{source: source, limit: limit} }
 
-// Next reads one message. The error is a *MalformedError, or of the connection: io.EOF where it was ended between two
-// frames.
+// Next reads one message. The error is a *MalformedError or that of the connection, which is io.EOF if it was closed
+// between two frames.
 func (r *Reader) Next() (configsync.Message, error) {
-	header := r.room(configsync.FrameHeaderBytes)
+	header := r.grow(configsync.FrameHeaderBytes)
 	_, err := io.ReadFull(r.source, header)
 	if err != nil {
-		return nil, cutShort(err)
+		return nil, truncationError(err)
 	}
 	size, err := configsync.FrameSize(header)
 	if err != nil {
@@ -46,13 +47,13 @@
 	if size > r.limit {
 		return nil, &MalformedError{fmt.Errorf("a frame of %d bytes, %d allowed", size, r.limit)}
 	}
-	frame := r.room(configsync.FrameHeaderBytes + size)
+	frame := r.grow(configsync.FrameHeaderBytes + size)
 	_, err = io.ReadFull(r.source, frame[configsync.FrameHeaderBytes:])
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil {
-		return nil, cutShort(err)
+		return nil, truncationError(err)
 	}
 	message, err := configsync.Decode(frame)
 	if err != nil {
@@ -61,9 +62,9 @@
 	return message, nil
 }
 
-// room gives a buffer of a size that begins with what the last one held.
-func (r *Reader) room(size int) []byte {
-	if cap(r.buffer) > keptBuffer || cap(r.buffer) < size {
+// grow returns a buffer of a size that begins with the content of the buffer before.
+func (r *Reader) grow(size int) []byte {
+	if cap(r.buffer) > maxRetainedBuffer || cap(r.buffer) < size {
 		larger := make([]byte, max(size, configsync.FrameHeaderBytes))
 		copy(larger, r.buffer)
 		r.buffer = larger
@@ -72,8 +73,9 @@
 	return r.buffer
 }
 
-// cutShort tells a frame that was cut short from a connection that failed.
-func cutShort(err error) error {
+// truncationError returns a *MalformedError if an error means that a frame is truncated, and otherwise the error
+// itself.
+func truncationError(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return &MalformedError{err}
 	}
--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -11,7 +11,7 @@
 
 const testLimit = 4 << 10
 
-// FuzzReader: whatever comes, messages are read up to a malformed one or the end, and no buffer grows beyond the limit.
+// FuzzReader checks that messages are read up to a malformed one or the end, and that no buffer grows beyond the limit.
 func FuzzReader(f *testing.F) {
 	acknowledge := configsync.Encode(&configsync.Acknowledge{Version: 3})
 	f.Add(bytes.Repeat(acknowledge, 3))
--- a/internal/publishertest/publishertest.go
+++ b/internal/publishertest/publishertest.go
@@ -1,4 +1,4 @@
-// Package publishertest runs groups of publishers on loopback for tests.
+// Package publishertest runs groups of publishers on loopback addresses for tests.
 package publishertest
 
 import (
@@ -29,7 +29,7 @@
 const FirstContent = `{"plans":[{"name":"gold","rate":10,"burst":5},{"name":"team","rate":5,"burst":5}],
 	"profiles":[{"name":"lookup","target_us":1000,"hard_limit_us":2000}],"limits":{"max_attempts":2}}`
 
-// Eventually waits for a state that other goroutines bring about.
+// Eventually waits until a condition is true, which other goroutines bring about.
 func Eventually(t *testing.T, what string, reached func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
@@ -41,7 +41,7 @@
 	}
 }
 
-// freeAddress gives an address of its own on loopback, with a port that nobody else takes before it is listened at.
+// freeAddress returns a loopback address with a free port. Its host is random, so that no other process uses the port.
 func freeAddress(t *testing.T) netip.AddrPort {
 	host := netip.AddrFrom4([4]byte{127, byte(64 + rand.IntN(64)), byte(rand.IntN(256)), byte(1 + rand.IntN(254))})
 	l, err := net.Listen("tcp4", netip.AddrPortFrom(host, 0).String())
@@ -56,12 +56,13 @@
 type Group struct {
 	Configs  []*config.Publisher
 	Replicas []*publisher.Publisher // nil: closed
-	t        *testing.T
-	system   sockets.System
-	faults   []atomic.Pointer[error] // of the disks, by replica; nil: none
+
+	t      *testing.T
+	system sockets.System
+	faults []atomic.Pointer[error] // of the disks, by replica; nil: none
 }
 
-// SetDiskFault has all writes to a replica's log and state fail with an error, or none if that is nil.
+// SetDiskFault makes all writes to the log and the state of a replica fail with an error, or none if that is nil.
 func (g *Group) SetDiskFault(i int, err error) {
 	if err == nil {
 		g.faults[i].Store(nil)
@@ -78,25 +79,42 @@
 	return nil
 }
 
-// NewGroup starts replicas, each with a folder of its own; change may alter their configurations. They are closed with
-// the test.
+// NewGroup starts replicas, each with its own directory; change may alter their configurations. They are closed at
+// the end of the test.
 func NewGroup(t *testing.T, replicas int, change func(*config.Publisher)) *Group {
 	return NewGroupOn(t, sockets.Kernel{}, replicas, change)
 }
 
 // NewGroupOn is NewGroup with replicas whose sockets are those of system.
 func NewGroupOn(t *testing.T, system sockets.System, replicas int, change func(*config.Publisher)) *Group {
-	g := &Group{t: t, system: system, Replicas: make([]*publisher.Publisher, replicas), faults: make([]atomic.Pointer[error], replicas)}
-	var raftAddresses, adminAddresses []netip.AddrPort
+	g := &Group{
+		Replicas: make([]*publisher.Publisher, replicas),
+		t:        t,
+		system:   system,
+		faults:   make([]atomic.Pointer[error], replicas),
+	}
+	var raftAddresses []netip.AddrPort
+	var adminAddresses []netip.AddrPort
 	for range replicas {
 		raftAddresses = append(raftAddresses, freeAddress(t))
 		adminAddresses = append(adminAddresses, freeAddress(t))
 	}
 	for i := range replicas {
-		cfg := &config.Publisher{Index: i, Listen: freeAddress(t), RaftListen: raftAddresses[i], Raft: raftAddresses,
-			AdminListen: adminAddresses[i], Admin: adminAddresses, Dir: t.TempDir(), Key: []byte("0123456789abcdef"),
-			ElectionTimeout: 200 * time.Millisecond, MaxFollowers: 100,
-			History: configsync.HistoryLimits{Deltas: 8, Bytes: 1 << 20}, SnapshotThreshold: 4, TrailingEntries: 2}
+		cfg := &config.Publisher{
+			Index:             i,
+			Listen:            freeAddress(t),
+			RaftListen:        raftAddresses[i],
+			Raft:              raftAddresses,
+			AdminListen:       adminAddresses[i],
+			Admin:             adminAddresses,
+			Dir:               t.TempDir(),
+			Key:               []byte("0123456789abcdef"),
+			ElectionTimeout:   200 * time.Millisecond,
+			MaxFollowers:      100,
+			History:           configsync.HistoryLimits{Deltas: 8, Bytes: 1 << 20},
+			SnapshotThreshold: 4,
+			TrailingEntries:   2,
+		}
 		if change != nil {
 			change(cfg)
 		}
@@ -113,17 +131,20 @@
 	return g
 }
 
-// Open starts a replica, again with what lies on its disk.
+// Open starts a replica, also again with the data on its disk.
 func (g *Group) Open(i int) {
 	g.t.Helper()
 	var err error
-	g.Replicas[i], err = publisher.StartWith(g.Configs[i], publisher.Options{Sockets: g.system, DiskFault: func() error { return g.diskFault(i) }})
+	g.Replicas[i], err = publisher.StartWith(g.Configs[i], publisher.Options{
+		Sockets:   g.system,
+		DiskFault: func() error { return g.diskFault(i) },
+	})
 	if err != nil {
 		g.t.Fatal(err)
 	}
 }
 
-// Close ends a replica; a second time it does nothing.
+// Close closes a replica. It does nothing if that is closed already.
 func (g *Group) Close(i int) {
 	if g.Replicas[i] != nil {
 		g.Replicas[i].Close()
@@ -131,7 +152,7 @@
 	}
 }
 
-// Request asks a replica over HTTP.
+// Request sends an HTTP request to a replica. status is 0 if there is no answer.
 func (g *Group) Request(i int, method, path, body, ifMatch string) (status int, answer string) {
 	request, err := http.NewRequest(method, "http://"+g.Configs[i].AdminListen.String()+path, strings.NewReader(body))
 	if err != nil {
@@ -151,7 +172,7 @@
 	return response.StatusCode, string(text)
 }
 
-// Publish repeats a change at a replica as long as the group has no leader.
+// Publish makes a change at a replica, with retries while the group has no leader.
 func (g *Group) Publish(i int, method, path, body string) (p publisher.Publication) {
 	g.t.Helper()
 	Eventually(g.t, "a publication", func() bool {
@@ -170,14 +191,14 @@
 	return g.Publish(0, "PUT", "/v1/configuration", FirstContent)
 }
 
-// SetRate publishes another rate of a plan.
+// SetRate publishes a new rate of a plan.
 func (g *Group) SetRate(i int, plan string, rate int) publisher.Publication {
 	g.t.Helper()
 	body := fmt.Sprintf(`{"set":{"plans/%s":{"name":%q,"rate":%d,"burst":5}}}`, plan, plan, rate)
 	return g.Publish(i, "PATCH", "/v1/configuration", body)
 }
 
-// Leader gives the index of the replica that leads.
+// Leader returns the index of the leading replica. It waits until there is one.
 func (g *Group) Leader() (leader int) {
 	g.t.Helper()
 	Eventually(g.t, "a leader", func() bool {
@@ -192,7 +213,7 @@
 	return leader
 }
 
-// Agreed waits until all replicas that run have the version.
+// Agreed waits until all running replicas have a version.
 func (g *Group) Agreed(want publisher.Publication) {
 	g.t.Helper()
 	for i, p := range g.Replicas {
