--- a/internal/config/adjustments.go
+++ b/internal/config/adjustments.go
@@ -56,7 +56,7 @@
 		s.adjust("family_info.count_wait_us", "ignored: family_info.shared_counter is not true")
 		limits.CounterTimeout = 0
 	case limits.SharedCounter && limits.CounterTimeout == 0:
-		limits.CounterTimeout = int64(defaultCounterTimeout)
+		limits.CounterTimeout = defaultCounterTimeout
 	}
 }
 
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -6,6 +6,7 @@
 	"net/netip"
 	"runtime"
 	"strings"
+	"time"
 
 	"ravensill/configsync"
 	"ravensill/gateway"
@@ -60,8 +61,8 @@
 // fileSettings are the settings of the gateway's file that no document changes.
 type fileSettings struct {
 	limits         gateway.Limits
-	longestTimeout int64 // of request classes, in nanoseconds; 0: not bounded
-	fixedSize      bool  // the number of members can't change
+	longestTimeout time.Duration // of request classes; 0: not bounded
+	fixedSize      bool          // the number of members can't change
 }
 
 // NewLive returns the configuration in force of a gateway that has its file alone.
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -6,12 +6,11 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/tidwall/gjson"
 )
 
-const nanosecondsPerMicrosecond = 1000
-
 var (
 	errNoObject = errors.New("not a JSON object")
 	errNoList   = errors.New("not a list")
@@ -83,9 +82,9 @@
 	return r.typed(path, gjson.True, gjson.False).Bool()
 }
 
-// microseconds returns the duration at a path, written in microseconds, in nanoseconds.
-func (r *objectReader) microseconds(path string) int64 {
-	return int64(r.number(path) * nanosecondsPerMicrosecond)
+// microseconds returns the duration at a path, which is written in microseconds.
+func (r *objectReader) microseconds(path string) time.Duration {
+	return time.Duration(r.number(path) * float64(time.Microsecond))
 }
 
 // text returns a copy of the string at a path: a substring would keep the whole document in memory.
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -54,8 +54,6 @@
 	Urgent     []string `json:"urgent"`
 }
 
-const nanosecondsPerMS = int64(time.Millisecond)
-
 // What follows from other keys where the section doesn't set it.
 const (
 	reportsPerLease            = 10
@@ -106,12 +104,12 @@
 	if s.TurnMS > 0 {
 		return
 	}
-	objective := int64(math.MaxInt64)
+	objective := time.Duration(math.MaxInt64)
 	for i := range settings.Classes {
 		objective = min(objective, settings.Classes[i].LatencyObjective)
 	}
-	wait := objective / (waitsPerObjective * nanosecondsPerMS)
-	s.TurnMS = int(max(min(wait, maxDefaultWaitMS), 1))
+	wait := objective / waitsPerObjective
+	s.TurnMS = int(max(min(wait.Milliseconds(), maxDefaultWaitMS), 1))
 }
 
 // checkNumbers checks each integer against its bounds.
@@ -158,11 +156,11 @@
 
 // pool returns the section's values but for its addresses, key and request classes.
 func (s *poolSection) pool(settings *Settings) *Pool {
-	longestTimeout := int64(0)
+	longestTimeout := time.Duration(0)
 	for i := range settings.Classes {
 		longestTimeout = max(longestTimeout, settings.Classes[i].Timeout)
 	}
-	lease := int64(s.LeaseMS) * nanosecondsPerMS
+	lease := milliseconds(s.LeaseMS)
 	return &Pool{
 		Capacity:        s.Capacity,
 		Serial:          s.Serial,
@@ -174,12 +172,12 @@
 			Members:        settings.Membership.Count,
 			Floor:          s.Floor,
 			Reserve:        s.Reserve,
-			Lease:          lease,
-			Drain:          longestTimeout + lease,
+			Lease:          int64(lease),
+			Drain:          int64(longestTimeout + lease),
 			Drift:          s.Drift,
-			TargetHold:     int64(s.HoldMS) * nanosecondsPerMS,
-			ReportInterval: int64(s.TellMS) * nanosecondsPerMS,
-			CloseDelay:     int64(s.RestMS) * nanosecondsPerMS,
+			TargetHold:     int64(milliseconds(s.HoldMS)),
+			ReportInterval: int64(milliseconds(s.TellMS)),
+			CloseDelay:     int64(milliseconds(s.RestMS)),
 		},
 	}
 }
--- a/internal/config/random_settings_test.go
+++ b/internal/config/random_settings_test.go
@@ -17,16 +17,16 @@
 // discardingActions discards all actions of a decision module.
 type discardingActions struct{ gateway.Actions }
 
-func (discardingActions) StartAttempt(string, uint32, int64)  {}
-func (discardingActions) Reject(string, int64)                {}
-func (discardingActions) Fail(string)                         {}
-func (discardingActions) CancelAttempt(string, int)           {}
-func (discardingActions) LogNote(string)                      {}
-func (discardingActions) SendProbe(uint32)                    {}
-func (discardingActions) SetTimer(int64)                      {}
-func (discardingActions) WatchEndpoints()                     {}
-func (discardingActions) SendGossip(int, []byte)              {}
-func (discardingActions) AddToCounter(uint64, float64, int64) {}
+func (discardingActions) StartAttempt(string, uint32, time.Duration)  {}
+func (discardingActions) Reject(string, time.Duration)                {}
+func (discardingActions) Fail(string)                                 {}
+func (discardingActions) CancelAttempt(string, int)                   {}
+func (discardingActions) LogNote(string)                              {}
+func (discardingActions) SendProbe(uint32)                            {}
+func (discardingActions) SetTimer(time.Duration)                      {}
+func (discardingActions) WatchEndpoints()                             {}
+func (discardingActions) SendGossip(int, []byte)                      {}
+func (discardingActions) AddToCounter(uint64, float64, time.Duration) {}
 
 // A gateway starts with any settings that the operators' pages allow, and decides a request of each class and plan.
 func TestRandomSettingsStartAndDecideRequests(t *testing.T) {
@@ -51,13 +51,13 @@
 
 // decideRequests runs a decision module with a request of each class and plan, and lets its timer fire.
 func decideRequests(random *rand.Rand, cfg *config.Config) {
-	const start = int64(time.Second)
+	const start = gateway.Time(time.Second)
 	listed := gateway.Event{
 		Kind:     gateway.EndpointsListed,
 		ListKind: gateway.ListCached,
 		Endpoints: []gateway.Endpoint{
 			{Host: 1, State: gateway.Running, Weight: 1},
-			{Host: 2, State: gateway.Running, StartedAt: start - int64(100*time.Millisecond)},
+			{Host: 2, State: gateway.Running, StartedAt: start.Add(-100 * time.Millisecond)},
 		},
 	}
 	batch := gateway.Batch{Now: start, Events: []gateway.Event{listed}}
@@ -70,7 +70,7 @@
 				Customer:     "0000000000000001",
 				Class:        class,
 				Plan:         plan,
-				Deadline:     start + cfg.Classes[class].Timeout,
+				Deadline:     start.Add(cfg.Classes[class].Timeout),
 				Units:        1,
 				Spread:       1 + random.IntN(members),
 				FirstGateway: random.IntN(members),
@@ -80,7 +80,7 @@
 	module := logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport)
 	module.Decide(&batch, discardingActions{})
 	for i := range 60 {
-		now := start + int64(i)*int64(40*time.Millisecond)
+		now := start.Add(time.Duration(i) * 40 * time.Millisecond)
 		timer := []gateway.Event{{Kind: gateway.TimerFired}}
 		module.Decide(&gateway.Batch{Now: now, Events: timer}, discardingActions{})
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -4,6 +4,7 @@
 
 import (
 	"fmt"
+	"time"
 
 	"ravensill/gateway"
 )
@@ -23,8 +24,8 @@
 	Zones       []string // by zone index
 	Machines    []string // machine types by index
 
-	ConnIdle       int64 // of connections to hosts, in nanoseconds
-	ConnectTimeout int64 // of connections to hosts, in nanoseconds
+	ConnIdle       time.Duration // of connections to hosts
+	ConnectTimeout time.Duration // of connections to hosts
 
 	// EqualWeights is set where the weights of the endpoint list are momentary figures, which say nothing of a host's
 	// size: each host counts as 1.
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -5,6 +5,7 @@
 	"encoding/base64"
 	"fmt"
 	"strconv"
+	"time"
 )
 
 // actionWriter writes the actions of one instance as lines.
@@ -23,8 +24,8 @@
 }
 
 // StartAttempt writes PLACE.
-func (w *actionWriter) StartAttempt(request string, host uint32, timeout int64) {
-	w.line("PLACE %s %d %d", request, host, timeout/nanosecondsPerMicrosecond)
+func (w *actionWriter) StartAttempt(request string, host uint32, timeout time.Duration) {
+	w.line("PLACE %s %d %d", request, host, timeout.Microseconds())
 }
 
 // CancelAttempt writes CANCEL.
@@ -33,8 +34,8 @@
 }
 
 // Reject writes BOUNCE.
-func (w *actionWriter) Reject(request string, retryAfter int64) {
-	w.line("BOUNCE %s %d", request, retryAfter/nanosecondsPerMicrosecond)
+func (w *actionWriter) Reject(request string, retryAfter time.Duration) {
+	w.line("BOUNCE %s %d", request, retryAfter.Microseconds())
 }
 
 // Fail writes GIVE_UP.
@@ -44,17 +45,17 @@
 func (w *actionWriter) SendProbe(host uint32) { w.line("TEST %d", host) }
 
 // SetTimer writes SCHEDULE.
-func (w *actionWriter) SetTimer(after int64) {
-	w.line("SCHEDULE %d 0", after/nanosecondsPerMicrosecond)
+func (w *actionWriter) SetTimer(after time.Duration) {
+	w.line("SCHEDULE %d 0", after.Microseconds())
 }
 
 // WatchEndpoints writes WATCH.
 func (w *actionWriter) WatchEndpoints() { w.line("WATCH 1") }
 
 // AddToCounter writes INCR.
-func (w *actionWriter) AddToCounter(name uint64, amount float64, timeToLive int64) {
+func (w *actionWriter) AddToCounter(name uint64, amount float64, timeToLive time.Duration) {
 	text := strconv.FormatFloat(amount, 'g', -1, 64)
-	w.line("INCR %d %s %d", timeToLive/nanosecondsPerMicrosecond, text, name)
+	w.line("INCR %d %s %d", timeToLive.Microseconds(), text, name)
 }
 
 // LogNote writes NOTE_DOWN.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -31,7 +31,7 @@
 		Class:        r.integer("type", i.classes-1),
 		Plan:         r.integer("grade_of_service", i.plans-1),
 		Customer:     r.text("account"),
-		Deadline:     r.microseconds("deadline_us"),
+		Deadline:     r.instant("deadline_us"),
 		Units:        r.decimal("weight"),
 		Spread:       r.integer("n_entries", i.members),
 		FirstGateway: r.integer("first", i.members-1),
@@ -47,7 +47,7 @@
 		Host:       r.hostID("host"),
 		Units:      r.decimal("billed"),
 		Result:     r.result("disposition"),
-		Latency:    r.microseconds("lag_us"),
+		Latency:    r.duration("lag_us"),
 		Usage:      r.integer("metered", math.MaxInt32),
 		Attempt:    r.integer("send_no", math.MaxInt32),
 		LoadReport: r.loadReport("pressure"),
@@ -59,7 +59,7 @@
 		Kind:      gateway.StreamStarted,
 		RequestID: r.text("xid"),
 		Attempt:   r.integer("send_no", math.MaxInt32),
-		Latency:   r.microseconds("lag_us"),
+		Latency:   r.duration("lag_us"),
 		Host:      r.hostID("host"),
 	}
 }
@@ -80,7 +80,7 @@
 	return gateway.Event{
 		Kind:       gateway.ProbeEnded,
 		Host:       r.hostID("host"),
-		Latency:    r.microseconds("lag_us"),
+		Latency:    r.duration("lag_us"),
 		Result:     r.result("disposition"),
 		LoadReport: r.loadReport("pressure"),
 	}
@@ -97,7 +97,7 @@
 		Result:       r.result("disposition"),
 		CounterName:  r.unsigned("name"),
 		CounterTotal: r.signedDecimal("total"),
-		Latency:      r.microseconds("lag_us"),
+		Latency:      r.duration("lag_us"),
 	}
 }
 
@@ -136,6 +136,6 @@
 		Cell:      r.integer("pod", math.MaxInt32),
 		State:     gateway.EndpointState(r.choice("status", "Running", "Stopping", "Deleted")),
 		Weight:    r.decimal("share"),
-		StartedAt: r.microseconds("since_us"),
+		StartedAt: r.instant("since_us"),
 	}
 }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -7,14 +7,14 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
 
 	"ravensill/gateway"
 )
 
 const (
-	nanosecondsPerMicrosecond = 1000
-	maxMicroseconds           = math.MaxInt64 / nanosecondsPerMicrosecond / 2
-	maxDecimal                = 1e15
+	maxMicroseconds = math.MaxInt64 / 1000 / 2 // half of the longest time.Duration
+	maxDecimal      = 1e15
 
 	absent = "-" // in the place of a value
 )
@@ -98,11 +98,14 @@
 	return r.number(name, -maxDecimal, maxDecimal, false)
 }
 
-// microseconds reads an instant or a duration in microseconds, and returns it in nanoseconds.
-func (r *fieldReader) microseconds(name string) int64 {
-	return int64(r.number(name, 0, maxMicroseconds, true)) * nanosecondsPerMicrosecond
+// duration reads a duration in microseconds.
+func (r *fieldReader) duration(name string) time.Duration {
+	return time.Duration(r.number(name, 0, maxMicroseconds, true)) * time.Microsecond
 }
 
+// instant reads an instant in microseconds.
+func (r *fieldReader) instant(name string) gateway.Time { return gateway.Time(r.duration(name)) }
+
 func (r *fieldReader) hostID(name string) uint32 { return uint32(r.integer(name, math.MaxUint32)) }
 
 // unsigned reads an integer of 64 bits, of which a float64 would lose some.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -42,7 +42,7 @@
 	start     Start
 	line      int         // number of the latest line read
 	fields    fieldReader // of the latest line read
-	clock     int64
+	clock     gateway.Time
 	inBatch   bool
 	instances map[int]*instance
 	order     []int // instances with events in this batch
@@ -146,7 +146,7 @@
 	if s.inBatch {
 		return errors.New("MARK within a batch")
 	}
-	now := r.microseconds("clock")
+	now := r.instant("clock")
 	if err := r.end(); err != nil {
 		return err
 	}
