--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of endpoints that discovery's agent holds: HTTP, a watch whose body is a sequence of JSON
-// values. Names of the wire end here; it decides nothing.
+// Package discovery watches the endpoint list of a discovery agent: HTTP, with a body that is a sequence of JSON
+// values. It decodes the lists into endpoints of package gateway, and decides nothing.
 package discovery
 
 import (
@@ -16,22 +16,24 @@
 	"ravensill/gateway"
 )
 
-// EndpointList turns lists into the words of the interface. It keeps the number of each endpoint until that is forgotten.
+// EndpointList contains the endpoints known from all lists that were decoded. It keeps the number of each until the
+// endpoint is forgotten.
 type EndpointList struct {
-	Version int64
-	Even    bool // weights tell no size: each endpoint's weight is 1
+	Version      int64 // of the latest list
+	EqualWeights bool  // the lists' weights don't reflect sizes: each endpoint's weight is 1
 
 	zones     []string
 	machines  []string
 	entries   map[string]*entry // by id
 	byNumber  map[uint32]*entry
 	byAddress map[netip.AddrPort]*entry
-	gone      []entry // forgotten ones, the latest last
+	gone      []entry // forgotten endpoints, in the order in which they were forgotten
 }
 
-const maxGone = 256 // forgotten endpoints that are known
+// maxGone bounds the forgotten endpoints of which the list keeps the start.
+const maxGone = 256
 
-// entry is an endpoint that is known.
+// entry is a known endpoint.
 type entry struct {
 	id        string
 	number    uint32
@@ -56,14 +58,15 @@
 	errNoList  = errors.New("version, full or servers: missing, or not of its kind")
 )
 
-// Decode reads one list; it hands on nothing of a broken one. Where one entry alone can't be read, the others count all the same,
-// and entryErr tells of it: a drain must be kept whatever stands beside it. An endpoint in a state that is not known is sent
-// nothing new. An id that is listed twice counts as listed last. As gone count also endpoints that a whole list lacks, and one
-// whose address a later started endpoint has: what was sent there would reach that one, cold as it is.
+// Decode decodes one list and returns its endpoints. On an error nothing has changed. An invalid entry does not
+// invalidate the others, since a drain must take effect; entryErr is the error of the last invalid entry. An endpoint
+// in an unknown state counts as draining. Of an id that is listed twice the last entry counts. Endpoints that a
+// complete list lacks are gone, and so is one whose address an endpoint that started later has: requests to it would
+// reach the new one, which is still warming up.
 //
-// A list of an older version than had comes from discovery that lags or counts anew. It is taken, but it does not put back an
-// endpoint that was listed as draining or gone and has not started again since. The cost grows with what the text holds; of changes
-// it does not grow with the endpoints that are listed already.
+// A list with an older version than the latest comes from an agent that lags or counts from the start. It counts, but
+// an endpoint that was listed as draining or gone, and has not started again since, stays so. The cost grows with the
+// text; a list of changes costs the same however many endpoints are known.
 func (l *EndpointList) Decode(text string, setAddress func(host uint32, address netip.AddrPort)) (kind gateway.ListKind,
 	endpoints []gateway.Endpoint, entryErr, err error) {
 	if !gjson.Valid(text) {
@@ -97,32 +100,38 @@
 	return kind, endpoints, d.entryErr, nil
 }
 
-// decoding is one list while it is read.
+// decoding is one list that is being decoded.
 type decoding struct {
 	list     *EndpointList
 	version  int64
 	servers  []listedEndpoint
-	places   map[string]int // among the servers, by id, of all that the list names; notTaken for those that don't count
-	entryErr error          // of the last entry that can't be read
+	indices  map[string]int // in servers, by id, of all ids that the list names; ignored for those that don't count
+	entryErr error          // of the last invalid entry
 }
 
-const notTaken = -1
+const ignored = -1
 
 // listedEndpoint is one entry of a list.
 type listedEndpoint struct {
 	gateway.Endpoint
 	id         string
 	address    netip.AddrPort
-	superseded bool // the list names its id again, further on
+	superseded bool // by a later entry with the same id
 }
 
-var stateNames = []string{"active", "leaving", "left"} // by gateway.EndpointState
+// stateNames are the states of an entry by gateway.EndpointState.
+var stateNames = []string{"active", "leaving", "left"}
 
-// decodeEntries reads all entries. Room for them is made at once: grown step by step, a whole list would leave several times its
-// size behind.
+// decodeEntries decodes all entries. Their memory is allocated once: growing slices of a complete list would leave
+// garbage of several times its size.
 func (l *EndpointList) decodeEntries(version int64, servers gjson.Result) *decoding {
 	count := int(servers.Get("#").Int())
-	d := &decoding{list: l, version: version, servers: make([]listedEndpoint, 0, count), places: make(map[string]int, count)}
+	d := &decoding{
+		list:    l,
+		version: version,
+		servers: make([]listedEndpoint, 0, count),
+		indices: make(map[string]int, count),
+	}
 	servers.ForEach(func(_, server gjson.Result) bool {
 		d.decodeEntry(server)
 		return true
@@ -130,30 +139,30 @@
 	return d
 }
 
-// decodeEntry reads one entry of the list.
+// decodeEntry decodes one entry of the list.
 func (d *decoding) decodeEntry(text gjson.Result) {
 	id := text.Get("id").Str
-	former, named := d.places[id]
+	earlier, named := d.indices[id]
 	if !named {
-		former = notTaken
-		d.places[id] = notTaken
+		earlier = ignored
+		d.indices[id] = ignored
 	}
 	listed, usable := d.parseEntry(id, text)
 	if !usable {
 		return
 	}
-	if former != notTaken {
-		d.servers[former].superseded = true
-		d.places[id] = notTaken
+	if earlier != ignored {
+		d.servers[earlier].superseded = true
+		d.indices[id] = ignored
 	}
-	if d.version < d.list.Version && listed.State != gateway.Gone && !d.keepKnown(&listed) {
+	if d.version < d.list.Version && listed.State != gateway.Gone && !d.mergeKnown(&listed) {
 		return
 	}
-	d.places[id] = len(d.servers)
+	d.indices[id] = len(d.servers)
 	d.servers = append(d.servers, listed)
 }
 
-// parseEntry reads what an entry tells. It is not usable if nothing could be sent to the endpoint, or its id is not known.
+// parseEntry parses one entry. It is not usable if it has no id, or if the address of its endpoint is unknown.
 func (d *decoding) parseEntry(id string, text gjson.Result) (listed listedEndpoint, usable bool) {
 	address, addressErr := netip.ParseAddrPort(text.Get("addr").Str)
 	state := slices.Index(stateNames, text.Get("state").Str)
@@ -172,9 +181,9 @@
 	return listedEndpoint{Endpoint: endpoint, id: id, address: address}, true
 }
 
-// keepKnown has what is known of an endpoint go before an older list, and reports whether its entry counts. An older list does not
-// know of the last start.
-func (d *decoding) keepKnown(listed *listedEndpoint) bool {
+// mergeKnown corrects the entry of an older list, which may lack the latest start, by what is known of its endpoint. It
+// reports whether the entry counts.
+func (d *decoding) mergeKnown(listed *listedEndpoint) bool {
 	known := d.list.entries[listed.id]
 	if known == nil {
 		return !d.list.goneSince(listed.id, listed.StartedAt)
@@ -186,7 +195,7 @@
 	return true
 }
 
-// endpoint reads what an entry tells of its endpoint.
+// endpoint returns the endpoint of an entry, without its number.
 func (l *EndpointList) endpoint(text gjson.Result, state gateway.EndpointState) gateway.Endpoint {
 	e := gateway.Endpoint{
 		State:     state,
@@ -196,29 +205,30 @@
 		Weight:    text.Get("weight").Num,
 		StartedAt: gateway.Time(text.Get("started_ms").Int() * int64(time.Millisecond)),
 	}
-	if l.Even {
+	if l.EqualWeights {
 		e.Weight = 1
 	}
 	return e
 }
 
-// goneSince reports whether an endpoint has gone that started no earlier.
+// goneSince reports whether an endpoint with an id is gone that started at an instant or later.
 func (l *EndpointList) goneSince(id string, startedAt gateway.Time) bool {
 	return slices.ContainsFunc(l.gone, func(e entry) bool { return e.id == id && startedAt <= e.startedAt })
 }
 
-// markMissing adds the endpoints that are known and that a whole list does not name.
+// markMissing adds the known endpoints that a complete list lacks.
 func (d *decoding) markMissing(gone map[uint32]bool) {
 	for id, e := range d.list.entries {
-		if _, named := d.places[id]; !named {
+		if _, named := d.indices[id]; !named {
 			gone[e.number] = true
 		}
 	}
 }
 
-// apply keeps what the list tells, and returns the endpoints by their numbers and those that have another address than before.
-// First those that leave an address, then who takes it.
-func (d *decoding) apply(setAddress func(host uint32, address netip.AddrPort)) (endpoints []gateway.Endpoint, moved []*entry) {
+// apply updates the known endpoints. It returns the endpoints of the list with their numbers, and the entries whose
+// address has changed.
+func (d *decoding) apply(setAddress func(host uint32, address netip.AddrPort)) (
+	endpoints []gateway.Endpoint, moved []*entry) {
 	endpoints = make([]gateway.Endpoint, 0, len(d.servers))
 	for i := range d.servers {
 		listed := &d.servers[i]
@@ -249,8 +259,8 @@
 	return endpoints, moved
 }
 
-// resolveConflicts gives each address that two endpoints have to the one that started later, adds the other to those that are
-// gone, and reports whether there was any.
+// resolveConflicts assigns each address that two endpoints have to the one that started later, and adds the other to
+// those that are gone. It reports whether there was such an address.
 func (l *EndpointList) resolveConflicts(moved []*entry, gone map[uint32]bool) (found bool) {
 	for _, later := range moved {
 		other := l.byAddress[later.address]
@@ -266,7 +276,7 @@
 	return found
 }
 
-// releaseAddress notes that an endpoint has its address no more.
+// releaseAddress removes the address of an endpoint.
 func (l *EndpointList) releaseAddress(e *entry) {
 	if l.byAddress[e.address] == e {
 		delete(l.byAddress, e.address)
@@ -274,7 +284,7 @@
 	e.address = netip.AddrPort{}
 }
 
-// Forget ends what is kept of an endpoint that is gone. Should its id come back, so does its number.
+// Forget removes an endpoint that is gone. An endpoint with the same id has the same number later.
 func (l *EndpointList) Forget(host uint32) {
 	e := l.byNumber[host]
 	if e == nil {
@@ -289,7 +299,7 @@
 	delete(l.byNumber, host)
 }
 
-// ID returns an endpoint's id, empty for one that is not known.
+// ID returns the id of an endpoint, empty for one that is not known.
 func (l *EndpointList) ID(host uint32) string {
 	if e := l.byNumber[host]; e != nil {
 		return e.id
@@ -297,7 +307,7 @@
 	return ""
 }
 
-// Count returns how many endpoints are known.
+// Count returns the number of known endpoints.
 func (l *EndpointList) Count() int { return len(l.entries) }
 
 // Parameters of FNV-1a (Fowler, Noll and Vo).
@@ -306,8 +316,8 @@
 	fnvPrime  = 16777619
 )
 
-// entryFor finds an endpoint or enters it. Its number is the same at all gateways and in all their incarnations, since endpoints
-// are ranked by it: it follows from the id alone, but where two ids meet on one.
+// entryFor returns the entry of an id, a new one if there is none. The number is a hash of the id, so that all gateways
+// and all their incarnations rank endpoints alike; of two ids with the same hash one has the next number.
 func (l *EndpointList) entryFor(id string) *entry {
 	if e := l.entries[id]; e != nil {
 		return e
@@ -319,7 +329,7 @@
 	for l.byNumber[number] != nil {
 		number++
 	}
-	e := &entry{id: strings.Clone(id), number: number} // a part of the list's text would keep all of it in memory
+	e := &entry{id: strings.Clone(id), number: number} // a substring would keep the list's text in memory
 	l.entries[e.id] = e
 	l.byNumber[number] = e
 	return e
--- a/internal/discovery/pending_read.go
+++ b/internal/discovery/pending_read.go
@@ -10,17 +10,21 @@
 	"ravensill/internal/sockets"
 )
 
-// PendingRead tells of one watch whether news lie in its connection that have not been handed on.
-type PendingRead struct{ socket atomic.Pointer[watchedConn] }
+// PendingRead observes whether a watch has received bytes that are not processed yet.
+type PendingRead struct{ conn atomic.Pointer[watchedConn] }
 
-// Pending reports that: bytes came that were not read, or those that were read last have not led to all that they hold. It
-// may be asked at any time, by another goroutine. The order counts: what the socket no longer holds is being taken in.
-func (f *PendingRead) Pending() bool {
-	s := f.socket.Load()
-	return s != nil && (s.hasBytes() || s.processing.Load())
+// Pending reports whether the watch has bytes that it has not read, or has read and not processed. Any goroutine may
+// call it.
+func (p *PendingRead) Pending() bool {
+	c := p.conn.Load()
+	if c == nil {
+		return false
+	}
+	// In this order: bytes that have left the socket are being processed.
+	return c.hasBytes() || c.processing.Load()
 }
 
-// socket is a watch's connection that knows whether what it read is still being taken in: until the next Read.
+// watchedConn is the connection of a watch. What it read counts as being processed until the next Read.
 type watchedConn struct {
 	net.Conn
 	system     sockets.System
@@ -28,24 +32,25 @@
 	processing atomic.Bool
 }
 
-func newWatchedConn(system sockets.System, c net.Conn) (*watchedConn, error) {
-	raw, err := c.(*net.TCPConn).SyscallConn()
-	return &watchedConn{Conn: c, system: system, raw: raw}, err
+func newWatchedConn(system sockets.System, conn net.Conn) (*watchedConn, error) {
+	raw, err := conn.(*net.TCPConn).SyscallConn()
+	return &watchedConn{Conn: conn, system: system, raw: raw}, err
 }
 
-func (s *watchedConn) Read(p []byte) (n int, err error) {
-	s.processing.Store(false)
+func (c *watchedConn) Read(p []byte) (n int, err error) {
+	c.processing.Store(false)
 	if len(p) == 0 {
 		return 0, nil
 	}
 	errno := syscall.Errno(0)
-	err = s.raw.Read(func(fd uintptr) bool {
-		s.processing.Store(true)
-		for n, errno = s.system.Read(fd, p); errno == syscall.EINTR; {
-			n, errno = s.system.Read(fd, p)
+	err = c.raw.Read(func(fd uintptr) bool {
+		c.processing.Store(true)
+		n, errno = c.system.Read(fd, p)
+		for errno == syscall.EINTR {
+			n, errno = c.system.Read(fd, p)
 		}
 		if errno == syscall.EAGAIN {
-			s.processing.Store(false)
+			c.processing.Store(false)
 			return false
 		}
 		return true
@@ -61,10 +66,11 @@
 	return n, nil
 }
 
-func (s *watchedConn) hasBytes() (some bool) {
-	s.raw.Control(func(fd uintptr) {
-		var b [1]byte
-		n, _, _ := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+// hasBytes reports whether the socket has bytes to read.
+func (c *watchedConn) hasBytes() (some bool) {
+	c.raw.Control(func(fd uintptr) {
+		var peeked [1]byte
+		n, _, _ := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		some = n > 0
 	})
 	return some
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -2,65 +2,79 @@
 
 import "time"
 
-// Timeouts is how long a follower of the list waits for what, before it gives a watch up. A change counts as told 6 s after
-// discovery had it and could be reached, whatever became of a watch or of a call: within that a silent watch has to be
-// given up, asked for anew and answered, with room for one try that is lost, wherever it is lost. It is fed times and has
-// no clock of its own.
+// Timeouts bound the phases of one watch. A change of the endpoint list must reach the gateway within 6 s of the moment
+// at which discovery had it and could be reached: within that time a silent watch is given up and a new one is
+// answered, even if one attempt in between is lost. Timeouts have no clock: callers pass the current time.
 type Timeouts struct {
-	phase phase
-	since time.Time // the phase began; of following, the last byte came
-	waits [inValue + 1]time.Duration
+	phase  phase
+	since  time.Time // start of the phase; in phase following, the last byte
+	limits [phases]time.Duration
 }
 
 type phase int
 
 const (
-	connecting phase = iota // a connection is being made
-	asked                   // the call is out; the head of its answer is not whole
-	following               // nothing or white space came since the last value
-	inValue                 // a value has begun and is not whole
+	connecting phase = iota // to the agent
+	requested               // the request is sent; the head of the response is not complete
+	following               // since the last value came nothing or white space
+	inValue                 // a value has begun and is not complete
+
+	phases = iota
 )
 
 const (
-	connectTimeout = 300 * time.Millisecond // discovery's agent is on the gateway's own machine
-	// The agent answers at once, or is silent while discovery is down. It then answers a call that waits, as soon
-	// as discovery is back: a short wait costs little, and a call that leads nowhere is soon made anew.
-	answerTimeout = 500 * time.Millisecond
-	// Where the list only comes when asked for, a call may wait for 2 s.
-	pollTimeout    = 2250 * time.Millisecond
-	silenceTimeout = 2400 * time.Millisecond // an empty line comes every 2 s
-	// An answer that stops halfway, in its head or in a value, is lost like one that never began. Bytes that come now and
-	// then don't hold it up: these two waits count from their beginnings.
+	connectTimeout = 300 * time.Millisecond // the agent is on the gateway's machine
+
+	// The agent responds at once, or not at all while discovery is down. A request that waits is answered as soon as
+	// discovery is back, and a new request costs little.
+	responseTimeout = 500 * time.Millisecond
+
+	// Where the list has to be polled, the agent may hold a request for 2 s.
+	pollTimeout = 2250 * time.Millisecond
+
+	// The agent sends an empty line every 2 s.
+	silenceTimeout = 2400 * time.Millisecond
+
+	// A response that stops in a value is lost. Bytes that trickle in don't extend the time of a value, nor that of the
+	// head of a response.
 	valueTimeout = time.Second
-	// A process that stood still finds its time up and the bytes that came meanwhile in the socket: it looks once more.
-	lastLook = 20 * time.Millisecond
 
-	// Again is how long a broken watch rests before it is asked for anew, where that costs nothing.
-	RewatchDelay = 100 * time.Millisecond
+	// A process that was suspended finds its deadline expired and its bytes in the socket: it reads once more.
+	finalReadTimeout = 20 * time.Millisecond
 )
 
-// NewTimeouts returns the timeouts of one watch. poll tells that the list comes only when asked for.
+// RewatchDelay is the pause between a watch that ended and the next one.
+const RewatchDelay = 100 * time.Millisecond
+
+// NewTimeouts returns the timeouts of one watch. poll says that the agent sends the list on request alone.
 func NewTimeouts(poll bool) *Timeouts {
-	p := &Timeouts{waits: [...]time.Duration{connectTimeout, answerTimeout, silenceTimeout, valueTimeout}}
+	t := &Timeouts{limits: [phases]time.Duration{
+		connecting: connectTimeout,
+		requested:  responseTimeout,
+		following:  silenceTimeout,
+		inValue:    valueTimeout,
+	}}
 	if poll {
-		p.waits[asked] = pollTimeout
+		t.limits[requested] = pollTimeout
 	}
-	return p
+	return t
 }
 
-// enter tells what begins now; the phase that goes on begins no second time.
-func (p *Timeouts) enter(phase phase, now time.Time) {
-	if p.phase != phase || p.since.IsZero() {
-		p.phase, p.since = phase, now
+// enter starts a phase, unless the watch is in it.
+func (t *Timeouts) enter(phase phase, now time.Time) {
+	if t.phase == phase && !t.since.IsZero() {
+		return
 	}
+	t.phase = phase
+	t.since = now
 }
 
-// heard goes for any bytes, also of an empty line.
-func (p *Timeouts) heard(now time.Time) {
-	if p.phase == following {
-		p.since = now
+// received restarts the time of phase following: any byte, even of an empty line, ends a silence.
+func (t *Timeouts) received(now time.Time) {
+	if t.phase == following {
+		t.since = now
 	}
 }
 
-// until tells when a follower gives the watch up.
-func (p *Timeouts) deadline() time.Time { return p.since.Add(p.waits[p.phase]) }
+// deadline returns the instant at which the watch is given up.
+func (t *Timeouts) deadline() time.Time { return t.since.Add(t.limits[t.phase]) }
--- a/internal/discovery/timeouts_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -11,123 +11,179 @@
 	"ravensill/logic"
 )
 
-// lost is where a try gets stuck that brings nothing; none does in one that is answered.
-type lost struct {
-	name  string
-	stuck phase
-	quick bool // what goes before that takes no time
+// pollActions records what a decision module asks for that polls the endpoint list.
+type pollActions struct {
+	gateway.Actions
+	timer  time.Duration
+	polled bool
 }
 
-// module is the decisions' own part: it asks where the list only comes when asked for.
-type module struct {
-	gateway.Actions
-	wake  int64
-	asked bool
+func (a *pollActions) SetTimer(after time.Duration) { a.timer = after }
+func (a *pollActions) WatchEndpoints()              { a.polled = true }
+
+// poller is a decision module that polls the endpoint list, with its clock.
+type poller struct {
+	module  *logic.Gateway
+	actions *pollActions
+	now     gateway.Time
+}
+
+func newPoller(seed uint64) *poller {
+	membership := gateway.Membership{Count: 1}
+	classes := []gateway.RequestClass{{LatencyObjective: 1, Timeout: 1}}
+	plans := []gateway.Plan{{}}
+	limits := gateway.Limits{PollEndpoints: true}
+	module := logic.New(seed, membership, classes, plans, limits, gateway.SlowStart{}, gateway.LoadReportForm{})
+	p := &poller{module: module, actions: &pollActions{}, now: gateway.Time(time.Second)}
+	p.decide()
+	return p
 }
 
-func (m *module) SetTimer(after time.Duration) { m.wake = int64(after) }
-func (m *module) WatchEndpoints()              { m.asked = true }
+func (p *poller) decide(events ...gateway.Event) {
+	p.module.Decide(&gateway.Batch{Now: p.now, Events: events}, p.actions)
+}
 
-// rest gives the module's longest wait, over many draws, until it asks again after so many losses of the list in a row. The
-// last call was lost after it took so long; each loss comes just after a wake-up that asked for nothing.
-func rest(losses int, took time.Duration) (longest time.Duration) {
+// nextTimer returns the instant at which the timer fires.
+func (p *poller) nextTimer() gateway.Time { return p.now.Add(p.actions.timer) }
+
+func (p *poller) fireTimer() {
+	p.now = p.nextTimer()
+	p.decide(gateway.Event{Kind: gateway.TimerFired})
+}
+
+// loseList fails a poll right after the timer has fired, and runs until the next poll. It returns the time in between.
+func (p *poller) loseList() time.Duration {
+	p.now++
+	lost := p.now
+	p.decide(gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
+	p.actions.polled = false
+	for !p.actions.polled {
+		p.fireTimer()
+	}
+	return p.now.Sub(lost)
+}
+
+// longestPollDelay returns the longest time, of many draws, until the module polls again after a number of consecutive
+// failures, the last of which took some time.
+func longestPollDelay(failures int, lastTook time.Duration) (longest time.Duration) {
 	for seed := range uint64(200) {
-		m := &module{}
-		g := logic.New(seed, gateway.Membership{Count: 1}, []gateway.RequestClass{{LatencyObjective: 1, Timeout: 1}}, []gateway.Plan{{}},
-			gateway.Limits{PollEndpoints: true}, gateway.SlowStart{}, gateway.LoadReportForm{})
-		now := int64(1e9)
-		wake := func() {
-			now += m.wake
-			g.Decide(&gateway.Batch{Now: gateway.Time(now), Events: []gateway.Event{{Kind: gateway.TimerFired}}}, m)
+		p := newPoller(seed)
+		for range failures - 1 {
+			p.loseList()
 		}
-		g.Decide(&gateway.Batch{Now: gateway.Time(now)}, m)
-		for i := range losses {
-			for asked := now; i == losses-1 && now+m.wake < asked+int64(took); {
-				wake()
-			}
-			now++
-			lost := now
-			g.Decide(&gateway.Batch{Now: gateway.Time(now), Events: []gateway.Event{{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable}}}, m)
-			for m.asked = false; !m.asked; {
-				wake()
-			}
-			if i == losses-1 {
-				longest = max(longest, time.Duration(now-lost))
-			}
+		failed := p.now.Add(lastTook)
+		for p.nextTimer() < failed {
+			p.fireTimer()
 		}
+		longest = max(longest, p.loseList())
 	}
 	return longest
 }
 
-// Sums of the longest waits. The first watch falls silent at 0, right after a line, or the first call is lost then; what
-// it misses is there at 0 too. Each of the tries is lost but the last one, which is answered after slow.
-func told(call bool, first phase, losses int, tries []lost, slow time.Duration) (at time.Duration) {
+// rejected is the phase of an attempt that fails at once.
+const rejected phase = -1
+
+// failure is an attempt that brings no list.
+type failure struct {
+	name  string
+	stuck phase
+	quick bool // the phases before take no time
+}
+
+// outage is how the endpoint list is lost and comes back.
+type outage struct {
+	poll     bool
+	first    phase         // of the watch that falls silent or the poll that fails as discovery comes back
+	failures int           // consecutive ones, with the first
+	response time.Duration // of the attempt that succeeds
+}
+
+// updateTime returns the longest time from the loss of the first watch or poll, right after a line, to the response of
+// the attempt that follows the failing ones.
+func (o outage) updateTime(attempts []failure) time.Duration {
 	epoch := time.Unix(1, 0)
-	p := NewTimeouts(call)
+	timeouts := NewTimeouts(o.poll)
 	took := time.Duration(0)
-	if first >= 0 {
-		p.enter(first, epoch)
-		took = p.deadline().Sub(epoch) + lastLook
+	if o.first != rejected {
+		timeouts.enter(o.first, epoch)
+		took = timeouts.deadline().Sub(epoch) + finalReadTimeout
 	}
-	for at = took; ; losses++ {
-		if call {
-			at += rest(losses, took)
+	elapsed := took
+	for i := 0; ; i++ {
+		if o.poll {
+			elapsed += longestPollDelay(o.failures+i, took)
 		} else {
-			at += RewatchDelay
+			elapsed += RewatchDelay
 		}
-		if len(tries) == 0 {
-			return at + slow
+		if i == len(attempts) {
+			return elapsed + o.response
 		}
-		p = NewTimeouts(call)
-		begun := at
-		for _, phase := range []phase{connecting, asked, following, inValue} {
-			p.enter(phase, epoch.Add(at))
-			if tries[0].stuck == phase {
-				at = p.deadline().Sub(epoch) + lastLook
-				break
-			} else if phase < following && !tries[0].quick { // it takes as long as it may
-				at = p.deadline().Sub(epoch)
-			}
+		took = attempts[i].longest(o.poll, epoch.Add(elapsed))
+		elapsed += took
+	}
+}
+
+// longest returns the longest time that the attempt takes from its start.
+func (f failure) longest(poll bool, start time.Time) time.Duration {
+	timeouts := NewTimeouts(poll)
+	now := start
+	for _, phase := range []phase{connecting, requested, following, inValue} {
+		timeouts.enter(phase, now)
+		if phase == f.stuck {
+			return timeouts.deadline().Sub(start) + finalReadTimeout
+		}
+		if phase < following && !f.quick {
+			now = timeouts.deadline()
 		}
-		took, tries = at-begun, tries[1:]
 	}
+	return now.Sub(start)
 }
 
-// A change counts as told 6 s after discovery had it and could be reached, pushed or asked for: it is there by then with one
-// try lost, wherever that is. Where it is asked for and a call may wait for 2 s, a try that is refused is lost at once.
-func TestListWithinDeadlineOnWorstPath(t *testing.T) {
-	var all strings.Builder
-	const term, soonest = 6 * time.Second, time.Second // the latter from when an agent that was down is back
-	hangs, refused, mute := lost{"that hangs", connecting, false}, lost{"refused", -1, true}, lost{"mute", asked, false}
-	head, half, quick := lost{"stuck behind its head", following, false}, lost{"stuck in a list", inValue, false}, lost{"soon stuck in a list", inValue, true}
-	soon := lost{"soon stuck behind its head", following, true}
-	for _, x := range []struct {
-		call   bool
-		first  phase // of the watch that falls silent, or of a call that is lost as discovery comes back; -1 refused at once
-		losses int   // in a row, that one included
-		tries  [][]lost
-		slow   time.Duration
-		most   time.Duration
+// A change of the list must reach the gateway within 6 s of the moment at which discovery could be reached, even if one
+// attempt fails. A poll, which may wait for 2 s, is allowed one attempt that is rejected at once.
+func TestTimeoutsLeadToListWithinDeadline(t *testing.T) {
+	const (
+		deadline       = 6 * time.Second
+		afterAgentDown = time.Second // from when the agent is back
+	)
+	var (
+		connectionRefused = failure{"refused", rejected, true}
+		hangs             = failure{"that hangs", connecting, false}
+		noResponse        = failure{"without response", requested, false}
+		stuckBehindHead   = failure{"stuck behind its head", following, false}
+		stuckInList       = failure{"stuck in a list", inValue, false}
+		soonBehindHead    = failure{"soon stuck behind its head", following, true}
+		soonInList        = failure{"soon stuck in a list", inValue, true}
+	)
+	none := []failure{}
+	watched := [][]failure{
+		none, {hangs}, {noResponse}, {stuckInList}, {stuckBehindHead}, {noResponse, noResponse},
+	}
+	var trace strings.Builder
+	for _, test := range []struct {
+		outage
+		attempts [][]failure
+		limit    time.Duration
 	}{
-		{false, following, 1, [][]lost{{}, {hangs}, {mute}, {half}, {head}, {mute, mute}}, 0, term},
-		{false, connecting, 9, [][]lost{{}}, 0, soonest},
-		{false, asked, 9, [][]lost{{}}, 0, soonest},
-		{true, following, 1, [][]lost{{}, {refused}}, 2 * time.Second, term},
-		{true, following, 1, [][]lost{{hangs}, {mute}, {soon}, {quick}}, 0, term},
-		{true, asked, 9, [][]lost{{}}, 2 * time.Second, term},
-		{true, -1, 9, [][]lost{{}}, 2 * time.Second, term}, // refused at once
+		{outage{false, following, 1, 0}, watched, deadline},
+		{outage{false, connecting, 9, 0}, [][]failure{none}, afterAgentDown},
+		{outage{false, requested, 9, 0}, [][]failure{none}, afterAgentDown},
+		{outage{true, following, 1, 2 * time.Second}, [][]failure{none, {connectionRefused}}, deadline},
+		{outage{true, following, 1, 0}, [][]failure{{hangs}, {noResponse}, {soonBehindHead}, {soonInList}}, deadline},
+		{outage{true, requested, 9, 2 * time.Second}, [][]failure{none}, deadline},
+		{outage{true, rejected, 9, 2 * time.Second}, [][]failure{none}, deadline},
 	} {
-		for _, tries := range x.tries {
-			path := fmt.Sprintf("asked for %t, lost in phase %d", x.call, x.first)
-			for _, l := range tries {
-				path += ", then a try " + l.name
+		for _, attempts := range test.attempts {
+			path := fmt.Sprintf("polled %t, lost in phase %d", test.poll, test.first)
+			for _, attempt := range attempts {
+				path += ", then an attempt " + attempt.name
 			}
-			at := told(x.call, x.first, x.losses, tries, x.slow)
-			fmt.Fprintf(&all, "%s, then one answered after %v: told by %v\n", path, x.slow, at)
-			if at > x.most {
-				t.Errorf("%s: told by %v", path, at)
+			took := test.updateTime(attempts)
+			fmt.Fprintf(&trace, "%s, then one answered after %v: updated by %v\n", path, test.response, took)
+			if took > test.limit {
+				t.Errorf("%s: updated by %v, want at most %v", path, took, test.limit)
 			}
 		}
 	}
-	golden.Check(t, all.String())
+	golden.Check(t, trace.String())
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -124,7 +124,7 @@
 		endpointList: discovery.NewEndpointList(cfg.Zones, cfg.Machines),
 		catalog:      clients.NewCatalog(catalogOf(cfg)),
 	}
-	n.endpointList.Even = cfg.EqualWeights
+	n.endpointList.EqualWeights = cfg.EqualWeights
 	shared := sharedDescriptors(cfg.Sockets)
 	n.clients = clients.NewServer(n.system, n.catalog, shared/3, n.runOnLoop, n.unixNano, n.arrive)
 	idleTimeout := time.Duration(idleFraction * float64(cfg.ConnIdle))
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -78,7 +78,7 @@
 	h.module = logic.New(configuration.Seed, configuration.Membership, configuration.Classes, configuration.Plans,
 		configuration.Limits, configuration.SlowStart, configuration.LoadReport)
 	h.book = discovery.NewEndpointList(configuration.Zones, configuration.Machines)
-	h.book.Even = configuration.EqualWeights
+	h.book.EqualWeights = configuration.EqualWeights
 	run := func(work func()) { work() }
 	clock := func() int64 { return h.now }
 	h.connections = hosts.NewTransport(sockets.Kernel{}, run, clock, configuration.ReportNames, int64(configuration.ConnectTimeout),
