--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -59,8 +59,8 @@
 	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.MaxWait, p.leaseholder.Allowed, p.leaseholder.AddRejected)
 	n.quota = p
 	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.unixNano(), grant) })
-	slog.Info("pool_on",
-		"seat", n.cfg.Membership.Index,
+	slog.Info("pool_enabled",
+		"member", n.cfg.Membership.Index,
 		"floor", cfg.Terms.Floor,
 		"capacity", cfg.Capacity,
 		"voters", len(cfg.Voters),
@@ -82,18 +82,18 @@
 	if now.Sub(p.lastLog) >= poolLogInterval {
 		p.lastLog = now
 		limiter, client := p.limiter, p.client
-		slog.Info("pool_quota",
+		slog.Info("pool_quota_status",
 			"allowed", p.leaseholder.Allowed(int64(now)),
-			"held", held,
-			"use", demand,
-			"waited", limiter.Queued,
-			"turned_away", limiter.Rejected,
+			"connections", held,
+			"demand", demand,
+			"queued", limiter.Queued,
+			"rejected", limiter.Rejected,
 			"dials", limiter.Dials,
-			"refused", limiter.Refused,
-			"told", client.Sent,
-			"heard", client.Received,
-			"dropped", client.Dropped,
-			"silent_ms", (int64(now)-p.leaseholder.LastAnswered())/1e6,
+			"dials_refused", limiter.Refused,
+			"datagrams_sent", client.Sent,
+			"datagrams_received", client.Received,
+			"datagrams_dropped", client.Dropped,
+			"since_grant_ms", (int64(now)-p.leaseholder.LastAnswered())/1e6,
 		)
 	}
 	return gateway.Time(p.leaseholder.Due(int64(now)))
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -179,10 +179,10 @@
 		return configsync.Encode(&configsync.Heartbeat{Log: otherLog, Latest: farAheadVersion, Current: true})
 	}
 	all["a delta that does not lead on"] = func(hello *configsync.Hello) []byte {
-		return configsync.Encode(falseDelta(hello, hello.Held+1))
+		return configsync.Encode(falseDelta(hello, hello.InForce+1))
 	}
 	all["a delta to another content than it says"] = func(hello *configsync.Hello) []byte {
-		return configsync.Encode(falseDelta(hello, hello.Held))
+		return configsync.Encode(falseDelta(hello, hello.InForce))
 	}
 	return all
 }
@@ -264,7 +264,7 @@
 	return Step{"nothing of a false publisher in force", func(_ context.Context, r *Run) error {
 		for _, member := range members {
 			answer := r.probe(member, strangerName, customerOf(member, strangerName))
-			if !strings.HasPrefix(answer.Text, "ERR ") {
+			if !strings.HasPrefix(answer.ErrorText, "ERR ") {
 				return fmt.Errorf("%s: a request on the plan of a false publisher: %s", fleet.Name(member), answer.Result)
 			}
 		}
