--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip encodes and decodes the messages between gateways: a version, the sender's incarnation, the message's sequence
-// number, tags of hosts, then the cumulative counters of customers. Integers are varints unless said otherwise.
+// Package gossip encodes and decodes the messages between gateways: a version, the sender's incarnation, the message's
+// sequence number, tags of hosts, then cumulative counters of customers. Integers are varints unless said otherwise.
 package gossip
 
 import (
@@ -8,37 +8,37 @@
 )
 
 const (
-	versionByIndex = 3 // messages that name a quota plan by its index
-	versionByID    = 4 // messages that name a quota plan by its ID
+	versionByIndex = 3 // of messages that name a quota plan by its index
+	versionByID    = 4 // of messages that name a quota plan by its ID
+)
 
-	MaxMessageBytes = 256 // in a message
-	MaxTags         = 100 // hosts in a message
+// Bounds of one message.
+const (
+	MaxMessageBytes = 256
+	MaxTags         = 100
 )
 
-// Flags of a counter, below its plan's index. Counters of earlier builds may carry a further number under flagGiven, which is
-// skipped.
+// Flags of a counter, below its plan's index.
 const (
-	flagOwed  = 1
-	flagGiven = 2
-	flagBits  = 2
+	flagOwed     = 1 // the number owed follows
+	flagObsolete = 2 // another number follows, which older versions sent; it is ignored
+	flagBits     = 2
 )
 
-// Format is what the gateways of a fleet must agree on to read each other's messages. Where plans are named by ID, gateways on
-// different versions of the configuration understand each other. The header then carries the number of gateways that the sender
-// knows of, and a message from a fleet of another size is not decoded: the routes of gossip depend on that number.
+// Format is what gateways must agree on to decode each other's messages. Where plans are named by ID, gateways with
+// different versions of the configuration decode each other's messages. Their header has the number of gateways that
+// the sender knows, and a message with another number is not decoded: the routes of gossip depend on it.
 type Format struct {
 	Plans   int  // number of quota plans; used only where plans are named by index
 	Members int  // number of gateways
 	ByID    bool // whether plans are named by ID
 }
 
-// Header returns the beginning of a message. The tags are of two bytes each, little-endian.
+// Header returns the beginning of a message. The tags have two bytes each, little-endian.
 func (f Format) Header(incarnation, number uint64, tags []uint16) []byte {
-	var message []byte
+	message := appendNumbers([]byte{f.version()}, incarnation, number)
 	if f.ByID {
-		message = appendNumbers([]byte{versionByID}, incarnation, number, uint64(f.Members))
-	} else {
-		message = appendNumbers([]byte{versionByIndex}, incarnation, number)
+		message = appendNumbers(message, uint64(f.Members))
 	}
 	message = appendNumbers(message, uint64(len(tags)))
 	for _, tag := range tags {
@@ -47,8 +47,9 @@
 	return message
 }
 
-// Counter returns the entry of a customer's counter. The customer's hash is of four bytes, little-endian, and so is the plan if
-// it is named by ID; else plan is its index. owed is what a copy that receives the counter for the first time subtracts.
+// Counter returns the entry of a customer's counter. The customer's hash has four bytes, little-endian, and so has the
+// plan if it is named by ID; otherwise plan is its index. owed is what a receiver subtracts from total if it receives
+// the counter for the first time.
 func (f Format) Counter(hash, plan uint32, spread, first int, total, owed uint64) []byte {
 	entry := binary.LittleEndian.AppendUint32(nil, hash)
 	var flags uint64
@@ -67,6 +68,13 @@
 	return entry
 }
 
+func (f Format) version() byte {
+	if f.ByID {
+		return versionByID
+	}
+	return versionByIndex
+}
+
 func appendNumbers(message []byte, numbers ...uint64) []byte {
 	for _, number := range numbers {
 		message = binary.AppendUvarint(message, number)
@@ -74,16 +82,12 @@
 	return message
 }
 
-// Decode passes the parts of a message to header, tag and counter in turn. It calls none of them for a message that is truncated,
-// of another version or of a fleet of another size, or that names a plan's index or a member that does not exist; and only header
-// if that returns false.
+// Decode calls header, tag and counter with the parts of a message, in their order. It calls none of them for a message
+// that is truncated, has another version or another number of gateways, or names a plan's index or a member that does
+// not exist. If header returns false, it calls nothing else.
 func (f Format) Decode(message []byte, header func(incarnation, number uint64) bool, tag func(uint16),
 	counter func(hash, plan uint32, spread, first int, total, owed uint64)) {
-	version := byte(versionByIndex)
-	if f.ByID {
-		version = versionByID
-	}
-	if len(message) == 0 || len(message) > MaxMessageBytes || message[0] != version {
+	if len(message) == 0 || len(message) > MaxMessageBytes || message[0] != f.version() {
 		return
 	}
 	r := reader{rest: message[1:], ok: true}
@@ -101,8 +105,9 @@
 	if !f.validCounters(counters) || !header(incarnation, number) {
 		return
 	}
-	for ; len(tags) > 0; tags = tags[2:] {
+	for len(tags) > 0 {
 		tag(binary.LittleEndian.Uint16(tags))
+		tags = tags[2:]
 	}
 	r = reader{rest: counters, ok: true}
 	for len(r.rest) > 0 {
@@ -111,7 +116,7 @@
 	}
 }
 
-// validCounters reports whether all counters are whole and name plans and members that exist.
+// validCounters reports whether all counters are complete and name plans and members that exist.
 func (f Format) validCounters(counters []byte) bool {
 	r := reader{rest: counters, ok: true}
 	for len(r.rest) > 0 {
@@ -125,7 +130,7 @@
 	return true
 }
 
-// entry is a customer's counter as decoded.
+// entry is a decoded counter of a customer.
 type entry struct {
 	hash   uint32
 	plan   uint32
@@ -151,13 +156,13 @@
 	if flags&flagOwed > 0 {
 		e.owed = r.number()
 	}
-	if flags&flagGiven > 0 {
+	if flags&flagObsolete > 0 {
 		r.number()
 	}
 	return e
 }
 
-// reader reads numbers from the front of rest. ok turns false at the first that is truncated or too large.
+// reader reads numbers from the front of rest. ok becomes false at the first that is truncated or too large.
 type reader struct {
 	rest []byte
 	ok   bool
--- /dev/null
+++ b/internal/gossip/gossip_test.go
@@ -0,0 +1,75 @@
+package gossip
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// decode describes the parts of a message in the order in which they are decoded.
+func decode(f Format, message []byte) string {
+	var parts []string
+	add := func(format string, args ...any) { parts = append(parts, fmt.Sprintf(format, args...)) }
+	header := func(incarnation, number uint64) bool {
+		add("header %d %d", incarnation, number)
+		return true
+	}
+	tag := func(tag uint16) { add("tag %d", tag) }
+	counter := func(hash, plan uint32, spread, first int, total, owed uint64) {
+		add("counter %x %d %d %d %d %d", hash, plan, spread, first, total, owed)
+	}
+	f.Decode(message, header, tag, counter)
+	return strings.Join(parts, ", ")
+}
+
+func TestDecodeReadsEncodedMessage(t *testing.T) {
+	const want = "header 7 300, tag 1, tag 65535, counter beef 1 3 2 1000 0, counter cafe 0 1 0 5 2"
+	for _, f := range []Format{
+		{Plans: 2, Members: 3},
+		{Members: 3, ByID: true},
+	} {
+		message := slices.Concat(
+			f.Header(7, 300, []uint16{1, 65535}),
+			f.Counter(0xbeef, 1, 3, 2, 1000, 0),
+			f.Counter(0xcafe, 0, 1, 0, 5, 2),
+		)
+		if got := decode(f, message); got != want {
+			t.Errorf("%+v: %s, want %s", f, got, want)
+		}
+	}
+}
+
+// No part of an invalid message is decoded.
+func TestDecodeIgnoresInvalidMessage(t *testing.T) {
+	byIndex := Format{Plans: 2, Members: 3}
+	byID := Format{Members: 3, ByID: true}
+	header := byIndex.Header(7, 300, []uint16{1})
+	counter := byIndex.Counter(0xbeef, 1, 3, 2, 1000, 4)
+	message := slices.Concat(header, counter)
+	for length := range len(message) {
+		if length == len(header) {
+			continue // complete without the counter
+		}
+		if got := decode(byIndex, message[:length]); got != "" {
+			t.Errorf("cut at %d: %s", length, got)
+		}
+	}
+	for name, test := range map[string]struct {
+		format  Format
+		message []byte
+	}{
+		"version of messages by ID":    {byIndex, byID.Header(7, 300, nil)},
+		"version of messages by index": {byID, header},
+		"another number of gateways":   {byID, Format{Members: 4, ByID: true}.Header(7, 300, nil)},
+		"unknown plan":                 {byIndex, append(slices.Clone(header), byIndex.Counter(1, 2, 3, 2, 9, 0)...)},
+		"more gateways than there are": {byIndex, append(slices.Clone(header), byIndex.Counter(1, 1, 4, 2, 9, 0)...)},
+		"first gateway does not exist": {byIndex, append(slices.Clone(header), byIndex.Counter(1, 1, 3, 3, 9, 0)...)},
+		"more tags than a message has": {byIndex, byIndex.Header(7, 300, make([]uint16, MaxTags+1))},
+		"longer than the largest":      {byIndex, append(slices.Clone(header), make([]byte, MaxMessageBytes)...)},
+	} {
+		if got := decode(test.format, test.message); got != "" {
+			t.Errorf("%s: %s", name, got)
+		}
+	}
+}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -25,19 +25,30 @@
 	format    gossip.Format          // of the messages that are received
 }
 
+// unknownMember is the index of a sender that is no member.
+const unknownMember = -1
+
 // Member is the address of a gateway.
 type Member struct {
 	Index   int
 	Address netip.AddrPort
 }
 
-// Open listens at the address, by the calls of system. peers are the gateways of the fleet by member index, format is that of their messages.
-func Open(system sockets.System, listen netip.AddrPort, peers []netip.AddrPort, format gossip.Format) (*Transport, error) {
+// Open listens at the address by the calls of system. peers are the addresses of all gateways by member index, and
+// format is that of their messages.
+func Open(system sockets.System, listen netip.AddrPort, peers []netip.AddrPort,
+	format gossip.Format) (*Transport, error) {
 	conn, err := system.ListenPacket(listen)
 	if err != nil {
 		return nil, err
 	}
-	return &Transport{system: system, conn: conn, addresses: slices.Clone(peers), members: indexByAddress(peers), format: format}, nil
+	return &Transport{
+		system:    system,
+		conn:      conn,
+		addresses: slices.Clone(peers),
+		members:   indexByAddress(peers),
+		format:    format,
+	}, nil
 }
 
 // indexByAddress returns the member index of each address. Of two members at one address the first counts.
@@ -51,8 +62,8 @@
 	return members
 }
 
-// SetMembers changes addresses and the size of the fleet atomically: a message is received under the old table or under the
-// new one. Members from count on are removed; each new one below count must have its address in changed.
+// SetMembers changes addresses and the number of gateways atomically: a message is received with the old table or with
+// the new one. Members from count on are removed; each new one below count must have its address in changed.
 func (t *Transport) SetMembers(changed []Member, count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,29 +92,29 @@
 	}
 }
 
-// sender returns the index of the member with the address, -1 for none, and the format that its messages must have.
+// sender returns the index of the member with an address, unknownMember for none, and the format of its messages.
 func (t *Transport) sender(from netip.AddrPort) (index int, format gossip.Format) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	index, known := t.members[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	if !known {
-		return -1, t.format
+		return unknownMember, t.format
 	}
 	return index, t.format
 }
 
-// Listen calls received for each well-formed message from the address of a peer, and dropped for each other message, until
-// Close. The body is the callee's to keep.
+// Listen calls received for each well-formed message from the address of a peer, and dropped for each other message,
+// until Close. The callee may keep the body.
 func (t *Transport) Listen(received func(member int, body []byte), dropped func()) {
 	defer func() {
 		if e := recover(); e != nil {
 			slog.Error("panic", "where", "peers", "error", e, "stack", debug.Stack())
 		}
 	}()
-	buf := make([]byte, gossip.MaxMessageBytes+1)
+	buffer := make([]byte, gossip.MaxMessageBytes+1)
 	var pause sockets.ReadPause
 	for {
-		n, from, err := t.system.ReadPacket(t.conn, buf)
+		n, from, err := t.system.ReadPacket(t.conn, buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -113,25 +124,26 @@
 		}
 		pause.Succeeded()
 		member, format := t.sender(from)
-		if member < 0 || !wellFormed(format, buf[:n]) {
+		if member == unknownMember || !wellFormed(format, buffer[:n]) {
 			dropped()
 			continue
 		}
-		received(member, slices.Clone(buf[:n]))
+		received(member, slices.Clone(buffer[:n]))
 	}
 }
 
 // wellFormed reports whether a message is of the format.
 func wellFormed(format gossip.Format, message []byte) bool {
-	whole := false
-	format.Decode(message, func(uint64, uint64) bool {
-		whole = true
+	valid := false
+	header := func(uint64, uint64) bool {
+		valid = true
 		return false
-	}, nil, nil)
-	return whole
+	}
+	format.Decode(message, header, nil, nil)
+	return valid
 }
 
-// Send sends a message, which may be lost. It does nothing for unknown members and messages that are too long.
+// Send sends a message, which may be lost. It drops messages to unknown members and messages that are too long.
 func (t *Transport) Send(member int, body []byte) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -10,126 +10,131 @@
 	"ravensill/internal/sockets/socketstest"
 )
 
-// TestListenTellsSenders: a message counts as of the peer whose address it came from; one of a stranger, and one that can't be read,
-// are dropped.
-func TestListenTellsSenders(t *testing.T) {
-	anywhere := netip.MustParseAddrPort("127.0.0.1:0")
-	open := func(peers ...netip.AddrPort) *Transport {
-		transport, err := Open(sockets.Kernel{}, anywhere, peers, gossip.Format{Plans: 1, Members: max(len(peers), 1)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(transport.Close)
-		return transport
+var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
+
+// open returns a transport on a free port.
+func open(t *testing.T, system sockets.System, format gossip.Format, peers ...netip.AddrPort) *Transport {
+	t.Helper()
+	transport, err := Open(system, anyPort, peers, format)
+	if err != nil {
+		t.Fatal(err)
 	}
-	addr := func(t *Transport) netip.AddrPort { return netip.MustParseAddrPort(t.Addr()) }
-	receiver := open()
-	sender, stranger := open(addr(receiver)), open(addr(receiver))
-	receiver.addresses = []netip.AddrPort{addr(receiver), addr(sender), addr(sender)}
+	t.Cleanup(transport.Close)
+	return transport
+}
+
+func address(t *Transport) netip.AddrPort { return netip.MustParseAddrPort(t.Addr()) }
+
+// A message counts as from the member whose address it came from, the first of two. One from an unknown address, and
+// one that is not well-formed, are dropped.
+func TestListenIdentifiesSenderByAddress(t *testing.T) {
+	format := gossip.Format{Plans: 1, Members: 1}
+	receiver := open(t, sockets.Kernel{}, format)
+	sender := open(t, sockets.Kernel{}, format, address(receiver))
+	stranger := open(t, sockets.Kernel{}, format, address(receiver))
+	receiver.addresses = []netip.AddrPort{address(receiver), address(sender), address(sender)}
 	receiver.members = indexByAddress(receiver.addresses)
-	members, dropped := make(chan int, 1), make(chan struct{}, 1)
-	go receiver.Listen(func(member int, _ []byte) { members <- member }, func() { dropped <- struct{}{} })
-	sound := gossip.Format{}.Header(1, 1, nil)
-	sender.Send(0, sound)
-	if member := <-members; member != 1 {
-		t.Errorf("the message is of member %d, want 1", member)
+	received := make(chan int, 1)
+	dropped := make(chan struct{}, 1)
+	go receiver.Listen(func(member int, _ []byte) { received <- member }, func() { dropped <- struct{}{} })
+	message := gossip.Format{}.Header(1, 1, nil)
+	sender.Send(0, message)
+	if member := <-received; member != 1 {
+		t.Errorf("the message is from member %d, want 1", member)
 	}
-	stranger.Send(0, sound)
+	stranger.Send(0, message)
 	<-dropped
-	sender.Send(0, []byte("unsound"))
+	sender.Send(0, []byte("malformed"))
 	<-dropped
 }
 
-// TestSetMembers: after a change senders are known by their new addresses alone, and messages go there; a message of another
-// format, as of a fleet of another size, is dropped.
-func TestSetMembers(t *testing.T) {
-	anywhere := netip.MustParseAddrPort("127.0.0.1:0")
+// After a change members are known by their new addresses alone, and messages go there. A message of a sender that
+// knows another number of gateways is dropped.
+func TestSetMembersReplacesAddresses(t *testing.T) {
 	var transports []*Transport
-	var at []netip.AddrPort
+	var addresses []netip.AddrPort
 	for range 4 {
-		transport, err := Open(sockets.Kernel{}, anywhere, nil, gossip.Format{ByID: true})
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(transport.Close)
-		transports, at = append(transports, transport), append(at, netip.MustParseAddrPort(transport.Addr()))
+		transport := open(t, sockets.Kernel{}, gossip.Format{ByID: true})
+		transports = append(transports, transport)
+		addresses = append(addresses, address(transport))
 	}
 	receiver := transports[0]
-	received, dropped := make(chan int, 1), make(chan struct{}, 1)
+	received := make(chan int, 1)
+	dropped := make(chan struct{}, 1)
 	go receiver.Listen(func(member int, _ []byte) { received <- member }, func() { dropped <- struct{}{} })
 	delivered := make(chan int, 1)
 	for i, transport := range transports[1:] {
 		go transport.Listen(func(int, []byte) { delivered <- i + 1 }, func() {})
-		transport.SetMembers([]Member{{0, at[0]}}, 1)
+		transport.SetMembers([]Member{{0, addresses[0]}}, 1)
 	}
-	// want has each transport send in turn a message of a fleet of so many: by which member it counts, -1 for dropped.
-	want := func(members int, senders ...int) {
+	// expect has each of the other transports send a message. senders are the members that the messages must be from.
+	expect := func(members int, senders ...int) {
 		t.Helper()
-		for i, member := range senders {
-			transports[i+1].Send(0, gossip.Format{Members: members, ByID: true}.Header(1, 1, nil))
-			got := -1
+		message := gossip.Format{Members: members, ByID: true}.Header(1, 1, nil)
+		for i, want := range senders {
+			transports[i+1].Send(0, message)
+			got := unknownMember
 			select {
 			case got = <-received:
 			case <-dropped:
 			}
-			if got != member {
-				t.Errorf("what transport %d sends counts as of %d, want %d", i+1, got, member)
+			if got != want {
+				t.Errorf("a message of transport %d is from member %d, want %d", i+1, got, want)
 			}
 		}
 	}
-	receiver.SetMembers([]Member{{0, at[0]}, {1, at[1]}, {2, at[2]}}, 3)
-	want(3, 1, 2, -1)
-	want(2, -1, -1, -1)
-	receiver.SetMembers([]Member{{1, at[2]}, {2, at[1]}}, 3) // swapped
-	want(3, 2, 1, -1)
-	receiver.SetMembers([]Member{{1, at[3]}}, 2) // one replaced, one less
-	want(2, -1, -1, 1)
-	transports[3].SetMembers([]Member{{0, at[0]}}, 2)
+	receiver.SetMembers([]Member{{0, addresses[0]}, {1, addresses[1]}, {2, addresses[2]}}, 3)
+	expect(3, 1, 2, unknownMember)
+	expect(2, unknownMember, unknownMember, unknownMember)
+	receiver.SetMembers([]Member{{1, addresses[2]}, {2, addresses[1]}}, 3) // swapped
+	expect(3, 2, 1, unknownMember)
+	receiver.SetMembers([]Member{{1, addresses[3]}}, 2) // one replaced, one removed
+	expect(2, unknownMember, unknownMember, 1)
+	transports[3].SetMembers([]Member{{0, addresses[0]}}, 2)
 	receiver.Send(1, gossip.Format{Members: 2, ByID: true}.Header(1, 1, nil))
-	if to := <-delivered; to != 3 {
-		t.Errorf("a message to the replaced member went to transport %d", to)
+	if transport := <-delivered; transport != 3 {
+		t.Errorf("a message to the replaced member went to transport %d", transport)
 	}
-	receiver.Send(2, nil) // no such member: no panic
+	receiver.Send(2, nil) // of no member: must not panic
 }
 
-// TestListenSurvivesReadErrors: reads that fail end nothing and lose no later message; errors that stay do not have Listen spin
-// (sockets.ReadPause has the pauses).
+// Failed reads neither end Listen nor lose a later message.
 func TestListenSurvivesReadErrors(t *testing.T) {
-	anywhere := netip.MustParseAddrPort("127.0.0.1:0")
+	errnos := []syscall.Errno{
+		syscall.ECONNREFUSED,
+		syscall.EINTR,
+		syscall.ENOBUFS,
+		syscall.ENOMEM,
+		syscall.EHOSTUNREACH,
+	}
 	system := socketstest.New(1, nil)
-	errnos := []syscall.Errno{syscall.ECONNREFUSED, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH}
 	system.Script(socketstest.ReadPacket, socketstest.Errors(errnos...)...)
-	sender, err := Open(sockets.Kernel{}, anywhere, nil, gossip.Format{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(sender.Close)
-	receiver, err := Open(system, anywhere, []netip.AddrPort{netip.MustParseAddrPort(sender.Addr())}, gossip.Format{Plans: 1, Members: 1})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(receiver.Close)
+	sender := open(t, sockets.Kernel{}, gossip.Format{})
+	receiver := open(t, system, gossip.Format{Plans: 1, Members: 1}, address(sender))
 	received := make(chan int, 1)
 	go receiver.Listen(func(member int, _ []byte) { received <- member }, func() {})
-	sender.SetMembers([]Member{{0, netip.MustParseAddrPort(receiver.Addr())}}, 1)
+	sender.SetMembers([]Member{{0, address(receiver)}}, 1)
 	sender.Send(0, gossip.Format{}.Header(1, 1, nil))
-	if member := <-received; member != 0 || system.Count(socketstest.ReadPacket) < len(errnos) {
-		t.Errorf("member %d after %d reads", member, system.Count(socketstest.ReadPacket))
+	member := <-received
+	reads := system.Count(socketstest.ReadPacket)
+	if member != 0 || reads < len(errnos) {
+		t.Errorf("member %d after %d reads", member, reads)
 	}
 }
 
+// BenchmarkChange changes the address of one of 6,000 members.
 func BenchmarkChange(b *testing.B) {
 	transport := &Transport{members: map[netip.AddrPort]int{}}
 	address := func(i int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7946)
 	}
-	var all []Member
+	var members []Member
 	for i := range 6000 {
-		all = append(all, Member{i, address(i)})
+		members = append(members, Member{i, address(i)})
 	}
-	transport.SetMembers(all, len(all))
+	transport.SetMembers(members, len(members))
 	b.ReportAllocs()
 	for i := range b.N {
-		transport.SetMembers([]Member{{7, address(6000 + i%2)}}, len(all))
+		transport.SetMembers([]Member{{7, address(6000 + i%2)}}, len(members))
 	}
 }
