--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -1,6 +1,6 @@
-// Package counter is the client of the shared counter: a server that speaks RESP2 and supports INCRBYFLOAT and PEXPIRE with NX, as
-// Redis does from version 7 on. Each call gets exactly one answer, in time, whatever the server does: a late or missing reply
-// delays nothing.
+// Package counter is the client of the shared counter: a server that speaks RESP2 and supports INCRBYFLOAT and PEXPIRE
+// with NX, as Redis does from version 7 on. Each call gets exactly one answer within its timeout, whatever the server
+// does.
 package counter
 
 import (
@@ -39,36 +39,40 @@
 	errNotANumber       = errors.New("a reply that holds no number")
 )
 
-// Counter is one gateway's connection to the shared counter. All its fields belong to the loop, the goroutine that runs the
-// functions passed to runOnLoop. Times are in nanoseconds of the clock now.
+// Counter is one gateway's connection to the shared counter. All its fields belong to the loop, the goroutine that runs
+// the functions of runOnLoop. Times are in nanoseconds of the clock now.
 type Counter struct {
-	system         sockets.System
-	addr           netip.AddrPort
-	timeout        int64 // of a call
-	runOnLoop      func(func())
-	now            func() int64
-	onAnswer       func(gateway.Event)
-	link           *bufconn.Link // nil: not connected
-	inFlight       []call        // in the order of their commands
-	dialing        bool
-	closed         bool
-	loggedState    string // the state logged last
-	noExpiryLogged bool   // that the server does not support expiry was logged
+	system    sockets.System
+	address   netip.AddrPort
+	timeout   int64 // of a call
+	runOnLoop func(func())
+	now       func() int64
+	onAnswer  func(gateway.Event)
+
+	link     *bufconn.Link // nil: not connected
+	inFlight []call        // in the order of their commands
+	dialing  bool
+	closed   bool
+
+	loggedState    string // of the latest log line
+	noExpiryLogged bool   // it is logged that the server does not support expiry
 }
 
 // call waits for two replies: to INCRBYFLOAT, then to PEXPIRE.
 type call struct {
-	name         uint64
-	started      int64
-	answered     bool // its answer was given: further replies are ignored
-	halfAnswered bool // the first reply has arrived
+	name             uint64
+	started          int64
+	answered         bool // further replies are ignored
+	incrementReplied bool // the reply to INCRBYFLOAT has arrived
 }
 
-// New returns a counter that is not connected yet and uses the sockets of system. onAnswer is called on the loop with the answer of each call.
-func New(system sockets.System, addr netip.AddrPort, timeout int64, runOnLoop func(func()), now func() int64, onAnswer func(gateway.Event)) *Counter {
+// New returns a counter that is not connected yet and uses the sockets of system. onAnswer is called on the loop with
+// the answer of each call.
+func New(system sockets.System, address netip.AddrPort, timeout int64, runOnLoop func(func()), now func() int64,
+	onAnswer func(gateway.Event)) *Counter {
 	return &Counter{
 		system:    system,
-		addr:      addr,
+		address:   address,
 		timeout:   timeout,
 		runOnLoop: runOnLoop,
 		now:       now,
@@ -104,7 +108,7 @@
 	return dst
 }
 
-// finish gives the answer of a call, unless it has one.
+// finish answers a call, unless it is answered.
 func (c *Counter) finish(call *call, result gateway.Result, total float64) {
 	if call.answered {
 		return
@@ -119,8 +123,8 @@
 	})
 }
 
-// Expire times out calls and returns when to call it next; 0: no call is in flight. A connection with a call that is long overdue
-// is closed.
+// Expire times out calls and returns the instant at which to call it next, 0 if no call is in flight. It closes a
+// connection with a call that is long overdue.
 func (c *Counter) Expire(now int64) (next int64) {
 	for i := range c.inFlight {
 		call := &c.inFlight[i]
@@ -152,7 +156,8 @@
 	return c.link.Out.Len() > 0
 }
 
-// Connect starts connecting, unless that is under way or done.
+// Connect starts connecting in a goroutine of its own, unless there is a connection or an attempt. An attempt ends
+// within dialTimeout, and the loop closes a connection that comes after Close.
 func (c *Counter) Connect() {
 	if c.dialing || c.closed || c.link != nil {
 		return
@@ -171,7 +176,7 @@
 
 // dial opens a connection to the server.
 func (c *Counter) dial() (*bufconn.Link, error) {
-	conn, err := c.system.Dial(context.Background(), &net.Dialer{Timeout: dialTimeout}, c.addr.String())
+	conn, err := c.system.Dial(context.Background(), &net.Dialer{Timeout: dialTimeout}, c.address.String())
 	if err != nil {
 		return nil, err
 	}
@@ -182,7 +187,7 @@
 	return link, err
 }
 
-// connected takes over a new connection.
+// connected starts using a new connection.
 func (c *Counter) connected(link *bufconn.Link) {
 	c.dialing = false
 	if c.closed {
@@ -216,14 +221,16 @@
 	}
 }
 
-// parseReplies passes all whole replies to the loop.
+// parseReplies passes all complete replies to the loop.
 func (c *Counter) parseReplies(link *bufconn.Link, parser *resp.Parser) error {
 	for {
 		value, ok, err := parser.Next(link.In)
 		if err != nil || !ok {
 			return err
 		}
-		kind, text, total := value.Kind, string(value.Line), 0.0
+		kind := value.Kind
+		text := string(value.Line)
+		total := 0.0
 		if kind == '$' {
 			total, err = parseNumber(value.Parts[0])
 			if err != nil {
@@ -236,40 +243,47 @@
 
 // parseNumber parses a finite number.
 func parseNumber(text []byte) (float64, error) {
-	x, err := strconv.ParseFloat(string(text), 64)
-	if err != nil || math.IsInf(x, 0) || math.IsNaN(x) {
+	number, err := strconv.ParseFloat(string(text), 64)
+	if err != nil || math.IsInf(number, 0) || math.IsNaN(number) {
 		return 0, errNotANumber
 	}
-	return x, nil
+	return number, nil
 }
 
 // handleReply handles one reply: a number, or a line of its kind.
 func (c *Counter) handleReply(link *bufconn.Link, kind byte, text string, total float64) {
-	switch {
-	case c.link != link:
+	if c.link != link {
 		return
-	case len(c.inFlight) == 0:
+	}
+	if len(c.inFlight) == 0 {
 		c.closeLink(link, errUnsolicitedReply.Error())
 		return
 	}
 	call := &c.inFlight[0]
-	switch {
-	case call.halfAnswered:
+	if call.incrementReplied {
 		c.inFlight = c.inFlight[1:]
-		if kind == '-' && !c.noExpiryLogged { // older servers don't support NX: their numbers never expire
-			c.noExpiryLogged = true
-			slog.Warn("counter_expiry_unsupported", "addr", c.addr, "error", text)
-		}
+		c.handleExpiryReply(kind, text)
 		return
-	case kind == '-': // not executed
+	}
+	switch kind {
+	case '-': // not executed
 		c.finish(call, gateway.Busy, 0)
-	case kind == '$':
+	case '$':
 		c.finish(call, gateway.Succeeded, total)
 	default:
 		c.closeLink(link, errNotANumber.Error())
 		return
 	}
-	call.halfAnswered = true
+	call.incrementReplied = true
+}
+
+// handleExpiryReply logs that a server does not support PEXPIRE with NX: numbers of such a server never expire.
+func (c *Counter) handleExpiryReply(kind byte, text string) {
+	if kind != '-' || c.noExpiryLogged {
+		return
+	}
+	c.noExpiryLogged = true
+	slog.Warn("counter_expiry_unsupported", "addr", c.address, "error", text)
 }
 
 // closeLink closes a connection. The calls in flight on it may have been executed.
@@ -294,9 +308,9 @@
 	}
 	c.loggedState = state
 	if state == stateLost {
-		slog.Warn("counter_lost", "addr", c.addr, "error", reason)
+		slog.Warn("counter_lost", "addr", c.address, "error", reason)
 	} else {
-		slog.Info("counter_restored", "addr", c.addr)
+		slog.Info("counter_restored", "addr", c.address)
 	}
 }
 
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -6,7 +6,7 @@
 	"io"
 	"net"
 	"net/netip"
-	"strings"
+	"slices"
 	"testing"
 	"time"
 
@@ -14,36 +14,53 @@
 	"ravensill/internal/sockets"
 )
 
-const ms = int64(time.Millisecond)
+const (
+	millisecond = int64(time.Millisecond)
 
-// testCounter is a counter whose loop and clock the test runs, with a server that the test plays.
+	testTimeout = 50 * millisecond // of a call
+
+	// waitLimit is longer than any step of a test takes on a busy machine.
+	waitLimit = 10 * time.Second
+)
+
+// testCounter is a counter whose loop, clock and server are the test's.
 type testCounter struct {
 	*testing.T
 	counter  *Counter
 	loop     chan func()
 	now      int64
-	answers  []string      // given since the last expect
+	answers  []string      // since the latest expect
 	server   net.Conn      // the server's end of the connection
 	requests *bufio.Reader // what the server received
 }
 
+// answer describes the answer of a call.
+func answer(name uint64, result gateway.Result, total float64) string {
+	return fmt.Sprintf("%d %d %g", name, result, total)
+}
+
 // newTestCounter returns a connected counter.
 func newTestCounter(t *testing.T) *testCounter {
+	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	c := &testCounter{T: t, loop: make(chan func(), 100), now: 1000 * ms}
-	c.counter = New(sockets.Kernel{}, netip.MustParseAddrPort(listener.Addr().String()), 50*ms, func(f func()) { c.loop <- f }, func() int64 { return c.now },
-		func(e gateway.Event) {
-			c.answers = append(c.answers, fmt.Sprintf("%d %d %g", e.CounterName, e.Result, e.CounterTotal))
-		})
+	c := &testCounter{T: t, loop: make(chan func(), 100), now: 1000 * millisecond}
+	address := netip.MustParseAddrPort(listener.Addr().String())
+	runOnLoop := func(f func()) { c.loop <- f }
+	now := func() int64 { return c.now }
+	onAnswer := func(e gateway.Event) {
+		c.answers = append(c.answers, answer(e.CounterName, e.Result, e.CounterTotal))
+	}
+	c.counter = New(sockets.Kernel{}, address, testTimeout, runOnLoop, now, onAnswer)
 	c.counter.Connect()
-	if c.server, err = listener.Accept(); err != nil {
+	c.server, err = listener.Accept()
+	if err != nil {
 		t.Fatal(err)
 	}
-	c.server.SetDeadline(time.Now().Add(10 * time.Second))
+	c.server.SetDeadline(time.Now().Add(waitLimit))
 	c.requests = bufio.NewReader(c.server)
 	c.runUntil(func() bool { return c.counter.link != nil })
 	t.Cleanup(c.counter.Close)
@@ -52,33 +69,34 @@
 
 // runUntil runs the loop until a condition holds.
 func (c *testCounter) runUntil(condition func() bool) {
+	c.Helper()
 	for !condition() {
 		select {
 		case f := <-c.loop:
 			f()
-		case <-time.After(10 * time.Second):
-			c.Fatalf("waited in vain; answers so far: %v", c.answers)
+		case <-time.After(waitLimit):
+			c.Fatalf("the condition does not hold after %v; answers: %v", waitLimit, c.answers)
 		}
 	}
 }
 
-// reply sends bytes of the server.
+// reply sends bytes from the server.
 func (c *testCounter) reply(text string) { io.WriteString(c.server, text) }
 
 // expect waits for answers and compares them.
 func (c *testCounter) expect(answers ...string) {
 	c.Helper()
 	c.runUntil(func() bool { return len(c.answers) >= len(answers) })
-	if got := strings.Join(c.answers, ", "); got != strings.Join(answers, ", ") {
-		c.Errorf("answers %s, want %s", got, strings.Join(answers, ", "))
+	if !slices.Equal(c.answers, answers) {
+		c.Errorf("answers %q, want %q", c.answers, answers)
 	}
 	c.answers = nil
 }
 
-// TestCounterCalls checks that a call is two commands, and its answers: in order, refused, timed out, and what follows a time-out.
-func TestCounterCalls(t *testing.T) {
+// A call is two commands. Answers come in the order of the calls, and a late reply does not answer a later call.
+func TestCountSendsCommandsAndAnswersInOrder(t *testing.T) {
 	c := newTestCounter(t)
-	c.counter.Count(7, 1, 10*int64(time.Second))
+	c.counter.Count(7, 1, 10_000*millisecond)
 	c.counter.Count(8, -2.5, 1)
 	c.counter.Flush()
 	want := "*3\r\n$11\r\nINCRBYFLOAT\r\n$11\r\nravensill:7\r\n$1\r\n1\r\n" +
@@ -86,28 +104,34 @@
 		"*3\r\n$11\r\nINCRBYFLOAT\r\n$11\r\nravensill:8\r\n$4\r\n-2.5\r\n" +
 		"*4\r\n$7\r\nPEXPIRE\r\n$11\r\nravensill:8\r\n$1\r\n1\r\n$2\r\nNX\r\n"
 	sent := make([]byte, len(want))
-	if io.ReadFull(c.requests, sent); string(sent) != want {
+	io.ReadFull(c.requests, sent)
+	if string(sent) != want {
 		t.Errorf("sent %q, want %q", sent, want)
 	}
 	c.reply("$1\r\n3\r\n:1\r\n-OOM command not allowed\r\n:0\r\n")
-	c.expect(fmt.Sprint("7 ", int(gateway.Succeeded), " 3"), fmt.Sprint("8 ", int(gateway.Busy), " 0"))
+	c.expect(answer(7, gateway.Succeeded, 3), answer(8, gateway.Busy, 0))
+
 	c.counter.Count(9, 1, 1)
-	c.now += 60 * ms
+	c.now += testTimeout + 10*millisecond
 	c.counter.Expire(c.now)
-	c.expect(fmt.Sprint("9 ", int(gateway.TimedOut), " 0"))
+	c.expect(answer(9, gateway.TimedOut, 0))
+
 	c.counter.Count(10, 1, 1)
-	c.reply("$1\r\n1\r\n:1\r\n$1\r\n2\r\n:1\r\n") // late, and then in time
-	c.expect(fmt.Sprint("10 ", int(gateway.Succeeded), " 2"))
+	c.reply("$1\r\n1\r\n:1\r\n$1\r\n2\r\n:1\r\n") // the reply of call 9, then that of call 10
+	c.expect(answer(10, gateway.Succeeded, 2))
 }
 
-// TestCounterConnectionLost checks that each call in flight is answered once, whatever ends the connection, and that later calls end at once.
-func TestCounterConnectionLost(t *testing.T) {
+// Whatever ends the connection, each call in flight is answered once, and later calls are answered at once.
+func TestLostConnectionAnswersCallsOnce(t *testing.T) {
 	for name, fault := range map[string]func(c *testCounter){
 		"garbled":  func(c *testCounter) { c.reply("what\r\n") },
 		"no_float": func(c *testCounter) { c.reply("$3\r\nnan\r\n") },
 		"null":     func(c *testCounter) { c.reply("$-1\r\n") },
 		"closed":   func(c *testCounter) { c.server.Close() },
-		"silent":   func(c *testCounter) { c.now += 1001 * ms; c.counter.Expire(c.now) },
+		"silent": func(c *testCounter) {
+			c.now += overdueFactor*testTimeout + millisecond
+			c.counter.Expire(c.now)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newTestCounter(t)
@@ -116,13 +140,13 @@
 			fault(c)
 			c.runUntil(func() bool { return c.counter.link == nil })
 			if len(c.answers) != 2 {
-				t.Errorf("two calls ended as %v", c.answers)
+				t.Errorf("answers of two calls: %q", c.answers)
 			}
 			c.answers = nil
 			c.counter.Count(9, 1, 1)
-			c.expect(fmt.Sprint("9 ", int(gateway.Unreachable), " 0"))
-			if c.counter.Expire(c.now+100*ms) != 0 {
-				t.Error("something is still awaited")
+			c.expect(answer(9, gateway.Unreachable, 0))
+			if c.counter.Expire(c.now+100*millisecond) != 0 {
+				t.Error("a call is in flight")
 			}
 		})
 	}
