--- a/internal/program/configuration.go
+++ b/internal/program/configuration.go
@@ -10,53 +10,58 @@
 	"ravensill/internal/subscriber"
 )
 
-// following is what a gateway that follows the publishers of the configuration has beside its node.
+// following is the state of a gateway that follows the publishers of the configuration.
 type following struct {
 	platform node.Platform
-	cfg      *config.Config       // that the gateway starts with
+	cfg      *config.Config       // with which the gateway starts
 	live     *config.Live         // belongs to the subscriber once that runs
-	held     *configsync.Document // the version that the gateway starts with
+	stored   *configsync.Document // with which the gateway starts; nil once the subscriber has it
 	node     *node.Node
 }
 
-// newFollowing reads the last good version on disk. The gateway starts with it, whether a publisher is up or not; where
-// there is none, or it can't be taken any more, with what the file says.
+// newFollowing reads the version stored on disk. The gateway starts with it, whether a publisher is up or not, or with
+// its file alone if there is no stored version or that is invalid.
 func newFollowing(platform node.Platform, file *config.Config) *following {
-	held, err := subscriber.Load(file.Configuration.Dir)
-	if err != nil { // torn or altered: the document is the last one before that
+	stored, err := subscriber.Load(file.Configuration.Dir)
+	if err != nil { // the file is torn or altered, and the document is the one before that
 		slog.Warn("configuration_damaged",
 			"dir", file.Configuration.Dir,
-			"version", held.Version(),
+			"version", stored.Version(),
 			"error", err,
 		)
 	}
-	if held.Version() > 0 {
-		cfg, live, err := config.Restore(file, held.Changes())
+	if stored.Version() > 0 {
+		cfg, live, err := config.Restore(file, stored.Changes())
 		if err == nil {
 			slog.Info("configuration_loaded",
-				"version", held.Version(),
+				"version", stored.Version(),
 				"plans", len(cfg.Plans),
 				"classes", len(cfg.Classes),
 				"members", cfg.Membership.Count,
 			)
-			return &following{platform: platform, cfg: cfg, live: live, held: held}
+			return &following{platform: platform, cfg: cfg, live: live, stored: stored}
 		}
-		logRefused(held.Version(), err)
+		logRejected(stored.Version(), err)
+	}
+	return &following{
+		platform: platform,
+		cfg:      file,
+		live:     config.NewLive(file),
+		stored:   configsync.NewDocument(""),
 	}
-	return &following{platform: platform, cfg: file, live: config.NewLive(file), held: configsync.NewDocument("")}
 }
 
-// logRefused tells of a held version as the subscriber does of one that comes.
-func logRefused(version configsync.Version, err error) {
+// logRejected logs that a stored version is invalid, in the form in which the subscriber logs it of a received one.
+func logRejected(version configsync.Version, err error) {
 	resource := configsync.Resource("")
-	var refused *config.ResourceError
-	if errors.As(err, &refused) {
-		resource = refused.Resource
+	var resourceError *config.ResourceError
+	if errors.As(err, &resourceError) {
+		resource = resourceError.Resource
 	}
 	slog.Warn("configuration_refused", "version", version, "resource", resource, "reason", err)
 }
 
-// start runs the subscriber; the returned function ends it.
+// start starts the subscriber and returns the function that ends it.
 func (f *following) start() (end func()) {
 	dir := f.cfg.Configuration.Dir
 	incarnation, err := subscriber.NextIncarnation(dir, f.platform.Clock)
@@ -72,14 +77,15 @@
 		Clock:       f.platform.Clock,
 		Sockets:     f.platform.Sockets,
 		Apply:       f.apply,
-	}, f.held)
-	f.held = nil // the subscriber's from now on
+	}, f.stored)
+	f.stored = nil
 	return s.Close
 }
 
-// apply puts an update in force and returns once it is. It runs on the subscriber's goroutine.
-func (f *following) apply(update *configsync.Update, whole bool) error {
-	revision, err := f.live.Apply(update.Changes, whole)
+// apply puts an update in force and returns once it is. complete says that the update is a complete document. The
+// subscriber calls it on its goroutine.
+func (f *following) apply(update *configsync.Update, complete bool) error {
+	revision, err := f.live.Apply(update.Changes, complete)
 	if err != nil {
 		return err
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,13 +1,12 @@
-// Package program is the gateway as a process: signals, limits of the runtime, the configuration that it starts with, and its end.
+// Package program is the gateway as a process: its signals, the limits of its runtime, the configuration that it starts
+// with, and its exit status.
 package program
 
 import (
 	"log/slog"
 	"os"
-	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"syscall"
 
 	"ravensill/internal/config"
 	"ravensill/internal/logging"
@@ -15,53 +14,48 @@
 	"ravensill/logic"
 )
 
-// Main runs one gateway on a platform, and ends the process with a status other than 0 if it fails.
+// Exit statuses.
+const (
+	exitFailed               = 1
+	exitInvalidConfiguration = 2
+)
+
+// Main runs one gateway on a platform. It ends the process with a status other than 0 if the gateway fails.
 func Main(platform node.Platform) {
 	logging.SetOutput(os.Stderr)
-	calls, reloads := make(chan os.Signal, 2), make(chan os.Signal, 1)
-	signal.Notify(reloads, syscall.SIGHUP) // first of all: not asked for, each would end the program as a crash does
-	signal.Notify(calls, syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGPIPE) // who reads the log may go: a line to nobody would end the program
+	signals := notifySignals()
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		slog.Error("start_failed", "error", err)
-		os.Exit(2)
+		os.Exit(exitInvalidConfiguration)
 	}
-	var follows *following // nil: off
+	var follows *following // nil: the gateway follows no publisher
 	if cfg.Configuration != nil {
 		follows = newFollowing(platform, cfg)
 		cfg = follows.cfg
 	}
-	for _, a := range cfg.Adjusted {
-		slog.Warn("settings_adjusted", "key", a.Key, "meaning", a.Meaning)
+	for _, adjusted := range cfg.Adjusted {
+		slog.Warn("settings_adjusted", "key", adjusted.Key, "meaning", adjusted.Meaning)
 	}
-	runtime.GOMAXPROCS(1) // the loop and the connections take turns on the one core
-	debug.SetMemoryLimit(cfg.Memory * 3 / 4)
-	debug.SetGCPercent(400)
+	limitRuntime(cfg)
 	stop := make(chan struct{})
-	go func() {
-		<-calls
-		close(stop)
-		for s := range calls {
-			if s == syscall.SIGINT { // from a terminal; the platform that means at once has SIGKILL
-				slog.Warn("shutdown_aborted")
-				os.Exit(1)
-			}
-			slog.Info("shutdown_signal_repeated") // its end is near and has its time: a second call must not lose what is open
-		}
-	}()
-	n := node.NewOn(platform, cfg, logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport))
+	go signals.handleShutdowns(stop)
+	module := logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport)
+	n := node.NewOn(platform, cfg, module)
 	if follows != nil {
 		follows.node = n
 		n.WhileRunning(follows.start)
 	}
-	go func() {
-		for range reloads { // those that come while the file is read are one more
-			n.Reload(config.Reload(os.Getenv))
-		}
-	}()
+	go signals.handleReloads(n)
 	if err := n.Run(stop); err != nil {
 		slog.Error("gateway_failed", "error", err)
-		os.Exit(1)
+		os.Exit(exitFailed)
 	}
 }
+
+// limitRuntime sets the limits of Go's runtime.
+func limitRuntime(cfg *config.Config) {
+	runtime.GOMAXPROCS(1) // the gateway has one processor
+	debug.SetMemoryLimit(cfg.Memory * 3 / 4)
+	debug.SetGCPercent(400)
+}
