--- a/counterfactual/answer.go
+++ b/counterfactual/answer.go
@@ -25,16 +25,16 @@
 
 // Reasons why a figure is refused.
 const (
-	NoOverlap       = "no overlap"
-	FewSamples      = "too few effective samples"
-	FewCustomers    = "too few customers"
-	GatewaysGone    = "gateways missing"
-	CensoredEarly   = "cut off too early"
-	BadChances      = "chances do not add up"
-	OutOfRange      = "load outside the range seen"
-	FollowsLoad     = "the rule follows the load"
-	BeyondObjective = "beyond the target"
-	TooWide         = "interval too wide"
+	NoOverlap        = "no overlap"
+	FewSamples       = "too few effective samples"
+	FewCustomers     = "too few customers"
+	GatewaysMissing  = "gateways missing"
+	CensoredEarly    = "cut off too early"
+	BadProbabilities = "chances do not add up"
+	OutOfRange       = "load outside the range seen"
+	FollowsLoad      = "the rule follows the load"
+	BeyondObjective  = "beyond the target"
+	TooWide          = "interval too wide"
 )
 
 // Figure is an estimate with its interval, in milliseconds or, for a fraction, from 0 to 1. AnyTime is the interval that holds
@@ -116,7 +116,7 @@
 	from, to = l.boundSpan(from, to)
 	t := l.strata(class, from, to)
 	missing, absent := l.missing(from, to)
-	return l.answers(t, class, []Rule{Logged, Next, Least, Two, Chance, Zone}, missing, absent, "")
+	return l.answers(t, class, []Rule{Logged, NextInRank, LeastLoaded, PowerOfTwo, Random, OtherZone}, missing, absent, "")
 }
 
 // SingleHost estimates the same for a single host, over the attempts that could have gone there; Covers is their fraction.
@@ -129,7 +129,7 @@
 	}
 	t.strata = slices.DeleteFunc(t.strata, func(s *stratum) bool { return s.key.Host != host })
 	missing, absent := l.missing(from, to)
-	a := l.answers(t, class, []Rule{Single}, missing, absent, "")[0]
+	a := l.answers(t, class, []Rule{OneHost}, missing, absent, "")[0]
 	a.Host, a.HostNumber, a.Regret = l.hostName(host), host, Figure{Refused: "a single host has none"}
 	if a.Covers = 0; total > 0 {
 		a.Covers = a.Requests / total
@@ -181,7 +181,7 @@
 		case x.mass == 0:
 			a.Refused = NoOverlap + ": no dispatch to ask about"
 		case absent > l.settings.MaxMissing:
-			a.Refused = fmt.Sprintf("%s: about %.0f%% of the dispatches", GatewaysGone, 100*absent)
+			a.Refused = fmt.Sprintf("%s: about %.0f%% of the dispatches", GatewaysMissing, 100*absent)
 		case a.Refused != "":
 		case a.Effective < minEffective:
 			a.Refused = fmt.Sprintf("%s: %.0f, %d wanted", FewSamples, a.Effective, minEffective)
@@ -190,7 +190,7 @@
 		case x.censoredEarly/x.mass > maxCensored:
 			a.Refused = fmt.Sprintf("%s: %.1f%%", CensoredEarly, 100*x.censoredEarly/x.mass)
 		case a.Estimator != Direct && !weightsAddUp(x, without, r):
-			a.Refused = fmt.Sprintf("%s: the weights come to %.2f of the dispatches", BadChances, x.weight/x.mass)
+			a.Refused = fmt.Sprintf("%s: the weights come to %.2f of the dispatches", BadProbabilities, x.weight/x.mass)
 		}
 		t.figures(&a, r, x, without)
 		all = append(all, a)
--- a/counterfactual/ledger.go
+++ b/counterfactual/ledger.go
@@ -21,12 +21,12 @@
 
 // Counts counts messages by what became of them.
 type Counts struct {
-	Merged  int
-	Twice   int // duplicates
-	Late    int // for a bin that no longer changes
-	OldLife int // of an earlier incarnation
-	Strange int // invalid
-	Full    int // for which there was no room
+	Merged         int
+	Duplicates     int `json:"Twice"`
+	Late           int // for a bin that no longer changes
+	OldIncarnation int `json:"OldLife"` // of an earlier incarnation than the latest
+	Invalid        int `json:"Strange"`
+	OutOfCapacity  int `json:"Full"` // for which the ledger had no capacity
 }
 
 // Ledger merges the summaries of the gateways, in bins of its own clock. A message names its bin by its age, so that clocks need
@@ -81,7 +81,7 @@
 	bin := (now - age) / l.settings.Window
 	switch {
 	case part.Gateway >= uint32(l.settings.Gateways) || int64(part.WindowLength)*1e6 != l.settings.Window:
-		l.Counts.Strange++
+		l.Counts.Invalid++
 		return true
 	case age > now:
 		l.Counts.Late++
@@ -93,7 +93,7 @@
 		l.gateways[part.Gateway] = gateway
 	}
 	if part.Incarnation < gateway.incarnation {
-		l.Counts.OldLife++
+		l.Counts.OldIncarnation++
 		return true
 	}
 	gateway.incarnation = part.Incarnation
@@ -101,11 +101,11 @@
 	w := gateway.window(part)
 	if w != nil {
 		if w.contradicts(part) {
-			l.Counts.Strange++
+			l.Counts.Invalid++
 			return true
 		}
 		if _, received := w.parts[part.Index]; received || w.complete {
-			l.Counts.Twice++
+			l.Counts.Duplicates++
 			return true
 		}
 		bin = w.bin
@@ -115,7 +115,7 @@
 		return true
 	}
 	if l.cells+len(part.Cells) > l.settings.MaxCells {
-		l.Counts.Full++
+		l.Counts.OutOfCapacity++
 		return false
 	}
 	if w == nil {
@@ -226,7 +226,7 @@
 	for at := from; at <= to; at++ {
 		if b := l.bins[at]; b != nil {
 			for k, x := range b.cells {
-				if int(k.Class) == class && x.mass[Single] > 0 {
+				if int(k.Class) == class && x.mass[OneHost] > 0 {
 					seen[k.Host] = true
 				}
 			}
--- a/counterfactual/ledger_test.go
+++ b/counterfactual/ledger_test.go
@@ -25,7 +25,7 @@
 		hosts := rnd.Perm(3)
 		r := Record{Customer: rnd.Uint32(), Latency: int64(20e6 * (1 + rnd.Float64()) * float64(1+hosts[0]))}
 		for _, h := range hosts {
-			r.Candidates = append(r.Candidates, Candidate{Host: uint32(h), Chance: 1. / 3, Load: 1})
+			r.Candidates = append(r.Candidates, Candidate{Host: uint32(h), Probability: 1. / 3, Load: 1})
 		}
 		f.Add(&r)
 	}
@@ -69,7 +69,7 @@
 		return string(b)
 	}
 	want := text(straight)
-	if a := straight.Panel(0, 100, 105)[Next]; !a.Mean.Given() || a.Requests != 4*6*60 || len(a.Missing) > 0 {
+	if a := straight.Panel(0, 100, 105)[NextInRank]; !a.Mean.Given() || a.Requests != 4*6*60 || len(a.Missing) > 0 {
 		t.Fatalf("%+v", a)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -121,7 +121,7 @@
 	}
 	before := l.Counts
 	tell(1, 7, 4, 104*second, 108*second) // sealed since
-	if before.Twice == 0 || before.OldLife == 0 || before.Strange == 0 || l.Counts.Late == 0 || l.Counts.Merged != before.Merged {
+	if before.Duplicates == 0 || before.OldIncarnation == 0 || before.Invalid == 0 || l.Counts.Late == 0 || l.Counts.Merged != before.Merged {
 		t.Errorf("%+v, then %+v", before, l.Counts)
 	}
 }
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	if a := l.Panel(0, 100, 149)[Logged]; !strings.HasPrefix(a.Refused, GatewaysGone) || a.MissingShare < 0.15 {
+	if a := l.Panel(0, 100, 149)[Logged]; !strings.HasPrefix(a.Refused, GatewaysMissing) || a.MissingShare < 0.15 {
 		t.Errorf("%.2f missing, %q", a.MissingShare, a.Refused)
 	}
 }
@@ -158,15 +158,15 @@
 			hear(t, l, e(0), int64(100+i)*second)
 		}
 	}
-	if l.Counts.Full == 0 || l.cells > 3 || len(l.bins) > 6 || len(l.gateways[0].windows) > 6 {
+	if l.Counts.OutOfCapacity == 0 || l.cells > 3 || len(l.bins) > 6 || len(l.gateways[0].windows) > 6 {
 		t.Errorf("%+v: %d cells, %d bins", l.Counts, l.cells, len(l.bins))
 	}
 	f := NewFolder(0, 4)
 	for i := range 10 {
-		f.Add(&Record{Candidates: []Candidate{{Host: uint32(i), Chance: 1, Load: 1}}})
+		f.Add(&Record{Candidates: []Candidate{{Host: uint32(i), Probability: 1, Load: 1}}})
 	}
 	f.AddLost(2)
-	f.Add(&Record{Candidates: []Candidate{{Chance: 0.5, Load: 1}}})
+	f.Add(&Record{Candidates: []Candidate{{Probability: 0.5, Load: 1}}})
 	if cells, seen, lost := f.Close(); len(cells) != 4 || seen != 13 || lost != 9 {
 		t.Errorf("%d cells, %d of %d lost", len(cells), lost, seen)
 	}
@@ -178,13 +178,13 @@
 	f, rnd := NewFolder(0, 1000), rand.New(rand.NewPCG(1, 1))
 	for range 4000 { // host 0 gets all, it says: each a half
 		f.Add(&Record{Customer: rnd.Uint32(), Latency: 1e6 + rnd.Int64N(1e6),
-			Candidates: []Candidate{{Host: 0, Chance: 0.5, Load: 1}, {Host: 1, Chance: 0.5, Load: 2}}})
+			Candidates: []Candidate{{Host: 0, Probability: 0.5, Load: 1}, {Host: 1, Probability: 0.5, Load: 2}}})
 	}
 	cells, seen, _ := f.Close()
 	for _, e := range Encode(Part{Incarnation: 1, WindowLength: 1000, Attempts: seen}, cells) {
 		hear(t, l, e(0), 100*second)
 	}
-	for _, r := range []Rule{Least, Chance} {
+	for _, r := range []Rule{LeastLoaded, Random} {
 		if a := l.Panel(0, 100, 100)[r]; a.Mean.Given() {
 			t.Errorf("%+v", a)
 		}
@@ -205,7 +205,7 @@
 		l.Receive(p, 100*second)
 		if l.Counts.Merged > 0 {
 			l.Panel(0, 40, 101)
-			l.Replaced(0, Chance, 1, 40, 101)
+			l.Replaced(0, Random, 1, 40, 101)
 		}
 	})
 }
--- a/counterfactual/record.go
+++ b/counterfactual/record.go
@@ -14,14 +14,14 @@
 
 // Rules.
 const (
-	Logged Rule = iota // as it was done
-	Next               // the customer's next eligible host in rank; as it was done if there is none
-	Least              // the least loaded candidate; of several, any with equal probability
-	Two                // the less loaded of two random candidates
-	Chance             // a random candidate
-	Zone               // a random eligible candidate outside the chosen one's zone; as it was done if there is none
-	Single             // one given host, over the attempts that could have gone there
-	Rules              // number of rules
+	Logged      Rule = iota // as it was done
+	NextInRank              // the customer's next eligible host in rank; as it was done if there is none
+	LeastLoaded             // the least loaded candidate; of several, any with equal probability
+	PowerOfTwo              // the less loaded of two random candidates
+	Random                  // a random candidate
+	OtherZone               // a random eligible candidate outside the chosen one's zone; as it was done if there is none
+	OneHost                 // one given host, over the attempts that could have gone there
+	Rules                   // number of rules
 )
 
 var ruleNames = [Rules]string{"logged", "next", "least", "two", "chance", "zone", "single"}
@@ -29,8 +29,8 @@
 // String returns the rule's name.
 func (r Rule) String() string { return ruleNames[r] }
 
-// ReadRule returns the rule of a name.
-func ReadRule(name string) (Rule, bool) {
+// ParseRule returns the rule of a name.
+func ParseRule(name string) (Rule, bool) {
 	i := slices.Index(ruleNames[:], name)
 	return Rule(max(i, 0)), i >= 0
 }
@@ -51,7 +51,7 @@
 	Host        uint32
 	Incarnation uint32 `json:"Born"` // of its process: a replaced one counts as another host
 	Zone        int
-	Chance      float64 // probability, over customers, with which it could have been chosen; 0: available, but not eligible
+	Probability float64 `json:"Chance"` // of being chosen, over customers; 0: available, but not eligible
 	Load        float64 // as the gateway estimated it then
 }
 
@@ -115,7 +115,7 @@
 
 // compute fills in the shares of a record. It returns false if the record contradicts itself.
 func (s *ruleShares) compute(candidates []Candidate) bool {
-	if len(candidates) == 0 || len(candidates) > MaxCandidates || !(candidates[0].Chance > 0) {
+	if len(candidates) == 0 || len(candidates) > MaxCandidates || !(candidates[0].Probability > 0) {
 		return false
 	}
 	n := len(candidates)
@@ -127,16 +127,16 @@
 	s.loads, s.eligibleByZone = s.loads[:0], s.eligibleByZone[:0]
 	eligible, sum, least := 0.0, 0.0, math.Inf(1)
 	for i := range candidates {
-		if !(candidates[i].Chance >= 0 && candidates[i].Chance <= 1 && candidates[i].Load >= 0) || candidates[i].Zone < 0 || candidates[i].Zone > 255 {
+		if !(candidates[i].Probability >= 0 && candidates[i].Probability <= 1 && candidates[i].Load >= 0) || candidates[i].Zone < 0 || candidates[i].Zone > 255 {
 			return false
 		}
 		s.loads = append(s.loads, candidates[i].Load)
 		least = min(least, candidates[i].Load)
-		sum += candidates[i].Chance
+		sum += candidates[i].Probability
 		for len(s.eligibleByZone) <= candidates[i].Zone {
 			s.eligibleByZone = append(s.eligibleByZone, 0)
 		}
-		if candidates[i].Chance > 0 {
+		if candidates[i].Probability > 0 {
 			eligible++
 			s.eligibleByZone[candidates[i].Zone]++
 		}
@@ -145,9 +145,9 @@
 		return false
 	}
 	s.mass[Logged][0], s.weight[Logged] = 1, 1
-	s.mass[Next][0], s.weight[Next] = 1, 1
-	if n > 1 && candidates[1].Chance > 0 { // over customers, each candidate is first, and each is second, equally often
-		s.mass[Next][0], s.mass[Next][1] = 0, 1
+	s.mass[NextInRank][0], s.weight[NextInRank] = 1, 1
+	if n > 1 && candidates[1].Probability > 0 { // over customers, each candidate is first, and each is second, equally often
+		s.mass[NextInRank][0], s.mass[NextInRank][1] = 0, 1
 	}
 	slices.Sort(s.loads)
 	ties := 0.0
@@ -158,14 +158,14 @@
 	}
 	for i := range candidates {
 		if candidates[i].Load == least {
-			s.mass[Least][i] = 1 / ties
+			s.mass[LeastLoaded][i] = 1 / ties
 		}
-		s.mass[Chance][i] = 1 / float64(n)
-		if candidates[i].Chance > 0 {
-			s.mass[Single][i] = 1
+		s.mass[Random][i] = 1 / float64(n)
+		if candidates[i].Probability > 0 {
+			s.mass[OneHost][i] = 1
 		}
 		if n == 1 {
-			s.mass[Two][i] = 1
+			s.mass[PowerOfTwo][i] = 1
 			continue
 		}
 		from, _ := slices.BinarySearch(s.loads, candidates[i].Load)
@@ -174,28 +174,28 @@
 			to++
 		}
 		worse, same := float64(n-to), float64(to-from-1)
-		s.mass[Two][i] = (2*worse + same) / float64(n*(n-1))
+		s.mass[PowerOfTwo][i] = (2*worse + same) / float64(n*(n-1))
 	}
 	others := eligible - s.eligibleByZone[candidates[0].Zone]
 	if others == 0 {
-		s.mass[Zone][0] = 1
+		s.mass[OtherZone][0] = 1
 	}
 	for i := range candidates {
-		if others > 0 && candidates[i].Chance > 0 && candidates[i].Zone != candidates[0].Zone {
-			s.mass[Zone][i] = 1 / others
+		if others > 0 && candidates[i].Probability > 0 && candidates[i].Zone != candidates[0].Zone {
+			s.mass[OtherZone][i] = 1 / others
 		}
 	}
-	chance := candidates[0].Chance
-	for _, r := range []Rule{Least, Two, Chance, Single} {
+	chance := candidates[0].Probability
+	for _, r := range []Rule{LeastLoaded, PowerOfTwo, Random, OneHost} {
 		s.weight[r] = min(s.mass[r][0]/chance, maxWeight)
 	}
 	// Over customers, each eligible candidate is first equally often; the rule then moves to each one in another zone alike.
 	if own := s.eligibleByZone[candidates[0].Zone]; own == eligible {
-		s.weight[Zone] = 1
+		s.weight[OtherZone] = 1
 	} else {
 		for z, e := range s.eligibleByZone {
 			if z != candidates[0].Zone && e > 0 {
-				s.weight[Zone] += e / eligible / (eligible - e) / chance
+				s.weight[OtherZone] += e / eligible / (eligible - e) / chance
 			}
 		}
 	}
--- a/counterfactual/replaced.go
+++ b/counterfactual/replaced.go
@@ -24,9 +24,9 @@
 	a := Answer{Question: "replaced", Rule: r.String(), Class: l.settings.Classes[class], Share: share,
 		Missing: missing, MissingShare: absent}
 	switch {
-	case r == Least || r == Two:
+	case r == LeastLoaded || r == PowerOfTwo:
 		a.Refused = FollowsLoad
-	case r == Single || r < 0 || r >= Rules || !(share > 0 && share <= 1):
+	case r == OneHost || r < 0 || r >= Rules || !(share > 0 && share <= 1):
 		a.Refused = NoOverlap + ": a rule that chooses for a part from 0 to 1 wanted"
 	}
 	t := newTable(l.settings.Objectives[class], l.settings.Yield, l.hostName)
--- a/counterfactual/summary.go
+++ b/counterfactual/summary.go
@@ -124,7 +124,7 @@
 		cell := f.cell(key)
 		for rule := range Rules {
 			mass := uint64(shares.mass[rule][i]*scale + 0.5)
-			if cell.Mass[rule] += mass; candidate.Chance == 0 {
+			if cell.Mass[rule] += mass; candidate.Probability == 0 {
 				cell.Unreachable[rule] += mass
 			}
 		}
--- a/counterfactual/summary_test.go
+++ b/counterfactual/summary_test.go
@@ -15,7 +15,7 @@
 		for i, h := range hosts {
 			o := Candidate{Host: uint32(h), Load: 1.3 + rnd.Float64()}
 			if i < able {
-				o.Chance, o.Load = 1/float64(able), 1+0.2*rnd.Float64()
+				o.Probability, o.Load = 1/float64(able), 1+0.2*rnd.Float64()
 			}
 			r.Candidates = append(r.Candidates, o)
 		}
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -72,7 +72,7 @@
 	*e = observer.Entry{Request: requestID, Record: counterfactual.Record{Customer: customer, Candidates: e.Candidates[:0]}}
 	for _, o := range options {
 		p := w.places[o.Host]
-		e.Candidates = append(e.Candidates, counterfactual.Candidate{Host: o.Host, Incarnation: p.born, Zone: p.zone, Chance: o.Chance,
+		e.Candidates = append(e.Candidates, counterfactual.Candidate{Host: o.Host, Incarnation: p.born, Zone: p.zone, Probability: o.Chance,
 			Load: o.Load})
 	}
 	w.upcoming = e
--- a/internal/observer/query.go
+++ b/internal/observer/query.go
@@ -21,13 +21,13 @@
 
 // Query is a question to a collector.
 type Query struct {
-	Frontend string  `json:"frontend"` // request class; "": each
-	Host     string  `json:"host"`     // a single host instead of all rules
-	Rule     string  `json:"rule"`     // with Part: a rule in force
-	Part     float64 `json:"part"`     // for this fraction of all attempts
-	Last     int     `json:"last"`     // number of sealed windows; 0: all that are kept
-	Hosts    bool    `json:"hosts"`    // also each host that was seen
-	Counts   bool    `json:"counts"`   // counts of messages instead of figures
+	RequestClass string  `json:"frontend"` // request class; "": each
+	Host         string  `json:"host"`     // a single host instead of all rules
+	Rule         string  `json:"rule"`     // with Part: a rule in force
+	Fraction     float64 `json:"part"`     // for this fraction of all attempts
+	Last         int     `json:"last"`     // number of sealed windows; 0: all that are kept
+	Hosts        bool    `json:"hosts"`    // also each host that was seen
+	Counts       bool    `json:"counts"`   // counts of messages instead of figures
 }
 
 // CollectorState is the state of a collector.
@@ -53,10 +53,10 @@
 	if query.Last < 0 || query.Last > maxWindows {
 		return query, errors.New("last: below zero, or too many")
 	}
-	if !(query.Part >= 0 && query.Part <= 1) {
+	if !(query.Fraction >= 0 && query.Fraction <= 1) {
 		return query, errors.New("part: not from 0 to 1")
 	}
-	if (query.Rule != "") != (query.Part > 0) {
+	if (query.Rule != "") != (query.Fraction > 0) {
 		return query, errors.New("rule, part: both or none wanted")
 	}
 	return query, nil
@@ -150,12 +150,12 @@
 	}
 	var classes []int
 	for i, name := range o.classes {
-		if query.Frontend == "" || query.Frontend == name {
+		if query.RequestClass == "" || query.RequestClass == name {
 			classes = append(classes, i)
 		}
 	}
 	if classes == nil {
-		return []any{errorAnswer("frontend: there is no %q", query.Frontend)}
+		return []any{errorAnswer("frontend: there is no %q", query.RequestClass)}
 	}
 	from, to := o.ledger.First(), o.ledger.Sealed(now)
 	if query.Last > 0 {
@@ -175,11 +175,11 @@
 func (o *Observer) answerClass(query *Query, class int, from, to int64) (answers []any, err error) {
 	switch {
 	case query.Rule != "":
-		rule, ok := counterfactual.ReadRule(query.Rule)
+		rule, ok := counterfactual.ParseRule(query.Rule)
 		if !ok {
 			return nil, fmt.Errorf("rule: there is no %q", query.Rule)
 		}
-		answers = append(answers, o.ledger.Replaced(class, rule, query.Part, from, to))
+		answers = append(answers, o.ledger.Replaced(class, rule, query.Fraction, from, to))
 	case query.Host != "":
 		host, ok := o.hostNumber(query.Host)
 		if !ok {
--- a/lab/groundtruth/groundtruth.go
+++ b/lab/groundtruth/groundtruth.go
@@ -205,7 +205,7 @@
 
 // queryAnswers asks the collector about each rule and each host.
 func queryAnswers(ctx context.Context, collector string) (answers []counterfactual.Answer, err error) {
-	err = Query(ctx, collector, observer.Query{Frontend: "lookup", Hosts: true}, func(line []byte) error {
+	err = Query(ctx, collector, observer.Query{RequestClass: "lookup", Hosts: true}, func(line []byte) error {
 		var answer counterfactual.Answer
 		if err := json.Unmarshal(line, &answer); err != nil {
 			return err
@@ -221,7 +221,7 @@
 	var truths []simenv.GroundTruth
 	for i := range answers {
 		answer := &answers[i]
-		rule, ok := counterfactual.ReadRule(answer.Rule)
+		rule, ok := counterfactual.ParseRule(answer.Rule)
 		if !ok {
 			return fmt.Errorf("an answer for an unknown rule: %+v", answer)
 		}
--- a/lab/groundtruth/records.go
+++ b/lab/groundtruth/records.go
@@ -135,7 +135,7 @@
 			}
 		}
 	}
-	for rule := counterfactual.Logged; rule < counterfactual.Single; rule++ {
+	for rule := counterfactual.Logged; rule < counterfactual.OneHost; rule++ {
 		if r.byRule[rule] == nil {
 			r.byRule[rule] = &simenv.Sample{}
 		}
@@ -150,7 +150,7 @@
 		if r.byHost[id] == nil {
 			r.byHost[id] = &simenv.Sample{}
 		}
-		add(r.byHost[id], counterfactual.Single, candidate.Host)
+		add(r.byHost[id], counterfactual.OneHost, candidate.Host)
 	}
 }
 
@@ -180,7 +180,7 @@
 // never received anything: no estimate may be given for it.
 func (r *attemptRecords) groundTruth(rule counterfactual.Rule, host string) simenv.GroundTruth {
 	sample := r.byRule[rule]
-	if rule == counterfactual.Single {
+	if rule == counterfactual.OneHost {
 		sample = r.byHost[host]
 	}
 	if sample == nil {
--- a/lab/simenv/gateway.go
+++ b/lab/simenv/gateway.go
@@ -168,7 +168,7 @@
 		if !choosable(i) {
 			continue
 		}
-		candidates[i].Chance = 1 / eligible
+		candidates[i].Probability = 1 / eligible
 		switch {
 		case best < 0 || rank(i) > rank(best):
 			best, second = i, best
--- a/lab/simenv/request.go
+++ b/lab/simenv/request.go
@@ -81,11 +81,11 @@
 			}
 		}
 	}
-	for rule := counterfactual.Logged; rule < counterfactual.Single; rule++ {
+	for rule := counterfactual.Logged; rule < counterfactual.OneHost; rule++ {
 		add(rule, 0)
 	}
 	for i := range a.candidates {
-		add(counterfactual.Single, a.candidates[i].Host)
+		add(counterfactual.OneHost, a.candidates[i].Host)
 	}
 }
 
--- a/lab/simenv/rules.go
+++ b/lab/simenv/rules.go
@@ -13,25 +13,25 @@
 	switch rule {
 	case counterfactual.Logged:
 		shares[0] = 1
-	case counterfactual.Next:
-		if len(candidates) > 1 && candidates[1].Chance > 0 {
+	case counterfactual.NextInRank:
+		if len(candidates) > 1 && candidates[1].Probability > 0 {
 			shares[1] = 1
 		} else {
 			shares[0] = 1
 		}
-	case counterfactual.Least:
+	case counterfactual.LeastLoaded:
 		shareAmongLeastLoaded(shares, candidates)
-	case counterfactual.Two:
+	case counterfactual.PowerOfTwo:
 		shareByPairs(shares, candidates)
-	case counterfactual.Chance:
+	case counterfactual.Random:
 		for i := range candidates {
 			shares[i] = 1 / float64(len(candidates))
 		}
-	case counterfactual.Zone:
+	case counterfactual.OtherZone:
 		shareAmongOtherZones(shares, candidates)
-	case counterfactual.Single:
+	case counterfactual.OneHost:
 		for i, c := range candidates {
-			if c.Host == single && c.Chance > 0 {
+			if c.Host == single && c.Probability > 0 {
 				shares[i] = 1
 			}
 		}
@@ -84,7 +84,7 @@
 
 // shareAmongOtherZones shares evenly among the eligible candidates outside the chosen one's zone. Without one, the choice stays.
 func shareAmongOtherZones(shares []float64, candidates []counterfactual.Candidate) {
-	eligible := func(c counterfactual.Candidate) bool { return c.Zone != candidates[0].Zone && c.Chance > 0 }
+	eligible := func(c counterfactual.Candidate) bool { return c.Zone != candidates[0].Zone && c.Probability > 0 }
 	count := 0.0
 	for _, c := range candidates {
 		if eligible(c) {
--- a/lab/simenv/score.go
+++ b/lab/simenv/score.go
@@ -166,8 +166,8 @@
 func EvaluateReplaced(config Config, share float64) *Score {
 	s := &Score{}
 	w := Run(config)
-	for _, r := range []counterfactual.Rule{counterfactual.Next, counterfactual.Chance, counterfactual.Zone,
-		counterfactual.Least} {
+	for _, r := range []counterfactual.Rule{counterfactual.NextInRank, counterfactual.Random, counterfactual.OtherZone,
+		counterfactual.LeastLoaded} {
 		config.Rule, config.RuleShare = r, share
 		truth := Run(config)
 		for f := range config.Objectives {
@@ -193,7 +193,7 @@
 		panel, truths = nil, nil
 		for _, h := range e.hosts {
 			panel = append(panel, e.Ledger.SingleHost(f, h.ID, e.From, e.To))
-			truths = append(truths, e.GroundTruth(counterfactual.Single, f, h.ID))
+			truths = append(truths, e.GroundTruth(counterfactual.OneHost, f, h.ID))
 			s.Compare(&panel[len(panel)-1], truths[len(truths)-1])
 		}
 		s.CompareOrder(panel, truths)
