--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -54,8 +54,6 @@
 	Urgent     []string `json:"urgent"`
 }
 
-const nanosecondsPerMS = int64(time.Millisecond)
-
 // What follows from other keys where the section doesn't set it.
 const (
 	reportsPerLease            = 10
@@ -110,8 +108,8 @@
 	for i := range settings.Classes {
 		objective = min(objective, settings.Classes[i].LatencyObjective)
 	}
-	wait := objective / (waitsPerObjective * time.Millisecond)
-	s.TurnMS = int(max(min(wait, maxDefaultWaitMS), 1))
+	wait := objective / waitsPerObjective
+	s.TurnMS = int(max(min(wait.Milliseconds(), maxDefaultWaitMS), 1))
 }
 
 // checkNumbers checks each integer against its bounds.
@@ -162,7 +160,7 @@
 	for i := range settings.Classes {
 		longestTimeout = max(longestTimeout, settings.Classes[i].Timeout)
 	}
-	lease := int64(s.LeaseMS) * nanosecondsPerMS
+	lease := milliseconds(s.LeaseMS)
 	return &Pool{
 		Capacity:        s.Capacity,
 		Serial:          s.Serial,
@@ -174,12 +172,12 @@
 			Members:        settings.Membership.Count,
 			Floor:          s.Floor,
 			Reserve:        s.Reserve,
-			Lease:          lease,
-			Drain:          int64(longestTimeout) + lease,
+			Lease:          int64(lease),
+			Drain:          int64(longestTimeout + lease),
 			Drift:          s.Drift,
-			TargetHold:     int64(s.HoldMS) * nanosecondsPerMS,
-			ReportInterval: int64(s.TellMS) * nanosecondsPerMS,
-			CloseDelay:     int64(s.RestMS) * nanosecondsPerMS,
+			TargetHold:     int64(milliseconds(s.HoldMS)),
+			ReportInterval: int64(milliseconds(s.TellMS)),
+			CloseDelay:     int64(milliseconds(s.RestMS)),
 		},
 	}
 }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -13,9 +13,8 @@
 )
 
 const (
-	nanosecondsPerMicrosecond = 1000
-	maxMicroseconds           = math.MaxInt64 / nanosecondsPerMicrosecond / 2
-	maxDecimal                = 1e15
+	maxMicroseconds = math.MaxInt64 / 1000 / 2 // half of the longest time.Duration
+	maxDecimal      = 1e15
 
 	absent = "-" // in the place of a value
 )
