--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -16,7 +16,7 @@
 
 const (
 	// an address is waited for at most so long: a former process of this gateway may drain yet
-	formerProcessWait   = 25 * time.Second
+	formerProcessWait = 25 * time.Second
 	// the same for what this machine is short of, such as an interface with the address: it may be a mistake in
 	// the file
 	shortageWait        = 5 * time.Second
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	acceptGrace  = 450 * time.Millisecond  // new clients still come for so long after the call to stop
-	maxDrainWait = 3 * time.Second         // of the longest client timeout: the platform counts no more
-	drainMargin  = 500 * time.Millisecond  // it kills 0.7 s after that: by then all that was taken is answered
+	acceptGrace  = 450 * time.Millisecond // new clients still come for so long after the call to stop
+	maxDrainWait = 3 * time.Second        // of the longest client timeout: the platform counts no more
+	drainMargin  = 500 * time.Millisecond // it kills 0.7 s after that: by then all that was taken is answered
 	// after that clients are read to their end for a second; what stays then is cut off
-	lingerLimit  = 1500 * time.Millisecond
+	lingerLimit = 1500 * time.Millisecond
 )
 
 // phase is how far the shutdown has come. Each phase ends at Node.nextPhaseAt.
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -31,9 +31,9 @@
 
 // bounded are the searches within loops that go through a list of a bounded length.
 var bounded = []string{
-	"slices.Contains(c.Publishers)", // seven addresses at most
-	"slices.Contains(n.inFlight)",         // attempts in flight
-	"slices.IndexFunc(c.subscriptions)",   // neighbours of one gateway, at a change of the number of gateways alone
+	"slices.Contains(c.Publishers)",     // seven addresses at most
+	"slices.Contains(n.inFlight)",       // attempts in flight
+	"slices.IndexFunc(c.subscriptions)", // neighbours of one gateway, at a change of the number of gateways alone
 }
 
 // TestSearches: on the way of the start, of a request and of a message no list that grows with the fleet is searched for each
