--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -11,12 +11,11 @@
 const (
 	probeTimeout = time.Second
 
-	// stallAllowance is for how long the process may be held up between reading its clock and writing: what must
-	// not be written after a time is not begun within so long before it.
+	// stallAllowance is the longest stall between reading the clock and writing that the deadline of a write allows for.
 	stallAllowance = 150 * time.Millisecond
 )
 
-// attempt is one that is in flight. A probe has no request.
+// attempt is an attempt or a probe in flight. A probe has no request.
 type attempt struct {
 	node      *Node
 	request   *request
@@ -40,8 +39,8 @@
 	a := n.newAttempt(r, host, wait)
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	// Its client left in this batch, or has left by what its reader saw, though that still waits for the loop:
-	// nothing is sent, and the module must hear of the end or it counts it as in flight for ever.
+	// The client is gone, perhaps by an event that still waits for the loop. Nothing is sent, and the attempt ends at
+	// once: the module counts it as in flight until then.
 	if r.closed || r.answer.IsClientGone() {
 		r.closed = true
 		a.end(gateway.Event{Result: gateway.NotSent}, nil, n.unixNano())
@@ -50,13 +49,13 @@
 	n.quota.setUrgency(r)
 	command := hosts.Command{Head: r.command.Head, Before: r.command.Before, After: r.command.After, Tail: r.command.Tail}
 	a.send = n.transport.Send(host, command, int64(a.deadline), int64(a.writeDeadline()), a.end)
-	if r.closed { // its client left meanwhile: the end of another attempt may have ended its connection
+	if r.closed { // the client is gone by the end of another attempt
 		a.withdraw()
 	}
 }
 
-// writeDeadline is when the attempt is begun at the latest. Hosts drop a repeat within a window only, and a
-// connection may come up after it.
+// writeDeadline returns the time at which the attempt's first byte must be written. Hosts drop a repeat within
+// a window only, and a connection may take longer than that to come up.
 func (a *attempt) writeDeadline() gateway.Time {
 	r := a.request
 	if r.mayHaveRunAt == 0 || r.class.Effect != gateway.Deduplicated {
@@ -71,7 +70,7 @@
 	a.send = n.transport.Probe(host, a.end)
 }
 
-// newAttempt notes an attempt that is to end within a time.
+// newAttempt records an attempt that times out after a wait.
 func (n *Node) newAttempt(r *request, host uint32, wait time.Duration) *attempt {
 	a := &attempt{
 		node:      n,
@@ -91,15 +90,15 @@
 	return a
 }
 
-// withdraw gives up an attempt that has not begun: it waits for a connection, or its last byte is not yet
-// written. Its connection may come up long after, and then carry a request whose client is gone.
+// withdraw cancels an attempt that is not on its way yet: it waits for a connection, or its last byte is not
+// written. The connection may come up long after the client has gone.
 func (a *attempt) withdraw() {
 	if !a.send.Written() {
 		a.send.Cancel(hosts.ErrCanceled)
 	}
 }
 
-// end takes in how an attempt ended. The first good answer goes to the client at once.
+// end handles the end of an attempt. The first good answer goes to the client at once.
 func (a *attempt) end(event gateway.Event, value []byte, received int64) {
 	n := a.node
 	r := a.request
@@ -117,7 +116,7 @@
 	if r.mayHaveRunAt == 0 && !event.Result.NeverRan() {
 		r.mayHaveRunAt = a.startedAt
 	}
-	defer func() { // also behind a panic: else the module holds the attempt as in flight for ever
+	defer func() { // after a panic, too, or the module counts the attempt as in flight forever
 		if r.closed {
 			r.close()
 		}
@@ -140,7 +139,7 @@
 	}
 }
 
-// expire ends the attempts whose time is up. Each ends at once, also one whose send a panic has swallowed.
+// expire ends the attempts that have timed out, including those whose send a panic has ended.
 func (n *Node) expire(now gateway.Time) {
 	if n.nextExpiry == 0 || now < n.nextExpiry {
 		return
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -11,21 +11,21 @@
 	"ravensill/internal/peers"
 )
 
-// maxAdjustedLines bounds the log lines on settings that one version led to: a document may hold thousands of them.
+// maxAdjustedLines is the most log lines on adjusted settings of one version: a document may contain thousands.
 const maxAdjustedLines = 20
 
-// ErrEnded is the error for a revision that came when the gateway had ended.
+// ErrEnded is the error for a revision that came after the gateway had ended.
 var ErrEnded = errors.New("the gateway has ended")
 
-// revision is a version of the configuration that is checked and pending.
+// revision is a checked version of the configuration that is not in force yet.
 type revision struct {
 	*config.Revision
 	version configsync.Version
-	inForce chan struct{} // closed then
+	inForce chan struct{} // closed once it is in force
 }
 
-// Apply puts a revision in force between two batches of events, and returns once it is. It is called by the task
-// that follows the publishers, with one revision at a time. The error is ErrEnded.
+// Apply puts a revision in force between two batches of events, and returns once it is. The subscriber calls it
+// with one revision at a time. The error is ErrEnded.
 func (n *Node) Apply(version configsync.Version, changes *config.Revision) error {
 	next := revision{Revision: changes, version: version, inForce: make(chan struct{})}
 	select {
@@ -41,8 +41,8 @@
 	}
 }
 
-// applyPending puts the pending revisions in force, and tells whether there were any. It is called after a turn:
-// all that came in before has been decided under the version before.
+// applyPending puts the pending revisions in force and reports whether there were any. It is called after an
+// iteration: earlier events are decided under the earlier version.
 func (n *Node) applyPending() bool {
 	pending := n.pendingRevisions
 	n.pendingRevisions = nil
@@ -53,8 +53,8 @@
 	return len(pending) > 0
 }
 
-// applyRevision changes all that goes by the configuration, the module first: no other part may name an index
-// that it lacks.
+// applyRevision applies a revision to every part of the gateway, first to the module: no other part may name an
+// index that it lacks.
 func (n *Node) applyRevision(next *revision) {
 	n.module.Reconfigure(n.now(), &next.Update)
 	if next.Update.Limits != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// catalogEdit tells what commands may name from now on.
+// catalogEdit returns what commands may name from now on.
 func catalogEdit(next *config.Revision) clients.CatalogEdit {
 	edit := clients.CatalogEdit{Members: next.MemberCount}
 	for i := range next.Update.Plans {
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"log/slog"
-	"net/netip"
 	"time"
 
 	"ravensill/gateway"
@@ -12,20 +11,20 @@
 )
 
 const (
-	firstListWait = 2 * time.Second        // the first list is waited for at most so long before clients are taken in
-	maxReadDelay  = 100 * time.Millisecond // news that lie unread hold decisions up at most so long
+	firstListWait = 2 * time.Second        // for the first list, before clients are accepted without it
+	maxReadDelay  = 100 * time.Millisecond // of a decision, for updates that are received but unread
 )
 
-// watch is one try to follow the list; only what the newest brings counts.
+// watch is one attempt to follow the endpoint list. Only what the newest one receives counts.
 type watch struct {
 	stop      context.CancelFunc
 	feed      discovery.PendingRead
-	skipUntil gateway.Time // what lies in it holds no decision up until then
+	skipUntil gateway.Time // its unread updates delay no decision before
 }
 
-// startWatch asks for the list, unless that is up to the module. What discovery's agent has counts as notified
-// from the first moment on, and the list of the configuration may be old: clients are taken in once the agent
-// has answered, which it does at once, or is silent for so long that discovery must be down.
+// startWatch watches the endpoint list, unless the module polls it. What the agent knows counts as notified
+// from the first moment on, and the list of the configuration may be old: clients are accepted once the agent
+// has answered, or after firstListWait.
 func (n *Node) startWatch() {
 	if n.cfg.Limits.PollEndpoints {
 		n.listAnswered = true
@@ -42,7 +41,8 @@
 	})
 }
 
-// WatchEndpoints watches the list from the version had last. A watch that still runs ends.
+// WatchEndpoints implements gateway.Actions: it watches the list from the latest version on. A watch that still
+// runs ends.
 func (n *Node) WatchEndpoints() {
 	if n.watch != nil {
 		n.watch.stop()
@@ -50,36 +50,44 @@
 	ctx, stop := context.WithCancel(context.Background())
 	w := &watch{stop: stop}
 	n.watch = w
-	after, addr := n.endpointList.Version, n.cfg.Discovery
+	version := n.endpointList.Version
+	addr := n.cfg.Discovery
+	timeouts := discovery.NewTimeouts(n.cfg.Limits.PollEndpoints)
+	onReceived := func() { n.runForWatch(w, n.watchReceived) }
+	onList := func(list string) { n.runForWatch(w, func() { n.updateEndpoints(list, false) }) }
 	go func() {
-		newest := func(f func()) { // of what the watch brings, in the loop
-			n.runOnLoop(func() {
-				if n.watch == w {
-					f()
-				}
-			})
-		}
-		err := discovery.Watch(ctx, n.system, addr, after, discovery.NewTimeouts(n.cfg.Limits.PollEndpoints), &w.feed, func() {
-			newest(func() {
-				if n.watchLost {
-					slog.Info("endpoint_watch_restored")
-				}
-				n.watchLost = false
-			})
-		}, func(list string) { newest(func() { n.updateEndpoints(list, false) }) })
+		err := discovery.Watch(ctx, n.system, addr, version, timeouts, &w.feed, onReceived, onList)
 		stop()
 		n.runOnLoop(func() { n.watchEnded(w, err) })
 	}()
 }
 
-// readPendingList lets the newest watch hand on what lies in its connection before the module decides. A process
-// that stood still, or has much to read, would else send requests on past a drain that was notified long before.
+// runForWatch has the loop run f if the watch is still the newest one then.
+func (n *Node) runForWatch(w *watch, f func()) {
+	n.runOnLoop(func() {
+		if n.watch == w {
+			f()
+		}
+	})
+}
+
+// watchReceived records that the newest watch has received something.
+func (n *Node) watchReceived() {
+	if n.watchLost {
+		slog.Info("endpoint_watch_restored")
+	}
+	n.watchLost = false
+}
+
+// readPendingList has the newest watch pass on what its connection has received, before the module decides. A
+// process that was stalled or has much to read would otherwise send requests to endpoints that were drained
+// long before.
 func (n *Node) readPendingList() {
 	if len(n.events) == 0 || n.watch == nil || n.now() < n.watch.skipUntil {
 		return
 	}
 	for limit := n.now().Add(maxReadDelay); n.watch.feed.Pending(); {
-		if now := n.now(); now >= limit { // it never rests: requests must not wait for it batch after batch
+		if now := n.now(); now >= limit { // updates without end must not delay batch after batch
 			n.watch.skipUntil = now.Add(time.Second)
 			break
 		}
@@ -89,11 +97,11 @@
 		case <-time.After(time.Millisecond):
 		}
 	}
-	n.runQueued() // what was handed on is there by now
+	n.runQueued() // applies what was passed on
 }
 
-// Reload takes in the configuration file as it is now: it read it as cfg, or failed to. Only where discovery is
-// can change while the gateway runs; its list, requests and connections stay as they are.
+// Reload handles a SIGHUP. cfg is the configuration file as it is now, err why it could not be read. Only the
+// address of discovery changes while the gateway runs; its list, requests and connections stay.
 func (n *Node) Reload(cfg *config.Config, err error) {
 	n.runOnLoop(func() {
 		if err != nil {
@@ -104,7 +112,7 @@
 			"discovery", cfg.Discovery,
 			"version", n.endpointList.Version,
 			"other_keys_changed", n.cfg.FixedKeysHash != cfg.FixedKeysHash,
-		) // these count from the next start on
+		) // other keys apply from the next start on
 		if cfg.Pool != nil {
 			n.quota.setCapacity(cfg.Pool.Serial, cfg.Pool.Capacity)
 		}
@@ -112,19 +120,19 @@
 			return
 		}
 		n.cfg.Discovery = cfg.Discovery
-		if n.watch != nil { // at once: the old address answers no more, and what the new one has counts as notified
+		if n.watch != nil { // at once: what the new agent knows counts as notified
 			n.watchLost = false
 			n.WatchEndpoints()
 		}
 	})
 }
 
-// watchEnded takes in the end of a watch. Where the list only comes when asked for, the module asks.
+// watchEnded handles the end of a watch. If the module polls the list, it decides when to watch again.
 func (n *Node) watchEnded(w *watch, err error) {
-	if n.watch != w { // another has taken its place
+	if n.watch != w { // it was replaced
 		return
 	}
-	if !n.watchLost { // once, not with every try
+	if !n.watchLost { // once, not for each attempt
 		slog.Warn("endpoint_watch_lost", "error", err, "version", n.endpointList.Version)
 	}
 	n.watchLost = true
@@ -141,41 +149,47 @@
 	})
 }
 
-// updateEndpoints takes in a list or changes of it.
-func (n *Node) updateEndpoints(text string, old bool) {
-	n.listAnswered = n.listAnswered || !old
-	had := n.endpointList.Version
-	kind, list, odd, err := n.endpointList.Decode(text, func(host uint32, addr netip.AddrPort) { n.transport.SetAddress(host, addr) })
+// updateEndpoints applies a list or changes of it. cached says that it is the list of the configuration.
+func (n *Node) updateEndpoints(text string, cached bool) {
+	n.listAnswered = n.listAnswered || !cached
+	previous := n.endpointList.Version
+	kind, endpoints, invalid, err := n.endpointList.Decode(text, n.transport.SetAddress)
 	if err != nil {
 		n.droppedLists++
 		slog.Warn("endpoint_list_rejected", "error", err, "count", n.droppedLists)
 		return
 	}
-	if odd != nil {
-		slog.Warn("endpoint_invalid", "error", odd, "version", n.endpointList.Version)
+	if invalid != nil {
+		slog.Warn("endpoint_invalid", "error", invalid, "version", n.endpointList.Version)
 	}
-	if n.endpointList.Version < had {
-		slog.Warn("endpoint_list_stale", "version", n.endpointList.Version, "previous", had)
+	if n.endpointList.Version < previous {
+		slog.Warn("endpoint_list_stale", "version", n.endpointList.Version, "previous", previous)
 	}
-	if old {
+	if cached {
 		kind = gateway.ListCached
 	}
-	n.observer.endpointsListed(list)
-	for _, l := range list {
-		if l.State != gateway.Running {
-			slog.Info("endpoint_state",
-				"id", n.endpointList.ID(l.Host),
-				"state", l.State,
-				"version", n.endpointList.Version,
-			)
-		}
-		if l.State == gateway.Draining {
-			n.transport.Drain(l.Host)
-		}
-		if l.State == gateway.Gone {
-			n.transport.Remove(l.Host)
-			n.endpointList.Forget(l.Host)
-		}
+	n.observer.endpointsListed(endpoints)
+	for i := range endpoints {
+		n.updateTransport(&endpoints[i])
+	}
+	event := gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: endpoints}
+	n.listEvents = append(n.listEvents, event)
+}
+
+// updateTransport starts nothing new at an endpoint that is draining or gone, before the module decides on its update.
+func (n *Node) updateTransport(endpoint *gateway.Endpoint) {
+	if endpoint.State == gateway.Running {
+		return
+	}
+	slog.Info("endpoint_state",
+		"id", n.endpointList.ID(endpoint.Host),
+		"state", endpoint.State,
+		"version", n.endpointList.Version,
+	)
+	if endpoint.State == gateway.Draining {
+		n.transport.Drain(endpoint.Host)
+		return
 	}
-	n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: list})
+	n.transport.Remove(endpoint.Host)
+	n.endpointList.Forget(endpoint.Host)
 }
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -63,24 +63,24 @@
 		return a
 	}
 	arrive("before-it-is-heard-of").ClientGone()
-	n.turn()
+	n.process()
 	a := arrive("with-the-end-of-its-attempt")
-	n.turn()
+	n.process()
 	n.requests["with-the-end-of-its-attempt"].attempts[0].send.Cancel(hosts.ErrTimedOut)
 	a.ClientGone()
-	n.turn()
+	n.process()
 	a = arrive("while-it-waits-for-a-connection") // it ends at once, unsent
-	n.turn()
+	n.process()
 	a.ClientGone()
-	n.turn()
+	n.process()
 	a = arrive("under-its-attempt")
-	for n.turn(); !n.requests["under-its-attempt"].attempts[0].send.Written(); n.turn() {
+	for n.process(); !n.requests["under-its-attempt"].attempts[0].send.Written(); n.process() {
 		(<-n.work)()
 	}
 	a.ClientGone()
-	n.turn()
+	n.process()
 	n.requests["under-its-attempt"].attempts[0].send.Cancel(hosts.ErrTimedOut)
-	n.turn()
+	n.process()
 	fmt.Fprintf(m, "%d requests and %d attempts are held\n", len(n.requests), len(n.inFlight))
 	golden.Check(t, m.String())
 }
@@ -150,14 +150,14 @@
 			Units:    1,
 			Spread:   1,
 		})
-		n.turn()
+		n.process()
 		for i, r := 0, n.requests["r"]; i < 2; i++ {
-			for ; !r.attempts[i].send.Written(); n.turn() {
+			for ; !r.attempts[i].send.Written(); n.process() {
 				(<-n.work)()
 			}
 			if i == 0 {
 				r.attempts[0].send.Cancel(hosts.ErrTimedOut) // it may have run
-				n.turn()
+				n.process()
 			}
 		}
 		fmt.Fprintf(m, "effect %d: %d of %d attempts is out\n", effect, n.requests["r"].inFlight, len(n.requests["r"].attempts))
@@ -195,20 +195,20 @@
 				Units:    1,
 				Spread:   1,
 			})
-			n.turn()
+			n.process()
 			r := n.requests["r"]
 			written := func(i int) {
-				for ; !r.attempts[i].send.Written(); n.turn() {
+				for ; !r.attempts[i].send.Written(); n.process() {
 					(<-n.work)()
 				}
 			}
 			written(0)
 			r.attempts[0].send.Cancel(hosts.ErrTimedOut) // it may have run
-			n.turn()
+			n.process()
 			n.unix += int64(window - test.left)
 			written(1)
 			r.attempts[1].send.Cancel(hosts.ErrTimedOut)
-			n.turn()
+			n.process()
 			if want := fmt.Sprintf("r attempt 1 ended: result %d,", test.result); !strings.Contains(m.String(), want) {
 				t.Errorf("%swant %q", m, want)
 			}
@@ -233,19 +233,19 @@
 		return a
 	}
 	arrive("answered")
-	n.step()
+	n.iterate()
 	d := n.requests["answered"].attempts[0]
 	n.recoverPanics("loop", func() { d.end(gateway.Event{Result: gateway.Succeeded}, []byte("v"), n.unixNano()) })
-	n.step()
+	n.iterate()
 	fleet := n.transport
 	n.transport = nil
 	a := arrive("sent")
-	n.step()
+	n.iterate()
 	n.transport = fleet
 	n.unix += 2e12
-	n.step()
+	n.iterate()
 	a.ClientGone()
-	n.step()
+	n.iterate()
 	fmt.Fprintf(m, "%d requests and %d attempts are held\n", len(n.requests), len(n.inFlight))
 	golden.Check(t, m.String())
 }
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -15,20 +15,17 @@
 )
 
 const (
-	// an address is waited for at most so long: a former process of this gateway may drain yet
-	formerProcessWait = 25 * time.Second
-	// the same for what this machine is short of, such as an interface with the address: it may be a mistake in
-	// the file
-	shortageWait        = 5 * time.Second
-	listenRetryInterval = 20 * time.Millisecond // between tries
-	// descriptors: three streams, the runtime's two, listener, datagrams, counter, watch and the one before,
-	// file, others of a section
+	addressInUseTimeout = 25 * time.Second      // an earlier process of this gateway may still be shutting down
+	shortageTimeout     = 5 * time.Second       // for an address or resource that the machine lacks
+	listenRetryInterval = 20 * time.Millisecond // between attempts
+
+	// reservedDescriptors are three standard streams, two of the runtime, the listener, datagrams, the counter, two
+	// watches, a file, and those of the optional sections.
 	reservedDescriptors = 16
 )
 
-// openSockets takes the gateway's addresses, that of the datagrams first, before anything else of it runs. A
-// former process that still serves what it has open holds them, its datagrams' address up to its end: a process
-// that gave up then would not start at all.
+// openSockets listens on the gateway's addresses, the one for datagrams first, before anything else of it runs.
+// A process of this gateway that is still shutting down holds them, the one for datagrams up to its end.
 func (n *Node) openSockets(stop <-chan struct{}) (listener *net.TCPListener, err error) {
 	if len(n.cfg.Peers) > 0 {
 		err = listenWithRetry("peer_listen", n.cfg.PeerListen, stop, func() (err error) {
@@ -49,23 +46,24 @@
 
 var errStopped = errors.New("called to stop before it had its addresses")
 
-// listenWithRetry tries to take an address until it is free, and as long as the machine is short of something for it.
-func listenWithRetry(key string, addr netip.AddrPort, stop <-chan struct{}, try func() error) error {
+// listenWithRetry calls listen until it succeeds, as long as the address is in use or the machine lacks a resource for
+// it. key is the address's key in the configuration file.
+func listenWithRetry(key string, addr netip.AddrPort, stop <-chan struct{}, listen func() error) error {
 	began := time.Now()
 	for logged := false; ; logged = true {
-		err := try()
+		err := listen()
 		if err == nil {
 			return nil
 		}
-		wait := formerProcessWait
+		timeout := addressInUseTimeout
 		if sockets.IsShortage(err) {
-			wait = shortageWait
+			timeout = shortageTimeout
 		}
-		if !sockets.IsPassing(err) || time.Since(began) > wait {
+		if !sockets.IsPassing(err) || time.Since(began) > timeout {
 			return fmt.Errorf("%s: %w", key, err)
 		}
 		if !logged {
-			logRetry(key, addr, wait, err)
+			logListenRetry(key, addr, timeout, err)
 		}
 		select {
 		case <-stop:
@@ -75,23 +73,26 @@
 	}
 }
 
-// logRetry logs that an address will be tried again for the time of wait.
-func logRetry(key string, addr netip.AddrPort, wait time.Duration, err error) {
+// logListenRetry logs that an address will be tried again for a time.
+func logListenRetry(key string, addr netip.AddrPort, timeout time.Duration, err error) {
 	if sockets.IsShortage(err) {
-		slog.Warn("listen_address_unavailable", "key", key, "addr", addr, "wait", wait, "error", err)
+		slog.Warn("listen_address_unavailable", "key", key, "addr", addr, "wait", timeout, "error", err)
 	} else {
-		slog.Warn("listen_address_in_use", "key", key, "addr", addr, "wait", wait, "error", err)
+		slog.Warn("listen_address_in_use", "key", key, "addr", addr, "wait", timeout, "error", err)
 	}
 }
 
-// sharedDescriptors returns how many the parts of the gateway may share out. Where the system's limit is lower than the
-// configuration's it counts: idle clients that fill a part too large would keep the watch, the hosts and the loop that
-// accepts from theirs. The rest, of what is open once each, is kept clear at any size.
-func sharedDescriptors(most int) int {
+// descriptorShares returns the most descriptors that clients and hosts may use, about 5/11 and 6/11 of those
+// that are not reserved. The system's limit counts if it is lower than the configuration's: idle clients must
+// not take the descriptors of the watch, the hosts and the listener.
+func descriptorShares(configured int) (clients, hosts int) {
+	most := configured
 	var limit syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(most) {
+	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit)
+	if err == nil && limit.Cur < uint64(most) {
 		slog.Warn("descriptor_limit_low", "limit", limit.Cur, "sockets", most)
 		most = int(limit.Cur)
 	}
-	return min(most, max(most-reservedDescriptors, 1)*15/11) // of which clients get 5, hosts 6
+	shared := min(most, max(most-reservedDescriptors, 1)*15/11)
+	return shared / 3, shared * 2 / 5
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	flushRetryInterval = 5 * time.Millisecond // until bytes that a socket did not take are tried again
-	droppedLogInterval = time.Second          // between lines on dropped datagrams
-	countsLogInterval  = 5 * time.Second      // between lines of the module's decisions
-	maxWait            = time.Hour            // of a turn in which nothing is due
+	flushRetryInterval = 5 * time.Millisecond // until a write that a socket did not take is tried again
+	droppedLogInterval = time.Second          // between log lines on dropped datagrams
+	countsLogInterval  = 5 * time.Second      // between log lines of the module's decisions
+	maxWait            = time.Hour            // if nothing is due
 )
 
-// runQueued runs the functions that wait by now.
+// runQueued runs the functions that are in the inbox now.
 func (n *Node) runQueued() {
 	for count := len(n.work); count > 0; count-- {
 		n.recoverPanics("loop", <-n.work)
 	}
 }
 
-// step is a turn; a panic in it costs what was at hand, not the program.
-func (n *Node) step() (wait time.Duration) {
+// iterate runs one iteration of the loop. A panic in it loses what was being processed, but does not end the
+// program.
+func (n *Node) iterate() (wait time.Duration) {
 	wait = flushRetryInterval
-	n.recoverPanics("loop", func() { wait = n.turn() })
+	n.recoverPanics("loop", func() { wait = n.process() })
 	return wait
 }
 
-// turn does what is due, lets the module decide on what came in, and carries it out. It returns for how long
-// nothing more is due.
-func (n *Node) turn() time.Duration {
+// process does what is due, decides on the collected events and carries the actions out. It returns the time
+// until something is due.
+func (n *Node) process() time.Duration {
 	now := n.now()
 	if n.nextPhaseAt > 0 && now >= n.nextPhaseAt {
 		n.enterNextPhase()
@@ -43,17 +44,17 @@
 	}
 	unsent := false
 	counterDue := gateway.Time(0)
-	for more := true; more; more = n.hasEvents() { // a write that fails is an event, too
+	for more := true; more; more = n.hasEvents() { // a failed write is another event
 		if n.hasEvents() {
 			n.decide()
 		}
-		// also when there is nothing to decide: an answer to PING must not wait for the next timer
+		// Without a decision, too: an answer to PING must not wait for a timer.
 		unsent, counterDue = n.flush()
 	}
 	return n.waitFor(unsent, counterDue)
 }
 
-// timerFired does what goes with the module's timer.
+// timerFired handles the module's timer, and the periodic work that goes along with it.
 func (n *Node) timerFired(now gateway.Time) {
 	n.timerAt = 0
 	n.transport.CloseIdle()
@@ -71,6 +72,7 @@
 	}
 }
 
+// logDecisions logs the decisions since the start.
 func logDecisions(counts []gateway.DecisionCount) {
 	fields := make([]any, 0, len(counts))
 	for _, count := range counts {
@@ -81,11 +83,11 @@
 
 func (n *Node) hasEvents() bool { return len(n.events)+len(n.listEvents) > 0 }
 
-// decide hands the module a batch of all events.
+// decide has the module decide on all collected events.
 func (n *Node) decide() {
 	n.batch.Now = n.now()
 	n.batch.Events = append(append(n.batch.Events[:0], n.listEvents...), n.events...)
-	clear(n.listEvents) // a whole list must not stay in memory until the next comes
+	clear(n.listEvents) // frees the list
 	n.listEvents = n.listEvents[:0]
 	n.events = n.events[:0]
 	n.batchCount++
@@ -94,8 +96,8 @@
 	clear(n.batch.Events)
 }
 
-// callModule calls the module. Should it panic, what it left without a decision fails: a fault must not hold a
-// request until its client gives up, nor take the others along.
+// callModule calls the module. After a panic in it the requests of the batch that are left without a decision
+// fail: they must not wait for their clients' timeouts.
 func (n *Node) callModule() {
 	n.recoverPanics("module", func() {
 		defer func() {
@@ -108,7 +110,7 @@
 	})
 }
 
-// failUndecided ends the requests of a batch that have no attempt in flight.
+// failUndecided fails the requests of a batch that have no attempt in flight.
 func (n *Node) failUndecided() {
 	n.SetTimer(flushRetryInterval)
 	for _, event := range n.batch.Events {
@@ -118,8 +120,8 @@
 	}
 }
 
-// flush writes what is to be written. It reports whether a socket did not take all, and when the counter is due;
-// 0: it is not.
+// flush writes what is to be written. It reports whether a socket did not take everything, and when the counter
+// is due; 0: it is not.
 func (n *Node) flush() (unsent bool, counterDue gateway.Time) {
 	unsent = n.clients.Flush()
 	unsent = n.transport.Flush() || unsent
@@ -144,7 +146,7 @@
 	return max(wait, 0)
 }
 
-// recoverPanics keeps a panic from ending the program.
+// recoverPanics runs f and logs a panic in it.
 func (n *Node) recoverPanics(where string, f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -164,8 +166,7 @@
 	}
 }
 
-// AddToCounter implements gateway.Actions. Without a counter the call is answered as unreachable: the module
-// does without.
+// AddToCounter implements gateway.Actions. Without a counter the call ends as unreachable.
 func (n *Node) AddToCounter(name uint64, amount float64, lifetime time.Duration) {
 	if n.counter == nil {
 		n.counterReplied(gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
@@ -174,7 +175,7 @@
 	n.counter.Count(name, amount, int64(lifetime))
 }
 
-// counterReplied takes in an answer of the counter.
+// counterReplied collects an answer of the counter.
 func (n *Node) counterReplied(event gateway.Event) { n.events = append(n.events, event) }
 
 // LogNote implements gateway.Actions.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,11 +1,11 @@
-// Package node is one gateway on sockets: a loop that hands the module all that came in and carries out what it
-// decides. It decides nothing. One goroutine runs the loop and owns all state; other goroutines hand it
-// functions to run (Node.runOnLoop).
+// Package node runs one gateway on sockets. Its loop collects events, has the decision module (logic.Gateway) decide on
+// them, and carries the actions out. It decides nothing itself. One goroutine runs the loop and owns all state; other
+// goroutines send it functions to run (Node.runOnLoop).
 //
-//   - node.go: the state of a gateway, and its way from the first socket to the last connection
-//   - loop.go: one turn of the loop
-//   - request.go, attempt.go: requests of clients, and what is sent to hosts for them
-//   - shutdown.go: the phases of the end
+//   - node.go: the state of a gateway, from its first socket to its last connection
+//   - loop.go: one iteration of the loop
+//   - request.go, attempt.go: requests of clients, and the attempts that are sent to hosts for them
+//   - shutdown.go: the phases of the graceful shutdown
 //   - endpoint_watch.go: the endpoint list
 //   - configuration.go: new versions of the settings
 //   - quota.go, observed_actions.go: the optional connection quota and counterfactual observer
@@ -31,23 +31,22 @@
 )
 
 const (
-	inboxSize    = 1024 // functions that wait for the loop; who brings more waits, too
-	idleFraction = 0.5  // of the hosts' idle timeout for which a connection is kept
+	inboxSize    = 1024 // functions that wait for the loop; a sender waits while the inbox is full
+	idleFraction = 0.5  // of the hosts' idle timeout for which an idle connection is kept
 )
 
-// Decider is the module.
+// Decider is the decision module.
 type Decider interface {
 	Decide(batch *gateway.Batch, actions gateway.Actions)
-	Reconfigure(now gateway.Time, update *gateway.Update) // between two batches
+	Reconfigure(now gateway.Time, update *gateway.Update) // called between two batches
 }
 
-// DecisionCounter is a module that counts its decisions; the node logs them every countsLogInterval, for on-call
-// and for counting over a fleet from the logs.
+// DecisionCounter is a Decider that counts its decisions. They are logged every countsLogInterval.
 type DecisionCounter interface {
 	DecisionCounts() []gateway.DecisionCount
 }
 
-// Platform is what a gateway runs on. Zero values mean the process's own.
+// Platform is what a gateway runs on. Zero values stand for the process's own clock and sockets.
 type Platform struct {
 	Clock   clock.Clock
 	Sockets sockets.System
@@ -59,21 +58,21 @@
 	module  Decider
 	system  sockets.System
 	clock   clock.Clock
-	unix    int64 // wall time of the monotonic clock's 0, as of the start: now never steps
-	work    chan func()
+	unix    int64                  // wall time of the monotonic clock's zero, as of the start, in nanoseconds
+	work    chan func()            // the loop's inbox
 	ended   chan struct{}          // closed when Run returns
 	tasks   []func() (end func())  // started once the gateway has its addresses
-	events  []gateway.Event        // since the last batch
 	classes []gateway.RequestClass // by index, as they are in force
 
-	listEvents []gateway.Event // of the list: they go first, so that no attempt of the batch passes by a drain
+	events     []gateway.Event // since the latest batch
+	listEvents []gateway.Event // of the endpoint list: first in a batch, so that a drain applies to all of it
 	batch      gateway.Batch
-	batchCount int          // batches handed to the module
+	batchCount int          // batches decided
 	timerAt    gateway.Time // the module's timer; 0: not set
 
 	requests   map[string]*request
 	inFlight   []*attempt
-	nextExpiry gateway.Time // the first attempt in flight times out then at the earliest; 0: none is
+	nextExpiry gateway.Time // no attempt in flight times out earlier; 0: none is in flight
 
 	catalog       *clients.Catalog
 	clients       *clients.Server
@@ -85,26 +84,26 @@
 
 	endpointList *discovery.EndpointList
 	watch        *watch
-	watchLost    bool // the watch broke, and none has brought anything since
-	listAnswered bool // discovery has answered once, or it was waited for long enough: clients may be taken in
+	watchLost    bool // whether the watch broke and none has received anything since
+	listAnswered bool // whether the agent has answered once, or was waited for long enough: clients are accepted then
 	droppedLists int
 
-	pendingRevisions []revision // of the configuration; each is in force after the turn at hand
+	pendingRevisions []revision // of the configuration, applied after the current iteration
 
-	listening   bool // clients are taken in
+	listening   bool // whether clients are accepted
 	phase       phase
-	nextPhaseAt gateway.Time // the phase ends then; 0: it does not
-	answerBy    gateway.Time // what is taken has its answer by then; 0: not called to stop
+	nextPhaseAt gateway.Time // the phase ends then; 0: it does not end by time
+	answerBy    gateway.Time // every request has its answer by then; 0: not shutting down
 
-	droppedDatagrams int // since the last line on them
+	droppedDatagrams int // since the latest log line on them
 	droppedLoggedAt  gateway.Time
 	countsLoggedAt   gateway.Time
 }
 
-// New makes a gateway that is not yet reachable.
+// New returns a gateway on the process's own platform. It is not reachable before Run.
 func New(cfg *config.Config, module Decider) *Node { return NewOn(Platform{}, cfg, module) }
 
-// NewOn makes a gateway on a platform, as tests have it.
+// NewOn returns a gateway on a platform.
 func NewOn(platform Platform, cfg *config.Config, module Decider) *Node {
 	if platform.Clock == nil {
 		platform.Clock = clock.System{}
@@ -126,17 +125,19 @@
 		catalog:      clients.NewCatalog(catalogOf(cfg)),
 	}
 	n.endpointList.EqualWeights = cfg.EqualWeights
-	shared := sharedDescriptors(cfg.Sockets)
-	n.clients = clients.NewServer(n.system, n.catalog, shared/3, n.runOnLoop, n.unixNano, n.arrive)
+	clientDescriptors, hostDescriptors := descriptorShares(cfg.Sockets)
+	n.clients = clients.NewServer(n.system, n.catalog, clientDescriptors, n.runOnLoop, n.unixNano, n.arrive)
 	idleTimeout := time.Duration(idleFraction * float64(cfg.ConnIdle))
-	n.transport = hosts.NewTransport(n.system, n.runOnLoop, n.unixNano, cfg.ReportNames, int64(cfg.ConnectTimeout), int64(idleTimeout), shared*2/5)
+	n.transport = hosts.NewTransport(n.system, n.runOnLoop, n.unixNano, cfg.ReportNames,
+		int64(cfg.ConnectTimeout), int64(idleTimeout), hostDescriptors)
 	if cfg.Counter.IsValid() {
-		n.counter = counter.New(n.system, cfg.Counter, int64(cfg.Limits.CounterTimeout), n.runOnLoop, n.unixNano, n.counterReplied)
+		n.counter = counter.New(n.system, cfg.Counter, int64(cfg.Limits.CounterTimeout), n.runOnLoop, n.unixNano,
+			n.counterReplied)
 	}
 	return n
 }
 
-// catalogOf lists what commands name.
+// catalogOf returns what the arguments of commands may name.
 func catalogOf(cfg *config.Config) clients.CatalogConfig {
 	catalog := clients.CatalogConfig{
 		Classes:  cfg.ClassNames,
@@ -155,7 +156,7 @@
 	return catalog
 }
 
-// maxUnits returns the units that a request of a quota plan may ask for; 0: any.
+// maxUnits returns the most units that a request on a quota plan may ask for; 0: any.
 func maxUnits(plan *gateway.Plan) float64 {
 	if plan.Rate == 0 {
 		return 0
@@ -173,12 +174,12 @@
 // unixNano returns now in nanoseconds since 1970, as the packages of the connections take it.
 func (n *Node) unixNano() int64 { return n.unix + int64(n.clock.Monotonic()) }
 
-// WhileRunning has Run start a task beside the loop once the gateway has its addresses: a former process of this
-// gateway that serves to its end runs no more then. Run calls what start returns after the loop has ended, and
-// waits for it.
+// WhileRunning has Run start a task beside the loop once the gateway has its addresses, at which point the
+// process before it has ended. Run calls the function that start returns after the loop has ended, and waits
+// for it.
 func (n *Node) WhileRunning(start func() (end func())) { n.tasks = append(n.tasks, start) }
 
-// Run serves until it is called to stop and owes nothing more.
+// Run serves until it is called to stop and every request has its answer.
 func (n *Node) Run(stop <-chan struct{}) error {
 	err := n.run(stop)
 	if err != nil && !errors.Is(err, errStopped) {
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// run opens all that the gateway needs, and closes it after the loop.
+// run opens what the gateway needs, runs the loop, and closes everything after it.
 func (n *Node) run(stop <-chan struct{}) error {
 	var ends []func()
 	defer func() {
@@ -233,28 +234,28 @@
 	return nil
 }
 
-// decideFirstBatch hands the module the endpoint list of the configuration.
+// decideFirstBatch has the module decide on the endpoint list of the configuration.
 func (n *Node) decideFirstBatch() {
 	if n.cfg.KnownEndpoints == "" {
 		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached})
 	} else {
 		n.updateEndpoints(n.cfg.KnownEndpoints, true)
-		n.cfg.KnownEndpoints = "" // what it lists is known now, and the text need not be kept
+		n.cfg.KnownEndpoints = "" // frees the text
 	}
-	n.step()
+	n.iterate()
 }
 
-// receiveGossip hands a message of a peer to the loop. It runs on the peers' goroutine.
+// receiveGossip sends a message of a peer to the loop. It runs on the peers' goroutine.
 func (n *Node) receiveGossip(member int, message []byte) {
 	n.runOnLoop(func() {
 		n.events = append(n.events, gateway.Event{Kind: gateway.GossipReceived, Peer: member, Message: message})
 	})
 }
 
-// countDropped counts a datagram that was dropped. It runs on the peers' goroutine.
+// countDropped counts a dropped datagram. It runs on the peers' goroutine.
 func (n *Node) countDropped() { n.runOnLoop(func() { n.droppedDatagrams++ }) }
 
-// listenWhenReady takes in clients once the endpoint list is there.
+// listenWhenReady accepts clients from the time on when the endpoint list is known.
 func (n *Node) listenWhenReady(listener *net.TCPListener) {
 	if !n.listAnswered || n.listening || n.phase != serving {
 		return
@@ -285,9 +286,9 @@
 		}
 		n.runQueued()
 		n.readPendingList()
-		wait := n.step()
+		wait := n.iterate()
 		if n.applyPending() {
-			wait = n.step()
+			wait = n.iterate()
 		}
 		timer.Reset(wait)
 	}
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -9,153 +9,199 @@
 	"ravensill/internal/observer"
 )
 
-// observedActions stands between the module and the node where the section counterfactual is on: it is the
-// Actions that is also a CandidateObserver, and hands the task a record of each attempt that ended. Its fields
-// belong to the loop.
+const (
+	maxObservedHosts = 4096 // hosts whose ids and places are kept, gone ones among them
+	maxRecycled      = 4 * observer.Batch
+
+	// observerStream selects the random stream by which batches are observed.
+	observerStream = 0x7769746e657373
+)
+
+// observedActions are the actions of a batch that is observed for package counterfactual. They record what each attempt
+// was chosen among and how it ended, and pass the records to the observer. All fields belong to the loop.
 type observedActions struct {
 	*Node
 	task     *observer.Observer
-	places   map[uint32]place
+	hosts    map[uint32]observedHost
 	pending  map[*attempt]*observer.Entry
-	upcoming *observer.Entry   // of the attempt that comes next
-	finished []*observer.Entry // of attempts that ended since the last timer
+	upcoming *observer.Entry   // of the attempt that the module starts next
+	finished []*observer.Entry // of attempts that ended since the latest timer
 	recycled []*observer.Entry // to be used again
 	random   *rand.Rand
 }
 
-const maxPlaces = 4096 // hosts known, gone ones among them
-
-type place struct {
-	id   string
-	zone int
-	born uint32
+// observedHost is what records say of a host.
+type observedHost struct {
+	id          string
+	zone        int
+	incarnation uint32
 }
 
-// startObserver starts the task, where it is configured; the returned function ends it.
+// startObserver starts the observer if it is configured. The returned function ends it.
 func (n *Node) startObserver(stop <-chan struct{}) (end func(), err error) {
-	if n.cfg.Counterfactual == nil {
+	cfg := n.cfg.Counterfactual
+	if cfg == nil {
 		return func() {}, nil
 	}
-	var targets []int64
-	for _, f := range n.cfg.Classes {
-		targets = append(targets, int64(f.LatencyObjective))
+	var objectives []int64
+	for i := range n.cfg.Classes {
+		objectives = append(objectives, int64(n.cfg.Classes[i].LatencyObjective))
 	}
+	member := &n.cfg.Membership
 	var task *observer.Observer
-	err = listenWithRetry("counterfactual", n.cfg.Counterfactual.Listen, stop, func() (err error) {
-		task, err = observer.Open(n.system, n.cfg.Counterfactual, n.cfg.Membership.Index, n.cfg.Membership.Zone, n.cfg.Membership.Count, n.cfg.ClassNames, targets)
+	err = listenWithRetry("counterfactual", cfg.Listen, stop, func() (err error) {
+		task, err = observer.Open(n.system, cfg, member.Index, member.Zone, member.Count, n.cfg.ClassNames, objectives)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	n.observer = &observedActions{Node: n, task: task, places: map[uint32]place{}, pending: map[*attempt]*observer.Entry{},
-		random: rand.New(rand.NewPCG(n.cfg.Seed, 0x7769746e657373))}
+	n.observer = &observedActions{
+		Node:    n,
+		task:    task,
+		hosts:   map[uint32]observedHost{},
+		pending: map[*attempt]*observer.Entry{},
+		random:  rand.New(rand.NewPCG(n.cfg.Seed, observerStream)),
+	}
 	return task.Close, nil
 }
 
-// actions returns what the module writes a batch to: for a fraction of the batches, drawn at random, the
-// observer. The others cost no more than without.
+// actions returns the actions for the next batch: observed ones for a random fraction of the batches, so that
+// the others cost no more than without an observer.
 func (n *Node) actions() gateway.Actions {
-	if w := n.observer; w != nil && w.random.Float64() < n.cfg.Counterfactual.RecordedFraction {
-		return w
+	o := n.observer
+	if o != nil && o.random.Float64() < n.cfg.Counterfactual.RecordedFraction {
+		return o
 	}
 	return n
 }
 
-// ObserveCandidates notes what the attempt that comes next was chosen among.
-func (w *observedActions) ObserveCandidates(requestID string, customer uint32, options []gateway.Candidate) {
-	var e *observer.Entry
-	if n := len(w.recycled); n > 0 {
-		e, w.recycled = w.recycled[n-1], w.recycled[:n-1]
-	} else {
-		e = &observer.Entry{}
-	}
-	*e = observer.Entry{Request: requestID, Record: counterfactual.Record{Customer: customer, Candidates: e.Candidates[:0]}}
-	for _, o := range options {
-		p := w.places[o.Host]
-		e.Candidates = append(e.Candidates, counterfactual.Candidate{Host: o.Host, Incarnation: p.born, Zone: p.zone, Probability: o.Chance,
-			Load: o.Load})
-	}
-	w.upcoming = e
+// ObserveCandidates implements gateway.CandidateObserver.
+func (o *observedActions) ObserveCandidates(requestID string, customer uint32, candidates []gateway.Candidate) {
+	entry := o.newEntry()
+	*entry = observer.Entry{
+		Request: requestID,
+		Record:  counterfactual.Record{Customer: customer, Candidates: entry.Candidates[:0]},
+	}
+	for _, candidate := range candidates {
+		host := o.hosts[candidate.Host]
+		entry.Candidates = append(entry.Candidates, counterfactual.Candidate{
+			Host:        candidate.Host,
+			Incarnation: host.incarnation,
+			Zone:        host.zone,
+			Probability: candidate.Chance,
+			Load:        candidate.Load,
+		})
+	}
+	o.upcoming = entry
+}
+
+// newEntry returns a recycled entry, or a new one if there is none.
+func (o *observedActions) newEntry() *observer.Entry {
+	last := len(o.recycled) - 1
+	if last < 0 {
+		return &observer.Entry{}
+	}
+	entry := o.recycled[last]
+	o.recycled = o.recycled[:last]
+	return entry
 }
 
-// StartAttempt sends the request on; its record waits for the end.
-func (w *observedActions) StartAttempt(id string, host uint32, timeout time.Duration) {
-	e := w.upcoming
-	w.upcoming = nil
-	w.Node.StartAttempt(id, host, timeout)
-	r := w.requests[id]
-	if e == nil || e.Request != id || r == nil || len(w.Node.inFlight) == 0 {
+// StartAttempt implements gateway.Actions. The record of the attempt waits for its end.
+func (o *observedActions) StartAttempt(id string, host uint32, timeout time.Duration) {
+	entry := o.upcoming
+	o.upcoming = nil
+	o.Node.StartAttempt(id, host, timeout)
+	r := o.requests[id]
+	if entry == nil || entry.Request != id || r == nil || len(o.inFlight) == 0 {
 		return
 	}
-	d := w.Node.inFlight[len(w.Node.inFlight)-1]
-	if d.request != r { // it has ended already, unsent
+	started := o.inFlight[len(o.inFlight)-1]
+	if started.request != r { // the attempt has ended, unsent
 		return
 	}
-	e.Class, e.Attempt, e.SentAt = r.command.Class, d.number, int64(d.startedAt)
-	w.pending[d] = e
+	entry.Class = r.command.Class
+	entry.Attempt = started.number
+	entry.SentAt = int64(started.startedAt)
+	o.pending[started] = entry
 }
 
-// attemptEnded hands over the record of an attempt. One that was never sent says nothing of its host.
-func (w *observedActions) attemptEnded(d *attempt, result gateway.Result, lag time.Duration) {
-	if w == nil {
+// attemptEnded completes the record of an attempt. An attempt that was never sent proves nothing of its host, and has
+// none.
+func (o *observedActions) attemptEnded(ended *attempt, result gateway.Result, latency time.Duration) {
+	if o == nil {
 		return
 	}
-	e := w.pending[d]
-	if e == nil {
+	entry := o.pending[ended]
+	if entry == nil {
 		return
 	}
-	delete(w.pending, d)
-	switch e.Latency = int64(lag); result {
+	delete(o.pending, ended)
+	entry.Latency = int64(latency)
+	switch result {
 	case gateway.NotSent:
 		return
 	case gateway.Succeeded:
 	case gateway.TimedOut, gateway.Canceled:
-		e.End = counterfactual.Censored
+		entry.End = counterfactual.Censored
 	default:
-		e.End = counterfactual.Failed
+		entry.End = counterfactual.Failed
 	}
-	if w.finished = append(w.finished, e); len(w.finished) == observer.Batch {
-		w.offer()
+	o.finished = append(o.finished, entry)
+	if len(o.finished) == observer.Batch {
+		o.offer()
 	}
 }
 
-// offer hands over what is ready: a batch at a timer, so that the task is not woken for each attempt.
-func (w *observedActions) offer() {
-	if len(w.finished) == 0 {
+// offer passes the finished records to the observer. It is called for a full batch and by timers, so that the
+// observer is not woken for each attempt.
+func (o *observedActions) offer() {
+	if len(o.finished) == 0 {
 		return
 	}
-	free := w.task.Offer(w.finished)
-	w.finished = free[:0]
-	if len(w.recycled) < 4*observer.Batch {
-		w.recycled = append(w.recycled, free...)
+	free := o.task.Offer(o.finished)
+	o.finished = free[:0]
+	if len(o.recycled) < maxRecycled {
+		o.recycled = append(o.recycled, free...)
 	}
 }
 
-// SetTimer sets the module's next timer; the one at hand has fired.
-func (w *observedActions) SetTimer(after time.Duration) {
-	w.offer()
-	w.Node.SetTimer(after)
+// SetTimer implements gateway.Actions. The module calls it when its timer has fired.
+func (o *observedActions) SetTimer(after time.Duration) {
+	o.offer()
+	o.Node.SetTimer(after)
 }
 
-// endpointsListed notes where hosts stand and when their processes began.
-func (w *observedActions) endpointsListed(list []gateway.Endpoint) {
-	if w == nil {
+// endpointsListed records the places of hosts and the starts of their processes.
+func (o *observedActions) endpointsListed(endpoints []gateway.Endpoint) {
+	if o == nil {
 		return
 	}
-	for _, l := range list {
-		if l.State != gateway.Gone {
-			w.places[l.Host] = place{w.endpointList.ID(l.Host), l.Zone, uint32(l.StartedAt / 1e6)}
+	for i := range endpoints {
+		endpoint := &endpoints[i]
+		if endpoint.State == gateway.Gone {
+			continue
 		}
-	}
-	for number := range w.places { // one that is gone keeps its id for answers about windows past
-		if len(w.places) > maxPlaces && w.endpointList.ID(number) == "" {
-			delete(w.places, number)
+		o.hosts[endpoint.Host] = observedHost{
+			id:          o.endpointList.ID(endpoint.Host),
+			zone:        endpoint.Zone,
+			incarnation: uint32(endpoint.StartedAt / gateway.Time(time.Millisecond)),
 		}
 	}
-	ids := make(map[uint32]string, len(w.places))
-	for number, p := range w.places {
-		ids[number] = p.id
+	o.forgetGoneHosts()
+	ids := make(map[uint32]string, len(o.hosts))
+	for number, host := range o.hosts {
+		ids[number] = host.id
+	}
+	o.task.SetHostIDs(ids)
+}
+
+// forgetGoneHosts drops hosts that are gone while there are too many. Others keep their ids for queries on past
+// windows.
+func (o *observedActions) forgetGoneHosts() {
+	for number := range o.hosts {
+		if len(o.hosts) > maxObservedHosts && o.endpointList.ID(number) == "" {
+			delete(o.hosts, number)
+		}
 	}
-	w.task.SetHostIDs(ids)
 }
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -10,16 +10,17 @@
 	"ravensill/pool"
 )
 
-// connectionQuota keeps the gateway to its quota of connections where the section pool is configured: the lease
-// holder says how many may be open, the connection limiter enforces it, and the client exchanges reports and
-// grants with the voters. Its fields belong to the loop. The methods do nothing on nil, without a quota.
+// connectionQuota keeps the gateway within its quota of connections if the section pool is configured: the
+// lease holder knows how many may be open, the connection limiter enforces that, and the client exchanges
+// reports and grants with the voters. Its fields belong to the loop. Without a quota it is nil, and its methods
+// do nothing.
 type connectionQuota struct {
 	node        *Node
 	leaseholder *pool.Leaseholder
 	limiter     *hosts.ConnectionLimiter
 	client      *poolrunner.Client
 	urgent      []bool       // by request class
-	lastLog     gateway.Time // time of the last line in the log
+	lastLog     gateway.Time // time of the latest status line
 }
 
 const poolLogInterval = 5 * time.Second
@@ -51,12 +52,18 @@
 		}
 	}
 	now := n.now()
-	p := &connectionQuota{node: n, client: client, lastLog: now,
-		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Membership.Index, uint64(n.unix), cfg.Weight, cfg.Serial, cfg.Capacity, int64(now))}
+	p := &connectionQuota{
+		node:    n,
+		client:  client,
+		lastLog: now,
+		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Membership.Index, uint64(n.unix), cfg.Weight, cfg.Serial,
+			cfg.Capacity, int64(now)),
+	}
 	for index, name := range n.cfg.ClassNames {
 		p.addClass(index, name)
 	}
-	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.MaxWait, p.leaseholder.Allowed, p.leaseholder.AddRejected)
+	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.MaxWait, p.leaseholder.Allowed,
+		p.leaseholder.AddRejected)
 	n.quota = p
 	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.unixNano(), grant) })
 	slog.Info("pool_enabled",
@@ -68,52 +75,56 @@
 	return end, nil
 }
 
-// report sends a report if one is due, and returns the time by which to call it again, 0 without a quota.
+// report sends a report if one is due, and returns when to call it again; 0: there is no quota.
 func (p *connectionQuota) report() gateway.Time {
 	if p == nil {
 		return 0
 	}
 	now := p.node.now()
-	held, demand := p.limiter.Usage()
-	p.leaseholder.SetUsage(int64(now), held, demand)
+	open, demand := p.limiter.Usage()
+	p.leaseholder.SetUsage(int64(now), open, demand)
 	if report := p.leaseholder.Report(int64(now)); report != nil {
 		p.client.Send(report)
 	}
 	if now.Sub(p.lastLog) >= poolLogInterval {
 		p.lastLog = now
-		limiter, client := p.limiter, p.client
-		slog.Info("pool_quota_status",
-			"allowed", p.leaseholder.Allowed(int64(now)),
-			"connections", held,
-			"demand", demand,
-			"queued", limiter.Queued,
-			"rejected", limiter.Rejected,
-			"dials", limiter.Dials,
-			"dials_refused", limiter.Refused,
-			"datagrams_sent", client.Sent,
-			"datagrams_received", client.Received,
-			"datagrams_dropped", client.Dropped,
-			"since_grant_ms", (int64(now)-p.leaseholder.LastAnswered())/1e6,
-		)
+		p.logStatus(now, open, demand)
 	}
 	return gateway.Time(p.leaseholder.Due(int64(now)))
 }
 
-// addClass adds a request class; a new one has the next index.
+// logStatus logs how many connections are allowed, open and wanted.
+func (p *connectionQuota) logStatus(now gateway.Time, open, demand int) {
+	slog.Info("pool_quota_status",
+		"allowed", p.leaseholder.Allowed(int64(now)),
+		"connections", open,
+		"demand", demand,
+		"queued", p.limiter.Queued,
+		"rejected", p.limiter.Rejected,
+		"dials", p.limiter.Dials,
+		"dials_refused", p.limiter.Refused,
+		"datagrams_sent", p.client.Sent,
+		"datagrams_received", p.client.Received,
+		"datagrams_dropped", p.client.Dropped,
+		"since_grant_ms", (int64(now)-p.leaseholder.LastAnswered())/1e6,
+	)
+}
+
+// addClass adds a request class. A new one has the next index.
 func (p *connectionQuota) addClass(index int, name string) {
 	if p != nil && index == len(p.urgent) {
 		p.urgent = append(p.urgent, p.node.cfg.Pool.UrgentClasses[name])
 	}
 }
 
-// setUrgency tells the connection limiter whether the next attempt is of an urgent request class.
+// setUrgency sets whether the next attempt is of an urgent request class.
 func (p *connectionQuota) setUrgency(r *request) {
 	if p != nil {
 		p.limiter.SetUrgent(p.urgent[r.command.Class])
 	}
 }
 
-// rejectThrottled rejects a request whose attempt was rejected for want of a connection, with the time to retry after.
+// rejectThrottled rejects a request whose attempt got no connection, with the time to retry after.
 func (p *connectionQuota) rejectThrottled(r *request) {
 	if p == nil || r.closed || r.inFlight > 0 || p.limiter.RetryAfter() == 0 {
 		return
@@ -129,7 +140,7 @@
 	r.closed = true
 }
 
-// setCapacity sets the capacity of the store that the configuration file now gives.
+// setCapacity sets the capacity of the store, after a change of the configuration file.
 func (p *connectionQuota) setCapacity(serial uint64, capacity int) {
 	if p != nil {
 		p.leaseholder.SetCapacity(serial, capacity)
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -7,23 +7,23 @@
 	"ravensill/internal/clients"
 )
 
-// request is held until it is answered and no attempt is in flight.
+// request is a client's request. It is kept until it is answered and no attempt is in flight.
 type request struct {
 	node         *Node
 	id           string
-	answer       *clients.Answer // nil: its client is gone
+	answer       *clients.Answer // nil: the client is gone
 	command      *clients.Request
-	class        gateway.RequestClass // as it was when the request arrived
+	class        gateway.RequestClass // as of the arrival
 	deadline     gateway.Time
 	attempts     []*attempt // by their numbers
-	inFlight     int        // attempts, and 1 from its client's end until the module has heard of that
+	inFlight     int        // attempts, plus 1 from the client's disconnect until the module has decided on that
 	closed       bool
-	mayHaveRunAt gateway.Time // when the first attempt that may have run started; 0: none has ended so
+	mayHaveRunAt gateway.Time // start of the first attempt that may have run; 0: none has ended so
 	batchNumber  int          // of the batch that its arrival is in,
 	eventIndex   int          // and its place there
 }
 
-// arrive takes in a request of a client.
+// arrive handles a request of a client.
 func (n *Node) arrive(answer *clients.Answer, command *clients.Request) {
 	if n.requests[command.ID] != nil {
 		answer.Fail("id: in use")
@@ -60,13 +60,12 @@
 	})
 }
 
-// clientGone takes in that the client is gone. Where the module has not heard of the request yet it never does:
-// behind a stall or a flood the arrival and this wait together, and the request would be sent on for nobody.
-// Else the request is held until the batch in which the module hears of this: what it decides before that meets
-// a closed request.
+// clientGone handles the disconnect of the request's client. If the arrival is in the batch that is being
+// collected, the disconnect replaces it: the module never sees the request. Otherwise the request is kept
+// closed until the module has decided on the disconnect, since actions of that batch may still name it.
 func (r *request) clientGone() {
 	n := r.node
-	if n.requests[r.id] != r { // the module has heard of its end: the id may be another's by now
+	if n.requests[r.id] != r { // it has ended, and the id may be in use again
 		return
 	}
 	r.answer = nil
@@ -83,7 +82,7 @@
 	}
 }
 
-// forgetGone lets go of the requests of which the module has now heard that their clients are gone.
+// forgetGone drops the requests whose clients' disconnects were in the batch.
 func (n *Node) forgetGone() {
 	for _, event := range n.batch.Events {
 		if event.Kind != gateway.ClientGone {
@@ -96,7 +95,7 @@
 	}
 }
 
-// close ends a request; it is forgotten once its attempts have ended, too.
+// close ends a request. It is dropped once no attempt is in flight.
 func (r *request) close() {
 	r.closed = true
 	if r.inFlight == 0 {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -13,11 +13,9 @@
 	lingerLimit = 1500 * time.Millisecond
 )
 
-// phase is how far the shutdown has come. Each phase ends at Node.nextPhaseAt.
-//
-// Clients go on sending on what they have open, and a close that crosses a command leaves that unanswered. So
-// what is open is served until shortly before the platform kills, which counts from the longest client timeout,
-// and ends then: a kill that crosses a command would lose it.
+// phase is how far the graceful shutdown has come. Each phase ends at Node.nextPhaseAt. Clients keep sending on
+// open connections, and a command that crosses a close stays unanswered. So open connections are served until
+// shortly before the platform kills the process, at a time that follows from the longest client timeout.
 type phase int
 
 const (
@@ -28,7 +26,7 @@
 	cutOff                // all that is left was closed
 )
 
-// beginShutdown begins the end. A gateway that serves nobody yet ends at once.
+// beginShutdown begins the graceful shutdown. A gateway that does not accept clients yet ends at once.
 func (n *Node) beginShutdown() {
 	longest := time.Duration(0)
 	for _, class := range n.classes {
@@ -44,7 +42,8 @@
 	slog.Info("shutdown_started", "clients", n.clients.Count(), "in_flight", len(n.requests))
 }
 
-// enterNextPhase takes the next step to the end. One client that neither reads nor closes must not hold the program.
+// enterNextPhase enters the next phase of the shutdown. A client that neither reads nor closes does not hold it
+// up.
 func (n *Node) enterNextPhase() {
 	switch n.phase {
 	case stopping:
@@ -64,5 +63,5 @@
 	}
 }
 
-// shutdownEnded reports whether the gateway owes nothing more.
+// shutdownEnded reports whether every client has its answers and is disconnected.
 func (n *Node) shutdownEnded() bool { return n.phase >= closed && n.clients.Closed() }
