--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -6,17 +6,12 @@
 
 	"ravensill/gateway"
 	"ravensill/internal/clock"
-	"ravensill/internal/config"
 )
 
-// Steps of the wall clock while the gateway runs change no time that it measures: deadlines, windows, waits and
-// graces are all counted from now.
+// Steps of the wall clock while the gateway runs change no time that it measures.
 func TestNowIgnoresWallClockSteps(t *testing.T) {
 	fake := clock.NewFake(time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC))
-	n := NewOn(Platform{Clock: fake}, &config.Config{
-		Sockets:  100,
-		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}},
-	}, &retryingDecider{})
+	n := NewOn(Platform{Clock: fake}, testConfig(testSettings()), &retryingDecider{})
 	want := gateway.Time(fake.Wall().UnixNano())
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		fake.StepWall(step)
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -20,74 +20,72 @@
 	"ravensill/logic"
 )
 
-const waitLimit = 20 * time.Second // for what must happen; no test passes by waiting
-
-// live is a gateway with the real decision module and one host, whose configuration the test changes.
+// liveGateway is a gateway with the real decision module and one host, whose configuration the test changes.
 type liveGateway struct {
 	*testing.T
 	node    *Node
 	config  *config.Live
 	version configsync.Version
-	lines   chan string   // of the log, those on the configuration
+	lines   chan string   // of the log, on the configuration
 	addr    string        // where clients connect
-	held    chan struct{} // told when the host has a request whose id begins with "hold"
-	gate    chan struct{} // closed: the host answers those too
-	over    chan error    // told what Run returned
-	ended   chan struct{} // closed: the gateway is called to stop
+	held    chan struct{} // receives when the host gets a request whose id begins with "hold"
+	release chan struct{} // closed: the host answers those too
+	result  chan error    // of Run
+	stopped chan struct{} // closed: the gateway is called to stop
 }
 
-const liveSettings = `{"balancers":1,"limits":{"max_attempts":2,"retry_after":true,"peer_messages":true},
- "profiles":[{"name":"lookup","hard_limit_us":19000000,"points":1},{"name":"order","effect":"unsafe","hard_limit_us":19000000,"points":1}],
- "plans":[{"name":"gold","rate":0.001,"burst":2,"worth_factor":1}],"family_info":{"mail_per_s":40}}`
+const liveSettings = `{"balancers":1,
+ "limits":{"max_attempts":2,"retry_after":true,"peer_messages":true},
+ "profiles":[{"name":"lookup","hard_limit_us":19000000,"points":1},
+  {"name":"order","effect":"unsafe","hard_limit_us":19000000,"points":1}],
+ "plans":[{"name":"gold","rate":0.001,"burst":2,"worth_factor":1}],
+ "family_info":{"mail_per_s":40}}`
 
-func newLiveGateway(t *testing.T, set func(*config.Config)) *liveGateway {
-	l := &liveGateway{
-		T:     t,
-		lines: make(chan string, 99),
-		held:  make(chan struct{}, 9),
-		gate:  make(chan struct{}),
-		over:  make(chan error, 1),
-		ended: make(chan struct{}),
+func newLiveGateway(t *testing.T, configure func(*config.Config)) *liveGateway {
+	g := &liveGateway{
+		T:       t,
+		lines:   make(chan string, 99),
+		held:    make(chan struct{}, 9),
+		release: make(chan struct{}),
+		result:  make(chan error, 1),
+		stopped: make(chan struct{}),
 	}
 	settings, err := config.Decode(liveSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	host := l.host()
 	settings.Plans[0].ID = configsync.PlanID("gold")
-	settings.ConnectTimeout, settings.ConnIdle = 20e9, 20e9
-	cfg := &config.Config{
-		Listen:         netip.MustParseAddrPort("127.0.0.1:0"),
-		Discovery:      "127.0.0.1:1",
-		Sockets:        100,
-		Settings:       settings,
-		KnownEndpoints: fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, host),
-		Configuration:  &config.Configuration{},
-	}
-	cfg.Limits.PollEndpoints = true // clients are taken in without discovery's agent
-	if set != nil {
-		set(cfg)
+	settings.ConnectTimeout = connectionLimit
+	settings.ConnIdle = connectionLimit
+	settings.Limits.PollEndpoints = true // clients are accepted without an agent
+	cfg := testConfig(settings)
+	cfg.KnownEndpoints = knownHost(g.startHost())
+	cfg.Configuration = &config.Configuration{}
+	if configure != nil {
+		configure(cfg)
 	}
-	l.config = config.NewLive(cfg)
-	l.node = New(cfg, logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport))
+	g.config = config.NewLive(cfg)
+	module := logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport)
+	g.node = New(cfg, module)
 	serving := make(chan string, 1)
 	restoreLog := logging.SetOutput(logWriter(func(line string) {
-		if _, rest, found := strings.Cut(line, "event=serving name=\"\" listen="); found {
+		if _, rest, found := strings.Cut(line, `event=serving name="" listen=`); found {
 			serving <- strings.Fields(rest)[0]
 		}
 		if at := strings.Index(line, "event=configuration"); at >= 0 {
-			l.lines <- line[at:]
+			g.lines <- line[at:]
 		}
 	}))
-	go func() { l.over <- l.node.Run(l.ended) }()
+	go func() { g.result <- g.node.Run(g.stopped) }()
 	t.Cleanup(func() {
-		l.stop()
+		g.stop()
 		restoreLog()
 	})
-	l.addr = <-serving
-	return l
+	g.addr = <-serving
+	return g
 }
 
+// logWriter is called with each line of a log.
 type logWriter func(line string)
 
 func (w logWriter) Write(line []byte) (int, error) {
@@ -95,38 +93,39 @@
 	return len(line), nil
 }
 
-func (l *liveGateway) stop() {
+func (g *liveGateway) stop() {
 	select {
-	case <-l.ended:
+	case <-g.stopped:
 	default:
-		close(l.ended)
-		<-l.over
+		close(g.stopped)
+		<-g.result
 	}
 }
 
-// host answers commands of four words each with "v".
-func (l *liveGateway) host() (addr string) {
+// startHost starts the host, which answers each command with "v".
+func (g *liveGateway) startHost() (addr string) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		l.Fatal(err)
+		g.Fatal(err)
 	}
-	l.Cleanup(func() { listener.Close() })
+	g.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go l.answer(c)
+			go g.serveAtHost(conn)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func (l *liveGateway) answer(c net.Conn) {
-	defer c.Close()
-	for in := bufio.NewReader(c); ; {
-		var lines [9]string
+func (g *liveGateway) serveAtHost(conn net.Conn) {
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	for {
+		var lines [requestLines]string
 		for i := range lines {
 			line, err := in.ReadString('\n')
 			if err != nil {
@@ -134,51 +133,48 @@
 			}
 			lines[i] = line
 		}
-		if strings.HasPrefix(lines[6], "hold") {
-			l.held <- struct{}{}
-			<-l.gate
+		if strings.HasPrefix(lines[requestIDAt], "hold") {
+			g.held <- struct{}{}
+			<-g.release
 		}
-		io.WriteString(c, "*1\r\n$1\r\nv\r\n")
+		io.WriteString(conn, "*1\r\n$1\r\nv\r\n")
 	}
 }
 
-// apply puts changes, lines of a resource and its value, in force.
-func (l *liveGateway) apply(lines ...string) {
-	l.Helper()
+// apply puts changes in force: lines of a resource and its value each.
+func (g *liveGateway) apply(lines ...string) {
+	g.Helper()
 	var changes []configsync.Change
 	for _, line := range lines {
 		resource, value, _ := strings.Cut(line, " ")
 		changes = append(changes, configsync.Change{Resource: configsync.Resource(resource), Value: []byte(value)})
 	}
-	revision, err := l.config.Apply(changes, false)
+	revision, err := g.config.Apply(changes, false)
 	if err != nil {
-		l.Fatal(err)
+		g.Fatal(err)
 	}
-	l.version++
-	if err := l.node.Apply(l.version, revision); err != nil {
-		l.Fatal(err)
+	g.version++
+	if err := g.node.Apply(g.version, revision); err != nil {
+		g.Fatal(err)
 	}
 }
 
 // send sends a request of customer 1 on a connection of its own.
-func (l *liveGateway) send(id, class, plan string) net.Conn {
-	c := dial(l.T, l.addr)
-	verb := "CALL.POST"
-	if class != "order" && class != "pay" {
-		verb = "CALL.GET"
-	}
-	list := fmt.Sprintf("c=%s,t=%s,d=19000,units=1,spread=1,first=0", class, plan)
-	fmt.Fprint(c, "*4\r\n")
-	for _, word := range []string{verb, "0000000000000001", id, list} {
-		fmt.Fprintf(c, "$%d\r\n%s\r\n", len(word), word)
+func (g *liveGateway) send(id, class, plan string) net.Conn {
+	conn := dial(g.T, g.addr)
+	verb := "CALL.GET"
+	if class == "order" || class == "pay" {
+		verb = "CALL.POST"
 	}
-	return c
+	arguments := fmt.Sprintf("c=%s,t=%s,d=19000,units=1,spread=1,first=0", class, plan)
+	io.WriteString(conn, respArray(verb, "0000000000000001", id, arguments))
+	return conn
 }
 
-// line gives the first line of an answer, the one line of a value, and ends the connection.
-func line(c net.Conn) string {
-	defer c.Close()
-	in := bufio.NewReader(c)
+// answerLine returns the first line of an answer, or the one line of a value, and closes the connection.
+func answerLine(conn net.Conn) string {
+	defer conn.Close()
+	in := bufio.NewReader(conn)
 	text, err := in.ReadString('\n')
 	if err == nil && text[0] == '$' {
 		text, err = in.ReadString('\n')
@@ -187,83 +183,109 @@
 		return err.Error()
 	}
 	if strings.HasPrefix(text, "-BUSY ") {
-		return "-BUSY with a time to come back"
+		return "-BUSY with a time to retry after"
 	}
 	return strings.TrimSpace(text)
 }
 
-// TestConfigurationInForce: each change counts from the next request on; one in flight ends as it would have.
-func TestConfigurationInForce(t *testing.T) {
-	l := newLiveGateway(t, nil)
-	var trace strings.Builder
-	ids := 0
-	ask := func(class, plan string) {
-		ids++
-		fmt.Fprintf(&trace, "  %s on %s: %s\n", class, plan, line(l.send(fmt.Sprint("r", ids), class, plan)))
-	}
-	// until asks again until it is served: a raised rate gives no units at once.
-	until := func(class, plan string) {
-		limit := time.Now().Add(waitLimit)
-		for line(l.send(fmt.Sprint("r", ids), class, plan)) != "v" && time.Now().Before(limit) {
-			ids++
+// configurationTrace writes down changes of a gateway's configuration, and the answers to requests after each.
+type configurationTrace struct {
+	strings.Builder
+	gateway  *liveGateway
+	requests int
+}
+
+// request sends a request and writes its answer down.
+func (r *configurationTrace) request(class, plan string) {
+	r.requests++
+	answer := answerLine(r.gateway.send(fmt.Sprint("r", r.requests), class, plan))
+	fmt.Fprintf(r, "  %s on %s: %s\n", class, plan, answer)
+}
+
+// requestUntilServed repeats a request until it is served, since a raised rate adds no units at once, and writes the
+// answer to one more down.
+func (r *configurationTrace) requestUntilServed(class, plan string) {
+	limit := time.Now().Add(connectionLimit)
+	for time.Now().Before(limit) {
+		if answerLine(r.gateway.send(fmt.Sprint("r", r.requests), class, plan)) == "v" {
+			break
 		}
-		ask(class, plan)
+		r.requests++
 	}
-	change := func(lines ...string) {
-		l.apply(lines...)
-		fmt.Fprintf(&trace, "%s\n  %s", strings.Join(lines, "; "), <-l.lines)
-	}
-	inFlight := []net.Conn{l.send("hold-1", "lookup", "gold"), l.send("hold-2", "order", "gold")}
-	<-l.held
-	<-l.held
-	ask("lookup", "gold") // its burst is spent
-	change(`limits {"max_attempts":2}`)
-	ask("lookup", "gold")
-	change(`plans/gold {"rate":1000000,"burst":400,"worth_factor":1}`)
-	until("lookup", "gold")
-	change(`plans/gold {"rate":0.001,"burst":1,"worth_factor":1}`)
-	ask("lookup", "gold") // the lowered burst binds at once
-	ask("lookup", "gold")
-	change(`plans/silver {"rate":1000000,"burst":400,"worth_factor":1}`, `plans/gold `, `classes/pay {"effect":"unsafe","hard_limit_us":19000000,"points":1}`, `classes/order `)
-	ask("lookup", "gold")
-	ask("order", "silver")
-	until("pay", "silver")
-	until("lookup", "silver")
-	ask("lookup", "bronze")
-	change(`plans/gold {"parallel":100,"worth_factor":1}`, `classes/lookup {"effect":"keyed","window_us":1000,"hard_limit_us":19000000}`)
-	ask("pay", "gold")
-	ask("lookup", "gold")
-	close(l.gate)
-	for _, c := range inFlight {
-		fmt.Fprintf(&trace, "in flight all the while: %s\n", line(c))
+	r.request(class, plan)
+}
+
+// change applies changes and writes the log line down.
+func (r *configurationTrace) change(lines ...string) {
+	r.gateway.apply(lines...)
+	fmt.Fprintf(r, "%s\n  %s", strings.Join(lines, "; "), <-r.gateway.lines)
+}
+
+// Each change applies from the next request on; a request in flight ends as under the version before.
+func TestConfigurationInForce(t *testing.T) {
+	g := newLiveGateway(t, nil)
+	trace := &configurationTrace{gateway: g}
+	inFlight := []net.Conn{g.send("hold-1", "lookup", "gold"), g.send("hold-2", "order", "gold")}
+	<-g.held
+	<-g.held
+	trace.request("lookup", "gold") // the burst is spent
+	trace.change(`limits {"max_attempts":2}`)
+	trace.request("lookup", "gold")
+	trace.change(`plans/gold {"rate":1000000,"burst":400,"worth_factor":1}`)
+	trace.requestUntilServed("lookup", "gold")
+	trace.change(`plans/gold {"rate":0.001,"burst":1,"worth_factor":1}`)
+	trace.request("lookup", "gold") // the lowered burst applies at once
+	trace.request("lookup", "gold")
+	trace.change(
+		`plans/silver {"rate":1000000,"burst":400,"worth_factor":1}`,
+		`plans/gold `,
+		`classes/pay {"effect":"unsafe","hard_limit_us":19000000,"points":1}`,
+		`classes/order `,
+	)
+	trace.request("lookup", "gold")
+	trace.request("order", "silver")
+	trace.requestUntilServed("pay", "silver")
+	trace.requestUntilServed("lookup", "silver")
+	trace.request("lookup", "bronze")
+	trace.change(
+		`plans/gold {"parallel":100,"worth_factor":1}`,
+		`classes/lookup {"effect":"keyed","window_us":1000,"hard_limit_us":19000000}`,
+	)
+	trace.request("pay", "gold")
+	trace.request("lookup", "gold")
+	close(g.release)
+	for _, conn := range inFlight {
+		fmt.Fprintf(trace, "in flight all the while: %s\n", answerLine(conn))
 	}
 	golden.Check(t, trace.String())
-	l.stop()
-	if err := l.node.Apply(9, &config.Revision{}); !errors.Is(err, ErrEnded) {
+	g.stop()
+	if err := g.node.Apply(9, &config.Revision{}); !errors.Is(err, ErrEnded) {
 		t.Errorf("after the end: %v", err)
 	}
 }
 
-// TestMembersInForce: a fleet of one grows by a member, whose address is replaced then: messages, by the
-// identity of quota plans, go where the configuration says.
-func TestMembersInForce(t *testing.T) {
-	var sockets []*net.UDPConn
-	for range 2 {
-		socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer socket.Close()
-		socket.SetReadDeadline(time.Now().Add(waitLimit))
-		sockets = append(sockets, socket)
+// openDatagramSocket opens a socket whose reads end within connectionLimit.
+func openDatagramSocket(t *testing.T) *net.UDPConn {
+	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
 	}
-	l := newLiveGateway(t, func(cfg *config.Config) {
+	t.Cleanup(func() { socket.Close() })
+	socket.SetReadDeadline(time.Now().Add(connectionLimit))
+	return socket
+}
+
+// A fleet of one gets a second member, whose address is then replaced: gossip, which names plans by ID, goes where the
+// configuration says.
+func TestMembersInForce(t *testing.T) {
+	sockets := []*net.UDPConn{openDatagramSocket(t), openDatagramSocket(t)}
+	g := newLiveGateway(t, func(cfg *config.Config) {
 		cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
 		cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}
 	})
 	for i, socket := range sockets {
-		l.apply(`members/0 "127.0.0.1:1"`, fmt.Sprintf(`members/1 "%s"`, socket.LocalAddr()))
-		if line := <-l.lines; !strings.Contains(line, "members=2") {
+		g.apply(`members/0 "127.0.0.1:1"`, fmt.Sprintf(`members/1 "%s"`, socket.LocalAddr()))
+		if line := <-g.lines; !strings.Contains(line, "members=2") {
 			t.Error(line)
 		}
 		message := make([]byte, gossip.MaxMessageBytes)
@@ -271,57 +293,57 @@
 		if err != nil {
 			t.Fatalf("address %d: %v", i, err)
 		}
-		read := false
+		decoded := false
 		gossip.Format{Members: 2, ByID: true}.Decode(message[:n], func(uint64, uint64) bool {
-			read = true
+			decoded = true
 			return false
 		}, nil, nil)
-		if !read {
-			t.Errorf("address %d: a message of another form: %x", i, message[:n])
+		if !decoded {
+			t.Errorf("address %d: a message of another format: %x", i, message[:n])
 		}
 	}
 }
 
-// order writes down what a module is handed in which order.
-type order struct{ told chan string }
+// orderRecorder is a module that records the order of arrivals and new settings.
+type orderRecorder struct{ calls chan string }
 
-func (o *order) Decide(in *gateway.Batch, out gateway.Actions) {
-	for _, e := range in.Events {
-		if e.Kind == gateway.RequestArrived {
-			o.told <- e.RequestID
-			out.Reject(e.RequestID, 0)
+func (o *orderRecorder) Decide(batch *gateway.Batch, actions gateway.Actions) {
+	for _, event := range batch.Events {
+		if event.Kind == gateway.RequestArrived {
+			o.calls <- event.RequestID
+			actions.Reject(event.RequestID, 0)
 		}
 	}
 }
 
-func (o *order) Reconfigure(_ gateway.Time, update *gateway.Update) {
-	o.told <- fmt.Sprint(update.Members, " members")
+func (o *orderRecorder) Reconfigure(_ gateway.Time, update *gateway.Update) {
+	o.calls <- fmt.Sprint(update.Members, " members")
 }
 
-// TestConfigurationChangesBetweenBatches: what came in before a change is decided before it, though both wait
-// for the loop together.
+// What arrived before a change is decided before it, even if both wait for the loop together.
 func TestConfigurationChangesBetweenBatches(t *testing.T) {
-	o := &order{told: make(chan string, 9)}
+	module := &orderRecorder{calls: make(chan string, 9)}
 	var n *Node
-	addr, stop, ended := serve(t, o, func(node *Node) { n = node })
-	c := dial(t, addr)
-	ask(t, c, "", 0)
-	busy, arrived := make(chan struct{}), make(chan struct{})
+	running := serve(t, module, func(node *Node) { n = node })
+	conn := dial(t, running.addr)
+	roundTrip(t, conn, "", 0)
+	busy := make(chan struct{})
+	applied := make(chan struct{})
 	n.runOnLoop(func() { <-busy })
 	go func() {
 		n.Apply(1, &config.Revision{Update: gateway.Update{Members: 1}, MemberCount: 1})
-		close(arrived)
+		close(applied)
 	}()
-	io.WriteString(c, command("a", 1)+command("a", 2))
-	for len(n.work) < 2 { // the reader's and the change, in whatever order
+	io.WriteString(conn, command("a", 1)+command("a", 2))
+	for len(n.work) < 2 { // the reader's and the change, in either order
 		time.Sleep(time.Millisecond)
 	}
 	close(busy)
-	<-arrived
-	if got := <-o.told + ", " + <-o.told + ", " + <-o.told; got != "1, 2, 1 members" {
+	<-applied
+	if got := <-module.calls + ", " + <-module.calls + ", " + <-module.calls; got != "1, 2, 1 members" {
 		t.Error(got)
 	}
-	c.Close()
-	stop()
-	ended()
+	conn.Close()
+	running.stop()
+	running.ended()
 }
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -9,9 +9,8 @@
 	"testing"
 )
 
-// An address that can't be had for a moment is waited for; an error that does not pass ends the start at once,
-// with the key.
-func TestListenRetriesPassingErrors(t *testing.T) {
+// A temporary error is retried; any other error ends the start at once.
+func TestListenReattemptsPassingErrors(t *testing.T) {
 	address := netip.MustParseAddrPort("127.0.0.1:1")
 	bindError := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}
@@ -25,26 +24,26 @@
 		syscall.ENOMEM,
 	}
 	for _, errno := range passing {
-		tries := 0
+		attempts := 0
 		err := listenWithRetry("listen", address, nil, func() error {
-			tries++
-			if tries < 3 {
+			attempts++
+			if attempts < 3 {
 				return bindError(errno)
 			}
 			return nil
 		})
-		if err != nil || tries != 3 {
-			t.Errorf("%v: %d tries, %v", errno, tries, err)
+		if err != nil || attempts != 3 {
+			t.Errorf("%v: %d attempts, %v", errno, attempts, err)
 		}
 	}
 	for _, errno := range []syscall.Errno{syscall.EACCES, syscall.EINVAL} {
-		tries := 0
+		attempts := 0
 		err := listenWithRetry("listen", address, nil, func() error {
-			tries++
+			attempts++
 			return bindError(errno)
 		})
-		if !errors.Is(err, errno) || tries != 1 {
-			t.Errorf("%v: %d tries, %v", errno, tries, err)
+		if !errors.Is(err, errno) || attempts != 1 {
+			t.Errorf("%v: %d attempts, %v", errno, attempts, err)
 		}
 	}
 }
