--- a/cmd/ravensill/configuration_test.go
+++ b/cmd/ravensill/configuration_test.go
@@ -19,7 +19,7 @@
 	"ravensill/internal/publishertest"
 )
 
-// fleetContent is the content that the tests publish first: as the gateways' own file, but for the plan's burst.
+// fleetContent is the content that the tests publish first: that of the gateways' own file, but for the plan's burst.
 const fleetContent = `{"plans":[{"name":"team","rate":0.01,"burst":2,"worth_factor":1}],
  "profiles":[{"name":"lookup","target_us":4000000,"hard_limit_us":5000000,"points":1},
   {"name":"order","effect":"keyed","window_us":5000000,"target_us":4000000,"hard_limit_us":5000000,"points":1}],
@@ -42,7 +42,7 @@
 	return g.waitForLog(fmt.Sprintf("event=configuration_applied version=%d ", p.Version))
 }
 
-// onPlan has a request's command name another plan, of as many letters: the command tells its length.
+// onPlan replaces the plan in a request's command by one with a name of the same length, which the command contains.
 func onPlan(plan, command string) string {
 	return strings.Replace(command, "t=team", "t="+plan, 1)
 }
@@ -50,19 +50,21 @@
 // roundTripUntil repeats a request until its answer begins as wanted.
 func (c *testClient) roundTripUntil(want string, command func() string) {
 	c.Helper()
-	last := ""
+	answer := ""
 	for limit := time.Now().Add(waitLimit); time.Now().Before(limit); {
-		if last = c.roundTrip(command()); strings.HasPrefix(last, want) {
+		answer = c.roundTrip(command())
+		if strings.HasPrefix(answer, want) {
 			return
 		}
 	}
-	c.Errorf("%s is never answered by %s but by %s", command(), want, last)
+	c.Errorf("%s is never answered by %s but by %s", command(), want, answer)
 }
 
-// TestConfigurationChanges publishes one change after the other to a running gateway while a request is in flight: each counts
-// from the next request on, a bad one is refused and leaves all as it was, and the one in flight has its answer.
-func TestConfigurationChanges(t *testing.T) {
-	host, received, release := newBlockingHost(t) // of customer 1
+// TestConfigurationChangesApplyFromNextRequest publishes one change after the other to a running gateway while a
+// request is in flight: each applies from the next request on, an invalid one is refused and changes nothing, and the
+// request in flight is answered.
+func TestConfigurationChangesApplyFromNextRequest(t *testing.T) {
+	host, received, release := newBlockingHost(t) // which blocks customer 1
 	group := publishertest.NewGroup(t, 1, nil)
 	gateway := startGateway(t, followPublishers(group, t.TempDir()), host)
 	gateway.waitInForce(group.Publish(0, "PUT", "/v1/configuration", fleetContent))
@@ -88,20 +90,26 @@
 	}
 	change(`{"set":{"plans/team":{"rate":1000,"burst":1000,"worth_factor":1}}}`)
 	c.roundTripUntil("v", func() string { return requestCommand("lookup", 2) })
-	change(`{"set":{"plans/gold":{"parallel":9,"worth_factor":1},"classes/fresh":{"effect":"unsafe","hard_limit_us":5000000,"points":1}},"remove":["plans/team"]}`)
+	change(`{"set":{"plans/gold":{"parallel":9,"worth_factor":1},
+		"classes/fresh":{"effect":"unsafe","hard_limit_us":5000000,"points":1}},"remove":["plans/team"]}`)
 	expect("-ERR plan: removed", requestCommand("lookup", 2))
 	expect("v", onPlan("gold", requestCommand("lookup", 2)))
 	expect("v", onPlan("gold", requestCommand("fresh", 2)))
-	for body, key := range map[string]string{`{"set":{"limits":{"probes":true}}}`: "limits: probes", `{"set":{"plans/gold":{"rate":-1}}}`: "plans/gold: rate",
-		`{"remove":["plans/gold"]}`: "plans/"} {
+	for body, key := range map[string]string{
+		`{"set":{"limits":{"probes":true}}}`: "limits: probes",
+		`{"set":{"plans/gold":{"rate":-1}}}`: "plans/gold: rate",
+		`{"remove":["plans/gold"]}`:          "plans/",
+	} {
 		status, answer := group.Request(0, "PATCH", "/v1/configuration", body, "")
 		if status == http.StatusOK || !strings.Contains(answer, key) {
 			t.Errorf("%s: %d %s, want it to name %s", body, status, answer, key)
 		}
 	}
-	// What only this gateway can't take, it refuses: it has no peer_listen.
-	refused := group.Publish(0, "PATCH", "/v1/configuration", `{"set":{"members/0":"127.0.0.1:9","members/1":"127.0.0.1:10"},"remove":["classes/fresh"]}`)
-	if line := gateway.waitForLog("event=configuration_refused"); !strings.Contains(line, fmt.Sprint("version=", refused.Version)) || !strings.Contains(line, "members/0") {
+	// The publisher accepts members, this gateway refuses them: it has no peer_listen.
+	refused := group.Publish(0, "PATCH", "/v1/configuration",
+		`{"set":{"members/0":"127.0.0.1:9","members/1":"127.0.0.1:10"},"remove":["classes/fresh"]}`)
+	line := gateway.waitForLog("event=configuration_refused")
+	if !strings.Contains(line, fmt.Sprint("version=", refused.Version)) || !strings.Contains(line, "members/0") {
 		t.Error(line)
 	}
 	expect("v", onPlan("gold", requestCommand("fresh", 2)))
@@ -109,18 +117,29 @@
 	expect("-ERR class: removed", onPlan("gold", requestCommand("fresh", 2)))
 	close(release)
 	if answer := inFlight.readAnswer(); answer != "v" {
-		t.Errorf("in flight all the while: %s", answer)
+		t.Errorf("in flight during all changes: %s", answer)
 	}
 }
 
-// TestConfigurationRestart starts gateways again with no publisher up: on the last version held, on the one before where the
-// end of the file is torn, and on their own file where nothing of it can be read.
-func TestConfigurationRestart(t *testing.T) {
-	host := newHost(t, func([]string) string { return successReply("v") })
+// restart is a restart of a gateway, and its outcome.
+type restart struct {
+	name      string
+	text      []byte // of the saved file
+	timeoutUS int    // of its own file's request classes; the section pool refuses versions with longer ones; 0: off
+	logged    string
+	team      string // answer to a request on the plan team
+	gold      string // answer to a request on the plan gold
+}
+
+// TestRestartUsesLastValidSavedVersion starts gateways again with no publisher up: with the last version, with the one
+// before where the end of the file is torn, and with their own file where none can be read or applied.
+func TestRestartUsesLastValidSavedVersion(t *testing.T) {
+	host := valueHost(t)
 	group, dir := publishertest.NewGroup(t, 1, nil), t.TempDir()
 	gateway := startGateway(t, followPublishers(group, dir), host)
 	gateway.waitInForce(group.Publish(0, "PUT", "/v1/configuration", fleetContent))
-	gateway.waitInForce(group.Publish(0, "PATCH", "/v1/configuration", `{"set":{"plans/gold":{"parallel":9,"worth_factor":1}}}`))
+	gateway.waitInForce(group.Publish(0, "PATCH", "/v1/configuration",
+		`{"set":{"plans/gold":{"parallel":9,"worth_factor":1}}}`))
 	last := group.Publish(0, "PATCH", "/v1/configuration", `{"remove":["plans/team"]}`)
 	gateway.waitInForce(last)
 	group.Close(0)
@@ -134,100 +153,131 @@
 		t.Fatal(err)
 	}
 	const unknown = "-ERR t: missing, or its value is none that is known"
-	for _, x := range []struct {
-		name, held string
-		text       []byte
-		longest    int // of the file's request classes, in microseconds: longer ones of the document are refused where pool is on
-		team, gold string
-	}{
-		{"whole", fmt.Sprint("configuration_loaded version=", last.Version), text, 0, unknown, "v"},
-		{"torn", fmt.Sprint("configuration_loaded version=", last.Version-1), text[:len(text)-1], 0, "v", "v"},
-		{"unreadable", "configuration_damaged", text[1:], 0, "v", unknown},
-		{"refused", fmt.Sprintf("configuration_refused version=%d resource=classes/lookup ", last.Version), text, 4500000, "v", unknown},
+	for _, test := range []restart{
+		{
+			name:   "complete",
+			text:   text,
+			logged: fmt.Sprint("configuration_loaded version=", last.Version),
+			team:   unknown,
+			gold:   "v",
+		},
+		{
+			name:   "torn",
+			text:   text[:len(text)-1],
+			logged: fmt.Sprint("configuration_loaded version=", last.Version-1),
+			team:   "v",
+			gold:   "v",
+		},
+		{
+			name:   "unreadable",
+			text:   text[1:],
+			logged: "configuration_damaged",
+			team:   "v",
+			gold:   unknown,
+		},
+		{
+			name:      "refused",
+			text:      text,
+			timeoutUS: 4500000,
+			logged:    fmt.Sprintf("configuration_refused version=%d resource=classes/lookup ", last.Version),
+			team:      "v",
+			gold:      unknown,
+		},
 	} {
-		if err := os.WriteFile(file, x.text, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		again := startGateway(t, func(config, settings map[string]any) {
-			followPublishers(group, dir)(config, settings)
-			if x.longest > 0 {
-				boundDeadlines(config, settings, x.longest, t.TempDir())
+		t.Run(test.name, func(t *testing.T) {
+			if err := os.WriteFile(file, test.text, 0o600); err != nil {
+				t.Fatal(err)
 			}
-		}, host)
-		if started := strings.Join(again.startupLog, "\n"); !strings.Contains(started, x.held) {
-			t.Errorf("%s: it starts with\n%s\nwant %s", x.name, started, x.held)
-		}
-		c := again.connect()
-		if answer := c.roundTrip(requestCommand("lookup", 2)); answer != x.team {
-			t.Errorf("%s: on team: %s, want %s", x.name, answer, x.team)
-		}
-		if answer := c.roundTrip(onPlan("gold", requestCommand("lookup", 3))); answer != x.gold {
-			t.Errorf("%s: on gold: %s, want %s", x.name, answer, x.gold)
+			test.check(t, host, followPublishers(group, dir))
+		})
+	}
+}
+
+// check starts a gateway with the saved file and sends a request on each of two plans.
+func (r *restart) check(t *testing.T, host *testHost, follow func(config, settings map[string]any)) {
+	gateway := startGateway(t, func(config, settings map[string]any) {
+		follow(config, settings)
+		if r.timeoutUS > 0 {
+			limitClientTimeouts(t, config, settings, r.timeoutUS)
 		}
-		again.cmd.Process.Kill()
-		receive(again, again.exited)
+	}, host)
+	if log := strings.Join(gateway.startupLog, "\n"); !strings.Contains(log, r.logged) {
+		t.Errorf("it starts with\n%s\nwant %s", log, r.logged)
+	}
+	c := gateway.connect()
+	if answer := c.roundTrip(requestCommand("lookup", 2)); answer != r.team {
+		t.Errorf("on team: %s, want %s", answer, r.team)
 	}
+	if answer := c.roundTrip(onPlan("gold", requestCommand("lookup", 3))); answer != r.gold {
+		t.Errorf("on gold: %s, want %s", answer, r.gold)
+	}
+	gateway.cmd.Process.Kill()
+	receive(gateway, gateway.exited)
 }
 
-// boundDeadlines turns the section pool on, which holds request classes to the longest deadline of the file.
-func boundDeadlines(config, settings map[string]any, longest int, poolDir string) {
+// limitClientTimeouts sets the request classes' client timeouts, and turns the section pool on, which refuses longer
+// ones.
+func limitClientTimeouts(t *testing.T, config, settings map[string]any, timeoutUS int) {
 	for _, class := range settings["profiles"].([]any) {
-		class.(map[string]any)["hard_limit_us"] = longest
+		class.(map[string]any)["hard_limit_us"] = timeoutUS
 	}
-	config["pool"] = map[string]any{"capacity": 9, "floor": 1, "voters": []string{"127.0.0.1:9"}, "voter_seats": []int{0}, "listen": "127.0.0.1:0",
-		"dir": poolDir, "key": strings.Repeat("0f", 16)}
+	config["pool"] = poolSection(t, 1)
 }
 
-// TestConfigurationMembers has a fleet of one grow by a member, whose address is replaced then.
-func TestConfigurationMembers(t *testing.T) {
+// TestGossipFollowsMemberAddresses has a fleet of one grow by a member, whose address is then replaced.
+func TestGossipFollowsMemberAddresses(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	follow := followPublishers(group, t.TempDir())
 	gateway := startGateway(t, func(config, settings map[string]any) {
 		follow(config, settings)
-		config["peer_listen"], config["peers"] = "127.0.0.1:0", []string{"127.0.0.1:9"}
-	}, newHost(t, func([]string) string { return successReply("v") }))
+		config["peer_listen"] = "127.0.0.1:0"
+		config["peers"] = []string{"127.0.0.1:9"}
+	}, valueHost(t))
 	gateway.waitInForce(group.Publish(0, "PUT", "/v1/configuration", fleetContent))
 	for range 2 {
-		member, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer member.Close()
+		member := listenUDP(t)
 		body := fmt.Sprintf(`{"set":{"members/0":"127.0.0.1:9","members/1":"%s"}}`, member.LocalAddr())
-		if line := gateway.waitInForce(group.Publish(0, "PATCH", "/v1/configuration", body)); !strings.Contains(line, "members=2") {
+		line := gateway.waitInForce(group.Publish(0, "PATCH", "/v1/configuration", body))
+		if !strings.Contains(line, "members=2") {
 			t.Error(line)
 		}
-		message := make([]byte, gossip.MaxMessageBytes)
-		member.SetReadDeadline(time.Now().Add(waitLimit))
-		n, _, err := member.ReadFromUDPAddrPort(message)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if byID := (gossip.Format{Members: 2, ByID: true}); !wellFormed(byID, message[:n]) {
-			t.Errorf("a message of another form: %x", message[:n])
+		message := readDatagram(t, member)
+		if byID := (gossip.Format{Members: 2, ByID: true}); !hasFormat(byID, message) {
+			t.Errorf("a message of another format: %x", message)
 		}
 	}
 }
 
-// wellFormed tells whether a message is of a form.
-func wellFormed(form gossip.Format, message []byte) (read bool) {
-	form.Decode(message, func(uint64, uint64) bool {
-		read = true
+// readDatagram returns the next datagram.
+func readDatagram(t *testing.T, conn *net.UDPConn) []byte {
+	message := make([]byte, gossip.MaxMessageBytes)
+	conn.SetReadDeadline(time.Now().Add(waitLimit))
+	n, _, err := conn.ReadFromUDPAddrPort(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return message[:n]
+}
+
+// hasFormat reports whether a message's header can be decoded by a format.
+func hasFormat(format gossip.Format, message []byte) (decoded bool) {
+	format.Decode(message, func(uint64, uint64) bool {
+		decoded = true
 		return false
 	}, nil, nil)
-	return read
+	return decoded
 }
 
-// goroutineHead begins each goroutine of a dump.
+// goroutineHead is the first line of each goroutine in a dump.
 var goroutineHead = regexp.MustCompile(`(?m)^goroutine \d+ `)
 
-// use is what a process has open and runs.
-type use struct {
+// usage is the descriptors and goroutines of a process.
+type usage struct {
 	descriptors map[string]int // by kind: socket, a file's path, ...
 	goroutines  []string       // their stacks
 }
 
-// descriptors counts what the process has open.
+// descriptors counts the process's open descriptors by kind.
 func (g *gatewayProcess) descriptors() map[string]int {
 	process, err := procfs.NewProc(g.cmd.Process.Pid)
 	if err != nil {
@@ -245,9 +295,9 @@
 	return open
 }
 
-// measure kills the process with SIGQUIT, on which the runtime tells all its goroutines.
-func (g *gatewayProcess) measure() use {
-	u := use{descriptors: g.descriptors()}
+// measure ends the process with SIGQUIT, on which the runtime writes the stacks of all goroutines.
+func (g *gatewayProcess) measure() usage {
+	u := usage{descriptors: g.descriptors()}
 	g.cmd.Process.Signal(syscall.SIGQUIT)
 	var dump []string
 	for line := range g.log {
@@ -257,8 +307,8 @@
 	return u
 }
 
-// following counts the goroutines that run code of the section.
-func (u use) following() (n int) {
+// subscribing counts the goroutines that run code of the section configuration.
+func (u usage) subscribing() (n int) {
 	for _, stack := range u.goroutines {
 		if strings.Contains(stack, "ravensill/internal/subscriber") || strings.Contains(stack, "ravensill/configsync") {
 			n++
@@ -267,38 +317,30 @@
 	return n
 }
 
-// TestConfigurationOff checks that without its section a gateway has no goroutine, socket or file of it, says nothing of it, and
-// gossips as before; with it, it has two goroutines, a connection and a file more.
-func TestConfigurationOff(t *testing.T) {
-	member, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer member.Close()
+// TestConfigurationOffUsesNothing checks that a gateway without the section configuration has no goroutine, socket or
+// file of it, logs nothing of it, and names plans by index in gossip; with it, it has two goroutines, a connection and
+// a file more.
+func TestConfigurationOffUsesNothing(t *testing.T) {
+	member := listenUDP(t)
 	group, dir := publishertest.NewGroup(t, 1, nil), t.TempDir()
 	follow := followPublishers(group, dir)
 	start := func(on bool) (*gatewayProcess, []byte) {
 		gateway := startGateway(t, func(config, settings map[string]any) {
-			settings["balancers"], config["peer_listen"] = 2, "127.0.0.1:0"
+			settings["balancers"] = 2
+			config["peer_listen"] = "127.0.0.1:0"
 			config["peers"] = []string{"127.0.0.1:9", member.LocalAddr().String()}
 			if on {
 				follow(config, settings)
 			}
-		}, newHost(t, func([]string) string { return successReply("v") }))
-		message := make([]byte, gossip.MaxMessageBytes)
-		member.SetReadDeadline(time.Now().Add(waitLimit))
-		n, _, err := member.ReadFromUDPAddrPort(message)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return gateway, message[:n]
+		}, valueHost(t))
+		return gateway, readDatagram(t, member)
 	}
 	gateway, message := start(false)
-	if byIndex := (gossip.Format{Plans: 1, Members: 2}); !wellFormed(byIndex, message) {
-		t.Errorf("off: a message of another form: %x", message)
+	if byIndex := (gossip.Format{Plans: 1, Members: 2}); !hasFormat(byIndex, message) {
+		t.Errorf("off: a message of another format: %x", message)
 	}
 	if log := strings.Join(gateway.startupLog, "\n"); strings.Contains(log, "configuration") {
-		t.Errorf("off: it says\n%s", log)
+		t.Errorf("off: it logs\n%s", log)
 	}
 	off := gateway.measure()
 	gateway, _ = start(true)
@@ -306,8 +348,9 @@
 	file := filepath.Join(dir, "configuration")
 	publishertest.Eventually(t, "the version on disk", func() bool { return gateway.descriptors()[file] == 1 })
 	on := gateway.measure()
-	if off.following() != 0 || on.following() != 2 || len(on.goroutines) != len(off.goroutines)+2 {
-		t.Errorf("goroutines: off %d, of them %d of the section; on %d, of them %d", len(off.goroutines), off.following(), len(on.goroutines), on.following())
+	if off.subscribing() != 0 || on.subscribing() != 2 || len(on.goroutines) != len(off.goroutines)+2 {
+		t.Errorf("goroutines: off %d, of them %d of the section; on %d, of them %d",
+			len(off.goroutines), off.subscribing(), len(on.goroutines), on.subscribing())
 	}
 	kinds := map[string]int{"socket": 1, file: 1}
 	for kind, n := range on.descriptors {
--- a/cmd/ravensill/counter_test.go
+++ b/cmd/ravensill/counter_test.go
@@ -8,74 +8,114 @@
 	"time"
 )
 
-// TestCounter checks that a quota plan with a cap on in-flight requests and no rate asks the shared counter. A counter that
-// refuses, is silent, garbles its replies or is gone delays nothing: the local estimate decides.
-func TestCounter(t *testing.T) {
+// counterServer is an emulated server of the shared counter.
+type counterServer struct {
+	*testHost
+	mu    sync.Mutex
+	reply string // to the command that adds to a number; empty: none, to any command
+}
+
+// newCounterServer starts a server whose number is 1 after each addition.
+func newCounterServer(t *testing.T) *counterServer {
+	server := &counterServer{reply: "$1\r\n1\r\n"}
+	server.testHost = newHost(t, server.answer)
+	server.inOrder = true
+	return server
+}
+
+func (s *counterServer) answer(command []string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch {
+	case s.reply == "":
+		return ""
+	case command[0] == "PEXPIRE":
+		return ":1\r\n"
+	case command[2] == "-1":
+		return "$1\r\n0\r\n"
+	}
+	return s.reply
+}
+
+func (s *counterServer) setReply(reply string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reply = reply
+}
+
+// startCountingGateway starts a gateway with a quota plan that has no rate and a cap of 2 requests in flight.
+func startCountingGateway(t *testing.T, counter *counterServer) *gatewayProcess {
+	gateway := startGateway(t, func(config, settings map[string]any) {
+		settings["balancers"] = 2
+		config["peer_listen"] = "127.0.0.1:0"
+		config["peers"] = []string{"127.0.0.1:1", "127.0.0.1:2"}
+		config["counter"] = counter.Addr().String()
+		settings["family_info"] = map[string]any{"mail_per_s": 40, "shared_counter": true, "count_wait_us": 50000}
+		settings["plans"] = []any{
+			map[string]any{"name": "team", "parallel": 2, "beyond_costs": 0.5, "worth_factor": 1},
+		}
+	}, valueHost(t))
+	gateway.waitForLog("event=counter_restored")
+	return gateway
+}
+
+// lookupAtTwoGateways is a request of a customer whose requests arrive at two gateways.
+func lookupAtTwoGateways(customer int) string {
+	return strings.Replace(requestCommand("lookup", customer), "spread=1", "spread=2", 1)
+}
+
+// TestSharedCounterEnforcesCapOrFallsBackToEstimate checks that a quota plan with a cap on requests in flight and no rate asks the shared counter. A
+// counter that refuses, is silent, sends malformed replies or is gone delays nothing: the local estimate decides.
+func TestSharedCounterEnforcesCapOrFallsBackToEstimate(t *testing.T) {
 	retryWhenSlow(t, func() string {
-		h := newHost(t, func([]string) string { return successReply("v") })
-		var mu sync.Mutex
-		reply := "$1\r\n1\r\n"
-		setReply := func(s string) { mu.Lock(); defer mu.Unlock(); reply = s }
-		counter := newHost(t, func(cmd []string) string {
-			mu.Lock()
-			defer mu.Unlock()
-			switch {
-			case reply == "": // silent
-				return ""
-			case cmd[0] == "PEXPIRE":
-				return ":1\r\n"
-			case cmd[2] == "-1":
-				return "$1\r\n0\r\n"
-			}
-			return reply
-		})
-		counter.inOrder = true
-		gateway := startGateway(t, func(config, settings map[string]any) {
-			settings["balancers"] = 2
-			config["peer_listen"], config["peers"] = "127.0.0.1:0", []string{"127.0.0.1:1", "127.0.0.1:2"}
-			config["counter"] = counter.Addr().String()
-			settings["family_info"] = map[string]any{"mail_per_s": 40, "shared_counter": true, "count_wait_us": 50000}
-			settings["plans"] = []any{map[string]any{"name": "team", "parallel": 2, "beyond_costs": 0.5, "worth_factor": 1}}
-		}, h)
-		gateway.waitForLog("event=counter_restored")
+		counter := newCounterServer(t)
+		gateway := startCountingGateway(t, counter)
 		c := gateway.connect()
-		ask := func(n int) string {
-			return c.roundTrip(strings.Replace(requestCommand("lookup", n), "spread=1", "spread=2", 1))
-		}
-		at := time.Now()
-		if a := ask(1); a != "v" {
-			t.Errorf("the first of two: %s", a)
-		}
-		setReply("$1\r\n3\r\n")
-		a := ask(2)
-		if elapsed := time.Since(at); elapsed > 50*time.Millisecond { // it may have been given up
-			return fmt.Sprintf("the counter was asked twice in %v", elapsed)
-		}
-		if !strings.HasPrefix(a, "-BUSY") {
-			t.Errorf("the third of two: %s", a)
+		if slow := checkCapByCounter(t, c, counter); slow != "" {
+			return slow
 		}
-		var names []string
-		for _, cmd := range counter.takeReceived() {
-			names = append(names, cmd[0]+" "+strings.Join(cmd[2:], " "))
-		}
-		if got, want := fmt.Sprint(names[:4]), "[INCRBYFLOAT 1 PEXPIRE 10000 NX INCRBYFLOAT -1 PEXPIRE 10000 NX]"; got != want {
-			t.Errorf("the counter got %s, want %s", got, want)
-		}
-		for i, s := range []string{"-OOM no room\r\n", "", "$3\r\nnan\r\n", "what\r\n"} {
-			setReply(s)
-			at := time.Now()
-			a, elapsed := ask(10+i), time.Since(at)
-			if elapsed > time.Second {
-				return fmt.Sprintf("the counter says %q: %s after %v", s, a, elapsed)
-			} else if a != "v" {
-				t.Errorf("the counter says %q: %s", s, a)
+		for i, reply := range []string{"-OOM no room\r\n", "", "$3\r\nnan\r\n", "what\r\n"} {
+			counter.setReply(reply)
+			began := time.Now()
+			a := c.roundTrip(lookupAtTwoGateways(10 + i))
+			if elapsed := time.Since(began); elapsed > time.Second {
+				return fmt.Sprintf("the counter replies %q: %s after %v", reply, a, elapsed)
+			}
+			if a != "v" {
+				t.Errorf("the counter replies %q: %s", reply, a)
 			}
 		}
 		counter.Close()
 		gateway.waitForLog("event=counter_lost")
-		if a := ask(20); a != "v" {
+		if a := c.roundTrip(lookupAtTwoGateways(20)); a != "v" {
 			t.Errorf("the counter is gone: %s", a)
 		}
 		return ""
 	})
 }
+
+// checkCapByCounter sends a request within the cap and one beyond it, and checks the commands that the counter
+// received.
+func checkCapByCounter(t *testing.T, c *testClient, counter *counterServer) (slow string) {
+	began := time.Now()
+	if a := c.roundTrip(lookupAtTwoGateways(1)); a != "v" {
+		t.Errorf("the first of two: %s", a)
+	}
+	counter.setReply("$1\r\n3\r\n")
+	a := c.roundTrip(lookupAtTwoGateways(2))
+	if elapsed := time.Since(began); elapsed > 50*time.Millisecond { // the gateway may have given up the calls
+		return fmt.Sprintf("the counter was asked twice in %v", elapsed)
+	}
+	if !strings.HasPrefix(a, "-BUSY") {
+		t.Errorf("the third of two: %s", a)
+	}
+	var commands []string
+	for _, command := range counter.takeReceived() {
+		commands = append(commands, command[0]+" "+strings.Join(command[2:], " "))
+	}
+	const want = "[INCRBYFLOAT 1 PEXPIRE 10000 NX INCRBYFLOAT -1 PEXPIRE 10000 NX]"
+	if got := fmt.Sprint(commands[:4]); got != want {
+		t.Errorf("the counter received %s, want %s", got, want)
+	}
+	return ""
+}
--- a/cmd/ravensill/deploy_test.go
+++ b/cmd/ravensill/deploy_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// deployBuild is the build line of deploy/balancer.toml, as .ci/run reads it.
+// deployBuild returns the build line of deploy/balancer.toml, as .ci/run reads it.
 func deployBuild(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -25,9 +25,9 @@
 	return m[1]
 }
 
-// TestDeployBuild holds the deploy file to what the mass bench requires: cgo on and the external linker, so
-// that the program is linked dynamically against the C library, and CI runs that very line.
-func TestDeployBuild(t *testing.T) {
+// TestDeployBuildUsesExternalLinker holds the deploy file against the requirements of the mass bench: cgo on and the
+// external linker, so that the program is linked dynamically against the C library, and CI runs that very line.
+func TestDeployBuildUsesExternalLinker(t *testing.T) {
 	build := deployBuild(t)
 	for _, want := range []string{"CGO_ENABLED=1", "-ldflags=-linkmode=external", "./cmd/..."} {
 		if !strings.Contains(build, want) {
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestDynamicallyLinked builds the gateway with the deploy file's flags and reads the result: it must ask for
+// TestDeployBuildIsDynamicallyLinked builds the gateway with the deploy file's flags and reads the result: it must name
 // the system's dynamic loader and need the C library.
-func TestDynamicallyLinked(t *testing.T) {
+func TestDeployBuildIsDynamicallyLinked(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the program")
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestNoChildPrograms keeps out what the mass bench refuses: the program starts no other program.
-func TestNoChildPrograms(t *testing.T) {
+// TestGatewayStartsNoOtherProgram holds a requirement of the mass bench: nothing that could start one is imported.
+func TestGatewayStartsNoOtherProgram(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/cmd/ravensill/gossip_test.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+
+	"ravensill/internal/gossip"
+)
+
+// TestQuotaHoldsAcrossGateways checks that a gateway rejects a customer whose burst its peer has admitted, and that
+// datagrams from unknown addresses are dropped.
+func TestQuotaHoldsAcrossGateways(t *testing.T) {
+	host := valueHost(t)
+	var relays [2]*net.UDPConn // the peer of gateway i sees it at the address of relays[i]
+	var addrs []string
+	for i := range relays {
+		relays[i] = listenUDP(t)
+		addrs = append(addrs, relays[i].LocalAddr().String())
+	}
+	var gateways [2]*gatewayProcess
+	for i := range gateways {
+		gateways[i] = startGateway(t, func(config, settings map[string]any) {
+			settings["balancers"] = 2
+			settings["position"] = i
+			config["peer_listen"] = "127.0.0.1:0"
+			config["peers"] = addrs
+		}, host)
+	}
+	peerAddr, _ := net.ResolveUDPAddr("udp4", gateways[1].peerAddr)
+	reported := make(chan struct{}, 99)
+	go func() { // from gateway 0 to 1; nothing in the other direction
+		message := make([]byte, 300)
+		for {
+			n, err := relays[1].Read(message)
+			if err != nil {
+				return
+			}
+			relays[0].WriteToUDP(message[:n], peerAddr)
+			if reportsWholeBurst(message[:n]) {
+				reported <- struct{}{}
+			}
+		}
+	}()
+	spread := func(command string) string { return strings.Replace(command, "spread=1", "spread=2", 1) }
+	c := gateways[0].connect()
+	for range 8 {
+		if a := c.roundTrip(spread(requestCommand("lookup", 5))); a != "v" {
+			t.Fatal(a)
+		}
+	}
+	receive(gateways[0], reported)
+	unknownSender, err := net.Dial("udp4", gateways[1].peerAddr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer unknownSender.Close()
+	unknownSender.Write(gossip.Format{}.Header(1, 1, nil)) // well-formed, but from an unknown address
+	relays[0].WriteToUDP([]byte("hello"), peerAddr)
+	for n, dropped := 0, 0; dropped < 2; dropped += n {
+		line := gateways[1].waitForLog("event=datagrams_dropped")
+		fmt.Sscanf(line[strings.Index(line, "count="):], "count=%d", &n)
+	}
+	a := gateways[1].connect().roundTrip(spread(requestCommand("lookup", 5)))
+	if !strings.HasPrefix(a, "-BUSY") {
+		t.Errorf("the burst is spent at the peer, yet the answer is %s", a)
+	}
+}
+
+// reportsWholeBurst reports whether a message holds a counter of 8 units.
+func reportsWholeBurst(message []byte) (whole bool) {
+	const units, unitParts = 8, 16
+	gossip.Format{Plans: 1, Members: 2}.Decode(message,
+		func(uint64, uint64) bool { return true },
+		func(uint16) {},
+		func(_, _ uint32, _, _ int, counter, _ uint64) {
+			if counter == units*unitParts {
+				whole = true
+			}
+		})
+	return whole
+}
--- a/cmd/ravensill/harness_host_test.go
+++ b/cmd/ravensill/harness_host_test.go
@@ -50,16 +50,16 @@
 // respBulk encodes a RESP bulk string.
 func respBulk(value string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(value), value) }
 
-// successReply is a host's reply with a value and a load report.
+// successReply returns a host's reply with a value and a load report.
 func successReply(value string) string {
 	return "*3\r\n" + respBulk(value) + respBulk("used=3") + respBulk("utilization=0.5")
 }
 
-// testHost stands in for one host of the back end. reply gives the bytes to write; a trailing "close" closes the
+// testHost is an emulated host of the back end. reply returns the bytes to write; a trailing "close" closes the
 // connection after them.
 type testHost struct {
 	net.Listener
-	reply        func(cmd []string) string
+	reply        func(command []string) string
 	mu           sync.Mutex
 	received     [][]string    // commands since the last takeReceived
 	disconnected chan struct{} // receives a value each time the gateway closes a connection
@@ -67,7 +67,7 @@
 }
 
 // newHost starts a host on a loopback port.
-func newHost(t *testing.T, reply func(cmd []string) string) *testHost {
+func newHost(t *testing.T, reply func(command []string) string) *testHost {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,8 @@
 		h.mu.Unlock()
 		respond := func() {
 			text, closeAfter := strings.CutSuffix(h.reply(command), "close")
-			if io.WriteString(conn, text); closeAfter {
+			io.WriteString(conn, text)
+			if closeAfter {
 				conn.Close()
 			}
 		}
@@ -120,12 +121,17 @@
 	return commands
 }
 
-// newBlockingHost starts a host that answers all commands but that of customer 1, which it holds back: received is closed when
-// that command arrives, and it is answered once the test closes release.
+// valueHost starts a host that answers each command with the value v.
+func valueHost(t *testing.T) *testHost {
+	return newHost(t, func([]string) string { return successReply("v") })
+}
+
+// newBlockingHost starts a host that answers all commands at once but that of customer 1: received is closed when that
+// command arrives, and it is answered once the test closes release.
 func newBlockingHost(t *testing.T) (host *testHost, received, release chan struct{}) {
 	received, release = make(chan struct{}), make(chan struct{})
-	return newHost(t, func(cmd []string) string {
-		if cmd[1] == "0000000000000001" {
+	return newHost(t, func(command []string) string {
+		if command[1] == "0000000000000001" {
 			close(received)
 			<-release
 		}
--- a/cmd/ravensill/shutdown_test.go
+++ b/cmd/ravensill/shutdown_test.go
@@ -9,12 +9,16 @@
 	"time"
 )
 
-// TestStop checks that a stopping gateway accepts connections for a while, answers what it has, and then closes each connection.
-func TestStop(t *testing.T) {
+// acceptTime is shorter than the time for which new clients are accepted after SIGTERM.
+const acceptTime = 300 * time.Millisecond
+
+// TestShutdownAnswersRequestsInFlight checks that a gateway accepts connections for a while after SIGTERM, answers all
+// requests that it has, and then closes each connection.
+func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	retryWhenSlow(t, func() string {
 		received, receivedLater, release := make(chan struct{}), make(chan struct{}), make(chan struct{})
-		h := newHost(t, func(cmd []string) string {
-			switch cmd[1] {
+		host := newHost(t, func(command []string) string {
+			switch command[1] {
 			case "0000000000000001":
 				close(received)
 				<-release
@@ -23,7 +27,7 @@
 			}
 			return successReply("v")
 		})
-		gateway := startGateway(t, nil, h)
+		gateway := startGateway(t, nil, host)
 		idle, active := gateway.connect(), gateway.connect()
 		idle.roundTrip(respArray("PING"))
 		active.send(requestCommand("order", 1))
@@ -31,15 +35,7 @@
 		stopRequested := time.Now()
 		gateway.cmd.Process.Signal(syscall.SIGTERM)
 		gateway.waitForLog("event=shutdown_started")
-		if c, err := net.Dial("tcp4", gateway.addr); err == nil {
-			defer c.Close()
-			late := &testClient{gateway, c, bufio.NewReader(c)}
-			if a := late.roundTrip(requestCommand("lookup", 2)); a != "v" && time.Since(stopRequested) < 300*time.Millisecond {
-				t.Errorf("new after the call to stop: %s", a)
-			}
-		} else if time.Since(stopRequested) < 300*time.Millisecond { // a machine that stood still tells nothing
-			t.Error(err)
-		}
+		checkNewClientServed(gateway, stopRequested)
 		gateway.waitForLog("event=listener_closed")
 		answers := make(chan string, 2)
 		go func() {
@@ -47,12 +43,12 @@
 				answers <- active.readAnswer()
 			}
 		}()
-		active.send(requestCommand("lookup", 3)) // taken in while the one before is open
+		active.send(requestCommand("lookup", 3)) // while the one before is in flight
 		select {
 		case <-receivedLater:
 		case a := <-answers:
 			close(release)
-			return faultUnlessLate(t, stopRequested, fmt.Sprintf("%q, and the host has not had what came later", a))
+			return faultUnlessLate(t, stopRequested, fmt.Sprintf("%q, and the host has not received the later request", a))
 		}
 		close(release)
 		for range 2 {
@@ -69,13 +65,29 @@
 	})
 }
 
-// TestStopServesOpenConnections has clients that don't look for the end of the stream and go on sending on their open
-// connections. Of 40 with one command at a time each lost one, which crossed the half-close and was dropped unanswered. Each
-// command is answered long after the listener closed, and all connections end before a platform may kill the process.
-func TestStopServesOpenConnections(t *testing.T) {
+// checkNewClientServed connects a client right after SIGTERM. One that connects or is answered after acceptTime, on a
+// machine that is slow, shows nothing.
+func checkNewClientServed(gateway *gatewayProcess, stopRequested time.Time) {
+	conn, err := net.Dial("tcp4", gateway.addr)
+	if err != nil {
+		if time.Since(stopRequested) < acceptTime {
+			gateway.Error(err)
+		}
+		return
+	}
+	gateway.Cleanup(func() { conn.Close() })
+	c := &testClient{gateway, conn, bufio.NewReader(conn)}
+	if a := c.roundTrip(requestCommand("lookup", 2)); a != "v" && time.Since(stopRequested) < acceptTime {
+		gateway.Errorf("a client that connects after SIGTERM: %s", a)
+	}
+}
+
+// TestShutdownServesOpenConnections has clients that don't check for the end of the stream and go on sending on their
+// open connections. Each command is answered long after the listener closed, and all connections end before a platform
+// may kill the process.
+func TestShutdownServesOpenConnections(t *testing.T) {
 	retryWhenSlow(t, func() string {
-		h := newHost(t, func([]string) string { return successReply("v") })
-		gateway := startGateway(t, func(_, settings map[string]any) { settings["plans"].([]any)[0].(map[string]any)["burst"] = 1e6 }, h)
+		gateway := startGateway(t, func(_, settings map[string]any) { setBurst(settings, ampleBurst) }, valueHost(t))
 		var clients []*testClient
 		for range 40 {
 			clients = append(clients, gateway.connect())
@@ -95,12 +107,13 @@
 		gateway.waitForLog("event=listener_closed")
 		for i := range 3 {
 			if served := sendAll(); served < len(clients) {
-				return faultUnlessLate(t, stopRequested, fmt.Sprintf("round %d after the listener closed: %d of %d have an answer", i, served, len(clients)))
+				fault := fmt.Sprintf("repeat %d after the listener closed: %d of %d answered", i, served, len(clients))
+				return faultUnlessLate(t, stopRequested, fault)
 			}
 		}
-		for _, c := range clients { // by itself
+		for _, c := range clients { // the gateway closes first
 			if a := c.readAnswer(); a != "EOF" {
-				t.Errorf("at last: %s", a)
+				t.Errorf("at the end: %s", a)
 			}
 		}
 		if err := receive(gateway, gateway.exited); err != nil {
--- a/cmd/ravensill/signals_test.go
+++ b/cmd/ravensill/signals_test.go
@@ -16,15 +16,17 @@
 	"ravensill/internal/golden"
 )
 
-// TestSignalWhileStarting sends signals while the configuration is read: SIGHUP does not end the program, SIGTERM does.
-func TestSignalWhileStarting(t *testing.T) {
+const exampleFile = "../../deploy/example.json"
+
+// TestSignalsWhileConfigurationIsRead checks that SIGHUP does not end the program then and SIGTERM does.
+func TestSignalsWhileConfigurationIsRead(t *testing.T) {
 	var trace strings.Builder
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		pipe := filepath.Join(t.TempDir(), "config")
 		if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		text, err := os.ReadFile("../../deploy/example.json")
+		text, err := os.ReadFile(exampleFile)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,19 +35,23 @@
 			t.Fatal(err)
 		}
 		defer silent.Close()
-		gateway := &gatewayProcess{T: t, log: make(chan string, 999), exited: make(chan error, 1)}
-		gateway.cmd = exec.Command(os.Args[0])
-		gateway.cmd.Env = append(os.Environ(), runAsGateway+"=1", "GW_CONFIG="+pipe, "GW_LISTEN=127.0.0.1:0", "GW_DISCOVERY="+silent.Addr().String())
+		gateway := newProcess(t)
+		gateway.cmd.Env = append(os.Environ(),
+			runAsGateway+"=1",
+			"GW_CONFIG="+pipe,
+			"GW_LISTEN=127.0.0.1:0",
+			"GW_DISCOVERY="+silent.Addr().String(),
+		)
 		gateway.startProcess()
-		f, err := os.OpenFile(pipe, os.O_WRONLY, 0) // it has opened it, too, and waits for what it says
+		file, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the gateway has opened it and reads
 		if err != nil {
 			t.Fatal(err)
 		}
 		gateway.cmd.Process.Signal(s)
-		f.Write(text)
-		f.Close()
+		file.Write(text)
+		file.Close()
 		if s == syscall.SIGHUP {
-			gateway.waitForLog("event=serving") // without a list: the agent says nothing
+			gateway.waitForLog("event=serving") // without a list: the agent is silent
 			gateway.signal(syscall.SIGTERM, "event=shutdown_started clients=0")
 		}
 		fmt.Fprintf(&trace, "%v: %s\n", s, gateway.exitStatus())
@@ -53,28 +59,29 @@
 	golden.Check(t, trace.String())
 }
 
-// TestSignalsBeforeServing sends signals while the program waits for the agent's first answer and serves nobody: SIGHUP is
-// followed, and a stop request ends it at once, whatever the agent says then.
-func TestSignalsBeforeServing(t *testing.T) {
+// TestSignalsBeforeFirstList sends signals while the program waits for the agent's first answer and serves nobody:
+// SIGHUP is handled, and SIGTERM ends it at once, whatever the agent answers then.
+func TestSignalsBeforeFirstList(t *testing.T) {
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	text, err := os.ReadFile("../../deploy/example.json")
+	text, err := os.ReadFile(exampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gateway := &gatewayProcess{T: t, log: make(chan string, 999), exited: make(chan error, 1), configFile: filepath.Join(t.TempDir(), "config")}
+	gateway := newProcess(t)
+	gateway.configFile = filepath.Join(t.TempDir(), "config")
 	if err := json.Unmarshal(text, &gateway.config); err != nil {
 		t.Fatal(err)
 	}
-	gateway.config["discovery"], gateway.config["listen"] = silent.Addr().String(), "127.0.0.1:0"
+	gateway.config["discovery"] = silent.Addr().String()
+	gateway.config["listen"] = "127.0.0.1:0"
 	gateway.writeConfig()
-	gateway.cmd = exec.Command(os.Args[0])
 	gateway.cmd.Env = append(os.Environ(), runAsGateway+"=1", "GW_CONFIG="+gateway.configFile)
 	gateway.startProcess()
-	c, err := silent.Accept() // it asks for the list: it is up
+	c, err := silent.Accept() // its watch: the gateway runs
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,84 +91,84 @@
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // too late
 	sendHostList(c, 1)
 	var lines []string
-	for l := range gateway.log {
-		lines = append(lines, l)
+	for line := range gateway.log {
+		lines = append(lines, line)
 	}
-	if text := strings.Join(lines, "\n"); strings.Contains(text, "event=serving") || !strings.Contains(text, "event=stopped") {
-		t.Errorf("it took in clients, or did not end:\n%s", text)
+	log := strings.Join(lines, "\n")
+	if strings.Contains(log, "event=serving") || !strings.Contains(log, "event=stopped") {
+		t.Errorf("it accepted clients, or did not end:\n%s", log)
 	}
-	if e := gateway.exitStatus(); e != "exit 0" {
-		t.Error(e)
+	if status := gateway.exitStatus(); status != "exit 0" {
+		t.Error(status)
 	}
 }
 
-// TestSignalsUnderRequest sends signals during a request: it is answered, and so are later ones on the same connection, until
-// all connections end.
-func TestSignalsUnderRequest(t *testing.T) {
-	h, received, release := newBlockingHost(t)
-	gateway := startGateway(t, nil, h)
+// TestSignalsDuringRequest checks that the request is answered, and so are later ones on the same connection, until all
+// connections end.
+func TestSignalsDuringRequest(t *testing.T) {
+	host, received, release := newBlockingHost(t)
+	gateway := startGateway(t, nil, host)
 	c := gateway.connect()
 	c.send(requestCommand("order", 1))
 	receive(gateway, received)
 	gateway.sendAllSignals()
 	close(release)
-	trace := fmt.Sprintln("open:", c.readAnswer())
-	trace += fmt.Sprintln("after:", c.roundTrip(requestCommand("lookup", 2)))
+	trace := fmt.Sprintln("in flight:", c.readAnswer())
+	trace += fmt.Sprintln("after the signals:", c.roundTrip(requestCommand("lookup", 2)))
 	gateway.waitForLog("event=listener_closed")
-	trace += fmt.Sprintln("after it takes in no more:", c.roundTrip(requestCommand("lookup", 3)))
+	trace += fmt.Sprintln("after the listener closed:", c.roundTrip(requestCommand("lookup", 3)))
 	c.Close()
 	golden.Check(t, trace+gateway.exitStatus()+"\n")
 }
 
-// TestSignalsUnderHalfCommand sends signals while a command is partly read: its rest is read, and it is answered. One whose rest
-// never comes ends with all other connections.
-func TestSignalsUnderHalfCommand(t *testing.T) {
-	h := newHost(t, func([]string) string { return successReply("v") })
-	gateway := startGateway(t, configureShortDeadlines, h)
-	c, never := gateway.connect(), gateway.connect()
-	cmd := requestCommand("order", 1, strings.Repeat("b", 9000))
-	for _, c := range []*testClient{c, never} {
-		c.send(respArray("PING"), cmd[:4000])
+// TestSignalsDuringPartialCommand sends signals while a command is partly read: its rest is read, and it is answered.
+// One whose rest never comes ends with all other connections.
+func TestSignalsDuringPartialCommand(t *testing.T) {
+	host := valueHost(t)
+	gateway := startGateway(t, configureShortDeadlines, host)
+	c, incomplete := gateway.connect(), gateway.connect()
+	command := requestCommand("order", 1, strings.Repeat("b", 9000))
+	for _, c := range []*testClient{c, incomplete} {
+		c.send(respArray("PING"), command[:4000])
 		if a := c.readAnswer(); a != "+PONG" {
 			t.Fatal(a)
 		}
 	}
 	gateway.sendAllSignals()
-	c.send(cmd[4000:])
-	trace := fmt.Sprintln("its rest came:", c.readAnswer())
-	trace += fmt.Sprintln("never:", never.readAnswer())
-	trace += fmt.Sprintln("at last:", c.readAnswer())
+	c.send(command[4000:])
+	trace := fmt.Sprintln("completed:", c.readAnswer())
+	trace += fmt.Sprintln("never completed:", incomplete.readAnswer())
+	trace += fmt.Sprintln("at the end:", c.readAnswer())
 	golden.Check(t, trace+gateway.exitStatus()+"\n")
-	if cmds := h.takeReceived(); len(cmds) != 1 {
-		t.Errorf("passed on: %.99q", cmds)
+	if commands := host.takeReceived(); len(commands) != 1 {
+		t.Errorf("sent to the host: %.99q", commands)
 	}
 }
 
-// TestSignalsBetweenAnswerAndClose sends a command after the half-close: the answers before it arrive whole, the command is not
-// sent on, and its client sees the end of the stream.
+// TestSignalsBetweenAnswerAndClose sends a command after the half-close: the answers before it arrive complete, the
+// command is not forwarded, and its client sees the end of the stream.
 func TestSignalsBetweenAnswerAndClose(t *testing.T) {
 	large := strings.Repeat("v", 20<<10)
-	h := newHost(t, func([]string) string { return successReply(large) })
-	gateway := startGateway(t, configureShortDeadlines, h)
+	host := newHost(t, func([]string) string { return successReply(large) })
+	gateway := startGateway(t, configureShortDeadlines, host)
 	c := gateway.connect()
 	c.send(requestCommand("lookup", 1), requestCommand("lookup", 2), requestCommand("lookup", 3))
 	gateway.sendAllSignals()
-	c.waitUntilHalfClosed() // it has taken nothing of its answers yet
+	c.waitUntilHalfClosed() // the client has read nothing of its answers yet
 	c.send(requestCommand("lookup", 4))
 	gateway.signal(syscall.SIGTERM, "event=shutdown_signal_repeated")
 	var trace strings.Builder
 	for range 3 {
 		a := c.readAnswer()
-		fmt.Fprintln(&trace, "its answer, whole:", a == large)
+		fmt.Fprintln(&trace, "complete answer:", a == large)
 	}
-	fmt.Fprintln(&trace, "behind the close:", c.readAnswer())
-	fmt.Fprintln(&trace, "commands passed on:", len(h.takeReceived()))
+	fmt.Fprintln(&trace, "after the half-close:", c.readAnswer())
+	fmt.Fprintln(&trace, "commands forwarded:", len(host.takeReceived()))
 	fmt.Fprintln(&trace, gateway.exitStatus()) // though no client closes
 	golden.Check(t, trace.String())
 }
 
-// TestInterruptTwice checks that a second interrupt ends the program at once.
-func TestInterruptTwice(t *testing.T) {
+func TestSecondInterruptEndsProgramAtOnce(t *testing.T) {
 	gateway := startGateway(t, nil, newHost(t, func([]string) string { return "" }))
 	gateway.connect().roundTrip(respArray("PING"))
 	gateway.signal(syscall.SIGINT, "event=shutdown_started")
@@ -172,9 +179,9 @@
 	}
 }
 
-// TestLogReaderGoes checks that the program serves on when the reader of its log has gone.
-func TestLogReaderGoes(t *testing.T) {
-	gateway := startGateway(t, nil, newHost(t, func([]string) string { return successReply("v") }))
+// TestServesWithoutLogReader closes the pipe that the program logs to.
+func TestServesWithoutLogReader(t *testing.T) {
+	gateway := startGateway(t, nil, valueHost(t))
 	c := gateway.connect()
 	gateway.logs.Close()
 	for range 3 {
@@ -188,7 +195,7 @@
 		t.Error(a)
 	}
 	c.Close()
-	if e := gateway.exitStatus(); e != "exit 0" {
-		t.Error(e)
+	if status := gateway.exitStatus(); status != "exit 0" {
+		t.Error(status)
 	}
 }
--- a/cmd/ravensill/startup_test.go
+++ b/cmd/ravensill/startup_test.go
@@ -9,70 +9,103 @@
 	"testing"
 )
 
-// TestFormerLife starts a gateway while a draining predecessor holds its addresses: the start waits for each, logs that once,
-// and serves when they are free. A stop request meanwhile ends it at once, and so does an address of another machine.
-func TestFormerLife(t *testing.T) {
-	for _, outcome := range []string{"free", "stop", "strange"} {
-		datagrams, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer datagrams.Close()
-		listener, err := net.Listen("tcp4", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer listener.Close()
-		records, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer records.Close()
-		peerAddr, recordsAddr := datagrams.LocalAddr().String(), records.LocalAddr().String()
-		gateway := startGateway(t, func(config, settings map[string]any) {
-			if config["listen"] = listener.Addr().String(); outcome == "strange" {
-				config["listen"] = "192.0.2.1:6379"
-				datagrams.Close()
-			}
-			settings["balancers"], config["peer_listen"], config["peers"] = 2, peerAddr, []string{peerAddr, "127.0.0.1:1"}
-			config["counterfactual"] = map[string]any{"listen": recordsAddr, "peers": []string{recordsAddr, "127.0.0.1:1"}, "collectors": []int{1}}
-		}, newHost(t, func([]string) string { return successReply("v") }))
-		if outcome == "strange" {
-			gateway.waitForLog(`event=gateway_failed error="listen: listen tcp4 192.0.2.1:6379: bind`)
-			if receive(gateway, gateway.exited) == nil {
-				t.Error("it ended well")
-			}
-			continue
-		}
-		gateway.waitForLog("event=listen_address_in_use key=peer_listen addr=" + peerAddr)
-		datagrams.Close()
-		gateway.waitForLog("event=listen_address_in_use key=listen addr=" + listener.Addr().String())
-		if outcome == "stop" {
-			gateway.cmd.Process.Signal(syscall.SIGTERM)
-			gateway.waitForLog("event=stopped")
-			if err := receive(gateway, gateway.exited); err != nil {
-				t.Error(err)
-			}
-			continue
-		}
-		listener.Close()
-		gateway.waitForLog("event=listen_address_in_use key=counterfactual addr=" + recordsAddr)
-		records.Close()
-		gateway.waitForLog("event=serving")
-		gateway.addr = listener.Addr().String()
-		if a := gateway.connect().roundTrip(requestCommand("lookup", 1)); a != "v" {
-			t.Error(a)
-		}
+// formerProcess has the addresses of a gateway that starts, as a predecessor that drains would.
+type formerProcess struct {
+	listener net.Listener // of clients
+	gossip   *net.UDPConn
+	observer *net.UDPConn
+}
+
+func newFormerProcess(t *testing.T) *formerProcess {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	return &formerProcess{listener: listener, gossip: listenUDP(t), observer: listenUDP(t)}
+}
+
+// listenUDP opens a UDP socket on loopback.
+func listenUDP(t *testing.T) *net.UDPConn {
+	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// configure gives a gateway the addresses of the former process.
+func (p *formerProcess) configure(config, settings map[string]any) {
+	config["listen"] = p.listener.Addr().String()
+	settings["balancers"] = 2
+	gossip := p.gossip.LocalAddr().String()
+	config["peer_listen"] = gossip
+	config["peers"] = []string{gossip, "127.0.0.1:1"}
+	observer := p.observer.LocalAddr().String()
+	config["counterfactual"] = map[string]any{
+		"listen":     observer,
+		"peers":      []string{observer, "127.0.0.1:1"},
+		"collectors": []int{1},
+	}
+}
+
+// waitForListenRetry waits until a gateway logs that the address of a key is in use.
+func (g *gatewayProcess) waitForListenRetry(key string, addr net.Addr) {
+	g.waitForLog("event=listen_address_in_use key=" + key + " addr=" + addr.String())
+}
+
+// TestStartWaitsForAddressesOfFormerProcess checks that a start waits for each address, logs that once, and serves
+// when all are free.
+func TestStartWaitsForAddressesOfFormerProcess(t *testing.T) {
+	former := newFormerProcess(t)
+	gateway := startGateway(t, former.configure, valueHost(t))
+	gateway.waitForListenRetry("peer_listen", former.gossip.LocalAddr())
+	former.gossip.Close()
+	gateway.waitForListenRetry("listen", former.listener.Addr())
+	former.listener.Close()
+	gateway.waitForListenRetry("counterfactual", former.observer.LocalAddr())
+	former.observer.Close()
+	gateway.waitForLog("event=serving")
+	gateway.addr = former.listener.Addr().String()
+	if a := gateway.connect().roundTrip(requestCommand("lookup", 1)); a != "v" {
+		t.Error(a)
+	}
+}
+
+func TestSignalEndsWaitForAddress(t *testing.T) {
+	former := newFormerProcess(t)
+	gateway := startGateway(t, former.configure, valueHost(t))
+	gateway.waitForListenRetry("peer_listen", former.gossip.LocalAddr())
+	former.gossip.Close()
+	gateway.waitForListenRetry("listen", former.listener.Addr())
+	gateway.cmd.Process.Signal(syscall.SIGTERM)
+	gateway.waitForLog("event=stopped")
+	if err := receive(gateway, gateway.exited); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestAddressOfOtherMachineEndsStart(t *testing.T) {
+	former := newFormerProcess(t)
+	gateway := startGateway(t, func(config, settings map[string]any) {
+		former.configure(config, settings)
+		config["listen"] = "192.0.2.1:6379"
+		former.gossip.Close()
+	}, valueHost(t))
+	gateway.waitForLog(`event=gateway_failed error="listen: listen tcp4 192.0.2.1:6379: bind`)
+	if receive(gateway, gateway.exited) == nil {
+		t.Error("exit code 0")
 	}
 }
 
-// TestFaultyConfig checks that an invalid configuration ends the start with a message that names the key.
-func TestFaultyConfig(t *testing.T) {
+// TestInvalidConfigurationEndsStart checks that the message names the key.
+func TestInvalidConfigurationEndsStart(t *testing.T) {
 	gateway := startGateway(t, func(_, settings map[string]any) {
 		settings["plans"] = []any{map[string]any{"rate": "many"}}
 	}, newHost(t, nil))
-	if !strings.Contains(gateway.addr, "settings: plans.0.rate: unexpected value") {
-		t.Errorf("the line does not name the key: %s", gateway.addr)
+	if !strings.Contains(gateway.startError, "settings: plans.0.rate: unexpected value") {
+		t.Errorf("the line does not name the key: %s", gateway.startError)
 	}
 	var exit *exec.ExitError
 	if err := receive(gateway, gateway.exited); !errors.As(err, &exit) || exit.ExitCode() != 2 {
