--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -11,8 +11,6 @@
 	"github.com/tidwall/gjson"
 )
 
-const nanosecondsPerMicrosecond = 1000
-
 var (
 	errNoObject = errors.New("not a JSON object")
 	errNoList   = errors.New("not a list")
@@ -86,7 +84,7 @@
 
 // microseconds returns the duration at a path, which is written in microseconds.
 func (r *objectReader) microseconds(path string) time.Duration {
-	return time.Duration(r.number(path) * nanosecondsPerMicrosecond)
+	return time.Duration(r.number(path) * float64(time.Microsecond))
 }
 
 // text returns a copy of the string at a path: a substring would keep the whole document in memory.
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -41,8 +41,9 @@
 	}
 }
 
-// A client goes in each moment of its request. Whatever its going crosses, nothing is sent on afterwards, and each attempt
-// that the module decided on ends for it: else it would hold it as out for ever, and its limit would close.
+// A client goes in each moment of its request. Whatever its going crosses, nothing is sent on afterwards, and
+// each attempt that the module decided on ends for it: else it would hold it as out for ever, and its limit
+// would close.
 func TestNoAttemptAfterClientGone(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -50,8 +51,11 @@
 	}
 	defer l.Close()
 	m := &retryingDecider{}
-	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
-		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
+	n := New(&config.Config{
+		Sockets: 100,
+		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
+			Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9},
+	}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
 	arrive := func(id string) *clients.Answer {
 		a := new(clients.AnswerQueue).Add()
@@ -134,9 +138,18 @@
 	m := &retryingDecider{}
 	for _, effect := range []gateway.Effect{gateway.Idempotent, gateway.Deduplicated} {
 		n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1},
-			Classes: []gateway.RequestClass{{Effect: effect, DedupWindow: 1}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
+			Classes: []gateway.RequestClass{{
+				Effect:      effect,
+				DedupWindow: 1,
+			}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 		n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
-		n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.unixNano() + 1e12, Units: 1, Spread: 1})
+		n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{
+			ID:       "r",
+			Customer: "c",
+			Deadline: n.unixNano() + 1e12,
+			Units:    1,
+			Spread:   1,
+		})
 		n.turn()
 		for i, r := 0, n.requests["r"]; i < 2; i++ {
 			for ; !r.attempts[i].send.Written(); n.turn() {
@@ -152,7 +165,8 @@
 	golden.Check(t, m.String())
 }
 
-// A repeat of what may have run is not written so late that a stall between the clock and the write takes it past the window.
+// A repeat of what may have run is not written so late that a stall between the clock and the write takes it
+// past the window.
 func TestRetryKeepsStallAllowanceBeforeWindowEnd(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -174,7 +188,13 @@
 				Classes: []gateway.RequestClass{{Effect: gateway.Deduplicated, DedupWindow: window}}, Plans: []gateway.Plan{{}},
 				ConnectTimeout: 1e9}}, m)
 			n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
-			n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.unixNano() + 1e12, Units: 1, Spread: 1})
+			n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{
+				ID:       "r",
+				Customer: "c",
+				Deadline: n.unixNano() + 1e12,
+				Units:    1,
+				Spread:   1,
+			})
 			n.turn()
 			r := n.requests["r"]
 			written := func(i int) {
@@ -196,12 +216,16 @@
 	}
 }
 
-// A panic where a dispatch is sent, or where its answer is handed on, leaves it neither out for the module nor held here.
+// A panic where a dispatch is sent, or where its answer is handed on, leaves it neither out for the module nor
+// held here.
 func TestPanicLeavesNoAttemptInFlight(t *testing.T) {
 	defer logging.SetOutput(io.Discard)()
 	m := &retryingDecider{}
-	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
-		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
+	n := New(&config.Config{
+		Sockets: 100,
+		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
+			Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9},
+	}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:1"))
 	arrive := func(id string) *clients.Answer {
 		a := new(clients.AnswerQueue).Add() // its line has no ring: an answer panics
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -37,13 +37,20 @@
 	}
 }
 
-// serve runs a gateway with a module on an address of its own. lines gives those of its log that hold an event named there.
+// serve runs a gateway with a module on an address of its own. lines gives those of its log that hold an event
+// named there.
 func serve(t *testing.T, m Decider, set func(*Node), events ...string) (addr string, stop func(), ended func() (lines []string)) {
 	r, w := io.Pipe()
 	t.Cleanup(logging.SetOutput(w))
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100,
-		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}}, ClassNames: []string{"lookup"},
-			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 1e9}}
+		Settings: &config.Settings{
+			Membership:     gateway.Membership{Count: 1},
+			Classes:        []gateway.RequestClass{{}},
+			ClassNames:     []string{"lookup"},
+			Plans:          []gateway.Plan{{}},
+			PlanNames:      []string{"team"},
+			ConnectTimeout: 1e9,
+		}}
 	call, over := make(chan struct{}), make(chan error, 1)
 	n := New(cfg, m)
 	if set != nil {
