--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -9,13 +9,21 @@
 	"testing"
 )
 
-// An address that can't be had for a moment is waited for; an error that does not pass ends the start at once, with the key.
+// An address that can't be had for a moment is waited for; an error that does not pass ends the start at once,
+// with the key.
 func TestListenRetriesPassingErrors(t *testing.T) {
 	address := netip.MustParseAddrPort("127.0.0.1:1")
 	bindError := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}
 	}
-	passing := []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
+	passing := []syscall.Errno{
+		syscall.EADDRINUSE,
+		syscall.EADDRNOTAVAIL,
+		syscall.EMFILE,
+		syscall.ENFILE,
+		syscall.ENOBUFS,
+		syscall.ENOMEM,
+	}
 	for _, errno := range passing {
 		tries := 0
 		err := listenWithRetry("listen", address, nil, func() error {
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -9,8 +9,9 @@
 	"ravensill/internal/observer"
 )
 
-// observedActions stands between the module and the node where the section counterfactual is on: it is the Actions that is
-// also a CandidateObserver, and hands the task a record of each attempt that ended. Its fields belong to the loop.
+// observedActions stands between the module and the node where the section counterfactual is on: it is the
+// Actions that is also a CandidateObserver, and hands the task a record of each attempt that ended. Its fields
+// belong to the loop.
 type observedActions struct {
 	*Node
 	task     *observer.Observer
@@ -52,8 +53,8 @@
 	return task.Close, nil
 }
 
-// actions returns what the module writes a batch to: for a fraction of the batches, drawn at random, the observer. The others
-// cost no more than without.
+// actions returns what the module writes a batch to: for a fraction of the batches, drawn at random, the
+// observer. The others cost no more than without.
 func (n *Node) actions() gateway.Actions {
 	if w := n.observer; w != nil && w.random.Float64() < n.cfg.Counterfactual.RecordedFraction {
 		return w
@@ -72,7 +73,7 @@
 	*e = observer.Entry{Request: requestID, Record: counterfactual.Record{Customer: customer, Candidates: e.Candidates[:0]}}
 	for _, o := range options {
 		p := w.places[o.Host]
-		e.Candidates = append(e.Candidates, counterfactual.Candidate{Host: o.Host, Incarnation: p.born, Zone: p.zone, Chance: o.Chance,
+		e.Candidates = append(e.Candidates, counterfactual.Candidate{Host: o.Host, Incarnation: p.born, Zone: p.zone, Probability: o.Chance,
 			Load: o.Load})
 	}
 	w.upcoming = e
