--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock reads the time of the process and of the machine. The two differ: the machine's wall clock may be set forward or
-// back by an hour at any moment, also between two starts of a process, while monotonic time passes evenly (clock_gettime(2),
-// CLOCK_REALTIME and CLOCK_MONOTONIC). Durations, deadlines and ages are measured in monotonic time. Wall time serves to compare
-// with times that other machines tell, and to number the starts of a process where nothing is stored.
+// Package clock reads the time of the process and of the machine. The two differ: the machine's wall clock may be set
+// forward or back by an hour at any moment, also between two starts of a process, while monotonic time advances evenly
+// (clock_gettime(2), CLOCK_REALTIME and CLOCK_MONOTONIC). Durations, deadlines and ages are measured in monotonic time.
+// Wall time is compared with times from other machines, and numbers the starts of a process where nothing is stored.
 package clock
 
 import (
@@ -15,10 +15,10 @@
 	Monotonic() time.Duration // since a moment that is the same for all readings of the process
 }
 
-// System is the clock of the process.
+// System is the clock of the process and of its machine.
 type System struct{}
 
-// processStart is what monotonic time counts from.
+// processStart is the moment from which monotonic time counts.
 var processStart = time.Now()
 
 // Wall returns the machine's wall clock.
@@ -34,10 +34,10 @@
 	monotonic time.Duration
 }
 
-// NewFake returns a clock that stands still at a wall time.
+// NewFake returns a clock with the given wall time. Its time changes by Advance and StepWall only.
 func NewFake(wall time.Time) *Fake { return &Fake{wall: wall.Round(0)} }
 
-// Wall returns the wall time that was set.
+// Wall returns the wall time of the fake.
 func (f *Fake) Wall() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,12 +51,12 @@
 	return f.monotonic
 }
 
-// Advance lets time pass on both clocks.
-func (f *Fake) Advance(passed time.Duration) {
+// Advance sets both times forward.
+func (f *Fake) Advance(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.wall = f.wall.Add(passed)
-	f.monotonic += passed
+	f.wall = f.wall.Add(d)
+	f.monotonic += d
 }
 
 // StepWall sets the wall clock forward, or back if step is negative.
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -61,7 +61,7 @@
 		if sockets.IsShortage(err) {
 			wait = shortageWait
 		}
-		if !sockets.IsPassing(err) || time.Since(began) > wait {
+		if !sockets.IsTransient(err) || time.Since(began) > wait {
 			return fmt.Errorf("%s: %w", key, err)
 		}
 		if !logged {
--- a/internal/observer/datagram.go
+++ b/internal/observer/datagram.go
@@ -38,7 +38,7 @@
 // readDatagrams passes datagrams to the task. A sender is known by its address; malformed datagrams are dropped and counted.
 func (o *Observer) readDatagrams() {
 	buf := make([]byte, counterfactual.MaxBytes+2)
-	var pause sockets.ReadPause
+	var pause sockets.ReadBackoff
 	for {
 		n, from, err := o.system.ReadPacket(o.udp, buf)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -112,7 +112,7 @@
 		}
 	}()
 	buffer := make([]byte, gossip.MaxMessageBytes+1)
-	var pause sockets.ReadPause
+	var pause sockets.ReadBackoff
 	for {
 		n, from, err := t.system.ReadPacket(t.conn, buffer)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/poolrunner/client.go
+++ b/internal/poolrunner/client.go
@@ -65,7 +65,7 @@
 // Listen calls grant on the event loop for each grant received, until Close.
 func (c *Client) Listen(grant func(*pool.Grant)) {
 	buffer := make([]byte, maxDatagramBytes+1)
-	var pause sockets.ReadPause
+	var pause sockets.ReadBackoff
 	for {
 		n, from, err := c.system.ReadPacket(c.socket, buffer)
 		if isClosed(err) {
--- a/internal/poolrunner/voter.go
+++ b/internal/poolrunner/voter.go
@@ -106,7 +106,7 @@
 // read passes datagrams to the task until the socket is closed.
 func (v *Voter) read() {
 	buffer := make([]byte, maxDatagramBytes+1)
-	var pause sockets.ReadPause
+	var pause sockets.ReadBackoff
 	for {
 		n, from, err := v.system.ReadPacket(v.socket, buffer)
 		if isClosed(err) {
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -9,8 +9,8 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// shortages are the errors of connect(2), socket(2), accept(2) and bind(2) for which this machine is the cause: no descriptor,
-// port, memory or route. They pass, and say nothing of the other side.
+// shortages are the errors of connect(2), socket(2), accept(2) and bind(2) for which this machine is the cause: it
+// lacks a descriptor, port, memory or route. They are transient, and independent of the other side.
 var shortages = []syscall.Errno{
 	syscall.EMFILE,        // the process's descriptors
 	syscall.ENFILE,        // the system's descriptors
@@ -22,34 +22,34 @@
 	syscall.EINTR,
 }
 
-// IsShortage reports whether a call failed for want of something on this machine.
+// IsShortage reports whether a call failed because this machine lacks a resource.
 func IsShortage(err error) bool {
 	return slices.ContainsFunc(shortages, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
 
-// IsPassing reports whether a listener may be had later: another process holds the address yet, or this machine is short of
-// something.
-func IsPassing(err error) bool { return errors.Is(err, syscall.EADDRINUSE) || IsShortage(err) }
+// IsTransient reports whether a listener that could not be opened may be opened later: another process still listens on
+// the address, or this machine lacks a resource.
+func IsTransient(err error) bool { return errors.Is(err, syscall.EADDRINUSE) || IsShortage(err) }
 
 // Bounds of the pause after a datagram that could not be read.
 const (
-	minReadPause = time.Millisecond
-	maxReadPause = 100 * time.Millisecond
+	minReadBackoff = time.Millisecond
+	maxReadBackoff = 100 * time.Millisecond
 )
 
-// ReadPause paces a loop that reads datagrams: an error that stays must not have it spin. The zero value is ready to use.
-type ReadPause struct{ backoff *backoff.ExponentialBackOff }
+// ReadBackoff slows down a loop that reads datagrams while all reads fail. The zero value is ready to use.
+type ReadBackoff struct{ backoff *backoff.ExponentialBackOff }
 
-// Failed waits after a read that failed, longer with each in a row.
-func (p *ReadPause) Failed() {
+// Failed waits after a read that failed, longer with each failure in a row.
+func (p *ReadBackoff) Failed() {
 	if p.backoff == nil {
 		p.backoff = backoff.NewExponentialBackOff()
-		p.backoff.InitialInterval = minReadPause
-		p.backoff.MaxInterval = maxReadPause
+		p.backoff.InitialInterval = minReadBackoff
+		p.backoff.MaxInterval = maxReadBackoff
 		p.backoff.Reset()
 	}
 	time.Sleep(p.backoff.NextBackOff())
 }
 
 // Succeeded ends a row of failures.
-func (p *ReadPause) Succeeded() { p.backoff = nil }
+func (p *ReadBackoff) Succeeded() { p.backoff = nil }
--- a/internal/sockets/errors_test.go
+++ b/internal/sockets/errors_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// The errors of a call are told apart, wrapped as package net wraps them.
-func TestErrorKinds(t *testing.T) {
-	for _, test := range []struct {
+// An error is classified by its number, wrapped as package net wraps it.
+func TestErrorsAreClassifiedByNumber(t *testing.T) {
+	tests := []struct {
 		errno    syscall.Errno
 		shortage bool
 		passing  bool
@@ -29,27 +29,28 @@
 		{syscall.EHOSTUNREACH, false, false},
 		{syscall.ETIMEDOUT, false, false},
 		{syscall.EACCES, false, false},
-	} {
+	}
+	for _, test := range tests {
 		err := error(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", test.errno)})
-		if IsShortage(err) != test.shortage || IsPassing(err) != test.passing {
-			t.Errorf("%v: shortage %t, passing %t", err, IsShortage(err), IsPassing(err))
+		if IsShortage(err) != test.shortage || IsTransient(err) != test.passing {
+			t.Errorf("%v: shortage %t, passing %t", err, IsShortage(err), IsTransient(err))
 		}
 	}
 	if IsShortage(nil) || IsShortage(errors.New("other")) {
-		t.Error("no error, or another one, is no shortage")
+		t.Error("nil or an error without a number is a shortage")
 	}
 }
 
-// A loop whose reads all fail is paced: the pauses of 20 failures add up to 50 ms at least, by the least that chance gives.
-func TestReadPauseGrows(t *testing.T) {
-	var pause ReadPause
-	began := time.Now()
+// A loop whose reads all fail is slowed down: the pauses of 20 failures add up to 50 ms, whatever their random part.
+func TestReadBackoffGrows(t *testing.T) {
+	var backoff ReadBackoff
+	start := time.Now()
 	for range 20 {
-		pause.Failed()
+		backoff.Failed()
 	}
-	if took := time.Since(began); took < 50*time.Millisecond {
+	if took := time.Since(start); took < 50*time.Millisecond {
 		t.Errorf("20 failures took %v", took)
 	}
-	pause.Succeeded()
-	pause.Failed() // the zero value again
+	backoff.Succeeded()
+	backoff.Failed() // the zero value again
 }
--- a/internal/sockets/listener.go
+++ b/internal/sockets/listener.go
@@ -10,11 +10,11 @@
 const (
 	acceptRetryDelay = 10 * time.Millisecond // after an accept that failed
 	bindRetryDelay   = 20 * time.Millisecond // between attempts to open a listener
-	bindTimeout      = 5 * time.Second       // for resources that this machine is short of
+	bindTimeout      = 5 * time.Second       // while this machine lacks a resource
 )
 
-// Listener is a net.Listener whose Accept fails only once it is closed: every other error is that of one connection, or passes. A
-// server of package net/http ends for good on some of them.
+// Listener is a net.Listener whose Accept fails only once it is closed: every other error concerns one connection, or
+// is transient. A server of package net/http would end on some of them.
 type Listener struct {
 	*net.TCPListener
 	System System
@@ -34,19 +34,20 @@
 	}
 }
 
-// RetryShortage calls try until it succeeds, fails for another reason than a shortage of this machine, or has failed for so long.
+// RetryShortage calls try until it succeeds, fails for another reason than a shortage of this machine, or has failed
+// for longer than limit.
 func RetryShortage(limit time.Duration, try func() error) error {
-	began := time.Now()
+	start := time.Now()
 	for {
 		err := try()
-		if err == nil || !IsShortage(err) || time.Since(began) > limit {
+		if err == nil || !IsShortage(err) || time.Since(start) > limit {
 			return err
 		}
 		time.Sleep(bindRetryDelay)
 	}
 }
 
-// Listen opens a TCP listener by the calls of system. It retries for some seconds while this machine is short of resources.
+// Listen opens a TCP listener by the calls of system. It retries for bindTimeout while this machine lacks a resource.
 func Listen(system System, address netip.AddrPort) (*Listener, error) {
 	var listener *net.TCPListener
 	err := RetryShortage(bindTimeout, func() (err error) {
--- a/internal/sockets/listener_test.go
+++ b/internal/sockets/listener_test.go
@@ -15,9 +15,17 @@
 	"ravensill/internal/sockets/socketstest"
 )
 
-// No error of accept(2) ends an HTTP server but the close of its listener.
+// An HTTP server ends by the close of its listener, and by no error of accept(2).
 func TestListenerSurvivesAcceptErrors(t *testing.T) {
-	errnos := []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.EPROTO, syscall.EPERM, syscall.EHOSTUNREACH}
+	errnos := []syscall.Errno{
+		syscall.ENOBUFS,
+		syscall.ENOMEM,
+		syscall.EMFILE,
+		syscall.EPROTO,
+		syscall.EPERM,
+		syscall.EHOSTUNREACH,
+	}
+	handler := func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") }
 	for _, errno := range errnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			system := socketstest.New(1, nil)
@@ -26,7 +34,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") })}
+			server := &http.Server{Handler: http.HandlerFunc(handler)}
 			ended := make(chan error, 1)
 			go func() { ended <- server.Serve(&sockets.Listener{TCPListener: listener, System: system}) }()
 			answer, err := http.Get("http://" + listener.Addr().String())
@@ -42,32 +50,34 @@
 	}
 }
 
-// A listener is tried again while the machine is short of something, and no longer.
-func TestRetryShortage(t *testing.T) {
+// A call is retried while it fails by a shortage, until the limit, and not after another error.
+func TestRetryShortageRetriesUntilLimit(t *testing.T) {
 	bindError := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}
 	}
-	for _, test := range []struct {
-		errno syscall.Errno
-		limit time.Duration
-		tries int
-		err   bool
+	const failures = 2
+	tests := []struct {
+		errno    syscall.Errno
+		limit    time.Duration
+		attempts int
+		fails    bool
 	}{
-		{syscall.ENFILE, time.Minute, 3, false},
-		{syscall.EADDRNOTAVAIL, time.Minute, 3, false},
-		{syscall.ENOBUFS, -1, 1, true}, // its time is up
+		{syscall.ENFILE, time.Minute, failures + 1, false},
+		{syscall.EADDRNOTAVAIL, time.Minute, failures + 1, false},
+		{syscall.ENOBUFS, -1, 1, true}, // past the limit
 		{syscall.EADDRINUSE, time.Minute, 1, true},
-	} {
-		tries := 0
+	}
+	for _, test := range tests {
+		attempts := 0
 		err := sockets.RetryShortage(test.limit, func() error {
-			tries++
-			if tries < 3 {
+			attempts++
+			if attempts <= failures {
 				return bindError(test.errno)
 			}
 			return nil
 		})
-		if tries != test.tries || (err != nil) != test.err {
-			t.Errorf("%v: %d tries, %v", test.errno, tries, err)
+		if attempts != test.attempts || (err != nil) != test.fails {
+			t.Errorf("%v: %d attempts, %v", test.errno, attempts, err)
 		}
 	}
 }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,5 +1,5 @@
-// Package sockets is the seam between the gateway and the system calls of its sockets: everything that a call may answer is dealt
-// with above it, and tests put a System there that fails on purpose (package socketstest).
+// Package sockets makes the system calls of the gateway's sockets. Callers handle every result that a call may have,
+// and tests replace the System by one that fails on purpose (package socketstest).
 package sockets
 
 import (
@@ -16,7 +16,7 @@
 	Dial(ctx context.Context, dialer *net.Dialer, address string) (*net.TCPConn, error)
 	// Listen opens a TCP listener over IPv4.
 	Listen(address netip.AddrPort) (*net.TCPListener, error)
-	// Accept takes a connection from a listener.
+	// Accept waits for the next connection of a listener.
 	Accept(listener *net.TCPListener) (*net.TCPConn, error)
 	// ListenPacket opens a UDP socket over IPv4.
 	ListenPacket(address netip.AddrPort) (*net.UDPConn, error)
@@ -60,16 +60,26 @@
 	return conn.ReadFromUDPAddrPort(buffer)
 }
 
-// Read implements System. It and Write never wait in the kernel, so they use raw system calls, of which the runtime is not told:
-// told of one that ends an idle period, it wakes its monitor thread, and it takes the processor away from one that lasts (as a
-// write to loopback does). That was a sixth to a third of all processor time.
+// Read implements System. It and Write never wait in the kernel, so they use raw system calls, which the runtime does
+// not notice: after one that ends an idle period it would wake its monitor thread, and during one that lasts, as a
+// write to loopback does, it would take the processor away.
 func (Kernel) Read(descriptor uintptr, buffer []byte) (int, syscall.Errno) {
-	n, _, errno := syscall.RawSyscall(syscall.SYS_READ, descriptor, uintptr(unsafe.Pointer(&buffer[0])), uintptr(len(buffer)))
+	n, _, errno := syscall.RawSyscall(
+		syscall.SYS_READ,
+		descriptor,
+		uintptr(unsafe.Pointer(&buffer[0])),
+		uintptr(len(buffer)),
+	)
 	return int(n), errno
 }
 
 // Write implements System.
 func (Kernel) Write(descriptor uintptr, buffer []byte) (int, syscall.Errno) {
-	n, _, errno := syscall.RawSyscall(syscall.SYS_WRITE, descriptor, uintptr(unsafe.Pointer(&buffer[0])), uintptr(len(buffer)))
+	n, _, errno := syscall.RawSyscall(
+		syscall.SYS_WRITE,
+		descriptor,
+		uintptr(unsafe.Pointer(&buffer[0])),
+		uintptr(len(buffer)),
+	)
 	return int(n), errno
 }
--- a/internal/sockets/socketstest/socketstest.go
+++ b/internal/sockets/socketstest/socketstest.go
@@ -1,4 +1,5 @@
-// Package socketstest has a sockets.System that fails on purpose: by a script, call by call, or by chance with a seed.
+// Package socketstest provides a sockets.System that fails on purpose: by a script, call by call, or at random with a
+// seed.
 package socketstest
 
 import (
@@ -31,16 +32,16 @@
 
 var callNames = [calls]string{"connect", "bind", "accept", "bind", "recvfrom", "read", "write"}
 
-// Fault is what happens in place of a call that succeeds.
+// Fault is the failure of a call.
 type Fault struct {
 	Errno syscall.Errno // 0: a short read or write
-	Bytes int           // that a short read or write moves at most; a write may move none
+	Bytes int           // that a short read or write transfers at most; a write may transfer none
 }
 
-// Rate is how often a call has one of some faults.
+// Rate is the probability of faults in a call.
 type Rate struct {
-	Chance float64 // of a call, 0 to 1
-	Faults []Fault // one of them, each as likely
+	Chance float64 // that a call has a fault, 0 to 1
+	Faults []Fault // of which one is drawn, each with the same probability
 }
 
 // System makes the kernel's calls, some of which fail.
@@ -54,12 +55,17 @@
 	counts  [calls]int
 }
 
-// New returns a system whose calls fail by chance, the same way for the same seed and order of calls.
+// New returns a system whose calls fail at random, the same way for the same seed and order of calls.
 func New(seed uint64, rates map[Call]Rate) *System {
-	return &System{random: rand.New(rand.NewPCG(seed, 1)), rates: rates, scripts: map[Call][]*Fault{}}
+	return &System{
+		random:  rand.New(rand.NewPCG(seed, 1)),
+		rates:   rates,
+		scripts: map[Call][]*Fault{},
+	}
 }
 
-// Script has the next calls of a kind go as listed, before chance decides again; nil is a call without a fault.
+// Script sets the faults of the next calls of a kind, after which they fail at random again; nil is a call without a
+// fault.
 func (s *System) Script(call Call, faults ...*Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,14 +73,15 @@
 }
 
 // Errors returns a script of errors.
-func Errors(numbers ...syscall.Errno) (faults []*Fault) {
+func Errors(numbers ...syscall.Errno) []*Fault {
+	var faults []*Fault
 	for _, errno := range numbers {
 		faults = append(faults, &Fault{Errno: errno})
 	}
 	return faults
 }
 
-// Count returns how many calls of a kind were made, failed ones included.
+// Count returns the number of calls of a kind, failed ones included.
 func (s *System) Count(call Call) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,8 +129,8 @@
 	return s.Kernel.Listen(address)
 }
 
-// Accept implements sockets.System. A connection that fails in accept(2) is taken from the queue and lost with ECONNABORTED, and
-// stays in the queue with every other error.
+// Accept implements sockets.System. ECONNABORTED removes a connection from the listen queue; after every other error it
+// stays there.
 func (s *System) Accept(listener *net.TCPListener) (*net.TCPConn, error) {
 	err := s.failure(Accept)
 	if errors.Is(err, syscall.ECONNABORTED) {
