--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -59,7 +59,7 @@
 		if sockets.IsShortage(err) {
 			timeout = shortageTimeout
 		}
-		if !sockets.IsPassing(err) || time.Since(began) > timeout {
+		if !sockets.IsTransient(err) || time.Since(began) > timeout {
 			return fmt.Errorf("%s: %w", key, err)
 		}
 		if !logged {
