--- a/internal/node/client_gone_test.go
+++ b/internal/node/client_gone_test.go
@@ -11,8 +11,8 @@
 	"ravensill/internal/hosts"
 )
 
-// A client disconnects at each moment of its request: nothing is sent afterwards, and each attempt that the module started
-// ends for it, so that none stays in flight.
+// A client disconnects at each moment of its request: nothing is sent afterwards, and each attempt that the
+// module started ends for it, so that none stays in flight.
 func TestNoAttemptAfterClientGone(t *testing.T) {
 	module := &retryingDecider{}
 	n := newIdleNode(module, gateway.RequestClass{}, silentHost(t))
--- a/internal/node/connecting_test.go
+++ b/internal/node/connecting_test.go
@@ -22,7 +22,8 @@
 	requestIDAt  = 6 // line of the third word
 )
 
-// testGateway is a node on sockets with one host. Its module sends each request to the host, and once more if it never ran.
+// testGateway is a node on sockets with one host. Its module sends each request to the host, and once more if it
+// never ran.
 type testGateway struct {
 	*testing.T
 	*Node
--- a/internal/node/endpoint_watch_test.go
+++ b/internal/node/endpoint_watch_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A list that the module has decided on is kept neither in the configuration nor in the loop's events: it may be as large
-// as everything else together.
+// A list that the module has decided on is kept neither in the configuration nor in the loop's events: it may be
+// as large as everything else together.
 func TestEndpointListsAreReleased(t *testing.T) {
 	g := newTestGateway(t)
 	<-g.events // the list of the configuration
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -129,8 +129,8 @@
 	ended func() (events []string) // waits for the end and returns the log's events that were asked for
 }
 
-// serve runs a gateway with a module. configure, if not nil, changes it before. ended returns those of the events that the
-// log had, in order; an event may be followed by its first fields.
+// serve runs a gateway with a module. configure, if not nil, changes it before. ended returns those of the
+// events that the log had, in order; an event may be followed by its first fields.
 func serve(t *testing.T, module Decider, configure func(*Node), events ...string) runningNode {
 	logReader, logWriter := io.Pipe()
 	t.Cleanup(logging.SetOutput(logWriter))
--- a/internal/node/panic_test.go
+++ b/internal/node/panic_test.go
@@ -10,8 +10,8 @@
 	"ravensill/internal/logging"
 )
 
-// A panic while an attempt is sent, or while its answer is passed on, leaves the attempt neither in flight for the module
-// nor open here.
+// A panic while an attempt is sent, or while its answer is passed on, leaves the attempt neither in flight for
+// the module nor open here.
 func TestPanicLeavesNoAttemptInFlight(t *testing.T) {
 	defer logging.SetOutput(io.Discard)()
 	module := &retryingDecider{}
@@ -36,7 +36,8 @@
 	golden.Check(t, module.String()+n.left())
 }
 
-// panickingDecider rejects requests, panics on those of customer f, and names unknown requests and attempts on those of b.
+// panickingDecider rejects requests, panics on those of customer f, and names unknown requests and attempts on
+// those of b.
 type panickingDecider struct{}
 
 func (panickingDecider) Reconfigure(gateway.Time, *gateway.Update) {}
