--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -54,8 +54,6 @@
 	Urgent     []string `json:"urgent"`
 }
 
-const nanosecondsPerMS = int64(time.Millisecond)
-
 // What follows from other keys where the section doesn't set it.
 const (
 	reportsPerLease            = 10
@@ -162,7 +160,7 @@
 	for i := range settings.Classes {
 		longestTimeout = max(longestTimeout, settings.Classes[i].Timeout)
 	}
-	lease := int64(s.LeaseMS) * nanosecondsPerMS
+	lease := milliseconds(s.LeaseMS)
 	return &Pool{
 		Capacity:        s.Capacity,
 		Serial:          s.Serial,
@@ -175,11 +173,11 @@
 			Floor:          s.Floor,
 			Reserve:        s.Reserve,
 			Lease:          lease,
-			Drain:          int64(longestTimeout) + lease,
+			Drain:          longestTimeout + lease,
 			Drift:          s.Drift,
-			TargetHold:     int64(s.HoldMS) * nanosecondsPerMS,
-			ReportInterval: int64(s.TellMS) * nanosecondsPerMS,
-			CloseDelay:     int64(s.RestMS) * nanosecondsPerMS,
+			TargetHold:     milliseconds(s.HoldMS),
+			ReportInterval: milliseconds(s.TellMS),
+			CloseDelay:     milliseconds(s.RestMS),
 		},
 	}
 }
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -52,13 +52,15 @@
 	}
 	now := n.now()
 	p := &connectionQuota{node: n, client: client, lastLog: now,
-		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Membership.Index, uint64(n.unix), cfg.Weight, cfg.Serial, cfg.Capacity, int64(now))}
+		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Membership.Index, uint64(n.unix), cfg.Weight, cfg.Serial, cfg.Capacity, now)}
 	for index, name := range n.cfg.ClassNames {
 		p.addClass(index, name)
 	}
-	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.MaxWait, p.leaseholder.Allowed, p.leaseholder.AddRejected)
+	allowed := func(now int64) int { return p.leaseholder.Allowed(pool.Instant(now)) }
+	onRejected := func(serviceTime int64) { p.leaseholder.AddRejected(time.Duration(serviceTime)) }
+	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.MaxWait, allowed, onRejected)
 	n.quota = p
-	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.unixNano(), grant) })
+	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
 	slog.Info("pool_enabled",
 		"member", n.cfg.Membership.Index,
 		"floor", cfg.Terms.Floor,
@@ -75,15 +77,15 @@
 	}
 	now := p.node.now()
 	held, demand := p.limiter.Usage()
-	p.leaseholder.SetUsage(int64(now), held, demand)
-	if report := p.leaseholder.Report(int64(now)); report != nil {
+	p.leaseholder.SetUsage(now, held, demand)
+	if report := p.leaseholder.Report(now); report != nil {
 		p.client.Send(report)
 	}
 	if now.Sub(p.lastLog) >= poolLogInterval {
 		p.lastLog = now
 		limiter, client := p.limiter, p.client
 		slog.Info("pool_quota_status",
-			"allowed", p.leaseholder.Allowed(int64(now)),
+			"allowed", p.leaseholder.Allowed(now),
 			"connections", held,
 			"demand", demand,
 			"queued", limiter.Queued,
@@ -93,10 +95,10 @@
 			"datagrams_sent", client.Sent,
 			"datagrams_received", client.Received,
 			"datagrams_dropped", client.Dropped,
-			"since_grant_ms", (int64(now)-p.leaseholder.LastAnswered())/1e6,
+			"since_grant_ms", now.Sub(p.leaseholder.LastAnswered()).Milliseconds(),
 		)
 	}
-	return gateway.Time(p.leaseholder.Due(int64(now)))
+	return p.leaseholder.Due(now)
 }
 
 // addClass adds a request class; a new one has the next index.
--- a/internal/poolrunner/client.go
+++ b/internal/poolrunner/client.go
@@ -1,7 +1,6 @@
 package poolrunner
 
 import (
-	"net"
 	"net/netip"
 
 	"ravensill/internal/config"
@@ -9,20 +8,19 @@
 	"ravensill/pool"
 )
 
-// maxUnanswered is the number of reports that a voter may leave unanswered before the next one is asked.
+// maxUnanswered is the number of reports that a voter may leave unanswered before reports are sent to the next one.
 const maxUnanswered = 2
 
-// Client exchanges reports and grants with the voters for a lease holder. Its fields but the socket belong to the event loop, to
-// which runOnLoop brings work from other goroutines.
+// Client exchanges reports and grants with the voters for a lease holder. Its methods except Listen have to be called
+// on the event loop.
 type Client struct {
-	system     sockets.System
 	cfg        *config.Pool
 	runOnLoop  func(func())
-	socket     *net.UDPConn
+	conn       *messageConn
 	leader     int // index of the voter that leads, as far as is known
 	unanswered int // reports since the last answer
 	lastReport *pool.Report
-	resent     bool // whether lastReport was sent again, to another voter
+	resent     bool // lastReport was sent again, to another voter
 
 	Sent     int // datagrams
 	Received int // valid datagrams
@@ -31,15 +29,15 @@
 
 // Dial opens the client's socket by the calls of system. runOnLoop runs a function on the event loop.
 func Dial(system sockets.System, cfg *config.Pool, runOnLoop func(func())) (*Client, error) {
-	socket, err := system.ListenPacket(netip.AddrPortFrom(netip.IPv4Unspecified(), 0))
+	conn, err := listenMessages(system, netip.AddrPortFrom(netip.IPv4Unspecified(), 0), cfg.Key)
 	if err != nil {
 		return nil, err
 	}
-	return &Client{system: system, cfg: cfg, runOnLoop: runOnLoop, socket: socket}, nil
+	return &Client{cfg: cfg, runOnLoop: runOnLoop, conn: conn}, nil
 }
 
 // Close closes the socket and ends Listen.
-func (c *Client) Close() { c.socket.Close() }
+func (c *Client) Close() { c.conn.close() }
 
 // Send sends a report to the voter that leads. If that voter left too many unanswered, it sends to the next voter.
 func (c *Client) Send(report *pool.Report) {
@@ -54,55 +52,49 @@
 }
 
 func (c *Client) sendLastReport() {
-	datagram, err := Encode(c.cfg.Key, &Message{Report: c.lastReport})
-	if err != nil {
-		return
+	if c.conn.send(c.cfg.Voters[c.leader], &Message{Report: c.lastReport}) {
+		c.Sent++
 	}
-	c.Sent++
-	c.socket.WriteToUDPAddrPort(datagram, c.cfg.Voters[c.leader])
 }
 
-// Listen calls grant on the event loop for each grant received, until Close.
-func (c *Client) Listen(grant func(*pool.Grant)) {
-	buffer := make([]byte, maxDatagramBytes+1)
-	var pause sockets.ReadPause
-	for {
-		n, from, err := c.system.ReadPacket(c.socket, buffer)
-		if isClosed(err) {
-			return
-		}
-		if err != nil {
-			pause.Failed()
-			continue
-		}
-		pause.Succeeded()
-		message, err := Decode(c.cfg.Key, buffer[:n])
-		c.runOnLoop(func() { c.receive(message, err, from, grant) })
-	}
+// Listen reads datagrams until Close, and calls onGrant on the event loop for each grant.
+func (c *Client) Listen(onGrant func(*pool.Grant)) {
+	c.conn.read(func(message *Message, err error, from netip.AddrPort) {
+		c.runOnLoop(func() { c.receive(message, err, from, onGrant) })
+	})
 }
 
 // receive handles a datagram. err is that of its decoding.
-func (c *Client) receive(message *Message, err error, from netip.AddrPort, grant func(*pool.Grant)) {
+func (c *Client) receive(message *Message, err error, from netip.AddrPort, onGrant func(*pool.Grant)) {
 	switch {
-	case err != nil || message.Grant == nil && message.Leader == nil:
+	case err != nil:
 		c.Dropped++
 	case message.Grant != nil:
 		c.Received++
 		c.unanswered = 0
 		c.setLeader(from)
-		grant(message.Grant)
-	case *message.Leader >= 0 && *message.Leader < len(c.cfg.Voters):
+		onGrant(message.Grant)
+	case message.Leader != nil && c.isVoter(*message.Leader):
 		c.Received++
-		if c.leader != *message.Leader && !c.resent && c.lastReport != nil {
-			c.leader = *message.Leader
-			c.resent = true
-			c.sendLastReport()
-		}
+		c.resendTo(*message.Leader)
 	default:
 		c.Dropped++
 	}
 }
 
+func (c *Client) isVoter(index int) bool { return index >= 0 && index < len(c.cfg.Voters) }
+
+// resendTo sends the latest report again to another voter, which leads by the answer to it. It does so once for each
+// report, so that voters that name each other cause no loop.
+func (c *Client) resendTo(leader int) {
+	if c.leader == leader || c.resent || c.lastReport == nil {
+		return
+	}
+	c.leader = leader
+	c.resent = true
+	c.sendLastReport()
+}
+
 // setLeader sends further reports to the voter with the address.
 func (c *Client) setLeader(address netip.AddrPort) {
 	for i, voter := range c.cfg.Voters {
--- a/internal/poolrunner/codec.go
+++ b/internal/poolrunner/codec.go
@@ -1,19 +1,20 @@
-// Package poolrunner is the I/O of package pool: datagrams between lease holders and the raft voter that leads, and the replicated log
-// of the voters.
+// Package poolrunner runs the parts of package pool: it exchanges datagrams between lease holders and the leading
+// raft voter, and replicates the ledger among the voters.
 package poolrunner
 
 import (
 	"crypto/hmac"
 	"encoding/json"
 	"errors"
+	"fmt"
 
 	"ravensill/internal/consensus"
 	"ravensill/pool"
 )
 
 const (
-	maxDatagramBytes = 1024                    // of a datagram, its signature included
-	signatureBytes   = consensus.SignatureSize // at its beginning
+	maxDatagramBytes = 1024                    // with the signature
+	signatureBytes   = consensus.SignatureSize // at the beginning of a datagram
 )
 
 var errForged = errors.New("not signed with the pool's key")
@@ -21,8 +22,8 @@
 // Message is the content of a datagram. Exactly one field is set.
 type Message struct {
 	Report *pool.Report `json:"r,omitempty"` // of a lease holder
-	Grant  *pool.Grant  `json:"g,omitempty"` // of the voter that leads
-	Leader *int         `json:"l,omitempty"` // of another voter: the index of the one to send reports to
+	Grant  *pool.Grant  `json:"g,omitempty"` // of the leading voter
+	Leader *int         `json:"l,omitempty"` // of another voter: index of the leading one
 }
 
 // Encode returns the signed datagram of a message.
@@ -32,7 +33,7 @@
 		return nil, err
 	}
 	if len(text)+signatureBytes > maxDatagramBytes {
-		return nil, errors.New("word too long")
+		return nil, errors.New("message too long")
 	}
 	return append(consensus.Sign(key, text), text...), nil
 }
@@ -40,7 +41,7 @@
 // Decode checks the signature of a datagram and returns its message.
 func Decode(key, datagram []byte) (*Message, error) {
 	if len(datagram) <= signatureBytes || len(datagram) > maxDatagramBytes {
-		return nil, errors.New("not a datagram's size")
+		return nil, fmt.Errorf("a datagram of %d bytes", len(datagram))
 	}
 	signature := datagram[:signatureBytes]
 	text := datagram[signatureBytes:]
@@ -51,14 +52,14 @@
 	if err := json.Unmarshal(text, message); err != nil {
 		return nil, err
 	}
-	parts := 0
+	fields := 0
 	for _, set := range []bool{message.Report != nil, message.Grant != nil, message.Leader != nil} {
 		if set {
-			parts++
+			fields++
 		}
 	}
-	if parts != 1 {
-		return nil, errors.New("not one part")
+	if fields != 1 {
+		return nil, errors.New("not exactly one field")
 	}
 	return message, nil
 }
--- a/internal/poolrunner/codec_test.go
+++ b/internal/poolrunner/codec_test.go
@@ -7,35 +7,40 @@
 	"ravensill/pool"
 )
 
+// FuzzDecode checks that no datagram makes Decode accept another key, a grantor fail, or a lease holder go below its
+// floor.
 func FuzzDecode(f *testing.F) {
 	key := []byte("0123456789abcdef")
-	good, err := Encode(key, &Message{Report: &pool.Report{Member: 3, Incarnation: 1 << 63, Demand: 2.5, Weight: 1}})
+	report := &pool.Report{Member: 3, Incarnation: 1 << 63, Demand: 2.5, Weight: 1}
+	good, err := Encode(key, &Message{Report: report})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(good, false)
 	f.Add([]byte(`{"g":{"Seat":-1,"Units":-5}}`), true)
 	f.Add([]byte(`{"r":{"Seat":1e99},"g":{}}`), true)
-	t := pool.Terms{Members: 4, Floor: 1, Lease: 5, ReportInterval: 1}
-	f.Fuzz(func(tt *testing.T, b []byte, sign bool) {
+	terms := pool.Terms{Members: 4, Floor: 1, Lease: 5, ReportInterval: 1}
+	f.Fuzz(func(t *testing.T, datagram []byte, sign bool) {
 		if sign {
-			b = append(consensus.Sign(key, b), b...)
+			datagram = append(consensus.Sign(key, datagram), datagram...)
 		}
-		w, err := Decode(key, b)
+		message, err := Decode(key, datagram)
 		if err != nil {
 			return
 		}
-		if _, err := Decode([]byte("another key of it"), b); err == nil {
-			tt.Error("a word signed with another key was taken in")
+		if _, err := Decode([]byte("another key of it"), datagram); err == nil {
+			t.Error("a message signed with another key was accepted")
 		}
-		l, h := pool.NewGrantor(&t, 1, pool.NewLedger(&t)), pool.NewLeaseholder(&t, 0, 1, 1, 1, 9, 1)
-		if w.Report != nil {
-			l.Step(2, w.Report)
-			l.Step(3, pool.Tick{})
+		if message.Report != nil {
+			grantor := pool.NewGrantor(&terms, 1, pool.NewLedger(&terms))
+			grantor.Receive(2, message.Report)
+			grantor.Tick(3)
 		}
-		if w.Grant != nil {
-			if h.Receive(2, w.Grant); h.Allowed(2) < t.Floor {
-				tt.Error("less than the floor")
+		if message.Grant != nil {
+			holder := pool.NewLeaseholder(&terms, 0, 1, 1, 1, 9, 1)
+			holder.Receive(2, message.Grant)
+			if holder.Allowed(2) < terms.Floor {
+				t.Error("less than the floor")
 			}
 		}
 	})
--- /dev/null
+++ b/internal/poolrunner/message_conn.go
@@ -0,0 +1,57 @@
+package poolrunner
+
+import (
+	"errors"
+	"net"
+	"net/netip"
+
+	"ravensill/internal/sockets"
+)
+
+// messageConn sends and receives signed messages by a UDP socket.
+type messageConn struct {
+	system sockets.System
+	key    []byte
+	socket *net.UDPConn
+}
+
+// listenMessages opens a socket at an address by the calls of system.
+func listenMessages(system sockets.System, address netip.AddrPort, key []byte) (*messageConn, error) {
+	socket, err := system.ListenPacket(address)
+	if err != nil {
+		return nil, err
+	}
+	return &messageConn{system: system, key: key, socket: socket}, nil
+}
+
+// close closes the socket, which ends read.
+func (c *messageConn) close() { c.socket.Close() }
+
+// send sends a message and reports whether it could be encoded. A datagram that the kernel drops counts as lost.
+func (c *messageConn) send(to netip.AddrPort, message *Message) bool {
+	datagram, err := Encode(c.key, message)
+	if err != nil {
+		return false
+	}
+	c.socket.WriteToUDPAddrPort(datagram, to)
+	return true
+}
+
+// read calls handle for each datagram until the socket is closed, with the error of Decode if it is not valid.
+func (c *messageConn) read(handle func(message *Message, err error, from netip.AddrPort)) {
+	buffer := make([]byte, maxDatagramBytes+1)
+	var pause sockets.ReadPause
+	for {
+		n, from, err := c.system.ReadPacket(c.socket, buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			pause.Failed()
+			continue
+		}
+		pause.Succeeded()
+		message, err := Decode(c.key, buffer[:n])
+		handle(message, err, from)
+	}
+}
--- a/internal/poolrunner/voter.go
+++ b/internal/poolrunner/voter.go
@@ -2,15 +2,11 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"io"
 	"log/slog"
-	"net"
 	"net/netip"
+	"sync"
 	"time"
 
-	"github.com/hashicorp/raft"
-
 	"ravensill/internal/config"
 	"ravensill/internal/consensus"
 	"ravensill/internal/sockets"
@@ -18,50 +14,53 @@
 )
 
 const (
-	statusInterval  = 5 * time.Second // between two status lines in the log
+	statusInterval  = 5 * time.Second // between status lines in the log
 	proposeTimeout  = 5 * time.Second
 	minTickInterval = 10 * time.Millisecond
+	ticksPerReport  = 3 // ticks in a report interval
 	inboxSize       = 4096
+
+	// restartsPerElection is the share of the election timeout that a voter waits before it starts a new grantor.
+	restartsPerElection = 4
 )
 
-// Voter is one of the raft voters, which replicate the ledger with package consensus. Its task owns the lease grantor while the
-// voter leads, and sends all datagrams. The fields below epoch belong to the task.
+// Voter is one of the raft voters, which replicate the ledger with package consensus. The goroutine of run owns the
+// lease grantor while the voter leads, and sends all datagrams.
 type Voter struct {
-	system  sockets.System
 	cfg     *config.Pool
 	index   int
 	replica *consensus.Replica
-	socket  *net.UDPConn
-	inbox   chan func()
+	conn    *messageConn
+	inbox   chan func() // work for run
 	done    chan struct{}
-	ended   chan struct{}
-	epoch   time.Time
+	task    sync.WaitGroup // run
+	helpers sync.WaitGroup // goroutines that pass work to run
+	epoch   time.Time      // start of the clock
 
+	// The fields below belong to the goroutine of run.
 	grantor     *pool.Grantor    // nil unless the voter leads and has read the ledger
-	term        int              // counts changes of leadership and of the grantor
-	leading     bool             // as raft says
+	term        int              // number of changes of leadership and of the grantor
+	leading     bool             // as reported by the replica
 	memberAddrs []netip.AddrPort // of lease holders, by member index
-	lastStatus  int64            // time of the last status line, in ns
+	lastStatus  pool.Instant     // time of the latest status line
 	received    int              // datagrams
 	sent        int              // datagrams
 	dropped     int              // invalid datagrams
 	batches     int              // proposed
 }
 
-// StartVoter opens the sockets and the log of the voter with the index, and starts its task.
+// StartVoter opens the sockets and the replicated log of the voter with an index, and starts its goroutines.
 func StartVoter(system sockets.System, cfg *config.Pool, index int) (*Voter, error) {
 	v := &Voter{
-		system:      system,
 		cfg:         cfg,
 		index:       index,
 		inbox:       make(chan func(), inboxSize),
 		done:        make(chan struct{}),
-		ended:       make(chan struct{}),
 		epoch:       time.Now(),
 		memberAddrs: make([]netip.AddrPort, cfg.Terms.Members),
 	}
 	var err error
-	v.socket, err = system.ListenPacket(cfg.Listen)
+	v.conn, err = listenMessages(system, cfg.Listen, cfg.Key)
 	if err != nil {
 		return nil, err
 	}
@@ -76,49 +75,38 @@
 		Election:  cfg.ElectionTimeout,
 	}, &ledgerMachine{ledger: pool.NewLedger(&cfg.Terms)})
 	if err != nil {
-		v.socket.Close()
+		v.conn.close()
 		return nil, err
 	}
-	go v.read()
-	go v.run()
+	v.helpers.Go(v.read)
+	v.task.Go(v.run)
 	return v, nil
 }
 
-// Close ends the task, then closes the replica and the socket.
+// Close closes the replica and the socket, and waits until the goroutines have ended.
 func (v *Voter) Close() {
 	close(v.done)
-	<-v.ended
-	v.replica.Close()
-	v.socket.Close()
+	v.task.Wait()
+	v.replica.Close() // ends proposals in progress
+	v.conn.close()
+	v.helpers.Wait()
 }
 
-// now returns the time since the start, in nanoseconds and above 0.
-func (v *Voter) now() int64 { return int64(time.Since(v.epoch)) + 1 }
+// now returns the time since the start. It is above 0, which means no time in package pool.
+func (v *Voter) now() pool.Instant { return pool.Instant(time.Since(v.epoch)) + 1 }
 
-// runInTask has the task run f. It drops f after Close.
-func (v *Voter) runInTask(f func()) {
+// enqueue passes f to the goroutine of run. It drops f after Close.
+func (v *Voter) enqueue(f func()) {
 	select {
 	case v.inbox <- f:
 	case <-v.done:
 	}
 }
 
-// read passes datagrams to the task until the socket is closed.
+// read passes datagrams to the goroutine of run until the socket is closed.
 func (v *Voter) read() {
-	buffer := make([]byte, maxDatagramBytes+1)
-	var pause sockets.ReadPause
-	for {
-		n, from, err := v.system.ReadPacket(v.socket, buffer)
-		if isClosed(err) {
-			return
-		}
-		if err != nil {
-			pause.Failed()
-			continue
-		}
-		pause.Succeeded()
-		message, err := Decode(v.cfg.Key, buffer[:n])
-		v.runInTask(func() {
+	v.conn.read(func(message *Message, err error, from netip.AddrPort) {
+		v.enqueue(func() {
 			v.received++
 			if err != nil {
 				v.dropped++
@@ -126,13 +114,12 @@
 			}
 			v.receive(message, from)
 		})
-	}
+	})
 }
 
-// run is the voter's task.
+// run handles all events of the voter until Close.
 func (v *Voter) run() {
-	defer close(v.ended)
-	tick := time.NewTicker(max(time.Duration(v.cfg.Terms.ReportInterval/3), minTickInterval))
+	tick := time.NewTicker(max(v.cfg.Terms.ReportInterval/ticksPerReport, minTickInterval))
 	defer tick.Stop()
 	for {
 		select {
@@ -147,27 +134,52 @@
 				v.startLeading()
 			}
 		case <-tick.C:
-			now := v.now()
-			if v.grantor != nil {
-				v.execute(v.grantor.Step(now, pool.Tick{}))
-			}
-			v.logStatus(now)
+			v.tick(v.now())
 		case <-v.done:
 			return
 		}
 	}
 }
 
-// startLeading reads the ledger by proposing an empty batch: once that is committed, so is all that was committed before.
+// tick proposes what the grantor decides, and logs the status if a line is due.
+func (v *Voter) tick(now pool.Instant) {
+	if v.grantor != nil {
+		batch, notes := v.grantor.Tick(now)
+		logNotes(notes)
+		if batch != nil {
+			v.propose(batch, v.sendGrants)
+		}
+	}
+	v.logStatus(now)
+}
+
+// sendGrants sends the grants that follow from the commit of a batch.
+func (v *Voter) sendGrants(ledger *pool.Ledger) {
+	for _, grant := range v.grantor.Committed(ledger) {
+		v.send(v.memberAddrs[grant.Member], &Message{Grant: grant})
+	}
+}
+
+func logNotes(notes []pool.Note) {
+	for _, note := range notes {
+		slog.Warn(note.Event,
+			"member", note.Member,
+			"incarnation", note.Incarnation,
+			"units", note.Units,
+		)
+	}
+}
+
+// startLeading reads the ledger by an empty batch: when that is applied, so is all that was committed before.
 func (v *Voter) startLeading() {
 	v.propose(&pool.Batch{}, func(ledger *pool.Ledger) {
 		v.grantor = pool.NewGrantor(&v.cfg.Terms, v.now(), ledger)
 	})
 }
 
-// propose proposes a batch and calls committed in the task with the ledger that has it applied. If the outcome is uncertain it drops
-// the grantor and starts leading again.
-func (v *Voter) propose(batch *pool.Batch, committed func(*pool.Ledger)) {
+// propose proposes a batch and calls onCommit on the goroutine of run, with the ledger after the batch. If the
+// outcome is uncertain, it drops the grantor and starts leading again.
+func (v *Voter) propose(batch *pool.Batch, onCommit func(*pool.Ledger)) {
 	text, err := json.Marshal(batch)
 	if err != nil {
 		slog.Error("pool_batch_encode_failed", "error", err)
@@ -176,28 +188,28 @@
 	term := v.term
 	v.batches++
 	proposal := v.replica.Propose(text, proposeTimeout)
-	go func() {
+	v.helpers.Go(func() {
 		ledger, err := proposal.Wait()
-		v.runInTask(func() {
+		v.enqueue(func() {
 			switch {
 			case v.term != term:
 			case err == nil:
-				committed(ledger.(*pool.Ledger))
+				onCommit(ledger.(*pool.Ledger))
 			default:
 				slog.Warn("pool_lease_uncertain", "error", err)
 				v.restartLeading()
 			}
 		})
-	}()
+	})
 }
 
-// restartLeading drops the grantor, and makes a new one after a pause if the voter still leads then.
+// restartLeading drops the grantor, and starts a new one after a pause if the voter still leads then.
 func (v *Voter) restartLeading() {
 	v.grantor = nil
 	v.term++
 	term := v.term
-	time.AfterFunc(v.cfg.ElectionTimeout/4, func() {
-		v.runInTask(func() {
+	time.AfterFunc(v.cfg.ElectionTimeout/restartsPerElection, func() {
+		v.enqueue(func() {
 			if v.leading && v.term == term {
 				v.startLeading()
 			}
@@ -205,34 +217,11 @@
 	})
 }
 
-// execute carries out what the grantor returned.
-func (v *Voter) execute(actions []any) {
-	for _, action := range actions {
-		switch action := action.(type) {
-		case pool.Propose:
-			v.propose(&action.Batch, func(ledger *pool.Ledger) {
-				v.execute(v.grantor.Step(v.now(), pool.Committed{Ledger: ledger}))
-			})
-		case *pool.Grant:
-			v.send(v.memberAddrs[action.Member], &Message{Grant: action})
-		case pool.Note:
-			slog.Warn(action.Event,
-				"member", action.Member,
-				"incarnation", action.Incarnation,
-				"units", action.Units,
-			)
-		}
-	}
-}
-
 // send sends a message, unless the address is not known yet.
 func (v *Voter) send(to netip.AddrPort, message *Message) {
-	datagram, err := Encode(v.cfg.Key, message)
-	if err != nil || !to.IsValid() {
-		return
+	if to.IsValid() && v.conn.send(to, message) {
+		v.sent++
 	}
-	v.sent++
-	v.socket.WriteToUDPAddrPort(datagram, to)
 }
 
 // receive handles a report, or answers it with the voter that leads.
@@ -244,7 +233,7 @@
 	}
 	if v.grantor != nil {
 		v.memberAddrs[report.Member] = from
-		v.grantor.Step(v.now(), report)
+		v.grantor.Receive(v.now(), report)
 		return
 	}
 	leader := v.replica.Leader()
@@ -254,8 +243,8 @@
 }
 
 // logStatus logs a status line when one is due.
-func (v *Voter) logStatus(now int64) {
-	if now-v.lastStatus < int64(statusInterval) {
+func (v *Voter) logStatus(now pool.Instant) {
+	if now.Sub(v.lastStatus) < statusInterval {
 		return
 	}
 	v.lastStatus = now
@@ -278,46 +267,10 @@
 		"batches", v.batches,
 		"capacity", totals.Capacity,
 		"serial", totals.Serial,
-		"leased", totals.Lent,
+		"leased", totals.Leased,
 		"free", totals.Free,
 		"stranded", totals.Stranded,
-		"connections", totals.Held,
+		"connections", totals.Connections,
 		"members_reporting", totals.Reporting,
 	)
 }
-
-func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
-
-// ledgerMachine is the raft state machine of one voter: its copy of the ledger. It belongs to the raft library's task.
-type ledgerMachine struct{ ledger *pool.Ledger }
-
-// Apply applies a committed batch and returns a copy of the ledger. One that can't be read is skipped, at all voters alike.
-func (m *ledgerMachine) Apply(entry *raft.Log) any {
-	var batch pool.Batch
-	if err := json.Unmarshal(entry.Data, &batch); err != nil {
-		slog.Error("pool_batch_dropped", "error", err)
-	}
-	m.ledger.Apply(&batch)
-	return m.ledger.Clone()
-}
-
-// Snapshot returns the ledger as JSON.
-func (m *ledgerMachine) Snapshot() (raft.FSMSnapshot, error) {
-	ledger := m.ledger.Clone()
-	return consensus.SnapshotWriter(func(w io.Writer) error { return json.NewEncoder(w).Encode(ledger) }), nil
-}
-
-// Restore reads a snapshot. One under other terms is an error.
-func (m *ledgerMachine) Restore(snapshot io.ReadCloser) error {
-	defer snapshot.Close()
-	ledger := &pool.Ledger{}
-	if err := json.NewDecoder(snapshot).Decode(ledger); err != nil {
-		return err
-	}
-	sameTerms := len(ledger.Entries) == len(m.ledger.Entries) && ledger.Floor == m.ledger.Floor && ledger.Reserve == m.ledger.Reserve
-	if !sameTerms {
-		return errors.New("snapshot of other terms")
-	}
-	m.ledger = ledger
-	return nil
-}
--- a/internal/poolrunner/voter_test.go
+++ b/internal/poolrunner/voter_test.go
@@ -30,8 +30,8 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// landedLedger is the ledger that the folder testdata/landed-6d43e16 holds, which the program at 6d43e16 wrote: a snapshot, and
-// batches in the log after it.
+// landedLedger is the ledger that the folder testdata/landed-6d43e16 holds, which the program at 6d43e16 wrote: a
+// snapshot, and batches in the log after it.
 const landedLedger = `{"Capacity":40,"Serial":5,"Entries":[` +
 	`{"Life":77,"Number":5,"Units":25,"Stranded":0},{"Life":88,"Number":2,"Units":8,"Stranded":0}],"Reserve":3,"Floor":2}`
 
@@ -48,9 +48,9 @@
 			Members:        2,
 			Floor:          2,
 			Reserve:        3,
-			Lease:          int64(time.Minute),
-			Drain:          int64(time.Minute),
-			ReportInterval: int64(time.Second),
+			Lease:          time.Minute,
+			Drain:          time.Minute,
+			ReportInterval: time.Second,
 		},
 		Voters:          []netip.AddrPort{address},
 		VoterStreams:    []netip.AddrPort{address},
--- a/lab/leasesim/leasesim.go
+++ b/lab/leasesim/leasesim.go
@@ -12,7 +12,8 @@
 	"ravensill/pool"
 )
 
-const Ms = int64(1e6)
+// Ms is a millisecond in nanoseconds, untyped: instants of the simulation are int64, terms are durations.
+const Ms = 1_000_000
 
 // Faults are chances for each message, and delays.
 type Faults struct {
@@ -46,7 +47,7 @@
 	offset int64
 }
 
-func (c clock) at(now int64) int64 { return c.offset + int64(float64(now)*c.rate) }
+func (c clock) at(now int64) pool.Instant { return pool.Instant(c.offset + int64(float64(now)*c.rate)) }
 
 // Gateway is one gateway: its lease holder, and its connections by when their request ends, 0 for idle ones.
 type Gateway struct {
@@ -196,20 +197,25 @@
 	w.Agreed.Apply(l.pending)
 	l.pending = nil
 	ledger := w.Agreed.Clone()
-	w.schedule(w.Now+int64(w.rng.Uint64N(uint64(late))), func() { w.execute(l, l.Grantor.Step(l.at(w.Now), pool.Committed{Ledger: ledger})) })
+	w.schedule(w.Now+int64(w.rng.Uint64N(uint64(late))), func() { w.sendGrants(l.Grantor.Committed(ledger)) })
 }
 
-func (w *Simulation) execute(l *Leader, out []any) {
-	for _, m := range out {
-		switch m := m.(type) {
-		case pool.Propose:
-			l.pending, l.until = &m.Batch, w.Now+int64(w.rng.Uint64N(uint64(20*Ms)))
-		case pool.Note:
-			w.Noted[m.Event]++
-		case *pool.Grant:
-			g := w.Gateways[m.Member]
-			w.send(m.Member, "down", func() { w.deliver(g, m) })
-		}
+// tick lets a leader propose.
+func (w *Simulation) tick(l *Leader) {
+	batch, notes := l.Grantor.Tick(l.at(w.Now))
+	for _, note := range notes {
+		w.Noted[note.Event]++
+	}
+	if batch != nil {
+		l.pending = batch
+		l.until = w.Now + int64(w.rng.Uint64N(uint64(20*Ms)))
+	}
+}
+
+func (w *Simulation) sendGrants(grants []*pool.Grant) {
+	for _, grant := range grants {
+		g := w.Gateways[grant.Member]
+		w.send(grant.Member, "down", func() { w.deliver(g, grant) })
 	}
 }
 
@@ -250,7 +256,7 @@
 		case l.pending != nil && w.Now >= l.until && !l.deposed:
 			w.commit(l, 20*Ms)
 		case l.pending == nil && w.Steps%5 == 0:
-			w.execute(l, l.Grantor.Step(l.at(w.Now), pool.Tick{}))
+			w.tick(l)
 		}
 	}
 	if len(w.formerLeaders) > 2 {
@@ -309,7 +315,7 @@
 		}
 		w.send(g.member, "up", func() {
 			if to.Grantor != nil {
-				to.Grantor.Step(to.at(w.Now), r)
+				to.Grantor.Receive(to.at(w.Now), r)
 			}
 		})
 	}
--- a/lab/leasesim/leasesim_test.go
+++ b/lab/leasesim/leasesim_test.go
@@ -102,12 +102,12 @@
 func TestAnswersTheBatch(t *testing.T) {
 	tm := newTerms(1, 1, 0)
 	l := pool.NewGrantor(&tm, 1, pool.NewLedger(&tm))
-	l.Step(2, &pool.Report{Incarnation: 1, Sent: 10, Weight: 1})
-	b := l.Step(3, pool.Tick{})[0].(pool.Propose).Batch
-	l.Step(4, &pool.Report{Incarnation: 1, Sent: 20, Weight: 1})
+	l.Receive(2, &pool.Report{Incarnation: 1, Sent: 10, Weight: 1})
+	b, _ := l.Tick(3)
+	l.Receive(4, &pool.Report{Incarnation: 1, Sent: 20, Weight: 1})
 	ledger := pool.NewLedger(&tm)
-	ledger.Apply(&b)
-	if g := l.Step(5, pool.Committed{Ledger: ledger})[0].(*pool.Grant); g.Sent != 10 {
+	ledger.Apply(b)
+	if g := l.Committed(ledger)[0]; g.Sent != 10 {
 		t.Errorf("answered the report of %d", g.Sent)
 	}
 }
@@ -163,7 +163,7 @@
 			mean := rapid.Float64Range(2, 16).Draw(t, "mean")
 			part, at := 0.0, int64(-1)
 			g.Demand = func(now int64) float64 { // a new draw for each report
-				if slot := now / w.Terms.ReportInterval; slot != at {
+				if slot := now / int64(w.Terms.ReportInterval); slot != at {
 					part, at = 0.8+0.4*w.rng.Float64(), slot
 				}
 				return mean * part
@@ -178,7 +178,7 @@
 					continue
 				}
 				changes++
-				if at[i] > 0 && w.Now-at[i] < w.Terms.TargetHold*97/100 {
+				if at[i] > 0 && w.Now-at[i] < int64(w.Terms.TargetHold)*97/100 {
 					t.Fatalf("share of %d changed twice in %d ms", i, (w.Now-at[i])/Ms)
 				}
 				last[i], at[i] = x, w.Now
@@ -281,7 +281,7 @@
 	if e := l.Entries[0]; e.Units != 0 || e.Stranded != 4 || l.Free() != 14 {
 		t.Fatalf("%+v, %d free", e, l.Free())
 	}
-	now := int64(1e9)
+	now := pool.Instant(1e9)
 	h := pool.NewLeaseholder(&tm, 0, 6, 1, 1, 20, now)
 	h.Receive(now, &pool.Grant{Incarnation: 5, Number: 9, Units: 9, Sent: now})
 	if n := h.Allowed(now); n != 1 {
@@ -293,7 +293,7 @@
 	if n := h.Allowed(now); n != 4 || math.MaxInt < n {
 		t.Errorf("%d allowed after a recall and an old grant", n)
 	}
-	if n := h.Allowed(now + tm.Lease); n != 1 {
+	if n := h.Allowed(now.Add(tm.Lease)); n != 1 {
 		t.Errorf("%d allowed past the lease", n)
 	}
 }
--- a/pool/json_test.go
+++ b/pool/json_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestJSON: logs, snapshots and datagrams keep the names of earlier releases, so that voters and lease holders of both read them.
-func TestJSON(t *testing.T) {
+// Logs, snapshots and datagrams keep the JSON names of earlier releases, so that voters and lease holders of both
+// read them.
+func TestJSONKeepsNamesOfEarlierReleases(t *testing.T) {
 	ledger := NewLedger(&Terms{Members: 1, Floor: 2, Reserve: 3})
 	ledger.Entries[0] = Entry{Incarnation: 4, Number: 5, Units: 6, Stranded: 7}
 	change := Change{Member: 1, Number: 2, Incarnation: 3, Units: 4, Clear: true}
@@ -16,7 +17,18 @@
 		want  string
 	}{
 		{
-			&Report{Member: 1, Incarnation: 2, Sent: 3, Number: 4, Bound: 5, Connections: 6, Demand: 7.5, Weight: 8, Serial: 9, Capacity: 10},
+			&Report{
+				Member:      1,
+				Incarnation: 2,
+				Sent:        3,
+				Number:      4,
+				Bound:       5,
+				Connections: 6,
+				Demand:      7.5,
+				Weight:      8,
+				Serial:      9,
+				Capacity:    10,
+			},
 			`{"Seat":1,"Life":2,"Sent":3,"Number":4,"Bound":5,"Held":6,"Demand":7.5,"Weight":8,"Serial":9,"Capacity":10}`,
 		},
 		{
@@ -25,10 +37,14 @@
 		},
 		{
 			&Batch{Serial: 1, Capacity: 2, Changes: []Change{change, {}}},
-			`{"Serial":1,"Capacity":2,"Changes":[{"Seat":1,"Number":2,"Life":3,"Units":4,"Clear":true},{"Seat":0,"Number":0,"Units":0}]}`,
+			`{"Serial":1,"Capacity":2,"Changes":[` +
+				`{"Seat":1,"Number":2,"Life":3,"Units":4,"Clear":true},{"Seat":0,"Number":0,"Units":0}]}`,
 		},
 		{&Batch{}, `{}`},
-		{ledger, `{"Capacity":0,"Serial":0,"Entries":[{"Life":4,"Number":5,"Units":6,"Stranded":7}],"Reserve":3,"Floor":2}`},
+		{
+			ledger,
+			`{"Capacity":0,"Serial":0,"Entries":[{"Life":4,"Number":5,"Units":6,"Stranded":7}],"Reserve":3,"Floor":2}`,
+		},
 	} {
 		text, err := json.Marshal(test.value)
 		if err != nil || string(text) != test.want {
--- a/pool/leaseholder.go
+++ b/pool/leaseholder.go
@@ -1,32 +1,39 @@
 package pool
 
-// Report is what a lease holder sends to the lease grantor, as JSON with the names of earlier releases.
+import "time"
+
+// Report is the message of a lease holder to the grantor. Its JSON form has the names of earlier releases.
 type Report struct {
 	Member      int     `json:"Seat"` // member index
-	Incarnation uint64  `json:"Life"` // incarnation of the process
-	Sent        int64   // ns of the holder's clock
-	Number      uint64  // of the last grant received
-	Bound       int     // under that number the gateway will never again hold more connections than this above its floor
-	Connections int     `json:"Held"` // connections, dials included
-	Demand      float64 // connections in use and waited for, mean since the last report
+	Incarnation uint64  `json:"Life"` // of the process
+	Sent        Instant // by the holder's clock
+	Number      uint64  // of the latest grant received
+
+	// Bound is the number of connections above its floor that the gateway will not exceed again under that grant number.
+	Bound int
+
+	Connections int     `json:"Held"` // open or being dialed
+	Demand      float64 // mean number of connections in use or waited for since the report before
 	Weight      float64
-	Serial      uint64 // of the capacity that its operators configured
+	Serial      uint64 // of the configured capacity
 	Capacity    int    // connections
 }
 
-// Grant is the lease grantor's answer. Units holds for one lease from Sent on, the holder's own time when it asked: the lease of a
-// delayed answer is shorter by the delay, never longer. It is sent as JSON with the names of earlier releases.
+// Grant is the message of the grantor to a lease holder. Units are leased from Sent on, which is by the holder's own
+// clock, so that a delayed grant has a shorter lease and never a longer one. Its JSON form has the names of earlier
+// releases.
 type Grant struct {
 	Member           int    `json:"Seat"` // member index
-	Incarnation      uint64 `json:"Life"` // incarnation that it is for
+	Incarnation      uint64 `json:"Life"` // of the report that it answers
 	Number           uint64
-	Units            int    // connections above the floor
-	Sent             int64  // of the report that it answers
-	KnownIncarnation uint64 `json:"Known"` // incarnation of the member that the ledger knows
-	Serial           uint64 // of the capacity in force
+	Units            int     // connections above the floor
+	Sent             Instant // of the report that it answers
+	KnownIncarnation uint64  `json:"Known"` // of the member in the ledger
+	Serial           uint64  // of the capacity in force
 }
 
-// Leaseholder keeps one gateway to its quota. A new one, as of a process that has just started, has its floor only. Times are in nanoseconds of its clock.
+// Leaseholder keeps one gateway to its quota. It starts without a lease, so the gateway may have only its floor of
+// connections.
 type Leaseholder struct {
 	terms       *Terms
 	member      int
@@ -36,26 +43,36 @@
 	capacity    int
 
 	grantNumber   uint64
-	limit         int // connections above the floor that are allowed; under one number it only decreases
-	bound         int // connections above the floor that it promises not to exceed: limit, or what is still open
-	leaseEnd      int64
-	boundReached  int64 // when it last held as many as bound
-	lastReport    int64
-	reportedBound int    // bound in the last report
-	lastGrant     int64  // Sent of the last report that was answered
-	serialInForce uint64 // as of the last grant
-
-	connections     int     // open or dialed
-	demand          int     // connections in use and waited for
-	demandIntegral  float64 // of demand over time since averagedSince, in connections times ns
-	integratedUntil int64
-	averagedSince   int64
+	limit         int // connections above the floor that are allowed; it only decreases under one number
+	bound         int // connections above the floor that it will not exceed: limit, or those that are still open
+	leaseEnd      Instant
+	boundReached  Instant // when the gateway last had as many connections as bound
+	lastReport    Instant
+	reportedBound int     // bound in the latest report
+	lastGrant     Instant // Sent of the latest report that was answered
+	serialInForce uint64  // as of the latest grant
+
+	connections     int     // open or being dialed
+	demand          int     // connections in use or waited for
+	demandIntegral  float64 // of demand over time since averagedSince, in connections times nanoseconds
+	integratedUntil Instant
+	averagedSince   Instant
 }
 
-// NewLeaseholder returns the lease holder of a process that starts now. Its incarnation must be above those of the member's earlier
-// processes.
-func NewLeaseholder(terms *Terms, member int, incarnation uint64, weight float64, serial uint64, capacity int,
-	now int64) *Leaseholder {
+// earlyReportShare is the share of the report interval after which a report that returns units may be sent early.
+const earlyReportShare = 8
+
+// NewLeaseholder returns the lease holder of a process that starts now. Its incarnation must be above those of the
+// member's earlier processes.
+func NewLeaseholder(
+	terms *Terms,
+	member int,
+	incarnation uint64,
+	weight float64,
+	serial uint64,
+	capacity int,
+	now Instant,
+) *Leaseholder {
 	return &Leaseholder{
 		terms:           terms,
 		member:          member,
@@ -65,51 +82,55 @@
 		capacity:        capacity,
 		integratedUntil: now,
 		averagedSince:   now,
-		lastReport:      now - terms.ReportInterval,
+		lastReport:      now.Add(-terms.ReportInterval),
 		lastGrant:       now,
 	}
 }
 
-// Allowed returns the number of connections that may be open or dialed now. A gateway that holds more closes idle ones, and the
-// others as they become idle.
-func (h *Leaseholder) Allowed(now int64) int {
+// Allowed returns the number of connections that may be open or being dialed now. A gateway that has more closes idle
+// ones, and the others when they become idle.
+func (h *Leaseholder) Allowed(now Instant) int {
 	if now >= h.leaseEnd {
 		h.limit = 0
 	}
 	return h.terms.Floor + h.limit
 }
 
-// SetUsage sets the number of connections, dials included, and the number of requests that use one or wait for one. It is called
-// after each change.
-func (h *Leaseholder) SetUsage(now int64, connections, demand int) {
-	h.demandIntegral += float64(h.demand) * float64(now-h.integratedUntil)
+// SetUsage sets the number of connections, open or being dialed, and the number of requests that use one or wait for
+// one. It has to be called after each change.
+func (h *Leaseholder) SetUsage(now Instant, connections, demand int) {
+	h.demandIntegral += float64(h.demand) * float64(now.Sub(h.integratedUntil))
 	h.integratedUntil = now
 	h.connections = connections
 	h.demand = demand
 	h.lowerBound(now)
 }
 
-// AddRejected counts a request that was rejected for want of a connection, which it would have used for so long.
-func (h *Leaseholder) AddRejected(duration int64) { h.demandIntegral += float64(duration) }
+// AddRejected adds the demand of a request that was rejected for lack of a connection, by the time that it would have
+// used one.
+func (h *Leaseholder) AddRejected(serviceTime time.Duration) {
+	h.demandIntegral += float64(serviceTime)
+}
 
-// lowerBound lowers the bound once the connections above it have been closed for long enough.
-func (h *Leaseholder) lowerBound(now int64) {
+// lowerBound lowers the bound after the connections above it have been closed for CloseDelay.
+func (h *Leaseholder) lowerBound(now Instant) {
 	h.Allowed(now)
 	bound := max(h.limit, h.connections-h.terms.Floor)
 	if bound >= h.bound {
 		h.boundReached = now
-	} else if now-h.boundReached >= h.terms.CloseDelay {
+	} else if now.Sub(h.boundReached) >= h.terms.CloseDelay {
 		h.bound = bound
 	}
 }
 
-// Receive handles a grant. One for another incarnation, or an older one, changes nothing.
-func (h *Leaseholder) Receive(now int64, grant *Grant) {
+// Receive handles a grant. It ignores one for another incarnation and an older one.
+func (h *Leaseholder) Receive(now Instant, grant *Grant) {
 	if grant.Member != h.member {
 		return
 	}
 	if grant.Incarnation != h.incarnation {
-		clockSetBack := grant.Incarnation < h.incarnation && grant.KnownIncarnation > h.incarnation // the one that numbers incarnations
+		// Incarnations come from the wall clock, which may have been set back since the one that the ledger has.
+		clockSetBack := grant.Incarnation < h.incarnation && grant.KnownIncarnation > h.incarnation
 		if clockSetBack {
 			h.incarnation = grant.KnownIncarnation + 1
 		}
@@ -127,18 +148,18 @@
 	} else {
 		h.limit = min(h.limit, grant.Units)
 	}
-	h.leaseEnd = max(h.leaseEnd, grant.Sent+h.terms.Lease)
+	h.leaseEnd = max(h.leaseEnd, grant.Sent.Add(h.terms.Lease))
 	h.lastGrant = max(h.lastGrant, grant.Sent)
 	h.serialInForce = grant.Serial
 	h.lowerBound(now)
 }
 
-// Report returns the report to be sent now, or nil: one is due after each interval, or earlier if units can be given back.
-func (h *Leaseholder) Report(now int64) *Report {
+// Report returns the report to send now, or nil. One is due after each interval, or earlier if units can be returned.
+func (h *Leaseholder) Report(now Instant) *Report {
 	h.lowerBound(now)
-	sinceReport := now - h.lastReport
-	givesBack := h.bound < h.reportedBound && sinceReport >= h.terms.ReportInterval/8
-	if sinceReport < h.terms.ReportInterval && !givesBack {
+	sinceReport := now.Sub(h.lastReport)
+	returnsUnits := h.bound < h.reportedBound && sinceReport >= h.terms.ReportInterval/earlyReportShare
+	if sinceReport < h.terms.ReportInterval && !returnsUnits {
 		return nil
 	}
 	h.SetUsage(now, h.connections, h.demand)
@@ -153,9 +174,9 @@
 		Weight:      h.weight,
 	}
 	if now > h.averagedSince {
-		report.Demand = h.demandIntegral / float64(now-h.averagedSince)
+		report.Demand = h.demandIntegral / float64(now.Sub(h.averagedSince))
 	}
-	if sinceReport >= h.terms.ReportInterval { // a mean over less says little
+	if sinceReport >= h.terms.ReportInterval { // a mean over less time is too noisy
 		h.demandIntegral = 0
 		h.averagedSince = now
 	}
@@ -168,11 +189,13 @@
 	return report
 }
 
-// Due returns when Report or Allowed must be called again at the latest.
-func (h *Leaseholder) Due(now int64) int64 {
-	due := h.lastReport + h.terms.ReportInterval
+// Due returns the latest time for the next call of Report or Allowed.
+func (h *Leaseholder) Due(now Instant) Instant {
+	due := h.lastReport.Add(h.terms.ReportInterval)
 	if h.bound > max(h.limit, h.connections-h.terms.Floor) {
-		due = min(due, max(h.boundReached+h.terms.CloseDelay, h.lastReport+h.terms.ReportInterval/8))
+		closed := h.boundReached.Add(h.terms.CloseDelay)
+		earlyReport := h.lastReport.Add(h.terms.ReportInterval / earlyReportShare)
+		due = min(due, max(closed, earlyReport))
 	}
 	if h.limit > 0 {
 		due = min(due, h.leaseEnd)
@@ -180,10 +203,10 @@
 	return max(due, now)
 }
 
-// LastAnswered returns the time of the last report that was answered.
-func (h *Leaseholder) LastAnswered() int64 { return h.lastGrant }
+// LastAnswered returns the time of the latest report that was answered.
+func (h *Leaseholder) LastAnswered() Instant { return h.lastGrant }
 
-// SetCapacity sets the capacity that the operators configured; an older serial changes nothing.
+// SetCapacity sets the configured capacity, unless its serial is older.
 func (h *Leaseholder) SetCapacity(serial uint64, capacity int) {
 	if serial > h.serial {
 		h.serial = serial
--- a/pool/ledger.go
+++ b/pool/ledger.go
@@ -1,39 +1,53 @@
-// Package pool negotiates how many connections each gateway may hold to one store that accepts only so many in all. It does no I/O
-// and has no clock: each part is given messages and times (int64 nanoseconds of its own monotonic clock) and returns what to send.
-// A Leaseholder keeps one gateway to its quota; the Ledger is what is lent, agreed on by a few gateways (the raft voters); the
-// Grantor decides for the voter that leads.
+// Package pool divides the connections that one store accepts among the gateways, by leases. It does no I/O and reads
+// no clock: its parts get messages and the time of their own monotonic clock, and return what to send. A Leaseholder
+// keeps one gateway to its quota. The Ledger has all leases, and is replicated by some of the gateways, the raft
+// voters. The Grantor decides about leases for the voter that leads.
 //
-// Safety rests on three sums and on no message. Floors are always set aside, the ledger refuses whatever would lend more than the
-// rest, and a lease (Gray and Cheriton, SOSP 1989: a promise that ends by itself) ends at its holder before the grantor counts it
-// as ended.
+// Safety depends on three sums and on no message. Floors are always reserved, the ledger refuses a change that would
+// lease more than the rest, and a lease (Gray and Cheriton, SOSP 1989) expires at its holder before the grantor
+// counts it as expired.
 package pool
 
-// Terms are what all gateways that share a store agree on.
+import (
+	"slices"
+	"time"
+
+	"ravensill/internal/clock"
+)
+
+// Instant is a moment of the monotonic clock of one lease holder or grantor. Instants of different clocks can't be
+// compared.
+type Instant = clock.Instant
+
+// Terms are the settings that all gateways of a store have in common.
 type Terms struct {
-	Members        int     // number of gateways
-	Floor          int     // connections that each may hold without a lease
-	Reserve        int     // connections of the store that are never lent
-	Lease          int64   // ns that a lease holds from when its holder asked
-	Drain          int64   // ns that a request may be open at most after its lease has ended
-	Drift          float64 // the rate of a clock is within 1-Drift and 1+Drift
-	TargetHold     int64   // ns between two changes of a gateway's target at least
-	ReportInterval int64   // ns between two reports of a gateway
-	CloseDelay     int64   // ns from a connection's end here until the store has surely seen it
+	Members        int           // number of gateways
+	Floor          int           // connections that each gateway may have without a lease
+	Reserve        int           // connections of the store that are never leased
+	Lease          time.Duration // of a lease, from the time of the report that it answers
+	Drain          time.Duration // longest time that a request uses a connection after its lease has expired
+	Drift          float64       // the rate of a clock is within 1-Drift and 1+Drift
+	TargetHold     time.Duration // least time between two changes of a gateway's target
+	ReportInterval time.Duration // between two reports of a gateway
+	CloseDelay     time.Duration // from closing a connection until the store has noticed it for certain
 }
 
-// Outlasts returns how long a lease grantor waits until a duration is surely over by a lease holder's clock: the holder's may be the
-// slowest, its own the fastest allowed.
-func (t *Terms) Outlasts(d int64) int64 { return int64(float64(d)*(1+t.Drift)/(1-t.Drift)) + 1 }
+// Outlasts returns the time by a grantor's clock after which d has passed by a lease holder's clock for certain: the
+// holder's clock may be the slowest and the grantor's the fastest allowed.
+func (t *Terms) Outlasts(d time.Duration) time.Duration {
+	return time.Duration(float64(d)*(1+t.Drift)/(1-t.Drift)) + 1
+}
 
-// Entry is what one gateway was lent above its floor. Its JSON form, with the names of earlier releases, is in the voters' snapshots.
+// Entry has the units leased to one gateway, connections above its floor. Its JSON form, with the names of earlier
+// releases, is in the voters' snapshots.
 type Entry struct {
-	Incarnation uint64 `json:"Life"` // incarnation of the process that holds Units
-	Number      uint64 // of the last change; it never decreases
+	Incarnation uint64 `json:"Life"` // of the process that has Units
+	Number      uint64 // of the latest change; it never decreases
 	Units       int
-	Stranded    int // units of earlier incarnations, not given back
+	Stranded    int // units of earlier incarnations that were not returned
 }
 
-// Ledger is what is lent to whom. It changes by Apply only, equally at all voters.
+// Ledger has the leases of all gateways. Only Apply changes it, in the same way at all voters.
 type Ledger struct {
 	Capacity int     // connections that the store accepts
 	Serial   uint64  // of the capacity
@@ -42,29 +56,34 @@
 	Floor    int
 }
 
-// Change is one change of an entry. It applies only if the entry still has the number by which it was decided. Its JSON form,
-// with the names of earlier releases, is in the voters' logs.
+// Change is a change of one entry. It applies only if the entry still has the number for which the change was made.
+// Its JSON form, with the names of earlier releases, is in the voters' logs.
 type Change struct {
-	Member      int `json:"Seat"` // member index
-	Number      uint64
-	Incarnation uint64 `json:"Life,omitempty"` // above the entry's: a new incarnation; the units of the old one are stranded
-	Units       int    // from now on
-	Clear       bool   `json:",omitempty"` // stranded units are free again
+	Member int    `json:"Seat"` // member index
+	Number uint64 // of the entry
+
+	// Incarnation above that of the entry starts a new incarnation, and the units of the one before are stranded.
+	Incarnation uint64 `json:"Life,omitempty"`
+
+	Units int  // of the entry after the change
+	Clear bool `json:",omitempty"` // stranded units become free
 }
 
-// Batch is what is committed at one time, in order. A Serial above the ledger's sets the capacity.
+// Batch is an entry of the replicated log: changes that are applied in order. A Serial above that of the ledger sets
+// the capacity.
 type Batch struct {
 	Serial   uint64   `json:",omitempty"`
 	Capacity int      `json:",omitempty"`
 	Changes  []Change `json:",omitempty"`
 }
 
-// NewLedger returns a ledger with nothing lent. Its serial and capacity are 0, so that nothing can be lent until they are set.
+// NewLedger returns a ledger without leases. Its serial and capacity are 0, so that nothing can be leased until they
+// are set.
 func NewLedger(terms *Terms) *Ledger {
 	return &Ledger{Entries: make([]Entry, terms.Members), Reserve: terms.Reserve, Floor: terms.Floor}
 }
 
-// Free returns the units that may still be lent; it is below 0 after the capacity was lowered.
+// Free returns the number of units that can still be leased. It may be negative after the capacity was lowered.
 func (l *Ledger) Free() int {
 	free := l.Capacity - l.Reserve - l.Floor*len(l.Entries)
 	for _, entry := range l.Entries {
@@ -73,8 +92,8 @@
 	return free
 }
 
-// Apply applies a batch. Changes decided by an older state of an entry, or that would lend more than is free, are skipped, so that
-// no fault of a lease grantor lends more than there is.
+// Apply applies a batch. It skips changes for an older state of an entry and those that would lease more than is
+// free, so that no fault of a grantor leases more than the capacity.
 func (l *Ledger) Apply(batch *Batch) {
 	if batch.Serial > l.Serial && batch.Capacity >= 0 {
 		l.Serial = batch.Serial
@@ -107,9 +126,9 @@
 	}
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (l *Ledger) Clone() *Ledger {
-	c := *l
-	c.Entries = append([]Entry(nil), l.Entries...)
-	return &c
+	clone := *l
+	clone.Entries = slices.Clone(l.Entries)
+	return &clone
 }
--- a/pool/plan.go
+++ b/pool/plan.go
@@ -6,55 +6,73 @@
 	"slices"
 )
 
-// headroomMultiples are the multiples of the root of a member's demand that are tried as its headroom, the most generous first.
+// headroomMultiples are the multiples of the root of a member's demand that are tried as its headroom, the largest
+// first.
 var headroomMultiples = []float64{3, 2, 1.5, 1, 0.7, 0.5, 0.3}
 
-// plan is the state of planning one batch.
+const (
+	demandMargin       = 0.35 // connections by which an estimated demand may exceed the one that is claimed
+	headroomHysteresis = 20   // one unit in this many has to be left for a larger headroom than the one in force
+)
+
+// plan is the planning of one batch.
 type plan struct {
-	*Grantor
-	*proposal
-	now    int64
-	free   int    // units that may be lent
-	alive  []bool // by member
-	shares []int  // by member: the fair share above the floor
+	grantor  *Grantor
+	terms    *Terms
+	members  []memberState
+	proposal *proposal
+	now      Instant
+	free     int    // units that may be leased
+	alive    []bool // by member
+	shares   []int  // by member: the fair share above the floor
 }
 
-// plan settles the target of each member, and lends what is free.
-func (g *Grantor) plan(now int64, p *proposal) {
-	pl := &plan{Grantor: g, proposal: p, now: now, free: p.ledger.Free()}
-	pl.computeShares()
-	shortage := pl.raiseTargets()
+// plan sets the target of each member, and leases free units.
+func (g *Grantor) plan(now Instant, proposal *proposal) {
+	p := &plan{
+		grantor:  g,
+		terms:    g.terms,
+		members:  g.members,
+		proposal: proposal,
+		now:      now,
+		free:     proposal.ledger.Free(),
+	}
+	p.computeShares()
+	shortage := p.raiseTargets()
 	if shortage > 0 {
-		pl.recall(shortage)
+		p.recall(shortage)
 	}
-	pl.noteOverdue()
-	pl.lend()
+	p.noteOverdue()
+	p.leaseFree()
 }
 
-// computeShares computes the members' fair shares from their claims.
+// entry returns the ledger entry of a member with the batch applied so far.
+func (p *plan) entry(i int) *Entry { return &p.proposal.ledger.Entries[i] }
+
+// computeShares computes the fair shares of the members from their claims.
 func (p *plan) computeShares() {
-	terms := p.terms
-	lendable := p.free
-	wants := make([]Claim, terms.Members)
-	p.alive = make([]bool, terms.Members)
+	leasable := p.free
+	claims := make([]Claim, len(p.members))
+	p.alive = make([]bool, len(p.members))
 	for i := range p.members {
-		member, entry := &p.members[i], p.proposal.ledger.Entries[i]
-		wants[i] = Claim{Weight: member.weight, Has: entry.Units}
-		p.alive[i] = p.Grantor.alive(p.now, i)
+		member := &p.members[i]
+		units := p.entry(i).Units
+		claims[i] = Claim{Weight: member.weight, Leased: units}
+		p.alive[i] = p.grantor.alive(p.now, i)
 		if p.alive[i] {
-			wants[i].Demand = int(math.Ceil(member.demand.level - 0.35))
-			lendable += entry.Units
+			claims[i].Demand = int(math.Ceil(member.demand.level - demandMargin))
+			leasable += units
 		}
 	}
-	p.addHeadroom(wants, lendable+terms.Floor*terms.Members)
-	p.shares = Shares(wants, terms.Floor, max(lendable, 0))
-	p.claims = wants
+	p.grantor.addHeadroom(claims, leasable+p.terms.Floor*p.terms.Members)
+	p.shares = Shares(claims, p.terms.Floor, max(leasable, 0))
+	p.grantor.claims = claims
 }
 
-// onHold reports whether a member's target changed too recently to change again.
-func (p *plan) onHold(i int) bool { return p.now-p.members[i].targetChanged < p.terms.TargetHold }
+// onHold reports whether the target of a member changed too recently to change again.
+func (p *plan) onHold(i int) bool { return p.now.Sub(p.members[i].targetChanged) < p.terms.TargetHold }
 
-// setTarget sets a member's target.
+// setTarget sets the target of a member.
 func (p *plan) setTarget(i, units int) {
 	member := &p.members[i]
 	if member.target != units {
@@ -63,16 +81,17 @@
 	}
 }
 
-// raiseTargets raises the targets of members below their share, and returns how many units must be recalled for them. Only members
-// below their share justify a recall from those above: when the level moves by one for all, as it does with each change of demand
-// anywhere, nobody is both.
+// raiseTargets raises the targets of members below their share, and returns how many units have to be recalled for
+// them. Only members below their share justify a recall from those above: when one demand changes, the level moves
+// slightly for all members, and nothing needs to move.
 func (p *plan) raiseTargets() (shortage int) {
 	shortage = -p.free
 	for i := range p.members {
-		member, units := &p.members[i], p.proposal.ledger.Entries[i].Units
 		if !p.alive[i] {
 			continue
 		}
+		member := &p.members[i]
+		units := p.entry(i).Units
 		if lack := p.shares[i] - units; lack > 0 {
 			shortage += lack
 			if p.shares[i] > member.target && !p.onHold(i) {
@@ -80,7 +99,7 @@
 			}
 		}
 		if member.target < units {
-			shortage -= units - member.target // being recalled already
+			shortage -= units - member.target // is being recalled already
 		}
 	}
 	return shortage
@@ -100,84 +119,87 @@
 		if shortage <= 0 {
 			return
 		}
-		target := p.members[i].target - min(surplus(i), shortage)
-		recalled := p.members[i].target - target
-		shortage -= min(recalled, max(p.proposal.ledger.Entries[i].Units-target, 0))
+		recalled := min(surplus(i), shortage)
+		target := p.members[i].target - recalled
+		shortage -= min(recalled, max(p.entry(i).Units-target, 0))
 		p.setTarget(i, target)
 	}
 }
 
-// noteOverdue notes members that have not given back in time what was recalled.
+// noteOverdue notes members that have not returned recalled units in time.
 func (p *plan) noteOverdue() {
 	for i := range p.members {
-		member, entry := &p.members[i], p.proposal.ledger.Entries[i]
+		member := &p.members[i]
+		entry := p.entry(i)
 		switch {
 		case member.target >= entry.Units:
 			member.overTargetSince = 0
 			member.recallNoted = false
 		case member.overTargetSince == 0:
 			member.overTargetSince = p.now
-		case !member.recallNoted && p.now-member.overTargetSince > p.terms.Drain+p.terms.Lease/2:
+		case !member.recallNoted && p.now.Sub(member.overTargetSince) > p.terms.Drain+p.terms.Lease/2:
 			member.recallNoted = true
-			p.notes = append(p.notes, Note{EventRecallOverdue, i, entry.Incarnation, entry.Units - member.target})
+			p.proposal.note(EventRecallOverdue, i, entry.Incarnation, entry.Units-member.target)
 		}
 	}
 }
 
-// lend lends free units to the members below their target, those with the lowest level first.
-func (p *plan) lend() {
+// leaseFree leases free units to the members below their target, those with the lowest level first.
+func (p *plan) leaseFree() {
 	var receivers []int
 	for i := range p.members {
-		member, entry := &p.members[i], p.proposal.ledger.Entries[i]
+		member := &p.members[i]
+		entry := p.entry(i)
 		if p.alive[i] && member.target > entry.Units && member.incarnation == entry.Incarnation {
 			receivers = append(receivers, i)
 		}
 	}
 	level := func(i int) float64 {
-		return float64(p.terms.Floor+p.proposal.ledger.Entries[i].Units) / p.members[i].weight
+		return float64(p.terms.Floor+p.entry(i).Units) / p.members[i].weight
 	}
 	slices.SortStableFunc(receivers, func(a, b int) int { return cmp.Compare(level(a), level(b)) })
 	for _, i := range receivers {
 		if p.free <= 0 {
 			return
 		}
-		units := p.proposal.ledger.Entries[i].Units
+		units := p.entry(i).Units
 		extra := min(p.members[i].target-units, p.free)
 		p.free -= extra
-		p.add(Change{Member: i, Units: units + extra})
+		p.proposal.add(Change{Member: i, Units: units + extra})
 	}
 }
 
-// addHeadroom adds headroom to the claims if there is room for all of it: a mean demand of d varies by its root, so each member
-// gets the same multiple of that, as in square-root staffing (Halfin and Whitt, Operations Research 29, 1981).
-func (g *Grantor) addHeadroom(wants []Claim, units int) {
+// addHeadroom adds the largest headroom to the claims for which there are enough units. A demand with the mean d
+// varies by its root, so each member gets the same multiple of that, as in square-root staffing (Halfin and Whitt,
+// Operations Research 29, 1981).
+func (g *Grantor) addHeadroom(claims []Claim, units int) {
 	for i, multiple := range headroomMultiples {
 		limit := units
-		if i < g.headroomIndex { // hysteresis
-			limit = units * 19 / 20
+		if i < g.headroomIndex {
+			limit = units * (headroomHysteresis - 1) / headroomHysteresis
 		}
-		headroom, total := g.headroom(wants, multiple)
+		headroom, total := g.headroom(claims, multiple)
 		if total > limit {
 			continue
 		}
 		g.headroomIndex = i
-		for k := range wants {
-			wants[k].Demand += headroom[k]
+		for k := range claims {
+			claims[k].Demand += headroom[k]
 		}
 		return
 	}
 	g.headroomIndex = math.MaxInt
 }
 
-// headroom returns the headroom of each claim, and the units that all would take with it.
-func (g *Grantor) headroom(wants []Claim, multiple float64) (headroom []int, total int) {
-	for _, want := range wants {
+// headroom returns the headroom of each claim, and the units that all claims need with it.
+func (g *Grantor) headroom(claims []Claim, multiple float64) (headroom []int, total int) {
+	for _, claim := range claims {
 		extra := 0
-		if want.Demand > 0 {
-			extra = int(math.Ceil(multiple * math.Sqrt(float64(want.Demand))))
+		if claim.Demand > 0 {
+			extra = int(math.Ceil(multiple * math.Sqrt(float64(claim.Demand))))
 		}
 		headroom = append(headroom, extra)
-		total += max(want.Demand+extra, g.terms.Floor)
+		total += max(claim.Demand+extra, g.terms.Floor)
 	}
 	return headroom, total
 }
