--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -57,15 +57,16 @@
 		client:  client,
 		lastLog: now,
 		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Membership.Index, uint64(n.unix), cfg.Weight, cfg.Serial,
-			cfg.Capacity, int64(now)),
+			cfg.Capacity, now),
 	}
 	for index, name := range n.cfg.ClassNames {
 		p.addClass(index, name)
 	}
-	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.MaxWait, p.leaseholder.Allowed,
-		p.leaseholder.AddRejected)
+	allowed := func(now int64) int { return p.leaseholder.Allowed(pool.Instant(now)) }
+	onRejected := func(serviceTime int64) { p.leaseholder.AddRejected(time.Duration(serviceTime)) }
+	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.MaxWait, allowed, onRejected)
 	n.quota = p
-	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.unixNano(), grant) })
+	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
 	slog.Info("pool_enabled",
 		"member", n.cfg.Membership.Index,
 		"floor", cfg.Terms.Floor,
@@ -82,21 +83,21 @@
 	}
 	now := p.node.now()
 	open, demand := p.limiter.Usage()
-	p.leaseholder.SetUsage(int64(now), open, demand)
-	if report := p.leaseholder.Report(int64(now)); report != nil {
+	p.leaseholder.SetUsage(now, open, demand)
+	if report := p.leaseholder.Report(now); report != nil {
 		p.client.Send(report)
 	}
 	if now.Sub(p.lastLog) >= poolLogInterval {
 		p.lastLog = now
 		p.logStatus(now, open, demand)
 	}
-	return gateway.Time(p.leaseholder.Due(int64(now)))
+	return p.leaseholder.Due(now)
 }
 
 // logStatus logs how many connections are allowed, open and wanted.
 func (p *connectionQuota) logStatus(now gateway.Time, open, demand int) {
 	slog.Info("pool_quota_status",
-		"allowed", p.leaseholder.Allowed(int64(now)),
+		"allowed", p.leaseholder.Allowed(now),
 		"connections", open,
 		"demand", demand,
 		"queued", p.limiter.Queued,
@@ -106,7 +107,7 @@
 		"datagrams_sent", p.client.Sent,
 		"datagrams_received", p.client.Received,
 		"datagrams_dropped", p.client.Dropped,
-		"since_grant_ms", (int64(now)-p.leaseholder.LastAnswered())/1e6,
+		"since_grant_ms", now.Sub(p.leaseholder.LastAnswered()).Milliseconds(),
 	)
 }
 
