--- a/counterfactual/codec.go
+++ b/counterfactual/codec.go
@@ -7,19 +7,27 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of a message; one beyond them is rejected whole.
+// Limits of a message; one beyond them is rejected.
 const (
-	MaxBytes    = 1400    // of a message, so that no datagram is fragmented
-	maxRows     = 16      // of a cell in a message; a cell with more is split
-	maxParts    = 4096    // of a window
-	maxAttempts = 1 << 24 // of a window
+	MaxBytes        = 1400    // so that no datagram is fragmented
+	maxHeadBytes    = 64      // of all fields but the cells
+	maxRows         = 16      // of a cell; one with more is split
+	maxParts        = 4096    // of a window
+	maxAttempts     = 1 << 24 // of a window
+	maxWindowLength = 3600e3  // milliseconds
 )
 
 var (
 	encoder, _ = cbor.EncOptions{}.EncMode()
-	decoder, _ = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: 512,
-		MaxMapPairs: 16, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
+	decoder, _ = cbor.DecOptions{
+		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
+		MaxNestedLevels:   8,
+		MaxArrayElements:  512,
+		MaxMapPairs:       16,
+		IndefLength:       cbor.IndefLengthForbidden,
+		TagsMd:            cbor.TagsForbidden,
+		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
+	}.DecMode()
 )
 
 // wirePart is a Part with its cells encoded.
@@ -54,44 +62,51 @@
 	}
 }
 
-// Encode splits a window's cells into parts of at most MaxBytes each, and returns each as a function of its age, so that it can be
-// sent again later. There is at least one part: a window without attempts is reported, too.
-func Encode(head Part, cells []Cell) (out []func(age uint32) []byte) {
-	var parts []*wirePart
-	room := 0
-	add := func(c *Cell) {
-		encoded := marshal(c)
-		if len(parts) == 0 || len(encoded) > room {
-			parts = append(parts, newWirePart(&head, len(parts)))
-			room = MaxBytes - 64 // the header takes less
-		}
-		room -= len(encoded)
-		part := parts[len(parts)-1]
-		part.Cells = append(part.Cells, encoded)
-	}
-	for i := range cells {
-		c := cells[i]
-		for len(c.Rows) > maxRows { // the receiver adds the rows up again
-			add(&Cell{Key: c.Key, Rows: c.Rows[:maxRows]})
-			c.Rows = c.Rows[maxRows:]
-		}
-		add(&c)
-	}
-	if len(parts) == 0 {
-		head.Version, head.Total = version, 1
+// Encode splits the cells of a window into parts of at most MaxBytes each. It returns each part as a function of its
+// age, so that it can be sent again later. There is at least one part: a window without attempts is reported as such.
+func Encode(head Part, cells []Cell) (encoders []func(age uint32) []byte) {
+	if len(cells) == 0 {
+		head.Version = version
+		head.Total = 1
 		return []func(uint32) []byte{func(age uint32) []byte {
 			head.Age = age
 			return marshal(&head)
 		}}
 	}
+	parts := splitCells(&head, cells)
 	for _, part := range parts {
 		part.Total = uint16(len(parts))
-		out = append(out, func(age uint32) []byte {
+		encoders = append(encoders, func(age uint32) []byte {
 			part.Age = age
 			return marshal(part)
 		})
 	}
-	return out
+	return encoders
+}
+
+// splitCells encodes cells and distributes them over parts. A cell with many rows is split: its receiver adds it up
+// again.
+func splitCells(head *Part, cells []Cell) (parts []*wirePart) {
+	free := 0 // bytes of the latest part
+	add := func(c *Cell) {
+		encoded := marshal(c)
+		if len(parts) == 0 || len(encoded) > free {
+			parts = append(parts, newWirePart(head, len(parts)))
+			free = MaxBytes - maxHeadBytes
+		}
+		free -= len(encoded)
+		part := parts[len(parts)-1]
+		part.Cells = append(part.Cells, encoded)
+	}
+	for i := range cells {
+		cell := cells[i]
+		for len(cell.Rows) > maxRows {
+			add(&Cell{Key: cell.Key, Rows: cell.Rows[:maxRows]})
+			cell.Rows = cell.Rows[maxRows:]
+		}
+		add(&cell)
+	}
+	return parts
 }
 
 // marshal encodes a value.
@@ -103,13 +118,13 @@
 	return b
 }
 
-// Decode decodes a message and checks all its figures; an error names the field.
-func Decode(b []byte) (*Part, error) {
-	if len(b) > MaxBytes {
-		return nil, fmt.Errorf("%d bytes, %d at most", len(b), MaxBytes)
+// Decode decodes a message and checks all its values; an error names the field.
+func Decode(message []byte) (*Part, error) {
+	if len(message) > MaxBytes {
+		return nil, fmt.Errorf("%d bytes, %d at most", len(message), MaxBytes)
 	}
 	part := &Part{}
-	if err := decoder.Unmarshal(b, part); err != nil {
+	if err := decoder.Unmarshal(message, part); err != nil {
 		return nil, err
 	}
 	switch {
@@ -117,7 +132,7 @@
 		return nil, fmt.Errorf("version %d", part.Version)
 	case part.Total == 0 || part.Total > maxParts || part.Index >= part.Total:
 		return nil, fmt.Errorf("part %d of %d", part.Index, part.Total)
-	case part.WindowLength == 0 || part.WindowLength > 3600e3:
+	case part.WindowLength == 0 || part.WindowLength > maxWindowLength:
 		return nil, fmt.Errorf("length of %d ms", part.WindowLength)
 	case part.LostRecords > part.Attempts || part.Attempts > maxAttempts:
 		return nil, fmt.Errorf("lost %d of %d", part.LostRecords, part.Attempts)
@@ -130,29 +145,40 @@
 	return part, nil
 }
 
-// check looks for figures that no correct gateway can send.
+// check returns an error for values that no correct gateway can send.
 func (c *Cell) check(part *Part) error {
 	if c.Key.LoadBand >= loadBands || c.Key.GatewayZone != part.Zone {
 		return errors.New("key")
 	}
-	limit := uint64(part.Attempts) * scale * 2 // rounding of masses included
-	for r := range Rules {
-		if c.Mass[r] > limit || c.Unreachable[r] > c.Mass[r] || c.SquaredWeights[r] > limit*maxWeight*maxWeight {
-			return fmt.Errorf("masses of rule %s", r)
+	limit := uint64(part.Attempts) * scale * 2 // twice the attempts: masses are rounded
+	for rule := range Rules {
+		if c.Mass[rule] > limit || c.Unreachable[rule] > c.Mass[rule] ||
+			c.SquaredWeights[rule] > limit*maxWeight*maxWeight {
+			return fmt.Errorf("masses of rule %s", rule)
 		}
 	}
 	if len(c.Rows) > maxRows {
 		return errors.New("rows")
 	}
 	for i := range c.Rows {
-		r := &c.Rows[i]
-		if r.Group >= Groups || r.Bucket > neverBucket || r.Censored && r.Bucket == neverBucket || r.Count == 0 || r.Count > part.Attempts {
-			return errors.New("row")
+		if err := c.Rows[i].check(part.Attempts); err != nil {
+			return err
 		}
-		for _, w := range r.Weight {
-			if w > uint64(r.Count)*maxWeight*scale {
-				return errors.New("weight")
-			}
+	}
+	return nil
+}
+
+// check returns an error for values that no correct gateway with a number of attempts can send.
+func (r *Row) check(attempts uint32) error {
+	if r.Group >= Groups || r.Bucket > neverBucket || r.Count == 0 || r.Count > attempts {
+		return errors.New("row")
+	}
+	if r.Censored && r.Bucket == neverBucket {
+		return errors.New("row")
+	}
+	for _, weight := range r.Weight {
+		if weight > uint64(r.Count)*maxWeight*scale {
+			return errors.New("weight")
 		}
 	}
 	return nil
--- /dev/null
+++ b/counterfactual/folder.go
@@ -0,0 +1,116 @@
+package counterfactual
+
+import (
+	"maps"
+	"slices"
+)
+
+const cacheSize = 512 // cells
+
+// Folder folds the records of one gateway into the summary of the current window.
+type Folder struct {
+	maxCells    int
+	zone        uint8
+	cells       map[Key]*Cell
+	attempts    uint32
+	lostRecords uint32
+	shares      ruleShares       // scratch
+	cache       [cacheSize]*Cell // cells used recently, by a hash of their key
+}
+
+// NewFolder returns a folder for a gateway in a zone. It has at most maxCells cells; records that need more are counted
+// as lost.
+func NewFolder(zone, maxCells int) *Folder {
+	return &Folder{maxCells: maxCells, zone: uint8(zone), cells: map[Key]*Cell{}}
+}
+
+// Add folds a record. One that is invalid, or may need more cells than there are, is counted as lost.
+func (f *Folder) Add(record *Record) {
+	f.attempts++
+	if len(f.cells)+len(record.Candidates) > f.maxCells || !f.shares.compute(record.Candidates) {
+		f.lostRecords++
+		return
+	}
+	for i := range record.Candidates {
+		candidate := &record.Candidates[i]
+		cell := f.cell(Key{
+			Class:       uint16(record.Class),
+			GatewayZone: f.zone,
+			Host:        candidate.Host,
+			Incarnation: candidate.Incarnation,
+			LoadBand:    uint8(loadBand(candidate.Load)),
+		})
+		f.addMass(cell, i, candidate.Probability > 0)
+		if i == 0 {
+			f.addOutcome(cell, record)
+		}
+	}
+}
+
+// addMass adds the fraction of the attempt that each rule would have sent to a candidate.
+func (f *Folder) addMass(cell *Cell, candidate int, eligible bool) {
+	for rule := range Rules {
+		mass := scaled(f.shares.mass[rule][candidate])
+		cell.Mass[rule] += mass
+		if !eligible {
+			cell.Unreachable[rule] += mass
+		}
+	}
+}
+
+// addOutcome adds the outcome at the chosen host.
+func (f *Folder) addOutcome(cell *Cell, record *Record) {
+	row := Row{
+		Group:    uint8(customerGroup(record.Customer)),
+		Bucket:   uint16(Bucket(record.Latency)),
+		Censored: record.End == Censored,
+		Count:    1,
+	}
+	if record.End == Failed {
+		row.Bucket = neverBucket
+	}
+	for rule := range Rules {
+		weight := f.shares.weight[rule]
+		row.Weight[rule] = scaled(weight)
+		cell.SquaredWeights[rule] += scaled(weight * weight)
+	}
+	cell.addRow(row)
+}
+
+// scaled returns a value in units of 1/scale.
+func scaled(value float64) uint64 { return uint64(value*scale + 0.5) }
+
+// cell returns the cell of a key, a new one if there is none.
+func (f *Folder) cell(key Key) *Cell {
+	cached := &f.cache[(key.Host*0x9e3779b1>>20+uint32(key.LoadBand)*7+uint32(key.Class)*31)%cacheSize]
+	if cell := *cached; cell != nil && cell.Key == key {
+		return cell
+	}
+	cell := f.cells[key]
+	if cell == nil {
+		cell = &Cell{Key: key}
+		f.cells[key] = cell
+	}
+	*cached = cell
+	return cell
+}
+
+// AddLost counts records that the queue had no capacity for.
+func (f *Folder) AddLost(n int) {
+	f.attempts += uint32(n)
+	f.lostRecords += uint32(n)
+}
+
+// Close ends the window, returns its summary and starts the next one. The cells are in the order of their keys.
+func (f *Folder) Close() (cells []Cell, attempts, lost uint32) {
+	for _, key := range slices.SortedFunc(maps.Keys(f.cells), Key.compare) {
+		cells = append(cells, *f.cells[key])
+	}
+	attempts = f.attempts
+	lost = f.lostRecords
+	f.attempts = 0
+	f.lostRecords = 0
+	f.cells = make(map[Key]*Cell, len(cells))
+	clear(f.cache[:])
+	return cells, attempts, lost
+}
--- /dev/null
+++ b/counterfactual/folder_test.go
@@ -0,0 +1,63 @@
+package counterfactual
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// Records that are invalid, need more cells than there are, or were dropped by the queue count as lost.
+func TestFolderCountsLostRecords(t *testing.T) {
+	f := NewFolder(0, 4)
+	for i := range 10 {
+		f.Add(&Record{Candidates: []Candidate{{Host: uint32(i), Probability: 1, Load: 1}}})
+	}
+	f.AddLost(2)
+	f.Add(&Record{Candidates: []Candidate{{Probability: 0.5, Load: 1}}})
+	cells, attempts, lost := f.Close()
+	if len(cells) != 4 || attempts != 13 || lost != 9 {
+		t.Errorf("%d cells, %d of %d lost", len(cells), lost, attempts)
+	}
+}
+
+// drawRecord returns an attempt with twelve candidates, of which two to five are eligible.
+func drawRecord(random *rand.Rand) Record {
+	record := Record{Customer: random.Uint32(), Latency: int64(5e6 * (1 + random.ExpFloat64()))}
+	hosts := random.Perm(12)
+	eligible := 2 + random.IntN(4)
+	for i, host := range hosts {
+		candidate := Candidate{Host: uint32(host), Load: 1.3 + random.Float64()}
+		if i < eligible {
+			candidate.Probability = 1 / float64(eligible)
+			candidate.Load = 1 + 0.2*random.Float64()
+		}
+		record.Candidates = append(record.Candidates, candidate)
+	}
+	return record
+}
+
+// BenchmarkFold measures the cost of an attempt: its folding, and its share of a summary of 1,000 attempts.
+func BenchmarkFold(b *testing.B) {
+	random := rand.New(rand.NewPCG(1, 1))
+	var records []Record
+	for range 1000 {
+		records = append(records, drawRecord(random))
+	}
+	b.ReportAllocs()
+	f := NewFolder(0, 8192)
+	next := 0
+	size := 0
+	for b.Loop() {
+		f.Add(&records[next])
+		next++
+		if next < len(records) {
+			continue
+		}
+		next = 0
+		cells, attempts, lost := f.Close()
+		head := Part{WindowLength: 1000, Attempts: attempts, LostRecords: lost}
+		for _, encode := range Encode(head, cells) {
+			size += len(encode(1))
+		}
+	}
+	b.ReportMetric(float64(size)/float64(b.N), "B/attempt")
+}
--- a/counterfactual/ledger.go
+++ b/counterfactual/ledger.go
@@ -1,24 +1,28 @@
 package counterfactual
 
 import (
+	"iter"
 	"maps"
 	"slices"
 )
 
 // Settings of a Ledger.
 type Settings struct {
-	Gateways   int                 // number of gateways that are expected to report
-	Window     int64               // length of a bin and of the gateways' windows, ns
-	Grace      int64               // ns after a bin's end; what arrives later does not count
-	KeptBins   int                 // number of bins kept
-	MaxCells   int                 // in all bins together
-	MaxMissing float64             // fraction of the fleet's attempts that may be missing from a figure
-	Objectives []int64             // latency objective by request class, ns: figures are of times up to it
-	Classes    []string            // names of the request classes
-	HostID     func(uint32) string // returns a host's id; nil: its number is used
-	Yield      func()              // called between steps of a long computation; may be nil
+	Gateways   int      // number of gateways that are expected to report
+	Window     int64    // length of a bin and of the gateways' windows, in nanoseconds
+	Grace      int64    // after a bin's end, in nanoseconds; a message that arrives later does not count
+	KeptBins   int      // number of bins kept
+	MaxCells   int      // in all bins together
+	MaxMissing float64  // fraction of all attempts that may be missing from a figure
+	Objectives []int64  // latency objective by request class, in nanoseconds: longer times count as the objective
+	Classes    []string // names of the request classes
+
+	HostID func(uint32) string // returns a host's id; nil: its number is used
+	Yield  func()              // called between steps of a long computation; may be nil
 }
 
+const nanosecondsPerMillisecond = 1_000_000
+
 // Counts counts messages by what became of them.
 type Counts struct {
 	Merged         int
@@ -29,8 +33,8 @@
 	OutOfCapacity  int `json:"Full"` // for which the ledger had no capacity
 }
 
-// Ledger merges the summaries of the gateways, in bins of its own clock. A message names its bin by its age, so that clocks need
-// not agree. A sealed bin never changes.
+// Ledger merges the summaries of the gateways in bins of its own clock. The age of a message leads to its bin, so that
+// clocks need not agree. A sealed bin never changes.
 type Ledger struct {
 	Counts   Counts
 	settings Settings
@@ -39,10 +43,10 @@
 	cells    int // in all bins and incomplete windows
 }
 
-// bin holds the cells of one window length.
+// bin contains the cells of one window length.
 type bin struct{ cells map[Key]*mergedCell }
 
-// mergedCell is a Cell with its rows by their keys.
+// mergedCell is a Cell with its rows by key.
 type mergedCell struct {
 	mass           [Rules]uint64
 	unreachable    [Rules]uint64
@@ -54,10 +58,10 @@
 type reporter struct {
 	zone        uint8
 	incarnation uint64    // the latest one
-	windows     []*window // of all incarnations that have a bin kept
+	windows     []*window // of all incarnations, in bins that are kept
 }
 
-// window is one window of a gateway. It counts whole or not at all.
+// window is one window of a gateway. It counts once all its parts are received.
 type window struct {
 	incarnation uint64
 	number      uint32
@@ -74,24 +78,19 @@
 	return &Ledger{settings: settings, bins: map[int64]*bin{}, gateways: map[uint32]*reporter{}}
 }
 
-// Receive merges a part that arrived at a time. It returns false if the part should be sent again.
+// Receive merges a part that arrived at an instant. It returns false if the part should be sent again.
 func (l *Ledger) Receive(part *Part, now int64) bool {
 	l.dropOldBins(now)
-	age := int64(part.Age) * 1e6
-	bin := (now - age) / l.settings.Window
-	switch {
-	case part.Gateway >= uint32(l.settings.Gateways) || int64(part.WindowLength)*1e6 != l.settings.Window:
+	age := int64(part.Age) * nanosecondsPerMillisecond
+	if !l.valid(part) {
 		l.Counts.Invalid++
 		return true
-	case age > now:
+	}
+	if age > now {
 		l.Counts.Late++
 		return true
 	}
-	gateway := l.gateways[part.Gateway]
-	if gateway == nil {
-		gateway = &reporter{}
-		l.gateways[part.Gateway] = gateway
-	}
+	gateway := l.reporter(part.Gateway)
 	if part.Incarnation < gateway.incarnation {
 		l.Counts.OldIncarnation++
 		return true
@@ -99,18 +98,18 @@
 	gateway.incarnation = part.Incarnation
 	gateway.zone = part.Zone
 	w := gateway.window(part)
-	if w != nil {
-		if w.contradicts(part) {
-			l.Counts.Invalid++
-			return true
-		}
-		if _, received := w.parts[part.Index]; received || w.complete {
-			l.Counts.Duplicates++
-			return true
-		}
-		bin = w.bin
+	if w == nil {
+		w = newWindow(part, (now-age)/l.settings.Window)
+	}
+	if w.contradicts(part) {
+		l.Counts.Invalid++
+		return true
 	}
-	if l.sealed(bin, now) {
+	if w.received(part) {
+		l.Counts.Duplicates++
+		return true
+	}
+	if l.sealed(w.bin, now) {
 		l.Counts.Late++
 		return true
 	}
@@ -118,8 +117,29 @@
 		l.Counts.OutOfCapacity++
 		return false
 	}
-	if w == nil {
-		w = newWindow(part, bin)
+	l.add(gateway, w, part)
+	return true
+}
+
+// valid reports whether a part can be from a gateway with the same settings.
+func (l *Ledger) valid(part *Part) bool {
+	windowLength := int64(part.WindowLength) * nanosecondsPerMillisecond
+	return part.Gateway < uint32(l.settings.Gateways) && windowLength == l.settings.Window
+}
+
+// reporter returns the reporter of a gateway, a new one if there is none.
+func (l *Ledger) reporter(gateway uint32) *reporter {
+	r := l.gateways[gateway]
+	if r == nil {
+		r = &reporter{}
+		l.gateways[gateway] = r
+	}
+	return r
+}
+
+// add adds a part to its window, and the window to its bin once it is complete.
+func (l *Ledger) add(gateway *reporter, w *window, part *Part) {
+	if len(w.parts) == 0 {
 		gateway.windows = append(gateway.windows, w)
 	}
 	w.parts[part.Index] = part.Cells
@@ -128,10 +148,9 @@
 	if len(w.parts) == w.total {
 		l.merge(w)
 	}
-	return true
 }
 
-// window returns the window that a part belongs to, or nil if this is its first part.
+// window returns the window of a part, or nil if no other part of it was received.
 func (r *reporter) window(part *Part) *window {
 	for _, w := range r.windows {
 		if w.incarnation == part.Incarnation && w.number == part.Window {
@@ -141,7 +160,7 @@
 	return nil
 }
 
-// newWindow returns the window of its first part.
+// newWindow returns the window of a first part.
 func newWindow(part *Part, bin int64) *window {
 	return &window{
 		incarnation: part.Incarnation,
@@ -154,6 +173,12 @@
 	}
 }
 
+// received reports whether a part is a duplicate.
+func (w *window) received(part *Part) bool {
+	_, received := w.parts[part.Index]
+	return received || w.complete
+}
+
 // contradicts reports whether a part does not belong to the same window as the others.
 func (w *window) contradicts(part *Part) bool {
 	return w.total != int(part.Total) || w.attempts != part.Attempts || w.lostRecords != part.LostRecords
@@ -184,18 +209,19 @@
 }
 
 // add adds a cell.
-func (m *mergedCell) add(c *Cell) {
-	for r := range Rules {
-		m.mass[r] += c.Mass[r]
-		m.unreachable[r] += c.Unreachable[r]
-		m.squaredWeights[r] += c.SquaredWeights[r]
+func (m *mergedCell) add(cell *Cell) {
+	for rule := range Rules {
+		m.mass[rule] += cell.Mass[rule]
+		m.unreachable[rule] += cell.Unreachable[rule]
+		m.squaredWeights[rule] += cell.SquaredWeights[rule]
 	}
-	for _, r := range c.Rows {
-		if y := m.rows[r.key()]; y != nil {
-			y.add(&r)
-		} else {
-			m.rows[r.key()] = &r
+	for _, row := range cell.Rows {
+		merged := m.rows[row.key()]
+		if merged == nil {
+			m.rows[row.key()] = &row
+			continue
 		}
+		merged.add(&row)
 	}
 }
 
@@ -207,10 +233,10 @@
 // Sealed returns the newest bin that no longer changes.
 func (l *Ledger) Sealed(now int64) int64 { return (now-l.settings.Grace)/l.settings.Window - 1 }
 
-// First returns the oldest bin that holds anything, or 0 if none does.
+// First returns the oldest bin of any window, or 0 if there is none.
 func (l *Ledger) First() (first int64) {
-	for _, t := range l.gateways {
-		for _, w := range t.windows {
+	for _, gateway := range l.gateways {
+		for _, w := range gateway.windows {
 			if first == 0 || w.bin < first {
 				first = w.bin
 			}
@@ -219,33 +245,43 @@
 	return first
 }
 
-// Hosts returns the hosts that attempts of a request class in the bins from..to could have gone to.
+// Hosts returns the hosts to which attempts of a request class in the bins from..to could have gone.
 func (l *Ledger) Hosts(class int, from, to int64) []uint32 {
 	from, to = l.boundSpan(from, to)
-	seen := map[uint32]bool{}
-	for at := from; at <= to; at++ {
-		if b := l.bins[at]; b != nil {
-			for k, x := range b.cells {
-				if int(k.Class) == class && x.mass[OneHost] > 0 {
-					seen[k.Host] = true
-				}
+	hosts := map[uint32]bool{}
+	for _, bin := range l.binsBetween(from, to) {
+		for key, cell := range bin.cells {
+			if int(key.Class) == class && cell.mass[OneHost] > 0 {
+				hosts[key.Host] = true
+			}
+		}
+	}
+	return slices.Sorted(maps.Keys(hosts))
+}
+
+// binsBetween returns the bins from..to that have any cells, with their numbers in ascending order.
+func (l *Ledger) binsBetween(from, to int64) iter.Seq2[int64, *bin] {
+	return func(yield func(int64, *bin) bool) {
+		for number := from; number <= to; number++ {
+			bin := l.bins[number]
+			if bin != nil && !yield(number, bin) {
+				return
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(seen))
 }
 
 // dropOldBins drops bins that are too old to keep.
 func (l *Ledger) dropOldBins(now int64) {
 	oldest := now/l.settings.Window - int64(l.settings.KeptBins)
-	for at, b := range l.bins {
-		if at < oldest {
-			l.cells -= len(b.cells)
-			delete(l.bins, at)
+	for number, bin := range l.bins {
+		if number < oldest {
+			l.cells -= len(bin.cells)
+			delete(l.bins, number)
 		}
 	}
-	for _, t := range l.gateways {
-		t.windows = slices.DeleteFunc(t.windows, func(w *window) bool {
+	for _, gateway := range l.gateways {
+		gateway.windows = slices.DeleteFunc(gateway.windows, func(w *window) bool {
 			if w.bin >= oldest {
 				return false
 			}
--- a/counterfactual/ledger_test.go
+++ b/counterfactual/ledger_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"math/rand/v2"
 	"strings"
 	"testing"
@@ -11,198 +10,238 @@
 	"pgregory.net/rapid"
 )
 
-const second = int64(1e9)
+const (
+	millisecond = int64(1e6)
+	second      = int64(1e9)
+)
 
 func settings(gateways int) Settings {
-	return Settings{Gateways: gateways, Window: second, Grace: 3 * second, KeptBins: 60, MaxCells: 1 << 16, MaxMissing: 0.05,
-		Objectives: []int64{second}, Classes: []string{"a"}}
+	return Settings{
+		Gateways:   gateways,
+		Window:     second,
+		Grace:      3 * second,
+		KeptBins:   60,
+		MaxCells:   1 << 16,
+		MaxMissing: 0.05,
+		Objectives: []int64{second},
+		Classes:    []string{"a"},
+	}
+}
+
+// windowOf identifies a window of a gateway.
+type windowOf struct {
+	gateway     int
+	incarnation int
+	number      int
 }
 
-// seen returns the messages of a gateway's window with n attempts.
-func seen(seat, life, number, n int) (out []func(uint32) []byte) {
-	f, rnd := NewFolder(0, 1000), rand.New(rand.NewPCG(uint64(seat), uint64(number)))
-	for range n {
-		hosts := rnd.Perm(3)
-		r := Record{Customer: rnd.Uint32(), Latency: int64(20e6 * (1 + rnd.Float64()) * float64(1+hosts[0]))}
-		for _, h := range hosts {
-			r.Candidates = append(r.Candidates, Candidate{Host: uint32(h), Probability: 1. / 3, Load: 1})
+// messages returns the messages of a window with random attempts.
+func (w windowOf) messages(attempts int) []func(age uint32) []byte {
+	random := rand.New(rand.NewPCG(uint64(w.gateway), uint64(w.number)))
+	f := NewFolder(0, 1000)
+	for range attempts {
+		hosts := random.Perm(3)
+		record := Record{
+			Customer: random.Uint32(),
+			Latency:  int64(20e6 * (1 + random.Float64()) * float64(1+hosts[0])),
 		}
-		f.Add(&r)
-	}
-	cells, n0, lost := f.Close()
-	return Encode(Part{Gateway: uint32(seat), Incarnation: uint64(life), Window: uint32(number), WindowLength: 1000, Attempts: n0,
-		LostRecords: lost}, cells)
+		for _, host := range hosts {
+			candidate := Candidate{Host: uint32(host), Probability: 1. / 3, Load: 1}
+			record.Candidates = append(record.Candidates, candidate)
+		}
+		f.Add(&record)
+	}
+	cells, folded, lost := f.Close()
+	head := Part{
+		Gateway:      uint32(w.gateway),
+		Incarnation:  uint64(w.incarnation),
+		Window:       uint32(w.number),
+		WindowLength: 1000,
+		Attempts:     folded,
+		LostRecords:  lost,
+	}
+	return Encode(head, cells)
 }
 
-func hear(t interface{ Fatal(...any) }, l *Ledger, body []byte, now int64) {
-	p, err := Decode(body)
+// receive decodes a message and merges it into a ledger.
+func receive(t interface{ Fatal(...any) }, l *Ledger, message []byte, now int64) {
+	part, err := Decode(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Receive(p, now)
+	l.Receive(part, now)
 }
 
-// TestOrder checks that the answers are the same to the last bit in whatever order, and however often, the parts arrive.
-func TestOrder(t *testing.T) {
+// receiveWindow merges all messages of a window that ended at an instant.
+func receiveWindow(t *testing.T, l *Ledger, w windowOf, attempts int, end, now int64) {
+	t.Helper()
+	for _, encode := range w.messages(attempts) {
+		receive(t, l, encode(uint32((now-end)/millisecond)), now)
+	}
+}
+
+// In whatever order, and however often, messages arrive, the answers are the same to the last bit.
+func TestPanelDoesNotDependOnOrderOfMessages(t *testing.T) {
 	type message struct {
-		encode func(uint32) []byte
+		encode func(age uint32) []byte
 		end    int64
 	}
-	var all []message
-	set := settings(4)
-	set.Grace = 20 * second
-	straight := NewLedger(set)
+	ledgerSettings := settings(4)
+	ledgerSettings.Grace = 20 * second
+	inOrder := NewLedger(ledgerSettings)
+	var messages []message
 	for number := range 6 {
-		for seat := range 4 {
-			for _, e := range seen(seat, 1, number, 60) {
-				m := message{e, int64(100+number) * second}
-				all = append(all, m)
-				hear(t, straight, e(0), m.end)
+		end := int64(100+number) * second
+		for gateway := range 4 {
+			for _, encode := range (windowOf{gateway, 1, number}).messages(60) {
+				messages = append(messages, message{encode, end})
+				receive(t, inOrder, encode(0), end)
 			}
 		}
 	}
-	text := func(l *Ledger) string {
-		b, err := json.Marshal(l.Panel(0, 100, 105))
+	panelText := func(l *Ledger) string {
+		text, err := json.Marshal(l.Panel(0, 100, 105))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return string(b)
+		return string(text)
 	}
-	want := text(straight)
-	if a := straight.Panel(0, 100, 105)[NextInRank]; !a.Mean.Given() || a.Requests != 4*6*60 || len(a.Missing) > 0 {
-		t.Fatalf("%+v", a)
+	want := panelText(inOrder)
+	answer := inOrder.Panel(0, 100, 105)[NextInRank]
+	if !answer.Mean.Given() || answer.Requests != 4*6*60 || len(answer.Missing) > 0 {
+		t.Fatalf("%+v", answer)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewLedger(set)
-		for _, m := range rapid.Permutation(all).Draw(t, "order") {
-			for range 1 + rapid.IntRange(0, 1).Draw(t, "again") {
-				late := rapid.Int64Range(0, 1000).Draw(t, "age")
-				hear(t, l, m.encode(uint32((105*second-m.end)/1e6+late)), 105*second+late*1e6)
+		l := NewLedger(ledgerSettings)
+		for _, m := range rapid.Permutation(messages).Draw(t, "order") {
+			copies := 1 + rapid.IntRange(0, 1).Draw(t, "again")
+			for range copies {
+				delay := rapid.Int64Range(0, 1000).Draw(t, "age")
+				now := 105*second + delay*millisecond
+				receive(t, l, m.encode(uint32((now-m.end)/millisecond)), now)
 			}
 		}
-		if d := cmp.Diff(want, text(l)); d != "" {
+		if d := cmp.Diff(want, panelText(l)); d != "" {
 			t.Fatal(d)
 		}
 	})
 }
 
-// TestMissing checks that messages that are duplicate, late, invalid or of an old incarnation change nothing and are counted, and
-// that missing gateways are named.
-func TestMissing(t *testing.T) {
+// Messages that are duplicate, late, invalid or of an old incarnation change nothing and are counted, and gateways with
+// missing windows are named.
+func TestLedgerCountsIgnoredMessagesAndNamesMissingGateways(t *testing.T) {
+	const attempts = 200
 	l := NewLedger(settings(3))
-	tell := func(seat, life, number int, end, now int64) {
-		for _, e := range seen(seat, life, number, 200) {
-			hear(t, l, e(uint32((now-end)/1e6)), now)
-		}
-	}
 	for i := range 10 {
 		end := int64(100+i) * second
-		tell(0, 7, i, end, end)
-		tell(0, 7, i, end, end+second/2)
+		receiveWindow(t, l, windowOf{0, 7, i}, attempts, end, end)
+		receiveWindow(t, l, windowOf{0, 7, i}, attempts, end, end+second/2)
 		if i != 4 {
-			tell(1, 7, i, end, end)
+			receiveWindow(t, l, windowOf{1, 7, i}, attempts, end, end)
 		}
 		if i < 6 {
-			tell(2, 7, i, end, end)
-		} else { // a new life, with what it saw in two windows untold
-			tell(2, 8, i-4, end, end)
-			tell(2, 7, i, end, end)
+			receiveWindow(t, l, windowOf{2, 7, i}, attempts, end, end)
+		} else { // a new incarnation, whose first two windows are missing
+			receiveWindow(t, l, windowOf{2, 8, i - 4}, attempts, end, end)
+			receiveWindow(t, l, windowOf{2, 7, i}, attempts, end, end)
 		}
-		tell(9, 7, i, end, end)
+		receiveWindow(t, l, windowOf{9, 7, i}, attempts, end, end) // no such gateway
 	}
-	a := l.Panel(0, 100, 109)[Logged]
-	if got, want := fmt.Sprintf("%d %v", len(a.Missing), a.Refused), "2 gateways missing: about 12% of the dispatches"; got != want {
-		t.Errorf("%s, not %s: %+v", got, want, a.Missing)
+	answer := l.Panel(0, 100, 109)[Logged]
+	if len(answer.Missing) != 2 || answer.Refused != "gateways missing: about 12% of the dispatches" {
+		t.Errorf("refused by %q: %+v", answer.Refused, answer.Missing)
 	}
-	for _, m := range a.Missing {
-		if want := map[uint32]int{1: 1, 2: 3}[m.Gateway]; m.Windows != want {
-			t.Errorf("gateway %d misses %d windows, not %d", m.Gateway, m.Windows, want)
+	wantWindows := map[uint32]int{1: 1, 2: 3}
+	for _, missing := range answer.Missing {
+		if want := wantWindows[missing.Gateway]; missing.Windows != want {
+			t.Errorf("gateway %d misses %d windows, want %d", missing.Gateway, missing.Windows, want)
 		}
 	}
 	before := l.Counts
-	tell(1, 7, 4, 104*second, 108*second) // sealed since
-	if before.Duplicates == 0 || before.OldIncarnation == 0 || before.Invalid == 0 || l.Counts.Late == 0 || l.Counts.Merged != before.Merged {
-		t.Errorf("%+v, then %+v", before, l.Counts)
+	receiveWindow(t, l, windowOf{1, 7, 4}, attempts, 104*second, 108*second) // its bin is sealed
+	after := l.Counts
+	if before.Duplicates == 0 || before.OldIncarnation == 0 || before.Invalid == 0 || after.Late == 0 {
+		t.Errorf("%+v, then %+v", before, after)
+	}
+	if after.Merged != before.Merged {
+		t.Errorf("late messages merged: %+v, then %+v", before, after)
 	}
 }
 
-// TestMissingAfterIdle checks that idle windows before the traffic do not hide that a gateway fell silent during it.
-func TestMissingAfterIdle(t *testing.T) {
+// Idle windows before the traffic do not hide that a gateway fell silent during it.
+func TestMissingShareCountsSilenceAfterIdleWindows(t *testing.T) {
 	l := NewLedger(settings(2))
 	for i := range 50 {
-		for seat := range 2 {
-			n := 0
-			if i >= 40 {
-				n = 100
-			}
-			if seat == 1 && i >= 44 {
-				continue
-			}
-			for _, e := range seen(seat, 1, i, n) {
-				hear(t, l, e(0), int64(100+i)*second)
-			}
+		attempts := 0
+		if i >= 40 {
+			attempts = 100
+		}
+		end := int64(100+i) * second
+		receiveWindow(t, l, windowOf{0, 1, i}, attempts, end, end)
+		if i < 44 {
+			receiveWindow(t, l, windowOf{1, 1, i}, attempts, end, end)
 		}
 	}
-	if a := l.Panel(0, 100, 149)[Logged]; !strings.HasPrefix(a.Refused, GatewaysMissing) || a.MissingShare < 0.15 {
-		t.Errorf("%.2f missing, %q", a.MissingShare, a.Refused)
+	answer := l.Panel(0, 100, 149)[Logged]
+	if !strings.HasPrefix(answer.Refused, GatewaysMissing) || answer.MissingShare < 0.15 {
+		t.Errorf("%.2f missing, refused by %q", answer.MissingShare, answer.Refused)
 	}
 }
 
-// TestBounds checks that memory is bounded and released.
-func TestBounds(t *testing.T) {
-	set := settings(1)
-	set.MaxCells, set.KeptBins = 3, 5
-	l := NewLedger(set)
+// The memory of a ledger is bounded, and old bins release theirs.
+func TestLedgerBoundsMemory(t *testing.T) {
+	ledgerSettings := settings(1)
+	ledgerSettings.MaxCells = 3
+	ledgerSettings.KeptBins = 5
+	l := NewLedger(ledgerSettings)
 	for i := range 100 {
-		for _, e := range seen(0, 1, i, 50) {
-			hear(t, l, e(0), int64(100+i)*second)
-		}
+		end := int64(100+i) * second
+		receiveWindow(t, l, windowOf{0, 1, i}, 50, end, end)
 	}
 	if l.Counts.OutOfCapacity == 0 || l.cells > 3 || len(l.bins) > 6 || len(l.gateways[0].windows) > 6 {
 		t.Errorf("%+v: %d cells, %d bins", l.Counts, l.cells, len(l.bins))
 	}
-	f := NewFolder(0, 4)
-	for i := range 10 {
-		f.Add(&Record{Candidates: []Candidate{{Host: uint32(i), Probability: 1, Load: 1}}})
-	}
-	f.AddLost(2)
-	f.Add(&Record{Candidates: []Candidate{{Probability: 0.5, Load: 1}}})
-	if cells, seen, lost := f.Close(); len(cells) != 4 || seen != 13 || lost != 9 {
-		t.Errorf("%d cells, %d of %d lost", len(cells), lost, seen)
-	}
 }
 
-// TestBadChances checks that no figure is given if gateways report other probabilities than those in force.
-func TestBadChances(t *testing.T) {
+// No figure is given if gateways report other probabilities than the actual ones.
+func TestPanelRefusesWrongProbabilities(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 1))
+	f := NewFolder(0, 1000)
+	for range 4000 { // host 0 has all attempts, though each host is reported with a half
+		f.Add(&Record{
+			Customer: random.Uint32(),
+			Latency:  1e6 + random.Int64N(1e6),
+			Candidates: []Candidate{
+				{Host: 0, Probability: 0.5, Load: 1},
+				{Host: 1, Probability: 0.5, Load: 2},
+			},
+		})
+	}
+	cells, attempts, _ := f.Close()
 	l := NewLedger(settings(1))
-	f, rnd := NewFolder(0, 1000), rand.New(rand.NewPCG(1, 1))
-	for range 4000 { // host 0 gets all, it says: each a half
-		f.Add(&Record{Customer: rnd.Uint32(), Latency: 1e6 + rnd.Int64N(1e6),
-			Candidates: []Candidate{{Host: 0, Probability: 0.5, Load: 1}, {Host: 1, Probability: 0.5, Load: 2}}})
-	}
-	cells, seen, _ := f.Close()
-	for _, e := range Encode(Part{Incarnation: 1, WindowLength: 1000, Attempts: seen}, cells) {
-		hear(t, l, e(0), 100*second)
-	}
-	for _, r := range []Rule{LeastLoaded, Random} {
-		if a := l.Panel(0, 100, 100)[r]; a.Mean.Given() {
-			t.Errorf("%+v", a)
+	for _, encode := range Encode(Part{Incarnation: 1, WindowLength: 1000, Attempts: attempts}, cells) {
+		receive(t, l, encode(0), 100*second)
+	}
+	answers := l.Panel(0, 100, 100)
+	for _, rule := range []Rule{LeastLoaded, Random} {
+		if answers[rule].Mean.Given() {
+			t.Errorf("%+v", answers[rule])
 		}
 	}
 }
 
-// FuzzHear checks that no message causes a panic, and that what is merged can be asked about.
-func FuzzHear(f *testing.F) {
-	for _, e := range seen(1, 1, 1, 5) {
-		f.Add(e(5))
+// No message causes a panic, and what is merged can be queried.
+func FuzzLedgerReceivesAnyMessage(f *testing.F) {
+	for _, encode := range (windowOf{1, 1, 1}).messages(5) {
+		f.Add(encode(5))
 	}
-	f.Fuzz(func(t *testing.T, body []byte) {
-		p, err := Decode(body)
+	f.Fuzz(func(t *testing.T, message []byte) {
+		part, err := Decode(message)
 		if err != nil {
 			return
 		}
 		l := NewLedger(settings(4))
-		l.Receive(p, 100*second)
+		l.Receive(part, 100*second)
 		if l.Counts.Merged > 0 {
 			l.Panel(0, 40, 101)
 			l.Replaced(0, Random, 1, 40, 101)
--- a/counterfactual/missing.go
+++ b/counterfactual/missing.go
@@ -3,35 +3,37 @@
 import (
 	"cmp"
 	"maps"
+	"math"
 	"slices"
 )
 
-// unknownRequests stands for a gateway whose attempts can't be estimated from its own reports.
+// unknownRequests is the number for a gateway whose attempts can't be estimated from its reports.
 const unknownRequests = -1
 
-// Missing names a gateway that has not reported everything.
+// Missing is a gateway with incomplete reports.
 type Missing struct {
 	Gateway  uint32  `json:"gateway"`
 	Windows  int     `json:"windows"`        // incomplete or missing windows
 	Lost     int     `json:"lost,omitempty"` // attempts that it counted and did not fold
-	Share    float64 `json:"part"`           // estimated fraction of the fleet's attempts in the range
-	requests float64 // estimated attempts missing
+	Share    float64 `json:"part"`           // estimated fraction of all attempts in the range
+	requests float64 // estimated missing attempts
 }
 
-// coverage is what one gateway reported in a range of bins.
+// coverage describes the reports of one gateway in a range of bins.
 type coverage struct {
 	attempts float64 // in complete windows
 	complete int     // complete windows
-	missing  int     // windows that are not
+	missing  int     // incomplete or missing windows
 	lost     int     // attempts that were not folded
 }
 
-// missing names the gateways that have not reported all of the bins from..to, and returns the estimated fraction of the attempts
-// that is missing with them. A gateway reports each window, also one without attempts, so that silence and idleness differ. The
-// bounds of windows and bins may differ by one.
+// missing returns the gateways that have not reported all of the bins from..to, and the estimated fraction of all
+// attempts that is missing with them. A gateway reports each window, even one without attempts, so that silence and
+// idleness differ. The bounds of windows and bins may differ by one.
 func (l *Ledger) missing(from, to int64) (all []Missing, share float64) {
 	byBin := l.reportedAttempts(from, to)
-	reported, reporting := 0.0, 0 // attempts, and gateways with a complete window
+	reported := 0.0 // attempts
+	reporting := 0  // gateways with a complete window
 	for gateway := range uint32(l.settings.Gateways) {
 		r := l.gateways[gateway]
 		c := coverage{missing: int(to - from + 1)}
@@ -40,7 +42,7 @@
 		}
 		m := Missing{Gateway: gateway, Windows: c.missing, Lost: c.lost, requests: float64(c.lost)}
 		if c.complete > 0 {
-			if c.missing > 0 { // idle times before or after must not make it look small
+			if c.missing > 0 { // the larger estimate: idle times before or after make the first one small
 				byWindows := float64(c.missing) * c.attempts / float64(c.complete)
 				m.requests += max(byWindows, r.estimateSilent(byBin, c.attempts))
 			}
@@ -56,8 +58,8 @@
 	return all, setShares(all, reported, reporting)
 }
 
-// setShares sets the share of each gateway and returns their sum. A gateway without an estimate counts as the mean of those that
-// reported.
+// setShares sets the share of each gateway and returns their sum. A gateway without an estimate counts as the mean of
+// those that reported.
 func setShares(all []Missing, reported float64, reporting int) (share float64) {
 	total := reported
 	for i := range all {
@@ -75,7 +77,7 @@
 	return share
 }
 
-// reportedAttempts returns the attempts that the fleet reported in complete windows, by bin.
+// reportedAttempts returns the attempts that all gateways reported in complete windows, by bin.
 func (l *Ledger) reportedAttempts(from, to int64) map[int64]float64 {
 	byBin := map[int64]float64{}
 	for _, r := range l.gateways {
@@ -91,24 +93,31 @@
 // folded returns the number of attempts that were folded.
 func (w *window) folded() float64 { return float64(w.attempts - w.lostRecords) }
 
-// estimateSilent estimates the attempts of a gateway in the bins that it did not report: its part of the fleet's attempts in the
-// bins that it did report, times the fleet's attempts in the others.
+// estimateSilent estimates the attempts of a gateway in the bins that it did not report: its fraction of all attempts
+// in the bins that it did report, times all attempts in the others.
 func (r *reporter) estimateSilent(byBin map[int64]float64, attempts float64) float64 {
-	with, without := 0.0, 0.0
-	for bin, n := range byBin {
-		if slices.ContainsFunc(r.windows, func(w *window) bool { return w.complete && w.bin == bin }) {
-			with += n
+	with := 0.0
+	without := 0.0
+	for bin, attemptsOfBin := range byBin {
+		if r.hasReported(bin) {
+			with += attemptsOfBin
 		} else {
-			without += n
+			without += attemptsOfBin
 		}
 	}
 	return attempts / max(with, 1) * without
 }
 
-// coverage returns what the gateway reported in the bins from..to.
+// hasReported reports whether the gateway has a complete window in a bin.
+func (r *reporter) hasReported(bin int64) bool {
+	return slices.ContainsFunc(r.windows, func(w *window) bool { return w.complete && w.bin == bin })
+}
+
+// coverage describes the gateway's reports in the bins from..to.
 func (r *reporter) coverage(from, to int64) (c coverage) {
 	incarnations := map[uint64][]*window{}
-	first, last := int64(1)<<62, int64(-1)
+	first := int64(math.MaxInt64)
+	last := int64(-1)
 	for _, w := range r.windows {
 		if w.bin < from || w.bin > to {
 			continue
@@ -126,19 +135,25 @@
 		c.missing = int(to - from + 1)
 		return c
 	}
-	expected := 0
+	expected := expectedWindows(incarnations, first-from) + max(int(to-last)-1, 0)
+	c.missing = expected - c.complete
+	return c
+}
+
+// expectedWindows returns the number of windows up to the latest one, given the bins of the range before the first one.
+func expectedWindows(incarnations map[uint64][]*window, binsBefore int64) (expected int) {
 	for i, incarnation := range slices.Sorted(maps.Keys(incarnations)) {
 		windows := incarnations[incarnation]
 		slices.SortFunc(windows, func(a, b *window) int { return cmp.Compare(a.number, b.number) })
-		before := windows[0].number // windows of this incarnation before the first one seen
-		expected += int(windows[len(windows)-1].number-before) + 1
-		if i > 0 { // what the incarnation before had not reported, and what this one had not at first
-			expected += 1 + int(before)
-		} else if before > 0 { // it ran before the range
-			expected += max(int(min(first-from, int64(before)))-1, 0)
+		firstNumber := windows[0].number // also the number of earlier windows of this incarnation
+		expected += int(windows[len(windows)-1].number-firstNumber) + 1
+		if i > 0 { // the last window of the previous incarnation, and the earlier ones of this incarnation
+			expected += 1 + int(firstNumber)
+			continue
+		}
+		if firstNumber > 0 { // the gateway ran before the range
+			expected += max(int(min(binsBefore, int64(firstNumber)))-1, 0)
 		}
 	}
-	expected += max(int(to-last)-1, 0)
-	c.missing = expected - c.complete
-	return c
+	return expected
 }
--- a/counterfactual/replaced.go
+++ b/counterfactual/replaced.go
@@ -7,79 +7,131 @@
 )
 
 const (
-	bandsPerOctave = 4 // bands of a host's attempt rate in an octave
-	rateSpan       = 1 // bins to each side that a rate is averaged over
+	bandsPerOctave = 4  // bands of a host's attempt rate in an octave
+	bandOfRateOne  = 64 // band of one attempt a bin
+	rateSpan       = 1  // bins on each side over which a rate is averaged
 )
 
 // hostProcess is one incarnation of a host.
 type hostProcess struct{ host, incarnation uint32 }
 
-// Replaced estimates what the attempts of a request class in the bins from..to would have met if the rule had chosen for a fraction
-// of the whole fleet's attempts, of all request classes, so that the loads move with the rule. How a host's time grows with its
-// attempts is taken from the bins in which it got about as many as the rule would have sent it; there is no answer outside the
-// range seen, and none for rules that follow the load: the loads that they would have followed were not seen.
-func (l *Ledger) Replaced(class int, r Rule, share float64, from, to int64) Answer {
-	from, to = l.boundSpan(from, to)
-	missing, absent := l.missing(from, to)
-	a := Answer{Question: "replaced", Rule: r.String(), Class: l.settings.Classes[class], Share: share,
-		Missing: missing, MissingShare: absent}
-	switch {
-	case r == LeastLoaded || r == PowerOfTwo:
-		a.Refused = FollowsLoad
-	case r == OneHost || r < 0 || r >= Rules || !(share > 0 && share <= 1):
-		a.Refused = NoOverlap + ": a rule that chooses for a part from 0 to 1 wanted"
+// attemptCounts are attempts at the hosts by bin.
+type attemptCounts map[hostProcess]map[int64]float64
+
+func (c attemptCounts) add(process hostProcess, bin int64, attempts float64) {
+	if c[process] == nil {
+		c[process] = map[int64]float64{}
 	}
-	t := newTable(l.settings.Objectives[class], l.settings.Yield, l.hostName)
-	if a.Refused != "" {
-		t.figures(&a, r, nil, nil)
-		return a
+	c[process][bin] += attempts
+}
+
+// rateBand returns the band of a host's attempt rate near a bin, of the bins from..to.
+func (c attemptCounts) rateBand(process hostProcess, bin, from, to int64) uint8 {
+	sum := 0.0
+	bins := 0.0
+	for near := max(bin-rateSpan, from); near <= min(bin+rateSpan, to); near++ {
+		sum += c[process][near]
+		bins++
 	}
-	before, after := map[hostProcess]map[int64]float64{}, map[hostProcess]map[int64]float64{} // attempts by bin
-	for at := from; at <= to; at++ {
-		if b := l.bins[at]; b != nil {
-			for k, x := range b.cells {
-				p := hostProcess{k.Host, k.Incarnation}
-				if before[p] == nil {
-					before[p], after[p] = map[int64]float64{}, map[int64]float64{}
-				}
-				before[p][at] += float64(x.mass[Logged]) / scale
-				after[p][at] += ((1-share)*float64(x.mass[Logged]) + share*float64(x.mass[r])) / scale
-			}
-		}
+	if sum <= 0 {
+		return 0
 	}
-	rate := func(by map[int64]float64, at int64) uint8 {
-		sum, n := 0.0, 0.0
-		for i := max(at-rateSpan, from); i <= min(at+rateSpan, to); i++ {
-			sum += by[i]
-			n++
-		}
-		if sum <= 0 {
-			return 0
-		}
-		return uint8(min(max(int(math.Floor(bandsPerOctave*math.Log2(sum/n)+0.5))+64, 1), 255))
+	band := int(math.Floor(bandsPerOctave*math.Log2(sum/bins)+0.5)) + bandOfRateOne
+	return uint8(min(max(band, 1), math.MaxUint8))
+}
+
+// replacement is a rule that chooses for a fraction of all attempts, in the bins from..to.
+type replacement struct {
+	rule     Rule
+	share    float64
+	from, to int64
+}
+
+// mass returns the mass of a cell under the replacement.
+func (r *replacement) mass(cell *mergedCell) float64 {
+	return ((1-r.share)*float64(cell.mass[Logged]) + r.share*float64(cell.mass[r.rule])) / scale
+}
+
+// refusal returns the reason for which the replacement can't be estimated, empty if it can.
+func (r *replacement) refusal() string {
+	if r.rule == LeastLoaded || r.rule == PowerOfTwo {
+		return FollowsLoad
 	}
-	// The rule's mass is placed at the rates that the rule would make; the outcomes stay at their own.
-	index := map[Key]*stratum{}
-	for at := from; at <= to; at++ {
-		b := l.bins[at]
-		if b == nil {
-			continue
+	if r.rule == OneHost || r.rule < 0 || r.rule >= Rules || !(r.share > 0 && r.share <= 1) {
+		return NoOverlap + ": a rule that chooses for a part from 0 to 1 wanted"
+	}
+	return ""
+}
+
+// Replaced estimates the response times of the attempts of a request class in the bins from..to if the rule had chosen
+// for a fraction of all attempts, of all gateways and request classes, so that the loads move with the rule. How a
+// host's time grows with its attempts is learned from the bins in which it had about as many as the rule would have
+// sent it. There is no answer outside the range seen, and none for rules that follow the load, which would have been
+// another one.
+func (l *Ledger) Replaced(class int, rule Rule, share float64, from, to int64) Answer {
+	from, to = l.boundSpan(from, to)
+	missing, missingShare := l.missing(from, to)
+	r := &replacement{rule: rule, share: share, from: from, to: to}
+	if reason := r.refusal(); reason != "" {
+		a := Answer{
+			Question:     questionReplaced,
+			Rule:         rule.String(),
+			Class:        l.settings.Classes[class],
+			Share:        share,
+			Refused:      reason,
+			Missing:      missing,
+			MissingShare: missingShare,
 		}
-		for _, k := range slices.SortedFunc(maps.Keys(b.cells), Key.compare) {
-			x, p := b.cells[k], hostProcess{k.Host, k.Incarnation}
-			if int(k.Class) != class {
+		a.refuseFigures()
+		return a
+	}
+	e := &estimation{
+		class:        l.settings.Classes[class],
+		table:        l.replacedStrata(class, r),
+		only:         Direct,
+		missing:      missing,
+		missingShare: missingShare,
+		maxMissing:   l.settings.MaxMissing,
+	}
+	a := e.answers([]Rule{rule})[0]
+	a.Question = questionReplaced
+	a.Share = share
+	return a
+}
+
+// replacedStrata collects the strata of a request class by attempt rates instead of loads. The rule's mass is at the
+// rates that the rule would lead to, the outcomes are at the actual ones.
+func (l *Ledger) replacedStrata(class int, r *replacement) *strataTable {
+	actual, replaced := l.countAttempts(r)
+	t := l.newTable(class)
+	for number, bin := range l.binsBetween(r.from, r.to) {
+		for _, key := range slices.SortedFunc(maps.Keys(bin.cells), Key.compare) {
+			if int(key.Class) != class {
 				continue
 			}
-			asked, told := k, k
-			asked.LoadBand, told.LoadBand = rate(after[p], at), rate(before[p], at)
-			t.add(index, told, &mergedCell{rows: x.rows}).mass[Logged] += float64(x.mass[Logged]) / scale
-			s := t.add(index, asked, &mergedCell{})
-			s.mass[r] += ((1-share)*float64(x.mass[Logged]) + share*float64(x.mass[r])) / scale
+			cell := bin.cells[key]
+			process := hostProcess{key.Host, key.Incarnation}
+			key.LoadBand = actual.rateBand(process, number, r.from, r.to)
+			outcomes := t.add(key, &mergedCell{rows: cell.rows})
+			outcomes.mass[Logged] += float64(cell.mass[Logged]) / scale
+			key.LoadBand = replaced.rateBand(process, number, r.from, r.to)
+			t.add(key, &mergedCell{}).mass[r.rule] += r.mass(cell)
 		}
 	}
-	t.sortStrata()
-	t.borrowNeighbours(index)
-	a = l.answers(t, class, []Rule{r}, missing, absent, Direct)[0]
-	a.Question, a.Share = "replaced", share
-	return a
+	t.complete()
+	return t
+}
+
+// countAttempts counts the attempts of all request classes as they were and with the replacement.
+func (l *Ledger) countAttempts(r *replacement) (actual, replaced attemptCounts) {
+	actual = attemptCounts{}
+	replaced = attemptCounts{}
+	for number, bin := range l.binsBetween(r.from, r.to) {
+		for key, cell := range bin.cells {
+			process := hostProcess{key.Host, key.Incarnation}
+			actual.add(process, number, float64(cell.mass[Logged])/scale)
+			replaced.add(process, number, r.mass(cell))
+		}
+	}
+	return actual, replaced
 }
