--- a/internal/observer/datagram.go
+++ b/internal/observer/datagram.go
@@ -12,7 +12,7 @@
 	"ravensill/internal/sockets"
 )
 
-// The first byte of a datagram tells its kind.
+// Kinds of datagrams, by their first byte.
 const (
 	kindSummary      = 'S' // a part of a summary follows
 	kindConfirmation = 'A' // the name of the confirmed message follows
@@ -20,14 +20,14 @@
 
 const maxNameBytes = 32 // of an encoded messageName
 
-// datagram is a decoded datagram: a part of a summary, or a confirmation.
+// datagram is a decoded datagram: a part of a summary or a confirmation.
 type datagram struct {
 	part         *counterfactual.Part
 	confirmation *messageName
-	sender       int // member index; below 0: unknown
+	sender       int // member index
 }
 
-// messageName names a message of one gateway.
+// messageName identifies a message of one gateway.
 type messageName struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
@@ -35,16 +35,17 @@
 	Part        uint16
 }
 
-// readDatagrams passes datagrams to the task. A sender is known by its address; malformed datagrams are dropped and counted.
+// readDatagrams passes datagrams to the loop until Close. It drops and counts malformed ones, and those from addresses
+// of no member.
 func (o *Observer) readDatagrams() {
-	buf := make([]byte, counterfactual.MaxBytes+2)
+	buffer := make([]byte, counterfactual.MaxBytes+2) // the kind, and a byte by which a message is too long
 	var pause sockets.ReadPause
 	for {
-		n, from, err := o.system.ReadPacket(o.udp, buf)
+		n, from, err := o.system.ReadPacket(o.udp, buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // such as a refusal of an earlier datagram by a peer that is down
+		if err != nil { // such as an ICMP error for an earlier datagram to a peer that is down
 			pause.Failed()
 			continue
 		}
@@ -52,7 +53,7 @@
 		if n == 0 {
 			continue
 		}
-		d, ok := o.decode(buf[:n], from)
+		d, ok := o.decode(buffer[:n], from)
 		if !ok {
 			o.malformed.Add(1)
 			continue
@@ -66,43 +67,46 @@
 }
 
 // decode decodes a datagram that is not empty.
-func (o *Observer) decode(b []byte, from netip.AddrPort) (d datagram, ok bool) {
+func (o *Observer) decode(bytes []byte, from netip.AddrPort) (d datagram, ok bool) {
 	d.sender = slices.Index(o.config.Peers, unmap(from))
 	if d.sender < 0 {
 		return d, false
 	}
-	body := slices.Clone(b[1:])
+	kind := bytes[0]
+	body := slices.Clone(bytes[1:])
 	switch {
-	case b[0] == kindSummary && o.ledger != nil:
+	case kind == kindSummary && o.ledger != nil:
 		part, err := counterfactual.Decode(body)
 		if err != nil || int(part.Gateway) != d.sender {
 			return d, false
 		}
 		d.part = part
 		return d, true
-	case b[0] == kindConfirmation:
+	case kind == kindConfirmation:
 		d.confirmation = decodeMessageName(body)
 		return d, d.confirmation != nil
 	}
 	return d, false
 }
 
-// unmap returns an address in its IPv4 form.
-func unmap(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
+// unmap returns an address in its IPv4 form, if it has one.
+func unmap(address netip.AddrPort) netip.AddrPort {
+	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
+}
 
 // encode encodes a name.
 func (n *messageName) encode() []byte {
-	b, err := cbor.Marshal(n)
+	encoded, err := cbor.Marshal(n)
 	if err != nil {
 		panic(err) // plain numbers always encode
 	}
-	return b
+	return encoded
 }
 
 // decodeMessageName decodes a name, or returns nil if it is malformed.
-func decodeMessageName(b []byte) *messageName {
+func decodeMessageName(encoded []byte) *messageName {
 	n := &messageName{}
-	if len(b) > maxNameBytes || cbor.Unmarshal(b, n) != nil {
+	if len(encoded) > maxNameBytes || cbor.Unmarshal(encoded, n) != nil {
 		return nil
 	}
 	return n
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -1,6 +1,7 @@
-// Package observer is the task that carries out what package counterfactual needs: it takes the records of ended attempts from a
-// bounded queue, folds them, sends each window's summary to the collectors, and at a collector merges the summaries of the fleet
-// and answers queries. It decides nothing and never delays the loop: a record that finds the queue full is dropped and counted.
+// Package observer runs package counterfactual at a gateway: it receives the records of ended attempts from a bounded
+// queue, folds them and sends each window's summary to the collectors. At a collector it merges the summaries of all
+// gateways and answers queries. It decides nothing and never delays the gateway's loop: records that find the queue
+// full are dropped and counted.
 package observer
 
 import (
@@ -20,24 +21,26 @@
 	"ravensill/internal/sockets"
 )
 
-// Batch is the largest number of records that the loop hands over at a time.
+// Batch is the largest number of records that the gateway's loop offers at once.
 const Batch = 64
 
 const (
-	inboxSize    = 256             // datagrams that wait for the task; more wait in the socket, or are lost there
-	socketBuffer = 1 << 20         // bytes of the socket's receive buffer
-	logInterval  = 5 * time.Second // between log lines on what was dropped
+	inboxSize         = 256 // datagrams that wait for the loop; more wait in the socket, or are lost there
+	recycledBatches   = 4
+	socketBufferBytes = 1 << 20
+	logInterval       = 5 * time.Second // between log lines on dropped records and messages
 )
 
-// Entry is an ended attempt as the loop hands it over. The names of its JSON form are those of the records file.
+// Entry is an ended attempt. Its JSON names are those of the records file.
 type Entry struct {
-	Request string `json:"Req"` // the request's id
-	Attempt int    `json:"Try"` // the attempt's number
-	SentAt  int64  `json:"At"`  // ns of the gateway's clock
+	Request string `json:"Req"` // id
+	Attempt int    `json:"Try"` // number
+	SentAt  int64  `json:"At"`  // nanoseconds of the gateway's clock
 	counterfactual.Record
 }
 
-// Observer is the task. Its fields belong to its goroutine, but for the channels and atomics.
+// Observer is the observer of one gateway. Its fields belong to the goroutine of its loop, but for channels and
+// atomics.
 type Observer struct {
 	system  sockets.System
 	config  *config.Counterfactual
@@ -45,24 +48,24 @@
 	zone    int
 	classes []string // names of the request classes
 
-	records    chan []*Entry                     // from the loop
-	recycled   chan []*Entry                     // batches that the loop may use again
+	records    chan []*Entry                     // from the gateway's loop
+	recycled   chan []*Entry                     // batches for the gateway's loop to use again
 	queueDrops atomic.Int64                      // records that found the queue full
 	hostIDs    atomic.Pointer[map[uint32]string] // by host number
 
 	udp       *net.UDPConn
 	datagrams chan datagram
-	malformed atomic.Int64 // datagrams that no gateway sends so
+	malformed atomic.Int64 // datagrams
 	tcp       net.Listener // for queries; nil: no collector
 	queries   chan pendingQuery
 
-	done  chan struct{} // closed by Close
-	tasks sync.WaitGroup
+	done       chan struct{} // closed by Close
+	goroutines sync.WaitGroup
 
 	started     time.Time
-	incarnation uint64 // the start time, ns
+	incarnation uint64 // the start time in nanoseconds
 	folder      *counterfactual.Folder
-	window      uint32                 // number of the window under way
+	window      uint32                 // number of the current window
 	ledger      *counterfactual.Ledger // nil: no collector
 
 	unconfirmed      []*message // oldest first
@@ -71,14 +74,16 @@
 	recordsFile    *os.File // nil: not configured
 	recordsWritten int      // bytes
 
-	abandoned   int // messages given up unconfirmed since the last log line
-	lostRecords int // records not folded since the last log line
+	abandoned   int // unconfirmed messages that were given up, since the latest log line
+	lostRecords int // records that were not folded, since the latest log line
 	loggedAt    time.Time
 }
 
-// Open starts the observer of a gateway on the sockets of system, given its member index of so many and its zone. Classes and objectives are the names of
-// the request classes and their latency objectives in ns. An error names the key of the configuration.
-func Open(system sockets.System, config *config.Counterfactual, member, zone, members int, classes []string, objectives []int64) (*Observer, error) {
+// Open starts the observer of a gateway on the sockets of system. member is the gateway's index of all members. classes
+// and objectives are the names of the request classes and their latency objectives in nanoseconds. An error names the
+// key of the configuration.
+func Open(system sockets.System, config *config.Counterfactual, member, zone, members int, classes []string,
+	objectives []int64) (*Observer, error) {
 	started := time.Now()
 	o := &Observer{
 		system:      system,
@@ -87,7 +92,7 @@
 		zone:        zone,
 		classes:     classes,
 		records:     make(chan []*Entry, max(config.QueueLength/Batch, 1)),
-		recycled:    make(chan []*Entry, 4),
+		recycled:    make(chan []*Entry, recycledBatches),
 		datagrams:   make(chan datagram, inboxSize),
 		queries:     make(chan pendingQuery),
 		done:        make(chan struct{}),
@@ -99,15 +104,15 @@
 		o.closeResources()
 		return nil, err
 	}
-	queryAddr := "none"
+	queryAddress := "none"
 	if o.tcp != nil {
-		queryAddr = o.tcp.Addr().String()
+		queryAddress = o.tcp.Addr().String()
 		o.ledger = o.newLedger(members, objectives)
 		o.start(o.acceptQueries)
 	}
 	o.start(o.readDatagrams)
 	o.start(o.loop)
-	slog.Info("observer_started", "listen", o.udp.LocalAddr(), "query_listen", queryAddr)
+	slog.Info("observer_started", "listen", o.udp.LocalAddr(), "query_listen", queryAddress)
 	return o, nil
 }
 
@@ -117,7 +122,7 @@
 	if err != nil {
 		return fmt.Errorf("counterfactual.listen: %w", err)
 	}
-	o.udp.SetReadBuffer(socketBuffer)
+	o.udp.SetReadBuffer(socketBufferBytes)
 	if o.config.RecordsFile != "" {
 		o.recordsFile, err = os.OpenFile(o.config.RecordsFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
@@ -163,35 +168,36 @@
 	})
 }
 
-// start starts a goroutine of the task; a panic in one is logged and ends it alone.
-func (o *Observer) start(f func()) {
-	o.tasks.Add(1)
+// start starts a goroutine, for which Close waits. A panic in it is logged and ends it alone.
+func (o *Observer) start(run func()) {
+	o.goroutines.Add(1)
 	go func() {
-		defer o.tasks.Done()
+		defer o.goroutines.Done()
 		defer func() {
 			if p := recover(); p != nil {
 				slog.Error("panic", "where", "observer", "error", fmt.Sprint(p), "stack", debug.Stack())
 			}
 		}()
-		f()
+		run()
 	}()
 }
 
-// Close ends the task. Summaries not sent yet are lost.
+// Close stops the observer and waits for its goroutines. Summaries that are not sent are lost.
 func (o *Observer) Close() {
 	close(o.done)
 	o.udp.Close()
 	if o.tcp != nil {
 		o.tcp.Close()
 	}
-	o.tasks.Wait()
+	o.goroutines.Wait()
 	if o.recordsFile != nil {
 		o.recordsFile.Close()
 	}
 }
 
-// Offer hands over a batch of records, and never waits. The batch belongs to the task then. The returned slice, empty or an
-// earlier batch, is free for use.
+// Offer passes a batch of records to the observer, which owns it from then on, or drops it if the queue is full. It
+// never waits. It returns a slice that is free for use: a recycled batch or nil, or the batch itself if that was
+// dropped.
 func (o *Observer) Offer(batch []*Entry) (free []*Entry) {
 	select {
 	case o.records <- batch:
@@ -209,7 +215,7 @@
 // SetHostIDs sets the hosts' ids by their numbers. The map must not be changed afterwards.
 func (o *Observer) SetHostIDs(ids map[uint32]string) { o.hostIDs.Store(&ids) }
 
-// hostID returns the id of a host; "" if it is not known.
+// hostID returns the id of a host, empty if it is not known.
 func (o *Observer) hostID(number uint32) string {
 	if ids := o.hostIDs.Load(); ids != nil {
 		return (*ids)[number]
@@ -231,7 +237,7 @@
 	return 0, false
 }
 
-// loop is the task's goroutine.
+// loop runs until Close.
 func (o *Observer) loop() {
 	tick := time.NewTicker(o.config.Window)
 	defer tick.Stop()
@@ -251,5 +257,6 @@
 	}
 }
 
-// now is the time since the start, in ns: the ledger uses it rather than the time of day.
+// now returns the ledger's clock in nanoseconds. It is monotonic, unlike the time of day, and starts at an hour, so
+// that the age of a message does not lead before its beginning.
 func (o *Observer) now() int64 { return int64(time.Hour) + int64(time.Since(o.started)) }
--- a/internal/observer/query.go
+++ b/internal/observer/query.go
@@ -13,44 +13,45 @@
 )
 
 const (
-	maxQuery     = 4 << 10 // bytes of a query
-	maxQueries   = 8       // connections at a time; more are closed at once
-	maxWindows   = 1 << 20 // windows that a query may ask for
-	queryTimeout = 10 * time.Second
+	maxQueryBytes    = 4 << 10
+	queryBufferBytes = 512
+	maxQueries       = 8 // connections at a time; more are closed at once
+	maxWindows       = 1 << 20
+	queryTimeout     = 10 * time.Second
 )
 
-// Query is a question to a collector.
+// Query is a query to a collector.
 type Query struct {
-	RequestClass string  `json:"frontend"` // request class; "": each
+	RequestClass string  `json:"frontend"` // empty: all of them
 	Host         string  `json:"host"`     // a single host instead of all rules
-	Rule         string  `json:"rule"`     // with Part: a rule in force
-	Fraction     float64 `json:"part"`     // for this fraction of all attempts
-	Last         int     `json:"last"`     // number of sealed windows; 0: all that are kept
+	Rule         string  `json:"rule"`     // with Fraction: a rule in force
+	Fraction     float64 `json:"part"`     // of all attempts, for which Rule chooses
+	Windows      int     `json:"last"`     // number of latest sealed windows; 0: all that are kept
 	Hosts        bool    `json:"hosts"`    // also each host that was seen
 	Counts       bool    `json:"counts"`   // counts of messages instead of figures
 }
 
-// CollectorState is the state of a collector.
+// CollectorState is the answer to a query of counts.
 type CollectorState struct {
 	counterfactual.Counts
-	Bin    int64 // the one under way
-	Sealed int64 // the newest one that no longer changes
+	Bin    int64 // the current one
+	Sealed int64 // the latest one that no longer changes
 }
 
-// pendingQuery is a query for the task.
+// pendingQuery is a query that waits for the loop.
 type pendingQuery struct {
 	query   Query
-	answers chan []any // receives one value for each line
+	answers chan []any // one element for each line
 }
 
 // decodeQuery decodes and checks a query; an error names its key.
 func decodeQuery(line []byte) (query Query, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
-	if err = decoder.Decode(&query); err != nil {
+	if err := decoder.Decode(&query); err != nil {
 		return query, err
 	}
-	if query.Last < 0 || query.Last > maxWindows {
+	if query.Windows < 0 || query.Windows > maxWindows {
 		return query, errors.New("last: below zero, or too many")
 	}
 	if !(query.Fraction >= 0 && query.Fraction <= 1) {
@@ -64,16 +65,16 @@
 
 // acceptQueries accepts connections, each with one query.
 func (o *Observer) acceptQueries() {
-	places := make(chan struct{}, maxQueries)
+	slots := make(chan struct{}, maxQueries)
 	for {
 		conn, err := o.tcp.Accept()
 		if err != nil { // closed
 			return
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 			o.start(func() {
-				defer func() { <-places }()
+				defer func() { <-slots }()
 				o.serveQuery(conn)
 			})
 		default:
@@ -87,16 +88,10 @@
 	defer conn.Close()
 	served := make(chan struct{})
 	defer close(served)
-	go func() { // the end of the program does not wait for a client
-		select {
-		case <-o.done:
-			conn.Close()
-		case <-served:
-		}
-	}()
+	o.start(func() { o.closeAtEnd(conn, served) })
 	conn.SetDeadline(time.Now().Add(queryTimeout))
 	lines := bufio.NewScanner(conn)
-	lines.Buffer(make([]byte, 0, 512), maxQuery)
+	lines.Buffer(make([]byte, 0, queryBufferBytes), maxQueryBytes)
 	if !lines.Scan() {
 		return
 	}
@@ -118,9 +113,19 @@
 	}
 }
 
-// ask passes a query to the task and waits for its answers.
+// closeAtEnd closes a connection if the observer ends before the query is served, so that Close does not wait for a
+// client.
+func (o *Observer) closeAtEnd(conn net.Conn, served <-chan struct{}) {
+	select {
+	case <-o.done:
+		conn.Close()
+	case <-served:
+	}
+}
+
+// ask passes a query to the loop and waits for its answers. It returns false if the observer ends or is too busy.
 func (o *Observer) ask(query Query) (answers []any, ok bool) {
-	pending := pendingQuery{query, make(chan []any, 1)}
+	pending := pendingQuery{query: query, answers: make(chan []any, 1)}
 	select {
 	case o.queries <- pending:
 	case <-o.done:
@@ -136,17 +141,17 @@
 	}
 }
 
-// errorAnswer is the answer to a query that is not understood.
+// errorAnswer returns the answer to an invalid query.
 func errorAnswer(format string, values ...any) map[string]string {
 	return map[string]string{"error": fmt.Sprintf(format, values...)}
 }
 
-// answer answers a query with one value for each line.
+// answer returns the answers to a query, one for each line.
 func (o *Observer) answer(query *Query) (answers []any) {
 	now := o.now()
 	if query.Counts {
 		window := int64(o.config.Window)
-		return []any{CollectorState{o.ledger.Counts, now / window, o.ledger.Sealed(now)}}
+		return []any{CollectorState{Counts: o.ledger.Counts, Bin: now / window, Sealed: o.ledger.Sealed(now)}}
 	}
 	var classes []int
 	for i, name := range o.classes {
@@ -157,21 +162,22 @@
 	if classes == nil {
 		return []any{errorAnswer("frontend: there is no %q", query.RequestClass)}
 	}
-	from, to := o.ledger.First(), o.ledger.Sealed(now)
-	if query.Last > 0 {
-		from = max(from, to-int64(query.Last)+1)
+	from := o.ledger.First()
+	to := o.ledger.Sealed(now)
+	if query.Windows > 0 {
+		from = max(from, to-int64(query.Windows)+1)
 	}
 	for _, class := range classes {
-		more, err := o.answerClass(query, class, from, to)
+		ofClass, err := o.answerClass(query, class, from, to)
 		if err != nil {
 			return []any{errorAnswer("%v", err)}
 		}
-		answers = append(answers, more...)
+		answers = append(answers, ofClass...)
 	}
 	return answers
 }
 
-// answerClass answers a query for one request class over a range of bins.
+// answerClass returns the answers to a query for one request class over a range of bins.
 func (o *Observer) answerClass(query *Query, class int, from, to int64) (answers []any, err error) {
 	switch {
 	case query.Rule != "":
--- a/internal/observer/records.go
+++ b/internal/observer/records.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-// fold folds a batch of records into the window under way and writes them to the records file.
+// fold folds a batch of records into the current window and writes them to the records file.
 func (o *Observer) fold(batch []*Entry) {
 	for _, entry := range batch {
 		o.folder.Add(&entry.Record)
@@ -17,8 +17,8 @@
 	}
 }
 
-// writeRecord appends a record to the records file, up to its configured size. After an error, such as a full disk, nothing more
-// is written; the estimates go on without the file.
+// writeRecord appends a record to the records file, up to the file's configured size. After an error, such as a full
+// disk, it writes nothing more; the estimates don't need the file.
 func (o *Observer) writeRecord(entry *Entry) {
 	limit := o.config.RecordsMaxBytes
 	if o.recordsFile == nil || o.recordsWritten >= limit {
--- a/internal/observer/summary.go
+++ b/internal/observer/summary.go
@@ -8,20 +8,21 @@
 	"ravensill/counterfactual"
 )
 
-const maxUnconfirmed = 512 << 10 // bytes of messages that wait for a confirmation
+// maxUnconfirmedBytes bounds the messages that wait for a confirmation.
+const maxUnconfirmedBytes = 512 << 10
 
 // message is a part of a summary that one collector has not confirmed.
 type message struct {
 	messageName
-	collector int // member index
-	encode    func(age uint32) []byte
+	collector int                     // member index
+	encode    func(age uint32) []byte // age in milliseconds since windowEnd
 	windowEnd time.Time
 	size      int // bytes
 }
 
-// closeWindow ends the window under way, and sends its summary with all other unconfirmed messages.
+// closeWindow ends the current window, and sends its summary with all other unconfirmed messages.
 func (o *Observer) closeWindow(now time.Time) {
-	for n := len(o.records); n > 0; n-- { // these ended in this window
+	for range len(o.records) { // batches of attempts that ended in this window
 		o.fold(<-o.records)
 	}
 	o.folder.AddLost(int(o.queueDrops.Swap(0)))
@@ -35,7 +36,7 @@
 	o.logDrops(now)
 }
 
-// summarize turns the window under way into messages for the collectors, and merges it here if this is one.
+// summarize queues the current window's summary for the collectors, and merges it if this gateway is one.
 func (o *Observer) summarize(now time.Time) {
 	cells, attempts, lost := o.folder.Close()
 	o.lostRecords += int(lost)
@@ -50,34 +51,46 @@
 	}
 	o.window++
 	for i, encode := range counterfactual.Encode(head, cells) {
-		if o.ledger != nil {
-			if part, err := counterfactual.Decode(encode(0)); err == nil {
-				o.ledger.Receive(part, o.now())
-			}
-		}
+		o.mergeOwn(encode(0))
 		name := messageName{Incarnation: o.incarnation, Window: head.Window, Part: uint16(i)}
-		for _, collector := range o.config.Collectors {
-			if collector == o.member {
-				continue
-			}
-			m := &message{
-				messageName: name,
-				collector:   collector,
-				encode:      encode,
-				windowEnd:   now,
-				size:        len(encode(0)),
-			}
-			o.unconfirmed = append(o.unconfirmed, m)
-			o.unconfirmedBytes += m.size
+		o.queueMessage(name, encode, now)
+	}
+}
+
+// mergeOwn merges a message of this gateway if it is a collector.
+func (o *Observer) mergeOwn(encoded []byte) {
+	if o.ledger == nil {
+		return
+	}
+	part, err := counterfactual.Decode(encoded)
+	if err == nil {
+		o.ledger.Receive(part, o.now())
+	}
+}
+
+// queueMessage adds a message for each other collector.
+func (o *Observer) queueMessage(name messageName, encode func(age uint32) []byte, windowEnd time.Time) {
+	size := len(encode(0))
+	for _, collector := range o.config.Collectors {
+		if collector == o.member {
+			continue
 		}
+		o.unconfirmed = append(o.unconfirmed, &message{
+			messageName: name,
+			collector:   collector,
+			encode:      encode,
+			windowEnd:   windowEnd,
+			size:        size,
+		})
+		o.unconfirmedBytes += size
 	}
 }
 
-// abandonOld gives up messages that are too old to count at a collector, and the oldest ones while there are too many.
+// abandonOld drops messages that are too old to count at a collector, and the oldest ones while there are too many.
 func (o *Observer) abandonOld(now time.Time) {
 	maxAge := o.config.Grace + o.config.Window
 	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(m *message) bool {
-		if o.unconfirmedBytes <= maxUnconfirmed && now.Sub(m.windowEnd) <= maxAge {
+		if o.unconfirmedBytes <= maxUnconfirmedBytes && now.Sub(m.windowEnd) <= maxAge {
 			return false
 		}
 		o.unconfirmedBytes -= m.size
@@ -86,10 +99,11 @@
 	})
 }
 
-// logDrops logs what was dropped since the last line, if anything was.
+// logDrops logs the records and messages that were dropped since the latest line, if any.
 func (o *Observer) logDrops(now time.Time) {
 	malformed := o.malformed.Load()
-	if now.Sub(o.loggedAt) < logInterval || o.lostRecords+o.abandoned+int(malformed) == 0 {
+	dropped := o.lostRecords + o.abandoned + int(malformed)
+	if dropped == 0 || now.Sub(o.loggedAt) < logInterval {
 		return
 	}
 	o.malformed.Add(-malformed)
@@ -109,10 +123,11 @@
 		return
 	}
 	name := messageName{Incarnation: d.part.Incarnation, Window: d.part.Window, Part: d.part.Index}
-	o.udp.WriteToUDPAddrPort(append([]byte{kindConfirmation}, name.encode()...), o.config.Peers[d.sender])
+	confirmation := append([]byte{kindConfirmation}, name.encode()...)
+	o.udp.WriteToUDPAddrPort(confirmation, o.config.Peers[d.sender])
 }
 
-// confirm forgets a message that its collector has confirmed.
+// confirm removes a message that its collector has confirmed.
 func (o *Observer) confirm(collector int, name messageName) {
 	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(m *message) bool {
 		if m.collector != collector || m.messageName != name {
