--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -1,8 +1,6 @@
 package config
 
 import (
-	"errors"
-	"fmt"
 	"net/netip"
 	"os"
 	"slices"
@@ -13,12 +11,13 @@
 
 // Publisher is the configuration of one replica of the publishers (docs/configuration-sync.md).
 type Publisher struct {
-	Index           int            // this replica's among Raft
-	Listen          netip.AddrPort // TCP, for followers
-	RaftListen      netip.AddrPort // TCP, for the other replicas
-	Raft            []netip.AddrPort
-	AdminListen     netip.AddrPort // HTTP, for operators; it asks for no password, so it belongs on a network of theirs
-	Admin           []netip.AddrPort
+	Index       int            // of this replica in Raft and Admin
+	Listen      netip.AddrPort // TCP, for followers
+	RaftListen  netip.AddrPort // TCP, for the other replicas
+	Raft        []netip.AddrPort
+	AdminListen netip.AddrPort // HTTP without authentication: on a network of the operators alone
+	Admin       []netip.AddrPort
+
 	Dir             string
 	Key             []byte        // shared by the replicas
 	ElectionTimeout time.Duration // without contact to the leader before another is elected
@@ -52,17 +51,17 @@
 func LoadPublisher(getenv func(string) string) (*Publisher, error) {
 	file := getenv("PUBLISHER_CONFIG")
 	if file == "" {
-		return nil, errors.New("PUBLISHER_CONFIG: not set; it names the configuration file")
+		return nil, keyErrorf("PUBLISHER_CONFIG", "not set; it names the configuration file")
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("PUBLISHER_CONFIG: %w", err)
+		return nil, keyError("PUBLISHER_CONFIG", err)
 	}
 	return decodePublisher(string(text))
 }
 
 func decodePublisher(raw string) (*Publisher, error) {
-	text := publisherFile{
+	file := publisherFile{
 		ElectionMS:    1000,
 		MaxFollowers:  8192,
 		HistoryDeltas: configsync.DefaultHistoryDeltas,
@@ -70,31 +69,31 @@
 		SnapshotRate:  configsync.DefaultSnapshotRate,
 		SnapshotBurst: configsync.DefaultSnapshotBurst,
 	}
-	err := decodeSection(raw, &text)
+	err := decodeSection(raw, &file)
 	if err != nil {
 		return nil, err
 	}
-	err = text.check()
+	err = file.check()
 	if err != nil {
 		return nil, err
 	}
 	p := &Publisher{
-		Index:           text.Index,
-		Dir:             text.Dir,
-		ElectionTimeout: milliseconds(text.ElectionMS),
-		MaxFollowers:    text.MaxFollowers,
-		History:         configsync.HistoryLimits{Deltas: text.HistoryDeltas, Bytes: text.HistoryBytes},
+		Index:           file.Index,
+		Dir:             file.Dir,
+		ElectionTimeout: milliseconds(file.ElectionMS),
+		MaxFollowers:    file.MaxFollowers,
+		History:         configsync.HistoryLimits{Deltas: file.HistoryDeltas, Bytes: file.HistoryBytes},
 		Sending: configsync.SenderLimits{
-			SnapshotRate:    text.SnapshotRate,
-			SnapshotBurst:   text.SnapshotBurst,
+			SnapshotRate:    file.SnapshotRate,
+			SnapshotBurst:   file.SnapshotBurst,
 			VersionInterval: configsync.DefaultVersionInterval,
 		},
 	}
-	p.Key, err = parseSecret("key", text.Key)
+	p.Key, err = parseSecret("key", file.Key)
 	if err != nil {
 		return nil, err
 	}
-	return p, p.readAddresses(&text)
+	return p, p.readAddresses(&file)
 }
 
 // check returns an error for counts and numbers that are out of their bounds.
@@ -120,27 +119,27 @@
 	)
 }
 
-func (p *Publisher) readAddresses(text *publisherFile) (err error) {
-	p.Raft, err = parseAddresses("raft", text.Raft)
+func (p *Publisher) readAddresses(file *publisherFile) (err error) {
+	p.Raft, err = parseAddresses("raft", file.Raft)
 	if err != nil {
 		return err
 	}
-	p.Admin, err = parseAddresses("admin", text.Admin)
+	p.Admin, err = parseAddresses("admin", file.Admin)
 	if err != nil {
 		return err
 	}
-	for _, address := range []struct {
-		key  string
-		text string
-		into *netip.AddrPort
+	for _, field := range []struct {
+		key     string
+		text    string
+		address *netip.AddrPort
 	}{
-		{"listen", text.Listen, &p.Listen},
-		{"raft_listen", text.RaftListen, &p.RaftListen},
-		{"admin_listen", text.AdminListen, &p.AdminListen},
+		{"listen", file.Listen, &p.Listen},
+		{"raft_listen", file.RaftListen, &p.RaftListen},
+		{"admin_listen", file.AdminListen, &p.AdminListen},
 	} {
-		*address.into, err = netip.ParseAddrPort(address.text)
+		*field.address, err = netip.ParseAddrPort(field.text)
 		if err != nil {
-			return keyError(address.key, err)
+			return keyError(field.key, err)
 		}
 	}
 	return nil
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -64,9 +64,9 @@
 // complete list lacks are gone, and so is one whose address an endpoint that started later has: requests to it would
 // reach the new one, which is still warming up.
 //
-// A list with an older version than the latest comes from an agent that lags or counts from the start. It counts, but
-// an endpoint that was listed as draining or gone, and has not started again since, stays so. The cost grows with the
-// text; a list of changes costs the same however many endpoints are known.
+// A list with an older version than the latest comes from an agent that lags or numbers its versions anew. It counts,
+// but an endpoint that was listed as draining or gone, and has not started again since, stays so. The cost grows with
+// the text; a list of changes costs the same however many endpoints are known.
 func (l *EndpointList) Decode(text string, setAddress func(host uint32, address netip.AddrPort)) (kind gateway.ListKind,
 	endpoints []gateway.Endpoint, entryErr, err error) {
 	if !gjson.Valid(text) {
@@ -165,12 +165,14 @@
 // parseEntry parses one entry. It is not usable if it has no id, or if the address of its endpoint is unknown.
 func (d *decoding) parseEntry(id string, text gjson.Result) (listed listedEndpoint, usable bool) {
 	address, addressErr := netip.ParseAddrPort(text.Get("addr").Str)
+	hasAddress := addressErr == nil
 	state := slices.Index(stateNames, text.Get("state").Str)
-	known := d.list.entries[id]
-	if state < 0 || addressErr != nil && state != int(gateway.Gone) || id == "" {
+	valid := id != "" && state >= 0 && (hasAddress || state == int(gateway.Gone))
+	if !valid {
 		d.entryErr = fmt.Errorf("servers: id, addr or state of %.80s", text.Raw)
-		unreachable := addressErr != nil && (known == nil || !known.address.IsValid())
-		if id == "" || unreachable {
+		known := d.list.entries[id]
+		hasKnownAddress := known != nil && known.address.IsValid()
+		if id == "" || !hasAddress && !hasKnownAddress {
 			return listed, false
 		}
 		if state < 0 {
@@ -226,7 +228,7 @@
 }
 
 // apply updates the known endpoints. It returns the endpoints of the list with their numbers, and the entries whose
-// address has changed.
+// address has changed. All old addresses are released before resolveConflicts assigns the new ones.
 func (d *decoding) apply(setAddress func(host uint32, address netip.AddrPort)) (
 	endpoints []gateway.Endpoint, moved []*entry) {
 	endpoints = make([]gateway.Endpoint, 0, len(d.servers))
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -53,9 +53,12 @@
 	}
 }
 
-// limitRuntime sets the limits of Go's runtime.
+// garbagePercent is the garbage, over the live memory, at which a collection starts.
+const garbagePercent = 400
+
+// limitRuntime sets the limits of Go's runtime. A quarter of the memory is left for what the runtime doesn't count.
 func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(1) // the gateway has one processor
 	debug.SetMemoryLimit(cfg.Memory * 3 / 4)
-	debug.SetGCPercent(400)
+	debug.SetGCPercent(garbagePercent)
 }
