--- a/concurrency/limiter.go
+++ b/concurrency/limiter.go
@@ -1,6 +1,6 @@
-// Package concurrency bounds the attempts that one gateway has in flight, so that they can be answered in time:
-// by additive increase and multiplicative decrease (AIMD; Chiu and Jain, 1989) on the lateness of answers, and
-// at once where endpoints report that they have capacity left.
+// Package concurrency limits the attempts that one gateway has in flight, so that they can be answered in time.
+// The limit follows the lateness of answers by additive increase and multiplicative decrease (AIMD; Chiu and
+// Jain, 1989), and rises at once where endpoints report that they have capacity left.
 package concurrency
 
 import (
@@ -36,7 +36,7 @@
 	lastDecrease     gateway.Time
 }
 
-// SetEndpoints sets how many endpoints there are now: the limit follows in proportion.
+// SetEndpoints sets the number of endpoints. The limit changes in proportion.
 func (l *Limiter) SetEndpoints(count int) {
 	if l.endpoints == 0 {
 		l.limit = l.Start * float64(count)
@@ -47,16 +47,16 @@
 }
 
 // Allows reports whether one more attempt may start beside those in flight, within a fraction of the limit.
-// random is a random number from 0 to 1 by which one more may start: requests arrive in random clusters, and a
-// limit under one is a probability. A fraction that is not a number limits nothing.
+// random is a random number from 0 to 1: a limit below one is a probability, and above that it smooths bursts
+// of requests. A fraction that is not a number limits nothing.
 func (l *Limiter) Allows(inFlight int, fraction, random float64) bool {
 	limit := l.limit * fraction
 	exceeded := float64(inFlight+1) > limit+random*(1+min(limit, 1))
 	return !exceeded
 }
 
-// ObserveAnswer takes in an answer that came a latency after its attempt started, with the objective of its
-// class, both in nanoseconds, and the utilization that the endpoint reported with it, below 0 for none.
+// ObserveAnswer updates the limit by the latency of an answer, the latency objective of its class, and the
+// utilization that the endpoint reported with it, negative for none.
 func (l *Limiter) ObserveAnswer(latency, objective time.Duration, now gateway.Time, inFlight int, utilization float64) {
 	late := min(float64(latency)/float64(objective), 1)
 	l.lateness += (late - l.lateness) / min(2+l.limit, maxLatenessWindow)
@@ -76,7 +76,7 @@
 	}
 }
 
-// observeUtilization takes in a report. The first one stands for what came before it.
+// observeUtilization records a report. The first one stands for the time before it.
 func (l *Limiter) observeUtilization(utilization float64, inFlight int) {
 	if !l.utilizationKnown {
 		l.utilizationKnown = true
@@ -86,7 +86,7 @@
 	l.utilization += (utilization - l.utilization) * utilizationWeight
 }
 
-// decreaseOnce decreases the limit, once in an interval.
+// decreaseOnce decreases the limit at most once in an interval.
 func (l *Limiter) decreaseOnce(now gateway.Time, interval time.Duration) {
 	if now.Sub(l.lastDecrease) < interval {
 		return
--- a/concurrency/limiter_test.go
+++ b/concurrency/limiter_test.go
@@ -10,101 +10,99 @@
 
 const ms = time.Millisecond
 
-// TestLimitBelowOneIsAProbability: under one, the bound lets some dispatches go, one at a time; from two on, all
-// that fit.
+// A limit below one allows a fraction of the attempts, one at a time; from two on, all that fit.
 func TestLimitBelowOneIsAProbability(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for _, c := range []struct {
-		bound    float64
-		from, to int // of 1000 tries with nothing out
+		limit    float64
+		from, to int // attempts allowed of 1000, with none in flight
 	}{{0.05, 60, 130}, {0.5, 600, 800}, {2, 1000, 1000}} {
-		o := Limiter{limit: c.bound}
+		limiter := Limiter{limit: c.limit}
 		n := 0
 		for range 1000 {
-			if o.Allows(0, 1, rnd.Float64()) {
+			if limiter.Allows(0, 1, rnd.Float64()) {
 				n++
 			}
 		}
 		if n < c.from || n > c.to {
-			t.Errorf("bound %.2f: %d of 1000 went, want %d to %d", c.bound, n, c.from, c.to)
+			t.Errorf("limit %.2f: %d of 1000 allowed, want %d to %d", c.limit, n, c.from, c.to)
 		}
-		if o.Allows(1, 1, 0.99) && c.bound < 1 {
-			t.Errorf("bound %.2f: a second one went beside one out", c.bound)
+		if limiter.Allows(1, 1, 0.99) && c.limit < 1 {
+			t.Errorf("limit %.2f: a second attempt is allowed beside one in flight", c.limit)
 		}
 	}
 }
 
+// The limit is in proportion to the number of endpoints.
 func TestLimitFollowsEndpoints(t *testing.T) {
-	o := Limiter{Start: 0.5}
-	o.SetEndpoints(10)
-	if o.Limit() != 5 {
-		t.Errorf("start: %v, want 5", o.Limit())
+	limiter := Limiter{Start: 0.5}
+	limiter.SetEndpoints(10)
+	if limiter.Limit() != 5 {
+		t.Errorf("start: %v, want 5", limiter.Limit())
 	}
-	o.SetEndpoints(20)
-	if o.Limit() != 10 {
-		t.Errorf("twice the hosts: %v, want 10", o.Limit())
+	limiter.SetEndpoints(20)
+	if limiter.Limit() != 10 {
+		t.Errorf("twice the endpoints: %v, want 10", limiter.Limit())
 	}
-	o.SetEndpoints(0)
-	o.SetEndpoints(4)
-	if o.Limit() != 2 {
-		t.Errorf("none, then 4: %v, want the start of 4 hosts, 2", o.Limit())
+	limiter.SetEndpoints(0)
+	limiter.SetEndpoints(4)
+	if limiter.Limit() != 2 {
+		t.Errorf("none, then 4: %v, want the start of 4 endpoints, 2", limiter.Limit())
 	}
 }
 
-// TestLateAnswersDecreaseOnceAnInterval: answers that take most of their target cut the bound, once in each 0.35
-// of the target.
+// Answers that take most of their objective decrease the limit, once in each 0.35 of the objective.
 func TestLateAnswersDecreaseOnceAnInterval(t *testing.T) {
-	o := Limiter{Start: 1}
-	o.SetEndpoints(10)
+	limiter := Limiter{Start: 1}
+	limiter.SetEndpoints(10)
 	now := gateway.Time(0)
 	for range 50 {
 		now = now.Add(10 * ms)
-		o.ObserveAnswer(900*ms, 1000*ms, now, 9, -1)
+		limiter.ObserveAnswer(900*ms, 1000*ms, now, 9, -1)
 	}
-	// 500 ms of late answers, cuts 350 ms apart at least: one cut of what the first answers grew it to.
-	if l := o.Limit(); l < 10*decrease || l > 10.5*decrease {
-		t.Errorf("bound %.2f after 0.5 s of late answers, want one cut of 10 to 10.5", l)
+	// 500 ms of late answers, at least 350 ms between decreases: one decrease of what the first answers raised it to.
+	if l := limiter.Limit(); l < 10*decrease || l > 10.5*decrease {
+		t.Errorf("limit %.2f after 0.5 s of late answers, want one decrease of 10 to 10.5", l)
 	}
 	for range 40 {
 		now = now.Add(10 * ms)
-		o.ObserveAnswer(900*ms, 1000*ms, now, 9, -1)
+		limiter.ObserveAnswer(900*ms, 1000*ms, now, 9, -1)
 	}
-	if l := o.Limit(); l < 10*decrease*decrease || l > 10.5*decrease*decrease {
-		t.Errorf("bound %.2f after 0.9 s of late answers, want two cuts", l)
+	if l := limiter.Limit(); l < 10*decrease*decrease || l > 10.5*decrease*decrease {
+		t.Errorf("limit %.2f after 0.9 s of late answers, want two decreases", l)
 	}
-	if o.Lateness() <= MaxLateness {
-		t.Errorf("late %.2f, want over %.2f", o.Lateness(), MaxLateness)
+	if limiter.Lateness() <= MaxLateness {
+		t.Errorf("lateness %.2f, want over %.2f", limiter.Lateness(), MaxLateness)
 	}
 }
 
-// TestLowUtilizationRaisesLimit is the failure at hundreds of gateways: a gateway with a few dispatches out and early
-// answers grows by lateness alone by a few hundredths an answer, while hosts told they are a third busy. The
-// bound must let it have room at once where the hosts have it, and none beyond the aim where they don't.
+// Few attempts in flight and early answers raise the limit slowly. Where endpoints report capacity, the limit
+// must use it at once, up to the utilization objective.
 func TestLowUtilizationRaisesLimit(t *testing.T) {
-	grow := func(busy float64) float64 {
-		o := Limiter{Start: 6.0 / 60}
-		o.SetEndpoints(40) // 4 dispatches to start with
+	limitAt := func(utilization float64) float64 {
+		limiter := Limiter{Start: 6.0 / 60}
+		limiter.SetEndpoints(40) // 4 attempts to start with
 		for k := range 24 {
-			o.ObserveAnswer(300*ms, 2000*ms, gateway.Time(k)*gateway.Time(40*ms), 4, busy)
+			limiter.ObserveAnswer(300*ms, 2000*ms, gateway.Time(k)*gateway.Time(40*ms), 4, utilization)
 		}
-		return o.Limit()
+		return limiter.Limit()
 	}
-	if l := grow(-1); l > 5.5 {
-		t.Errorf("no load told: bound %.2f, want the slow growth of lateness alone", l)
+	if l := limitAt(-1); l > 5.5 {
+		t.Errorf("no reports: limit %.2f, want the slow growth by lateness alone", l)
 	}
-	if l := grow(0.33); l < 0.95*4*UtilizationObjective/0.33 {
-		t.Errorf("hosts a third busy: bound %.2f, want about %.1f", l, 4*UtilizationObjective/0.33)
+	if l := limitAt(0.33); l < 0.95*4*UtilizationObjective/0.33 {
+		t.Errorf("endpoints a third busy: limit %.2f, want about %.1f", l, 4*UtilizationObjective/0.33)
 	}
-	if l := grow(0.95); l > 5.5 {
-		t.Errorf("hosts busier than the aim: bound %.2f, want no more than lateness gives", l)
+	if l := limitAt(0.95); l > 5.5 {
+		t.Errorf("endpoints above the objective: limit %.2f, want the growth by lateness alone", l)
 	}
 }
 
-func BenchmarkAnswered(b *testing.B) {
-	o := Limiter{Start: 0.1}
-	o.SetEndpoints(100)
+func BenchmarkObserveAnswer(b *testing.B) {
+	limiter := Limiter{Start: 0.1}
+	limiter.SetEndpoints(100)
 	for now := gateway.Time(0); b.Loop(); now = now.Add(ms) {
-		o.ObserveAnswer(300*ms, 2000*ms, now, 4, 0.5)
-		o.Allows(4, 1, 0.5)
+		limiter.ObserveAnswer(300*ms, 2000*ms, now, 4, 0.5)
+		limiter.Allows(4, 1, 0.5)
 	}
 }
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -7,7 +7,8 @@
 
 // The kinds of events, with the fields that each sets beside Kind. Fields that an adapter can't know stay zero.
 const (
-	// RequestArrived is a client's new request: RequestID, Customer, Class, Plan, Deadline, StopAt, Units, Spread, FirstGateway, Retry.
+	// RequestArrived is a client's new request: RequestID, Customer, Class, Plan, Deadline, StopAt, Units,
+	// Spread, FirstGateway, Retry.
 	RequestArrived EventKind = iota
 	// AttemptEnded is the end of an attempt: RequestID, Host, Attempt, Result, Latency, Units, Usage, LoadReport, Closed.
 	AttemptEnded
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Effect says whether the requests of a class may run more than once.
+// Effect is whether the requests of a class may run more than once.
 type Effect int
 
 // The effects of a request class.
@@ -63,11 +63,11 @@
 	Hedging        bool // whether two attempts of a request may be in flight
 	Cancellation   bool
 	Probes         bool
-	RetryAfter     bool          // whether clients are told when to come back
-	MaxRetryAfter  time.Duration // the longest that clients observe
-	PollEndpoints  bool          // the endpoint list is sent only on request
-	SettlesUnits   bool          // units are settled by the answer
-	SharedCounter  bool          // there is one
+	RetryAfter     bool          // whether clients get a time to retry after
+	MaxRetryAfter  time.Duration // the longest time that clients wait
+	PollEndpoints  bool          // whether the endpoint list must be polled
+	SettlesUnits   bool          // whether an answer settles the units
+	SharedCounter  bool          // whether there is one
 	CounterTimeout time.Duration // of its calls
 }
 
--- a/gateway/update.go
+++ b/gateway/update.go
@@ -13,7 +13,7 @@
 // PlanUpdate sets or removes the quota plan of an index. A removed plan admits nothing more.
 type PlanUpdate struct {
 	Index   int
-	Plan    Plan // as it was last, where it is removed
+	Plan    Plan // as it was last, if it is removed
 	Removed bool
 }
 
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -7,108 +7,123 @@
 	"pgregory.net/rapid"
 )
 
-// dealt gives who holds what: by seat, the hashes of the hosts.
-func dealt(seats int, list []Endpoint) []map[uint64]bool {
-	held := make([]map[uint64]bool, seats)
-	for seat := range seats {
-		var hosts []*Endpoint
-		for _, h := range list {
-			hosts = append(hosts, &h)
+// hashes is a set of endpoints by their hashes.
+type hashes map[uint64]bool
+
+// subsets returns the subset of each member.
+func subsets(members int, list []Endpoint) []hashes {
+	all := make([]hashes, members)
+	for member := range members {
+		var endpoints []*Endpoint
+		for _, endpoint := range list {
+			endpoints = append(endpoints, &endpoint)
 		}
-		AssignSubset(seat, seats, hosts)
-		held[seat] = map[uint64]bool{}
-		for _, h := range hosts {
-			if h.InSubset {
-				held[seat][h.Hash] = true
+		AssignSubset(member, members, endpoints)
+		all[member] = hashes{}
+		for _, endpoint := range endpoints {
+			if endpoint.InSubset {
+				all[member][endpoint.Hash] = true
 			}
 		}
 	}
-	return held
+	return all
 }
 
-func count(held []map[uint64]bool, host Endpoint) (n int) {
-	for _, own := range held {
-		if own[host.Hash] {
+// count returns the number of subsets that have an endpoint.
+func count(all []hashes, endpoint Endpoint) (n int) {
+	for _, subset := range all {
+		if subset[endpoint.Hash] {
 			n++
 		}
 	}
 	return n
 }
 
-// draw gives a fleet of hosts with hashes as good as those of a mixer.
-func draw(t *rapid.T, weights ...float64) (seats int, list []Endpoint) {
-	h, n := rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 120).Draw(t, "hosts")
-	for range n {
-		h += 0x9e3779b97f4a7c15
-		x := (h ^ h>>30) * 0xbf58476d1ce4e5b9
+// draw draws a number of members, and endpoints with well mixed hashes.
+func draw(t *rapid.T, weights ...float64) (members int, list []Endpoint) {
+	seed := rapid.Uint64().Draw(t, "seed")
+	for range rapid.IntRange(2, 120).Draw(t, "endpoints") {
+		seed += 0x9e3779b97f4a7c15
+		x := (seed ^ seed>>30) * 0xbf58476d1ce4e5b9
 		x = (x ^ x>>27) * 0x94d049bb133111eb
 		list = append(list, Endpoint{Hash: x ^ x>>31, Weight: rapid.SampledFrom(weights).Draw(t, "weight")})
 	}
-	return rapid.IntRange(1, 150).Draw(t, "gateways"), list
+	return rapid.IntRange(1, 150).Draw(t, "members"), list
 }
 
-// TestGatewaysHoldEndpointsEvenly: gateways hold equally many and all that there are if they are few; every host
-// is held; by weight held counts are within one of their parts and, where gateways hold nearly all, a tenth.
-func TestGatewaysHoldEndpointsEvenly(t *testing.T) {
+// All subsets have the same size, every endpoint is in one, and endpoints of equal weight are in equally many,
+// within one or a tenth.
+func TestSubsetsAreEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		seats, list := draw(t, 1)
-		held := dealt(seats, list)
-		want := min(max((12*len(list)+seats-1)/seats, 6), len(list))
-		for seat, own := range held {
-			if len(own) != want {
-				t.Fatalf("gateway %d of %d holds %d of %d hosts, not %d", seat, seats, len(own), len(list), want)
+		members, list := draw(t, 1)
+		all := subsets(members, list)
+		size := min(max((12*len(list)+members-1)/members, 6), len(list))
+		for member, subset := range all {
+			if len(subset) != size {
+				t.Fatalf("member %d of %d has %d of %d endpoints, want %d", member, members, len(subset), len(list), size)
 			}
 		}
-		part := float64(seats*want) / float64(len(list))
-		for _, h := range list {
-			if n := count(held, h); n == 0 || math.Abs(float64(n)-part) > 1+part/10 {
-				t.Fatalf("%d of %d gateways hold a host; its part is %.2f", n, seats, part)
+		mean := float64(members*size) / float64(len(list))
+		for _, endpoint := range list {
+			n := count(all, endpoint)
+			if n == 0 || math.Abs(float64(n)-mean) > 1+mean/10 {
+				t.Fatalf("%d of %d members have an endpoint, want %.2f", n, members, mean)
 			}
 		}
 	})
 }
 
-// TestEndpointsAreHeldByWeight: a host of a quarter of the weight is held by a quarter as many, within one and a
-// half; nobody is left out, however light, and weights that make no sense count as light or, if none does, as
-// even.
-func TestEndpointsAreHeldByWeight(t *testing.T) {
+// An endpoint of a quarter of the weight is in a quarter as many subsets, within one and a half.
+func TestSubsetsFollowWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		seats, list := draw(t, 1, 1, 1, 0.25)
-		list[0].Weight, list[1].Weight = 1, 0.25
-		held := dealt(seats, list)
-		heavy, light := float64(count(held, list[0])), float64(count(held, list[1]))
-		if full := heavy > 0.75*float64(seats); !full && math.Abs(light-heavy/4) > 1.5 {
-			t.Fatalf("%v of %d gateways hold a host of weight 1, %v one of 1/4", heavy, seats, light)
+		members, list := draw(t, 1, 1, 1, 0.25)
+		list[0].Weight = 1
+		list[1].Weight = 0.25
+		all := subsets(members, list)
+		heavy := float64(count(all, list[0]))
+		light := float64(count(all, list[1]))
+		nearlyAll := heavy > 0.75*float64(members)
+		if !nearlyAll && math.Abs(light-heavy/4) > 1.5 {
+			t.Fatalf("%v of %d members have an endpoint of weight 1, %v one of 1/4", heavy, members, light)
 		}
 	})
-	rapid.Check(t, func(t *rapid.T) {
-		seats, list := draw(t, 1, 100, 0.25, 0, -1, 1e-9, math.Inf(1), math.NaN())
-		held := dealt(seats, list)
-		for _, h := range list {
-			if count(held, h) == 0 {
-				t.Fatalf("a host of weight %v is held by none", h.Weight)
+	t.Run("no endpoint is left out", func(t *testing.T) {
+		rapid.Check(t, func(t *rapid.T) {
+			members, list := draw(t, 1, 100, 0.25, 0, -1, 1e-9, math.Inf(1), math.NaN())
+			all := subsets(members, list)
+			for _, endpoint := range list {
+				if count(all, endpoint) == 0 {
+					t.Fatalf("an endpoint of weight %v is in no subset", endpoint.Weight)
+				}
 			}
-		}
+		})
 	})
 }
 
-// TestListChangeMovesFewEndpoints: a host that comes or goes makes the fleet open at most eight connections for
-// each that it holds, and one at each gateway where the number that they hold grows.
+// added returns the number of endpoints that are new in subsets.
+func added(before, after []hashes) (n int) {
+	for member, subset := range after {
+		for hash := range subset {
+			if !before[member][hash] {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// An endpoint that is added or removed makes the fleet open at most eight connections for each subset that it is
+// in, and one for each member whose subset grows.
 func TestListChangeMovesFewEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		seats, list := draw(t, 1)
-		with, without := dealt(seats, list), dealt(seats, list[1:])
-		for _, way := range [][2][]map[uint64]bool{{with, without}, {without, with}} {
-			n, most := 0, 8*count(with, list[0])+seats*max(len(way[1][0])-len(way[0][0]), 0)
-			for seat, own := range way[1] {
-				for h := range own {
-					if !way[0][seat][h] {
-						n++
-					}
-				}
-			}
-			if n > most {
-				t.Fatalf("%d gateways, %d hosts: %d connections opened, more than %d", seats, len(list), n, most)
+		members, list := draw(t, 1)
+		with := subsets(members, list)
+		without := subsets(members, list[1:])
+		for _, change := range []struct{ before, after []hashes }{{with, without}, {without, with}} {
+			growth := max(len(change.after[0])-len(change.before[0]), 0)
+			most := 8*count(with, list[0]) + members*growth
+			if n := added(change.before, change.after); n > most {
+				t.Fatalf("%d members, %d endpoints: %d connections opened, want at most %d", members, len(list), n, most)
 			}
 		}
 	})
