--- a/internal/bufconn/link.go
+++ b/internal/bufconn/link.go
@@ -14,7 +14,7 @@
 	"ravensill/internal/sockets"
 )
 
-// The pace of Discard. The end of a peer that has closed comes behind the bytes that both systems hold in transit,
+// The pace of Discard. The end of a peer that has closed follows the bytes that both systems hold in transit,
 // and has to be seen soon.
 const (
 	discardChunkBytes = 256 << 10
--- a/internal/bufconn/link_test.go
+++ b/internal/bufconn/link_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Discard comes within a tenth of a second to the end of a peer that has closed, behind all bytes that the systems may
+// Discard reaches the end of a peer that has closed within a tenth of a second, after all bytes that the systems may
 // hold. Attempts for that peer that begin later break the rules.
 func TestDiscardReachesEndInTime(t *testing.T) {
 	const (
--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// acceptDeadlines is how often accepting may time out after StopAccepting before the listener is closed. Connections
-	// that the system has completed by then are accepted first, as closing the listener would reset them.
+	// acceptDeadlines is how often accepting may time out after StopAccepting before the listener is closed.
+	// Connections that the system has completed by then are accepted first, as closing the listener would reset them.
 	acceptDeadlines = 2
 	// slotRetryInterval is the time between two requests of the accept loop for a free slot.
 	slotRetryInterval = 20 * time.Millisecond
--- a/internal/clients/catalog.go
+++ b/internal/clients/catalog.go
@@ -71,7 +71,7 @@
 type Catalog struct {
 	mu           sync.RWMutex
 	version      uint64         // counts the edits
-	classIndices map[string]int // by name, removed ones too
+	classIndices map[string]int // by name, including removed ones
 	planIndices  map[string]int
 	classes      []ClassEdit // by index, as set by the latest edit
 	plans        []PlanEdit
--- a/internal/clients/command.go
+++ b/internal/clients/command.go
@@ -51,7 +51,7 @@
 	after    []byte // the rest of that list
 	body     []byte // nil without one
 	terms    requestTerms
-	wait     time.Duration // the client waits for so long
+	wait     time.Duration // for the answer, from the arrival of the request
 	retry    bool
 }
 
--- a/internal/clients/command_queue.go
+++ b/internal/clients/command_queue.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// rejectOverflow has all queued commands rejected if too many bytes are queued though the loop has started what it may.
-// Else the reader would wait for commands in flight and would not see the end of a client that has closed behind what
-// is unread: attempts would be made for commands whose client is gone.
+// rejectOverflow rejects all queued commands if more than maxQueuedBytes are queued though the loop has started what
+// it may. Else the reader would wait for commands in flight and would not see the end of a client that has closed
+// behind what is unread: attempts would be made for commands whose client is gone.
 func (q *commandQueue) rejectOverflow() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/clients/conn_test.go
+++ b/internal/clients/conn_test.go
@@ -83,7 +83,7 @@
 	server.record("%s: %d arrived, %d open", name, len(server.requests), server.Count())
 }
 
-// Commands that arrive behind a partial one whose time is over, until the connection can end, are answered too.
+// Commands that arrive behind a partial one whose time is over, until the connection can end, are answered.
 func TestCommandsBehindTimeoutAreAnswered(t *testing.T) {
 	server := newTestServer(t, 9)
 	client := server.connect()
@@ -94,7 +94,7 @@
 	server.advance(commandTimeout + 1)
 	server.CloseOverdue()
 	client.sendText(text[30:])
-	client.send("behind")
+	client.send("next")
 	server.runLoop("both received", func() bool { return client.conn.commandCount == 3 })
 	server.reject(0)
 	for range 5 {
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -20,8 +20,8 @@
 	FirstGateway int  // from this member index on
 	Retry        bool // marked by the client as a retry
 
-	// The command to send to a host is the concatenation of Head, a bulk string of Before, the time left in milliseconds
-	// and After, and Tail.
+	// The command to send to a host is the concatenation of Head, a bulk string of Before, the time left in
+	// milliseconds and After, and Tail.
 	Head   []byte
 	Before []byte
 	After  []byte
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -33,7 +33,7 @@
 	closed      bool
 }
 
-// dialSucceeded takes over the connection's link and assigns the connection to an attempt.
+// dialSucceeded sets the connection's link and assigns the connection to an attempt.
 func (c *conn) dialSucceeded(link *bufconn.Link) {
 	c.link = link
 	t := c.pool.transport
@@ -148,7 +148,7 @@
 	}
 }
 
-// untouched reports whether neither bytes nor an end have arrived since the connection came up or its latest answer.
+// untouched reports whether neither bytes nor an end have arrived since the dial or the latest answer.
 func (c *conn) untouched() bool {
 	if c.answers == 0 {
 		return c.link.Fresh()
@@ -170,7 +170,7 @@
 			attempt.fail(Connecting, errClosedEarly)
 		}
 	case limiter != nil:
-		limiter.queue = append([]*Attempt{attempt}, limiter.queue...)
+		limiter.requeue(attempt)
 		limiter.serveQueue()
 	default:
 		c.pool.schedule(attempt)
--- a/internal/hosts/conn_test.go
+++ b/internal/hosts/conn_test.go
@@ -101,12 +101,12 @@
 		h.Flush()
 		handleEnd()
 	}},
-	{"reset after a part is written", moreThanSocketsHold, func(h *scriptedHost, c *net.TCPConn) {
+	{"reset after a part is written", exceedsSocketBuffers, func(h *scriptedHost, c *net.TCPConn) {
 		h.Flush()
 		reset(c)
 		h.runWork(1)
 	}},
-	{"given up after a part is written", moreThanSocketsHold, func(h *scriptedHost, c *net.TCPConn) {
+	{"given up after a part is written", exceedsSocketBuffers, func(h *scriptedHost, c *net.TCPConn) {
 		h.Flush()
 		h.advance(attemptTimeout + 1)
 		h.Flush()
@@ -146,7 +146,7 @@
 	}},
 }
 
-const moreThanSocketsHold = 150 << 10 // bytes
+const exceedsSocketBuffers = 150 << 10 // bytes
 
 // How much of a command was written when its connection broke decides whether it may have run.
 func TestBrokenConnectionResultDependsOnStage(t *testing.T) {
--- a/internal/hosts/failure.go
+++ b/internal/hosts/failure.go
@@ -71,7 +71,7 @@
 }
 
 // isGatewayCause reports whether the attempt ended for a cause at the gateway. Such a failure must not count against
-// the host: a gateway that is short of ports would take all hosts for outliers.
+// the host: a gateway that lacks ports would treat all hosts as outliers.
 func (f *Failure) isGatewayCause() bool {
 	for _, cause := range []error{ErrCanceled, errNoDescriptor, errHostRemoved, errQueueTimeout} {
 		if errors.Is(f.Err, cause) {
--- a/internal/hosts/idle.go
+++ b/internal/hosts/idle.go
@@ -76,7 +76,11 @@
 // a request that is sent at that moment may have run. It checks only the connections that it closes and one more.
 func (t *Transport) CloseIdle() {
 	now := t.now()
-	for c := t.longestIdle(); c != nil && now.Sub(c.idleSince) > t.idleTimeout; c = t.longestIdle() {
+	for {
+		c := t.longestIdle()
+		if c == nil || now.Sub(c.idleSince) <= t.idleTimeout {
+			return
+		}
 		c.close()
 	}
 }
--- a/internal/hosts/limiter.go
+++ b/internal/hosts/limiter.go
@@ -164,7 +164,10 @@
 	t := l.transport
 	now := t.now()
 	allowed := l.quota(now)
-	for t.openConns > allowed && t.closeLongestIdle() {
+	for t.openConns > allowed {
+		if !t.closeLongestIdle() {
+			break
+		}
 	}
 	if len(l.queue) == 0 {
 		return
@@ -258,6 +261,11 @@
 	return 0
 }
 
+// requeue adds an attempt at the head of the queue.
+func (l *ConnectionLimiter) requeue(attempt *Attempt) {
+	l.queue = append([]*Attempt{attempt}, l.queue...)
+}
+
 // hasQueued reports whether an attempt to the host is in the queue.
 func (l *ConnectionLimiter) hasQueued(pool *hostPool) bool {
 	return slices.ContainsFunc(l.queue, func(attempt *Attempt) bool { return attempt.pool == pool })
@@ -279,7 +287,7 @@
 		l.reject(attempt)
 		return true
 	}
-	l.queue = append([]*Attempt{attempt}, l.queue...)
+	l.requeue(attempt)
 	l.serveQueue()
 	return true
 }
@@ -295,12 +303,12 @@
 	l.nextDial = l.transport.now().Add(l.dialBackoff)
 }
 
-// requeuePending moves the host's longest pending attempt back to the queue when its connection comes up. The
-// connection so stays idle for the reuse delay first: a full store may accept a connection and close it at once, and
-// a request written to it might have run.
+// requeuePending moves the host's longest pending attempt back to the queue when its connection is open, which is then
+// idle for the reuse delay: a full store may accept a connection and close it at once, and a request written to it
+// might have run.
 func (l *ConnectionLimiter) requeuePending(pool *hostPool) {
 	if len(pool.pending) > 0 {
-		l.queue = append([]*Attempt{pool.takePending()}, l.queue...)
+		l.requeue(pool.takePending())
 	}
 }
 
