--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -108,8 +108,8 @@
 	for i := range settings.Classes {
 		objective = min(objective, settings.Classes[i].LatencyObjective)
 	}
-	wait := objective / (waitsPerObjective * time.Millisecond)
-	s.TurnMS = int(max(min(wait, maxDefaultWaitMS), 1))
+	wait := objective / waitsPerObjective
+	s.TurnMS = int(max(min(wait.Milliseconds(), maxDefaultWaitMS), 1))
 }
 
 // checkNumbers checks each integer against its bounds.
--- a/internal/hosts/shortage_test.go
+++ b/internal/hosts/shortage_test.go
@@ -51,7 +51,11 @@
 	if got := loop.results[3]; got != `result 0, value "v"` {
 		t.Errorf("after the shortage: %s", got)
 	}
-	wantLines := map[string]int{"event=dial_resources_exhausted": 1, "event=dial_resources_restored": 1, "event=host_failing": 0}
+	wantLines := map[string]int{
+		"event=dial_resources_exhausted": 1,
+		"event=dial_resources_restored":  1,
+		"event=host_failing":             0,
+	}
 	for text, want := range wantLines {
 		if got := strings.Count(lines.String(), text); got != want {
 			t.Errorf("%d lines %s, want %d\n%s", got, text, want, &lines)
