--- a/configsync/limits.go
+++ b/configsync/limits.go
@@ -18,7 +18,7 @@
 // Bounds of messages.
 const (
 	MaxFrameBytes   = 1 << 20   // a frame with its length
-	MaxDeltaBytes   = 512 << 10 // names and values of a delta on the wire; a longer one goes as a snapshot
+	MaxDeltaBytes   = 512 << 10 // names and values of a delta; a longer one is sent as a snapshot
 	MaxDeltaChanges = 8 << 10   // with the encoding's 24 bytes a change or less, such a delta fits into a frame
 	MaxPartBytes    = 256 << 10 // the encoded changes of one part of a snapshot that is read
 
--- a/configsync/prepared.go
+++ b/configsync/prepared.go
@@ -18,7 +18,7 @@
 // maxCachedBytes bounds the frames of a deltaCache. A delta beyond it is encoded for each follower.
 const maxCachedBytes = 16 << 20
 
-// preparedDelta is the frame of a delta. A nil frame records that there is no delta, which takes as long to find out.
+// preparedDelta is the frame of a delta. A nil frame records that there is none, since the search for one is as costly.
 type preparedDelta struct {
 	to     Version
 	digest Digest
--- a/configsync/sender.go
+++ b/configsync/sender.go
@@ -17,8 +17,8 @@
 	SnapshotRate  int // bytes a second
 	SnapshotBurst int // bytes
 
-	// VersionInterval is the least time between two versions to one follower. Versions published meanwhile are merged into
-	// the next one. 0: none.
+	// VersionInterval is the least time between two versions to one follower. Versions published in between are
+	// merged into the next one. 0: none.
 	VersionInterval time.Duration
 }
 
--- /dev/null
+++ b/internal/poolrunner/client_test.go
@@ -0,0 +1,79 @@
+package poolrunner
+
+import (
+	"errors"
+	"net/netip"
+	"testing"
+
+	"ravensill/internal/config"
+	"ravensill/internal/sockets"
+	"ravensill/pool"
+)
+
+// newTestClient returns a client of three voters, whose addresses nothing listens at.
+func newTestClient(t *testing.T) *Client {
+	t.Helper()
+	cfg := &config.Pool{Key: []byte("0123456789abcdef")}
+	for range 3 {
+		cfg.Voters = append(cfg.Voters, unusedAddress(t))
+	}
+	client, err := Dial(sockets.Kernel{}, cfg, func(f func()) { f() })
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(client.Close)
+	return client
+}
+
+// A voter that doesn't lead names the leader: the latest report is sent again to that one, once for each report.
+func TestClientResendsReportOnceToNamedLeader(t *testing.T) {
+	client := newTestClient(t)
+	receiveLeader := func(leader int) {
+		client.receive(&Message{Leader: &leader}, nil, client.cfg.Voters[0], nil)
+	}
+	receiveLeader(2) // no report to send again
+	if client.leader != 0 || client.Sent != 0 {
+		t.Errorf("before a report: leader %d, %d datagrams sent", client.leader, client.Sent)
+	}
+	client.Send(&pool.Report{})
+	receiveLeader(2)
+	receiveLeader(1)
+	if client.leader != 2 || client.Sent != 2 {
+		t.Errorf("leader %d, %d datagrams sent", client.leader, client.Sent)
+	}
+	client.Send(&pool.Report{})
+	receiveLeader(1)
+	if client.leader != 1 || client.Sent != 4 {
+		t.Errorf("after the next report: leader %d, %d datagrams sent", client.leader, client.Sent)
+	}
+	receiveLeader(3)
+	receiveLeader(-1)
+	if client.Received != 4 || client.Dropped != 2 {
+		t.Errorf("%d datagrams received, %d dropped", client.Received, client.Dropped)
+	}
+}
+
+// A voter that leaves too many reports unanswered is replaced by the next one, and one that grants is the leader.
+func TestClientChangesSilentVoter(t *testing.T) {
+	client := newTestClient(t)
+	for range maxUnanswered {
+		client.Send(&pool.Report{})
+	}
+	if client.leader != 0 {
+		t.Errorf("leader %d after %d reports", client.leader, maxUnanswered)
+	}
+	client.Send(&pool.Report{})
+	if client.leader != 1 {
+		t.Errorf("leader %d after %d reports", client.leader, maxUnanswered+1)
+	}
+	granted := 0
+	onGrant := func(*pool.Grant) { granted++ }
+	client.receive(&Message{Grant: &pool.Grant{}}, nil, client.cfg.Voters[2], onGrant)
+	if client.leader != 2 || client.unanswered != 0 || granted != 1 {
+		t.Errorf("leader %d, %d unanswered, %d grants", client.leader, client.unanswered, granted)
+	}
+	client.receive(nil, errors.New("forged"), netip.AddrPort{}, onGrant)
+	if client.Received != 1 || client.Dropped != 1 || granted != 1 {
+		t.Errorf("%d received, %d dropped, %d grants", client.Received, client.Dropped, granted)
+	}
+}
--- a/internal/publisher/mirror.go
+++ b/internal/publisher/mirror.go
@@ -10,7 +10,7 @@
 // mirror has the current version decoded by the code of the gateways, so that the cost of checking a change is
 // proportional to the change.
 type mirror struct {
-	live    *config.Live // nil: decoded anew at the next use
+	live    *config.Live // nil: to be decoded again
 	version configsync.Version
 	digest  configsync.Digest
 }
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -128,8 +128,8 @@
 	})
 }
 
-// checkVersionsIncrease checks that each version put in force was later than the one before, except after version 4 at a
-// gateway that then lost its disk.
+// checkVersionsIncrease checks that each version put in force was later than the one before, except after version 4
+// at a gateway that then lost its disk.
 func (g *gateway) checkVersionsIncrease(lostDisk bool) {
 	g.t.Helper()
 	for i := 1; i < len(g.versions); i++ {
--- a/pool/grantor.go
+++ b/pool/grantor.go
@@ -39,7 +39,7 @@
 
 // memberState is the state of one member. Times are of the grantor's clock unless stated otherwise.
 type memberState struct {
-	unproposed  *Report // goes into the next batch
+	unproposed  *Report // for the next batch
 	proposed    *Report // is in the pending batch
 	granted     int     // units of the latest grant
 	echo        Instant // Sent of the latest committed report, by the holder's clock
@@ -94,8 +94,8 @@
 	return r.Demand >= 0 && r.Demand < 1e6 && r.Weight > 0 && r.Weight <= 1e3 && r.Bound >= 0 && r.Connections >= 0
 }
 
-// Receive handles a report, which goes into the batch of the next Tick. It ignores reports that are not valid or not
-// new.
+// Receive handles a report, which is included in the batch of the next Tick. It ignores reports that are not valid or
+// not new.
 func (g *Grantor) Receive(now Instant, report *Report) {
 	if report.Member < 0 || report.Member >= len(g.members) || !report.valid() {
 		return
--- a/pool/shares.go
+++ b/pool/shares.go
@@ -25,7 +25,7 @@
 
 // Shares returns how many of the units each claim gets above the floor: weighted max-min fairness by progressive
 // filling (Bertsekas and Gallager, Data Networks, 6.5.2). All levels rise together in proportion to weight. A gateway
-// whose demand is met stops, and its part goes to the others. The floor is a part of each level, so that a gateway
+// whose demand is met stops, and its part is left to the others. The floor is a part of each level, so that a gateway
 // with little demand leaves more to the others. Units are indivisible: those that are left after rounding down go to
 // the largest fractions.
 func Shares(claims []Claim, floor, units int) []int {
