--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,8 +48,8 @@
 // Load reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_DISCOVERY override its keys.
 func Load(getenv func(string) string) (*Config, error) { return read(getenv, false) }
 
-// Reload reads the file again in a running gateway. Its discovery address overrides GW_DISCOVERY, which tells where
-// discovery was at the start.
+// Reload reads the file again in a running gateway. The discovery address of the file overrides GW_DISCOVERY, which is
+// that of the start.
 func Reload(getenv func(string) string) (*Config, error) { return read(getenv, true) }
 
 func read(getenv func(string) string, reload bool) (*Config, error) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -70,16 +70,19 @@
 	return strings.Replace(text, r.old, r.new, 1)
 }
 
-// loadError describes a replacement in a file and the error that loading the file returns.
-func loadError(t *testing.T, file string, r replacement) string {
+// loadErrors describes each replacement in a file with the error that loading the file returns.
+func loadErrors(t *testing.T, file string, replacements []replacement) string {
 	t.Helper()
-	_, err := load(t, r.in(t, file), nil)
-	return fmt.Sprintf("%s for %s\n  %s\n", r.new, r.old, fmt.Sprint(err))
+	var trace strings.Builder
+	for _, r := range replacements {
+		_, err := load(t, r.in(t, file), nil)
+		fmt.Fprintf(&trace, "%s for %s\n  %v\n", r.new, r.old, err)
+	}
+	return trace.String()
 }
 
 func TestLoadErrorNamesKey(t *testing.T) {
-	var trace strings.Builder
-	for _, test := range []replacement{
+	golden.Check(t, loadErrors(t, good, []replacement{
 		{`"10.0.0.4:6379"`, `"10.0.0.4"`},
 		{`"10.0.0.4:6379"`, `7`},
 		{`"listen"`, `"listens"`},
@@ -104,10 +107,7 @@
 		{`"conn_idle_us":5`, `"conn_idle_us":"x"`},
 		{`"lookup"`, `"lookup","effect":"odd"`},
 		{`}}`, `}`},
-	} {
-		trace.WriteString(loadError(t, good, test))
-	}
-	golden.Check(t, trace.String())
+	}))
 }
 
 // fileParts are texts of a configuration file; empty ones are left out.
--- a/internal/config/configuration_test.go
+++ b/internal/config/configuration_test.go
@@ -29,13 +29,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var trace strings.Builder
-	fmt.Fprintf(&trace, "%+v\n", *cfg.Configuration)
+	values := fmt.Sprintf("%+v\n", *cfg.Configuration)
 	first, second := collidingNames()
 	anonymize := strings.NewReplacer(first, "FIRST", second, "SECOND")
 	const counterfactual = `"counterfactual":{"listen":"10.0.0.4:7947",` +
 		`"peers":["10.3.0.1:7947","10.3.0.2:7947"],"collectors":[0]}`
-	for _, test := range []replacement{
+	rejections := loadErrors(t, fleetFile, []replacement{
 		{`"publishers"`, `"publisher"`},
 		{`["10.5.0.1:7500"]`, `[]`},
 		{`["10.5.0.1:7500"]`, `"10.5.0.1:7500"`},
@@ -49,8 +48,6 @@
 		{`{"name":"gold"`, fmt.Sprintf(`{"name":"%s"},{"name":"%s"`, first, second)},
 		{`{"name":"lookup"`, `{"name":"lookup","hard_limit_us":1},{"name":"lookup"`},
 		{`"settings"`, counterfactual + `,"settings"`},
-	} {
-		trace.WriteString(anonymize.Replace(loadError(t, fleetFile, test)))
-	}
-	golden.Check(t, trace.String())
+	})
+	golden.Check(t, values+anonymize.Replace(rejections))
 }
--- a/internal/config/counterfactual_test.go
+++ b/internal/config/counterfactual_test.go
@@ -14,18 +14,17 @@
 
 // The values of the section with its defaults, and the error of each wrong value, which names the key.
 func TestCounterfactualSectionValuesAndErrors(t *testing.T) {
-	var trace strings.Builder
 	text := strings.Replace(good, `"settings"`, counterfactualSectionText, 1)
 	c, err := load(t, text, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&trace, "%+v\n", *c.Counterfactual)
+	values := fmt.Sprintf("%+v\n", *c.Counterfactual)
 	c, err = load(t, good, nil)
 	if err != nil || c.Counterfactual != nil {
 		t.Error("on without the section")
 	}
-	for _, test := range []replacement{
+	golden.Check(t, values+loadErrors(t, text, []replacement{
 		{`"queue"`, `"queu"`},
 		{`:64,"m`, `:"x","m`},
 		{`:64,"m`, `:0,"m`},
@@ -41,8 +40,5 @@
 		{`"10.3.0.2:7070"`, `"b"`},
 		{`,"10.3.0.2:7070"`, ``},
 		{counterfactualSectionText, `"counterfactual":7,"settings"`},
-	} {
-		trace.WriteString(loadError(t, text, test))
-	}
-	golden.Check(t, trace.String())
+	}))
 }
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -132,7 +132,7 @@
 	Address netip.AddrPort
 }
 
-// Apply puts changes in force, at most one of each resource. complete says that the changes are a complete document:
+// Apply puts changes in force, at most one of each resource. complete means that the changes are a complete document:
 // resources that it doesn't name are removed. On an error, a *ResourceError, nothing has changed. Removing a resource
 // that doesn't exist changes nothing.
 func (l *Live) Apply(changes []configsync.Change, complete bool) (*Revision, error) {
--- a/internal/config/pool_test.go
+++ b/internal/config/pool_test.go
@@ -14,7 +14,6 @@
 
 // The values of the section with its defaults, and the error of each wrong value, which names the key.
 func TestPoolSectionValuesAndErrors(t *testing.T) {
-	var trace strings.Builder
 	base := strings.Replace(good, `"balancers":2`, `"balancers":3`, 1)
 	text := strings.Replace(base, `"settings"`, poolSectionText, 1)
 	text = strings.Replace(text, `"peers":[`, `"peers":["10.1.0.9:7070",`, 1)
@@ -22,12 +21,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&trace, "%+v\n", *c.Pool)
+	values := fmt.Sprintf("%+v\n", *c.Pool)
 	c, err = load(t, good, nil)
 	if err != nil || c.Pool != nil {
 		t.Error("on without the section")
 	}
-	for _, test := range []replacement{
+	golden.Check(t, values+loadErrors(t, text, []replacement{
 		{`"floor"`, `"flor"`},
 		{`"floor":2`, `"floor":"2"`},
 		{`"floor":2`, `"floor":0`},
@@ -50,8 +49,5 @@
 		{`"drift":0.02`, `"serial":0`},
 		{`"drift":0.02`, `"streams":["10.3.0.1:1"]`},
 		{poolSectionText, `"pool":7,"settings"`},
-	} {
-		trace.WriteString(loadError(t, text, test))
-	}
-	golden.Check(t, trace.String())
+	}))
 }
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -46,7 +46,7 @@
 // RewatchDelay is the pause between a watch that ended and the next one.
 const RewatchDelay = 100 * time.Millisecond
 
-// NewTimeouts returns the timeouts of one watch. poll says that the agent sends the list on request alone.
+// NewTimeouts returns the timeouts of one watch. poll means that the agent sends the list on request alone.
 func NewTimeouts(poll bool) *Timeouts {
 	t := &Timeouts{limits: [phases]time.Duration{
 		connecting: connectTimeout,
--- a/internal/program/configuration.go
+++ b/internal/program/configuration.go
@@ -82,7 +82,7 @@
 	return s.Close
 }
 
-// apply puts an update in force and returns once it is. complete says that the update is a complete document. The
+// apply puts an update in force and returns once it is. complete means that the update is a complete document. The
 // subscriber calls it on its goroutine.
 func (f *following) apply(update *configsync.Update, complete bool) error {
 	revision, err := f.live.Apply(update.Changes, complete)
