--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -112,6 +112,11 @@
 	return 0
 }
 
+// word returns the string at a path, which has to be one of the choices; an absent key means the first.
+func (r *objectReader) word(path string, choices ...string) string {
+	return choices[r.choice(path, choices...)]
+}
+
 // contains reports whether the key at a path is present and its value, whatever its type, reads as text.
 func (r *objectReader) contains(path, text string) bool {
 	value := r.get(path)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -65,7 +65,7 @@
 	s.LoadReport = r.loadReport(s.ReportNames)
 	s.Zones = r.texts("zones")
 	s.Machines = r.texts("skus")
-	s.EqualWeights = r.choice("weights", "off", "nominal", "rough", "live") == 3
+	s.EqualWeights = r.word("weights", "off", "nominal", "rough", "live") == "live"
 	s.ConnIdle = r.microseconds("limits.conn_idle_us")
 	s.ConnectTimeout = r.microseconds("limits.connect_timeout_us")
 	if s.Membership.Count < 1 || s.Membership.Index >= s.Membership.Count {
@@ -93,7 +93,7 @@
 		Probes:         r.boolean("limits.probes"),
 		RetryAfter:     r.boolean("limits.retry_after"),
 		MaxRetryAfter:  r.microseconds("limits.max_retry_after_us"),
-		PollEndpoints:  r.choice("membership_mode", "pushed", "on_request") == 1,
+		PollEndpoints:  r.word("membership_mode", "pushed", "on_request") == "on_request",
 		SettlesUnits:   r.boolean("family_info.settles"),
 		SharedCounter:  r.boolean("family_info.shared_counter"),
 		CounterTimeout: r.microseconds("family_info.count_wait_us"),
@@ -110,8 +110,8 @@
 }
 
 func (r *objectReader) loadReport(names []string) gateway.LoadReportForm {
-	how := r.choice("report.how", "off", "inline", "on_probe")
-	form := gateway.LoadReportForm{WithAnswers: how == 1, WithProbes: how == 2}
+	how := r.word("report.how", "off", "inline", "on_probe")
+	form := gateway.LoadReportForm{WithAnswers: how == "inline", WithProbes: how == "on_probe"}
 	for _, name := range names {
 		form.Fields = append(form.Fields, loadField(name))
 	}
