--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -10,7 +10,7 @@
 )
 
 // A temporary error is retried; any other error ends the start at once.
-func TestListenReattemptsPassingErrors(t *testing.T) {
+func TestListenRetriesPassingErrors(t *testing.T) {
 	address := netip.MustParseAddrPort("127.0.0.1:1")
 	bindError := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}
