--- /dev/null
+++ b/lab/docscheck/docscheck_test.go
@@ -0,0 +1,175 @@
+// Package docscheck tests that the pages name tests, files, functions and packages that exist.
+package docscheck
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"maps"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+const (
+	root         = "../.."
+	architecture = root + "/docs/architecture.md"
+)
+
+// module is what the code declares.
+type module struct {
+	packages map[string]bool            // directories with Go files, but for testdata
+	declared map[string]map[string]bool // functions and methods by file; methods as Type.Method
+	tests    map[string]bool
+}
+
+// loadModule reads the declarations of all Go files.
+func loadModule(t *testing.T) *module {
+	m := &module{packages: map[string]bool{}, declared: map[string]map[string]bool{}, tests: map[string]bool{}}
+	err := fs.WalkDir(os.DirFS(root), ".", func(file string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() && (entry.Name() == "testdata" || entry.Name() == ".git" || entry.Name() == "journal") {
+			return fs.SkipDir
+		}
+		if path.Ext(file) == ".go" {
+			return m.load(file)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return m
+}
+
+func (m *module) load(file string) error {
+	parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, file), nil, parser.SkipObjectResolution)
+	if err != nil {
+		return err
+	}
+	m.packages[path.Dir(file)] = true
+	names := map[string]bool{}
+	for _, declaration := range parsed.Decls {
+		function, ok := declaration.(*ast.FuncDecl)
+		if !ok {
+			continue
+		}
+		names[receiver(function)+function.Name.Name] = true
+		if strings.HasSuffix(file, "_test.go") {
+			m.tests[function.Name.Name] = true
+		}
+	}
+	m.declared[file] = names
+	return nil
+}
+
+// receiver returns the receiver's type and a dot, nothing for a function.
+func receiver(function *ast.FuncDecl) string {
+	if function.Recv == nil {
+		return ""
+	}
+	kind := function.Recv.List[0].Type
+	if star, ok := kind.(*ast.StarExpr); ok {
+		kind = star.X
+	}
+	if name, ok := kind.(*ast.Ident); ok {
+		return name.Name + "."
+	}
+	return ""
+}
+
+// pages returns the pages that describe the present program.
+func pages(t *testing.T) []string {
+	found, err := filepath.Glob(root + "/docs/*.md")
+	if err != nil || len(found) == 0 {
+		t.Fatalf("%d pages, %v", len(found), err)
+	}
+	return append(found, root+"/README.md")
+}
+
+func read(t *testing.T, page string) string {
+	text, err := os.ReadFile(page)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+var (
+	testName     = regexp.MustCompile(`\bTest[A-Z][A-Za-z0-9]*\b`)
+	quoted       = regexp.MustCompile("`([^`\n]+)`")
+	functionName = regexp.MustCompile(`^(?:[A-Za-z]+\.)?[A-Za-z]+$`)
+)
+
+// Each test that a page names is a function of some test file.
+func TestPagesNameTestsThatExist(t *testing.T) {
+	m := loadModule(t)
+	for _, page := range pages(t) {
+		for _, name := range testName.FindAllString(read(t, page), -1) {
+			if !m.tests[name] {
+				t.Errorf("%s names the test %s, which does not exist", page, name)
+			}
+		}
+	}
+}
+
+// unknownNames returns what a page names that does not exist: paths, and functions behind the file that they are in.
+func (m *module) unknownNames(text string) (unknown []string) {
+	file := ""
+	for _, match := range quoted.FindAllStringSubmatch(text, -1) {
+		name := match[1]
+		switch {
+		case strings.Contains(name, "/"):
+			_, err := os.Stat(filepath.Join(root, name))
+			if err != nil {
+				unknown = append(unknown, name)
+			}
+			file = name
+		case file != "" && path.Ext(file) == ".go" && functionName.MatchString(name) && !m.packages[name]:
+			if !m.declared[file][name] && !packageName(name) {
+				unknown = append(unknown, file+" "+name)
+			}
+		}
+	}
+	return unknown
+}
+
+// packageName reports whether a name is written as a member of a package, such as logic.Gateway.
+func packageName(name string) bool {
+	return slices.Contains([]string{"logic.Gateway", "node.Node", "testdata", "policy"}, name)
+}
+
+// The architecture page names paths, functions and methods that exist, each function behind its file.
+func TestArchitecturePageNamesWhatExists(t *testing.T) {
+	m := loadModule(t)
+	for _, name := range m.unknownNames(read(t, architecture)) {
+		t.Errorf("does not exist: %s", name)
+	}
+}
+
+// The architecture page names every package.
+func TestArchitecturePageNamesEachPackage(t *testing.T) {
+	text := read(t, architecture)
+	for _, name := range slices.Sorted(maps.Keys(loadModule(t).packages)) {
+		if !strings.Contains(text, "`"+name+"`") {
+			t.Errorf("%s is not on the page", name)
+		}
+	}
+}
+
+// The check finds a file, a function and a method that are gone.
+func TestUnknownNamesAreFound(t *testing.T) {
+	m := loadModule(t)
+	text := "`logic/request.go` (`Gateway.admit`, `Gateway.arrive`), `logic/gone.go`, `subset/subset.go` (`AssignSubset`, `Gone`)"
+	want := []string{"logic/request.go Gateway.admit", "logic/gone.go", "subset/subset.go Gone"}
+	if got := m.unknownNames(text); !slices.Equal(got, want) {
+		t.Errorf("found %q, want %q", got, want)
+	}
+}
