--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -172,12 +172,12 @@
 			Members:        settings.Membership.Count,
 			Floor:          s.Floor,
 			Reserve:        s.Reserve,
-			Lease:          int64(lease),
-			Drain:          int64(longestTimeout + lease),
+			Lease:          lease,
+			Drain:          longestTimeout + lease,
 			Drift:          s.Drift,
-			TargetHold:     int64(milliseconds(s.HoldMS)),
-			ReportInterval: int64(milliseconds(s.TellMS)),
-			CloseDelay:     int64(milliseconds(s.RestMS)),
+			TargetHold:     milliseconds(s.HoldMS),
+			ReportInterval: milliseconds(s.TellMS),
+			CloseDelay:     milliseconds(s.RestMS),
 		},
 	}
 }
