--- a/internal/logging/events_test.go
+++ b/internal/logging/events_test.go
@@ -77,6 +77,13 @@
 	}
 }
 
+// TestProductLogsByFunctionsOfSlogOnly keeps out loggers of other kinds, whose events eventsOfCode would not see.
+func TestProductLogsByFunctionsOfSlogOnly(t *testing.T) {
+	for _, place := range otherLoggers(t) {
+		t.Errorf("%s: log by slog.Info, Warn, Error or LogAttrs", place)
+	}
+}
+
 func TestComparisonReportsEachDifference(t *testing.T) {
 	code := map[string]event{
 		"host_failing":   {"WARN", []string{"addr", "error"}, "a.go:1"},
--- a/internal/logging/source_test.go
+++ b/internal/logging/source_test.go
@@ -22,6 +22,40 @@
 
 // eventsOfCode returns the events that the product's programs log.
 func eventsOfCode(t *testing.T) map[string]event {
+	source := parseProduct(t)
+	source.collect(t)
+	if len(source.events) == 0 {
+		t.Fatal("no events")
+	}
+	return source.events
+}
+
+// otherLoggers returns the places of the product, outside of package logging, that import package log or make a logger.
+func otherLoggers(t *testing.T) (places []string) {
+	source := parseProduct(t)
+	for _, parsed := range source.packages {
+		if filepath.Base(parsed.dir) == "logging" {
+			continue
+		}
+		ast.Inspect(parsed.file, func(node ast.Node) bool {
+			if imported, ok := node.(*ast.ImportSpec); ok && imported.Path.Value == `"log"` {
+				places = append(places, source.files.Position(node.Pos()).String())
+			}
+			if selector, ok := node.(*ast.SelectorExpr); ok && isSlog(selector.X) && makesLogger(selector.Sel.Name) {
+				places = append(places, source.files.Position(node.Pos()).String())
+			}
+			return true
+		})
+	}
+	return places
+}
+
+// makesLogger reports whether a function of package slog returns a logger.
+func makesLogger(function string) bool {
+	return slices.Contains([]string{"New", "With", "Default", "NewLogLogger"}, function)
+}
+
+func parseProduct(t *testing.T) *source {
 	source := &source{
 		files:     token.NewFileSet(),
 		functions: map[string]*ast.FuncDecl{},
@@ -31,11 +65,7 @@
 	if err := source.parse(); err != nil {
 		t.Fatal(err)
 	}
-	source.collect(t)
-	if len(source.events) == 0 {
-		t.Fatal("no events")
-	}
-	return source.events
+	return source
 }
 
 // source is the product's code, and the events found in it.
@@ -110,11 +140,11 @@
 				return true
 			}
 			at := s.files.Position(call.Pos()).String()
-			fields, err := s.fields(parsed.dir, args[1:], call.Ellipsis.IsValid())
+			name, literal := stringOf(args[0])
+			fields, err := s.fields(parsed.dir, name, args[1:], call.Ellipsis.IsValid())
 			if err != nil {
 				t.Errorf("%s: %v", at, err)
 			}
-			name, literal := stringOf(args[0])
 			if literal {
 				s.log(t, name, event{level, fields, at})
 				return true
@@ -172,9 +202,9 @@
 
 // fields returns the keys among the arguments behind an event's name: literals, each before its value; attributes;
 // or a list of fields that another function makes.
-func (s *source) fields(dir string, args []ast.Expr, spread bool) ([]string, error) {
+func (s *source) fields(dir, event string, args []ast.Expr, spread bool) ([]string, error) {
 	if spread {
-		return s.spreadFields(dir, args[len(args)-1])
+		return s.spreadFields(dir, event, args[len(args)-1])
 	}
 	var keys []string
 	for i := 0; i < len(args); i++ {
@@ -194,10 +224,13 @@
 
 // spreadFields returns the keys of a list of fields: of the attributes that the called function makes, or of the
 // counts of decisions, whose names belong to package logic.
-func (s *source) spreadFields(dir string, list ast.Expr) ([]string, error) {
+func (s *source) spreadFields(dir, event string, list ast.Expr) ([]string, error) {
+	if event == "decisions" {
+		return decisionFields(), nil
+	}
 	call, ok := list.(*ast.CallExpr)
 	if !ok {
-		return decisionFields(), nil
+		return nil, fmt.Errorf("the fields of %s are in a variable", event)
 	}
 	name := ""
 	if method, ok := call.Fun.(*ast.SelectorExpr); ok {
