--- a/cmd/ravensill/counter_test.go
+++ b/cmd/ravensill/counter_test.go
@@ -64,8 +64,9 @@
 	return strings.Replace(requestCommand("lookup", customer), "spread=1", "spread=2", 1)
 }
 
-// TestSharedCounterEnforcesCapOrFallsBackToEstimate checks that a quota plan with a cap on requests in flight and no rate asks the shared counter. A
-// counter that refuses, is silent, sends malformed replies or is gone delays nothing: the local estimate decides.
+// TestSharedCounterEnforcesCapOrFallsBackToEstimate checks that a quota plan with a cap on requests in flight and no
+// rate asks the shared counter. A counter that refuses, is silent, sends malformed replies or is gone delays nothing:
+// the local estimate decides.
 func TestSharedCounterEnforcesCapOrFallsBackToEstimate(t *testing.T) {
 	retryWhenSlow(t, func() string {
 		counter := newCounterServer(t)
--- a/cmd/ravensill/endpoint_list_test.go
+++ b/cmd/ravensill/endpoint_list_test.go
@@ -53,7 +53,7 @@
 	sendHostList(watch, 44, hostEntry("h1", "", "left"))
 	gateway.waitForLog("event=endpoint_watch_restored")
 	gateway.waitForLog("event=endpoint_state id=h1 state=gone version=44")
-	io.WriteString(watch, "2\r\n{]\r\n") // the values after it can't be told apart
+	io.WriteString(watch, "2\r\n{]\r\n") // the end of this value can't be found
 	gateway.waitForLog(`event=endpoint_watch_lost error="invalid character`)
 	gateway.checkWatchRequest("44")
 	serveEight()
