--- /dev/null
+++ b/lab/slowstartsim/decisions.go
@@ -0,0 +1,88 @@
+package slowstartsim
+
+import (
+	"bytes"
+	"time"
+
+	"ravensill/gateway"
+)
+
+// StartAttempt schedules the end of an attempt of the gateway that decides.
+func (s *simulation) StartAttempt(request string, host uint32, timeout time.Duration) {
+	number := s.started[request]
+	s.started[request]++
+	latency, result := s.outcome(int(host), timeout)
+	if s.now >= s.hostStart && result != gateway.Unreachable {
+		s.attempts++
+		if int(host) < s.config.NewHosts {
+			s.received[host] = append(s.received[host], attempt{s.now, s.notified[s.deciding]})
+		}
+	}
+	s.schedule.Add(int64(s.now.Add(latency)), event{gateway: s.deciding, input: gateway.Event{
+		Kind:      gateway.AttemptEnded,
+		RequestID: request,
+		Host:      host,
+		Attempt:   number,
+		Result:    result,
+		Latency:   latency,
+		Closed:    result == gateway.Succeeded,
+	}})
+}
+
+// outcome returns how an attempt at a host ends, and after what time.
+func (s *simulation) outcome(host int, timeout time.Duration) (time.Duration, gateway.Result) {
+	if s.partitioned(s.deciding%3 == 0, host < s.config.Hosts/3) {
+		return connectTimeout, gateway.Unreachable
+	}
+	firstHealthy := s.config.NewHosts + int(s.config.Failing*float64(s.config.Hosts-s.config.NewHosts))
+	if host >= s.config.NewHosts && host < firstHealthy && s.sinceStart() >= s.config.Lull {
+		return answerTime, gateway.Errored
+	}
+	if !s.config.Serial {
+		return answerTime, gateway.Succeeded
+	}
+	latency := answerTime + s.serve(host)
+	if latency > timeout {
+		return timeout, gateway.TimedOut
+	}
+	return latency, gateway.Succeeded
+}
+
+// serve queues an attempt at a host that answers serially and returns the time until it is answered.
+func (s *simulation) serve(host int) time.Duration {
+	capacity := s.capacity(s.config.Settings.Duration)
+	if host < s.config.NewHosts && s.now >= s.hostStart {
+		capacity = s.capacity(s.sinceStart())
+	}
+	work := time.Duration(1e9 / capacity)
+	s.idleFrom[host] = max(s.idleFrom[host], s.now).Add(work)
+	return s.idleFrom[host].Sub(s.now)
+}
+
+// SendGossip delivers a message to another gateway unless a partition lies between them.
+func (s *simulation) SendGossip(peer int, body []byte) {
+	if s.partitioned(s.deciding%3 == 0, peer%3 == 0) {
+		return
+	}
+	s.schedule.Add(int64(s.now.Add(gossipDelay)), event{gateway: peer, input: gateway.Event{
+		Kind:    gateway.GossipReceived,
+		Peer:    s.deciding,
+		Message: bytes.Clone(body),
+	}})
+}
+
+// SetTimer schedules a timer event of the gateway that decides.
+func (s *simulation) SetTimer(after time.Duration) {
+	at := s.now.Add(max(after, minTimer))
+	s.schedule.Add(int64(at), event{gateway: s.deciding, input: gateway.Event{Kind: gateway.TimerFired}})
+}
+
+// The other decisions change nothing of what hosts receive.
+
+func (s *simulation) CancelAttempt(string, int)                   {}
+func (s *simulation) Reject(string, time.Duration)                {}
+func (s *simulation) Fail(string)                                 {}
+func (s *simulation) SendProbe(uint32)                            {}
+func (s *simulation) WatchEndpoints()                             {}
+func (s *simulation) LogNote(string)                              {}
+func (s *simulation) AddToCounter(uint64, float64, time.Duration) {}
--- a/lab/slowstartsim/slowstartsim_test.go
+++ b/lab/slowstartsim/slowstartsim_test.go
@@ -12,87 +12,154 @@
 	"ravensill/internal/golden"
 )
 
-// All gateways together keep to what the settings allow a cold host, though each saves an allowance of its own: in
-// even traffic, at skewed gateways, when they are told of many starts at once or seconds apart, when a surge finds what
-// a lull let them save, over a cut, and when other hosts fail and reqs are repeated. Hundreds hold a host by the dozen;
-// three, twenty or thirty gateways all hold most hosts, and the windows there are narrower.
-func TestFleetKeepsColdBudget(t *testing.T) {
-	const s = time.Second
-	wide := gateway.SlowStart{InitialFraction: 0.2, Duration: 10 * s, OverloadFactor: 3, OverloadWindow: 2 * s}
-	narrow := gateway.SlowStart{InitialFraction: 0.16, Duration: 10 * s, OverloadFactor: 2, OverloadWindow: s}
-	var all strings.Builder
-	var plays []Config
-	for _, z := range []struct {
-		gateways, hosts int
-		perSecond       float64
-		settings        gateway.SlowStart
-	}{{300, 60, 600, wide}, {300, 200, 600, wide}, {3, 6, 60, narrow}, {20, 13, 40, narrow}, {30, 8, 20, narrow}, {30, 60, 180, narrow}} {
-		for _, c := range []Config{
-			{Cold: 1},
-			{Cold: z.hosts / 2},
-			{Cold: 3, Skew: 10},
-			{Cold: 3, Lull: 6 * s, Surge: 2},
-			{Cold: 3, Lull: 3 * s, Surge: 3, Skew: 10},
-			{Cold: z.hosts / 3, Cut: 6 * s},
-			{Cold: z.hosts / 2, Apart: 4 * s, Skew: 10},
-			{Cold: 1, Failing: 0.6, Lull: 3 * s, Surge: 1.5, InTurn: true},
-			{Cold: z.hosts * 6 / 10, Failing: 0.3, Skew: 10},
-			{Cold: 1, Failing: 1, Lull: s, Surge: 1, InTurn: true}, // all others, when it has just started
+const load = 0.6
+
+var (
+	wideWindow = gateway.SlowStart{
+		InitialFraction: 0.2,
+		Duration:        10 * time.Second,
+		OverloadFactor:  3,
+		OverloadWindow:  2 * time.Second,
+	}
+	narrowWindow = gateway.SlowStart{
+		InitialFraction: 0.16,
+		Duration:        10 * time.Second,
+		OverloadFactor:  2,
+		OverloadWindow:  time.Second,
+	}
+)
+
+// fleet is a size of fleet with its traffic and settings.
+type fleet struct {
+	gateways  int
+	hosts     int
+	perSecond float64
+	settings  gateway.SlowStart
+}
+
+// apply returns the scenario for this fleet.
+func (f fleet) apply(scenario Config, seed uint64) Config {
+	scenario.Seed = seed
+	scenario.Gateways = f.gateways
+	scenario.Hosts = f.hosts
+	scenario.PerSecond = f.perSecond
+	scenario.Settings = f.settings
+	scenario.Load = load
+	scenario.Length = 10 * time.Second
+	return scenario
+}
+
+// All gateways together keep to what the settings allow a host that warms up, though each saves an allowance for
+// itself: hundreds of which a dozen use each host, and a few of which each uses most hosts and the windows are narrow.
+func TestFleetKeepsBudgetOfNewHosts(t *testing.T) {
+	configs := faultConfigs()
+	configs = append(configs, allOthersFailConfigs()...)
+	configs = append(configs, extremeFleetConfigs()...)
+	var trace strings.Builder
+	for i, r := range runAll(configs) {
+		c := configs[i]
+		fmt.Fprintf(&trace, "gateways %d hosts %d new %d skew %.0f lull %v surge %.1f ",
+			c.Gateways, c.Hosts, c.NewHosts, c.Skew, c.Lull, c.Surge)
+		fmt.Fprintf(&trace, "partition %v notified within %v failing %.1f seed %d: %v\n",
+			c.Partition, c.NotifiedWithin, c.Failing, c.Seed, r)
+		if r.Sent == 0 || r.Sent > r.Bound {
+			t.Errorf("%+v: %v", c, r)
+		}
+	}
+	golden.Check(t, trace.String())
+}
+
+// faultConfigs returns even and skewed traffic, one and many starts, surges after a lull that lets allowances be saved,
+// partitions, and failures of other hosts whose requests are retried.
+func faultConfigs() []Config {
+	const second = time.Second
+	var configs []Config
+	for _, f := range []fleet{
+		{300, 60, 600, wideWindow},
+		{300, 200, 600, wideWindow},
+		{3, 6, 60, narrowWindow},
+		{20, 13, 40, narrowWindow},
+		{30, 8, 20, narrowWindow},
+		{30, 60, 180, narrowWindow},
+	} {
+		for _, scenario := range []Config{
+			{NewHosts: 1},
+			{NewHosts: f.hosts / 2},
+			{NewHosts: 3, Skew: 10},
+			{NewHosts: 3, Lull: 6 * second, Surge: 2},
+			{NewHosts: 3, Lull: 3 * second, Surge: 3, Skew: 10},
+			{NewHosts: f.hosts / 3, Partition: 6 * second},
+			{NewHosts: f.hosts / 2, NotifiedWithin: 4 * second, Skew: 10},
+			{NewHosts: 1, Failing: 0.6, Lull: 3 * second, Surge: 1.5, Serial: true},
+			{NewHosts: f.hosts * 6 / 10, Failing: 0.3, Skew: 10},
+			{NewHosts: 1, Failing: 1, Lull: second, Surge: 1, Serial: true}, // the new host has just started
 		} {
 			seeds := uint64(2)
-			if z.gateways >= 300 {
-				seeds = uint64(1 + min(c.Surge, 1)) // two where it comes near the bound
+			if f.gateways >= 300 {
+				seeds = uint64(1 + min(scenario.Surge, 1)) // two where it comes near the bound
 			}
+			scenario.Gossip = f.gateways < 100
 			for seed := range seeds {
-				c.Seed, c.Gateways, c.Hosts, c.PerSecond, c.Load, c.Length = seed+1, z.gateways, z.hosts, z.perSecond, 0.6, 10*s
-				c.Settings, c.Gossip = z.settings, z.gateways < 100
-				plays = append(plays, c)
+				configs = append(configs, f.apply(scenario, seed+1))
 			}
 		}
 	}
-	// All other hosts fail under a surge, and each request is tried at two. Retries once let allowances grow, too: the first
-	// of these rows stood at 1.11 of its budget, four of them above it.
-	for _, z := range []struct {
+	return configs
+}
+
+// allOthersFailConfigs returns surges under which all other hosts fail, so that each request has two attempts and
+// retries could enlarge the allowances.
+func allOthersFailConfigs() []Config {
+	var configs []Config
+	for _, c := range []struct {
 		seed     uint64
 		lull     time.Duration
 		settings gateway.SlowStart
-	}{{3, s, wide}, {1, 3 * s, wide}, {3, 3 * s, wide}, {3, s, narrow}} {
-		plays = append(plays, Config{Seed: z.seed, Gateways: 300, Hosts: 200, PerSecond: 600, Load: 0.6, Length: 10 * s, Settings: z.settings,
-			Cold: 1, Failing: 1, Lull: z.lull, Surge: 3, Skew: 10})
+	}{
+		{3, time.Second, wideWindow},
+		{1, 3 * time.Second, wideWindow},
+		{3, 3 * time.Second, wideWindow},
+		{3, time.Second, narrowWindow},
+	} {
+		f := fleet{300, 200, 600, c.settings}
+		configs = append(configs, f.apply(Config{NewHosts: 1, Failing: 1, Lull: c.lull, Surge: 3, Skew: 10}, c.seed))
 	}
-	// The smallest and the largest fleets that the operators' acceptance has.
-	for _, z := range []struct {
-		gateways, hosts int
-		perSecond       float64
-		settings        gateway.SlowStart
-	}{{1, 4, 30, wide}, {1, 40, 60, narrow}, {900, 200, 1800, narrow}, {900, 3200, 1800, wide}} {
-		for _, c := range []Config{
-			{Cold: z.hosts / 2, Apart: 4 * s, Skew: 10},
-			{Cold: z.hosts / 3, Cut: 6 * s},
-			{Cold: 1, Failing: 1, Lull: 3 * s, Surge: 3, Skew: 10},
+	return configs
+}
+
+// extremeFleetConfigs returns the smallest and the largest fleets of the operators' acceptance page.
+func extremeFleetConfigs() []Config {
+	const second = time.Second
+	var configs []Config
+	for _, f := range []fleet{
+		{1, 4, 30, wideWindow},
+		{1, 40, 60, narrowWindow},
+		{900, 200, 1800, narrowWindow},
+		{900, 3200, 1800, wideWindow},
+	} {
+		for _, scenario := range []Config{
+			{NewHosts: f.hosts / 2, NotifiedWithin: 4 * second, Skew: 10},
+			{NewHosts: f.hosts / 3, Partition: 6 * second},
+			{NewHosts: 1, Failing: 1, Lull: 3 * second, Surge: 3, Skew: 10},
 		} {
-			c.Seed, c.Gateways, c.Hosts, c.PerSecond, c.Load, c.Length, c.Settings = 1, z.gateways, z.hosts, z.perSecond, 0.6, 10*s, z.settings
-			plays = append(plays, c)
+			configs = append(configs, f.apply(scenario, 1))
 		}
 	}
-	reports := make([]Report, len(plays))
-	var done sync.WaitGroup
-	turns := make(chan struct{}, runtime.NumCPU()) // the largest fleets take 100 MB each
-	for i, c := range plays {
-		done.Go(func() {
-			turns <- struct{}{}
-			defer func() { <-turns }()
+	return configs
+}
+
+// runAll runs the experiments, one a processor at a time: the largest fleets take 100 MB each.
+func runAll(configs []Config) []Report {
+	reports := make([]Report, len(configs))
+	processors := make(chan struct{}, runtime.NumCPU())
+	var running sync.WaitGroup
+	for i, c := range configs {
+		running.Go(func() {
+			processors <- struct{}{}
+			defer func() { <-processors }()
 			reports[i] = Run(c)
 		})
 	}
-	done.Wait()
-	for i, c := range plays {
-		r := reports[i]
-		fmt.Fprintf(&all, "gateways %d hosts %d cold %d skew %.0f lull %v surge %.1f cut %v apart %v failing %.1f seed %d: %v\n",
-			c.Gateways, c.Hosts, c.Cold, c.Skew, c.Lull, c.Surge, c.Cut, c.Apart, c.Failing, c.Seed, r)
-		if r.Sent == 0 || r.Sent > r.Bound {
-			t.Errorf("%+v: %v", c, r)
-		}
-	}
-	golden.Check(t, all.String())
+	running.Wait()
+	return reports
 }
