--- /dev/null
+++ b/lab/subsetsim/measure.go
@@ -0,0 +1,73 @@
+package subsetsim
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+)
+
+// Header is the header of the table of Row. Figures of the random baseline stand in brackets.
+const Header = "| day | rule | seed | worst of 10 s | mean of 1 s | idle 2 s, mean in 2 s | longest over 1.5 | " +
+	"most in 1 s | hosts used | succeeded | time |\n" +
+	"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
+
+// Row simulates a day and returns its figures as a row of the table under Header.
+func Row(day Day, rule string) string {
+	result := Run(day)
+	from, to := firstStep, day.Length
+	tenSeconds, tenSecondsBaseline := result.Windows(from, to, 10*time.Second)
+	second, secondBaseline := result.Windows(from, to, time.Second)
+	idle, idleBaseline, meanAttempts := result.Idle(from, to)
+	overload, overloadBaseline := result.Overload(from, to)
+	cells := []string{
+		day.Name,
+		rule,
+		fmt.Sprint(day.Seed),
+		fmt.Sprintf("%.2f..%.2f (%.2f..%.2f)",
+			tenSeconds.Least, tenSeconds.Most, tenSecondsBaseline.Least, tenSecondsBaseline.Most),
+		fmt.Sprintf("%.2f..%.2f (%.2f..%.2f)",
+			second.MeanLeast, second.MeanMost, secondBaseline.MeanLeast, secondBaseline.MeanMost),
+		fmt.Sprintf("%d (%d) of %.1f", idle, idleBaseline, meanAttempts),
+		fmt.Sprintf("%.1f (%.1f) s", overload.Longest.Seconds(), overloadBaseline.Longest.Seconds()),
+		fmt.Sprintf("%.1f (%.1f)", overload.Most, overloadBaseline.Most),
+		fmt.Sprintf("%.1f", result.HostsUsed),
+		fmt.Sprintf("%.3f", float64(result.Succeeded)/float64(result.Requests)),
+		fmt.Sprintf("%d ms", result.MeanLatency().Milliseconds()),
+	}
+	return "| " + strings.Join(cells, " | ") + " |\n"
+}
+
+// Measure simulates all days with 300 gateways, with rendezvous subsets and with those of package subset, four at a
+// time.
+func Measure(seeds []uint64) string {
+	var jobs errgroup.Group
+	jobs.SetLimit(4)
+	var rows []*string
+	addRow := func(day Day, rule string) {
+		row := new(string)
+		rows = append(rows, row)
+		jobs.Go(func() error {
+			*row = Row(day, rule)
+			return nil
+		})
+	}
+	for _, hosts := range []int{200, 60} {
+		for _, day := range Days(0, 300, hosts) {
+			for _, seed := range seeds {
+				day.Seed = seed
+				day.SubsetRule = rendezvousSubset
+				addRow(day, "rendezvous")
+				day.SubsetRule = nil
+				addRow(day, "claims")
+			}
+		}
+	}
+	jobs.Wait()
+	text := "300 gateways, 200 hosts; below 60\n\n" + Header
+	for _, row := range rows {
+		text += *row
+	}
+	return text
+}
--- a/lab/subsetsim/table.go
+++ b/lab/subsetsim/table.go
@@ -4,148 +4,212 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"slices"
 	"strings"
 
 	"ravensill/subset"
 )
 
-// Fleet is a size to compute a rule for. Light is the part of the hosts with a quarter of the weight.
-type Fleet struct {
-	Gateways, Hosts int
-	Light           float64
+// FleetSize is a fleet for which a rule is computed.
+type FleetSize struct {
+	Gateways int
+	Hosts    int
+	// LightFraction is the fraction of the hosts that have a quarter of the weight.
+	LightFraction float64
 }
 
-// Figures are a rule's for one fleet, over several lists. Parts are by weight: 1 is even.
+// Range is the least and the most of a figure.
+type Range struct{ Least, Most float64 }
+
+// include extends the range to all values.
+func (r *Range) include(values []float64) {
+	r.Least = min(r.Least, slices.Min(values))
+	r.Most = max(r.Most, slices.Max(values))
+}
+
+func (r Range) String() string { return fmt.Sprintf("%.2f..%.2f", r.Least, r.Most) }
+
+// Figures describe a rule for one fleet, over several lists of hosts. The ranges are of hosts over their shares by
+// weight: 1 is even.
 type Figures struct {
-	HeldLeast, HeldMost float64 // gateways that hold a host, over its part
-	LoadLeast, LoadMost float64 // what a host gets if every gateway sends as much, evenly to those it holds
-	SkewLeast, SkewMost float64 // the same with gateways of unequal traffic (log-normal, sigma 1)
-	Fewest, Most        int     // hosts that a gateway holds
-	All                 float64 // connections
-	Leave, Join, Seat   float64 // opened when a host leaves, when one joins, when a gateway is added
-	Worst               int     // opened, at most, at any host's coming or going
-	MixLeast, MixMost   float64 // load while every second gateway lacks one host in twenty of the list
-	Zone                int     // hosts left to the gateway worst off when one of three zones is lost
+	// Users is the number of gateways that have a host in their subsets.
+	Users Range
+	// EvenLoad is the load of a host if all gateways have the same traffic and spread it evenly over their subsets.
+	EvenLoad Range
+	// SkewedLoad is the same with gateways of unequal traffic (log-normal, sigma 1).
+	SkewedLoad Range
+	// OutdatedLoad is the load while every second gateway lacks one host in twenty of the list.
+	OutdatedLoad Range
+	// MinSize and MaxSize are the sizes of the subsets.
+	MinSize int
+	MaxSize int
+	// Connections is the number of hosts in all subsets.
+	Connections float64
+	// OpenedByLeave, OpenedByJoin and OpenedByGateway are the connections opened when a host leaves, when one joins and
+	// when a gateway is added.
+	OpenedByLeave   float64
+	OpenedByJoin    float64
+	OpenedByGateway float64
+	// MaxOpened is the most connections opened when any host left or joined.
+	MaxOpened int
+	// LeftByZone is the smallest number of hosts left to a gateway when one of three zones is lost.
+	LeftByZone int
 }
 
-// Compute gives a rule's figures over some lists, drawn by seed.
-func Compute(r Rule, f Fleet, lists int, seed uint64) Figures {
-	rnd := rand.New(rand.NewPCG(seed, 7))
-	draw := func() subset.Endpoint {
-		h := subset.Endpoint{Hash: mix(rnd.Uint64()), Weight: 1}
-		if rnd.Float64() < f.Light {
-			h.Weight = 0.25
-		}
-		return h
+// hostChanges is the number of hosts that leave and that join, one at a time, for each list.
+const hostChanges = 4
+
+// Compute returns a rule's figures over a number of lists that are drawn by the seed.
+func Compute(rule Rule, size FleetSize, lists int, seed uint64) Figures {
+	empty := Range{Least: math.Inf(1)}
+	figures := Figures{
+		Users:        empty,
+		EvenLoad:     empty,
+		SkewedLoad:   empty,
+		OutdatedLoad: empty,
+		MinSize:      math.MaxInt,
+		LeftByZone:   math.MaxInt,
 	}
-	inf := math.Inf(1)
-	g := Figures{HeldLeast: inf, LoadLeast: inf, SkewLeast: inf, MixLeast: inf, Fewest: math.MaxInt, Zone: math.MaxInt}
+	random := rand.New(rand.NewPCG(seed, 7))
 	for range lists {
-		var hosts []subset.Endpoint
-		traffic, even := make([]float64, f.Gateways), make([]float64, f.Gateways)
-		for range f.Hosts {
-			hosts = append(hosts, draw())
-		}
-		for i := range traffic {
-			traffic[i], even[i] = math.Exp(rnd.NormFloat64()), 1
-		}
-		held := r.Held(f.Gateways, hosts)
-		for _, own := range held {
-			g.Fewest, g.Most, g.All = min(g.Fewest, len(own)), max(g.Most, len(own)), g.All+float64(len(own))/float64(lists)
-			left := 0
-			for _, i := range own {
-				if i%3 > 0 {
-					left++
-				}
-			}
-			g.Zone = min(g.Zone, left)
-		}
-		g.HeldLeast, g.HeldMost = extremes(parts(hosts, held, nil), g.HeldLeast, g.HeldMost)
-		g.LoadLeast, g.LoadMost = extremes(parts(hosts, held, even), g.LoadLeast, g.LoadMost)
-		g.SkewLeast, g.SkewMost = extremes(parts(hosts, held, traffic), g.SkewLeast, g.SkewMost)
-		const tries = 4
-		for i := range tries {
-			less := append(append([]subset.Endpoint{}, hosts[:i]...), hosts[i+1:]...)
-			more := append(append([]subset.Endpoint{}, hosts...), draw())
-			a := opened(hosts, held, less, r.Held(f.Gateways, less))
-			b := opened(hosts, held, more, r.Held(f.Gateways, more))
-			g.Worst = max(g.Worst, a, b)
-			g.Leave += float64(a) / float64(tries*lists)
-			g.Join += float64(b) / float64(tries*lists)
+		figures.addList(rule, size, float64(lists), random)
+	}
+	return figures
+}
+
+func drawHost(size FleetSize, random *rand.Rand) subset.Endpoint {
+	host := subset.Endpoint{Hash: mix(random.Uint64()), Weight: 1}
+	if random.Float64() < size.LightFraction {
+		host.Weight = lightWeight
+	}
+	return host
+}
+
+// addList draws one of several lists of hosts and adds its figures, means with a weight of one list.
+func (f *Figures) addList(rule Rule, size FleetSize, lists float64, random *rand.Rand) {
+	var hosts []subset.Endpoint
+	for range size.Hosts {
+		hosts = append(hosts, drawHost(size, random))
+	}
+	evenTraffic := make([]float64, size.Gateways)
+	skewedTraffic := make([]float64, size.Gateways)
+	for i := range size.Gateways {
+		evenTraffic[i] = 1
+		skewedTraffic[i] = math.Exp(random.NormFloat64())
+	}
+	subsets := rule.Subsets(size.Gateways, hosts)
+	f.addSizes(subsets, lists)
+	f.Users.include(userShares(hosts, subsets))
+	f.EvenLoad.include(loadShares(hosts, subsets, evenTraffic))
+	f.SkewedLoad.include(loadShares(hosts, subsets, skewedTraffic))
+	for i := range hostChanges {
+		without := slices.Delete(slices.Clone(hosts), i, i+1)
+		with := append(slices.Clone(hosts), drawHost(size, random))
+		leave := opened(hosts, subsets, without, rule.Subsets(size.Gateways, without))
+		join := opened(hosts, subsets, with, rule.Subsets(size.Gateways, with))
+		f.MaxOpened = max(f.MaxOpened, leave, join)
+		f.OpenedByLeave += float64(leave) / (hostChanges * lists)
+		f.OpenedByJoin += float64(join) / (hostChanges * lists)
+	}
+	withGateway := rule.Subsets(size.Gateways+1, hosts)
+	f.OpenedByGateway += float64(opened(hosts, subsets, hosts, withGateway)) / lists
+
+	// Every second gateway lacks the first hosts of the list.
+	missing := size.Hosts / 20
+	outdated := rule.Subsets(size.Gateways, hosts[missing:])
+	for member := 1; member < size.Gateways; member += 2 {
+		subsets[member] = nil
+		for _, i := range outdated[member] {
+			subsets[member] = append(subsets[member], i+missing)
 		}
-		g.Seat += float64(opened(hosts, held, hosts, r.Held(f.Gateways+1, hosts))) / float64(lists)
-		old := r.Held(f.Gateways, hosts[f.Hosts/20:]) // the hosts that half of the fleet has not heard of come first
-		for s := 1; s < f.Gateways; s += 2 {
-			held[s] = nil
-			for _, i := range old[s] {
-				held[s] = append(held[s], i+f.Hosts/20)
+	}
+	f.OutdatedLoad.include(loadShares(hosts, subsets, evenTraffic)[missing:])
+}
+
+// addSizes adds the figures of the subsets' sizes. The zone of a host is its index modulo three.
+func (f *Figures) addSizes(subsets [][]int, lists float64) {
+	for _, members := range subsets {
+		f.MinSize = min(f.MinSize, len(members))
+		f.MaxSize = max(f.MaxSize, len(members))
+		f.Connections += float64(len(members)) / lists
+		left := 0
+		for _, i := range members {
+			if i%3 > 0 {
+				left++
 			}
 		}
-		g.MixLeast, g.MixMost = extremes(parts(hosts, held, even)[f.Hosts/20:], g.MixLeast, g.MixMost)
+		f.LeftByZone = min(f.LeftByZone, left)
 	}
-	return g
 }
 
-// parts gives what each host gets over its part by weight; traffic nil counts the gateways that hold it.
-func parts(hosts []subset.Endpoint, held [][]int, traffic []float64) []float64 {
-	got, sum, weight := make([]float64, len(hosts)), 0.0, 0.0
-	for s, own := range held {
-		for _, i := range own {
-			t := 1.0
-			if traffic != nil {
-				t = traffic[s] / float64(len(own))
-			}
-			got[i] += t
-			sum += t
+// userShares returns the number of gateways that use each host, over the host's share by weight.
+func userShares(hosts []subset.Endpoint, subsets [][]int) []float64 {
+	return overShares(hosts, subsets, func(int) float64 { return 1 })
+}
+
+// loadShares returns the load of each host over its share by weight, if gateways spread their traffic evenly over their
+// subsets.
+func loadShares(hosts []subset.Endpoint, subsets [][]int, traffic []float64) []float64 {
+	return overShares(hosts, subsets, func(gateway int) float64 {
+		return traffic[gateway] / float64(len(subsets[gateway]))
+	})
+}
+
+// overShares returns what each host receives over its share by weight, where a gateway gives each host of its subset
+// the same part.
+func overShares(hosts []subset.Endpoint, subsets [][]int, partOf func(gateway int) float64) []float64 {
+	received := make([]float64, len(hosts))
+	sum := 0.0
+	for gateway, members := range subsets {
+		for _, i := range members {
+			part := partOf(gateway)
+			received[i] += part
+			sum += part
 		}
 	}
+	totalWeight := 0.0
 	for _, h := range hosts {
-		weight += h.Weight
+		totalWeight += h.Weight
 	}
 	for i, h := range hosts {
-		got[i] /= sum * h.Weight / weight
-	}
-	return got
-}
-
-func extremes(x []float64, least, most float64) (float64, float64) {
-	for _, v := range x {
-		least, most = min(least, v), max(most, v)
+		received[i] /= sum * h.Weight / totalWeight
 	}
-	return least, most
+	return received
 }
 
-// opened counts the gateways' hosts that they did not hold before.
-func opened(before []subset.Endpoint, held [][]int, after []subset.Endpoint, now [][]int) (n int) {
-	for s, own := range now {
-		was := map[uint64]bool{}
-		if s < len(held) {
-			for _, i := range held[s] {
-				was[before[i].Hash] = true
+// opened counts the hosts that are new in the gateways' subsets.
+func opened(before []subset.Endpoint, subsetsBefore [][]int, after []subset.Endpoint, subsetsAfter [][]int) int {
+	count := 0
+	for gateway, members := range subsetsAfter {
+		known := map[uint64]bool{}
+		if gateway < len(subsetsBefore) {
+			for _, i := range subsetsBefore[gateway] {
+				known[before[i].Hash] = true
 			}
 		}
-		for _, i := range own {
-			if !was[after[i].Hash] {
-				n++
+		for _, i := range members {
+			if !known[after[i].Hash] {
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// Table writes the figures of all rules for the fleets, as docs/spread.md shows them.
-func Table(fleets []Fleet, lists int, seed uint64) string {
+// Table returns the figures of all rules for the fleets as Markdown, in the form of docs/spread.md.
+func Table(sizes []FleetSize, lists int, seed uint64) string {
 	var b strings.Builder
-	for _, f := range fleets {
-		fmt.Fprintf(&b, "%d gateways, %d hosts, %.0f%% of them with a quarter of the weight; %d lists\n\n", f.Gateways,
-			f.Hosts, 100*f.Light, lists)
-		fmt.Fprintln(&b, "| rule | held | even traffic | log-normal | lists differ | a gateway holds | zone lost | host leaves | joins | worst | seat added |")
+	for _, size := range sizes {
+		fmt.Fprintf(&b, "%d gateways, %d hosts, %.0f%% of them with a quarter of the weight; %d lists\n\n",
+			size.Gateways, size.Hosts, 100*size.LightFraction, lists)
+		fmt.Fprintln(&b, "| rule | gateways of a host | even traffic | log-normal | lists differ | hosts of a gateway | "+
+			"zone lost | host leaves | joins | worst | gateway added |")
 		fmt.Fprintln(&b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-		for _, r := range Rules {
-			g := Compute(r, f, lists, seed)
-			fmt.Fprintf(&b, "| %s | %.2f..%.2f | %.2f..%.2f | %.2f..%.2f | %.2f..%.2f | %d..%d | %d | %.0f | %.0f | %d | %.0f of %.0f |\n",
-				r.Name, g.HeldLeast, g.HeldMost, g.LoadLeast, g.LoadMost, g.SkewLeast, g.SkewMost, g.MixLeast, g.MixMost,
-				g.Fewest, g.Most, g.Zone, g.Leave, g.Join, g.Worst, g.Seat, g.All)
+		for _, rule := range Rules {
+			f := Compute(rule, size, lists, seed)
+			fmt.Fprintf(&b, "| %s | %v | %v | %v | %v | %d..%d | %d | %.0f | %.0f | %d | %.0f of %.0f |\n",
+				rule.Name, f.Users, f.EvenLoad, f.SkewedLoad, f.OutdatedLoad, f.MinSize, f.MaxSize, f.LeftByZone,
+				f.OpenedByLeave, f.OpenedByJoin, f.MaxOpened, f.OpenedByGateway, f.Connections)
 		}
 		fmt.Fprintln(&b)
 	}
