--- a/counterfactual/buckets.go
+++ b/counterfactual/buckets.go
@@ -1,6 +1,9 @@
 package counterfactual
 
-import "math"
+import (
+	"math"
+	"time"
+)
 
 // Parameters of the summaries.
 const (
@@ -11,21 +14,25 @@
 	loadBands     = 64   // two an octave
 	neverBucket   = 1023 // bucket of attempts without any response
 	gamma         = 1.02 // ratio of a bucket's bounds: values have an error of 1% (DDSketch, Masson et al. 2019)
-	firstBound    = 1e4  // upper bound of the first bucket, in nanoseconds
 )
 
+// firstBound is the upper bound of the first bucket.
+const firstBound = 10 * time.Microsecond
+
 var logGamma = math.Log(gamma)
 
 // Bucket returns the histogram bucket of a response time.
-func Bucket(latency int64) int {
+func Bucket(latency time.Duration) int {
 	if latency <= firstBound {
 		return 0
 	}
-	return min(int(math.Ceil(math.Log(float64(latency)/firstBound)/logGamma)), neverBucket-1)
+	return min(int(math.Ceil(math.Log(float64(latency)/float64(firstBound))/logGamma)), neverBucket-1)
 }
 
 // bucketTime returns the time that represents a bucket, in nanoseconds.
-func bucketTime(bucket int) float64 { return firstBound * math.Pow(gamma, float64(bucket)-0.5) }
+func bucketTime(bucket int) float64 {
+	return float64(firstBound) * math.Pow(gamma, float64(bucket)-0.5)
+}
 
 // loadBand returns the band of a load, from the exponent of its square: two bands an octave.
 func loadBand(load float64) int {
--- a/counterfactual/figures.go
+++ b/counterfactual/figures.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"time"
 
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
@@ -21,6 +22,8 @@
 	fractionTolerance = 1e-12
 )
 
+const nanosecondsPerMillisecond = float64(time.Millisecond)
+
 // figures sets the figures of an answer, each with its interval or a refusal. The intervals are for the mean, quantile
 // or fraction over the same requests: they cover the error of the estimate, by the jackknife over customer groups, and
 // the randomness of these requests' response times.
@@ -91,7 +94,7 @@
 
 // quantile returns the figure of a quantile of the response time. width bounds its half width over the figure.
 func (f *figures) quantile(fraction, width float64) Figure {
-	time, within := f.table.quantile(f.curve, fraction)
+	estimate, within := f.table.quantile(f.curve, fraction)
 	if !within {
 		return Figure{Refused: BeyondObjective}
 	}
@@ -102,10 +105,10 @@
 		return Figure{Refused: TooWide + ": up to the target"}
 	}
 	return newFigure(
-		time/nanosecondsPerMillisecond,
+		estimate/nanosecondsPerMillisecond,
 		lowTime/nanosecondsPerMillisecond/gamma/(1+f.uncovered),
 		highTime/nanosecondsPerMillisecond*gamma*(1+f.uncovered),
-		width*time/nanosecondsPerMillisecond,
+		width*estimate/nanosecondsPerMillisecond,
 	)
 }
 
--- a/counterfactual/folder_test.go
+++ b/counterfactual/folder_test.go
@@ -3,6 +3,7 @@
 import (
 	"math/rand/v2"
 	"testing"
+	"time"
 )
 
 // Records that are invalid, need more cells than there are, or were dropped by the queue count as lost.
@@ -21,7 +22,10 @@
 
 // drawRecord returns an attempt with twelve candidates, of which two to five are eligible.
 func drawRecord(random *rand.Rand) Record {
-	record := Record{Customer: random.Uint32(), Latency: int64(5e6 * (1 + random.ExpFloat64()))}
+	record := Record{
+		Customer: random.Uint32(),
+		Latency:  time.Duration(5e6 * (1 + random.ExpFloat64())),
+	}
 	hosts := random.Perm(12)
 	eligible := 2 + random.IntN(4)
 	for i, host := range hosts {
--- a/counterfactual/ledger.go
+++ b/counterfactual/ledger.go
@@ -4,25 +4,26 @@
 	"iter"
 	"maps"
 	"slices"
+	"time"
+
+	"ravensill/internal/clock"
 )
 
 // Settings of a Ledger.
 type Settings struct {
-	Gateways   int      // number of gateways that are expected to report
-	Window     int64    // length of a bin and of the gateways' windows, in nanoseconds
-	Grace      int64    // after a bin's end, in nanoseconds; a message that arrives later does not count
-	KeptBins   int      // number of bins kept
-	MaxCells   int      // in all bins together
-	MaxMissing float64  // fraction of all attempts that may be missing from a figure
-	Objectives []int64  // latency objective by request class, in nanoseconds: longer times count as the objective
-	Classes    []string // names of the request classes
+	Gateways   int             // number of gateways that are expected to report
+	Window     time.Duration   // length of a bin and of the gateways' windows
+	Grace      time.Duration   // after a bin's end; a message that arrives later does not count
+	KeptBins   int             // number of bins kept
+	MaxCells   int             // in all bins together
+	MaxMissing float64         // fraction of all attempts that may be missing from a figure
+	Objectives []time.Duration // latency objective by request class: longer times count as the objective
+	Classes    []string        // names of the request classes
 
 	HostID func(uint32) string // returns a host's id; nil: its number is used
 	Yield  func()              // called between steps of a long computation; may be nil
 }
 
-const nanosecondsPerMillisecond = 1_000_000
-
 // Counts counts messages by what became of them.
 type Counts struct {
 	Merged         int
@@ -38,11 +39,14 @@
 type Ledger struct {
 	Counts   Counts
 	settings Settings
-	bins     map[int64]*bin
+	bins     map[BinNumber]*bin
 	gateways map[uint32]*reporter
 	cells    int // in all bins and incomplete windows
 }
 
+// BinNumber is the number of a bin: the bin starts that many window lengths after the zero of the ledger's clock.
+type BinNumber int64
+
 // bin contains the cells of one window length.
 type bin struct{ cells map[Key]*mergedCell }
 
@@ -65,7 +69,7 @@
 type window struct {
 	incarnation uint64
 	number      uint32
-	bin         int64
+	bin         BinNumber
 	total       int               // number of its parts
 	parts       map[uint16][]Cell // received so far, until it is complete
 	complete    bool
@@ -75,18 +79,18 @@
 
 // NewLedger returns an empty ledger.
 func NewLedger(settings Settings) *Ledger {
-	return &Ledger{settings: settings, bins: map[int64]*bin{}, gateways: map[uint32]*reporter{}}
+	return &Ledger{settings: settings, bins: map[BinNumber]*bin{}, gateways: map[uint32]*reporter{}}
 }
 
 // Receive merges a part that arrived at an instant. It returns false if the part should be sent again.
-func (l *Ledger) Receive(part *Part, now int64) bool {
+func (l *Ledger) Receive(part *Part, now clock.Instant) bool {
 	l.dropOldBins(now)
-	age := int64(part.Age) * nanosecondsPerMillisecond
 	if !l.valid(part) {
 		l.Counts.Invalid++
 		return true
 	}
-	if age > now {
+	windowEnd := now.Add(-time.Duration(part.Age) * time.Millisecond)
+	if windowEnd < 0 { // before the clock's zero
 		l.Counts.Late++
 		return true
 	}
@@ -99,7 +103,7 @@
 	gateway.zone = part.Zone
 	w := gateway.window(part)
 	if w == nil {
-		w = newWindow(part, (now-age)/l.settings.Window)
+		w = newWindow(part, l.BinAt(windowEnd))
 	}
 	if w.contradicts(part) {
 		l.Counts.Invalid++
@@ -123,7 +127,7 @@
 
 // valid reports whether a part can be from a gateway with the same settings.
 func (l *Ledger) valid(part *Part) bool {
-	windowLength := int64(part.WindowLength) * nanosecondsPerMillisecond
+	windowLength := time.Duration(part.WindowLength) * time.Millisecond
 	return part.Gateway < uint32(l.settings.Gateways) && windowLength == l.settings.Window
 }
 
@@ -161,7 +165,7 @@
 }
 
 // newWindow returns the window of a first part.
-func newWindow(part *Part, bin int64) *window {
+func newWindow(part *Part, bin BinNumber) *window {
 	return &window{
 		incarnation: part.Incarnation,
 		number:      part.Window,
@@ -225,16 +229,26 @@
 	}
 }
 
+// BinAt returns the bin of an instant.
+func (l *Ledger) BinAt(instant clock.Instant) BinNumber {
+	return BinNumber(instant / clock.Instant(l.settings.Window))
+}
+
+// binEnd returns the instant at which a bin ends.
+func (l *Ledger) binEnd(bin BinNumber) clock.Instant {
+	return clock.Instant(bin+1) * clock.Instant(l.settings.Window)
+}
+
 // sealed reports whether a bin no longer changes.
-func (l *Ledger) sealed(bin, now int64) bool {
-	return now >= (bin+1)*l.settings.Window+l.settings.Grace
+func (l *Ledger) sealed(bin BinNumber, now clock.Instant) bool {
+	return now >= l.binEnd(bin).Add(l.settings.Grace)
 }
 
 // Sealed returns the newest bin that no longer changes.
-func (l *Ledger) Sealed(now int64) int64 { return (now-l.settings.Grace)/l.settings.Window - 1 }
+func (l *Ledger) Sealed(now clock.Instant) BinNumber { return l.BinAt(now.Add(-l.settings.Grace)) - 1 }
 
 // First returns the oldest bin of any window, or 0 if there is none.
-func (l *Ledger) First() (first int64) {
+func (l *Ledger) First() (first BinNumber) {
 	for _, gateway := range l.gateways {
 		for _, w := range gateway.windows {
 			if first == 0 || w.bin < first {
@@ -246,7 +260,7 @@
 }
 
 // Hosts returns the hosts to which attempts of a request class in the bins from..to could have gone.
-func (l *Ledger) Hosts(class int, from, to int64) []uint32 {
+func (l *Ledger) Hosts(class int, from, to BinNumber) []uint32 {
 	from, to = l.boundSpan(from, to)
 	hosts := map[uint32]bool{}
 	for _, bin := range l.binsBetween(from, to) {
@@ -260,8 +274,8 @@
 }
 
 // binsBetween returns the bins from..to that have any cells, with their numbers in ascending order.
-func (l *Ledger) binsBetween(from, to int64) iter.Seq2[int64, *bin] {
-	return func(yield func(int64, *bin) bool) {
+func (l *Ledger) binsBetween(from, to BinNumber) iter.Seq2[BinNumber, *bin] {
+	return func(yield func(BinNumber, *bin) bool) {
 		for number := from; number <= to; number++ {
 			bin := l.bins[number]
 			if bin != nil && !yield(number, bin) {
@@ -272,8 +286,8 @@
 }
 
 // dropOldBins drops bins that are too old to keep.
-func (l *Ledger) dropOldBins(now int64) {
-	oldest := now/l.settings.Window - int64(l.settings.KeptBins)
+func (l *Ledger) dropOldBins(now clock.Instant) {
+	oldest := l.BinAt(now) - BinNumber(l.settings.KeptBins)
 	for number, bin := range l.bins {
 		if number < oldest {
 			l.cells -= len(bin.cells)
--- a/counterfactual/ledger_test.go
+++ b/counterfactual/ledger_test.go
@@ -5,25 +5,31 @@
 	"math/rand/v2"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
-)
 
-const (
-	millisecond = int64(1e6)
-	second      = int64(1e9)
+	"ravensill/internal/clock"
 )
 
+// afterSeconds returns an instant of a ledger's clock.
+func afterSeconds(seconds int) clock.Instant {
+	return clock.Instant(0).Add(time.Duration(seconds) * time.Second)
+}
+
+// ageAt returns the age of a window that ended at an instant, in milliseconds.
+func ageAt(now, end clock.Instant) uint32 { return uint32(now.Sub(end).Milliseconds()) }
+
 func settings(gateways int) Settings {
 	return Settings{
 		Gateways:   gateways,
-		Window:     second,
-		Grace:      3 * second,
+		Window:     time.Second,
+		Grace:      3 * time.Second,
 		KeptBins:   60,
 		MaxCells:   1 << 16,
 		MaxMissing: 0.05,
-		Objectives: []int64{second},
+		Objectives: []time.Duration{time.Second},
 		Classes:    []string{"a"},
 	}
 }
@@ -43,7 +49,7 @@
 		hosts := random.Perm(3)
 		record := Record{
 			Customer: random.Uint32(),
-			Latency:  int64(20e6 * (1 + random.Float64()) * float64(1+hosts[0])),
+			Latency:  time.Duration(20e6 * (1 + random.Float64()) * float64(1+hosts[0])),
 		}
 		for _, host := range hosts {
 			candidate := Candidate{Host: uint32(host), Probability: 1. / 3, Load: 1}
@@ -64,7 +70,7 @@
 }
 
 // receive decodes a message and merges it into a ledger.
-func receive(t interface{ Fatal(...any) }, l *Ledger, message []byte, now int64) {
+func receive(t interface{ Fatal(...any) }, l *Ledger, message []byte, now clock.Instant) {
 	part, err := Decode(message)
 	if err != nil {
 		t.Fatal(err)
@@ -73,10 +79,10 @@
 }
 
 // receiveWindow merges all messages of a window that ended at an instant.
-func receiveWindow(t *testing.T, l *Ledger, w windowOf, attempts int, end, now int64) {
+func receiveWindow(t *testing.T, l *Ledger, w windowOf, attempts int, end, now clock.Instant) {
 	t.Helper()
 	for _, encode := range w.messages(attempts) {
-		receive(t, l, encode(uint32((now-end)/millisecond)), now)
+		receive(t, l, encode(ageAt(now, end)), now)
 	}
 }
 
@@ -84,14 +90,14 @@
 func TestPanelDoesNotDependOnOrderOfMessages(t *testing.T) {
 	type message struct {
 		encode func(age uint32) []byte
-		end    int64
+		end    clock.Instant
 	}
 	ledgerSettings := settings(4)
-	ledgerSettings.Grace = 20 * second
+	ledgerSettings.Grace = 20 * time.Second
 	inOrder := NewLedger(ledgerSettings)
 	var messages []message
 	for number := range 6 {
-		end := int64(100+number) * second
+		end := afterSeconds(100 + number)
 		for gateway := range 4 {
 			for _, encode := range (windowOf{gateway, 1, number}).messages(60) {
 				messages = append(messages, message{encode, end})
@@ -117,8 +123,8 @@
 			copies := 1 + rapid.IntRange(0, 1).Draw(t, "again")
 			for range copies {
 				delay := rapid.Int64Range(0, 1000).Draw(t, "age")
-				now := 105*second + delay*millisecond
-				receive(t, l, m.encode(uint32((now-m.end)/millisecond)), now)
+				now := afterSeconds(105).Add(time.Duration(delay) * time.Millisecond)
+				receive(t, l, m.encode(ageAt(now, m.end)), now)
 			}
 		}
 		if d := cmp.Diff(want, panelText(l)); d != "" {
@@ -133,9 +139,9 @@
 	const attempts = 200
 	l := NewLedger(settings(3))
 	for i := range 10 {
-		end := int64(100+i) * second
+		end := afterSeconds(100 + i)
 		receiveWindow(t, l, windowOf{0, 7, i}, attempts, end, end)
-		receiveWindow(t, l, windowOf{0, 7, i}, attempts, end, end+second/2)
+		receiveWindow(t, l, windowOf{0, 7, i}, attempts, end, end.Add(time.Second/2))
 		if i != 4 {
 			receiveWindow(t, l, windowOf{1, 7, i}, attempts, end, end)
 		}
@@ -158,7 +164,7 @@
 		}
 	}
 	before := l.Counts
-	receiveWindow(t, l, windowOf{1, 7, 4}, attempts, 104*second, 108*second) // its bin is sealed
+	receiveWindow(t, l, windowOf{1, 7, 4}, attempts, afterSeconds(104), afterSeconds(108)) // its bin is sealed
 	after := l.Counts
 	if before.Duplicates == 0 || before.OldIncarnation == 0 || before.Invalid == 0 || after.Late == 0 {
 		t.Errorf("%+v, then %+v", before, after)
@@ -176,7 +182,7 @@
 		if i >= 40 {
 			attempts = 100
 		}
-		end := int64(100+i) * second
+		end := afterSeconds(100 + i)
 		receiveWindow(t, l, windowOf{0, 1, i}, attempts, end, end)
 		if i < 44 {
 			receiveWindow(t, l, windowOf{1, 1, i}, attempts, end, end)
@@ -195,7 +201,7 @@
 	ledgerSettings.KeptBins = 5
 	l := NewLedger(ledgerSettings)
 	for i := range 100 {
-		end := int64(100+i) * second
+		end := afterSeconds(100 + i)
 		receiveWindow(t, l, windowOf{0, 1, i}, 50, end, end)
 	}
 	if l.Counts.OutOfCapacity == 0 || l.cells > 3 || len(l.bins) > 6 || len(l.gateways[0].windows) > 6 {
@@ -210,7 +216,7 @@
 	for range 4000 { // host 0 has all attempts, though each host is reported with a half
 		f.Add(&Record{
 			Customer: random.Uint32(),
-			Latency:  1e6 + random.Int64N(1e6),
+			Latency:  time.Millisecond + time.Duration(random.Int64N(1e6)),
 			Candidates: []Candidate{
 				{Host: 0, Probability: 0.5, Load: 1},
 				{Host: 1, Probability: 0.5, Load: 2},
@@ -220,7 +226,7 @@
 	cells, attempts, _ := f.Close()
 	l := NewLedger(settings(1))
 	for _, encode := range Encode(Part{Incarnation: 1, WindowLength: 1000, Attempts: attempts}, cells) {
-		receive(t, l, encode(0), 100*second)
+		receive(t, l, encode(0), afterSeconds(100))
 	}
 	answers := l.Panel(0, 100, 100)
 	for _, rule := range []Rule{LeastLoaded, Random} {
@@ -241,7 +247,7 @@
 			return
 		}
 		l := NewLedger(settings(4))
-		l.Receive(part, 100*second)
+		l.Receive(part, afterSeconds(100))
 		if l.Counts.Merged > 0 {
 			l.Panel(0, 40, 101)
 			l.Replaced(0, Random, 1, 40, 101)
--- a/counterfactual/missing.go
+++ b/counterfactual/missing.go
@@ -30,7 +30,7 @@
 // missing returns the gateways that have not reported all of the bins from..to, and the estimated fraction of all
 // attempts that is missing with them. A gateway reports each window, even one without attempts, so that silence and
 // idleness differ. The bounds of windows and bins may differ by one.
-func (l *Ledger) missing(from, to int64) (all []Missing, share float64) {
+func (l *Ledger) missing(from, to BinNumber) (all []Missing, share float64) {
 	byBin := l.reportedAttempts(from, to)
 	reported := 0.0 // attempts
 	reporting := 0  // gateways with a complete window
@@ -78,8 +78,8 @@
 }
 
 // reportedAttempts returns the attempts that all gateways reported in complete windows, by bin.
-func (l *Ledger) reportedAttempts(from, to int64) map[int64]float64 {
-	byBin := map[int64]float64{}
+func (l *Ledger) reportedAttempts(from, to BinNumber) map[BinNumber]float64 {
+	byBin := map[BinNumber]float64{}
 	for _, r := range l.gateways {
 		for _, w := range r.windows {
 			if w.complete && from <= w.bin && w.bin <= to {
@@ -95,7 +95,7 @@
 
 // estimateSilent estimates the attempts of a gateway in the bins that it did not report: its fraction of all attempts
 // in the bins that it did report, times all attempts in the others.
-func (r *reporter) estimateSilent(byBin map[int64]float64, attempts float64) float64 {
+func (r *reporter) estimateSilent(byBin map[BinNumber]float64, attempts float64) float64 {
 	with := 0.0
 	without := 0.0
 	for bin, attemptsOfBin := range byBin {
@@ -109,15 +109,15 @@
 }
 
 // hasReported reports whether the gateway has a complete window in a bin.
-func (r *reporter) hasReported(bin int64) bool {
+func (r *reporter) hasReported(bin BinNumber) bool {
 	return slices.ContainsFunc(r.windows, func(w *window) bool { return w.complete && w.bin == bin })
 }
 
 // coverage describes the gateway's reports in the bins from..to.
-func (r *reporter) coverage(from, to int64) (c coverage) {
+func (r *reporter) coverage(from, to BinNumber) (c coverage) {
 	incarnations := map[uint64][]*window{}
-	first := int64(math.MaxInt64)
-	last := int64(-1)
+	first := BinNumber(math.MaxInt64)
+	last := BinNumber(-1)
 	for _, w := range r.windows {
 		if w.bin < from || w.bin > to {
 			continue
@@ -141,7 +141,7 @@
 }
 
 // expectedWindows returns the number of windows up to the latest one, given the bins of the range before the first one.
-func expectedWindows(incarnations map[uint64][]*window, binsBefore int64) (expected int) {
+func expectedWindows(incarnations map[uint64][]*window, binsBefore BinNumber) (expected int) {
 	for i, incarnation := range slices.Sorted(maps.Keys(incarnations)) {
 		windows := incarnations[incarnation]
 		slices.SortFunc(windows, func(a, b *window) int { return cmp.Compare(a.number, b.number) })
@@ -152,7 +152,7 @@
 			continue
 		}
 		if firstNumber > 0 { // the gateway ran before the range
-			expected += max(int(min(binsBefore, int64(firstNumber)))-1, 0)
+			expected += max(int(min(binsBefore, BinNumber(firstNumber)))-1, 0)
 		}
 	}
 	return expected
--- a/counterfactual/panel.go
+++ b/counterfactual/panel.go
@@ -7,14 +7,14 @@
 
 // Panel estimates for each rule but OneHost the response times of the attempts of a request class in the bins from..to
 // if a single one of them had been moved at a time: the loads stay as they were.
-func (l *Ledger) Panel(class int, from, to int64) []Answer {
+func (l *Ledger) Panel(class int, from, to BinNumber) []Answer {
 	from, to = l.boundSpan(from, to)
 	return l.newEstimation(class, l.strata(class, from, to), from, to).answers(panelRules)
 }
 
 // SingleHost estimates the same for a single host, over the attempts that could have gone there; Covers is their
 // fraction.
-func (l *Ledger) SingleHost(class int, host uint32, from, to int64) Answer {
+func (l *Ledger) SingleHost(class int, host uint32, from, to BinNumber) Answer {
 	from, to = l.boundSpan(from, to)
 	t := l.strata(class, from, to)
 	total := 0.0
@@ -38,7 +38,7 @@
 }
 
 // newEstimation returns the estimation from the strata of a request class over the bins from..to.
-func (l *Ledger) newEstimation(class int, t *strataTable, from, to int64) *estimation {
+func (l *Ledger) newEstimation(class int, t *strataTable, from, to BinNumber) *estimation {
 	missing, missingShare := l.missing(from, to)
 	return &estimation{
 		class:        l.settings.Classes[class],
@@ -50,7 +50,7 @@
 }
 
 // strata collects the strata of a request class over the bins from..to.
-func (l *Ledger) strata(class int, from, to int64) *strataTable {
+func (l *Ledger) strata(class int, from, to BinNumber) *strataTable {
 	t := l.newTable(class)
 	for _, bin := range l.binsBetween(from, to) {
 		for key, cell := range bin.cells {
@@ -74,6 +74,6 @@
 }
 
 // boundSpan limits a range of bins to those that can be kept, which bounds the cost of a query.
-func (l *Ledger) boundSpan(from, to int64) (int64, int64) {
-	return max(from, to-int64(l.settings.KeptBins)), to
+func (l *Ledger) boundSpan(from, to BinNumber) (BinNumber, BinNumber) {
+	return max(from, to-BinNumber(l.settings.KeptBins)), to
 }
--- a/counterfactual/record.go
+++ b/counterfactual/record.go
@@ -1,11 +1,13 @@
 // Package counterfactual estimates how the hosts that were not chosen would have responded, and so what another routing
 // rule would have gained or lost. It does no I/O, has no clock and decides nothing: a Folder at each gateway folds
 // records of attempts into summaries, a Ledger merges the summaries of all gateways, and Ledger.Panel returns figures
-// with intervals, or the reason why there is none. docs/counterfactual.md has the design and its sources. Times are
-// nanoseconds.
+// with intervals, or the reason why there is none. docs/counterfactual.md has the design and its sources.
 package counterfactual
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
 
 // Rule is a way to choose a host from the candidate set.
 type Rule int
@@ -56,9 +58,9 @@
 
 // Record is one attempt that ended.
 type Record struct {
-	Class      int         `json:"Frontend"` // request class
-	Customer   uint32      // hash: customers are the clusters of the intervals
-	Candidates []Candidate `json:"Options"` // the chosen one first, then the customer's next eligible one in rank, if any
-	Latency    int64       `json:"Lag"`     // nanoseconds
+	Class      int           `json:"Frontend"` // request class
+	Customer   uint32        // hash: customers are the clusters of the intervals
+	Candidates []Candidate   `json:"Options"` // the chosen one first, then the next eligible one in rank, if any
+	Latency    time.Duration `json:"Lag"`
 	End        End
 }
--- a/counterfactual/replaced.go
+++ b/counterfactual/replaced.go
@@ -16,17 +16,17 @@
 type hostProcess struct{ host, incarnation uint32 }
 
 // attemptCounts are attempts at the hosts by bin.
-type attemptCounts map[hostProcess]map[int64]float64
+type attemptCounts map[hostProcess]map[BinNumber]float64
 
-func (c attemptCounts) add(process hostProcess, bin int64, attempts float64) {
+func (c attemptCounts) add(process hostProcess, bin BinNumber, attempts float64) {
 	if c[process] == nil {
-		c[process] = map[int64]float64{}
+		c[process] = map[BinNumber]float64{}
 	}
 	c[process][bin] += attempts
 }
 
 // rateBand returns the band of a host's attempt rate near a bin, of the bins from..to.
-func (c attemptCounts) rateBand(process hostProcess, bin, from, to int64) uint8 {
+func (c attemptCounts) rateBand(process hostProcess, bin, from, to BinNumber) uint8 {
 	sum := 0.0
 	bins := 0.0
 	for near := max(bin-rateSpan, from); near <= min(bin+rateSpan, to); near++ {
@@ -44,7 +44,7 @@
 type replacement struct {
 	rule     Rule
 	share    float64
-	from, to int64
+	from, to BinNumber
 }
 
 // mass returns the mass of a cell under the replacement.
@@ -68,7 +68,7 @@
 // host's time grows with its attempts is learned from the bins in which it had about as many as the rule would have
 // sent it. There is no answer outside the range seen, and none for rules that follow the load, which would have been
 // another one.
-func (l *Ledger) Replaced(class int, rule Rule, share float64, from, to int64) Answer {
+func (l *Ledger) Replaced(class int, rule Rule, share float64, from, to BinNumber) Answer {
 	from, to = l.boundSpan(from, to)
 	missing, missingShare := l.missing(from, to)
 	r := &replacement{rule: rule, share: share, from: from, to: to}
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -16,14 +16,15 @@
 
 	"ravensill/gateway"
 	"ravensill/internal/bufconn"
+	"ravensill/internal/clock"
 	"ravensill/internal/resp"
 	"ravensill/internal/sockets"
 )
 
-// States of the connection, as the log names them.
+// States of the connection that are logged.
 const (
-	stateLost = "lost"
-	stateBack = "back"
+	stateLost     = "lost"
+	stateRestored = "restored"
 )
 
 const (
@@ -40,13 +41,13 @@
 )
 
 // Counter is one gateway's connection to the shared counter. All its fields belong to the loop, the goroutine that runs
-// the functions of runOnLoop. Times are in nanoseconds of the clock now.
+// the functions of runOnLoop.
 type Counter struct {
 	system    sockets.System
 	address   netip.AddrPort
-	timeout   int64 // of a call
+	timeout   time.Duration // of a call
 	runOnLoop func(func())
-	now       func() int64
+	now       func() clock.Instant
 	onAnswer  func(gateway.Event)
 
 	link     *bufconn.Link // nil: not connected
@@ -61,15 +62,15 @@
 // call waits for two replies: to INCRBYFLOAT, then to PEXPIRE.
 type call struct {
 	name             uint64
-	started          int64
+	started          clock.Instant
 	answered         bool // further replies are ignored
 	incrementReplied bool // the reply to INCRBYFLOAT has arrived
 }
 
 // New returns a counter that is not connected yet and uses the sockets of system. onAnswer is called on the loop with
 // the answer of each call.
-func New(system sockets.System, address netip.AddrPort, timeout int64, runOnLoop func(func()), now func() int64,
-	onAnswer func(gateway.Event)) *Counter {
+func New(system sockets.System, address netip.AddrPort, timeout time.Duration, runOnLoop func(func()),
+	now func() clock.Instant, onAnswer func(gateway.Event)) *Counter {
 	return &Counter{
 		system:    system,
 		address:   address,
@@ -81,7 +82,7 @@
 }
 
 // Count adds an amount to a named number, which expires a lifetime after its first call.
-func (c *Counter) Count(name uint64, amount float64, lifetime int64) {
+func (c *Counter) Count(name uint64, amount float64, lifetime time.Duration) {
 	newCall := call{name: name, started: c.now()}
 	if c.link == nil {
 		c.Connect()
@@ -89,7 +90,7 @@
 		return
 	}
 	key := keyPrefix + strconv.FormatUint(name, 10)
-	milliseconds := max(lifetime/int64(time.Millisecond), 1)
+	milliseconds := max(lifetime.Milliseconds(), 1)
 	commands := appendCommand(nil, "INCRBYFLOAT", key, strconv.FormatFloat(amount, 'f', -1, 64))
 	commands = appendCommand(commands, "PEXPIRE", key, strconv.FormatInt(milliseconds, 10), "NX")
 	if !c.link.Out.Write(commands) {
@@ -119,24 +120,24 @@
 		CounterName:  call.name,
 		Result:       result,
 		CounterTotal: total,
-		Latency:      time.Duration(c.now() - call.started),
+		Latency:      c.now().Sub(call.started),
 	})
 }
 
 // Expire times out calls and returns the instant at which to call it next, 0 if no call is in flight. It closes a
 // connection with a call that is long overdue.
-func (c *Counter) Expire(now int64) (next int64) {
+func (c *Counter) Expire(now clock.Instant) (next clock.Instant) {
 	for i := range c.inFlight {
 		call := &c.inFlight[i]
-		if now < call.started+c.timeout {
-			return call.started + c.timeout
+		if timesOutAt := call.started.Add(c.timeout); now < timesOutAt {
+			return timesOutAt
 		}
 		c.finish(call, gateway.TimedOut, 0)
 	}
 	if len(c.inFlight) == 0 {
 		return 0
 	}
-	next = c.inFlight[0].started + overdueFactor*c.timeout
+	next = c.inFlight[0].started.Add(overdueFactor * c.timeout)
 	if now >= next {
 		c.closeLink(c.link, "no answer")
 		return 0
@@ -196,7 +197,7 @@
 	}
 	c.link = link
 	c.noExpiryLogged = false
-	c.logState(stateBack, "")
+	c.logState(stateRestored, "")
 	go c.readReplies(link)
 }
 
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -11,13 +11,12 @@
 	"time"
 
 	"ravensill/gateway"
+	"ravensill/internal/clock"
 	"ravensill/internal/sockets"
 )
 
 const (
-	millisecond = int64(time.Millisecond)
-
-	testTimeout = 50 * millisecond // of a call
+	testTimeout = 50 * time.Millisecond // of a call
 
 	// waitLimit is longer than any step of a test takes on a busy machine.
 	waitLimit = 10 * time.Second
@@ -28,7 +27,7 @@
 	*testing.T
 	counter  *Counter
 	loop     chan func()
-	now      int64
+	now      clock.Instant
 	answers  []string      // since the latest expect
 	server   net.Conn      // the server's end of the connection
 	requests *bufio.Reader // what the server received
@@ -47,10 +46,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	c := &testCounter{T: t, loop: make(chan func(), 100), now: 1000 * millisecond}
+	c := &testCounter{T: t, loop: make(chan func(), 100), now: clock.Instant(time.Second)}
 	address := netip.MustParseAddrPort(listener.Addr().String())
 	runOnLoop := func(f func()) { c.loop <- f }
-	now := func() int64 { return c.now }
+	now := func() clock.Instant { return c.now }
 	onAnswer := func(e gateway.Event) {
 		c.answers = append(c.answers, answer(e.CounterName, e.Result, e.CounterTotal))
 	}
@@ -96,7 +95,7 @@
 // A call is two commands. Answers come in the order of the calls, and a late reply does not answer a later call.
 func TestCountSendsCommandsAndAnswersInOrder(t *testing.T) {
 	c := newTestCounter(t)
-	c.counter.Count(7, 1, 10_000*millisecond)
+	c.counter.Count(7, 1, 10*time.Second)
 	c.counter.Count(8, -2.5, 1)
 	c.counter.Flush()
 	want := "*3\r\n$11\r\nINCRBYFLOAT\r\n$11\r\nravensill:7\r\n$1\r\n1\r\n" +
@@ -112,7 +111,7 @@
 	c.expect(answer(7, gateway.Succeeded, 3), answer(8, gateway.Busy, 0))
 
 	c.counter.Count(9, 1, 1)
-	c.now += testTimeout + 10*millisecond
+	c.now = c.now.Add(testTimeout + 10*time.Millisecond)
 	c.counter.Expire(c.now)
 	c.expect(answer(9, gateway.TimedOut, 0))
 
@@ -129,7 +128,7 @@
 		"null":     func(c *testCounter) { c.reply("$-1\r\n") },
 		"closed":   func(c *testCounter) { c.server.Close() },
 		"silent": func(c *testCounter) {
-			c.now += overdueFactor*testTimeout + millisecond
+			c.now = c.now.Add(overdueFactor*testTimeout + time.Millisecond)
 			c.counter.Expire(c.now)
 		},
 	} {
@@ -145,7 +144,7 @@
 			c.answers = nil
 			c.counter.Count(9, 1, 1)
 			c.expect(answer(9, gateway.Unreachable, 0))
-			if c.counter.Expire(c.now+100*millisecond) != 0 {
+			if c.counter.Expire(c.now.Add(100*time.Millisecond)) != 0 {
 				t.Error("a call is in flight")
 			}
 		})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -131,7 +131,7 @@
 	n.transport = hosts.NewTransport(n.system, n.runOnLoop, n.unixNano, cfg.ReportNames,
 		int64(cfg.ConnectTimeout), int64(idleTimeout), hostDescriptors)
 	if cfg.Counter.IsValid() {
-		n.counter = counter.New(n.system, cfg.Counter, int64(cfg.Limits.CounterTimeout), n.runOnLoop, n.unixNano,
+		n.counter = counter.New(n.system, cfg.Counter, cfg.Limits.CounterTimeout, n.runOnLoop, n.now,
 			n.counterReplied)
 	}
 	return n
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -43,9 +43,9 @@
 	if cfg == nil {
 		return func() {}, nil
 	}
-	var objectives []int64
+	var objectives []time.Duration
 	for i := range n.cfg.Classes {
-		objectives = append(objectives, int64(n.cfg.Classes[i].LatencyObjective))
+		objectives = append(objectives, n.cfg.Classes[i].LatencyObjective)
 	}
 	member := &n.cfg.Membership
 	var task *observer.Observer
@@ -122,7 +122,7 @@
 	}
 	entry.Class = r.command.Class
 	entry.Attempt = started.number
-	entry.SentAt = int64(started.startedAt)
+	entry.SentAt = started.startedAt
 	o.pending[started] = entry
 }
 
@@ -137,7 +137,7 @@
 		return
 	}
 	delete(o.pending, ended)
-	entry.Latency = int64(latency)
+	entry.Latency = latency
 	switch result {
 	case gateway.NotSent:
 		return
--- a/internal/observer/json_test.go
+++ b/internal/observer/json_test.go
@@ -3,21 +3,23 @@
 import (
 	"encoding/json"
 	"testing"
+	"time"
 
 	"ravensill/counterfactual"
+	"ravensill/internal/clock"
 )
 
-// Tools of the operators read the records file and the answers of collectors by these names.
+// Tools of the operators read the records file and the answers of collectors by these names, times in nanoseconds.
 func TestJSONNamesOfRecordsAndCounts(t *testing.T) {
 	entry := Entry{
 		Request: "r-1",
 		Attempt: 2,
-		SentAt:  3,
+		SentAt:  clock.Instant(3 * time.Second),
 		Record: counterfactual.Record{
 			Class:      4,
 			Customer:   5,
 			Candidates: []counterfactual.Candidate{{Host: 6, Incarnation: 7, Zone: 8, Probability: 0.9, Load: 10}},
-			Latency:    11,
+			Latency:    11 * time.Millisecond,
 			End:        counterfactual.Censored,
 		},
 	}
@@ -37,8 +39,8 @@
 		value any
 		want  string
 	}{
-		{entry, `{"Req":"r-1","Try":2,"At":3,"Frontend":4,"Customer":5,` +
-			`"Options":[{"Host":6,"Born":7,"Zone":8,"Chance":0.9,"Load":10}],"Lag":11,"End":1}`},
+		{entry, `{"Req":"r-1","Try":2,"At":3000000000,"Frontend":4,"Customer":5,` +
+			`"Options":[{"Host":6,"Born":7,"Zone":8,"Chance":0.9,"Load":10}],"Lag":11000000,"End":1}`},
 		{state, `{"Merged":1,"Twice":2,"Late":3,"OldLife":4,"Strange":5,"Full":6,"Bin":7,"Sealed":8}`},
 	} {
 		got, err := json.Marshal(test.value)
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"ravensill/counterfactual"
+	"ravensill/internal/clock"
 	"ravensill/internal/config"
 	"ravensill/internal/sockets"
 )
@@ -33,9 +34,9 @@
 
 // Entry is an ended attempt. Its JSON names are those of the records file.
 type Entry struct {
-	Request string `json:"Req"` // id
-	Attempt int    `json:"Try"` // number
-	SentAt  int64  `json:"At"`  // nanoseconds of the gateway's clock
+	Request string        `json:"Req"` // id
+	Attempt int           `json:"Try"` // number
+	SentAt  clock.Instant `json:"At"`  // by the gateway's clock
 	counterfactual.Record
 }
 
@@ -80,10 +81,10 @@
 }
 
 // Open starts the observer of a gateway on the sockets of system. member is the gateway's index of all members. classes
-// and objectives are the names of the request classes and their latency objectives in nanoseconds. An error names the
+// and objectives are the names of the request classes and their latency objectives. An error names the
 // key of the configuration.
 func Open(system sockets.System, config *config.Counterfactual, member, zone, members int, classes []string,
-	objectives []int64) (*Observer, error) {
+	objectives []time.Duration) (*Observer, error) {
 	started := time.Now()
 	o := &Observer{
 		system:      system,
@@ -153,11 +154,11 @@
 }
 
 // newLedger returns the ledger of a collector.
-func (o *Observer) newLedger(members int, objectives []int64) *counterfactual.Ledger {
+func (o *Observer) newLedger(members int, objectives []time.Duration) *counterfactual.Ledger {
 	return counterfactual.NewLedger(counterfactual.Settings{
 		Gateways:   members,
-		Window:     int64(o.config.Window),
-		Grace:      int64(o.config.Grace),
+		Window:     o.config.Window,
+		Grace:      o.config.Grace,
 		KeptBins:   int(o.config.Retention/o.config.Window) + 1,
 		MaxCells:   o.config.MaxLedgerCells,
 		MaxMissing: o.config.MaxMissing,
@@ -257,6 +258,6 @@
 	}
 }
 
-// now returns the ledger's clock in nanoseconds. It is monotonic, unlike the time of day, and starts at an hour, so
-// that the age of a message does not lead before its beginning.
-func (o *Observer) now() int64 { return int64(time.Hour) + int64(time.Since(o.started)) }
+// now returns the time of the ledger's clock. It is monotonic, unlike the time of day, and starts at an hour, so that
+// the age of a message does not lead before its zero.
+func (o *Observer) now() clock.Instant { return clock.Instant(time.Hour + time.Since(o.started)) }
--- a/internal/observer/query.go
+++ b/internal/observer/query.go
@@ -34,8 +34,8 @@
 // CollectorState is the answer to a query of counts.
 type CollectorState struct {
 	counterfactual.Counts
-	Bin    int64 // the current one
-	Sealed int64 // the latest one that no longer changes
+	Bin    counterfactual.BinNumber // the current one
+	Sealed counterfactual.BinNumber // the latest one that no longer changes
 }
 
 // pendingQuery is a query that waits for the loop.
@@ -150,8 +150,8 @@
 func (o *Observer) answer(query *Query) (answers []any) {
 	now := o.now()
 	if query.Counts {
-		window := int64(o.config.Window)
-		return []any{CollectorState{Counts: o.ledger.Counts, Bin: now / window, Sealed: o.ledger.Sealed(now)}}
+		state := CollectorState{Counts: o.ledger.Counts, Bin: o.ledger.BinAt(now), Sealed: o.ledger.Sealed(now)}
+		return []any{state}
 	}
 	var classes []int
 	for i, name := range o.classes {
@@ -165,7 +165,7 @@
 	from := o.ledger.First()
 	to := o.ledger.Sealed(now)
 	if query.Windows > 0 {
-		from = max(from, to-int64(query.Windows)+1)
+		from = max(from, to-counterfactual.BinNumber(query.Windows)+1)
 	}
 	for _, class := range classes {
 		ofClass, err := o.answerClass(query, class, from, to)
@@ -178,7 +178,7 @@
 }
 
 // answerClass returns the answers to a query for one request class over a range of bins.
-func (o *Observer) answerClass(query *Query, class int, from, to int64) (answers []any, err error) {
+func (o *Observer) answerClass(query *Query, class int, from, to counterfactual.BinNumber) (answers []any, err error) {
 	switch {
 	case query.Rule != "":
 		rule, ok := counterfactual.ParseRule(query.Rule)
--- a/lab/groundtruth/records.go
+++ b/lab/groundtruth/records.go
@@ -123,7 +123,7 @@
 	}
 	command := commands[i].command
 	hostTime := float64(command.ResponseTime) / 1e6
-	overhead := max(float64(entry.Latency-int64(command.ResponseTime))/1e6, 0) // ms; of an attempt that was cut off, at least
+	overhead := max(float64(entry.Latency-command.ResponseTime)/1e6, 0) // ms; of an attempt that was cut off, at least
 	if overhead > 10+hostTime/4 {
 		r.delayed++
 	}
@@ -166,7 +166,7 @@
 		model := f.Host(number).Model
 		if k == 0 {
 			times[k] = float64(command.ResponseTime)/1e6 + overhead
-		} else if time, _, ok := hosts.logs[number].ResponseTimeAt(model, entry.Request, command.Class, entry.SentAt); ok {
+		} else if time, _, ok := hosts.logs[number].ResponseTimeAt(model, entry.Request, command.Class, int64(entry.SentAt)); ok {
 			times[k] = float64(time)/1e6 + overhead
 		}
 		if model.Fails(entry.Request) {
--- a/lab/simenv/gateway.go
+++ b/lab/simenv/gateway.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"ravensill/counterfactual"
+	"ravensill/internal/clock"
 )
 
 const (
@@ -138,7 +139,7 @@
 		e.Undecodable++
 		return
 	}
-	if e.Ledger.Receive(part, e.now) && e.random.Float64() >= e.config.Network.Loss {
+	if e.Ledger.Receive(part, clock.Instant(e.now)) && e.random.Float64() >= e.config.Network.Loss {
 		m.confirmed = true
 	}
 }
--- a/lab/simenv/request.go
+++ b/lab/simenv/request.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"slices"
+	"time"
 
 	"ravensill/counterfactual"
 )
@@ -154,7 +155,7 @@
 		Class:      a.class,
 		Customer:   uint32(hashMix(uint64(a.customer) + 3)),
 		Candidates: a.candidates,
-		Latency:    int64(latency * 1e6),
+		Latency:    time.Duration(latency * 1e6),
 		End:        end,
 	})
 }
--- a/lab/simenv/simenv.go
+++ b/lab/simenv/simenv.go
@@ -9,6 +9,7 @@
 import (
 	"math"
 	"math/rand/v2"
+	"time"
 
 	"ravensill/counterfactual"
 	"ravensill/lab/schedule"
@@ -23,10 +24,10 @@
 // Environment is a run that has ended.
 type Environment struct {
 	Ledger      *counterfactual.Ledger
-	From        int64 // first bin of the run
-	To          int64 // last bin of the run
-	Undecodable int   // messages that could not be decoded
-	LostRecords int   // attempts whose record was never reported
+	From        counterfactual.BinNumber // first bin of the run
+	To          counterfactual.BinNumber // last bin of the run
+	Undecodable int                      // messages that could not be decoded
+	LostRecords int                      // attempts whose record was never reported
 
 	config          Config
 	random          *rand.Rand
@@ -56,8 +57,8 @@
 	e.scheduleRequest(0)
 	end := e.begin + config.Duration
 	e.runUntil(end + 20*config.Window)
-	e.From = e.begin / config.Window
-	e.To = end/config.Window + 2
+	e.From = counterfactual.BinNumber(e.begin / config.Window)
+	e.To = counterfactual.BinNumber(end/config.Window + 2)
 	return e
 }
 
@@ -65,14 +66,14 @@
 func newLedger(config Config) *counterfactual.Ledger {
 	settings := counterfactual.Settings{
 		Gateways:   config.Gateways,
-		Window:     config.Window,
-		Grace:      3 * config.Window,
+		Window:     time.Duration(config.Window),
+		Grace:      time.Duration(3 * config.Window),
 		KeptBins:   int(config.Duration/config.Window) + 50,
 		MaxCells:   1 << 20,
 		MaxMissing: 0.05,
-		Objectives: config.Objectives,
 	}
-	for i := range config.Objectives {
+	for i, objective := range config.Objectives {
+		settings.Objectives = append(settings.Objectives, time.Duration(objective))
 		settings.Classes = append(settings.Classes, string(rune('a'+i)))
 	}
 	return counterfactual.NewLedger(settings)
