--- a/cmd/ravensill-publisher/main_test.go
+++ b/cmd/ravensill-publisher/main_test.go
@@ -73,12 +73,39 @@
 	}
 }
 
-// writeSettings writes a settings file and returns its path.
-func writeSettings(t *testing.T, settings map[string]any) string {
-	text, err := json.Marshal(settings)
+// publisherSettings are the settings of a publisher's replica.
+type publisherSettings struct {
+	Index          int      `json:"index"`
+	Listen         string   `json:"listen"`
+	RaftListen     string   `json:"raft_listen"`
+	RaftAddresses  []string `json:"raft"`
+	AdminListen    string   `json:"admin_listen"`
+	AdminAddresses []string `json:"admin"`
+	Directory      string   `json:"dir"`
+	Key            string   `json:"key"`
+	ElectionMS     int      `json:"election_ms"`
+}
+
+// defaultSettings returns the text of the settings of a publisher's only replica.
+func defaultSettings(t *testing.T) []byte {
+	text, err := json.Marshal(publisherSettings{
+		Listen:         "127.0.0.1:0",
+		RaftListen:     "127.0.0.1:0",
+		RaftAddresses:  []string{"127.0.0.1:1"},
+		AdminListen:    "127.0.0.1:0",
+		AdminAddresses: []string{"127.0.0.1:1"},
+		Directory:      t.TempDir(),
+		Key:            strings.Repeat("0f", 16),
+		ElectionMS:     200,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
+	return text
+}
+
+// writeSettings writes a settings file and returns its path.
+func writeSettings(t *testing.T, text []byte) string {
 	file := filepath.Join(t.TempDir(), "publisher.json")
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		t.Fatal(err)
@@ -86,23 +113,9 @@
 	return file
 }
 
-func settings(t *testing.T) map[string]any {
-	return map[string]any{
-		"index":        0,
-		"listen":       "127.0.0.1:0",
-		"raft_listen":  "127.0.0.1:0",
-		"raft":         []string{"127.0.0.1:1"},
-		"admin_listen": "127.0.0.1:0",
-		"admin":        []string{"127.0.0.1:1"},
-		"dir":          t.TempDir(),
-		"key":          strings.Repeat("0f", 16),
-		"election_ms":  200,
-	}
-}
-
-// A publisher keeps its versions through a stop by SIGTERM.
+// TestPublisherKeepsVersionsAfterSIGTERM restarts a publisher: its version is the one before the stop.
 func TestPublisherKeepsVersionsAfterSIGTERM(t *testing.T) {
-	file := writeSettings(t, settings(t))
+	file := writeSettings(t, defaultSettings(t))
 	p := start(t, file)
 	p.line("event=publisher_leader_changed leader=true")
 	url := "http://" + p.started[2] + "/v1/configuration"
@@ -134,10 +147,10 @@
 	p.stop()
 }
 
-// A publisher with an unknown key in its settings exits with the code for bad settings and names the key.
+// TestPublisherRefusesUnknownKey checks that a publisher with an unknown key in its settings exits with the code
+// for bad settings and names the key.
 func TestPublisherRefusesUnknownKey(t *testing.T) {
-	bad := settings(t)
-	bad["adress"] = ""
+	bad := append([]byte(`{"adress":"",`), defaultSettings(t)[len("{"):]...)
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), runMain+"=1", "PUBLISHER_CONFIG="+writeSettings(t, bad))
 	cmd.WaitDelay = time.Minute
--- a/cmd/ravensill/clients_test.go
+++ b/cmd/ravensill/clients_test.go
@@ -11,7 +11,7 @@
 )
 
 // configureFewSockets leaves about 20 descriptors for clients.
-func configureFewSockets(config, _ map[string]any) { config["limits"] = map[string]any{"sockets": 64} }
+func configureFewSockets(config *gatewayConfig) { config.Resources = resourceLimits{Sockets: 64} }
 
 // TestLongestIdleClientIsEvictedForNext connects more clients than the descriptors allow.
 func TestLongestIdleClientIsEvictedForNext(t *testing.T) {
@@ -152,7 +152,7 @@
 // and clients that send commands are served.
 func TestWatchAndClientsServedWithDescriptorsExhausted(t *testing.T) {
 	a, b := valueHost(t), valueHost(t)
-	gateway := startGateway(t, func(config, _ map[string]any) { config["ulimit"] = 64 }, a, b)
+	gateway := startGateway(t, func(config *gatewayConfig) { config.DescriptorLimit = 64 }, a, b)
 	gateway.waitForLog("event=descriptor_limit_low limit=64 sockets=1024")
 	receive(gateway, gateway.watchRequests)
 	watch := receive(gateway, gateway.watches)
@@ -173,7 +173,7 @@
 	defer agent.Close()
 	go gateway.serveDiscovery(agent)
 	receive(gateway, gateway.watchRequests)
-	sendHostList(receive(gateway, gateway.watches), 42, hostEntry("h0", a.Addr().String(), "leaving"))
+	sendHostList(receive(gateway, gateway.watches), 42, newHostEntry("h0", a.Addr().String(), "leaving"))
 	gateway.waitForLog("event=endpoint_state id=h0 state=draining version=42")
 	for i := range 8 {
 		gateway.connect() // a silent one before each that sends a command
@@ -187,8 +187,8 @@
 // it, and that others are served.
 func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
 	large := successReply(strings.Repeat("v", 60<<10))
-	gateway := startGateway(t, func(_, settings map[string]any) {
-		settings["plans"] = []any{map[string]any{"name": "team", "worth_factor": 1}} // no quota
+	gateway := startGateway(t, func(config *gatewayConfig) {
+		config.Settings.Plans = []quotaPlan{{Name: "team", PriorityWeight: 1}} // no quota
 	}, newHost(t, func([]string) string { return large }))
 	slow := gateway.connect()
 	go func() {
--- a/cmd/ravensill/configuration_test.go
+++ b/cmd/ravensill/configuration_test.go
@@ -26,13 +26,13 @@
  "limits":{"max_attempts":3,"retry_after":true}}`
 
 // followPublishers turns the section on in a gateway's configuration.
-func followPublishers(group *publishertest.Group, dir string) func(config, settings map[string]any) {
-	return func(config, _ map[string]any) {
+func followPublishers(group *publishertest.Group, dir string) func(*gatewayConfig) {
+	return func(config *gatewayConfig) {
 		var addresses []string
 		for _, replica := range group.Configs {
 			addresses = append(addresses, replica.Listen.String())
 		}
-		config["configuration"] = map[string]any{"publishers": addresses, "dir": dir}
+		config.Configuration = &configurationSection{Publishers: addresses, Directory: dir}
 	}
 }
 
@@ -194,11 +194,11 @@
 }
 
 // check starts a gateway with the saved file and sends a request on each of two plans.
-func (r *restart) check(t *testing.T, host *testHost, follow func(config, settings map[string]any)) {
-	gateway := startGateway(t, func(config, settings map[string]any) {
-		follow(config, settings)
+func (r *restart) check(t *testing.T, host *testHost, follow func(*gatewayConfig)) {
+	gateway := startGateway(t, func(config *gatewayConfig) {
+		follow(config)
 		if r.timeoutUS > 0 {
-			limitClientTimeouts(t, config, settings, r.timeoutUS)
+			limitClientTimeouts(t, config, r.timeoutUS)
 		}
 	}, host)
 	if log := strings.Join(gateway.startupLog, "\n"); !strings.Contains(log, r.logged) {
@@ -217,21 +217,21 @@
 
 // limitClientTimeouts sets the request classes' client timeouts, and turns the section pool on, which refuses longer
 // ones.
-func limitClientTimeouts(t *testing.T, config, settings map[string]any, timeoutUS int) {
-	for _, class := range settings["profiles"].([]any) {
-		class.(map[string]any)["hard_limit_us"] = timeoutUS
+func limitClientTimeouts(t *testing.T, config *gatewayConfig, timeoutUS int) {
+	for i := range config.Settings.Classes {
+		config.Settings.Classes[i].TimeoutUS = timeoutUS
 	}
-	config["pool"] = poolSection(t, 1)
+	config.Pool = newPoolSection(t, 1)
 }
 
 // TestGossipFollowsMemberAddresses has a fleet of one grow by a member, whose address is then replaced.
 func TestGossipFollowsMemberAddresses(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	follow := followPublishers(group, t.TempDir())
-	gateway := startGateway(t, func(config, settings map[string]any) {
-		follow(config, settings)
-		config["peer_listen"] = "127.0.0.1:0"
-		config["peers"] = []string{"127.0.0.1:9"}
+	gateway := startGateway(t, func(config *gatewayConfig) {
+		follow(config)
+		config.PeerListen = "127.0.0.1:0"
+		config.Peers = []string{"127.0.0.1:9"}
 	}, valueHost(t))
 	gateway.waitInForce(group.Publish(0, "PUT", "/v1/configuration", fleetContent))
 	for range 2 {
@@ -325,12 +325,10 @@
 	group, dir := publishertest.NewGroup(t, 1, nil), t.TempDir()
 	follow := followPublishers(group, dir)
 	start := func(on bool) (*gatewayProcess, []byte) {
-		gateway := startGateway(t, func(config, settings map[string]any) {
-			settings["balancers"] = 2
-			config["peer_listen"] = "127.0.0.1:0"
-			config["peers"] = []string{"127.0.0.1:9", member.LocalAddr().String()}
+		gateway := startGateway(t, func(config *gatewayConfig) {
+			configureTwoMembers(config, "127.0.0.1:9", member.LocalAddr().String())
 			if on {
-				follow(config, settings)
+				follow(config)
 			}
 		}, valueHost(t))
 		return gateway, readDatagram(t, member)
--- a/cmd/ravensill/counter_test.go
+++ b/cmd/ravensill/counter_test.go
@@ -45,15 +45,12 @@
 
 // startCountingGateway starts a gateway with a quota plan that has no rate and a cap of 2 requests in flight.
 func startCountingGateway(t *testing.T, counter *counterServer) *gatewayProcess {
-	gateway := startGateway(t, func(config, settings map[string]any) {
-		settings["balancers"] = 2
-		config["peer_listen"] = "127.0.0.1:0"
-		config["peers"] = []string{"127.0.0.1:1", "127.0.0.1:2"}
-		config["counter"] = counter.Addr().String()
-		settings["family_info"] = map[string]any{"mail_per_s": 40, "shared_counter": true, "count_wait_us": 50000}
-		settings["plans"] = []any{
-			map[string]any{"name": "team", "parallel": 2, "beyond_costs": 0.5, "worth_factor": 1},
-		}
+	gateway := startGateway(t, func(config *gatewayConfig) {
+		configureTwoMembers(config, "127.0.0.1:1", "127.0.0.1:2")
+		config.Counter = counter.Addr().String()
+		config.Settings.Gossip.SharedCounter = true
+		config.Settings.Gossip.CounterTimeoutUS = 50000
+		config.Settings.Plans = []quotaPlan{{Name: "team", MaxInFlight: 2, OverCapCost: 0.5, PriorityWeight: 1}}
 	}, valueHost(t))
 	gateway.waitForLog("event=counter_restored")
 	return gateway
--- a/cmd/ravensill/endpoint_list_test.go
+++ b/cmd/ravensill/endpoint_list_test.go
@@ -32,8 +32,8 @@
 	io.WriteString(watch, "1\r\n\n\r\n9\r\n{\"no\":\n1}\r\n")
 	gateway.waitForLog("event=endpoint_list_rejected")
 	sendHostList(watch, 43,
-		hostEntry("h0", a.Addr().String(), "leaving"),
-		hostEntry("h2", c.Addr().String(), "active"),
+		newHostEntry("h0", a.Addr().String(), "leaving"),
+		newHostEntry("h2", c.Addr().String(), "active"),
 	)
 	gateway.waitForLog("event=endpoint_state id=h0 state=draining version=43")
 	serveEight := func() {
@@ -50,7 +50,7 @@
 	watch.Close()
 	gateway.waitForLog("event=endpoint_watch_lost")
 	watch = gateway.checkWatchRequest("43")
-	sendHostList(watch, 44, hostEntry("h1", "", "left"))
+	sendHostList(watch, 44, newHostEntry("h1", "", "left"))
 	gateway.waitForLog("event=endpoint_watch_restored")
 	gateway.waitForLog("event=endpoint_state id=h1 state=gone version=44")
 	io.WriteString(watch, "2\r\n{]\r\n") // the end of this value can't be found
@@ -120,9 +120,9 @@
 	defer agent.Close()
 	watchRequests := make(chan string, 9)
 	go serveBrokenWatch(agent, watchRequests, a, b, fault)
-	gateway := startGateway(t, func(config, settings map[string]any) {
-		config["discovery"] = agent.Addr().String()
-		settings["membership_mode"] = mode
+	gateway := startGateway(t, func(config *gatewayConfig) {
+		config.Discovery = agent.Addr().String()
+		config.Settings.MembershipMode = mode
 	}, a, b)
 	after := []string{"after=41 ", "after=42 ", "after=42 "}
 	want := "v"
@@ -152,18 +152,18 @@
 		}
 		request, _ := bufio.NewReader(conn).ReadString('\n')
 		watchRequests <- request
-		list := func(entry map[string]any) string {
-			text, _ := json.Marshal(map[string]any{"version": 42 + n, "full": false, "servers": []any{entry}})
+		list := func(entry hostEntry) string {
+			text, _ := json.Marshal(hostList{Version: 42 + n, Hosts: []hostEntry{entry}})
 			return string(text)
 		}
 		switch n {
 		case 0:
-			io.WriteString(conn, okHead+list(hostEntry("h0", a.Addr().String(), "active")))
+			io.WriteString(conn, okHead+list(newHostEntry("h0", a.Addr().String(), "active")))
 			resetOnClose(conn)
 		case 1:
-			fault(conn, list(hostEntry("h1", b.Addr().String(), "leaving")))
+			fault(conn, list(newHostEntry("h1", b.Addr().String(), "leaving")))
 		default:
-			io.WriteString(conn, okHead+list(hostEntry("h0", a.Addr().String(), "leaving")))
+			io.WriteString(conn, okHead+list(newHostEntry("h0", a.Addr().String(), "leaving")))
 			io.Copy(io.Discard, conn)
 		}
 		conn.Close()
@@ -174,7 +174,7 @@
 // together: the drain applies before the first of the requests is sent, whichever came first.
 func TestPausedGatewayAppliesDrainBeforeRequests(t *testing.T) {
 	a, b := valueHost(t), valueHost(t)
-	gateway := startGateway(t, func(_, settings map[string]any) { setBurst(settings, ampleBurst) }, a, b)
+	gateway := startGateway(t, configureAmpleBurst, a, b)
 	watch := receive(gateway, gateway.watches)
 	var clients []*testClient
 	for i := range 40 {
@@ -190,7 +190,7 @@
 		for i, c := range clients {
 			c.send(requestCommand("lookup", 100+i))
 		}
-		sendHostList(watch, 50+batch, hostEntry("h0", a.Addr().String(), state))
+		sendHostList(watch, 50+batch, newHostEntry("h0", a.Addr().String(), state))
 		gateway.cmd.Process.Signal(syscall.SIGCONT)
 		for _, c := range clients {
 			if got := c.readAnswer(); got != "v" && !strings.HasPrefix(got, "-BUSY") {
@@ -206,8 +206,8 @@
 // TestFirstListAppliesBeforeClients checks that the agent's host list applies before the first client is accepted.
 func TestFirstListAppliesBeforeClients(t *testing.T) {
 	a, b := valueHost(t), valueHost(t)
-	gateway := startGateway(t, func(config, _ map[string]any) {
-		config["agent"] = []any{hostEntry("h0", a.Addr().String(), "leaving")}
+	gateway := startGateway(t, func(config *gatewayConfig) {
+		config.AgentHosts = []hostEntry{newHostEntry("h0", a.Addr().String(), "leaving")}
 	}, a, b)
 	gateway.waitForLog("event=endpoint_state id=h0 state=draining version=41")
 	gateway.waitForLog("event=serving")
@@ -226,8 +226,8 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	gateway := startGateway(t, func(config, _ map[string]any) {
-		config["discovery"] = silent.Addr().String()
+	gateway := startGateway(t, func(config *gatewayConfig) {
+		config.Discovery = silent.Addr().String()
 	}, valueHost(t))
 	gateway.waitForLog("event=endpoint_list_timeout version=41")
 	gateway.waitForLog("event=serving")
--- a/cmd/ravensill/gossip_test.go
+++ b/cmd/ravensill/gossip_test.go
@@ -21,11 +21,9 @@
 	}
 	var gateways [2]*gatewayProcess
 	for i := range gateways {
-		gateways[i] = startGateway(t, func(config, settings map[string]any) {
-			settings["balancers"] = 2
-			settings["position"] = i
-			config["peer_listen"] = "127.0.0.1:0"
-			config["peers"] = addrs
+		gateways[i] = startGateway(t, func(config *gatewayConfig) {
+			configureTwoMembers(config, addrs...)
+			config.Settings.MemberIndex = i
 		}, host)
 	}
 	peerAddr, _ := net.ResolveUDPAddr("udp4", gateways[1].peerAddr)
@@ -38,7 +36,7 @@
 				return
 			}
 			relays[0].WriteToUDP(message[:n], peerAddr)
-			if reportsWholeBurst(message[:n]) {
+			if reportsFullBurst(message[:n]) {
 				reported <- struct{}{}
 			}
 		}
@@ -68,16 +66,16 @@
 	}
 }
 
-// reportsWholeBurst reports whether a message holds a counter of 8 units.
-func reportsWholeBurst(message []byte) (whole bool) {
+// reportsFullBurst reports whether a message holds a counter of 8 units.
+func reportsFullBurst(message []byte) (found bool) {
 	const units, unitParts = 8, 16
 	gossip.Format{Plans: 1, Members: 2}.Decode(message,
 		func(uint64, uint64) bool { return true },
 		func(uint16) {},
 		func(_, _ uint32, _, _ int, counter, _ uint64) {
 			if counter == units*unitParts {
-				whole = true
+				found = true
 			}
 		})
-	return whole
+	return found
 }
--- a/cmd/ravensill/harness_config_test.go
+++ b/cmd/ravensill/harness_config_test.go
@@ -1,116 +1,250 @@
 package main
 
 import (
-	"bufio"
 	"encoding/json"
 	"fmt"
-	"io"
-	"net"
+	"testing"
 )
 
-// defaultSettings returns the settings of a gateway that runs alone.
-func defaultSettings() map[string]any {
-	requestClass := func(name, effect string, latencyObjectiveUS int) map[string]any {
-		return map[string]any{
-			"name":          name,
-			"effect":        effect,
-			"target_us":     latencyObjectiveUS,
-			"hard_limit_us": 5000000,
-			"points":        1,
-			"window_us":     5000000,
-		}
+// gatewayConfig is the configuration file of a gateway.
+type gatewayConfig struct {
+	Name           string                 `json:"name"`
+	Listen         string                 `json:"listen"`
+	PeerListen     string                 `json:"peer_listen,omitempty"`
+	Peers          []string               `json:"peers,omitempty"`
+	Discovery      string                 `json:"discovery"`
+	Counter        string                 `json:"counter,omitempty"`
+	Seed           string                 `json:"seed"`
+	Resources      resourceLimits         `json:"limits"`
+	Known          hostList               `json:"known"`
+	Settings       gatewaySettings        `json:"settings"`
+	Configuration  *configurationSection  `json:"configuration,omitempty"`
+	Counterfactual *counterfactualSection `json:"counterfactual,omitempty"`
+	Pool           *poolSection           `json:"pool,omitempty"`
+
+	// What follows is for the test harness; the gateway ignores the keys.
+
+	AgentHosts      []hostEntry `json:"agent,omitempty"`  // the agent's list from its first answer on
+	DescriptorLimit int         `json:"ulimit,omitempty"` // of the process; 0: the limit of the test
+
+	// edit changes the text of the file, for a test of text that the types cannot express.
+	edit func(text []byte) []byte
+}
+
+// resourceLimits bound what a gateway takes of its machine.
+type resourceLimits struct {
+	MemoryMB int `json:"memory_mb,omitempty"`
+	Sockets  int `json:"sockets,omitempty"`
+}
+
+// hostList is a list of hosts, or a delta of one.
+type hostList struct {
+	Version int         `json:"version"`
+	Full    bool        `json:"full"`
+	Hosts   []hostEntry `json:"servers"`
+}
+
+// hostEntry is one host of a host list.
+type hostEntry struct {
+	ID          string `json:"id"`
+	Address     string `json:"addr"`
+	Zone        string `json:"zone"`
+	MachineType string `json:"kind"`
+	Cell        int    `json:"cell"`
+	State       string `json:"state"`
+	Weight      int    `json:"weight"`
+	StartedMS   int    `json:"started_ms"`
+}
+
+// gatewaySettings are the settings that the gateways of a deployment share.
+type gatewaySettings struct {
+	Members        int            `json:"balancers"`
+	MemberIndex    int            `json:"position"`
+	Zones          []string       `json:"zones"`
+	MachineTypes   []string       `json:"skus"`
+	MembershipMode string         `json:"membership_mode,omitempty"`
+	Limits         requestLimits  `json:"limits"`
+	Classes        []requestClass `json:"profiles"`
+	Plans          []quotaPlan    `json:"plans"`
+	LoadReport     loadReport     `json:"report"`
+	Gossip         gossipSettings `json:"family_info"`
+}
+
+// requestLimits bound what a gateway does for a request.
+type requestLimits struct {
+	MaxAttempts      int  `json:"max_attempts"`
+	Cancellation     bool `json:"cancelling"`
+	RetryAfter       bool `json:"retry_after"`
+	ConnIdleUS       int  `json:"conn_idle_us"`
+	ConnectTimeoutUS int  `json:"connect_timeout_us"`
+	Gossip           bool `json:"peer_messages"`
+}
+
+type requestClass struct {
+	Name               string `json:"name"`
+	Effect             string `json:"effect"`
+	LatencyObjectiveUS int    `json:"target_us"`
+	TimeoutUS          int    `json:"hard_limit_us"`
+	Points             int    `json:"points"`
+	WindowUS           int    `json:"window_us"`
+}
+
+type quotaPlan struct {
+	Name           string  `json:"name"`
+	Rate           float64 `json:"rate,omitempty"`
+	Burst          float64 `json:"burst,omitempty"`
+	MaxInFlight    int     `json:"parallel,omitempty"`
+	OverCapCost    float64 `json:"beyond_costs,omitempty"`
+	PriorityWeight float64 `json:"worth_factor"`
+}
+
+// loadReport says how hosts report their load, and which fields.
+type loadReport struct {
+	Mode   string   `json:"how"`
+	Fields []string `json:"names"`
+}
+
+type gossipSettings struct {
+	MessagesPerSecond int  `json:"mail_per_s"`
+	SharedCounter     bool `json:"shared_counter,omitempty"`
+	CounterTimeoutUS  int  `json:"count_wait_us,omitempty"`
+}
+
+// configurationSection makes a gateway follow publishers.
+type configurationSection struct {
+	Publishers []string `json:"publishers"`
+	Directory  string   `json:"dir"`
+}
+
+// counterfactualSection turns the counterfactual observer on.
+type counterfactualSection struct {
+	Listen     string   `json:"listen"`
+	Peers      []string `json:"peers,omitempty"`
+	Collectors []int    `json:"collectors,omitempty"` // member indexes
+	Fraction   float64  `json:"part,omitempty"`       // of the requests that are observed
+	WindowMS   int      `json:"window_ms,omitempty"`
+	GraceMS    int      `json:"grace_ms,omitempty"`
+	QueueSize  int      `json:"queue,omitempty"`
+}
+
+// poolSection turns the connection pool with leases on.
+type poolSection struct {
+	Capacity     int      `json:"capacity"`
+	Floor        int      `json:"floor"`
+	Voters       []string `json:"voters"`
+	VoterMembers []int    `json:"voter_seats"` // member indexes
+	Listen       string   `json:"listen"`
+	Directory    string   `json:"dir"`
+	Key          string   `json:"key"`
+}
+
+// newGatewayConfig returns the configuration of a gateway that runs alone with some hosts.
+func newGatewayConfig(discovery string, hosts []*testHost) *gatewayConfig {
+	return &gatewayConfig{
+		Name:      "n0",
+		Listen:    "127.0.0.1:0",
+		Discovery: discovery,
+		Seed:      "8c1f30d27a5be964",
+		Resources: resourceLimits{MemoryMB: 192, Sockets: 1024},
+		Known:     hostList{Version: 41, Full: true, Hosts: activeHosts(hosts)},
+		Settings:  defaultSettings(),
 	}
-	return map[string]any{
-		"balancers": 1,
-		"position":  0,
-		"zones":     []string{"a"},
-		"skus":      []string{"m"},
-		"limits": map[string]any{
-			"max_attempts":       3,
-			"cancelling":         true,
-			"retry_after":        true,
-			"conn_idle_us":       30000000,
-			"connect_timeout_us": 250000,
-			"peer_messages":      true,
+}
+
+// defaultSettings returns the settings of a gateway that runs alone.
+func defaultSettings() gatewaySettings {
+	return gatewaySettings{
+		Members:      1,
+		Zones:        []string{"a"},
+		MachineTypes: []string{"m"},
+		Limits: requestLimits{
+			MaxAttempts:      3,
+			Cancellation:     true,
+			RetryAfter:       true,
+			ConnIdleUS:       30000000,
+			ConnectTimeoutUS: 250000,
+			Gossip:           true,
 		},
-		"profiles": []any{
-			requestClass("lookup", "safe", 4000000),
-			requestClass("order", "keyed", 4000000),
-			requestClass("pay", "unsafe", 4000000),
-			requestClass("quick", "safe", 300000),
+		Classes: []requestClass{
+			newRequestClass("lookup", "safe", 4000000),
+			newRequestClass("order", "keyed", 4000000),
+			newRequestClass("pay", "unsafe", 4000000),
+			newRequestClass("quick", "safe", 300000),
 		},
-		"plans":       []any{map[string]any{"name": "team", "rate": 0.01, "burst": 8, "worth_factor": 1}},
-		"report":      map[string]any{"how": "inline", "names": []string{"utilization"}},
-		"family_info": map[string]any{"mail_per_s": 40},
+		Plans:      []quotaPlan{{Name: "team", Rate: 0.01, Burst: 8, PriorityWeight: 1}},
+		LoadReport: loadReport{Mode: "inline", Fields: []string{"utilization"}},
+		Gossip:     gossipSettings{MessagesPerSecond: 40},
+	}
+}
+
+func newRequestClass(name, effect string, latencyObjectiveUS int) requestClass {
+	return requestClass{
+		Name:               name,
+		Effect:             effect,
+		LatencyObjectiveUS: latencyObjectiveUS,
+		TimeoutUS:          5000000,
+		Points:             1,
+		WindowUS:           5000000,
 	}
 }
 
-// hostList returns the entries of hosts, with the ids h0, h1, ...
-func hostList(hosts []*testHost) (entries []any) {
+// activeHosts returns the entries of hosts, with the ids h0, h1, ...
+func activeHosts(hosts []*testHost) (entries []hostEntry) {
 	for i, host := range hosts {
-		entries = append(entries, hostEntry(fmt.Sprint("h", i), host.Addr().String(), "active"))
+		entries = append(entries, newHostEntry(fmt.Sprint("h", i), host.Addr().String(), "active"))
 	}
 	return entries
 }
 
+func newHostEntry(id, address, state string) hostEntry {
+	return hostEntry{
+		ID:          id,
+		Address:     address,
+		Zone:        "a",
+		MachineType: "m",
+		State:       state,
+		Weight:      1,
+	}
+}
+
 // ampleBurst is more units than any test spends.
 const ampleBurst = 1e6
 
-// setBurst sets the burst of the settings' quota plan.
-func setBurst(settings map[string]any, burst float64) {
-	settings["plans"].([]any)[0].(map[string]any)["burst"] = burst
-}
+// configureAmpleBurst gives the quota plan a burst that no test spends.
+func configureAmpleBurst(config *gatewayConfig) { config.Settings.Plans[0].Burst = ampleBurst }
 
 // configureShortDeadlines sets client timeouts so short that a gateway ends all connections 0.8 s after SIGTERM.
-func configureShortDeadlines(_, settings map[string]any) {
-	for _, entry := range settings["profiles"].([]any) {
-		class := entry.(map[string]any)
-		class["target_us"] = 200000
-		class["hard_limit_us"] = 300000
+func configureShortDeadlines(config *gatewayConfig) {
+	for i := range config.Settings.Classes {
+		class := &config.Settings.Classes[i]
+		class.LatencyObjectiveUS = 200000
+		class.TimeoutUS = 300000
 	}
 }
 
-// hostEntry is one host of a host list, as discovery sends it.
-func hostEntry(id, addr, state string) map[string]any {
-	return map[string]any{
-		"id":         id,
-		"addr":       addr,
-		"zone":       "a",
-		"kind":       "m",
-		"cell":       0,
-		"state":      state,
-		"weight":     1,
-		"started_ms": 0,
-	}
+// configureTwoMembers makes a gateway the first of two members that gossip.
+func configureTwoMembers(config *gatewayConfig, peers ...string) {
+	config.Settings.Members = 2
+	config.PeerListen = "127.0.0.1:0"
+	config.Peers = peers
 }
 
-// serveDiscovery is a discovery agent: it answers each watch at once with entries.
-func (g *gatewayProcess) serveDiscovery(agent net.Listener, entries ...any) {
-	for {
-		conn, err := agent.Accept()
-		if err != nil {
-			return
-		}
-		reader := bufio.NewReader(conn)
-		requestLine, _ := reader.ReadString('\n')
-		for line := requestLine; len(line) > 2; {
-			line, _ = reader.ReadString('\n')
-		}
-		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		version := 0
-		fmt.Sscanf(requestLine, "GET /v1/servers?watch=1&after=%d ", &version)
-		sendHostList(conn, version, entries...)
-		g.watchRequests <- requestLine
-		g.watches <- conn
+// setKey returns the text of a JSON object with the value of a key replaced, or added.
+func setKey(t *testing.T, object []byte, key, value string) []byte {
+	t.Helper()
+	values := map[string]json.RawMessage{}
+	if err := json.Unmarshal(object, &values); err != nil {
+		t.Fatal(err)
 	}
+	values[key] = json.RawMessage(value)
+	return encodeJSON(t, values)
 }
 
-// sendHostList sends a delta of the host list in two HTTP chunks; odd versions are indented.
-func sendHostList(conn net.Conn, version int, entries ...any) {
-	update := map[string]any{"version": version, "full": false, "servers": entries}
-	text, _ := json.Marshal(update)
-	if version%2 == 1 {
-		text, _ = json.MarshalIndent(update, "", "\t")
+func encodeJSON(t *testing.T, value any) []byte {
+	t.Helper()
+	text, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
 	}
-	fmt.Fprintf(conn, "%x\r\n%s\r\n%x\r\n%s\n\r\n", 5, text[:5], len(text)-4, text[5:])
+	return text
 }
--- a/cmd/ravensill/harness_test.go
+++ b/cmd/ravensill/harness_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net"
@@ -38,7 +37,7 @@
 	cmd            *exec.Cmd
 	configFile     string
 	discoveryAgent net.Listener // the agent named by the first configuration
-	config         map[string]any
+	config         *gatewayConfig
 	addr           string        // where clients connect
 	peerAddr       string        // where datagrams of other gateways arrive
 	startError     string        // log line of a start that failed
@@ -53,7 +52,7 @@
 
 // startGateway writes a configuration, changed by configure if that is not nil, starts a gateway with it and a
 // discovery agent beside it, and waits until the gateway serves or has failed to start.
-func startGateway(t *testing.T, configure func(config, settings map[string]any), hosts ...*testHost) *gatewayProcess {
+func startGateway(t *testing.T, configure func(*gatewayConfig), hosts ...*testHost) *gatewayProcess {
 	discoveryAgent, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -63,31 +62,22 @@
 	gateway.discoveryAgent = discoveryAgent
 	gateway.watches = make(chan net.Conn, 9)
 	gateway.watchRequests = make(chan string, 9)
-	settings := defaultSettings()
-	config := map[string]any{
-		"name":      "n0",
-		"listen":    "127.0.0.1:0",
-		"discovery": discoveryAgent.Addr().String(),
-		"seed":      "8c1f30d27a5be964",
-		"limits":    map[string]any{"memory_mb": 192, "sockets": 1024},
-		"known":     map[string]any{"version": 41, "full": true, "servers": hostList(hosts)},
-		"settings":  settings,
-	}
+	config := newGatewayConfig(discoveryAgent.Addr().String(), hosts)
 	if configure != nil {
-		configure(config, settings)
+		configure(config)
 	}
-	initialHosts, _ := config["agent"].([]any) // the list of discovery's agent from the first moment on
-	go gateway.serveDiscovery(discoveryAgent, initialHosts...)
+	go gateway.serveDiscovery(discoveryAgent, config.AgentHosts...)
 	gateway.configFile = filepath.Join(t.TempDir(), "config.json")
 	gateway.config = config
 	gateway.writeConfig()
-	if n := config["ulimit"]; n != nil { // descriptors that the system allows
-		gateway.cmd = exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, n), os.Args[0])
+	if config.DescriptorLimit > 0 {
+		limitAndRun := fmt.Sprintf(`ulimit -n %d; exec "$0"`, config.DescriptorLimit)
+		gateway.cmd = exec.Command("sh", "-c", limitAndRun, os.Args[0])
 	}
 	gateway.cmd.Env = append(os.Environ(),
 		runAsGateway+"=1",
 		"GW_CONFIG="+gateway.configFile,
-		"GW_DISCOVERY="+config["discovery"].(string),
+		"GW_DISCOVERY="+config.Discovery,
 		"GORACE=halt_on_error=1",
 	)
 	gateway.startAndWait()
@@ -161,7 +151,15 @@
 
 // writeConfig writes config to the configuration file.
 func (g *gatewayProcess) writeConfig() {
-	text, _ := json.Marshal(g.config)
+	text := encodeJSON(g.T, g.config)
+	if g.config.edit != nil {
+		text = g.config.edit(text)
+	}
+	g.writeConfigText(text)
+}
+
+// writeConfigText writes the configuration file.
+func (g *gatewayProcess) writeConfigText(text []byte) {
 	if err := os.WriteFile(g.configFile, text, 0o644); err != nil {
 		g.Fatal(err)
 	}
--- a/cmd/ravensill/observer_test.go
+++ b/cmd/ravensill/observer_test.go
@@ -31,8 +31,8 @@
 }
 
 func TestInvalidObserverSectionEndsStart(t *testing.T) {
-	gateway := startGateway(t, func(config, _ map[string]any) {
-		config["counterfactual"] = map[string]any{"listen": "127.0.0.1:0", "queue": -1}
+	gateway := startGateway(t, func(config *gatewayConfig) {
+		config.Counterfactual = &counterfactualSection{Listen: "127.0.0.1:0", QueueSize: -1}
 	}, valueHost(t))
 	if !strings.Contains(gateway.startError, "counterfactual: queue: -1 is not from 1 to") {
 		t.Errorf("the line does not name the key: %s", gateway.startError)
@@ -43,16 +43,16 @@
 // and that malformed, oversized and forged datagrams and queries are counted or rejected and end nothing.
 func TestCollectorCountsOwnAndPeerAttempts(t *testing.T) {
 	peer := listenUDP(t)
-	gateway := startGateway(t, func(config, settings map[string]any) {
-		settings["balancers"] = 2
-		settings["limits"].(map[string]any)["peer_messages"] = false
-		config["counterfactual"] = map[string]any{
-			"listen":     "127.0.0.1:0",
-			"peers":      []string{"127.0.0.1:9", peer.LocalAddr().String()},
-			"collectors": []int{0},
-			"part":       1,
-			"window_ms":  100,
-			"grace_ms":   100,
+	gateway := startGateway(t, func(config *gatewayConfig) {
+		config.Settings.Members = 2
+		config.Settings.Limits.Gossip = false
+		config.Counterfactual = &counterfactualSection{
+			Listen:     "127.0.0.1:0",
+			Peers:      []string{"127.0.0.1:9", peer.LocalAddr().String()},
+			Collectors: []int{0},
+			Fraction:   1,
+			WindowMS:   100,
+			GraceMS:    100,
 		}
 	}, valueHost(t))
 	client := gateway.connect()
--- a/cmd/ravensill/pool_test.go
+++ b/cmd/ravensill/pool_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// poolSection returns a section pool of a gateway that is its own raft voter.
-func poolSection(t *testing.T, floor int) map[string]any {
-	return map[string]any{
-		"capacity":    9,
-		"floor":       floor,
-		"voters":      []string{"127.0.0.1:9"},
-		"voter_seats": []int{0},
-		"listen":      "127.0.0.1:0",
-		"dir":         t.TempDir(),
-		"key":         strings.Repeat("0f", 16),
+// newPoolSection returns a section pool of a gateway that is its own raft voter.
+func newPoolSection(t *testing.T, floor int) *poolSection {
+	return &poolSection{
+		Capacity:     9,
+		Floor:        floor,
+		Voters:       []string{"127.0.0.1:9"},
+		VoterMembers: []int{0},
+		Listen:       "127.0.0.1:0",
+		Directory:    t.TempDir(),
+		Key:          strings.Repeat("0f", 16),
 	}
 }
 
@@ -39,8 +39,8 @@
 // TestPoolOfOneGatewayLeasesConnections checks that a gateway alone, its own raft voter, gets the leases for its
 // requests.
 func TestPoolOfOneGatewayLeasesConnections(t *testing.T) {
-	section := poolSection(t, 1)
-	gateway := startGateway(t, func(config, _ map[string]any) { config["pool"] = section }, valueHost(t))
+	section := newPoolSection(t, 1)
+	gateway := startGateway(t, func(config *gatewayConfig) { config.Pool = section }, valueHost(t))
 	if a := gateway.connect().roundTrip(requestCommand("lookup", 1)); a != "v" {
 		t.Error(a)
 	}
@@ -50,8 +50,8 @@
 }
 
 func TestInvalidPoolSectionEndsStart(t *testing.T) {
-	section := poolSection(t, 10)
-	gateway := startGateway(t, func(config, _ map[string]any) { config["pool"] = section }, valueHost(t))
+	section := newPoolSection(t, 10)
+	gateway := startGateway(t, func(config *gatewayConfig) { config.Pool = section }, valueHost(t))
 	const want = "pool: floor: 10 for each of 1 gateways is more than capacity less reserve, 9"
 	if !strings.Contains(gateway.startError, want) {
 		t.Errorf("the line does not name the key: %s", gateway.startError)
--- a/cmd/ravensill/reload_test.go
+++ b/cmd/ravensill/reload_test.go
@@ -25,7 +25,7 @@
 	c := gateway.connect()
 	c.send(requestCommand("order", 1))
 	receive(gateway, received)
-	firstAddress := gateway.config["discovery"]
+	firstAddress := gateway.config.Discovery
 	gateway.checkInvalidReloads()
 	agent, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -33,14 +33,14 @@
 	}
 	defer agent.Close()
 	go gateway.serveDiscovery(agent)
-	gateway.config["discovery"] = agent.Addr().String()
+	gateway.config.Discovery = agent.Addr().String()
 	gateway.reload()
 	gateway.waitForLog("event=reloaded discovery=" + agent.Addr().String() + " version=41 other_keys_changed=false")
 	watch := gateway.checkWatchRequest("41")
-	sendHostList(oldWatch, 42, hostEntry("h0", "", "left"))
+	sendHostList(oldWatch, 42, newHostEntry("h0", "", "left"))
 	sendHostList(watch, 43,
-		hostEntry("h0", a.Addr().String(), "leaving"),
-		hostEntry("h1", b.Addr().String(), "active"),
+		newHostEntry("h0", a.Addr().String(), "leaving"),
+		newHostEntry("h1", b.Addr().String(), "active"),
 	)
 	line := gateway.waitForLog("event=endpoint_state id=")
 	if !strings.Contains(line, "id=h0 state=draining version=43") {
@@ -53,12 +53,12 @@
 	if a := c.readAnswer(); a != "v" {
 		t.Errorf("in flight during the reload: %s", a)
 	}
-	gateway.config["discovery"] = firstAddress
-	gateway.config["limits"] = map[string]any{"memory_mb": 64}
+	gateway.config.Discovery = firstAddress
+	gateway.config.Resources = resourceLimits{MemoryMB: 64}
 	gateway.reload()
 	gateway.waitForLog("other_keys_changed=true")
 	watch = gateway.checkWatchRequest("43")
-	sendHostList(watch, 42, hostEntry("h0", a.Addr().String(), "active")) // an older version
+	sendHostList(watch, 42, newHostEntry("h0", a.Addr().String(), "active")) // an older version
 	gateway.waitForLog("event=endpoint_list_stale version=42 previous=43")
 	gateway.waitForLog("event=endpoint_state id=h0 state=draining version=42")
 	for i := range 8 {
@@ -70,9 +70,10 @@
 
 // checkInvalidReloads reloads files with invalid addresses of discovery.
 func (g *gatewayProcess) checkInvalidReloads() {
-	for _, invalid := range []any{"nowhere", 7} {
-		g.config["discovery"] = invalid
-		g.reload()
+	valid := encodeJSON(g.T, g.config)
+	for _, invalid := range []string{`"nowhere"`, "7"} {
+		g.writeConfigText(setKey(g.T, valid, "discovery", invalid))
+		g.cmd.Process.Signal(syscall.SIGHUP)
 		line := g.waitForLog("event=reload_failed")
 		if !strings.Contains(line, `error="discovery: `) {
 			g.Errorf("the line does not name the key: %s", line)
--- a/cmd/ravensill/shutdown_test.go
+++ b/cmd/ravensill/shutdown_test.go
@@ -87,7 +87,7 @@
 // may kill the process.
 func TestShutdownServesOpenConnections(t *testing.T) {
 	retryWhenSlow(t, func() string {
-		gateway := startGateway(t, func(_, settings map[string]any) { setBurst(settings, ampleBurst) }, valueHost(t))
+		gateway := startGateway(t, configureAmpleBurst, valueHost(t))
 		var clients []*testClient
 		for range 40 {
 			clients = append(clients, gateway.connect())
--- a/cmd/ravensill/signals_test.go
+++ b/cmd/ravensill/signals_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -9,6 +8,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -73,12 +73,9 @@
 	}
 	gateway := newProcess(t)
 	gateway.configFile = filepath.Join(t.TempDir(), "config")
-	if err := json.Unmarshal(text, &gateway.config); err != nil {
-		t.Fatal(err)
-	}
-	gateway.config["discovery"] = silent.Addr().String()
-	gateway.config["listen"] = "127.0.0.1:0"
-	gateway.writeConfig()
+	text = setKey(t, text, "discovery", strconv.Quote(silent.Addr().String()))
+	text = setKey(t, text, "listen", `"127.0.0.1:0"`)
+	gateway.writeConfigText(text)
 	gateway.cmd.Env = append(os.Environ(), runAsGateway+"=1", "GW_CONFIG="+gateway.configFile)
 	gateway.startProcess()
 	c, err := silent.Accept() // its watch: the gateway runs
--- a/cmd/ravensill/startup_test.go
+++ b/cmd/ravensill/startup_test.go
@@ -35,18 +35,18 @@
 	return conn
 }
 
-// configure gives a gateway the addresses of the former process.
-func (p *formerProcess) configure(config, settings map[string]any) {
-	config["listen"] = p.listener.Addr().String()
-	settings["balancers"] = 2
+// configure sets the addresses of a gateway to those of the former process.
+func (p *formerProcess) configure(config *gatewayConfig) {
+	config.Listen = p.listener.Addr().String()
+	config.Settings.Members = 2
 	gossip := p.gossip.LocalAddr().String()
-	config["peer_listen"] = gossip
-	config["peers"] = []string{gossip, "127.0.0.1:1"}
+	config.PeerListen = gossip
+	config.Peers = []string{gossip, "127.0.0.1:1"}
 	observer := p.observer.LocalAddr().String()
-	config["counterfactual"] = map[string]any{
-		"listen":     observer,
-		"peers":      []string{observer, "127.0.0.1:1"},
-		"collectors": []int{1},
+	config.Counterfactual = &counterfactualSection{
+		Listen:     observer,
+		Peers:      []string{observer, "127.0.0.1:1"},
+		Collectors: []int{1},
 	}
 }
 
@@ -88,9 +88,9 @@
 
 func TestAddressOfOtherMachineEndsStart(t *testing.T) {
 	former := newFormerProcess(t)
-	gateway := startGateway(t, func(config, settings map[string]any) {
-		former.configure(config, settings)
-		config["listen"] = "192.0.2.1:6379"
+	gateway := startGateway(t, func(config *gatewayConfig) {
+		former.configure(config)
+		config.Listen = "192.0.2.1:6379"
 		former.gossip.Close()
 	}, valueHost(t))
 	gateway.waitForLog(`event=gateway_failed error="listen: listen tcp4 192.0.2.1:6379: bind`)
@@ -101,8 +101,11 @@
 
 // TestInvalidConfigurationEndsStart checks that the message names the key.
 func TestInvalidConfigurationEndsStart(t *testing.T) {
-	gateway := startGateway(t, func(_, settings map[string]any) {
-		settings["plans"] = []any{map[string]any{"rate": "many"}}
+	gateway := startGateway(t, func(config *gatewayConfig) {
+		config.edit = func(text []byte) []byte {
+			settings := setKey(t, encodeJSON(t, config.Settings), "plans", `[{"rate":"many"}]`)
+			return setKey(t, text, "settings", string(settings))
+		}
 	}, newHost(t, nil))
 	if !strings.Contains(gateway.startError, "settings: plans.0.rate: unexpected value") {
 		t.Errorf("the line does not name the key: %s", gateway.startError)
