--- a/internal/observer/datagram.go
+++ b/internal/observer/datagram.go
@@ -1,8 +1,6 @@
 package observer
 
 import (
-	"errors"
-	"net"
 	"net/netip"
 	"slices"
 
@@ -38,22 +36,12 @@
 // readDatagrams passes datagrams to the loop until Close. It drops and counts malformed ones, and those from addresses
 // of no member.
 func (o *Observer) readDatagrams() {
-	buffer := make([]byte, counterfactual.MaxBytes+2) // the kind, and a byte by which a message is too long
-	var pause sockets.ReadBackoff
-	for {
-		n, from, err := o.system.ReadPacket(o.udp, buffer)
-		if errors.Is(err, net.ErrClosed) {
-			return
-		}
-		if err != nil { // such as an ICMP error for an earlier datagram to a peer that is down
-			pause.Failed()
-			continue
-		}
-		pause.Succeeded()
-		if n == 0 {
+	const maxBytes = counterfactual.MaxBytes + 2 // the kind, and a byte by which a message is too long
+	for bytes, from := range sockets.Datagrams(o.system, o.udp, maxBytes) {
+		if len(bytes) == 0 {
 			continue
 		}
-		d, ok := o.decode(buffer[:n], from)
+		d, ok := o.decode(bytes, from)
 		if !ok {
 			o.malformed.Add(1)
 			continue
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -2,7 +2,6 @@
 package peers
 
 import (
-	"errors"
 	"log/slog"
 	"net"
 	"net/netip"
@@ -111,24 +110,13 @@
 			slog.Error("panic", "where", "peers", "error", e, "stack", debug.Stack())
 		}
 	}()
-	buffer := make([]byte, gossip.MaxMessageBytes+1)
-	var pause sockets.ReadBackoff
-	for {
-		n, from, err := t.system.ReadPacket(t.conn, buffer)
-		if errors.Is(err, net.ErrClosed) {
-			return
-		}
-		if err != nil { // such as an ICMP error for an earlier message to a peer that is down
-			pause.Failed()
-			continue
-		}
-		pause.Succeeded()
+	for message, from := range sockets.Datagrams(t.system, t.conn, gossip.MaxMessageBytes+1) {
 		member, format := t.sender(from)
-		if member == unknownMember || !wellFormed(format, buffer[:n]) {
+		if member == unknownMember || !wellFormed(format, message) {
 			dropped()
 			continue
 		}
-		received(member, slices.Clone(buffer[:n]))
+		received(member, slices.Clone(message))
 	}
 }
 
--- a/internal/poolrunner/message_conn.go
+++ b/internal/poolrunner/message_conn.go
@@ -1,7 +1,6 @@
 package poolrunner
 
 import (
-	"errors"
 	"net"
 	"net/netip"
 
@@ -39,19 +38,8 @@
 
 // read calls handle for each datagram until the socket is closed, with the error of Decode if it is not valid.
 func (c *messageConn) read(handle func(message *Message, err error, from netip.AddrPort)) {
-	buffer := make([]byte, maxDatagramBytes+1)
-	var pause sockets.ReadBackoff
-	for {
-		n, from, err := c.system.ReadPacket(c.socket, buffer)
-		if errors.Is(err, net.ErrClosed) {
-			return
-		}
-		if err != nil {
-			pause.Failed()
-			continue
-		}
-		pause.Succeeded()
-		message, err := Decode(c.key, buffer[:n])
+	for datagram, from := range sockets.Datagrams(c.system, c.socket, maxDatagramBytes+1) {
+		message, err := Decode(c.key, datagram)
 		handle(message, err, from)
 	}
 }
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -4,9 +4,6 @@
 	"errors"
 	"slices"
 	"syscall"
-	"time"
-
-	"github.com/cenkalti/backoff/v5"
 )
 
 // shortages are the errors of connect(2), socket(2), accept(2) and bind(2) for which this machine is the cause: it
@@ -30,26 +27,3 @@
 // IsTransient reports whether a listener that could not be opened may be opened later: another process still listens on
 // the address, or this machine lacks a resource.
 func IsTransient(err error) bool { return errors.Is(err, syscall.EADDRINUSE) || IsShortage(err) }
-
-// Bounds of the pause after a datagram that could not be read.
-const (
-	minReadBackoff = time.Millisecond
-	maxReadBackoff = 100 * time.Millisecond
-)
-
-// ReadBackoff slows down a loop that reads datagrams while all reads fail. The zero value is ready to use.
-type ReadBackoff struct{ backoff *backoff.ExponentialBackOff }
-
-// Failed waits after a read that failed, longer with each failure in a row.
-func (p *ReadBackoff) Failed() {
-	if p.backoff == nil {
-		p.backoff = backoff.NewExponentialBackOff()
-		p.backoff.InitialInterval = minReadBackoff
-		p.backoff.MaxInterval = maxReadBackoff
-		p.backoff.Reset()
-	}
-	time.Sleep(p.backoff.NextBackOff())
-}
-
-// Succeeded ends a row of failures.
-func (p *ReadBackoff) Succeeded() { p.backoff = nil }
