--- a/cmd/ravensill/configuration_test.go
+++ b/cmd/ravensill/configuration_test.go
@@ -12,8 +12,6 @@
 	"testing"
 	"time"
 
-	"github.com/prometheus/procfs"
-
 	"ravensill/internal/gossip"
 	"ravensill/internal/publisher"
 	"ravensill/internal/publishertest"
@@ -279,16 +277,8 @@
 
 // descriptors counts the process's open descriptors by kind.
 func (g *gatewayProcess) descriptors() map[string]int {
-	process, err := procfs.NewProc(g.cmd.Process.Pid)
-	if err != nil {
-		g.Fatal(err)
-	}
-	targets, err := process.FileDescriptorTargets()
-	if err != nil {
-		g.Fatal(err)
-	}
 	open := map[string]int{}
-	for _, target := range targets {
+	for _, target := range g.descriptorTargets() {
 		kind, _, _ := strings.Cut(target, ":[")
 		open[kind]++
 	}
--- a/cmd/ravensill/harness_test.go
+++ b/cmd/ravensill/harness_test.go
@@ -259,8 +259,8 @@
 	return "exit 0"
 }
 
-// countUDPSockets returns how many UDP sockets the process has open.
-func (g *gatewayProcess) countUDPSockets() (n int) {
+// descriptorTargets returns what the process's open descriptors refer to: a file's path, a socket's number, ...
+func (g *gatewayProcess) descriptorTargets() []string {
 	process, err := procfs.NewProc(g.cmd.Process.Pid)
 	if err != nil {
 		g.Fatal(err)
@@ -269,6 +269,12 @@
 	if err != nil {
 		g.Fatal(err)
 	}
+	return targets
+}
+
+// countUDPSockets returns how many UDP sockets the process has open.
+func (g *gatewayProcess) countUDPSockets() (n int) {
+	targets := g.descriptorTargets()
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		g.Fatal(err)
@@ -286,3 +292,21 @@
 	}
 	return n
 }
+
+// checkSectionOff checks that a gateway whose configuration lacks a section serves, opens no UDP socket, and logs no
+// line that contains a word of the section.
+func checkSectionOff(t *testing.T, word string) {
+	gateway := startGateway(t, nil, valueHost(t))
+	if a := gateway.connect().roundTrip(requestCommand("lookup", 1)); a != "v" {
+		t.Error(a)
+	}
+	if n := gateway.countUDPSockets(); n != 0 {
+		t.Errorf("%d UDP sockets", n)
+	}
+	gateway.cmd.Process.Signal(os.Interrupt)
+	for line := range gateway.log {
+		if strings.Contains(line, word) {
+			t.Error(line)
+		}
+	}
+}
--- a/cmd/ravensill/observer_test.go
+++ b/cmd/ravensill/observer_test.go
@@ -5,7 +5,6 @@
 	"bytes"
 	"fmt"
 	"net"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -15,19 +14,7 @@
 
 // TestObserverOffOpensNoSocketAndLogsNothing checks a gateway without the section counterfactual.
 func TestObserverOffOpensNoSocketAndLogsNothing(t *testing.T) {
-	gateway := startGateway(t, nil, valueHost(t))
-	if a := gateway.connect().roundTrip(requestCommand("lookup", 1)); a != "v" {
-		t.Error(a)
-	}
-	if n := gateway.countUDPSockets(); n != 0 {
-		t.Errorf("%d UDP sockets", n)
-	}
-	gateway.cmd.Process.Signal(os.Interrupt)
-	for line := range gateway.log {
-		if strings.Contains(line, "observer") {
-			t.Error(line)
-		}
-	}
+	checkSectionOff(t, "observer")
 }
 
 func TestInvalidObserverSectionEndsStart(t *testing.T) {
--- a/cmd/ravensill/pool_test.go
+++ b/cmd/ravensill/pool_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"os"
 	"strings"
 	"testing"
 )
@@ -21,19 +20,7 @@
 
 // TestPoolOffOpensNoSocketAndLogsNothing checks a gateway without the section pool.
 func TestPoolOffOpensNoSocketAndLogsNothing(t *testing.T) {
-	gateway := startGateway(t, nil, valueHost(t))
-	if a := gateway.connect().roundTrip(requestCommand("lookup", 1)); a != "v" {
-		t.Error(a)
-	}
-	if n := gateway.countUDPSockets(); n != 0 {
-		t.Errorf("%d UDP sockets", n)
-	}
-	gateway.cmd.Process.Signal(os.Interrupt)
-	for line := range gateway.log {
-		if strings.Contains(line, "pool") {
-			t.Error(line)
-		}
-	}
+	checkSectionOff(t, "pool")
 }
 
 // TestPoolOfOneGatewayLeasesConnections checks that a gateway alone, its own raft voter, gets the leases for its
--- a/cmd/ravensill/startup_test.go
+++ b/cmd/ravensill/startup_test.go
@@ -55,14 +55,21 @@
 	g.waitForLog("event=listen_address_in_use key=" + key + " addr=" + addr.String())
 }
 
-// TestStartWaitsForAddressesOfFormerProcess checks that a start waits for each address, logs that once, and serves
-// when all are free.
-func TestStartWaitsForAddressesOfFormerProcess(t *testing.T) {
+// startBesideFormerProcess starts a gateway at the addresses of a former process, frees that of gossip, and waits until
+// the gateway waits for that of clients.
+func startBesideFormerProcess(t *testing.T) (*formerProcess, *gatewayProcess) {
 	former := newFormerProcess(t)
 	gateway := startGateway(t, former.configure, valueHost(t))
 	gateway.waitForListenRetry("peer_listen", former.gossip.LocalAddr())
 	former.gossip.Close()
 	gateway.waitForListenRetry("listen", former.listener.Addr())
+	return former, gateway
+}
+
+// TestStartWaitsForAddressesOfFormerProcess checks that a start waits for each address, logs that once, and serves
+// when all are free.
+func TestStartWaitsForAddressesOfFormerProcess(t *testing.T) {
+	former, gateway := startBesideFormerProcess(t)
 	former.listener.Close()
 	gateway.waitForListenRetry("counterfactual", former.observer.LocalAddr())
 	former.observer.Close()
@@ -74,11 +81,7 @@
 }
 
 func TestSignalEndsWaitForAddress(t *testing.T) {
-	former := newFormerProcess(t)
-	gateway := startGateway(t, former.configure, valueHost(t))
-	gateway.waitForListenRetry("peer_listen", former.gossip.LocalAddr())
-	former.gossip.Close()
-	gateway.waitForListenRetry("listen", former.listener.Addr())
+	_, gateway := startBesideFormerProcess(t)
 	gateway.cmd.Process.Signal(syscall.SIGTERM)
 	gateway.waitForLog("event=stopped")
 	if err := receive(gateway, gateway.exited); err != nil {
--- a/internal/publisher/disk_test.go
+++ b/internal/publisher/disk_test.go
@@ -6,7 +6,6 @@
 	"syscall"
 	"testing"
 
-	"ravensill/configsync"
 	"ravensill/internal/config"
 	"ravensill/internal/publisher"
 	"ravensill/internal/publishertest"
@@ -102,44 +101,34 @@
 	g.Agreed(again)
 }
 
-// landedFolders are folders of replicas as the program at each commit left them.
-var landedFolders = []struct {
-	commit  string
-	folder  string
-	version configsync.Version
-	digest  string
-}{
+// earlierReleases left folders of replicas.
+var earlierReleases = []publishertest.EarlierRelease{
+	publishertest.FirstRelease,
 	{
-		commit:  "067f03a",
-		folder:  "landed",
-		version: 3,
-		digest:  "52e2ee77df49aff9779c16b207fb40fdf9a1399fb4fa9f33657cc4aefd6fc078",
-	},
-	{
-		commit:  "6d43e16", // a snapshot, and two versions in the log after it
-		folder:  "landed-6d43e16",
-		version: 7,
-		digest:  "82b77c87767e398c03f7d7b79c49797ed3dd7b1be98f99b3c225c12696c081ed",
+		Commit:  "6d43e16", // a snapshot, and two versions in the log after it
+		Folder:  "landed-6d43e16",
+		Version: 7,
+		Digest:  "82b77c87767e398c03f7d7b79c49797ed3dd7b1be98f99b3c225c12696c081ed",
 	},
 }
 
 // A replica's folder of an earlier release is opened as it was left: the last version is there, and changes go on
 // from it.
 func TestOpensFolderOfEarlierRelease(t *testing.T) {
-	for _, landed := range landedFolders {
-		t.Run(landed.commit, func(t *testing.T) {
+	for _, release := range earlierReleases {
+		t.Run(release.Commit, func(t *testing.T) {
 			dir := filepath.Join(t.TempDir(), "replica")
-			err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", landed.folder)))
+			err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", release.Folder)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			g := publishertest.NewGroup(t, 1, func(cfg *config.Publisher) { cfg.Dir = dir })
 			eventually(t, "the last version", func() bool {
 				s := g.Replicas[0].Status()
-				return s.Version == landed.version && s.Digest == landed.digest
+				return release.Stored(s.Version, s.Digest)
 			})
 			next := g.SetRate(0, "gold", 13)
-			if next.Version != landed.version+1 {
+			if next.Version != release.Version+1 {
 				t.Errorf("the next version is %d", next.Version)
 			}
 		})
--- a/internal/publishertest/publishertest.go
+++ b/internal/publishertest/publishertest.go
@@ -29,6 +29,27 @@
 const FirstContent = `{"plans":[{"name":"gold","rate":10,"burst":5},{"name":"team","rate":5,"burst":5}],
 	"profiles":[{"name":"lookup","target_us":1000,"hard_limit_us":2000}],"limits":{"max_attempts":2}}`
 
+// EarlierRelease is what the program of an earlier commit stored in a folder of testdata.
+type EarlierRelease struct {
+	Commit  string
+	Folder  string
+	Version configsync.Version // the last one
+	Digest  string             // of that version's content
+}
+
+// FirstRelease is the first commit whose stored data is kept, of publishers and of subscribers.
+var FirstRelease = EarlierRelease{
+	Commit:  "067f03a",
+	Folder:  "landed",
+	Version: 3,
+	Digest:  "52e2ee77df49aff9779c16b207fb40fdf9a1399fb4fa9f33657cc4aefd6fc078",
+}
+
+// Stored reports whether a version that was read, with its digest, is the one that the release stored last.
+func (r EarlierRelease) Stored(version configsync.Version, digest string) bool {
+	return version == r.Version && digest == r.Digest
+}
+
 // Eventually waits until a condition is true, which other goroutines bring about.
 func Eventually(t *testing.T, what string, reached func() bool) {
 	t.Helper()
--- a/internal/subscriber/store_test.go
+++ b/internal/subscriber/store_test.go
@@ -277,35 +277,24 @@
 	}
 }
 
-// landedFolders are directories of subscribers as the program at each commit left them: a document, and deltas after
-// it.
-var landedFolders = []struct {
-	commit  string
-	folder  string
-	version configsync.Version
-	digest  string
-}{
+// earlierReleases left folders of subscribers: a document, and deltas after it.
+var earlierReleases = []publishertest.EarlierRelease{
+	publishertest.FirstRelease,
 	{
-		commit:  "067f03a",
-		folder:  "landed",
-		version: 3,
-		digest:  "52e2ee77df49aff9779c16b207fb40fdf9a1399fb4fa9f33657cc4aefd6fc078",
-	},
-	{
-		commit:  "6d43e16",
-		folder:  "landed-6d43e16",
-		version: 4,
-		digest:  "3c340acfeaa985ec8bc1cdf04a4398512099743ce86ebdba594ac30e6f2ec836",
+		Commit:  "6d43e16",
+		Folder:  "landed-6d43e16",
+		Version: 4,
+		Digest:  "3c340acfeaa985ec8bc1cdf04a4398512099743ce86ebdba594ac30e6f2ec836",
 	},
 }
 
 // The file of an earlier release is read as it was written.
 func TestLoadsFileOfEarlierRelease(t *testing.T) {
-	for _, landed := range landedFolders {
-		document, err := Load(filepath.Join("testdata", landed.folder))
+	for _, release := range earlierReleases {
+		document, err := Load(filepath.Join("testdata", release.Folder))
 		digest := fmt.Sprintf("%x", document.Digest())
-		if err != nil || document.Version() != landed.version || digest != landed.digest {
-			t.Errorf("%s: version %d, digest %s, %v", landed.commit, document.Version(), digest, err)
+		if err != nil || !release.Stored(document.Version(), digest) {
+			t.Errorf("%s: version %d, digest %s, %v", release.Commit, document.Version(), digest, err)
 		}
 	}
 }
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -65,18 +65,24 @@
 	}
 }
 
-// If all endpoints of the subset are busy, another one is chosen.
-func TestBusySubsetLeavesToOtherEndpoints(t *testing.T) {
+// newGatewayWithEndpoints returns a gateway, one of some members, that has received a list of endpoints.
+func newGatewayWithEndpoints(members, endpoints int) (*simulation, *Gateway) {
 	sim := newSimulation(1, 1, nil)
-	g := sim.newGateway(gateway.Membership{Count: 300})
+	g := sim.newGateway(gateway.Membership{Count: members})
 	var list []gateway.Endpoint
-	for i := range 1000 {
+	for i := range endpoints {
 		list = append(list, gateway.Endpoint{Host: uint32(i), Weight: 1})
 	}
 	g.Decide(&gateway.Batch{
 		Now:    gateway.Time(time.Second),
 		Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}},
 	}, sim.gateways[0])
+	return sim, g
+}
+
+// If all endpoints of the subset are busy, another one is chosen.
+func TestBusySubsetLeavesToOtherEndpoints(t *testing.T) {
+	_, g := newGatewayWithEndpoints(300, 1000)
 	for _, h := range g.endpoints.nearby {
 		h.relativeLatency = 1000
 		h.healthFor(g.classes[0]).lastAnswer = gateway.Time(time.Second)
@@ -89,16 +95,7 @@
 
 // A timer walks only endpoints with attempts in flight, also if every endpoint is in the subset.
 func TestTimerAtRestWalksNoEndpoint(t *testing.T) {
-	sim := newSimulation(1, 1, nil)
-	g := sim.newGateway(gateway.Membership{Count: 1})
-	var list []gateway.Endpoint
-	for i := range 1000 {
-		list = append(list, gateway.Endpoint{Host: uint32(i), Weight: 1})
-	}
-	g.Decide(&gateway.Batch{
-		Now:    gateway.Time(time.Second),
-		Events: []gateway.Event{{Kind: gateway.EndpointsListed, Endpoints: list}},
-	}, sim.gateways[0])
+	sim, g := newGatewayWithEndpoints(1, 1000)
 	arrival := gateway.Event{
 		Kind:      gateway.RequestArrived,
 		RequestID: "a",
