--- a/internal/node/connecting_test.go
+++ b/internal/node/connecting_test.go
@@ -133,7 +133,8 @@
 
 // attemptEnded sends a request that never ran once more, even if its client is gone: a module may not know that yet.
 func (g *testGateway) attemptEnded(event *gateway.Event, actions gateway.Actions) {
-	g.events <- fmt.Sprintf("ended %s %d: result %d, closed %t", event.RequestID, event.Attempt, event.Result, event.Closed)
+	const ended = "ended %s %d: result %d, closed %t"
+	g.events <- fmt.Sprintf(ended, event.RequestID, event.Attempt, event.Result, event.Closed)
 	switch {
 	case event.Result.NeverRan() && event.Attempt == 0 && g.running:
 		actions.StartAttempt(event.RequestID, g.host, 0)
