--- a/cmd/ravensill/harness_config_test.go
+++ b/cmd/ravensill/harness_config_test.go
@@ -98,7 +98,7 @@
 	PriorityWeight float64 `json:"worth_factor"`
 }
 
-// loadReport says how hosts report their load, and which fields.
+// loadReport is the form of the load reports of hosts.
 type loadReport struct {
 	Mode   string   `json:"how"`
 	Fields []string `json:"names"`
@@ -210,7 +210,7 @@
 // ampleBurst is more units than any test spends.
 const ampleBurst = 1e6
 
-// configureAmpleBurst gives the quota plan a burst that no test spends.
+// configureAmpleBurst sets a burst of the quota plan that no test spends.
 func configureAmpleBurst(config *gatewayConfig) { config.Settings.Plans[0].Burst = ampleBurst }
 
 // configureShortDeadlines sets client timeouts so short that a gateway ends all connections 0.8 s after SIGTERM.
--- a/lab/stylecheck/planted_test.go
+++ b/lab/stylecheck/planted_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestExceptionsHaveReasons checks that each exception says why.
+// TestExceptionsHaveReasons checks that each exception has a reason.
 func TestExceptionsHaveReasons(t *testing.T) {
 	for _, e := range exceptions {
 		if e.reason == "" {
