--- a/internal/config/adjustments.go
+++ b/internal/config/adjustments.go
@@ -36,7 +36,7 @@
 	}
 	if s.Limits.SettlesUnits {
 		s.adjust("family_info.settles",
-			"quotas go by the units that a req tells: those that its answer settles are not taken in")
+			"quotas count the units that a request states: those that its answer settles are ignored")
 	}
 	s.resolveLoadReport(reader)
 	s.Adjusted = append(s.Adjusted, ofPlans...)
@@ -85,7 +85,7 @@
 			firsts[name] = i
 			continue
 		}
-		meaning := "%q is told twice: reqs of that name are of %s"
+		meaning := "%q is defined twice: requests of that name are of %s"
 		s.adjust(elementPath(list, i)+".name", meaning, name, elementPath(list, first))
 	}
 }
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -62,7 +62,7 @@
 		class.LateValue = 1
 	}
 	if class.LatencyObjective == 0 && class.Timeout > 0 {
-		adjust(r.prefix+"target_us", "as hard_limit_us: none is told")
+		adjust(r.prefix+"target_us", "as hard_limit_us: none is set")
 		class.LatencyObjective = class.Timeout
 	}
 	if class.LatencyObjective > class.Timeout && class.Timeout > 0 {
@@ -70,7 +70,7 @@
 		class.LatencyObjective = class.Timeout
 	}
 	if limits.SharedCounter && 2*limits.CounterTimeout >= class.Timeout && class.Timeout > 0 {
-		meaning := "half of %shard_limit_us or more: its reqs are decided without the counter"
+		meaning := "half of %shard_limit_us or more: its requests are decided without the counter"
 		adjust("family_info.count_wait_us", meaning, r.prefix)
 	}
 	return adjusted
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -48,7 +48,7 @@
 		plan.CeilingBurst = 0
 	}
 	if r.contains("rate", "0") && plan.MaxInFlight == 0 && plan.CeilingRate == 0 {
-		adjust("rate", "0 is no quota, and neither parallel nor ceiling_rate is told: the plan is not bounded")
+		adjust("rate", "0 is no quota, and neither parallel nor ceiling_rate is set: the plan is not bounded")
 	}
 	return adjusted
 }
