--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -12,6 +12,7 @@
 	"net/netip"
 	"runtime/debug"
 	"strconv"
+	"sync"
 	"time"
 
 	"ravensill/gateway"
@@ -55,6 +56,9 @@
 	dialing  bool
 	closed   bool
 
+	cancelDial context.CancelFunc // nil: no attempt to connect yet
+	goroutines sync.WaitGroup     // that connect and read replies
+
 	loggedState    string // of the latest log line
 	noExpiryLogged bool   // it is logged that the server does not support expiry
 }
@@ -157,27 +161,29 @@
 	return c.link.Out.Len() > 0
 }
 
-// Connect starts connecting in a goroutine of its own, unless there is a connection or an attempt. An attempt ends
-// within dialTimeout, and the loop closes a connection that comes after Close.
+// Connect starts a goroutine that connects, unless there is a connection or an attempt.
 func (c *Counter) Connect() {
 	if c.dialing || c.closed || c.link != nil {
 		return
 	}
 	c.dialing = true
-	go func() {
-		link, err := c.dial()
+	ctx, cancel := context.WithCancel(context.Background())
+	c.cancelDial = cancel
+	c.goroutines.Go(func() {
+		defer cancel()
+		link, err := c.dial(ctx)
 		if err != nil {
 			time.AfterFunc(reconnectDelay, func() { c.runOnLoop(func() { c.dialing = false }) })
 			c.runOnLoop(func() { c.logState(stateLost, err.Error()) })
 			return
 		}
 		c.runOnLoop(func() { c.connected(link) })
-	}()
+	})
 }
 
 // dial opens a connection to the server.
-func (c *Counter) dial() (*bufconn.Link, error) {
-	conn, err := c.system.Dial(context.Background(), &net.Dialer{Timeout: dialTimeout}, c.address.String())
+func (c *Counter) dial(ctx context.Context) (*bufconn.Link, error) {
+	conn, err := c.system.Dial(ctx, &net.Dialer{Timeout: dialTimeout}, c.address.String())
 	if err != nil {
 		return nil, err
 	}
@@ -198,7 +204,7 @@
 	c.link = link
 	c.noExpiryLogged = false
 	c.logState(stateRestored, "")
-	go c.readReplies(link)
+	c.goroutines.Go(func() { c.readReplies(link) })
 }
 
 // readReplies passes the server's replies to the loop until the connection ends.
@@ -315,8 +321,13 @@
 	}
 }
 
-// Close closes the connection for good.
+// Close closes the connection for good and waits for the counter's goroutines. The function runOnLoop must not block
+// then.
 func (c *Counter) Close() {
 	c.closed = true
+	if c.cancelDial != nil {
+		c.cancelDial()
+	}
 	c.closeLink(c.link, "")
+	c.goroutines.Wait()
 }
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -44,9 +44,7 @@
 // WatchEndpoints implements gateway.Actions: it watches the list from the latest version on. A watch that still
 // runs ends.
 func (n *Node) WatchEndpoints() {
-	if n.watch != nil {
-		n.watch.stop()
-	}
+	n.stopWatch()
 	ctx, stop := context.WithCancel(context.Background())
 	w := &watch{stop: stop}
 	n.watch = w
@@ -55,11 +53,18 @@
 	timeouts := discovery.NewTimeouts(n.cfg.Limits.PollEndpoints)
 	onReceived := func() { n.runForWatch(w, n.watchReceived) }
 	onList := func(list string) { n.runForWatch(w, func() { n.updateEndpoints(list, false) }) }
-	go func() {
+	n.readers.Go(func() {
 		err := discovery.Watch(ctx, n.system, addr, version, timeouts, &w.feed, onReceived, onList)
 		stop()
 		n.runOnLoop(func() { n.watchEnded(w, err) })
-	}()
+	})
+}
+
+// stopWatch ends the newest watch, if there is one.
+func (n *Node) stopWatch() {
+	if n.watch != nil {
+		n.watch.stop()
+	}
 }
 
 // runForWatch has the loop run f if the watch is still the newest one then.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,6 +17,7 @@
 	"log/slog"
 	"net"
 	"slices"
+	"sync"
 	"time"
 
 	"ravensill/gateway"
@@ -60,7 +61,8 @@
 	clock   clock.Clock
 	unix    int64                  // wall time of the monotonic clock's zero, as of the start, in nanoseconds
 	work    chan func()            // the loop's inbox
-	ended   chan struct{}          // closed when Run returns
+	ended   chan struct{}          // closed once the loop has ended
+	readers sync.WaitGroup         // goroutines that read from peers and the agent for the loop
 	tasks   []func() (end func())  // started once the gateway has its addresses
 	classes []gateway.RequestClass // by index, as they are in force
 
@@ -164,8 +166,19 @@
 	return plan.Burst
 }
 
-// runOnLoop has the loop run a function. It waits while the inbox is full.
-func (n *Node) runOnLoop(f func()) { n.work <- f }
+// runOnLoop has the loop run a function. It waits while the inbox is full, and drops the function if the loop has
+// ended.
+func (n *Node) runOnLoop(f func()) {
+	select { // without waiting: costs less than a choice of two channels
+	case n.work <- f:
+		return
+	default:
+	}
+	select {
+	case n.work <- f:
+	case <-n.ended:
+	}
+}
 
 // now returns the wall clock's time at the start of the gateway plus the monotonic time since: steps of the wall
 // clock don't change it.
@@ -191,13 +204,15 @@
 
 // run opens what the gateway needs, runs the loop, and closes everything after it.
 func (n *Node) run(stop <-chan struct{}) error {
+	endLoop := sync.OnceFunc(func() { close(n.ended) })
 	var ends []func()
 	defer func() {
-		close(n.ended)
+		endLoop()
 		for _, end := range ends {
 			end()
 		}
 	}()
+	defer n.readers.Wait()
 	listener, err := n.openSockets(stop)
 	if n.peerTransport != nil {
 		defer n.peerTransport.Close()
@@ -222,14 +237,16 @@
 		return err
 	}
 	defer endQuota()
+	defer endLoop() // first: no goroutine that is waited for blocks in runOnLoop then
 	n.decideFirstBatch()
 	for _, start := range n.tasks {
 		ends = append(ends, start())
 	}
 	if n.peerTransport != nil {
-		go n.peerTransport.Listen(n.receiveGossip, n.countDropped)
+		n.readers.Go(func() { n.peerTransport.Listen(n.receiveGossip, n.countDropped) })
 	}
 	n.startWatch()
+	defer n.stopWatch()
 	n.loop(listener, stop)
 	return nil
 }
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -66,7 +66,7 @@
 	onRejected := func(serviceTime int64) { p.leaseholder.AddRejected(time.Duration(serviceTime)) }
 	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.MaxWait, allowed, onRejected)
 	n.quota = p
-	go client.Listen(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
+	client.Start(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
 	slog.Info("pool_enabled",
 		"member", n.cfg.Membership.Index,
 		"floor", cfg.Terms.Floor,
--- a/internal/poolrunner/client.go
+++ b/internal/poolrunner/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+	"sync"
 
 	"ravensill/internal/config"
 	"ravensill/internal/sockets"
@@ -11,14 +12,15 @@
 // maxUnanswered is the number of reports that a voter may leave unanswered before reports are sent to the next one.
 const maxUnanswered = 2
 
-// Client exchanges reports and grants with the voters for a lease holder. Its methods except Listen have to be called
-// on the event loop.
+// Client exchanges reports and grants with the voters for a lease holder. Its methods have to be called on the event
+// loop, Close also after the loop has ended.
 type Client struct {
 	cfg        *config.Pool
 	runOnLoop  func(func())
 	conn       *messageConn
-	leader     int // index of the voter that leads, as far as is known
-	unanswered int // reports since the last answer
+	reading    sync.WaitGroup // the goroutine that Start starts
+	leader     int            // index of the voter that leads, as far as is known
+	unanswered int            // reports since the last answer
 	lastReport *pool.Report
 	resent     bool // lastReport was sent again, to another voter
 
@@ -36,8 +38,20 @@
 	return &Client{cfg: cfg, runOnLoop: runOnLoop, conn: conn}, nil
 }
 
-// Close closes the socket and ends Listen.
-func (c *Client) Close() { c.conn.close() }
+// Start starts a goroutine that reads datagrams until Close. onGrant is called on the event loop for each grant.
+func (c *Client) Start(onGrant func(*pool.Grant)) {
+	c.reading.Go(func() {
+		c.conn.read(func(message *Message, err error, from netip.AddrPort) {
+			c.runOnLoop(func() { c.receive(message, err, from, onGrant) })
+		})
+	})
+}
+
+// Close closes the socket and waits for the goroutine that reads from it. The function runOnLoop must not block then.
+func (c *Client) Close() {
+	c.conn.close()
+	c.reading.Wait()
+}
 
 // Send sends a report to the voter that leads. If that voter left too many unanswered, it sends to the next voter.
 func (c *Client) Send(report *pool.Report) {
@@ -57,13 +71,6 @@
 	}
 }
 
-// Listen reads datagrams until Close, and calls onGrant on the event loop for each grant.
-func (c *Client) Listen(onGrant func(*pool.Grant)) {
-	c.conn.read(func(message *Message, err error, from netip.AddrPort) {
-		c.runOnLoop(func() { c.receive(message, err, from, onGrant) })
-	})
-}
-
 // receive handles a datagram. err is that of its decoding.
 func (c *Client) receive(message *Message, err error, from netip.AddrPort, onGrant func(*pool.Grant)) {
 	switch {
--- a/internal/poolrunner/client_test.go
+++ b/internal/poolrunner/client_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"errors"
+	"net"
 	"net/netip"
 	"testing"
+	"time"
 
 	"ravensill/internal/config"
 	"ravensill/internal/sockets"
@@ -25,6 +27,31 @@
 	return client
 }
 
+// After Close nothing uses what onGrant uses.
+func TestClientCloseWaitsForReader(t *testing.T) {
+	client := newTestClient(t)
+	reading := make(chan struct{})
+	closing := make(chan struct{})
+	ended := false
+	client.runOnLoop = func(func()) {
+		close(reading)
+		<-closing
+		ended = true // a race with the check below unless Close waits
+	}
+	client.Start(func(*pool.Grant) {})
+	port := client.conn.socket.LocalAddr().(*net.UDPAddr).AddrPort().Port()
+	loopback := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)
+	if !client.conn.send(loopback, &Message{Report: &pool.Report{}}) {
+		t.Fatal("not sent")
+	}
+	<-reading
+	time.AfterFunc(10*time.Millisecond, func() { close(closing) })
+	client.Close()
+	if !ended {
+		t.Error("Close returned before the reader had ended")
+	}
+}
+
 // A voter that doesn't lead names the leader: the latest report is sent again to that one, once for each report.
 func TestClientResendsReportOnceToNamedLeader(t *testing.T) {
 	client := newTestClient(t)
