--- /dev/null
+++ b/lab/fleet/checks_test.go
@@ -0,0 +1,88 @@
+package fleet
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"ravensill/lab/emulator"
+)
+
+// clone returns a report whose requests, hosts and gateways may be changed.
+func (r *Report) clone() *Report {
+	clone := *r
+	clone.Clients.Requests = slices.Clone(r.Clients.Requests)
+	clone.Hosts = slices.Clone(r.Hosts)
+	clone.Gateways = slices.Clone(r.Gateways)
+	return &clone
+}
+
+// addCommand adds a command to a host's log without changing the log that the report was cloned from.
+func (r *Report) addCommand(host int, command emulator.Command) {
+	r.Hosts[host].Commands = append(slices.Clone(r.Hosts[host].Commands), command)
+}
+
+// Each check holds on the report of a run and fails on the same report with one violation written into it.
+func TestEachCheckFindsItsViolation(t *testing.T) {
+	scenario := (Size{Gateways: 2, Hosts: 3, Rate: 200, Seed: 3}).Cases()[0]
+	scenario.WarmUp = 0
+	scenario.Duration = time.Second
+	scenario.Options.UnlistedHosts = map[int]bool{2: true}
+	scenario.Steps = []Step{Announce(500*time.Millisecond, nil, emulator.Leaving, 0)}
+	report := runScenario(t, scenario)
+	must(t, report.Err())
+
+	last := len(report.Clients.Requests) - 1
+	lastRequest := report.Clients.Requests[last]
+	isPayment := func(command emulator.Command) bool {
+		return command.Outcome == emulator.OutcomeSucceeded && command.Class == "pay"
+	}
+	payment := slices.IndexFunc(report.Hosts[0].Commands, isPayment)
+	report.Hosts[0].Commands = report.Hosts[0].Commands[payment:]
+	nonIdempotent := report.Hosts[0].Commands[0]
+
+	for _, test := range []struct {
+		name    string
+		check   Check
+		violate func(r *Report)
+	}{
+		{"unfinished request", ExactlyOneResult, func(r *Report) { r.Unfinished = 1 }},
+		{"unexpected answer", ExactlyOneResult, func(r *Report) { r.Clients.UnexpectedAnswers = 1 }},
+		{"wrong value", ExactlyOneResult, func(r *Report) { r.Clients.Requests[last].Result = emulator.WrongValue }},
+		{"value of a host that never ran it", ExactlyOneResult, func(r *Report) {
+			r.Clients.Requests[last].Result = emulator.Succeeded
+			r.Clients.Requests[last].Host = "s-0002"
+		}},
+		{"no answer", LostOnlyByFault, func(r *Report) { r.Clients.Requests[last].Result = emulator.Unanswered }},
+		{"unlisted host", OnlyListedHosts, func(r *Report) { r.Hosts[2].Commands = []emulator.Command{nonIdempotent} }},
+		{"command of no client", OnlyListedHosts, func(r *Report) {
+			r.Hosts[1].Commands = []emulator.Command{{ID: "none"}}
+		}},
+		{"drained host", NothingToDrainedHosts, func(r *Report) {
+			r.addCommand(0, emulator.Command{ID: lastRequest.ID, ReceivedAt: lastRequest.SentAt + 1})
+		}},
+		{"second run", NonIdempotentAtMostOnce, func(r *Report) { r.addCommand(1, nonIdempotent) }},
+		{"panic", NoCrash, func(r *Report) { r.Gateways[1].Counts = map[string]int{panicEvent: 1} }},
+		{"unexpected exit", NoCrash, func(r *Report) {
+			r.Gateways[1].Events = append(slices.Clone(r.Gateways[1].Events), ProcessEvent{Kind: Exited})
+		}},
+		{"malformed command", NoCrash, func(r *Report) { r.Hosts[1].Malformed = 1 }},
+		{"no attempts", EvenWithin(1.25, 0.75), func(r *Report) {
+			r.Clients.MaxDelay = 0
+			for i := range r.Hosts {
+				r.Hosts[i].Commands = nil
+			}
+		}},
+		{"all rejected", SuccessFraction(0.9), func(r *Report) {
+			for i := range r.Clients.Requests {
+				r.Clients.Requests[i].Result = emulator.Rejected
+			}
+		}},
+	} {
+		violated := report.clone()
+		test.violate(violated)
+		if test.check.FindViolation(violated) == "" {
+			t.Errorf("%s: check %q holds", test.name, test.check.Name)
+		}
+	}
+}
--- a/lab/fleet/evenness.go
+++ b/lab/fleet/evenness.go
@@ -10,260 +10,219 @@
 	"time"
 )
 
-// Evenness tells how evenly a stretch of a run was spread over its hosts. Loads are a host's dispatches over its part
-// by weight of all dispatches in the window, so 1 is even.
+// Evenness is how evenly the attempts of an interval were spread over its hosts. The load of a host is its attempts
+// divided by its share, by weight, of all attempts in the same window; 1 is even.
 type Evenness struct {
-	Hosts, Dispatches int
-	Windows           map[time.Duration]Spread // by length
-	Idle              float64                  // stretches of 2 s in which a host got nothing while the mean host got 5 or more
-	Held              [3]float64               // gateways that sent to a host: least, mean, most
-	Opened, Standing  int                      // connections that came up, and that stood as the stretch began
-	Over              time.Duration            // longest time that a host stayed above 1.5 times its part, in windows of 1 s
-	OverHosts         float64                  // hosts that did so for over 1 s
+	Hosts    int
+	Attempts int
+	Windows  map[time.Duration]WindowStats // by length
+	// IdlePeriods is the number of periods of 2 s in which a host got nothing while the mean host got 5 or more attempts.
+	IdlePeriods     float64
+	GatewaysPerHost MinMeanMax // gateways that sent to a host
+	OpenedConns     int        // that came up in the interval
+	InitialConns    int        // that were open as the interval began
+	// LongestOverload is the longest time that a host stayed above 1.5 times its share, in windows of 1 s.
+	LongestOverload time.Duration
+	OverloadedHosts float64 // hosts that did so for over 1 s
 }
 
-// Spread is of windows of one length: means over the windows of the most and least loaded host and of the variation
-// of all hosts, and the extremes.
-type Spread struct {
-	Count                  int
-	Most, Least, Variation float64
-	Highest, Lowest        float64
+// MinMeanMax are three figures of one distribution.
+type MinMeanMax struct {
+	Min  float64
+	Mean float64
+	Max  float64
 }
 
-type hit struct {
+// WindowStats are of the windows of one length: the load of the most and the least loaded host and the variation of all
+// hosts, as means over the windows, and the extremes.
+type WindowStats struct {
+	Count     int
+	Most      float64
+	Least     float64
+	Variation float64
+	Highest   float64
+	Lowest    float64
+}
+
+// attempt is one attempt at a host.
+type attempt struct {
 	at   int64
-	host int
+	host int // index among the measured hosts
+}
+
+// chanceRuns is the number of random spreads of the same attempts that the figures by chance are the mean of.
+const chanceRuns = 10
+
+// MeasureEvenness measures an interval of the run at hosts that ran and were listed all along. It returns the figures
+// of the fleet, and those of the same attempts as chance (multinomial by weight) and round robin by a single balancer
+// that sees all would have spread them.
+func (r *Report) MeasureEvenness(hosts []int, from, to int64) (fleet, chance, roundRobin Evenness) {
+	attempts := r.attempts(hosts, from, to)
+	shares := r.shares(hosts)
+	fleet = measureAttempts(attempts, shares, from, to)
+	r.measureConnections(&fleet, hosts, from, to)
+	for run := range uint64(chanceRuns) {
+		random := rand.New(rand.NewPCG(r.Scenario.Options.Seed, run))
+		spread := measureAttempts(spreadByChance(attempts, shares, random), shares, from, to)
+		chance = chance.add(spread, 1.0/chanceRuns)
+	}
+	chance.Hosts = fleet.Hosts
+	chance.Attempts = fleet.Attempts
+	return fleet, chance, measureAttempts(spreadRoundRobin(attempts, shares), shares, from, to)
 }
 
-// hits are all dispatches in a time at some hosts, in order.
-func (r *Report) hits(hosts []int, from, to int64) (hits []hit) {
-	for k, h := range hosts {
-		for _, c := range r.Hosts[h].Commands {
-			if c.ReceivedAt >= from && c.ReceivedAt < to {
-				hits = append(hits, hit{c.ReceivedAt, k})
+// attempts returns all attempts in an interval at some hosts, in order.
+func (r *Report) attempts(hosts []int, from, to int64) (attempts []attempt) {
+	for k, host := range hosts {
+		for _, command := range r.Hosts[host].Commands {
+			if command.ReceivedAt >= from && command.ReceivedAt < to {
+				attempts = append(attempts, attempt{command.ReceivedAt, k})
 			}
 		}
 	}
-	slices.SortFunc(hits, func(a, b hit) int { return int(a.at - b.at) })
-	return hits
+	slices.SortFunc(attempts, func(a, b attempt) int { return int(a.at - b.at) })
+	return attempts
 }
 
-// Even measures a stretch of the run at hosts that ran and were listed all along. beside it, the very same dispatches
-// as chance (multinomial by weight) and round robin by one who sees all would have spread them.
-func (r *Report) Even(hosts []int, from, to int64) (fleet, chance, robin Evenness) {
-	hits := r.hits(hosts, from, to)
-	part := make([]float64, len(hosts))
+// shares returns the hosts' shares of the attempts by weight.
+func (r *Report) shares(hosts []int) []float64 {
+	shares := make([]float64, len(hosts))
 	sum := 0.0
-	for k, h := range hosts {
-		part[k] = r.Hosts[h].Weight
-		sum += part[k]
+	for k, host := range hosts {
+		shares[k] = r.Hosts[host].Weight
+		sum += shares[k]
 	}
-	for k := range part {
-		part[k] /= sum
+	for k := range shares {
+		shares[k] /= sum
 	}
-	fleet = even(hits, part, from, to)
-	least, most, all := math.Inf(1), 0.0, 0
-	for _, h := range hosts {
-		gates := map[int]bool{}
-		for _, c := range r.Hosts[h].Commands {
-			if q, ok := r.Req(c.ID); ok && c.ReceivedAt >= from && c.ReceivedAt < to {
-				gates[q.Gateway] = true
+	return shares
+}
+
+// measureConnections adds the figures of the gateways and connections of the hosts.
+func (r *Report) measureConnections(evenness *Evenness, hosts []int, from, to int64) {
+	perHost := MinMeanMax{Min: math.Inf(1)}
+	sum := 0
+	for _, host := range hosts {
+		log := &r.Hosts[host].HostLog
+		gateways := map[int]bool{}
+		for _, command := range log.Commands {
+			request, ok := r.Request(command.ID)
+			if ok && command.ReceivedAt >= from && command.ReceivedAt < to {
+				gateways[request.Gateway] = true
 			}
 		}
-		for _, at := range r.Hosts[h].AcceptedAt {
+		for _, at := range log.AcceptedAt {
 			if at >= from && at < to {
-				fleet.Opened++
+				evenness.OpenedConns++
 			}
 		}
-		if s, ok := r.Hosts[h].LoadAt(from); ok {
-			fleet.Standing += s.OpenConns
-		}
-		all += len(gates)
-		least, most = min(least, float64(len(gates))), max(most, float64(len(gates)))
-	}
-	fleet.Held = [3]float64{least, float64(all) / float64(len(hosts)), most}
-	const plays = 10
-	for play := range uint64(plays) {
-		draw := rand.New(rand.NewPCG(r.Scenario.Plan.Seed, play))
-		var cum []float64
-		x := 0.0
-		for _, p := range part {
-			x += p
-			cum = append(cum, x)
-		}
-		thrown := slices.Clone(hits)
-		for i := range thrown {
-			thrown[i].host = min(sort.SearchFloat64s(cum, draw.Float64()*x), len(part)-1)
-		}
-		chance = chance.add(even(thrown, part, from, to), 1.0/plays)
-	}
-	chance.Hosts, chance.Dispatches = fleet.Hosts, fleet.Dispatches
-	dealt, owed := slices.Clone(hits), make([]float64, len(part)) // smooth weighted round robin
-	for i := range dealt {
-		best := 0
-		for k := range owed {
-			if owed[k] += part[k]; owed[k] > owed[best] {
-				best = k
-			}
+		if step, ok := log.LoadAt(from); ok {
+			evenness.InitialConns += step.OpenConns
 		}
-		owed[best]--
-		dealt[i].host = best
-	}
-	return fleet, chance, even(dealt, part, from, to)
-}
-
-// add sums measures up by a weight.
-func (e Evenness) add(o Evenness, w float64) Evenness {
-	if e.Windows == nil {
-		e.Windows = map[time.Duration]Spread{}
-	}
-	for k, s := range o.Windows {
-		t := e.Windows[k]
-		e.Windows[k] = Spread{s.Count, t.Most + w*s.Most, t.Least + w*s.Least, t.Variation + w*s.Variation,
-			t.Highest + w*s.Highest, t.Lowest + w*s.Lowest}
+		sum += len(gateways)
+		perHost.Min = min(perHost.Min, float64(len(gateways)))
+		perHost.Max = max(perHost.Max, float64(len(gateways)))
 	}
-	e.Idle += w * o.Idle
-	e.Over += time.Duration(w * float64(o.Over))
-	e.OverHosts += w * o.OverHosts
-	return e
+	perHost.Mean = float64(sum) / float64(len(hosts))
+	evenness.GatewaysPerHost = perHost
 }
 
-func even(hits []hit, part []float64, from, to int64) Evenness {
-	e := Evenness{Hosts: len(part), Dispatches: len(hits), Windows: map[time.Duration]Spread{}}
-	for _, d := range []time.Duration{time.Second, 10 * time.Second} {
-		if s := windows(hits, part, from, to, int64(d)); s.Count > 0 {
-			e.Windows[d] = s
-		}
-	}
-	e.Idle = idle(hits, len(part), from, to)
-	e.Over, e.OverHosts = over(hits, part, from, to)
-	return e
-}
-
-func windows(hits []hit, part []float64, from, to, length int64) (s Spread) {
-	s.Lowest = math.Inf(1)
-	i := 0
-	for at := from; at+length <= to; at += length {
-		n, all := make([]float64, len(part)), 0.0
-		for ; i < len(hits) && hits[i].at < at+length; i++ {
-			n[hits[i].host]++
-			all++
-		}
-		if all == 0 {
-			continue
-		}
-		least, most, square := math.Inf(1), 0.0, 0.0
-		for k := range n {
-			x := n[k] / (all * part[k])
-			least, most = min(least, x), max(most, x)
-			square += (x - 1) * (x - 1)
-		}
-		s.Count++
-		s.Most, s.Least, s.Variation = s.Most+most, s.Least+least, s.Variation+math.Sqrt(square/float64(len(part)))
-		s.Highest, s.Lowest = max(s.Highest, most), min(s.Lowest, least)
+// spreadByChance returns the attempts with hosts drawn by their shares.
+func spreadByChance(attempts []attempt, shares []float64, random *rand.Rand) []attempt {
+	var cumulative []float64
+	sum := 0.0
+	for _, share := range shares {
+		sum += share
+		cumulative = append(cumulative, sum)
 	}
-	if c := float64(s.Count); c > 0 {
-		s.Most, s.Least, s.Variation = s.Most/c, s.Least/c, s.Variation/c
+	spread := slices.Clone(attempts)
+	for i := range spread {
+		spread[i].host = min(sort.SearchFloat64s(cumulative, random.Float64()*sum), len(shares)-1)
 	}
-	return s
+	return spread
 }
 
-// idle counts stretches of 2 s, each begun by a host's last dispatch or the end of the one before, in which it got
-// nothing while the mean host got 5 or more.
-func idle(hits []hit, hosts int, from, to int64) (n float64) {
-	const stretch = int64(2 * time.Second)
-	last := make([]int64, hosts)
-	for k := range last {
-		last[k] = from
-	}
-	gap := func(k int, until int64) {
-		for ; until-last[k] >= stretch; last[k] += stretch {
-			a := sort.Search(len(hits), func(i int) bool { return hits[i].at >= last[k] })
-			b := sort.Search(len(hits), func(i int) bool { return hits[i].at >= last[k]+stretch })
-			if b-a >= 5*hosts {
-				n++
+// spreadRoundRobin returns the attempts with hosts chosen by smooth weighted round robin.
+func spreadRoundRobin(attempts []attempt, shares []float64) []attempt {
+	spread := slices.Clone(attempts)
+	credit := make([]float64, len(shares))
+	for i := range spread {
+		best := 0
+		for k := range credit {
+			credit[k] += shares[k]
+			if credit[k] > credit[best] {
+				best = k
 			}
 		}
+		credit[best]--
+		spread[i].host = best
 	}
-	for _, h := range hits {
-		gap(h.host, h.at)
-		last[h.host] = h.at
-	}
-	for k := range last {
-		gap(k, to)
-	}
-	return n
+	return spread
 }
 
-// over gives the longest time that a host stayed above 1.5 times its part, seen in windows of 1 s that move by a
-// tenth, and how many hosts did so for over 1 s. A window counts where a host's part of it is 5 dispatches or more.
-func over(hits []hit, part []float64, from, to int64) (longest time.Duration, hosts float64) {
-	const tick = int64(100 * time.Millisecond)
-	ticks := int((to - from) / tick)
-	counts, all := make([][]int32, ticks), make([]int, ticks)
-	for i := range counts {
-		counts[i] = make([]int32, len(part))
-	}
-	for _, h := range hits {
-		if t := int((h.at - from) / tick); t < ticks {
-			counts[t][h.host]++
-			all[t]++
-		}
-	}
-	for k := range part {
-		run, most, mine, sum := 0, 0, 0, 0
-		for t := range ticks {
-			mine, sum = mine+int(counts[t][k]), sum+all[t]
-			if t >= 10 {
-				mine, sum = mine-int(counts[t-10][k]), sum-all[t-10]
-			}
-			want := float64(sum) * part[k]
-			if t >= 9 && want >= 5 && float64(mine) > 1.5*want {
-				run++
-			} else {
-				run = 0
-			}
-			most = max(most, run)
-		}
-		d := time.Duration(int64(most) * tick)
-		longest = max(longest, d)
-		if d > time.Second {
-			hosts++
-		}
-	}
-	return longest, hosts
+// add returns the figures plus those of another, times a factor.
+func (e Evenness) add(other Evenness, factor float64) Evenness {
+	if e.Windows == nil {
+		e.Windows = map[time.Duration]WindowStats{}
+	}
+	for length, stats := range other.Windows {
+		sum := e.Windows[length]
+		e.Windows[length] = WindowStats{
+			Count:     stats.Count,
+			Most:      sum.Most + factor*stats.Most,
+			Least:     sum.Least + factor*stats.Least,
+			Variation: sum.Variation + factor*stats.Variation,
+			Highest:   sum.Highest + factor*stats.Highest,
+			Lowest:    sum.Lowest + factor*stats.Lowest,
+		}
+	}
+	e.IdlePeriods += factor * other.IdlePeriods
+	e.LongestOverload += time.Duration(factor * float64(other.LongestOverload))
+	e.OverloadedHosts += factor * other.OverloadedHosts
+	return e
 }
 
-// Evenly returns a check: over the whole load after its warm-up, at the hosts listed at first, the most and the least loaded were within
-// these bounds in windows of 10 s, or within 1.1 times what chance alone gives, where that is wider. Where the rig itself
-// ran late it does not judge: the fleet then steers by the machine's business.
-func Evenly(most, least float64) Check {
-	return Check{fmt.Sprintf("hosts between %g and %g of their part in 10 s", least, most), func(r *Report) string {
-		s := r.Scenario
-		hosts := Seats(0, s.Plan.Hosts-len(s.Plan.Unlisted))
-		fleet, chance, _ := r.Even(hosts, r.Began+int64(s.Warm), r.Ended)
-		ten, c := fleet.Windows[10*time.Second], chance.Windows[10*time.Second]
-		if ten.Count > 0 && ten.Most <= max(most, 1.1*c.Most) && ten.Least >= min(least, c.Least/1.1) {
+// EvenWithin returns a check: over the load after its warm-up, at the hosts that were listed at first, the load of
+// the most and of the least loaded host lay within bounds in windows of 10 s, or within 1.1 times those of chance
+// where these are wider. It does not judge a run in which the emulators themselves were late, as the gateways then
+// balance for a busy machine.
+func EvenWithin(most, least float64) Check {
+	const margin = 1.1
+	return Check{fmt.Sprintf("hosts between %g and %g of their share in 10 s", least, most), func(r *Report) string {
+		fleet, chance, _ := r.MeasureEvenness(r.initialHosts(), r.StartedAt+int64(r.Scenario.WarmUp), r.EndedAt)
+		ours := fleet.Windows[longWindow]
+		byChance := chance.Windows[longWindow]
+		within := ours.Most <= max(most, margin*byChance.Most) && ours.Least >= min(least, byChance.Least/margin)
+		if ours.Count > 0 && within {
 			return ""
 		}
-		if clients, late := r.Late(); max(clients, late) > busy/5 {
+		clients, hosts := r.Delays()
+		if max(clients, hosts) > busyDelay/5 {
 			return ""
 		}
 		return fmt.Sprintf("%v; by chance %v", fleet, chance)
 	}}
 }
 
-// String is a line of figures.
+// initialHosts returns the hosts that were listed at first.
+func (r *Report) initialHosts() []int {
+	options := &r.Scenario.Options
+	return Indexes(0, options.Hosts-len(options.UnlistedHosts))
+}
+
+// String returns the figures in one line.
 func (e Evenness) String() string {
-	var b strings.Builder
-	for _, d := range []time.Duration{time.Second, 10 * time.Second} {
-		if s, ok := e.Windows[d]; ok {
-			fmt.Fprintf(&b, "%v: most %.2f least %.2f variation %.3f; ", d, s.Most, s.Least, s.Variation)
+	var text strings.Builder
+	for _, length := range []time.Duration{shortWindow, longWindow} {
+		if stats, ok := e.Windows[length]; ok {
+			fmt.Fprintf(&text, "%v: most %.2f least %.2f variation %.3f; ", length, stats.Most, stats.Least, stats.Variation)
 		}
 	}
-	fmt.Fprintf(&b, "idle %.1f; over 1.5 for %.1f s, %.1f hosts", e.Idle, e.Over.Seconds(), e.OverHosts)
-	if e.Held[2] > 0 {
-		fmt.Fprintf(&b, "; held by %.0f to %.0f, mean %.1f", e.Held[0], e.Held[2], e.Held[1])
+	fmt.Fprintf(&text, "idle %.1f; over 1.5 for %.1f s, %.1f hosts", e.IdlePeriods, e.LongestOverload.Seconds(),
+		e.OverloadedHosts)
+	if e.GatewaysPerHost.Max > 0 {
+		fmt.Fprintf(&text, "; used by %.0f to %.0f gateways, mean %.1f", e.GatewaysPerHost.Min, e.GatewaysPerHost.Max,
+			e.GatewaysPerHost.Mean)
 	}
-	return b.String()
+	return text.String()
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet runs many processes of the program on loopback, with stand-ins for all that they speak to and a relay
-// between them, injects faults by a plan, and counts. It is a library for tests.
+// Package fleet runs many processes of the gateway on loopback, emulators of all that they speak to and a relay between
+// them, injects faults at set times, and checks and counts what follows. It is a library for tests.
 package fleet
 
 import (
@@ -13,236 +13,282 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"ravensill/lab/actor"
 	"ravensill/lab/emulator"
+	"ravensill/lab/gatewayconfig"
 	"ravensill/lab/relay"
 )
 
 const (
-	starting = 12 // processes that start at one time
-	homes    = 100
-	agents   = 101
+	maxStarting              = 12 // processes that start at one time
+	defaultMessagesPerSecond = 40
 )
 
-// Plan says what a fleet consists of. Zero values leave what is usual.
-type Plan struct {
-	Gateways, Hosts   int
-	Seed              uint64
-	Zones             []string
-	Host              func(i int, h *emulator.HostOptions)            // changes a host before it starts
-	Settings          func(s map[string]any)                          // changes the deployment's settings, the same for all
-	Config            func(f *Fleet, i int, cfg map[string]any) error // adds to one gateway's configuration
-	Prepare           func(f *Fleet) error                            // makes nets and streams of the relay, before any gateway is configured
-	Serving           func(f *Fleet, i int, line string)              // a life of a gateway serves; line is its log line. Called by the gateway's task: it must not ask the gateway
-	Late              map[int]bool                                    // gateways that Start does not launch
-	Unlisted          map[int]bool                                    // hosts that run and are not in the first list
-	Counter           bool                                            // there is a shared counter
-	Alone             bool                                            // gateways do not message each other
-	MessagesPerSecond float64                                         // messages a gateway takes in; 0 leaves 40
-	Binary            string                                          // "" builds the program
+// gossipNetwork names the relay's network of the gateways' gossip. Its faults follow from the name, too.
+const gossipNetwork = "mail"
+
+// Networks within 127.0.0.0/8.
+const (
+	gatewayNetwork = 100
+	agentNetwork   = 101
+)
+
+// Options describe a fleet. Zero values mean the defaults.
+type Options struct {
+	Gateways int
+	Hosts    int
+	Seed     uint64
+	Zones    []string // default: one zone
+	// ConfigureHost changes the options of host i before it starts.
+	ConfigureHost func(i int, host *emulator.HostOptions)
+	// ChangeSettings changes the deployment's settings, which all gateways have.
+	ChangeSettings func(settings *gatewayconfig.Settings)
+	// ConfigureGateway adds to the configuration of gateway i.
+	ConfigureGateway func(f *Fleet, i int, file *gatewayconfig.File) error
+	// PrepareRelay adds datagram networks and streams to the relay before any gateway is configured.
+	PrepareRelay func(f *Fleet) error
+	// OnServing is called by the actor of gateway i with the log line of a process that serves. It must not ask that
+	// gateway.
+	OnServing         func(f *Fleet, i int, line string)
+	NotStarted        map[int]bool // gateways that Start does not start
+	UnlistedHosts     map[int]bool // hosts that run and are not in the first host list
+	SharedCounter     bool
+	NoGossip          bool    // between the gateways
+	MessagesPerSecond float64 // that a gateway accepts; default 40
+	Binary            string  // default: the gateway of this module is built
 	Env               []string
 }
 
-// Fleet is what runs.
+// Fleet is a running fleet.
 type Fleet struct {
-	Plan    Plan
-	Agent   *emulator.Agent
-	Counter *emulator.Counter
-	Relay   *relay.Relay
-	Clients *emulator.Clients
-	Gossip  *relay.Datagrams // between the gateways; nil where they are alone
-	Dir     string
-	Took    time.Duration // until all served
-	hosts   []*emulator.Host
-	gates   []*Gateway
-	later   errgroup.Group // steps that go on
+	Options       Options
+	Agent         *emulator.Agent
+	Counter       *emulator.Counter // nil: none
+	Relay         *relay.Relay
+	Clients       *emulator.Clients
+	Gossip        *relay.Datagrams // between the gateways; nil: none
+	Dir           string
+	StartDuration time.Duration // until all gateways served
+	hosts         []*emulator.Host
+	gateways      []*Gateway
+	background    errgroup.Group // steps that go on while later ones run
 }
 
-// Gateway gives one by its seat.
-func (f *Fleet) Gateway(i int) *Gateway { return f.gates[i] }
+// Gateway returns the gateway with the member index i.
+func (f *Fleet) Gateway(i int) *Gateway { return f.gateways[i] }
 
-// Gateways gives all.
-func (f *Fleet) Gateways() []*Gateway { return f.gates }
+// Gateways returns all gateways by member index.
+func (f *Fleet) Gateways() []*Gateway { return f.gateways }
 
-// Host gives one by its number.
+// Host returns the host with the index i.
 func (f *Fleet) Host(i int) *emulator.Host { return f.hosts[i] }
 
-// Hosts gives all.
+// Hosts returns all hosts by index.
 func (f *Fleet) Hosts() []*emulator.Host { return f.hosts }
 
-// Name is a gateway's name, in the relay's rules too.
-func Name(i int) string { return fmt.Sprintf("g%d", i) }
+// GatewayName returns the name of the gateway with the member index i, which the relay's rules use too.
+func GatewayName(i int) string { return fmt.Sprintf("g%d", i) }
 
-// Names gives the names of gateways from one seat up to, without, another.
-func Names(from, to int) (names []string) {
+// GatewayNames returns the names of the gateways with member indexes in [from, to).
+func GatewayNames(from, to int) (names []string) {
 	for i := from; i < to; i++ {
-		names = append(names, Name(i))
+		names = append(names, GatewayName(i))
 	}
 	return names
 }
 
-// Start builds the program if need be and starts all that the plan names; it returns once every gateway that is not
-// late serves. What was started is ended again if that fails.
-func Start(ctx context.Context, p Plan) (f *Fleet, err error) {
-	if p.Gateways < 1 || p.Hosts < 1 {
-		return nil, errors.New("fleet: gateways and hosts wanted")
+// Indexes returns the integers in [from, to).
+func Indexes(from, to int) (indexes []int) {
+	for i := from; i < to; i++ {
+		indexes = append(indexes, i)
+	}
+	return indexes
+}
+
+// Start starts a fleet and returns once every gateway serves that is to be started. If that fails, it ends what it
+// started.
+func Start(ctx context.Context, options Options) (*Fleet, error) {
+	if options.Gateways < 1 || options.Hosts < 1 {
+		return nil, errors.New("fleet: no gateways or no hosts")
+	}
+	if err := options.setDefaults(); err != nil {
+		return nil, err
+	}
+	f := &Fleet{Options: options, Relay: relay.New(options.Seed)}
+	if err := f.start(ctx); err != nil {
+		f.Close()
+		return nil, err
+	}
+	return f, nil
+}
+
+// setDefaults replaces zero values by the defaults and builds the gateway if need be.
+func (o *Options) setDefaults() error {
+	if len(o.Zones) == 0 {
+		o.Zones = []string{"a"}
+	}
+	if o.MessagesPerSecond == 0 {
+		o.MessagesPerSecond = defaultMessagesPerSecond
+	}
+	if o.Binary != "" {
+		return nil
 	}
-	if len(p.Zones) == 0 {
-		p.Zones = []string{"a"}
+	var err error
+	o.Binary, err = Binary()
+	return err
+}
+
+// start starts the emulators and then the gateways.
+func (f *Fleet) start(ctx context.Context) error {
+	var err error
+	f.Dir, err = os.MkdirTemp("", "ravensill-run-")
+	if err != nil {
+		return fmt.Errorf("fleet: %w", err)
 	}
-	if p.MessagesPerSecond == 0 {
-		p.MessagesPerSecond = 40
+	if err := f.startEmulators(); err != nil {
+		return fmt.Errorf("fleet: %w", err)
 	}
-	if p.Binary == "" {
-		if p.Binary, err = Binary(); err != nil {
-			return nil, err
+	if f.Options.PrepareRelay != nil {
+		if err := f.Options.PrepareRelay(f); err != nil {
+			return fmt.Errorf("fleet: preparing the relay: %w", err)
 		}
 	}
-	f = &Fleet{Plan: p, Relay: relay.New(p.Seed)}
-	defer func() {
+	for i := range f.Options.Gateways {
+		gateway, err := f.newGateway(i)
 		if err != nil {
-			f.Close()
-			f = nil
+			return fmt.Errorf("fleet: configuring %s: %w", GatewayName(i), err)
 		}
-	}()
-	if f.Dir, err = os.MkdirTemp("", "ravensill-run-"); err != nil {
-		return f, err
+		f.gateways = append(f.gateways, gateway)
 	}
+	return f.startGateways(ctx)
+}
+
+// startEmulators starts the hosts, the agent, the counter, the network of gossip and the clients.
+func (f *Fleet) startEmulators() error {
+	options := &f.Options
 	var entries []emulator.Entry
-	for i := range p.Hosts {
-		hp := emulator.HostOptions{ID: fmt.Sprintf("s-%04d", i), Listen: "127.0.0.1:0", Zone: p.Zones[i%len(p.Zones)], Kind: "m",
-			Cell: i % 3, Model: emulator.DefaultModel(), ReportFields: []string{"utilization"}}
-		if p.Host != nil {
-			p.Host(i, &hp)
-		}
-		h, err := emulator.NewHost(hp)
+	for i := range options.Hosts {
+		host, err := emulator.NewHost(f.hostOptions(i))
 		if err != nil {
-			return f, err
-		}
-		if f.hosts = append(f.hosts, h); !p.Unlisted[i] {
-			entries = append(entries, h.Entry("active"))
-		}
-	}
-	if f.Agent, err = emulator.NewAgent(agents, p.Gateways, entries...); err != nil {
-		return f, err
-	}
-	if p.Counter {
-		if f.Counter, err = emulator.NewCounter(); err != nil {
-			return f, err
+			return err
 		}
-	}
-	if !p.Alone && p.Gateways > 1 {
-		if f.Gossip, err = f.Relay.Datagrams("mail", Names(0, p.Gateways)); err != nil {
-			return f, err
+		f.hosts = append(f.hosts, host)
+		if !options.UnlistedHosts[i] {
+			entries = append(entries, host.Entry(emulator.Active))
 		}
 	}
-	f.Clients = emulator.NewClients(make([]string, p.Gateways))
-	if p.Prepare != nil {
-		if err = p.Prepare(f); err != nil {
-			return f, err
-		}
+	var err error
+	f.Agent, err = emulator.NewAgent(agentNetwork, options.Gateways, entries...)
+	if err != nil {
+		return err
 	}
-	for i := range p.Gateways {
-		g := &Gateway{Actor: actor.New(), Index: i, Name: Name(i), Dir: filepath.Join(f.Dir, Name(i), "disk"),
-			file: filepath.Join(f.Dir, Name(i), "config.json"), binary: p.Binary, variable: "GW_CONFIG", ready: "serving", env: p.Env, counts: map[string]int{},
-			serves: f.serves, dies: f.dies}
-		f.gates = append(f.gates, g)
-		if g.Config, err = f.config(i); err != nil {
-			return f, err
+	if options.SharedCounter {
+		f.Counter, err = emulator.NewCounter()
+		if err != nil {
+			return err
 		}
 	}
-	began := time.Now()
-	some, ctx := errgroup.WithContext(ctx)
-	some.SetLimit(starting)
-	for i, g := range f.gates {
-		if p.Late[i] {
-			continue
+	if !options.NoGossip && options.Gateways > 1 {
+		f.Gossip, err = f.Relay.Datagrams(gossipNetwork, GatewayNames(0, options.Gateways))
+		if err != nil {
+			return err
 		}
-		some.Go(func() error {
-			if err := g.Launch(); err != nil {
-				return err
-			}
-			return g.Serving(ctx)
-		})
 	}
-	err = some.Wait()
-	f.Took = time.Since(began)
-	return f, err
+	f.Clients = emulator.NewClients(make([]string, options.Gateways))
+	return nil
 }
 
-// serves takes in that a life of a gateway serves.
-func (f *Fleet) serves(g *Gateway, listen, peer string) {
-	f.Clients.SetAddr(g.Index, listen)
-	if at, err := netip.ParseAddrPort(peer); err == nil && f.Gossip != nil {
-		f.Gossip.Place(g.Index, at)
+// hostOptions returns the options of host i.
+func (f *Fleet) hostOptions(i int) emulator.HostOptions {
+	host := emulator.HostOptions{
+		ID:           fmt.Sprintf("s-%04d", i),
+		Listen:       "127.0.0.1:0",
+		Zone:         f.Options.Zones[i%len(f.Options.Zones)],
+		Kind:         machineType,
+		Cell:         i % cells,
+		Model:        emulator.DefaultModel(),
+		ReportFields: []string{reportField},
 	}
-	if f.Plan.Serving != nil {
-		f.Plan.Serving(f, g.Index, g.lines[len(g.lines)-1])
+	if f.Options.ConfigureHost != nil {
+		f.Options.ConfigureHost(i, &host)
 	}
+	return host
 }
 
-func (f *Fleet) dies(g *Gateway) {
-	if f.Gossip != nil {
-		f.Gossip.Place(g.Index, netip.AddrPort{})
+// newGateway configures gateway i.
+func (f *Fleet) newGateway(i int) (*Gateway, error) {
+	file, err := f.gatewayFile(i)
+	if err != nil {
+		return nil, err
 	}
+	gateway := &Gateway{Config: file}
+	gateway.Process = NewProcess(ProcessOptions{
+		Name:       GatewayName(i),
+		Index:      i,
+		Binary:     f.Options.Binary,
+		Variable:   "GW_CONFIG",
+		ReadyEvent: "serving",
+		Dir:        filepath.Join(f.Dir, GatewayName(i), "disk"),
+		Config:     file,
+		Env:        f.Options.Env,
+		OnServing:  func(line string) { f.onServing(i, line) },
+		OnExit:     func() { f.onExit(i) },
+	})
+	return gateway, nil
 }
 
-func front(name, effect string) map[string]any {
-	return map[string]any{"name": name, "effect": effect, "target_us": 2_000_000, "hard_limit_us": 8_000_000, "points": 1,
-		"window_us": 3_000_000, "group": "all"}
+// startGateways starts the gateways and waits until they serve.
+func (f *Fleet) startGateways(ctx context.Context) error {
+	began := time.Now()
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(maxStarting)
+	for i, gateway := range f.gateways {
+		if f.Options.NotStarted[i] {
+			continue
+		}
+		group.Go(func() error {
+			if err := gateway.Launch(); err != nil {
+				return err
+			}
+			return gateway.WaitServing(ctx)
+		})
+	}
+	err := group.Wait()
+	f.StartDuration = time.Since(began)
+	return err
 }
 
-// settings are the deployment's. Every value is built anew, so that a plan may change it.
-func (f *Fleet) settings(i int) map[string]any {
-	s := map[string]any{"balancers": f.Plan.Gateways, "position": i, "locality": i % len(f.Plan.Zones), "zones": f.Plan.Zones, "skus": []string{"m"},
-		"limits": map[string]any{"max_attempts": 3, "cancelling": true, "retry_after": true, "max_retry_after_us": 10_000_000,
-			"conn_idle_us": 30_000_000, "connect_timeout_us": 250_000, "peer_messages": f.Gossip != nil},
-		"profiles": []any{front("lookup", "safe"), front("order", "keyed"), front("pay", "unsafe")},
-		"plans": []any{map[string]any{"name": "team", "rate": 1e6, "burst": 1e6, "worth_factor": 1},
-			map[string]any{"name": "small", "rate": 20, "burst": 40, "worth_factor": 1}},
-		"report":      map[string]any{"how": "inline", "names": []string{"utilization"}},
-		"rules":       map[string]any{"start_capacity": 0.2, "warm_up_us": 10_000_000, "fall_multiple": 3, "fall_us": 1_000_000},
-		"family_info": map[string]any{"mail_per_s": f.Plan.MessagesPerSecond}}
-	if f.Plan.Counter {
-		s["family_info"].(map[string]any)["shared_counter"] = true
+// onServing is called by the actor of gateway i when its process serves.
+func (f *Fleet) onServing(i int, line string) {
+	addresses := listenAddresses(line)
+	f.Clients.SetAddr(i, addresses.clients)
+	if addresses.peers.IsValid() && f.Gossip != nil {
+		f.Gossip.Place(i, addresses.peers)
 	}
-	if f.Plan.Settings != nil {
-		f.Plan.Settings(s)
+	if f.Options.OnServing != nil {
+		f.Options.OnServing(f, i, line)
 	}
-	return s
 }
 
-func (f *Fleet) config(i int) (map[string]any, error) {
-	cfg := map[string]any{"name": Name(i), "listen": netip.AddrPortFrom(emulator.Loopback(homes, i), 0).String(),
-		"discovery": f.Agent.Addr(i), "seed": fmt.Sprintf("%016x", f.Plan.Seed*1000003+uint64(i)+1),
-		"limits": map[string]any{"memory_mb": 192, "sockets": 1024}, "known": f.Agent.FullList(i), "settings": f.settings(i)}
+// onExit is called by the actor of gateway i when its process has ended.
+func (f *Fleet) onExit(i int) {
 	if f.Gossip != nil {
-		cfg["peer_listen"], cfg["peers"] = "127.0.0.1:0", f.Gossip.Peers(i)
+		f.Gossip.Place(i, netip.AddrPort{})
 	}
-	if f.Counter != nil {
-		cfg["counter"] = f.Counter.Addr()
-	}
-	if f.Plan.Config != nil {
-		if err := f.Plan.Config(f, i, cfg); err != nil {
-			return nil, err
-		}
-	}
-	return cfg, nil
 }
 
-// Close ends all processes and stand-ins and removes what they kept on disk.
+// Close ends all processes and emulators and removes their files.
 func (f *Fleet) Close() {
-	var all errgroup.Group
-	for _, g := range f.gates {
-		all.Go(func() error {
-			if g.Running() {
-				g.Kill()
+	var group errgroup.Group
+	for _, gateway := range f.gateways {
+		group.Go(func() error {
+			if gateway.Running() {
+				gateway.Kill()
 			}
-			g.Actor.Stop()
+			gateway.Actor.Stop()
 			return nil
 		})
 	}
-	all.Wait()
+	group.Wait()
 	if f.Clients != nil {
 		f.Clients.Close()
 	}
@@ -252,29 +298,30 @@
 	if f.Counter != nil {
 		f.Counter.Close()
 	}
-	for _, h := range f.hosts {
-		h.Close()
-	}
-	if f.Relay != nil {
-		f.Relay.Close()
+	for _, host := range f.hosts {
+		host.Close()
 	}
+	f.Relay.Close()
 	os.RemoveAll(f.Dir)
 }
 
-// Until waits for a state that nothing announces.
-func Until(ctx context.Context, what string, state func() bool) error {
-	for !state() {
+// pollInterval is the pause between two looks at a state that nothing announces.
+const pollInterval = 5 * time.Millisecond
+
+// WaitUntil waits for a state that nothing announces. what names the state in an error.
+func WaitUntil(ctx context.Context, what string, reached func() bool) error {
+	for !reached() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %w", what, ctx.Err())
-		case <-time.After(5 * time.Millisecond):
+			return fmt.Errorf("waiting for %s: %w", what, ctx.Err())
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-// Sent waits until clients have sent so many more reqs.
-func (f *Fleet) Sent(ctx context.Context, more int) error {
+// WaitSent waits until clients have sent a number of further requests.
+func (f *Fleet) WaitSent(ctx context.Context, more int) error {
 	from := f.Clients.Sent()
-	return Until(ctx, fmt.Sprintf("%d more reqs", more), func() bool { return f.Clients.Sent() >= from+more })
+	return WaitUntil(ctx, fmt.Sprintf("%d more requests", more), func() bool { return f.Clients.Sent() >= from+more })
 }
--- a/lab/fleet/measure.go
+++ b/lab/fleet/measure.go
@@ -9,52 +9,80 @@
 	"time"
 )
 
-// Measure plays a scenario with each of some programs and writes what came of it: cost, outcomes, and for each stretch
-// the fleet's evenness beside chance and round robin on the very same dispatches. binaries are paths by what they are
-// called; "" is the program as it is.
-func Measure(ctx context.Context, w io.Writer, s Scenario, binaries map[string]string) error {
-	fmt.Fprintf(w, "### %s: %d processes, %d hosts, %.0f reqs a second, seed %d\n\n", s.Name, s.Plan.Gateways,
-		s.Plan.Hosts-len(s.Plan.Unlisted), s.Loads[0].Rate, s.Plan.Seed)
+// reportedDelay is the delay of the emulators from which on a measurement names it.
+const reportedDelay = 100 * time.Millisecond
+
+const evennessHead = "\n| stretch | by | most, least in 1 s | most, least in 10 s | variation 1 s, 10 s | idle | " +
+	"longest over 1.5, hosts over 1 s | held by | connections opened, standing before |\n" +
+	"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
+
+// Measure runs a scenario with each of some programs and writes cost, results and, for each interval, the fleet's
+// evenness beside that of chance and of round robin on the same attempts. binaries are paths by the name shown; "" is
+// the gateway of this module.
+func Measure(ctx context.Context, w io.Writer, scenario Scenario, binaries map[string]string) error {
+	options := &scenario.Options
+	fmt.Fprintf(w, "### %s: %d processes, %d hosts, %.0f requests a second, seed %d\n\n", scenario.Name,
+		options.Gateways, options.Hosts-len(options.UnlistedHosts), scenario.Loads[0].Rate, options.Seed)
 	for _, name := range slices.Sorted(maps.Keys(binaries)) {
-		s.Plan.Binary = binaries[name]
-		r, err := s.Play(ctx)
+		options.Binary = binaries[name]
+		report, err := scenario.Run(ctx)
 		if err != nil {
-			return fmt.Errorf("%s: %w", name, err)
-		}
-		fmt.Fprintf(w, "%s: all served %.2f s after the first start. %s. %s.\n", name, r.Fleet.Took.Seconds(), r.Summary(), r.Cost())
-		if clients, hosts := r.Late(); max(clients, hosts) > 100*time.Millisecond {
-			fmt.Fprintf(w, "The machine was busy: clients late by up to %.2f s, hosts by %.2f s (p99).\n", clients.Seconds(), hosts.Seconds())
-		}
-		if err := r.Err(); err != nil {
-			fmt.Fprintf(w, "Does not hold: %v\n", err)
-		}
-		stretches := s.Stretches
-		if len(stretches) == 0 {
-			stretches = []Stretch{{What: "whole load", To: s.For}}
+			return fmt.Errorf("measuring %s: %w", name, err)
 		}
-		fmt.Fprint(w, "\n| stretch | by | most, least in 1 s | most, least in 10 s | variation 1 s, 10 s | idle | longest over 1.5, hosts over 1 s | held by | connections opened, standing before |\n"+
-			"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-		for _, x := range stretches {
-			hosts := x.Hosts
-			if hosts == nil {
-				hosts = Seats(0, s.Plan.Hosts-len(s.Plan.Unlisted))
-			}
-			from := r.Began + int64(s.Warm)
-			fleet, chance, robin := r.Even(hosts, from+int64(x.From), from+int64(x.To))
-			for _, e := range []struct {
-				by string
-				Evenness
-			}{{name, fleet}, {"chance", chance}, {"round robin", robin}} {
-				one, ten := e.Windows[time.Second], e.Windows[10*time.Second]
-				held := "- | -"
-				if e.Held[2] > 0 {
-					held = fmt.Sprintf("%.0f to %.0f, mean %.1f | %d, %d", e.Held[0], e.Held[2], e.Held[1], e.Opened, e.Standing)
-				}
-				fmt.Fprintf(w, "| %s | %s | %.2f, %.2f | %.2f, %.2f | %.3f, %.3f | %.1f | %.1f s, %.1f | %s |\n", x.What, e.by, one.Most,
-					one.Least, ten.Most, ten.Least, one.Variation, ten.Variation, e.Idle, e.Over.Seconds(), e.OverHosts, held)
-			}
-		}
-		fmt.Fprintln(w)
+		report.write(w, name)
 	}
 	return nil
 }
+
+// write writes the result of a run with a program of that name.
+func (r *Report) write(w io.Writer, name string) {
+	fmt.Fprintf(w, "%s: all served %.2f s after the first start. %s. %s.\n", name, r.Fleet.StartDuration.Seconds(),
+		r.Summary(), r.Cost())
+	clients, hosts := r.Delays()
+	if max(clients, hosts) > reportedDelay {
+		fmt.Fprintf(w, "The machine was busy: clients late by up to %.2f s, hosts by %.2f s (p99).\n",
+			clients.Seconds(), hosts.Seconds())
+	}
+	if err := r.Err(); err != nil {
+		fmt.Fprintf(w, "%s: %v\n", violationPrefix, err)
+	}
+	intervals := r.Scenario.Intervals
+	if len(intervals) == 0 {
+		intervals = []Interval{{Name: "whole load", To: r.Scenario.Duration}}
+	}
+	io.WriteString(w, evennessHead)
+	for _, interval := range intervals {
+		r.writeInterval(w, name, interval)
+	}
+	fmt.Fprintln(w)
+}
+
+// violationPrefix begins the line of a measurement that names what does not hold.
+const violationPrefix = "Does not hold"
+
+// writeInterval writes the table rows of an interval.
+func (r *Report) writeInterval(w io.Writer, name string, interval Interval) {
+	hosts := interval.Hosts
+	if hosts == nil {
+		hosts = r.initialHosts()
+	}
+	from := r.StartedAt + int64(r.Scenario.WarmUp)
+	fleet, chance, roundRobin := r.MeasureEvenness(hosts, from+int64(interval.From), from+int64(interval.To))
+	fleet.writeRow(w, interval.Name, name)
+	chance.writeRow(w, interval.Name, "chance")
+	roundRobin.writeRow(w, interval.Name, "round robin")
+}
+
+// writeRow writes one table row.
+func (e *Evenness) writeRow(w io.Writer, interval, spreadBy string) {
+	short := e.Windows[shortWindow]
+	long := e.Windows[longWindow]
+	gateways := "- | -"
+	if perHost := e.GatewaysPerHost; perHost.Max > 0 {
+		gateways = fmt.Sprintf("%.0f to %.0f, mean %.1f | %d, %d", perHost.Min, perHost.Max, perHost.Mean,
+			e.OpenedConns, e.InitialConns)
+	}
+	fmt.Fprintf(w, "| %s | %s | %.2f, %.2f | %.2f, %.2f | %.3f, %.3f | %.1f | %.1f s, %.1f | %s |\n", interval, spreadBy,
+		short.Most, short.Least, long.Most, long.Least, short.Variation, long.Variation, e.IdlePeriods,
+		e.LongestOverload.Seconds(), e.OverloadedHosts, gateways)
+}
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -1,502 +1,325 @@
 package fleet
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"maps"
 	"net/netip"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"slices"
-	"strings"
-	"sync"
 	"syscall"
 	"time"
 
-	"github.com/prometheus/procfs"
-
 	"ravensill/lab/actor"
+	"ravensill/lab/gatewayconfig"
 )
 
-const keptLines = 4000 // of a process's log, over its lives
-
-// program is a command of this module that is built once a test process.
-type program struct {
-	importPath string
-	once       sync.Once
-	path       string
-	err        error
-}
-
-var (
-	gatewayProgram = program{importPath: "ravensill/cmd/ravensill"}
-	faultyProgram  = program{importPath: "ravensill/lab/faultygateway"}
-)
-
-// build builds the command, if that is not done yet, and returns its path.
-func (p *program) build() (string, error) {
-	p.once.Do(func() {
-		dir, err := os.MkdirTemp("", "ravensill-fleet-")
-		if err != nil {
-			p.err = err
-			return
-		}
-		p.path = filepath.Join(dir, filepath.Base(p.importPath))
-		out, err := exec.Command("go", "build", "-o", p.path, p.importPath).CombinedOutput()
-		if err != nil {
-			p.err = fmt.Errorf("building %s: %w: %s", p.importPath, err, out)
-		}
-	})
-	return p.path, p.err
-}
-
-// Binary builds the program once a test process and gives its path. RAVENSILL_BINARY names another one instead.
-func Binary() (string, error) {
-	if path := os.Getenv("RAVENSILL_BINARY"); path != "" {
-		return path, nil
-	}
-	return gatewayProgram.build()
-}
-
-// FaultyBinary builds the gateway whose system calls fail by chance, once a test process, and gives its path.
-func FaultyBinary() (string, error) { return faultyProgram.build() }
-
-// Gateway is one process in its lives: a task that owns its log and its present life.
+// Gateway is one gateway of a fleet over its restarts.
 type Gateway struct {
-	*actor.Actor
-	Index    int
-	Name     string
-	Dir      string         // a folder of its own for what it keeps on disk; the configuration file is beside it
-	Config   map[string]any // written to its file at each start; change it between lives only
-	binary   string
-	variable string // of the environment; names the configuration file
-	ready    string // the event by which a life says that it serves
-	file     string
-	listen   string // of its first life, for all later ones
-	peer     string // where it listens for datagrams in this life
-	env      []string
-	cmd      *exec.Cmd
-	up       bool
-	gone     chan struct{} // closed when the present life is over
-	lines    []string
-	cut      int // lines dropped in front
-	life     int // lines before this life's
-	lives    int
-	counts   map[string]int // by event, over all lives
-	past     []Moment
-	watch    []*wait
-	serves   func(g *Gateway, listen, peer string)
-	dies     func(g *Gateway)
+	*Process
+	Config *gatewayconfig.File // written at each start and by Reload
 }
 
-// Process is any program that reads a configuration file which a variable of its environment names, and that logs events
-// as the gateway does.
-type Process = Gateway
-
-// ProcessPlan describes a process that is no gateway of a fleet.
-type ProcessPlan struct {
-	Name     string
-	Index    int
-	Binary   string         // path of the program
-	Variable string         // of the environment; names the configuration file
-	Ready    string         // the event by which the process says that it serves
-	Dir      string         // working folder; the configuration file is beside it
-	Config   map[string]any // content of the configuration file
+// Config is the content of a process's configuration file.
+type Config interface {
+	// SetListen sets the address at which the process listens for clients.
+	SetListen(addr string)
 }
 
-// NewProcess makes a process that is not yet launched. The caller kills it and stops its task.
-func NewProcess(p ProcessPlan) *Process {
+// Process is a program that reads a configuration file named by an environment variable and logs events as the gateway
+// does, over all its restarts. It is an actor that owns the log and the running process.
+type Process struct {
+	*actor.Actor
+	ProcessOptions
+	file        string    // of the configuration
+	addresses   addresses // of the latest incarnation; that for clients stays the same
+	command     *exec.Cmd
+	running     bool
+	exited      chan struct{} // closed when the running process has ended
+	incarnation int           // from 1 on
+	log         processLog
+	events      []ProcessEvent
+	eventCounts map[string]int // of log lines, over all incarnations
+}
+
+// ProcessOptions describe a process.
+type ProcessOptions struct {
+	Name       string
+	Index      int    // among the processes of its kind; of a gateway: its member index
+	Binary     string // path of the program
+	Variable   string // of the environment, names the configuration file
+	ReadyEvent string // the log event by which the process says that it serves
+	Dir        string // working folder; the configuration file is beside it
+	// Config is the content of the configuration file. It may be changed while the process is down, or before Reload.
+	Config    Config
+	Env       []string          // beside this process's environment
+	OnServing func(line string) // called by the actor with the line of ReadyEvent; may be nil
+	OnExit    func()            // called by the actor when the process has ended; may be nil
+}
+
+// NewProcess returns a process that is not yet launched. The caller kills it and stops its actor.
+func NewProcess(options ProcessOptions) *Process {
 	return &Process{
-		Actor:    actor.New(),
-		Index:    p.Index,
-		Name:     p.Name,
-		Dir:      p.Dir,
-		Config:   p.Config,
-		binary:   p.Binary,
-		variable: p.Variable,
-		ready:    p.Ready,
-		file:     filepath.Join(filepath.Dir(p.Dir), "config.json"),
-		counts:   map[string]int{},
-		serves:   func(*Gateway, string, string) {},
-		dies:     func(*Gateway) {},
+		Actor:          actor.New(),
+		ProcessOptions: options,
+		file:           filepath.Join(filepath.Dir(options.Dir), "config.json"),
+		eventCounts:    map[string]int{},
 	}
 }
 
-// Moment is something that befell a process.
-type Moment struct {
-	At    int64
-	What  string // launched, serving, told, kill, term, stop, continue, exited
-	Life  int    // number of the life, from 1 on
-	Host  string // of told: the process logged that this host's state is now State
-	State string
-}
+// EventKind is what happened to a process.
+type EventKind string
 
-func (g *Gateway) moment(what string) {
-	g.past = append(g.past, Moment{At: actor.Now(), What: what, Life: g.lives})
+// Kinds of events.
+const (
+	Launched        EventKind = "launched"
+	Serving         EventKind = "serving"
+	HostStateLogged EventKind = "host state logged"
+	Killed          EventKind = "killed"     // by SIGKILL
+	Terminated      EventKind = "terminated" // by SIGTERM, ends itself
+	Frozen          EventKind = "frozen"     // by SIGSTOP
+	Thawed          EventKind = "thawed"     // by SIGCONT
+	Exited          EventKind = "exited"
+)
+
+// ProcessEvent is something that happened to a process.
+type ProcessEvent struct {
+	At          int64 // ns of actor.Now
+	Kind        EventKind
+	Incarnation int
+	Host        string // of HostStateLogged
+	State       string // of HostStateLogged: the host's state
 }
 
-// Past gives all that befell the process, in order.
-func (g *Gateway) Past() (past []Moment) {
-	g.Ask(func() { past = slices.Clone(g.past) })
-	return past
+// record logs an event of the process.
+func (p *Process) record(kind EventKind) {
+	p.events = append(p.events, ProcessEvent{At: actor.Now(), Kind: kind, Incarnation: p.incarnation})
 }
 
-type wait struct {
-	text string
-	line chan string
+// Running reports whether the process runs.
+func (p *Process) Running() (running bool) {
+	p.Ask(func() { running = p.running })
+	return running
 }
 
-// Running tells whether the process lives.
-func (g *Gateway) Running() (up bool) {
-	g.Ask(func() { up = g.up })
-	return up
+// Addr returns the address at which clients connect, which is the same in all incarnations.
+func (p *Process) Addr() (addr string) {
+	p.Ask(func() { addr = p.addresses.clients })
+	return addr
 }
 
-// Addr is where clients connect; the same in all lives.
-func (g *Gateway) Addr() (addr string) {
-	g.Ask(func() { addr = g.listen })
+// PeerListen returns the address at which the process receives gossip; not valid if it does not.
+func (p *Process) PeerListen() (addr netip.AddrPort) {
+	p.Ask(func() { addr = p.addresses.peers })
 	return addr
 }
 
-// PID is the present life's; 0 while it is down.
-func (g *Gateway) PID() (pid int) {
-	g.Ask(func() {
-		if g.up {
-			pid = g.cmd.Process.Pid
+// PID returns the process id; 0 while the process is down.
+func (p *Process) PID() (pid int) {
+	p.Ask(func() {
+		if p.running {
+			pid = p.command.Process.Pid
 		}
 	})
 	return pid
 }
 
-// Launch starts a life and does not wait until it serves.
-func (g *Gateway) Launch() (err error) {
-	g.Ask(func() { err = g.launch() })
+// Launch starts the process and does not wait until it serves.
+func (p *Process) Launch() (err error) {
+	p.Ask(func() { err = p.launch() })
 	return err
 }
 
-func (g *Gateway) launch() error {
-	if g.up {
-		return fmt.Errorf("%s runs already", g.Name)
+// launch is Launch within the actor.
+func (p *Process) launch() error {
+	if p.running {
+		return fmt.Errorf("%s runs already", p.Name)
 	}
-	if g.listen != "" {
-		g.Config["listen"] = g.listen
+	if p.addresses.clients != "" {
+		p.Config.SetListen(p.addresses.clients)
 	}
-	text, err := json.Marshal(g.Config)
-	if err != nil {
-		return err
+	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
+		return fmt.Errorf("launching %s: %w", p.Name, err)
 	}
-	if err := errors.Join(os.MkdirAll(g.Dir, 0o755), os.WriteFile(g.file, text, 0o644)); err != nil {
-		return err
+	if err := p.writeConfig(); err != nil {
+		return fmt.Errorf("launching %s: %w", p.Name, err)
 	}
-	g.cmd = exec.Command(g.binary)
-	g.cmd.Dir = g.Dir
-	g.cmd.Env = append(append(os.Environ(), g.variable+"="+g.file), g.env...)
-	g.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // should the test itself be killed
-	r, w, err := os.Pipe()
+	reader, writer, err := os.Pipe()
 	if err != nil {
-		return err
+		return fmt.Errorf("launching %s: %w", p.Name, err)
 	}
-	g.cmd.Stderr = w
-	err = g.cmd.Start()
-	w.Close()
+	command := exec.Command(p.Binary)
+	command.Dir = p.Dir
+	command.Env = append(append(os.Environ(), p.Variable+"="+p.file), p.Env...)
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // if the test itself is killed
+	command.Stderr = writer
+	err = command.Start()
+	writer.Close()
 	if err != nil {
-		r.Close()
-		return err
+		reader.Close()
+		return fmt.Errorf("launching %s: %w", p.Name, err)
 	}
-	g.up, g.life, g.gone = true, g.cut+len(g.lines), make(chan struct{})
-	g.lives++
-	g.moment("launched")
-	cmd, gone := g.cmd, g.gone
-	go func() {
-		s := bufio.NewScanner(r)
-		s.Buffer(nil, 1<<20)
-		for s.Scan() {
-			line := s.Text()
-			g.Do(func() { g.say(line) })
-		}
-		r.Close()
-		err := cmd.Wait()
-		g.Do(func() {
-			g.up = false
-			g.moment("exited")
-			g.say(fmt.Sprintf("event=exited status=%q", fmt.Sprint(cmd.ProcessState, err)))
-			for _, w := range g.watch { // nothing more comes in this life
-				close(w.line)
-			}
-			g.watch = nil
-			g.dies(g)
-			close(gone)
-		})
-	}()
+	p.command = command
+	p.running = true
+	p.exited = make(chan struct{})
+	p.incarnation++
+	p.log.startIncarnation()
+	p.record(Launched)
+	go p.follow(command, reader, p.exited)
 	return nil
 }
 
-func (g *Gateway) say(line string) {
-	if g.lines = append(g.lines, line); len(g.lines) > keptLines {
-		g.cut++
-		g.lines = g.lines[1:]
-	}
-	if _, rest, ok := strings.Cut(line, "event="); ok {
-		event, _, _ := strings.Cut(rest, " ")
-		g.counts[event]++
-		if event == "host" {
-			g.past = append(g.past, Moment{actor.Now(), "told", g.lives, field(line, "id"), field(line, "state")})
-		}
-		if event == g.ready {
-			g.moment("serving")
-			g.listen, g.peer = field(line, "listen"), field(line, "peer_listen")
-			g.serves(g, g.listen, g.peer)
-		}
-	} else {
-		g.counts["unnamed"]++ // such as a runtime's trace
-	}
-	kept := g.watch[:0]
-	for _, w := range g.watch {
-		if strings.Contains(line, w.text) {
-			w.line <- line
-		} else {
-			kept = append(kept, w)
-		}
+// writeConfig writes the configuration file.
+func (p *Process) writeConfig() error {
+	text, err := json.Marshal(p.Config)
+	if err != nil {
+		return err
 	}
-	g.watch = kept
+	return os.WriteFile(p.file, text, 0o644)
 }
 
-// field gives the value of name=value in a line.
-func field(line, name string) string {
-	_, rest, _ := strings.Cut(line, " "+name+"=")
-	value, _, _ := strings.Cut(rest, " ")
-	return value
-}
-
-// Wait waits for a line of the present life that holds a text, one that has come already too.
-func (g *Gateway) Wait(ctx context.Context, text string) (string, error) {
-	return g.WaitAfter(ctx, -1, text)
-}
-
-// WaitAfter is Wait for lines after a mark, as Mark gives one; -1 stands for all of the present life.
-func (g *Gateway) WaitAfter(ctx context.Context, mark int, text string) (string, error) {
-	w := &wait{text, make(chan string, 1)}
-	if !g.Ask(func() {
-		if mark < 0 {
-			mark = g.life
-		}
-		for i := max(mark-g.cut, 0); i < len(g.lines); i++ {
-			if strings.Contains(g.lines[i], text) {
-				w.line <- g.lines[i]
-				return
-			}
-		}
-		if !g.up {
-			close(w.line)
-			return
-		}
-		g.watch = append(g.watch, w)
-	}) {
-		return "", fmt.Errorf("%s: the rig is closed", g.Name)
-	}
-	select {
-	case line, ok := <-w.line:
-		if !ok {
-			return "", fmt.Errorf("%s ended before it said %q; last lines:\n%s", g.Name, text, g.Tail(8))
-		}
-		return line, nil
-	case <-ctx.Done():
-		return "", fmt.Errorf("%s never said %q: %w; last lines:\n%s", g.Name, text, ctx.Err(), g.Tail(8))
+// onExit records the end of the process.
+func (p *Process) onExit(status string) {
+	p.running = false
+	p.record(Exited)
+	p.receiveLine(fmt.Sprintf("event=exited status=%q", status))
+	p.log.closeWaiters()
+	if p.OnExit != nil {
+		p.OnExit()
 	}
 }
 
-// Mark is the place in the log where it ends now.
-func (g *Gateway) Mark() (n int) {
-	g.Ask(func() { n = g.cut + len(g.lines) })
-	return n
-}
-
-// Tail gives the last lines.
-func (g *Gateway) Tail(n int) (text string) {
-	g.Ask(func() { text = strings.Join(g.lines[max(0, len(g.lines)-n):], "\n") })
-	return text
-}
-
-// LinesAfter gives the lines after a mark, as Mark gives one or 0, and the mark after the last of them.
-func (g *Gateway) LinesAfter(mark int) (lines []string, next int) {
-	g.Ask(func() {
-		lines = slices.Clone(g.lines[min(max(mark-g.cut, 0), len(g.lines)):])
-		next = g.cut + len(g.lines)
-	})
-	return lines, next
+// signalEvents are the events that signals cause.
+var signalEvents = map[syscall.Signal]EventKind{
+	syscall.SIGKILL: Killed,
+	syscall.SIGTERM: Terminated,
+	syscall.SIGSTOP: Frozen,
+	syscall.SIGCONT: Thawed,
 }
 
-// Lines gives the kept lines that hold a text.
-func (g *Gateway) Lines(text string) (lines []string) {
-	g.Ask(func() {
-		for _, l := range g.lines {
-			if strings.Contains(l, text) {
-				lines = append(lines, l)
-			}
-		}
-	})
-	return lines
-}
-
-// Counts gives how many lines came of each event, over all lives.
-func (g *Gateway) Counts() (counts map[string]int) {
-	g.Ask(func() { counts = maps.Clone(g.counts) })
-	return counts
-}
-
-var signals = map[syscall.Signal]string{syscall.SIGKILL: "kill", syscall.SIGTERM: "term", syscall.SIGSTOP: "stop",
-	syscall.SIGCONT: "continue"}
-
-// signal sends a signal to the present life.
-func (g *Gateway) signal(s syscall.Signal) (gone chan struct{}, err error) {
-	g.Ask(func() {
-		if !g.up {
-			err = fmt.Errorf("%s is down", g.Name)
+// signal sends a signal. It returns a channel that is closed when the process has ended.
+func (p *Process) signal(signal syscall.Signal) (exited <-chan struct{}, err error) {
+	p.Ask(func() {
+		if !p.running {
+			err = fmt.Errorf("%v to %s: it is down", signal, p.Name)
 			return
 		}
-		if what := signals[s]; what != "" {
-			g.moment(what)
+		if kind, ok := signalEvents[signal]; ok {
+			p.record(kind)
 		}
-		gone, err = g.gone, g.cmd.Process.Signal(s)
+		exited = p.exited
+		err = p.command.Process.Signal(signal)
 	})
-	return gone, err
+	return exited, err
 }
 
-// Kill ends the process by SIGKILL and waits until it is gone.
-func (g *Gateway) Kill() error {
-	gone, err := g.signal(syscall.SIGKILL)
-	if err == nil {
-		<-gone
+// Kill ends the process by SIGKILL and waits until it has ended.
+func (p *Process) Kill() error {
+	exited, err := p.signal(syscall.SIGKILL)
+	if err != nil {
+		return err
 	}
-	return err
+	<-exited
+	return nil
 }
 
-// Term asks the process to stop by SIGTERM; WaitExit waits for its end.
-func (g *Gateway) Term() error {
-	_, err := g.signal(syscall.SIGTERM)
+// Terminate asks the process to shut down, by SIGTERM. WaitExit waits for its end.
+func (p *Process) Terminate() error {
+	_, err := p.signal(syscall.SIGTERM)
 	return err
 }
 
-// Hup makes the process read its configuration file anew, as Config is now.
-func (g *Gateway) Hup() error {
+// Reload writes Config to the configuration file and makes the process read it, by SIGHUP.
+func (p *Process) Reload() error {
 	var err error
-	g.Ask(func() {
-		var text []byte
-		if text, err = json.Marshal(g.Config); err == nil {
-			err = os.WriteFile(g.file, text, 0o644)
-		}
-	})
-	if err == nil {
-		_, err = g.signal(syscall.SIGHUP)
+	p.Ask(func() { err = p.writeConfig() })
+	if err != nil {
+		return fmt.Errorf("reloading %s: %w", p.Name, err)
 	}
+	_, err = p.signal(syscall.SIGHUP)
 	return err
 }
 
-// WaitExit waits until the present life is over.
-func (g *Gateway) WaitExit(ctx context.Context) error {
-	var gone chan struct{}
-	g.Ask(func() {
-		if g.up {
-			gone = g.gone
+// WaitExit waits until the process has ended.
+func (p *Process) WaitExit(ctx context.Context) error {
+	var exited chan struct{}
+	p.Ask(func() {
+		if p.running {
+			exited = p.exited
 		}
 	})
-	if gone == nil {
+	if exited == nil {
 		return nil
 	}
 	select {
-	case <-gone:
+	case <-exited:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("%s did not end: %w; last lines:\n%s", g.Name, ctx.Err(), g.Tail(8))
+		return fmt.Errorf("%s did not end: %w; last lines:\n%s", p.Name, ctx.Err(), p.Tail(tailLines))
 	}
 }
 
-// Stop freezes the process by SIGSTOP and waits until it stands.
-func (g *Gateway) Stop() error {
-	if _, err := g.signal(syscall.SIGSTOP); err != nil {
+// stopped is the state of a process, in its file stat, after SIGSTOP.
+const stopped = "T"
+
+// Freeze stops the process by SIGSTOP and waits until it is stopped.
+func (p *Process) Freeze() error {
+	if _, err := p.signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
 	for {
-		s, err := g.stat()
-		if err != nil || s.State == "T" {
+		stat, err := p.stat()
+		if err != nil || stat.State == stopped {
 			return err
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Continue lets a frozen process go on.
-func (g *Gateway) Continue() error {
-	_, err := g.signal(syscall.SIGCONT)
+// Thaw lets a frozen process go on, by SIGCONT.
+func (p *Process) Thaw() error {
+	_, err := p.signal(syscall.SIGCONT)
 	return err
 }
 
-// Restart starts a new life with the same name, addresses and configuration after the present one was killed. empty
-// removes what it kept on disk. It returns once the process serves.
-func (g *Gateway) Restart(ctx context.Context, empty bool) error {
-	if g.Running() {
-		if err := g.Kill(); err != nil {
+// Restart starts the process anew with the same name, addresses and configuration, and kills it before if it runs. With
+// emptyDisk its working folder is removed. It returns once the process serves.
+func (p *Process) Restart(ctx context.Context, emptyDisk bool) error {
+	if p.Running() {
+		if err := p.Kill(); err != nil {
 			return err
 		}
 	}
-	if empty {
-		if err := os.RemoveAll(g.Dir); err != nil {
-			return err
+	if emptyDisk {
+		if err := os.RemoveAll(p.Dir); err != nil {
+			return fmt.Errorf("restarting %s: %w", p.Name, err)
 		}
 	}
-	if err := g.Launch(); err != nil {
+	if err := p.Launch(); err != nil {
 		return err
 	}
-	return g.Serving(ctx)
-}
-
-// Serving waits until the present life serves.
-func (g *Gateway) Serving(ctx context.Context) error {
-	_, err := g.Wait(ctx, "event="+g.ready)
-	return err
-}
-
-// Usage is what a process has used since its start.
-type Usage struct {
-	RSS   int           // bytes in memory now
-	Peak  int           // most bytes in memory
-	CPU   time.Duration // user and system
-	Files int           // open descriptors
-}
-
-func (g *Gateway) stat() (s procfs.ProcStat, err error) {
-	p, err := procfs.NewProc(g.PID())
-	if err == nil {
-		s, err = p.Stat()
-	}
-	return s, err
-}
-
-// Usage reads what the present life has used.
-func (g *Gateway) Usage() (u Usage, err error) {
-	p, err := procfs.NewProc(g.PID())
-	if err != nil {
-		return u, err
-	}
-	s, err := p.Stat()
-	if err != nil {
-		return u, err
-	}
-	st, err := p.NewStatus()
-	if err != nil {
-		return u, err
+	return p.WaitServing(ctx)
+}
+
+// UnexpectedExits returns how often the process ended without having been asked to.
+func UnexpectedExits(events []ProcessEvent) (count int) {
+	expected := false
+	for _, event := range events {
+		switch event.Kind {
+		case Launched:
+			expected = false
+		case Killed, Terminated:
+			expected = true
+		case Exited:
+			if !expected {
+				count++
+			}
+		}
 	}
-	u = Usage{RSS: s.ResidentMemory(), Peak: int(st.VmHWM), CPU: time.Duration(s.CPUTime() * float64(time.Second))}
-	u.Files, err = p.FileDescriptorsLen()
-	return u, err
+	return count
 }
 
-// PeerListen is where the process listens for datagrams in this life; not valid where it does not.
-func (g *Gateway) PeerListen() (a netip.AddrPort) {
-	g.Ask(func() { a, _ = netip.ParseAddrPort(g.peer) })
-	return a
-}
+// errActorStopped is the error of a wait at a process whose actor is stopped.
+var errActorStopped = errors.New("its actor is stopped")
--- /dev/null
+++ b/lab/fleet/steps.go
@@ -0,0 +1,153 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"ravensill/lab/emulator"
+	"ravensill/lab/relay"
+)
+
+// DrawGateways draws the member indexes of a number of gateways by the fleet's seed and a name. The same name returns
+// the same gateways.
+func (f *Fleet) DrawGateways(count int, name string) []int {
+	seed := uint64(emulator.Uniform(name) * (1 << 53))
+	drawn := rand.New(rand.NewPCG(f.Options.Seed, seed)).Perm(f.Options.Gateways)[:count]
+	slices.Sort(drawn)
+	return drawn
+}
+
+// ForEach calls a function for several gateways at the same time.
+func (f *Fleet) ForEach(members []int, do func(g *Gateway) error) error {
+	var group errgroup.Group
+	group.SetLimit(maxStarting * 2)
+	for _, i := range members {
+		group.Go(func() error { return do(f.gateways[i]) })
+	}
+	return group.Wait()
+}
+
+// KillGateways returns a step that kills a number of gateways, drawn by a name. Clients send to them until the load
+// balancer has noticed.
+func KillGateways(at time.Duration, count int, name string, noticedAfter time.Duration) Step {
+	return Step{at, fmt.Sprintf("kill %d gateways (%s)", count, name), func(ctx context.Context, f *Fleet) error {
+		members := f.DrawGateways(count, name)
+		err := f.ForEach(members, func(g *Gateway) error { return g.Kill() })
+		time.AfterFunc(noticedAfter, func() {
+			down := slices.DeleteFunc(slices.Clone(members), func(i int) bool { return f.gateways[i].Running() })
+			f.Clients.SetOutOfUse(true, down...)
+		})
+		return err
+	}}
+}
+
+// RestartGateways returns a step that starts the gateways that KillGateways killed under the name.
+func RestartGateways(at time.Duration, count int, name string, emptyDisk bool) Step {
+	return Step{at, fmt.Sprintf("restart %d gateways (%s)", count, name), func(ctx context.Context, f *Fleet) error {
+		members := f.DrawGateways(count, name)
+		err := f.ForEach(members, func(g *Gateway) error { return g.Restart(ctx, emptyDisk) })
+		f.Clients.SetOutOfUse(false, members...)
+		return err
+	}}
+}
+
+// RollingRestart returns a step that restarts a number of gateways as planned: SIGTERM, new connections for a moment
+// more, then only open ones until each process has ended by itself. It goes on while later steps run.
+func RollingRestart(at time.Duration, count int, name string) Step {
+	return Step{at, fmt.Sprintf("roll %d gateways (%s)", count, name), func(ctx context.Context, f *Fleet) error {
+		members := f.DrawGateways(count, name)
+		err := f.ForEach(members, func(g *Gateway) error {
+			f.Clients.SetRestarting(true, g.Index)
+			return g.Terminate()
+		})
+		if err != nil {
+			return err
+		}
+		f.background.Go(func() error {
+			err := f.ForEach(members, func(g *Gateway) error {
+				return errors.Join(g.WaitExit(ctx), g.Restart(ctx, false))
+			})
+			f.Clients.SetRestarting(false, members...)
+			return err
+		})
+		return nil
+	}}
+}
+
+// FreezeGateways returns a step that stops a number of gateways, drawn by a name, by SIGSTOP.
+func FreezeGateways(at time.Duration, count int, name string) Step {
+	return Step{at, fmt.Sprintf("freeze %d gateways (%s)", count, name), func(ctx context.Context, f *Fleet) error {
+		return f.ForEach(f.DrawGateways(count, name), func(g *Gateway) error { return g.Freeze() })
+	}}
+}
+
+// ThawGateways returns a step that lets the gateways go on that FreezeGateways stopped under the name.
+func ThawGateways(at time.Duration, count int, name string) Step {
+	return Step{at, fmt.Sprintf("thaw %d gateways (%s)", count, name), func(ctx context.Context, f *Fleet) error {
+		return f.ForEach(f.DrawGateways(count, name), func(g *Gateway) error { return g.Thaw() })
+	}}
+}
+
+// SetRelayRules returns a step that puts rules in force in the relay under a name; without rules it ends those before.
+func SetRelayRules(at time.Duration, name string, rules ...relay.Rule) Step {
+	return Step{at, fmt.Sprintf("relay: %d rules (%s)", len(rules), name), func(ctx context.Context, f *Fleet) error {
+		f.Relay.Set(name, rules...)
+		return nil
+	}}
+}
+
+// Announce returns a step that sends some gateways the state of hosts; nil stands for all gateways.
+func Announce(at time.Duration, gateways []int, state string, hosts ...int) Step {
+	return Step{at, fmt.Sprintf("announce %d hosts as %s", len(hosts), state), func(ctx context.Context, f *Fleet) error {
+		var entries []emulator.Entry
+		for _, host := range hosts {
+			entries = append(entries, f.hosts[host].Entry(state))
+		}
+		f.Agent.PushTo(gateways, entries...)
+		return nil
+	}}
+}
+
+// SetAgentMode returns a step that changes the behaviour of the agents of some gateways; nil stands for all.
+func SetAgentMode(at time.Duration, gateways []int, description string, change func(*emulator.Mode)) Step {
+	return Step{at, "agents: " + description, func(ctx context.Context, f *Fleet) error {
+		f.Agent.SetMode(gateways, change)
+		return nil
+	}}
+}
+
+// StartHosts returns a step that starts hosts, cold if their model says so, and announces them to all gateways at once.
+func StartHosts(at time.Duration, hosts ...int) Step {
+	return Step{at, fmt.Sprintf("start %d hosts and list them", len(hosts)), func(ctx context.Context, f *Fleet) error {
+		var entries []emulator.Entry
+		for _, host := range hosts {
+			if _, err := f.hosts[host].Start(); err != nil {
+				return err
+			}
+			entries = append(entries, f.hosts[host].Entry(emulator.Active))
+		}
+		f.Agent.Push(entries...)
+		return nil
+	}}
+}
+
+// RemoveHosts returns the steps that remove hosts: announced as leaving, killed after a grace, announced as left.
+func RemoveHosts(at, grace time.Duration, hosts ...int) []Step {
+	kill := Step{at + grace, fmt.Sprintf("kill %d hosts", len(hosts)), func(ctx context.Context, f *Fleet) error {
+		for _, host := range hosts {
+			f.hosts[host].Kill()
+		}
+		return nil
+	}}
+	return []Step{
+		Announce(at, nil, emulator.Leaving, hosts...),
+		kill,
+		Announce(at+grace, nil, emulator.Left, hosts...),
+	}
+}
--- a/lab/groundtruth/cost.go
+++ b/lab/groundtruth/cost.go
@@ -7,6 +7,7 @@
 
 	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
+	"ravensill/lab/gatewayconfig"
 )
 
 // Cost is the processor time that a request costs a gateway with the section counterfactual enabled and disabled.
@@ -32,17 +33,16 @@
 	if swap {
 		enabled, disabled = 2, 1
 	}
-	plan.Alone = true
-	plan.Host = func(i int, h *emulator.HostOptions) { h.Model.MaxInFlight = 0 }
-	section := plan.Config
-	plan.Config = func(rig *fleet.Fleet, i int, cfg map[string]any) error {
-		if err := section(rig, i, cfg); err != nil || i == disabled {
-			delete(cfg, "counterfactual")
+	plan.NoGossip = true
+	plan.ConfigureHost = func(i int, h *emulator.HostOptions) { h.Model.MaxInFlight = 0 }
+	configure := plan.ConfigureGateway
+	plan.ConfigureGateway = func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
+		if err := configure(f, i, file); err != nil || i == disabled {
+			file.Counterfactual = nil
 			return err
 		}
-		section := cfg["counterfactual"].(map[string]any)
-		delete(section, "records") // a file is no part of the ordinary path
-		section["part"] = share
+		file.Counterfactual.Records = "" // a file is no part of the ordinary path
+		file.Counterfactual.Fraction = share
 		return nil
 	}
 	rig, err := fleet.Start(ctx, plan)
--- a/lab/groundtruth/groundtruth.go
+++ b/lab/groundtruth/groundtruth.go
@@ -16,6 +16,7 @@
 	"ravensill/internal/observer"
 	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
+	"ravensill/lab/gatewayconfig"
 	"ravensill/lab/relay"
 	"ravensill/lab/simenv"
 )
@@ -44,22 +45,22 @@
 
 // fleetPlan returns the plan of the fleet. Each gateway writes records, the first one collects, and the observers' datagrams pass
 // the relay.
-func (c *Case) fleetPlan() fleet.Plan {
+func (c *Case) fleetPlan() fleet.Options {
 	var datagrams *relay.Datagrams
 	var collector string // address of the collector, over all its restarts
-	plan := fleet.Plan{
-		Gateways: c.Gateways,
-		Hosts:    c.Hosts + c.ReplacementHosts,
-		Seed:     c.Seed,
-		Zones:    []string{"a", "b"},
-		Unlisted: map[int]bool{},
-		Host:     c.configureHost,
+	plan := fleet.Options{
+		Gateways:      c.Gateways,
+		Hosts:         c.Hosts + c.ReplacementHosts,
+		Seed:          c.Seed,
+		Zones:         []string{"a", "b"},
+		UnlistedHosts: map[int]bool{},
+		ConfigureHost: c.configureHost,
 	}
 	for i := range c.ReplacementHosts {
-		plan.Unlisted[c.Hosts+i] = true
+		plan.UnlistedHosts[c.Hosts+i] = true
 	}
-	plan.Prepare = func(f *fleet.Fleet) (err error) {
-		datagrams, err = f.Relay.Datagrams("witness", fleet.Names(0, c.Gateways))
+	plan.PrepareRelay = func(f *fleet.Fleet) (err error) {
+		datagrams, err = f.Relay.Datagrams("witness", fleet.GatewayNames(0, c.Gateways))
 		if err != nil {
 			return err
 		}
@@ -71,20 +72,19 @@
 		datagrams.Place(0, address)
 		return nil
 	}
-	plan.Config = func(f *fleet.Fleet, i int, config map[string]any) error {
-		section := map[string]any{
-			"listen":     "127.0.0.1:0",
-			"peers":      datagrams.Peers(i),
-			"collectors": []int{0},
-			"window_ms":  c.Window.Milliseconds(),
-			"records":    recordsPath(f, i),
-			"part":       1,
+	plan.ConfigureGateway = func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
+		file.Counterfactual = &gatewayconfig.Counterfactual{
+			Listen:     "127.0.0.1:0",
+			Peers:      datagrams.Peers(i),
+			Collectors: []int{0},
+			WindowMS:   c.Window.Milliseconds(),
+			Records:    recordsPath(f, i),
+			Fraction:   1,
 		}
 		if i == 0 {
-			section["listen"] = collector
-			section["ask"] = collector
+			file.Counterfactual.Listen = collector
+			file.Counterfactual.Query = collector
 		}
-		config["counterfactual"] = section
 		return nil
 	}
 	return plan
@@ -127,7 +127,7 @@
 	if err := c.runLoad(ctx, f); err != nil {
 		return nil, err
 	}
-	collector := f.Gateway(0).Config["counterfactual"].(map[string]any)["ask"].(string)
+	collector := f.Gateway(0).Config.Counterfactual.Query
 	outcome := &Outcome{}
 	if outcome.Counts, err = c.waitUntilSealed(ctx, collector); err != nil {
 		return nil, err
@@ -172,8 +172,8 @@
 		if err := wait(ctx, time.Until(began.Add(step.At))); err != nil {
 			return err
 		}
-		if err := step.Do(ctx, f); err != nil {
-			return fmt.Errorf("%s: %w", step.What, err)
+		if err := step.Run(ctx, f); err != nil {
+			return fmt.Errorf("%s: %w", step.Description, err)
 		}
 	}
 	if err := wait(ctx, time.Until(began.Add(c.Duration))); err != nil {
--- a/lab/pools/pools.go
+++ b/lab/pools/pools.go
@@ -15,6 +15,8 @@
 	"ravensill/lab/actor"
 	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
+	"ravensill/lab/gatewayconfig"
+	"ravensill/lab/logline"
 	"ravensill/lab/relay"
 )
 
@@ -57,20 +59,20 @@
 func (z Size) Longest() time.Duration { return 3 * time.Second }
 
 // Plan gives the fleet: one store for all.
-func (z Size) Plan() (*Rig, fleet.Plan) {
+func (z Size) Plan() (*Rig, fleet.Options) {
 	r := &Rig{Size: z, streams: map[int][]string{}}
-	p := fleet.Plan{Gateways: z.Gateways, Hosts: 1, Seed: z.Seed}
-	p.Host = func(i int, h *emulator.HostOptions) {
+	p := fleet.Options{Gateways: z.Gateways, Hosts: 1, Seed: z.Seed}
+	p.ConfigureHost = func(i int, h *emulator.HostOptions) {
 		h.Model = emulator.Model{BaseTime: z.Service, Sigma: 0.2, Slots: 1 << 20}
 		h.MaxConns, h.RefusalReply = z.Capacity, "-BUSY\r\n"
 	}
-	p.Settings = func(s map[string]any) {
-		for _, f := range s["profiles"].([]any) {
-			f.(map[string]any)["hard_limit_us"] = z.Longest().Microseconds()
+	p.ChangeSettings = func(settings *gatewayconfig.Settings) {
+		for i := range settings.Classes {
+			settings.Classes[i].TimeoutUS = z.Longest().Microseconds()
 		}
 	}
-	p.Prepare = func(f *fleet.Fleet) error {
-		names := fleet.Names(0, z.Gateways)
+	p.PrepareRelay = func(f *fleet.Fleet) error {
+		names := fleet.GatewayNames(0, z.Gateways)
 		var err error
 		if r.net, err = f.Relay.Datagrams("pool", append(names, names[:z.Voters]...)); err != nil {
 			return err
@@ -87,7 +89,7 @@
 		}
 		for i := range z.Voters {
 			for k := range z.Voters {
-				s, err := f.Relay.Stream(fleet.Name(i), fleet.Name(k), r.voters[k].String())
+				s, err := f.Relay.Stream(fleet.GatewayName(i), fleet.GatewayName(k), r.voters[k].String())
 				if err != nil {
 					return err
 				}
@@ -96,20 +98,25 @@
 		}
 		return nil
 	}
-	p.Config = func(f *fleet.Fleet, i int, cfg map[string]any) error {
+	p.ConfigureGateway = func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
 		if z.Off {
 			return nil
 		}
-		var seats []int
-		for k := range z.Voters {
-			seats = append(seats, k)
+		file.Pool = &gatewayconfig.Pool{
+			Capacity:     z.Capacity,
+			Reserve:      z.Reserve,
+			Floor:        z.Floor,
+			Voters:       r.net.Peers(i)[z.Gateways:],
+			VoterMembers: fleet.Indexes(0, z.Voters),
+			Key:          strings.Repeat("5a", 16),
+			LeaseMS:      z.Lease.Milliseconds(),
+			Urgent:       []string{"pay"},
 		}
-		s := map[string]any{"capacity": z.Capacity, "reserve": z.Reserve, "floor": z.Floor, "voters": r.net.Peers(i)[z.Gateways:],
-			"voter_seats": seats, "key": strings.Repeat("5a", 16), "lease_ms": z.Lease.Milliseconds(), "urgent": []string{"pay"}}
 		if i < z.Voters {
-			s["listen"], s["dir"], s["streams"] = r.voters[i].String(), "pool", r.streams[i]
+			file.Pool.Listen = r.voters[i].String()
+			file.Pool.Dir = "pool"
+			file.Pool.Streams = r.streams[i]
 		}
-		cfg["pool"] = s
 		return nil
 	}
 	return r, p
@@ -135,13 +142,13 @@
 
 // Lower has the store take fewer connections, and the operators tell so: the serial in all files is raised and they are
 // read anew.
-func (r *Rig) Lower(at time.Duration, capacity int, serial int) fleet.Step {
-	return fleet.Step{At: at, What: fmt.Sprintf("capacity %d", capacity), Do: func(ctx context.Context, f *fleet.Fleet) error {
+func (r *Rig) Lower(at time.Duration, capacity int, serial uint64) fleet.Step {
+	return fleet.Step{At: at, Description: fmt.Sprintf("capacity %d", capacity), Run: func(ctx context.Context, f *fleet.Fleet) error {
 		for _, g := range f.Gateways() {
-			s := g.Config["pool"].(map[string]any)
-			s["capacity"], s["serial"] = capacity, serial
+			g.Config.Pool.Capacity = capacity
+			g.Config.Pool.Serial = serial
 			if g.Running() {
-				if err := g.Hup(); err != nil {
+				if err := g.Reload(); err != nil {
 					return err
 				}
 			}
@@ -153,10 +160,10 @@
 // Leading waits until a voter leads, and tells which.
 func (r *Rig) Leading(ctx context.Context, f *fleet.Fleet) (seat int, err error) {
 	seat = -1
-	err = fleet.Until(ctx, "a leader", func() bool {
+	err = fleet.WaitUntil(ctx, "a leader", func() bool {
 		for i := range r.Voters {
 			if g := f.Gateway(i); g.Running() {
-				if lines := g.Lines("event=pool_leads"); len(lines) > 0 && strings.HasSuffix(lines[len(lines)-1], "yes=true") {
+				if lines := g.Lines("pool_leads"); len(lines) > 0 && logline.Value(lines[len(lines)-1], "yes") == "true" {
 					seat = i
 					return true
 				}
@@ -192,11 +199,11 @@
 
 // Figures reads a run, from a time after its begin on. It is called while the fleet still runs, as a check is.
 func (z Size) Figures(r *fleet.Report, rig *Rig, from time.Duration) (g Figures) {
-	start := r.Began + int64(from)
+	start := r.StartedAt + int64(from)
 	var times, denied, waits []int64
 	got := make([]float64, z.Gateways)
 	for _, q := range r.Clients.Requests {
-		if q.SentAt < start || q.SentAt > r.Ended-int64(time.Second) {
+		if q.SentAt < start || q.SentAt > r.EndedAt-int64(time.Second) {
 			continue
 		}
 		switch q.Result {
@@ -222,11 +229,11 @@
 	for _, c := range h.Commands {
 		end := c.EndedAt
 		if end == 0 {
-			end = r.Ended
+			end = r.EndedAt
 		}
-		busy += float64(max(min(end, r.Ended)-max(c.ReceivedAt, start), 0))
+		busy += float64(max(min(end, r.EndedAt)-max(c.ReceivedAt, start), 0))
 	}
-	g.Used = busy / float64(r.Ended-start) / float64(z.Capacity-z.Reserve)
+	g.Used = busy / float64(r.EndedAt-start) / float64(z.Capacity-z.Reserve)
 	sum, squares, n := 0.0, 0.0, 0.0
 	for i, x := range got {
 		if i >= z.Gateways-z.Hot || z.Hot == 0 { // who wants more than its share
@@ -236,7 +243,7 @@
 	g.Jain = sum * sum / (n * max(squares, 1))
 	if rig.net != nil && !z.Off {
 		_, each := rig.net.Counts()
-		long := time.Duration(actor.Now()-r.Began).Seconds() + r.Fleet.Took.Seconds()
+		long := time.Duration(actor.Now()-r.StartedAt).Seconds() + r.Fleet.StartDuration.Seconds()
 		for i, c := range each {
 			if rate := float64(c.Sent) / long; i < z.Gateways {
 				g.EachTold = math.Max(g.EachTold, rate)
@@ -258,13 +265,11 @@
 
 // Quota gives the last figures that each gateway logged of its quota.
 func Quota(g *fleet.Gateway, name string) int {
-	lines := g.Lines("event=pool_quota")
+	lines := g.Lines("pool_quota")
 	if len(lines) == 0 {
 		return -1
 	}
-	_, rest, _ := strings.Cut(lines[len(lines)-1], " "+name+"=")
-	word, _, _ := strings.Cut(rest, " ")
-	n, err := strconv.Atoi(word)
+	n, err := strconv.Atoi(logline.Value(lines[len(lines)-1], name))
 	if err != nil {
 		return -1
 	}
--- a/lab/pools/pools_test.go
+++ b/lab/pools/pools_test.go
@@ -26,17 +26,17 @@
 func play(t *testing.T, name string, z Size, long, from time.Duration, holds []fleet.Check, steps func(*Rig) []fleet.Step) (g Figures, r *fleet.Report) {
 	t.Helper()
 	rig, plan := z.Plan()
-	s := fleet.Scenario{Name: name, Plan: plan, Loads: []emulator.Load{z.Load()}, For: long, Holds: holds}
+	s := fleet.Scenario{Name: name, Options: plan, Loads: []emulator.Load{z.Load()}, Duration: long, Checks: holds}
 	if steps != nil {
 		s.Steps = steps(rig)
 	}
-	s.Holds = append(s.Holds, fleet.Check{Name: "figures", Look: func(r *fleet.Report) string {
+	s.Checks = append(s.Checks, fleet.Check{Name: "figures", FindViolation: func(r *fleet.Report) string {
 		g = z.Figures(r, rig, from)
 		return ""
 	}})
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
-	r, err := s.Play(ctx)
+	r, err := s.Run(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,23 +136,23 @@
 	z.Rate *= 1.6
 	z.Lease = 600 * time.Millisecond
 	most, units := 0, 0
-	holds := append([]fleet.Check{{Name: "beyond the capacity by what the stopped ones had been lent", Look: func(r *fleet.Report) string {
+	holds := append([]fleet.Check{{Name: "beyond the capacity by what the stopped ones had been lent", FindViolation: func(r *fleet.Report) string {
 		most, units = r.Hosts[0].PeakConns, NotGivenBack(r.Fleet)
 		if most > z.Capacity-z.Reserve+units {
 			return fmt.Sprintf("%d connections at once, %d units not given back", most, units)
 		}
 		return ""
-	}}}, fleet.Usual...)
+	}}}, fleet.CommonChecks...)
 	rig, plan := z.Plan()
-	usual := plan.Host
-	plan.Host = func(i int, h *emulator.HostOptions) {
+	usual := plan.ConfigureHost
+	plan.ConfigureHost = func(i int, h *emulator.HostOptions) {
 		usual(i, h)
 		h.MaxConns *= 2 // counts, and refuses nobody
 	}
-	s := fleet.Scenario{Name: "stuck", Plan: plan, Loads: []emulator.Load{z.Load()}, For: 16 * time.Second, Holds: holds, Steps: rig.Stuck(5 * time.Second)}
+	s := fleet.Scenario{Name: "stuck", Options: plan, Loads: []emulator.Load{z.Load()}, Duration: 16 * time.Second, Checks: holds, Steps: rig.Stuck(5 * time.Second)}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
-	r, err := s.Play(ctx)
+	r, err := s.Run(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/rollout/baseline.go
+++ b/lab/rollout/baseline.go
@@ -31,25 +31,25 @@
 func (b *Baseline) Play(ctx context.Context) (*Rollouts, error) {
 	result := &Rollouts{}
 	scenario := fleet.Scenario{
-		Name:  "restart on each change",
-		Plan:  fleet.Plan{Gateways: b.Size.Gateways, Hosts: b.Size.Hosts, Seed: b.Size.Seed},
-		Loads: []emulator.Load{b.Size.load()},
-		Holds: fleet.Usual,
+		Name:    "restart on each change",
+		Options: fleet.Options{Gateways: b.Size.Gateways, Hosts: b.Size.Hosts, Seed: b.Size.Seed},
+		Loads:   []emulator.Load{b.Size.load()},
+		Checks:  fleet.CommonChecks,
 	}
 	for i := range b.Changes {
 		scenario.Steps = append(scenario.Steps, fleet.Step{
-			What: fmt.Sprintf("change %d", i),
-			Do:   func(ctx context.Context, f *fleet.Fleet) error { return b.change(ctx, f, i, result) },
+			Description: fmt.Sprintf("change %d", i),
+			Run:         func(ctx context.Context, f *fleet.Fleet) error { return b.change(ctx, f, i, result) },
 		})
 	}
-	report, err := scenario.Play(ctx)
+	report, err := scenario.Run(ctx)
 	if err != nil {
 		return nil, err
 	}
 	counts := report.Results()
 	result.Lost = counts[emulator.ConnectionRefused] + counts[emulator.ConnectionReset] + counts[emulator.Unanswered] + counts[emulator.ClosedInFlight]
 	result.Requests = report.Summary()
-	result.Broken = report.Broken
+	result.Broken = report.Violations
 	return result, nil
 }
 
@@ -57,7 +57,7 @@
 func (b *Baseline) change(ctx context.Context, f *fleet.Fleet, number int, result *Rollouts) error {
 	sent := time.Now()
 	for from := 0; from < b.Size.Gateways; from += b.Batch {
-		batch := fleet.Seats(from, min(from+b.Batch, b.Size.Gateways))
+		batch := fleet.Indexes(from, min(from+b.Batch, b.Size.Gateways))
 		err := restartWith(ctx, f, batch, number)
 		if err != nil {
 			return err
@@ -75,10 +75,9 @@
 	for _, member := range batch {
 		f.Clients.SetRestarting(true, member)
 	}
-	err := f.Each(batch, func(g *fleet.Gateway) error {
-		plans := g.Config["settings"].(map[string]any)["plans"].([]any)
-		plans[1].(map[string]any)["burst"] = float64(41 + number)
-		return errors.Join(g.Term(), g.WaitExit(ctx), g.Restart(ctx, false))
+	err := f.ForEach(batch, func(g *fleet.Gateway) error {
+		g.Config.Settings.QuotaPlans[1].Burst = float64(41 + number)
+		return errors.Join(g.Terminate(), g.WaitExit(ctx), g.Restart(ctx, false))
 	})
 	f.Clients.SetRestarting(false, batch...)
 	return err
--- a/lab/rollout/cases.go
+++ b/lab/rollout/cases.go
@@ -26,8 +26,8 @@
 // FleetCases are the cases that are about the whole fleet.
 func FleetCases(z Size) []Scenario {
 	third := z.Gateways / 3
-	zone := fleet.Seats(0, third)
-	rest := fleet.Seats(third, 2*third)
+	zone := fleet.Indexes(0, third)
+	rest := fleet.Indexes(third, 2*third)
 	holds := []Check{Digests(), Refusals("")}
 	return []Scenario{
 		{Name: "steady and a burst", Size: z, Holds: holds, Steps: []Step{More(6), Effects(), Drain(0), Burst(),
@@ -77,8 +77,8 @@
 
 		{Name: "a version that one gateway refuses", Size: z, Quiet: true,
 			Holds: []Check{Digests(), Refusals(memberResource(last), last)},
-			Steps: []Step{NameMembers(fleet.Seats(0, z.Gateways)...), RemoveMember(last), Served(last),
-				NameMembers(fleet.Seats(0, z.Gateways)...), NoRefusals(), Served(last)}},
+			Steps: []Step{NameMembers(fleet.Indexes(0, z.Gateways)...), RemoveMember(last), Served(last),
+				NameMembers(fleet.Indexes(0, z.Gateways)...), NoRefusals(), Served(last)}},
 
 		{Name: "bad requests", Size: z, Quiet: true, Holds: holds, Steps: []Step{BadRequests()}},
 
--- a/lab/rollout/changes.go
+++ b/lab/rollout/changes.go
@@ -12,6 +12,8 @@
 
 	"ravensill/configsync"
 	"ravensill/internal/publisher"
+	"ravensill/lab/fleet"
+	"ravensill/lab/gatewayconfig"
 )
 
 const (
@@ -69,8 +71,25 @@
 	c.preferred = index
 }
 
-// patch has resources set and removed.
-func (c *changes) patch(ctx context.Context, set map[string]any, remove ...string) (publisher.Publication, error) {
+// Resources are contents of resources by name: a gatewayconfig.QuotaPlan, Class or RuntimeLimits, or a member's address.
+type Resources map[string]any
+
+// patchBody is the body of a request that sets and removes resources.
+type patchBody struct {
+	Set    Resources `json:"set,omitempty"`
+	Remove []string  `json:"remove,omitempty"`
+}
+
+// contentBody is the body of a request that replaces the whole content.
+type contentBody struct {
+	QuotaPlans []gatewayconfig.QuotaPlan   `json:"plans"`
+	Classes    []gatewayconfig.Class       `json:"profiles"`
+	Limits     gatewayconfig.RuntimeLimits `json:"limits"`
+	Peers      []string                    `json:"peers"`
+}
+
+// patch sets and removes resources.
+func (c *changes) patch(ctx context.Context, set Resources, remove ...string) (publisher.Publication, error) {
 	request, err := patchRequest(set, remove)
 	if err != nil {
 		return publisher.Publication{}, err
@@ -78,19 +97,26 @@
 	return c.publish(ctx, request)
 }
 
-// patchRequest is the request that sets and removes resources.
-func patchRequest(set map[string]any, remove []string) (Request, error) {
-	content := map[string]any{}
-	if len(set) > 0 {
-		content["set"] = set
-	}
-	if len(remove) > 0 {
-		content["remove"] = remove
-	}
-	body, err := json.Marshal(content)
+// patchRequest returns the request that sets and removes resources.
+func patchRequest(set Resources, remove []string) (Request, error) {
+	body, err := json.Marshal(patchBody{set, remove})
 	return Request{http.MethodPatch, configurationPath, string(body)}, err
 }
 
+// PatchRequest returns the request that sets resources.
+func PatchRequest(set Resources) (Request, error) { return patchRequest(set, nil) }
+
+// ContentRequest returns the request that replaces the whole content. It names no members.
+func ContentRequest(plans []gatewayconfig.QuotaPlan, classes []gatewayconfig.Class) (Request, error) {
+	body, err := json.Marshal(contentBody{
+		QuotaPlans: plans,
+		Classes:    classes,
+		Limits:     fleet.RuntimeLimits(),
+		Peers:      []string{},
+	})
+	return Request{http.MethodPut, configurationPath, string(body)}, err
+}
+
 // start publishes a change each pace from now on.
 func (c *changes) start(ctx context.Context) {
 	c.done = make(chan struct{})
@@ -140,23 +166,23 @@
 }
 
 // routineChange gives the i-th change of the row.
-func routineChange(i int) (set map[string]any, remove []string) {
+func routineChange(i int) (set Resources, remove []string) {
 	const kinds = 5
 	round := i / kinds
 	name := planResource(fmt.Sprintf("round-%d", round))
 	switch i % kinds {
 	case 0:
-		return map[string]any{name: quotaPlan(100, 100)}, nil
+		return Resources{name: quotaPlan(100, 100)}, nil
 	case 1:
-		return map[string]any{planResource("small"): quotaPlan(20, float64(41+round))}, nil
+		return Resources{planResource("small"): quotaPlan(20, float64(41+round))}, nil
 	case 2:
-		lookup := requestClass("lookup", "safe")
-		lookup["points"] = 1 + float64(round+1)/1e6
-		return map[string]any{classResource("lookup"): lookup}, nil
+		class := fleet.Classes()[0]
+		class.Value += float64(round+1) / 1e6
+		return Resources{classResource(class.Name): class}, nil
 	case 3:
-		limits := commonLimits()
-		limits["max_retry_after_us"] = 10_000_000 + (round+1)*1000
-		return map[string]any{string(configsync.LimitsName): limits}, nil
+		limits := fleet.RuntimeLimits()
+		limits.MaxRetryAfterUS += int64(round+1) * time.Millisecond.Microseconds()
+		return Resources{string(configsync.LimitsName): limits}, nil
 	}
 	return nil, []string{name}
 }
@@ -164,35 +190,17 @@
 func planResource(name string) string  { return string(configsync.PlanPrefix) + name }
 func classResource(name string) string { return string(configsync.ClassPrefix) + name }
 
-func quotaPlan(rate, burst float64) map[string]any {
-	return map[string]any{"rate": rate, "burst": burst, "worth_factor": 1}
-}
-
-// requestClass is as in the gateways' files.
-func requestClass(name, effect string) map[string]any {
-	return map[string]any{"name": name, "effect": effect, "target_us": 2_000_000, "hard_limit_us": 8_000_000, "points": 1,
-		"window_us": 3_000_000, "group": "all"}
+func quotaPlan(rate, burst float64) gatewayconfig.QuotaPlan {
+	return gatewayconfig.QuotaPlan{Rate: rate, Burst: burst, PriorityWeight: 1}
 }
 
-// commonLimits are those of the gateways' files which may change in a running gateway.
-func commonLimits() map[string]any {
-	return map[string]any{"max_attempts": 3, "cancelling": true, "retry_after": true, "max_retry_after_us": 10_000_000}
-}
-
-// wholeContent is what the gateways' files say, with some quota plans more.
-func wholeContent(plans map[string]map[string]any) (string, error) {
-	content := map[string]any{
-		"profiles": []any{requestClass("lookup", "safe"), requestClass("order", "keyed"), requestClass("pay", "unsafe")},
-		"limits":   commonLimits(),
-		"peers":    []string{},
-	}
-	var list []any
+// firstContentRequest returns the request that publishes what the gateways' files say, with other quota plans.
+func firstContentRequest(plans map[string]gatewayconfig.QuotaPlan) (Request, error) {
+	var list []gatewayconfig.QuotaPlan
 	for _, name := range slices.Sorted(maps.Keys(plans)) {
-		plan := maps.Clone(plans[name])
-		plan["name"] = name
+		plan := plans[name]
+		plan.Name = name
 		list = append(list, plan)
 	}
-	content["plans"] = list
-	text, err := json.Marshal(content)
-	return string(text), err
+	return ContentRequest(list, fleet.Classes())
 }
--- a/lab/rollout/checks_test.go
+++ b/lab/rollout/checks_test.go
@@ -7,6 +7,7 @@
 
 	"ravensill/configsync"
 	"ravensill/internal/publisher"
+	"ravensill/lab/logline"
 )
 
 // soundRecord is what a run of two gateways leaves behind in which all holds. The second gateway was restarted.
@@ -90,14 +91,18 @@
 	} {
 		h.take(line)
 	}
-	wanted := []Applied{{Life: 1, Version: 7, At: timeOf(at)}, {Life: 2, Version: 6, At: timeOf(at), FromDisk: true, Damaged: true}}
+	loggedAt := logline.Time(at)
+	wanted := []Applied{
+		{Life: 1, Version: 7, At: loggedAt},
+		{Life: 2, Version: 6, At: loggedAt, FromDisk: true, Damaged: true},
+	}
 	if !slices.Equal(h.Applied, wanted) {
 		t.Errorf("applied %v, not %v", h.Applied, wanted)
 	}
 	if !slices.Equal(h.Refused, []Refused{{8, "members/3"}}) {
 		t.Errorf("refused %v", h.Refused)
 	}
-	if h.InForce() != configsync.Version(6) || timeOf(at).IsZero() {
-		t.Errorf("in force %d at %v", h.InForce(), timeOf(at))
+	if h.InForce() != configsync.Version(6) || loggedAt.IsZero() {
+		t.Errorf("in force %d at %v", h.InForce(), loggedAt)
 	}
 }
--- a/lab/rollout/effects.go
+++ b/lab/rollout/effects.go
@@ -18,7 +18,7 @@
 )
 
 // loadServed: most of the clients' requests beside the probes passed.
-var loadServed = fleet.Check{Name: "clients served", Look: func(r *fleet.Report) string {
+var loadServed = fleet.Check{Name: "clients served", FindViolation: func(r *fleet.Report) string {
 	sent, passed := 0, 0
 	for i := range r.Clients.Requests {
 		request := &r.Clients.Requests[i]
@@ -60,11 +60,11 @@
 			return nil
 		}
 		if answer.Result != emulator.Rejected {
-			return fmt.Errorf("%s: a request on plan %q: %s %s", fleet.Name(member), plan, answer.Result, answer.ErrorText)
+			return fmt.Errorf("%s: a request on plan %q: %s %s", fleet.GatewayName(member), plan, answer.Result, answer.ErrorText)
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: requests on plan %q are denied: %w", fleet.Name(member), plan, ctx.Err())
+			return fmt.Errorf("%s: requests on plan %q are denied: %w", fleet.GatewayName(member), plan, ctx.Err())
 		case <-time.After(answer.RetryAfter):
 		}
 	}
@@ -74,7 +74,7 @@
 func (r *Run) wantRemoved(member int, plan string) error {
 	answer := r.probe(member, plan, customerOf(member, plan))
 	if answer.Result != emulator.Failed || answer.ErrorText != removedError {
-		return fmt.Errorf("%s: a request on the removed plan %q: %s %q", fleet.Name(member), plan, answer.Result, answer.ErrorText)
+		return fmt.Errorf("%s: a request on the removed plan %q: %s %q", fleet.GatewayName(member), plan, answer.Result, answer.ErrorText)
 	}
 	return nil
 }
@@ -88,7 +88,7 @@
 			count++
 		case emulator.Rejected:
 		default:
-			return count, fmt.Errorf("%s: a request on plan %q: %s %s", fleet.Name(member), plan, answer.Result, answer.ErrorText)
+			return count, fmt.Errorf("%s: a request on plan %q: %s %s", fleet.GatewayName(member), plan, answer.Result, answer.ErrorText)
 		}
 	}
 	return count, nil
@@ -96,7 +96,7 @@
 
 // each does something for all gateways at once.
 func (r *Run) each(ctx context.Context, do func(ctx context.Context, member int) error) error {
-	return r.Fleet.Each(r.members(), func(g *fleet.Gateway) error { return do(ctx, g.Index) })
+	return r.Fleet.ForEach(r.members(), func(g *fleet.Gateway) error { return do(ctx, g.Index) })
 }
 
 // Effects is the step that changes quota plans in one version and wants each gateway to decide by it: a plan that was
@@ -108,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		set := map[string]any{
+		set := Resources{
 			planResource(planAdded):   quotaPlan(unbounded, unbounded),
 			planResource(planLowered): quotaPlan(slowRate, loweredTo),
 			planResource(planRaised):  quotaPlan(2*slowRate, highBurst),
@@ -150,7 +150,7 @@
 	}
 	admitted, err := r.passed(member, planRaised, afterRaise)
 	if err == nil && admitted > 0 {
-		err = fmt.Errorf("%s: %d requests admitted by a burst that was used up and then raised", fleet.Name(member), admitted)
+		err = fmt.Errorf("%s: %d requests admitted by a burst that was used up and then raised", fleet.GatewayName(member), admitted)
 	}
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 	}
 	admitted, err = r.passed(member, planLowered, afterLower)
 	if err == nil && admitted+1 > loweredTo {
-		err = fmt.Errorf("%s: %d of %d requests admitted after the burst was lowered to %d", fleet.Name(member), admitted+1,
+		err = fmt.Errorf("%s: %d of %d requests admitted after the burst was lowered to %d", fleet.GatewayName(member), admitted+1,
 			afterLower+1, loweredTo)
 	}
 	return err
@@ -170,6 +170,6 @@
 // Served is the step that wants gateways to serve a plan that the document alone names.
 func Served(members ...int) Step {
 	return Step{fmt.Sprintf("gateways %v serve by the document", members), func(ctx context.Context, r *Run) error {
-		return r.Fleet.Each(members, func(g *fleet.Gateway) error { return r.wantServed(ctx, g.Index, planKept) })
+		return r.Fleet.ForEach(members, func(g *fleet.Gateway) error { return r.wantServed(ctx, g.Index, planKept) })
 	}}
 }
--- a/lab/rollout/faults.go
+++ b/lab/rollout/faults.go
@@ -116,8 +116,8 @@
 		}
 		h := r.Fleet.Host(host)
 		r.Fleet.Agent.Push(h.Entry("leaving"))
-		return r.Fleet.Each(r.members(), func(g *fleet.Gateway) error {
-			_, err := g.WaitAfter(ctx, marks[g.Index], "event=host id="+h.ID+" ")
+		return r.Fleet.ForEach(r.members(), func(g *fleet.Gateway) error {
+			_, err := g.WaitLineAfter(ctx, marks[g.Index], "event=host id="+h.ID+" ")
 			return err
 		})
 	}}
@@ -139,8 +139,8 @@
 		rest := append(publisherNames(r.Publishers.Count()), namesOf(others(r.members(), members))...)
 		r.leave(members)
 		r.Fleet.Relay.Cut(name, zone, rest)
-		return r.Fleet.Each(members, func(g *fleet.Gateway) error {
-			_, err := g.Wait(ctx, `cause="nothing heard from the publisher"`)
+		return r.Fleet.ForEach(members, func(g *fleet.Gateway) error {
+			_, err := g.WaitLine(ctx, `cause="nothing heard from the publisher"`)
 			return err
 		})
 	}}
@@ -196,7 +196,7 @@
 	return Step{what, func(ctx context.Context, r *Run) error {
 		r.Fleet.Clients.SetOutOfUse(true, members...)
 		r.leave(members)
-		err := r.Fleet.Each(members, func(g *fleet.Gateway) error { return g.Restart(ctx, disk == DiskEmpty) })
+		err := r.Fleet.ForEach(members, func(g *fleet.Gateway) error { return g.Restart(ctx, disk == DiskEmpty) })
 		if err != nil {
 			return err
 		}
@@ -216,7 +216,7 @@
 		history := r.Record.Histories[member]
 		held := slices.ContainsFunc(history.Applied, func(a Applied) bool { return a.FromDisk && a.Life == history.life+1 })
 		if !held {
-			return fmt.Errorf("%s did not start from its disk", fleet.Name(member))
+			return fmt.Errorf("%s did not start from its disk", fleet.GatewayName(member))
 		}
 	}
 	return nil
@@ -240,7 +240,7 @@
 
 func namesOf(members []int) (names []string) {
 	for _, member := range members {
-		names = append(names, fleet.Name(member))
+		names = append(names, fleet.GatewayName(member))
 	}
 	return names
 }
@@ -255,8 +255,8 @@
 		if err != nil {
 			return err
 		}
-		return r.Fleet.Each(members, func(g *fleet.Gateway) error {
-			_, err := g.Wait(ctx, "event=configuration_not_saved")
+		return r.Fleet.ForEach(members, func(g *fleet.Gateway) error {
+			_, err := g.WaitLine(ctx, "event=configuration_not_saved")
 			return err
 		})
 	}}
@@ -277,8 +277,8 @@
 		if err != nil {
 			return err
 		}
-		return r.Fleet.Each(members, func(g *fleet.Gateway) error {
-			_, err := g.Wait(ctx, "event=configuration_damaged")
+		return r.Fleet.ForEach(members, func(g *fleet.Gateway) error {
+			_, err := g.WaitLine(ctx, "event=configuration_damaged")
 			return err
 		})
 	}}
@@ -288,7 +288,7 @@
 func (r *Run) replaceDisk(ctx context.Context, members []int, change func(folder string) error) error {
 	r.Fleet.Clients.SetOutOfUse(true, members...)
 	r.leave(members)
-	err := r.Fleet.Each(members, func(g *fleet.Gateway) error {
+	err := r.Fleet.ForEach(members, func(g *fleet.Gateway) error {
 		return errors.Join(g.Kill(), change(filepath.Join(g.Dir, diskFolder)), g.Restart(ctx, false))
 	})
 	if err != nil {
--- a/lab/rollout/figures.go
+++ b/lab/rollout/figures.go
@@ -96,7 +96,7 @@
 		c.Processes++
 		c.Share += (after[i].CPU - before[i].CPU).Seconds() / elapsed.Seconds()
 		c.Memory += float64(after[i].RSS)
-		c.Most = max(c.Most, after[i].Peak)
+		c.Most = max(c.Most, after[i].PeakRSS)
 	}
 	if c.Processes > 0 {
 		c.Share /= float64(c.Processes)
@@ -139,7 +139,7 @@
 	if count > 0 {
 		f.Bytes /= float64(count)
 	}
-	elapsed := time.Duration(r.Load.Ended - r.Load.Began)
+	elapsed := time.Duration(r.Load.EndedAt - r.Load.StartedAt)
 	f.Gateways = gatewayCost(r.Load, elapsed)
 	f.Publishers = cost(r.publishersBefore, r.publishersAfter, elapsed)
 	return f
@@ -147,9 +147,9 @@
 
 func gatewayCost(load *fleet.Report, elapsed time.Duration) Cost {
 	var before, after []fleet.Usage
-	for i := range load.Gates {
-		before = append(before, load.Gates[i].Before)
-		after = append(after, load.Gates[i].Usage)
+	for i := range load.Gateways {
+		before = append(before, load.Gateways[i].Before)
+		after = append(after, load.Gateways[i].Usage)
 	}
 	return cost(before, after, elapsed)
 }
--- a/lab/rollout/hollow/compare.go
+++ b/lab/rollout/hollow/compare.go
@@ -7,6 +7,7 @@
 
 	"ravensill/configsync"
 	"ravensill/lab/fleet"
+	"ravensill/lab/gatewayconfig"
 )
 
 const comparedHosts = 2 // that the real gateways list
@@ -76,17 +77,17 @@
 
 // real measures processes of the program.
 func (c *compared) real(ctx context.Context, g *Group) (Change, error) {
-	f, err := fleet.Start(ctx, fleet.Plan{
+	f, err := fleet.Start(ctx, fleet.Options{
 		Gateways: c.Gateways,
 		Hosts:    comparedHosts,
 		Seed:     1,
-		Alone:    true,
-		Config: func(_ *fleet.Fleet, _ int, cfg map[string]any) error {
+		NoGossip: true,
+		ConfigureGateway: func(_ *fleet.Fleet, _ int, file *gatewayconfig.File) error {
 			var addresses []string
 			for _, address := range g.addresses() {
 				addresses = append(addresses, address.String())
 			}
-			cfg["configuration"] = map[string]any{"publishers": addresses, "dir": diskFolder}
+			file.Configuration = &gatewayconfig.Configuration{Publishers: addresses, Dir: diskFolder}
 			return nil
 		},
 	})
@@ -104,7 +105,7 @@
 // applied counts the versions that real gateways put in force.
 func applied(f *fleet.Fleet) (versions int) {
 	for _, g := range f.Gateways() {
-		versions += g.Counts()["configuration_applied"]
+		versions += g.EventCounts()["configuration_applied"]
 	}
 	return versions
 }
@@ -124,7 +125,7 @@
 // told waits until the publishers know that the last version is in force at a number of gateways.
 func (g *Group) told(ctx context.Context, want int) error {
 	what := fmt.Sprintf("version %d at %d gateways", g.last.Version, want)
-	return fleet.Until(ctx, what, func() bool {
+	return fleet.WaitUntil(ctx, what, func() bool {
 		count := 0
 		for i := range g.Publishers.Count() {
 			status, err := g.Publishers.Status(ctx, i)
--- a/lab/rollout/hollow/content.go
+++ b/lab/rollout/hollow/content.go
@@ -1,16 +1,15 @@
 package hollow
 
 import (
-	"encoding/json"
 	"fmt"
-	"net/http"
 
 	"ravensill/configsync"
+	"ravensill/lab/fleet"
+	"ravensill/lab/gatewayconfig"
 	"ravensill/lab/rollout"
 )
 
 const (
-	configurationPath = "/v1/configuration"
 
 	// Rates of quota plans all have four digits, so that each change of one has the same bytes.
 	firstRate  = 1000
@@ -25,37 +24,32 @@
 
 // whole is the request that publishes the whole content.
 func (c Content) whole() (rollout.Request, error) {
-	var plans, classes []any
+	var plans []gatewayconfig.QuotaPlan
 	for i := range c.Plans {
 		plans = append(plans, quotaPlan(i, firstRate))
 	}
+	var classes []gatewayconfig.Class
 	for i := range c.Classes {
 		classes = append(classes, requestClass(i))
 	}
-	body, err := json.Marshal(map[string]any{"plans": plans, "profiles": classes, "limits": commonLimits(), "peers": []string{}})
-	return rollout.Request{Method: http.MethodPut, Path: configurationPath, Body: string(body)}, err
+	return rollout.ContentRequest(plans, classes)
 }
 
 // change is the request for the nth change: another rate of one quota plan after another.
 func (c Content) change(n int) (rollout.Request, error) {
 	i := n % c.Plans
 	resource := string(configsync.PlanPrefix) + planName(i)
-	set := map[string]any{resource: quotaPlan(i, firstRate+1+n%otherRates)}
-	body, err := json.Marshal(map[string]any{"set": set, "remove": []string{}})
-	return rollout.Request{Method: http.MethodPatch, Path: configurationPath, Body: string(body)}, err
+	return rollout.PatchRequest(rollout.Resources{resource: quotaPlan(i, firstRate+1+n%otherRates)})
 }
 
 func planName(i int) string { return fmt.Sprintf("plan-%06d", i) }
 
-func quotaPlan(i, rate int) map[string]any {
-	return map[string]any{"name": planName(i), "rate": rate, "burst": 2000, "worth_factor": 1}
+func quotaPlan(i, rate int) gatewayconfig.QuotaPlan {
+	return gatewayconfig.QuotaPlan{Name: planName(i), Rate: float64(rate), Burst: 2000, PriorityWeight: 1}
 }
 
-func requestClass(i int) map[string]any {
-	return map[string]any{"name": fmt.Sprintf("class-%04d", i), "effect": "safe", "target_us": 2_000_000,
-		"hard_limit_us": 8_000_000, "points": 1, "window_us": 3_000_000, "group": "all"}
-}
-
-func commonLimits() map[string]any {
-	return map[string]any{"max_attempts": 3, "cancelling": true, "retry_after": true, "max_retry_after_us": 10_000_000}
+func requestClass(i int) gatewayconfig.Class {
+	class := fleet.Classes()[0]
+	class.Name = fmt.Sprintf("class-%04d", i)
+	return class
 }
--- a/lab/rollout/hollow/follower.go
+++ b/lab/rollout/hollow/follower.go
@@ -168,7 +168,7 @@
 
 // newFollower makes a follower that is down.
 func newFollower(plan *Plan, file string, member int, frames *frameSizes) *Follower {
-	name := fleet.Name(member)
+	name := fleet.GatewayName(member)
 	return &Follower{
 		member:     member,
 		name:       name,
--- a/lab/rollout/hollow/followers.go
+++ b/lab/rollout/hollow/followers.go
@@ -17,6 +17,7 @@
 	"ravensill/configsync"
 	"ravensill/internal/subscriber"
 	"ravensill/lab/fleet"
+	"ravensill/lab/gatewayconfig"
 )
 
 const (
@@ -62,18 +63,17 @@
 	for _, publisher := range publishers {
 		addresses = append(addresses, publisher.String())
 	}
-	return json.Marshal(map[string]any{
-		"listen":        "127.0.0.1:0",
-		"discovery":     "127.0.0.1:1",
-		"configuration": map[string]any{"publishers": addresses, "dir": diskFolder},
-		"settings": map[string]any{
-			"balancers": 1,
-			"position":  0,
-			"zones":     []string{"z1"},
-			"skus":      []string{"m"},
-			"limits":    commonLimits(),
-			"profiles":  []any{requestClass(0)},
-			"plans":     []any{quotaPlan(0, firstRate)},
+	return json.Marshal(gatewayconfig.File{
+		Listen:        "127.0.0.1:0",
+		Discovery:     "127.0.0.1:1",
+		Configuration: &gatewayconfig.Configuration{Publishers: addresses, Dir: diskFolder},
+		Settings: gatewayconfig.Settings{
+			Gateways:     1,
+			Zones:        []string{"z1"},
+			MachineTypes: []string{"m"},
+			Limits:       gatewayconfig.Limits{RuntimeLimits: fleet.RuntimeLimits()},
+			Classes:      []gatewayconfig.Class{requestClass(0)},
+			QuotaPlans:   []gatewayconfig.QuotaPlan{quotaPlan(0, firstRate)},
 		},
 	})
 }
@@ -190,7 +190,7 @@
 			continue
 		}
 		what := fmt.Sprintf("version %d in the status of %s", version, follower.name)
-		err := fleet.Until(ctx, what, func() bool { return follower.subscriber.Status().Version >= version })
+		err := fleet.WaitUntil(ctx, what, func() bool { return follower.subscriber.Status().Version >= version })
 		if err != nil {
 			return err
 		}
--- a/lab/rollout/hollow/full_test.go
+++ b/lab/rollout/hollow/full_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"ravensill/lab/rollout"
 )
 
 var (
@@ -131,7 +133,7 @@
 
 func measureRestarts(t *testing.T, ctx context.Context, report *Report) {
 	report.Storms = nil
-	limited := map[string]any{"snapshot_bytes_per_s": limitedRate, "snapshot_burst_bytes": limitedBurst}
+	limited := rollout.PublisherSettings{SnapshotBytesPerSecond: limitedRate, SnapshotBurstBytes: limitedBurst}
 	for _, setup := range []Setup{
 		{Followers: zoneFollowers, Content: smallContent},
 		{Followers: zoneFollowers, Content: mediumContent, Settings: limited},
--- a/lab/rollout/hollow/group.go
+++ b/lab/rollout/hollow/group.go
@@ -25,7 +25,7 @@
 type Setup struct {
 	Followers int
 	Content   Content
-	Settings  map[string]any // keys of the publishers' configuration files beside the defaults
+	Settings  rollout.PublisherSettings
 }
 
 // Group is publishers with their followers.
@@ -182,7 +182,7 @@
 	var starts errgroup.Group
 	for i := range g.Publishers.Count() {
 		process := g.Publishers.Process(i)
-		starts.Go(func() error { return errors.Join(process.Launch(), process.Serving(ctx)) })
+		starts.Go(func() error { return errors.Join(process.Launch(), process.WaitServing(ctx)) })
 	}
 	return starts.Wait()
 }
@@ -211,7 +211,7 @@
 // publisherFault waits until a publisher has the last version, and tells what is wrong with it.
 func (g *Group) publisherFault(ctx context.Context, i int) (fault string, err error) {
 	var status publisher.Status
-	err = fleet.Until(ctx, fmt.Sprintf("version %d at publisher %d", g.last.Version, i), func() bool {
+	err = fleet.WaitUntil(ctx, fmt.Sprintf("version %d at publisher %d", g.last.Version, i), func() bool {
 		status, err = g.Publishers.Status(ctx, i)
 		return err == nil && status.Version >= g.last.Version
 	})
--- a/lab/rollout/hollow/hollow_test.go
+++ b/lab/rollout/hollow/hollow_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ravensill/internal/logging"
+	"ravensill/lab/rollout"
 )
 
 const testTimeout = 3 * time.Minute // no verdict, only an end
@@ -58,7 +59,11 @@
 	const followers = 200
 	const kept = 16 // deltas in the publishers' history
 	ctx := testContext(t)
-	g := startGroup(ctx, t, Setup{Followers: followers, Content: smallContent, Settings: map[string]any{"history_deltas": kept}})
+	g := startGroup(ctx, t, Setup{
+		Followers: followers,
+		Content:   smallContent,
+		Settings:  rollout.PublisherSettings{HistoryDeltas: kept},
+	})
 	defer g.Close()
 	for _, test := range []struct {
 		storm
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -228,7 +228,7 @@
 			}
 		}
 		count := len(malformedToGateways())
-		_, err = r.Fleet.Gateway(member).Wait(ctx, fmt.Sprintf(" malformed=%d ", count))
+		_, err = r.Fleet.Gateway(member).WaitLine(ctx, fmt.Sprintf(" malformed=%d ", count))
 		return err
 	}}
 }
@@ -241,7 +241,7 @@
 		case <-e.met:
 			return true
 		default:
-			r.Fleet.Relay.Reset([]string{fleet.Name(member)}, nil)
+			r.Fleet.Relay.Reset([]string{fleet.GatewayName(member)}, nil)
 			return false
 		}
 	})
@@ -265,7 +265,7 @@
 		for _, member := range members {
 			answer := r.probe(member, strangerName, customerOf(member, strangerName))
 			if !strings.HasPrefix(answer.ErrorText, "ERR ") {
-				return fmt.Errorf("%s: a request on the plan of a false publisher: %s", fleet.Name(member), answer.Result)
+				return fmt.Errorf("%s: a request on the plan of a false publisher: %s", fleet.GatewayName(member), answer.Result)
 			}
 		}
 		return nil
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -4,10 +4,10 @@
 	"context"
 	"errors"
 	"fmt"
-	"maps"
+
 	"net/netip"
 	"os"
-	"os/exec"
+
 	"path/filepath"
 	"strings"
 	"sync"
@@ -26,19 +26,7 @@
 	groupKeyBytes = 16
 )
 
-// publisherBinary builds the publisher once a test process and gives its path.
-var publisherBinary = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "ravensill-rollout-")
-	if err != nil {
-		return "", err
-	}
-	path := filepath.Join(dir, "ravensill-publisher")
-	text, err := exec.Command("go", "build", "-o", path, "ravensill/cmd/ravensill-publisher").CombinedOutput()
-	if err != nil {
-		return "", fmt.Errorf("building the publisher: %w: %s", err, text)
-	}
-	return path, nil
-})
+var publisherProgram = fleet.NewProgram("ravensill/cmd/ravensill-publisher")
 
 // publisherAddresses are where one publisher listens. They stay the same in all of its lives.
 type publisherAddresses struct {
@@ -71,18 +59,42 @@
 // GroupPlan describes a group of publishers.
 type GroupPlan struct {
 	Count      int
-	Dir        string         // holds a folder for each publisher, and copies of them
-	Relay      *relay.Relay   // carries the publishers' messages to each other; nil: they go straight
-	ElectionMS int            // without contact to the leading publisher before another is elected
-	Settings   map[string]any // keys of the publishers' configuration files beside those that a group needs
+	Dir        string       // holds a folder for each publisher, and copies of them
+	Relay      *relay.Relay // carries the publishers' messages to each other; nil: they go straight
+	ElectionMS int          // without contact to the leading publisher before another is elected
+	Settings   PublisherSettings
 }
 
+// PublisherSettings are keys of a publisher's configuration file that have defaults.
+type PublisherSettings struct {
+	HistoryDeltas          int   `json:"history_deltas,omitempty"`
+	SnapshotBytesPerSecond int64 `json:"snapshot_bytes_per_s,omitempty"`
+	SnapshotBurstBytes     int64 `json:"snapshot_burst_bytes,omitempty"`
+}
+
+// publisherFile is a publisher's configuration file.
+type publisherFile struct {
+	Index       int      `json:"index"`
+	Listen      string   `json:"listen"`
+	RaftListen  string   `json:"raft_listen"`
+	Raft        []string `json:"raft"`
+	AdminListen string   `json:"admin_listen"`
+	Admin       []string `json:"admin"`
+	Dir         string   `json:"dir"`
+	Key         string   `json:"key"`
+	ElectionMS  int      `json:"election_ms"`
+	PublisherSettings
+}
+
+// SetListen sets the address at which the publisher listens for followers.
+func (f *publisherFile) SetListen(addr string) { f.Listen = addr }
+
 // groups counts the groups of publishers of this test process.
 var groups atomic.Int64
 
 // NewPublishers starts a group and waits until all of it serve followers.
 func NewPublishers(ctx context.Context, plan GroupPlan) (*Publishers, error) {
-	binary, err := publisherBinary()
+	binary, err := publisherProgram.Build()
 	if err != nil {
 		return nil, err
 	}
@@ -96,17 +108,17 @@
 		if err != nil {
 			return nil, err
 		}
-		p.processes = append(p.processes, fleet.NewProcess(fleet.ProcessPlan{
-			Name:     publisherName(i),
-			Index:    i,
-			Binary:   binary,
-			Variable: "PUBLISHER_CONFIG",
-			Ready:    "publisher_started",
-			Dir:      filepath.Join(plan.Dir, publisherName(i), "work"),
-			Config:   cfg,
+		p.processes = append(p.processes, fleet.NewProcess(fleet.ProcessOptions{
+			Name:       publisherName(i),
+			Index:      i,
+			Binary:     binary,
+			Variable:   "PUBLISHER_CONFIG",
+			ReadyEvent: "publisher_started",
+			Dir:        filepath.Join(plan.Dir, publisherName(i), "work"),
+			Config:     cfg,
 		}))
 	}
-	err = p.each(func(process *fleet.Process) error { return errors.Join(process.Launch(), process.Serving(ctx)) })
+	err = p.each(func(process *fleet.Process) error { return errors.Join(process.Launch(), process.WaitServing(ctx)) })
 	if err != nil {
 		p.Close()
 		return nil, err
@@ -132,7 +144,7 @@
 }
 
 // config gives the content of a publisher's configuration file.
-func (p *Publishers) config(plan *GroupPlan, i int) (map[string]any, error) {
+func (p *Publishers) config(plan *GroupPlan, i int) (*publisherFile, error) {
 	var raft, admin []string
 	for k, addresses := range p.addresses {
 		way := addresses.raft.String()
@@ -147,19 +159,18 @@
 		admin = append(admin, addresses.admin.String())
 	}
 	own := p.addresses[i]
-	cfg := map[string]any{
-		"index":        i,
-		"listen":       own.followers.String(),
-		"raft_listen":  own.raft.String(),
-		"raft":         raft,
-		"admin_listen": own.admin.String(),
-		"admin":        admin,
-		"dir":          stateFolder,
-		"key":          strings.Repeat("5a", groupKeyBytes),
-		"election_ms":  plan.ElectionMS,
-	}
-	maps.Copy(cfg, plan.Settings)
-	return cfg, nil
+	return &publisherFile{
+		Index:             i,
+		Listen:            own.followers.String(),
+		RaftListen:        own.raft.String(),
+		Raft:              raft,
+		AdminListen:       own.admin.String(),
+		Admin:             admin,
+		Dir:               stateFolder,
+		Key:               strings.Repeat("5a", groupKeyBytes),
+		ElectionMS:        plan.ElectionMS,
+		PublisherSettings: plan.Settings,
+	}, nil
 }
 
 // FollowerAddress is where a publisher serves followers.
@@ -228,21 +239,11 @@
 // Unhealthy tells which publishers printed a trace or ended by themselves.
 func (p *Publishers) Unhealthy() (faults []string) {
 	for _, process := range p.processes {
-		if process.Counts()["unnamed"] > 0 {
+		if process.EventCounts()[fleet.UnnamedLine] > 0 {
 			faults = append(faults, fmt.Sprintf("%s printed a trace", process.Name))
 		}
-		asked := false
-		for _, moment := range process.Past() {
-			switch moment.What {
-			case "launched":
-				asked = false
-			case "kill", "term":
-				asked = true
-			case "exited":
-				if !asked {
-					faults = append(faults, process.Name+" ended by itself")
-				}
-			}
+		for range fleet.UnexpectedExits(process.Events()) {
+			faults = append(faults, process.Name+" ended by itself")
 		}
 	}
 	return faults
--- a/lab/rollout/record.go
+++ b/lab/rollout/record.go
@@ -3,13 +3,12 @@
 import (
 	"fmt"
 	"strconv"
-	"strings"
 	"time"
 
 	"ravensill/configsync"
-	"ravensill/internal/logging"
 	"ravensill/internal/publisher"
 	"ravensill/lab/fleet"
+	"ravensill/lab/logline"
 )
 
 // Applied is a version that came in force at a gateway, by its log line.
@@ -61,9 +60,11 @@
 // countersOf reads status lines.
 func countersOf(lines []string) (all []Counters) {
 	for _, line := range lines {
-		in, _ := strconv.Atoi(field(line, "bytes_in"))
-		out, _ := strconv.Atoi(field(line, "bytes_out"))
-		all = append(all, Counters{timeOf(line), in, out})
+		all = append(all, Counters{
+			At:       logline.Time(line),
+			BytesIn:  logline.Int(line, "bytes_in"),
+			BytesOut: logline.Int(line, "bytes_out"),
+		})
 	}
 	return all
 }
@@ -79,12 +80,8 @@
 
 // take takes in one log line.
 func (h *History) take(line string) {
-	_, rest, found := strings.Cut(line, "event=")
-	if !found {
-		return
-	}
-	event, _, _ := strings.Cut(rest, " ")
-	applied := Applied{Life: h.life + 1, Version: versionOf(line), At: timeOf(line)}
+	event, _ := logline.Event(line)
+	applied := Applied{Life: h.life + 1, Version: versionOf(line), At: logline.Time(line)}
 	switch event {
 	case "configuration_damaged":
 		h.damaged = true
@@ -95,7 +92,7 @@
 	case "configuration_applied":
 		h.Applied = append(h.Applied, applied)
 	case "configuration_refused":
-		h.Refused = append(h.Refused, Refused{versionOf(line), field(line, "resource")})
+		h.Refused = append(h.Refused, Refused{versionOf(line), logline.Value(line, "resource")})
 	case "exited":
 		h.life++
 		h.damaged = false
@@ -123,30 +120,15 @@
 	}
 }
 
-// field gives the value of name=value in a log line, without quotes.
-func field(line, name string) string {
-	_, rest, _ := strings.Cut(line, " "+name+"=")
-	value, _, _ := strings.Cut(rest, " ")
-	return strings.Trim(value, `"`)
-}
-
+// versionOf returns the version that a log line names; 0 if it names none.
 func versionOf(line string) configsync.Version {
-	number, err := strconv.ParseUint(field(line, "version"), 10, 64)
+	number, err := strconv.ParseUint(logline.Value(line, "version"), 10, 64)
 	if err != nil {
 		return 0
 	}
 	return configsync.Version(number)
 }
 
-func timeOf(line string) time.Time {
-	_, text, _ := strings.Cut(line, "time=")
-	at, err := time.Parse(logging.TimeLayout, text[:min(len(text), len(logging.TimeLayout))])
-	if err != nil {
-		return time.Time{}
-	}
-	return at
-}
-
 // Record is what a run left behind, which the checks look at.
 type Record struct {
 	Histories  []*History // by member index
--- a/lab/rollout/refusals.go
+++ b/lab/rollout/refusals.go
@@ -20,7 +20,7 @@
 // now on.
 func NameMembers(members ...int) Step {
 	return Step{fmt.Sprintf("name %d members", len(members)), func(ctx context.Context, r *Run) error {
-		set := map[string]any{}
+		set := Resources{}
 		for _, member := range members {
 			set[memberResource(member)] = r.Fleet.Gateway(member).PeerListen().String()
 		}
@@ -202,9 +202,9 @@
 func Lines(event string, count int, members ...int) Step {
 	return Step{fmt.Sprintf("%d lines of %s", count, event), func(_ context.Context, r *Run) error {
 		for _, member := range members {
-			lines := r.Fleet.Gateway(member).Lines("event=" + event + " ")
+			lines := r.Fleet.Gateway(member).Lines(event)
 			if len(lines) != count {
-				return fmt.Errorf("%s said it %d times: %s", fleet.Name(member), len(lines), strings.Join(lines, "\n"))
+				return fmt.Errorf("%s said it %d times: %s", fleet.GatewayName(member), len(lines), strings.Join(lines, "\n"))
 			}
 		}
 		return nil
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -16,6 +16,7 @@
 	"ravensill/internal/subscriber"
 	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
+	"ravensill/lab/gatewayconfig"
 	"ravensill/lab/relay"
 )
 
@@ -85,24 +86,24 @@
 		}
 	}()
 	scenario := fleet.Scenario{
-		Name:  s.Name,
-		Plan:  run.plan(ctx),
-		Loads: []emulator.Load{s.Size.load()},
-		Steps: run.steps(),
-		Holds: append([]fleet.Check{{Name: "record", Look: run.gather(ctx)}, loadServed}, fleet.Usual...),
+		Name:    s.Name,
+		Options: run.plan(ctx),
+		Loads:   []emulator.Load{s.Size.load()},
+		Steps:   run.steps(),
+		Checks:  append([]fleet.Check{{Name: "record", FindViolation: run.gather(ctx)}, loadServed}, fleet.CommonChecks...),
 	}
-	run.Load, err = scenario.Play(ctx)
+	run.Load, err = scenario.Run(ctx)
 	if err != nil {
 		return run, nil, err
 	}
-	return run, append(run.Load.Broken, run.Record.Broken(append(s.Holds, Usual...))...), nil
+	return run, append(run.Load.Violations, run.Record.Broken(append(s.Holds, Usual...))...), nil
 }
 
 // plan gives the fleet. The publishers run before any gateway is configured.
-func (r *Run) plan(ctx context.Context) fleet.Plan {
+func (r *Run) plan(ctx context.Context) fleet.Options {
 	size := &r.Scenario.Size
-	plan := fleet.Plan{Gateways: size.Gateways, Hosts: size.Hosts, Seed: size.Seed}
-	plan.Prepare = func(f *fleet.Fleet) error {
+	plan := fleet.Options{Gateways: size.Gateways, Hosts: size.Hosts, Seed: size.Seed}
+	plan.PrepareRelay = func(f *fleet.Fleet) error {
 		r.Fleet = f
 		for range size.Gateways {
 			r.Record.Histories = append(r.Record.Histories, &History{})
@@ -116,9 +117,9 @@
 		})
 		return err
 	}
-	plan.Config = func(f *fleet.Fleet, i int, cfg map[string]any) error {
+	plan.ConfigureGateway = func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
 		addresses, err := r.link(i)
-		cfg["configuration"] = map[string]any{"publishers": addresses, "dir": diskFolder}
+		file.Configuration = &gatewayconfig.Configuration{Publishers: addresses, Dir: diskFolder}
 		return err
 	}
 	return plan
@@ -128,7 +129,7 @@
 func (r *Run) link(member int) (addresses []string, err error) {
 	var links []*relay.Stream
 	for k, publisher := range r.Publishers.addresses {
-		stream, err := r.Fleet.Relay.Stream(fleet.Name(member), publisherName(k), publisher.followers.String())
+		stream, err := r.Fleet.Relay.Stream(fleet.GatewayName(member), publisherName(k), publisher.followers.String())
 		if err != nil {
 			return nil, err
 		}
@@ -166,7 +167,7 @@
 	all = append(all, r.Scenario.Steps...)
 	all = append(all, settle())
 	for _, step := range all {
-		steps = append(steps, fleet.Step{What: step.What, Do: func(ctx context.Context, _ *fleet.Fleet) error {
+		steps = append(steps, fleet.Step{Description: step.What, Run: func(ctx context.Context, _ *fleet.Fleet) error {
 			return r.take(ctx, step)
 		}})
 	}
@@ -210,7 +211,7 @@
 func (r *Run) state() string {
 	var text []string
 	for member, history := range r.Record.Histories {
-		text = append(text, fmt.Sprintf("%s %d", fleet.Name(member), history.InForce()))
+		text = append(text, fmt.Sprintf("%s %d", fleet.GatewayName(member), history.InForce()))
 	}
 	return strings.Join(text, ", ")
 }
@@ -223,7 +224,7 @@
 		r.Record.Unhealthy = r.Publishers.Unhealthy()
 		r.publishersAfter = r.Publishers.usage()
 		for member, g := range r.Fleet.Gateways() {
-			r.Record.Histories[member].Counters = countersOf(g.Lines("event=configuration "))
+			r.Record.Histories[member].Counters = countersOf(g.Lines("configuration"))
 		}
 		var err error
 		r.Record.Publishers, err = r.Publishers.states(ctx)
--- a/lab/rollout/steps.go
+++ b/lab/rollout/steps.go
@@ -3,12 +3,13 @@
 import (
 	"context"
 	"fmt"
-	"net/http"
+
 	"time"
 
 	"ravensill/configsync"
 	"ravensill/internal/publisher"
 	"ravensill/lab/fleet"
+	"ravensill/lab/gatewayconfig"
 )
 
 // Quota plans of the first version that steps use beside those of the clients' load.
@@ -36,7 +37,7 @@
 	return Step{"first version", func(ctx context.Context, r *Run) error {
 		r.publishersBefore = r.Publishers.usage()
 		r.changes = &changes{publishers: r.Publishers, pace: r.Scenario.Size.Pace, preferred: anyPublisher}
-		content, err := wholeContent(map[string]map[string]any{
+		request, err := firstContentRequest(map[string]gatewayconfig.QuotaPlan{
 			"team":      quotaPlan(unbounded, unbounded),
 			"small":     quotaPlan(20, 40),
 			planKept:    quotaPlan(unbounded, unbounded),
@@ -47,7 +48,7 @@
 		if err != nil {
 			return err
 		}
-		publication, err := r.changes.publish(ctx, Request{http.MethodPut, configurationPath, content})
+		publication, err := r.changes.publish(ctx, request)
 		if err != nil {
 			return err
 		}
@@ -70,7 +71,7 @@
 		if err != nil {
 			return err
 		}
-		publication, err := r.changes.patch(ctx, map[string]any{planResource("last"): quotaPlan(unbounded, unbounded)})
+		publication, err := r.changes.patch(ctx, Resources{planResource("last"): quotaPlan(unbounded, unbounded)})
 		if err != nil {
 			return err
 		}
@@ -109,7 +110,7 @@
 }
 
 // members are all member indices.
-func (r *Run) members() []int { return fleet.Seats(0, r.Scenario.Size.Gateways) }
+func (r *Run) members() []int { return fleet.Indexes(0, r.Scenario.Size.Gateways) }
 
 // inForce waits until a version or a later one is in force at some gateways.
 func (r *Run) inForce(ctx context.Context, version configsync.Version, members []int) error {
--- a/lab/scale/compare.go
+++ b/lab/scale/compare.go
@@ -9,12 +9,13 @@
 	"os"
 	"path/filepath"
 	"strconv"
-	"strings"
 	"syscall"
 	"time"
 
 	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
+	"ravensill/lab/gatewayconfig"
+	"ravensill/lab/logline"
 )
 
 // Comparison says how real and hollow gateways are compared: in one fleet, at the same time, each gateway with the same
@@ -105,7 +106,7 @@
 	if err != nil {
 		return result, err
 	}
-	if err := m.fleet.Sent(ctx, 4*c.Customers); err != nil { // each customer has asked, but for a few by chance
+	if err := m.fleet.WaitSent(ctx, 4*c.Customers); err != nil { // each customer has asked, but for a few by chance
 		return result, err
 	}
 	load, err := m.window(ctx)
@@ -168,12 +169,19 @@
 		return err
 	}
 	m.kind = interleave(m.Gateways)
-	plan := fleet.Plan{Gateways: len(m.kind), Hosts: m.Hosts, Seed: m.Seed, MessagesPerSecond: messagesPerSecond,
-		Binary: program, Late: map[int]bool{}, Settings: func(s map[string]any) {
-			s["plans"] = []quotaPlan{{Name: "team", Rate: planRate, Burst: planBurst, Price: 1}}
-		}}
+	plan := fleet.Options{
+		Gateways:          len(m.kind),
+		Hosts:             m.Hosts,
+		Seed:              m.Seed,
+		MessagesPerSecond: messagesPerSecond,
+		Binary:            program,
+		NotStarted:        map[int]bool{},
+		ChangeSettings: func(settings *gatewayconfig.Settings) {
+			settings.QuotaPlans = []gatewayconfig.QuotaPlan{newQuotaPlan("team")}
+		},
+	}
 	for i, kind := range m.kind {
-		plan.Late[i] = kind != Real
+		plan.NotStarted[i] = kind != Real
 	}
 	if m.fleet, err = fleet.Start(ctx, plan); err != nil {
 		return err
@@ -200,7 +208,7 @@
 	if err := m.startHollow(hollow, shared...); err != nil {
 		return err
 	}
-	return fleet.Until(ctx, "watches of the list", func() bool { return m.fleet.Agent.Watching() >= plan.Gateways })
+	return fleet.WaitUntil(ctx, "watches of the list", func() bool { return m.fleet.Agent.Watching() >= plan.Gateways })
 }
 
 func (m *mixed) startHollow(binary string, files ...string) error {
@@ -250,7 +258,7 @@
 	}
 	began := time.Now()
 	first, _ := m.fleet.Gossip.Counts()
-	if err := fleet.Until(ctx, "messages between gateways", func() bool {
+	if err := fleet.WaitUntil(ctx, "messages between gateways", func() bool {
 		all, _ := m.fleet.Gossip.Counts()
 		return all.Sent-first.Sent >= m.Enough
 	}); err != nil {
@@ -363,12 +371,11 @@
 	if err := syscall.Kill(g.PID(), syscall.SIGUSR1); err != nil {
 		return 0, err
 	}
-	line, err := g.WaitAfter(ctx, mark, "event=live_heap")
+	line, err := g.WaitLineAfter(ctx, mark, "event=live_heap")
 	if err != nil {
 		return 0, err
 	}
-	_, bytes, _ := strings.Cut(line, "bytes=")
-	live, err := strconv.ParseFloat(strings.TrimSpace(bytes), 64)
+	live, err := strconv.ParseFloat(logline.Value(line, "bytes"), 64)
 	if err != nil {
 		return 0, fmt.Errorf("live heap of %s: %w", g.Name, err)
 	}
--- a/lab/scale/deployment.go
+++ b/lab/scale/deployment.go
@@ -8,6 +8,8 @@
 	"path/filepath"
 	"strconv"
 	"time"
+
+	"ravensill/lab/gatewayconfig"
 )
 
 // Figures of the simulated clients and hosts, the same for all sizes.
@@ -80,22 +82,6 @@
 	return json.Marshal(hostList{Version: 2 + n, Servers: []hostEntry{d.host(n/2%d.Hosts, state)}})
 }
 
-// requestClass is one of the settings' profiles.
-type requestClass struct {
-	Name    string `json:"name"`
-	Effect  string `json:"effect"`
-	Target  int64  `json:"target_us"`
-	Timeout int64  `json:"hard_limit_us"`
-	Value   int    `json:"points"`
-}
-
-type quotaPlan struct {
-	Name  string  `json:"name"`
-	Rate  float64 `json:"rate"`
-	Burst float64 `json:"burst"`
-	Price int     `json:"worth_factor"`
-}
-
 // members is the size of the fleet as the configuration tells it.
 func (d Deployment) members() int { return max(d.Members, d.Gateways) }
 
@@ -104,23 +90,36 @@
 	classes, plans, peers, known json.RawMessage
 }
 
-func (d Deployment) classes() (classes []requestClass) {
+// classes returns the request classes.
+func (d Deployment) classes() (classes []gatewayconfig.Class) {
 	for i := range d.Classes {
-		classes = append(classes, requestClass{Name: fmt.Sprintf("class-%d", i), Effect: "safe",
-			Target: latencyObjective.Microseconds(), Timeout: clientTimeout.Microseconds(), Value: 1})
+		classes = append(classes, gatewayconfig.Class{
+			Name:        fmt.Sprintf("class-%d", i),
+			Effect:      gatewayconfig.Idempotent,
+			ObjectiveUS: latencyObjective.Microseconds(),
+			TimeoutUS:   clientTimeout.Microseconds(),
+			Value:       1,
+		})
 	}
 	return classes
 }
 
-func (d Deployment) plans() (plans []quotaPlan) {
+// plans returns the quota plans.
+func (d Deployment) plans() (plans []gatewayconfig.QuotaPlan) {
 	for i := range d.Plans {
 		plans = append(plans, d.plan(i))
 	}
 	return plans
 }
 
-func (d Deployment) plan(i int) quotaPlan {
-	return quotaPlan{Name: fmt.Sprintf("plan-%d", i), Rate: planRate, Burst: planBurst, Price: 1}
+// plan returns quota plan i.
+func (d Deployment) plan(i int) gatewayconfig.QuotaPlan {
+	return newQuotaPlan(fmt.Sprintf("plan-%d", i))
+}
+
+// newQuotaPlan returns a quota plan that rejects nothing.
+func newQuotaPlan(name string) gatewayconfig.QuotaPlan {
+	return gatewayconfig.QuotaPlan{Name: name, Rate: planRate, Burst: planBurst, PriorityWeight: 1}
 }
 
 func (d Deployment) shared() (s shared, err error) {
@@ -141,27 +140,57 @@
 	return s, err
 }
 
-// configuration is one gateway's configuration, in the program's keys.
-func (d Deployment) configuration(s shared, index int, seed uint64) map[string]any {
-	configuration := map[string]any{
-		"name": fmt.Sprintf("gateway-%d", index), "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2",
-		"seed": strconv.FormatUint(seed*1000003+uint64(index)+1, 16), "known": s.known,
-		"peer_listen": "127.0.0.1:0", "peers": s.peers,
-		"settings": map[string]any{
-			"balancers": d.members(), "position": index, "zones": []string{"a"}, "skus": []string{"m"},
-			"limits": map[string]any{"max_attempts": 3, "cancelling": true, "retry_after": true,
-				"peer_messages": d.members() > 1},
-			"profiles": s.classes, "plans": s.plans,
-			"report":      map[string]any{"how": "inline", "names": []string{"utilization"}},
-			"family_info": map[string]any{"mail_per_s": messagesPerSecond}}}
+// gatewayFile is a gateway's configuration file whose large parts are encoded already.
+type gatewayFile struct {
+	gatewayconfig.File
+	Settings encodedSettings `json:"settings"`
+	Peers    json.RawMessage `json:"peers"`
+}
+
+// encodedSettings are settings whose large parts are encoded already.
+type encodedSettings struct {
+	gatewayconfig.Settings
+	Classes    json.RawMessage `json:"profiles"`
+	QuotaPlans json.RawMessage `json:"plans"`
+}
+
+// configuration returns one gateway's configuration.
+func (d Deployment) configuration(s shared, index int, seed uint64) *gatewayFile {
+	file := &gatewayFile{
+		File: gatewayconfig.File{
+			Name:       fmt.Sprintf("gateway-%d", index),
+			Listen:     "127.0.0.1:1",
+			Discovery:  "127.0.0.1:2",
+			Seed:       strconv.FormatUint(seed*1000003+uint64(index)+1, 16),
+			Known:      s.known,
+			PeerListen: "127.0.0.1:0",
+		},
+		Settings: encodedSettings{
+			Settings: gatewayconfig.Settings{
+				Gateways:     d.members(),
+				Index:        index,
+				Zones:        []string{"a"},
+				MachineTypes: []string{"m"},
+				Limits: gatewayconfig.Limits{
+					RuntimeLimits: gatewayconfig.RuntimeLimits{MaxAttempts: 3, Cancellation: true, RetryAfter: true},
+					Gossip:        d.members() > 1,
+				},
+				LoadReport: gatewayconfig.InlineLoadReport("utilization"),
+				Fleet:      gatewayconfig.Fleet{MessagesPerSecond: messagesPerSecond},
+			},
+			Classes:    s.classes,
+			QuotaPlans: s.plans,
+		},
+		Peers: s.peers,
+	}
 	if d.Live {
-		configuration["configuration"] = map[string]any{"publishers": []string{publisherName}, "dir": "unused"}
+		file.Configuration = &gatewayconfig.Configuration{Publishers: []string{publisherName}, Dir: "unused"}
 	}
-	return configuration
+	return file
 }
 
-// environment writes a configuration to a file and gives the environment in which the program reads it.
-func environment(directory string, configuration map[string]any) (func(string) string, error) {
+// environment writes a configuration to a file and returns the environment in which the program reads it.
+func environment(directory string, configuration *gatewayFile) (func(string) string, error) {
 	text, err := json.Marshal(configuration)
 	if err != nil {
 		return nil, err
--- a/lab/startcost/startcost.go
+++ b/lab/startcost/startcost.go
@@ -18,6 +18,8 @@
 	"github.com/prometheus/procfs"
 
 	"ravensill/lab/emulator"
+	"ravensill/lab/gatewayconfig"
+	"ravensill/lab/logline"
 )
 
 // Axis is what a configuration has many of, all else being small.
@@ -72,7 +74,11 @@
 		discovery = agent.Addr(0)
 	}
 	file := filepath.Join(folder, "config.json")
-	text, err := json.Marshal(configuration(size, discovery))
+	gateway, err := configuration(size, discovery)
+	if err != nil {
+		return cost, err
+	}
+	text, err := json.Marshal(gateway)
 	if err != nil {
 		return cost, err
 	}
@@ -95,7 +101,7 @@
 		return err
 	}
 	cost.Serving = time.Since(p.began)
-	if cost.Axis != QuotaPlans && !strings.Contains(line, fmt.Sprintf(" hosts=%d ", cost.Count)) {
+	if cost.Axis != QuotaPlans && logline.Int(line, "hosts") != cost.Count {
 		return fmt.Errorf("not all of %d hosts: %s", cost.Count, line)
 	}
 	if cost.StartCPU, err = p.cpu(); err != nil {
@@ -206,42 +212,66 @@
 	p.cmd.Wait()
 }
 
-// configuration is that of a gateway by itself, with so many of what the axis names.
-func configuration(size Size, discovery string) map[string]any {
-	plans, hosts := 1, 2
-	known := map[string]any{"version": 0, "full": true, "servers": []any{}}
+// configuration returns that of a gateway by itself, with as many of what the axis names as the size says.
+func configuration(size Size, discovery string) (*gatewayconfig.File, error) {
+	plans := 1
+	list := hostList{Full: true, Servers: []emulator.Entry{}, Version: 1}
 	switch size.Axis {
 	case QuotaPlans:
 		plans = size.Count
+		list.Servers = entries(fewHosts)
 	case Hosts:
-		hosts = size.Count
+		list.Servers = entries(size.Count)
+	case Delivered:
+		list.Version = 0
 	}
-	if size.Axis != Delivered {
-		known = map[string]any{"version": 1, "full": true, "servers": entries(hosts)}
-	}
-	limits := map[string]any{}
-	if size.Memory > 0 {
-		limits["memory_mb"] = size.Memory
+	known, err := json.Marshal(list)
+	if err != nil {
+		return nil, fmt.Errorf("host list: %w", err)
 	}
-	return map[string]any{
-		"limits":    limits,
-		"listen":    "127.0.0.1:0",
-		"discovery": discovery,
-		"known":     known,
-		"settings": map[string]any{
-			"balancers": size.Members,
-			"zones":     []string{"a"},
-			"skus":      []string{"m"},
-			"limits":    map[string]any{"max_attempts": 3, "retry_after": true},
-			"profiles":  []any{map[string]any{"name": "lookup", "effect": "safe", "target_us": 600_000, "hard_limit_us": 2_500_000, "points": 1}},
-			"plans":     quotaPlans(plans),
+	return &gatewayconfig.File{
+		Resources: gatewayconfig.Resources{MemoryMB: size.Memory},
+		Listen:    "127.0.0.1:0",
+		Discovery: discovery,
+		Known:     known,
+		Settings: gatewayconfig.Settings{
+			Gateways:     size.Members,
+			Zones:        []string{"a"},
+			MachineTypes: []string{"m"},
+			Limits: gatewayconfig.Limits{
+				RuntimeLimits: gatewayconfig.RuntimeLimits{MaxAttempts: 3, RetryAfter: true},
+			},
+			Classes: []gatewayconfig.Class{{
+				Name:        "lookup",
+				Effect:      gatewayconfig.Idempotent,
+				ObjectiveUS: (600 * time.Millisecond).Microseconds(),
+				TimeoutUS:   (2500 * time.Millisecond).Microseconds(),
+				Value:       1,
+			}},
+			QuotaPlans: quotaPlans(plans),
 		},
-	}
+	}, nil
 }
 
-func quotaPlans(count int) (plans []any) {
+// fewHosts are the hosts of a configuration that has many of something else.
+const fewHosts = 2
+
+// hostList is a host list as discovery's agent sends it.
+type hostList struct {
+	Full    bool             `json:"full"`
+	Servers []emulator.Entry `json:"servers"`
+	Version int              `json:"version"`
+}
+
+// quotaPlans returns a number of quota plans.
+func quotaPlans(count int) (plans []gatewayconfig.QuotaPlan) {
 	for i := range count {
-		plans = append(plans, map[string]any{"name": fmt.Sprintf("tenant-%05d", i), "rate": 10, "burst": 20, "worth_factor": 1})
+		plans = append(plans, gatewayconfig.QuotaPlan{
+			Name:           fmt.Sprintf("tenant-%05d", i),
+			Rate:           10,
+			Burst:          20,
+			PriorityWeight: 1,
+		})
 	}
 	return plans
 }
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -84,15 +84,15 @@
 
 // allocations counts those of reading a configuration and the list in it.
 func allocations(t *testing.T, size Size) float64 {
-	c := configuration(size, "127.0.0.1:1")
-	settings, err := json.Marshal(c["settings"])
+	file, err := configuration(size, "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, err := json.Marshal(c["known"])
+	settings, err := json.Marshal(file.Settings)
 	if err != nil {
 		t.Fatal(err)
 	}
+	list := file.Known
 	return testing.AllocsPerRun(3, func() {
 		if _, err := config.Decode(string(settings)); err != nil {
 			t.Fatal(err)
