--- a/lab/acceptance/acceptance.go
+++ b/lab/acceptance/acceptance.go
@@ -1,6 +1,7 @@
-// Package acceptance reads the journal of the mass standing test and tells how near each day came to its gates: what
-// was served over what the gate wants, for the day, its classes and its plans, the price of sends beyond quotas beside the
-// late-seeing policy's, and the short days over a whole set. Thirds of days are in no journal. It decides nothing.
+// Package acceptance reads the journal of the operators' acceptance test and computes how near each day came to its
+// gates. The margin of a day is what was served divided by what the gate wants, the least of the day, its classes and
+// its plans. The cost of sends beyond quotas is compared with that of the policy that sees all with a delay (the
+// reference policy), as are the short days over a complete set. Figures for thirds of days are in no journal.
 package acceptance
 
 import (
@@ -17,10 +18,11 @@
 
 // Run is one score in the journal.
 type Run struct {
-	ID, Why string
+	ID      string
+	Reason  string `json:"why"`
 	Site    string
 	Panel   string // the days' names and the seed: real:SITE:SEED:DAY,DAY...
-	Digest  string // as printed; for a single day its whole report
+	Digest  string // as printed; of a single day its complete report
 	Figures struct {
 		Gate  float64
 		Score float64 `json:"real_score"`
@@ -28,168 +30,225 @@
 	Days []Day
 }
 
-// Day is one day of a run. Shares are parts of the worth asked, before prices.
+// Day is one day of a run. Shares are fractions of the value requested, before costs.
 type Day struct {
-	Name     string
-	G, Score float64
-	Fault    *string
-	Served   float64
-	Late     float64        `json:"served_late"`  // by the late-seeing policy
-	Least    float64        `json:"served_least"` // what the gate wants
-	Over     float64        // the late-seeing policy's price of sends beyond quotas; ours is in a single day's digest alone
-	Unsafe   bool           `json:"made_unsafe"` // the settings made its classes unsafe to repeat
-	Classes  []Share        `json:"by_class"`
-	Plans    []Share        `json:"by_tenant"`
-	Starved  []float64      // worth of customers who get under a tenth, beside the late-seeing policy's
-	Rules    map[string]int // broken, by name
-	Memory   float64        `json:"memory_mb"`
-	Caps     []float64      // memory in MB, descriptors
-	Troubles []string
+	Name          string
+	Gain          float64 `json:"g"`
+	Score         float64
+	Fault         *string
+	Served        float64
+	Reference     float64        `json:"served_late"`  // served by the reference policy
+	Wanted        float64        `json:"served_least"` // by the gate
+	ReferenceOver float64        `json:"over"`         // the reference policy's cost of sends beyond quotas
+	Unsafe        bool           `json:"made_unsafe"`  // the settings made its classes non-idempotent
+	Classes       []Share        `json:"by_class"`
+	Plans         []Share        `json:"by_tenant"`
+	Starved       []float64      // value of customers who get under a tenth: ours, the reference policy's
+	Rules         map[string]int // violations by name
+	MemoryMB      float64        `json:"memory_mb"`
+	Caps          []float64      // memory in MB, descriptors
+	Troubles      []string
 }
 
 // Share is what one class or plan was served, and what the gate wants of it.
 type Share struct {
-	Name         string
-	Served, Want float64
+	Name   string
+	Served float64
+	Wanted float64
 }
 
+// UnmarshalJSON reads a share as the journal has it: a list of the name and the two figures.
 func (s *Share) UnmarshalJSON(text []byte) error {
-	parts := []any{&s.Name, &s.Served, &s.Want}
+	parts := []any{&s.Name, &s.Served, &s.Wanted}
 	return json.Unmarshal(text, &parts)
 }
 
 // Read reads one file of the journal.
-func Read(file string) (r Run, err error) {
+func Read(file string) (Run, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return r, err
+		return Run{}, err
 	}
-	if err = json.Unmarshal(text, &r); err != nil {
-		err = fmt.Errorf("%s: %w", file, err)
+	var run Run
+	if err := json.Unmarshal(text, &run); err != nil {
+		return run, fmt.Errorf("%s: %w", file, err)
 	}
-	return r, err
+	return run, nil
 }
 
-// Last gives the newest run of the whole standing test, soak included, in a journal's folder.
-func Last(folder string) (Run, error) {
-	return last(folder, `"soak"`, func(r *Run) bool { return len(r.Days) >= 7 })
+// fullDays is the least number of days of a complete test.
+const fullDays = 7
+
+// Latest returns the latest run of the complete test, with its soak, in a journal's folder.
+func Latest(folder string) (Run, error) {
+	return latest(folder, `"soak"`, func(run *Run) bool { return len(run.Days) >= fullDays })
 }
 
-// last gives the newest run whose file holds a text and that is wanted.
-func last(folder, text string, wanted func(*Run) bool) (r Run, err error) {
+// latest returns the latest run whose file contains a text and that is wanted.
+func latest(folder, text string, wanted func(*Run) bool) (Run, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
-		return r, err
+		return Run{}, err
 	}
 	slices.Sort(files) // their names begin with the time
 	for _, file := range slices.Backward(files) {
-		if all, err := os.ReadFile(file); err != nil || !strings.Contains(string(all), text) {
+		content, err := os.ReadFile(file)
+		if err != nil || !strings.Contains(string(content), text) {
 			continue
 		}
-		if r, err = Read(file); err == nil && wanted(&r) {
-			return r, nil
+		run, err := Read(file)
+		if err == nil && wanted(&run) {
+			return run, nil
 		}
 	}
 	return Run{}, fmt.Errorf("%s: no run with %s", folder, text)
 }
 
-// LastCalm gives the newest calm day that was played by itself, and our price of sends beyond quotas on it.
-func LastCalm(folder string) (r Run, ours float64, err error) {
-	r, err = last(folder, `"calm+mass"`, func(r *Run) bool {
-		return len(r.Days) == 1 && r.Days[0].Name == "calm+mass" && r.Days[0].Fault == nil && price.MatchString(r.Digest)
+const calmDay = "calm+mass"
+
+// overQuotaCost finds the cost of sends beyond quotas in the digest of a single day.
+var overQuotaCost = regexp.MustCompile(`prices:.* over_quota ([0-9.]+)`)
+
+// LatestCalm returns the latest calm day that was run by itself, and our cost of sends beyond quotas on it.
+func LatestCalm(folder string) (run Run, cost float64, err error) {
+	run, err = latest(folder, `"`+calmDay+`"`, func(run *Run) bool {
+		alone := len(run.Days) == 1 && run.Days[0].Name == calmDay
+		return alone && run.Days[0].Fault == nil && overQuotaCost.MatchString(run.Digest)
 	})
-	if err == nil {
-		ours, err = strconv.ParseFloat(price.FindStringSubmatch(r.Digest)[1], 64)
+	if err != nil {
+		return run, 0, err
 	}
-	return r, ours, err
+	cost, err = strconv.ParseFloat(overQuotaCost.FindStringSubmatch(run.Digest)[1], 64)
+	return run, cost, err
 }
 
-var price = regexp.MustCompile(`prices:.* over_quota ([0-9.]+)`)
+// shortDays is the least number of days of a complete set of short days.
+const shortDays = 12
 
-// LastShort gives the newest whole set of short days on a site: fifteen days, twelve up to 2026-12-02.
-func LastShort(folder, site string) (Run, error) {
-	return last(folder, `+brink+mass-12"`, func(r *Run) bool { return r.Site == site && len(r.Days) >= 12 })
+// LatestShort returns the latest complete set of short days on a site.
+func LatestShort(folder, site string) (Run, error) {
+	return latest(folder, `+brink+mass-12"`, func(run *Run) bool {
+		return run.Site == site && len(run.Days) >= shortDays
+	})
 }
 
-// Seed is the seed that a run's days were drawn with.
+// Seed returns the seed that a run's days were drawn with.
 func (r *Run) Seed() string { return strings.Split(r.Panel+"::", ":")[2] }
 
-// Short is the least share of a whole set of short days over a third of the late-seeing policy's: in all, by class, and by class
-// on the days that made classes unsafe; and of each day, but for crowds, over a fifth.
-func (r *Run) Short() (least float64, whose string) {
-	served, late := map[string]float64{}, map[string]float64{}
-	for i := range r.Days {
-		d := &r.Days[i]
-		served["days"], late["days"] = served["days"]+d.Served, late["days"]+d.Late
-		for _, c := range d.Classes {
-			for key, holds := range map[string]bool{"class " + c.Name: true, "unsafe days, class " + c.Name: d.Unsafe} {
-				if holds && c.Want > 0 { // what a day wants is half of the late-seeing policy's
-					served[key], late[key] = served[key]+c.Served, late[key]+2*c.Want
-				}
-			}
-		}
-	}
+// What short days have to serve, as fractions of what the reference policy serves.
+const (
+	setFraction   = 1.0 / 3 // over the set: in all, by class, and by class on the days that made classes non-idempotent
+	dayFraction   = 1.0 / 5 // on each day except crowds
+	classFraction = 1.0 / 2 // the gate of a class on one day
+)
+
+// pair is what was served by us and by the reference policy.
+type pair struct {
+	ours      float64
+	reference float64
+}
+
+// ShortMargin returns the least margin of a complete set of short days, and whose that is. 1 is at the gate.
+func (r *Run) ShortMargin() (least float64, whose string) {
 	least = math.Inf(1)
 	for i := range r.Days {
-		d := &r.Days[i]
-		if m := d.Served * 5 / d.Late; !strings.Contains(d.Name, "crowd") && m < least {
-			least, whose = m, "day "+d.Name
+		day := &r.Days[i]
+		if strings.Contains(day.Name, "crowd") {
+			continue
+		}
+		margin := day.Served / dayFraction / day.Reference
+		if margin < least {
+			least = margin
+			whose = "day " + day.Name
 		}
 	}
-	for key := range served {
-		if m := served[key] * 3 / late[key]; m < least || m == least && key < whose {
-			least, whose = m, key
+	for name, served := range r.servedOverSet() {
+		margin := served.ours / setFraction / served.reference
+		if margin < least || margin == least && name < whose {
+			least = margin
+			whose = name
 		}
 	}
 	return least, whose
 }
 
-// Margin is the least share served over the gate that wants it, and whose that is. 1 is at the gate.
+// servedOverSet returns what was served over all days, in all and by class.
+func (r *Run) servedOverSet() map[string]pair {
+	served := map[string]pair{}
+	add := func(name string, ours, reference float64) {
+		sum := served[name]
+		served[name] = pair{sum.ours + ours, sum.reference + reference}
+	}
+	for i := range r.Days {
+		day := &r.Days[i]
+		add("days", day.Served, day.Reference)
+		for _, class := range day.Classes {
+			if class.Wanted <= 0 {
+				continue
+			}
+			reference := class.Wanted / classFraction
+			add("class "+class.Name, class.Served, reference)
+			if day.Unsafe {
+				add("unsafe days, class "+class.Name, class.Served, reference)
+			}
+		}
+	}
+	return served
+}
+
+// Margin returns the least margin of a day, and whose that is. 1 is at the gate.
 func (d *Day) Margin() (least float64, whose string) {
-	least, whose = d.Served/d.Least, "day"
-	for kind, all := range map[string][]Share{"class": d.Classes, "plan": d.Plans} {
-		for _, s := range all {
-			if m := s.Served / s.Want; s.Want > 0 && m < least {
-				least, whose = m, kind+" "+s.Name
+	least = d.Served / d.Wanted
+	whose = "day"
+	for kind, shares := range map[string][]Share{"class": d.Classes, "plan": d.Plans} {
+		for _, share := range shares {
+			margin := share.Served / share.Wanted
+			if share.Wanted > 0 && margin < least {
+				least = margin
+				whose = kind + " " + share.Name
 			}
 		}
 	}
 	return least, whose
 }
 
-// Broken names what fails the test on a day, "" if nothing does.
-func (d *Day) Broken() string {
+// maxStarvedExcess is how much more of the value may starve than under the reference policy.
+const maxStarvedExcess = 0.15
+
+// Failure returns what fails the test on a day; "" if nothing does.
+func (d *Day) Failure() string {
 	if d.Fault != nil {
 		return *d.Fault
 	}
-	for rule, n := range d.Rules {
-		if n > 0 {
-			return fmt.Sprintf("rule %s broken %d times", rule, n)
+	for rule, count := range d.Rules {
+		if count > 0 {
+			return fmt.Sprintf("rule %s violated %d times", rule, count)
 		}
 	}
-	if m, whose := d.Margin(); m < 1 {
-		return fmt.Sprintf("%s at %.2f of its gate", whose, m)
+	if margin, whose := d.Margin(); margin < 1 {
+		return fmt.Sprintf("%s at %.2f of its gate", whose, margin)
 	}
-	if len(d.Starved) == 2 && d.Starved[0] > d.Starved[1]+0.15 {
-		return fmt.Sprintf("starved %.2f, %.2f under the late-seeing policy", d.Starved[0], d.Starved[1])
+	if len(d.Starved) == 2 && d.Starved[0] > d.Starved[1]+maxStarvedExcess {
+		return fmt.Sprintf("starved %.2f, %.2f under the reference policy", d.Starved[0], d.Starved[1])
 	}
 	return ""
 }
 
-// Table gives a line a day, as for a page.
+// Table returns a table with a row for each day.
 func (r *Run) Table() string {
-	var b strings.Builder
-	b.WriteString("| day | G | score | served over its gate | nearest to its gate | over quotas, late-seeing | rules | memory |\n" +
-		"| --- | --- | --- | --- | --- | --- | --- | --- |\n")
+	var table strings.Builder
+	table.WriteString("| day | G | score | served over its gate | nearest to its gate | over quotas, late-seeing | " +
+		"rules | memory |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for i := range r.Days {
-		d := &r.Days[i]
-		m, whose := d.Margin()
+		day := &r.Days[i]
+		margin, whose := day.Margin()
 		rules := "kept"
-		if b := d.Broken(); b != "" {
-			rules = b
+		if failure := day.Failure(); failure != "" {
+			rules = failure
 		}
-		fmt.Fprintf(&b, "| %s | %.3f | %.2f | %.2f | %s, %.2f | %.3f | %s | %.0f of %.0f MB |\n", d.Name, d.G, d.Score, d.Served/d.Least,
-			whose, m, d.Over, rules, d.Memory, d.Caps[0])
+		fmt.Fprintf(&table, "| %s | %.3f | %.2f | %.2f | %s, %.2f | %.3f | %s | %.0f of %.0f MB |\n",
+			day.Name, day.Gain, day.Score, day.Served/day.Wanted, whose, margin, day.ReferenceOver, rules,
+			day.MemoryMB, day.Caps[0])
 	}
-	return b.String()
+	return table.String()
 }
--- a/lab/fleet/cases.go
+++ b/lab/fleet/cases.go
@@ -131,15 +131,15 @@
 func (s Size) networkPartitions() Scenario {
 	left := GatewayNames(0, s.Gateways/2)
 	right := GatewayNames(s.Gateways/2, s.Gateways)
-	noise := relay.Rule{Way: relay.Way{
-		Loss:    0.1,
-		Double:  0.1,
-		Reorder: 0.1,
-		Delay:   5 * time.Millisecond,
-		Jitter:  20 * time.Millisecond,
+	noise := relay.Rule{Faults: relay.Faults{
+		Loss:      0.1,
+		Duplicate: 0.1,
+		Reorder:   0.1,
+		Delay:     5 * time.Millisecond,
+		Jitter:    20 * time.Millisecond,
 	}}
-	cutRight := relay.Rule{From: left, To: right, Way: relay.Way{Cut: true}}
-	cutLeft := relay.Rule{From: right, To: left, Way: relay.Way{Cut: true}}
+	cutRight := relay.Rule{From: left, To: right, Faults: relay.Faults{Blocked: true}}
+	cutLeft := relay.Rule{From: right, To: left, Faults: relay.Faults{Blocked: true}}
 	partitioned := s.scenario("cut in halves, healed, cut one way, healed", 8*second, 0.9,
 		SetRelayRules(0, "noise", noise),
 		SetRelayRules(1*second, "cut", cutRight, cutLeft),
--- a/lab/fleet/config.go
+++ b/lab/fleet/config.go
@@ -30,7 +30,7 @@
 	}
 	if f.Gossip != nil {
 		file.PeerListen = "127.0.0.1:0"
-		file.Peers = f.Gossip.Peers(i)
+		file.Peers = f.Gossip.PeerAddrs(i)
 	}
 	if f.Counter != nil {
 		file.Counter = f.Counter.Addr()
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -262,7 +262,7 @@
 	addresses := listenAddresses(line)
 	f.Clients.SetAddr(i, addresses.clients)
 	if addresses.peers.IsValid() && f.Gossip != nil {
-		f.Gossip.Place(i, addresses.peers)
+		f.Gossip.SetAddr(i, addresses.peers)
 	}
 	if f.Options.OnServing != nil {
 		f.Options.OnServing(f, i, line)
@@ -272,7 +272,7 @@
 // onExit is called by the actor of gateway i when its process has ended.
 func (f *Fleet) onExit(i int) {
 	if f.Gossip != nil {
-		f.Gossip.Place(i, netip.AddrPort{})
+		f.Gossip.SetAddr(i, netip.AddrPort{})
 	}
 }
 
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -78,7 +78,7 @@
 	if gateway.Addr() != addr || gateway.EventCounts()["serving"] != 2 {
 		t.Errorf("at %s, then %s; %v", addr, gateway.Addr(), gateway.EventCounts())
 	}
-	if all, _ := fleet.Gossip.Counts(); all.Passed == 0 {
+	if all, _ := fleet.Gossip.Counts(); all.Delivered == 0 {
 		t.Errorf("no datagram passed the relay: %+v", all)
 	}
 }
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -97,7 +97,7 @@
 // SetRelayRules returns a step that puts rules in force in the relay under a name; without rules it ends those before.
 func SetRelayRules(at time.Duration, name string, rules ...relay.Rule) Step {
 	return Step{at, fmt.Sprintf("relay: %d rules (%s)", len(rules), name), func(ctx context.Context, f *Fleet) error {
-		f.Relay.Set(name, rules...)
+		f.Relay.SetRules(name, rules...)
 		return nil
 	}}
 }
--- a/lab/groundtruth/cases.go
+++ b/lab/groundtruth/cases.go
@@ -37,9 +37,10 @@
 
 // Cases returns the hard cases with real processes.
 func (s Size) Cases() []Case {
-	noisy := relay.Rule{Way: relay.Way{Loss: 0.2, Double: 0.2, Reorder: 0.2, Jitter: 50 * time.Millisecond}}
+	noisy := relay.Rule{Faults: relay.Faults{Loss: 0.2, Duplicate: 0.2, Reorder: 0.2, Jitter: 50 * time.Millisecond}}
 	partitioned := max(s.Gateways/8, 1)
-	partition := []relay.Rule{{From: fleet.GatewayNames(1, 1+partitioned), To: fleet.GatewayNames(0, 1), Way: relay.Way{Cut: true}}}
+	partition := []relay.Rule{{From: fleet.GatewayNames(1, 1+partitioned), To: fleet.GatewayNames(0, 1),
+		Faults: relay.Faults{Blocked: true}}}
 	half := s.Duration / 2
 
 	loadedHost := s.newCase("a host slow only under load, each customer at one gateway")
@@ -49,9 +50,12 @@
 			h.Model.Knee, h.Model.Slope = 0.75, 2
 		}
 	}
-	faults := s.newCase("lost, doubled, out of order; a cut that heals; a gateway killed and back", fleet.SetRelayRules(0, "noise", noisy),
-		fleet.SetRelayRules(half/2, "cut", partition...), fleet.SetRelayRules(half/2+2*s.Window, "cut"),
-		fleet.KillGateways(half, 1, "one", second/2), fleet.RestartGateways(half+second, 1, "one", true))
+	faults := s.newCase("lost, doubled, out of order; a cut that heals; a gateway killed and back",
+		fleet.SetRelayRules(0, "noise", noisy),
+		fleet.SetRelayRules(half/2, "cut", partition...),
+		fleet.SetRelayRules(half/2+2*s.Window, "cut"),
+		fleet.KillGateways(half, 1, "one", second/2),
+		fleet.RestartGateways(half+second, 1, "one", true))
 	replaced := s.newCase("hosts replaced within the window", fleet.StartHosts(half, s.Hosts))
 	replaced.ReplacementHosts = 1
 	replaced.Steps = append(replaced.Steps, fleet.RemoveHosts(half, second, 0)...)
@@ -60,7 +64,8 @@
 			f.Host(2).SetSlowdown(4)
 			return nil
 		}})
-	killedGateways := s.newCase("a third of the gateways killed for good", fleet.Step{At: half, Description: "kill a third",
+	killedGateways := s.newCase("a third of the gateways killed for good", fleet.Step{At: half,
+		Description: "kill a third",
 		Run: func(_ context.Context, f *fleet.Fleet) error {
 			killed := fleet.Indexes(1, 1+s.Gateways/3)
 			f.Clients.SetOutOfUse(true, killed...)
--- a/lab/groundtruth/cost.go
+++ b/lab/groundtruth/cost.go
@@ -10,6 +10,12 @@
 	"ravensill/lab/gatewayconfig"
 )
 
+const (
+	costGateways = 3
+	warmUp       = 2 * second // of a load: connections are up after it
+	minRequests  = 100        // of each measured gateway
+)
+
 // Cost is the processor time that a request costs a gateway with the section counterfactual enabled and disabled.
 type Cost struct {
 	Enabled  time.Duration // CPU time a request
@@ -23,70 +29,93 @@
 		100*(float64(c.Enabled)/float64(c.Disabled)-1), c.Requests)
 }
 
-// MeasureCost runs three gateways that do not know of each other: one collects, of the other two one records a share of its
-// attempts and reports them, and both get the same load at the same time. swap exchanges the two, as the machine may favour one.
-func MeasureCost(ctx context.Context, seed uint64, rate float64, length time.Duration, swap bool,
-	share float64) (Cost, error) {
-	costCase := Case{Name: "cost", Gateways: 3, Hosts: 12, Window: 2 * time.Second, Seed: seed}
-	plan := costCase.fleetPlan()
+// CostOptions describe a measurement of the cost.
+type CostOptions struct {
+	Seed     uint64
+	Rate     float64 // requests a second of the whole fleet
+	Duration time.Duration
+	Fraction float64 // of the attempts that are recorded
+	Swap     bool    // exchange the two measured gateways, as the machine may favour one
+}
+
+// MeasureCost runs three gateways that do not know of each other. One collects. Of the other two one records a fraction
+// of its attempts and reports them, and both have the same load at the same time.
+func MeasureCost(ctx context.Context, options CostOptions) (Cost, error) {
 	enabled, disabled := 1, 2
-	if swap {
+	if options.Swap {
 		enabled, disabled = 2, 1
 	}
-	plan.NoGossip = true
-	plan.ConfigureHost = func(i int, h *emulator.HostOptions) { h.Model.MaxInFlight = 0 }
-	configure := plan.ConfigureGateway
-	plan.ConfigureGateway = func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
-		if err := configure(f, i, file); err != nil || i == disabled {
-			file.Counterfactual = nil
-			return err
-		}
-		file.Counterfactual.Records = "" // a file is no part of the ordinary path
-		file.Counterfactual.Fraction = share
-		return nil
-	}
-	rig, err := fleet.Start(ctx, plan)
+	f, err := fleet.Start(ctx, options.fleetOptions(disabled))
 	if err != nil {
 		return Cost{}, err
 	}
-	defer rig.Close()
-	run := rig.Clients.Start(emulator.Load{Seed: seed, Rate: rate, Customers: 300, SubsetSize: 0,
-		GatewayWeights: map[int]float64{0: 0}, Classes: []emulator.Class{{Name: "lookup", Timeout: 3 * time.Second, Fraction: 1}}})
-	if err := wait(ctx, 2*time.Second); err != nil { // connections are up by then
+	defer f.Close()
+	load := f.Clients.Start(emulator.Load{
+		Seed:           options.Seed,
+		Rate:           options.Rate,
+		Customers:      300,
+		GatewayWeights: map[int]float64{0: 0},
+		Classes:        []emulator.Class{{Name: "lookup", Timeout: clientWait, Fraction: 1}},
+	})
+	if err := wait(ctx, warmUp); err != nil {
 		return Cost{}, err
 	}
-	var from, to [3]fleet.Usage
-	read := func(usage *[3]fleet.Usage) (err error) {
-		for _, i := range []int{enabled, disabled} {
-			if usage[i], err = rig.Gateway(i).Usage(); err != nil {
-				return err
-			}
-		}
-		return nil
-	}
-	sent := rig.Clients.Sent()
-	if err := read(&from); err != nil {
+	firstRequest := f.Clients.Sent()
+	before, err := cpuTimes(f, enabled, disabled)
+	if err != nil {
 		return Cost{}, err
 	}
-	if err := wait(ctx, length); err != nil {
+	if err := wait(ctx, options.Duration); err != nil {
 		return Cost{}, err
 	}
-	if err := read(&to); err != nil {
+	after, err := cpuTimes(f, enabled, disabled)
+	if err != nil {
 		return Cost{}, err
 	}
-	last := rig.Clients.Sent()
-	run.Stop()
-	var requests [3]int
-	for _, request := range rig.Clients.Log().Requests[sent:last] {
+	endRequest := f.Clients.Sent()
+	load.Stop()
+	var requests [costGateways]int
+	for _, request := range f.Clients.Log().Requests[firstRequest:endRequest] {
 		requests[request.Gateway]++
 	}
-	if requests[0] > 0 || requests[enabled] < 100 || requests[disabled] < 100 {
+	if requests[0] > 0 || requests[enabled] < minRequests || requests[disabled] < minRequests {
 		return Cost{}, fmt.Errorf("requests by gateway: %v", requests)
 	}
-	perRequest := func(i int) time.Duration { return (to[i].CPU - from[i].CPU) / time.Duration(requests[i]) }
+	perRequest := func(i int) time.Duration { return (after[i] - before[i]) / time.Duration(requests[i]) }
 	return Cost{
 		Enabled:  perRequest(enabled),
 		Disabled: perRequest(disabled),
 		Requests: min(requests[enabled], requests[disabled]),
 	}, nil
 }
+
+// fleetOptions returns the options of a fleet in which one gateway has no section counterfactual.
+func (o *CostOptions) fleetOptions(disabled int) fleet.Options {
+	costCase := Case{Name: "cost", Gateways: costGateways, Hosts: 12, Window: 2 * second, Seed: o.Seed}
+	options := costCase.fleetOptions()
+	options.NoGossip = true
+	options.ConfigureHost = func(_ int, host *emulator.HostOptions) { host.Model.MaxInFlight = 0 }
+	configure := options.ConfigureGateway
+	options.ConfigureGateway = func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
+		if err := configure(f, i, file); err != nil || i == disabled {
+			file.Counterfactual = nil
+			return err
+		}
+		file.Counterfactual.Records = "" // no gateway writes a file in operation
+		file.Counterfactual.Fraction = o.Fraction
+		return nil
+	}
+	return options
+}
+
+// cpuTimes returns the processor times of some gateways.
+func cpuTimes(f *fleet.Fleet, gateways ...int) (times [costGateways]time.Duration, err error) {
+	for _, i := range gateways {
+		usage, err := f.Gateway(i).Usage()
+		if err != nil {
+			return times, err
+		}
+		times[i] = usage.CPU
+	}
+	return times, nil
+}
--- a/lab/groundtruth/groundtruth.go
+++ b/lab/groundtruth/groundtruth.go
@@ -1,8 +1,8 @@
-// Package groundtruth runs fleets of real processes with the section counterfactual on, and compares what their collector answers
-// with what the stand-in hosts would have answered to the very same attempts. Each gateway writes the records of its attempts to
-// a file; a host's log tells its load and slowness at any time, and its time for a request is a function of these and of the
-// request's id. The time that an attempt took beside the host's own (sockets, the loop, a busy machine) it would have taken at
-// another host, too, and is counted in.
+// Package groundtruth runs fleets of real processes with the section counterfactual on, and compares the answers of
+// their collector with the response times that the emulated hosts would have had for the same attempts. Each gateway
+// writes the records of its attempts to a file. A host's log has its load and slowdown at any time, and its response
+// time to a request is a function of these and of the request's id. The rest of an attempt's time (sockets, the event
+// loop, a busy machine) is assumed to be the same at every host.
 package groundtruth
 
 import (
@@ -22,9 +22,10 @@
 )
 
 const (
-	objective  = time.Second      // latency objective of each request class of the rig
-	clientWait = 3 * time.Second  // how long clients wait for an answer
-	drainWait  = 20 * time.Second // for the last answers after the load has ended
+	objective        = second // latency objective of each request class
+	clientWait       = 3 * second
+	drainWait        = 20 * second // for the last answers after the load has ended
+	collectorNetwork = 121         // of the collector's address, within 127.0.0.0/8
 )
 
 // Case is one fleet with its faults.
@@ -40,15 +41,15 @@
 	ConfigureLoad    func(l *emulator.Load)               // may be nil
 	ConfigureHost    func(i int, h *emulator.HostOptions) // may be nil
 	Steps            []fleet.Step
-	RefusedWith      string // the refusal that all answers must give; "": none
+	RefusedWith      string // the refusal that all answers must have; "": none
 }
 
-// fleetPlan returns the plan of the fleet. Each gateway writes records, the first one collects, and the observers' datagrams pass
-// the relay.
-func (c *Case) fleetPlan() fleet.Options {
+// fleetOptions returns the options of the fleet. Each gateway writes records, the first one collects, and the
+// observers' datagrams pass through the relay.
+func (c *Case) fleetOptions() fleet.Options {
 	var datagrams *relay.Datagrams
 	var collector string // address of the collector, over all its restarts
-	plan := fleet.Options{
+	options := fleet.Options{
 		Gateways:      c.Gateways,
 		Hosts:         c.Hosts + c.ReplacementHosts,
 		Seed:          c.Seed,
@@ -57,25 +58,25 @@
 		ConfigureHost: c.configureHost,
 	}
 	for i := range c.ReplacementHosts {
-		plan.UnlistedHosts[c.Hosts+i] = true
+		options.UnlistedHosts[c.Hosts+i] = true
 	}
-	plan.PrepareRelay = func(f *fleet.Fleet) (err error) {
-		datagrams, err = f.Relay.Datagrams("witness", fleet.GatewayNames(0, c.Gateways))
+	options.PrepareRelay = func(f *fleet.Fleet) (err error) {
+		datagrams, err = f.Relay.Datagrams(observerNetwork, fleet.GatewayNames(0, c.Gateways))
 		if err != nil {
 			return err
 		}
-		address, err := emulator.FreeAddr(121, 0)
+		address, err := emulator.FreeAddr(collectorNetwork, 0)
 		if err != nil {
 			return err
 		}
 		collector = address.String()
-		datagrams.Place(0, address)
+		datagrams.SetAddr(0, address)
 		return nil
 	}
-	plan.ConfigureGateway = func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
+	options.ConfigureGateway = func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
 		file.Counterfactual = &gatewayconfig.Counterfactual{
 			Listen:     "127.0.0.1:0",
-			Peers:      datagrams.Peers(i),
+			Peers:      datagrams.PeerAddrs(i),
 			Collectors: []int{0},
 			WindowMS:   c.Window.Milliseconds(),
 			Records:    recordsPath(f, i),
@@ -87,22 +88,25 @@
 		}
 		return nil
 	}
-	return plan
+	return options
 }
 
-// configureHost gives a host its speed and response times.
-func (c *Case) configureHost(i int, h *emulator.HostOptions) {
-	h.Speed = 0.7 + 0.9*emulator.Uniform("speed", fmt.Sprint(i))
-	if h.Zone == "b" {
-		h.Speed *= 0.7
+// observerNetwork names the relay's network of the observers. Its faults follow from the name, too.
+const observerNetwork = "witness"
+
+// configureHost sets the speed and the response times of a host.
+func (c *Case) configureHost(i int, host *emulator.HostOptions) {
+	host.Speed = 0.7 + 0.9*emulator.Uniform("speed", fmt.Sprint(i))
+	if host.Zone == "b" {
+		host.Speed *= 0.7
 	}
-	h.Model = emulator.Model{BaseTime: 30 * time.Millisecond, Sigma: 0.4, Slots: 4, Knee: 0.25, Slope: 0.5}
+	host.Model = emulator.Model{BaseTime: 30 * time.Millisecond, Sigma: 0.4, Slots: 4, Knee: 0.25, Slope: 0.5}
 	if c.ConfigureHost != nil {
-		c.ConfigureHost(i, h)
+		c.ConfigureHost(i, host)
 	}
 }
 
-// recordsPath is the file to which a gateway writes its records.
+// recordsPath returns the file to which a gateway writes its records.
 func recordsPath(f *fleet.Fleet, gateway int) string {
 	return filepath.Join(f.Dir, fmt.Sprintf("records-%d", gateway))
 }
@@ -111,15 +115,15 @@
 type Outcome struct {
 	simenv.Score
 	Attempts        int
-	Delayed         float64 // fraction of the attempts that the machine, not a host, delayed: by how much is not known
-	MissingGateways int     // the most gateways that an answer names as missing
+	DelayedFraction float64 // fraction of the attempts that the machine, not a host, delayed: by how much is not known
+	MissingGateways int     // most gateways that an answer names as missing
 	Counts          counterfactual.Counts
 	Usage           []fleet.Usage // of the gateways that still run
 }
 
 // Run runs the case and compares the collector's answers with the ground truth.
 func (c *Case) Run(ctx context.Context) (*Outcome, error) {
-	f, err := fleet.Start(ctx, c.fleetPlan())
+	f, err := fleet.Start(ctx, c.fleetOptions())
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +141,7 @@
 		return nil, err
 	}
 	outcome.Attempts = records.count
-	outcome.Delayed = float64(records.delayed) / float64(max(records.count, 1))
+	outcome.DelayedFraction = float64(records.delayed) / float64(max(records.count, 1))
 	answers, err := queryAnswers(ctx, collector)
 	if err != nil {
 		return nil, err
@@ -167,16 +171,16 @@
 		c.ConfigureLoad(&load)
 	}
 	run := f.Clients.Start(load)
-	began := time.Now()
+	start := time.Now()
 	for _, step := range c.Steps {
-		if err := wait(ctx, time.Until(began.Add(step.At))); err != nil {
+		if err := wait(ctx, time.Until(start.Add(step.At))); err != nil {
 			return err
 		}
 		if err := step.Run(ctx, f); err != nil {
 			return fmt.Errorf("%s: %w", step.Description, err)
 		}
 	}
-	if err := wait(ctx, time.Until(began.Add(c.Duration))); err != nil {
+	if err := wait(ctx, time.Until(start.Add(c.Duration))); err != nil {
 		return err
 	}
 	run.Stop()
@@ -188,19 +192,19 @@
 
 // waitUntilSealed waits until all windows of the run are sealed at the collector.
 func (c *Case) waitUntilSealed(ctx context.Context, collector string) (counterfactual.Counts, error) {
-	var last, now observer.CollectorState
-	if err := Query(ctx, collector, observer.Query{Counts: true}, decodeInto(&last)); err != nil {
-		return now.Counts, err
+	var initial, state observer.CollectorState
+	if err := Query(ctx, collector, observer.Query{Counts: true}, decodeInto(&initial)); err != nil {
+		return state.Counts, err
 	}
-	for now.Sealed < last.Bin+2 {
+	for state.Sealed < initial.Bin+2 {
 		if err := wait(ctx, c.Window/4); err != nil {
-			return now.Counts, err
+			return state.Counts, err
 		}
-		if err := Query(ctx, collector, observer.Query{Counts: true}, decodeInto(&now)); err != nil {
-			return now.Counts, err
+		if err := Query(ctx, collector, observer.Query{Counts: true}, decodeInto(&state)); err != nil {
+			return state.Counts, err
 		}
 	}
-	return now.Counts, nil
+	return state.Counts, nil
 }
 
 // queryAnswers asks the collector about each rule and each host.
@@ -218,7 +222,7 @@
 
 // compare compares answers with the ground truth.
 func (o *Outcome) compare(answers []counterfactual.Answer, records *attemptRecords) error {
-	var truths []simenv.GroundTruth
+	var groundTruths []simenv.GroundTruth
 	for i := range answers {
 		answer := &answers[i]
 		rule, ok := counterfactual.ReadRule(answer.Rule)
@@ -226,10 +230,10 @@
 			return fmt.Errorf("an answer for an unknown rule: %+v", answer)
 		}
 		o.MissingGateways = max(o.MissingGateways, len(answer.Missing))
-		truths = append(truths, records.groundTruth(rule, answer.Host))
-		o.Compare(answer, truths[i])
+		groundTruths = append(groundTruths, records.groundTruth(rule, answer.Host))
+		o.Compare(answer, groundTruths[i])
 	}
-	o.CompareOrder(answers, truths)
+	o.CompareOrder(answers, groundTruths)
 	return nil
 }
 
--- a/lab/groundtruth/groundtruth_test.go
+++ b/lab/groundtruth/groundtruth_test.go
@@ -11,78 +11,124 @@
 	"ravensill/lab/simenv"
 )
 
-// TestCases checks that the collector's answers agree with the hosts' ground truth for the same attempts, or are refused.
-func TestCases(t *testing.T) {
-	sizes := []Size{{Gateways: 24, Hosts: 6, RequestRate: 500, Duration: 12 * time.Second, Window: second, Seed: 5}}
-	full := os.Getenv("FULL_SIZE") == "1"
-	if full {
-		sizes = []Size{{Gateways: 200, Hosts: 12, RequestRate: 800, Duration: 20 * time.Second, Window: 2 * second, Seed: 11}}
+const (
+	fleetFiguresFile = "../../docs/measurements/counterfactual-fleet.txt"
+	gatewaysMissing  = "gateways missing"
+	maxDelayed       = 0.02 // fraction of the attempts delayed by the machine, above which there is no ground truth
+)
+
+// testSize returns the size of the cases: 24 gateways in CI, 200 with FULL_SIZE=1.
+func testSize() Size {
+	if os.Getenv("FULL_SIZE") == "1" {
+		return Size{
+			Gateways:    200,
+			Hosts:       12,
+			RequestRate: 800,
+			Duration:    20 * second,
+			Window:      2 * second,
+			Seed:        11,
+		}
 	}
+	return Size{Gateways: 24, Hosts: 6, RequestRate: 500, Duration: 12 * second, Window: second, Seed: 5}
+}
+
+// The collector's answers agree with the hosts' ground truth for the same attempts, or are refused.
+func TestAnswersAgreeWithGroundTruth(t *testing.T) {
 	var all simenv.Score
 	var text strings.Builder
-	for _, z := range sizes {
-		for _, c := range z.Cases() {
-			t.Run(c.Name, func(t *testing.T) {
-				ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
-				defer cancel()
-				o, err := c.Run(ctx)
-				if err != nil {
-					t.Fatal(err)
-				}
-				line := fmt.Sprintf("%d gateways, seed %d, %s: %d attempts, %.1f%% delayed by the machine, %d gateways named, "+
-					"messages %+v; %s\n", c.Gateways, c.Seed, c.Name, o.Attempts, 100*o.Delayed, o.MissingGateways, o.Counts, o.Score.String())
-				text.WriteString(line)
-				t.Log(line, strings.Join(append(o.OffFigures, o.Uncovered...), "\n"))
-				if c.RefusedWith != "" && o.Refused[c.RefusedWith] != o.Answers {
-					t.Errorf("not all refused with %q", c.RefusedWith)
+	for _, testCase := range testSize().Cases() {
+		t.Run(testCase.Name, func(t *testing.T) {
+			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
+			defer cancel()
+			outcome, err := testCase.Run(ctx)
+			if err != nil {
+				t.Fatal(err)
+			}
+			line := fmt.Sprintf("%d gateways, seed %d, %s: %d attempts, %.1f%% delayed by the machine, "+
+				"%d gateways named, messages %+v; %s\n",
+				testCase.Gateways, testCase.Seed, testCase.Name, outcome.Attempts, 100*outcome.DelayedFraction,
+				outcome.MissingGateways, outcome.Counts, outcome.Score.String())
+			text.WriteString(line)
+			t.Log(line, strings.Join(append(outcome.OffFigures, outcome.Uncovered...), "\n"))
+			if testCase.RefusedWith != "" {
+				if outcome.Refused[testCase.RefusedWith] != outcome.Answers {
+					t.Errorf("not all refused with %q", testCase.RefusedWith)
 				}
-				if c.RefusedWith == "" && o.Refused["gateways missing"] == 0 && o.Answers < 6+c.Hosts {
-					t.Errorf("%d answers", o.Answers)
+			} else {
+				if outcome.Refused[gatewaysMissing] == 0 && outcome.Answers < 6+testCase.Hosts {
+					t.Errorf("%d answers", outcome.Answers)
 				}
-				if c.RefusedWith == "" && o.Delayed > 0.02 { // then the truth is none
-					t.Log("not held against the truth: the machine did not keep up")
+				if outcome.DelayedFraction > maxDelayed {
+					t.Log("not compared with the ground truth: the machine did not keep up")
 					return
 				}
-				all.Add(&o.Score)
-			})
-		}
+			}
+			all.Add(&outcome.Score)
+		})
 	}
 	t.Log(all.String())
-	if n := all.Means; n > 0 && (float64(all.MeansOff) > 0.05*float64(n) || float64(all.P99sOff) > 0.1*float64(all.P99s) ||
-		float64(all.Covered) < 0.9*float64(all.Figures) || float64(all.PairsInOrder) < 0.95*float64(all.RulePairs)) {
+	checkScore(t, &all)
+	if os.Getenv("FULL_SIZE") == "1" {
+		appendFile(t, fleetFiguresFile, text.String())
+	}
+}
+
+// checkScore fails the test if too many figures are off.
+func checkScore(t *testing.T, score *simenv.Score) {
+	t.Helper()
+	if score.Means == 0 {
+		return
+	}
+	meansOff := float64(score.MeansOff) > 0.05*float64(score.Means)
+	p99sOff := float64(score.P99sOff) > 0.1*float64(score.P99s)
+	uncovered := float64(score.Covered) < 0.9*float64(score.Figures)
+	wrongOrder := float64(score.PairsInOrder) < 0.95*float64(score.RulePairs)
+	if meansOff || p99sOff || uncovered || wrongOrder {
 		t.Error("figures too far off, intervals too narrow, or pairs in the wrong order")
 	}
-	if full {
-		f, err := os.OpenFile("../../docs/measurements/counterfactual-fleet.txt", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer f.Close()
-		fmt.Fprint(f, text.String())
+}
+
+// appendFile adds text to a file.
+func appendFile(t *testing.T, path, text string) {
+	t.Helper()
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	if _, err := file.WriteString(text); err != nil {
+		t.Error(err)
 	}
 }
 
-// TestCost measures what a request costs more with the section enabled. At full size the figures go to the measurements; no
-// verdict rests on them.
-func TestCost(t *testing.T) {
+// The further cost of a request with the section enabled is measured at full size, without a verdict.
+func TestFullSizeCost(t *testing.T) {
 	if os.Getenv("FULL_SIZE") != "1" {
 		t.Skip("a measurement: FULL_SIZE=1")
 	}
+	const runs = 6
 	var text strings.Builder
-	const plays = 6
-	for _, part := range []float64{0.1, 1} {
-		var all Cost
-		for i := range plays {
+	for _, fraction := range []float64{0.1, 1} {
+		var mean Cost
+		for i := range runs {
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
-			c, err := MeasureCost(ctx, uint64(i)+1, 1200, 10*time.Second, i%2 == 1, part)
+			cost, err := MeasureCost(ctx, CostOptions{
+				Seed:     uint64(i) + 1,
+				Rate:     1200,
+				Duration: 10 * second,
+				Fraction: fraction,
+				Swap:     i%2 == 1,
+			})
 			cancel()
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(&text, "part %g, play %d: %v\n", part, i, c)
-			all.Enabled, all.Disabled, all.Requests = all.Enabled+c.Enabled/plays, all.Disabled+c.Disabled/plays, all.Requests+c.Requests
+			fmt.Fprintf(&text, "part %g, run %d: %v\n", fraction, i, cost)
+			mean.Enabled += cost.Enabled / runs
+			mean.Disabled += cost.Disabled / runs
+			mean.Requests += cost.Requests
 		}
-		fmt.Fprintf(&text, "part %g, all: %v\n", part, all)
+		fmt.Fprintf(&text, "part %g, all: %v\n", fraction, mean)
 	}
 	t.Log(text.String())
 	if err := os.WriteFile("../../docs/measurements/counterfactual-cost.txt", []byte(text.String()), 0o644); err != nil {
--- a/lab/groundtruth/records.go
+++ b/lab/groundtruth/records.go
@@ -14,7 +14,7 @@
 	"ravensill/lab/simenv"
 )
 
-// attemptRecords holds the response times of all attempts that gateways recorded, as each rule and each host would have had them.
+// attemptRecords holds the response times that all recorded attempts would have had by each rule and at each host.
 type attemptRecords struct {
 	count   int // attempts
 	delayed int // attempts that the machine delayed
@@ -22,17 +22,17 @@
 	byHost  map[string]*simenv.Sample
 }
 
-// received is a command as a host received it.
-type received struct {
+// receivedCommand is a command as a host received it.
+type receivedCommand struct {
 	host    int
 	command emulator.Command
 }
 
-// hostLogs is what the stand-in hosts logged.
+// hostLogs are the logs of the emulated hosts.
 type hostLogs struct {
-	logs     []emulator.HostLog    // by host
-	commands map[string][]received // by request id
-	numbers  map[uint32]int        // host by its number in the gateways' records
+	logs     []emulator.HostLog           // by host
+	commands map[string][]receivedCommand // by request id
+	numbers  map[uint32]int               // host by its number in the gateways' records
 }
 
 // readRecords reads the gateways' records and the hosts' logs.
@@ -69,39 +69,40 @@
 	for lines.Scan() {
 		var entry observer.Entry
 		if json.Unmarshal(lines.Bytes(), &entry) != nil {
-			break // the last line of a killed gateway
+			break // the line that a killed gateway was writing
 		}
 		entries = append(entries, entry)
 	}
 	return entries, nil
 }
 
-// readHostLogs reads the hosts' logs and finds the hosts' numbers, which are known from requests that went to one host only.
+// readHostLogs reads the hosts' logs and finds the hosts' numbers, which follow from requests that were sent to one
+// host only.
 func readHostLogs(f *fleet.Fleet, entries []observer.Entry) *hostLogs {
 	hosts := &hostLogs{
 		logs:     make([]emulator.HostLog, len(f.Hosts())),
-		commands: map[string][]received{},
+		commands: map[string][]receivedCommand{},
 		numbers:  map[uint32]int{},
 	}
 	for i, host := range f.Hosts() {
 		hosts.logs[i] = host.Log()
 		for _, command := range hosts.logs[i].Commands {
-			hosts.commands[command.ID] = append(hosts.commands[command.ID], received{i, command})
+			hosts.commands[command.ID] = append(hosts.commands[command.ID], receivedCommand{i, command})
 		}
 	}
-	votes := map[uint32]map[int]int{}
+	hostCounts := map[uint32]map[int]int{}
 	for _, entry := range entries {
 		commands := hosts.commands[entry.Request]
 		if len(commands) != 1 {
 			continue
 		}
 		number := entry.Candidates[0].Host
-		if votes[number] == nil {
-			votes[number] = map[int]int{}
+		if hostCounts[number] == nil {
+			hostCounts[number] = map[int]int{}
 		}
-		votes[number][commands[0].host]++
+		hostCounts[number][commands[0].host]++
 	}
-	for number, byHost := range votes {
+	for number, byHost := range hostCounts {
 		best := -1
 		for host, count := range byHost {
 			if best < 0 || count > byHost[best] {
@@ -113,17 +114,17 @@
 	return hosts
 }
 
-// add adds one attempt to the samples, unless it never came to a host.
+// add adds one attempt to the samples, unless no host received it.
 func (r *attemptRecords) add(f *fleet.Fleet, hosts *hostLogs, entry *observer.Entry) {
 	chosen, known := hosts.numbers[entry.Candidates[0].Host]
 	commands := hosts.commands[entry.Request]
-	i := slices.IndexFunc(commands, func(c received) bool { return known && c.host == chosen })
+	i := slices.IndexFunc(commands, func(c receivedCommand) bool { return known && c.host == chosen })
 	if i < 0 {
 		return
 	}
 	command := commands[i].command
 	hostTime := float64(command.ResponseTime) / 1e6
-	overhead := max(float64(entry.Latency-int64(command.ResponseTime))/1e6, 0) // ms; of an attempt that was cut off, at least
+	overhead := max(float64(entry.Latency-int64(command.ResponseTime))/1e6, 0) // ms; a lower bound if it was aborted
 	if overhead > 10+hostTime/4 {
 		r.delayed++
 	}
@@ -154,8 +155,10 @@
 	}
 }
 
-// responseTimes returns the response time of an attempt at each candidate in ms: +Inf where it fails, NaN where it is not known.
-func responseTimes(f *fleet.Fleet, hosts *hostLogs, entry *observer.Entry, command emulator.Command, overhead float64) []float64 {
+// responseTimes returns the response time of an attempt at each candidate in ms: +Inf if it fails, NaN if it is
+// unknown.
+func responseTimes(f *fleet.Fleet, hosts *hostLogs, entry *observer.Entry, command emulator.Command,
+	overhead float64) []float64 {
 	times := make([]float64, len(entry.Candidates))
 	for k, candidate := range entry.Candidates {
 		times[k] = math.NaN()
@@ -176,8 +179,8 @@
 	return times
 }
 
-// groundTruth returns what a rule would have met; host is that of rule Single. Its mean is not a number where a relevant host
-// never received anything: no estimate may be given for it.
+// groundTruth returns the response times by a rule; host is that of rule Single. Their mean is not a number if a
+// relevant host never received anything: the collector may not estimate it.
 func (r *attemptRecords) groundTruth(rule counterfactual.Rule, host string) simenv.GroundTruth {
 	sample := r.byRule[rule]
 	if rule == counterfactual.Single {
--- a/lab/knownred/knownred_test.go
+++ b/lab/knownred/knownred_test.go
@@ -11,94 +11,142 @@
 	"testing"
 )
 
-const head = "package x\n\nimport \"testing\"\n\n"
+const testFileHead = "package x\n\nimport \"testing\"\n\n"
 
-func red(names ...string) string {
-	text := head
+// racePackages are those in internal that the test command runs under the race detector.
+var racePackages = []string{
+	"clients",
+	"hosts",
+	"discovery",
+	"node",
+	"bufconn",
+	"consensus",
+	"publisher",
+	"subscriber",
+}
+
+// failingTests returns a test file whose tests fail.
+func failingTests(names ...string) string {
+	text := testFileHead
 	for _, name := range names {
 		text += "func " + name + "(t *testing.T) { t.Error() }\n"
 	}
 	return text
 }
 
-// run plays the test command on a module of these files, among what the command wants to find.
-func run(t *testing.T, lines string, files map[string]string) (out string, failed bool) {
+// run runs the test command on a module with these files, beside those that the command needs.
+func run(t *testing.T, knownRed string, files map[string]string) (output string, failed bool) {
+	t.Helper()
 	dir := t.TempDir()
-	all := map[string]string{"go.mod": "module m\n\ngo 1.26\n"}
-	for _, name := range []string{"clients", "hosts", "discovery", "node", "bufconn", "consensus", "publisher", "subscriber"} {
-		all["internal/"+name+"/x.go"] = "package x\n"
+	writeFile(t, dir, "go.mod", "module m\n\ngo 1.26\n")
+	for _, name := range racePackages {
+		writeFile(t, dir, "internal/"+name+"/x.go", "package x\n")
 	}
-	if lines != "" {
-		all["KNOWN-RED.txt"] = lines
+	if knownRed != "" {
+		writeFile(t, dir, "KNOWN-RED.txt", knownRed)
 	}
-	for _, of := range []map[string]string{all, files} {
-		for name, text := range of {
-			path := filepath.Join(dir, name)
-			if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-				t.Fatal(err)
-			}
-			if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-				t.Fatal(err)
-			}
-		}
+	for name, text := range files {
+		writeFile(t, dir, name, text)
 	}
-	cmd := exec.Command("bash", "../../.ci/test", dir)
-	cmd.Env = append(os.Environ(), "GOFLAGS=", "GOWORK=off")
-	text, err := cmd.CombinedOutput()
+	command := exec.Command("bash", "../../.ci/test", dir)
+	command.Env = append(os.Environ(), "GOFLAGS=", "GOWORK=off")
+	text, err := command.CombinedOutput()
 	return string(text), err != nil
 }
 
-var failing = regexp.MustCompile(`(?m)^ *--- FAIL: (\S+)|^FAIL\t(\S+)`)
+// writeFile writes a file of a module.
+func writeFile(t *testing.T, dir, name, text string) {
+	t.Helper()
+	path := filepath.Join(dir, name)
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// failure matches the line of a failed test or package.
+var failure = regexp.MustCompile(`(?m)^ *--- FAIL: (\S+)|^FAIL\t(\S+)`)
 
-// TestPassesOverOnlyNamed: exactly the tests of KNOWN-RED.txt are passed over, and printed.
-func TestPassesOverOnlyNamed(t *testing.T) {
-	const line = "a TestRed | go test ./a -run TestRed, seed 1 | breaks | issue 1\n"
-	const race = "internal/bufconn TestRed | go test ./internal/bufconn -run TestRed -race, seed none | breaks | issue 2"
-	for _, c := range []struct {
-		name, lines string
-		files       map[string]string
-		fails       []string // tests, and their packages after them
+// entry is a well-formed entry of KNOWN-RED.txt.
+const entry = "a TestRed | go test ./a -run TestRed, seed 1 | breaks | issue 1\n"
+
+// Exactly the tests that KNOWN-RED.txt names are passed over, and their entries printed.
+func TestOnlyNamedTestsArePassedOver(t *testing.T) {
+	const otherEntry = "a TestOther | go test ./a -run TestOther, seed 7 | breaks too | issue 1\n"
+	const raceEntry = "internal/bufconn TestRed | go test ./internal/bufconn -run TestRed -race, seed none | " +
+		"breaks | issue 2"
+	for _, test := range []struct {
+		name     string
+		knownRed string
+		files    map[string]string
+		failures []string // tests, and their packages after them
 	}{
-		{"none named", "# words\n\n", map[string]string{"a/x_test.go": red("TestRed")}, []string{"TestRed", "m/a"}},
-		{"three named, last line open", "# words\n" + line + "a TestOther | go test ./a -run TestOther, seed 7 | breaks too | issue 1\n" + race, map[string]string{
-			"a/x_test.go":                red("TestRed", "TestOther"),
-			"internal/bufconn/x_test.go": red("TestRed")}, nil},
-		{"namesakes", line, map[string]string{
-			"a/x_test.go":   red("TestRed", "TestRedder", "TestRe") + "func TestSub(t *testing.T) { t.Run(\"TestRed\", TestRed) }\n",
-			"a/b/x_test.go": red("TestRed"), "b/x_test.go": red("TestRed")},
-			[]string{"TestRedder", "TestRe", "TestSub", "TestSub/TestRed", "m/a", "TestRed", "m/a/b", "TestRed", "m/b"}},
-		{"race", "", map[string]string{"internal/bufconn/x_test.go": "//go:build race\n\n" + red("TestRace")}, []string{"TestRace", "m/internal/bufconn"}},
+		{
+			name:     "none named",
+			knownRed: "# words\n\n",
+			files:    map[string]string{"a/x_test.go": failingTests("TestRed")},
+			failures: []string{"TestRed", "m/a"},
+		},
+		{
+			name:     "three named, last line open",
+			knownRed: "# words\n" + entry + otherEntry + raceEntry,
+			files: map[string]string{
+				"a/x_test.go":                failingTests("TestRed", "TestOther"),
+				"internal/bufconn/x_test.go": failingTests("TestRed"),
+			},
+		},
+		{
+			name:     "namesakes",
+			knownRed: entry,
+			files: map[string]string{
+				"a/x_test.go": failingTests("TestRed", "TestRedder", "TestRe") +
+					"func TestSub(t *testing.T) { t.Run(\"TestRed\", TestRed) }\n",
+				"a/b/x_test.go": failingTests("TestRed"),
+				"b/x_test.go":   failingTests("TestRed"),
+			},
+			failures: []string{
+				"TestRedder", "TestRe", "TestSub", "TestSub/TestRed", "m/a",
+				"TestRed", "m/a/b",
+				"TestRed", "m/b",
+			},
+		},
+		{
+			name:     "race",
+			files:    map[string]string{"internal/bufconn/x_test.go": "//go:build race\n\n" + failingTests("TestRace")},
+			failures: []string{"TestRace", "m/internal/bufconn"},
+		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			out, failed := run(t, c.lines, c.files)
-			var fails []string
-			for _, m := range failing.FindAllStringSubmatch(out, -1) {
-				fails = append(fails, m[1]+m[2])
+		t.Run(test.name, func(t *testing.T) {
+			output, failed := run(t, test.knownRed, test.files)
+			var failures []string
+			for _, match := range failure.FindAllStringSubmatch(output, -1) {
+				failures = append(failures, match[1]+match[2])
 			}
-			if !slices.Equal(fails, c.fails) || failed != (c.fails != nil) {
-				t.Errorf("failed %v, %q, want %q:\n%s", failed, fails, c.fails, out)
+			if !slices.Equal(failures, test.failures) || failed != (test.failures != nil) {
+				t.Errorf("failed %v, %q, want %q:\n%s", failed, failures, test.failures, output)
 			}
-			for l := range strings.Lines(c.lines) {
-				if strings.Contains(l, "|") && !strings.Contains(out, "passed over: "+l) {
-					t.Errorf("does not print %q", l)
+			for line := range strings.Lines(test.knownRed) {
+				if strings.Contains(line, "|") && !strings.Contains(output, "passed over: "+line) {
+					t.Errorf("does not print %q", line)
 				}
 			}
 		})
 	}
 }
 
-// TestRefusesMalformedEntry: lines that are too many, name no test or lack a part fail the run before any test.
-func TestRefusesMalformedEntry(t *testing.T) {
-	const line = "a TestRed | go test ./a -run TestRed, seed 1 | breaks | issue 1\n"
-	files := map[string]string{"a/x_test.go": red("TestRed", "TestOther", "TestThird", "TestFourth")}
-	four := line
+// Entries that are too many, name no test or lack a part fail the run before any test.
+func TestMalformedEntryFailsRun(t *testing.T) {
+	files := map[string]string{"a/x_test.go": failingTests("TestRed", "TestOther", "TestThird", "TestFourth")}
+	four := entry
 	for _, other := range []string{"Other", "Third", "Fourth"} {
-		four += strings.ReplaceAll(line, "Red", other)
+		four += strings.ReplaceAll(entry, "Red", other)
 	}
-	for lines, says := range map[string]string{
-		four:                                    "more than three tests",
-		strings.ReplaceAll(line, "Red", "Gone"): "names no test: a TestGone",
-		strings.ReplaceAll(line, "Red", "Re"):   "names no test",
+	for knownRed, message := range map[string]string{
+		four:                                     "more than three tests",
+		strings.ReplaceAll(entry, "Red", "Gone"): "names no test: a TestGone",
+		strings.ReplaceAll(entry, "Red", "Re"):   "names no test",
 		"internal/bufconn TestRed | go test ./internal/bufconn -run TestRed, seed 1 | c | issue 1\n": "names no test",
 		"gone TestRed | go test ./gone -run TestRed, seed 1 | c | issue 1\n":                         "names no test",
 		"a Test.* | go test ./a -run Test.*, seed 1 | c | issue 1\n":                                 "not 'package",
@@ -116,16 +164,22 @@
 		"a TestRed | go test ./a -run TestOther, seed 1 | c | issue 1\n":               "does not run TestRed of ./a",
 		"a TestRed | go test ./a -run TestRedder, seed 1 | c | issue 1\n":              "does not run TestRed of ./a",
 	} {
-		if out, failed := run(t, lines, files); !failed || !strings.Contains(out, says) || strings.Contains(out, "--- FAIL") {
-			t.Errorf("%q: failed %v, want %q:\n%s", lines, failed, says, out)
+		output, failed := run(t, knownRed, files)
+		testRan := strings.Contains(output, "--- FAIL")
+		if !failed || testRan || !strings.Contains(output, message) {
+			t.Errorf("%q: failed %v, want %q:\n%s", knownRed, failed, message, output)
 		}
 	}
 }
 
-// TestReadmeNamesCommandOfCI: what CI runs is what the README names.
+// The README names the test command that CI runs.
 func TestReadmeNamesCommandOfCI(t *testing.T) {
-	for file, line := range map[string]string{"../../.ci/run": "\nbash .ci/test\n", "../../README.md": "\n    bash .ci/test "} {
-		if text, err := os.ReadFile(file); err != nil || !strings.Contains(string(text), line) {
+	for file, line := range map[string]string{
+		"../../.ci/run":   "\nbash .ci/test\n",
+		"../../README.md": "\n    bash .ci/test ",
+	} {
+		text, err := os.ReadFile(file)
+		if err != nil || !strings.Contains(string(text), line) {
 			t.Errorf("%s lacks %q: %v", file, line, err)
 		}
 	}
--- a/lab/pools/cases.go
+++ b/lab/pools/cases.go
@@ -3,132 +3,146 @@
 import (
 	"context"
 	"fmt"
-
 	"time"
 
 	"ravensill/lab/fleet"
-	"ravensill/lab/logline"
 	"ravensill/lab/relay"
 )
 
-const second = time.Second
-
-// Kill is a step that ends some seats by SIGKILL; clients avoid them at once, as a front that has noticed does.
-func (r *Rig) Kill(at time.Duration, seats ...int) fleet.Step {
-	return fleet.Step{At: at, Description: fmt.Sprintf("kill seats %v", seats), Run: func(ctx context.Context, f *fleet.Fleet) error {
-		f.Clients.SetOutOfUse(true, seats...)
-		return f.ForEach(seats, (*fleet.Gateway).Kill)
-	}}
+// KillMembers returns a step that kills gateways by SIGKILL. Clients stop using them at once, as with a load balancer
+// that has noticed.
+func (g *Group) KillMembers(at time.Duration, members ...int) fleet.Step {
+	return fleet.Step{
+		At:          at,
+		Description: fmt.Sprintf("kill members %v", members),
+		Run: func(ctx context.Context, f *fleet.Fleet) error {
+			f.Clients.SetOutOfUse(true, members...)
+			return f.ForEach(members, func(gateway *fleet.Gateway) error { return gateway.Kill() })
+		},
+	}
 }
 
-// Start is a step that brings them back, with what they kept on disk or without.
-func (r *Rig) Start(at time.Duration, empty bool, seats ...int) fleet.Step {
-	return fleet.Step{At: at, Description: fmt.Sprintf("start seats %v, empty disk %t", seats, empty), Run: func(ctx context.Context, f *fleet.Fleet) error {
-		err := f.ForEach(seats, func(g *fleet.Gateway) error { return g.Restart(ctx, empty) })
-		f.Clients.SetOutOfUse(false, seats...)
-		return err
-	}}
+// StartMembers returns a step that starts killed gateways, with their disks or with empty ones.
+func (g *Group) StartMembers(at time.Duration, emptyDisk bool, members ...int) fleet.Step {
+	return fleet.Step{
+		At:          at,
+		Description: fmt.Sprintf("start members %v, empty disk %t", members, emptyDisk),
+		Run: func(ctx context.Context, f *fleet.Fleet) error {
+			err := f.ForEach(members, func(gateway *fleet.Gateway) error { return gateway.Restart(ctx, emptyDisk) })
+			f.Clients.SetOutOfUse(false, members...)
+			return err
+		},
+	}
 }
 
-// Behead is a step that kills the voter that leads, and another that brings it back with an empty disk.
-func (r *Rig) Behead(at, back time.Duration) []fleet.Step {
-	seat := 0
-	return []fleet.Step{{At: at, Description: "kill the leading voter", Run: func(ctx context.Context, f *fleet.Fleet) (err error) {
-		if seat, err = r.Leading(ctx, f); err != nil {
+// KillLeader returns a step that kills the voter that leads, and one that starts it with an empty disk.
+func (g *Group) KillLeader(at, startAt time.Duration) []fleet.Step {
+	leader := 0
+	kill := func(ctx context.Context, f *fleet.Fleet) (err error) {
+		leader, err = g.WaitLeader(ctx, f)
+		if err != nil {
 			return err
 		}
-		return r.Kill(0, seat).Run(ctx, f)
-	}}, {At: back, Description: "it comes back with an empty disk", Run: func(ctx context.Context, f *fleet.Fleet) error {
-		if err := r.Start(0, true, seat).Run(ctx, f); err != nil {
+		return g.KillMembers(0, leader).Run(ctx, f)
+	}
+	start := func(ctx context.Context, f *fleet.Fleet) error {
+		if err := g.StartMembers(0, true, leader).Run(ctx, f); err != nil {
 			return err
 		}
-		_, err := r.Leading(ctx, f)
+		_, err := g.WaitLeader(ctx, f)
 		return err
-	}}}
-}
-
-// Network are faults between the gateways, and processes killed, stopped for less than the lease and started anew.
-func (r *Rig) Network() []fleet.Step {
-	g := r.Gateways
-	some := fleet.GatewayNames(g/2, g/2+g/4)
+	}
 	return []fleet.Step{
-		fleet.SetRelayRules(3*second, "rough", relay.Rule{Way: relay.Way{Loss: 0.3, Double: 0.2, Reorder: 0.2, Jitter: 40 * time.Millisecond}}),
-		fleet.KillGateways(5*second, g/6, "crash", 0),
-		fleet.RestartGateways(6*second, g/6, "crash", false),
-		fleet.FreezeGateways(7*second, g/8, "short"),
-		fleet.ThawGateways(8500*time.Millisecond, g/8, "short"),
-		{At: 9 * second, Description: "cut", Run: func(ctx context.Context, f *fleet.Fleet) error {
-			f.Relay.Cut("cut", some, fleet.GatewayNames(0, g/2))
-			return nil
-		}},
-		fleet.KillGateways(10*second, g/6, "again", 0),
-		fleet.RestartGateways(10500*time.Millisecond, g/6, "again", true),
-		fleet.SetRelayRules(17*second, "cut"),
-		fleet.SetRelayRules(18*second, "rough"),
+		{At: at, Description: "kill the leading voter", Run: kill},
+		{At: startAt, Description: "start it with an empty disk", Run: start},
 	}
 }
 
-// Ballots are faults of the voters, of which there are five: the leader, then two, then three at a time, then all
-// processes at once.
-func (r *Rig) Ballots() []fleet.Step {
-	steps := r.Behead(3*second, 6*second)
-	all := fleet.Indexes(0, r.Gateways)
-	return append(steps, r.Kill(9*second, 0, 1), r.Start(12*second, false, 0, 1), r.Kill(14*second, 1, 2, 3), r.Start(18*second, false, 1, 2, 3),
-		r.Kill(21*second, all...), r.Start(22*second, false, all...))
-}
-
-// Holds are the checks of every run but those that freeze for longer than lease and quarantine: the store never sees more
-// than it takes.
-func (z Size) Holds() []fleet.Check {
-	return append([]fleet.Check{{Name: "the store never has more than it takes", FindViolation: func(r *fleet.Report) string {
-		if h := r.Hosts[0].HostLog; h.Refused > 0 || h.PeakConns > z.Capacity {
-			return fmt.Sprintf("%d connections at once, %d refused, capacity %d", h.PeakConns, h.Refused, z.Capacity)
+// ChangeCapacity returns a step that changes the store's capacity as operators do: all files get it with a higher
+// serial and are read anew.
+func (g *Group) ChangeCapacity(at time.Duration, capacity int, serial uint64) fleet.Step {
+	change := func(gateway *fleet.Gateway) error {
+		gateway.Config.Pool.Capacity = capacity
+		gateway.Config.Pool.Serial = serial
+		if !gateway.Running() {
+			return nil
 		}
-		return ""
-	}}}, fleet.CommonChecks...)
+		return gateway.Reload()
+	}
+	return fleet.Step{
+		At:          at,
+		Description: capacityDescription(capacity),
+		Run: func(ctx context.Context, f *fleet.Fleet) error {
+			for _, gateway := range f.Gateways() {
+				if err := change(gateway); err != nil {
+					return err
+				}
+			}
+			return nil
+		},
+	}
 }
 
-// Stuck freezes some gateways for longer than lease and quarantine, and lets them go on.
-func (r *Rig) Stuck(at time.Duration) []fleet.Step {
-	n := max(1, r.Gateways/12)
-	over := 2*r.Lease + r.Longest()
-	return []fleet.Step{fleet.FreezeGateways(at, n, "long"), fleet.ThawGateways(at+over+over/4+second, n, "long")}
+// NetworkFaults returns faults between the gateways, and processes that are killed, frozen for less than the lease and
+// restarted.
+func (g *Group) NetworkFaults() []fleet.Step {
+	count := g.Gateways
+	left := fleet.GatewayNames(count/2, count/2+count/4)
+	right := fleet.GatewayNames(0, count/2)
+	noise := relay.Rule{Faults: relay.Faults{Loss: 0.3, Duplicate: 0.2, Reorder: 0.2, Jitter: 40 * time.Millisecond}}
+	partition := func(ctx context.Context, f *fleet.Fleet) error {
+		f.Relay.Partition("cut", left, right)
+		return nil
+	}
+	return []fleet.Step{
+		fleet.SetRelayRules(3*second, "rough", noise),
+		fleet.KillGateways(5*second, count/6, "crash", 0),
+		fleet.RestartGateways(6*second, count/6, "crash", false),
+		fleet.FreezeGateways(7*second, count/8, "short"),
+		fleet.ThawGateways(8500*time.Millisecond, count/8, "short"),
+		{At: 9 * second, Description: "cut", Run: partition},
+		fleet.KillGateways(10*second, count/6, "again", 0),
+		fleet.RestartGateways(10500*time.Millisecond, count/6, "again", true),
+		fleet.SetRelayRules(17*second, "cut"),
+		fleet.SetRelayRules(18*second, "rough"),
+	}
 }
 
-// NotGivenBack sums what the lenders reported as taken back from gateways that had not given it back.
-func NotGivenBack(f *fleet.Fleet) (units int) {
-	for _, g := range f.Gateways() {
-		for _, line := range g.Lines("pool_not_given_back") {
-			units += logline.Int(line, "units")
-		}
-	}
-	return units
+// VoterFaults returns faults of the voters, of which there are five: the leader is killed, then two, then three
+// voters at a time, then all processes at once.
+func (g *Group) VoterFaults() []fleet.Step {
+	all := fleet.Indexes(0, g.Gateways)
+	return append(g.KillLeader(3*second, 6*second),
+		g.KillMembers(9*second, 0, 1),
+		g.StartMembers(12*second, false, 0, 1),
+		g.KillMembers(14*second, 1, 2, 3),
+		g.StartMembers(18*second, false, 1, 2, 3),
+		g.KillMembers(21*second, all...),
+		g.StartMembers(22*second, false, all...))
 }
 
-// Above tells from when on the store had no more than so many connections, counted from a moment; -1 never.
-func Above(r *fleet.Report, since int64, most int) (long time.Duration) {
-	last := since
-	over := false
-	for _, s := range r.Hosts[0].Steps {
-		if s.At < since {
-			continue
-		}
-		if over = s.OpenConns > most; over {
-			last = s.At
-		}
-	}
-	if over {
-		return -1
+// FreezePastLease returns steps that freeze some gateways for longer than lease and quarantine.
+func (g *Group) FreezePastLease(at time.Duration) []fleet.Step {
+	count := max(1, g.Gateways/12)
+	frozen := 2*g.Lease + clientTimeout
+	frozen += frozen/4 + second
+	return []fleet.Step{
+		fleet.FreezeGateways(at, count, "long"),
+		fleet.ThawGateways(at+frozen, count, "long"),
 	}
-	return time.Duration(last - since)
 }
 
-// When gives the time at which a step was injected.
-func When(r *fleet.Report, what string) int64 {
-	for _, i := range r.Injected {
-		if i.Description == what {
-			return i.At
-		}
+// Checks returns the checks of every run except those that freeze gateways past lease and quarantine.
+func (s Size) Checks() []fleet.Check {
+	withinCapacity := fleet.Check{
+		Name: "the store never has more connections than its capacity",
+		FindViolation: func(report *fleet.Report) string {
+			log := &report.Hosts[0].HostLog
+			if log.Refused == 0 && log.PeakConns <= s.Capacity {
+				return ""
+			}
+			return fmt.Sprintf("%d connections at once, %d refused, capacity %d", log.PeakConns, log.Refused, s.Capacity)
+		},
 	}
-	return 0
+	return append([]fleet.Check{withinCapacity}, fleet.CommonChecks...)
 }
--- a/lab/pools/pools.go
+++ b/lab/pools/pools.go
@@ -1,18 +1,15 @@
-// Package pools runs fleets of real processes that share one stand-in store by negotiated quotas, injects faults, and
-// counts what the store saw.
+// Package pools runs fleets of real processes that share the connections of one emulated store by negotiated quotas,
+// injects faults and counts what the store saw.
 package pools
 
 import (
 	"context"
 	"fmt"
-	"math"
 	"net/netip"
 	"slices"
-	"strconv"
 	"strings"
 	"time"
 
-	"ravensill/lab/actor"
 	"ravensill/lab/emulator"
 	"ravensill/lab/fleet"
 	"ravensill/lab/gatewayconfig"
@@ -20,258 +17,202 @@
 	"ravensill/lab/relay"
 )
 
-// Size says how large a run is.
+const (
+	second        = time.Second
+	clientTimeout = 3 * second
+	voterNetwork  = 120     // of the voters' addresses, within 127.0.0.0/8
+	unlimited     = 1 << 20 // requests that the store serves at once
+	keyBytes      = 16
+)
+
+// Size says how large a run is, and how the store's connections are shared.
 type Size struct {
-	Gateways, Voters int
-	Capacity         int // of the store
-	Reserve, Floor   int
-	Lease            time.Duration
-	Service          time.Duration // of a req at the store
-	Rate             float64       // reqs a second
-	Hot              int           // gateways that get
-	Times            float64       // so many times the others' traffic
-	Seed             uint64
-	Alone            bool // floors alone: the voters never answer
-	Off              bool // first come first served: no section, the store refuses
+	Gateways    int
+	Voters      int
+	Capacity    int // connections of the store
+	Reserve     int // of them, never lent
+	Floor       int // connections of each gateway without a lease
+	Lease       time.Duration
+	ServiceTime time.Duration // of a request at the store
+	Rate        float64       // requests a second
+	HotGateways int
+	HotFactor   float64 // traffic of a hot gateway, in multiples of another's
+	Seed        uint64
+	FloorsOnly  bool // the voters never answer
+	Unmanaged   bool // without quotas: first come, first served, and the store refuses
 }
 
-// Full is the size behind FULL_SIZE=1.
-func Full() Size {
-	return Size{Gateways: 200, Voters: 5, Capacity: 500, Reserve: 10, Floor: 1, Lease: 4 * time.Second, Service: 400 * time.Millisecond,
-		Rate: 800, Hot: 20, Times: 6, Seed: 3}
+// FullSize returns the size of measurements.
+func FullSize() Size {
+	return Size{
+		Gateways:    200,
+		Voters:      5,
+		Capacity:    500,
+		Reserve:     10,
+		Floor:       1,
+		Lease:       4 * second,
+		ServiceTime: 400 * time.Millisecond,
+		Rate:        800,
+		HotGateways: 20,
+		HotFactor:   6,
+		Seed:        3,
+	}
 }
 
-// Rig is a fleet and what leads its messages.
-type Rig struct {
-	Size
-	net     *relay.Datagrams
-	voters  []netip.AddrPort
-	streams map[int][]string
+// SmallSize returns the size of the runs in CI.
+func SmallSize() Size {
+	return Size{
+		Gateways:    24,
+		Voters:      3,
+		Capacity:    100,
+		Reserve:     4,
+		Floor:       1,
+		Lease:       2 * second,
+		ServiceTime: 300 * time.Millisecond,
+		Rate:        210,
+		HotGateways: 4,
+		HotFactor:   6,
+		Seed:        3,
+	}
 }
 
-// Usual is the size for CI.
-func Usual() Size {
-	return Size{Gateways: 24, Voters: 3, Capacity: 100, Reserve: 4, Floor: 1, Lease: 2 * time.Second, Service: 300 * time.Millisecond,
-		Rate: 210, Hot: 4, Times: 6, Seed: 3}
+// EqualSplit returns the size with an equal split: each gateway's share is its floor, and nothing is lent.
+func (s Size) EqualSplit() Size {
+	s.Floor = (s.Capacity - s.Reserve) / s.Gateways
+	s.FloorsOnly = true
+	return s
 }
 
-// Longest is the client timeout.
-func (z Size) Longest() time.Duration { return 3 * time.Second }
-
-// Plan gives the fleet: one store for all.
-func (z Size) Plan() (*Rig, fleet.Options) {
-	r := &Rig{Size: z, streams: map[int][]string{}}
-	p := fleet.Options{Gateways: z.Gateways, Hosts: 1, Seed: z.Seed}
-	p.ConfigureHost = func(i int, h *emulator.HostOptions) {
-		h.Model = emulator.Model{BaseTime: z.Service, Sigma: 0.2, Slots: 1 << 20}
-		h.MaxConns, h.RefusalReply = z.Capacity, "-BUSY\r\n"
+// Load returns the clients' load.
+func (s Size) Load() emulator.Load {
+	weights := map[int]float64{}
+	for i := range s.HotGateways {
+		weights[s.Gateways-1-i] = s.HotFactor
 	}
-	p.ChangeSettings = func(settings *gatewayconfig.Settings) {
-		for i := range settings.Classes {
-			settings.Classes[i].TimeoutUS = z.Longest().Microseconds()
-		}
+	return emulator.Load{
+		Seed:           s.Seed,
+		Rate:           s.Rate,
+		Customers:      40 * s.Gateways,
+		QuotaPlan:      "team",
+		GatewayWeights: weights,
+		Body:           "x",
+		Classes:        fleet.MixedClasses(clientTimeout),
 	}
-	p.PrepareRelay = func(f *fleet.Fleet) error {
-		names := fleet.GatewayNames(0, z.Gateways)
-		var err error
-		if r.net, err = f.Relay.Datagrams("pool", append(names, names[:z.Voters]...)); err != nil {
-			return err
-		}
-		for k := range z.Voters {
-			at, err := emulator.FreeAddr(120, k)
-			if err != nil {
-				return err
-			}
-			r.voters = append(r.voters, at)
-			if !z.Alone {
-				r.net.Place(z.Gateways+k, at)
-			}
-		}
-		for i := range z.Voters {
-			for k := range z.Voters {
-				s, err := f.Relay.Stream(fleet.GatewayName(i), fleet.GatewayName(k), r.voters[k].String())
-				if err != nil {
-					return err
-				}
-				r.streams[i] = append(r.streams[i], s.Addr())
-			}
-		}
-		return nil
-	}
-	p.ConfigureGateway = func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
-		if z.Off {
-			return nil
-		}
-		file.Pool = &gatewayconfig.Pool{
-			Capacity:     z.Capacity,
-			Reserve:      z.Reserve,
-			Floor:        z.Floor,
-			Voters:       r.net.Peers(i)[z.Gateways:],
-			VoterMembers: fleet.Indexes(0, z.Voters),
-			Key:          strings.Repeat("5a", 16),
-			LeaseMS:      z.Lease.Milliseconds(),
-			Urgent:       []string{"pay"},
-		}
-		if i < z.Voters {
-			file.Pool.Listen = r.voters[i].String()
-			file.Pool.Dir = "pool"
-			file.Pool.Streams = r.streams[i]
-		}
-		return nil
-	}
-	return r, p
 }
 
-// Equal makes it an equal split: each has its part as its floor and nothing is lent.
-func (z Size) Equal() Size {
-	z.Floor, z.Alone = (z.Capacity-z.Reserve)/z.Gateways, true
-	return z
-}
-
-// Load gives the clients' traffic.
-func (z Size) Load() emulator.Load {
-	hot := map[int]float64{}
-	for i := range z.Hot {
-		hot[z.Gateways-1-i] = z.Times
-	}
-	return emulator.Load{Seed: z.Seed, Rate: z.Rate, Customers: 40 * z.Gateways, QuotaPlan: "team", GatewayWeights: hot, Body: "x",
-		Classes: []emulator.Class{{Name: "lookup", Timeout: z.Longest(), Fraction: 0.6},
-			{Name: "order", Post: true, Idempotent: true, Timeout: z.Longest(), Fraction: 0.2},
-			{Name: "pay", Post: true, Timeout: z.Longest(), Fraction: 0.2}}}
+// Group is the voters of one fleet and the relay's links between them and the gateways.
+type Group struct {
+	Size
+	datagrams *relay.Datagrams // ends: the gateways by member index, then the voters
+	voters    []netip.AddrPort
+	streams   map[int][]string // by voter: addresses that lead to all voters
 }
 
-// Lower has the store take fewer connections, and the operators tell so: the serial in all files is raised and they are
-// read anew.
-func (r *Rig) Lower(at time.Duration, capacity int, serial uint64) fleet.Step {
-	return fleet.Step{At: at, Description: fmt.Sprintf("capacity %d", capacity), Run: func(ctx context.Context, f *fleet.Fleet) error {
-		for _, g := range f.Gateways() {
-			g.Config.Pool.Capacity = capacity
-			g.Config.Pool.Serial = serial
-			if g.Running() {
-				if err := g.Reload(); err != nil {
-					return err
-				}
+// NewGroup returns a group and the options of its fleet, which has one store for all gateways.
+func (s Size) NewGroup() (*Group, fleet.Options) {
+	group := &Group{Size: s, streams: map[int][]string{}}
+	return group, fleet.Options{
+		Gateways: s.Gateways,
+		Hosts:    1,
+		Seed:     s.Seed,
+		ConfigureHost: func(_ int, store *emulator.HostOptions) {
+			store.Model = emulator.Model{BaseTime: s.ServiceTime, Sigma: 0.2, Slots: unlimited}
+			store.MaxConns = s.Capacity
+			store.RefusalReply = "-BUSY\r\n"
+		},
+		ChangeSettings: func(settings *gatewayconfig.Settings) {
+			for i := range settings.Classes {
+				settings.Classes[i].TimeoutUS = clientTimeout.Microseconds()
 			}
-		}
-		return nil
-	}}
-}
-
-// Leading waits until a voter leads, and tells which.
-func (r *Rig) Leading(ctx context.Context, f *fleet.Fleet) (seat int, err error) {
-	seat = -1
-	err = fleet.WaitUntil(ctx, "a leader", func() bool {
-		for i := range r.Voters {
-			if g := f.Gateway(i); g.Running() {
-				if lines := g.Lines("pool_leads"); len(lines) > 0 && logline.Value(lines[len(lines)-1], "yes") == "true" {
-					seat = i
-					return true
-				}
+		},
+		PrepareRelay: group.prepareRelay,
+		ConfigureGateway: func(_ *fleet.Fleet, i int, file *gatewayconfig.File) error {
+			if !s.Unmanaged {
+				file.Pool = group.poolSection(i)
 			}
-		}
-		return false
-	})
-	return seat, err
-}
-
-// Figures are what a run is compared by.
-type Figures struct {
-	Used      float64       // part of the capacity less the reserve that was in use on average
-	Jain      float64       // of what the gateways whose demand is above their share got, in reqs passed
-	P50, P99  time.Duration // of what passed
-	Wait      time.Duration // the 99th part of all, where what did not pass waited as long as its client would
-	Passed    int
-	Denied    int
-	Lost      int
-	Refused   int // by the store
-	Opened    int
-	Peak      int
-	EachTold  float64 // datagrams a second of a process to the voters
-	LeadTold  float64 // of the voter that told most
-	DeniedP99 time.Duration
-}
-
-func (g Figures) String() string {
-	return fmt.Sprintf("used %.3f, Jain %.3f, p50 %d ms, p99 %d ms (%d ms with what did not pass as its client timeout), passed %d, denied %d (p99 after %d ms), lost %d, refused dials %d, opened %d, peak %d, datagrams a process %.1f/s, the leader %.1f/s",
-		g.Used, g.Jain, g.P50.Milliseconds(), g.P99.Milliseconds(), g.Wait.Milliseconds(), g.Passed, g.Denied, g.DeniedP99.Milliseconds(), g.Lost, g.Refused,
-		g.Opened, g.Peak, g.EachTold, g.LeadTold)
+			return nil
+		},
+	}
 }
 
-// Figures reads a run, from a time after its begin on. It is called while the fleet still runs, as a check is.
-func (z Size) Figures(r *fleet.Report, rig *Rig, from time.Duration) (g Figures) {
-	start := r.StartedAt + int64(from)
-	var times, denied, waits []int64
-	got := make([]float64, z.Gateways)
-	for _, q := range r.Clients.Requests {
-		if q.SentAt < start || q.SentAt > r.EndedAt-int64(time.Second) {
-			continue
-		}
-		switch q.Result {
-		case emulator.Succeeded:
-			g.Passed++
-			got[q.Gateway]++
-			times = append(times, q.EndedAt-q.SentAt)
-			waits = append(waits, q.EndedAt-q.SentAt)
-			continue
-		case emulator.Rejected:
-			g.Denied++
-			denied = append(denied, q.EndedAt-q.SentAt)
-		default:
-			g.Lost++
-		}
-		waits = append(waits, int64(z.Longest()))
+// prepareRelay adds the voters' datagrams and streams to the relay.
+func (g *Group) prepareRelay(f *fleet.Fleet) error {
+	names := fleet.GatewayNames(0, g.Gateways)
+	var err error
+	g.datagrams, err = f.Relay.Datagrams("pool", append(names, names[:g.Voters]...))
+	if err != nil {
+		return err
 	}
-	g.P50, g.P99, g.DeniedP99 = rank(times, 0.5), rank(times, 0.99), rank(denied, 0.99)
-	g.Wait = rank(waits, 0.99)
-	h := r.Hosts[0].HostLog
-	g.Refused, g.Opened, g.Peak = h.Refused, h.Accepted, h.PeakConns
-	busy := 0.0
-	for _, c := range h.Commands {
-		end := c.EndedAt
-		if end == 0 {
-			end = r.EndedAt
+	for voter := range g.Voters {
+		addr, err := emulator.FreeAddr(voterNetwork, voter)
+		if err != nil {
+			return err
 		}
-		busy += float64(max(min(end, r.EndedAt)-max(c.ReceivedAt, start), 0))
-	}
-	g.Used = busy / float64(r.EndedAt-start) / float64(z.Capacity-z.Reserve)
-	sum, squares, n := 0.0, 0.0, 0.0
-	for i, x := range got {
-		if i >= z.Gateways-z.Hot || z.Hot == 0 { // who wants more than its share
-			sum, squares, n = sum+x, squares+x*x, n+1
+		g.voters = append(g.voters, addr)
+		if !g.FloorsOnly {
+			g.datagrams.SetAddr(g.Gateways+voter, addr)
 		}
 	}
-	g.Jain = sum * sum / (n * max(squares, 1))
-	if rig.net != nil && !z.Off {
-		_, each := rig.net.Counts()
-		long := time.Duration(actor.Now()-r.StartedAt).Seconds() + r.Fleet.StartDuration.Seconds()
-		for i, c := range each {
-			if rate := float64(c.Sent) / long; i < z.Gateways {
-				g.EachTold = math.Max(g.EachTold, rate)
-			} else {
-				g.LeadTold = math.Max(g.LeadTold, rate)
+	for from := range g.Voters {
+		for to, addr := range g.voters {
+			stream, err := f.Relay.Stream(fleet.GatewayName(from), fleet.GatewayName(to), addr.String())
+			if err != nil {
+				return err
 			}
+			g.streams[from] = append(g.streams[from], stream.Addr())
 		}
 	}
-	return g
+	return nil
 }
 
-func rank(all []int64, part float64) time.Duration {
-	if len(all) == 0 {
-		return 0
+// poolSection returns the section of gateway i on the store.
+func (g *Group) poolSection(i int) *gatewayconfig.Pool {
+	section := &gatewayconfig.Pool{
+		Capacity:     g.Capacity,
+		Reserve:      g.Reserve,
+		Floor:        g.Floor,
+		Voters:       g.datagrams.PeerAddrs(i)[g.Gateways:],
+		VoterMembers: fleet.Indexes(0, g.Voters),
+		Key:          strings.Repeat("5a", keyBytes),
+		LeaseMS:      g.Lease.Milliseconds(),
+		Urgent:       []string{"pay"},
+	}
+	if i < g.Voters {
+		section.Listen = g.voters[i].String()
+		section.Dir = "pool"
+		section.Streams = g.streams[i]
 	}
-	slices.Sort(all)
-	return time.Duration(all[int(part*float64(len(all)-1))])
+	return section
+}
+
+// WaitLeader waits until a voter leads and returns its member index.
+func (g *Group) WaitLeader(ctx context.Context, f *fleet.Fleet) (leader int, err error) {
+	leader = -1
+	err = fleet.WaitUntil(ctx, "a leader", func() bool {
+		leader = slices.IndexFunc(f.Gateways()[:g.Voters], leads)
+		return leader >= 0
+	})
+	return leader, err
 }
 
-// Quota gives the last figures that each gateway logged of its quota.
-func Quota(g *fleet.Gateway, name string) int {
-	lines := g.Lines("pool_quota")
-	if len(lines) == 0 {
-		return -1
+// leads reports whether a voter runs and leads by its log.
+func leads(voter *fleet.Gateway) bool {
+	if !voter.Running() {
+		return false
 	}
-	n, err := strconv.Atoi(logline.Value(lines[len(lines)-1], name))
-	if err != nil {
-		return -1
+	lines := voter.Lines("pool_leads")
+	return len(lines) > 0 && logline.Value(lines[len(lines)-1], "yes") == "true"
+}
+
+// UnreturnedUnits returns the sum of what the voters reported as reclaimed from gateways that had not returned it.
+func UnreturnedUnits(f *fleet.Fleet) (units int) {
+	for _, gateway := range f.Gateways() {
+		for _, line := range gateway.Lines("pool_not_given_back") {
+			units += logline.Int(line, "units")
+		}
 	}
-	return n
+	return units
 }
+
+// capacityDescription returns the description of the step that ChangeCapacity returns.
+func capacityDescription(capacity int) string { return fmt.Sprintf("capacity %d", capacity) }
--- a/lab/pools/pools_test.go
+++ b/lab/pools/pools_test.go
@@ -14,151 +14,242 @@
 
 var full = os.Getenv("FULL_SIZE") == "1"
 
-// size gives the run's: 24 gateways in CI, 200 with FULL_SIZE=1.
-func size() Size {
+const (
+	runTimeout  = 4 * time.Minute // of one run: no verdict, only an end
+	figuresFile = "../../docs/measurements/pool.txt"
+)
+
+// testSize returns the size of a run: 24 gateways in CI, 200 with FULL_SIZE=1.
+func testSize() Size {
 	if full {
-		return Full()
+		return FullSize()
 	}
-	return Usual()
+	return SmallSize()
+}
+
+// testRun is one run of a test.
+type testRun struct {
+	name        string
+	size        Size
+	duration    time.Duration
+	figuresFrom time.Duration // after the start
+	checks      []fleet.Check
+	steps       func(*Group) []fleet.Step // nil: none
+	// changeOptions changes the options of the fleet; nil: they stay.
+	changeOptions func(*fleet.Options)
 }
 
-// play plays a size with steps and gives its figures from a time on; at full size they go into docs/measurements too.
-func play(t *testing.T, name string, z Size, long, from time.Duration, holds []fleet.Check, steps func(*Rig) []fleet.Step) (g Figures, r *fleet.Report) {
+// run runs it, reports violations and notes the figures.
+func (r testRun) run(t *testing.T) (figures Figures, report *fleet.Report) {
 	t.Helper()
-	rig, plan := z.Plan()
-	s := fleet.Scenario{Name: name, Options: plan, Loads: []emulator.Load{z.Load()}, Duration: long, Checks: holds}
-	if steps != nil {
-		s.Steps = steps(rig)
+	group, options := r.size.NewGroup()
+	if r.changeOptions != nil {
+		r.changeOptions(&options)
 	}
-	s.Checks = append(s.Checks, fleet.Check{Name: "figures", FindViolation: func(r *fleet.Report) string {
-		g = z.Figures(r, rig, from)
+	measure := fleet.Check{Name: "figures", FindViolation: func(report *fleet.Report) string {
+		figures = group.Figures(report, r.figuresFrom)
 		return ""
-	}})
-	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
+	}}
+	scenario := fleet.Scenario{
+		Name:     r.name,
+		Options:  options,
+		Loads:    []emulator.Load{r.size.Load()},
+		Duration: r.duration,
+		Checks:   append(r.checks, measure),
+	}
+	if r.steps != nil {
+		scenario.Steps = r.steps(group)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
-	r, err := s.Run(ctx)
+	report, err := scenario.Run(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Err(); err != nil {
+	if err := report.Err(); err != nil {
 		t.Error(err)
 	}
-	note(t, fmt.Sprintf("%s, %d gateways, capacity %d, %g reqs a second: %s", name, z.Gateways, z.Capacity, z.Rate, g))
-	return g, r
+	note(t, fmt.Sprintf("%s, %d gateways, capacity %d, %g requests a second: %s",
+		r.name, r.size.Gateways, r.size.Capacity, r.size.Rate, figures))
+	return figures, report
 }
 
+// note logs a text. At full size the text is added to the measurements too.
 func note(t *testing.T, text string) {
+	t.Helper()
 	t.Log(text)
 	if !full {
 		return
 	}
 	load, _ := os.ReadFile("/proc/loadavg")
-	w, err := os.OpenFile("../../docs/measurements/pool.txt", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	file, err := os.OpenFile(figuresFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	fmt.Fprintf(w, "%s (load of the machine %.5s)\n", text, load)
+	defer file.Close()
+	fmt.Fprintf(file, "%s (load of the machine %.5s)\n", text, load)
 }
 
-// Negotiated quotas beside first come first served, and at full size an equal split and floors alone. Only the
-// store's counts decide.
-func TestCompared(t *testing.T) {
-	z := size()
-	off, alone := z, z
-	off.Off, alone.Alone = true, true
-	long, from := 9*time.Second, 5*time.Second
+// The store's capacity holds with negotiated quotas. First come, first served is measured beside them, and at full size
+// an equal split and floors alone.
+func TestNegotiatedQuotasKeepCapacity(t *testing.T) {
+	size := testSize()
+	run := testRun{
+		name:        "negotiated",
+		size:        size,
+		duration:    9 * second,
+		figuresFrom: 5 * second,
+		checks:      size.Checks(),
+	}
 	if full {
-		long, from = 18*time.Second, 10*time.Second
+		run.duration = 18 * second
+		run.figuresFrom = 10 * second
 	}
-	play(t, "negotiated", z, long, from, z.Holds(), nil)
-	if g, _ := play(t, "first come", off, long, from, nil, nil); g.Refused == 0 {
+	run.run(t)
+
+	run.checks = nil
+	run.name = "first come"
+	run.size.Unmanaged = true
+	if figures, _ := run.run(t); figures.Refused == 0 {
 		t.Log("the store refused nobody")
 	}
-	if full {
-		play(t, "equal split", z.Equal(), long, from, nil, nil)
-		play(t, "floors alone", alone, long, from, nil, nil)
+	if !full {
+		return
 	}
+	run.name = "equal split"
+	run.size = size.EqualSplit()
+	run.run(t)
+	run.name = "floors alone"
+	run.size = size
+	run.size.FloorsOnly = true
+	run.run(t)
 }
 
-func TestOverload(t *testing.T) {
+// Demand beyond the capacity is measured at full size, with quotas shared in each way.
+func TestFullSizeOverload(t *testing.T) {
 	if !full {
 		t.Skip("no FULL_SIZE")
 	}
-	for _, z := range []Size{Usual(), Full()} {
-		t.Run(fmt.Sprint(z.Gateways), func(t *testing.T) {
-			z.Service = 400 * time.Millisecond
-			z.Rate = 1.5 * float64(z.Capacity) / z.Service.Seconds()
-			even := z
-			even.Hot = 0
-			play(t, "demand beyond at each, negotiated", even, 20*time.Second, 12*time.Second, nil, nil)
-			off, alone := z, z
-			off.Off, alone.Alone = true, true
-			for _, c := range []struct {
+	for _, size := range []Size{SmallSize(), FullSize()} {
+		t.Run(fmt.Sprint(size.Gateways), func(t *testing.T) {
+			size.ServiceTime = 400 * time.Millisecond
+			size.Rate = 1.5 * float64(size.Capacity) / size.ServiceTime.Seconds()
+			even := size
+			even.HotGateways = 0
+			testRun{
+				name:        "demand beyond at each, negotiated",
+				size:        even,
+				duration:    20 * second,
+				figuresFrom: 12 * second,
+			}.run(t)
+			unmanaged := size
+			unmanaged.Unmanaged = true
+			floorsOnly := size
+			floorsOnly.FloorsOnly = true
+			for _, way := range []struct {
 				name string
-				z    Size
-			}{{"negotiated", z}, {"first come", off}, {"equal split", z.Equal()}, {"floors alone", alone}} {
-				play(t, "demand beyond, "+c.name, c.z, 24*time.Second, 14*time.Second, nil, nil)
+				size Size
+			}{
+				{"negotiated", size},
+				{"first come", unmanaged},
+				{"equal split", size.EqualSplit()},
+				{"floors alone", floorsOnly},
+			} {
+				testRun{
+					name:        "demand beyond, " + way.name,
+					size:        way.size,
+					duration:    24 * second,
+					figuresFrom: 14 * second,
+				}.run(t)
 			}
 		})
 	}
 }
 
-func TestNetwork(t *testing.T) {
-	z := size()
-	play(t, "network", z, 22*time.Second, 3*time.Second, z.Holds(), (*Rig).Network)
+// The store's capacity holds under faults of the network and of processes.
+func TestNetworkFaultsKeepCapacity(t *testing.T) {
+	size := testSize()
+	testRun{
+		name:        "network",
+		size:        size,
+		duration:    22 * second,
+		figuresFrom: 3 * second,
+		checks:      size.Checks(),
+		steps:       (*Group).NetworkFaults,
+	}.run(t)
 }
 
-func TestVoters(t *testing.T) {
-	z := size()
-	z.Voters = 5
-	play(t, "voters", z, 26*time.Second, 3*time.Second, z.Holds(), (*Rig).Ballots)
+// The store's capacity holds while voters are killed, a minority, a majority and all at a time.
+func TestVoterFaultsKeepCapacity(t *testing.T) {
+	size := testSize()
+	size.Voters = 5
+	testRun{
+		name:        "voters",
+		size:        size,
+		duration:    26 * second,
+		figuresFrom: 3 * second,
+		checks:      size.Checks(),
+		steps:       (*Group).VoterFaults,
+	}.run(t)
 }
 
-// A smaller store: no req is cut or lost, and what is open falls under the new number.
-func TestLoweredStore(t *testing.T) {
-	z := size()
-	z.Rate *= 1.6
-	less := z.Capacity * 6 / 10
-	_, r := play(t, "lowered", z, 12*time.Second, 3*time.Second, z.Holds(), func(rig *Rig) []fleet.Step {
-		return []fleet.Step{rig.Lower(6*time.Second, less, 2)}
-	})
-	long := Above(r, When(r, fmt.Sprintf("capacity %d", less)), less)
-	if note(t, fmt.Sprintf("at most %d connections %d ms after the operators said so", less, long.Milliseconds())); long < 0 {
-		t.Error("never under it")
+// When the capacity is lowered no request is aborted or lost, and the store's connections fall to the new number.
+func TestLoweredCapacityIsReached(t *testing.T) {
+	size := testSize()
+	size.Rate *= 1.6
+	lowered := size.Capacity * 6 / 10
+	_, report := testRun{
+		name:        "lowered",
+		size:        size,
+		duration:    12 * second,
+		figuresFrom: 3 * second,
+		checks:      size.Checks(),
+		steps: func(group *Group) []fleet.Step {
+			return []fleet.Step{group.ChangeCapacity(6*second, lowered, 2)}
+		},
+	}.run(t)
+	duration, never := TimeAbove(report, InjectedAt(report, capacityDescription(lowered)), lowered)
+	if never {
+		t.Error("the store's connections never fell to the lowered capacity")
+		return
 	}
+	note(t, fmt.Sprintf("at most %d connections %d ms after the operators said so", lowered, duration.Milliseconds()))
 }
 
-// Processes stopped for longer than lease and quarantine: the store sees more by what they had been lent at most, and its
-// refusals lose no req.
-func TestStuck(t *testing.T) {
-	z := size()
-	z.Rate *= 1.6
-	z.Lease = 600 * time.Millisecond
-	most, units := 0, 0
-	holds := append([]fleet.Check{{Name: "beyond the capacity by what the stopped ones had been lent", FindViolation: func(r *fleet.Report) string {
-		most, units = r.Hosts[0].PeakConns, NotGivenBack(r.Fleet)
-		if most > z.Capacity-z.Reserve+units {
-			return fmt.Sprintf("%d connections at once, %d units not given back", most, units)
-		}
-		return ""
-	}}}, fleet.CommonChecks...)
-	rig, plan := z.Plan()
-	usual := plan.ConfigureHost
-	plan.ConfigureHost = func(i int, h *emulator.HostOptions) {
-		usual(i, h)
-		h.MaxConns *= 2 // counts, and refuses nobody
-	}
-	s := fleet.Scenario{Name: "stuck", Options: plan, Loads: []emulator.Load{z.Load()}, Duration: 16 * time.Second, Checks: holds, Steps: rig.Stuck(5 * time.Second)}
-	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
-	defer cancel()
-	r, err := s.Run(ctx)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := r.Err(); err != nil {
-		t.Error(err)
+// Processes that are frozen past lease and quarantine exceed the capacity by what they had been lent at most, and the
+// store's refusals lose no request.
+func TestFreezePastLeaseExceedsCapacityByLentUnits(t *testing.T) {
+	size := testSize()
+	size.Rate *= 1.6
+	size.Lease = 600 * time.Millisecond
+	peak := 0
+	units := 0
+	withinLent := fleet.Check{
+		Name: "beyond the capacity by what the frozen gateways had been lent",
+		FindViolation: func(report *fleet.Report) string {
+			peak = report.Hosts[0].PeakConns
+			units = UnreturnedUnits(report.Fleet)
+			if peak <= size.Capacity-size.Reserve+units {
+				return ""
+			}
+			return fmt.Sprintf("%d connections at once, %d units not returned", peak, units)
+		},
 	}
-	note(t, fmt.Sprintf("stopped past lease and quarantine, %d gateways: %d connections at once, capacity %d, reserve %d, %d units not given back; %s", z.Gateways,
-		most, z.Capacity, z.Reserve, units, strings.TrimSpace(r.Summary())))
+	_, report := testRun{
+		name:     "frozen past the lease",
+		size:     size,
+		duration: 16 * second,
+		checks:   append([]fleet.Check{withinLent}, fleet.CommonChecks...),
+		steps:    func(group *Group) []fleet.Step { return group.FreezePastLease(5 * second) },
+		changeOptions: func(options *fleet.Options) {
+			configure := options.ConfigureHost
+			options.ConfigureHost = func(i int, store *emulator.HostOptions) {
+				configure(i, store)
+				store.MaxConns *= 2 // so that the store counts and refuses nobody
+			}
+		},
+	}.run(t)
+	note(t, fmt.Sprintf("frozen past lease and quarantine, %d gateways: %d connections at once, capacity %d, reserve %d, "+
+		"%d units not returned; %s", size.Gateways, peak, size.Capacity, size.Reserve, units,
+		strings.TrimSpace(report.Summary())))
 }
--- a/lab/relay/datagrams.go
+++ b/lab/relay/datagrams.go
@@ -1,166 +1,208 @@
 package relay
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"net"
 	"net/netip"
+	"sync"
 	"time"
 
 	"golang.org/x/net/ipv4"
 )
 
-// Datagrams is a net of datagrams between n ends that know each other by their addresses. Each end has one socket of
-// the relay: to end i, end j is the address that encodes j at the port of socket i. A datagram that comes to
-// socket i at that address goes on to where j listens, out of socket j, from the address that encodes i. So n sockets
-// carry all pairs, and each end sees of whom a datagram is, as it would without a relay.
+const (
+	firstNetwork    = 128     // second octet of the addresses of the first datagram network
+	readBufferBytes = 1 << 20 // of a socket
+	maxDatagram     = 64 << 10
+)
+
+// Datagrams is a datagram network between ends that know each other by address. The relay has one socket for each
+// end. To end i, end j is the loopback address that encodes j, at the port of socket i. A datagram that arrives at
+// socket i for that address is sent on to end j, by socket j from the address that encodes i. So n sockets carry the
+// datagrams of all pairs, and each end sees a datagram's sender as without a relay.
 type Datagrams struct {
-	relay *Relay
-	name  string
-	net   byte
-	ends  []*end
-	count Counts
+	relay   *Relay
+	name    string
+	octet   byte // second octet of the addresses
+	ends    []*end
+	counts  Counts
+	readers sync.WaitGroup
 }
 
+// end is one end of a datagram network.
 type end struct {
-	name    string
-	conn    *ipv4.PacketConn
-	port    uint16
-	at      netip.AddrPort // where it listens; not valid: it is down or was not heard yet
-	count   Counts         // of what it sent
-	ordinal []uint64       // datagrams to each other end so far
+	name   string
+	conn   *ipv4.PacketConn
+	port   uint16
+	addr   netip.AddrPort // where the end listens; not valid: it is down, or not known yet
+	counts Counts         // of what it sent
+	sent   []uint64       // datagrams by receiver
 }
 
-// Counts are of datagrams since the start.
+// Counts are numbers of datagrams since the start.
 type Counts struct {
-	Sent, Bytes, Lost, Doubled, Unplaced, Passed int
+	Sent       int
+	Bytes      int
+	Lost       int
+	Duplicated int
+	Unroutable int // the receiver's address was not known
+	Delivered  int
 }
 
-// Datagrams makes a net; names are those of its ends, as rules call them.
-func (r *Relay) Datagrams(name string, names []string) (d *Datagrams, err error) {
-	d = &Datagrams{relay: r, name: name}
-	for _, n := range names {
-		c, e := net.ListenUDP("udp4", &net.UDPAddr{})
-		if e != nil {
-			err = errors.Join(err, fmt.Errorf("relay of %s: %w", name, e))
-			break
-		}
-		c.SetReadBuffer(1 << 20)
-		p := ipv4.NewPacketConn(c)
-		if e := p.SetControlMessage(ipv4.FlagDst, true); e != nil {
-			err = errors.Join(err, fmt.Errorf("relay of %s: %w", name, e))
+// Datagrams adds a network. Rules call its ends by their names.
+func (r *Relay) Datagrams(name string, ends []string) (*Datagrams, error) {
+	network := &Datagrams{relay: r, name: name}
+	for _, endName := range ends {
+		end, err := newEnd(endName, len(ends))
+		if err != nil {
+			network.close()
+			return nil, fmt.Errorf("datagram network %s: %w", name, err)
 		}
-		d.ends = append(d.ends, &end{name: n, conn: p, ordinal: make([]uint64, len(names)),
-			port: netip.MustParseAddrPort(c.LocalAddr().String()).Port()})
+		network.ends = append(network.ends, end)
 	}
+	r.Ask(func() {
+		network.octet = firstNetwork + byte(len(r.networks))
+		r.networks = append(r.networks, network)
+	})
+	for i := range network.ends {
+		network.readers.Go(func() { network.read(i) })
+	}
+	return network, nil
+}
+
+// newEnd opens the socket of an end.
+func newEnd(name string, ends int) (*end, error) {
+	socket, err := net.ListenUDP("udp4", &net.UDPAddr{})
 	if err != nil {
-		d.close()
 		return nil, err
 	}
-	r.Ask(func() {
-		d.net = 128 + byte(len(r.nets))
-		r.nets = append(r.nets, d)
-	})
-	for i := range d.ends {
-		go d.read(i)
+	socket.SetReadBuffer(readBufferBytes)
+	conn := ipv4.NewPacketConn(socket)
+	if err := conn.SetControlMessage(ipv4.FlagDst, true); err != nil {
+		socket.Close()
+		return nil, err
 	}
-	return d, nil
+	port := netip.MustParseAddrPort(socket.LocalAddr().String()).Port()
+	return &end{name: name, conn: conn, port: port, sent: make([]uint64, ends)}, nil
 }
 
+// close closes the sockets.
 func (d *Datagrams) close() {
-	for _, e := range d.ends {
-		e.conn.Close()
+	for _, end := range d.ends {
+		end.conn.Close()
 	}
 }
 
-func (d *Datagrams) code(i int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, d.net, byte((i + 1) >> 8), byte(i + 1)})
+// addrOf returns the address that encodes an end.
+func (d *Datagrams) addrOf(i int) netip.Addr {
+	return netip.AddrFrom4([4]byte{127, d.octet, byte((i + 1) >> 8), byte(i + 1)})
+}
+
+// indexOf is the inverse of addrOf. ok is false for an address of no end.
+func (d *Datagrams) indexOf(addr netip.Addr) (i int, ok bool) {
+	octets := addr.As4()
+	i = int(octets[2])<<8 + int(octets[3]) - 1
+	return i, octets[1] == d.octet && i >= 0 && i < len(d.ends)
 }
 
-// Peers gives the addresses of all ends as end i is to know them, by number; its own stands among them.
-func (d *Datagrams) Peers(i int) (addrs []string) {
-	for j := range d.ends {
-		addrs = append(addrs, netip.AddrPortFrom(d.code(j), d.ends[i].port).String())
+// PeerAddrs returns the addresses of all ends, itself among them, as end i is to know them.
+func (d *Datagrams) PeerAddrs(i int) (addrs []string) {
+	for peer := range d.ends {
+		addrs = append(addrs, netip.AddrPortFrom(d.addrOf(peer), d.ends[i].port).String())
 	}
 	return addrs
 }
 
-// Place tells where an end listens now. An end that is not placed is learnt by what it sends first.
-func (d *Datagrams) Place(i int, at netip.AddrPort) { d.relay.Ask(func() { d.ends[i].at = at }) }
+// SetAddr sets the address at which an end listens. Without it the address is learned from the first datagram that the
+// end sends.
+func (d *Datagrams) SetAddr(i int, addr netip.AddrPort) {
+	d.relay.Ask(func() { d.ends[i].addr = addr })
+}
 
-// Counts gives the net's counts and those of what each end sent.
+// Counts returns the counts of the network and of what each end sent.
 func (d *Datagrams) Counts() (all Counts, each []Counts) {
 	d.relay.Ask(func() {
-		all = d.count
-		for _, e := range d.ends {
-			each = append(each, e.count)
+		all = d.counts
+		for _, end := range d.ends {
+			each = append(each, end.counts)
 		}
 	})
 	return all, each
 }
 
-func (d *Datagrams) read(i int) {
-	buf := make([]byte, 64<<10)
+// read receives the datagrams of an end until its socket is closed.
+func (d *Datagrams) read(from int) {
+	buffer := make([]byte, maxDatagram)
 	for {
-		n, cm, from, err := d.ends[i].conn.ReadFrom(buf)
+		n, control, source, err := d.ends[from].conn.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || cm == nil { // such as a refusal told of an earlier datagram to an end that is down
+		if err != nil || control == nil { // such as a refusal of an earlier datagram by an end that is down
 			continue
 		}
-		to, _ := netip.AddrFromSlice(cm.Dst.To4())
-		b := to.As4()
-		j := int(b[2])<<8 + int(b[3]) - 1
-		if b[1] != d.net || j < 0 || j >= len(d.ends) {
+		destination, _ := netip.AddrFromSlice(control.Dst.To4())
+		to, ok := d.indexOf(destination)
+		if !ok {
 			continue
 		}
-		body := append([]byte(nil), buf[:n]...)
-		src := from.(*net.UDPAddr).AddrPort()
-		d.relay.Do(func() { d.carry(i, j, src, body) })
+		body := bytes.Clone(buffer[:n])
+		addr := source.(*net.UDPAddr).AddrPort()
+		d.relay.Do(func() { d.forward(from, to, addr, body) })
 	}
 }
 
-func (d *Datagrams) carry(i, j int, src netip.AddrPort, body []byte) {
-	from, to := d.ends[i], d.ends[j]
-	from.at = netip.AddrPortFrom(src.Addr().Unmap(), src.Port())
-	k := from.ordinal[j]
-	from.ordinal[j]++
-	for _, c := range []*Counts{&d.count, &from.count} {
-		c.Sent++
-		c.Bytes += len(body)
-	}
-	w := d.relay.way(from.name, to.name)
-	if w == (Way{}) {
-		d.pass(from, i, to, body)
+// forward delivers a datagram by the faults of its link.
+func (d *Datagrams) forward(from, to int, source netip.AddrPort, body []byte) {
+	sender := d.ends[from]
+	sender.addr = netip.AddrPortFrom(source.Addr().Unmap(), source.Port())
+	sentBefore := sender.sent[to]
+	sender.sent[to]++
+	d.count(sender, func(counts *Counts) {
+		counts.Sent++
+		counts.Bytes += len(body)
+	})
+	faults := d.relay.faults(sender.name, d.ends[to].name)
+	if faults == (Faults{}) {
+		d.deliver(from, to, body)
 		return
 	}
-	fate := w.Fate(d.relay.chance(d.name, from.name, to.name, k))
-	for _, c := range []*Counts{&d.count, &from.count} {
-		if len(fate) == 0 {
-			c.Lost++
+	delays := faults.DeliveryDelays(d.relay.random(d.name, sender.name, d.ends[to].name, sentBefore))
+	d.count(sender, func(counts *Counts) {
+		if len(delays) == 0 {
+			counts.Lost++
 		} else {
-			c.Doubled += len(fate) - 1
+			counts.Duplicated += len(delays) - 1
 		}
-	}
-	for _, after := range fate {
-		if after <= 0 {
-			d.pass(from, i, to, body)
+	})
+	for _, delay := range delays {
+		if delay <= 0 {
+			d.deliver(from, to, body)
 		} else {
-			time.AfterFunc(after, func() { d.relay.Do(func() { d.pass(from, i, to, body) }) })
+			time.AfterFunc(delay, func() { d.relay.Do(func() { d.deliver(from, to, body) }) })
 		}
 	}
 }
 
-func (d *Datagrams) pass(from *end, i int, to *end, body []byte) {
-	if !to.at.IsValid() {
-		d.count.Unplaced++
-		from.count.Unplaced++
+// count changes the counts of the network and of a sender.
+func (d *Datagrams) count(sender *end, change func(*Counts)) {
+	change(&d.counts)
+	change(&sender.counts)
+}
+
+// deliver sends a datagram to its receiver.
+func (d *Datagrams) deliver(from, to int, body []byte) {
+	sender, receiver := d.ends[from], d.ends[to]
+	if !receiver.addr.IsValid() {
+		d.count(sender, func(counts *Counts) { counts.Unroutable++ })
 		return
 	}
-	src := d.code(i).As4()
-	if _, err := to.conn.WriteTo(body, &ipv4.ControlMessage{Src: src[:]}, net.UDPAddrFromAddrPort(to.at)); err == nil {
-		d.count.Passed++
-		from.count.Passed++
+	source := d.addrOf(from).As4()
+	control := &ipv4.ControlMessage{Src: source[:]}
+	_, err := receiver.conn.WriteTo(body, control, net.UDPAddrFromAddrPort(receiver.addr))
+	if err == nil {
+		d.count(sender, func(counts *Counts) { counts.Delivered++ })
 	}
 }
--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -1,155 +1,125 @@
-// Package relay stands between processes on loopback. It carries their datagrams and streams, and loses, delays,
-// doubles, reorders and cuts them as it is ordered to, one way or both. What happens to a datagram follows from the
-// seed, from who sends it to whom, and from how many that pair has sent before: the same order of sending meets the
-// same faults in every run.
+// Package relay carries datagrams and streams between processes on loopback. By its rules it loses, delays,
+// duplicates and reorders datagrams and blocks links, in one direction or both. What happens to a datagram follows
+// from the seed, from its sender and receiver and from how many that pair has sent before, so that the same order of
+// sending meets the same faults in every run.
 package relay
 
 import (
-	"hash/fnv"
-	"math/rand/v2"
 	"slices"
 	"time"
 
 	"ravensill/lab/actor"
 )
 
-// Way is what happens between two ends. Ways of several rules add up.
-type Way struct {
-	Loss    float64       // part of the datagrams that is lost
-	Double  float64       // part that comes twice
-	Reorder float64       // part that is held back by Hold, so that later ones pass it
-	Hold    time.Duration // 0 leaves 50 ms
-	Delay   time.Duration
-	Jitter  time.Duration // up to so much more, evenly
-	Cut     bool          // nothing passes; a stream stands still and goes on where it was when the cut heals
-}
-
-func (w Way) and(o Way) Way {
-	return Way{Loss: 1 - (1-w.Loss)*(1-o.Loss), Double: 1 - (1-w.Double)*(1-o.Double),
-		Reorder: 1 - (1-w.Reorder)*(1-o.Reorder), Hold: max(w.Hold, o.Hold), Delay: w.Delay + o.Delay,
-		Jitter: w.Jitter + o.Jitter, Cut: w.Cut || o.Cut}
-}
-
-// Rule says what happens from some ends to others; none named stands for all.
+// Rule says what happens from some ends to others.
 type Rule struct {
-	From, To []string
-	Way
+	From []string // names of ends; nil: all
+	To   []string // names of ends; nil: all
+	Faults
 }
 
+// covers reports whether the rule concerns the link from one end to another.
 func (r *Rule) covers(from, to string) bool {
 	return (r.From == nil || slices.Contains(r.From, from)) && (r.To == nil || slices.Contains(r.To, to))
 }
 
-// Relay is one task that owns the rules; each net of datagrams and each stream asks it.
+// link is the direction from one end to another.
+type link struct {
+	from string
+	to   string
+}
+
+// Relay is an actor that owns the rules of all datagram networks and streams.
 type Relay struct {
 	*actor.Actor
-	seed    uint64
-	rules   map[string][]Rule
-	ways    map[[2]string]Way
-	nets    []*Datagrams
-	streams []*Stream
-	waiting []waiting // pieces of streams that stand before a cut
+	seed     uint64
+	rules    map[string][]Rule
+	faultsOf map[link]Faults // by the present rules
+	networks []*Datagrams
+	streams  []*Stream
+	blocked  []passRequest // of streams
 }
 
-type waiting struct {
-	from, to string
-	pass     chan time.Duration
+// passRequest is a stream's request to pass a link. It is answered with the delay once the link is not blocked.
+type passRequest struct {
+	link  link
+	delay chan time.Duration
 }
 
-// New starts one without faults.
+// New starts a relay without faults.
 func New(seed uint64) *Relay {
-	return &Relay{Actor: actor.New(), seed: seed, rules: map[string][]Rule{}, ways: map[[2]string]Way{}}
+	return &Relay{Actor: actor.New(), seed: seed, rules: map[string][]Rule{}, faultsOf: map[link]Faults{}}
 }
 
-// Set puts rules in force under a name, in place of those it had; none takes them away.
-func (r *Relay) Set(name string, rules ...Rule) {
+// SetRules puts rules in force under a name, in place of those before. Without rules it ends those before.
+func (r *Relay) SetRules(name string, rules ...Rule) {
 	r.Ask(func() {
-		if delete(r.rules, name); len(rules) > 0 {
+		delete(r.rules, name)
+		if len(rules) > 0 {
 			r.rules[name] = rules
 		}
-		clear(r.ways)
-		held := r.waiting
-		r.waiting = nil
-		for _, w := range held {
-			r.pass(w)
+		clear(r.faultsOf)
+		requests := r.blocked
+		r.blocked = nil
+		for _, request := range requests {
+			r.pass(request)
 		}
 	})
 }
 
-// Cut parts two sides, both ways, under a name; Set(name) heals it.
-func (r *Relay) Cut(name string, a, b []string) {
-	r.Set(name, Rule{a, b, Way{Cut: true}}, Rule{b, a, Way{Cut: true}})
+// Partition blocks the links between two sides in both directions, under a name; SetRules(name) heals the partition.
+func (r *Relay) Partition(name string, a, b []string) {
+	blocked := Faults{Blocked: true}
+	r.SetRules(name, Rule{a, b, blocked}, Rule{b, a, blocked})
 }
 
-// way is what happens from one end to another.
-func (r *Relay) way(from, to string) Way {
-	key := [2]string{from, to}
-	w, ok := r.ways[key]
-	if !ok {
-		for _, rules := range r.rules {
-			for i := range rules {
-				if rules[i].covers(from, to) {
-					w = w.and(rules[i].Way)
-				}
+// faults returns the faults of the link from one end to another.
+func (r *Relay) faults(from, to string) Faults {
+	key := link{from, to}
+	faults, ok := r.faultsOf[key]
+	if ok {
+		return faults
+	}
+	for _, rules := range r.rules {
+		for i := range rules {
+			if rules[i].covers(from, to) {
+				faults = faults.combine(rules[i].Faults)
 			}
 		}
-		r.ways[key] = w
 	}
-	return w
+	r.faultsOf[key] = faults
+	return faults
 }
 
-// pass lets a piece of a stream go, or keeps it before a cut. It is told how long it takes.
-func (r *Relay) pass(w waiting) {
-	if way := r.way(w.from, w.to); way.Cut {
-		r.waiting = append(r.waiting, w)
-	} else {
-		w.pass <- way.Delay
+// pass answers a stream's request, or keeps it while the link is blocked.
+func (r *Relay) pass(request passRequest) {
+	faults := r.faults(request.link.from, request.link.to)
+	if faults.Blocked {
+		r.blocked = append(r.blocked, request)
+		return
 	}
+	request.delay <- faults.Delay
 }
 
-// Close ends the relay and all that it carries.
+// Close ends the relay and all that it carries, and waits for its goroutines.
 func (r *Relay) Close() {
+	var networks []*Datagrams
+	var streams []*Stream
 	r.Ask(func() {
-		for _, n := range r.nets {
-			n.close()
+		networks = r.networks
+		streams = r.streams
+		for _, network := range networks {
+			network.close()
 		}
-		for _, s := range r.streams {
-			s.close()
+		for _, stream := range streams {
+			stream.close()
 		}
 	})
-	r.Actor.Stop()
-}
-
-// chance is the generator of the k-th datagram of a pair.
-func (r *Relay) chance(net, from, to string, k uint64) *rand.Rand {
-	h := fnv.New64a()
-	for _, w := range []string{net, from, to} {
-		h.Write([]byte(w))
-		h.Write([]byte{0})
-	}
-	return rand.New(rand.NewPCG(r.seed^h.Sum64(), k))
-}
-
-// Fate is what a datagram meets: when each copy comes, none for one that is lost.
-func (w Way) Fate(chance *rand.Rand) (after []time.Duration) {
-	lose, double, late := chance.Float64(), chance.Float64(), chance.Float64()
-	if w.Cut || lose < w.Loss {
-		return nil
+	for _, network := range networks {
+		network.readers.Wait()
 	}
-	copies := 1
-	if double < w.Double {
-		copies = 2
-	}
-	for range copies {
-		d := w.Delay + time.Duration(chance.Float64()*float64(w.Jitter))
-		if late < w.Reorder {
-			if late = 1; w.Hold > 0 {
-				d += w.Hold
-			} else {
-				d += 50 * time.Millisecond
-			}
-		}
-		after = append(after, d)
+	r.Actor.Stop()
+	for _, stream := range streams {
+		stream.goroutines.Wait()
 	}
-	return after
 }
--- a/lab/relay/stream.go
+++ b/lab/relay/stream.go
@@ -1,213 +1,135 @@
 package relay
 
 import (
-	"errors"
-	"io"
+	"fmt"
 	"net"
+	"sync"
 	"sync/atomic"
-	"time"
-
-	"ravensill/lab/actor"
 )
 
-const piece = 32 << 10 // bytes carried at once
-
-// Stream is an address of the relay that leads from one end to another, for any number of connections. Each piece
-// passes as the rules of its way say at that time; those of the way back hold for answers.
+// Stream is an address of the relay for connections from one end to another. Each chunk of bytes passes by the rules of
+// its direction at that time.
 type Stream struct {
 	relay    *Relay
-	from, to string
-	ln       net.Listener
-	target   atomic.Value // string; where the other end listens
-	conns    map[*pipe]bool
+	forward  link
+	listener net.Listener
+	target   atomic.Value // string: where the other end listens
+	conns    map[*streamConn]bool
 	opened   int
-}
+	closed   bool
 
-type pipe struct {
-	stream *Stream
-	a, b   net.Conn // of who called, and to where it leads
-	over   chan struct{}
-	halves int // directions that have ended
+	goroutines sync.WaitGroup
 }
 
-// Stream makes an address that leads from one end to another. target may be given later by Lead.
+// Stream adds an address for connections from one end to another. target, where the other end listens, may be set later
+// by SetTarget.
 func (r *Relay) Stream(from, to, target string) (*Stream, error) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("stream from %s to %s: %w", from, to, err)
 	}
-	s := &Stream{relay: r, from: from, to: to, ln: ln, conns: map[*pipe]bool{}}
-	s.target.Store(target)
-	r.Ask(func() { r.streams = append(r.streams, s) })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go s.carry(c)
+	stream := &Stream{relay: r, forward: link{from, to}, listener: listener, conns: map[*streamConn]bool{}}
+	stream.target.Store(target)
+	r.Ask(func() { r.streams = append(r.streams, stream) })
+	stream.goroutines.Go(stream.accept)
+	return stream, nil
+}
+
+// accept carries connections until the listener is closed.
+func (s *Stream) accept() {
+	for {
+		conn, err := s.listener.Accept()
+		if err != nil {
+			return
 		}
-	}()
-	return s, nil
+		s.goroutines.Go(func() { s.carry(conn) })
+	}
 }
 
-// Addr is the address that the one end calls.
-func (s *Stream) Addr() string { return s.ln.Addr().String() }
+// Addr returns the address that the one end calls.
+func (s *Stream) Addr() string { return s.listener.Addr().String() }
 
-// Lead sets where new connections go; "" refuses them.
-func (s *Stream) Lead(target string) { s.target.Store(target) }
+// SetTarget sets the address to which new connections lead; "" refuses them.
+func (s *Stream) SetTarget(target string) { s.target.Store(target) }
 
-// Open tells how many connections are open, and how many came in all.
-func (s *Stream) Open() (now, all int) {
-	s.relay.Ask(func() { now, all = len(s.conns), s.opened })
-	return now, all
+// ConnCounts returns the numbers of connections that are open and that were ever opened.
+func (s *Stream) ConnCounts() (open, opened int) {
+	s.relay.Ask(func() {
+		open = len(s.conns)
+		opened = s.opened
+	})
+	return open, opened
 }
 
-// Reset ends all connections from one end to another abruptly; none named stands for all.
-func (r *Relay) Reset(from, to []string) {
+// ResetStreams resets all connections from some ends to others; nil stands for all.
+func (r *Relay) ResetStreams(from, to []string) {
 	rule := Rule{From: from, To: to}
 	r.Ask(func() {
-		for _, s := range r.streams {
-			if rule.covers(s.from, s.to) {
-				s.reset()
+		for _, stream := range r.streams {
+			if rule.covers(stream.forward.from, stream.forward.to) {
+				stream.reset()
 			}
 		}
 	})
 }
 
+// reset resets all connections.
 func (s *Stream) reset() {
-	for p := range s.conns {
-		p.end()
+	for conn := range s.conns {
+		conn.reset()
 	}
 }
 
+// close closes the listener and resets all connections.
 func (s *Stream) close() {
-	s.ln.Close()
+	s.closed = true
+	s.listener.Close()
 	s.reset()
 }
 
-// end is called by the relay's task only.
-func (p *pipe) end() {
-	if !p.stream.conns[p] {
-		return
-	}
-	delete(p.stream.conns, p)
-	close(p.over)
-	for _, c := range []net.Conn{p.a, p.b} {
-		if c == nil {
-			continue
-		}
-		if t, ok := c.(*net.TCPConn); ok {
-			t.SetLinger(0)
+// add registers a new connection. It reports false if the stream is closed.
+func (s *Stream) add(conn *streamConn) (added bool) {
+	s.relay.Ask(func() {
+		if s.closed {
+			return
 		}
-		c.Close()
-	}
-}
-
-// half takes in that one direction has ended.
-func (p *pipe) half() {
-	if p.halves++; p.halves == 2 && p.stream.conns[p] {
-		delete(p.stream.conns, p)
-		close(p.over)
-		p.a.Close()
-		p.b.Close()
-	}
-}
-
-func (s *Stream) carry(a net.Conn) {
-	p := &pipe{stream: s, a: a, over: make(chan struct{})}
-	r := s.relay
-	r.Ask(func() {
-		s.conns[p] = true
+		s.conns[conn] = true
 		s.opened++
+		added = true
 	})
-	fail := func() { r.Do(p.end) }
-	wait, ok := p.ask(s.from, s.to) // a new connection does not come up while the way is cut
-	if !ok || !p.sleep(wait) {
-		fail()
-		return
-	}
-	b, err := net.Dial("tcp4", s.target.Load().(string))
-	if err != nil {
-		fail()
-		return
-	}
-	r.Ask(func() {
-		if p.b = b; !s.conns[p] {
-			b.Close()
-		}
-	})
-	go p.run(a, b, s.from, s.to)
-	go p.run(b, a, s.to, s.from)
+	return added
 }
 
-// ask waits until the way is open; it tells how long the way takes.
-func (p *pipe) ask(from, to string) (time.Duration, bool) {
-	w := waiting{from, to, make(chan time.Duration, 1)}
-	p.stream.relay.Do(func() { p.stream.relay.pass(w) })
-	select {
-	case d := <-w.pass:
-		return d, true
-	case <-p.over:
-	case <-p.stream.relay.Stopped():
-	}
-	return 0, false
+// connected sets the other side of a connection. It reports false if the connection has ended meanwhile.
+func (s *Stream) connected(conn *streamConn, callee net.Conn) (open bool) {
+	s.relay.Ask(func() {
+		conn.callee = callee
+		open = s.conns[conn]
+	})
+	return open
 }
 
-func (p *pipe) sleep(d time.Duration) bool {
-	if d <= 0 {
-		return true
+// carry connects a new connection to the target and carries both directions.
+func (s *Stream) carry(caller net.Conn) {
+	conn := &streamConn{stream: s, caller: caller, over: make(chan struct{})}
+	if !s.add(conn) {
+		caller.Close()
+		return
 	}
-	select {
-	case <-time.After(d):
-		return true
-	case <-p.over:
-		return false
+	if !conn.waitToConnect() {
+		s.relay.Do(conn.reset)
+		return
 	}
-}
-
-type bytesAt struct {
-	at   int64 // when they came
-	body []byte
-}
-
-// run carries one direction. Pieces keep their order; the end of the stream goes on like one.
-func (p *pipe) run(src, dst net.Conn, from, to string) {
-	pieces := make(chan bytesAt, 64)
-	go func() {
-		defer close(pieces)
-		for {
-			buf := make([]byte, piece)
-			n, err := src.Read(buf)
-			if n > 0 {
-				select {
-				case pieces <- bytesAt{actor.Now(), buf[:n]}:
-				case <-p.over:
-					return
-				}
-			}
-			if err != nil {
-				if !errors.Is(err, io.EOF) { // it was reset, and so is the other side
-					p.stream.relay.Do(p.end)
-				}
-				return
-			}
-		}
-	}()
-	for b := range pieces {
-		wait, ok := p.ask(from, to)
-		if !ok || !p.sleep(time.Duration(b.at+int64(wait)-actor.Now())) {
-			return
-		}
-		if _, err := dst.Write(b.body); err != nil {
-			p.stream.relay.Do(p.end)
-			return
-		}
+	callee, err := net.Dial("tcp4", s.target.Load().(string))
+	if err != nil {
+		s.relay.Do(conn.reset)
+		return
 	}
-	if _, ok := p.ask(from, to); ok {
-		if t, isTCP := dst.(*net.TCPConn); isTCP {
-			t.CloseWrite()
-		}
-		p.stream.relay.Do(func() { p.half() })
+	if !s.connected(conn, callee) {
+		callee.Close()
+		return
 	}
+	backward := link{s.forward.to, s.forward.from}
+	s.goroutines.Go(func() { conn.copy(caller, callee, s.forward) })
+	s.goroutines.Go(func() { conn.copy(callee, caller, backward) })
 }
--- a/lab/rollout/admin.go
+++ b/lab/rollout/admin.go
@@ -15,12 +15,15 @@
 )
 
 const (
-	adminTimeout = 8 * time.Second        // of one request; a publisher's own limits are shorter
-	slowAnswer   = time.Second            // an answer that takes longer is noted
-	adminPause   = 100 * time.Millisecond // before a request that no publisher could carry out is repeated
+	adminTimeout       = 8 * time.Second // of one request; a publisher's own limits are shorter
+	slowAnswer         = time.Second     // from which on an answer is recorded as slow
+	adminRetryInterval = 100 * time.Millisecond
 )
 
-// RejectedError is an answer by which a publisher refuses a change.
+// anyPublisher stands for another publisher with each request.
+const anyPublisher = -1
+
+// RejectedError is an answer by which a publisher rejects a change.
 type RejectedError struct {
 	Status int
 	Text   string // begins with the path of the key at fault
@@ -30,19 +33,21 @@
 
 // Request is one request to the HTTP interface of the publishers.
 type Request struct {
-	Method, Path, Body string
+	Method string
+	Path   string
+	Body   string
 }
 
-// ask sends a request to one publisher. The error is a *RejectedError where the publisher answered by one.
-func (p *Publishers) ask(ctx context.Context, i int, request Request, into any) error {
+// request sends a request to one publisher. The error is a *RejectedError if the publisher answered by one.
+func (p *Publishers) request(ctx context.Context, i int, request Request, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	url := "http://" + p.addresses[i].admin.String() + request.Path
-	r, err := http.NewRequestWithContext(ctx, request.Method, url, strings.NewReader(request.Body))
+	httpRequest, err := http.NewRequestWithContext(ctx, request.Method, url, strings.NewReader(request.Body))
 	if err != nil {
 		return err
 	}
-	response, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(httpRequest)
 	if err != nil {
 		return err
 	}
@@ -54,22 +59,21 @@
 	if response.StatusCode == http.StatusOK {
 		return json.Unmarshal(body, into)
 	}
-	var fault struct{ Error string }
-	err = json.Unmarshal(body, &fault)
-	if err != nil {
+	var rejection struct{ Error string }
+	if err := json.Unmarshal(body, &rejection); err != nil {
 		return fmt.Errorf("HTTP status %d: %w", response.StatusCode, err)
 	}
-	return &RejectedError{response.StatusCode, fault.Error}
+	return &RejectedError{response.StatusCode, rejection.Error}
 }
 
-// Change has a change made by any publisher, beginning with the first one given. As long as none can carry it out it is
-// sent again, as an operator's tool does: the same change twice is one version.
-func (p *Publishers) Change(ctx context.Context, first int, request Request) (publisher.Publication, error) {
+// Publish has a change made by any publisher, beginning with the first one given. It repeats the request until one
+// can make the change, as an operator's tool does: the same change twice is one version.
+func (p *Publishers) Publish(ctx context.Context, first int, request Request) (publisher.Publication, error) {
 	for i := first; ; i++ {
 		var publication publisher.Publication
-		began := time.Now()
-		err := p.ask(ctx, i%p.Count(), request, &publication)
-		p.noteSlow(i%p.Count(), time.Since(began), err)
+		start := time.Now()
+		err := p.request(ctx, i%p.Count(), request, &publication)
+		p.recordSlow(i%p.Count(), time.Since(start), err)
 		if err == nil {
 			return publication, nil
 		}
@@ -79,39 +83,42 @@
 		}
 		select {
 		case <-ctx.Done():
-			return publication, fmt.Errorf("%w: %w", ctx.Err(), err)
-		case <-time.After(adminPause):
+			return publication, fmt.Errorf("publishing a change: %w: %w", ctx.Err(), err)
+		case <-time.After(adminRetryInterval):
 		}
 	}
 }
 
-// noteSlow notes an answer that took long, with what it was and the publisher's last log lines.
-func (p *Publishers) noteSlow(i int, took time.Duration, err error) {
+// recordSlow records a slow answer, with the publisher's latest log lines.
+func (p *Publishers) recordSlow(i int, took time.Duration, err error) {
 	if took < slowAnswer {
 		return
 	}
-	text := fmt.Sprintf("%s answered after %.1f s: %v; its last lines:\n%s", publisherName(i), took.Seconds(), err,
-		p.processes[i].Tail(shownFaults))
+	text := fmt.Sprintf("%s answered after %.1f s: %v; its last lines:\n%s",
+		publisherName(i), took.Seconds(), err, p.processes[i].Tail(slowAnswerLines))
 	p.slowMu.Lock()
 	defer p.slowMu.Unlock()
-	p.slow = append(p.slow, text)
+	p.slowAnswers = append(p.slowAnswers, text)
 }
 
-// Slow gives what noteSlow noted.
-func (p *Publishers) Slow() []string {
+// slowAnswerLines is the number of log lines that are recorded with a slow answer.
+const slowAnswerLines = 4
+
+// SlowAnswers returns a text on each answer that was slow.
+func (p *Publishers) SlowAnswers() []string {
 	p.slowMu.Lock()
 	defer p.slowMu.Unlock()
-	return slices.Clone(p.slow)
+	return slices.Clone(p.slowAnswers)
 }
 
-// Status asks one publisher how it stands.
+// Status returns the status of one publisher.
 func (p *Publishers) Status(ctx context.Context, i int) (publisher.Status, error) {
 	var status publisher.Status
-	err := p.ask(ctx, i, Request{Method: http.MethodGet, Path: "/v1/status"}, &status)
+	err := p.request(ctx, i, Request{Method: http.MethodGet, Path: "/v1/status"}, &status)
 	return status, err
 }
 
-// states asks all publishers that run how they stand.
+// states returns the states of all publishers that run.
 func (p *Publishers) states(ctx context.Context) (states []PublisherState, err error) {
 	for i, process := range p.processes {
 		if !process.Running() {
@@ -132,7 +139,7 @@
 	return states, nil
 }
 
-// Leader waits until a publisher leads, and gives its index.
+// Leader waits until a publisher leads, and returns its index.
 func (p *Publishers) Leader(ctx context.Context) (int, error) {
 	for {
 		for i, process := range p.processes {
--- a/lab/rollout/cases.go
+++ b/lab/rollout/cases.go
@@ -11,82 +11,195 @@
 	millisecond = time.Millisecond
 )
 
-// Large is the size of the runs in CI that are about the whole fleet.
+// Large returns the size of the runs in CI that concern the whole fleet.
 func Large() Size {
-	return Size{Gateways: 24, Hosts: 6, Publishers: 3, Rate: 120, Seed: 5, ElectionMS: 600, Pace: 200 * millisecond, Burst: 300,
-		Outage: 300 * millisecond}
+	return Size{
+		Gateways:       24,
+		Hosts:          6,
+		Publishers:     3,
+		Rate:           120,
+		Seed:           5,
+		ElectionMS:     600,
+		ChangeInterval: 200 * millisecond,
+		Burst:          300,
+		Outage:         300 * millisecond,
+	}
 }
 
-// Small is the size of the runs in CI that are about one gateway or one publisher.
+// Small returns the size of the runs in CI that concern one gateway or one publisher.
 func Small() Size {
-	return Size{Gateways: 4, Hosts: 3, Publishers: 3, Rate: 40, Seed: 6, ElectionMS: 600, Pace: 200 * millisecond, Burst: 60,
-		Outage: 300 * millisecond}
+	return Size{
+		Gateways:       4,
+		Hosts:          3,
+		Publishers:     3,
+		Rate:           40,
+		Seed:           6,
+		ElectionMS:     600,
+		ChangeInterval: 200 * millisecond,
+		Burst:          60,
+		Outage:         300 * millisecond,
+	}
+}
+
+// scenario returns a scenario of the size after which all digests are equal and no gateway has refused a version.
+func (s Size) scenario(name string, steps ...Step) Scenario {
+	return Scenario{Name: name, Size: s, Checks: []Check{EqualDigests(), RefusedOnlyBy("")}, Steps: steps}
 }
 
-// FleetCases are the cases that are about the whole fleet.
-func FleetCases(z Size) []Scenario {
-	third := z.Gateways / 3
+// FleetCases returns the cases that concern the whole fleet.
+func FleetCases(size Size) []Scenario {
+	third := size.Gateways / 3
 	zone := fleet.Indexes(0, third)
 	rest := fleet.Indexes(third, 2*third)
-	holds := []Check{Digests(), Refusals("")}
 	return []Scenario{
-		{Name: "steady and a burst", Size: z, Holds: holds, Steps: []Step{More(6), Effects(), Drain(0), Burst(),
-			Undrain(0), More(2)}},
-
-		{Name: "a zone cut off and healed", Size: z, Holds: holds, Steps: []Step{More(2), CutZone("zone", zone...),
-			More(4, zone...), Hold(z.Outage), Heal("zone"), More(2)}},
-
-		{Name: "many gateways restarted at once", Size: z, Holds: holds, Steps: []Step{More(2), Restart(DiskKept, zone...),
-			More(2), Restart(DiskEmpty, rest...), More(2)}},
+		size.scenario("steady and a burst",
+			WaitVersions(6),
+			CheckPlanEffects(),
+			DrainHost(0),
+			PublishBurst(),
+			ReactivateHost(0),
+			WaitVersions(2)),
+
+		size.scenario("a zone cut off and healed",
+			WaitVersions(2),
+			PartitionZone("zone", zone...),
+			WaitVersions(4, zone...),
+			Pause(size.Outage),
+			EndFaults("zone"),
+			WaitVersions(2)),
+
+		size.scenario("many gateways restarted at once",
+			WaitVersions(2),
+			RestartGateways(DiskKept, zone...),
+			WaitVersions(2),
+			RestartGateways(DiskEmpty, rest...),
+			WaitVersions(2)),
 	}
 }
 
-// Joined makes one scenario of several of one size, so that a fleet is started once for all.
-func Joined(name string, scenarios ...Scenario) Scenario {
-	joined := Scenario{Name: name, Size: scenarios[0].Size, Holds: scenarios[0].Holds}
-	for _, s := range scenarios {
-		joined.Steps = append(joined.Steps, s.Steps...)
+// Join returns one scenario of several of one size, so that a fleet is started once for all.
+func Join(name string, scenarios ...Scenario) Scenario {
+	joined := Scenario{Name: name, Size: scenarios[0].Size, Checks: scenarios[0].Checks}
+	for _, scenario := range scenarios {
+		joined.Steps = append(joined.Steps, scenario.Steps...)
 	}
 	return joined
 }
 
-// Cases are those that are about one gateway or one publisher.
-func Cases(z Size) []Scenario {
-	last := z.Gateways - 1
-	holds := []Check{Digests(), Refusals("")}
-	return []Scenario{
-		{Name: "the leading publisher killed", Size: z, Holds: holds, Steps: []Step{More(2), KillLeader(), More(2),
-			StartPublishers(DiskKept), More(2), KillLeader(), More(2), StartPublishers(DiskEmpty), More(2)}},
-
-		{Name: "the leading publisher cut off from the others", Size: z, Holds: holds, Steps: []Step{More(3), CutLeader("raft"),
-			More(3), Heal("raft"), More(3)}},
-
-		{Name: "all publishers gone and a gateway restarted meanwhile", Size: z, Holds: holds, Steps: []Step{More(3),
-			KillPublishers(0, 1, 2), Restart(DiskKept, 1), Served(0, 1), Hold(z.Outage), Served(0, 1),
-			StartPublishers(DiskKept), More(3)}},
-
-		{Name: "a publisher with an old log", Size: z, Holds: holds, Steps: []Step{More(3), CopyState(2), More(5),
-			KillPublishers(2), More(3), StartPublishers(DiskCopied), More(3)}},
-
-		{Name: "each link of a gateway cut in turn", Size: z, Holds: holds, Steps: []Step{More(2), CutLink("link", 0, 0), More(2),
-			Heal("link"), CutLink("link", 0, 1), More(2), Heal("link"), CutLink("link", 0, 2), More(2), Heal("link"),
-			ResetLinks(0), More(2)}},
-
-		{Name: "a gateway that reads slowly", Size: z, Holds: holds, Steps: []Step{More(2), SlowLink("slow", 0, 1200*millisecond),
-			More(6, 0), More(2), Heal("slow"), StopLink("still", 0), More(6, 0), Heal("still"), More(3)}},
-
-		{Name: "a version that one gateway refuses", Size: z, Quiet: true,
-			Holds: []Check{Digests(), Refusals(memberResource(last), last)},
-			Steps: []Step{NameMembers(fleet.Indexes(0, z.Gateways)...), RemoveMember(last), Served(last),
-				NameMembers(fleet.Indexes(0, z.Gateways)...), NoRefusals(), Served(last)}},
-
-		{Name: "bad requests", Size: z, Quiet: true, Holds: holds, Steps: []Step{BadRequests()}},
+// Cases returns the cases that concern one gateway or one publisher.
+func Cases(size Size) []Scenario {
+	return append(publisherCases(size), gatewayCases(size)...)
+}
 
-		{Name: "hostile messages", Size: z, Holds: holds, Steps: []Step{More(2), HostileFollowers(), More(2),
-			FalsePublisher(0, 0), Refuted(0), More(2)}},
+// publisherCases returns the cases of publishers that fail.
+func publisherCases(size Size) []Scenario {
+	return []Scenario{
+		size.scenario("the leading publisher killed",
+			WaitVersions(2),
+			KillLeader(),
+			WaitVersions(2),
+			StartPublishers(DiskKept),
+			WaitVersions(2),
+			KillLeader(),
+			WaitVersions(2),
+			StartPublishers(DiskEmpty),
+			WaitVersions(2)),
+
+		size.scenario("the leading publisher cut off from the others",
+			WaitVersions(3),
+			PartitionLeader("raft"),
+			WaitVersions(3),
+			EndFaults("raft"),
+			WaitVersions(3)),
+
+		size.scenario("all publishers gone and a gateway restarted meanwhile",
+			WaitVersions(3),
+			KillPublishers(0, 1, 2),
+			RestartGateways(DiskKept, 1),
+			CheckServed(0, 1),
+			Pause(size.Outage),
+			CheckServed(0, 1),
+			StartPublishers(DiskKept),
+			WaitVersions(3)),
+
+		size.scenario("a publisher with an old log",
+			WaitVersions(3),
+			CopyState(2),
+			WaitVersions(5),
+			KillPublishers(2),
+			WaitVersions(3),
+			StartPublishers(DiskRestored),
+			WaitVersions(3)),
+	}
+}
 
-		{Name: "a disk that can't be written and one that was altered", Size: z, Holds: []Check{Digests(0), Refusals("")},
-			Steps: []Step{More(8), BlockDisk(0), More(3), Lines("configuration_not_saved", 1, 0), DamageDisk(1), More(3),
-				Lines("configuration_damaged", 1, 1), Served(0, 1)}},
+// gatewayCases returns the cases of links, disks and messages of one gateway.
+func gatewayCases(size Size) []Scenario {
+	badRequests := size.scenario("bad requests", RejectBadRequests())
+	badRequests.Quiet = true
+	blockedDisk := size.scenario("a disk that can't be written and one that was altered",
+		WaitVersions(8),
+		BlockDisk(0),
+		WaitVersions(3),
+		CheckLogLines("configuration_not_saved", 1, 0),
+		DamageDisk(1),
+		WaitVersions(3),
+		CheckLogLines("configuration_damaged", 1, 1),
+		CheckServed(0, 1))
+	blockedDisk.Checks = []Check{EqualDigests(0), RefusedOnlyBy("")}
+	return []Scenario{
+		size.scenario("each link of a gateway cut one after the other",
+			WaitVersions(2),
+			BlockLink("link", 0, 0),
+			WaitVersions(2),
+			EndFaults("link"),
+			BlockLink("link", 0, 1),
+			WaitVersions(2),
+			EndFaults("link"),
+			BlockLink("link", 0, 2),
+			WaitVersions(2),
+			EndFaults("link"),
+			ResetLinks(0),
+			WaitVersions(2)),
+
+		size.scenario("a gateway that reads slowly",
+			WaitVersions(2),
+			DelayLink("slow", 0, 1200*millisecond),
+			WaitVersions(6, 0),
+			WaitVersions(2),
+			EndFaults("slow"),
+			StallLink("still", 0),
+			WaitVersions(6, 0),
+			EndFaults("still"),
+			WaitVersions(3)),
+
+		refusalCase(size),
+		badRequests,
+
+		size.scenario("hostile messages",
+			WaitVersions(2),
+			HostileFollowers(),
+			WaitVersions(2),
+			ImpersonatePublisher(0, 0),
+			CheckNothingOfImpostor(0),
+			WaitVersions(2)),
+
+		blockedDisk,
 	}
 }
+
+// refusalCase returns the case of a version that lacks one member, which that member refuses.
+func refusalCase(size Size) Scenario {
+	removed := size.Gateways - 1
+	members := fleet.Indexes(0, size.Gateways)
+	refusal := size.scenario("a version that one gateway refuses",
+		PublishMembers(members...),
+		RemoveMember(removed),
+		CheckServed(removed),
+		PublishMembers(members...),
+		WaitNoRefusals(),
+		CheckServed(removed))
+	refusal.Quiet = true
+	refusal.Checks = []Check{EqualDigests(), RefusedOnlyBy(memberResource(removed), removed)}
+	return refusal
+}
--- a/lab/rollout/changes.go
+++ b/lab/rollout/changes.go
@@ -16,62 +16,61 @@
 	"ravensill/lab/gatewayconfig"
 )
 
-const (
-	configurationPath = "/v1/configuration"
-	anyPublisher      = -1
-)
+const configurationPath = "/v1/configuration"
 
-// changes publishes changes, its own at a pace and those of steps, one at a time, and notes what was agreed on.
-type changes struct {
+// changePublisher publishes changes, at an interval and for steps, one at a time, and records those that were agreed
+// on.
+type changePublisher struct {
 	publishers *Publishers
-	pace       time.Duration
+	interval   time.Duration
 
-	mu        sync.Mutex // held during one publication
-	published []Published
-	number    int // of publications
-	routines  int // changes of the row that were begun
-	preferred int // publisher that is asked first; anyPublisher: another one each time
+	mu           sync.Mutex // locked during one publication
+	published    []Published
+	requestCount int
+	routineCount int // routine changes so far
+	preferred    int // publisher that gets a request first, or anyPublisher
 
-	done  chan struct{} // nil: not running at a pace
-	ended chan error
+	done  chan struct{} // closed to stop run; nil: it does not run
+	ended chan error    // the result of run
 }
 
-// list gives all that was published so far.
-func (c *changes) list() []Published {
+// publications returns all that was published so far.
+func (c *changePublisher) publications() []Published {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.published)
 }
 
-// publish has a change made, by whichever publisher can.
-func (c *changes) publish(ctx context.Context, request Request) (publisher.Publication, error) {
+// publish publishes a change by any publisher that can.
+func (c *changePublisher) publish(ctx context.Context, request Request) (publisher.Publication, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.publishLocked(ctx, request)
 }
 
-func (c *changes) publishLocked(ctx context.Context, request Request) (publisher.Publication, error) {
+// publishLocked is publish with the mutex locked.
+func (c *changePublisher) publishLocked(ctx context.Context, request Request) (publisher.Publication, error) {
 	sent := time.Now()
-	c.number++
-	first := c.number
+	c.requestCount++
+	first := c.requestCount
 	if c.preferred != anyPublisher {
 		first = c.preferred
 	}
-	publication, err := c.publishers.Change(ctx, first, request)
+	publication, err := c.publishers.Publish(ctx, first, request)
 	if err == nil {
 		c.published = append(c.published, Published{publication.Version, sent, time.Now()})
 	}
 	return publication, err
 }
 
-// prefer has a publisher asked first from now on, as the leader that need not pass requests on.
-func (c *changes) prefer(index int) {
+// prefer sets the publisher that gets a request first, such as the leader, which need not forward it.
+func (c *changePublisher) prefer(index int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.preferred = index
 }
 
-// Resources are contents of resources by name: a gatewayconfig.QuotaPlan, Class or RuntimeLimits, or a member's address.
+// Resources are contents of resources by name: a gatewayconfig.QuotaPlan, Class or RuntimeLimits, or an address.
 type Resources map[string]any
 
 // patchBody is the body of a request that sets and removes resources.
@@ -80,7 +79,7 @@
 	Remove []string  `json:"remove,omitempty"`
 }
 
-// contentBody is the body of a request that replaces the whole content.
+// contentBody is the body of a request that replaces all content.
 type contentBody struct {
 	QuotaPlans []gatewayconfig.QuotaPlan   `json:"plans"`
 	Classes    []gatewayconfig.Class       `json:"profiles"`
@@ -89,7 +88,7 @@
 }
 
 // patch sets and removes resources.
-func (c *changes) patch(ctx context.Context, set Resources, remove ...string) (publisher.Publication, error) {
+func (c *changePublisher) patch(ctx context.Context, set Resources, remove ...string) (publisher.Publication, error) {
 	request, err := patchRequest(set, remove)
 	if err != nil {
 		return publisher.Publication{}, err
@@ -106,7 +105,7 @@
 // PatchRequest returns the request that sets resources.
 func PatchRequest(set Resources) (Request, error) { return patchRequest(set, nil) }
 
-// ContentRequest returns the request that replaces the whole content. It names no members.
+// ContentRequest returns the request that replaces all content. It names no members.
 func ContentRequest(plans []gatewayconfig.QuotaPlan, classes []gatewayconfig.Class) (Request, error) {
 	body, err := json.Marshal(contentBody{
 		QuotaPlans: plans,
@@ -117,16 +116,17 @@
 	return Request{http.MethodPut, configurationPath, string(body)}, err
 }
 
-// start publishes a change each pace from now on.
-func (c *changes) start(ctx context.Context) {
+// start publishes a routine change at each interval from now on.
+func (c *changePublisher) start(ctx context.Context) {
 	c.done = make(chan struct{})
 	c.ended = make(chan error, 1)
 	done := c.done
 	go func() { c.ended <- c.run(ctx, done) }()
 }
 
-func (c *changes) run(ctx context.Context, done <-chan struct{}) error {
-	ticker := time.NewTicker(c.pace)
+// run publishes routine changes until done is closed.
+func (c *changePublisher) run(ctx context.Context, done <-chan struct{}) error {
+	ticker := time.NewTicker(c.interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -134,15 +134,15 @@
 			return nil
 		case <-ticker.C:
 		}
-		_, err := c.routine(ctx)
+		_, err := c.publishRoutine(ctx)
 		if err != nil {
 			return fmt.Errorf("changes: %w", err)
 		}
 	}
 }
 
-// stop ends the changes at a pace, the one under way at its end.
-func (c *changes) stop() error {
+// stop ends the routine changes and waits for the one in progress.
+func (c *changePublisher) stop() error {
 	if c.done == nil {
 		return nil
 	}
@@ -151,13 +151,13 @@
 	return <-c.ended
 }
 
-// routine makes the next of a row of changes: quota plans that come, change and go, and a request class and limits that
-// change under load. Each differs from all before.
-func (c *changes) routine(ctx context.Context) (publisher.Publication, error) {
+// publishRoutine publishes the next routine change. Quota plans come, change and go, and a request class and limits
+// change under load. Each change differs from all before.
+func (c *changePublisher) publishRoutine(ctx context.Context) (publisher.Publication, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	set, remove := routineChange(c.routines)
-	c.routines++
+	set, remove := routineChange(c.routineCount)
+	c.routineCount++
 	request, err := patchRequest(set, remove)
 	if err != nil {
 		return publisher.Publication{}, err
@@ -165,7 +165,7 @@
 	return c.publishLocked(ctx, request)
 }
 
-// routineChange gives the i-th change of the row.
+// routineChange returns the i-th routine change.
 func routineChange(i int) (set Resources, remove []string) {
 	const kinds = 5
 	round := i / kinds
@@ -187,9 +187,13 @@
 	return nil, []string{name}
 }
 
-func planResource(name string) string  { return string(configsync.PlanPrefix) + name }
+// planResource returns the name of the resource of a quota plan.
+func planResource(name string) string { return string(configsync.PlanPrefix) + name }
+
+// classResource returns the name of the resource of a request class.
 func classResource(name string) string { return string(configsync.ClassPrefix) + name }
 
+// quotaPlan returns the content of a quota plan's resource.
 func quotaPlan(rate, burst float64) gatewayconfig.QuotaPlan {
 	return gatewayconfig.QuotaPlan{Rate: rate, Burst: burst, PriorityWeight: 1}
 }
--- a/lab/rollout/effects.go
+++ b/lab/rollout/effects.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	probeWait    = 8 * time.Second // a probe's deadline
-	probePrefix  = "feed"          // of the ids of probes
+	probePrefix  = "feed" // of the ids of probes
 	removedError = "ERR plan: removed"
 )
 
-// loadServed: most of the clients' requests beside the probes passed.
-var loadServed = fleet.Check{Name: "clients served", FindViolation: func(r *fleet.Report) string {
-	sent, passed := 0, 0
+// clientsServed is a check: most of the clients' requests beside the probes succeeded.
+var clientsServed = fleet.Check{Name: "clients served", FindViolation: func(r *fleet.Report) string {
+	sent := 0
+	succeeded := 0
 	for i := range r.Clients.Requests {
 		request := &r.Clients.Requests[i]
 		if strings.HasPrefix(request.ID, probePrefix) {
@@ -27,84 +27,94 @@
 		}
 		sent++
 		if request.Result == emulator.Succeeded {
-			passed++
+			succeeded++
 		}
 	}
-	if float64(passed) < servedPart*float64(sent) {
-		return fmt.Sprintf("%d of %d requests passed", passed, sent)
+	if float64(succeeded) < minServedFraction*float64(sent) {
+		return fmt.Sprintf("%d of %d requests succeeded", succeeded, sent)
 	}
 	return ""
 }}
 
-// probe sends one request of a customer on a quota plan to one gateway, as a client of its own.
-func (r *Run) probe(member int, plan, customer string) emulator.Request {
-	number := r.probes.Add(1)
-	request := emulator.Request{ID: probePrefix + fmt.Sprintf("%012x", number), Customer: customer, Class: "lookup", Gateway: member}
-	list := fmt.Sprintf("c=lookup,t=%s,d=%d,units=1,spread=1,first=%d", plan, probeWait.Milliseconds(), member)
-	return r.Fleet.Clients.Send(request, list, "", false, probeWait)
+// probe sends one request of the plan's own customer on a quota plan to one gateway.
+func (r *Run) probe(member int, plan string) emulator.Request {
+	request := emulator.Request{
+		ID:       fmt.Sprintf("%s%012x", probePrefix, r.probes.Add(1)),
+		Customer: customerOf(member, plan),
+		Class:    "lookup",
+		Gateway:  member,
+	}
+	timeout := clientTimeout.Milliseconds()
+	arguments := fmt.Sprintf("c=lookup,t=%s,d=%d,units=1,spread=1,first=%d", plan, timeout, member)
+	return r.Fleet.Clients.Send(request, arguments, "", false, clientTimeout)
+}
+
+// probeError returns the error of a probe with an unexpected result.
+func probeError(member int, plan string, answer emulator.Request) error {
+	return fmt.Errorf("%s: a request on plan %q: %s %q", fleet.GatewayName(member), plan, answer.Result, answer.ErrorText)
 }
 
-// customerOf names a customer of its own for each gateway and plan, so that what one gateway admits is all that it uses.
-// Its number is beyond those of the load's customers.
+// customerOf returns a separate customer for each gateway and plan, so that one gateway's admissions are all that the
+// customer uses. Its number is above those of the load's customers.
 func customerOf(member int, plan string) string {
 	const first = 1 << 32
 	return fmt.Sprintf("%016x", first+member<<16+int(configsync.PlanID(plan)&0xffff))
 }
 
-// wantServed tells of a probe that did not succeed. The plan's quota has room for it, so that a gateway may turn it away only
-// for the sake of its hosts, as it does just after a start: such a probe is repeated.
-func (r *Run) wantServed(ctx context.Context, member int, plan string) error {
+// checkServed returns an error unless a probe succeeds. The plan's quota admits it, so that a gateway may reject it
+// only to protect its hosts, as just after a start: such a probe is retried.
+func (r *Run) checkServed(ctx context.Context, member int, plan string) error {
 	for {
-		answer := r.probe(member, plan, customerOf(member, plan))
+		answer := r.probe(member, plan)
 		if answer.Result == emulator.Succeeded {
 			return nil
 		}
 		if answer.Result != emulator.Rejected {
-			return fmt.Errorf("%s: a request on plan %q: %s %s", fleet.GatewayName(member), plan, answer.Result, answer.ErrorText)
+			return probeError(member, plan, answer)
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: requests on plan %q are denied: %w", fleet.GatewayName(member), plan, ctx.Err())
+			return fmt.Errorf("%s: requests on plan %q are rejected: %w", fleet.GatewayName(member), plan, ctx.Err())
 		case <-time.After(answer.RetryAfter):
 		}
 	}
 }
 
-// wantRemoved tells of a probe that was not answered by the error that says that its plan was removed.
-func (r *Run) wantRemoved(member int, plan string) error {
-	answer := r.probe(member, plan, customerOf(member, plan))
+// checkRemoved returns an error unless a probe is answered by the error of a plan that was removed.
+func (r *Run) checkRemoved(member int, plan string) error {
+	answer := r.probe(member, plan)
 	if answer.Result != emulator.Failed || answer.ErrorText != removedError {
-		return fmt.Errorf("%s: a request on the removed plan %q: %s %q", fleet.GatewayName(member), plan, answer.Result, answer.ErrorText)
+		return fmt.Errorf("removed plan: %w", probeError(member, plan, answer))
 	}
 	return nil
 }
 
-// passed sends so many probes of one customer and counts those that were admitted.
-func (r *Run) passed(member int, plan string, requests int) (count int, err error) {
+// countAdmitted sends a number of probes of one customer and returns how many were admitted.
+func (r *Run) countAdmitted(member int, plan string, requests int) (count int, err error) {
 	for range requests {
-		answer := r.probe(member, plan, customerOf(member, plan))
+		answer := r.probe(member, plan)
 		switch answer.Result {
 		case emulator.Succeeded:
 			count++
 		case emulator.Rejected:
 		default:
-			return count, fmt.Errorf("%s: a request on plan %q: %s %s", fleet.GatewayName(member), plan, answer.Result, answer.ErrorText)
+			return count, probeError(member, plan, answer)
 		}
 	}
 	return count, nil
 }
 
-// each does something for all gateways at once.
-func (r *Run) each(ctx context.Context, do func(ctx context.Context, member int) error) error {
+// forEachGateway calls a function for all gateways at once.
+func (r *Run) forEachGateway(ctx context.Context, do func(ctx context.Context, member int) error) error {
 	return r.Fleet.ForEach(r.members(), func(g *fleet.Gateway) error { return do(ctx, g.Index) })
 }
 
-// Effects is the step that changes quota plans in one version and wants each gateway to decide by it: a plan that was
-// added is served, one that was removed is answered by an error that says so, a lowered burst binds customers who had more,
-// and a raised one gives nothing at once to those who had used theirs up.
-func Effects() Step {
+// CheckPlanEffects returns a step that changes quota plans in one version and checks that each gateway decides by it:
+// an added plan is served, a removed one is answered by an error, a lowered burst binds customers who had more, and a
+// raised burst admits nothing at once to customers who had used theirs up.
+func CheckPlanEffects() Step {
 	return Step{"quota plans added, removed and lowered", func(ctx context.Context, r *Run) error {
-		err := r.each(ctx, r.beforeEffects)
+		err := r.forEachGateway(ctx, r.beforeEffects)
 		if err != nil {
 			return err
 		}
@@ -117,19 +127,19 @@
 		if err != nil {
 			return err
 		}
-		err = r.inForce(ctx, publication.Version, r.members())
+		err = r.waitInForce(ctx, publication.Version, r.members())
 		if err != nil {
 			return err
 		}
-		return r.each(ctx, r.afterEffects)
+		return r.forEachGateway(ctx, r.afterEffects)
 	}}
 }
 
-// beforeEffects looks how a gateway decides under the first version.
+// beforeEffects checks how a gateway decides by the first version.
 func (r *Run) beforeEffects(ctx context.Context, member int) error {
 	for plan, requests := range map[string]int{planRemoved: 1, planLowered: beforeLower, planRaised: lowBurst} {
 		for range requests {
-			err := r.wantServed(ctx, member, plan)
+			err := r.checkServed(ctx, member, plan)
 			if err != nil {
 				return err
 			}
@@ -138,38 +148,44 @@
 	return nil
 }
 
-// afterEffects looks how it decides once the plans have changed.
+// afterEffects checks how a gateway decides once the plans have changed.
 func (r *Run) afterEffects(ctx context.Context, member int) error {
-	err := r.wantServed(ctx, member, planAdded)
+	err := r.checkServed(ctx, member, planAdded)
 	if err != nil {
 		return err
 	}
-	err = r.wantRemoved(member, planRemoved)
+	err = r.checkRemoved(member, planRemoved)
 	if err != nil {
 		return err
 	}
-	admitted, err := r.passed(member, planRaised, afterRaise)
-	if err == nil && admitted > 0 {
-		err = fmt.Errorf("%s: %d requests admitted by a burst that was used up and then raised", fleet.GatewayName(member), admitted)
+	admitted, err := r.countAdmitted(member, planRaised, afterRaise)
+	if err != nil {
+		return err
+	}
+	if admitted > 0 {
+		return fmt.Errorf("%s: %d requests admitted by a burst that was used up and then raised",
+			fleet.GatewayName(member), admitted)
 	}
+	err = r.checkServed(ctx, member, planLowered)
 	if err != nil {
 		return err
 	}
-	err = r.wantServed(ctx, member, planLowered)
+	admitted, err = r.countAdmitted(member, planLowered, afterLower)
 	if err != nil {
 		return err
 	}
-	admitted, err = r.passed(member, planLowered, afterLower)
-	if err == nil && admitted+1 > loweredTo {
-		err = fmt.Errorf("%s: %d of %d requests admitted after the burst was lowered to %d", fleet.GatewayName(member), admitted+1,
-			afterLower+1, loweredTo)
+	admitted++ // by checkServed
+	if admitted > loweredTo {
+		return fmt.Errorf("%s: %d of %d requests admitted after the burst was lowered to %d",
+			fleet.GatewayName(member), admitted, afterLower+1, loweredTo)
 	}
-	return err
+	return nil
 }
 
-// Served is the step that wants gateways to serve a plan that the document alone names.
-func Served(members ...int) Step {
-	return Step{fmt.Sprintf("gateways %v serve by the document", members), func(ctx context.Context, r *Run) error {
-		return r.Fleet.ForEach(members, func(g *fleet.Gateway) error { return r.wantServed(ctx, g.Index, planKept) })
+// CheckServed returns a step that checks that gateways serve a plan that only the published configuration names.
+func CheckServed(members ...int) Step {
+	what := fmt.Sprintf("gateways %v serve by the published configuration", members)
+	return Step{what, func(ctx context.Context, r *Run) error {
+		return r.Fleet.ForEach(members, func(g *fleet.Gateway) error { return r.checkServed(ctx, g.Index, planKept) })
 	}}
 }
--- a/lab/rollout/hollow/verdict.go
+++ b/lab/rollout/hollow/axis.go
@@ -10,28 +10,31 @@
 	constantMargin = 1.1 // greatest over least of a figure of one follower that must not grow with their number
 )
 
-// Faults tells which counts and bytes do not grow with the number of followers as they must: those of one follower not at
-// all, those of the publishers linearly. Each follower gets each of the changes one at a time by a delta of its own.
-func (a *Axis) Faults() (faults []string) {
+// Violations returns which counts and bytes do not grow with the number of followers as they must: those of one
+// follower not at all, those of the publishers linearly. Each follower receives each of the changes one at a time by
+// one delta.
+func (a *Axis) Violations() (violations []string) {
 	for _, point := range a.Points {
-		faults = append(faults, point.Faults...)
+		violations = append(violations, point.Violations...)
 		if deltas := point.Figures[ChangeDeltas]; deltas != 1 {
-			faults = append(faults, fmt.Sprintf("%d followers: %g deltas a change", point.Followers, deltas))
+			violations = append(violations, fmt.Sprintf("%d followers: %g deltas a change", point.Followers, deltas))
 		}
 	}
 	for _, name := range []string{ChangeBytes, StartBytes} {
 		if least, greatest := a.extent(name); greatest > constantMargin*least {
-			faults = append(faults, fmt.Sprintf("%s is %.4g to %.4g, depending on the number of followers", name, least, greatest))
+			violations = append(violations, fmt.Sprintf("%s is %.4g to %.4g, depending on the number of followers", name, least,
+				greatest))
 		}
 	}
 	exponent := a.Fits[PublisherBytesOut].Exponent
 	if math.Abs(exponent-1) > exponentMargin {
-		faults = append(faults, fmt.Sprintf("%s grows with the number of followers to the power %.2f", PublisherBytesOut, exponent))
+		violations = append(violations, fmt.Sprintf("%s grows with the number of followers to the power %.2f",
+			PublisherBytesOut, exponent))
 	}
-	return faults
+	return violations
 }
 
-// extent gives the least and the greatest of a figure.
+// extent returns the least and the greatest of a figure.
 func (a *Axis) extent(name string) (least, greatest float64) {
 	least = math.Inf(1)
 	for _, point := range a.Points {
--- a/lab/rollout/hollow/verdict_test.go
+++ b/lab/rollout/hollow/axis_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// growing gives an axis whose figures are as they must be, but for a change.
+// growing returns an axis whose figures are as they must be, except for a change.
 func growing(sizes []int, change func(point *Point)) Axis {
 	var points []*Point
 	for _, followers := range sizes {
@@ -21,7 +21,8 @@
 	return NewAxis(points)
 }
 
-func TestFaults(t *testing.T) {
+// Each figure that grows as it must not is a violation, and so is each violation of a point.
+func TestAxisFindsFiguresThatGrow(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(point *Point)
@@ -34,11 +35,12 @@
 			[]string{"publisher_change_bytes grows with the number of followers to the power 2.00"}},
 		{"a change twice", func(p *Point) { p.Figures[ChangeDeltas] = max(1, float64(p.Followers)/200) },
 			[]string{"400 followers: 2 deltas a change"}},
-		{"a fault of a follower", func(p *Point) { p.Faults = map[int][]string{50: {"g1: version 1 after 2"}}[p.Followers] },
+		{"a fault of a follower",
+			func(p *Point) { p.Violations = map[int][]string{50: {"g1: version 1 after 2"}}[p.Followers] },
 			[]string{"g1: version 1 after 2"}},
 	} {
 		axis := growing([]int{25, 50, 100, 200, 400}, test.change)
-		got := axis.Faults()
+		got := axis.Violations()
 		if !slices.Equal(got, test.want) {
 			t.Errorf("%s: %q, want %q", test.name, got, test.want)
 		}
@@ -46,7 +48,7 @@
 }
 
 // A report can be written and read again, at the full form's sizes too.
-func TestReport(t *testing.T) {
+func TestReportIsReadBack(t *testing.T) {
 	folder := t.TempDir()
 	report, err := NewReport(folder)
 	if err != nil {
@@ -54,7 +56,7 @@
 	}
 	report.Begin("followers", "command")
 	report.Axis = growing([]int{375, 1000, 2000, 4000, 6000}, func(*Point) {})
-	report.End("followers", &lines)
+	report.End("followers", &logEvents)
 	err = report.Write(folder)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/rollout/hollow/compare.go
+++ b/lab/rollout/hollow/compare.go
@@ -12,7 +12,8 @@
 
 const comparedHosts = 2 // that the real gateways list
 
-// Comparison is what a change costs real gateways and hollow followers of the same publishers, each a mean of one gateway.
+// Comparison is what a change costs real gateways and hollow followers of the same publishers. Figures are means of
+// one gateway.
 type Comparison struct {
 	Gateways int    `json:"gateways"` // real ones, and as many hollow ones
 	Changes  int    `json:"changes"`
@@ -28,55 +29,55 @@
 	Processor float64 `json:"processor"` // milliseconds beyond rest
 }
 
-// compared says how a comparison is made.
-type compared struct {
-	Gateways int
-	Changes  int
-	Pace     time.Duration
-	Rest     time.Duration // in which the processor time at rest is measured
-	Setup
+// comparisonOptions describe a comparison.
+type comparisonOptions struct {
+	Gateways       int
+	Changes        int
+	ChangeInterval time.Duration
+	Rest           time.Duration // in which the processor time at rest is measured
+	Options
 }
 
 // Compare makes the same changes to hollow followers and to processes of the program.
-func (c compared) Compare(ctx context.Context) (*Comparison, error) {
+func (c comparisonOptions) Compare(ctx context.Context) (*Comparison, error) {
 	c.Followers = c.Gateways
-	g, err := NewGroup(ctx, c.Setup)
+	g, err := NewGroup(ctx, c.Options)
 	if err != nil {
 		return nil, err
 	}
 	defer g.Close()
 	result := &Comparison{Gateways: c.Gateways, Changes: c.Changes}
-	result.Hollow, err = c.hollow(ctx, g)
+	result.Hollow, err = c.measureHollow(ctx, g)
 	if err != nil {
 		return nil, err
 	}
-	result.Real, err = c.real(ctx, g)
+	result.Real, err = c.measureReal(ctx, g)
 	return result, err
 }
 
-// gateways are the side of a comparison.
-type gateways struct {
+// comparedSide is one side of a comparison: the real gateways or the hollow followers.
+type comparedSide struct {
 	inForce   func(context.Context) error             // waits until the last version is in force everywhere
 	versions  func() int                              // put in force so far
 	processor func() (seconds time.Duration, _ error) // used so far
 }
 
-// hollow measures the hollow followers, and stops them.
-func (c *compared) hollow(ctx context.Context, g *Group) (Change, error) {
+// measureHollow starts the hollow followers, measures them and stops them.
+func (c *comparisonOptions) measureHollow(ctx context.Context, g *Group) (Change, error) {
 	err := g.Fleet.Start(g.Fleet.members())
 	if err != nil {
 		return Change{}, err
 	}
 	defer g.Fleet.Stop(g.Fleet.members())
-	return c.measure(ctx, g, gateways{
-		inForce:   g.everywhere,
+	return c.measure(ctx, g, comparedSide{
+		inForce:   g.waitEverywhere,
 		versions:  func() int { return int(g.Fleet.Totals().Accepted) },
 		processor: processorTime,
 	})
 }
 
-// real measures processes of the program.
-func (c *compared) real(ctx context.Context, g *Group) (Change, error) {
+// measureReal starts processes of the gateway and measures them.
+func (c *comparisonOptions) measureReal(ctx context.Context, g *Group) (Change, error) {
 	f, err := fleet.Start(ctx, fleet.Options{
 		Gateways: c.Gateways,
 		Hosts:    comparedHosts,
@@ -95,23 +96,23 @@
 		return Change{}, err
 	}
 	defer f.Close()
-	return c.measure(ctx, g, gateways{
-		inForce:   func(ctx context.Context) error { return g.told(ctx, c.Gateways) },
-		versions:  func() int { return applied(f) },
-		processor: func() (time.Duration, error) { return used(f) },
+	return c.measure(ctx, g, comparedSide{
+		inForce:   func(ctx context.Context) error { return g.waitShown(ctx, c.Gateways) },
+		versions:  func() int { return countApplied(f) },
+		processor: func() (time.Duration, error) { return cpuTime(f) },
 	})
 }
 
-// applied counts the versions that real gateways put in force.
-func applied(f *fleet.Fleet) (versions int) {
+// countApplied returns the number of versions that real gateways put in force.
+func countApplied(f *fleet.Fleet) (versions int) {
 	for _, g := range f.Gateways() {
 		versions += g.EventCounts()["configuration_applied"]
 	}
 	return versions
 }
 
-// used is the processor time of real gateways.
-func used(f *fleet.Fleet) (all time.Duration, err error) {
+// cpuTime returns the processor time of real gateways.
+func cpuTime(f *fleet.Fleet) (all time.Duration, err error) {
 	for _, g := range f.Gateways() {
 		usage, err := g.Usage()
 		if err != nil {
@@ -122,9 +123,9 @@
 	return all, nil
 }
 
-// told waits until the publishers know that the last version is in force at a number of gateways.
-func (g *Group) told(ctx context.Context, want int) error {
-	what := fmt.Sprintf("version %d at %d gateways", g.last.Version, want)
+// waitShown waits until the publishers show the latest version in force at a number of gateways.
+func (g *Group) waitShown(ctx context.Context, want int) error {
+	what := fmt.Sprintf("version %d at %d gateways", g.latest.Version, want)
 	return fleet.WaitUntil(ctx, what, func() bool {
 		count := 0
 		for i := range g.Publishers.Count() {
@@ -133,7 +134,7 @@
 				return false
 			}
 			for _, follower := range status.Followers {
-				if follower.Connected && follower.InForce == g.last.Version {
+				if follower.Connected && follower.InForce == g.latest.Version {
 					count++
 				}
 			}
@@ -142,13 +143,13 @@
 	})
 }
 
-// measure makes the changes.
-func (c *compared) measure(ctx context.Context, g *Group, side gateways) (change Change, err error) {
+// measure publishes the changes and returns what one costs a gateway.
+func (c *comparisonOptions) measure(ctx context.Context, g *Group, side comparedSide) (change Change, err error) {
 	err = side.inForce(ctx)
 	if err != nil {
 		return change, err
 	}
-	resting, err := c.rest(ctx, side)
+	resting, err := c.measureIdle(ctx, side)
 	if err != nil {
 		return change, err
 	}
@@ -161,7 +162,7 @@
 	if err != nil {
 		return change, err
 	}
-	err = g.spaced(ctx, c.Changes, c.Pace, side.inForce)
+	err = g.publishSpaced(ctx, c.Changes, c.ChangeInterval, side.inForce)
 	if err != nil {
 		return change, err
 	}
@@ -177,19 +178,19 @@
 	}
 	change.BytesIn -= g.heartbeatBytes() * to.at.Sub(from.at).Seconds() / float64(c.Changes)
 	change.Versions = float64(side.versions()-versions) / each
-	atRest := resting * float64(c.Changes) * c.Pace.Seconds()
+	atRest := resting * float64(c.Changes) * c.ChangeInterval.Seconds()
 	change.Processor = milliseconds((after-before).Seconds()-atRest) / each
 	return change, err
 }
 
-// heartbeatBytes is what a publisher sends a gateway each second.
+// heartbeatBytes returns the bytes a second of a publisher's heartbeats to one gateway.
 func (g *Group) heartbeatBytes() float64 {
-	frame := configsync.Encode(&configsync.Heartbeat{Log: g.last.Log, Latest: g.last.Version, Current: true})
+	frame := configsync.Encode(&configsync.Heartbeat{Log: g.latest.Log, Latest: g.latest.Version, Current: true})
 	return float64(len(frame)) / configsync.HeartbeatInterval.Seconds()
 }
 
-// rest gives the processor share of all gateways without changes, in cores.
-func (c *compared) rest(ctx context.Context, side gateways) (share float64, err error) {
+// measureIdle returns the processor share of all gateways without changes, in cores.
+func (c *comparisonOptions) measureIdle(ctx context.Context, side comparedSide) (share float64, err error) {
 	if c.Rest == 0 {
 		return 0, nil
 	}
@@ -205,7 +206,7 @@
 	return (after - before).Seconds() / c.Rest.Seconds(), err
 }
 
-// Ratio gives real over hollow, for each of bytes in, bytes out, versions and processor time.
+// Ratio returns each figure of the real gateways divided by that of the hollow followers.
 func (c *Comparison) Ratio() Change {
 	return Change{
 		BytesIn:   c.Real.BytesIn / c.Hollow.BytesIn,
--- a/lab/rollout/hollow/content.go
+++ b/lab/rollout/hollow/content.go
@@ -16,14 +16,14 @@
 	otherRates = 8999
 )
 
-// Content says how large the configuration is.
+// Content is the size of the configuration.
 type Content struct {
 	Plans   int `json:"quota_plans"`
 	Classes int `json:"request_classes"`
 }
 
-// whole is the request that publishes the whole content.
-func (c Content) whole() (rollout.Request, error) {
+// request returns the request that publishes all content.
+func (c Content) request() (rollout.Request, error) {
 	var plans []gatewayconfig.QuotaPlan
 	for i := range c.Plans {
 		plans = append(plans, quotaPlan(i, firstRate))
@@ -35,19 +35,22 @@
 	return rollout.ContentRequest(plans, classes)
 }
 
-// change is the request for the nth change: another rate of one quota plan after another.
-func (c Content) change(n int) (rollout.Request, error) {
+// changeRequest returns the request for the nth change, which sets another rate of one quota plan after another.
+func (c Content) changeRequest(n int) (rollout.Request, error) {
 	i := n % c.Plans
 	resource := string(configsync.PlanPrefix) + planName(i)
 	return rollout.PatchRequest(rollout.Resources{resource: quotaPlan(i, firstRate+1+n%otherRates)})
 }
 
+// planName returns the name of quota plan i.
 func planName(i int) string { return fmt.Sprintf("plan-%06d", i) }
 
+// quotaPlan returns quota plan i with a rate.
 func quotaPlan(i, rate int) gatewayconfig.QuotaPlan {
 	return gatewayconfig.QuotaPlan{Name: planName(i), Rate: float64(rate), Burst: 2000, PriorityWeight: 1}
 }
 
+// requestClass returns request class i.
 func requestClass(i int) gatewayconfig.Class {
 	class := fleet.Classes()[0]
 	class.Name = fmt.Sprintf("class-%04d", i)
--- a/lab/rollout/hollow/lines.go
+++ b/lab/rollout/hollow/eventcounter.go
@@ -7,14 +7,14 @@
 	"ravensill/lab/logline"
 )
 
-// Lines counts the lines of a log by their events and causes, in place of printing the lines of thousands of followers.
-type Lines struct {
+// EventCounter is the log of thousands of followers, whose lines are counted by event and cause and not printed.
+type EventCounter struct {
 	mu     sync.Mutex
 	events map[string]int
 }
 
 // Write counts one line, as package logging writes it.
-func (l *Lines) Write(line []byte) (int, error) {
+func (l *EventCounter) Write(line []byte) (int, error) {
 	text := string(line)
 	name, ok := logline.Event(text)
 	if !ok {
@@ -32,8 +32,8 @@
 	return len(line), nil
 }
 
-// Events gives the counts so far.
-func (l *Lines) Events() map[string]int {
+// Events returns the counts so far.
+func (l *EventCounter) Events() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.events)
--- a/lab/rollout/hollow/follower.go
+++ b/lab/rollout/hollow/follower.go
@@ -20,53 +20,55 @@
 	"ravensill/logic"
 )
 
-// diskFolder is the folder of the last good version, in a follower's own folder.
+// diskFolder is the folder of the stored version, in a follower's folder.
 const diskFolder = "configuration"
 
 // Applied is a version that came in force at a follower.
 type Applied struct {
-	From, To configsync.Version
+	From     configsync.Version
+	To       configsync.Version
 	At       int64 // Unix time in nanoseconds
-	Snapshot bool  // it came as a whole document, not as a delta
+	Snapshot bool  // it came as a complete document, not as a delta
 }
 
-// Follower is one gateway without sockets to anything but publishers, in its lives. Start and stop are called by one
-// goroutine at a time.
+// Follower is one gateway, over its restarts, whose only sockets are those to publishers. Methods start and stop are
+// called by one goroutine at a time.
 type Follower struct {
 	member     int
 	name       string
-	dir        string // its own folder
-	file       string // the gateway's configuration file
+	dir        string // of the follower
+	file       string // configuration file, the same for all followers
 	publishers []netip.AddrPort
 	frames     *frameSizes
 
-	cfg        *config.Config // of the present life, which keeps it as the program does
-	live       *config.Live
-	module     *logic.Gateway
-	subscriber *subscriber.Subscriber // nil: down
-	held       configsync.Version     // on disk as the present life began; 0: none
-	former     Totals                 // of lives that are over
+	config        *config.Config // kept in memory as the gateway keeps it
+	live          *config.Live
+	module        *logic.Gateway
+	subscriber    *subscriber.Subscriber // nil: stopped
+	storedVersion configsync.Version     // on disk at the latest start; 0: none
+	endedTotals   Totals                 // of the incarnations that are over
 
-	inForce atomic.Uint64 // the version; 0: the gateway goes by its own file, or is down
+	inForce atomic.Uint64 // version; 0: the follower uses its configuration file, or is stopped
 
-	mu      sync.Mutex // guards the fields below, which the subscriber's goroutine writes
-	applied []Applied
-	faults  []string
+	mu         sync.Mutex // guards the fields below, which the subscriber's goroutine writes
+	applied    []Applied
+	violations []string
 }
 
-// start begins a life as the program does: from the last good version on disk, or from the configuration file.
+// start starts the follower as the gateway starts: from the stored version, or from the configuration file.
 func (f *Follower) start() error {
-	file, err := f.load()
+	file, err := f.loadFile()
 	if err != nil {
 		return err
 	}
-	held, err := f.restore(file)
+	stored, err := f.restore(file)
 	if err != nil {
 		return err
 	}
-	f.module = logic.New(f.cfg.Seed, f.cfg.Membership, f.cfg.Classes, f.cfg.Plans, f.cfg.Limits, f.cfg.SlowStart, f.cfg.LoadReport)
-	f.held = held.Version()
-	f.inForce.Store(uint64(f.held))
+	f.module = logic.New(f.config.Seed, f.config.Membership, f.config.Classes, f.config.Plans, f.config.Limits,
+		f.config.SlowStart, f.config.LoadReport)
+	f.storedVersion = stored.Version()
+	f.inForce.Store(uint64(f.storedVersion))
 	f.subscriber = subscriber.Start(subscriber.Config{
 		Publishers:  f.publishers,
 		Dir:         file.Configuration.Dir,
@@ -74,12 +76,12 @@
 		Name:        f.name,
 		Incarnation: uint64(time.Now().UnixNano()),
 		Apply:       f.apply,
-	}, held)
+	}, stored)
 	return nil
 }
 
-// load reads the configuration file, which all followers share but for their folders.
-func (f *Follower) load() (*config.Config, error) {
+// loadFile reads the configuration file, which all followers share except for their folders.
+func (f *Follower) loadFile() (*config.Config, error) {
 	file, err := config.Load(func(name string) string {
 		if name == "GW_CONFIG" {
 			return f.file
@@ -94,62 +96,64 @@
 	return file, nil
 }
 
-// restore decodes the version on disk, where there is one.
+// restore decodes the stored version, if there is one.
 func (f *Follower) restore(file *config.Config) (*configsync.Document, error) {
-	held, err := subscriber.Load(file.Configuration.Dir)
+	stored, err := subscriber.Load(file.Configuration.Dir)
 	if err != nil {
-		return nil, fmt.Errorf("%s: the version on disk: %w", f.name, err)
+		return nil, fmt.Errorf("%s: the stored version: %w", f.name, err)
 	}
-	f.cfg = file
-	if held.Version() == 0 {
+	f.config = file
+	if stored.Version() == 0 {
 		f.live = config.NewLive(file)
-		return held, nil
+		return stored, nil
 	}
-	f.cfg, f.live, err = config.Restore(file, held.Changes())
-	return held, err
+	f.config, f.live, err = config.Restore(file, stored.Changes())
+	return stored, err
 }
 
 // apply puts an update in force. It runs on the subscriber's goroutine, which is the only one to use the module.
-func (f *Follower) apply(update *configsync.Update, whole bool) error {
-	revision, err := f.live.Apply(update.Changes, whole)
+func (f *Follower) apply(update *configsync.Update, complete bool) error {
+	revision, err := f.live.Apply(update.Changes, complete)
 	if err != nil {
-		f.fault("version %d: %v", update.To, err)
+		f.addViolation("version %d: %v", update.To, err)
 		return err
 	}
 	f.module.Reconfigure(time.Now().UnixNano(), &revision.Update)
 	now := time.Now().UnixNano()
-	if before := f.inForce.Swap(uint64(update.To)); uint64(update.To) <= before {
-		f.fault("version %d after %d", update.To, before)
+	before := f.inForce.Swap(uint64(update.To))
+	if uint64(update.To) <= before {
+		f.addViolation("version %d after %d", update.To, before)
 	}
-	f.frames.note(update)
+	f.frames.add(update)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.applied = append(f.applied, Applied{From: update.From, To: update.To, At: now, Snapshot: update.Delta == nil})
 	return nil
 }
 
-func (f *Follower) fault(format string, arguments ...any) {
+// addViolation records a violation.
+func (f *Follower) addViolation(format string, arguments ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.faults = append(f.faults, f.name+": "+fmt.Sprintf(format, arguments...))
+	f.violations = append(f.violations, f.name+": "+fmt.Sprintf(format, arguments...))
 }
 
-// stop ends the present life. What is under way of a version is done first.
+// stop stops the follower, once an update in progress is applied.
 func (f *Follower) stop() {
 	f.subscriber.Close()
-	f.former.add(f.subscriber.Status())
+	f.endedTotals.addStatus(f.subscriber.Status())
 	f.subscriber = nil
-	f.cfg = nil
+	f.config = nil
 	f.live = nil
 	f.module = nil
 	f.inForce.Store(0)
 }
 
-// clearDisk removes the last good version. The follower must be down.
+// clearDisk removes the stored version. The follower must be stopped.
 func (f *Follower) clearDisk() error { return os.RemoveAll(filepath.Join(f.dir, diskFolder)) }
 
-// take gives what came in force since the last call.
-func (f *Follower) take() []Applied {
+// takeApplied returns the versions that came in force since the call before.
+func (f *Follower) takeApplied() []Applied {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	applied := f.applied
@@ -157,17 +161,17 @@
 	return applied
 }
 
-// totals are of all lives.
+// totals returns the counts over all restarts.
 func (f *Follower) totals() Totals {
-	all := f.former
+	all := f.endedTotals
 	if f.subscriber != nil {
-		all.add(f.subscriber.Status())
+		all.addStatus(f.subscriber.Status())
 	}
 	return all
 }
 
-// newFollower makes a follower that is down.
-func newFollower(plan *Plan, file string, member int, frames *frameSizes) *Follower {
+// newFollower returns a follower that is not started.
+func newFollower(plan *FleetOptions, file string, member int, frames *frameSizes) *Follower {
 	name := fleet.GatewayName(member)
 	return &Follower{
 		member:     member,
--- a/lab/rollout/hollow/followers.go
+++ b/lab/rollout/hollow/followers.go
@@ -25,8 +25,8 @@
 	shownMembers = 4                     // in an error
 )
 
-// Plan describes a fleet of hollow followers.
-type Plan struct {
+// FleetOptions describe a fleet of hollow followers.
+type FleetOptions struct {
 	Followers  int
 	Dir        string // holds a folder for each follower
 	Publishers []netip.AddrPort
@@ -38,8 +38,8 @@
 	frames    *frameSizes
 }
 
-// NewFleet makes a fleet that is down.
-func NewFleet(plan Plan) (*Fleet, error) {
+// NewFleet returns a fleet that is not started.
+func NewFleet(plan FleetOptions) (*Fleet, error) {
 	file := filepath.Join(plan.Dir, "gateway.json")
 	text, err := gatewayFile(plan.Publishers)
 	if err != nil {
@@ -56,8 +56,8 @@
 	return f, nil
 }
 
-// gatewayFile gives the content of the gateways' configuration file: a fleet of one each, without messages to others. Its
-// quota plans and request classes are replaced by the first version.
+// gatewayFile returns the gateways' configuration file: that of a fleet of one without gossip. The first version
+// replaces its quota plans and request classes.
 func gatewayFile(publishers []netip.AddrPort) ([]byte, error) {
 	var addresses []string
 	for _, publisher := range publishers {
@@ -78,18 +78,18 @@
 	})
 }
 
-// members are all member indices of the fleet.
-func (f *Fleet) members() []int { return between(0, len(f.followers)) }
+// members returns all member indexes of the fleet.
+func (f *Fleet) members() []int { return indexes(0, len(f.followers)) }
 
-// between lists the member indices from one on up to another, which is left out.
-func between(from, to int) (members []int) {
+// indexes lists the member indices from one on up to another, which is left out.
+func indexes(from, to int) (members []int) {
 	for member := from; member < to; member++ {
 		members = append(members, member)
 	}
 	return members
 }
 
-// Start begins a life of each of some followers, all at once.
+// Start starts some followers, all at once.
 func (f *Fleet) Start(members []int) error {
 	var starts errgroup.Group
 	starts.SetLimit(runtime.GOMAXPROCS(0))
@@ -99,7 +99,7 @@
 	return starts.Wait()
 }
 
-// Stop ends the lives of some followers, all at once.
+// Stop stops some followers, all at once.
 func (f *Fleet) Stop(members []int) {
 	var stops sync.WaitGroup
 	for _, member := range members {
@@ -108,7 +108,7 @@
 	stops.Wait()
 }
 
-// Close ends all lives.
+// Close stops all followers.
 func (f *Fleet) Close() {
 	var running []int
 	for member, follower := range f.followers {
@@ -119,7 +119,7 @@
 	f.Stop(running)
 }
 
-// ClearDisks removes the last good versions of some followers, which must be down.
+// ClearDisks removes the stored versions of some followers, which must be stopped.
 func (f *Fleet) ClearDisks(members []int) error {
 	for _, member := range members {
 		err := f.followers[member].clearDisk()
@@ -130,10 +130,10 @@
 	return nil
 }
 
-// Wait waits until a version or a later one is in force at some followers.
-func (f *Fleet) Wait(ctx context.Context, version configsync.Version, members []int) error {
+// WaitInForce waits until a version or a later one is in force at some followers.
+func (f *Fleet) WaitInForce(ctx context.Context, version configsync.Version, members []int) error {
 	for {
-		late := f.late(version, members)
+		late := f.behind(version, members)
 		if len(late) == 0 {
 			return nil
 		}
@@ -146,45 +146,46 @@
 	}
 }
 
-// late lists those among some followers at which neither a version nor a later one is in force.
-func (f *Fleet) late(version configsync.Version, members []int) (late []int) {
+// behind returns those among some followers at which neither a version nor a later one is in force.
+func (f *Fleet) behind(version configsync.Version, members []int) (behind []int) {
 	for _, member := range members {
 		if f.followers[member].inForce.Load() < uint64(version) {
-			late = append(late, member)
+			behind = append(behind, member)
 		}
 	}
-	return late
+	return behind
 }
 
-// fromDisk counts those among the first followers whose present lives began with a version on disk.
-func (f *Fleet) fromDisk(followers int) (count int) {
+// countFromDisk returns how many of the first followers started with a stored version.
+func (f *Fleet) countFromDisk(followers int) (count int) {
 	for _, follower := range f.followers[:followers] {
-		if follower.held > 0 {
+		if follower.storedVersion > 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// Take gives what came in force at each follower since the last call, by member index.
-func (f *Fleet) Take() [][]Applied {
+// TakeApplied returns the versions that came in force at each follower since the call before, by member index.
+func (f *Fleet) TakeApplied() [][]Applied {
 	histories := make([][]Applied, len(f.followers))
 	for member, follower := range f.followers {
-		histories[member] = follower.take()
+		histories[member] = follower.takeApplied()
 	}
 	return histories
 }
 
-// Totals sums up all followers.
+// Totals returns the sums of the counts of all followers.
 func (f *Fleet) Totals() (all Totals) {
 	for _, follower := range f.followers {
-		all.join(follower.totals())
+		all.add(follower.totals())
 	}
 	return all
 }
 
-// Settled waits until the subscribers of all followers that run tell of a version: they do a moment after it is in force.
-func (f *Fleet) Settled(ctx context.Context, version configsync.Version) error {
+// WaitStatus waits until the status of all followers that run shows a version, which follows its being in force by a
+// moment.
+func (f *Fleet) WaitStatus(ctx context.Context, version configsync.Version) error {
 	for _, follower := range f.followers {
 		if follower.subscriber == nil {
 			continue
@@ -198,77 +199,83 @@
 	return nil
 }
 
-// Faults lists the versions that came twice or backwards or that a follower could not take, and the followers that run and
-// hold anything but the version with a digest.
-func (f *Fleet) Faults(version configsync.Version, digest string) (faults []string) {
+// Violations returns the versions that came twice or backwards or that a follower could not apply, and the followers
+// that run with anything but the version with a digest.
+func (f *Fleet) Violations(version configsync.Version, digest string) (violations []string) {
 	for _, follower := range f.followers {
 		follower.mu.Lock()
-		faults = append(faults, follower.faults...)
+		violations = append(violations, follower.violations...)
 		follower.mu.Unlock()
 		if follower.subscriber == nil {
 			continue
 		}
 		status := follower.subscriber.Status()
 		if status.Version != version || hex.EncodeToString(status.Digest[:]) != digest {
-			faults = append(faults, fmt.Sprintf("%s: holds version %d with digest %x, not version %d with digest %s",
+			violations = append(violations, fmt.Sprintf("%s: has version %d with digest %x, not version %d with digest %s",
 				follower.name, status.Version, status.Digest, version, digest))
 		}
 	}
-	return faults
+	return violations
 }
 
-// Totals are counts of followers since they were made.
+// Totals are counts of followers since they were created.
 type Totals struct {
-	BytesIn  int64
-	BytesOut int64
-	Accepted uint64 // versions put in force
-	Refused  uint64
-	Deferred uint64 // snapshots put off by a publisher
-	Unsaved  int    // versions that could not be kept on disk
-	Lost     uint64 // connections that failed or were ended by the other side
-	Given    uint64 // connections that followers gave up, whatever the cause
-	Broken   uint64 // malformed messages, deltas that did not fit and digests that differed
+	BytesIn         int64
+	BytesOut        int64
+	Accepted        uint64 // versions put in force
+	Refused         uint64
+	Deferred        uint64 // snapshots put off by a publisher
+	Unsaved         int    // versions that could not be kept on disk
+	LostConnections uint64 // connections that failed or were ended by the other side
+	GivenUp         uint64 // connections that followers gave up, whatever the cause
+	Broken          uint64 // malformed messages, deltas that did not fit and digests that differed
 }
 
-func (t *Totals) add(status subscriber.Status) {
+// addStatus adds the counts of a subscriber.
+func (t *Totals) addStatus(status subscriber.Status) {
 	counters := &status.Counters
-	t.join(Totals{
-		BytesIn:  status.BytesIn,
-		BytesOut: status.BytesOut,
-		Accepted: counters.Accepted,
-		Refused:  counters.Refused,
-		Deferred: counters.Deferred,
-		Unsaved:  status.Unsaved,
-		Lost:     counters.Lost,
-		Given:    counters.Silent + counters.Stale + counters.Stalled + counters.Behind + counters.OtherLog,
-		Broken:   counters.Malformed + counters.Gaps + counters.Digests,
+	t.add(Totals{
+		BytesIn:         status.BytesIn,
+		BytesOut:        status.BytesOut,
+		Accepted:        counters.Accepted,
+		Refused:         counters.Refused,
+		Deferred:        counters.Deferred,
+		Unsaved:         status.Unsaved,
+		LostConnections: counters.Lost,
+		GivenUp:         counters.Silent + counters.Stale + counters.Stalled + counters.Behind + counters.OtherLog,
+		Broken:          counters.Malformed + counters.Gaps + counters.Digests,
 	})
 }
 
-func (t *Totals) join(other Totals) {
+// add adds other counts.
+func (t *Totals) add(other Totals) {
 	t.BytesIn += other.BytesIn
 	t.BytesOut += other.BytesOut
 	t.Accepted += other.Accepted
 	t.Refused += other.Refused
 	t.Deferred += other.Deferred
 	t.Unsaved += other.Unsaved
-	t.Lost += other.Lost
-	t.Given += other.Given
+	t.LostConnections += other.LostConnections
+	t.GivenUp += other.GivenUp
 	t.Broken += other.Broken
 }
 
-// frameSizes knows how many bytes each delta has on the wire. Followers that get the same delta get the same bytes.
+// frameSizes holds how many bytes each delta has on the wire. All followers that receive a delta receive the same
+// bytes.
 type frameSizes struct {
 	sizes sync.Map // by span
 }
 
-// span names a delta of a log.
-type span struct{ from, to configsync.Version }
+// span identifies a delta by its versions.
+type span struct {
+	from configsync.Version
+	to   configsync.Version
+}
 
 func newFrameSizes() *frameSizes { return &frameSizes{} }
 
-// note takes in an update, encoding the first of each span alone.
-func (s *frameSizes) note(update *configsync.Update) {
+// add records the size of an update's delta. Only the first one of a span is encoded.
+func (s *frameSizes) add(update *configsync.Update) {
 	if update.Delta == nil {
 		return
 	}
@@ -279,7 +286,7 @@
 	}
 }
 
-// bytes gives the bytes of an update on the wire; 0 for a snapshot.
+// bytes returns the bytes of an update on the wire; 0 for a snapshot.
 func (s *frameSizes) bytes(applied *Applied) int {
 	size, known := s.sizes.Load(span{applied.From, applied.To})
 	if !known || applied.Snapshot {
--- a/lab/rollout/hollow/full_test.go
+++ b/lab/rollout/hollow/full_test.go
@@ -17,7 +17,8 @@
 	full  = flag.Bool("full", false, "the full-size measurement")
 	sizes = flag.String("sizes", "375,1000,2000,4000,6000", "numbers of followers of the full measurement")
 	parts = flag.String("parts", "followers,large,restarts,compare", "what the full measurement does")
-	into  = flag.String("into", "", "folder of rollout-scale.json and rollout-scale.md, of which the measured parts are replaced; empty prints the text only")
+	into  = flag.String("into", "", "folder of rollout-scale.json and .md, of which the measured parts are replaced; "+
+		"empty prints the text only")
 )
 
 const (
@@ -33,8 +34,8 @@
 	largeFollowers = 20
 	zoneFollowers  = 200 // gateways of a zone, restarted at once
 
-	// Snapshots that a publisher sends in the restarts with a medium configuration: a sixteenth of the defaults, as the
-	// document is about a tenth of the operators'.
+	// Limits of the snapshots that a publisher sends in restarts with a medium configuration: a sixteenth of the defaults,
+	// as the document is about a tenth of the operators'.
 	limitedRate  = 4 << 20 // bytes a second
 	limitedBurst = 2 << 20 // bytes
 
@@ -46,12 +47,12 @@
 	// on the processors of one machine, where each gateway has its own.
 	largeContent = Content{Plans: 54_000, Classes: 4}
 
-	// mediumContent is beyond what a delta may hold, so that it goes as a snapshot.
+	// mediumContent exceeds the limit of a delta, so that it is sent as a snapshot.
 	mediumContent = Content{Plans: 8_000, Classes: 4}
 )
 
-// The full size writes figures; what decides is as in CI, counts and bytes.
-func TestFull(t *testing.T) {
+// The full size writes figures; the verdict is by counts and bytes, as in CI.
+func TestFullSizeFigures(t *testing.T) {
 	if !*full {
 		t.Skip("no -full")
 	}
@@ -75,13 +76,13 @@
 		if strings.Contains(*parts, part.name) {
 			report.Begin(part.name, command)
 			part.run(t, ctx, report)
-			report.End(part.name, &lines)
+			report.End(part.name, &logEvents)
 			save(t, report)
 		}
 	}
-	report.Text(os.Stdout)
-	for _, fault := range report.Faults() {
-		t.Error(fault)
+	report.WriteText(os.Stdout)
+	for _, violation := range report.Violations() {
+		t.Error(violation)
 	}
 }
 
@@ -95,17 +96,18 @@
 	}
 }
 
-// fullShape is what is measured at each size.
-func fullShape(followers int, content Content) Shape {
-	return Shape{
-		Setup:   Setup{Followers: followers, Content: content},
-		Rest:    fullRest,
-		Changes: fullChanges,
-		Pace:    fullPace,
-		Burst:   fullBurst,
+// fullMeasurement returns what is measured at each size.
+func fullMeasurement(followers int, content Content) Measurement {
+	return Measurement{
+		Options:        Options{Followers: followers, Content: content},
+		Rest:           fullRest,
+		Changes:        fullChanges,
+		ChangeInterval: fullPace,
+		Burst:          fullBurst,
 	}
 }
 
+// measureFollowers measures each number of followers.
 func measureFollowers(t *testing.T, ctx context.Context, report *Report) {
 	var points []*Point
 	for _, text := range strings.Split(*sizes, ",") {
@@ -113,7 +115,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		point, err := fullShape(followers, smallContent).Measure(ctx)
+		point, err := fullMeasurement(followers, smallContent).Measure(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,53 +125,57 @@
 	}
 }
 
+// measureLarge measures a large configuration.
 func measureLarge(t *testing.T, ctx context.Context, report *Report) {
-	point, err := fullShape(largeFollowers, largeContent).Measure(ctx)
+	point, err := fullMeasurement(largeFollowers, largeContent).Measure(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	report.Large = []*Point{point}
 }
 
+// measureRestarts measures restarts of all followers with configurations of several sizes.
 func measureRestarts(t *testing.T, ctx context.Context, report *Report) {
-	report.Storms = nil
+	report.Restarts = nil
 	limited := rollout.PublisherSettings{SnapshotBytesPerSecond: limitedRate, SnapshotBurstBytes: limitedBurst}
-	for _, setup := range []Setup{
+	for _, options := range []Options{
 		{Followers: zoneFollowers, Content: smallContent},
 		{Followers: zoneFollowers, Content: mediumContent, Settings: limited},
 		{Followers: largeFollowers, Content: largeContent},
 	} {
-		restartAll(t, ctx, report, setup)
+		restartAll(t, ctx, report, options)
 	}
 }
 
-// restartAll restarts all followers of a group in each of the ways that there are.
-func restartAll(t *testing.T, ctx context.Context, report *Report, setup Setup) {
+// restartAll restarts all followers of a group in each way.
+func restartAll(t *testing.T, ctx context.Context, report *Report, options Options) {
 	const missed = 5
-	g := startGroup(ctx, t, setup)
+	g := startGroup(ctx, t, options)
 	defer g.Close()
-	for _, s := range []storm{
-		{What: "with their disks", Followers: setup.Followers, Missed: missed},
-		{What: "with empty disks", Followers: setup.Followers, Missed: missed, Empty: true},
-		{What: "no publisher up, with their disks", Followers: setup.Followers, Alone: true},
-		{What: "no publisher up, with empty disks", Followers: setup.Followers, Alone: true, Empty: true},
+	for _, options := range []restartOptions{
+		{Description: "with their disks", Followers: options.Followers, Missed: missed},
+		{Description: "with empty disks", Followers: options.Followers, Missed: missed, EmptyDisks: true},
+		{Description: "no publisher up, with their disks", Followers: options.Followers, WithoutPublishers: true},
+		{Description: "no publisher up, with empty disks", Followers: options.Followers, WithoutPublishers: true,
+			EmptyDisks: true},
 	} {
-		result, err := g.restart(ctx, s)
+		result, err := g.restartFollowers(ctx, options)
 		if err != nil {
-			t.Fatalf("%s: %v", s.What, err)
+			t.Fatalf("%s: %v", options.Description, err)
 		}
-		report.Storms = append(report.Storms, result)
+		report.Restarts = append(report.Restarts, result)
 		save(t, report)
 	}
 }
 
+// measureComparison compares hollow followers with processes of the gateway.
 func measureComparison(t *testing.T, ctx context.Context, report *Report) {
-	comparison, err := compared{
-		Gateways: 20,
-		Changes:  40,
-		Pace:     comparedPace,
-		Rest:     10 * time.Second,
-		Setup:    Setup{Content: smallContent},
+	comparison, err := comparisonOptions{
+		Gateways:       20,
+		Changes:        40,
+		ChangeInterval: comparedPace,
+		Rest:           10 * time.Second,
+		Options:        Options{Content: smallContent},
 	}.Compare(ctx)
 	if err != nil {
 		t.Fatal(err)
