--- a/lab/rollout/hollow/group.go
+++ b/lab/rollout/hollow/group.go
@@ -21,8 +21,8 @@
 	electionMS     = 1000 // the publishers' default
 )
 
-// Setup describes publishers and their followers.
-type Setup struct {
+// Options describe publishers and their followers.
+type Options struct {
 	Followers int
 	Content   Content
 	Settings  rollout.PublisherSettings
@@ -35,14 +35,14 @@
 
 	content   Content
 	dir       string
-	last      publisher.Publication
+	latest    publisher.Publication
 	published []rollout.Published // since the last call of take
 	changes   int                 // made so far
 }
 
-// NewGroup starts publishers with the whole content as their first version. No follower runs yet.
-func NewGroup(ctx context.Context, setup Setup) (g *Group, err error) {
-	g = &Group{content: setup.Content}
+// NewGroup starts publishers and publishes all content as their first version. No follower runs yet.
+func NewGroup(ctx context.Context, options Options) (g *Group, err error) {
+	g = &Group{content: options.Content}
 	defer func() {
 		if err != nil {
 			g.Close()
@@ -53,27 +53,27 @@
 	if err != nil {
 		return g, err
 	}
-	g.Publishers, err = rollout.NewPublishers(ctx, rollout.GroupPlan{
+	g.Publishers, err = rollout.NewPublishers(ctx, rollout.GroupOptions{
 		Count:      publisherCount,
 		Dir:        filepath.Join(g.dir, "publishers"),
 		ElectionMS: electionMS,
-		Settings:   setup.Settings,
+		Settings:   options.Settings,
 	})
 	if err != nil {
 		return g, err
 	}
-	g.Fleet, err = NewFleet(Plan{Followers: setup.Followers, Dir: g.dir, Publishers: g.addresses()})
+	g.Fleet, err = NewFleet(FleetOptions{Followers: options.Followers, Dir: g.dir, Publishers: g.addresses()})
 	if err != nil {
 		return g, err
 	}
-	request, err := g.content.whole()
+	request, err := g.content.request()
 	if err != nil {
 		return g, err
 	}
 	return g, g.publish(ctx, request)
 }
 
-// addresses are where the publishers serve followers.
+// addresses returns the addresses at which the publishers serve followers.
 func (g *Group) addresses() (addresses []netip.AddrPort) {
 	for i := range g.Publishers.Count() {
 		addresses = append(addresses, g.Publishers.FollowerAddress(i))
@@ -92,22 +92,23 @@
 	os.RemoveAll(g.dir)
 }
 
+// publish publishes a change.
 func (g *Group) publish(ctx context.Context, request rollout.Request) (err error) {
 	sent := time.Now()
-	g.last, err = g.Publishers.Change(ctx, g.changes, request)
+	g.latest, err = g.Publishers.Publish(ctx, g.changes, request)
 	if err != nil {
 		return err
 	}
-	if g.last.Changes == 0 {
+	if g.latest.Changes == 0 {
 		return errors.New("a change changed nothing")
 	}
-	g.published = append(g.published, rollout.Published{Version: g.last.Version, Sent: sent})
+	g.published = append(g.published, rollout.Published{Version: g.latest.Version, SentAt: sent})
 	return nil
 }
 
-// change publishes the next change.
-func (g *Group) change(ctx context.Context) error {
-	request, err := g.content.change(g.changes)
+// publishChange publishes the next change.
+func (g *Group) publishChange(ctx context.Context) error {
+	request, err := g.content.changeRequest(g.changes)
 	if err != nil {
 		return err
 	}
@@ -115,10 +116,10 @@
 	return g.publish(ctx, request)
 }
 
-// burst publishes changes one right after the other.
-func (g *Group) burst(ctx context.Context, changes int) error {
+// publishBurst publishes changes without a pause.
+func (g *Group) publishBurst(ctx context.Context, changes int) error {
 	for range changes {
-		err := g.change(ctx)
+		err := g.publishChange(ctx)
 		if err != nil {
 			return err
 		}
@@ -126,16 +127,17 @@
 	return nil
 }
 
-// spaced publishes a change each pace and waits until the last one is in force by a function. Where the pace is 0, a change
-// follows as soon as the one before is in force.
-func (g *Group) spaced(ctx context.Context, changes int, pace time.Duration, inForce func(context.Context) error) error {
+// publishSpaced publishes a change each interval and waits with a function until the last one is in force. With an
+// interval of 0, a change follows as soon as the one before is in force.
+func (g *Group) publishSpaced(ctx context.Context, changes int, pace time.Duration,
+	inForce func(context.Context) error) error {
 	begin := time.Now()
 	for i := range changes {
 		err := waitUntil(ctx, begin.Add(time.Duration(i)*pace))
 		if err != nil {
 			return err
 		}
-		err = g.change(ctx)
+		err = g.publishChange(ctx)
 		if err != nil {
 			return err
 		}
@@ -154,23 +156,23 @@
 	return inForce(ctx)
 }
 
-// everywhere waits until the last version is in force at all followers, and their counters tell so.
-func (g *Group) everywhere(ctx context.Context) error {
-	err := g.Fleet.Wait(ctx, g.last.Version, g.Fleet.members())
+// waitEverywhere waits until the latest version is in force at all followers and shown in their status.
+func (g *Group) waitEverywhere(ctx context.Context) error {
+	err := g.Fleet.WaitInForce(ctx, g.latest.Version, g.Fleet.members())
 	if err != nil {
 		return err
 	}
-	return g.Fleet.Settled(ctx, g.last.Version)
+	return g.Fleet.WaitStatus(ctx, g.latest.Version)
 }
 
-// take gives what was published since the last call.
-func (g *Group) take() []rollout.Published {
+// takePublished returns what was published since the call before.
+func (g *Group) takePublished() []rollout.Published {
 	published := g.published
 	g.published = nil
 	return published
 }
 
-// killPublishers ends all publishers abruptly.
+// killPublishers kills all publishers by SIGKILL.
 func (g *Group) killPublishers() {
 	for i := range g.Publishers.Count() {
 		g.Publishers.Process(i).Kill()
@@ -187,45 +189,45 @@
 	return starts.Wait()
 }
 
-// Faults lists what does not hold, once the last version is in force everywhere: versions twice or backwards, digests that
-// differ, publishers with other content, and what followers refused, could not keep or found broken.
-func (g *Group) Faults(ctx context.Context) ([]string, error) {
-	faults := g.Fleet.Faults(g.last.Version, g.last.Digest)
+// Violations returns what does not hold once the latest version is in force everywhere: versions twice or backwards,
+// digests that differ, publishers with other content, and what followers refused, could not store or found malformed.
+func (g *Group) Violations(ctx context.Context) ([]string, error) {
+	violations := g.Fleet.Violations(g.latest.Version, g.latest.Digest)
 	totals := g.Fleet.Totals()
 	if totals.Refused+totals.Broken > 0 || totals.Unsaved > 0 {
-		faults = append(faults, fmt.Sprintf("%d versions refused, %d messages broken, %d versions not kept on disk",
+		violations = append(violations, fmt.Sprintf("%d versions refused, %d messages broken, %d versions not kept on disk",
 			totals.Refused, totals.Broken, totals.Unsaved))
 	}
 	for i := range g.Publishers.Count() {
-		fault, err := g.publisherFault(ctx, i)
+		violation, err := g.publisherViolation(ctx, i)
 		if err != nil {
 			return nil, err
 		}
-		if fault != "" {
-			faults = append(faults, fault)
+		if violation != "" {
+			violations = append(violations, violation)
 		}
 	}
-	return append(faults, g.Publishers.Unhealthy()...), nil
+	return append(violations, g.Publishers.Crashes()...), nil
 }
 
-// publisherFault waits until a publisher has the last version, and tells what is wrong with it.
-func (g *Group) publisherFault(ctx context.Context, i int) (fault string, err error) {
+// publisherViolation waits until a publisher has the latest version, and returns what is wrong with it.
+func (g *Group) publisherViolation(ctx context.Context, i int) (violation string, err error) {
 	var status publisher.Status
-	err = fleet.WaitUntil(ctx, fmt.Sprintf("version %d at publisher %d", g.last.Version, i), func() bool {
+	err = fleet.WaitUntil(ctx, fmt.Sprintf("version %d at publisher %d", g.latest.Version, i), func() bool {
 		status, err = g.Publishers.Status(ctx, i)
-		return err == nil && status.Version >= g.last.Version
+		return err == nil && status.Version >= g.latest.Version
 	})
 	if err != nil {
 		return "", err
 	}
-	if status.Digest != g.last.Digest || status.Log != g.last.Log || status.Counters.Malformed > 0 {
-		fault = fmt.Sprintf("publisher %d: digest %s of log %s, %d malformed messages", i, status.Digest, status.Log,
+	if status.Digest != g.latest.Digest || status.Log != g.latest.Log || status.Counters.Malformed > 0 {
+		violation = fmt.Sprintf("publisher %d: digest %s of log %s, %d malformed messages", i, status.Digest, status.Log,
 			status.Counters.Malformed)
 	}
-	return fault, nil
+	return violation, nil
 }
 
-// waitUntil waits for a time.
+// waitUntil waits until a time.
 func waitUntil(ctx context.Context, at time.Time) error {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
--- a/lab/rollout/hollow/hollow_test.go
+++ b/lab/rollout/hollow/hollow_test.go
@@ -13,11 +13,11 @@
 
 const testTimeout = 3 * time.Minute // no verdict, only an end
 
-// lines counts the log lines of all followers of this test process.
-var lines Lines
+// logEvents counts the log lines of all followers of this test process.
+var logEvents EventCounter
 
 func TestMain(m *testing.M) {
-	logging.SetOutput(&lines)
+	logging.SetOutput(&logEvents)
 	os.Exit(m.Run())
 }
 
@@ -32,13 +32,13 @@
 
 // Each change comes to each follower once, by a delta whose bytes do not depend on the number of followers, and the
 // publishers send as much more as there are more followers. Verdicts are by counts and bytes.
-func TestSmall(t *testing.T) {
+func TestChangeCostPerFollowerIsConstant(t *testing.T) {
 	const changes = 12
 	const burst = 40
 	ctx := testContext(t)
 	var points []*Point
 	for _, followers := range []int{25, 50, 100, 200, 400} {
-		shape := Shape{Setup: Setup{Followers: followers, Content: smallContent}, Changes: changes, Burst: burst}
+		shape := Measurement{Options: Options{Followers: followers, Content: smallContent}, Changes: changes, Burst: burst}
 		point, err := shape.Measure(ctx)
 		if err != nil {
 			t.Fatal(err)
@@ -47,63 +47,101 @@
 		points = append(points, point)
 	}
 	axis := NewAxis(points)
-	for _, fault := range axis.Faults() {
-		t.Error(fault)
+	for _, violation := range axis.Violations() {
+		t.Error(violation)
 	}
-	t.Log(lines.Events())
+	t.Log(logEvents.Events())
 }
 
-// Followers that restart at once go on from their disks and get deltas; snapshots go to those alone that have no disk or
-// that missed more than the publishers keep.
-func TestRestarts(t *testing.T) {
+// Followers that restart at once go on from their disks and get deltas; snapshots go to those alone that have no disk
+// or that missed more than the publishers keep.
+func TestRestartedFollowersResumeFromDisk(t *testing.T) {
 	const followers = 200
-	const kept = 16 // deltas in the publishers' history
+	const historyDeltas = 16 // of the publishers
 	ctx := testContext(t)
-	g := startGroup(ctx, t, Setup{
+	g := startGroup(ctx, t, Options{
 		Followers: followers,
 		Content:   smallContent,
-		Settings:  rollout.PublisherSettings{HistoryDeltas: kept},
+		Settings:  rollout.PublisherSettings{HistoryDeltas: historyDeltas},
 	})
 	defer g.Close()
 	for _, test := range []struct {
-		storm
-		fromDisk, snapshots int
+		restartOptions
+		fromDisk  int
+		snapshots int
 	}{
-		{storm{What: "with their disks", Followers: followers, Missed: 3}, followers, 0},
-		{storm{What: "more missed than is kept", Followers: followers, Missed: kept + 4}, followers, followers},
-		{storm{What: "with empty disks", Followers: followers, Empty: true, Missed: 3}, 0, followers},
-		{storm{What: "half of them", Followers: followers / 2, Missed: 3}, followers / 2, 0},
-		{storm{What: "no publisher up, with their disks", Followers: followers, Alone: true}, followers, 0},
-		{storm{What: "no publisher up, with empty disks", Followers: followers, Empty: true, Alone: true}, 0, followers},
+		{
+			restartOptions: restartOptions{Description: "with their disks", Followers: followers, Missed: 3},
+			fromDisk:       followers,
+		},
+		{
+			restartOptions: restartOptions{
+				Description: "more missed than the history has",
+				Followers:   followers,
+				Missed:      historyDeltas + 4,
+			},
+			fromDisk:  followers,
+			snapshots: followers,
+		},
+		{
+			restartOptions: restartOptions{
+				Description: "with empty disks",
+				Followers:   followers,
+				EmptyDisks:  true,
+				Missed:      3,
+			},
+			snapshots: followers,
+		},
+		{
+			restartOptions: restartOptions{Description: "half of them", Followers: followers / 2, Missed: 3},
+			fromDisk:       followers / 2,
+		},
+		{
+			restartOptions: restartOptions{
+				Description:       "no publisher up, with their disks",
+				Followers:         followers,
+				WithoutPublishers: true,
+			},
+			fromDisk: followers,
+		},
+		{
+			restartOptions: restartOptions{
+				Description:       "no publisher up, with empty disks",
+				Followers:         followers,
+				EmptyDisks:        true,
+				WithoutPublishers: true,
+			},
+			snapshots: followers,
+		},
 	} {
-		result, err := g.restart(ctx, test.storm)
+		result, err := g.restartFollowers(ctx, test.restartOptions)
 		if err != nil {
-			t.Fatalf("%s: %v", test.What, err)
+			t.Fatalf("%s: %v", test.Description, err)
 		}
 		t.Logf("%+v", *result)
-		for _, fault := range result.Faults {
-			t.Errorf("%s: %s", test.What, fault)
+		for _, violation := range result.Violations {
+			t.Errorf("%s: %s", test.Description, violation)
 		}
-		if test.Alone && result.Old > 0 {
-			t.Errorf("%s: an older version than the latest came in force %d times", test.What, result.Old)
+		if test.WithoutPublishers && result.OlderVersions > 0 {
+			t.Errorf("%s: a version older than the latest came in force %d times", test.Description, result.OlderVersions)
 		}
 		if result.FromDisk != test.fromDisk || result.Snapshots != test.snapshots {
-			t.Errorf("%s: %d began from their disks, not %d; %d snapshots, not %d", test.What, result.FromDisk, test.fromDisk,
-				result.Snapshots, test.snapshots)
+			t.Errorf("%s: %d started from their disks, not %d; %d snapshots, not %d",
+				test.Description, result.FromDisk, test.fromDisk, result.Snapshots, test.snapshots)
 		}
 	}
 }
 
-// startGroup gives a group whose followers all have the first version in force. The caller closes it.
-func startGroup(ctx context.Context, t *testing.T, setup Setup) *Group {
+// startGroup returns a group whose followers all have the first version in force. The caller closes it.
+func startGroup(ctx context.Context, t *testing.T, options Options) *Group {
 	t.Helper()
-	g, err := NewGroup(ctx, setup)
+	g, err := NewGroup(ctx, options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = g.Fleet.Start(g.Fleet.members())
 	if err == nil {
-		err = g.everywhere(ctx)
+		err = g.waitEverywhere(ctx)
 	}
 	if err != nil {
 		g.Close()
@@ -113,12 +151,12 @@
 }
 
 // A hollow follower receives, sends and puts in force what a process of the program does.
-func TestComparison(t *testing.T) {
+func TestHollowFollowerMatchesRealGateway(t *testing.T) {
 	const margin = 0.2
-	comparison, err := compared{
+	comparison, err := comparisonOptions{
 		Gateways: 6,
 		Changes:  20,
-		Setup:    Setup{Content: smallContent},
+		Options:  Options{Content: smallContent},
 	}.Compare(testContext(t))
 	if err != nil {
 		t.Fatal(err)
@@ -130,6 +168,7 @@
 	}
 	ratio := comparison.Ratio()
 	if math.Abs(ratio.BytesIn-1) > margin || math.Abs(ratio.BytesOut-1) > margin {
-		t.Errorf("real gateways receive %.2f and send %.2f times as many bytes as hollow followers", ratio.BytesIn, ratio.BytesOut)
+		t.Errorf("real gateways receive %.2f and send %.2f times as many bytes as hollow followers",
+			ratio.BytesIn, ratio.BytesOut)
 	}
 }
--- a/lab/rollout/hollow/latency.go
+++ b/lab/rollout/hollow/latency.go
@@ -7,8 +7,8 @@
 	"ravensill/lab/rollout"
 )
 
-// Latency is the time from the request for a publication until the version, or a later one, is in force, in seconds, over
-// all changes and followers.
+// Latency is the time from the request for a publication until the version, or a later one, is in force, in seconds,
+// over all changes and followers.
 type Latency struct {
 	Changes int     `json:"changes"`
 	Samples int     `json:"samples"` // changes in force at a follower
@@ -17,7 +17,7 @@
 	Latest  float64 `json:"latest"`
 }
 
-// newLatency joins what was published with what came in force at each follower.
+// newLatency returns the latency of what was published, by what came in force at each follower.
 func newLatency(published []rollout.Published, histories [][]Applied) Latency {
 	var delays []time.Duration
 	for _, applied := range histories {
@@ -35,7 +35,7 @@
 	return l
 }
 
-// appendDelays adds the delays of changes at one follower; both lists are in the order of versions.
+// appendDelays adds the delays of changes at one follower. Both lists are in the order of versions.
 func appendDelays(delays []time.Duration, published []rollout.Published, applied []Applied) []time.Duration {
 	next := 0
 	for _, change := range published {
@@ -45,7 +45,7 @@
 		if next == len(applied) {
 			break
 		}
-		delays = append(delays, time.Unix(0, applied[next].At).Sub(change.Sent))
+		delays = append(delays, time.Unix(0, applied[next].At).Sub(change.SentAt))
 	}
 	return delays
 }
--- a/lab/rollout/hollow/point.go
+++ b/lab/rollout/hollow/point.go
@@ -8,21 +8,21 @@
 	"ravensill/lab/scale"
 )
 
-// Shape says what is measured at one size.
-type Shape struct {
-	Setup
-	Rest    time.Duration // without any change
-	Changes int           // one each Pace
-	Pace    time.Duration // 0: a change follows as soon as the one before is in force everywhere
-	Burst   int           // changes one right after the other
+// Measurement describes what is measured at one size.
+type Measurement struct {
+	Options
+	Rest           time.Duration // without any change
+	Changes        int           // one each Pace
+	ChangeInterval time.Duration // 0: a change follows as soon as the one before is in force everywhere
+	Burst          int           // changes one right after the other
 }
 
-// Point is one size with its figures by name. What was not measured is absent.
+// Point is one size with its figures by name. A figure that was not measured is absent.
 type Point struct {
-	Followers int                `json:"followers"`
-	Content   Content            `json:"content"`
-	Figures   map[string]float64 `json:"figures"`
-	Faults    []string           `json:"faults"`
+	Followers  int                `json:"followers"`
+	Content    Content            `json:"content"`
+	Figures    map[string]float64 `json:"figures"`
+	Violations []string           `json:"faults"`
 }
 
 // Names of figures.
@@ -62,17 +62,17 @@
 	PublisherRestOut  = "publisher_rest_bytes_out"
 )
 
-// Metric says what a figure is.
+// Metric describes a figure.
 type Metric struct {
-	Name    string  `json:"name"`
-	Unit    string  `json:"unit"`
-	What    string  `json:"what"`
-	Counted bool    `json:"counted"` // a count or bytes, not a time
-	Budget  float64 `json:"budget,omitempty"`
+	Name        string  `json:"name"`
+	Unit        string  `json:"unit"`
+	Description string  `json:"what"`
+	Counted     bool    `json:"counted"` // a count or bytes, not a time
+	Budget      float64 `json:"budget,omitempty"`
 }
 
-// What the operators allow: a change in force within 12 s, and a gateway's control within 7 KB a second, 1.3% of a core and
-// 128 MB.
+// What the operators allow: a change in force within 12 s, and a gateway's control within 7 KB a second, 1.3% of a
+// core and 128 MB.
 const (
 	budgetSeconds   = 12
 	budgetBytes     = 7 * 1024
@@ -80,10 +80,11 @@
 	budgetMemory    = 128 << 20
 )
 
-// Metrics are all figures in the order of the report. Those of followers are means of one.
+// Metrics returns all figures in the order of the report. Those of followers are means of one.
 func Metrics() []Metric {
 	return []Metric{
-		{PacedMedian, "s", "one change at a time, from the request until in force: median over changes and followers", false, budgetSeconds},
+		{PacedMedian, "s", "one change at a time, from the request until in force: median over changes and followers", false,
+			budgetSeconds},
 		{PacedTail, "s", "the same, 99 in 100", false, budgetSeconds},
 		{PacedLatest, "s", "the same, the latest", false, budgetSeconds},
 		{BurstMedian, "s", "changes of a burst, from each request until in force: median", false, budgetSeconds},
@@ -95,7 +96,8 @@
 		{RestBytesOut, "bytes/s", "sent by a follower at rest", true, budgetBytes},
 		{PacedBytesIn, "bytes/s", "received by a follower under changes one at a time", true, budgetBytes},
 		{PacedBytesOut, "bytes/s", "sent by a follower then", true, budgetBytes},
-		{BurstBytes, "bytes", "received by a follower in the burst; the budget is that of 12 s", true, budgetBytes * budgetSeconds},
+		{BurstBytes, "bytes", "received by a follower in the burst; the budget is that of 12 s", true,
+			budgetBytes * budgetSeconds},
 		{BurstBytesIn, "bytes/s", "the same a second, as long as the burst lasts", true, budgetBytes},
 		{ChangeBytes, "bytes", "delta of a change on the wire, a follower", true, 0},
 		{ChangeDeltas, "", "deltas a change at a follower", true, 0},
@@ -119,62 +121,62 @@
 	}
 }
 
-// Measure runs one size.
-func (s Shape) Measure(ctx context.Context) (*Point, error) {
-	g, err := NewGroup(ctx, s.Setup)
+// Measure measures one size.
+func (s Measurement) Measure(ctx context.Context) (*Point, error) {
+	g, err := NewGroup(ctx, s.Options)
 	if err != nil {
 		return nil, err
 	}
 	defer g.Close()
-	m := &measurement{Shape: s, group: g, figures: map[string]float64{}, followers: float64(s.Followers)}
+	m := &pointMeasurement{Measurement: s, group: g, figures: map[string]float64{}, followers: float64(s.Followers)}
 	m.heap, m.stacks = memory()
-	for _, phase := range []func(context.Context) error{m.start, m.rest, m.paced, m.burst} {
+	for _, phase := range []func(context.Context) error{m.measureStart, m.measureIdle, m.measureSpaced, m.measureBurst} {
 		err := phase(ctx)
 		if err != nil {
 			return nil, err
 		}
 	}
-	m.memory()
-	faults, err := g.Faults(ctx)
-	return &Point{Followers: s.Followers, Content: s.Content, Figures: m.figures, Faults: faults}, err
+	m.measureMemory()
+	violations, err := g.Violations(ctx)
+	return &Point{Followers: s.Followers, Content: s.Content, Figures: m.figures, Violations: violations}, err
 }
 
-// measurement is one size under way.
-type measurement struct {
-	Shape
+// pointMeasurement is the measurement of one size.
+type pointMeasurement struct {
+	Measurement
 	group        *Group
 	figures      map[string]float64
 	followers    float64
 	heap, stacks float64 // before any follower ran
-	atRest       window
+	idle         window
 }
 
-// start has all followers begin with empty disks, so that each gets a snapshot.
-func (m *measurement) start(ctx context.Context) error {
+// measureStart starts all followers with empty disks, so that each receives a snapshot.
+func (m *pointMeasurement) measureStart(ctx context.Context) error {
 	g := m.group
-	w, err := g.during(ctx, func() error {
+	measured, err := g.measure(ctx, func() error {
 		err := g.Fleet.Start(g.Fleet.members())
 		if err != nil {
 			return err
 		}
-		return g.everywhere(ctx)
+		return g.waitEverywhere(ctx)
 	})
-	m.figures[StartTime] = w.Seconds
-	m.figures[StartProcessor] = milliseconds(w.Processor) / m.followers
-	m.figures[StartBytes] = w.BytesIn / m.followers
-	m.figures[StartDeferred] = w.Deferred
-	g.take()
-	g.Fleet.Take()
+	m.figures[StartTime] = measured.Seconds
+	m.figures[StartProcessor] = milliseconds(measured.Processor) / m.followers
+	m.figures[StartBytes] = measured.BytesIn / m.followers
+	m.figures[StartDeferred] = measured.Deferred
+	g.takePublished()
+	g.Fleet.TakeApplied()
 	return err
 }
 
-// rest measures a time without changes.
-func (m *measurement) rest(ctx context.Context) (err error) {
+// measureIdle measures a time without changes.
+func (m *pointMeasurement) measureIdle(ctx context.Context) (err error) {
 	if m.Rest == 0 {
 		return nil
 	}
-	m.atRest, err = m.group.during(ctx, func() error { return waitUntil(ctx, time.Now().Add(m.Rest)) })
-	w := &m.atRest
+	m.idle, err = m.group.measure(ctx, func() error { return waitUntil(ctx, time.Now().Add(m.Rest)) })
+	w := &m.idle
 	m.figures[RestProcessor] = w.Processor / w.Seconds / m.followers
 	m.figures[RestBytesIn] = w.BytesIn / w.Seconds / m.followers
 	m.figures[RestBytesOut] = w.BytesOut / w.Seconds / m.followers
@@ -183,86 +185,89 @@
 	return err
 }
 
-// beyondRest gives how much more a figure of a window is than in as much time at rest.
-func (m *measurement) beyondRest(w *window, of func(w *window) float64) float64 {
+// beyondIdle returns by how much a figure of a window exceeds that of as much idle time.
+func (m *pointMeasurement) beyondIdle(w *window, of func(w *window) float64) float64 {
 	if m.Rest == 0 {
 		return of(w)
 	}
-	return of(w) - of(&m.atRest)/m.atRest.Seconds*w.Seconds
+	return of(w) - of(&m.idle)/m.idle.Seconds*w.Seconds
 }
 
-// paced measures changes one at a time.
-func (m *measurement) paced(ctx context.Context) error {
+// measureSpaced measures changes one at a time.
+func (m *pointMeasurement) measureSpaced(ctx context.Context) error {
 	g := m.group
-	w, err := g.during(ctx, func() error { return g.spaced(ctx, m.Changes, m.Pace, g.everywhere) })
+	measured, err := g.measure(ctx, func() error {
+		return g.publishSpaced(ctx, m.Changes, m.ChangeInterval,
+			g.waitEverywhere)
+	})
 	if err != nil {
 		return err
 	}
-	histories := g.Fleet.Take()
-	latency := newLatency(g.take(), histories)
+	histories := g.Fleet.TakeApplied()
+	latency := newLatency(g.takePublished(), histories)
 	m.figures[PacedMedian] = latency.Median
 	m.figures[PacedTail] = latency.Tail
 	m.figures[PacedLatest] = latency.Latest
 	changes := float64(m.Changes)
-	deltas, bytes := g.Fleet.deltas(histories)
+	deltas, bytes := g.Fleet.countDeltas(histories)
 	m.figures[ChangeDeltas] = deltas / changes / m.followers
 	m.figures[ChangeBytes] = bytes / changes / m.followers
-	m.figures[PublisherBytesOut] = (w.PublisherBytesOut - (w.BytesIn - bytes)) / changes
-	if m.Pace == 0 {
+	m.figures[PublisherBytesOut] = (measured.PublisherBytesOut - (measured.BytesIn - bytes)) / changes
+	if m.ChangeInterval == 0 {
 		return nil
 	}
-	m.figures[PacedProcessor] = w.Processor / w.Seconds / m.followers
-	m.figures[PacedBytesIn] = w.BytesIn / w.Seconds / m.followers
-	m.figures[PacedBytesOut] = w.BytesOut / w.Seconds / m.followers
-	m.figures[PublisherPaced] = w.PublisherProcessor / w.Seconds
-	ofFollowers := func(w *window) float64 { return w.Processor }
-	ofPublishers := func(w *window) float64 { return w.PublisherProcessor }
-	m.figures[ChangeProcessor] = milliseconds(m.beyondRest(&w, ofFollowers)) / changes / m.followers
-	m.figures[PublisherChange] = milliseconds(m.beyondRest(&w, ofPublishers)) / changes
+	m.figures[PacedProcessor] = measured.Processor / measured.Seconds / m.followers
+	m.figures[PacedBytesIn] = measured.BytesIn / measured.Seconds / m.followers
+	m.figures[PacedBytesOut] = measured.BytesOut / measured.Seconds / m.followers
+	m.figures[PublisherPaced] = measured.PublisherProcessor / measured.Seconds
+	ofFollowers := func(measured *window) float64 { return measured.Processor }
+	ofPublishers := func(measured *window) float64 { return measured.PublisherProcessor }
+	m.figures[ChangeProcessor] = milliseconds(m.beyondIdle(&measured, ofFollowers)) / changes / m.followers
+	m.figures[PublisherChange] = milliseconds(m.beyondIdle(&measured, ofPublishers)) / changes
 	return nil
 }
 
-// burst measures changes one right after the other.
-func (m *measurement) burst(ctx context.Context) error {
+// measureBurst measures changes without a pause.
+func (m *pointMeasurement) measureBurst(ctx context.Context) error {
 	if m.Burst == 0 {
 		return nil
 	}
 	g := m.group
-	w, err := g.during(ctx, func() error {
-		err := g.burst(ctx, m.Burst)
+	measured, err := g.measure(ctx, func() error {
+		err := g.publishBurst(ctx, m.Burst)
 		if err != nil {
 			return err
 		}
-		return g.everywhere(ctx)
+		return g.waitEverywhere(ctx)
 	})
 	if err != nil {
 		return err
 	}
-	histories := g.Fleet.Take()
-	latency := newLatency(g.take(), histories)
-	deltas, _ := g.Fleet.deltas(histories)
+	histories := g.Fleet.TakeApplied()
+	latency := newLatency(g.takePublished(), histories)
+	deltas, _ := g.Fleet.countDeltas(histories)
 	m.figures[BurstMedian] = latency.Median
 	m.figures[BurstTail] = latency.Tail
 	m.figures[BurstLatest] = latency.Latest
-	m.figures[BurstSeconds] = w.Seconds
+	m.figures[BurstSeconds] = measured.Seconds
 	m.figures[BurstDeltas] = deltas / m.followers
-	m.figures[BurstBytes] = w.BytesIn / m.followers
-	m.figures[BurstBytesIn] = w.BytesIn / w.Seconds / m.followers
-	m.figures[BurstProcessor] = milliseconds(w.Processor) / m.followers
-	m.figures[PublisherBurst] = w.PublisherProcessor
-	m.figures[PublisherMemory] = w.PublisherMemory
+	m.figures[BurstBytes] = measured.BytesIn / m.followers
+	m.figures[BurstBytesIn] = measured.BytesIn / measured.Seconds / m.followers
+	m.figures[BurstProcessor] = milliseconds(measured.Processor) / m.followers
+	m.figures[PublisherBurst] = measured.PublisherProcessor
+	m.figures[PublisherMemory] = measured.PublisherMemory
 	return nil
 }
 
-// memory measures what the followers keep.
-func (m *measurement) memory() {
+// measureMemory measures the memory of the followers.
+func (m *pointMeasurement) measureMemory() {
 	heap, stacks := memory()
 	m.figures[LiveHeap] = (heap - m.heap) / m.followers
 	m.figures[Stacks] = (stacks - m.stacks) / m.followers
 }
 
-// deltas counts the deltas among what came in force, and their bytes on the wire.
-func (f *Fleet) deltas(histories [][]Applied) (count, bytes float64) {
+// countDeltas returns the number of deltas among what came in force, and their bytes on the wire.
+func (f *Fleet) countDeltas(histories [][]Applied) (count, bytes float64) {
 	for _, history := range histories {
 		for i := range history {
 			if history[i].Snapshot {
@@ -283,7 +288,8 @@
 	Fits   map[string]scale.Fit `json:"fits"`
 }
 
-// NewAxis fits the figures of points, by the number of followers. Those that are not above zero everywhere have no fit.
+// NewAxis fits the figures of points by the number of followers. A figure that is not above zero everywhere has no
+// fit.
 func NewAxis(points []*Point) Axis {
 	axis := Axis{Points: points, Fits: map[string]scale.Fit{}}
 	for _, metric := range Metrics() {
--- a/lab/rollout/hollow/report.go
+++ b/lab/rollout/hollow/report.go
@@ -16,30 +16,30 @@
 
 // Report is all that was measured, by one run or by runs of single parts.
 type Report struct {
-	Go       string         `json:"go"`
-	Cores    int            `json:"cores"`
-	Runs     map[string]Run `json:"runs"` // by part
-	Metrics  []Metric       `json:"metrics"`
-	Axis     Axis           `json:"by_followers"`
-	Large    []*Point       `json:"large_contents"`
-	Storms   []*Storm       `json:"restarts"`
-	Compared *Comparison    `json:"real_and_hollow"`
-	Events   map[string]int `json:"log_events"` // of the followers' logs
+	Go       string                 `json:"go"`
+	Cores    int                    `json:"cores"`
+	Runs     map[string]Environment `json:"runs"` // by part
+	Metrics  []Metric               `json:"metrics"`
+	Axis     Axis                   `json:"by_followers"`
+	Large    []*Point               `json:"large_contents"`
+	Restarts []*RestartResult       `json:"restarts"`
+	Compared *Comparison            `json:"real_and_hollow"`
+	Events   map[string]int         `json:"log_events"` // of the followers' logs
 }
 
-// Run says how a part was measured.
-type Run struct {
-	Command  string `json:"command"`
-	LoadFrom string `json:"load_average_before"` // of the machine, other work included
-	LoadTo   string `json:"load_average_after"`
+// Environment is how a part was measured.
+type Environment struct {
+	Command    string `json:"command"`
+	LoadBefore string `json:"load_average_before"` // of the machine, other work included
+	LoadAfter  string `json:"load_average_after"`
 }
 
 // fileName is the report's, without its ending.
 const fileName = "rollout-scale"
 
-// NewReport begins a report, or goes on with the one of a folder.
+// NewReport returns an empty report, or the one in a folder if there is one.
 func NewReport(folder string) (*Report, error) {
-	report := &Report{Runs: map[string]Run{}}
+	report := &Report{Runs: map[string]Environment{}}
 	text, err := os.ReadFile(filepath.Join(folder, fileName+".json"))
 	if err == nil {
 		err = json.Unmarshal(text, report)
@@ -53,20 +53,20 @@
 	return report, nil
 }
 
-// Begin notes that a part is measured by a command from now on.
+// Begin records that a part is measured by a command from now on.
 func (r *Report) Begin(part, command string) {
-	r.Runs[part] = Run{Command: command, LoadFrom: loadAverage()}
+	r.Runs[part] = Environment{Command: command, LoadBefore: loadAverage()}
 }
 
-// End notes that a part is measured.
-func (r *Report) End(part string, lines *Lines) {
+// End records that a part is measured.
+func (r *Report) End(part string, lines *EventCounter) {
 	run := r.Runs[part]
-	run.LoadTo = loadAverage()
+	run.LoadAfter = loadAverage()
 	r.Runs[part] = run
 	r.Events = lines.Events()
 }
 
-// loadAverage gives the machine's load average over 1, 5 and 15 minutes.
+// loadAverage returns the machine's load average over 1, 5 and 15 minutes.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -88,19 +88,19 @@
 		return err
 	}
 	var page strings.Builder
-	r.Text(&page)
+	r.WriteText(&page)
 	return os.WriteFile(filepath.Join(folder, fileName+".md"), []byte(page.String()), 0o644)
 }
 
-// Text writes the report as tables.
-func (r *Report) Text(w io.Writer) {
-	fmt.Fprintf(w, "# Figures of the configuration's distribution by hollow followers\n\n%s, %d cores, a machine shared with other "+
-		"runs. Three publishers. `docs/rollout-scale.md` tells how and what is left out. Figures of followers are means of one, in "+
-		"force is wall time under the load average that is told.\n\n| part | load average before | after | command |\n"+
-		"| --- | --- | --- | --- |\n", r.Go, r.Cores)
+// WriteText writes the report as tables.
+func (r *Report) WriteText(w io.Writer) {
+	fmt.Fprintf(w, "# Figures of the configuration's distribution by hollow followers\n\n%s, %d cores, a machine shared "+
+		"with other runs. Three publishers. `docs/rollout-scale.md` describes the method and what is left out. Figures of "+
+		"followers are means of one; times until in force are wall time under the load average shown.\n\n"+
+		"| part | load average before | after | command |\n| --- | --- | --- | --- |\n", r.Go, r.Cores)
 	for _, part := range slices.Sorted(maps.Keys(r.Runs)) {
 		run := r.Runs[part]
-		fmt.Fprintf(w, "| %s | %s | %s | `%s` |\n", part, run.LoadFrom, run.LoadTo, run.Command)
+		fmt.Fprintf(w, "| %s | %s | %s | `%s` |\n", part, run.LoadBefore, run.LoadAfter, run.Command)
 	}
 	if len(r.Axis.Points) > 0 {
 		r.axisText(w)
@@ -108,30 +108,30 @@
 	if len(r.Large) > 0 {
 		r.largeText(w)
 	}
-	if len(r.Storms) > 0 {
-		r.stormsText(w)
+	if len(r.Restarts) > 0 {
+		r.restartsText(w)
 	}
 	if r.Compared != nil {
 		r.Compared.text(w)
 	}
 	fmt.Fprintf(w, "\nLog lines of the last run's followers by event: %v.\n", r.Events)
-	for _, fault := range r.Faults() {
-		fmt.Fprintf(w, "\nDoes not hold: %s.\n", fault)
+	for _, violation := range r.Violations() {
+		fmt.Fprintf(w, "\nDoes not hold: %s.\n", violation)
 	}
 }
 
-// Faults lists all that does not hold.
-func (r *Report) Faults() (faults []string) {
+// Violations returns all that does not hold.
+func (r *Report) Violations() (violations []string) {
 	if len(r.Axis.Points) > 0 {
-		faults = append(faults, r.Axis.Faults()...)
+		violations = append(violations, r.Axis.Violations()...)
 	}
 	for _, point := range r.Large {
-		faults = append(faults, point.Faults...)
+		violations = append(violations, point.Violations...)
 	}
-	for _, storm := range r.Storms {
-		faults = append(faults, storm.Faults...)
+	for _, storm := range r.Restarts {
+		violations = append(violations, storm.Violations...)
 	}
-	return faults
+	return violations
 }
 
 // axisText writes a row for each figure, with a column for each number of followers.
@@ -144,7 +144,7 @@
 		strings.Repeat(" --- |", len(r.Axis.Points)))
 	for i := range r.Metrics {
 		metric := &r.Metrics[i]
-		fmt.Fprintf(w, "| %s | %s |", metric.title(), metric.What)
+		fmt.Fprintf(w, "| %s | %s |", metric.title(), metric.Description)
 		for _, point := range r.Axis.Points {
 			fmt.Fprintf(w, " %s |", figure(point, metric))
 		}
@@ -152,7 +152,7 @@
 	}
 }
 
-// fit tells how a figure grows.
+// fit returns how a figure grows, as two cells of a row.
 func (a *Axis) fit(metric *Metric) string {
 	fit, fitted := a.Fits[metric.Name]
 	if !fitted {
@@ -165,8 +165,10 @@
 	return fmt.Sprintf("%.2f, %.2f | %s, %.2f", fit.Exponent, fit.Residual, form, fit.Error)
 }
 
+// title returns the name and the unit.
 func (m *Metric) title() string { return strings.TrimSuffix(m.Name+", "+m.Unit, ", ") }
 
+// figure returns a point's value of a metric.
 func figure(point *Point, metric *Metric) string {
 	value, measured := point.Figures[metric.Name]
 	if !measured {
@@ -175,7 +177,7 @@
 	return fmt.Sprintf("%.4g", value)
 }
 
-// budget tells the budget and the greatest part of it that a point takes.
+// budget returns the budget and the largest fraction of it that a point uses.
 func (m *Metric) budget(points []*Point) string {
 	if m.Budget == 0 {
 		return "- | -"
@@ -187,11 +189,12 @@
 	return fmt.Sprintf("%.4g | %.1f%%", m.Budget, 100*most/m.Budget)
 }
 
+// text returns the size in a few words.
 func (c Content) text() string {
 	return fmt.Sprintf("%d quota plans, %d request classes", c.Plans, c.Classes)
 }
 
-// largeText writes points whose contents are large.
+// largeText writes points with a large configuration.
 func (r *Report) largeText(w io.Writer) {
 	for _, point := range r.Large {
 		fmt.Fprintf(w, "\n## %d followers with a large configuration\n\n%s.\n\n| figure | what | value | budget | of it |\n"+
@@ -201,27 +204,32 @@
 			if _, measured := point.Figures[metric.Name]; !measured {
 				continue
 			}
-			fmt.Fprintf(w, "| %s | %s | %s | %s |\n", metric.title(), metric.What, figure(point, metric),
+			fmt.Fprintf(w, "| %s | %s | %s | %s |\n", metric.title(), metric.Description, figure(point, metric),
 				metric.budget([]*Point{point}))
 		}
 	}
 }
 
-func (r *Report) stormsText(w io.Writer) {
-	fmt.Fprint(w, "\n## Restarts at once\n\n| what | followers | configuration | versions missed | s until in force everywhere | from disk | snapshots | deltas | older versions in force | "+
+// restartsText writes a row for each restart.
+func (r *Report) restartsText(w io.Writer) {
+	fmt.Fprint(w, "\n## Restarts at once\n\n| what | followers | configuration | versions missed | "+
+		"s until in force everywhere | from disk | snapshots | deltas | older versions in force | "+
 		"put off | bytes of publishers | processor s, followers | processor s, publishers |\n"+
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	for _, s := range r.Storms {
-		fmt.Fprintf(w, "| %s | %d | %s | %d | %.2f | %d | %d | %d | %d | %d | %.4g | %.2f | %.2f |\n", s.What, s.Followers, s.Content.text(),
-			s.Missed, s.Seconds, s.FromDisk, s.Snapshots, s.Deltas, s.Old, s.Deferred, s.BytesOut, s.Processor, s.Publishers)
+	for _, restart := range r.Restarts {
+		fmt.Fprintf(w, "| %s | %d | %s | %d | %.2f | %d | %d | %d | %d | %d | %.4g | %.2f | %.2f |\n",
+			restart.Description, restart.Followers, restart.Content.text(), restart.Missed, restart.Seconds,
+			restart.FromDisk, restart.Snapshots, restart.Deltas, restart.OlderVersions, restart.Deferred,
+			restart.BytesOut, restart.Processor, restart.Publishers)
 	}
 }
 
+// text writes the comparison as a table.
 func (c *Comparison) text(w io.Writer) {
 	ratio := c.Ratio()
-	fmt.Fprintf(w, "\n## Real and hollow\n\n%d real gateway processes and %d hollow followers of the same publishers, %d changes at one "+
-		"pace each; means of a gateway and change, without the heartbeats of that time.\n\n| figure | real | hollow | real over hollow |\n"+
-		"| --- | --- | --- | --- |\n", c.Gateways, c.Gateways, c.Changes)
+	fmt.Fprintf(w, "\n## Real and hollow\n\n%d real gateway processes and %d hollow followers of the same publishers, "+
+		"%d changes at one pace each; means of a gateway and change, without the heartbeats of that time.\n\n"+
+		"| figure | real | hollow | real over hollow |\n| --- | --- | --- | --- |\n", c.Gateways, c.Gateways, c.Changes)
 	for _, row := range []struct {
 		name                string
 		real, hollow, ratio float64
--- a/lab/rollout/hollow/sample.go
+++ b/lab/rollout/hollow/sample.go
@@ -17,14 +17,14 @@
 	publishers []publisherSample
 }
 
-// publisherSample is of one publisher.
+// publisherSample is that of one publisher.
 type publisherSample struct {
 	fleet.Usage
 	bytesIn  int64 // from followers
 	bytesOut int64 // to followers
 }
 
-// processorTime is what this process has used since its start.
+// processorTime returns the processor time of this process since its start.
 func processorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
@@ -70,6 +70,7 @@
 	PublisherMemory    float64 // resident bytes at the end, of the publisher with most
 }
 
+// newWindow returns what happened between two samples.
 func newWindow(from, to sample) (w window) {
 	w.Seconds = to.at.Sub(from.at).Seconds()
 	w.Processor = (to.processor - from.processor).Seconds()
@@ -85,9 +86,9 @@
 	return w
 }
 
-// during measures what something does. What the samples themselves cost is left out where they can: the publishers' status
-// is asked for after the processor times are read.
-func (g *Group) during(ctx context.Context, do func() error) (w window, err error) {
+// measure returns what happens during a function. The cost of the samples themselves is left out where possible: the
+// publishers' status is requested after the processor times are read.
+func (g *Group) measure(ctx context.Context, do func() error) (w window, err error) {
 	_, err = g.sample(ctx) // so that what it costs the publishers is not in the window
 	if err != nil {
 		return w, err
@@ -104,7 +105,7 @@
 	return newWindow(from, to), err
 }
 
-// memory gives what is live after a collection, in bytes: heap and stacks of this process.
+// memory returns the live bytes of heap and stacks of this process, after a collection.
 func memory() (heap, stacks float64) {
 	runtime.GC()
 	runtime.GC() // what had a finalizer or stood in a pool goes with the second
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	hostileTimeout  = 30 * time.Second // for the other side to end a connection: no verdict, only an end
+	hostileTimeout  = 30 * time.Second // for the other side to end a connection
 	strangerMember  = 60_000           // member index of no gateway
 	tooLongFrame    = "\xff\xff\xff\xff\x02"
 	notAMessage     = "GET / HTTP/1.1\r\nHost: example\r\n\r\n"
@@ -27,7 +27,7 @@
 	farAheadVersion = 1 << 40
 )
 
-// hostileBytes are what may come in on a connection in the place of messages.
+// hostileBytes returns what may arrive on a connection in place of messages.
 func hostileBytes() map[string][]byte {
 	hello := configsync.Encode(strangerHello())
 	return map[string][]byte{
@@ -39,11 +39,12 @@
 	}
 }
 
+// strangerHello returns the hello of a gateway that is no member.
 func strangerHello() *configsync.Hello {
 	return &configsync.Hello{Protocol: configsync.Protocol, Member: strangerMember, Name: strangerName, Incarnation: 1}
 }
 
-// hostileToPublishers are what a follower must not send.
+// hostileToPublishers returns what a follower must not send.
 func hostileToPublishers() map[string][]byte {
 	hello := configsync.Encode(strangerHello())
 	other := strangerHello()
@@ -61,8 +62,8 @@
 	return all
 }
 
-// HostileFollowers is the step that sends each publisher what no follower sends. Each connection has to be ended and
-// counted.
+// HostileFollowers returns a step that sends each publisher what no follower sends. The publisher has to end and
+// count each such connection.
 func HostileFollowers() Step {
 	return Step{"hostile followers", func(ctx context.Context, r *Run) error {
 		for i := range r.Publishers.Count() {
@@ -75,6 +76,7 @@
 	}}
 }
 
+// hostileFollowers sends one publisher what no follower sends.
 func (r *Run) hostileFollowers(ctx context.Context, i int) error {
 	before, err := r.Publishers.Status(ctx, i)
 	if err != nil {
@@ -82,40 +84,40 @@
 	}
 	hostile := hostileToPublishers()
 	for name, text := range hostile {
-		err := endedBy(r.Publishers.addresses[i].followers.String(), text)
+		err := sendAndWaitClosed(r.Publishers.addresses[i].followers.String(), text)
 		if err != nil {
 			return fmt.Errorf("%s: %s: %w", publisherName(i), name, err)
 		}
 	}
 	what := fmt.Sprintf("%s to count %d malformed connections", publisherName(i), len(hostile))
-	return r.until(ctx, what, func() bool {
+	return r.waitUntil(ctx, what, func() bool {
 		now, err := r.Publishers.Status(ctx, i)
 		return err == nil && now.Counters.Malformed == before.Counters.Malformed+int64(len(hostile))
 	})
 }
 
-// endedBy sends bytes to an address and waits until the other side ends the connection.
-func endedBy(address string, text []byte) error {
+// sendAndWaitClosed sends bytes to an address and waits until the other side ends the connection.
+func sendAndWaitClosed(address string, text []byte) error {
 	conn, err := net.DialTimeout("tcp4", address, hostileTimeout)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	say(conn, text)
-	return drained(conn)
+	writeAndClose(conn, text)
+	return waitClosed(conn)
 }
 
-// say sends bytes and no more after them. The other side may end the connection before it has read all, which shows as an
-// error here.
-func say(conn net.Conn, text []byte) {
+// writeAndClose writes bytes and ends that direction. An error is expected: the other side may close the connection
+// before it has read all.
+func writeAndClose(conn net.Conn, text []byte) {
 	_, err := conn.Write(text)
 	if err == nil {
 		conn.(*net.TCPConn).CloseWrite()
 	}
 }
 
-// drained reads until the other side has ended a connection, by an end or a reset.
-func drained(conn net.Conn) error {
+// waitClosed reads until the other side has closed or reset the connection.
+func waitClosed(conn net.Conn) error {
 	conn.SetReadDeadline(time.Now().Add(hostileTimeout))
 	_, err := io.Copy(io.Discard, conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -124,36 +126,38 @@
 	return nil
 }
 
-// answerTo is what a false publisher sends to a gateway that said hello.
-type answerTo func(hello *configsync.Hello) []byte
+// hostileAnswer returns what an impostor of a publisher sends to a gateway that said hello.
+type hostileAnswer func(hello *configsync.Hello) []byte
 
-// falsePublisher listens in the place of a publisher.
-type falsePublisher struct {
+// impostor listens in place of a publisher.
+type impostor struct {
 	listener net.Listener
 }
 
-func newFalsePublisher() (*falsePublisher, error) {
+// newImpostor starts to listen.
+func newImpostor() (*impostor, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	return &falsePublisher{listener}, nil
+	return &impostor{listener}, nil
 }
 
-// encounter is one connection of a gateway to a false publisher.
-type encounter struct {
-	met   chan struct{} // closed once the gateway has said hello
-	ended chan error    // once the gateway has ended the connection
+// impostorConn is one connection of a gateway to an impostor.
+type impostorConn struct {
+	greeted chan struct{} // closed once the gateway has said hello
+	closed  chan error    // once the gateway has ended the connection
 }
 
-// answerOne answers the next connection on which a hello comes.
-func (p *falsePublisher) answerOne(answer answerTo) *encounter {
-	e := &encounter{met: make(chan struct{}), ended: make(chan error, 1)}
-	go func() { e.ended <- p.serveOne(e, answer) }()
+// answerOne answers the next connection on which a hello arrives. The goroutine ends when the listener is closed.
+func (p *impostor) answerOne(answer hostileAnswer) *impostorConn {
+	e := &impostorConn{greeted: make(chan struct{}), closed: make(chan error, 1)}
+	go func() { e.closed <- p.serveOne(e, answer) }()
 	return e
 }
 
-func (p *falsePublisher) serveOne(e *encounter, answer answerTo) error {
+// serveOne serves connections until it has answered one.
+func (p *impostor) serveOne(e *impostorConn, answer hostileAnswer) error {
 	for {
 		conn, err := p.listener.Accept()
 		if err != nil {
@@ -165,15 +169,16 @@
 			conn.Close() // reset on its way here
 			continue
 		}
-		close(e.met)
+		close(e.greeted)
 		defer conn.Close()
-		say(conn, answer(hello))
-		return drained(conn)
+		writeAndClose(conn, answer(hello))
+		return waitClosed(conn)
 	}
 }
 
-// hostileToGateways are what a publisher must not send. All but those of malformedToGateways are messages in themselves.
-func hostileToGateways() map[string]answerTo {
+// hostileToGateways returns what a publisher must not send. All but those of malformedToGateways are well-formed
+// messages.
+func hostileToGateways() map[string]hostileAnswer {
 	all := malformedToGateways()
 	all["another log"] = func(*configsync.Hello) []byte {
 		return configsync.Encode(&configsync.Heartbeat{Log: otherLog, Latest: farAheadVersion, Current: true})
@@ -187,9 +192,9 @@
 	return all
 }
 
-// malformedToGateways are what no publisher sends at all.
-func malformedToGateways() map[string]answerTo {
-	all := map[string]answerTo{
+// malformedToGateways returns what no publisher sends at all.
+func malformedToGateways() map[string]hostileAnswer {
+	all := map[string]hostileAnswer{
 		"a follower's message": func(hello *configsync.Hello) []byte { return configsync.Encode(hello) },
 	}
 	for name, text := range hostileBytes() {
@@ -198,6 +203,7 @@
 	return all
 }
 
+// falseDelta returns a delta from a version whose digest does not match its content.
 func falseDelta(hello *configsync.Hello, from configsync.Version) *configsync.Delta {
 	name := configsync.Resource(planResource(strangerName))
 	return &configsync.Delta{
@@ -208,21 +214,21 @@
 	}
 }
 
-// FalsePublisher is the step that puts a false publisher in the place of one of a gateway's. The gateway has to end each
-// connection, count the malformed ones and follow the true publishers again each time.
-func FalsePublisher(member, index int) Step {
-	what := fmt.Sprintf("a false publisher in the place of publisher %d for gateway %d", index, member)
+// ImpersonatePublisher returns a step that puts an impostor in place of one of a gateway's publishers. The gateway
+// has to end each connection, count the malformed ones and follow the real publishers again each time.
+func ImpersonatePublisher(member, index int) Step {
+	what := fmt.Sprintf("an impostor in place of publisher %d for gateway %d", index, member)
 	return Step{what, func(ctx context.Context, r *Run) error {
-		impostor, err := newFalsePublisher()
+		impostor, err := newImpostor()
 		if err != nil {
 			return err
 		}
 		defer impostor.listener.Close()
 		link := r.links[member][index]
-		link.Lead(impostor.listener.Addr().String())
-		defer link.Lead(r.Publishers.addresses[index].followers.String())
+		link.SetTarget(impostor.listener.Addr().String())
+		defer link.SetTarget(r.Publishers.addresses[index].followers.String())
 		for name, answer := range hostileToGateways() {
-			err := r.meet(ctx, member, impostor.answerOne(answer))
+			err := r.meetImpostor(ctx, member, impostor.answerOne(answer))
 			if err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
@@ -233,15 +239,15 @@
 	}}
 }
 
-// meet resets a gateway's connections until it has come to a false publisher, waits until it ends that connection, and
-// until it has a later version in force, from a true publisher.
-func (r *Run) meet(ctx context.Context, member int, e *encounter) error {
-	err := r.until(ctx, "the gateway to come to the false publisher", func() bool {
+// meetImpostor resets a gateway's connections until it has connected to an impostor, waits until it ends that
+// connection and until it has a later version in force, from a real publisher.
+func (r *Run) meetImpostor(ctx context.Context, member int, e *impostorConn) error {
+	err := r.waitUntil(ctx, "the gateway to connect to the impostor", func() bool {
 		select {
-		case <-e.met:
+		case <-e.greeted:
 			return true
 		default:
-			r.Fleet.Relay.Reset([]string{fleet.GatewayName(member)}, nil)
+			r.Fleet.Relay.ResetStreams([]string{fleet.GatewayName(member)}, nil)
 			return false
 		}
 	})
@@ -249,23 +255,23 @@
 		return err
 	}
 	select {
-	case err = <-e.ended:
+	case err = <-e.closed:
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
 	if err != nil {
 		return err
 	}
-	return r.inForce(ctx, r.latest()+1, []int{member})
+	return r.waitInForce(ctx, r.latestVersion()+1, []int{member})
 }
 
-// Refuted is the step that looks that nothing of a false publisher is in force.
-func Refuted(members ...int) Step {
+// CheckNothingOfImpostor returns a step that checks that nothing of an impostor is in force.
+func CheckNothingOfImpostor(members ...int) Step {
 	return Step{"nothing of a false publisher in force", func(_ context.Context, r *Run) error {
 		for _, member := range members {
-			answer := r.probe(member, strangerName, customerOf(member, strangerName))
+			answer := r.probe(member, strangerName)
 			if !strings.HasPrefix(answer.ErrorText, "ERR ") {
-				return fmt.Errorf("%s: a request on the plan of a false publisher: %s", fleet.GatewayName(member), answer.Result)
+				return fmt.Errorf("plan of an impostor: %w", probeError(member, strangerName, answer))
 			}
 		}
 		return nil
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -21,14 +21,15 @@
 )
 
 const (
-	addressNet    = 130 // loopback net of the publishers' addresses
-	publisherRoom = 8   // publishers of one group at most
-	groupKeyBytes = 16
+	publisherNetwork = 130 // of the publishers' addresses, within 127.0.0.0/8
+	maxGroupSize     = 8
+	groupKeyBytes    = 16
+	stateFolder      = "state" // of a publisher's log, in its working folder
 )
 
 var publisherProgram = fleet.NewProgram("ravensill/cmd/ravensill-publisher")
 
-// publisherAddresses are where one publisher listens. They stay the same in all of its lives.
+// publisherAddresses are the addresses of one publisher, the same in all its incarnations.
 type publisherAddresses struct {
 	followers netip.AddrPort
 	raft      netip.AddrPort
@@ -41,14 +42,14 @@
 	addresses []publisherAddresses
 	dir       string // holds a folder for each publisher, and copies of them
 
-	slowMu sync.Mutex
-	slow   []string // answers that took long
+	slowMu      sync.Mutex
+	slowAnswers []string // answers that took long
 }
 
-// publisherName is a publisher's name, in the relay's rules too.
+// publisherName returns the name of a publisher, which the relay's rules use too.
 func publisherName(i int) string { return fmt.Sprintf("p%d", i) }
 
-// publisherNames names all publishers of a group.
+// publisherNames returns the names of all publishers of a group.
 func publisherNames(count int) (names []string) {
 	for i := range count {
 		names = append(names, publisherName(i))
@@ -56,8 +57,8 @@
 	return names
 }
 
-// GroupPlan describes a group of publishers.
-type GroupPlan struct {
+// GroupOptions describes a group of publishers.
+type GroupOptions struct {
 	Count      int
 	Dir        string       // holds a folder for each publisher, and copies of them
 	Relay      *relay.Relay // carries the publishers' messages to each other; nil: they go straight
@@ -89,22 +90,22 @@
 // SetListen sets the address at which the publisher listens for followers.
 func (f *publisherFile) SetListen(addr string) { f.Listen = addr }
 
-// groups counts the groups of publishers of this test process.
-var groups atomic.Int64
+// groupCount is the number of groups that this test process has started.
+var groupCount atomic.Int64
 
-// NewPublishers starts a group and waits until all of it serve followers.
-func NewPublishers(ctx context.Context, plan GroupPlan) (*Publishers, error) {
+// NewPublishers starts a group and waits until all its publishers serve followers.
+func NewPublishers(ctx context.Context, plan GroupOptions) (*Publishers, error) {
 	binary, err := publisherProgram.Build()
 	if err != nil {
 		return nil, err
 	}
 	p := &Publishers{dir: plan.Dir}
-	p.addresses, err = freeAddresses(plan.Count, int(groups.Add(1)))
+	p.addresses, err = freeAddresses(plan.Count, int(groupCount.Add(1)))
 	if err != nil {
 		return nil, err
 	}
 	for i := range plan.Count {
-		cfg, err := p.config(&plan, i)
+		cfg, err := p.file(&plan, i)
 		if err != nil {
 			return nil, err
 		}
@@ -118,7 +119,7 @@
 			Config:     cfg,
 		}))
 	}
-	err = p.each(func(process *fleet.Process) error { return errors.Join(process.Launch(), process.WaitServing(ctx)) })
+	err = p.forEach(func(process *fleet.Process) error { return errors.Join(process.Launch(), process.WaitServing(ctx)) })
 	if err != nil {
 		p.Close()
 		return nil, err
@@ -126,14 +127,14 @@
 	return p, nil
 }
 
-// freeAddresses finds the addresses of a group.
+// freeAddresses returns free addresses for a group.
 func freeAddresses(count, number int) ([]publisherAddresses, error) {
 	const each = 3 // addresses of a publisher
 	all := make([]publisherAddresses, count)
 	for i := range all {
-		first := (number*publisherRoom + i) * each
+		first := (number*maxGroupSize + i) * each
 		for k, into := range []*netip.AddrPort{&all[i].followers, &all[i].raft, &all[i].admin} {
-			address, err := emulator.FreeAddr(addressNet, first+k)
+			address, err := emulator.FreeAddr(publisherNetwork, first+k)
 			if err != nil {
 				return nil, err
 			}
@@ -143,8 +144,8 @@
 	return all, nil
 }
 
-// config gives the content of a publisher's configuration file.
-func (p *Publishers) config(plan *GroupPlan, i int) (*publisherFile, error) {
+// file returns the configuration file of a publisher.
+func (p *Publishers) file(plan *GroupOptions, i int) (*publisherFile, error) {
 	var raft, admin []string
 	for k, addresses := range p.addresses {
 		way := addresses.raft.String()
@@ -173,14 +174,11 @@
 	}, nil
 }
 
-// FollowerAddress is where a publisher serves followers.
+// FollowerAddress returns the address at which a publisher serves followers.
 func (p *Publishers) FollowerAddress(i int) netip.AddrPort { return p.addresses[i].followers }
 
-// stateFolder is the folder of a publisher's log, in its working folder.
-const stateFolder = "state"
-
-// each does something with all processes at the same time.
-func (p *Publishers) each(do func(process *fleet.Process) error) error {
+// forEach calls a function for all processes at the same time.
+func (p *Publishers) forEach(do func(process *fleet.Process) error) error {
 	var all errgroup.Group
 	for _, process := range p.processes {
 		all.Go(func() error { return do(process) })
@@ -188,13 +186,13 @@
 	return all.Wait()
 }
 
-// Process gives one publisher's process.
+// Process returns the process of publisher i.
 func (p *Publishers) Process(i int) *fleet.Process { return p.processes[i] }
 
-// Count is the number of publishers, running or not.
+// Count returns the number of publishers, running or not.
 func (p *Publishers) Count() int { return len(p.processes) }
 
-// CopyState copies a publisher's log aside. The publisher must be down: a copy of a log that is being written is torn.
+// CopyState copies a publisher's log. The publisher must be down: a copy of a log that is being written is damaged.
 func (p *Publishers) CopyState(i int) error {
 	to := p.copyOf(i)
 	err := os.RemoveAll(to)
@@ -204,7 +202,7 @@
 	return os.CopyFS(to, os.DirFS(filepath.Join(p.processes[i].Dir, stateFolder)))
 }
 
-// RestoreState puts the copy in the place of a publisher's log. The publisher must be down.
+// RestoreState replaces a publisher's log by its copy. The publisher must be down.
 func (p *Publishers) RestoreState(i int) error {
 	folder := filepath.Join(p.processes[i].Dir, stateFolder)
 	err := os.RemoveAll(folder)
@@ -214,20 +212,21 @@
 	return os.CopyFS(folder, os.DirFS(p.copyOf(i)))
 }
 
+// copyOf returns the folder of the copy of a publisher's log.
 func (p *Publishers) copyOf(i int) string { return filepath.Join(p.dir, "copy-"+publisherName(i)) }
 
-// usage reads what each publisher has used; zero for one that is down.
+// usage returns what each publisher has used; zero for one that is down.
 func (p *Publishers) usage() (all []fleet.Usage) {
 	for _, process := range p.processes {
-		used, _ := process.Usage()
-		all = append(all, used)
+		usage, _ := process.Usage()
+		all = append(all, usage)
 	}
 	return all
 }
 
 // Close ends all processes.
 func (p *Publishers) Close() {
-	p.each(func(process *fleet.Process) error {
+	p.forEach(func(process *fleet.Process) error {
 		if process.Running() {
 			process.Kill()
 		}
@@ -236,15 +235,15 @@
 	})
 }
 
-// Unhealthy tells which publishers printed a trace or ended by themselves.
-func (p *Publishers) Unhealthy() (faults []string) {
+// Crashes returns which publishers printed a stack trace or ended by themselves.
+func (p *Publishers) Crashes() (crashes []string) {
 	for _, process := range p.processes {
 		if process.EventCounts()[fleet.UnnamedLine] > 0 {
-			faults = append(faults, fmt.Sprintf("%s printed a trace", process.Name))
+			crashes = append(crashes, fmt.Sprintf("%s printed a trace", process.Name))
 		}
 		for range fleet.UnexpectedExits(process.Events()) {
-			faults = append(faults, process.Name+" ended by itself")
+			crashes = append(crashes, process.Name+" ended by itself")
 		}
 	}
-	return faults
+	return crashes
 }
--- a/lab/rollout/record.go
+++ b/lab/rollout/record.go
@@ -11,53 +11,87 @@
 	"ravensill/lab/logline"
 )
 
-// Applied is a version that came in force at a gateway, by its log line.
-type Applied struct {
-	Life     int // number of the process's life, from 1 on
-	Version  configsync.Version
-	At       time.Time // by the gateway's clock, which is the machine's
-	FromDisk bool      // a start from the last good version
-	Damaged  bool      // that was torn or altered, so that it is an earlier one
-}
-
-// Refused is a version that a gateway could not take, by its log line.
-type Refused struct {
-	Version  configsync.Version
-	Resource string
+// Record is what a run left behind. The checks read it.
+type Record struct {
+	Histories  []*History // by member index
+	Published  []Published
+	Publishers []PublisherState // of those that run at the end
+	Disks      []DiskState      // by member index
+	Crashes    []string         // of publishers
 }
 
 // Published is a change that the publishers agreed on.
 type Published struct {
-	Version  configsync.Version
-	Sent     time.Time // the first attempt of the request
-	Answered time.Time
+	Version    configsync.Version
+	SentAt     time.Time // the first attempt of the request
+	AnsweredAt time.Time
 }
 
-// Absence is a time in which a gateway was down or had no way to any publisher, by no fault of the program.
-type Absence struct {
-	From, To time.Time // To is zero while it lasts
+// PublisherState is a publisher's view at the end.
+type PublisherState struct {
+	Name      string
+	Version   configsync.Version
+	Digest    string
+	Log       configsync.LogID
+	Followers []publisher.Follower
 }
 
-// History is what befell one gateway, read from its log.
+// DiskState is what a gateway has stored at the end.
+type DiskState struct {
+	Version configsync.Version
+	Digest  string
+	Err     error // of reading it
+}
+
+// String returns the state in a few words.
+func (d *DiskState) String() string {
+	if d.Err != nil {
+		return d.Err.Error()
+	}
+	return fmt.Sprintf("version %d, digest %.16s", d.Version, d.Digest)
+}
+
+// History is what happened to one gateway, read from its log.
 type History struct {
 	Applied  []Applied
-	Refused  []Refused
+	Refusals []Refusal
 	Absences []Absence
 	Counters []Counters // of its status lines, in order
 
-	life    int
-	damaged bool // the present life found its file torn or altered
-	mark    int  // in the log, up to which it was read
+	ended   int  // incarnations that are over
+	damaged bool // the present incarnation found its file damaged
+	mark    int  // in the log: where reading goes on
+}
+
+// Applied is a version that came in force at a gateway.
+type Applied struct {
+	Incarnation int // from 1 on
+	Version     configsync.Version
+	At          time.Time // by the gateway's clock, which is that of the machine
+	FromDisk    bool      // the incarnation started with the stored version
+	Damaged     bool      // the stored file was damaged, so that its version is an earlier one
+}
+
+// Refusal is a version that a gateway could not apply.
+type Refusal struct {
+	Version  configsync.Version
+	Resource string
 }
 
-// Counters are what a gateway's status line tells of the bytes that it exchanged with publishers since its start.
+// Absence is a time in which a gateway was down or could reach no publisher, because of an injected fault.
+type Absence struct {
+	Start time.Time
+	End   time.Time // zero: it is not over
+}
+
+// Counters are the bytes that a gateway exchanged with publishers since its start, by a status line.
 type Counters struct {
 	At       time.Time
 	BytesIn  int
 	BytesOut int
 }
 
-// countersOf reads status lines.
+// countersOf returns the counters in status lines.
 func countersOf(lines []string) (all []Counters) {
 	for _, line := range lines {
 		all = append(all, Counters{
@@ -69,19 +103,22 @@
 	return all
 }
 
-// read takes in the log lines that came since the last call.
-func (h *History) read(g *fleet.Gateway) {
-	lines, next := g.LinesAfter(h.mark)
+// readNewLines reads the log lines since the call before.
+func (h *History) readNewLines(gateway *fleet.Gateway) {
+	lines, next := gateway.LinesAfter(h.mark)
 	h.mark = next
 	for _, line := range lines {
-		h.take(line)
+		h.readLine(line)
 	}
 }
 
-// take takes in one log line.
-func (h *History) take(line string) {
+// incarnation returns the number of the present incarnation.
+func (h *History) incarnation() int { return h.ended + 1 }
+
+// readLine reads one log line.
+func (h *History) readLine(line string) {
 	event, _ := logline.Event(line)
-	applied := Applied{Life: h.life + 1, Version: versionOf(line), At: logline.Time(line)}
+	applied := Applied{Incarnation: h.incarnation(), Version: versionOf(line), At: logline.Time(line)}
 	switch event {
 	case "configuration_damaged":
 		h.damaged = true
@@ -92,34 +129,13 @@
 	case "configuration_applied":
 		h.Applied = append(h.Applied, applied)
 	case "configuration_refused":
-		h.Refused = append(h.Refused, Refused{versionOf(line), logline.Value(line, "resource")})
+		h.Refusals = append(h.Refusals, Refusal{versionOf(line), logline.Value(line, "resource")})
 	case "exited":
-		h.life++
+		h.ended++
 		h.damaged = false
 	}
 }
 
-// InForce is the version in force in the present life; 0 where the gateway goes by its own file.
-func (h *History) InForce() configsync.Version {
-	if len(h.Applied) == 0 || h.Applied[len(h.Applied)-1].Life != h.life+1 {
-		return 0
-	}
-	return h.Applied[len(h.Applied)-1].Version
-}
-
-// leave notes that an absence begins.
-func (h *History) leave(now time.Time) { h.Absences = append(h.Absences, Absence{From: now}) }
-
-// comeBack notes that the absence that began last is over.
-func (h *History) comeBack(now time.Time) {
-	for i := len(h.Absences) - 1; i >= 0; i-- {
-		if h.Absences[i].To.IsZero() {
-			h.Absences[i].To = now
-			return
-		}
-	}
-}
-
 // versionOf returns the version that a log line names; 0 if it names none.
 func versionOf(line string) configsync.Version {
 	number, err := strconv.ParseUint(logline.Value(line, "version"), 10, 64)
@@ -129,35 +145,27 @@
 	return configsync.Version(number)
 }
 
-// Record is what a run left behind, which the checks look at.
-type Record struct {
-	Histories  []*History // by member index
-	Published  []Published
-	Publishers []PublisherState // of those that run at the end
-	Disks      []DiskState      // by member index
-	Unhealthy  []string         // faults of the publishers' processes
-}
-
-// PublisherState is a publisher's view at the end.
-type PublisherState struct {
-	Name    string
-	Version configsync.Version
-	Digest  string
-	Log     configsync.LogID
-
-	Followers []publisher.Follower
+// InForce returns the version in force at the present incarnation; 0 if that goes by its configuration file.
+func (h *History) InForce() configsync.Version {
+	if len(h.Applied) == 0 {
+		return 0
+	}
+	latest := &h.Applied[len(h.Applied)-1]
+	if latest.Incarnation != h.incarnation() {
+		return 0
+	}
+	return latest.Version
 }
 
-// DiskState is what a gateway keeps on disk at the end.
-type DiskState struct {
-	Version configsync.Version
-	Digest  string
-	Err     error // of reading it
-}
+// startAbsence records that an absence begins.
+func (h *History) startAbsence(now time.Time) { h.Absences = append(h.Absences, Absence{Start: now}) }
 
-func (d *DiskState) String() string {
-	if d.Err != nil {
-		return d.Err.Error()
+// endAbsence records that the latest absence is over.
+func (h *History) endAbsence(now time.Time) {
+	for i := len(h.Absences) - 1; i >= 0; i-- {
+		if h.Absences[i].End.IsZero() {
+			h.Absences[i].End = now
+			return
+		}
 	}
-	return fmt.Sprintf("version %d, digest %.16s", d.Version, d.Digest)
 }
--- a/lab/rollout/refusals.go
+++ b/lab/rollout/refusals.go
@@ -14,11 +14,12 @@
 	"ravensill/lab/fleet"
 )
 
+// memberResource returns the name of the resource of a member's address.
 func memberResource(member int) string { return string(configsync.MemberPrefix) + strconv.Itoa(member) }
 
-// NameMembers is the step that publishes the gossip addresses of some gateways, by which all that can take them go from
-// now on.
-func NameMembers(members ...int) Step {
+// PublishMembers returns a step that publishes the gossip addresses of some gateways. All gateways that can apply
+// them use them from then on.
+func PublishMembers(members ...int) Step {
 	return Step{fmt.Sprintf("name %d members", len(members)), func(ctx context.Context, r *Run) error {
 		set := Resources{}
 		for _, member := range members {
@@ -28,29 +29,29 @@
 		if err != nil {
 			return err
 		}
-		return r.inForce(ctx, publication.Version, members)
+		return r.waitInForce(ctx, publication.Version, members)
 	}}
 }
 
-// RemoveMember is the step that publishes a version without a gateway, which that one can't take. All others have it in
-// force, and the publishers tell who refused it and by which resource.
+// RemoveMember returns a step that publishes a version without a gateway, which that gateway can't apply. All others
+// have it in force, and the publishers show who refused it and because of which resource.
 func RemoveMember(member int) Step {
 	return Step{fmt.Sprintf("a version without member %d", member), func(ctx context.Context, r *Run) error {
 		publication, err := r.changes.patch(ctx, nil, memberResource(member))
 		if err != nil {
 			return err
 		}
-		err = r.inForce(ctx, publication.Version, others(r.members(), []int{member}))
+		err = r.waitInForce(ctx, publication.Version, others(r.members(), []int{member}))
 		if err != nil {
 			return err
 		}
 		what := fmt.Sprintf("the publishers to show that member %d refused version %d", member, publication.Version)
-		return r.until(ctx, what, func() bool { return r.showsRefusal(ctx, member, publication.Version) })
+		return r.waitUntil(ctx, what, func() bool { return r.showsRefusal(ctx, member, publication.Version) })
 	}}
 }
 
-// showsRefusal tells whether the status of the publisher that a gateway follows says which version it refused, by which
-// resource and why, and that no other gateway refused any.
+// showsRefusal reports whether the status of the publisher that a gateway follows shows which version it refused,
+// because of which resource and why, and that no other gateway refused any.
 func (r *Run) showsRefusal(ctx context.Context, member int, version configsync.Version) bool {
 	states, err := r.Publishers.states(ctx)
 	if err != nil {
@@ -71,16 +72,17 @@
 	return shown
 }
 
+// refusalOf reports whether a follower is a member that refused a version because of its own resource.
 func refusalOf(follower *publisher.Follower, member int, version configsync.Version) bool {
 	resource := string(follower.Resource)
 	return follower.Member == member && follower.Refused == version && follower.InForce < version &&
 		resource == memberResource(member) && follower.Reason != ""
 }
 
-// NoRefusals is the step that wants the publishers to show no refusal any more.
-func NoRefusals() Step {
+// WaitNoRefusals returns a step that waits until the publishers show no refusal any more.
+func WaitNoRefusals() Step {
 	return Step{"no refusal shown", func(ctx context.Context, r *Run) error {
-		return r.until(ctx, "the publishers to show no refusal", func() bool {
+		return r.waitUntil(ctx, "the publishers to show no refusal", func() bool {
 			states, err := r.Publishers.states(ctx)
 			if err != nil {
 				return false
@@ -97,13 +99,13 @@
 	}}
 }
 
-// badRequest is a request that the publishers have to refuse, and how the error begins.
+// badRequest is a request that the publishers have to reject, and how the error begins.
 type badRequest struct {
 	request Request
 	path    string // of the key at fault
 }
 
-// badRequests are requests with an unknown or malformed key, and some that are wrong as a whole.
+// badRequests returns requests with an unknown or malformed key, and some that are malformed altogether.
 func badRequests() []badRequest {
 	patch := func(body string) Request { return Request{http.MethodPatch, configurationPath, body} }
 	put := func(body string) Request { return Request{http.MethodPut, configurationPath, body} }
@@ -119,7 +121,10 @@
 		{patch(`{"set":{"members/one":"127.0.0.1:1"}}`), `"members/one": `},
 		{patch(`{"set":{"members/0":"nowhere"}}`), "members/0: "},
 		{patch(`{"set":{"members/7":"127.0.0.1:1"}}`), "members/0: "},
-		{patch(`{"set":{"limits":{"max_attempts":3,"cancelling":true,"retry_after":true,"probes":true}}}`), "limits: probes: "},
+		{
+			patch(`{"set":{"limits":{"max_attempts":3,"cancelling":true,"retry_after":true,"probes":true}}}`),
+			"limits: probes: ",
+		},
 		{patch(`{"set":{"limits":{"max_attempts":"many"}}}`), "limits: max_attempts: "},
 		{patch(`{"set":{"routes/x":{}}}`), `"routes/x": `},
 		{patch(`{"set":{},"delete":[]}`), `json: unknown field "delete"`},
@@ -133,15 +138,15 @@
 	}
 }
 
-// BadRequests is the step that puts wrong requests to each publisher: each is refused by the path of its key, and nothing
-// is published.
-func BadRequests() Step {
+// RejectBadRequests returns a step that sends bad requests to each publisher and checks that each is rejected by the
+// path of its key and that nothing is published.
+func RejectBadRequests() Step {
 	return Step{"bad requests", func(ctx context.Context, r *Run) error {
-		before := r.latest()
+		before := r.latestVersion()
 		var faults []error
 		for i := range r.Publishers.Count() {
 			for _, bad := range badRequests() {
-				faults = append(faults, r.Publishers.wantRejected(ctx, i, bad))
+				faults = append(faults, r.Publishers.checkRejected(ctx, i, bad))
 			}
 		}
 		if err := errors.Join(faults...); err != nil {
@@ -160,23 +165,25 @@
 	}}
 }
 
-// wantRejected puts a wrong request to a publisher, again where the group has no leader at the moment.
-func (p *Publishers) wantRejected(ctx context.Context, i int, bad badRequest) error {
+// checkRejected returns an error unless a publisher rejects a bad request by the path of its key.
+func (p *Publishers) checkRejected(ctx context.Context, i int, bad badRequest) error {
 	rejected, err := p.rejection(ctx, i, bad.request)
 	if err != nil {
-		return fmt.Errorf("%s: %s is not refused: %w", publisherName(i), bad.request.Body, err)
+		return fmt.Errorf("%s: %s is not rejected: %w", publisherName(i), bad.request.Body, err)
 	}
 	if !strings.HasPrefix(rejected.Text, bad.path) {
-		return fmt.Errorf("%s: %s is refused by %q, not by its key %q", publisherName(i), bad.request.Body, rejected.Text, bad.path)
+		return fmt.Errorf("%s: %s is rejected by %q, not by its key %q",
+			publisherName(i), bad.request.Body, rejected.Text, bad.path)
 	}
 	return nil
 }
 
-// rejection puts a request to a publisher until it is carried out, which is an error here, or refused for a fault of its own.
+// rejection sends a request to a publisher until it is rejected for a fault of its own, and again while the group has
+// no leader. It is an error if the request is carried out.
 func (p *Publishers) rejection(ctx context.Context, i int, request Request) (*RejectedError, error) {
 	for {
 		var publication publisher.Publication
-		err := p.ask(ctx, i, request, &publication)
+		err := p.request(ctx, i, request, &publication)
 		if err == nil {
 			return nil, fmt.Errorf("published as version %d", publication.Version)
 		}
@@ -193,18 +200,19 @@
 		select {
 		case <-ctx.Done():
 			return nil, fmt.Errorf("%w: %w", ctx.Err(), err)
-		case <-time.After(adminPause):
+		case <-time.After(adminRetryInterval):
 		}
 	}
 }
 
-// Lines is the step that wants a number of log lines of an event from gateways, over all of their lives.
-func Lines(event string, count int, members ...int) Step {
+// CheckLogLines returns a step that checks the number of log lines of an event of gateways, over all incarnations.
+func CheckLogLines(event string, count int, members ...int) Step {
 	return Step{fmt.Sprintf("%d lines of %s", count, event), func(_ context.Context, r *Run) error {
 		for _, member := range members {
 			lines := r.Fleet.Gateway(member).Lines(event)
 			if len(lines) != count {
-				return fmt.Errorf("%s said it %d times: %s", fleet.GatewayName(member), len(lines), strings.Join(lines, "\n"))
+				return fmt.Errorf("%s logged it %d times: %s",
+					fleet.GatewayName(member), len(lines), strings.Join(lines, "\n"))
 			}
 		}
 		return nil
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -1,6 +1,6 @@
-// Package rollout shows how a change of the configuration reaches a fleet of real processes: publishers and gateways on
-// loopback, every link between them through a relay, under the load of clients, with faults injected by a plan. Verdicts
-// are counts; times are measured beside them.
+// Package rollout shows how a change of the configuration reaches a fleet of real processes: publishers and gateways
+// on loopback, every link between them through a relay, under the load of clients, with injected faults. Checks count
+// events; times are measured beside them.
 package rollout
 
 import (
@@ -21,115 +21,126 @@
 )
 
 const (
-	pollInterval = 20 * time.Millisecond // between looks at a state that nothing announces
-	diskFolder   = "configuration"       // of the last good version, in a gateway's folder
-	servedPart   = 0.9                   // of the clients' requests at least, whatever is injected
+	pollInterval      = 20 * time.Millisecond // between looks at a state that nothing announces
+	diskFolder        = "configuration"       // of the stored version, in a gateway's folder
+	minServedFraction = 0.9                   // of the clients' requests, whatever is injected
+	clientTimeout     = 8 * time.Second
 )
 
 // Size says how large a run is.
 type Size struct {
-	Gateways   int
-	Hosts      int
-	Publishers int
-	Rate       float64 // clients' requests a second
-	Seed       uint64
-	ElectionMS int           // without contact to the leading publisher before another is elected
-	Pace       time.Duration // between two changes
-	Burst      int           // changes one after the other
-	Outage     time.Duration // length of a fault that is to last for long
-}
-
-// Scenario is one run as data: how large, what is done in which order, and what must hold at the end.
+	Gateways       int
+	Hosts          int
+	Publishers     int
+	Rate           float64 // clients' requests a second
+	Seed           uint64
+	ElectionMS     int           // without contact to the leading publisher before another is elected
+	ChangeInterval time.Duration // between two changes
+	Burst          int           // changes that are published without a pause
+	Outage         time.Duration // length of a long fault
+}
+
+// Scenario is one run as data: how large it is, what is done in which order, and what must hold at the end.
 type Scenario struct {
-	Name  string
-	Size  Size
-	Quiet bool // no changes are published beside those of the steps
-	Steps []Step
-	Holds []Check // beside Usual
+	Name   string
+	Size   Size
+	Quiet  bool // only steps publish changes
+	Steps  []Step
+	Checks []Check // beside CommonChecks
 }
 
 // Step is something that is done and waited for. Steps follow each other by state, not by time.
 type Step struct {
-	What string
-	Do   func(ctx context.Context, r *Run) error
+	Description string
+	Run         func(ctx context.Context, r *Run) error
 }
 
-// Run is a scenario under way.
+// Run is one run of a scenario.
 type Run struct {
 	Scenario   *Scenario
 	Fleet      *fleet.Fleet
 	Publishers *Publishers
 	Record     Record
-	Load       *fleet.Report // what came of the clients' requests
+	LoadReport *fleet.Report // of the clients' requests
 	Stages     []Stage
 
 	publishersBefore []fleet.Usage // as the first version was published
 	publishersAfter  []fleet.Usage // as the load ended
 
 	links   [][]*relay.Stream // by member index and publisher
-	changes *changes
-	probes  atomic.Int64
+	changes *changePublisher
+	probes  atomic.Int64 // sent so far
 }
 
-// Stage is a step that was taken.
+// Stage is a step that was run.
 type Stage struct {
-	What     string
-	From, To time.Time
+	Description string
+	Start       time.Time
+	End         time.Time
 }
 
-// Play plays a scenario. The error is of the rig itself; what does not hold is in broken.
-func (s *Scenario) Play(ctx context.Context) (run *Run, broken []string, err error) {
+// Run runs the scenario. An error is one of the run itself; what does not hold is in violations.
+func (s *Scenario) Run(ctx context.Context) (run *Run, violations []string, err error) {
 	run = &Run{Scenario: s}
 	defer func() {
 		if run.Publishers != nil {
 			run.Publishers.Close()
 		}
 	}()
+	gather := fleet.Check{Name: "record", FindViolation: func(*fleet.Report) string { return run.gather(ctx) }}
 	scenario := fleet.Scenario{
 		Name:    s.Name,
-		Options: run.plan(ctx),
+		Options: run.fleetOptions(ctx),
 		Loads:   []emulator.Load{s.Size.load()},
 		Steps:   run.steps(),
-		Checks:  append([]fleet.Check{{Name: "record", FindViolation: run.gather(ctx)}, loadServed}, fleet.CommonChecks...),
+		Checks:  append([]fleet.Check{gather, clientsServed}, fleet.CommonChecks...),
 	}
-	run.Load, err = scenario.Run(ctx)
+	run.LoadReport, err = scenario.Run(ctx)
 	if err != nil {
 		return run, nil, err
 	}
-	return run, append(run.Load.Violations, run.Record.Broken(append(s.Holds, Usual...))...), nil
+	ofRecord := run.Record.Violations(append(s.Checks, CommonChecks...))
+	return run, append(run.LoadReport.Violations, ofRecord...), nil
 }
 
-// plan gives the fleet. The publishers run before any gateway is configured.
-func (r *Run) plan(ctx context.Context) fleet.Options {
+// fleetOptions returns the options of the fleet. The publishers start before any gateway is configured.
+func (r *Run) fleetOptions(ctx context.Context) fleet.Options {
 	size := &r.Scenario.Size
-	plan := fleet.Options{Gateways: size.Gateways, Hosts: size.Hosts, Seed: size.Seed}
-	plan.PrepareRelay = func(f *fleet.Fleet) error {
-		r.Fleet = f
-		for range size.Gateways {
-			r.Record.Histories = append(r.Record.Histories, &History{})
-		}
-		var err error
-		r.Publishers, err = NewPublishers(ctx, GroupPlan{
-			Count:      size.Publishers,
-			Dir:        filepath.Join(f.Dir, "publishers"),
-			Relay:      f.Relay,
-			ElectionMS: size.ElectionMS,
-		})
-		return err
+	return fleet.Options{
+		Gateways:     size.Gateways,
+		Hosts:        size.Hosts,
+		Seed:         size.Seed,
+		PrepareRelay: func(f *fleet.Fleet) error { return r.startPublishers(ctx, f) },
+		ConfigureGateway: func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
+			addresses, err := r.addLinks(i)
+			file.Configuration = &gatewayconfig.Configuration{Publishers: addresses, Dir: diskFolder}
+			return err
+		},
 	}
-	plan.ConfigureGateway = func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
-		addresses, err := r.link(i)
-		file.Configuration = &gatewayconfig.Configuration{Publishers: addresses, Dir: diskFolder}
-		return err
+}
+
+// startPublishers starts the publishers of a fleet.
+func (r *Run) startPublishers(ctx context.Context, f *fleet.Fleet) error {
+	r.Fleet = f
+	for range r.Scenario.Size.Gateways {
+		r.Record.Histories = append(r.Record.Histories, &History{})
 	}
-	return plan
+	var err error
+	r.Publishers, err = NewPublishers(ctx, GroupOptions{
+		Count:      r.Scenario.Size.Publishers,
+		Dir:        filepath.Join(f.Dir, "publishers"),
+		Relay:      f.Relay,
+		ElectionMS: r.Scenario.Size.ElectionMS,
+	})
+	return err
 }
 
-// link makes the streams by which a gateway reaches the publishers.
-func (r *Run) link(member int) (addresses []string, err error) {
+// addLinks adds the streams by which a gateway reaches the publishers, and returns their addresses.
+func (r *Run) addLinks(member int) (addresses []string, err error) {
 	var links []*relay.Stream
-	for k, publisher := range r.Publishers.addresses {
-		stream, err := r.Fleet.Relay.Stream(fleet.GatewayName(member), publisherName(k), publisher.followers.String())
+	for i, publisher := range r.Publishers.addresses {
+		target := publisher.followers.String()
+		stream, err := r.Fleet.Relay.Stream(fleet.GatewayName(member), publisherName(i), target)
 		if err != nil {
 			return nil, err
 		}
@@ -140,25 +151,20 @@
 	return addresses, nil
 }
 
-// load gives the clients' traffic, of all three kinds of requests. It runs until the last step is done.
-func (z *Size) load() emulator.Load {
-	const patience = 8 * time.Second
+// load returns the clients' load, of all request classes. It runs until the last step is done.
+func (s *Size) load() emulator.Load {
 	return emulator.Load{
-		Seed:         z.Seed,
-		Rate:         z.Rate,
-		Customers:    20 * z.Gateways,
+		Seed:         s.Seed,
+		Rate:         s.Rate,
+		Customers:    20 * s.Gateways,
 		ZipfExponent: 0.5,
-		SubsetSize:   max(2, z.Gateways/3), // the front has another gateway to go to where one is down
+		SubsetSize:   max(2, s.Gateways/3), // clients have another gateway where one is down
 		Body:         "body",
-		Classes: []emulator.Class{
-			{Name: "lookup", Timeout: patience, Fraction: 0.6},
-			{Name: "order", Post: true, Idempotent: true, Timeout: patience, Fraction: 0.2},
-			{Name: "pay", Post: true, Timeout: patience, Fraction: 0.2},
-		},
+		Classes:      fleet.MixedClasses(clientTimeout),
 	}
 }
 
-// steps gives the scenario's steps, between the first version and the last one in force everywhere.
+// steps returns the scenario's steps between the publication of the first version and the wait for the last one.
 func (r *Run) steps() (steps []fleet.Step) {
 	all := []Step{firstVersion()}
 	if !r.Scenario.Quiet {
@@ -167,48 +173,49 @@
 	all = append(all, r.Scenario.Steps...)
 	all = append(all, settle())
 	for _, step := range all {
-		steps = append(steps, fleet.Step{Description: step.What, Run: func(ctx context.Context, _ *fleet.Fleet) error {
-			return r.take(ctx, step)
-		}})
+		steps = append(steps, fleet.Step{
+			Description: step.Description,
+			Run:         func(ctx context.Context, _ *fleet.Fleet) error { return r.runStep(ctx, step) },
+		})
 	}
 	return steps
 }
 
-// take does one step.
-func (r *Run) take(ctx context.Context, step Step) error {
-	from := time.Now()
-	err := step.Do(ctx, r)
-	r.Stages = append(r.Stages, Stage{step.What, from, time.Now()})
+// runStep runs one step.
+func (r *Run) runStep(ctx context.Context, step Step) error {
+	start := time.Now()
+	err := step.Run(ctx, r)
+	r.Stages = append(r.Stages, Stage{step.Description, start, time.Now()})
 	if err != nil && r.changes != nil {
 		err = errors.Join(err, r.changes.stop())
 	}
 	return err
 }
 
-// read brings the histories up to date.
-func (r *Run) read() {
+// readLogs reads the new log lines of all gateways into their histories.
+func (r *Run) readLogs() {
 	for member, history := range r.Record.Histories {
-		history.read(r.Fleet.Gateway(member))
+		history.readNewLines(r.Fleet.Gateway(member))
 	}
 }
 
-// until waits for a state of the gateways' histories.
-func (r *Run) until(ctx context.Context, what string, reached func() bool) error {
+// waitUntil waits for a state of the gateways' histories.
+func (r *Run) waitUntil(ctx context.Context, what string, reached func() bool) error {
 	for {
-		r.read()
+		r.readLogs()
 		if reached() {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("waiting for %s: %w: %s", what, ctx.Err(), r.state())
+			return fmt.Errorf("waiting for %s: %w: %s", what, ctx.Err(), r.versionsText())
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// state tells which versions are in force, for errors.
-func (r *Run) state() string {
+// versionsText returns the versions in force, for errors.
+func (r *Run) versionsText() string {
 	var text []string
 	for member, history := range r.Record.Histories {
 		text = append(text, fmt.Sprintf("%s %d", fleet.GatewayName(member), history.InForce()))
@@ -216,31 +223,29 @@
 	return strings.Join(text, ", ")
 }
 
-// gather is called as a check, while all processes still run: it reads what they left behind.
-func (r *Run) gather(ctx context.Context) func(*fleet.Report) string {
-	return func(*fleet.Report) string {
-		r.read()
-		r.Record.Published = r.changes.list()
-		r.Record.Unhealthy = r.Publishers.Unhealthy()
-		r.publishersAfter = r.Publishers.usage()
-		for member, g := range r.Fleet.Gateways() {
-			r.Record.Histories[member].Counters = countersOf(g.Lines("configuration"))
-		}
-		var err error
-		r.Record.Publishers, err = r.Publishers.states(ctx)
-		if err != nil {
-			return err.Error()
-		}
-		for _, g := range r.Fleet.Gateways() {
-			r.Record.Disks = append(r.Record.Disks, readDisk(g))
-		}
-		return ""
+// gather completes the record while all processes still run. It returns the text of a failure.
+func (r *Run) gather(ctx context.Context) string {
+	r.readLogs()
+	r.Record.Published = r.changes.publications()
+	r.Record.Crashes = r.Publishers.Crashes()
+	r.publishersAfter = r.Publishers.usage()
+	for member, gateway := range r.Fleet.Gateways() {
+		r.Record.Histories[member].Counters = countersOf(gateway.Lines("configuration"))
+	}
+	var err error
+	r.Record.Publishers, err = r.Publishers.states(ctx)
+	if err != nil {
+		return err.Error()
+	}
+	for _, gateway := range r.Fleet.Gateways() {
+		r.Record.Disks = append(r.Record.Disks, readDisk(gateway))
 	}
+	return ""
 }
 
-// readDisk reads the last good version that a gateway keeps, as its next start would.
-func readDisk(g *fleet.Gateway) DiskState {
-	document, err := subscriber.Load(filepath.Join(g.Dir, diskFolder))
+// readDisk reads the version that a gateway has stored, as its next start would.
+func readDisk(gateway *fleet.Gateway) DiskState {
+	document, err := subscriber.Load(filepath.Join(gateway.Dir, diskFolder))
 	digest := document.Digest()
 	return DiskState{document.Version(), hex.EncodeToString(digest[:]), err}
 }
--- a/lab/rollout/rollout_test.go
+++ b/lab/rollout/rollout_test.go
@@ -9,54 +9,53 @@
 )
 
 const (
-	mostProcesses = 30              // gateways and publishers at one time
-	playTimeout   = 3 * time.Minute // of one scenario: no verdict, only an end
+	maxProcesses    = 30              // gateways and publishers at one time
+	scenarioTimeout = 3 * time.Minute // of one scenario: no verdict, only an end
 )
 
-// processes bounds how many run at one time, whichever tests are parallel.
-var processes = semaphore.NewWeighted(mostProcesses)
+// processes bounds how many processes run at one time, whichever tests are parallel.
+var processes = semaphore.NewWeighted(maxProcesses)
 
-// play plays a scenario and reports what does not hold.
-func play(t *testing.T, s *Scenario) *Run {
+// runScenario runs a scenario and reports what does not hold.
+func runScenario(t *testing.T, scenario *Scenario) *Run {
 	t.Helper()
-	count := int64(s.Size.Gateways + s.Size.Publishers)
-	err := processes.Acquire(context.Background(), count)
-	if err != nil {
+	count := int64(scenario.Size.Gateways + scenario.Size.Publishers)
+	if err := processes.Acquire(context.Background(), count); err != nil {
 		t.Fatal(err)
 	}
 	defer processes.Release(count)
-	ctx, cancel := context.WithTimeout(context.Background(), playTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	defer cancel()
-	run, broken, err := s.Play(ctx)
+	run, violations, err := scenario.Run(ctx)
 	for _, stage := range run.Stages {
-		t.Logf("%6.2f s %s", stage.To.Sub(stage.From).Seconds(), stage.What)
+		t.Logf("%6.2f s %s", stage.End.Sub(stage.Start).Seconds(), stage.Description)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, answer := range run.Publishers.Slow() {
+	for _, answer := range run.Publishers.SlowAnswers() {
 		t.Log(answer)
 	}
-	for _, fault := range broken {
-		t.Error(fault)
+	for _, violation := range violations {
+		t.Error(violation)
 	}
-	t.Log(run.Load.Summary())
+	t.Log(run.LoadReport.Summary())
 	t.Log(run.Figures())
 	return run
 }
 
-// TestFleet plays the cases of the whole fleet, one after the other with the same processes.
-func TestFleet(t *testing.T) {
-	s := Joined("whole fleet", FleetCases(Large())...)
-	play(t, &s)
+// The cases of the whole fleet run one after the other with the same processes.
+func TestChecksHoldInFleetCases(t *testing.T) {
+	scenario := Join("whole fleet", FleetCases(Large())...)
+	runScenario(t, &scenario)
 }
 
-// TestCases plays the other cases, some at a time.
-func TestCases(t *testing.T) {
-	for _, s := range Cases(Small()) {
-		t.Run(s.Name, func(t *testing.T) {
+// The cases of one gateway or one publisher run several at a time.
+func TestChecksHoldInSmallCases(t *testing.T) {
+	for _, scenario := range Cases(Small()) {
+		t.Run(scenario.Name, func(t *testing.T) {
 			t.Parallel()
-			play(t, &s)
+			runScenario(t, &scenario)
 		})
 	}
 }
--- a/lab/rollout/steps.go
+++ b/lab/rollout/steps.go
@@ -32,11 +32,15 @@
 	afterRaise  = 3 // requests of a customer after that
 )
 
-// firstVersion is the step that publishes the first version to a fleet that serves by its files.
+// firstVersion returns the step that publishes the first version to a fleet that serves by its configuration files.
 func firstVersion() Step {
 	return Step{"first version", func(ctx context.Context, r *Run) error {
 		r.publishersBefore = r.Publishers.usage()
-		r.changes = &changes{publishers: r.Publishers, pace: r.Scenario.Size.Pace, preferred: anyPublisher}
+		r.changes = &changePublisher{
+			publishers: r.Publishers,
+			interval:   r.Scenario.Size.ChangeInterval,
+			preferred:  anyPublisher,
+		}
 		request, err := firstContentRequest(map[string]gatewayconfig.QuotaPlan{
 			"team":      quotaPlan(unbounded, unbounded),
 			"small":     quotaPlan(20, 40),
@@ -52,11 +56,11 @@
 		if err != nil {
 			return err
 		}
-		return r.inForce(ctx, publication.Version, r.members())
+		return r.waitInForce(ctx, publication.Version, r.members())
 	}}
 }
 
-// startChanges is the step from which on changes are published at the size's pace.
+// startChanges returns the step from which on routine changes are published.
 func startChanges() Step {
 	return Step{"changes begin", func(ctx context.Context, r *Run) error {
 		r.changes.start(ctx)
@@ -64,7 +68,8 @@
 	}}
 }
 
-// settle is the step that ends the changes and waits until the last one is in force everywhere and on every disk.
+// settle returns the step that ends the routine changes and waits until the latest version is in force everywhere and
+// stored on every disk.
 func settle() Step {
 	return Step{"the latest version in force everywhere", func(ctx context.Context, r *Run) error {
 		err := r.changes.stop()
@@ -75,19 +80,19 @@
 		if err != nil {
 			return err
 		}
-		err = r.inForce(ctx, publication.Version, r.members())
+		err = r.waitInForce(ctx, publication.Version, r.members())
 		if err != nil {
 			return err
 		}
-		return r.settled(ctx, &publication)
+		return r.waitSettled(ctx, &publication)
 	}}
 }
 
-// settled waits until all publishers, what they know of the gateways, and the disks have come to a version: they follow
-// the gateways by a moment.
-func (r *Run) settled(ctx context.Context, last *publisher.Publication) error {
+// waitSettled waits until all publishers have a version, show it in force at all gateways, and all disks have it:
+// these follow the gateways by a moment.
+func (r *Run) waitSettled(ctx context.Context, last *publisher.Publication) error {
 	what := fmt.Sprintf("version %d at the publishers and on the disks", last.Version)
-	return r.until(ctx, what, func() bool {
+	return r.waitUntil(ctx, what, func() bool {
 		states, err := r.Publishers.states(ctx)
 		if err != nil {
 			return false
@@ -101,7 +106,7 @@
 		for member, g := range r.Fleet.Gateways() {
 			disk := readDisk(g)
 			saved := disk.Version == last.Version || disk.Err != nil // what can't be written is the checks' matter
-			if !saved || !record.told(member, last.Version) {
+			if !saved || !record.shownInForce(member, last.Version) {
 				return false
 			}
 		}
@@ -109,13 +114,13 @@
 	})
 }
 
-// members are all member indices.
+// members returns all member indexes.
 func (r *Run) members() []int { return fleet.Indexes(0, r.Scenario.Size.Gateways) }
 
-// inForce waits until a version or a later one is in force at some gateways.
-func (r *Run) inForce(ctx context.Context, version configsync.Version, members []int) error {
+// waitInForce waits until a version or a later one is in force at some gateways.
+func (r *Run) waitInForce(ctx context.Context, version configsync.Version, members []int) error {
 	what := fmt.Sprintf("version %d at members %v", version, members)
-	return r.until(ctx, what, func() bool {
+	return r.waitUntil(ctx, what, func() bool {
 		for _, member := range members {
 			if r.Record.Histories[member].InForce() < version {
 				return false
@@ -125,26 +130,28 @@
 	})
 }
 
-// latest is the latest version that a publisher has told.
-func (r *Run) latest() configsync.Version {
-	record := Record{Published: r.changes.list()}
+// latestVersion returns the latest version that a publisher has answered.
+func (r *Run) latestVersion() configsync.Version {
+	record := Record{Published: r.changes.publications()}
 	return record.latest()
 }
 
-// More is the step that waits until as many more versions were published and are in force at all gateways but some.
-func More(versions int, without ...int) Step {
+// WaitVersions returns a step that waits until a number of further versions were published and are in force at all
+// gateways but some.
+func WaitVersions(versions int, without ...int) Step {
 	what := fmt.Sprintf("%d more versions in force at all but %d gateways", versions, len(without))
 	return Step{what, func(ctx context.Context, r *Run) error {
-		version := r.latest() + configsync.Version(versions)
-		err := r.until(ctx, fmt.Sprintf("version %d published", version), func() bool { return r.latest() >= version })
+		version := r.latestVersion() + configsync.Version(versions)
+		published := func() bool { return r.latestVersion() >= version }
+		err := r.waitUntil(ctx, fmt.Sprintf("version %d published", version), published)
 		if err != nil {
 			return err
 		}
-		return r.inForce(ctx, version, others(r.members(), without))
+		return r.waitInForce(ctx, version, others(r.members(), without))
 	}}
 }
 
-// others gives the members that are not among some.
+// others returns the members that are not among some.
 func others(members, without []int) (rest []int) {
 	excluded := make(map[int]bool, len(without))
 	for _, member := range without {
@@ -158,9 +165,9 @@
 	return rest
 }
 
-// Burst is the step that publishes the size's burst of changes, one right after the other, and waits until the last one is
-// in force everywhere.
-func Burst() Step {
+// PublishBurst returns a step that publishes the size's burst of changes without a pause and waits until the last one
+// is in force everywhere.
+func PublishBurst() Step {
 	return Step{"burst", func(ctx context.Context, r *Run) error {
 		leader, err := r.Publishers.Leader(ctx)
 		if err != nil {
@@ -169,19 +176,19 @@
 		r.changes.prefer(leader)
 		var last publisher.Publication
 		for range r.Scenario.Size.Burst {
-			publication, err := r.changes.routine(ctx)
+			publication, err := r.changes.publishRoutine(ctx)
 			if err != nil {
 				return err
 			}
 			last = publication
 		}
 		r.changes.prefer(anyPublisher)
-		return r.inForce(ctx, last.Version, r.members())
+		return r.waitInForce(ctx, last.Version, r.members())
 	}}
 }
 
-// Hold is the step that lets a fault last.
-func Hold(length time.Duration) Step {
+// Pause returns a step that lets a fault last.
+func Pause(length time.Duration) Step {
 	return Step{fmt.Sprintf("hold for %v", length), func(ctx context.Context, _ *Run) error {
 		select {
 		case <-ctx.Done():
--- a/lab/scale/compare.go
+++ b/lab/scale/compare.go
@@ -222,7 +222,7 @@
 		if err != nil {
 			return err
 		}
-		m.fleet.Gossip.Place(g.Index, at)
+		m.fleet.Gossip.SetAddr(g.Index, at)
 	}
 	return nil
 }
@@ -283,7 +283,7 @@
 // ones received is what the relay passed on less what hollow ones counted.
 func (m *mixed) totals() (sums [kinds]totals, err error) {
 	all, each := m.fleet.Gossip.Counts()
-	sums[Real].messagesIn = all.Passed
+	sums[Real].messagesIn = all.Delivered
 	for i, kind := range m.kind {
 		sums[kind].messagesOut += each[i].Sent
 		sums[kind].bytesOut += each[i].Bytes
--- a/lab/schedule/schedule.go
+++ b/lab/schedule/schedule.go
@@ -1,5 +1,6 @@
-// Package schedule is the event queue of a discrete-event simulation: events come out in the order of their times, and
-// events of the same time in the order in which they were added. So the same simulation runs alike each time.
+// Package schedule is the event queue of a discrete-event simulation. Events come out in the order of their times,
+// and events of the same time in the order in which they were added, so that the same simulation always runs in the
+// same way.
 package schedule
 
 import "container/heap"
@@ -35,10 +36,10 @@
 
 func (h *eventHeap[T]) Pop() any {
 	last := len(*h) - 1
-	x := (*h)[last]
+	event := (*h)[last]
 	(*h)[last] = scheduled[T]{} // for the garbage collector
 	*h = (*h)[:last]
-	return x
+	return event
 }
 
 // Add schedules an event at a time in nanoseconds.
@@ -49,8 +50,8 @@
 
 // Next removes the earliest event and returns it with its time. It panics if there is none.
 func (s *Schedule[T]) Next() (at int64, event T) {
-	x := heap.Pop(&s.events).(scheduled[T])
-	return x.at, x.event
+	next := heap.Pop(&s.events).(scheduled[T])
+	return next.at, next.event
 }
 
 // Len returns the number of scheduled events.
--- a/lab/simenv/config.go
+++ b/lab/simenv/config.go
@@ -2,8 +2,8 @@
 
 import "ravensill/counterfactual"
 
-// Host is a simulated host. Its response time for an attempt is lognormal around BaseTime, grows with the attempts in flight,
-// and is fixed by the attempt, the host and its load.
+// Host is a simulated host. Its response time for an attempt is lognormal around BaseTime, grows with the attempts in
+// flight, and is fixed by the attempt, the host and its load.
 type Host struct {
 	ID           uint32
 	Zone         int
@@ -43,7 +43,7 @@
 
 	Rule      counterfactual.Rule // replaces the gateways' rule for a share of the attempts
 	RuleShare float64
-	MaxCells  int // cells that a gateway's folder holds; 0: ample
+	MaxCells  int // cells of a gateway's folder; 0: as many as needed
 }
 
 // Network describes what happens to messages on their way to the ledger.
@@ -51,7 +51,7 @@
 	Loss        float64 // fraction of messages and of confirmations
 	Duplication float64 // fraction of messages
 	MaxDelay    int64   // messages are delayed by up to so many ns, so that they are reordered
-	MaxAttempts int     // sends of an unconfirmed message, a window apart
+	MaxAttempts int     // to send an unconfirmed message, one in each window
 }
 
 // Fault stops or partitions a gateway.
@@ -59,5 +59,5 @@
 	Gateway   int
 	At        int64 // ns since the begin
 	Until     int64 // when a partition heals or a stopped gateway restarts; 0: never
-	Partition bool  // its messages are lost; otherwise it is stopped and loses what it had not sent
+	Partition bool  // its messages are lost; otherwise it is stopped and loses its unsent messages
 }
--- a/lab/simenv/gateway.go
+++ b/lab/simenv/gateway.go
@@ -149,9 +149,10 @@
 	return int(seen)
 }
 
-// candidateSet returns the available hosts, the chosen one first and the customer's next in rank second, if there is one.
-// It returns none if no host can be chosen.
-func (e *Environment) candidateSet(gateway *gatewayModel, customer int) (candidates []counterfactual.Candidate, hosts []*Host) {
+// candidateSet returns the available hosts, the chosen one first and the customer's next in rank second, if there is
+// one. It returns none if no host can be chosen.
+func (e *Environment) candidateSet(gateway *gatewayModel, customer int) (candidates []counterfactual.Candidate,
+	hosts []*Host) {
 	candidates, hosts, leastLoad := e.available(gateway)
 	choosable := func(i int) bool { return candidates[i].Load <= leastLoad*loadBound && !hosts[i].NeverChosen }
 	eligible := 0.0
@@ -193,9 +194,10 @@
 	return candidates, hosts
 }
 
-// available returns a gateway's hosts that are listed now, each with its load as the gateway estimates it, and the least load
-// of one that may be chosen.
-func (e *Environment) available(gateway *gatewayModel) (candidates []counterfactual.Candidate, hosts []*Host, leastLoad float64) {
+// available returns a gateway's hosts that are listed now, each with its load as the gateway estimates it, and the
+// least load of one that may be chosen.
+func (e *Environment) available(gateway *gatewayModel) (candidates []counterfactual.Candidate, hosts []*Host,
+	leastLoad float64) {
 	elapsed := e.now - e.begin
 	leastLoad = math.Inf(1)
 	for _, host := range gateway.hosts {
--- a/lab/simenv/outcome.go
+++ b/lab/simenv/outcome.go
@@ -9,10 +9,10 @@
 // ruleInForce stands for the rule by which attempts were routed in the run.
 const ruleInForce = counterfactual.Rule(-1)
 
-// GroundTruth is what a rule would have met over the very same attempts.
+// GroundTruth is the response times that the same attempts would have had by a rule.
 type GroundTruth struct {
 	Requests float64
-	Mean     float64 // ms, of the response time or the latency objective, whichever is less
+	Mean     float64 // ms, of the response time or the latency objective, whichever is shorter
 	P50      float64 // ms
 	P99      float64 // ms
 	Within   float64 // fraction within the objective
@@ -31,6 +31,7 @@
 	weights []float64
 }
 
+// recordOutcome adds a response time in ms to a sample.
 func (e *Environment) recordOutcome(key outcomeKey, time, weight float64) {
 	sample := e.outcomes[key]
 	if sample == nil {
@@ -46,12 +47,12 @@
 	s.weights = append(s.weights, weight)
 }
 
-// InForce returns what a request class met in the run.
+// InForce returns the response times that a request class had in the run.
 func (e *Environment) InForce(class int) GroundTruth {
 	return e.GroundTruth(ruleInForce, class, 0)
 }
 
-// GroundTruth returns what a request class would have met under a rule; host is that of rule Single.
+// GroundTruth returns the response times that a request class would have had by a rule; host is that of rule Single.
 func (e *Environment) GroundTruth(rule counterfactual.Rule, class int, host uint32) GroundTruth {
 	sample := e.outcomes[outcomeKey{rule, class, host}]
 	if sample == nil {
@@ -89,7 +90,7 @@
 	return truth
 }
 
-// compareTimes orders times. One that is not a number, as no host's answer is known, is equal to all.
+// compareTimes orders times. One that is not a number, because no host's answer is known, equals all.
 func compareTimes(a, b float64) int {
 	switch {
 	case a < b:
--- a/lab/simenv/request.go
+++ b/lab/simenv/request.go
@@ -71,7 +71,7 @@
 	e.start(a)
 }
 
-// collectOutcomes notes what each rule would have met with this attempt. The times are known at once, under the load of now.
+// collectOutcomes collects the response times that this attempt would have by each rule, under the present load.
 func (e *Environment) collectOutcomes(a *attempt) {
 	add := func(rule counterfactual.Rule, host uint32) {
 		for i, share := range RuleShares(rule, a.candidates, host) {
@@ -114,10 +114,10 @@
 	a.gateway.inFlight[host.ID]++
 	incarnation := a.gateway.incarnation
 	workEnd := e.now + int64(workTime(a.times[0], a.objective)*1e6)
-	e.at(workEnd, func() { host.inFlight-- }) // a host works on after the gateway has given up
+	e.at(workEnd, func() { host.inFlight-- }) // the host goes on after the gateway has given up
 	e.at(e.now+int64(latency*1e6), func() {
 		if a.gateway.incarnation != incarnation || a.gateway.stopped {
-			e.LostRecords++ // the record died with the gateway
+			e.LostRecords++ // with the gateway
 		} else {
 			e.finish(a, latency, end)
 		}
@@ -175,8 +175,8 @@
 	return time
 }
 
-// workTime returns how long a host works on an attempt, in ms: on one that fails briefly, and never longer than thrice the
-// latency objective.
+// workTime returns how long a host works on an attempt, in ms: briefly on one that fails, and never longer than three
+// times the latency objective.
 func workTime(time, objective float64) float64 {
 	if math.IsInf(time, 1) {
 		return 1
--- a/lab/simenv/rules.go
+++ b/lab/simenv/rules.go
@@ -6,8 +6,9 @@
 	"ravensill/counterfactual"
 )
 
-// RuleShares returns the share of an attempt that a rule sends to each candidate. single is the host of rule Single. It implements
-// the rules of package counterfactual once more: the ground truth must not rest on the code that it checks.
+// RuleShares returns the share of an attempt that a rule sends to each candidate. single is the host of rule Single.
+// It implements the rules of package counterfactual once more: the ground truth must not rest on the code that it
+// checks.
 func RuleShares(rule counterfactual.Rule, candidates []counterfactual.Candidate, single uint32) []float64 {
 	shares := make([]float64, len(candidates))
 	switch rule {
@@ -82,7 +83,8 @@
 	}
 }
 
-// shareAmongOtherZones shares evenly among the eligible candidates outside the chosen one's zone. Without one, the choice stays.
+// shareAmongOtherZones shares evenly among the eligible candidates outside the chosen one's zone. Without one, the
+// choice stays.
 func shareAmongOtherZones(shares []float64, candidates []counterfactual.Candidate) {
 	eligible := func(c counterfactual.Candidate) bool { return c.Zone != candidates[0].Zone && c.Chance > 0 }
 	count := 0.0
--- a/lab/simenv/score.go
+++ b/lab/simenv/score.go
@@ -10,27 +10,34 @@
 	"ravensill/counterfactual"
 )
 
+// Tolerances of figures, as fractions of the ground truth.
+const (
+	maxMeanError = 0.1
+	maxP99Error  = 0.2
+	minPairGap   = 0.1 // between two means whose order is compared
+)
+
 // Score counts how estimates compare with the ground truth, over runs.
 type Score struct {
 	Answers      int            // all answers
-	Answered     int            // answers that were not refused as a whole
-	Means        int            // means given
-	MeansOff     int            // means more than 10% off
-	P99s         int            // p99 given
-	P99sOff      int            // p99 more than 20% off
-	Figures      int            // figures given
-	Covered      int            // figures whose interval covers the truth
-	RulePairs    int            // pairs of rules whose true means differ by more than 10%
+	Answered     int            // answers that were not refused altogether
+	Means        int            // estimated means
+	MeansOff     int            // means off by more than maxMeanError
+	P99s         int            // estimated p99
+	P99sOff      int            // p99 off by more than maxP99Error
+	Figures      int            // estimated figures
+	Covered      int            // figures whose interval covers the ground truth
+	RulePairs    int            // pairs of rules whose true means differ by more than minPairGap
 	PairsInOrder int            // pairs that the estimates put in the right order
 	MeanWidth    float64        // sum of the means' half widths, relative
 	MeanError    float64        // sum of the means' errors, relative
 	Refused      map[string]int // refusals by reason
 	Estimators   map[string]int // answers by estimator
 	OffFigures   []string       // means and p99 that are too far off
-	Uncovered    []string       // figures whose interval does not cover the truth
+	Uncovered    []string       // figures whose interval does not cover the ground truth
 }
 
-// init makes the maps.
+// init creates the maps.
 func (s *Score) init() {
 	if s.Refused == nil {
 		s.Refused = map[string]int{}
@@ -63,7 +70,7 @@
 	s.Uncovered = append(s.Uncovered, o.Uncovered...)
 }
 
-// fraction returns n of so many.
+// fraction returns n divided by of; 0 if of is 0.
 func fraction(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 
 // String returns the score in one line.
@@ -71,7 +78,8 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "asked %d, means %d (%.1f%% off by over 10%%; error %.1f%%, half width %.1f%%), p99 %d (%.1f%% "+
 		"off by over 20%%), intervals hold %.1f%% of %d, pairs right %d of %d; by", s.Answers, s.Means,
-		100*fraction(s.MeansOff, s.Means), 100*s.MeanError/float64(max(s.Means, 1)), 100*s.MeanWidth/float64(max(s.Means, 1)), s.P99s,
+		100*fraction(s.MeansOff, s.Means), 100*s.MeanError/float64(max(s.Means, 1)), 100*s.MeanWidth/float64(max(s.Means, 1)),
+		s.P99s,
 		100*fraction(s.P99sOff, s.P99s), 100*fraction(s.Covered, s.Figures), s.Figures, s.PairsInOrder, s.RulePairs)
 	for _, k := range slices.Sorted(maps.Keys(s.Estimators)) {
 		fmt.Fprintf(&b, " %s %d", k, s.Estimators[k])
@@ -84,68 +92,86 @@
 }
 
 // Compare compares one answer with its ground truth.
-func (s *Score) Compare(a *counterfactual.Answer, t GroundTruth) {
+func (s *Score) Compare(answer *counterfactual.Answer, truth GroundTruth) {
 	s.init()
 	s.Answers++
-	if a.Refused != "" {
-		s.Refused[refusalReason(a.Refused)]++
+	if answer.Refused != "" {
+		s.Refused[refusalReason(answer.Refused)]++
 		return
 	}
 	s.Answered++
-	s.Estimators[string(a.Estimator)]++
-	text := func(name string, f *counterfactual.Figure, truth float64) string {
-		return fmt.Sprintf("%s %s frontend %s host %s %s: %.4g (%.4g to %.4g), truth %.4g", a.Rule, a.Estimator,
-			a.Class, a.Host, name, f.Value, f.Low, f.High, truth)
-	}
-	hold := func(name string, f *counterfactual.Figure, truth float64) bool {
-		if !f.Given() {
-			s.Refused[name+" "+refusalReason(f.Refused)]++
-			return false
-		}
-		s.Figures++
-		if f.Low <= truth && truth <= f.High {
-			s.Covered++
-		} else {
-			s.Uncovered = append(s.Uncovered, text(name, f, truth))
-		}
-		return true
-	}
-	far := func(name string, f *counterfactual.Figure, truth, most float64) bool {
-		if math.Abs(f.Value-truth) <= most*truth { // never for a truth that is none
-			return false
-		}
-		s.OffFigures = append(s.OffFigures, text(name, f, truth))
-		return true
-	}
-	if hold("mean", &a.Mean, t.Mean) {
+	s.Estimators[string(answer.Estimator)]++
+	mean := comparedFigure{answer, "mean", &answer.Mean, truth.Mean}
+	if s.cover(mean) {
 		s.Means++
-		s.MeanWidth += (a.Mean.High - a.Mean.Value) / a.Mean.Value
-		s.MeanError += math.Abs(a.Mean.Value-t.Mean) / t.Mean
-		if far("mean", &a.Mean, t.Mean, 0.1) {
+		s.MeanWidth += (mean.figure.High - mean.figure.Value) / mean.figure.Value
+		s.MeanError += math.Abs(mean.figure.Value-mean.truth) / mean.truth
+		if s.isOff(mean, maxMeanError) {
 			s.MeansOff++
 		}
 	}
-	hold("p50", &a.P50, t.P50)
-	hold("within", &a.Within, t.Within)
-	if hold("p99", &a.P99, t.P99) {
+	s.cover(comparedFigure{answer, "p50", &answer.P50, truth.P50})
+	s.cover(comparedFigure{answer, "within", &answer.Within, truth.Within})
+	p99 := comparedFigure{answer, "p99", &answer.P99, truth.P99}
+	if s.cover(p99) {
 		s.P99s++
-		if far("p99", &a.P99, t.P99, 0.2) {
+		if s.isOff(p99, maxP99Error) {
 			s.P99sOff++
 		}
 	}
 }
 
-// CompareOrder counts the pairs of rules with a mean whose true means differ by more than 10%, and those that the estimates put
-// in the right order. Single hosts are compared with each other only: their attempts are others than the rules'.
-func (s *Score) CompareOrder(all []counterfactual.Answer, truths []GroundTruth) {
-	for i := range all {
+// comparedFigure is a figure of an answer with its true value.
+type comparedFigure struct {
+	answer *counterfactual.Answer
+	name   string
+	figure *counterfactual.Figure
+	truth  float64
+}
+
+// String returns the figure in one line.
+func (c *comparedFigure) String() string {
+	return fmt.Sprintf("%s %s class %s host %s %s: %.4g (%.4g to %.4g), truth %.4g", c.answer.Rule, c.answer.Estimator,
+		c.answer.Class, c.answer.Host, c.name, c.figure.Value, c.figure.Low, c.figure.High, c.truth)
+}
+
+// cover counts a figure and whether its interval covers the true value. It reports false if the figure was refused.
+func (s *Score) cover(compared comparedFigure) bool {
+	figure := compared.figure
+	if !figure.Given() {
+		s.Refused[compared.name+" "+refusalReason(figure.Refused)]++
+		return false
+	}
+	s.Figures++
+	if figure.Low <= compared.truth && compared.truth <= figure.High {
+		s.Covered++
+	} else {
+		s.Uncovered = append(s.Uncovered, compared.String())
+	}
+	return true
+}
+
+// isOff reports whether a figure is off by more than a fraction of the true value. Without a true value it is.
+func (s *Score) isOff(compared comparedFigure, maxError float64) bool {
+	if math.Abs(compared.figure.Value-compared.truth) <= maxError*compared.truth {
+		return false
+	}
+	s.OffFigures = append(s.OffFigures, compared.String())
+	return true
+}
+
+// CompareOrder counts the pairs of rules with a mean whose true means differ by more than minPairGap, and those that
+// the estimates put in the right order. Single hosts are compared only with each other: their attempts are not the
+// rules'.
+func (s *Score) CompareOrder(answers []counterfactual.Answer, truths []GroundTruth) {
+	for i := range answers {
 		for j := range i {
-			a, b := &all[i], &all[j]
+			a, b := &answers[i], &answers[j]
 			if !a.Mean.Given() || !b.Mean.Given() || (a.Host == "") != (b.Host == "") {
 				continue
 			}
 			difference := truths[i].Mean - truths[j].Mean
-			if math.Abs(difference) > 0.1*min(truths[i].Mean, truths[j].Mean) {
+			if math.Abs(difference) > minPairGap*min(truths[i].Mean, truths[j].Mean) {
 				s.RulePairs++
 				if (a.Mean.Value > b.Mean.Value) == (difference > 0) {
 					s.PairsInOrder++
@@ -161,42 +187,60 @@
 	return text
 }
 
-// EvaluateReplaced asks what each rule would give if it were in force for a share of all attempts, and compares the answers with
-// a run of the same requests in which it is.
+// EvaluateReplaced queries what each rule would have met if it were in force for a share of all attempts, and compares
+// the answers with a run of the same requests in which it is.
 func EvaluateReplaced(config Config, share float64) *Score {
-	s := &Score{}
-	w := Run(config)
-	for _, r := range []counterfactual.Rule{counterfactual.Next, counterfactual.Chance, counterfactual.Zone,
-		counterfactual.Least} {
-		config.Rule, config.RuleShare = r, share
-		truth := Run(config)
-		for f := range config.Objectives {
-			a := w.Ledger.Replaced(f, r, share, w.From, w.To)
-			s.Compare(&a, truth.InForce(f))
+	score := &Score{}
+	environment := Run(config)
+	for _, rule := range []counterfactual.Rule{
+		counterfactual.Next,
+		counterfactual.Chance,
+		counterfactual.Zone,
+		counterfactual.Least,
+	} {
+		config.Rule = rule
+		config.RuleShare = share
+		replaced := Run(config)
+		for class := range config.Objectives {
+			answer := environment.Ledger.Replaced(class, rule, share, environment.From, environment.To)
+			score.Compare(&answer, replaced.InForce(class))
 		}
 	}
-	return s
+	return score
 }
 
-// EvaluateSingle asks all questions with one request moved at a time, and compares the answers with the ground truth.
+// EvaluateSingle makes all queries with one request moved at a time, and compares the answers with the ground truth.
 func (e *Environment) EvaluateSingle() *Score {
-	s := &Score{}
-	s.init()
-	for f := range e.config.Objectives {
-		panel := e.Ledger.Panel(f, e.From, e.To)
-		truths := make([]GroundTruth, len(panel))
-		for i := range panel {
-			truths[i] = e.GroundTruth(counterfactual.Rule(i), f, 0)
-			s.Compare(&panel[i], truths[i])
-		}
-		s.CompareOrder(panel, truths)
-		panel, truths = nil, nil
-		for _, h := range e.hosts {
-			panel = append(panel, e.Ledger.SingleHost(f, h.ID, e.From, e.To))
-			truths = append(truths, e.GroundTruth(counterfactual.Single, f, h.ID))
-			s.Compare(&panel[len(panel)-1], truths[len(truths)-1])
-		}
-		s.CompareOrder(panel, truths)
+	score := &Score{}
+	score.init()
+	for class := range e.config.Objectives {
+		e.evaluateRules(score, class)
+		e.evaluateHosts(score, class)
+	}
+	return score
+}
+
+// evaluateRules compares the answers for the rules.
+func (e *Environment) evaluateRules(score *Score, class int) {
+	answers := e.Ledger.Panel(class, e.From, e.To)
+	truths := make([]GroundTruth, len(answers))
+	for i := range answers {
+		truths[i] = e.GroundTruth(counterfactual.Rule(i), class, 0)
+		score.Compare(&answers[i], truths[i])
+	}
+	score.CompareOrder(answers, truths)
+}
+
+// evaluateHosts compares the answers for single hosts.
+func (e *Environment) evaluateHosts(score *Score, class int) {
+	var answers []counterfactual.Answer
+	var truths []GroundTruth
+	for _, host := range e.hosts {
+		answer := e.Ledger.SingleHost(class, host.ID, e.From, e.To)
+		truth := e.GroundTruth(counterfactual.Single, class, host.ID)
+		score.Compare(&answer, truth)
+		answers = append(answers, answer)
+		truths = append(truths, truth)
 	}
-	return s
+	score.CompareOrder(answers, truths)
 }
--- a/lab/simenv/simenv.go
+++ b/lab/simenv/simenv.go
@@ -1,9 +1,9 @@
-// Package simenv simulates a fleet of gateways before hosts on a simulated clock, for the tests of package counterfactual. A
-// host's time for an attempt is a fixed function of the attempt, the host and its attempts in flight, so that the environment
-// knows what any other host would have answered to the very same attempt: the ground truth that estimates are compared with.
-// The gateways choose by a small form of the module's rule (the customer's first host in hashed rank among those not much above
-// the least load); their messages pass a network that loses, duplicates, delays and reorders. A run is deterministic for a seed
-// and does no I/O.
+// Package simenv simulates a fleet of gateways and hosts on a simulated clock, for the tests of package
+// counterfactual. A host's response time to an attempt is a function of the attempt, the host and its attempts in
+// flight, so that the response time of any other host to the same attempt is known: the ground truth that estimates
+// are compared with. The gateways choose by a simplified form of the module's rule (the customer's first host in
+// hashed rank among those not much above the least load). Their messages pass through a network that loses,
+// duplicates, delays and reorders. A run is deterministic for a seed and does no I/O.
 package simenv
 
 import (
--- a/lab/startcost/searches.go
+++ b/lab/startcost/searches.go
@@ -11,8 +11,8 @@
 	"strings"
 )
 
-// Search is a call that goes through a list, made once for each turn of a loop: where the list grows with what the loop
-// goes through, the cost is quadratic.
+// Search is a call that searches a list, made once in each iteration of a loop. If the list grows with what the loop
+// iterates over, the cost is quadratic.
 type Search struct {
 	Place string // file:line
 	Call  string // function and list, such as "slices.Index(names)"
@@ -20,13 +20,13 @@
 
 func (s Search) String() string { return s.Place + ": " + s.Call }
 
-// linear are the functions of the standard library's slices that go through their first argument.
+// linear are the functions of the standard library's slices that iterate over their first argument.
 var linear = []string{"Contains", "ContainsFunc", "Delete", "DeleteFunc", "Index", "IndexFunc", "Insert"}
 
 // loops are the functions, of any package, that call a function literal for each element of a list.
 var loops = []string{"ForEach", "each"}
 
-// Searches finds the searches within loops in the Go files of a folder, tests left out.
+// Searches returns the searches within loops in the Go files of a folder, without tests.
 func Searches(folder fs.FS) ([]Search, error) {
 	names, err := fs.Glob(folder, "*.go")
 	if err != nil {
@@ -51,33 +51,35 @@
 	return found, nil
 }
 
-// finder goes through a syntax tree and knows whether it stands within a loop.
+// finder visits a syntax tree and collects searches.
 type finder struct {
 	files  *token.FileSet
 	found  *[]Search
-	looped bool
+	inLoop bool
 }
 
 // Visit implements ast.Visitor.
 func (f *finder) Visit(node ast.Node) ast.Visitor {
-	switch n := node.(type) {
+	switch node := node.(type) {
 	case *ast.ForStmt, *ast.RangeStmt:
-		return f.within()
+		return f.withinLoop()
 	case *ast.CallExpr:
-		f.note(n)
-		if selector, ok := n.Fun.(*ast.SelectorExpr); ok && slices.Contains(loops, selector.Sel.Name) {
-			return f.within()
+		f.add(node)
+		selector, ok := node.Fun.(*ast.SelectorExpr)
+		if ok && slices.Contains(loops, selector.Sel.Name) {
+			return f.withinLoop()
 		}
 	}
 	return f
 }
 
-func (f *finder) within() *finder { return &finder{files: f.files, found: f.found, looped: true} }
+// withinLoop returns a finder for the body of a loop.
+func (f *finder) withinLoop() *finder { return &finder{files: f.files, found: f.found, inLoop: true} }
 
-// note takes a call down if it is a search within a loop.
-func (f *finder) note(call *ast.CallExpr) {
+// add adds a call if it is a search within a loop.
+func (f *finder) add(call *ast.CallExpr) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
-	if !ok || !f.looped || len(call.Args) == 0 {
+	if !ok || !f.inLoop || len(call.Args) == 0 {
 		return
 	}
 	library, ok := selector.X.(*ast.Ident)
--- a/lab/startcost/startcost.go
+++ b/lab/startcost/startcost.go
@@ -25,6 +25,7 @@
 // Axis is what a configuration has many of, all else being small.
 type Axis string
 
+// Axes.
 const (
 	QuotaPlans Axis = "quota plans"
 	Hosts      Axis = "hosts"           // in the configuration's own list; discovery's agent is absent
@@ -35,28 +36,29 @@
 type Size struct {
 	Axis    Axis
 	Count   int
-	Members int // gateways of the fleet: one among many holds a small subset of the hosts
-	Memory  int // limits.memory_mb; 0: as the program has it by itself
+	Members int // gateways of the fleet: one among many uses a small subset of the hosts
+	Memory  int // limits.memory_mb; 0: the program's default
 }
 
 // Cost is what one process took.
 type Cost struct {
 	Size
 	FileBytes int
-	Serving   time.Duration // from the call of exec to the line that tells of serving
+	Serving   time.Duration // from the call of exec to the log line by which it serves
 	StartCPU  time.Duration // processor time until that line
 	Resident  uint64        // bytes at rest
-	Peak      uint64        // bytes, the most so far
-	AtRest    float64       // part of a core
-	ReloadCPU time.Duration // processor time of a SIGHUP, until the line that tells that the file was read anew
+	Peak      uint64        // most bytes
+	AtRest    float64       // fraction of a core
+	ReloadCPU time.Duration // processor time of a SIGHUP, until the log line by which the file was read
 }
 
-// ErrEnded is told of a process that ended before it did what was waited for.
+// ErrEnded is the error of a process that ended before it did what was waited for.
 var ErrEnded = errors.New("the process ended")
 
-const agents = 55 // net of the agent's address in 127.0.0.0/8
+const agentNetwork = 55 // of the agent's address, within 127.0.0.0/8
 
-// Measure starts a program on a configuration of one size and takes its cost. It stands at rest for so long.
+// Measure starts a program with a configuration of one size and returns its cost. rest is how long it is measured at
+// rest.
 func Measure(ctx context.Context, binary string, size Size, rest time.Duration) (cost Cost, err error) {
 	cost.Size = size
 	folder, err := os.MkdirTemp("", "ravensill-startcost-")
@@ -66,7 +68,7 @@
 	defer os.RemoveAll(folder)
 	discovery := "127.0.0.1:1" // nobody listens there
 	if size.Axis == Delivered {
-		agent, err := emulator.NewAgent(agents, 1, entries(size.Count)...)
+		agent, err := emulator.NewAgent(agentNetwork, 1, entries(size.Count)...)
 		if err != nil {
 			return cost, err
 		}
@@ -94,7 +96,7 @@
 	return cost, p.measure(ctx, &cost, rest)
 }
 
-// measure takes the cost of a process that was just launched.
+// measure measures the cost of a process that was just launched.
 func (p *process) measure(ctx context.Context, cost *Cost, rest time.Duration) error {
 	line, err := p.line(ctx, "event=serving ")
 	if err != nil {
@@ -125,13 +127,13 @@
 	return err
 }
 
-// rest takes what the process needs while nothing happens.
+// rest measures what the process needs while nothing happens.
 func (p *process) rest(ctx context.Context, cost *Cost, rest time.Duration) error {
 	before, err := p.cpu()
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	start := time.Now()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -141,20 +143,22 @@
 	if err != nil {
 		return err
 	}
-	cost.AtRest = (after - before).Seconds() / time.Since(began).Seconds()
+	cost.AtRest = (after - before).Seconds() / time.Since(start).Seconds()
 	status, err := p.proc.NewStatus()
-	cost.Resident, cost.Peak = status.VmRSS, status.VmHWM
+	cost.Resident = status.VmRSS
+	cost.Peak = status.VmHWM
 	return err
 }
 
-// process is one life of the program.
+// process is a running program.
 type process struct {
 	cmd   *exec.Cmd
 	proc  procfs.Proc
 	began time.Time
-	lines chan string // of its log; closed at its end
+	lines chan string // of the log; closed when the process ends
 }
 
+// launch starts a program.
 func launch(ctx context.Context, binary, file string) (*process, error) {
 	p := &process{cmd: exec.CommandContext(ctx, binary), lines: make(chan string, 64)}
 	p.cmd.Env = append(os.Environ(), "GW_CONFIG="+file)
@@ -167,10 +171,11 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go func() {
+	go func() { // ends with the process, and kill waits for it
 		defer close(p.lines)
-		for s := bufio.NewScanner(log); s.Scan(); {
-			p.lines <- s.Text()
+		scanner := bufio.NewScanner(log)
+		for scanner.Scan() {
+			p.lines <- scanner.Text()
 		}
 	}()
 	p.proc, err = procfs.NewProc(p.cmd.Process.Pid)
@@ -181,7 +186,7 @@
 	return p, nil
 }
 
-// line waits for a line of the log that holds a text.
+// line waits for a line of the log that contains a text.
 func (p *process) line(ctx context.Context, text string) (string, error) {
 	for {
 		select {
@@ -198,7 +203,7 @@
 	}
 }
 
-// cpu gives the processor time so far, of all threads.
+// cpu returns the processor time of all threads so far.
 func (p *process) cpu() (time.Duration, error) {
 	stat, err := p.proc.Stat()
 	return time.Duration(stat.CPUTime() * float64(time.Second)), err
@@ -276,6 +281,7 @@
 	return plans
 }
 
+// entries returns a number of hosts of a host list.
 func entries(count int) (hosts []emulator.Entry) {
 	for i := range count {
 		hosts = append(hosts, emulator.Entry{
@@ -284,7 +290,7 @@
 			Zone:   "a",
 			Kind:   "m",
 			Cell:   i % 4,
-			State:  "active",
+			State:  emulator.Active,
 			Weight: 1,
 		})
 	}
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -29,19 +29,33 @@
 	only    = flag.String("axis", "", "measure this axis alone")
 )
 
-// bounded are the searches within loops that go through a list of a bounded length.
+// bounded are the searches within loops of lists whose length is bounded.
 var bounded = []string{
 	"slices.Contains(section.Publishers)", // seven addresses at most
 	"slices.Contains(n.inFlight)",         // attempts in flight
-	"slices.IndexFunc(c.subscriptions)",   // neighbours of one gateway, at a change of the number of gateways alone
+	"slices.IndexFunc(c.subscriptions)",   // neighbours of one gateway, when the number of gateways changes
 }
 
-// TestSearches: on the way of the start, of a request and of a message no list that grows with the fleet is searched for each
-// element of another.
-func TestSearches(t *testing.T) {
+// searchedPackages are those of a start, a request and a message.
+var searchedPackages = []string{
+	"configsync",
+	"internal/clients",
+	"internal/config",
+	"internal/discovery",
+	"internal/gossip",
+	"internal/hosts",
+	"internal/node",
+	"internal/peers",
+	"internal/subscriber",
+	"concurrency",
+	"logic",
+	"subset",
+}
+
+// A start, a request and a message search no list that grows with the fleet for each element of another.
+func TestNoSearchOfGrowingListInLoop(t *testing.T) {
 	const root = "../.."
-	for _, name := range []string{"configsync", "internal/clients", "internal/config", "internal/discovery", "internal/gossip",
-		"internal/hosts", "internal/node", "internal/peers", "internal/subscriber", "concurrency", "logic", "subset"} {
+	for _, name := range searchedPackages {
 		found, err := Searches(os.DirFS(root + "/" + name))
 		if err != nil {
 			t.Fatal(err)
@@ -54,35 +68,48 @@
 	}
 }
 
-// TestPlanted: the searches that made the start quadratic are found.
-func TestPlanted(t *testing.T) {
-	found, err := Searches(fstest.MapFS{"planted.go": {Data: []byte(`package planted
+// Searches that would make the start quadratic are found, and none outside of a loop.
+func TestSearchesFindsSearchInLoop(t *testing.T) {
+	const code = `package planted
 func shape() { for i, name := range names { first := slices.Index(names, name); use(i, first) } }
-func read() { servers.ForEach(func(_, s Result) bool { if i := slices.Index(ids, s.id); i >= 0 { use(i) }; return true }) }
+func read() { list.ForEach(func(_, s Result) bool { if i := slices.Index(ids, s.id); i >= 0 { use(i) }; return true }) }
 func insert() { for { hosts = slices.Insert(hosts, 0, next()) } }
 func once() { slices.Index(names, "a") }
-`)}, "planted_test.go": {Data: []byte("no Go")}})
+`
+	found, err := Searches(fstest.MapFS{
+		"planted.go":      {Data: []byte(code)},
+		"planted_test.go": {Data: []byte("no Go")},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Search{{"planted.go:2", "slices.Index(names)"}, {"planted.go:3", "slices.Index(ids)"}, {"planted.go:4", "slices.Insert(hosts)"}}
+	want := []Search{
+		{"planted.go:2", "slices.Index(names)"},
+		{"planted.go:3", "slices.Index(ids)"},
+		{"planted.go:4", "slices.Insert(hosts)"},
+	}
 	if !slices.Equal(found, want) {
 		t.Errorf("found %v, want %v", found, want)
 	}
 }
 
-// TestGrowth: sixteen times the plans or hosts take no more than sixteen times the allocations, with a margin.
-func TestGrowth(t *testing.T) {
-	const few, times, most = 500, 16, 1.1
+// Sixteen times the plans or hosts need at most sixteen times the allocations, with a margin.
+func TestAllocationsGrowLinearly(t *testing.T) {
+	const few = 500
+	const factor = 16
+	const maxExponent = 1.1
 	for _, axis := range []Axis{QuotaPlans, Hosts} {
-		small, large := allocations(t, Size{axis, few, 1, 0}), allocations(t, Size{axis, times * few, 1, 0})
-		if exponent := math.Log(large/small) / math.Log(times); exponent > most {
-			t.Errorf("%s: %.0f allocations for %d, %.0f for %d: exponent %.2f", axis, small, few, large, times*few, exponent)
+		small := allocations(t, Size{Axis: axis, Count: few, Members: 1})
+		large := allocations(t, Size{Axis: axis, Count: factor * few, Members: 1})
+		exponent := math.Log(large/small) / math.Log(factor)
+		if exponent > maxExponent {
+			t.Errorf("%s: %.0f allocations for %d, %.0f for %d: exponent %.2f",
+				axis, small, few, large, factor*few, exponent)
 		}
 	}
 }
 
-// allocations counts those of reading a configuration and the list in it.
+// allocations returns how many allocations it takes to read a configuration and the host list in it.
 func allocations(t *testing.T, size Size) float64 {
 	file, err := configuration(size, "127.0.0.1:1")
 	if err != nil {
@@ -92,23 +119,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := file.Known
+	known := file.Known
 	return testing.AllocsPerRun(3, func() {
 		if _, err := config.Decode(string(settings)); err != nil {
 			t.Fatal(err)
 		}
-		book := discovery.NewEndpointList([]string{"a"}, []string{"m"})
+		list := discovery.NewEndpointList([]string{"a"}, []string{"m"})
 		transport := hosts.NewTransport(sockets.Kernel{}, func(func()) {}, func() int64 { return 0 }, nil, 1, 1, 1)
-		_, listed, _, err := book.Decode(string(list), func(host uint32, addr netip.AddrPort) { transport.SetAddress(host, addr) })
+		setAddress := func(host uint32, addr netip.AddrPort) { transport.SetAddress(host, addr) }
+		_, listed, _, err := list.Decode(string(known), setAddress)
 		if err != nil || size.Axis == Hosts && len(listed) != size.Count {
 			t.Fatal(len(listed), err)
 		}
 	})
 }
 
-// TestProcess: a process serves with all that it was told, read and delivered, and reads the file anew.
-func TestProcess(t *testing.T) {
-	for _, size := range []Size{{QuotaPlans, 300, 1, 0}, {Hosts, 300, 50, 128}, {Delivered, 300, 1, 0}} {
+// A process serves with all that its file has and that discovery delivers, and reads the file anew.
+func TestProcessServesAllItIsGiven(t *testing.T) {
+	const count = 300
+	for _, size := range []Size{
+		{Axis: QuotaPlans, Count: count, Members: 1},
+		{Axis: Hosts, Count: count, Members: 50, Memory: 128},
+		{Axis: Delivered, Count: count, Members: 1},
+	} {
 		t.Run(string(size.Axis), func(t *testing.T) {
 			t.Parallel()
 			measure(t, size, time.Millisecond)
@@ -116,6 +149,7 @@
 	}
 }
 
+// measure measures one size and writes its row.
 func measure(t *testing.T, size Size, rest time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), *most)
@@ -136,8 +170,8 @@
 	}
 }
 
-// TestFull measures all sizes, one after the other, and prints a table. RAVENSILL_BINARY names another program.
-func TestFull(t *testing.T) {
+// All sizes are measured one after the other and printed as a table. RAVENSILL_BINARY names another program.
+func TestFullSizeCost(t *testing.T) {
 	if !*full {
 		t.Skip("no -full")
 	}
