--- a/concurrency/limiter.go
+++ b/concurrency/limiter.go
@@ -1,10 +1,17 @@
-// Package concurrency bounds the attempts that one gateway has in flight, so that they can be answered in time: by additive increase and
-// multiplicative decrease (AIMD; Chiu and Jain, 1989) on the lateness of answers, and at once where endpoints report that they have
-// capacity left.
+// Package concurrency bounds the attempts that one gateway has in flight, so that they can be answered in time:
+// by additive increase and multiplicative decrease (AIMD; Chiu and Jain, 1989) on the lateness of answers, and
+// at once where endpoints report that they have capacity left.
 package concurrency
 
+import (
+	"time"
+
+	"ravensill/gateway"
+)
+
 const (
-	MaxLateness          = 0.35 // mean fraction of the latency objective that answers may take before the limit is decreased
+	// mean fraction of the latency objective that answers may take before the limit is decreased
+	MaxLateness          = 0.35
 	UtilizationObjective = 0.85 // utilization that the limit lets the fleet reach where endpoints report it
 
 	increase = 0.05 // fraction of its start by which the limit grows in a round trip while it is reached
@@ -26,7 +33,7 @@
 	meanInFlight     float64 // attempts, as seen by answers
 	utilization      float64 // mean of the reports
 	utilizationKnown bool
-	lastDecrease     int64 // ns
+	lastDecrease     gateway.Time
 }
 
 // SetEndpoints sets how many endpoints there are now: the limit follows in proportion.
@@ -39,18 +46,18 @@
 	l.endpoints = count
 }
 
-// Allows reports whether one more attempt may start beside those in flight, within a fraction of the limit. random is a random
-// number from 0 to 1 by which one more may start: requests arrive in random clusters, and a limit under one is a probability. A
-// fraction that is not a number limits nothing.
+// Allows reports whether one more attempt may start beside those in flight, within a fraction of the limit.
+// random is a random number from 0 to 1 by which one more may start: requests arrive in random clusters, and a
+// limit under one is a probability. A fraction that is not a number limits nothing.
 func (l *Limiter) Allows(inFlight int, fraction, random float64) bool {
 	limit := l.limit * fraction
 	exceeded := float64(inFlight+1) > limit+random*(1+min(limit, 1))
 	return !exceeded
 }
 
-// ObserveAnswer takes in an answer that came a latency after its attempt started, with the objective of its class, both in
-// nanoseconds, and the utilization that the endpoint reported with it, below 0 for none.
-func (l *Limiter) ObserveAnswer(latency, objective, now int64, inFlight int, utilization float64) {
+// ObserveAnswer takes in an answer that came a latency after its attempt started, with the objective of its
+// class, both in nanoseconds, and the utilization that the endpoint reported with it, below 0 for none.
+func (l *Limiter) ObserveAnswer(latency, objective time.Duration, now gateway.Time, inFlight int, utilization float64) {
 	late := min(float64(latency)/float64(objective), 1)
 	l.lateness += (late - l.lateness) / min(2+l.limit, maxLatenessWindow)
 	if utilization >= 0 {
@@ -58,7 +65,7 @@
 	}
 	l.meanInFlight += (float64(inFlight) - l.meanInFlight) * inFlightWeight
 	if l.lateness > MaxLateness {
-		l.decreaseOnce(now, int64(MaxLateness*float64(objective)))
+		l.decreaseOnce(now, time.Duration(MaxLateness*float64(objective)))
 		return
 	}
 	if float64(inFlight+2) > l.limit {
@@ -80,8 +87,8 @@
 }
 
 // decreaseOnce decreases the limit, once in an interval.
-func (l *Limiter) decreaseOnce(now, interval int64) {
-	if now-l.lastDecrease < interval {
+func (l *Limiter) decreaseOnce(now gateway.Time, interval time.Duration) {
+	if now.Sub(l.lastDecrease) < interval {
 		return
 	}
 	l.limit = max(minLimit, l.limit*decrease)
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -18,7 +18,8 @@
 	"ravensill/internal/logging"
 )
 
-// rig is a node on sockets with one host. Its module sends each req to that and again where it never ran, at most twice.
+// rig is a node on sockets with one host. Its module sends each req to that and again where it never ran, at
+// most twice.
 type testGateway struct {
 	*testing.T
 	*Node
@@ -48,9 +49,16 @@
 		}
 	}()
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100,
-		Known: fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, r.hostAddr),
-		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}}, ClassNames: []string{"lookup"},
-			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 20e9, Limits: gateway.Limits{PollEndpoints: true}}}
+		KnownEndpoints: fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, r.hostAddr),
+		Settings: &config.Settings{
+			Membership:     gateway.Membership{Count: 1},
+			Classes:        []gateway.RequestClass{{}},
+			ClassNames:     []string{"lookup"},
+			Plans:          []gateway.Plan{{}},
+			PlanNames:      []string{"team"},
+			ConnectTimeout: 20e9,
+			Limits:         gateway.Limits{PollEndpoints: true},
+		}}
 	r.Node = New(cfg, r)
 
 	restoreLog := logging.SetOutput(r)
@@ -91,7 +99,7 @@
 	}
 }
 
-func (r *testGateway) Reconfigure(_ int64, update *gateway.Update) {
+func (r *testGateway) Reconfigure(_ gateway.Time, update *gateway.Update) {
 	r.events <- fmt.Sprintf("reconfigured: %d plans, %d classes", len(update.Plans), len(update.Classes))
 }
 
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -20,12 +20,12 @@
 type watch struct {
 	stop      context.CancelFunc
 	feed      discovery.PendingRead
-	skipUntil int64 // what lies in it holds no decision up until then
+	skipUntil gateway.Time // what lies in it holds no decision up until then
 }
 
-// startWatch asks for the list, unless that is up to the module. What discovery's agent has counts as notified from the first
-// moment on, and the list of the configuration may be old: clients are taken in once the agent has answered, which it
-// does at once, or is silent for so long that discovery must be down.
+// startWatch asks for the list, unless that is up to the module. What discovery's agent has counts as notified
+// from the first moment on, and the list of the configuration may be old: clients are taken in once the agent
+// has answered, which it does at once, or is silent for so long that discovery must be down.
 func (n *Node) startWatch() {
 	if n.cfg.Limits.PollEndpoints {
 		n.listAnswered = true
@@ -35,7 +35,7 @@
 	time.AfterFunc(firstListWait, func() {
 		n.runOnLoop(func() {
 			if !n.listAnswered {
-				slog.Warn("no_first_list", "version", n.endpointList.Version)
+				slog.Warn("endpoint_list_timeout", "version", n.endpointList.Version)
 			}
 			n.listAnswered = true
 		})
@@ -62,7 +62,7 @@
 		err := discovery.Watch(ctx, n.system, addr, after, discovery.NewTimeouts(n.cfg.Limits.PollEndpoints), &w.feed, func() {
 			newest(func() {
 				if n.watchLost {
-					slog.Info("watch_back")
+					slog.Info("endpoint_watch_restored")
 				}
 				n.watchLost = false
 			})
@@ -72,15 +72,15 @@
 	}()
 }
 
-// readPendingList lets the newest watch hand on what lies in its connection before the module decides. A process that stood still,
-// or has much to read, would else send requests on past a drain that was notified long before.
+// readPendingList lets the newest watch hand on what lies in its connection before the module decides. A process
+// that stood still, or has much to read, would else send requests on past a drain that was notified long before.
 func (n *Node) readPendingList() {
 	if len(n.events) == 0 || n.watch == nil || n.now() < n.watch.skipUntil {
 		return
 	}
-	for limit := n.now() + int64(maxReadDelay); n.watch.feed.Pending(); {
+	for limit := n.now().Add(maxReadDelay); n.watch.feed.Pending(); {
 		if now := n.now(); now >= limit { // it never rests: requests must not wait for it batch after batch
-			n.watch.skipUntil = now + int64(time.Second)
+			n.watch.skipUntil = now.Add(time.Second)
 			break
 		}
 		select {
@@ -103,7 +103,7 @@
 		slog.Info("reloaded",
 			"discovery", cfg.Discovery,
 			"version", n.endpointList.Version,
-			"others_changed", n.cfg.Fixed != cfg.Fixed,
+			"other_keys_changed", n.cfg.FixedKeysHash != cfg.FixedKeysHash,
 		) // these count from the next start on
 		if cfg.Pool != nil {
 			n.quota.setCapacity(cfg.Pool.Serial, cfg.Pool.Capacity)
@@ -125,7 +125,7 @@
 		return
 	}
 	if !n.watchLost { // once, not with every try
-		slog.Warn("watch_lost", "error", err, "version", n.endpointList.Version)
+		slog.Warn("endpoint_watch_lost", "error", err, "version", n.endpointList.Version)
 	}
 	n.watchLost = true
 	if n.cfg.Limits.PollEndpoints {
@@ -148,14 +148,14 @@
 	kind, list, odd, err := n.endpointList.Decode(text, func(host uint32, addr netip.AddrPort) { n.transport.SetAddress(host, addr) })
 	if err != nil {
 		n.droppedLists++
-		slog.Warn("list_dropped", "error", err, "count", n.droppedLists)
+		slog.Warn("endpoint_list_rejected", "error", err, "count", n.droppedLists)
 		return
 	}
 	if odd != nil {
-		slog.Warn("list_odd", "error", odd, "version", n.endpointList.Version)
+		slog.Warn("endpoint_invalid", "error", odd, "version", n.endpointList.Version)
 	}
 	if n.endpointList.Version < had {
-		slog.Warn("list_older", "version", n.endpointList.Version, "had", had)
+		slog.Warn("endpoint_list_stale", "version", n.endpointList.Version, "previous", had)
 	}
 	if old {
 		kind = gateway.ListCached
@@ -163,7 +163,7 @@
 	n.observer.endpointsListed(list)
 	for _, l := range list {
 		if l.State != gateway.Running {
-			slog.Info("host",
+			slog.Info("endpoint_state",
 				"id", n.endpointList.ID(l.Host),
 				"state", l.State,
 				"version", n.endpointList.Version,
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -8,6 +8,7 @@
 	"runtime"
 	"strings"
 	"testing"
+	"time"
 
 	"ravensill/gateway"
 	"ravensill/internal/clients"
@@ -20,7 +21,7 @@
 // eager sends each req on, and again after each end while it is open; it prints what it hears.
 type retryingDecider struct{ strings.Builder }
 
-func (*retryingDecider) Reconfigure(int64, *gateway.Update) {}
+func (*retryingDecider) Reconfigure(gateway.Time, *gateway.Update) {}
 
 func (m *retryingDecider) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
@@ -40,8 +41,9 @@
 	}
 }
 
-// A client goes in each moment of its request. Whatever its going crosses, nothing is sent on afterwards, and each attempt
-// that the module decided on ends for it: else it would hold it as out for ever, and its limit would close.
+// A client goes in each moment of its request. Whatever its going crosses, nothing is sent on afterwards, and
+// each attempt that the module decided on ends for it: else it would hold it as out for ever, and its limit
+// would close.
 func TestNoAttemptAfterClientGone(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -49,12 +51,15 @@
 	}
 	defer l.Close()
 	m := &retryingDecider{}
-	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
-		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
+	n := New(&config.Config{
+		Sockets: 100,
+		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
+			Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9},
+	}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
 	arrive := func(id string) *clients.Answer {
 		a := new(clients.AnswerQueue).Add()
-		n.arrive(a, &clients.Request{ID: id, Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
+		n.arrive(a, &clients.Request{ID: id, Customer: "c", Deadline: n.unixNano() + 1e12, Units: 1, Spread: 1})
 		return a
 	}
 	arrive("before-it-is-heard-of").ClientGone()
@@ -133,9 +138,18 @@
 	m := &retryingDecider{}
 	for _, effect := range []gateway.Effect{gateway.Idempotent, gateway.Deduplicated} {
 		n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1},
-			Classes: []gateway.RequestClass{{Effect: effect, DedupWindow: 1}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
+			Classes: []gateway.RequestClass{{
+				Effect:      effect,
+				DedupWindow: 1,
+			}}, Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
 		n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
-		n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
+		n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{
+			ID:       "r",
+			Customer: "c",
+			Deadline: n.unixNano() + 1e12,
+			Units:    1,
+			Spread:   1,
+		})
 		n.turn()
 		for i, r := 0, n.requests["r"]; i < 2; i++ {
 			for ; !r.attempts[i].send.Written(); n.turn() {
@@ -151,21 +165,22 @@
 	golden.Check(t, m.String())
 }
 
-// A repeat of what may have run is not written so late that a stall between the clock and the write takes it past the window.
+// A repeat of what may have run is not written so late that a stall between the clock and the write takes it
+// past the window.
 func TestRetryKeepsStallAllowanceBeforeWindowEnd(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	const window = int64(10e9)
+	const window = 10 * time.Second
 	for _, test := range []struct {
 		name   string
-		left   int64 // of the window, when the connection is up
+		left   time.Duration // of the window, when the connection is up
 		result gateway.Result
 	}{
-		{"clear of the end", stallAllowance + 2e9, gateway.TimedOut},
-		{"within the allowance", stallAllowance - 1e6, gateway.Unreachable},
+		{"clear of the end", stallAllowance + 2*time.Second, gateway.TimedOut},
+		{"within the allowance", stallAllowance - time.Millisecond, gateway.Unreachable},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := &retryingDecider{}
@@ -173,7 +188,13 @@
 				Classes: []gateway.RequestClass{{Effect: gateway.Deduplicated, DedupWindow: window}}, Plans: []gateway.Plan{{}},
 				ConnectTimeout: 1e9}}, m)
 			n.transport.SetAddress(1, netip.MustParseAddrPort(l.Addr().String()))
-			n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{ID: "r", Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
+			n.arrive(new(clients.AnswerQueue).Add(), &clients.Request{
+				ID:       "r",
+				Customer: "c",
+				Deadline: n.unixNano() + 1e12,
+				Units:    1,
+				Spread:   1,
+			})
 			n.turn()
 			r := n.requests["r"]
 			written := func(i int) {
@@ -184,7 +205,7 @@
 			written(0)
 			r.attempts[0].send.Cancel(hosts.ErrTimedOut) // it may have run
 			n.turn()
-			n.unix += window - test.left
+			n.unix += int64(window - test.left)
 			written(1)
 			r.attempts[1].send.Cancel(hosts.ErrTimedOut)
 			n.turn()
@@ -195,22 +216,26 @@
 	}
 }
 
-// A panic where a dispatch is sent, or where its answer is handed on, leaves it neither out for the module nor held here.
+// A panic where a dispatch is sent, or where its answer is handed on, leaves it neither out for the module nor
+// held here.
 func TestPanicLeavesNoAttemptInFlight(t *testing.T) {
 	defer logging.SetOutput(io.Discard)()
 	m := &retryingDecider{}
-	n := New(&config.Config{Sockets: 100, Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
-		Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9}}, m)
+	n := New(&config.Config{
+		Sockets: 100,
+		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}},
+			Plans: []gateway.Plan{{}}, ConnectTimeout: 1e9},
+	}, m)
 	n.transport.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:1"))
 	arrive := func(id string) *clients.Answer {
 		a := new(clients.AnswerQueue).Add() // its line has no ring: an answer panics
-		n.arrive(a, &clients.Request{ID: id, Customer: "c", Deadline: n.now() + 1e12, Units: 1, Spread: 1})
+		n.arrive(a, &clients.Request{ID: id, Customer: "c", Deadline: n.unixNano() + 1e12, Units: 1, Spread: 1})
 		return a
 	}
 	arrive("answered")
 	n.step()
 	d := n.requests["answered"].attempts[0]
-	n.recoverPanics("loop", func() { d.end(gateway.Event{Result: gateway.Succeeded}, []byte("v"), n.now()) })
+	n.recoverPanics("loop", func() { d.end(gateway.Event{Result: gateway.Succeeded}, []byte("v"), n.unixNano()) })
 	n.step()
 	fleet := n.transport
 	n.transport = nil
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,7 +18,7 @@
 // faulty denies reqs, panics on those of customer f, and names what is not there on those of b.
 type panickingDecider struct{}
 
-func (panickingDecider) Reconfigure(int64, *gateway.Update) {}
+func (panickingDecider) Reconfigure(gateway.Time, *gateway.Update) {}
 
 func (panickingDecider) Decide(in *gateway.Batch, out gateway.Actions) {
 	for _, e := range in.Events {
@@ -37,13 +37,20 @@
 	}
 }
 
-// serve runs a gateway with a module on an address of its own. lines gives those of its log that hold an event named there.
+// serve runs a gateway with a module on an address of its own. lines gives those of its log that hold an event
+// named there.
 func serve(t *testing.T, m Decider, set func(*Node), events ...string) (addr string, stop func(), ended func() (lines []string)) {
 	r, w := io.Pipe()
 	t.Cleanup(logging.SetOutput(w))
 	cfg := &config.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: "127.0.0.1:1", Sockets: 100,
-		Settings: &config.Settings{Membership: gateway.Membership{Count: 1}, Classes: []gateway.RequestClass{{}}, ClassNames: []string{"lookup"},
-			Plans: []gateway.Plan{{}}, PlanNames: []string{"team"}, ConnectTimeout: 1e9}}
+		Settings: &config.Settings{
+			Membership:     gateway.Membership{Count: 1},
+			Classes:        []gateway.RequestClass{{}},
+			ClassNames:     []string{"lookup"},
+			Plans:          []gateway.Plan{{}},
+			PlanNames:      []string{"team"},
+			ConnectTimeout: 1e9,
+		}}
 	call, over := make(chan struct{}), make(chan error, 1)
 	n := New(cfg, m)
 	if set != nil {
@@ -160,17 +167,17 @@
 // mute decides nothing.
 type mute struct{}
 
-func (mute) Decide(*gateway.Batch, gateway.Actions) {}
-func (mute) Reconfigure(int64, *gateway.Update)     {}
+func (mute) Decide(*gateway.Batch, gateway.Actions)    {}
+func (mute) Reconfigure(gateway.Time, *gateway.Update) {}
 
 // A client that is owed an answer for ever, and does not close, holds the program no longer than its time.
 func TestShutdownIsBounded(t *testing.T) {
-	addr, stop, ended := serve(t, mute{}, nil, "cut_off clients=1", "stopped")
+	addr, stop, ended := serve(t, mute{}, nil, "connections_aborted clients=1", "stopped")
 	c := dial(t, addr)
 	ask(t, c, "", 0)
 	io.WriteString(c, command("a", 1))
 	stop()
-	if got := fmt.Sprint(ended()); got != "[cut_off clients=1 stopped]" {
+	if got := fmt.Sprint(ended()); got != "[connections_aborted clients=1 stopped]" {
 		t.Error(got)
 	}
 }
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -2,14 +2,16 @@
 
 import (
 	"math/rand/v2"
+	"time"
 
 	"ravensill/counterfactual"
 	"ravensill/gateway"
 	"ravensill/internal/observer"
 )
 
-// observedActions stands between the module and the node where the section counterfactual is on: it is the Actions that is
-// also a CandidateObserver, and hands the task a record of each attempt that ended. Its fields belong to the loop.
+// observedActions stands between the module and the node where the section counterfactual is on: it is the
+// Actions that is also a CandidateObserver, and hands the task a record of each attempt that ended. Its fields
+// belong to the loop.
 type observedActions struct {
 	*Node
 	task     *observer.Observer
@@ -36,7 +38,7 @@
 	}
 	var targets []int64
 	for _, f := range n.cfg.Classes {
-		targets = append(targets, f.LatencyObjective)
+		targets = append(targets, int64(f.LatencyObjective))
 	}
 	var task *observer.Observer
 	err = listenWithRetry("counterfactual", n.cfg.Counterfactual.Listen, stop, func() (err error) {
@@ -51,10 +53,10 @@
 	return task.Close, nil
 }
 
-// actions returns what the module writes a batch to: for a fraction of the batches, drawn at random, the observer. The others
-// cost no more than without.
+// actions returns what the module writes a batch to: for a fraction of the batches, drawn at random, the
+// observer. The others cost no more than without.
 func (n *Node) actions() gateway.Actions {
-	if w := n.observer; w != nil && w.random.Float64() < n.cfg.Counterfactual.Part {
+	if w := n.observer; w != nil && w.random.Float64() < n.cfg.Counterfactual.RecordedFraction {
 		return w
 	}
 	return n
@@ -71,14 +73,14 @@
 	*e = observer.Entry{Request: requestID, Record: counterfactual.Record{Customer: customer, Candidates: e.Candidates[:0]}}
 	for _, o := range options {
 		p := w.places[o.Host]
-		e.Candidates = append(e.Candidates, counterfactual.Candidate{Host: o.Host, Incarnation: p.born, Zone: p.zone, Chance: o.Chance,
+		e.Candidates = append(e.Candidates, counterfactual.Candidate{Host: o.Host, Incarnation: p.born, Zone: p.zone, Probability: o.Chance,
 			Load: o.Load})
 	}
 	w.upcoming = e
 }
 
 // StartAttempt sends the request on; its record waits for the end.
-func (w *observedActions) StartAttempt(id string, host uint32, timeout int64) {
+func (w *observedActions) StartAttempt(id string, host uint32, timeout time.Duration) {
 	e := w.upcoming
 	w.upcoming = nil
 	w.Node.StartAttempt(id, host, timeout)
@@ -90,12 +92,12 @@
 	if d.request != r { // it has ended already, unsent
 		return
 	}
-	e.Class, e.Attempt, e.SentAt = r.command.Class, d.number, d.startedAt
+	e.Class, e.Attempt, e.SentAt = r.command.Class, d.number, int64(d.startedAt)
 	w.pending[d] = e
 }
 
 // attemptEnded hands over the record of an attempt. One that was never sent says nothing of its host.
-func (w *observedActions) attemptEnded(d *attempt, result gateway.Result, lag int64) {
+func (w *observedActions) attemptEnded(d *attempt, result gateway.Result, lag time.Duration) {
 	if w == nil {
 		return
 	}
@@ -104,7 +106,7 @@
 		return
 	}
 	delete(w.pending, d)
-	switch e.Latency = lag; result {
+	switch e.Latency = int64(lag); result {
 	case gateway.NotSent:
 		return
 	case gateway.Succeeded:
@@ -131,7 +133,7 @@
 }
 
 // SetTimer sets the module's next timer; the one at hand has fired.
-func (w *observedActions) SetTimer(after int64) {
+func (w *observedActions) SetTimer(after time.Duration) {
 	w.offer()
 	w.Node.SetTimer(after)
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	acceptGrace  = 450 * time.Millisecond  // new clients still come for so long after the call to stop
-	maxDrainWait = 3 * time.Second         // of the longest client timeout: the platform counts no more
-	drainMargin  = 500 * time.Millisecond  // it kills 0.7 s after that: by then all that was taken is answered
-	lingerLimit  = 1500 * time.Millisecond // after that clients are read to their end for a second; what stays then is cut off
+	acceptGrace  = 450 * time.Millisecond // new clients still come for so long after the call to stop
+	maxDrainWait = 3 * time.Second        // of the longest client timeout: the platform counts no more
+	drainMargin  = 500 * time.Millisecond // it kills 0.7 s after that: by then all that was taken is answered
+	// after that clients are read to their end for a second; what stays then is cut off
+	lingerLimit = 1500 * time.Millisecond
 )
 
 // phase is how far the shutdown has come. Each phase ends at Node.nextPhaseAt.
 //
-// Clients go on sending on what they have open, and a close that crosses a command leaves that unanswered. So what is open is
-// served until shortly before the platform kills, which counts from the longest client timeout, and ends then: a kill that crosses
-// a command would lose it.
+// Clients go on sending on what they have open, and a close that crosses a command leaves that unanswered. So
+// what is open is served until shortly before the platform kills, which counts from the longest client timeout,
+// and ends then: a kill that crosses a command would lose it.
 type phase int
 
 const (
@@ -29,18 +30,18 @@
 
 // beginShutdown begins the end. A gateway that serves nobody yet ends at once.
 func (n *Node) beginShutdown() {
-	longest := int64(0)
+	longest := time.Duration(0)
 	for _, class := range n.classes {
 		longest = max(longest, class.Timeout)
 	}
 	now := n.now()
 	n.phase = stopping
-	n.nextPhaseAt = now + int64(acceptGrace)
-	n.answerBy = now + min(longest, int64(maxDrainWait)) + int64(drainMargin)
+	n.nextPhaseAt = now.Add(acceptGrace)
+	n.answerBy = now.Add(min(longest, maxDrainWait) + drainMargin)
 	if !n.listening {
 		n.nextPhaseAt = now
 	}
-	n.logPhase("stopping")
+	slog.Info("shutdown_started", "clients", n.clients.Count(), "in_flight", len(n.requests))
 }
 
 // enterNextPhase takes the next step to the end. One client that neither reads nor closes must not hold the program.
@@ -49,23 +50,19 @@
 	case stopping:
 		n.phase = closed
 		n.nextPhaseAt = n.answerBy
-		n.clients.Unlisten()
-		n.logPhase("closed_to_new")
+		n.clients.StopAccepting()
+		slog.Info("listener_closed", "clients", n.clients.Count(), "in_flight", len(n.requests))
 	case closed:
 		n.phase = draining
-		n.nextPhaseAt = n.now() + int64(lingerLimit)
+		n.nextPhaseAt = n.now().Add(lingerLimit)
 		n.clients.Drain()
 	default:
 		n.phase = cutOff
 		n.nextPhaseAt = 0
-		n.logPhase("cut_off")
-		n.clients.End()
+		slog.Info("connections_aborted", "clients", n.clients.Count(), "in_flight", len(n.requests))
+		n.clients.CloseAll()
 	}
 }
 
 // shutdownEnded reports whether the gateway owes nothing more.
-func (n *Node) shutdownEnded() bool { return n.phase >= closed && n.clients.Ended() }
-
-func (n *Node) logPhase(event string) {
-	slog.Info(event, "clients", n.clients.Count(), "open", len(n.requests))
-}
+func (n *Node) shutdownEnded() bool { return n.phase >= closed && n.clients.Closed() }
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -10,16 +10,16 @@
 
 const loggedDigestDigits = 16 // of the digest, in a log line
 
-// Status is what a replica knows: of the log, of itself, and of the gateways that follow or followed it.
+// Status is the status of a replica, and of the gateways that are or were connected to it.
 type Status struct {
 	Replica   int                `json:"replica"`
 	Leader    int                `json:"leader"` // -1: not known
 	Leads     bool               `json:"leads"`
-	Current   bool               `json:"current"` // in contact with a quorum, and has carried out what that agreed on
+	Current   bool               `json:"current"` // in contact with a quorum, and all that is committed is applied
 	Log       configsync.LogID   `json:"log"`
 	Version   configsync.Version `json:"version"`
 	Digest    string             `json:"digest"`
-	Oldest    configsync.Version `json:"oldest"` // the earliest that deltas lead on from, and that a rollback reaches
+	Oldest    configsync.Version `json:"oldest"` // the earliest version of the history, for deltas and rollbacks
 	Connected int                `json:"connected"`
 	Counters  Counters           `json:"counters"`
 	Followers []Follower         `json:"followers,omitempty"`
@@ -27,28 +27,28 @@
 
 // Counters count since the start of the replica.
 type Counters struct {
-	Connections int64 `json:"connections"`
-	TurnedOff   int64 `json:"turned_off"` // connections beyond max_followers
-	Malformed   int64 `json:"malformed"`  // messages that broke the protocol; each ended its connection
-	BytesIn     int64 `json:"bytes_in"`   // from followers
-	BytesOut    int64 `json:"bytes_out"`  // to followers
-	Published   int64 `json:"published"`
-	Rejected    int64 `json:"rejected"` // requests answered by an error
+	Connections         int64 `json:"connections"`
+	RejectedConnections int64 `json:"turned_off"` // connections beyond max_followers
+	Malformed           int64 `json:"malformed"`  // messages that broke the protocol; each ended its connection
+	BytesIn             int64 `json:"bytes_in"`   // from followers
+	BytesOut            int64 `json:"bytes_out"`  // to followers
+	Published           int64 `json:"published"`
+	Rejected            int64 `json:"rejected"` // requests answered by an error
 }
 
-// Follower is what a replica knows of one gateway.
+// Follower is the status of one gateway at a replica.
 type Follower struct {
-	Member    int                 `json:"member"`
-	Name      string              `json:"name"`
-	Connected bool                `json:"connected"`
-	InForce   configsync.Version  `json:"in_force"`
-	Refused   configsync.Version  `json:"refused,omitempty"` // a later version that it could not take
-	Resource  configsync.Resource `json:"resource,omitempty"`
-	Reason    string              `json:"reason,omitempty"`
-	HeardMS   int64               `json:"heard_ms"` // milliseconds since its last message
+	Member         int                 `json:"member"`
+	Name           string              `json:"name"`
+	Connected      bool                `json:"connected"`
+	InForce        configsync.Version  `json:"in_force"`
+	Refused        configsync.Version  `json:"refused,omitempty"` // a later version that it could not apply
+	Resource       configsync.Resource `json:"resource,omitempty"`
+	Reason         string              `json:"reason,omitempty"`
+	SinceMessageMS int64               `json:"heard_ms"` // milliseconds since its latest message
 }
 
-// Status gives the replica's own view; each gateway follows one replica at a time.
+// Status returns the status of this replica. Each gateway is connected to one replica at a time.
 func (p *Publisher) Status() *Status {
 	status := &Status{
 		Replica:   p.cfg.Index,
@@ -57,13 +57,13 @@
 		Current:   p.replica.Current(),
 		Followers: []Follower{},
 		Counters: Counters{
-			Connections: p.counters.connected.Load(),
-			TurnedOff:   p.counters.turnedOff.Load(),
-			Malformed:   p.counters.malformed.Load(),
-			BytesIn:     p.counters.bytesIn.Load(),
-			BytesOut:    p.counters.bytesOut.Load(),
-			Published:   p.counters.published.Load(),
-			Rejected:    p.counters.rejected.Load(),
+			Connections:         p.counters.connected.Load(),
+			RejectedConnections: p.counters.rejectedConnections.Load(),
+			Malformed:           p.counters.malformed.Load(),
+			BytesIn:             p.counters.bytesIn.Load(),
+			BytesOut:            p.counters.bytesOut.Load(),
+			Published:           p.counters.published.Load(),
+			Rejected:            p.counters.rejected.Load(),
 		},
 	}
 	p.mu.Lock()
@@ -84,14 +84,14 @@
 
 func newFollower(now time.Time, member *configsync.MemberStatus) Follower {
 	return Follower{
-		Member:    member.Member,
-		Name:      member.Name,
-		Connected: member.Connected,
-		InForce:   member.InForce,
-		Refused:   member.Refused,
-		Resource:  member.Resource,
-		Reason:    member.Reason,
-		HeardMS:   now.Sub(member.Heard).Milliseconds(),
+		Member:         member.Member,
+		Name:           member.Name,
+		Connected:      member.Connected,
+		InForce:        member.InForce,
+		Refused:        member.Refused,
+		Resource:       member.Resource,
+		Reason:         member.Reason,
+		SinceMessageMS: now.Sub(member.LastMessage).Milliseconds(),
 	}
 }
 
@@ -110,20 +110,20 @@
 	}
 	c := &s.Counters
 	return []slog.Attr{
-		slog.Bool("leads", s.Leads),
+		slog.Bool("leading", s.Leads),
 		slog.Int("leader", s.Leader),
 		slog.Bool("current", s.Current),
 		slog.Uint64("version", uint64(s.Version)),
 		slog.String("digest", s.Digest[:loggedDigestDigits]),
 		slog.Int("followers", s.Connected),
-		slog.Int("in_force", inForce),
-		slog.Int("refused", refused),
+		slog.Int("followers_current", inForce),
+		slog.Int("followers_refusing", refused),
 		slog.Int64("connections", c.Connections),
-		slog.Int64("turned_off", c.TurnedOff),
+		slog.Int64("connections_rejected", c.RejectedConnections),
 		slog.Int64("malformed", c.Malformed),
 		slog.Int64("bytes_in", c.BytesIn),
 		slog.Int64("bytes_out", c.BytesOut),
 		slog.Int64("published", c.Published),
-		slog.Int64("rejected", c.Rejected),
+		slog.Int64("requests_rejected", c.Rejected),
 	}
 }
--- a/lab/fleet/processlog.go
+++ b/lab/fleet/processlog.go
@@ -25,7 +25,7 @@
 const UnnamedLine = "unnamed"
 
 // hostStateEvent is the log event by which a gateway reports a host's state.
-const hostStateEvent = "host"
+const hostStateEvent = "endpoint_state"
 
 // processLog holds the latest lines of a process's log. Lines are numbered from 0 over all incarnations.
 type processLog struct {
--- a/lab/pools/pools.go
+++ b/lab/pools/pools.go
@@ -200,14 +200,14 @@
 	if !voter.Running() {
 		return false
 	}
-	lines := voter.Lines("pool_leads")
-	return len(lines) > 0 && logline.Value(lines[len(lines)-1], "yes") == "true"
+	lines := voter.Lines("pool_leader_changed")
+	return len(lines) > 0 && logline.Value(lines[len(lines)-1], "leader") == "true"
 }
 
 // UnreturnedUnits returns the sum of what the voters reported as reclaimed from gateways that had not returned it.
 func UnreturnedUnits(f *fleet.Fleet) (units int) {
 	for _, gateway := range f.Gateways() {
-		for _, line := range gateway.Lines("pool_not_given_back") {
+		for _, line := range gateway.Lines("pool_quota_exceeded") {
 			units += logline.Int(line, "units")
 		}
 	}
--- a/lab/rollout/cases.go
+++ b/lab/rollout/cases.go
@@ -141,7 +141,7 @@
 		WaitVersions(8),
 		BlockDisk(0),
 		WaitVersions(3),
-		CheckLogLines("configuration_not_saved", 1, 0),
+		CheckLogLines("configuration_save_failed", 1, 0),
 		DamageDisk(1),
 		WaitVersions(3),
 		CheckLogLines("configuration_damaged", 1, 1),
--- a/lab/rollout/faults.go
+++ b/lab/rollout/faults.go
@@ -124,7 +124,7 @@
 		drained := r.Fleet.Host(host)
 		r.Fleet.Agent.Push(drained.Entry(emulator.Leaving))
 		return r.Fleet.ForEach(r.members(), func(g *fleet.Gateway) error {
-			_, err := g.WaitLineAfter(ctx, marks[g.Index], "event=host id="+drained.ID+" ")
+			_, err := g.WaitLineAfter(ctx, marks[g.Index], "event=endpoint_state id="+drained.ID+" ")
 			return err
 		})
 	}}
@@ -268,7 +268,7 @@
 			return err
 		}
 		return r.Fleet.ForEach(members, func(g *fleet.Gateway) error {
-			_, err := g.WaitLine(ctx, "event=configuration_not_saved")
+			_, err := g.WaitLine(ctx, "event=configuration_save_failed")
 			return err
 		})
 	}}
--- a/lab/rollout/hollow/follower.go
+++ b/lab/rollout/hollow/follower.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"ravensill/configsync"
+	"ravensill/gateway"
 	"ravensill/internal/config"
 	"ravensill/internal/subscriber"
 	"ravensill/lab/fleet"
@@ -118,7 +119,7 @@
 		f.addViolation("version %d: %v", update.To, err)
 		return err
 	}
-	f.module.Reconfigure(time.Now().UnixNano(), &revision.Update)
+	f.module.Reconfigure(gateway.Time(time.Now().UnixNano()), &revision.Update)
 	now := time.Now().UnixNano()
 	before := f.inForce.Swap(uint64(update.To))
 	if uint64(update.To) <= before {
--- a/lab/rollout/hollow/followers.go
+++ b/lab/rollout/hollow/followers.go
@@ -243,7 +243,7 @@
 		Unsaved:         status.Unsaved,
 		LostConnections: counters.Lost,
 		GivenUp:         counters.Silent + counters.Stale + counters.Stalled + counters.Behind + counters.OtherLog,
-		Broken:          counters.Malformed + counters.Gaps + counters.Digests,
+		Broken:          counters.Malformed + counters.Gaps + counters.DigestMismatches,
 	})
 }
 
--- a/lab/rollout/record_test.go
+++ b/lab/rollout/record_test.go
@@ -18,7 +18,7 @@
 		prefix + `event=configuration_refused version=8 resource=members/3 reason=missing`,
 		`event=exited status="signal: killed"`,
 		prefix + `event=configuration_damaged dir=configuration version=6 error=torn`,
-		prefix + "event=configuration_held version=6 plans=2 classes=3 members=4",
+		prefix + "event=configuration_loaded version=6 plans=2 classes=3 members=4",
 		"no event",
 	} {
 		history.readLine(line)
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -230,7 +230,7 @@
 	r.Record.Crashes = r.Publishers.Crashes()
 	r.publishersAfter = r.Publishers.usage()
 	for member, gateway := range r.Fleet.Gateways() {
-		r.Record.Histories[member].Counters = countersOf(gateway.Lines("configuration"))
+		r.Record.Histories[member].Counters = countersOf(gateway.Lines("configuration_status"))
 	}
 	var err error
 	r.Record.Publishers, err = r.Publishers.states(ctx)
--- a/lab/simenv/score.go
+++ b/lab/simenv/score.go
@@ -193,10 +193,10 @@
 	score := &Score{}
 	environment := Run(config)
 	for _, rule := range []counterfactual.Rule{
-		counterfactual.Next,
-		counterfactual.Chance,
-		counterfactual.Zone,
-		counterfactual.Least,
+		counterfactual.NextInRank,
+		counterfactual.Random,
+		counterfactual.OtherZone,
+		counterfactual.LeastLoaded,
 	} {
 		config.Rule = rule
 		config.RuleShare = share
@@ -237,7 +237,7 @@
 	var truths []GroundTruth
 	for _, host := range e.hosts {
 		answer := e.Ledger.SingleHost(class, host.ID, e.From, e.To)
-		truth := e.GroundTruth(counterfactual.Single, class, host.ID)
+		truth := e.GroundTruth(counterfactual.OneHost, class, host.ID)
 		score.Compare(&answer, truth)
 		answers = append(answers, answer)
 		truths = append(truths, truth)
--- a/lab/simenv/simenv_test.go
+++ b/lab/simenv/simenv_test.go
@@ -119,7 +119,7 @@
 	config := Base(1)
 	spreadSpeeds(&config)
 	environment := Run(config)
-	answer := environment.Ledger.Replaced(0, counterfactual.Chance, 1, environment.From, environment.To)
+	answer := environment.Ledger.Replaced(0, counterfactual.Random, 1, environment.From, environment.To)
 	if !strings.HasPrefix(answer.Refused, "load outside the range seen: host=") {
 		t.Errorf("%+v", answer)
 	}
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -31,9 +31,9 @@
 
 // bounded are the searches within loops of lists whose length is bounded.
 var bounded = []string{
-	"slices.Contains(section.Publishers)", // seven addresses at most
-	"slices.Contains(n.inFlight)",         // attempts in flight
-	"slices.IndexFunc(c.subscriptions)",   // neighbours of one gateway, when the number of gateways changes
+	"slices.Contains(c.Publishers)",     // seven addresses at most
+	"slices.Contains(n.inFlight)",       // attempts in flight
+	"slices.IndexFunc(c.subscriptions)", // neighbours of one gateway, when the number of gateways changes
 }
 
 // searchedPackages are those of a start, a request and a message.
