--- a/lab/leasesim/leasesim.go
+++ b/lab/leasesim/leasesim.go
@@ -1,346 +1,161 @@
-// Package leasesim simulates package pool, the quota of connections, in simulated time: gateways with clocks that run
-// apart, a network that loses, doubles, delays and reorders, an agreed ledger whose leader changes and whose deposed
-// leaders go on, processes that die, freeze and start anew, and a store that counts. It stands in for the agreement
-// (a library's in the program) by its promise alone: one order of batches, none from a leader after its successor's election.
+// Package leasesim simulates package pool, the quota of connections: gateways whose clocks drift, a network that loses,
+// duplicates, delays and reorders messages, a replicated ledger whose leader changes while deposed leaders go on,
+// processes that crash, freeze and restart, and a store that counts its connections. The consensus library of the
+// program is replaced by what it guarantees: one order of batches, and none from a leader after the election of its
+// successor. The package does no I/O, and the same seed always yields the same run.
 package leasesim
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
+	"time"
 
+	"ravensill/lab/schedule"
 	"ravensill/pool"
 )
 
-// Ms is a millisecond in nanoseconds, untyped: instants of the simulation are int64, terms are durations.
-const Ms = 1_000_000
-
-// Faults are chances for each message, and delays.
+// Faults are the faults of the network and the clocks.
 type Faults struct {
-	Loss, Double float64
-	Delay        int64 // up to
-	Drift        float64
-}
+	Loss      float64       // probability that a message is lost
+	Duplicate float64       // probability that it is sent once more
+	MaxDelay  time.Duration // of a message
+	Drift     float64       // the rate of a clock is within 1-Drift and 1+Drift
+}
+
+// Partition is the direction in which a gateway's messages don't pass.
+type Partition int
+
+const (
+	// Connected lets all messages pass.
+	Connected Partition = iota
+	// ReportsLost drops the reports of a gateway to the leader.
+	ReportsLost
+	// GrantsLost drops the grants of the leader to a gateway.
+	GrantsLost
+	// Isolated drops both.
+	Isolated
+)
 
-// Simulation is the simulated environment. Its time is true time; every process has a clock of its own.
+// Simulation is a simulated fleet. Its time is true time, as the time since an arbitrary moment; each process has a
+// clock that differs.
 type Simulation struct {
-	Terms         pool.Terms
-	Faults        Faults
-	Now           int64
-	Gateways      []*Gateway
-	Agreed        *pool.Ledger
-	Leader        *Leader
-	Closed        int // connections that the store has not yet seen to be closed
-	Steps         int
-	rng           *rand.Rand
-	formerLeaders []*Leader
-	messages      deliveries
-	incarnations  uint64
-	Notes         []pool.Note
-	Noted         map[string]int
-	Sent          int            // reports and grants sent
-	cut           map[int]string // up, down, both: what does not pass
-}
-
+	Terms    pool.Terms
+	Faults   Faults
+	Now      time.Duration
+	Gateways []*Gateway
+	Ledger   *pool.Ledger   // as it is committed
+	Leader   *Leader        // the one elected last
+	Notes    map[string]int // notes of leaders, by event
+	Steps    int
+
+	random          *rand.Rand
+	deposedLeaders  []*Leader // the latest ones
+	messages        schedule.Schedule[func()]
+	lastIncarnation uint64
+	partitions      map[int]Partition // by member
+}
+
+// clock is the monotonic clock of a process.
 type clock struct {
 	rate   float64
-	offset int64
-}
-
-func (c clock) at(now int64) pool.Instant { return pool.Instant(c.offset + int64(float64(now)*c.rate)) }
-
-// Gateway is one gateway: its lease holder, and its connections by when their request ends, 0 for idle ones.
-type Gateway struct {
-	Leaseholder *pool.Leaseholder
-	Conns       []int64
-	Demand      func(now int64) float64 // requests that it would have open
-	Longest     int64                   // that a request takes
-	Frozen      int64                   // until then
-	Down        int64
-	Since       int64 // of the freeze
-	Old         int   // connections held by a process that has been frozen past all bounds
-	Incarnation uint64
-	Shares      int // changes of what it may hold
-	member      int
-	clock
-}
-
-// Leader is a voter that leads, or believes that it does.
-type Leader struct {
-	Grantor *pool.Grantor
-	clock
-	electedAt int64
-	pending   *pool.Batch
-	until     int64 // of the agreement
-	deposed   bool
-}
-
-// delivery is a message on its way: to is called at a time.
-type delivery struct {
-	at int64
-	to func()
-}
-type deliveries []delivery
-
-func (m deliveries) Len() int           { return len(m) }
-func (m deliveries) Less(a, b int) bool { return m[a].at < m[b].at }
-func (m deliveries) Swap(a, b int)      { m[a], m[b] = m[b], m[a] }
-func (m *deliveries) Push(x any)        { *m = append(*m, x.(delivery)) }
-func (m *deliveries) Pop() any          { x := (*m)[len(*m)-1]; *m = (*m)[:len(*m)-1]; return x }
-
-// New returns a simulation of gateways that start now.
-func New(seed uint64, t pool.Terms, capacity int, f Faults) *Simulation {
-	w := &Simulation{Terms: t, Faults: f, Now: 1e9, rng: rand.New(rand.NewPCG(seed, 1)), Agreed: pool.NewLedger(&t),
-		Noted: map[string]int{}, cut: map[int]string{}}
-	w.Agreed.Apply(&pool.Batch{Serial: 1, Capacity: capacity})
-	for i := range t.Members {
-		g := &Gateway{member: i, Demand: func(int64) float64 { return 0 }, Longest: 100 * Ms}
-		w.Gateways = append(w.Gateways, g)
-		w.Start(i)
+	offset pool.Instant
+}
+
+// at returns the clock's reading at a true time.
+func (c clock) at(now time.Duration) pool.Instant {
+	return c.offset + pool.Instant(float64(now)*c.rate)
+}
+
+// New returns a simulation whose gateways start now.
+func New(seed uint64, terms pool.Terms, capacity int, faults Faults) *Simulation {
+	s := &Simulation{
+		Terms:      terms,
+		Faults:     faults,
+		Now:        time.Second,
+		Ledger:     pool.NewLedger(&terms),
+		Notes:      map[string]int{},
+		random:     rand.New(rand.NewPCG(seed, 1)),
+		partitions: map[int]Partition{},
+	}
+	s.Ledger.Apply(&pool.Batch{Serial: 1, Capacity: capacity})
+	for i := range terms.Members {
+		s.Gateways = append(s.Gateways, &Gateway{
+			Demand:         func(time.Duration) float64 { return 0 },
+			MaxServiceTime: 100 * time.Millisecond,
+			member:         i,
+		})
+		s.startGateway(i)
 	}
-	w.Elect()
-	return w
+	s.ElectLeader()
+	return s
 }
 
-func (w *Simulation) clock() clock {
-	drift := w.Faults.Drift * (2*w.rng.Float64() - 1)
-	switch w.rng.IntN(3) { // the extremes are where bounds are missed
-	case 0:
-		drift = w.Faults.Drift
-	case 1:
-		drift = -w.Faults.Drift
+// Step advances the simulation by a time.
+func (s *Simulation) Step(duration time.Duration) {
+	s.Now += duration
+	s.Steps++
+	s.deliverMessages()
+	for _, g := range s.Gateways {
+		s.stepGateway(g)
 	}
-	return clock{1 + drift, int64(w.rng.Uint64N(1e15))}
-}
-
-// Start starts a gateway's process anew; the one before is dead and its connections end.
-func (w *Simulation) Start(i int) {
-	g := w.Gateways[i]
-	w.Kill(i, 0)
-	w.incarnations++
-	g.clock, g.Incarnation = w.clock(), w.incarnations
-	g.Leaseholder = pool.NewLeaseholder(&w.Terms, i, g.Incarnation, 1, 1, w.Agreed.Capacity, g.at(w.Now))
-}
-
-// Worst gives a gateway the slowest clock allowed and the leader the fastest.
-func (w *Simulation) Worst(i int) {
-	w.Leader.rate = 1 + w.Faults.Drift
-	w.Start(i)
-	w.Gateways[i].rate = 1 - w.Faults.Drift
-	w.Gateways[i].Leaseholder = pool.NewLeaseholder(&w.Terms, i, w.Gateways[i].Incarnation, 1, 1, w.Agreed.Capacity, w.Gateways[i].at(w.Now))
-}
-
-// Kill ends a gateway's process for so long.
-func (w *Simulation) Kill(i int, long int64) {
-	g := w.Gateways[i]
-	g.Conns, g.Frozen, g.Since, g.Leaseholder, g.Down = nil, 0, 0, nil, w.Now+long
-}
-
-// Freeze stops a gateway's process for so long; its connections stay.
-func (w *Simulation) Freeze(i int, long int64) {
-	if g := w.Gateways[i]; g.Frozen == 0 {
-		g.Frozen, g.Since = w.Now+long, w.Now
+	for _, l := range s.deposedLeaders {
+		s.stepLeader(l)
 	}
-}
-
-// Cut takes a gateway off the network: what it tells (up), what it is told (down), or both; "" takes it back.
-func (w *Simulation) Cut(i int, what string) { w.cut[i] = what }
-
-func (w *Simulation) passes(seat int, way string) bool {
-	return w.cut[seat] != "both" && w.cut[seat] != way
-}
-
-// Elect makes another leader. What the one before proposed is agreed on before, or never; it goes on for a while
-// without knowing.
-func (w *Simulation) Elect() {
-	if o := w.Leader; o != nil {
-		if o.pending != nil && w.rng.IntN(2) == 0 {
-			w.commit(o, 500*Ms) // after it was deposed
-		}
-		o.deposed = true
-		w.formerLeaders = append(w.formerLeaders, o)
+	s.stepLeader(s.Leader)
+	if len(s.deposedLeaders) > 2 {
+		s.deposedLeaders = s.deposedLeaders[1:]
 	}
-	l := &Leader{clock: w.clock(), electedAt: w.Now + int64(w.rng.Uint64N(uint64(100*Ms)))}
-	w.Leader = l
 }
 
-// Lower has the store take fewer connections, as the agreed ledger is told.
-func (w *Simulation) Lower(serial uint64, capacity int) {
-	w.Agreed.Apply(&pool.Batch{Serial: serial, Capacity: capacity})
-	for _, g := range w.Gateways {
+// LowerCapacity commits a smaller number of connections of the store, of which the gateways learn at once.
+func (s *Simulation) LowerCapacity(serial uint64, capacity int) {
+	s.Ledger.Apply(&pool.Batch{Serial: serial, Capacity: capacity})
+	for _, g := range s.Gateways {
 		if g.Leaseholder != nil {
 			g.Leaseholder.SetCapacity(serial, capacity)
 		}
 	}
 }
 
-func (w *Simulation) schedule(at int64, to func()) { heap.Push(&w.messages, delivery{at, to}) }
-
-func (w *Simulation) send(seat int, way string, to func()) {
-	w.Sent++
-	for {
-		if w.passes(seat, way) && w.rng.Float64() >= w.Faults.Loss {
-			w.schedule(w.Now+int64(w.rng.Uint64N(uint64(w.Faults.Delay+1))), func() {
-				if w.passes(seat, way) {
-					to()
-				}
-			})
-		}
-		if w.rng.Float64() >= w.Faults.Double {
-			return
-		}
-	}
-}
-
-// commit commits a proposal; its leader is told within a time.
-func (w *Simulation) commit(l *Leader, late int64) {
-	w.Agreed.Apply(l.pending)
-	l.pending = nil
-	ledger := w.Agreed.Clone()
-	w.schedule(w.Now+int64(w.rng.Uint64N(uint64(late))), func() { w.sendGrants(l.Grantor.Committed(ledger)) })
-}
-
-// tick lets a leader propose.
-func (w *Simulation) tick(l *Leader) {
-	batch, notes := l.Grantor.Tick(l.at(w.Now))
-	for _, note := range notes {
-		w.Noted[note.Event]++
-	}
-	if batch != nil {
-		l.pending = batch
-		l.until = w.Now + int64(w.rng.Uint64N(uint64(20*Ms)))
-	}
-}
-
-func (w *Simulation) sendGrants(grants []*pool.Grant) {
-	for _, grant := range grants {
-		g := w.Gateways[grant.Member]
-		w.send(grant.Member, "down", func() { w.deliver(g, grant) })
+// OpenConnections returns the number of connections of the store.
+func (s *Simulation) OpenConnections() int {
+	open := 0
+	for _, g := range s.Gateways {
+		open += len(g.Connections)
 	}
+	return open
 }
 
-func (w *Simulation) deliver(g *Gateway, m *pool.Grant) {
-	if g.Leaseholder == nil {
-		return
-	}
-	if g.Frozen > w.Now { // it lies in the socket
-		w.schedule(g.Frozen+1, func() { w.deliver(g, m) })
-		return
-	}
-	was := g.Leaseholder.Allowed(g.at(w.Now))
-	g.Leaseholder.Receive(g.at(w.Now), m)
-	if g.Leaseholder.Allowed(g.at(w.Now)) != was {
-		g.Shares++
-	}
-}
-
-// Step plays so much time.
-func (w *Simulation) Step(dt int64) {
-	w.Now += dt
-	w.Steps++
-	for len(w.messages) > 0 && w.messages[0].at <= w.Now {
-		heap.Pop(&w.messages).(delivery).to()
-	}
-	for _, g := range w.Gateways {
-		w.stepGateway(g, dt)
-	}
-	leads := w.formerLeaders
-	if w.Leader != nil {
-		leads = append(leads[:len(leads):len(leads)], w.Leader)
-	}
-	for _, l := range leads {
-		switch {
-		case l.Grantor == nil && w.Now >= l.electedAt && !l.deposed:
-			l.Grantor = pool.NewGrantor(&w.Terms, l.at(w.Now), w.Agreed.Clone())
-		case l.Grantor == nil:
-		case l.pending != nil && w.Now >= l.until && !l.deposed:
-			w.commit(l, 20*Ms)
-		case l.pending == nil && w.Steps%5 == 0:
-			w.tick(l)
+// CheckLimit returns an error if the store has more than limit connections, or could have them now because the running
+// gateways may open further ones.
+func (s *Simulation) CheckLimit(limit int) error {
+	possible := 0
+	for _, g := range s.Gateways {
+		connections := len(g.Connections)
+		if g.Leaseholder != nil && g.frozenUntil == 0 {
+			connections = max(connections, g.Allowed(s.Now))
 		}
+		possible += connections
 	}
-	if len(w.formerLeaders) > 2 {
-		w.formerLeaders = w.formerLeaders[1:]
-	}
-}
-
-// stepGateway lets a gateway act: requests end, connections are closed and dialed, and it reports.
-func (w *Simulation) stepGateway(g *Gateway, dt int64) {
-	if g.Frozen > 0 && w.Now >= g.Frozen {
-		g.Frozen, g.Since = 0, 0
-	}
-	if g.Frozen > 0 || w.Now < g.Down {
-		return
-	}
-	if g.Leaseholder == nil {
-		w.Start(g.member)
-	}
-	now := g.at(w.Now)
-	busy := 0
-	for i, end := range g.Conns {
-		if end > 0 && end <= w.Now {
-			g.Conns[i] = 0
-		} else if end > 0 {
-			busy++
-		}
-	}
-	allowed := g.Leaseholder.Allowed(now)
-	close := func(keep int) {
-		left := g.Conns[:0]
-		for i, end := range g.Conns {
-			if end == 0 && len(left)+len(g.Conns)-i > keep {
-				continue
-			}
-			left = append(left, end)
-		}
-		g.Conns = left
-	}
-	close(allowed)
-	want := int(g.Demand(w.Now) + w.rng.Float64())
-	for i, end := range g.Conns {
-		if end == 0 && busy < want {
-			g.Conns[i] = w.Now + g.Longest/2 + int64(w.rng.Uint64N(uint64(g.Longest/2)))
-			busy++
-		}
-	}
-	for busy < want && len(g.Conns) < allowed {
-		g.Conns = append(g.Conns, w.Now+g.Longest/2+int64(w.rng.Uint64N(uint64(g.Longest/2))))
-		busy++
-	}
-	g.Leaseholder.SetUsage(now, len(g.Conns), max(busy, want))
-	if r := g.Leaseholder.Report(now); r != nil {
-		to := w.Leader
-		if len(w.formerLeaders) > 0 && w.rng.IntN(8) == 0 { // it still believes in an earlier one
-			to = w.formerLeaders[w.rng.IntN(len(w.formerLeaders))]
-		}
-		w.send(g.member, "up", func() {
-			if to.Grantor != nil {
-				to.Grantor.Receive(to.at(w.Now), r)
-			}
-		})
+	if possible > limit {
+		return fmt.Errorf("at %v: %d connections open, %d possible, limit %d", s.Now, s.OpenConnections(), possible, limit)
 	}
+	return nil
 }
 
-// Open gives the connections that the store has.
-func (w *Simulation) Open() (all int) {
-	for _, g := range w.Gateways {
-		all += len(g.Conns)
+// newClock returns a clock with a random rate, often an extreme one: these are where bounds are missed.
+func (s *Simulation) newClock() clock {
+	drift := s.Faults.Drift * (2*s.random.Float64() - 1)
+	switch s.random.IntN(3) {
+	case 0:
+		drift = s.Faults.Drift
+	case 1:
+		drift = -s.Faults.Drift
 	}
-	return all
+	return clock{rate: 1 + drift, offset: pool.Instant(s.random.Uint64N(1e15))}
 }
 
-// Safe tells what is wrong: the connections there are, or those that might be opened now by all that are running.
-func (w *Simulation) Safe(most int) error {
-	may := 0
-	for _, g := range w.Gateways {
-		n := len(g.Conns)
-		if g.Leaseholder != nil && g.Frozen == 0 {
-			n = max(n, g.Leaseholder.Allowed(g.at(w.Now)))
-		}
-		may += n
-	}
-	if may > most {
-		return fmt.Errorf("at %d ms: %d open, %d may be, of %d", w.Now/Ms, w.Open(), may, most)
-	}
-	return nil
+// randomDuration returns a random duration below limit.
+func (s *Simulation) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Uint64N(uint64(limit)))
 }
--- a/lab/schedule/schedule.go
+++ b/lab/schedule/schedule.go
@@ -53,5 +53,8 @@
 	return x.at, x.event
 }
 
+// NextTime returns the time of the earliest event in nanoseconds. It panics if there is none.
+func (s *Schedule[T]) NextTime() int64 { return s.events[0].at }
+
 // Len returns the number of scheduled events.
 func (s *Schedule[T]) Len() int { return len(s.events) }
