--- a/lab/fleetsim/config.go
+++ b/lab/fleetsim/config.go
@@ -11,8 +11,8 @@
 	CeilingRate         float64 // units a second of the hard ceiling; 0: none
 	CeilingBurst        float64 // units
 	Customers           int
-	Spread              [2]float64 // range of the fraction of all gateways that a customer's set holds
-	GatewaysPerCustomer int        // size of each customer's set instead of Spread; 0: by Spread
+	Spread              [2]float64 // range of the fraction of all gateways that a customer uses
+	GatewaysPerCustomer int        // number of gateways that a customer uses; 0: by Spread
 }
 
 // Config is one experiment. Times are durations of the simulated clock.
@@ -27,23 +27,23 @@
 	Queue       int           // requests that wait at a host
 	ServiceTime time.Duration // mean
 
-	Objective time.Duration // latency objective of the one request class
-	Deadline  time.Duration // after which a client gives a request up
-	Retries   int           // of a client after a rejection
+	LatencyObjective time.Duration // of the one request class
+	Deadline         time.Duration // after which a client abandons a request
+	Retries          int           // of a client after a rejection
 
-	Demand      [2]float64    // range of a usual customer's demand over its quota
-	HeavyShare  float64       // fraction of the customers that ask a multiple of their quota
-	HeavyDemand [2]float64    // range of that multiple
-	SpikyShare  float64       // fraction of the customers that ask HeavyDemand of their quota in spikes
-	SpikeOn     time.Duration // length of a spike
-	SpikeEvery  time.Duration // period of the spikes
-	StepAt      time.Duration // from then on heavy customers ask StepTo of their quota; 0: never
-	StepTo      float64
+	Demand        [2]float64    // range of a usual customer's demand over its quota
+	HeavyFraction float64       // fraction of the customers that demand a multiple of their quota
+	HeavyDemand   [2]float64    // range of that multiple
+	SpikyFraction float64       // fraction of the customers that demand HeavyDemand of their quota in spikes
+	SpikeOn       time.Duration // length of a spike
+	SpikeEvery    time.Duration // period of the spikes
+	StepAt        time.Duration // from then on heavy customers demand StepTo of their quota; 0: never
+	StepTo        float64
 
 	GossipPerSecond float64 // messages that a gateway receives within a second; 0: no gossip
 	GossipDelay     time.Duration
 	GossipLoss      float64       // fraction of the messages
-	NetDelay        time.Duration // one way, gateway to host
+	NetworkDelay    time.Duration // one way, gateway to host
 	GatewaySigma    float64       // sigma of the log-normal shares of a customer's requests by gateway; 0: even
 
 	Trace time.Duration // interval of the samples of bucket copies; 0: none
--- a/lab/fleetsim/customers.go
+++ b/lab/fleetsim/customers.go
@@ -14,9 +14,16 @@
 
 // newCustomer draws a customer of a plan.
 func (s *simulation) newCustomer(plan int) *customer {
-	config, p := &s.config, &s.config.Plans[plan]
-	c := &customer{id: len(s.customers), plan: plan, bucket: p.Burst, ceiling: p.CeilingBurst, refilledAt: s.now}
-	c.name = fmt.Sprintf("%016x", s.random.Uint64()>>31)
+	config := &s.config
+	p := &config.Plans[plan]
+	c := &customer{
+		id:         len(s.customers),
+		plan:       plan,
+		name:       fmt.Sprintf("%016x", s.random.Uint64()>>31),
+		bucket:     p.Burst,
+		ceiling:    p.CeilingBurst,
+		refilledAt: s.now,
+	}
 	spread := int(math.Round(float64(config.Gateways) * s.between(p.Spread)))
 	if p.GatewaysPerCustomer > 0 {
 		spread = p.GatewaysPerCustomer
@@ -24,18 +31,19 @@
 	c.spread = max(1, min(config.Gateways, spread))
 	c.first = s.random.IntN(config.Gateways)
 	demand := s.between(config.Demand)
-	if s.random.Float64() < config.HeavyShare {
+	if s.random.Float64() < config.HeavyFraction {
 		demand = s.between(config.HeavyDemand)
 		c.heavy = true
 	}
 	c.requestRate = demand * p.Rate
-	s.drawHabits(c)
+	s.drawTraffic(c)
 	return c
 }
 
-// drawHabits draws how unevenly a customer's requests come, over its gateways and in time.
-func (s *simulation) drawHabits(c *customer) {
-	config, plan := &s.config, s.plans[c.plan]
+// drawTraffic draws how unevenly a customer's requests arrive, over its gateways and in time.
+func (s *simulation) drawTraffic(c *customer) {
+	config := &s.config
+	plan := s.plans[c.plan]
 	if config.GatewaySigma > 0 {
 		sum := 0.0
 		for range c.spread {
@@ -43,9 +51,9 @@
 			c.cumulativeShares = append(c.cumulativeShares, sum)
 		}
 	}
-	if config.SpikyShare > 0 && !c.heavy && s.random.Float64() < config.SpikyShare {
+	if config.SpikyFraction > 0 && !c.heavy && s.random.Float64() < config.SpikyFraction {
 		c.spiky = true
-		c.spikeOffset = int64(s.random.Float64() * float64(config.SpikeEvery))
+		c.spikeOffset = time.Duration(s.random.Float64() * float64(config.SpikeEvery))
 		c.requestRate = plan.Rate * s.between(config.HeavyDemand)
 	}
 	c.idealBucket = plan.Burst
@@ -58,31 +66,33 @@
 		Heavy:           c.heavy,
 		Spiky:           c.spiky,
 		weight:          plan.PriorityWeight,
-		beyondCost:      plan.OverQuotaCost,
+		overQuotaCost:   plan.OverQuotaCost,
 	}
 }
 
-// interArrival draws the time to the next arrival of a Poisson process of so many requests a second, in ns.
-func (s *simulation) interArrival(rate float64) int64 {
+// interArrival draws the time to the next arrival of a Poisson process; rate is in requests a second.
+func (s *simulation) interArrival(rate float64) time.Duration {
 	if rate <= 0 {
 		return math.MaxInt64 / 4
 	}
-	return int64(s.random.ExpFloat64() / rate * float64(time.Second))
+	return time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// requestArrives sends a customer's next request, unless the customer pauses between two spikes, and schedules the one after it.
+// requestArrives sends a customer's next request, unless the customer pauses between two spikes, and schedules the one
+// after it.
 func (s *simulation) requestArrives(c *customer) {
-	s.add(&event{at: s.now + s.interArrival(c.requestRate), kind: requestArrives, customer: c.id})
+	s.add(&event{at: s.now.Add(s.interArrival(c.requestRate)), kind: requestArrives, customer: c.id})
 	if c.spiky && !s.inSpike(c) {
 		return
 	}
-	s.countFirstTry(c)
-	s.send(c, s.now+int64(s.config.Deadline), 0)
+	s.countNewRequest(c)
+	s.send(c, s.now.Add(s.config.Deadline), 0)
 }
 
 // inSpike reports whether a spiky customer sends requests now.
 func (s *simulation) inSpike(c *customer) bool {
-	return (s.now+c.spikeOffset)%int64(s.config.SpikeEvery) < int64(s.config.SpikeOn)
+	phase := time.Duration(s.now.Add(c.spikeOffset)) % s.config.SpikeEvery
+	return phase < s.config.SpikeOn
 }
 
 // stepDemand changes the demand of heavy customers for the rest of the run.
@@ -104,11 +114,11 @@
 	return min(i, c.spread-1)
 }
 
-// countFirstTry counts a first try, and whether an observer who sees all first tries would have admitted it.
-func (s *simulation) countFirstTry(c *customer) {
-	c.report.FirstTries++
+// countNewRequest counts a request that is no retry, and whether one limiter for the whole fleet would admit it.
+func (s *simulation) countNewRequest(c *customer) {
+	c.report.NewRequests++
 	plan := s.plans[c.plan]
-	elapsed := float64(s.now-c.idealRefilledAt) / float64(time.Second)
+	elapsed := seconds(s.now.Sub(c.idealRefilledAt))
 	c.idealRefilledAt = s.now
 	c.idealBucket = math.Min(c.idealBucket+elapsed*plan.Rate, plan.Burst)
 	if c.idealBucket >= 1 {
@@ -117,10 +127,10 @@
 	}
 }
 
-// refill brings a customer's true buckets up to now.
+// refill refills a customer's true buckets up to now.
 func (s *simulation) refill(c *customer) {
 	plan := s.plans[c.plan]
-	elapsed := float64(s.now-c.refilledAt) / float64(time.Second)
+	elapsed := seconds(s.now.Sub(c.refilledAt))
 	c.refilledAt = s.now
 	c.bucket = math.Min(c.bucket+plan.Rate*elapsed, plan.Burst)
 	c.ceiling = math.Min(c.ceiling+plan.CeilingRate*elapsed, plan.CeilingBurst)
@@ -129,62 +139,70 @@
 // admit takes a unit from a customer's true buckets, or counts what they lack.
 func (s *simulation) admit(c *customer) {
 	s.refill(c)
-	plan, planReport := s.plans[c.plan], &s.report.Plans[c.plan]
-	s.report.Admitted++
-	planReport.Admitted++
-	c.report.Sent++
-	if c.heavy && c.plan == 0 {
-		index := min(int((s.now-startTime)/windowLength), len(s.report.Windows)-1)
-		window := &s.report.Windows[index]
-		window.Sent++
-		if c.bucket < 1 {
-			window.Beyond++
-		}
-	}
+	plan := s.plans[c.plan]
+	planReport := &s.report.Plans[c.plan]
+	s.report.Forwarded++
+	planReport.Forwarded++
+	c.report.Forwarded++
+	s.countInWindow(c)
 	if c.bucket >= 1 {
 		c.bucket--
 	} else {
-		c.report.Beyond++
-		s.report.Beyond++
-		planReport.Beyond++
+		c.report.OverQuota++
+		s.report.OverQuota++
+		planReport.OverQuota++
 	}
 	if plan.MaxInFlight > 0 && c.inFlight >= plan.MaxInFlight {
 		s.report.OverInFlight++
 	}
-	if plan.CeilingRate > 0 {
-		if c.ceiling >= 1 {
-			c.ceiling--
-		} else {
-			s.report.OverCeiling++
-		}
+	switch {
+	case plan.CeilingRate == 0:
+	case c.ceiling >= 1:
+		c.ceiling--
+	default:
+		s.report.OverCeiling++
 	}
 }
 
-// reject counts a rejection, and whether the true bucket had room.
+// countInWindow counts a forwarded unit of a heavy customer of the first plan.
+func (s *simulation) countInWindow(c *customer) {
+	if !c.heavy || c.plan != 0 {
+		return
+	}
+	index := min(int(s.now.Sub(startTime)/windowLength), len(s.report.Windows)-1)
+	window := &s.report.Windows[index]
+	window.Forwarded++
+	if c.bucket < 1 {
+		window.OverQuota++
+	}
+}
+
+// reject counts a rejection, and whether the true bucket held half a burst or more.
 func (s *simulation) reject(c *customer) {
 	s.report.Rejected++
 	s.report.Plans[c.plan].Rejected++
 	s.refill(c)
 	if c.bucket >= s.plans[c.plan].Burst/2 {
-		s.report.RejectedWithRoom++
-		c.report.RejectedWithRoom++
-		s.report.Plans[c.plan].RejectedWithRoom++
+		s.report.RejectedWithinQuota++
+		c.report.RejectedWithinQuota++
+		s.report.Plans[c.plan].RejectedWithinQuota++
 	}
 }
 
 // sampleCopies samples the first heavy customer of each plan.
-func (s *simulation) sampleCopies(at time.Duration) {
-	seen := map[int]bool{}
+func (s *simulation) sampleCopies() {
+	const maxCopies = 4
+	sampled := map[int]bool{} // by plan
 	for _, c := range s.customers {
-		if !c.heavy || seen[c.plan] {
+		if !c.heavy || sampled[c.plan] {
 			continue
 		}
-		seen[c.plan] = true
+		sampled[c.plan] = true
 		s.refill(c)
-		sample := Sample{At: at, Name: c.report.Plan, True: c.bucket}
-		for i := range min(4, c.spread) {
-			g := s.gateways[(c.first+i*c.spread/4)%len(s.gateways)]
-			level, others, known := g.module.Copy(c.name)
+		sample := Sample{At: s.now.Sub(startTime), Plan: c.report.Plan, True: c.bucket}
+		for i := range min(maxCopies, c.spread) {
+			g := s.gateways[(c.first+i*c.spread/maxCopies)%len(s.gateways)]
+			level, others, known := g.logic.Copy(c.name)
 			if !known {
 				level = s.plans[c.plan].Burst
 			}
@@ -194,3 +212,5 @@
 		s.report.Trace = append(s.report.Trace, sample)
 	}
 }
+
+func seconds(d time.Duration) float64 { return float64(d) / float64(time.Second) }
--- a/lab/fleetsim/days.go
+++ b/lab/fleetsim/days.go
@@ -2,45 +2,63 @@
 
 import "time"
 
-// Mass is a run like the calm day of the mass bench, at the size given: customers of three plans whose sets hold
-// half to all of the gateways, hosts at about 60% of their capacity for the demand within the quotas.
+// benchGateways and benchHosts are the size of the operators' mass bench.
+const (
+	benchGateways = 273
+	benchHosts    = 179
+)
+
+// hostsFor returns the number of hosts for a number of gateways, in the bench's ratio.
+func hostsFor(gateways int) int { return max(10, gateways*benchHosts/benchGateways) }
+
+// Mass returns the calm day of the operators' mass bench, scaled to a number of gateways: customers of three
+// plans, most of which use half to all of the gateways, and hosts of which the demand within the quotas takes
+// about 60%.
 func Mass(gateways, hosts int, duration time.Duration, seed uint64) Config {
-	scale := float64(gateways) / 273
-	n := func(x float64) int { return max(1, int(x*scale+0.5)) }
+	scale := float64(gateways) / benchGateways
+	scaled := func(customers float64) int { return max(1, int(customers*scale+0.5)) }
 	return Config{
-		Seed:        seed,
-		Gateways:    gateways,
-		Duration:    duration,
-		Hosts:       hosts,
-		Slots:       12,
-		Queue:       80,
-		ServiceTime: 400 * time.Millisecond,
-		Objective:   2 * time.Second,
-		Deadline:    8 * time.Second,
-		Retries:     1,
+		Seed:             seed,
+		Gateways:         gateways,
+		Duration:         duration,
+		Hosts:            hosts,
+		Slots:            12,
+		Queue:            80,
+		ServiceTime:      400 * time.Millisecond,
+		LatencyObjective: 2 * time.Second,
+		Deadline:         8 * time.Second,
+		Retries:          1,
 		Plans: []QuotaPlan{
-			{Name: "basic", Rate: 1.2, Burst: 4, Customers: n(1621), Spread: [2]float64{0.5, 1}},
-			{Name: "standard", Rate: 3.4, Burst: 17, MaxInFlight: 2, Customers: n(502), Spread: [2]float64{0.5, 1}},
-			{Name: "fleet", Rate: 14, Burst: 22, CeilingRate: 30, CeilingBurst: 50, Customers: n(89), GatewaysPerCustomer: 7},
+			{Name: "basic", Rate: 1.2, Burst: 4, Customers: scaled(1621), Spread: [2]float64{0.5, 1}},
+			{Name: "standard", Rate: 3.4, Burst: 17, MaxInFlight: 2, Customers: scaled(502), Spread: [2]float64{0.5, 1}},
+			{
+				Name:                "fleet",
+				Rate:                14,
+				Burst:               22,
+				CeilingRate:         30,
+				CeilingBurst:        50,
+				Customers:           scaled(89),
+				GatewaysPerCustomer: 7,
+			},
 		},
 		Demand:          [2]float64{0.2, 0.9},
-		HeavyShare:      0.11,
+		HeavyFraction:   0.11,
 		HeavyDemand:     [2]float64{1.8, 4.9},
 		GossipPerSecond: 60,
 		GossipDelay:     5 * time.Millisecond,
 		GossipLoss:      0.007,
-		NetDelay:        250 * time.Microsecond,
+		NetworkDelay:    250 * time.Microsecond,
 	}
 }
 
-// Rough is Mass with what the bench has on its other days: requests that come unevenly over a customer's
+// Rough returns Mass with what the bench has on its other days: requests distributed unevenly over a customer's
 // gateways, customers whose demand spikes for a second or two, and clients that retry twice.
 func Rough(gateways, hosts int, duration time.Duration, seed uint64) Config {
 	config := Mass(gateways, hosts, duration, seed)
 	config.GatewaySigma = 1
 	config.Retries = 2
 	config.Demand = [2]float64{0.25, 0.8}
-	config.SpikyShare = 0.16
+	config.SpikyFraction = 0.16
 	config.SpikeOn = 1700 * time.Millisecond
 	config.SpikeEvery = 16 * time.Second
 	return config
--- /dev/null
+++ b/lab/fleetsim/decisions.go
@@ -0,0 +1,115 @@
+package fleetsim
+
+import (
+	"bytes"
+	"time"
+)
+
+// minRetryDelay is the least time until a client retries a rejected request.
+const minRetryDelay = 50 * time.Millisecond
+
+// executor executes one gateway's decisions.
+type executor struct {
+	simulation *simulation
+	gateway    int
+}
+
+// StartAttempt starts an attempt. The first one of a request takes its unit from the true buckets.
+func (x executor) StartAttempt(id string, host uint32, timeout time.Duration) {
+	s := x.simulation
+	r := s.requests[id]
+	if r == nil {
+		return
+	}
+	c := r.customer
+	if !r.forwarded {
+		r.forwarded = true
+		s.admit(c)
+	}
+	c.inFlight++
+	a := &attempt{request: r, host: int(host) - 1, number: len(r.attempts)}
+	r.attempts[a.number] = a
+	s.gateways[x.gateway].hostsUsed[a.host] = true
+	timesOutAt := r.deadline
+	if timeout > 0 {
+		timesOutAt = min(timesOutAt, s.now.Add(timeout))
+	}
+	arrival := s.now.Add(s.config.NetworkDelay)
+	s.add(&event{at: arrival, kind: attemptArrives, host: a.host, request: r, number: a.number})
+	s.add(&event{at: timesOutAt, kind: attemptTimesOut, request: r, number: a.number})
+}
+
+// CancelAttempt cancels an attempt; the gateway handles its end in another batch.
+func (x executor) CancelAttempt(id string, number int) {
+	s := x.simulation
+	if r := s.requests[id]; r != nil {
+		s.add(&event{at: s.now, kind: attemptCanceled, request: r, number: number})
+	}
+}
+
+// Reject rejects a request, which its client may retry after a time.
+func (x executor) Reject(id string, after time.Duration) {
+	s := x.simulation
+	r := s.requests[id]
+	if r == nil || r.answered {
+		return
+	}
+	r.answered = true
+	s.reject(r.customer)
+	if r.retries >= s.config.Retries {
+		return
+	}
+	retryAt := s.now.Add(max(after, minRetryDelay))
+	if retryAt < r.deadline {
+		s.add(&event{
+			at:       retryAt,
+			kind:     clientRetries,
+			customer: r.customer.id,
+			number:   r.retries + 1,
+			deadline: r.deadline,
+		})
+	}
+}
+
+// Fail fails a request.
+func (x executor) Fail(id string) {
+	if r := x.simulation.requests[id]; r != nil {
+		r.answered = true
+	}
+}
+
+// SendGossip sends a message to a peer.
+func (x executor) SendGossip(peer int, body []byte) {
+	s := x.simulation
+	if peer < 0 || peer >= len(s.gateways) || s.random.Float64() < s.config.GossipLoss {
+		s.report.Dropped++
+		return
+	}
+	s.add(&event{
+		at:      s.now.Add(s.config.GossipDelay),
+		kind:    gossipArrives,
+		gateway: peer,
+		sender:  x.gateway,
+		body:    bytes.Clone(body),
+	})
+}
+
+// SetTimer sets the gateway's timer.
+func (x executor) SetTimer(after time.Duration) {
+	s := x.simulation
+	at := s.now.Add(after)
+	s.gateways[x.gateway].timerAt = at
+	s.add(&event{at: at, kind: timerFires, gateway: x.gateway})
+}
+
+// SendProbe does nothing: hosts report their load in answers.
+func (x executor) SendProbe(uint32) {}
+
+// WatchEndpoints does nothing: the host list does not change.
+func (x executor) WatchEndpoints() {}
+
+// AddToCounter does nothing: there is no shared counter.
+func (x executor) AddToCounter(uint64, float64, time.Duration) {}
+
+// LogNote does nothing: nobody reads a log.
+func (x executor) LogNote(string) {}
--- a/lab/fleetsim/event.go
+++ b/lab/fleetsim/event.go
@@ -1,29 +1,31 @@
 package fleetsim
 
-// eventKind tells what happens at an event.
+import "ravensill/gateway"
+
+// eventKind is the kind of an event.
 type eventKind int
 
 const (
 	requestArrives  eventKind = iota // of a customer
-	clientRetries                    // a rejected request
+	clientRetries                    // after a rejection
 	timerFires                       // of a gateway
 	gossipArrives                    // at a gateway
 	attemptArrives                   // at a host
 	hostFinishes                     // an attempt
 	attemptTimesOut                  // at its gateway
-	attemptCanceled                  // by its gateway: told in a batch of events of its own, as on sockets
+	attemptCanceled                  // by its gateway, which handles the end in another batch, as with sockets
 )
 
-// event is one event of the schedule. Which fields count depends on its kind.
+// event is one event of the schedule. Its kind determines which other fields are set.
 type event struct {
-	at       int64 // ns
+	at       gateway.Time
 	kind     eventKind
 	gateway  int
 	customer int
 	host     int
 	request  *request
-	number   int    // of the attempt, or of the client's retry
-	sender   int    // of a message
-	body     []byte // of a message
-	deadline int64  // of a client's retry, ns
+	number   int          // of the attempt, or of the client's retry
+	sender   int          // of a message
+	body     []byte       // of a message
+	deadline gateway.Time // of a client's retry
 }
--- a/lab/fleetsim/fleetsim_test.go
+++ b/lab/fleetsim/fleetsim_test.go
@@ -1,31 +1,55 @@
 package fleetsim
 
 import (
+	"fmt"
 	"os"
+	"strings"
 	"testing"
 	"time"
 )
 
-// TestDeterministic checks that the same configuration gives the same report.
-func TestDeterministic(t *testing.T) {
-	cfg := Mass(20, 12, 3*time.Second, 7)
-	a, b := Run(cfg), Run(cfg)
-	if a.String() != b.String() {
-		t.Errorf("two runs differ:\n%v\n%v", a, b)
+func TestRunIsDeterministic(t *testing.T) {
+	config := Mass(20, 12, 3*time.Second, 7)
+	first := Run(config)
+	second := Run(config)
+	if first.String() != second.String() {
+		t.Errorf("two runs differ:\n%v\n%v", first, second)
 	}
-	if a.Requests == 0 || a.Succeeded == 0 || a.Messages == 0 {
-		t.Errorf("nothing happened: %v", a)
+	if first.Requests == 0 || first.Succeeded == 0 || first.Messages == 0 {
+		t.Errorf("nothing happened: %v", first)
 	}
 }
 
-// TestMassReport reports Mass at several sizes if FLEETSIM=1: a measurement, not a test for CI.
-func TestMassReport(t *testing.T) {
+// Logs the reports of Mass at several sizes if FLEETSIM=1; it takes too long for CI.
+func TestMassLogsReports(t *testing.T) {
 	if os.Getenv("FLEETSIM") != "1" {
-		t.Skip("set FLEETSIM=1 to play the mass day")
+		t.Skip("FLEETSIM=1 simulates the mass day")
 	}
-	for _, n := range []int{3, 60, 80, 273} { // 80: the fleet-growth days
+	for _, gateways := range []int{3, 60, 80, benchGateways} { // 80: the fleet-growth days
 		start := time.Now()
-		r := Run(Mass(n, max(10, n*179/273), 20*time.Second, 3))
-		t.Logf("%d gateways (%.1f s): %v", n, time.Since(start).Seconds(), r)
+		report := Run(Mass(gateways, hostsFor(gateways), 20*time.Second, 3))
+		t.Logf("%d gateways (%.1f s): %v", gateways, time.Since(start).Seconds(), report)
+	}
+}
+
+// Logs the tables of Rough for the fleet sizes in QUOTA (as 80,300), with as many seeds as SEEDS has characters; it
+// takes too long for CI.
+func TestRoughLogsQuotaTables(t *testing.T) {
+	sizes := os.Getenv("QUOTA")
+	if sizes == "" {
+		t.Skip("QUOTA=80,300 simulates these fleets")
+	}
+	seeds := max(len(os.Getenv("SEEDS")), 1)
+	for _, size := range strings.Split(sizes, ",") {
+		gateways := 0
+		fmt.Sscan(size, &gateways)
+		for seed := range seeds {
+			t.Run(fmt.Sprintf("%d/%d", gateways, seed+1), func(t *testing.T) {
+				t.Parallel()
+				report := Run(Rough(gateways, hostsFor(gateways), 30*time.Second, uint64(seed+1)))
+				t.Logf("%s", report.Table())
+				t.Log("windows", report.Windows)
+			})
+		}
 	}
 }
--- a/lab/fleetsim/model.go
+++ b/lab/fleetsim/model.go
@@ -1,8 +1,13 @@
 package fleetsim
 
-import "ravensill/logic"
+import (
+	"time"
 
-// customer is one customer with the true state of its quota. Times are nanoseconds of the simulated clock.
+	"ravensill/gateway"
+	"ravensill/logic"
+)
+
+// customer is one customer with the true state of its quota.
 type customer struct {
 	id     int
 	plan   int
@@ -10,33 +15,35 @@
 	spread int // gateways in its set
 	first  int // the first gateway of its set
 
-	requestRate      float64 // requests a second, each of one unit
-	heavy            bool
-	spiky            bool
-	spikeOffset      int64     // of its spikes in their period
-	cumulativeShares []float64 // by gateway of its set: the sum of the shares of its requests up to this one; nil: even
+	requestRate float64 // requests a second, each of one unit
+	heavy       bool
+	spiky       bool
+	spikeOffset time.Duration // of its spikes in their period
+	// cumulativeShares holds for each gateway of the set the share of the customer's requests that goes to it or to one
+	// before it, up to a factor; nil if all have the same.
+	cumulativeShares []float64
 
-	bucket          float64 // units in the true bucket over all gateways
-	ceiling         float64 // units in the true bucket of the hard ceiling
-	refilledAt      int64   // when both were last refilled
-	inFlight        int     // attempts over all gateways
-	idealBucket     float64 // units in the bucket of an observer who sees all first tries
-	idealRefilledAt int64
+	bucket          float64      // units in the true bucket over all gateways
+	ceiling         float64      // units in the true bucket of the hard ceiling
+	refilledAt      gateway.Time // when both were last refilled
+	inFlight        int          // attempts over all gateways
+	idealBucket     float64      // units in the bucket of one limiter for the whole fleet
+	idealRefilledAt gateway.Time
 
 	report *CustomerReport
 }
 
-// request is one try of a client.
+// request is a request of a client, or a retry of one, at a gateway.
 type request struct {
-	id       string
-	customer *customer
-	gateway  int
-	arrived  int64
-	deadline int64
-	retries  int // of the client before this one
-	sent     bool
-	answered bool
-	attempts map[int]*attempt // by number
+	id        string
+	customer  *customer
+	gateway   int
+	arrived   gateway.Time
+	deadline  gateway.Time
+	retries   int // of the client, before this request
+	forwarded bool
+	answered  bool
+	attempts  map[int]*attempt // by number
 }
 
 // attempt is one request sent to a host.
@@ -54,10 +61,10 @@
 	received  int // attempts
 }
 
-// gatewayModel is one gateway: the module with a timer and an inbox.
+// gatewayModel is a gateway of package logic with its timer and its received messages.
 type gatewayModel struct {
-	module    *logic.Gateway
-	timerAt   int64        // 0: not set
-	inbox     []int64      // arrival times of the messages of the last second
-	hostsUsed map[int]bool // hosts that it sent an attempt to
+	logic     *logic.Gateway
+	timerAt   gateway.Time   // 0: not set
+	inbox     []gateway.Time // arrival times of the messages of the last second
+	hostsUsed map[int]bool   // hosts that it sent an attempt to
 }
--- a/lab/fleetsim/sim.go
+++ b/lab/fleetsim/sim.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	millisecond  = int64(time.Millisecond)
-	second       = int64(time.Second)
-	startTime    = 100 * second // of the simulated clock
-	windowLength = 5 * second   // of Report.Windows
+	startTime      = gateway.Time(100 * time.Second) // of the simulated clock
+	windowLength   = 5 * time.Second                 // of Report.Windows
+	sampleInterval = time.Second                     // of the gateways' gauges
+	cells          = 8                               // of the hosts
 )
 
 // simulation is the state of one run.
 type simulation struct {
 	config      Config
 	random      *rand.Rand
-	now         int64 // ns
+	now         gateway.Time
 	schedule    schedule.Schedule[*event]
 	gateways    []*gatewayModel
 	hosts       []*host
@@ -45,7 +45,7 @@
 	s.addPlans()
 	s.addGateways(s.addHosts())
 	s.addCustomers()
-	s.report.Windows = make([]Window, int(int64(config.Duration)/windowLength)+1)
+	s.report.Windows = make([]Window, int(config.Duration/windowLength)+1)
 	s.runEvents()
 	s.summarize()
 	return s.report
@@ -67,37 +67,48 @@
 }
 
 // addHosts adds the hosts and returns the list of them.
-func (s *simulation) addHosts() (list []gateway.Endpoint) {
+func (s *simulation) addHosts() []gateway.Endpoint {
+	var endpoints []gateway.Endpoint
 	for i := range s.config.Hosts {
 		s.hosts = append(s.hosts, &host{})
-		list = append(list, gateway.Endpoint{Host: uint32(i + 1), Cell: i % 8, State: gateway.Running, Weight: 1})
+		endpoints = append(endpoints, gateway.Endpoint{
+			Host:   uint32(i + 1),
+			Cell:   i % cells,
+			State:  gateway.Running,
+			Weight: 1,
+		})
 	}
-	return list
+	return endpoints
 }
 
-// addGateways adds the gateways, each with the host list.
-func (s *simulation) addGateways(list []gateway.Endpoint) {
+// addGateways adds the gateways, each with the list of hosts.
+func (s *simulation) addGateways(endpoints []gateway.Endpoint) {
 	config := &s.config
 	classes := []gateway.RequestClass{{
 		Effect:           gateway.Idempotent,
-		LatencyObjective: config.Objective,
+		LatencyObjective: config.LatencyObjective,
 		Timeout:          config.Deadline,
 		Value:            1,
 		LateValue:        0.2,
 	}}
 	limits := gateway.Limits{MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second}
-	warmUp := gateway.SlowStart{InitialFraction: 0.3, Duration: 15 * time.Second, OverloadFactor: 3, OverloadWindow: 3 * time.Second}
+	slowStart := gateway.SlowStart{
+		InitialFraction: 0.3,
+		Duration:        15 * time.Second,
+		OverloadFactor:  3,
+		OverloadWindow:  3 * time.Second,
+	}
 	loadReport := gateway.LoadReportForm{Fields: []gateway.LoadField{gateway.Utilization}, WithAnswers: true}
 	for i := range config.Gateways {
-		member := gateway.Membership{
+		membership := gateway.Membership{
 			Index:       i,
 			Count:       config.Gateways,
 			Gossip:      config.GossipPerSecond > 0 && config.Gateways > 1,
 			MessageRate: config.GossipPerSecond,
 		}
-		module := logic.New(s.random.Uint64(), member, classes, s.plans, limits, warmUp, loadReport)
-		s.gateways = append(s.gateways, &gatewayModel{module: module, hostsUsed: map[int]bool{}})
-		s.runBatch(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached, Endpoints: list})
+		decider := logic.New(s.random.Uint64(), membership, classes, s.plans, limits, slowStart, loadReport)
+		s.gateways = append(s.gateways, &gatewayModel{logic: decider, hostsUsed: map[int]bool{}})
+		s.runBatch(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached, Endpoints: endpoints})
 	}
 }
 
@@ -107,35 +118,37 @@
 		for range s.config.Plans[plan].Customers {
 			c := s.newCustomer(plan)
 			s.customers = append(s.customers, c)
-			s.add(&event{at: s.now + s.interArrival(c.requestRate), kind: requestArrives, customer: c.id})
+			s.add(&event{at: s.now.Add(s.interArrival(c.requestRate)), kind: requestArrives, customer: c.id})
 		}
 	}
 }
 
 // add schedules an event.
-func (s *simulation) add(e *event) { s.schedule.Add(e.at, e) }
+func (s *simulation) add(e *event) { s.schedule.Add(int64(e.at), e) }
 
 // runEvents runs all events up to the end, with the samples that fall due between them.
 func (s *simulation) runEvents() {
-	config := &s.config
-	end := startTime + int64(config.Duration)
-	nextSample := startTime + second
-	nextTrace := startTime + int64(config.Trace)
-	stepped := false
+	end := startTime.Add(s.config.Duration)
+	nextSample := startTime.Add(sampleInterval)
+	nextTrace := startTime.Add(s.config.Trace)
+	stepAt := startTime.Add(s.config.StepAt)
+	stepPending := s.config.StepAt > 0
 	for s.schedule.Len() > 0 {
 		_, e := s.schedule.Next()
 		if e.at > end {
 			return
 		}
-		for ; e.at >= nextSample; nextSample += second {
+		for e.at >= nextSample {
 			s.sampleGauges()
+			nextSample = nextSample.Add(sampleInterval)
 		}
-		for ; config.Trace > 0 && e.at >= nextTrace; nextTrace += int64(config.Trace) {
+		for s.config.Trace > 0 && e.at >= nextTrace {
 			s.now = nextTrace
-			s.sampleCopies(time.Duration(nextTrace - startTime))
+			s.sampleCopies()
+			nextTrace = nextTrace.Add(s.config.Trace)
 		}
-		if config.StepAt > 0 && !stepped && e.at >= startTime+int64(config.StepAt) {
-			stepped = true
+		if stepPending && e.at >= stepAt {
+			stepPending = false
 			s.stepDemand()
 		}
 		s.now = e.at
@@ -159,14 +172,9 @@
 	case hostFinishes:
 		s.hostFinishes(s.hosts[e.host], e.request.attempts[e.number])
 	case attemptTimesOut:
-		if a := e.request.attempts[e.number]; a != nil && !a.ended {
-			s.report.TimedOut++
-			s.endAttempt(a, gateway.TimedOut)
-		}
+		s.attemptTimesOut(e.request.attempts[e.number])
 	case attemptCanceled:
-		if a := e.request.attempts[e.number]; a != nil && !a.ended {
-			s.endAttempt(a, gateway.Canceled)
-		}
+		s.attemptCanceled(e.request.attempts[e.number])
 	}
 }
 
@@ -180,11 +188,26 @@
 	s.runBatch(e.gateway, gateway.Event{Kind: gateway.TimerFired})
 }
 
-// gossipArrives delivers a message, unless the receiver has had too many within the last second.
+func (s *simulation) attemptTimesOut(a *attempt) {
+	if a == nil || a.ended {
+		return
+	}
+	s.report.TimedOut++
+	s.endAttempt(a, gateway.TimedOut)
+}
+
+func (s *simulation) attemptCanceled(a *attempt) {
+	if a == nil || a.ended {
+		return
+	}
+	s.endAttempt(a, gateway.Canceled)
+}
+
+// gossipArrives delivers a message, unless the receiver has received too many within the last second.
 func (s *simulation) gossipArrives(e *event) {
 	g := s.gateways[e.gateway]
 	expired := 0
-	for expired < len(g.inbox) && g.inbox[expired] <= s.now-second {
+	for expired < len(g.inbox) && g.inbox[expired] <= s.now.Add(-time.Second) {
 		expired++
 	}
 	g.inbox = g.inbox[expired:]
@@ -198,7 +221,7 @@
 	s.runBatch(e.gateway, gateway.Event{Kind: gateway.GossipReceived, Peer: e.sender, Message: e.body})
 }
 
-// attemptArrives serves an attempt at a host, queues it, or turns it away if the queue is full.
+// attemptArrives serves an attempt at a host, queues it, or rejects it if the queue is full.
 func (s *simulation) attemptArrives(h *host, a *attempt) {
 	if a == nil || a.ended {
 		return
@@ -215,13 +238,13 @@
 	}
 }
 
-// hostFinishes ends an attempt at its host, which goes on with those that wait.
+// hostFinishes ends an attempt at its host, which then serves queued ones.
 func (s *simulation) hostFinishes(h *host, a *attempt) {
 	h.inService--
 	for len(h.queue) > 0 && h.inService < s.config.Slots {
 		next := h.queue[0]
 		h.queue = h.queue[1:]
-		if !next.ended { // not given up while it waited
+		if !next.ended { // neither canceled nor timed out in the queue
 			s.serve(h, next)
 		}
 	}
@@ -233,9 +256,9 @@
 // serve starts the service of an attempt at a host.
 func (s *simulation) serve(h *host, a *attempt) {
 	h.inService++
-	service := int64(s.random.ExpFloat64() * float64(s.config.ServiceTime))
+	serviceTime := time.Duration(s.random.ExpFloat64() * float64(s.config.ServiceTime))
 	s.add(&event{
-		at:      s.now + service + int64(s.config.NetDelay),
+		at:      s.now.Add(serviceTime + s.config.NetworkDelay),
 		kind:    hostFinishes,
 		host:    a.host,
 		request: a.request,
@@ -243,15 +266,16 @@
 	})
 }
 
-// endAttempt tells the gateway how an attempt ended, with the host's load if its answer reports it.
+// endAttempt notifies the gateway of the end of an attempt, with the host's load if its answer reports it.
 func (s *simulation) endAttempt(a *attempt, result gateway.Result, load ...float64) {
 	a.ended = true
 	r := a.request
 	r.customer.inFlight--
+	latency := s.now.Sub(r.arrived)
 	if result == gateway.Succeeded && !r.answered {
 		r.answered = true
 		s.report.Succeeded++
-		if s.now-r.arrived > int64(s.config.Objective) {
+		if latency > s.config.LatencyObjective {
 			s.report.Late++
 		}
 	}
@@ -261,14 +285,14 @@
 		Host:       uint32(a.host + 1),
 		Attempt:    a.number,
 		Result:     result,
-		Latency:    time.Duration(s.now - r.arrived),
+		Latency:    latency,
 		Closed:     r.answered,
 		LoadReport: load,
 	})
 }
 
-// send sends one try of a customer's client to a gateway of its set.
-func (s *simulation) send(c *customer, deadline int64, retries int) {
+// send sends a request of a customer's client, or a retry of one, to a gateway of its set.
+func (s *simulation) send(c *customer, deadline gateway.Time, retries int) {
 	s.lastRequest++
 	r := &request{
 		id:       fmt.Sprintf("r%d", s.lastRequest),
@@ -279,7 +303,7 @@
 		attempts: map[int]*attempt{},
 	}
 	r.gateway = (c.first + s.drawGateway(c)) % len(s.gateways)
-	c.report.Tries++
+	c.report.Requests++
 	s.requests[r.id] = r
 	s.report.Requests++
 	s.report.Plans[c.plan].Requests++
@@ -288,25 +312,25 @@
 		RequestID:    r.id,
 		Customer:     c.name,
 		Plan:         c.plan,
-		Deadline:     gateway.Time(deadline),
+		Deadline:     deadline,
 		Units:        1,
 		Spread:       c.spread,
 		FirstGateway: c.first,
 	})
 }
 
-// runBatch gives a gateway a batch of one event.
-func (s *simulation) runBatch(i int, e gateway.Event) {
+// runBatch lets a gateway handle a batch of one event.
+func (s *simulation) runBatch(index int, e gateway.Event) {
 	s.report.Batches++
-	batch := &gateway.Batch{Now: gateway.Time(s.now), Events: []gateway.Event{e}}
-	s.gateways[i].module.Decide(batch, writer{s, i})
+	batch := &gateway.Batch{Now: s.now, Events: []gateway.Event{e}}
+	s.gateways[index].logic.Decide(batch, executor{s, index})
 }
 
 // sampleGauges adds the gateways' gauges to the report's sums.
 func (s *simulation) sampleGauges() {
 	s.samples++
 	for _, g := range s.gateways {
-		gauges := g.module.Gauges()
+		gauges := g.logic.Gauges()
 		s.report.Limit += gauges.Limit
 		s.report.InFlight += float64(gauges.InFlight)
 		s.report.Lateness += gauges.Lateness
