--- a/lab/fleetsim/doc.go
+++ b/lab/fleetsim/doc.go
@@ -8,9 +8,9 @@
 // the same Report, bit for bit. It does no I/O.
 //
 // The model, by part:
-//   - Customers send requests as a Poisson process, each to a random gateway of their set, at a fraction of their plan's
-//     quota or, for the heavy ones, at a multiple of it. The client retries a rejected request after the Retry-After
-//     time, up to Retries times, if that is before its deadline.
+//   - Customers send requests as a Poisson process, each to a random gateway of their set, at a fraction of their
+//     plan's quota or, for the heavy ones, at a multiple of it. The client retries a rejected request after the
+//     Retry-After time, up to Retries times, if that is before its deadline.
 //   - The ground truth keeps each customer's bucket as its plan defines it, over all gateways together: the first
 //     attempt of a request takes a unit from it, and what the bucket lacks counts as over quota. A rejection while it
 //     holds half a burst or more counts as within the quota.
