--- a/lab/startcost/startcost.go
+++ b/lab/startcost/startcost.go
@@ -18,11 +18,14 @@
 	"github.com/prometheus/procfs"
 
 	"ravensill/lab/emulator"
+	"ravensill/lab/gatewayconfig"
+	"ravensill/lab/logline"
 )
 
 // Axis is what a configuration has many of, all else being small.
 type Axis string
 
+// Axes.
 const (
 	QuotaPlans Axis = "quota plans"
 	Hosts      Axis = "hosts"           // in the configuration's own list; discovery's agent is absent
@@ -33,28 +36,29 @@
 type Size struct {
 	Axis    Axis
 	Count   int
-	Members int // gateways of the fleet: one among many holds a small subset of the hosts
-	Memory  int // limits.memory_mb; 0: as the program has it by itself
+	Members int // gateways of the fleet: one among many uses a small subset of the hosts
+	Memory  int // limits.memory_mb; 0: the program's default
 }
 
 // Cost is what one process took.
 type Cost struct {
 	Size
 	FileBytes int
-	Serving   time.Duration // from the call of exec to the line that tells of serving
+	Serving   time.Duration // from the call of exec to the log line by which it serves
 	StartCPU  time.Duration // processor time until that line
 	Resident  uint64        // bytes at rest
-	Peak      uint64        // bytes, the most so far
-	AtRest    float64       // part of a core
-	ReloadCPU time.Duration // processor time of a SIGHUP, until the line that tells that the file was read anew
+	Peak      uint64        // most bytes
+	AtRest    float64       // fraction of a core
+	ReloadCPU time.Duration // processor time of a SIGHUP, until the log line by which the file was read
 }
 
-// ErrEnded is told of a process that ended before it did what was waited for.
+// ErrEnded is the error of a process that ended before it did what was waited for.
 var ErrEnded = errors.New("the process ended")
 
-const agents = 55 // net of the agent's address in 127.0.0.0/8
+const agentNetwork = 55 // of the agent's address, within 127.0.0.0/8
 
-// Measure starts a program on a configuration of one size and takes its cost. It stands at rest for so long.
+// Measure starts a program with a configuration of one size and returns its cost. rest is how long it is measured at
+// rest.
 func Measure(ctx context.Context, binary string, size Size, rest time.Duration) (cost Cost, err error) {
 	cost.Size = size
 	folder, err := os.MkdirTemp("", "ravensill-startcost-")
@@ -64,7 +68,7 @@
 	defer os.RemoveAll(folder)
 	discovery := "127.0.0.1:1" // nobody listens there
 	if size.Axis == Delivered {
-		agent, err := emulator.NewAgent(agents, 1, entries(size.Count)...)
+		agent, err := emulator.NewAgent(agentNetwork, 1, entries(size.Count)...)
 		if err != nil {
 			return cost, err
 		}
@@ -72,7 +76,11 @@
 		discovery = agent.Addr(0)
 	}
 	file := filepath.Join(folder, "config.json")
-	text, err := json.Marshal(configuration(size, discovery))
+	gateway, err := configuration(size, discovery)
+	if err != nil {
+		return cost, err
+	}
+	text, err := json.Marshal(gateway)
 	if err != nil {
 		return cost, err
 	}
@@ -88,14 +96,14 @@
 	return cost, p.measure(ctx, &cost, rest)
 }
 
-// measure takes the cost of a process that was just launched.
+// measure measures the cost of a process that was just launched.
 func (p *process) measure(ctx context.Context, cost *Cost, rest time.Duration) error {
 	line, err := p.line(ctx, "event=serving ")
 	if err != nil {
 		return err
 	}
 	cost.Serving = time.Since(p.began)
-	if cost.Axis != QuotaPlans && !strings.Contains(line, fmt.Sprintf(" hosts=%d ", cost.Count)) {
+	if cost.Axis != QuotaPlans && logline.Int(line, "hosts") != cost.Count {
 		return fmt.Errorf("not all of %d hosts: %s", cost.Count, line)
 	}
 	if cost.StartCPU, err = p.cpu(); err != nil {
@@ -119,13 +127,13 @@
 	return err
 }
 
-// rest takes what the process needs while nothing happens.
+// rest measures what the process needs while nothing happens.
 func (p *process) rest(ctx context.Context, cost *Cost, rest time.Duration) error {
 	before, err := p.cpu()
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	start := time.Now()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -135,20 +143,22 @@
 	if err != nil {
 		return err
 	}
-	cost.AtRest = (after - before).Seconds() / time.Since(began).Seconds()
+	cost.AtRest = (after - before).Seconds() / time.Since(start).Seconds()
 	status, err := p.proc.NewStatus()
-	cost.Resident, cost.Peak = status.VmRSS, status.VmHWM
+	cost.Resident = status.VmRSS
+	cost.Peak = status.VmHWM
 	return err
 }
 
-// process is one life of the program.
+// process is a running program.
 type process struct {
 	cmd   *exec.Cmd
 	proc  procfs.Proc
 	began time.Time
-	lines chan string // of its log; closed at its end
+	lines chan string // of the log; closed when the process ends
 }
 
+// launch starts a program.
 func launch(ctx context.Context, binary, file string) (*process, error) {
 	p := &process{cmd: exec.CommandContext(ctx, binary), lines: make(chan string, 64)}
 	p.cmd.Env = append(os.Environ(), "GW_CONFIG="+file)
@@ -161,10 +171,11 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go func() {
+	go func() { // ends with the process, and kill waits for it
 		defer close(p.lines)
-		for s := bufio.NewScanner(log); s.Scan(); {
-			p.lines <- s.Text()
+		scanner := bufio.NewScanner(log)
+		for scanner.Scan() {
+			p.lines <- scanner.Text()
 		}
 	}()
 	p.proc, err = procfs.NewProc(p.cmd.Process.Pid)
@@ -175,7 +186,7 @@
 	return p, nil
 }
 
-// line waits for a line of the log that holds a text.
+// line waits for a line of the log that contains a text.
 func (p *process) line(ctx context.Context, text string) (string, error) {
 	for {
 		select {
@@ -192,7 +203,7 @@
 	}
 }
 
-// cpu gives the processor time so far, of all threads.
+// cpu returns the processor time of all threads so far.
 func (p *process) cpu() (time.Duration, error) {
 	stat, err := p.proc.Stat()
 	return time.Duration(stat.CPUTime() * float64(time.Second)), err
@@ -206,46 +217,71 @@
 	p.cmd.Wait()
 }
 
-// configuration is that of a gateway by itself, with so many of what the axis names.
-func configuration(size Size, discovery string) map[string]any {
-	plans, hosts := 1, 2
-	known := map[string]any{"version": 0, "full": true, "servers": []any{}}
+// configuration returns that of a gateway by itself, with as many of what the axis names as the size says.
+func configuration(size Size, discovery string) (*gatewayconfig.File, error) {
+	plans := 1
+	list := hostList{Full: true, Servers: []emulator.Entry{}, Version: 1}
 	switch size.Axis {
 	case QuotaPlans:
 		plans = size.Count
+		list.Servers = entries(fewHosts)
 	case Hosts:
-		hosts = size.Count
+		list.Servers = entries(size.Count)
+	case Delivered:
+		list.Version = 0
 	}
-	if size.Axis != Delivered {
-		known = map[string]any{"version": 1, "full": true, "servers": entries(hosts)}
-	}
-	limits := map[string]any{}
-	if size.Memory > 0 {
-		limits["memory_mb"] = size.Memory
+	known, err := json.Marshal(list)
+	if err != nil {
+		return nil, fmt.Errorf("host list: %w", err)
 	}
-	return map[string]any{
-		"limits":    limits,
-		"listen":    "127.0.0.1:0",
-		"discovery": discovery,
-		"known":     known,
-		"settings": map[string]any{
-			"balancers": size.Members,
-			"zones":     []string{"a"},
-			"skus":      []string{"m"},
-			"limits":    map[string]any{"max_attempts": 3, "retry_after": true},
-			"profiles":  []any{map[string]any{"name": "lookup", "effect": "safe", "target_us": 600_000, "hard_limit_us": 2_500_000, "points": 1}},
-			"plans":     quotaPlans(plans),
+	return &gatewayconfig.File{
+		Resources: gatewayconfig.Resources{MemoryMB: size.Memory},
+		Listen:    "127.0.0.1:0",
+		Discovery: discovery,
+		Known:     known,
+		Settings: gatewayconfig.Settings{
+			Gateways:     size.Members,
+			Zones:        []string{"a"},
+			MachineTypes: []string{"m"},
+			Limits: gatewayconfig.Limits{
+				RuntimeLimits: gatewayconfig.RuntimeLimits{MaxAttempts: 3, RetryAfter: true},
+			},
+			Classes: []gatewayconfig.Class{{
+				Name:        "lookup",
+				Effect:      gatewayconfig.Idempotent,
+				ObjectiveUS: (600 * time.Millisecond).Microseconds(),
+				TimeoutUS:   (2500 * time.Millisecond).Microseconds(),
+				Value:       1,
+			}},
+			QuotaPlans: quotaPlans(plans),
 		},
-	}
+	}, nil
 }
 
-func quotaPlans(count int) (plans []any) {
+// fewHosts are the hosts of a configuration that has many of something else.
+const fewHosts = 2
+
+// hostList is a host list as discovery's agent sends it.
+type hostList struct {
+	Full    bool             `json:"full"`
+	Servers []emulator.Entry `json:"servers"`
+	Version int              `json:"version"`
+}
+
+// quotaPlans returns a number of quota plans.
+func quotaPlans(count int) (plans []gatewayconfig.QuotaPlan) {
 	for i := range count {
-		plans = append(plans, map[string]any{"name": fmt.Sprintf("tenant-%05d", i), "rate": 10, "burst": 20, "worth_factor": 1})
+		plans = append(plans, gatewayconfig.QuotaPlan{
+			Name:           fmt.Sprintf("tenant-%05d", i),
+			Rate:           10,
+			Burst:          20,
+			PriorityWeight: 1,
+		})
 	}
 	return plans
 }
 
+// entries returns a number of hosts of a host list.
 func entries(count int) (hosts []emulator.Entry) {
 	for i := range count {
 		hosts = append(hosts, emulator.Entry{
@@ -254,7 +290,7 @@
 			Zone:   "a",
 			Kind:   "m",
 			Cell:   i % 4,
-			State:  "active",
+			State:  emulator.Active,
 			Weight: 1,
 		})
 	}
