--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -6,19 +6,31 @@
 	"os"
 	"runtime/debug"
 
-	"ravensill/gateway"
+	"ravensill/internal/config"
 	"ravensill/internal/simwire"
 	"ravensill/logic"
 )
 
+// gcPercent trades memory for speed: batches and their events are short-lived.
+const gcPercent = 400
+
 func main() {
-	debug.SetGCPercent(400) // records come and go in great number
-	err := simwire.Serve(os.Stdin, os.Stdout, func(seed uint64, seat gateway.Membership, fronts []gateway.RequestClass,
-		plans []gateway.Plan, limits gateway.Limits, cold gateway.SlowStart, report gateway.LoadReportForm) simwire.Decider {
-		return logic.New(seed, seat, fronts, plans, limits, cold, report)
-	})
-	if err != nil {
+	debug.SetGCPercent(gcPercent)
+	if err := simwire.Serve(os.Stdin, os.Stdout, newGateway); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
 }
+
+// newGateway returns the decision module of a simulated gateway.
+func newGateway(seed uint64, settings *config.Settings) simwire.Decider {
+	return logic.New(
+		seed,
+		settings.Membership,
+		settings.Classes,
+		settings.Plans,
+		settings.Limits,
+		settings.SlowStart,
+		settings.LoadReport,
+	)
+}
--- a/internal/discovery/pending_read_test.go
+++ b/internal/discovery/pending_read_test.go
@@ -34,8 +34,15 @@
 	}
 	go func() {
 		defer close(ended)
-		address := listener.Addr().String()
-		Watch(ctx, sockets.Kernel{}, address, 1, longTimeouts(), pending, func() {}, update)
+		Watch(ctx, WatchOptions{
+			System:     sockets.Kernel{},
+			Address:    listener.Addr().String(),
+			After:      1,
+			Timeouts:   longTimeouts(),
+			Pending:    pending,
+			OnReceived: func() {},
+			OnList:     update,
+		})
 	}()
 	agent, err := listener.Accept()
 	if err != nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,22 +17,35 @@
 // maxHeadBytes bounds the head of a response.
 const maxHeadBytes = 64 << 10
 
-// Watch follows the list of the agent at an address from a version on. It returns the reason for which it ended: the
-// connection, a timeout or the context. It calls received for any bytes of the body, also those of the empty lines that
-// come while nothing changes, and update for each list, both from one goroutine. timeouts and pending belong to this
-// watch alone.
-func Watch(ctx context.Context, system sockets.System, address string, after int64, timeouts *Timeouts,
-	pending *PendingRead, received func(), update func(list string)) (err error) {
+// WatchOptions are the options of one watch. Its functions are called from one goroutine.
+type WatchOptions struct {
+	System  sockets.System
+	Address string // of the agent
+	After   int64  // version of the endpoint list: only later ones are wanted
+
+	Timeouts *Timeouts    // of this watch alone
+	Pending  *PendingRead // of this watch alone
+
+	// OnReceived is called for any bytes of the body, also those of the empty lines that come while nothing changes.
+	OnReceived func()
+	// OnList is called for each list or change of it.
+	OnList func(list string)
+}
+
+// Watch follows the endpoint list of an agent. It returns the reason for which it ended: the connection, a timeout or
+// the context.
+func Watch(ctx context.Context, options WatchOptions) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "discovery", "error", p, "stack", debug.Stack())
 			err = fmt.Errorf("panic: %v", p)
 		}
 	}()
-	transport := newTransport(system, timeouts, pending)
+	timeouts := options.Timeouts
+	transport := newTransport(options.System, timeouts, options.Pending)
 	defer transport.CloseIdleConnections()
-	defer pending.conn.Store(nil)
-	url := fmt.Sprintf("http://%s/v1/servers?watch=1&after=%d", address, after)
+	defer options.Pending.conn.Store(nil)
+	url := fmt.Sprintf("http://%s/v1/servers?watch=1&after=%d", options.Address, options.After)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -49,8 +62,8 @@
 	timeouts.enter(following, time.Now())
 	reader := &valueReader{
 		body:     response.Body,
-		received: received,
-		update:   update,
+		received: options.OnReceived,
+		update:   options.OnList,
 		phase:    func(phase phase) { timeouts.enter(phase, time.Now()) },
 	}
 	return reader.run()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -68,7 +68,15 @@
 }
 
 func watchWithin(ctx context.Context, address string, timeouts *Timeouts, update func(string)) error {
-	return Watch(ctx, sockets.Kernel{}, address, 1, timeouts, &PendingRead{}, func() {}, update)
+	return Watch(ctx, WatchOptions{
+		System:     sockets.Kernel{},
+		Address:    address,
+		After:      1,
+		Timeouts:   timeouts,
+		Pending:    &PendingRead{},
+		OnReceived: func() {},
+		OnList:     update,
+	})
 }
 
 func ignoreList(string) {}
@@ -142,10 +150,15 @@
 	} {
 		address, request := startAgent(t, text, closeConn)
 		received := false
-		setReceived := func() { received = true }
-		writeList := func(list string) { fmt.Fprintf(&trace, "%q\n", list) }
-		err := Watch(context.Background(), sockets.Kernel{}, address, 41, longTimeouts(), &PendingRead{}, setReceived,
-			writeList)
+		err := Watch(context.Background(), WatchOptions{
+			System:     sockets.Kernel{},
+			Address:    address,
+			After:      41,
+			Timeouts:   longTimeouts(),
+			Pending:    &PendingRead{},
+			OnReceived: func() { received = true },
+			OnList:     func(list string) { fmt.Fprintf(&trace, "%q\n", list) },
+		})
 		fmt.Fprintf(&trace, "%.60q: %v, received %t\n%s\n", text, err, received, <-request)
 	}
 	golden.Check(t, regexp.MustCompile(`127.0.0.1:\d+`).ReplaceAllString(trace.String(), "ADDR"))
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -48,13 +48,17 @@
 	ctx, stop := context.WithCancel(context.Background())
 	w := &watch{stop: stop}
 	n.watch = w
-	version := n.endpointList.Version
-	addr := n.cfg.Discovery
-	timeouts := discovery.NewTimeouts(n.cfg.Limits.PollEndpoints)
-	onReceived := func() { n.runForWatch(w, n.watchReceived) }
-	onList := func(list string) { n.runForWatch(w, func() { n.updateEndpoints(list, false) }) }
+	options := discovery.WatchOptions{
+		System:     n.system,
+		Address:    n.cfg.Discovery,
+		After:      n.endpointList.Version,
+		Timeouts:   discovery.NewTimeouts(n.cfg.Limits.PollEndpoints),
+		Pending:    &w.feed,
+		OnReceived: func() { n.runForWatch(w, n.watchReceived) },
+		OnList:     func(list string) { n.runForWatch(w, func() { n.updateEndpoints(list, false) }) },
+	}
 	n.readers.Go(func() {
-		err := discovery.Watch(ctx, n.system, addr, version, timeouts, &w.feed, onReceived, onList)
+		err := discovery.Watch(ctx, options)
 		stop()
 		n.runOnLoop(func() { n.watchEnded(w, err) })
 	})
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -43,14 +43,18 @@
 	if cfg == nil {
 		return func() {}, nil
 	}
-	var objectives []time.Duration
+	options := observer.Options{
+		System:     n.system,
+		Config:     cfg,
+		Membership: n.cfg.Membership,
+		Classes:    n.cfg.ClassNames,
+	}
 	for i := range n.cfg.Classes {
-		objectives = append(objectives, n.cfg.Classes[i].LatencyObjective)
+		options.Objectives = append(options.Objectives, n.cfg.Classes[i].LatencyObjective)
 	}
-	member := &n.cfg.Membership
 	var task *observer.Observer
 	err = listenWithRetry("counterfactual", cfg.Listen, stop, func() (err error) {
-		task, err = observer.Open(n.system, cfg, member.Index, member.Zone, member.Count, n.cfg.ClassNames, objectives)
+		task, err = observer.Open(options)
 		return err
 	})
 	if err != nil {
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"ravensill/counterfactual"
+	"ravensill/gateway"
 	"ravensill/internal/clock"
 	"ravensill/internal/config"
 	"ravensill/internal/sockets"
@@ -80,26 +81,32 @@
 	loggedAt    time.Time
 }
 
-// Open starts the observer of a gateway on the sockets of system. member is the gateway's index of all members. classes
-// and objectives are the names of the request classes and their latency objectives. An error names the
-// key of the configuration.
-func Open(system sockets.System, config *config.Counterfactual, member, zone, members int, classes []string,
-	objectives []time.Duration) (*Observer, error) {
+// Options are the options of an observer.
+type Options struct {
+	System     sockets.System
+	Config     *config.Counterfactual
+	Membership gateway.Membership // of this gateway
+	Classes    []string           // names of the request classes
+	Objectives []time.Duration    // latency objective by request class
+}
+
+// Open starts the observer of a gateway. An error names the key of the configuration.
+func Open(options Options) (*Observer, error) {
 	started := time.Now()
 	o := &Observer{
-		system:      system,
-		config:      config,
-		member:      member,
-		zone:        zone,
-		classes:     classes,
-		records:     make(chan []*Entry, max(config.QueueLength/Batch, 1)),
+		system:      options.System,
+		config:      options.Config,
+		member:      options.Membership.Index,
+		zone:        options.Membership.Zone,
+		classes:     options.Classes,
+		records:     make(chan []*Entry, max(options.Config.QueueLength/Batch, 1)),
 		recycled:    make(chan []*Entry, recycledBatches),
 		datagrams:   make(chan datagram, inboxSize),
 		queries:     make(chan pendingQuery),
 		done:        make(chan struct{}),
 		started:     started,
 		incarnation: uint64(started.UnixNano()),
-		folder:      counterfactual.NewFolder(zone, config.MaxCells),
+		folder:      counterfactual.NewFolder(options.Membership.Zone, options.Config.MaxCells),
 	}
 	if err := o.openResources(); err != nil {
 		o.closeResources()
@@ -108,7 +115,7 @@
 	queryAddress := "none"
 	if o.tcp != nil {
 		queryAddress = o.tcp.Addr().String()
-		o.ledger = o.newLedger(members, objectives)
+		o.ledger = o.newLedger(options.Membership.Count, options.Objectives)
 		o.start(o.acceptQueries)
 	}
 	o.start(o.readDatagrams)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -21,9 +21,9 @@
 	Decide(in *gateway.Batch, out gateway.Actions)
 }
 
-// Start returns the decision module of a gateway that starts with nothing but its settings.
-type Start func(seed uint64, membership gateway.Membership, classes []gateway.RequestClass, plans []gateway.Plan,
-	limits gateway.Limits, slowStart gateway.SlowStart, report gateway.LoadReportForm) Decider
+// Start returns the decision module of a gateway that starts with nothing but its settings. seed is that of its random
+// numbers.
+type Start func(seed uint64, settings *config.Settings) Decider
 
 // instance is one simulated gateway.
 type instance struct {
@@ -171,8 +171,7 @@
 		return fmt.Errorf("POWER_ON: env: %w", err)
 	}
 	s.instances[s.current] = &instance{
-		decider: s.start(seed, settings.Membership, settings.Classes, settings.Plans, settings.Limits,
-			settings.SlowStart, settings.LoadReport),
+		decider:      s.start(seed, settings),
 		classes:      len(settings.Classes),
 		plans:        len(settings.Plans),
 		members:      settings.Membership.Count,
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"ravensill/gateway"
+	"ravensill/internal/config"
 	"ravensill/internal/golden"
 )
 
@@ -40,10 +41,9 @@
 
 // serve runs recorders on the input. It returns the output, and adds starts and events to record.
 func serve(in string, record *strings.Builder) (string, error) {
-	start := func(seed uint64, membership gateway.Membership, classes []gateway.RequestClass, plans []gateway.Plan,
-		limits gateway.Limits, slowStart gateway.SlowStart, report gateway.LoadReportForm) Decider {
-		fmt.Fprintf(record, "start %d %+v\n%+v\n%+v\n", seed, membership, classes, plans)
-		fmt.Fprintf(record, "%+v\n%+v\n%+v\n", limits, slowStart, report)
+	start := func(seed uint64, settings *config.Settings) Decider {
+		fmt.Fprintf(record, "start %d %+v\n%+v\n%+v\n", seed, settings.Membership, settings.Classes, settings.Plans)
+		fmt.Fprintf(record, "%+v\n%+v\n%+v\n", settings.Limits, settings.SlowStart, settings.LoadReport)
 		return recorder{record}
 	}
 	var out strings.Builder
--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -119,13 +119,22 @@
 func (s *Served) follow(ctx context.Context, address string, version int64) {
 	for ctx.Err() == nil {
 		var feed discovery.PendingRead
-		discovery.Watch(ctx, sockets.Kernel{}, address, version, discovery.NewTimeouts(false), &feed, func() {}, func(text string) {
+		onList := func(text string) {
 			taken := make(chan int64, 1)
 			s.do(func() {
 				s.hollow.List(text, false)
 				taken <- s.hollow.book.Version
 			})
 			version = <-taken
+		}
+		discovery.Watch(ctx, discovery.WatchOptions{
+			System:     sockets.Kernel{},
+			Address:    address,
+			After:      version,
+			Timeouts:   discovery.NewTimeouts(false),
+			Pending:    &feed,
+			OnReceived: func() {},
+			OnList:     onList,
 		})
 		select {
 		case <-time.After(discovery.RewatchDelay):
