--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -43,8 +43,8 @@
 // Succeed answers with a value.
 func (a *Answer) Succeed(value []byte) { a.set(successReply(value)) }
 
-// Reject answers that the request did not run, with the time to retry after, in nanoseconds; 0: at once.
-func (a *Answer) Reject(retryAfter int64) { a.set(rejection(time.Duration(retryAfter))) }
+// Reject answers that the request did not run, with the time to retry after; 0: at once.
+func (a *Answer) Reject(retryAfter time.Duration) { a.set(rejection(retryAfter)) }
 
 // Fail answers with an error: the request may have run.
 func (a *Answer) Fail(reason string) { a.set(errorReply(reason)) }
--- a/internal/clients/helpers_test.go
+++ b/internal/clients/helpers_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"ravensill/gateway"
+	"ravensill/internal/clock"
 	"ravensill/internal/resp"
 	"ravensill/internal/sockets"
 )
@@ -73,7 +74,8 @@
 		s.requests = append(s.requests, answer)
 	}
 	runOnLoop := func(f func()) { s.work <- f }
-	s.Server = NewServer(system, NewCatalog(startCatalog), maxConns, runOnLoop, s.clock.Load, onRequest)
+	now := func() clock.Instant { return clock.Instant(s.clock.Load()) }
+	s.Server = NewServer(system, NewCatalog(startCatalog), maxConns, runOnLoop, now, onRequest)
 	listener, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -7,14 +7,14 @@
 	"ravensill/internal/resp"
 )
 
-// Request is one request of a client. Times are in nanoseconds of the server's clock.
+// Request is one request of a client. Times are of the server's clock.
 type Request struct {
 	ID           string
 	Customer     string
-	ReceivedAt   int64 // when its last byte was read
-	Deadline     int64 // its client waits until then
-	Class        int   // index in the Catalog
-	Plan         int   // index in the Catalog
+	ReceivedAt   clock.Instant // when its last byte was read
+	Deadline     clock.Instant // its client waits until then
+	Class        int           // index in the Catalog
+	Plan         int           // index in the Catalog
 	Units        float64
 	Spread       int  // the customer's requests come in at this many gateways,
 	FirstGateway int  // from this member index on
@@ -87,8 +87,8 @@
 	return &Request{
 		ID:           q.id,
 		Customer:     q.customer,
-		ReceivedAt:   int64(q.receivedAt),
-		Deadline:     int64(q.receivedAt.Add(q.wait)),
+		ReceivedAt:   q.receivedAt,
+		Deadline:     q.receivedAt.Add(q.wait),
 		Class:        q.terms.class,
 		Plan:         q.terms.plan,
 		Units:        q.terms.units,
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -68,15 +68,21 @@
 
 // NewServer returns a server that holds at most maxConns connections and accepts commands that name what the catalog
 // contains. It makes its system calls by system. runOnLoop queues a function for the loop, on which onRequest is
-// called; now returns the time in nanoseconds.
-func NewServer(system sockets.System, catalog *Catalog, maxConns int, runOnLoop func(func()), now func() int64,
-	onRequest RequestHandler) *Server {
+// called; now returns the time.
+func NewServer(
+	system sockets.System,
+	catalog *Catalog,
+	maxConns int,
+	runOnLoop func(func()),
+	now func() clock.Instant,
+	onRequest RequestHandler,
+) *Server {
 	return &Server{
 		system:     system,
 		catalog:    catalog,
 		maxConns:   maxConns,
 		runOnLoop:  runOnLoop,
-		now:        func() clock.Instant { return clock.Instant(now()) },
+		now:        now,
 		onRequest:  onRequest,
 		conns:      map[*Conn]bool{},
 		admissions: make(chan bool, 1),
--- a/internal/hosts/attempt.go
+++ b/internal/hosts/attempt.go
@@ -9,8 +9,8 @@
 )
 
 // ResultHandler receives the result of an attempt or probe. event has the result, the usage and the load report; value
-// is the host's answer, nil without one; received is the time at which the answer was read, in nanoseconds.
-type ResultHandler func(event gateway.Event, value []byte, received int64)
+// is the host's answer, nil without one; received is the time at which the answer was read.
+type ResultHandler func(event gateway.Event, value []byte, received clock.Instant)
 
 // Attempt is one command sent, or to be sent, to a host.
 type Attempt struct {
@@ -84,5 +84,5 @@
 		pool.transport.dialShortage = true
 		slog.Warn("dial_resources_exhausted", "error", failure.Err)
 	}
-	a.onResult(gateway.Event{Result: failure.Result()}, nil, int64(pool.transport.now()))
+	a.onResult(gateway.Event{Result: failure.Result()}, nil, pool.transport.now())
 }
--- a/internal/hosts/command_test.go
+++ b/internal/hosts/command_test.go
@@ -62,7 +62,7 @@
 
 func writeAfterQuotaQueue(h *scriptedHost, wait time.Duration) *net.TCPConn {
 	allowed := 0
-	limiter := h.LimitConnections(0, 19*time.Second, func(int64) int { return allowed }, func(int64) {})
+	limiter := h.LimitConnections(0, 19*time.Second, func(clock.Instant) int { return allowed }, func(time.Duration) {})
 	h.schedule("a", 0)
 	h.advance(wait)
 	allowed = 1
@@ -110,13 +110,13 @@
 	c := h.serveFirst()
 	h.schedule("b", 0)
 	h.advance(wait)
-	reading := clock.Instant(h.clock.Load())
+	reading := h.readClock()
 	h.Transport.now = func() clock.Instant {
 		defer h.advance(stall)
 		return reading
 	}
 	h.Flush()
-	stalled := clock.Instant(h.clock.Load()).Sub(reading)
+	stalled := h.readClock().Sub(reading)
 	left := attemptTimeout - wait - stalled
 	if got := h.readTimeLeft(c); got > left+slack {
 		t.Errorf("command has %v, %v left and %v of slack", got, left, slack)
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -206,7 +206,7 @@
 	} else {
 		c.release()
 	}
-	attempt.onResult(a.event, a.value, int64(a.received))
+	attempt.onResult(a.event, a.value, a.received)
 }
 
 // fail closes the connection and fails the attempt that it carries.
--- a/internal/hosts/conn_test.go
+++ b/internal/hosts/conn_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"ravensill/gateway"
+	"ravensill/internal/clock"
 	"ravensill/internal/golden"
 )
 
@@ -292,7 +293,7 @@
 			loop := newTestLoop(t, addr, manyConns)
 			loop.loadFields = []string{"utilization"}
 			if probe {
-				loop.Probe(1, func(event gateway.Event, _ []byte, _ int64) {
+				loop.Probe(1, func(event gateway.Event, _ []byte, _ clock.Instant) {
 					loop.results = append(loop.results, fmt.Sprintf("result %d, load %v", event.Result, event.LoadReport))
 				})
 			} else {
--- a/internal/hosts/helpers_test.go
+++ b/internal/hosts/helpers_test.go
@@ -24,7 +24,7 @@
 	// manyConns is a connection limit that a test does not reach.
 	manyConns = 9
 	// noWriteDeadline is later than any time of a test.
-	noWriteDeadline = int64(1e18)
+	noWriteDeadline = clock.Instant(1e18)
 )
 
 // testLoop is the event loop of a transport with one host, number 1. It records the results of its attempts.
@@ -40,12 +40,21 @@
 	const connectTimeout = 250 * time.Millisecond
 	l := &testLoop{T: t, work: make(chan func(), 99)}
 	runOnLoop := func(f func()) { l.work <- f }
-	l.Transport = NewTransport(sockets.Kernel{}, runOnLoop, l.clock.Load, nil,
-		int64(connectTimeout), int64(time.Second), maxConns)
+	l.Transport = NewTransport(Options{
+		System:         sockets.Kernel{},
+		RunOnLoop:      runOnLoop,
+		Now:            l.readClock,
+		ConnectTimeout: connectTimeout,
+		IdleTimeout:    time.Second,
+		MaxConns:       maxConns,
+	})
 	l.SetAddress(1, netip.MustParseAddrPort(addr))
 	return l
 }
 
+// readClock returns the time of the clock.
+func (l *testLoop) readClock() clock.Instant { return clock.Instant(l.clock.Load()) }
+
 // advance sets the clock forward.
 func (l *testLoop) advance(d time.Duration) { l.clock.Add(int64(d)) }
 
@@ -59,7 +68,7 @@
 func (l *testLoop) send() *Attempt {
 	command := Command{Head: []byte("*2\r\n"), Before: []byte("d=")}
 	deadline := l.Transport.now().Add(2 * time.Millisecond)
-	attempt := l.Send(1, command, int64(deadline), noWriteDeadline, l.recordResult("result"))
+	attempt := l.Send(1, command, deadline, noWriteDeadline, l.recordResult("result"))
 	l.Flush()
 	return attempt
 }
@@ -67,13 +76,13 @@
 // schedule makes an attempt with a named command and a body, and does not flush it.
 func (l *testLoop) schedule(name string, body int) *Attempt {
 	command := Command{Head: []byte(name + " "), Tail: make([]byte, body)}
-	deadline := int64(l.Transport.now().Add(attemptTimeout))
+	deadline := l.Transport.now().Add(attemptTimeout)
 	return l.Send(1, command, deadline, deadline, l.recordResult(name+": result"))
 }
 
 // recordResult returns a handler that records the result under a label.
 func (l *testLoop) recordResult(label string) ResultHandler {
-	return func(event gateway.Event, value []byte, _ int64) {
+	return func(event gateway.Event, value []byte, _ clock.Instant) {
 		l.results = append(l.results, fmt.Sprintf("%s %d, value %q", label, event.Result, value))
 	}
 }
@@ -192,7 +201,7 @@
 		if f := h.onClockRead.Swap(nil); f != nil {
 			(*f)()
 		}
-		return clock.Instant(h.clock.Load())
+		return h.readClock()
 	}
 	dial := h.Dial
 	h.Dial = func(addr string) (net.Conn, error) {
--- a/internal/hosts/limiter.go
+++ b/internal/hosts/limiter.go
@@ -34,14 +34,13 @@
 // ConnectionLimiter keeps a transport within a quota of connections, dials included, over all hosts: they share one
 // store. Attempts without a connection queue, urgent ones first while fewer than the urgent floor are in flight. An
 // attempt that would wait too long is rejected at once, with a time to retry after. Where the store refuses a
-// connection, the attempt stays in the queue and dials pause. Times and durations in its exported methods are in
-// nanoseconds.
+// connection, the attempt stays in the queue and dials pause.
 type ConnectionLimiter struct {
 	transport *Transport
 	// allowed returns the quota at a time.
-	allowed func(now int64) int
+	allowed func(now clock.Instant) int
 	// onRejected is called for each rejected attempt, with the expected time for which it would use a connection.
-	onRejected  func(serviceTime int64)
+	onRejected  func(serviceTime time.Duration)
 	urgentFloor int           // urgent attempts go first while fewer of them are in flight
 	maxWait     time.Duration // in the queue
 
@@ -61,8 +60,12 @@
 }
 
 // LimitConnections puts the transport under a quota of connections. It is called before the first attempt.
-func (t *Transport) LimitConnections(urgentFloor int, maxWait time.Duration, allowed func(now int64) int,
-	onRejected func(serviceTime int64)) *ConnectionLimiter {
+func (t *Transport) LimitConnections(
+	urgentFloor int,
+	maxWait time.Duration,
+	allowed func(now clock.Instant) int,
+	onRejected func(serviceTime time.Duration),
+) *ConnectionLimiter {
 	t.reuseDelay = limitedReuseDelay
 	t.limiter = &ConnectionLimiter{
 		transport:   t,
@@ -74,14 +77,11 @@
 	return t.limiter
 }
 
-// quota returns the number of connections allowed now.
-func (l *ConnectionLimiter) quota(now clock.Instant) int { return l.allowed(int64(now)) }
-
 // SetUrgent sets whether the attempts made from now on are of an urgent request class.
 func (l *ConnectionLimiter) SetUrgent(urgent bool) { l.transport.nextUrgent = urgent }
 
 // RetryAfter returns the time after which to retry while a rejected attempt reports its result, and 0 otherwise.
-func (l *ConnectionLimiter) RetryAfter() int64 { return int64(l.retryAfter) }
+func (l *ConnectionLimiter) RetryAfter() time.Duration { return l.retryAfter }
 
 // Usage returns the number of open connections, dials included, and the number of attempts that are on a connection or
 // wait for one.
@@ -112,7 +112,7 @@
 
 // expectedWait returns the time until a queued attempt is expected to get a connection.
 func (l *ConnectionLimiter) expectedWait(attempt *Attempt, now clock.Instant) time.Duration {
-	allowed := l.quota(now)
+	allowed := l.allowed(now)
 	_, demand := l.Usage()
 	busy := demand - len(l.queue)
 	available := max(allowed-busy, 0)
@@ -125,8 +125,8 @@
 	now := l.transport.now()
 	l.dequeue(attempt)
 	l.Rejected++
-	l.onRejected(int64(l.serviceTime))
-	drainTime := time.Duration(float64(len(l.queue)+1) * l.serviceTime / float64(max(l.quota(now), 1)))
+	l.onRejected(time.Duration(l.serviceTime))
+	drainTime := time.Duration(float64(len(l.queue)+1) * l.serviceTime / float64(max(l.allowed(now), 1)))
 	l.retryAfter = min(max(drainTime, l.nextDial.Sub(now), minRetryAfter), maxRetryAfter)
 	attempt.fail(Connecting, errQueueTimeout)
 	l.retryAfter = 0
@@ -163,7 +163,7 @@
 func (l *ConnectionLimiter) serveQueue() {
 	t := l.transport
 	now := t.now()
-	allowed := l.quota(now)
+	allowed := l.allowed(now)
 	for t.openConns > allowed {
 		if !t.closeLongestIdle() {
 			break
--- a/internal/hosts/limiter_test.go
+++ b/internal/hosts/limiter_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"ravensill/gateway"
+	"ravensill/internal/clock"
 	"ravensill/internal/golden"
 )
 
@@ -37,15 +38,15 @@
 	loop := newTestLoop(t, serveAsFullStore(t, commands), 99)
 	loop.useRealTime()
 	allowed := 1
-	limiter := loop.LimitConnections(1, 19*time.Second, func(int64) int { return allowed }, func(int64) {})
+	limiter := loop.LimitConnections(1, 19*time.Second, func(clock.Instant) int { return allowed }, func(time.Duration) {})
 	send := func(name string) {
 		limiter.SetUrgent(name == "urgent")
 		command := Command{Head: []byte("*2\r\n"), Before: []byte(name)}
-		onResult := func(event gateway.Event, value []byte, _ int64) {
+		onResult := func(event gateway.Event, value []byte, _ clock.Instant) {
 			loop.results = append(loop.results, fmt.Sprintf("%s: result %d, value %q, retry later %t",
 				name, event.Result, value, limiter.RetryAfter() > 0))
 		}
-		loop.Send(1, command, int64(loop.Transport.now().Add(wait)), noWriteDeadline, onResult)
+		loop.Send(1, command, loop.Transport.now().Add(wait), noWriteDeadline, onResult)
 		loop.Flush()
 	}
 	send("a")
--- a/internal/hosts/shortage_test.go
+++ b/internal/hosts/shortage_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"ravensill/gateway"
+	"ravensill/internal/clock"
 	"ravensill/internal/logging"
 	"ravensill/internal/sockets/socketstest"
 )
@@ -68,11 +69,11 @@
 func TestDialShortageUnderQuotaIsRetried(t *testing.T) {
 	loop, system := newLoopOnFaultySystem(t)
 	loop.useRealTime()
-	limiter := loop.LimitConnections(0, 19*time.Second, func(int64) int { return 1 }, func(int64) {})
+	limiter := loop.LimitConnections(0, 19*time.Second, func(clock.Instant) int { return 1 }, func(time.Duration) {})
 	system.Script(socketstest.Dial, socketstest.Errors(syscall.ENFILE, syscall.EADDRNOTAVAIL)...)
 	command := Command{Head: []byte("*2\r\n"), Before: []byte("d=")}
 	deadline := loop.Transport.now().Add(40 * time.Second)
-	loop.Send(1, command, int64(deadline), noWriteDeadline, loop.recordResult("result"))
+	loop.Send(1, command, deadline, noWriteDeadline, loop.recordResult("result"))
 	loop.runUntilResults(1)
 	if got := loop.results[0]; got != `result 0, value "v"` {
 		t.Error(got)
--- a/internal/hosts/transport.go
+++ b/internal/hosts/transport.go
@@ -22,8 +22,7 @@
 const probeTimeout = time.Second
 
 // Transport owns the connections to all hosts. It is not safe for concurrent use: its methods and callbacks run on
-// one event loop, to which runOnLoop brings work from other goroutines. Times and durations in its exported functions
-// are in nanoseconds.
+// one event loop, to which runOnLoop brings work from other goroutines.
 type Transport struct {
 	system      sockets.System
 	runOnLoop   func(func())
@@ -50,19 +49,28 @@
 	Dial func(addr string) (net.Conn, error)
 }
 
-// NewTransport returns a transport without hosts, which dials, reads and writes by the calls of system. runOnLoop
-// runs a function on the event loop, loadFields names the fields of a load report, connectTimeout and idleTimeout are
-// in nanoseconds, and at most maxConns connections are open at a time.
-func NewTransport(system sockets.System, runOnLoop func(func()), now func() int64, loadFields []string,
-	connectTimeout, idleTimeout int64, maxConns int) *Transport {
-	dialer := &net.Dialer{Timeout: time.Duration(connectTimeout), KeepAlive: -1}
+// Options are the options of a Transport.
+type Options struct {
+	System         sockets.System // makes the system calls
+	RunOnLoop      func(func())   // runs a function on the event loop
+	Now            func() clock.Instant
+	LoadFields     []string // names of a load report's fields
+	ConnectTimeout time.Duration
+	IdleTimeout    time.Duration // idle connections are closed after it
+	MaxConns       int           // connections that are open at a time
+}
+
+// NewTransport returns a transport without hosts.
+func NewTransport(options Options) *Transport {
+	system := options.System
+	dialer := &net.Dialer{Timeout: options.ConnectTimeout, KeepAlive: -1}
 	return &Transport{
 		system:      system,
-		runOnLoop:   runOnLoop,
-		now:         func() clock.Instant { return clock.Instant(now()) },
-		loadFields:  loadFields,
-		idleTimeout: time.Duration(idleTimeout),
-		maxConns:    maxConns,
+		runOnLoop:   options.RunOnLoop,
+		now:         options.Now,
+		loadFields:  options.LoadFields,
+		idleTimeout: options.IdleTimeout,
+		maxConns:    options.MaxConns,
 		reuseDelay:  defaultReuseDelay,
 		addrs:       map[uint32]netip.AddrPort{},
 		pools:       map[uint32]*hostPool{},
@@ -108,11 +116,16 @@
 
 // Send makes an attempt. Its client, or the gateway, waits for the answer until deadline; the command has the time left
 // until then. It is not started after writeDeadline. onResult is called once, possibly before Send returns.
-func (t *Transport) Send(id uint32, command Command, deadline, writeDeadline int64, onResult ResultHandler) *Attempt {
+func (t *Transport) Send(
+	id uint32,
+	command Command,
+	deadline, writeDeadline clock.Instant,
+	onResult ResultHandler,
+) *Attempt {
 	return t.start(id, &Attempt{
 		command:       &command,
-		deadline:      clock.Instant(deadline),
-		writeDeadline: clock.Instant(writeDeadline),
+		deadline:      deadline,
+		writeDeadline: writeDeadline,
 		onResult:      onResult,
 	})
 }
--- a/internal/hosts/transport_test.go
+++ b/internal/hosts/transport_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"ravensill/gateway"
+	"ravensill/internal/clock"
 	"ravensill/internal/golden"
 )
 
@@ -115,7 +116,7 @@
 func TestPeriodicWorkVisitsNoIdleHost(t *testing.T) {
 	const hosts = 87_000
 	loop := newTestLoop(t, "127.0.0.1:1", 1)
-	limiter := loop.LimitConnections(0, 1, func(int64) int { return 0 }, func(int64) {})
+	limiter := loop.LimitConnections(0, 1, func(clock.Instant) int { return 0 }, func(time.Duration) {})
 	for id := range uint32(hosts) {
 		loop.SetAddress(id+2, netip.MustParseAddrPort("127.0.0.1:1"))
 		loop.pools[id+2] = nil
@@ -134,5 +135,5 @@
 		t.Errorf("%v allocations for a tick", allocations)
 	}
 	loop.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:2"))
-	loop.Probe(1, func(gateway.Event, []byte, int64) {}).Cancel(ErrCanceled)
+	loop.Probe(1, func(gateway.Event, []byte, clock.Instant) {}).Cancel(ErrCanceled)
 }
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -43,12 +43,12 @@
 	// once: the module counts it as in flight until then.
 	if r.closed || r.answer.IsClientGone() {
 		r.closed = true
-		a.end(gateway.Event{Result: gateway.NotSent}, nil, n.unixNano())
+		a.end(gateway.Event{Result: gateway.NotSent}, nil, n.now())
 		return
 	}
 	n.quota.setUrgency(r)
 	command := hosts.Command{Head: r.command.Head, Before: r.command.Before, After: r.command.After, Tail: r.command.Tail}
-	a.send = n.transport.Send(host, command, int64(a.deadline), int64(a.writeDeadline()), a.end)
+	a.send = n.transport.Send(host, command, a.deadline, a.writeDeadline(), a.end)
 	if r.closed { // the client is gone by the end of another attempt
 		a.withdraw()
 	}
@@ -99,14 +99,14 @@
 }
 
 // end handles the end of an attempt. The first good answer goes to the client at once.
-func (a *attempt) end(event gateway.Event, value []byte, received int64) {
+func (a *attempt) end(event gateway.Event, value []byte, received gateway.Time) {
 	n := a.node
 	r := a.request
 	n.inFlight = slices.DeleteFunc(n.inFlight, func(other *attempt) bool { return other == a })
 	event.Kind = gateway.AttemptEnded
 	event.Host = a.host
 	event.Attempt = a.number
-	event.Latency = gateway.Time(received).Sub(a.startedAt)
+	event.Latency = received.Sub(a.startedAt)
 	if r == nil {
 		event.Kind = gateway.ProbeEnded
 		n.events = append(n.events, event)
@@ -156,7 +156,7 @@
 	for _, a := range due {
 		n.recoverPanics("loop", func() { a.send.Cancel(hosts.ErrTimedOut) })
 		if slices.Contains(n.inFlight, a) {
-			n.recoverPanics("loop", func() { a.end(gateway.Event{Result: gateway.TimedOut}, nil, int64(now)) })
+			n.recoverPanics("loop", func() { a.end(gateway.Event{Result: gateway.TimedOut}, nil, now) })
 		}
 	}
 }
--- a/internal/node/dedup_window_test.go
+++ b/internal/node/dedup_window_test.go
@@ -50,7 +50,7 @@
 			n.processUntilWritten("r", 0)
 			n.requests["r"].attempts[0].send.Cancel(hosts.ErrTimedOut) // it may have run
 			n.process()
-			n.unix += int64(window - test.left)
+			n.epoch = n.epoch.Add(window - test.left)
 			n.processUntilWritten("r", 1)
 			n.requests["r"].attempts[1].send.Cancel(hosts.ErrTimedOut)
 			n.process()
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -79,7 +79,7 @@
 	n.arrive(answer, &clients.Request{
 		ID:       id,
 		Customer: "c",
-		Deadline: int64(n.now().Add(farDeadline)),
+		Deadline: n.now().Add(farDeadline),
 		Units:    1,
 		Spread:   1,
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,7 +59,7 @@
 	module  Decider
 	system  sockets.System
 	clock   clock.Clock
-	unix    int64                  // wall time of the monotonic clock's zero, as of the start, in nanoseconds
+	epoch   gateway.Time           // Unix time of the monotonic clock's zero, as of the start
 	work    chan func()            // the loop's inbox
 	ended   chan struct{}          // closed once the loop has ended
 	readers sync.WaitGroup         // goroutines that read from peers and the agent for the loop
@@ -118,7 +118,7 @@
 		module:       module,
 		system:       platform.Sockets,
 		clock:        platform.Clock,
-		unix:         platform.Clock.Wall().UnixNano() - int64(platform.Clock.Monotonic()),
+		epoch:        gateway.Time(platform.Clock.Wall().UnixNano()).Add(-platform.Clock.Monotonic()),
 		work:         make(chan func(), inboxSize),
 		ended:        make(chan struct{}),
 		classes:      slices.Clone(cfg.Classes),
@@ -128,10 +128,16 @@
 	}
 	n.endpointList.EqualWeights = cfg.EqualWeights
 	clientDescriptors, hostDescriptors := descriptorShares(cfg.Sockets)
-	n.clients = clients.NewServer(n.system, n.catalog, clientDescriptors, n.runOnLoop, n.unixNano, n.arrive)
-	idleTimeout := time.Duration(idleFraction * float64(cfg.ConnIdle))
-	n.transport = hosts.NewTransport(n.system, n.runOnLoop, n.unixNano, cfg.ReportNames,
-		int64(cfg.ConnectTimeout), int64(idleTimeout), hostDescriptors)
+	n.clients = clients.NewServer(n.system, n.catalog, clientDescriptors, n.runOnLoop, n.now, n.arrive)
+	n.transport = hosts.NewTransport(hosts.Options{
+		System:         n.system,
+		RunOnLoop:      n.runOnLoop,
+		Now:            n.now,
+		LoadFields:     cfg.ReportNames,
+		ConnectTimeout: cfg.ConnectTimeout,
+		IdleTimeout:    time.Duration(idleFraction * float64(cfg.ConnIdle)),
+		MaxConns:       hostDescriptors,
+	})
 	if cfg.Counter.IsValid() {
 		n.counter = counter.New(n.system, cfg.Counter, cfg.Limits.CounterTimeout, n.runOnLoop, n.now,
 			n.counterReplied)
@@ -182,10 +188,7 @@
 
 // now returns the wall clock's time at the start of the gateway plus the monotonic time since: steps of the wall
 // clock don't change it.
-func (n *Node) now() gateway.Time { return gateway.Time(n.unixNano()) }
-
-// unixNano returns now in nanoseconds since 1970, as the packages of the connections take it.
-func (n *Node) unixNano() int64 { return n.unix + int64(n.clock.Monotonic()) }
+func (n *Node) now() gateway.Time { return n.epoch.Add(n.clock.Monotonic()) }
 
 // WhileRunning has Run start a task beside the loop once the gateway has its addresses, at which point the
 // process before it has ended. Run calls the function that start returns after the loop has ended, and waits
--- a/internal/node/panic_test.go
+++ b/internal/node/panic_test.go
@@ -20,7 +20,7 @@
 	n.iterate()
 	answered := n.requests["answered"].attempts[0]
 	n.recoverPanics("loop", func() {
-		answered.end(gateway.Event{Result: gateway.Succeeded}, []byte("v"), n.unixNano())
+		answered.end(gateway.Event{Result: gateway.Succeeded}, []byte("v"), n.now())
 	})
 	n.iterate()
 
@@ -29,7 +29,7 @@
 	answer := n.request("sent")
 	n.iterate()
 	n.transport = transport
-	n.unix += int64(2 * farDeadline)
+	n.epoch = n.epoch.Add(2 * farDeadline)
 	n.iterate()
 	answer.ClientGone()
 	n.iterate()
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -56,15 +56,18 @@
 		node:    n,
 		client:  client,
 		lastLog: now,
-		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Membership.Index, uint64(n.unix), cfg.Weight, cfg.Serial,
+		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Membership.Index, uint64(n.epoch), cfg.Weight, cfg.Serial,
 			cfg.Capacity, now),
 	}
 	for index, name := range n.cfg.ClassNames {
 		p.addClass(index, name)
 	}
-	allowed := func(now int64) int { return p.leaseholder.Allowed(pool.Instant(now)) }
-	onRejected := func(serviceTime int64) { p.leaseholder.AddRejected(time.Duration(serviceTime)) }
-	p.limiter = n.transport.LimitConnections(cfg.Terms.Floor, cfg.MaxWait, allowed, onRejected)
+	p.limiter = n.transport.LimitConnections(
+		cfg.Terms.Floor,
+		cfg.MaxWait,
+		p.leaseholder.Allowed,
+		p.leaseholder.AddRejected,
+	)
 	n.quota = p
 	client.Start(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
 	slog.Info("pool_enabled",
@@ -130,14 +133,14 @@
 	if p == nil || r.closed || r.inFlight > 0 || p.limiter.RetryAfter() == 0 {
 		return
 	}
-	after := time.Duration(p.limiter.RetryAfter())
+	after := p.limiter.RetryAfter()
 	if !p.node.cfg.Limits.RetryAfter {
 		after = 0
 	}
 	if most := p.node.cfg.Limits.MaxRetryAfter; most > 0 {
 		after = min(after, most)
 	}
-	r.answer.Reject(int64(after))
+	r.answer.Reject(after)
 	r.closed = true
 }
 
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -29,7 +29,7 @@
 		answer.Fail("id: in use")
 		return
 	}
-	deadline := gateway.Time(command.Deadline)
+	deadline := command.Deadline
 	if n.answerBy > 0 {
 		deadline = min(deadline, n.answerBy)
 	}
@@ -106,7 +106,7 @@
 // Reject implements gateway.Actions.
 func (n *Node) Reject(id string, retryAfter time.Duration) {
 	if r := n.requests[id]; r != nil && !r.closed {
-		r.answer.Reject(int64(retryAfter))
+		r.answer.Reject(retryAfter)
 		r.close()
 	}
 }
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -79,10 +79,15 @@
 		configuration.Limits, configuration.SlowStart, configuration.LoadReport)
 	h.book = discovery.NewEndpointList(configuration.Zones, configuration.Machines)
 	h.book.EqualWeights = configuration.EqualWeights
-	run := func(work func()) { work() }
-	clock := func() int64 { return h.now }
-	h.connections = hosts.NewTransport(sockets.Kernel{}, run, clock, configuration.ReportNames, int64(configuration.ConnectTimeout),
-		int64(configuration.ConnIdle), int(connectionsPerSocket*float64(configuration.Sockets)))
+	h.connections = hosts.NewTransport(hosts.Options{
+		System:         sockets.Kernel{},
+		RunOnLoop:      func(work func()) { work() },
+		Now:            func() gateway.Time { return gateway.Time(h.now) },
+		LoadFields:     configuration.ReportNames,
+		ConnectTimeout: configuration.ConnectTimeout,
+		IdleTimeout:    configuration.ConnIdle,
+		MaxConns:       int(connectionsPerSocket * float64(configuration.Sockets)),
+	})
 	if configuration.Configuration != nil {
 		h.follow()
 	}
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -98,7 +98,7 @@
 			t.Fatal(err)
 		}
 		book := discovery.NewEndpointList([]string{"a"}, []string{"m"})
-		transport := hosts.NewTransport(sockets.Kernel{}, func(func()) {}, func() int64 { return 0 }, nil, 1, 1, 1)
+		transport := hosts.NewTransport(hosts.Options{System: sockets.Kernel{}})
 		_, listed, _, err := book.Decode(string(list), func(host uint32, addr netip.AddrPort) { transport.SetAddress(host, addr) })
 		if err != nil || size.Axis == Hosts && len(listed) != size.Count {
 			t.Fatal(len(listed), err)
