--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -125,7 +125,7 @@
 			t.Fatal(err)
 		}
 		list := discovery.NewEndpointList([]string{"a"}, []string{"m"})
-		transport := hosts.NewTransport(sockets.Kernel{}, func(func()) {}, func() int64 { return 0 }, nil, 1, 1, 1)
+		transport := hosts.NewTransport(hosts.Options{System: sockets.Kernel{}})
 		setAddress := func(host uint32, addr netip.AddrPort) { transport.SetAddress(host, addr) }
 		_, listed, _, err := list.Decode(string(known), setAddress)
 		if err != nil || size.Axis == Hosts && len(listed) != size.Count {
