--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,7 @@
-// Command simhost hosts gateways on the simulator's wire, on standard input and output.
+// Command simhost runs many gateways in one process for the operators' simulator. The gateways share no state;
+// the simulator provides hosts, clients and the clock, and talks to all of them over the simulator's wire
+// (package simwire) on standard input and output. It ends when its input ends, and exits with 1 at a malformed
+// line.
 package main
 
 import (
@@ -11,14 +14,19 @@
 	"ravensill/logic"
 )
 
+// gcPercent is higher than the default: many short-lived events are allocated.
+const gcPercent = 400
+
 func main() {
-	debug.SetGCPercent(400) // records come and go in great number
-	err := simwire.Serve(os.Stdin, os.Stdout, func(seed uint64, seat gateway.Membership, fronts []gateway.RequestClass,
-		plans []gateway.Plan, limits gateway.Limits, cold gateway.SlowStart, report gateway.LoadReportForm) simwire.Decider {
-		return logic.New(seed, seat, fronts, plans, limits, cold, report)
-	})
-	if err != nil {
+	debug.SetGCPercent(gcPercent)
+	if err := simwire.Serve(os.Stdin, os.Stdout, start); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
 }
+
+// start starts a gateway with the decisions of package logic.
+func start(seed uint64, membership gateway.Membership, classes []gateway.RequestClass, plans []gateway.Plan,
+	limits gateway.Limits, slowStart gateway.SlowStart, report gateway.LoadReportForm) simwire.Decider {
+	return logic.New(seed, membership, classes, plans, limits, slowStart, report)
+}
