--- a/lab/fleetsim/sim.go
+++ b/lab/fleetsim/sim.go
@@ -133,11 +133,7 @@
 	nextTrace := startTime.Add(s.config.Trace)
 	stepAt := startTime.Add(s.config.StepAt)
 	stepPending := s.config.StepAt > 0
-	for s.schedule.Len() > 0 {
-		_, e := s.schedule.Next()
-		if e.at > end {
-			return
-		}
+	for _, e := range s.schedule.Until(int64(end)) {
 		for e.at >= nextSample {
 			s.sampleGauges()
 			nextSample = nextSample.Add(sampleInterval)
--- a/lab/leasesim/network.go
+++ b/lab/leasesim/network.go
@@ -32,8 +32,7 @@
 
 // deliverMessages handles the messages that have arrived.
 func (s *Simulation) deliverMessages() {
-	for s.messages.Len() > 0 && s.messages.NextTime() <= int64(s.Now) {
-		_, event := s.messages.Next()
-		event()
+	for _, deliver := range s.messages.Until(int64(s.Now)) {
+		deliver()
 	}
 }
--- a/lab/schedule/schedule.go
+++ b/lab/schedule/schedule.go
@@ -2,7 +2,10 @@
 // events of the same time in the order in which they were added. So the same simulation runs alike each time.
 package schedule
 
-import "container/heap"
+import (
+	"container/heap"
+	"iter"
+)
 
 // Schedule holds events that are to happen. Its zero value is empty and ready to use.
 type Schedule[T any] struct {
@@ -53,8 +56,17 @@
 	return x.at, x.event
 }
 
-// NextTime returns the time of the earliest event in nanoseconds. It panics if there is none.
-func (s *Schedule[T]) NextTime() int64 { return s.events[0].at }
+// Until removes and yields all events up to a time in nanoseconds, with their times. Events that the loop's body adds
+// are among them.
+func (s *Schedule[T]) Until(end int64) iter.Seq2[int64, T] {
+	return func(yield func(int64, T) bool) {
+		for len(s.events) > 0 && s.events[0].at <= end {
+			if !yield(s.Next()) {
+				return
+			}
+		}
+	}
+}
 
 // Len returns the number of scheduled events.
 func (s *Schedule[T]) Len() int { return len(s.events) }
--- a/lab/slowstartsim/simulation.go
+++ b/lab/slowstartsim/simulation.go
@@ -101,11 +101,7 @@
 }
 
 func (s *simulation) run(end gateway.Time) {
-	for s.schedule.Len() > 0 {
-		at, e := s.schedule.Next()
-		if gateway.Time(at) > end {
-			return
-		}
+	for at, e := range s.schedule.Until(int64(end)) {
 		s.now = gateway.Time(at)
 		if e.arrival {
 			s.arrive()
--- a/lab/subsetsim/simulation.go
+++ b/lab/subsetsim/simulation.go
@@ -66,11 +66,7 @@
 func (s *simulation) after(delay time.Duration, event func()) { s.at(s.now.Add(delay), event) }
 
 func (s *simulation) runEvents(end gateway.Time) {
-	for s.schedule.Len() > 0 {
-		at, event := s.schedule.Next()
-		if gateway.Time(at) > end {
-			return
-		}
+	for at, event := range s.schedule.Until(int64(end)) {
 		s.now = gateway.Time(at)
 		event()
 	}
