--- /dev/null
+++ b/lab/fleetsim/events.go
@@ -0,0 +1,147 @@
+package fleetsim
+
+import (
+	"fmt"
+	"time"
+
+	"ravensill/gateway"
+)
+
+// eventKind is the kind of an event.
+type eventKind int
+
+const (
+	requestArrives  eventKind = iota // of a customer
+	clientRetries                    // after a rejection
+	timerFires                       // of a gateway
+	gossipArrives                    // at a gateway
+	attemptArrives                   // at a host
+	hostFinishes                     // an attempt
+	attemptTimesOut                  // at its gateway
+	attemptCanceled                  // by its gateway, which handles the end in another batch, as with sockets
+)
+
+// event is one event of the schedule. Its kind determines which other fields are set.
+type event struct {
+	at       gateway.Time
+	kind     eventKind
+	gateway  int
+	customer int
+	host     int
+	request  *request
+	number   int          // of the attempt, or of the client's retry
+	sender   int          // of a message
+	body     []byte       // of a message
+	deadline gateway.Time // of a client's retry
+}
+
+// runEvents runs all events up to the end, with the samples that fall due between them.
+func (s *simulation) runEvents() {
+	end := startTime.Add(s.config.Duration)
+	nextSample := startTime.Add(sampleInterval)
+	nextTrace := startTime.Add(s.config.Trace)
+	stepAt := startTime.Add(s.config.StepAt)
+	stepPending := s.config.StepAt > 0
+	for _, e := range s.schedule.Until(int64(end)) {
+		for e.at >= nextSample {
+			s.sampleGauges()
+			nextSample = nextSample.Add(sampleInterval)
+		}
+		for s.config.Trace > 0 && e.at >= nextTrace {
+			s.now = nextTrace
+			s.sampleCopies()
+			nextTrace = nextTrace.Add(s.config.Trace)
+		}
+		if stepPending && e.at >= stepAt {
+			stepPending = false
+			s.stepDemand()
+		}
+		s.now = e.at
+		s.handle(e)
+	}
+}
+
+// handle runs one event.
+func (s *simulation) handle(e *event) {
+	switch e.kind {
+	case requestArrives:
+		s.requestArrives(s.customers[e.customer])
+	case clientRetries:
+		s.send(s.customers[e.customer], e.deadline, e.number)
+	case timerFires:
+		s.timerFires(e)
+	case gossipArrives:
+		s.gossipArrives(e)
+	case attemptArrives:
+		s.attemptArrives(s.hosts[e.host], e.request.attempts[e.number])
+	case hostFinishes:
+		s.hostFinishes(s.hosts[e.host], e.request.attempts[e.number])
+	case attemptTimesOut:
+		s.attemptTimesOut(e.request.attempts[e.number])
+	case attemptCanceled:
+		s.attemptCanceled(e.request.attempts[e.number])
+	}
+}
+
+// timerFires runs a gateway's timer, unless it was set anew meanwhile.
+func (s *simulation) timerFires(e *event) {
+	g := s.gateways[e.gateway]
+	if g.timerAt != e.at {
+		return
+	}
+	g.timerAt = 0
+	s.runBatch(e.gateway, gateway.Event{Kind: gateway.TimerFired})
+}
+
+// gossipArrives delivers a message, unless the receiver has received too many within the last second.
+func (s *simulation) gossipArrives(e *event) {
+	g := s.gateways[e.gateway]
+	expired := 0
+	for expired < len(g.inbox) && g.inbox[expired] <= s.now.Add(-time.Second) {
+		expired++
+	}
+	g.inbox = g.inbox[expired:]
+	if float64(len(g.inbox)) >= s.config.GossipPerSecond {
+		s.report.Dropped++
+		return
+	}
+	g.inbox = append(g.inbox, s.now)
+	s.report.Messages++
+	s.report.MessageBytes += len(e.body)
+	s.runBatch(e.gateway, gateway.Event{Kind: gateway.GossipReceived, Peer: e.sender, Message: e.body})
+}
+
+// send sends a request of a customer's client, or a retry of one, to a gateway of its set.
+func (s *simulation) send(c *customer, deadline gateway.Time, retries int) {
+	s.lastRequest++
+	r := &request{
+		id:       fmt.Sprintf("r%d", s.lastRequest),
+		customer: c,
+		arrived:  s.now,
+		deadline: deadline,
+		retries:  retries,
+		attempts: map[int]*attempt{},
+	}
+	r.gateway = (c.first + s.drawGateway(c)) % len(s.gateways)
+	c.report.Requests++
+	s.requests[r.id] = r
+	s.report.Requests++
+	s.report.Plans[c.plan].Requests++
+	s.runBatch(r.gateway, gateway.Event{
+		Kind:         gateway.RequestArrived,
+		RequestID:    r.id,
+		Customer:     c.name,
+		Plan:         c.plan,
+		Deadline:     deadline,
+		Units:        1,
+		Spread:       c.spread,
+		FirstGateway: c.first,
+	})
+}
+
+// runBatch lets a gateway handle a batch of one event.
+func (s *simulation) runBatch(index int, e gateway.Event) {
+	s.report.Batches++
+	batch := &gateway.Batch{Now: s.now, Events: []gateway.Event{e}}
+	s.gateways[index].logic.Decide(batch, executor{s, index})
+}
