--- a/lab/slowstartsim/decisions.go
+++ b/lab/slowstartsim/decisions.go
@@ -54,7 +54,7 @@
 	if host < s.config.NewHosts && s.now >= s.hostStart {
 		capacity = s.capacity(s.sinceStart())
 	}
-	work := time.Duration(1e9 / capacity)
+	work := time.Duration(float64(time.Second) / capacity)
 	s.idleFrom[host] = max(s.idleFrom[host], s.now).Add(work)
 	return s.idleFrom[host].Sub(s.now)
 }
--- a/lab/slowstartsim/report.go
+++ b/lab/slowstartsim/report.go
@@ -99,4 +99,4 @@
 	return share
 }
 
-func seconds(d time.Duration) float64 { return float64(d) / 1e9 }
+func seconds(d time.Duration) float64 { return float64(d) / float64(time.Second) }
--- a/lab/slowstartsim/simulation.go
+++ b/lab/slowstartsim/simulation.go
@@ -100,6 +100,7 @@
 	}
 }
 
+// run handles the events up to an instant.
 func (s *simulation) run(end gateway.Time) {
 	for at, e := range s.schedule.Until(int64(end)) {
 		s.now = gateway.Time(at)
@@ -127,7 +128,7 @@
 	case elapsed >= s.config.Lull && s.config.Surge > 0:
 		rate *= s.config.Surge
 	}
-	wait := time.Duration(s.random.ExpFloat64() / rate * 1e9)
+	wait := time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
 	s.schedule.Add(int64(s.now.Add(wait)), event{arrival: true})
 }
 
--- a/lab/subsetsim/simulation.go
+++ b/lab/subsetsim/simulation.go
@@ -59,10 +59,10 @@
 	return s.result
 }
 
-// at schedules an event.
+// at schedules an event at an instant.
 func (s *simulation) at(at gateway.Time, event func()) { s.schedule.Add(int64(at), event) }
 
-// after schedules an event.
+// after schedules an event at a delay from now.
 func (s *simulation) after(delay time.Duration, event func()) { s.at(s.now.Add(delay), event) }
 
 func (s *simulation) runEvents(end gateway.Time) {
@@ -144,7 +144,7 @@
 
 // scheduleRequest schedules a customer's next request.
 func (s *simulation) scheduleRequest(c *customer) {
-	wait := time.Duration(s.random.ExpFloat64() / c.rate * 1e9)
+	wait := time.Duration(s.random.ExpFloat64() / c.rate * float64(time.Second))
 	s.after(wait, func() {
 		s.scheduleRequest(c)
 		s.sendRequest(c)
