--- a/lab/subsetsim/simulation.go
+++ b/lab/subsetsim/simulation.go
@@ -59,18 +59,14 @@
 	return s.result
 }
 
-// at schedules an event.
+// at schedules an event at an instant.
 func (s *simulation) at(at gateway.Time, event func()) { s.schedule.Add(int64(at), event) }
 
-// after schedules an event.
+// after schedules an event at a delay from now.
 func (s *simulation) after(delay time.Duration, event func()) { s.at(s.now.Add(delay), event) }
 
 func (s *simulation) runEvents(end gateway.Time) {
-	for s.schedule.Len() > 0 {
-		at, event := s.schedule.Next()
-		if gateway.Time(at) > end {
-			return
-		}
+	for at, event := range s.schedule.Until(int64(end)) {
 		s.now = gateway.Time(at)
 		event()
 	}
@@ -148,7 +144,7 @@
 
 // scheduleRequest schedules a customer's next request.
 func (s *simulation) scheduleRequest(c *customer) {
-	wait := time.Duration(s.random.ExpFloat64() / c.rate * 1e9)
+	wait := time.Duration(s.random.ExpFloat64() / c.rate * float64(time.Second))
 	s.after(wait, func() {
 		s.scheduleRequest(c)
 		s.sendRequest(c)
