--- a/lab/scale/clock.go
+++ b/lab/scale/clock.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Work names a kind of work of a gateway whose processor time is measured apart.
+// Work is a kind of work of a gateway whose processor time is measured separately.
 type Work int
 
 // Kinds of work.
@@ -18,22 +18,22 @@
 	Answer       // of a host
 	Membership   // a change of the host list
 	Reconfigured // a change of the configuration
-	works
+	workKinds
 )
 
-// Processor measures the processor time of work, by the clock of the calling thread (clock_gettime, thread CPU time),
-// so that neither other processes nor the collector's own threads count. The caller is locked to its thread.
-type Processor struct {
-	overhead int64 // nanoseconds that reading the clock twice adds
-	spent    [works][]int64
+// CPUMeter measures the processor time of work by the clock of the calling thread (clock_gettime, thread CPU time),
+// so that neither other processes nor the garbage collector's threads count. The caller is locked to its thread.
+type CPUMeter struct {
+	overhead  int64 // nanoseconds that reading the clock twice adds
+	durations [workKinds][]int64
 }
 
-// calibrations are how often the clock is read to learn what reading it takes.
+// calibrations is how often the clock is read to measure what reading it takes.
 const calibrations = 1001
 
-// NewProcessor learns what the measurement itself takes.
-func NewProcessor() *Processor {
-	p := &Processor{}
+// NewCPUMeter returns a meter that knows what the measurement itself takes.
+func NewCPUMeter() *CPUMeter {
+	p := &CPUMeter{}
 	var reads []int64
 	for range calibrations {
 		reads = append(reads, threadTime(func() {}))
@@ -43,26 +43,26 @@
 	return p
 }
 
-// Measure does some work and gives its processor time in nanoseconds.
-func (p *Processor) Measure(kind Work, work func()) int64 {
+// Measure does some work and returns its processor time in nanoseconds.
+func (p *CPUMeter) Measure(kind Work, work func()) int64 {
 	took := max(threadTime(work)-p.overhead, 0)
-	p.spent[kind] = append(p.spent[kind], took)
+	p.durations[kind] = append(p.durations[kind], took)
 	return took
 }
 
-// Reset forgets what was measured.
-func (p *Processor) Reset() { p.spent = [works][]int64{} }
+// Reset drops what was measured.
+func (p *CPUMeter) Reset() { p.durations = [workKinds][]int64{} }
 
-// Total is the processor time of a kind of work, in nanoseconds, and how often it was done.
-func (p *Processor) Total(kind Work) (total int64, times int) {
-	for _, one := range p.spent[kind] {
+// Total returns the processor time of a kind of work, in nanoseconds, and how often it was done.
+func (p *CPUMeter) Total(kind Work) (total int64, times int) {
+	for _, one := range p.durations[kind] {
 		total += one
 	}
-	return total, len(p.spent[kind])
+	return total, len(p.durations[kind])
 }
 
-// Sum is the processor time of several kinds of work.
-func (p *Processor) Sum(kinds ...Work) (total int64) {
+// Sum returns the processor time of several kinds of work, in nanoseconds.
+func (p *CPUMeter) Sum(kinds ...Work) (total int64) {
 	for _, kind := range kinds {
 		one, _ := p.Total(kind)
 		total += one
@@ -70,20 +70,21 @@
 	return total
 }
 
-// Least is the least processor time that some work took, in nanoseconds; 0 where none was done.
-func (p *Processor) Least(kind Work) int64 {
-	if len(p.spent[kind]) == 0 {
+// Min returns the least processor time of a kind of work, in nanoseconds; 0 if none was done.
+func (p *CPUMeter) Min(kind Work) int64 {
+	if len(p.durations[kind]) == 0 {
 		return 0
 	}
-	return slices.Min(p.spent[kind])
+	return slices.Min(p.durations[kind])
 }
 
-// Mean is the mean processor time of a kind of work in nanoseconds; 0 where none was done.
-func (p *Processor) Mean(kind Work) float64 {
+// Mean returns the mean processor time of a kind of work, in nanoseconds; 0 if none was done.
+func (p *CPUMeter) Mean(kind Work) float64 {
 	total, times := p.Total(kind)
 	return float64(total) / float64(max(times, 1))
 }
 
+// threadTime returns the processor time of the calling thread during some work, in nanoseconds.
 func threadTime(work func()) int64 {
 	var before, after unix.Timespec
 	unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &before)
--- a/lab/scale/deployment.go
+++ b/lab/scale/deployment.go
@@ -14,16 +14,16 @@
 
 // Figures of the simulated clients and hosts, the same for all sizes.
 const (
-	messagesPerSecond = 28                   // that a gateway may take in: 7 KB a second in messages of 256 bytes
+	messagesPerSecond = 28                   // that a gateway may receive: 7 KB a second in messages of 256 bytes
 	hostUtilization   = 0.3                  // busy share that a host reports
 	serviceTime       = 5 * time.Millisecond // mean of a request at a host
 	latencyObjective  = 2 * time.Second
 	clientTimeout     = 8 * time.Second
-	planRate          = 0.01 // units a second: a customer that asked once is not whole again within a measurement,
-	planBurst         = 1e6  // and is not rejected
+	planRate          = 0.01 // units a second: a quota does not refill within a measurement
+	planBurst         = 1e6  // units: no request is rejected
 )
 
-// Deployment is the size of what a gateway serves: what an axis varies.
+// Deployment is the size of what a gateway serves, of which an axis varies one part.
 type Deployment struct {
 	Gateways             int
 	Members              int // that the configuration lists, where more than Gateways: the others run nowhere
@@ -58,13 +58,14 @@
 	Servers []hostEntry `json:"servers"`
 }
 
+// host returns host i with a state.
 func (d Deployment) host(i int, state string) hostEntry {
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7000)
 	return hostEntry{ID: fmt.Sprintf("host-%06d", i), Address: address.String(), Zone: "a", Kind: "m",
 		Cell: i % max(d.HostGroups, 1), State: state, Weight: 1}
 }
 
-// HostList is the whole host list as discovery writes it.
+// HostList returns the full host list as discovery sends it.
 func (d Deployment) HostList() ([]byte, error) {
 	list := hostList{Version: 1, Full: true}
 	for i := range d.Hosts {
@@ -73,7 +74,7 @@
 	return json.Marshal(list)
 }
 
-// HostChange is the nth change of the list: one host after another starts to drain and is active again.
+// HostChange returns the nth change of the list: one host after another starts to drain and is active again.
 func (d Deployment) HostChange(n int) ([]byte, error) {
 	state := "leaving"
 	if n%2 == 1 {
@@ -82,10 +83,10 @@
 	return json.Marshal(hostList{Version: 2 + n, Servers: []hostEntry{d.host(n/2%d.Hosts, state)}})
 }
 
-// members is the size of the fleet as the configuration tells it.
+// members returns the size of the fleet in the configuration.
 func (d Deployment) members() int { return max(d.Members, d.Gateways) }
 
-// shared is what the configuration files of all gateways have in common, encoded once.
+// shared are the parts that the configuration files of all gateways have in common, encoded once.
 type shared struct {
 	classes, plans, peers, known json.RawMessage
 }
@@ -122,6 +123,7 @@
 	return gatewayconfig.QuotaPlan{Name: name, Rate: planRate, Burst: planBurst, PriorityWeight: 1}
 }
 
+// shared encodes the common parts of the configuration files.
 func (d Deployment) shared() (s shared, err error) {
 	var peers []string
 	for i := range d.members() {
--- a/lab/scale/follow.go
+++ b/lab/scale/follow.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	publishedLog  configsync.LogID = "scale"
-	keptVersions                   = 1000
-	keptBytes                      = 16 << 20
-	publisherName                  = "10.254.0.1:1"
-	changesAtOnce                  = 1000 // in one version, so that it fits a command
+	publishedLog    configsync.LogID = "scale"
+	historyVersions                  = 1000
+	historyBytes                     = 16 << 20
+	publisherName                    = "10.254.0.1:1"
+	changesAtOnce                    = 1000 // in one version, so that it fits a command
 )
 
-// publisher stands in for the publishers of the configuration: it makes versions by package configsync's rules. The
-// raft between publishers, the connections and the heartbeats on them are left out.
+// publisher emulates the publishers of the configuration. It makes versions by package configsync's rules, without
+// raft, connections and heartbeats.
 type publisher struct {
 	state *configsync.State
 }
 
+// newPublisher returns a publisher of an empty configuration.
 func newPublisher() (*publisher, error) {
-	p := &publisher{configsync.NewState(configsync.HistoryLimits{Deltas: keptVersions, Bytes: keptBytes})}
+	p := &publisher{configsync.NewState(configsync.HistoryLimits{Deltas: historyVersions, Bytes: historyBytes})}
 	create, err := configsync.EncodeCommand(&configsync.Command{Create: publishedLog})
 	if err == nil {
 		_, err = p.state.Apply(create)
@@ -35,7 +36,7 @@
 	return p, err
 }
 
-// publish makes a version and gives its delta.
+// publish makes a version and returns its delta.
 func (p *publisher) publish(changes []configsync.Change) (*configsync.Delta, error) {
 	command := configsync.NewCommand(publishedLog, p.state.Document().Version(), changes)
 	text, err := configsync.EncodeCommand(command)
@@ -45,7 +46,7 @@
 	return p.state.Apply(text)
 }
 
-// snapshot gives the document as the frames that go to a gateway which holds nothing.
+// snapshot returns the document as the frames that are sent to a gateway without a version.
 func (p *publisher) snapshot() (frames [][]byte) {
 	for _, part := range configsync.SplitSnapshot(p.state.Document()) {
 		frames = append(frames, configsync.Encode(part))
@@ -53,12 +54,12 @@
 	return frames
 }
 
-// document is the whole configuration as the first version: all quota plans and request classes.
+// document returns all content as the first version: all quota plans and request classes.
 func (d Deployment) document() (changes []configsync.Change, err error) {
 	add := func(prefix configsync.Resource, name string, value any) {
-		text, fault := json.Marshal(value)
-		if fault != nil {
-			err = fault
+		text, encodeErr := json.Marshal(value)
+		if encodeErr != nil {
+			err = encodeErr
 		}
 		changes = append(changes, configsync.Change{Resource: prefix + configsync.Resource(name), Value: text})
 	}
@@ -71,7 +72,7 @@
 	return changes, err
 }
 
-// planChange is the nth change: another rate of one quota plan after another.
+// planChange returns the nth change, which sets another rate of one quota plan after another.
 func (d Deployment) planChange(n int) (configsync.Change, error) {
 	plan := d.plan(n % d.Plans)
 	plan.Rate = planRate * (1 + float64(n+1)/float64(d.Plans)/1000)
@@ -79,7 +80,7 @@
 	return configsync.Change{Resource: configsync.PlanPrefix + configsync.Resource(plan.Name), Value: text}, err
 }
 
-// follow has the gateway take in versions: the rules of package configsync with the decoded configuration in force.
+// follow has the gateway apply versions, by the rules of package configsync and with the decoded configuration.
 func (h *Hollow) follow() {
 	h.live = config.NewLive(h.configuration)
 	h.follower = configsync.NewFollower(configsync.FollowerConfig{Member: h.Index(), Name: h.configuration.Name,
@@ -87,8 +88,8 @@
 	h.follower.Connected(time.Unix(0, h.now))
 }
 
-// Publish takes in frames of a publisher and puts the version in them in force.
-func (h *Hollow) Publish(frames ...[]byte) error {
+// ReceiveVersion receives frames of a publisher and puts the version in them in force.
+func (h *Hollow) ReceiveVersion(frames ...[]byte) error {
 	for _, frame := range frames {
 		h.ConfigurationIn += len(frame)
 		message, err := configsync.Decode(frame)
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// putInForce applies an update. What the gateway would keep on its disk is encoded, and goes nowhere.
+// putInForce applies an update. What the gateway would store on disk is encoded and dropped.
 func (h *Hollow) putInForce(update *configsync.Update) error {
 	revision, err := h.live.Apply(update.Changes, update.From == 0)
 	if err != nil {
@@ -125,24 +126,24 @@
 	return nil
 }
 
-// publishAll has all gateways take in frames.
+// publishAll sends frames to all gateways.
 func (s *Simulation) publishAll(frames ...[]byte) error {
 	for _, h := range s.gateways {
-		s.turn(Reconfigured, h, func() { s.note(h.Publish(frames...)) })
+		s.process(Reconfigured, h, func() { s.setError(h.ReceiveVersion(frames...)) })
 	}
-	return s.fault
+	return s.err
 }
 
-// startFollowing has all gateways follow a publisher, from a snapshot of the whole configuration on.
+// startFollowing has all gateways follow a publisher, beginning with a snapshot of all content.
 func (s *Simulation) startFollowing() (err error) {
 	if s.publisher, err = newPublisher(); err != nil {
 		return err
 	}
-	whole, err := s.document()
+	document, err := s.document()
 	if err != nil {
 		return err
 	}
-	for changes := range slices.Chunk(whole, changesAtOnce) {
+	for changes := range slices.Chunk(document, changesAtOnce) {
 		if _, err := s.publisher.publish(changes); err != nil {
 			return err
 		}
@@ -152,11 +153,11 @@
 
 // changePlan publishes a change of one quota plan.
 func (s *Simulation) changePlan() error {
-	change, err := s.planChange(s.versions)
+	change, err := s.planChange(s.planChanges)
 	if err != nil {
 		return err
 	}
-	s.versions++
+	s.planChanges++
 	delta, err := s.publisher.publish([]configsync.Change{change})
 	if err != nil {
 		return err
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -31,7 +31,7 @@
 	Closed(from *Hollow, request string, outcome Outcome)
 }
 
-// Outcome tells how the gateway closed a request by itself.
+// Outcome is how the gateway closed a request by itself.
 type Outcome int
 
 // Outcomes of a request that the gateway closed without an answer of a host.
@@ -42,27 +42,29 @@
 
 // Counts are of one hollow gateway since its start.
 type Counts struct {
-	MessagesOut, BytesOut int
-	MessagesIn, BytesIn   int
-	Rounds                int // batches of events handed to the decision module
-	Ticks                 int // of them, timers that fell due
-	ConfigurationIn       int // bytes of versions
-	ConfigurationOut      int // bytes of acknowledgements
+	MessagesOut      int
+	BytesOut         int
+	MessagesIn       int
+	BytesIn          int
+	Batches          int // of events for the decision module
+	Ticks            int // of them, those of a timer
+	ConfigurationIn  int // bytes of versions
+	ConfigurationOut int // bytes of acknowledgements
 }
 
-// Hollow is one gateway without sockets to clients and hosts. It repeats what node.Node does between its sockets and
-// the decision module. Its fields belong to one goroutine.
+// Hollow is one gateway without sockets to clients and hosts. It does what node.Node does between its sockets and the
+// decision module. Its fields belong to one goroutine.
 type Hollow struct {
 	Counts
 	outside       Outside
 	configuration *config.Config
 	module        *logic.Gateway
-	form          gossip.Format // of the messages that are taken in
-	book          *discovery.EndpointList
+	messageFormat gossip.Format // of the messages from peers
+	endpoints     *discovery.EndpointList
 	connections   *hosts.Transport
-	lists         []gateway.Event // of the host list: they precede other events, as in package node
+	listEvents    []gateway.Event // of the host list: they precede other events, as in package node
 	events        []gateway.Event
-	round         gateway.Batch
+	batch         gateway.Batch
 	live          *config.Live         // nil: the gateway follows no publisher
 	follower      *configsync.Follower // the same
 	attempts      map[string]int       // made for each open request
@@ -71,43 +73,44 @@
 	badLists      int
 }
 
-// NewHollow starts a gateway with a configuration, as the program does, and hands the module the last known host list.
+// NewHollow starts a gateway with a configuration as the program does, and passes the known host list to the module.
 func NewHollow(configuration *config.Config, outside Outside, now int64) *Hollow {
 	h := &Hollow{outside: outside, configuration: configuration, now: now, attempts: map[string]int{}}
-	h.form = messageForm(configuration)
+	h.messageFormat = messageForm(configuration)
 	h.module = logic.New(configuration.Seed, configuration.Membership, configuration.Classes, configuration.Plans,
 		configuration.Limits, configuration.SlowStart, configuration.LoadReport)
-	h.book = discovery.NewEndpointList(configuration.Zones, configuration.Machines)
-	h.book.EqualWeights = configuration.EqualWeights
+	h.endpoints = discovery.NewEndpointList(configuration.Zones, configuration.Machines)
+	h.endpoints.EqualWeights = configuration.EqualWeights
 	run := func(work func()) { work() }
 	clock := func() int64 { return h.now }
-	h.connections = hosts.NewTransport(sockets.Kernel{}, run, clock, configuration.ReportNames, int64(configuration.ConnectTimeout),
-		int64(configuration.ConnIdle), int(connectionsPerSocket*float64(configuration.Sockets)))
+	maxConnections := int(connectionsPerSocket * float64(configuration.Sockets))
+	h.connections = hosts.NewTransport(sockets.Kernel{}, run, clock, configuration.ReportNames,
+		int64(configuration.ConnectTimeout), int64(configuration.ConnIdle), maxConnections)
 	if configuration.Configuration != nil {
 		h.follow()
 	}
-	h.List(configuration.KnownEndpoints, true)
+	h.ApplyHostList(configuration.KnownEndpoints, true)
 	configuration.KnownEndpoints = "" // as package node: the list is in the book
-	h.Turn(now)
+	h.Process(now)
 	return h
 }
 
-// messageForm is the form of the messages between gateways, as package node has it.
+// messageForm returns the format of the messages between gateways, as in package node.
 func messageForm(c *config.Config) gossip.Format {
 	return gossip.Format{Plans: len(c.Plans), Members: len(c.Peers), ByID: c.Configuration != nil}
 }
 
-// Index is the gateway's member index.
+// Index returns the gateway's member index.
 func (h *Hollow) Index() int { return h.configuration.Membership.Index }
 
-// Customers is how many customers the gateway has a record of.
+// Customers returns the number of customers that the gateway has a record of.
 func (h *Hollow) Customers() int { return h.module.Gauges().Customers }
 
-// List takes in a host list or changes of it, as discovery writes them. cached tells that it comes from the
+// ApplyHostList applies a host list or changes of it, as discovery sends them. cached reports that it comes from the
 // configuration and may be out of date.
-func (h *Hollow) List(text string, cached bool) {
+func (h *Hollow) ApplyHostList(text string, cached bool) {
 	place := func(host uint32, address netip.AddrPort) { h.connections.SetAddress(host, address) }
-	kind, listings, _, err := h.book.Decode(text, place)
+	kind, listings, _, err := h.endpoints.Decode(text, place)
 	if err != nil {
 		h.badLists++
 		return
@@ -121,20 +124,20 @@
 			h.connections.Drain(listing.Host)
 		case gateway.Gone:
 			h.connections.Remove(listing.Host)
-			h.book.Forget(listing.Host)
+			h.endpoints.Forget(listing.Host)
 		}
 	}
-	h.lists = append(h.lists, gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: listings})
+	h.listEvents = append(h.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: listings})
 }
 
-// Receive takes in a message of a peer. An unsound one is dropped, as the program's socket drops it.
+// Receive receives a message of a peer. A malformed one is dropped, as the program's socket drops it.
 func (h *Hollow) Receive(peer int, body []byte) {
-	sound := false
-	h.form.Decode(body, func(uint64, uint64) bool {
-		sound = true
+	wellFormed := false
+	h.messageFormat.Decode(body, func(uint64, uint64) bool {
+		wellFormed = true
 		return false
 	}, nil, nil)
-	if !sound {
+	if !wellFormed {
 		return
 	}
 	h.MessagesIn++
@@ -142,26 +145,42 @@
 	h.events = append(h.events, gateway.Event{Kind: gateway.GossipReceived, Peer: peer, Message: body})
 }
 
-// Request takes in a request of a simulated client.
+// Request receives a request of a simulated client.
 func (h *Hollow) Request(request Request) {
 	h.attempts[request.ID] = 0
-	h.events = append(h.events, gateway.Event{Kind: gateway.RequestArrived, RequestID: request.ID, Customer: request.Customer,
-		Class: request.Class, Plan: request.Plan, Deadline: gateway.Time(request.Deadline), Units: 1,
-		Spread: request.Spread, FirstGateway: request.First})
+	h.events = append(h.events, gateway.Event{
+		Kind:         gateway.RequestArrived,
+		RequestID:    request.ID,
+		Customer:     request.Customer,
+		Class:        request.Class,
+		Plan:         request.Plan,
+		Deadline:     gateway.Time(request.Deadline),
+		Units:        1,
+		Spread:       request.SubsetSize,
+		FirstGateway: request.FirstGateway,
+	})
 }
 
-// Answered takes in that a simulated host answered an attempt well, so long after it was made.
-func (h *Hollow) Answered(request string, host uint32, attempt int, after time.Duration) {
+// EndAttempt receives a simulated host's successful answer to an attempt, with its latency.
+func (h *Hollow) EndAttempt(request string, host uint32, attempt int, latency time.Duration) {
 	delete(h.attempts, request)
-	h.events = append(h.events, gateway.Event{Kind: gateway.AttemptEnded, RequestID: request, Host: host, Attempt: attempt,
-		Result: gateway.Succeeded, Latency: time.Duration(after), Closed: true, LoadReport: []float64{hostUtilization}})
+	h.events = append(h.events, gateway.Event{
+		Kind:       gateway.AttemptEnded,
+		RequestID:  request,
+		Host:       host,
+		Attempt:    attempt,
+		Result:     gateway.Succeeded,
+		Latency:    latency,
+		Closed:     true,
+		LoadReport: []float64{hostUtilization},
+	})
 }
 
-// Due is when the gateway's timer falls due; 0 never.
-func (h *Hollow) Due() int64 { return h.wakeAt }
+// NextTimer returns when the gateway's timer is due; 0: never.
+func (h *Hollow) NextTimer() int64 { return h.wakeAt }
 
-// Turn does what is due and has the module decide on all that came in.
-func (h *Hollow) Turn(now int64) {
+// Process runs what is due and has the module decide on all events.
+func (h *Hollow) Process(now int64) {
 	h.now = now
 	if h.wakeAt > 0 && now >= h.wakeAt {
 		h.wakeAt = 0
@@ -169,14 +188,15 @@
 		h.connections.CloseIdle()
 		h.events = append(h.events, gateway.Event{Kind: gateway.TimerFired})
 	}
-	for len(h.lists)+len(h.events) > 0 {
-		h.round.Now = gateway.Time(now)
-		h.round.Events = append(append(h.round.Events[:0], h.lists...), h.events...)
-		clear(h.lists) // a whole list must not stay in memory until the next comes
-		h.lists, h.events = h.lists[:0], h.events[:0]
-		h.Rounds++
-		h.module.Decide(&h.round, h)
-		clear(h.round.Events)
+	for len(h.listEvents)+len(h.events) > 0 {
+		h.batch.Now = gateway.Time(now)
+		h.batch.Events = append(append(h.batch.Events[:0], h.listEvents...), h.events...)
+		clear(h.listEvents) // so that a list does not stay in memory until the next one
+		h.listEvents = h.listEvents[:0]
+		h.events = h.events[:0]
+		h.Batches++
+		h.module.Decide(&h.batch, h)
+		clear(h.batch.Events)
 	}
 	h.connections.Flush()
 }
@@ -201,27 +221,29 @@
 // Fail fails a request.
 func (h *Hollow) Fail(request string) { h.close(request, Failed) }
 
+// close ends a request.
 func (h *Hollow) close(request string, outcome Outcome) {
 	delete(h.attempts, request)
 	h.outside.Closed(h, request, outcome)
 }
 
 // SetTimer sets the module's timer.
-func (h *Hollow) SetTimer(after time.Duration) { h.wakeAt = int64(h.round.Now.Add(after)) }
+func (h *Hollow) SetTimer(after time.Duration) { h.wakeAt = int64(h.batch.Now.Add(after)) }
 
-// AddToCounter answers that there is no shared counter, as the program does where none is configured.
+// AddToCounter answers that there is no shared counter, as the program does if none is configured.
 func (h *Hollow) AddToCounter(name uint64, _ float64, _ time.Duration) {
-	h.events = append(h.events, gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
+	h.events = append(h.events, gateway.Event{Kind: gateway.CounterReplied, CounterName: name,
+		Result: gateway.Unreachable})
 }
 
-// CancelAttempt does nothing: a simulated host answers all the same.
+// CancelAttempt does nothing: a simulated host answers nevertheless.
 func (h *Hollow) CancelAttempt(string, int) {}
 
-// SendProbe does nothing: simulated hosts tell their load with answers.
+// SendProbe does nothing: simulated hosts report their load with answers.
 func (h *Hollow) SendProbe(uint32) {}
 
 // WatchEndpoints does nothing: the simulated discovery pushes changes.
 func (h *Hollow) WatchEndpoints() {}
 
-// LogNote does nothing: lines of the log are left out.
+// LogNote does nothing: a hollow gateway writes no log.
 func (h *Hollow) LogNote(string) {}
--- a/lab/scale/hollow/main.go
+++ b/lab/scale/hollow/main.go
@@ -1,5 +1,5 @@
-// Command hollow runs hollow gateways on the real clock, one for each configuration file that it is given, until its
-// standard input ends. Package scale starts it beside real processes of the program. It takes orders as JSON values on
+// Command hollow runs hollow gateways on the real clock, one for each configuration file in its arguments, until its
+// standard input ends. Package scale starts it beside real processes of the program. It reads queries as JSON values from
 // standard input and answers each with one on standard output.
 package main
 
@@ -13,50 +13,60 @@
 	"ravensill/lab/scale"
 )
 
+const gcPercent = 400 // as the program
+
 func main() {
 	runtime.GOMAXPROCS(1) // as the program
-	debug.SetGCPercent(400)
-	idle := scale.HeapInUse()
-	var gateways []*scale.Served
-	out := json.NewEncoder(os.Stdout)
-	started := scale.Started{IdleHeap: idle}
+	debug.SetGCPercent(gcPercent)
+	greeting := scale.Greeting{IdleHeap: scale.HeapInUse()}
+	var gateways []*scale.RealTimeGateway
 	for _, file := range os.Args[1:] {
-		g, err := scale.Serve(func(name string) string {
-			if name == "GW_CONFIG" {
-				return file
-			}
-			return ""
-		})
+		gateway, err := scale.Serve(environment(file))
 		if err != nil {
 			log.Fatal(err)
 		}
-		gateways = append(gateways, g)
-		started.Gateways = append(started.Gateways, scale.Listening{Index: g.Index(), Address: g.Address()})
+		gateways = append(gateways, gateway)
+		greeting.Gateways = append(greeting.Gateways, scale.ListenAddress{
+			Index:   gateway.Index(),
+			Address: gateway.Address(),
+		})
 	}
-	if err := out.Encode(started); err != nil {
+	output := json.NewEncoder(os.Stdout)
+	if err := output.Encode(greeting); err != nil {
 		log.Fatal(err)
 	}
-	in := json.NewDecoder(os.Stdin)
+	input := json.NewDecoder(os.Stdin)
 	for {
-		var order scale.Order
-		if in.Decode(&order) != nil { // the end of the input is the order to end
+		var query scale.Query
+		if input.Decode(&query) != nil { // the end of the input ends the process
 			return
 		}
-		if err := out.Encode(obey(gateways, order)); err != nil {
+		if err := output.Encode(answer(gateways, query)); err != nil {
 			log.Fatal(err)
 		}
 	}
 }
 
-func obey(gateways []*scale.Served, order scale.Order) (state scale.State) {
-	for _, g := range gateways {
-		if order.Load != nil {
-			g.SetLoad(*order.Load)
+// environment returns the environment of a gateway with a configuration file.
+func environment(file string) func(name string) string {
+	return func(name string) string {
+		if name == "GW_CONFIG" {
+			return file
+		}
+		return ""
+	}
+}
+
+// answer changes the load if the query says so, and returns the status of the gateways.
+func answer(gateways []*scale.RealTimeGateway, query scale.Query) (status scale.Status) {
+	for _, gateway := range gateways {
+		if query.Load != nil {
+			gateway.SetLoad(*query.Load)
 		}
-		state.Counts = append(state.Counts, g.Counts())
+		status.Counts = append(status.Counts, gateway.Counts())
 	}
-	if order.Heap {
-		state.LiveHeap = scale.HeapInUse()
+	if query.Heap {
+		status.LiveHeap = scale.HeapInUse()
 	}
-	return state
+	return status
 }
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	collectorGoal       = 100 // percent; the program's 400 would take five times the live heap of all gateways
+	gcPercent           = 100 // percent; the program's 400 would take five times the live heap of all gateways
 	nanosPerSecond      = 1e9
 	nanosPerMillisecond = 1e6
+	nanosPerMicrosecond = 1e3
 )
 
-// Metric is one figure of a gateway.
+// Metric describes one figure of a gateway.
 type Metric struct {
-	Name string `json:"name"`
-	Unit string `json:"unit"`
-	What string `json:"what"`
-	// Counted tells that the figure is a count or bytes: the same in every run, on any machine, but for the
-	// live heap's last few kilobytes. Others are processor time.
+	Name        string `json:"name"`
+	Unit        string `json:"unit"`
+	Description string `json:"what"`
+
+	// Counted reports that the figure is a count or bytes: the same in every run, on any machine, except for the live
+	// heap's last few kilobytes. Others are processor time.
 	Counted bool `json:"counted"`
 }
 
@@ -51,10 +53,10 @@
 	DecisionMedian    = "decision_p50"
 	DecisionTail      = "decision_p99"
 	CustomersKnown    = "customers_known"
-	RejectedShare     = "rejected"
+	RejectedFraction  = "rejected"
 )
 
-// Metrics are all figures of a point, in the order of the report.
+// Metrics returns all figures of a point, in the order of the report.
 func Metrics() []Metric {
 	return []Metric{
 		{LiveHeap, "bytes", "live heap after a collection, at the end", true},
@@ -81,15 +83,15 @@
 		{DecisionMedian, "us", "from a request's arrival to its decision, median, behind the gateway's other work", false},
 		{DecisionTail, "us", "the same, 99 in 100", false},
 		{CustomersKnown, "", "customers that a gateway has a record of, mean", true},
-		{RejectedShare, "", "part of the requests under load that the gateway rejected or failed", true},
+		{RejectedFraction, "", "part of the requests under load that the gateway rejected or failed", true},
 	}
 }
 
-// Figures are one point's figures by metric. What was not measured is absent.
+// Figures are one point's figures by metric. A figure that was not measured is absent.
 type Figures map[string]float64
 
-// least keeps the lesser processor time of each kind, from another measurement of the same.
-func (f Figures) least(other Figures) {
+// keepMin keeps the lesser of each processor time and that of another measurement of the same size.
+func (f Figures) keepMin(other Figures) {
 	for _, metric := range Metrics() {
 		if figure, measured := other[metric.Name]; measured && !metric.Counted {
 			f[metric.Name] = min(f[metric.Name], figure)
@@ -97,14 +99,19 @@
 	}
 }
 
-// Lengths are how long the parts of a measurement are in simulated time: before each window, and the windows.
-type Lengths struct{ Settle, Rest, Load time.Duration }
+// Lengths are durations of the parts of a measurement in simulated time.
+type Lengths struct {
+	Settle time.Duration // before each window
+	Idle   time.Duration // windows without load
+	Load   time.Duration // window of the load
+}
 
-// Measure runs a deployment and gives what one gateway of it needs: means over all, unless the metric says otherwise.
+// Measure runs a deployment and returns what one gateway of it needs: means over all, unless the metric says
+// otherwise.
 func Measure(d Deployment, lengths Lengths, options Options) (figures Figures, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	defer debug.SetGCPercent(debug.SetGCPercent(collectorGoal))
+	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	if options.Directory, err = os.MkdirTemp("", "scale-"); err != nil {
 		return nil, err
 	}
@@ -119,12 +126,12 @@
 		return nil, err
 	}
 	_, allocated := heap()
-	figures = Figures{StartTime: float64(s.Processor.Least(Start)) / nanosPerSecond,
+	figures = Figures{StartTime: float64(s.CPU.Min(Start)) / nanosPerSecond,
 		StartAllocated: float64(allocated-allocatedBefore) / float64(d.Gateways)}
-	if err := s.phases(figures, lengths); err != nil {
+	if err := s.measurePhases(figures, lengths); err != nil {
 		return nil, err
 	}
-	s.Processor.Reset()
+	s.CPU.Reset()
 	s.Latencies = nil
 	heapAfter, _ := heap()
 	figures[LiveHeap] = (float64(heapAfter) - float64(heapBefore)) / float64(d.Gateways)
@@ -134,64 +141,80 @@
 	return figures, nil
 }
 
-// phases measures at rest, with customers known, and under load.
-func (s *Simulation) phases(figures Figures, lengths Lengths) error {
+// measurePhases measures at rest, with customers known, and under load.
+func (s *Simulation) measurePhases(figures Figures, lengths Lengths) error {
 	if err := s.Run(lengths.Settle); err != nil {
 		return err
 	}
-	rest, err := s.window(lengths.Rest)
+	rest, err := s.window(lengths.Idle)
 	if err != nil {
 		return err
 	}
-	figures[RestMessages], figures[RestBytes], figures[RestShare] = rest.messagesOut, rest.bytesOut, rest.share
+	figures[RestMessages] = rest.messagesOut
+	figures[RestBytes] = rest.bytesOut
+	figures[RestShare] = rest.share
 	if s.Customers > 0 {
-		if err := s.Run(s.Seed() + lengths.Settle); err != nil {
+		if err := s.Run(s.SeedCustomers() + lengths.Settle); err != nil {
 			return err
 		}
-		known, err := s.window(lengths.Rest)
+		known, err := s.window(lengths.Idle)
 		if err != nil {
 			return err
 		}
-		figures[KnownMessages], figures[KnownBytes], figures[KnownShare] = known.messagesOut, known.bytesOut, known.share
+		figures[KnownMessages] = known.messagesOut
+		figures[KnownBytes] = known.bytesOut
+		figures[KnownShare] = known.share
 	}
 	s.Load(lengths.Load)
 	load, err := s.window(lengths.Load)
 	if err != nil {
 		return err
 	}
-	s.underLoad(figures, load)
+	s.addLoadFigures(figures, load)
 	return s.Run(lengths.Settle)
 }
 
-// underLoad enters what the window of the load measured.
-func (s *Simulation) underLoad(figures Figures, load window) {
-	figures[LoadMessages], figures[LoadBytes] = load.messagesOut, load.bytesOut
-	figures[LoadMessagesIn], figures[LoadBytesIn] = load.messagesIn, load.bytesIn
-	figures[LoadShare], figures[LoadAllocated] = load.share, load.allocated
-	figures[TickTime] = s.Processor.Mean(Tick) / 1e3
-	figures[MessageTime] = s.Processor.Mean(Message) / 1e3
-	if _, changes := s.Processor.Total(Membership); changes > 0 {
-		figures[MembershipTime] = s.Processor.Mean(Membership) / 1e3
-	}
-	if _, changes := s.Processor.Total(Reconfigured); changes > 0 {
-		figures[ConfigurationTime] = s.Processor.Mean(Reconfigured) / 1e3
+// addLoadFigures adds the figures of the window of the load.
+func (s *Simulation) addLoadFigures(figures Figures, load window) {
+	figures[LoadMessages] = load.messagesOut
+	figures[LoadBytes] = load.bytesOut
+	figures[LoadMessagesIn] = load.messagesIn
+	figures[LoadBytesIn] = load.bytesIn
+	figures[LoadShare] = load.share
+	figures[LoadAllocated] = load.allocated
+	figures[TickTime] = s.CPU.Mean(Tick) / nanosPerMicrosecond
+	figures[MessageTime] = s.CPU.Mean(Message) / nanosPerMicrosecond
+	if _, changes := s.CPU.Total(Membership); changes > 0 {
+		figures[MembershipTime] = s.CPU.Mean(Membership) / nanosPerMicrosecond
+	}
+	if _, changes := s.CPU.Total(Reconfigured); changes > 0 {
+		figures[ConfigurationTime] = s.CPU.Mean(Reconfigured) / nanosPerMicrosecond
 		figures[ConfigurationIn] = load.configurationIn
 	}
-	if _, requests := s.Processor.Total(Arrival); requests > 0 {
-		figures[RequestTime] = float64(s.Processor.Sum(Arrival, Answer)) / float64(requests) / 1e3
-		figures[RejectedShare] = float64(s.Rejected) / float64(requests)
-		figures[DecisionMedian] = quantile(s.Latencies, 0.5) / 1e3
-		figures[DecisionTail] = quantile(s.Latencies, 0.99) / 1e3
+	if _, requests := s.CPU.Total(Arrival); requests > 0 {
+		figures[RequestTime] = float64(s.CPU.Sum(Arrival, Answer)) / float64(requests) / nanosPerMicrosecond
+		figures[RejectedFraction] = float64(s.Rejected) / float64(requests)
+		figures[DecisionMedian] = quantile(s.Latencies, 0.5) / nanosPerMicrosecond
+		figures[DecisionTail] = quantile(s.Latencies, 0.99) / nanosPerMicrosecond
 	}
 }
 
 // window is what happened in some simulated time: of one gateway, a second.
-type window struct{ messagesOut, bytesOut, messagesIn, bytesIn, configurationIn, share, allocated float64 }
+type window struct {
+	messagesOut     float64
+	bytesOut        float64
+	messagesIn      float64
+	bytesIn         float64
+	configurationIn float64
+	share           float64 // processor time, of a core
+	allocated       float64 // bytes
+}
 
+// window measures a window of simulated time.
 func (s *Simulation) window(length time.Duration) (w window, err error) {
-	s.Processor.Reset()
+	s.CPU.Reset()
 	s.Latencies, s.Rejected = nil, 0
-	clear(s.busy) // with what was before: a long start is not part of the window
+	clear(s.busyUntil) // with what was before: a long start is not part of the window
 	before := s.counts()
 	_, allocatedBefore := heap()
 	if err := s.Run(length); err != nil {
@@ -206,31 +229,33 @@
 	w.bytesIn = float64(after.BytesIn-before.BytesIn) / per
 	w.configurationIn = float64(after.ConfigurationIn-before.ConfigurationIn) / per
 	w.allocated = float64(allocated-allocatedBefore) / per
-	w.share = float64(s.Processor.Sum(Start, Tick, Message, Arrival, Answer, Membership, Reconfigured)) / nanosPerSecond / per
+	cpu := s.CPU.Sum(Start, Tick, Message, Arrival, Answer, Membership, Reconfigured)
+	w.share = float64(cpu) / nanosPerSecond / per
 	return w, nil
 }
 
-// counts are of all gateways, those of former lives included.
+// counts returns the counts of all gateways, those that were restarted included.
 func (s *Simulation) counts() (all Counts) {
-	all = s.former
+	all = s.endedCounts
 	for _, h := range s.gateways {
 		all.add(h.Counts)
 	}
 	return all
 }
 
+// add adds other counts.
 func (c *Counts) add(other Counts) {
 	c.MessagesOut += other.MessagesOut
 	c.BytesOut += other.BytesOut
 	c.MessagesIn += other.MessagesIn
 	c.BytesIn += other.BytesIn
-	c.Rounds += other.Rounds
+	c.Batches += other.Batches
 	c.Ticks += other.Ticks
 	c.ConfigurationIn += other.ConfigurationIn
 	c.ConfigurationOut += other.ConfigurationOut
 }
 
-// heap gives the live heap after a collection, and the bytes allocated since the process began.
+// heap returns the live heap after a collection, and the bytes allocated since the process started.
 func heap() (live, allocated uint64) {
 	runtime.GC()
 	runtime.GC() // what had a finalizer or stood in a pool goes with the second
@@ -239,6 +264,7 @@
 	return stats.HeapAlloc, stats.TotalAlloc
 }
 
+// quantile returns the value that a fraction of the values does not exceed.
 func quantile(values []int64, part float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return float64(sorted[min(int(part*float64(len(sorted))), len(sorted)-1)])
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -14,31 +14,31 @@
 	"github.com/prometheus/procfs"
 )
 
-// Started is what a process of hollow gateways writes first.
-type Started struct {
+// Greeting is what a process of hollow gateways writes first.
+type Greeting struct {
 	IdleHeap uint64 // bytes live before any gateway was started
-	Gateways []Listening
+	Gateways []ListenAddress
 }
 
-// Listening tells where a gateway listens for datagrams.
-type Listening struct {
+// ListenAddress is where a gateway listens for datagrams.
+type ListenAddress struct {
 	Index   int
 	Address string
 }
 
-// Order asks a process of hollow gateways for its state, and may change the load before.
-type Order struct {
+// Query asks a process of hollow gateways for its status, and may change the load before.
+type Query struct {
 	Load *Load
 	Heap bool
 }
 
-// State is the answer to an Order.
-type State struct {
+// Status is the answer to a Query.
+type Status struct {
 	Counts   []Counts // in the order of the configuration files
 	LiveHeap uint64   // bytes, where asked for
 }
 
-// HeapInUse gives the bytes live after a collection.
+// HeapInUse returns the live bytes after a collection.
 func HeapInUse() uint64 {
 	live, _ := heap()
 	return live
@@ -46,13 +46,14 @@
 
 // hollowProcess is a process of hollow gateways as its parent sees it.
 type hollowProcess struct {
-	Started
+	Greeting
 	command *exec.Cmd
 	orders  io.Closer
 	out     *json.Encoder
 	in      *json.Decoder
 }
 
+// startHollow starts a process of hollow gateways, one for each configuration file.
 func startHollow(binary string, files []string) (*hollowProcess, error) {
 	p := &hollowProcess{command: exec.Command(binary, files...)}
 	p.command.Stderr = os.Stderr
@@ -69,19 +70,21 @@
 		return nil, err
 	}
 	p.orders, p.out, p.in = orders, json.NewEncoder(orders), json.NewDecoder(answers)
-	if err := p.in.Decode(&p.Started); err != nil {
+	if err := p.in.Decode(&p.Greeting); err != nil {
 		p.close()
 		return nil, fmt.Errorf("process of hollow gateways: %w", err)
 	}
 	return p, nil
 }
 
+// close ends the process and waits for it.
 func (p *hollowProcess) close() {
 	p.orders.Close()
 	p.command.Wait()
 }
 
-func (p *hollowProcess) ask(order Order) (state State, err error) {
+// send sends a query and returns the answer.
+func (p *hollowProcess) send(order Query) (state Status, err error) {
 	if err := p.out.Encode(order); err != nil {
 		return state, err
 	}
@@ -89,7 +92,7 @@
 	return state, err
 }
 
-// processorTime is what the process has used since its start.
+// processorTime returns the processor time of the process since its start.
 func (p *hollowProcess) processorTime() (time.Duration, error) {
 	process, err := procfs.NewProc(p.command.Process.Pid)
 	if err != nil {
@@ -99,13 +102,13 @@
 	return time.Duration(stat.CPUTime() * float64(time.Second)), err
 }
 
-// buildHollow builds the command of hollow gateways into a folder.
+// buildHollow builds the command of hollow gateways into a folder and returns its path.
 func buildHollow(directory string) (string, error) {
 	return build(directory, "hollow", "ravensill/lab/scale/hollow")
 }
 
-// buildProgram builds the program into a folder with one file more, which writes the live heap to the log when the process
-// gets SIGUSR1. The program's own files are as they are.
+// buildProgram builds the gateway into a folder and returns its path. One file is added, which logs the live heap
+// when the process receives SIGUSR1.
 func buildProgram(directory string) (string, error) {
 	_, here, _, _ := runtime.Caller(0)
 	folder := filepath.Dir(here)
@@ -122,6 +125,7 @@
 	return build(directory, "ravensill", "ravensill/cmd/ravensill", "-overlay", file)
 }
 
+// build builds a command into a folder and returns its path.
 func build(directory, name, path string, flags ...string) (string, error) {
 	binary := filepath.Join(directory, name)
 	arguments := append(append([]string{"build"}, flags...), "-o", binary, path)
--- a/lab/scale/product.go
+++ b/lab/scale/product.go
@@ -9,11 +9,12 @@
 
 // Product is two sizes that are varied together.
 type Product struct {
-	Name          string
-	Note          string
-	Held          Deployment
-	First, Second Axis // of which the sizes and Set count
-	Lengths       Lengths
+	Name    string
+	Note    string
+	Base    Deployment
+	First   Axis // of which the sizes and Set count
+	Second  Axis // of which the sizes and Set count
+	Lengths Lengths
 }
 
 // Grid is a product with its rows, one for each size of the second, and how each metric grows with both.
@@ -36,13 +37,13 @@
 	Residual       float64 `json:"residual"` // standard deviation of the logarithms
 }
 
-// Run measures the whole grid.
+// Run measures all pairs of sizes.
 func (p Product) Run(most time.Duration, options Options) (Grid, error) {
 	grid := Grid{Name: p.Name, Note: p.Note, First: p.First.Name, Second: p.Second.Name, SecondSizes: p.Second.Sizes}
 	for _, size := range p.Second.Sizes {
 		row := p.First
-		row.Held, row.Lengths = p.Held, p.Lengths
-		p.Second.Set(&row.Held, size)
+		row.Base, row.Lengths = p.Base, p.Lengths
+		p.Second.Set(&row.Base, size)
 		growth, err := row.Run(most, options)
 		if err != nil {
 			return grid, err
@@ -53,7 +54,7 @@
 	return grid, nil
 }
 
-// fit finds the plane through the logarithms by least squares (QR).
+// fit fits a plane through the logarithms by least squares (QR).
 func (g *Grid) fit() {
 	g.Joint = map[string]Joint{}
 	for _, metric := range Metrics() {
@@ -72,6 +73,7 @@
 	}
 }
 
+// plane returns the joint growth; ok is false if there are too few figures.
 func plane(terms, logs []float64) (joint Joint, ok bool) {
 	const unknowns = 3
 	if len(logs) <= unknowns {
@@ -89,25 +91,44 @@
 		Residual: mat.Norm(&off, 2) / math.Sqrt(float64(len(logs)))}, true
 }
 
-// Products are the sizes that multiply.
+// Products returns the sizes whose effects multiply.
 func Products() []Product {
-	brief := Lengths{Settle: 3 * time.Second, Rest: 5 * time.Second, Load: 5 * time.Second}
-	gateways := Axis{Name: "gateways", Set: func(d *Deployment, size float64) { d.Gateways = int(size) }}
-	customers := Axis{Name: "customers", Set: func(d *Deployment, size float64) { d.Customers = int(size) }}
-	hosts := Axis{Name: "hosts", Set: func(d *Deployment, size float64) { d.Hosts = int(size) }}
-	rate := Axis{Name: "requests a second", Unit: "1/s a gateway", Set: func(d *Deployment, size float64) { d.RequestRate = size }}
-	classes := Axis{Name: "request classes", Set: func(d *Deployment, size float64) { d.Classes = int(size) }}
+	fewGateways := withChange(func(d *Deployment) { d.Gateways = 2 })
+	gateways := Axis{Name: "gateways", Set: setGateways}
+	customers := Axis{Name: "customers", Set: setCustomers}
+	hosts := Axis{Name: "hosts", Set: setHosts}
+	rate := Axis{Name: "requests a second", Unit: "1/s a gateway", Set: setRequestRate}
+	classes := Axis{Name: "request classes", Set: setClasses}
 	return []Product{
-		{Name: "customers by gateways", Held: held(func(d *Deployment) { d.RequestRate = 2 }), Lengths: brief,
-			First: customers.at(64, 256, 1024, 2048), Second: gateways.at(16, 64, 256),
-			Note: "live heap: a record of each customer at each gateway, with an entry for each gateway that it hears or tells"},
-		{Name: "hosts by requests a second", Held: held(func(d *Deployment) { d.Gateways = 2 }), Lengths: brief,
-			First: rate.at(16, 64, 256), Second: hosts.at(64, 512, 4096, 16384), Note: "each request walks all hosts"},
-		{Name: "hosts by request classes", Held: held(func(d *Deployment) { d.Gateways = 2 }), Lengths: brief,
-			First: classes.at(4, 64, 1024), Second: hosts.at(64, 512, 4096), Note: "each host has a record for each request class"},
+		{
+			Name: "customers by gateways",
+			Note: "live heap: a record of each customer at each gateway, with an entry for each gateway that it hears " +
+				"or tells",
+			Base:    withChange(func(d *Deployment) { d.RequestRate = 2 }),
+			First:   customers.at(64, 256, 1024, 2048),
+			Second:  gateways.at(16, 64, 256),
+			Lengths: shortLengths,
+		},
+		{
+			Name:    "hosts by requests a second",
+			Note:    "each request walks all hosts",
+			Base:    fewGateways,
+			First:   rate.at(16, 64, 256),
+			Second:  hosts.at(64, 512, 4096, 16384),
+			Lengths: shortLengths,
+		},
+		{
+			Name:    "hosts by request classes",
+			Note:    "each host has a record for each request class",
+			Base:    fewGateways,
+			First:   classes.at(4, 64, 1024),
+			Second:  hosts.at(64, 512, 4096),
+			Lengths: shortLengths,
+		},
 	}
 }
 
+// at returns the axis with other sizes.
 func (a Axis) at(sizes ...float64) Axis {
 	a.Sizes = sizes
 	return a
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -12,14 +12,14 @@
 
 // Report is all that a run measured.
 type Report struct {
-	Command  string     `json:"command"`
-	Go       string     `json:"go"`
-	Cores    int        `json:"cores"`
-	Load     string     `json:"load_average"` // of the machine as the run began: other work beside it
-	Metrics  []Metric   `json:"metrics"`
-	Compared []Compared `json:"real_and_hollow"`
-	Axes     []Growth   `json:"axes"`
-	Products []Grid     `json:"products"`
+	Command  string             `json:"command"`
+	Go       string             `json:"go"`
+	Cores    int                `json:"cores"`
+	Load     string             `json:"load_average"` // of the machine as the run began: other work beside it
+	Metrics  []Metric           `json:"metrics"`
+	Compared []ComparisonResult `json:"real_and_hollow"`
+	Axes     []Growth           `json:"axes"`
+	Products []Grid             `json:"products"`
 }
 
 // ReadReport reads a report that Write wrote into a folder, and fits its figures anew.
@@ -44,7 +44,7 @@
 	return r, nil
 }
 
-// NewReport begins a report of a run by a command.
+// NewReport returns an empty report of a run by a command.
 func NewReport(command string) *Report {
 	load, _ := os.ReadFile("/proc/loadavg")
 	return &Report{Command: command, Go: runtime.Version(), Cores: runtime.NumCPU(), Load: strings.TrimSpace(string(load)),
@@ -71,7 +71,7 @@
 // Text writes the report as tables.
 func (r *Report) Text(w io.Writer) {
 	fmt.Fprintf(w, "# Figures of the scale run\n\n`%s`, %s, %d cores, load average %s. Clients and hosts are simulated; "+
-		"`docs/scale.md` tells how and what is left out.\n", r.Command, r.Go, r.Cores, r.Load)
+		"`docs/scale.md` describes the method and what is left out.\n", r.Command, r.Go, r.Cores, r.Load)
 	for _, compared := range r.Compared {
 		compared.text(w)
 	}
@@ -84,11 +84,14 @@
 	}
 }
 
-func (c Compared) text(w io.Writer) {
-	fmt.Fprintf(w, "\n## Real and hollow gateways in one fleet\n\n%d real gateways, %d hollow ones in a process each, %d in one; %d customers, %g requests a second "+
-		"at each under load. Means of a gateway.\n\n| figure | %v | %v | %v | real over hollow, a process each | real over hollow, one process |\n"+
-		"| --- | --- | --- | --- | --- | --- |\n", c.Fleet[Real.String()], c.Fleet[Single.String()], c.Fleet[Shared.String()],
-		c.Known, c.Load, Real, Single, Shared)
+// text writes the comparison as a table.
+func (c ComparisonResult) text(w io.Writer) {
+	fmt.Fprintf(w, "\n## Real and hollow gateways in one fleet\n\n%d real gateways, %d hollow ones in a process each, "+
+		"%d in one; %d customers, %g requests a second at each under load. Means of a gateway.\n\n"+
+		"| figure | %v | %v | %v | real over hollow, a process each | real over hollow, one process |\n"+
+		"| --- | --- | --- | --- | --- | --- |\n",
+		c.Fleet[Real.String()], c.Fleet[Single.String()], c.Fleet[Shared.String()], c.Customers, c.Load,
+		Real, Single, Shared)
 	for _, row := range c.rows() {
 		fmt.Fprintf(w, "| %s | %.4g | %.4g | %.4g | %.2f | %.2f |\n", row.name, row.figures[Real], row.figures[Single],
 			row.figures[Shared], row.figures[Real]/row.figures[Single], row.figures[Real]/row.figures[Shared])
@@ -96,16 +99,19 @@
 	if c.Added.Requests == 0 {
 		return
 	}
-	fmt.Fprintf(w, "\nReal gateways added %.2f ms (median) and %.2f ms (99 in 100) to %d requests, wall time on the busy machine; "+
-		"clients wrote up to %.1f ms late.\n", c.Added.Median, c.Added.Tail, c.Added.Requests, c.Added.Late)
+	fmt.Fprintf(w, "\nReal gateways added %.2f ms (median) and %.2f ms (99 in 100) to %d requests, wall time on the busy "+
+		"machine; clients wrote up to %.1f ms late.\n",
+		c.Added.Median, c.Added.Tail, c.Added.Requests, c.Added.MaxClientDelay)
 }
 
+// comparedRow is one figure of each kind of gateway.
 type comparedRow struct {
 	name    string
 	figures [kinds]float64
 }
 
-func (c Compared) rows() (rows []comparedRow) {
+// rows returns the rows of the table.
+func (c ComparisonResult) rows() (rows []comparedRow) {
 	for _, one := range []struct {
 		name string
 		of   func(f KindFigures) float64
@@ -133,11 +139,12 @@
 	if g.Note != "" {
 		fmt.Fprintf(w, "%s. ", g.Note)
 	}
-	fmt.Fprintf(w, "Held, but for the axis itself: %s.\n\n| figure |", g.Held.text())
+	fmt.Fprintf(w, "Fixed, except for the axis itself: %s.\n\n| figure |", g.Base.text())
 	for _, point := range g.Points {
 		fmt.Fprintf(w, " %g |", point.Size)
 	}
-	fmt.Fprintf(w, " exponent, residual | at the top | form, error | at %g |\n| --- |%s --- | --- | --- | --- |\n", g.Target,
+	fmt.Fprintf(w, " exponent, residual | at the top | form, error | at %g |\n| --- |%s --- | --- | --- | --- |\n",
+		g.Target,
 		strings.Repeat(" --- |", len(g.Points)))
 	for _, metric := range metrics {
 		fit, ok := g.Fits[metric.Name]
@@ -153,7 +160,8 @@
 			}
 			fmt.Fprintf(w, " %.4g |", figure)
 		}
-		fmt.Fprintf(w, " %.2f, %.2f | %.2f | %s, %.2f | %s |\n", fit.Exponent, fit.Residual, fit.Top, fit.Form, fit.Error,
+		fmt.Fprintf(w, " %.2f, %.2f | %.2f | %s, %.2f | %s |\n", fit.Exponent, fit.Residual, fit.TopExponent, fit.Form,
+			fit.Error,
 			g.predicted(metric.Name, fit))
 	}
 	for _, point := range g.Points {
@@ -163,7 +171,7 @@
 	}
 }
 
-// predicted tells the figure at the operators' size: as measured there, by the fit, or that it bends.
+// predicted returns the figure at the operators' size: as measured there, by the fit, or that it bends.
 func (g Growth) predicted(metric string, fit Fit) string {
 	if g.Target == 0 {
 		return "-"
@@ -173,21 +181,24 @@
 			return fmt.Sprintf("%.4g measured", figure)
 		}
 	}
-	figure, told := fit.Predict(g.Target)
-	if !told {
+	figure, ok := fit.Predict(g.Target)
+	if !ok {
 		return "bends"
 	}
 	return fmt.Sprintf("%.4g by the fit", figure)
 }
 
+// text returns the size in one line.
 func (d Deployment) text() string {
-	return fmt.Sprintf("%d gateways, %d hosts, %d quota plans, %d request classes, %d customers, %g requests a second at each",
+	return fmt.Sprintf("%d gateways, %d hosts, %d quota plans, %d request classes, %d customers, "+
+		"%g requests a second at each",
 		d.Gateways, d.Hosts, d.Plans, d.Classes, d.Customers, d.RequestRate)
 }
 
+// text writes how each metric grows with both sizes as a table.
 func (g Grid) text(w io.Writer, metrics []Metric) {
-	fmt.Fprintf(w, "\n## By %s\n\n%s. Each figure as factor * (%s)^a * (%s)^b.\n\n| figure | factor | a | b | residual |\n"+
-		"| --- | --- | --- | --- | --- |\n", g.Name, g.Note, g.First, g.Second)
+	fmt.Fprintf(w, "\n## By %s\n\n%s. Each figure as factor * (%s)^a * (%s)^b.\n\n"+
+		"| figure | factor | a | b | residual |\n| --- | --- | --- | --- | --- |\n", g.Name, g.Note, g.First, g.Second)
 	for _, metric := range metrics {
 		if joint, ok := g.Joint[metric.Name]; ok {
 			fmt.Fprintf(w, "| %s | %.4g | %.2f | %.2f | %.2f |\n", strings.TrimSuffix(metric.Name+", "+metric.Unit, ", "),
--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -14,119 +14,122 @@
 	"ravensill/lab/emulator"
 )
 
-// workWaiting are pieces of work that wait for a served gateway's loop, as in package node.
-const workWaiting = 1024
+// inboxSize is the number of functions that wait for a gateway's loop, as in package node.
+const inboxSize = 1024
 
-// Load is what simulated clients send to each served gateway.
+// Load is what simulated clients send to each gateway on the real clock.
 type Load struct {
-	Rate      float64 // a second at each gateway; 0 none
-	Customers int
-	Spread    int // gateways that a customer's requests come in at
-	Seed      uint64
-	Plan      int
-	Class     int
+	Rate       float64 // a second at each gateway; 0 none
+	Customers  int
+	SubsetSize int // gateways that a customer's requests come in at
+	Seed       uint64
+	Plan       int
+	Class      int
 }
 
-// Served is a hollow gateway on the real clock: it sends and receives datagrams and follows discovery through the
-// program's own sockets for both, from a loop like that of package node.
-type Served struct {
-	hollow   *Hollow
-	post     *peers.Transport
-	work     chan func()
-	over     context.CancelFunc
-	epoch    time.Time
-	random   *rand.Rand
-	load     Load
-	loads    int // so often the load has changed
-	requests int
+// RealTimeGateway is a hollow gateway on the real clock. It sends and receives datagrams and follows discovery
+// through the program's own sockets for both, in a loop like that of package node.
+type RealTimeGateway struct {
+	hollow      *Hollow
+	peers       *peers.Transport
+	inbox       chan func()
+	cancel      context.CancelFunc
+	epoch       time.Time
+	random      *rand.Rand
+	clients     Load
+	loadChanges int // changes of clients
+	requests    int
 }
 
 // Serve starts a gateway from the configuration that getenv names.
-func Serve(getenv func(string) string) (*Served, error) {
-	s := &Served{work: make(chan func(), workWaiting), epoch: time.Now(),
+func Serve(getenv func(string) string) (*RealTimeGateway, error) {
+	s := &RealTimeGateway{inbox: make(chan func(), inboxSize), epoch: time.Now(),
 		random: rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0))}
 	c, err := config.Load(getenv)
 	if err != nil {
 		return nil, err
 	}
-	if s.post, err = peers.Open(sockets.Kernel{}, c.PeerListen, c.Peers, messageForm(c)); err != nil {
+	if s.peers, err = peers.Open(sockets.Kernel{}, c.PeerListen, c.Peers, messageForm(c)); err != nil {
 		return nil, fmt.Errorf("hollow gateway %d: %w", c.Membership.Index, err)
 	}
 	h := NewHollow(c, s, s.now())
 	s.hollow = h
 	ctx, over := context.WithCancel(context.Background())
-	s.over = over
-	go s.post.Listen(func(peer int, body []byte) {
+	s.cancel = over
+	go s.peers.Listen(func(peer int, body []byte) {
 		s.do(func() { h.Receive(peer, body) })
 	}, func() {})
-	go s.follow(ctx, c.Discovery, h.book.Version)
+	go s.follow(ctx, c.Discovery, h.endpoints.Version)
 	go s.run(ctx)
 	return s, nil
 }
 
-// Index is the gateway's member index.
-func (s *Served) Index() int { return s.hollow.Index() }
+// Index returns the gateway's member index.
+func (s *RealTimeGateway) Index() int { return s.hollow.Index() }
 
-// Address is where the gateway listens for datagrams.
-func (s *Served) Address() string { return s.post.Addr() }
+// Address returns where the gateway listens for datagrams.
+func (s *RealTimeGateway) Address() string { return s.peers.Addr() }
 
 // Close ends the gateway.
-func (s *Served) Close() {
-	s.over()
-	s.post.Close()
+func (s *RealTimeGateway) Close() {
+	s.cancel()
+	s.peers.Close()
 }
 
-// Counts gives the gateway's counts so far.
-func (s *Served) Counts() Counts {
+// Counts returns the gateway's counts so far.
+func (s *RealTimeGateway) Counts() Counts {
 	counts := make(chan Counts)
 	s.do(func() { counts <- s.hollow.Counts })
 	return <-counts
 }
 
 // SetLoad changes what clients send from now on.
-func (s *Served) SetLoad(load Load) {
+func (s *RealTimeGateway) SetLoad(load Load) {
 	s.do(func() {
-		s.load = load
-		s.loads++
-		s.nextRequest(s.loads)
+		s.clients = load
+		s.loadChanges++
+		s.nextRequest(s.loadChanges)
 	})
 }
 
-func (s *Served) do(work func()) { s.work <- work }
+// do has the loop run a function.
+func (s *RealTimeGateway) do(work func()) { s.inbox <- work }
 
-func (s *Served) now() int64 { return s.epoch.UnixNano() + int64(time.Since(s.epoch)) }
+// now returns Unix time in nanoseconds that never runs backward.
+func (s *RealTimeGateway) now() int64 { return s.epoch.UnixNano() + int64(time.Since(s.epoch)) }
 
-// run is the loop: it does what came in, lets the module decide, and waits until the module's timer is due.
-func (s *Served) run(ctx context.Context) {
+// run is the loop: it runs what was sent to it, lets the module decide, and waits until the module's timer is due.
+func (s *RealTimeGateway) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	for {
 		select {
-		case work := <-s.work:
+		case work := <-s.inbox:
 			work()
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
-		for waiting := len(s.work); waiting > 0; waiting-- {
-			(<-s.work)()
+		for waiting := len(s.inbox); waiting > 0; waiting-- {
+			(<-s.inbox)()
 		}
-		s.hollow.Turn(s.now())
-		timer.Reset(max(time.Duration(s.hollow.Due()-s.now()), 0))
+		s.hollow.Process(s.now())
+		timer.Reset(max(time.Duration(s.hollow.NextTimer()-s.now()), 0))
 	}
 }
 
 // follow watches the host list through the program's own client of discovery.
-func (s *Served) follow(ctx context.Context, address string, version int64) {
+func (s *RealTimeGateway) follow(ctx context.Context, address string, version int64) {
 	for ctx.Err() == nil {
 		var feed discovery.PendingRead
-		discovery.Watch(ctx, sockets.Kernel{}, address, version, discovery.NewTimeouts(false), &feed, func() {}, func(text string) {
-			taken := make(chan int64, 1)
-			s.do(func() {
-				s.hollow.List(text, false)
-				taken <- s.hollow.book.Version
+		discovery.Watch(ctx, sockets.Kernel{}, address, version, discovery.NewTimeouts(false), &feed, func() {},
+			func(text string) {
+				taken := make(chan int64, 1)
+				s.do(func() {
+					s.hollow.ApplyHostList(text, false)
+					taken <- s.hollow.endpoints.Version
+				})
+				version = <-taken
 			})
-			version = <-taken
-		})
 		select {
 		case <-time.After(discovery.RewatchDelay):
 		case <-ctx.Done():
@@ -134,15 +137,15 @@
 	}
 }
 
-// nextRequest has the next request arrive, unless the load has changed since.
-func (s *Served) nextRequest(load int) {
-	if load != s.loads || s.load.Rate <= 0 {
+// nextRequest schedules the next request of a load, unless the load has changed since.
+func (s *RealTimeGateway) nextRequest(load int) {
+	if load != s.loadChanges || s.clients.Rate <= 0 {
 		return
 	}
-	wait := time.Duration(s.random.ExpFloat64() / s.load.Rate * float64(time.Second))
+	wait := time.Duration(s.random.ExpFloat64() / s.clients.Rate * float64(time.Second))
 	time.AfterFunc(wait, func() {
 		s.do(func() {
-			if load == s.loads {
+			if load == s.loadChanges {
 				s.request()
 				s.nextRequest(load)
 			}
@@ -150,27 +153,34 @@
 	})
 }
 
-func (s *Served) request() {
+// request has one request arrive.
+func (s *RealTimeGateway) request() {
 	s.requests++
-	seats := s.hollow.configuration.Membership.Count
-	// A customer's name and first gateway are those that lab/emulator gives it.
-	name := fmt.Sprintf("%08x%08x", s.load.Seed&1, s.random.IntN(s.load.Customers)+1)
-	first := int(emulator.Uniform("first", name, strconv.FormatUint(s.load.Seed, 16)) * float64(seats))
-	s.hollow.Request(Request{ID: fmt.Sprintf("%08x%08x", s.Index(), s.requests), Customer: name,
-		Class: s.load.Class, Plan: s.load.Plan, Deadline: s.now() + int64(clientTimeout),
-		Spread: s.load.Spread, First: first})
+	gateways := s.hollow.configuration.Membership.Count
+	// A customer's name and first gateway are the same as in lab/emulator.
+	name := fmt.Sprintf("%08x%08x", s.clients.Seed&1, s.random.IntN(s.clients.Customers)+1)
+	first := int(emulator.Uniform("first", name, strconv.FormatUint(s.clients.Seed, 16)) * float64(gateways))
+	s.hollow.Request(Request{
+		ID:           fmt.Sprintf("%08x%08x", s.Index(), s.requests),
+		Customer:     name,
+		Class:        s.clients.Class,
+		Plan:         s.clients.Plan,
+		Deadline:     s.now() + int64(clientTimeout),
+		SubsetSize:   s.clients.SubsetSize,
+		FirstGateway: first,
+	})
 }
 
 // Send sends a datagram.
-func (s *Served) Send(_ *Hollow, peer int, body []byte) { s.post.Send(peer, body) }
+func (s *RealTimeGateway) Send(_ *Hollow, peer int, body []byte) { s.peers.Send(peer, body) }
 
 // Attempt has a simulated host answer after an exponential service time.
-func (s *Served) Attempt(from *Hollow, request string, host uint32, attempt int) {
+func (s *RealTimeGateway) Attempt(from *Hollow, request string, host uint32, attempt int) {
 	took := time.Duration(s.random.ExpFloat64() * float64(serviceTime))
 	time.AfterFunc(took, func() {
-		s.do(func() { from.Answered(request, host, attempt, took) })
+		s.do(func() { from.EndAttempt(request, host, attempt, took) })
 	})
 }
 
-// Closed does nothing: the simulated client is gone with its request.
-func (s *Served) Closed(*Hollow, string, Outcome) {}
+// Closed does nothing: no one waits for the simulated client's answer.
+func (s *RealTimeGateway) Closed(*Hollow, string, Outcome) {}
--- a/lab/scale/verdict.go
+++ b/lab/scale/verdict.go
@@ -3,34 +3,34 @@
 import "fmt"
 
 const (
-	mostExponent = 1.5  // of any figure along any axis: between linear and quadratic
-	mostMessages = 28.0 // a second that a gateway sends and receives
-	mostBytes    = 7168.0
+	maxExponent = 1.5  // of any figure along any axis: between linear and quadratic
+	maxMessages = 28.0 // a second that a gateway sends and receives
+	maxBytes    = 7168.0
 )
 
-// stored are figures that stand on a constant part: their growth at the top decides, once it doubles them.
-var stored = []string{LiveHeap, StartAllocated, LoadAllocated}
+// storedMetrics have a constant part: their growth between the largest sizes decides, once it doubles them.
+var storedMetrics = []string{LiveHeap, StartAllocated, LoadAllocated}
 
-// sent are figures that a gateway bounds by itself: their growth over all sizes decides, and the bound.
-var sent = []struct {
+// sentMetrics are bounded by the gateway itself: their growth over all sizes decides, and the bound.
+var sentMetrics = []struct {
 	messages, bytes string
 }{{RestMessages, RestBytes}, {KnownMessages, KnownBytes}, {LoadMessages, LoadBytes}, {LoadMessagesIn, LoadBytesIn}}
 
-// Faults tells which counts and bytes of a gateway grow faster than linear along the axis, or are more than a gateway
-// may use.
-func (g Growth) Faults() (faults []string) {
-	for _, name := range stored {
-		if g.Fits[name].faster() {
-			faults = append(faults, g.fault(name))
+// Violations returns which counts and bytes of a gateway grow faster than linear along the axis, or exceed what a
+// gateway may use.
+func (g Growth) Violations() (faults []string) {
+	for _, name := range storedMetrics {
+		if g.Fits[name].fasterThanLinear() {
+			faults = append(faults, g.violation(name))
 		}
 	}
-	for _, kind := range sent {
+	for _, kind := range sentMetrics {
 		for _, limit := range []struct {
 			name string
 			most float64
-		}{{kind.messages, mostMessages}, {kind.bytes, mostBytes}} {
-			if g.Fits[limit.name].Exponent > mostExponent {
-				faults = append(faults, g.fault(limit.name))
+		}{{kind.messages, maxMessages}, {kind.bytes, maxBytes}} {
+			if g.Fits[limit.name].Exponent > maxExponent {
+				faults = append(faults, g.violation(limit.name))
 			}
 			for _, point := range g.Points {
 				if figure := point.Figures[limit.name]; figure > limit.most {
@@ -43,24 +43,26 @@
 	return faults
 }
 
-// StartFaults tells whether the processor time of a start grows faster than linear. Only its exponent decides; it wants
-// three sizes that could be measured.
-func (g Growth) StartFaults() (faults []string) {
+// StartViolations returns a violation if the processor time of a start grows faster than linear, or was measured at
+// fewer than three sizes.
+func (g Growth) StartViolations() (faults []string) {
 	if _, fitted := g.Fits[StartTime]; !fitted {
 		return []string{fmt.Sprintf("%s by %s: fewer than three sizes could be measured", StartTime, g.Name)}
 	}
-	if g.Fits[StartTime].faster() {
-		faults = append(faults, g.fault(StartTime))
+	if g.Fits[StartTime].fasterThanLinear() {
+		faults = append(faults, g.violation(StartTime))
 	}
 	return faults
 }
 
-// faster tells whether a figure grows faster than linear.
-func (f Fit) faster() bool {
-	return f.Form != Constant && (f.Exponent > mostExponent || f.Doubles && f.Top > mostExponent)
+// fasterThanLinear reports whether a figure grows faster than linear.
+func (f Fit) fasterThanLinear() bool {
+	return f.Form != Constant && (f.Exponent > maxExponent || f.Doubles && f.TopExponent > maxExponent)
 }
 
-func (g Growth) fault(metric string) string {
+// violation returns the text of a figure that grows too fast.
+func (g Growth) violation(metric string) string {
 	fit := g.Fits[metric]
-	return fmt.Sprintf("%s grows with %s to the power %.2f (at the top %.2f)", metric, g.Name, fit.Exponent, fit.Top)
+	return fmt.Sprintf("%s grows with %s to the power %.2f (at the top %.2f)", metric, g.Name, fit.Exponent,
+		fit.TopExponent)
 }
