--- a/lab/actor/actor.go
+++ b/lab/actor/actor.go
@@ -1,5 +1,5 @@
-// Package actor runs a goroutine that owns its state and receives messages, one after another, so that no state of it needs a lock.
-// Each part of the test rig is such an actor.
+// Package actor runs a goroutine that owns its state and receives messages, one after another, so that no state of it
+// needs a lock.
 package actor
 
 import (
@@ -11,7 +11,7 @@
 
 var epoch = time.Now()
 
-// Now returns the rig's time: Unix time in nanoseconds that never runs backward.
+// Now returns Unix time in nanoseconds that never runs backward.
 func Now() int64 { return epoch.UnixNano() + int64(time.Since(epoch)) }
 
 // Actor runs messages in the order in which they were sent.
@@ -39,7 +39,7 @@
 	}
 }
 
-// Do sends a message without waiting for it to run. It is dropped if the actor is stopped before its turn.
+// Do sends a message without waiting for it to run. The message is dropped if the actor is stopped before it runs.
 func (a *Actor) Do(message func()) {
 	select {
 	case a.inbox <- message:
@@ -47,8 +47,8 @@
 	}
 }
 
-// Ask sends a message and waits until it has run. It reports false if the actor was stopped first.
-// An actor that asks itself deadlocks.
+// Ask sends a message, waits, and reports whether the message ran before the actor was stopped. An actor that asks
+// itself deadlocks.
 func (a *Actor) Ask(message func()) bool {
 	done := make(chan struct{})
 	a.Do(func() {
@@ -63,7 +63,7 @@
 	}
 }
 
-// After sends a message once the delay has passed. The returned timer may be stopped.
+// After sends a message after a delay. The returned timer may be stopped.
 func (a *Actor) After(delay time.Duration, message func()) *time.Timer {
 	return time.AfterFunc(delay, func() { a.Do(message) })
 }
--- a/lab/faultygateway/main.go
+++ b/lab/faultygateway/main.go
@@ -1,5 +1,5 @@
-// Command faultygateway is the gateway of cmd/ravensill on a system whose calls fail by chance, for lab/fleet. FAULT_SEED is the
-// seed, in decimal.
+// Command faultygateway is the gateway of cmd/ravensill on a system whose calls fail by chance, for lab/fleet. The
+// environment variable FAULT_SEED is the seed, in decimal.
 package main
 
 import (
@@ -13,18 +13,44 @@
 	"ravensill/internal/sockets/socketstest"
 )
 
-// rates are those of a machine that is short of everything now and then, with a network that moves bytes in small pieces.
+// rates are those of a machine that is short of everything now and then, with a network that moves bytes in small
+// pieces.
 var rates = map[socketstest.Call]socketstest.Rate{
-	socketstest.Dial: {Chance: 0.05, Faults: []socketstest.Fault{{Errno: syscall.EADDRNOTAVAIL}, {Errno: syscall.EMFILE},
-		{Errno: syscall.ENFILE}, {Errno: syscall.ENOBUFS}, {Errno: syscall.ENOMEM}, {Errno: syscall.ENETUNREACH}}},
-	socketstest.Listen: {Chance: 0.5, Faults: []socketstest.Fault{{Errno: syscall.ENOBUFS}, {Errno: syscall.EADDRNOTAVAIL}}},
-	socketstest.Accept: {Chance: 0.05, Faults: []socketstest.Fault{{Errno: syscall.EMFILE}, {Errno: syscall.ENFILE},
-		{Errno: syscall.ENOBUFS}, {Errno: syscall.ENOMEM}}},
+	socketstest.Dial: {Chance: 0.05, Faults: []socketstest.Fault{
+		{Errno: syscall.EADDRNOTAVAIL},
+		{Errno: syscall.EMFILE},
+		{Errno: syscall.ENFILE},
+		{Errno: syscall.ENOBUFS},
+		{Errno: syscall.ENOMEM},
+		{Errno: syscall.ENETUNREACH},
+	}},
+	socketstest.Listen: {Chance: 0.5, Faults: []socketstest.Fault{
+		{Errno: syscall.ENOBUFS},
+		{Errno: syscall.EADDRNOTAVAIL},
+	}},
+	socketstest.Accept: {Chance: 0.05, Faults: []socketstest.Fault{
+		{Errno: syscall.EMFILE},
+		{Errno: syscall.ENFILE},
+		{Errno: syscall.ENOBUFS},
+		{Errno: syscall.ENOMEM},
+	}},
 	socketstest.ListenPacket: {Chance: 0.5, Faults: []socketstest.Fault{{Errno: syscall.ENFILE}}},
-	socketstest.ReadPacket:   {Chance: 0.02, Faults: []socketstest.Fault{{Errno: syscall.ENOBUFS}, {Errno: syscall.ECONNREFUSED}}},
-	socketstest.Read:         {Chance: 0.2, Faults: []socketstest.Fault{{Errno: syscall.EINTR}, {Bytes: 1}, {Bytes: 7}}},
-	socketstest.Write: {Chance: 0.2, Faults: []socketstest.Fault{{Errno: syscall.EINTR}, {Errno: syscall.EAGAIN}, {Bytes: 0}, {Bytes: 1},
-		{Bytes: 7}}},
+	socketstest.ReadPacket: {Chance: 0.02, Faults: []socketstest.Fault{
+		{Errno: syscall.ENOBUFS},
+		{Errno: syscall.ECONNREFUSED},
+	}},
+	socketstest.Read: {Chance: 0.2, Faults: []socketstest.Fault{
+		{Errno: syscall.EINTR},
+		{Bytes: 1},
+		{Bytes: 7},
+	}},
+	socketstest.Write: {Chance: 0.2, Faults: []socketstest.Fault{
+		{Errno: syscall.EINTR},
+		{Errno: syscall.EAGAIN},
+		{Bytes: 0},
+		{Bytes: 1},
+		{Bytes: 7},
+	}},
 }
 
 func main() {
--- a/lab/fleetsim/config.go
+++ b/lab/fleetsim/config.go
@@ -11,7 +11,7 @@
 	CeilingRate         float64 // units a second of the hard ceiling; 0: none
 	CeilingBurst        float64 // units
 	Customers           int
-	Spread              [2]float64 // range of the fraction of all gateways that a customer's set holds
+	SubsetRange         [2]float64 // range of the fraction of all gateways that a customer's set holds
 	GatewaysPerCustomer int        // size of each customer's set instead of Spread; 0: by Spread
 }
 
--- a/lab/fleetsim/customers.go
+++ b/lab/fleetsim/customers.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// between draws a number from a range.
-func (s *simulation) between(bounds [2]float64) float64 {
+// drawFrom draws a number from a range.
+func (s *simulation) drawFrom(bounds [2]float64) float64 {
 	return bounds[0] + s.random.Float64()*(bounds[1]-bounds[0])
 }
 
@@ -17,52 +17,52 @@
 	config, p := &s.config, &s.config.Plans[plan]
 	c := &customer{id: len(s.customers), plan: plan, bucket: p.Burst, ceiling: p.CeilingBurst, refilledAt: s.now}
 	c.name = fmt.Sprintf("%016x", s.random.Uint64()>>31)
-	spread := int(math.Round(float64(config.Gateways) * s.between(p.Spread)))
+	spread := int(math.Round(float64(config.Gateways) * s.drawFrom(p.SubsetRange)))
 	if p.GatewaysPerCustomer > 0 {
 		spread = p.GatewaysPerCustomer
 	}
-	c.spread = max(1, min(config.Gateways, spread))
-	c.first = s.random.IntN(config.Gateways)
-	demand := s.between(config.Demand)
+	c.subsetSize = max(1, min(config.Gateways, spread))
+	c.firstGateway = s.random.IntN(config.Gateways)
+	demand := s.drawFrom(config.Demand)
 	if s.random.Float64() < config.HeavyShare {
-		demand = s.between(config.HeavyDemand)
-		c.heavy = true
+		demand = s.drawFrom(config.HeavyDemand)
+		c.isHeavy = true
 	}
 	c.requestRate = demand * p.Rate
-	s.drawHabits(c)
+	s.drawTraffic(c)
 	return c
 }
 
-// drawHabits draws how unevenly a customer's requests come, over its gateways and in time.
-func (s *simulation) drawHabits(c *customer) {
+// drawTraffic draws how a customer's requests are spread over its gateways and in time.
+func (s *simulation) drawTraffic(c *customer) {
 	config, plan := &s.config, s.plans[c.plan]
 	if config.GatewaySigma > 0 {
 		sum := 0.0
-		for range c.spread {
+		for range c.subsetSize {
 			sum += math.Exp(s.random.NormFloat64() * config.GatewaySigma)
 			c.cumulativeShares = append(c.cumulativeShares, sum)
 		}
 	}
-	if config.SpikyShare > 0 && !c.heavy && s.random.Float64() < config.SpikyShare {
-		c.spiky = true
+	if config.SpikyShare > 0 && !c.isHeavy && s.random.Float64() < config.SpikyShare {
+		c.isSpiky = true
 		c.spikeOffset = int64(s.random.Float64() * float64(config.SpikeEvery))
-		c.requestRate = plan.Rate * s.between(config.HeavyDemand)
+		c.requestRate = plan.Rate * s.drawFrom(config.HeavyDemand)
 	}
 	c.idealBucket = plan.Burst
 	c.idealRefilledAt = s.now
 	c.report = &CustomerReport{
 		Name:            c.name,
 		Plan:            config.Plans[c.plan].Name,
-		Spread:          c.spread,
+		SubsetSize:      c.subsetSize,
 		DemandOverQuota: c.requestRate / plan.Rate,
-		Heavy:           c.heavy,
-		Spiky:           c.spiky,
+		Heavy:           c.isHeavy,
+		Spiky:           c.isSpiky,
 		weight:          plan.PriorityWeight,
 		beyondCost:      plan.OverQuotaCost,
 	}
 }
 
-// interArrival draws the time to the next arrival of a Poisson process of so many requests a second, in ns.
+// interArrival draws the time to the next arrival of a Poisson process with a rate in requests a second, in ns.
 func (s *simulation) interArrival(rate float64) int64 {
 	if rate <= 0 {
 		return math.MaxInt64 / 4
@@ -70,13 +70,14 @@
 	return int64(s.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// requestArrives sends a customer's next request, unless the customer pauses between two spikes, and schedules the one after it.
+// requestArrives sends a customer's next request, unless the customer pauses between two spikes, and schedules the
+// one after it.
 func (s *simulation) requestArrives(c *customer) {
 	s.add(&event{at: s.now + s.interArrival(c.requestRate), kind: requestArrives, customer: c.id})
-	if c.spiky && !s.inSpike(c) {
+	if c.isSpiky && !s.inSpike(c) {
 		return
 	}
-	s.countFirstTry(c)
+	s.countFirstRequest(c)
 	s.send(c, s.now+int64(s.config.Deadline), 0)
 }
 
@@ -88,25 +89,26 @@
 // stepDemand changes the demand of heavy customers for the rest of the run.
 func (s *simulation) stepDemand() {
 	for _, c := range s.customers {
-		if c.heavy {
+		if c.isHeavy {
 			c.requestRate = s.config.StepTo * s.plans[c.plan].Rate
 		}
 	}
 }
 
-// drawGateway draws the gateway of a customer's set that a request goes to.
+// drawGateway draws the gateway of a customer's subset that receives a request.
 func (s *simulation) drawGateway(c *customer) int {
 	if c.cumulativeShares == nil {
-		return s.random.IntN(c.spread)
+		return s.random.IntN(c.subsetSize)
 	}
-	draw := s.random.Float64() * c.cumulativeShares[c.spread-1]
+	draw := s.random.Float64() * c.cumulativeShares[c.subsetSize-1]
 	i, _ := slices.BinarySearch(c.cumulativeShares, draw)
-	return min(i, c.spread-1)
+	return min(i, c.subsetSize-1)
 }
 
-// countFirstTry counts a first try, and whether an observer who sees all first tries would have admitted it.
-func (s *simulation) countFirstTry(c *customer) {
-	c.report.FirstTries++
+// countFirstRequest counts a request that is no retry, and whether an observer who sees all of these would have
+// admitted it.
+func (s *simulation) countFirstRequest(c *customer) {
+	c.report.FirstRequests++
 	plan := s.plans[c.plan]
 	elapsed := float64(s.now-c.idealRefilledAt) / float64(time.Second)
 	c.idealRefilledAt = s.now
@@ -130,23 +132,23 @@
 func (s *simulation) admit(c *customer) {
 	s.refill(c)
 	plan, planReport := s.plans[c.plan], &s.report.Plans[c.plan]
-	s.report.Admitted++
-	planReport.Admitted++
-	c.report.Sent++
-	if c.heavy && c.plan == 0 {
+	s.report.AdmittedUnits++
+	planReport.AdmittedUnits++
+	c.report.SentUnits++
+	if c.isHeavy && c.plan == 0 {
 		index := min(int((s.now-startTime)/windowLength), len(s.report.Windows)-1)
 		window := &s.report.Windows[index]
-		window.Sent++
+		window.SentUnits++
 		if c.bucket < 1 {
-			window.Beyond++
+			window.BeyondUnits++
 		}
 	}
 	if c.bucket >= 1 {
 		c.bucket--
 	} else {
-		c.report.Beyond++
-		s.report.Beyond++
-		planReport.Beyond++
+		c.report.BeyondUnits++
+		s.report.BeyondUnits++
+		planReport.BeyondUnits++
 	}
 	if plan.MaxInFlight > 0 && c.inFlight >= plan.MaxInFlight {
 		s.report.OverInFlight++
@@ -160,15 +162,15 @@
 	}
 }
 
-// reject counts a rejection, and whether the true bucket had room.
+// reject counts a rejection, and whether the true bucket was half full or more.
 func (s *simulation) reject(c *customer) {
 	s.report.Rejected++
 	s.report.Plans[c.plan].Rejected++
 	s.refill(c)
 	if c.bucket >= s.plans[c.plan].Burst/2 {
-		s.report.RejectedWithRoom++
-		c.report.RejectedWithRoom++
-		s.report.Plans[c.plan].RejectedWithRoom++
+		s.report.RejectedWithinQuota++
+		c.report.RejectedWithinQuota++
+		s.report.Plans[c.plan].RejectedWithinQuota++
 	}
 }
 
@@ -176,14 +178,14 @@
 func (s *simulation) sampleCopies(at time.Duration) {
 	seen := map[int]bool{}
 	for _, c := range s.customers {
-		if !c.heavy || seen[c.plan] {
+		if !c.isHeavy || seen[c.plan] {
 			continue
 		}
 		seen[c.plan] = true
 		s.refill(c)
 		sample := Sample{At: at, Name: c.report.Plan, True: c.bucket}
-		for i := range min(4, c.spread) {
-			g := s.gateways[(c.first+i*c.spread/4)%len(s.gateways)]
+		for i := range min(4, c.subsetSize) {
+			g := s.gateways[(c.firstGateway+i*c.subsetSize/4)%len(s.gateways)]
 			level, others, known := g.module.Copy(c.name)
 			if !known {
 				level = s.plans[c.plan].Burst
--- a/lab/fleetsim/event.go
+++ b/lab/fleetsim/event.go
@@ -1,6 +1,6 @@
 package fleetsim
 
-// eventKind tells what happens at an event.
+// eventKind is what happens at an event.
 type eventKind int
 
 const (
@@ -11,10 +11,10 @@
 	attemptArrives                   // at a host
 	hostFinishes                     // an attempt
 	attemptTimesOut                  // at its gateway
-	attemptCanceled                  // by its gateway: told in a batch of events of its own, as on sockets
+	attemptCanceled                  // by its gateway, which learns it in a batch of its own, as on sockets
 )
 
-// event is one event of the schedule. Which fields count depends on its kind.
+// event is one event of the schedule. Its kind says which fields are set.
 type event struct {
 	at       int64 // ns
 	kind     eventKind
--- a/lab/fleetsim/fleetsim_test.go
+++ b/lab/fleetsim/fleetsim_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestDeterministic checks that the same configuration gives the same report.
-func TestDeterministic(t *testing.T) {
-	cfg := Mass(20, 12, 3*time.Second, 7)
+// The same configuration causes the same report.
+func TestSameConfigCausesSameReport(t *testing.T) {
+	cfg := CalmDay(20, 12, 3*time.Second, 7)
 	a, b := Run(cfg), Run(cfg)
 	if a.String() != b.String() {
 		t.Errorf("two runs differ:\n%v\n%v", a, b)
@@ -18,14 +18,14 @@
 	}
 }
 
-// TestMassReport reports Mass at several sizes if FLEETSIM=1: a measurement, not a test for CI.
-func TestMassReport(t *testing.T) {
+// The calm day is measured at several sizes, without a verdict, if FLEETSIM=1.
+func TestCalmDayFigures(t *testing.T) {
 	if os.Getenv("FLEETSIM") != "1" {
-		t.Skip("set FLEETSIM=1 to play the mass day")
+		t.Skip("set FLEETSIM=1 to run the calm day")
 	}
 	for _, n := range []int{3, 60, 80, 273} { // 80: the fleet-growth days
 		start := time.Now()
-		r := Run(Mass(n, max(10, n*179/273), 20*time.Second, 3))
+		r := Run(CalmDay(n, max(10, n*179/273), 20*time.Second, 3))
 		t.Logf("%d gateways (%.1f s): %v", n, time.Since(start).Seconds(), r)
 	}
 }
--- a/lab/fleetsim/model.go
+++ b/lab/fleetsim/model.go
@@ -4,15 +4,15 @@
 
 // customer is one customer with the true state of its quota. Times are nanoseconds of the simulated clock.
 type customer struct {
-	id     int
-	plan   int
-	name   string
-	spread int // gateways in its set
-	first  int // the first gateway of its set
+	id           int
+	plan         int
+	name         string
+	subsetSize   int // gateways in its set
+	firstGateway int // the first gateway of its set
 
 	requestRate      float64 // requests a second, each of one unit
-	heavy            bool
-	spiky            bool
+	isHeavy          bool
+	isSpiky          bool
 	spikeOffset      int64     // of its spikes in their period
 	cumulativeShares []float64 // by gateway of its set: the sum of the shares of its requests up to this one; nil: even
 
--- a/lab/fleetsim/quota_test.go
+++ b/lab/fleetsim/quota_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// TestQuotaTable simulates fleets of the sizes in QUOTA (as 80,300) and prints their tables: a measurement.
-func TestQuotaTable(t *testing.T) {
+// Fleets of the sizes in QUOTA (such as 80,300) are measured on the rough day, without a verdict.
+func TestRoughDayFigures(t *testing.T) {
 	sizes := os.Getenv("QUOTA")
 	if sizes == "" {
-		t.Skip("set QUOTA=80,300 to play these fleets")
+		t.Skip("set QUOTA=80,300 to run these fleets")
 	}
 	for _, size := range strings.Split(sizes, ",") {
 		n := 0
@@ -20,7 +20,7 @@
 		for seed := uint64(1); seed <= max(uint64(len(os.Getenv("SEEDS"))), 1); seed++ {
 			t.Run(fmt.Sprintf("%d/%d", n, seed), func(t *testing.T) {
 				t.Parallel()
-				r := Run(Rough(n, max(10, n*179/273), 30*time.Second, seed))
+				r := Run(RoughDay(n, max(10, n*179/273), 30*time.Second, seed))
 				t.Logf("%s", r.Table())
 				t.Log("windows", r.Windows)
 			})
--- a/lab/fleetsim/sim.go
+++ b/lab/fleetsim/sim.go
@@ -20,18 +20,18 @@
 
 // simulation is the state of one run.
 type simulation struct {
-	config      Config
-	random      *rand.Rand
-	now         int64 // ns
-	schedule    schedule.Schedule[*event]
-	gateways    []*gatewayModel
-	hosts       []*host
-	customers   []*customer
-	plans       []gateway.Plan
-	requests    map[string]*request
-	lastRequest int // number of the last request
-	samples     int // samples of the gateways' gauges
-	report      Report
+	config       Config
+	random       *rand.Rand
+	now          int64 // ns
+	schedule     schedule.Schedule[*event]
+	gateways     []*gatewayModel
+	hosts        []*host
+	customers    []*customer
+	plans        []gateway.Plan
+	requests     map[string]*request
+	requestCount int // number of the last request
+	samples      int // samples of the gateways' gauges
+	report       Report
 }
 
 // Run simulates one experiment and returns its report.
@@ -51,6 +51,7 @@
 	return s.report
 }
 
+// addPlans adds the quota plans.
 func (s *simulation) addPlans() {
 	for _, p := range s.config.Plans {
 		s.plans = append(s.plans, gateway.Plan{
@@ -86,7 +87,12 @@
 		LateValue:        0.2,
 	}}
 	limits := gateway.Limits{MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second}
-	warmUp := gateway.SlowStart{InitialFraction: 0.3, Duration: 15 * time.Second, OverloadFactor: 3, OverloadWindow: 3 * time.Second}
+	warmUp := gateway.SlowStart{
+		InitialFraction: 0.3,
+		Duration:        15 * time.Second,
+		OverloadFactor:  3,
+		OverloadWindow:  3 * time.Second,
+	}
 	loadReport := gateway.LoadReportForm{Fields: []gateway.LoadField{gateway.Utilization}, WithAnswers: true}
 	for i := range config.Gateways {
 		member := gateway.Membership{
@@ -97,7 +103,7 @@
 		}
 		module := logic.New(s.random.Uint64(), member, classes, s.plans, limits, warmUp, loadReport)
 		s.gateways = append(s.gateways, &gatewayModel{module: module, hostsUsed: map[int]bool{}})
-		s.runBatch(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached, Endpoints: list})
+		s.decide(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached, Endpoints: list})
 	}
 }
 
@@ -113,7 +119,7 @@
 }
 
 // add schedules an event.
-func (s *simulation) add(e *event) { s.schedule.Add(e.at, e) }
+func (s *simulation) add(added *event) { s.schedule.Add(added.at, added) }
 
 // runEvents runs all events up to the end, with the samples that fall due between them.
 func (s *simulation) runEvents() {
@@ -123,23 +129,23 @@
 	nextTrace := startTime + int64(config.Trace)
 	stepped := false
 	for s.schedule.Len() > 0 {
-		_, e := s.schedule.Next()
-		if e.at > end {
+		_, next := s.schedule.Next()
+		if next.at > end {
 			return
 		}
-		for ; e.at >= nextSample; nextSample += second {
+		for ; next.at >= nextSample; nextSample += second {
 			s.sampleGauges()
 		}
-		for ; config.Trace > 0 && e.at >= nextTrace; nextTrace += int64(config.Trace) {
+		for ; config.Trace > 0 && next.at >= nextTrace; nextTrace += int64(config.Trace) {
 			s.now = nextTrace
 			s.sampleCopies(time.Duration(nextTrace - startTime))
 		}
-		if config.StepAt > 0 && !stepped && e.at >= startTime+int64(config.StepAt) {
+		if config.StepAt > 0 && !stepped && next.at >= startTime+int64(config.StepAt) {
 			stepped = true
 			s.stepDemand()
 		}
-		s.now = e.at
-		s.handle(e)
+		s.now = next.at
+		s.handle(next)
 	}
 }
 
@@ -170,17 +176,17 @@
 	}
 }
 
-// timerFires runs a gateway's timer, unless it was set anew meanwhile.
+// timerFires runs a gateway's timer, unless it was set again meanwhile.
 func (s *simulation) timerFires(e *event) {
 	g := s.gateways[e.gateway]
 	if g.timerAt != e.at {
 		return
 	}
 	g.timerAt = 0
-	s.runBatch(e.gateway, gateway.Event{Kind: gateway.TimerFired})
+	s.decide(e.gateway, gateway.Event{Kind: gateway.TimerFired})
 }
 
-// gossipArrives delivers a message, unless the receiver has had too many within the last second.
+// gossipArrives delivers a message, unless the receiver has received its budget within the last second.
 func (s *simulation) gossipArrives(e *event) {
 	g := s.gateways[e.gateway]
 	expired := 0
@@ -195,10 +201,10 @@
 	g.inbox = append(g.inbox, s.now)
 	s.report.Messages++
 	s.report.MessageBytes += len(e.body)
-	s.runBatch(e.gateway, gateway.Event{Kind: gateway.GossipReceived, Peer: e.sender, Message: e.body})
+	s.decide(e.gateway, gateway.Event{Kind: gateway.GossipReceived, Peer: e.sender, Message: e.body})
 }
 
-// attemptArrives serves an attempt at a host, queues it, or turns it away if the queue is full.
+// attemptArrives serves an attempt at a host, queues it, or rejects it if the queue is full.
 func (s *simulation) attemptArrives(h *host, a *attempt) {
 	if a == nil || a.ended {
 		return
@@ -215,7 +221,7 @@
 	}
 }
 
-// hostFinishes ends an attempt at its host, which goes on with those that wait.
+// hostFinishes ends an attempt at its host, which goes on with the queue.
 func (s *simulation) hostFinishes(h *host, a *attempt) {
 	h.inService--
 	for len(h.queue) > 0 && h.inService < s.config.Slots {
@@ -243,7 +249,7 @@
 	})
 }
 
-// endAttempt tells the gateway how an attempt ended, with the host's load if its answer reports it.
+// endAttempt passes the end of an attempt to its gateway, with the host's load if its answer reports it.
 func (s *simulation) endAttempt(a *attempt, result gateway.Result, load ...float64) {
 	a.ended = true
 	r := a.request
@@ -255,7 +261,7 @@
 			s.report.Late++
 		}
 	}
-	s.runBatch(r.gateway, gateway.Event{
+	s.decide(r.gateway, gateway.Event{
 		Kind:       gateway.AttemptEnded,
 		RequestID:  r.id,
 		Host:       uint32(a.host + 1),
@@ -269,37 +275,37 @@
 
 // send sends one try of a customer's client to a gateway of its set.
 func (s *simulation) send(c *customer, deadline int64, retries int) {
-	s.lastRequest++
+	s.requestCount++
 	r := &request{
-		id:       fmt.Sprintf("r%d", s.lastRequest),
+		id:       fmt.Sprintf("r%d", s.requestCount),
 		customer: c,
 		arrived:  s.now,
 		deadline: deadline,
 		retries:  retries,
 		attempts: map[int]*attempt{},
 	}
-	r.gateway = (c.first + s.drawGateway(c)) % len(s.gateways)
-	c.report.Tries++
+	r.gateway = (c.firstGateway + s.drawGateway(c)) % len(s.gateways)
+	c.report.Requests++
 	s.requests[r.id] = r
 	s.report.Requests++
 	s.report.Plans[c.plan].Requests++
-	s.runBatch(r.gateway, gateway.Event{
+	s.decide(r.gateway, gateway.Event{
 		Kind:         gateway.RequestArrived,
 		RequestID:    r.id,
 		Customer:     c.name,
 		Plan:         c.plan,
 		Deadline:     gateway.Time(deadline),
 		Units:        1,
-		Spread:       c.spread,
-		FirstGateway: c.first,
+		Spread:       c.subsetSize,
+		FirstGateway: c.firstGateway,
 	})
 }
 
-// runBatch gives a gateway a batch of one event.
-func (s *simulation) runBatch(i int, e gateway.Event) {
+// decide has a gateway decide on a batch of one event.
+func (s *simulation) decide(i int, e gateway.Event) {
 	s.report.Batches++
 	batch := &gateway.Batch{Now: gateway.Time(s.now), Events: []gateway.Event{e}}
-	s.gateways[i].module.Decide(batch, writer{s, i})
+	s.gateways[i].module.Decide(batch, actions{s, i})
 }
 
 // sampleGauges adds the gateways' gauges to the report's sums.
--- a/lab/slowstartsim/slowstartsim.go
+++ b/lab/slowstartsim/slowstartsim.go
@@ -1,11 +1,10 @@
-// Package slowstartsim plays a fleet of gateways of package logic against hosts that start cold, and counts what all
-// gateways together send each of them: the rule on cold hosts holds for the sum, and no gateway sees that. Hosts
-// answer after a fixed time and never fall, so that a break is counted rather than acted out. Every dispatch that a
-// host gets counts, repeats too. It does no I/O, and the same Config gives the same Report.
+// Package slowstartsim simulates a fleet of gateways of package logic and hosts that start cold, and counts what all
+// gateways together send to each of these hosts: the budget of a host that is warming up holds for the sum, which no
+// gateway sees. Hosts answer after a fixed time and never fail from overload, so that a violation is counted and has no
+// effect. Each attempt counts, retries too. The package does no I/O, and the same Config causes the same Report.
 package slowstartsim
 
 import (
-	"bytes"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -18,249 +17,217 @@
 
 // Config is one experiment.
 type Config struct {
-	Seed            uint64
-	Gateways, Hosts int
-	PerSecond       float64       // reqs a second over all gateways
-	Load            float64       // part of the hosts' capacity that they take
-	Skew            float64       // one gateway in ten gets so many times the traffic of another; 0 is 1
-	Lull            time.Duration // after the start of cold hosts a tenth of the traffic comes for so long: allowances are saved
-	Surge           float64       // then so many times the usual traffic
-	Cold            int           // hosts that start at one time
-	Apart           time.Duration // it is told to each gateway at a time of its own within this
-	Cut             time.Duration // from the start on a third of the gateways and hosts, with the cold ones, and the rest don't reach each other
-	Failing         float64       // after the lull this part of the other hosts answers with errors; a req may go to two hosts
-	Gossip          bool          // gateways message each other; else all of them are cut off from each other
-	InTurn          bool          // a host answers what it gets in turn, as fast as it can; else all after the same time
-	Length          time.Duration // from the start on
+	Seed        uint64
+	Gateways    int
+	Hosts       int
+	RequestRate float64 // requests a second of all clients
+	Load        float64 // fraction of the hosts' capacity that the requests need
+	Skew        float64 // traffic of one gateway in ten, in multiples of another's; 0: 1
+	// Lull is how long after the start of the cold hosts a tenth of the requests arrive, so that allowances accumulate.
+	Lull      time.Duration
+	Surge     float64       // request rate after the lull, in multiples of RequestRate; 0: 1
+	ColdHosts int           // hosts that start at one time
+	ListDelay time.Duration // each gateway learns of the start after a random delay up to this one
+	// Partition is how long after the start a third of the gateways and a third of the hosts, the cold ones among them,
+	// are cut off from the rest.
+	Partition       time.Duration
+	FailingFraction float64 // of the other hosts: they answer with errors after the lull
+	Gossip          bool    // between the gateways
+	Queueing        bool    // hosts serve one request after the other at their capacity; otherwise all in the same time
+	Duration        time.Duration
 	Settings        gateway.SlowStart
 }
 
-// Report holds the fullest window of any host while it is cold, in reqs.
-type Report struct {
-	Sent, Allowed, Bound float64 // sent in it, over two thirds by gateways told of the start; N, what the settings allow; Budget of that
-	At                   time.Duration
-	Share                float64 // of all dispatches that went to cold hosts, over their part of the capacity
-	Idle                 int     // cold hosts that got nothing at all
-}
-
-// fewCalls is the number of calls under which a budget gets more slack for chance.
-const fewCalls = 30
-
-// Budget is the most calls that a host may get in one window while it is warming up, where its settings allow it n: n, and the
-// slack that the operators' acceptance page gives for chance.
-func Budget(n float64) float64 {
-	if n < fewCalls {
-		return n + 3*math.Sqrt(n) + 3
-	}
-	return n + 2*math.Sqrt(n) + 2
-}
-
-func (r Report) String() string {
-	return fmt.Sprintf("fullest window %.0f of %.1f allowed (bound %.1f, %.2f of it) %v after the start; "+
-		"%.2f of the cold hosts' part; idle %d", r.Sent, r.Allowed, r.Bound, r.Sent/r.Bound, r.At.Round(time.Second), r.Share, r.Idle)
-}
-
 const (
-	warmUp      = 5 * time.Second // until cold hosts start: the gateways know their hosts by then
-	answers     = 100 * time.Millisecond
-	beat        = 40 * time.Millisecond
-	gone        = 250 * time.Millisecond // a connection to a host that is cut off is given up
-	gossipDelay = 5 * time.Millisecond   // a message takes
-	perSec      = 60                     // messages a gateway takes in a second
+	settleTime     = 5 * time.Second // before the cold hosts start: the gateways know their hosts by then
+	answerTime     = 100 * time.Millisecond
+	minTimer       = 40 * time.Millisecond
+	dialTimeout    = 250 * time.Millisecond // of a connection to a host that is cut off
+	gossipDelay    = 5 * time.Millisecond
+	messageRate    = 60 // messages a second that a gateway receives
+	objective      = time.Second
+	clientTimeout  = 3 * time.Second
+	customers      = 5000
+	simulatedStart = int64(100 * time.Second)
+	randomStream   = 7 // of the random generator
 )
 
+// event is an event of one gateway, or the arrival of a request.
 type event struct {
-	gw      int
-	e       gateway.Event // Ended, Tick, Received, HostsListed; none is an arrival
+	gateway int
+	event   gateway.Event
 	arrival bool
 }
 
-// call is a dispatch to a cold host.
-type call struct {
-	at   int64
-	told bool // by a gateway that had been told of the start
+// attempt is an attempt at a cold host.
+type attempt struct {
+	at       int64
+	informed bool // by a gateway that had learned of the start
 }
 
-// sim is one play. It takes the decisions of the gateway whose turn it is.
-type sim struct {
+// simulation is the state of one run. It carries out the decisions of the gateway that decides. Times are nanoseconds
+// of the simulated clock.
+type simulation struct {
 	Config
-	rnd   *rand.Rand
-	now   int64
-	q     schedule.Schedule[event]
-	reqs  int
-	gws   []*logic.Gateway
-	turn  int
-	told  []bool   // by gateway
-	free  []int64  // by host, has answered all then
-	sent  [][]call // by cold host
-	all   int
-	since int64
-	tries map[string]int
-}
-
-// Run plays one experiment.
-func Run(c Config) Report {
-	s := &sim{Config: c, rnd: rand.New(rand.NewPCG(c.Seed, 7)), now: int64(100 * time.Second), sent: make([][]call, c.Cold),
-		told: make([]bool, c.Gateways), free: make([]int64, c.Hosts), tries: map[string]int{}}
-	if c.Skew == 0 {
-		s.Skew = 1
-	}
-	began := s.now
-	s.since = began + int64(warmUp)
-	list := func(cold int64) (list []gateway.Endpoint) {
-		for h := range c.Hosts {
-			l := gateway.Endpoint{Host: uint32(h), State: gateway.Running, Weight: 1}
-			if h < c.Cold {
-				l.StartedAt = gateway.Time(cold)
-			}
-			list = append(list, l)
-		}
-		return list
-	}
-	fronts := []gateway.RequestClass{{LatencyObjective: time.Second, Timeout: 3 * time.Second, Value: 1}}
-	plans := []gateway.Plan{{Rate: 1e9, Burst: 1e9, PriorityWeight: 1}}
-	for i := range c.Gateways {
-		s.gws = append(s.gws, logic.New(s.rnd.Uint64(), gateway.Membership{Index: i, Count: c.Gateways, Gossip: c.Gossip, MessageRate: perSec},
-			fronts, plans, gateway.Limits{MaxAttempts: 2}, c.Settings, gateway.LoadReportForm{}))
-		s.round(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete, Endpoints: list(0)})
+	random      *rand.Rand
+	now         int64
+	coldStart   int64
+	schedule    schedule.Schedule[event]
+	requests    int
+	gateways    []*logic.Gateway
+	deciding    int            // index of the gateway that decides
+	informed    []bool         // by gateway: it learned of the start
+	idleAt      []int64        // by host: it has answered all by then
+	received    [][]attempt    // by cold host
+	allAttempts int            // since the start of the cold hosts
+	attempts    map[string]int // by request
+}
+
+// Run runs one experiment.
+func Run(config Config) Report {
+	s := &simulation{
+		Config:    config,
+		random:    rand.New(rand.NewPCG(config.Seed, randomStream)),
+		now:       simulatedStart,
+		coldStart: simulatedStart + int64(settleTime),
+		received:  make([][]attempt, config.ColdHosts),
+		informed:  make([]bool, config.Gateways),
+		idleAt:    make([]int64, config.Hosts),
+		attempts:  map[string]int{},
 	}
-	s.arrival()
-	for i := range s.gws {
-		at := s.since + int64(s.rnd.Float64()*float64(c.Apart))
-		s.q.Add(at, event{gw: i, e: gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: list(s.since)[:c.Cold]}})
-	}
-	for end := s.since + int64(c.Length); s.q.Len() > 0; {
-		at, e := s.q.Next()
-		if at > end {
-			break
-		}
-		if s.now = at; e.arrival {
-			s.arrive()
-			s.arrival()
-		} else {
-			s.told[e.gw] = s.told[e.gw] || e.e.Kind == gateway.EndpointsListed
-			s.round(e.gw, e.e)
-		}
+	if s.Skew == 0 {
+		s.Skew = 1
 	}
+	s.addGateways()
+	s.scheduleArrival()
+	s.scheduleColdStart()
+	s.runEvents(s.coldStart + int64(config.Duration))
 	return s.report()
 }
 
-func (s *sim) arrival() {
-	rate := s.PerSecond
-	if after := s.now - s.since; after >= 0 && after < int64(s.Lull) {
-		rate /= 10
-	} else if after >= int64(s.Lull) && s.Surge > 0 {
-		rate *= s.Surge
+// endpoints returns the host list with a start time of the cold hosts; 0: they are warmed up.
+func (s *simulation) endpoints(coldStart int64) (list []gateway.Endpoint) {
+	for host := range s.Hosts {
+		endpoint := gateway.Endpoint{Host: uint32(host), State: gateway.Running, Weight: 1}
+		if s.isCold(host) {
+			endpoint.StartedAt = gateway.Time(coldStart)
+		}
+		list = append(list, endpoint)
 	}
-	s.q.Add(s.now+int64(s.rnd.ExpFloat64()/rate*1e9), event{arrival: true})
+	return list
 }
 
-func (s *sim) arrive() {
-	few := (s.Gateways + 9) / 10
-	i := 0
-	if much := s.Skew * float64(few); s.rnd.Float64() < much/(much+float64(s.Gateways-few)) {
-		i = s.rnd.IntN(few)
-	} else {
-		i = few + s.rnd.IntN(s.Gateways-few)
+// isCold reports whether a host is one of those that start.
+func (s *simulation) isCold(host int) bool { return host < s.ColdHosts }
+
+// addGateways adds the gateways, which know all hosts as warmed up.
+func (s *simulation) addGateways() {
+	classes := []gateway.RequestClass{{LatencyObjective: objective, Timeout: clientTimeout, Value: 1}}
+	plans := []gateway.Plan{{Rate: 1e9, Burst: 1e9, PriorityWeight: 1}}
+	limits := gateway.Limits{MaxAttempts: 2}
+	for i := range s.Gateways {
+		member := gateway.Membership{Index: i, Count: s.Gateways, Gossip: s.Gossip, MessageRate: messageRate}
+		module := logic.New(s.random.Uint64(), member, classes, plans, limits, s.Settings, gateway.LoadReportForm{})
+		s.gateways = append(s.gateways, module)
+		s.decide(i, gateway.Event{
+			Kind:      gateway.EndpointsListed,
+			ListKind:  gateway.ListComplete,
+			Endpoints: s.endpoints(0),
+		})
 	}
-	s.reqs++
-	s.round(i, gateway.Event{Kind: gateway.RequestArrived, RequestID: fmt.Sprint(s.reqs), Customer: fmt.Sprint(s.rnd.IntN(5000)),
-		Deadline: gateway.Time(s.now).Add(3 * time.Second), Units: 1, Spread: s.Gateways})
 }
 
-func (s *sim) round(i int, e gateway.Event) {
-	s.turn = i
-	s.gws[i].Decide(&gateway.Batch{Now: gateway.Time(s.now), Events: []gateway.Event{e}}, s)
+// scheduleColdStart schedules when each gateway learns of the start of the cold hosts.
+func (s *simulation) scheduleColdStart() {
+	for i := range s.gateways {
+		at := s.coldStart + int64(s.random.Float64()*float64(s.ListDelay))
+		s.schedule.Add(at, event{gateway: i, event: gateway.Event{
+			Kind:      gateway.EndpointsListed,
+			ListKind:  gateway.ListChanges,
+			Endpoints: s.endpoints(s.coldStart)[:s.ColdHosts],
+		}})
+	}
 }
 
-func (s *sim) StartAttempt(req string, host uint32, timeout time.Duration) {
-	e, lag := gateway.Event{Kind: gateway.AttemptEnded, RequestID: req, Host: host, Attempt: s.tries[req]}, answers
-	failing := s.Cold + int(s.Failing*float64(s.Hosts-s.Cold))
-	switch s.tries[req]++; {
-	case s.cut(s.turn%3 == 0, int(host) < s.Hosts/3):
-		lag, e.Result = gone, gateway.Unreachable
-	case int(host) >= s.Cold && int(host) < failing && s.now-s.since >= int64(s.Lull):
-		e.Result = gateway.Errored
-	case s.InTurn:
-		took := s.capacity(s.Settings.Duration)
-		if int(host) < s.Cold && s.now >= s.since {
-			took = s.capacity(time.Duration(s.now - s.since))
+// runEvents runs all events up to a time.
+func (s *simulation) runEvents(end int64) {
+	for s.schedule.Len() > 0 {
+		at, next := s.schedule.Next()
+		if at > end {
+			return
 		}
-		s.free[host] = max(s.free[host], s.now) + int64(1e9/took)
-		if lag += time.Duration(s.free[host] - s.now); lag > timeout {
-			lag, e.Result = timeout, gateway.TimedOut
+		s.now = at
+		if next.arrival {
+			s.startRequest()
+			s.scheduleArrival()
+			continue
 		}
-	}
-	if s.now >= s.since && e.Result != gateway.Unreachable {
-		s.all++
-		if int(host) < s.Cold {
-			s.sent[host] = append(s.sent[host], call{s.now, s.told[s.turn]})
+		if next.event.Kind == gateway.EndpointsListed {
+			s.informed[next.gateway] = true
 		}
+		s.decide(next.gateway, next.event)
 	}
-	e.Latency, e.Closed = lag, e.Result == gateway.Succeeded
-	s.q.Add(s.now+int64(lag), event{gw: s.turn, e: e})
 }
 
-// cut tells whether the part is cut off just now that one of two, and not the other, is in.
-func (s *sim) cut(one, other bool) bool {
-	return one != other && s.now >= s.since && s.now-s.since < int64(s.Cut)
-}
+// sinceStart returns the time since the start of the cold hosts; below 0 before it.
+func (s *simulation) sinceStart() time.Duration { return time.Duration(s.now - s.coldStart) }
 
-func (s *sim) SendGossip(peer int, body []byte) {
-	if !s.cut(s.turn%3 == 0, peer%3 == 0) {
-		s.q.Add(s.now+int64(gossipDelay), event{gw: peer, e: gateway.Event{Kind: gateway.GossipReceived, Peer: s.turn, Message: bytes.Clone(body)}})
+// scheduleArrival schedules the next request.
+func (s *simulation) scheduleArrival() {
+	rate := s.RequestRate
+	after := s.sinceStart()
+	switch {
+	case after < 0:
+	case after < s.Lull:
+		rate /= 10
+	case s.Surge > 0:
+		rate *= s.Surge
 	}
+	s.schedule.Add(s.now+int64(s.random.ExpFloat64()/rate*1e9), event{arrival: true})
 }
 
-func (s *sim) SetTimer(after time.Duration) {
-	s.q.Add(s.now+int64(max(after, beat)), event{gw: s.turn, e: gateway.Event{Kind: gateway.TimerFired}})
+// startRequest has a request arrive at a gateway drawn by traffic.
+func (s *simulation) startRequest() {
+	heavy := (s.Gateways + 9) / 10
+	heavyTraffic := s.Skew * float64(heavy)
+	var index int
+	if s.random.Float64() < heavyTraffic/(heavyTraffic+float64(s.Gateways-heavy)) {
+		index = s.random.IntN(heavy)
+	} else {
+		index = heavy + s.random.IntN(s.Gateways-heavy)
+	}
+	s.requests++
+	s.decide(index, gateway.Event{
+		Kind:      gateway.RequestArrived,
+		RequestID: fmt.Sprint(s.requests),
+		Customer:  fmt.Sprint(s.random.IntN(customers)),
+		Deadline:  gateway.Time(s.now).Add(clientTimeout),
+		Units:     1,
+		Spread:    s.Gateways,
+	})
 }
 
-func (s *sim) CancelAttempt(string, int)                   {}
-func (s *sim) Reject(string, time.Duration)                {}
-func (s *sim) Fail(string)                                 {}
-func (s *sim) SendProbe(uint32)                            {}
-func (s *sim) WatchEndpoints()                             {}
-func (s *sim) LogNote(string)                              {}
-func (s *sim) AddToCounter(uint64, float64, time.Duration) {}
-
-// capacity is what a host takes in a second t after its start, in reqs.
-func (s *sim) capacity(t time.Duration) float64 {
-	warm := min(s.Settings.InitialFraction+(1-s.Settings.InitialFraction)*float64(t)/float64(s.Settings.Duration), 1)
-	return warm * s.PerSecond / s.Load / float64(s.Hosts)
+// decide has a gateway decide on an event.
+func (s *simulation) decide(index int, e gateway.Event) {
+	s.deciding = index
+	s.gateways[index].Decide(&gateway.Batch{Now: gateway.Time(s.now), Events: []gateway.Event{e}}, s)
 }
 
-func (s *sim) report() (r Report) {
-	got, part := 0, 0.0
-	for _, at := range s.sent {
-		got += len(at)
-		if len(at) == 0 {
-			r.Idle++
-		}
-		told := 0
-		for i, k := 0, 0; i < len(at) && time.Duration(at[i].at-s.since) < s.Settings.Duration; i++ { // the window that ends with the ith
-			for told += count(at[i]); time.Duration(at[i].at-at[k].at) > s.Settings.OverloadWindow; k++ {
-				told -= count(at[k])
-			}
-			n := s.Settings.OverloadFactor * s.capacity(time.Duration(at[i].at-s.since)) * seconds(s.Settings.OverloadWindow)
-			bound := Budget(n)
-			if sent := i - k + 1; 3*told > 2*sent && (r.Bound == 0 || float64(sent)/bound > r.Sent/r.Bound) {
-				r.Sent, r.Allowed, r.Bound, r.At = float64(sent), n, bound, time.Duration(at[i].at-s.since)
-			}
-		}
-	}
-	for t := time.Duration(0); t < s.Length; t += time.Second {
-		part += s.capacity(t) / s.capacity(s.Settings.Duration) / seconds(s.Length) / float64(s.Hosts) * float64(s.Cold)
-	}
-	r.Share = float64(got) / max(float64(s.all)*part, 1)
-	return r
+// capacity returns the requests a second that a host serves at an age.
+func (s *simulation) capacity(age time.Duration) float64 {
+	initial := s.Settings.InitialFraction
+	warm := min(initial+(1-initial)*float64(age)/float64(s.Settings.Duration), 1)
+	return warm * s.RequestRate / s.Load / float64(s.Hosts)
 }
 
-func count(c call) int {
-	if c.told {
-		return 1
+// fewAttempts is the number of attempts under which a budget has more slack for chance.
+const fewAttempts = 30
+
+// Budget returns the most attempts that a host may receive in one window while it is warming up, if its settings
+// allow it n: n, and the slack that the operators' acceptance page allows for chance.
+func Budget(n float64) float64 {
+	if n < fewAttempts {
+		return n + 3*math.Sqrt(n) + 3
 	}
-	return 0
+	return n + 2*math.Sqrt(n) + 2
 }
-
-func seconds(d time.Duration) float64 { return float64(d) / 1e9 }
--- a/lab/subsetsim/rules.go
+++ b/lab/subsetsim/rules.go
@@ -1,6 +1,6 @@
-// Package subsetsim measures how evenly a fleet of gateways uses its hosts: what rules of subsetting give by
-// computing alone (this file, table.go), and what gateways of package logic send in a simulated day (day.go).
-// It does no I/O, and the same seed gives the same figures.
+// Package subsetsim measures how evenly a fleet of gateways uses its hosts: the subsets that rules assign (rules.go,
+// table.go), and what gateways of package logic send in a simulated day (day.go). It does no I/O, and the same seed
+// causes the same figures.
 package subsetsim
 
 import (
@@ -12,28 +12,45 @@
 	"ravensill/subset"
 )
 
-// Rule tells for each seat which hosts of a list its gateway holds, as numbers in the list.
+// Rule assigns subsets.
 type Rule struct {
 	Name string
-	Held func(seats int, hosts []subset.Endpoint) [][]int
+	// Assign returns the subset of each gateway as indexes of the hosts.
+	Assign func(gateways int, hosts []subset.Endpoint) [][]int
 }
 
-// Rules are the ones that were weighed, the landed one first and the one in use last. They are built from the
-// papers' words (docs/spread.md names them).
+// Rules are the rules that docs/spread.md compares, by the papers that it names. The previous one is the first, the one
+// in use the last.
 var Rules = []Rule{
 	{"rendezvous (landed)", Rendezvous},
-	{"rounds, shuffled", rounds},
+	{"rounds, shuffled", shuffledRounds},
 	{"rounds, hashed order", hashedRounds},
 	{"rings, low discrepancy", rings},
 	{"aperture", aperture},
-	{"hosts choose", func(seats int, hosts []subset.Endpoint) [][]int { return claims(seats, hosts, math.Inf(1)) }},
-	{"hosts choose, bound 1.25", func(seats int, hosts []subset.Endpoint) [][]int { return claims(seats, hosts, 1.25) }},
-	{"emptier of two", emptier},
-	{"deal", Deal},
+	{"hosts choose", func(gateways int, hosts []subset.Endpoint) [][]int {
+		return hostsChoose(gateways, hosts, math.Inf(1))
+	}},
+	{"hosts choose, bound 1.25", func(gateways int, hosts []subset.Endpoint) [][]int {
+		return hostsChoose(gateways, hosts, 1.25)
+	}},
+	{"emptier of two", emptierOfTwo},
+	{"deal", AssignSubsets},
 }
 
-// holds is the landed number of hosts a gateway holds, which all rules keep to.
-func holds(seats, hosts int) int { return min(max((12*hosts+seats-1)/seats, 6), hosts) }
+// PreviousRule is the rule of the module before package subset, for one gateway.
+var PreviousRule = rendezvous
+
+const (
+	minSubset     = 6
+	gatewaysOfOne = 12   // gateways that use one host, on average
+	minWeight     = 0.01 // of a host in a weighted hash
+	shuffleSalt   = 77   // of the hashes of rounds
+)
+
+// subsetSize returns the number of hosts that a gateway uses, which is the same for all rules.
+func subsetSize(gateways, hosts int) int {
+	return min(max((gatewaysOfOne*hosts+gateways-1)/gateways, minSubset), hosts)
+}
 
 // mix spreads any change of x over all bits: the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
@@ -42,44 +59,49 @@
 	return x ^ x>>31
 }
 
-// Deal is package subset's.
-func Deal(seats int, hosts []subset.Endpoint) [][]int {
-	all := make([]*subset.Endpoint, len(hosts))
-	held := make([][]int, seats)
-	for seat := range seats {
-		own := slices.Clone(hosts) // in the order of the list, which all gateways of the model share
+// AssignSubsets is the rule of package subset.
+func AssignSubsets(gateways int, hosts []subset.Endpoint) [][]int {
+	subsets := make([][]int, gateways)
+	endpoints := make([]*subset.Endpoint, len(hosts))
+	for gateway := range gateways {
+		own := slices.Clone(hosts) // in the order of the list, which is the same for all gateways
 		for i := range own {
-			all[i] = &own[i]
+			endpoints[i] = &own[i]
 		}
-		subset.AssignSubset(seat, seats, all)
+		subset.AssignSubset(gateway, gateways, endpoints)
 		for i := range own {
 			if own[i].InSubset {
-				held[seat] = append(held[seat], i)
+				subsets[gateway] = append(subsets[gateway], i)
 			}
 		}
 	}
-	return held
+	return subsets
 }
 
-// Rendezvous is the landed rule: each gateway takes the hosts that rank first by a weighted hash of both.
-func Rendezvous(seats int, hosts []subset.Endpoint) [][]int {
-	held := make([][]int, seats)
-	for seat := range seats {
-		held[seat] = rendezvous(seat, seats, hosts)
+// Rendezvous is rendezvous hashing: each gateway uses the hosts that rank first by a weighted hash of both.
+func Rendezvous(gateways int, hosts []subset.Endpoint) [][]int {
+	subsets := make([][]int, gateways)
+	for gateway := range gateways {
+		subsets[gateway] = rendezvous(gateway, gateways, hosts)
 	}
-	return held
+	return subsets
 }
 
-func rendezvous(seat, seats int, hosts []subset.Endpoint) []int {
-	order, rank := numbers(len(hosts)), make([]float64, len(hosts))
-	for i, h := range hosts {
-		rank[i] = math.Log((float64(mix(mix(uint64(seat)+1)^h.Hash)>>11)+0.5)/(1<<53)) / max(h.Weight, 0.01)
+// rendezvous returns the subset of one gateway by rendezvous hashing.
+func rendezvous(gateway, gateways int, hosts []subset.Endpoint) []int {
+	ranks := make([]float64, len(hosts))
+	for i, host := range hosts {
+		hash := mix(mix(uint64(gateway)+1) ^ host.Hash)
+		uniform := (float64(hash>>11) + 0.5) / (1 << 53)
+		ranks[i] = math.Log(uniform) / max(host.Weight, minWeight)
 	}
-	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(rank[b], rank[a]) })
-	return order[:holds(seats, len(hosts))]
+	order := identity(len(hosts))
+	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(ranks[b], ranks[a]) })
+	return order[:subsetSize(gateways, len(hosts))]
 }
 
-func numbers(n int) []int {
+// identity returns the integers in [0, n).
+func identity(n int) []int {
 	order := make([]int, n)
 	for i := range order {
 		order[i] = i
@@ -87,129 +109,152 @@
 	return order
 }
 
-// byHash orders the hosts by their hash with salt.
+// byHash returns the hosts ordered by their hash with a salt.
 func byHash(hosts []subset.Endpoint, salt uint64) []int {
-	order := numbers(len(hosts))
+	order := identity(len(hosts))
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(mix(hosts[a].Hash^salt), mix(hosts[b].Hash^salt)) })
 	return order
 }
 
-// rounds are the SRE book's: gateways in rounds of hosts/holds; a round shuffles the list, each takes its slice.
-func rounds(seats int, hosts []subset.Endpoint) [][]int {
-	return sliced(seats, hosts, func(round uint64) []int {
-		order, rnd := byHash(hosts, 0), mix(round+77)
+// shuffledRounds is deterministic subsetting of the SRE book: gateways come in rounds, each round shuffles the list,
+// and each gateway of it uses a slice.
+func shuffledRounds(gateways int, hosts []subset.Endpoint) [][]int {
+	return slicesOfRounds(gateways, hosts, func(round uint64) []int {
+		order := byHash(hosts, 0)
+		random := mix(round + shuffleSalt)
 		for i := len(order) - 1; i > 0; i-- {
-			rnd = mix(rnd + 0x9e3779b97f4a7c15)
-			j := int(rnd % uint64(i+1))
+			random = mix(random + 0x9e3779b97f4a7c15)
+			j := int(random % uint64(i+1))
 			order[i], order[j] = order[j], order[i]
 		}
 		return order
 	})
 }
 
-// hashedRounds orders each round's list by a hash, so that a host that comes shifts the slices by one place at most.
-func hashedRounds(seats int, hosts []subset.Endpoint) [][]int {
-	return sliced(seats, hosts, func(round uint64) []int { return byHash(hosts, mix(round+77)) })
+// hashedRounds orders each round's list by a hash, so that a new host shifts the slices by one place at most.
+func hashedRounds(gateways int, hosts []subset.Endpoint) [][]int {
+	return slicesOfRounds(gateways, hosts, func(round uint64) []int { return byHash(hosts, mix(round+shuffleSalt)) })
 }
 
-func sliced(seats int, hosts []subset.Endpoint, order func(round uint64) []int) [][]int {
-	held, size, n := make([][]int, seats), max(len(hosts)/holds(seats, len(hosts)), 1), len(hosts)
-	for seat := range seats {
-		i := seat % size
-		held[seat] = order(uint64(seat / size))[i*n/size : (i+1)*n/size]
+// slicesOfRounds assigns each gateway of a round a slice of the round's order of the hosts.
+func slicesOfRounds(gateways int, hosts []subset.Endpoint, order func(round uint64) []int) [][]int {
+	subsets := make([][]int, gateways)
+	count := len(hosts)
+	roundSize := max(count/subsetSize(gateways, count), 1)
+	for gateway := range gateways {
+		i := gateway % roundSize
+		subsets[gateway] = order(uint64(gateway / roundSize))[i*count/roundSize : (i+1)*count/roundSize]
 	}
-	return held
-}
-
-// rings are rounds whose gateways stand on a ring of the hashed hosts at places of a low-discrepancy sequence (the
-// radical inverse), so that a further gateway moves none; each takes the next hosts clockwise.
-func rings(seats int, hosts []subset.Endpoint) [][]int {
-	held, k, n := make([][]int, seats), holds(seats, len(hosts)), len(hosts)
-	size := max(n/k, 1)
-	for seat := range seats {
-		order := byHash(hosts, mix(uint64(seat/size)+77))
-		at := int(uint64(bits.Reverse32(uint32(seat%size))) * uint64(n) >> 32)
-		for i := range k {
-			held[seat] = append(held[seat], order[(at+i)%n])
+	return subsets
+}
+
+// rings is rounds whose gateways stand on a ring of the hashed hosts at places of a low-discrepancy sequence (the
+// radical inverse), so that a new gateway moves none. Each uses the next hosts clockwise.
+func rings(gateways int, hosts []subset.Endpoint) [][]int {
+	subsets := make([][]int, gateways)
+	count := len(hosts)
+	size := subsetSize(gateways, count)
+	roundSize := max(count/size, 1)
+	for gateway := range gateways {
+		order := byHash(hosts, mix(uint64(gateway/roundSize)+shuffleSalt))
+		place := int(uint64(bits.Reverse32(uint32(gateway%roundSize))) * uint64(count) >> 32)
+		for i := range size {
+			subsets[gateway] = append(subsets[gateway], order[(place+i)%count])
 		}
 	}
-	return held
+	return subsets
 }
 
-// aperture is a ring of gateways over a ring of hosts with arcs by weight; a gateway holds all that its arc touches.
-// Its ends are parts of hosts: sent to by these parts all are even, sent to evenly they are not.
-func aperture(seats int, hosts []subset.Endpoint) [][]int {
-	held, order, sum := make([][]int, seats), byHash(hosts, 0), 0.0
-	for _, h := range hosts {
-		sum += h.Weight
+// aperture is a ring of gateways over a ring of hosts with arcs by weight. A gateway uses all hosts that its arc
+// touches. Its ends are fractions of hosts: the load is even if gateways send by these fractions, and not if they
+// send evenly.
+func aperture(gateways int, hosts []subset.Endpoint) [][]int {
+	subsets := make([][]int, gateways)
+	order := byHash(hosts, 0)
+	weights := 0.0
+	for _, host := range hosts {
+		weights += host.Weight
 	}
-	for seat := range seats {
-		from, at := float64(seat)/float64(seats), 0.0
-		to := from + float64(holds(seats, len(hosts)))/float64(len(hosts))
+	width := float64(subsetSize(gateways, len(hosts))) / float64(len(hosts))
+	for gateway := range gateways {
+		from := float64(gateway) / float64(gateways)
+		to := from + width
+		place := 0.0
 		for _, i := range order {
-			a, b := at/sum, (at+hosts[i].Weight)/sum
-			if at += hosts[i].Weight; a < to && b > from || a+1 < to {
-				held[seat] = append(held[seat], i)
+			start := place / weights
+			end := (place + hosts[i].Weight) / weights
+			place += hosts[i].Weight
+			if start < to && end > from || start+1 < to {
+				subsets[gateway] = append(subsets[gateway], i)
 			}
 		}
 	}
-	return held
-}
-
-// claims lets each host go through its own order of the gateways for its part of all places; a gateway takes bound
-// times its own part at most.
-func claims(seats int, hosts []subset.Endpoint, bound float64) [][]int {
-	k := holds(seats, len(hosts))
-	held, most := make([][]int, seats), math.Ceil(bound*float64(k))
-	eachTurn(seats, hosts, func(i int, next func() int) {
-		for s := next(); s >= 0; s = next() {
-			if float64(len(held[s])) < most {
-				held[s] = append(held[s], i)
+	return subsets
+}
+
+// hostsChoose has each host choose gateways in its own order, as many as its share of all places. A gateway uses bound
+// times its share of the places at most.
+func hostsChoose(gateways int, hosts []subset.Endpoint, bound float64) [][]int {
+	subsets := make([][]int, gateways)
+	limit := math.Ceil(bound * float64(subsetSize(gateways, len(hosts))))
+	forEachTurn(gateways, hosts, func(host int, next func() int) {
+		for gateway := next(); gateway >= 0; gateway = next() {
+			if float64(len(subsets[gateway])) < limit {
+				subsets[gateway] = append(subsets[gateway], host)
 				return
 			}
 		}
 	})
-	return held
+	return subsets
 }
 
-// emptier lets each host take, of the next two gateways in its order, the one that holds fewer.
-func emptier(seats int, hosts []subset.Endpoint) [][]int {
-	held := make([][]int, seats)
-	eachTurn(seats, hosts, func(i int, next func() int) {
-		a, b := next(), next()
-		if b >= 0 && len(held[b]) < len(held[a]) {
-			a = b
+// emptierOfTwo has each host choose, of the next two gateways in its order, the one with the smaller subset.
+func emptierOfTwo(gateways int, hosts []subset.Endpoint) [][]int {
+	subsets := make([][]int, gateways)
+	forEachTurn(gateways, hosts, func(host int, next func() int) {
+		first := next()
+		second := next()
+		if second >= 0 && len(subsets[second]) < len(subsets[first]) {
+			first = second
 		}
-		if a >= 0 {
-			held[a] = append(held[a], i)
+		if first >= 0 {
+			subsets[first] = append(subsets[first], host)
 		}
 	})
-	return held
+	return subsets
 }
 
-// eachTurn gives the hosts their turns by weight; next leads through a host's own order of the gateways.
-func eachTurn(seats int, hosts []subset.Endpoint, turn func(host int, next func() int)) {
-	ring, most, order := uint64(1)<<bits.Len(uint(seats-1)), 0.0, byHash(hosts, 0)
-	for _, h := range hosts {
-		most = max(most, h.Weight)
+// forEachTurn calls choose for one host after another, each as often as its weight entitles it to. next returns the
+// next gateway in the host's own order, and -1 after the last one.
+func forEachTurn(gateways int, hosts []subset.Endpoint, choose func(host int, next func() int)) {
+	order := byHash(hosts, 0)
+	ring := uint64(1) << bits.Len(uint(gateways-1))
+	maxWeight := 0.0
+	for _, host := range hosts {
+		maxWeight = max(maxWeight, host.Weight)
+	}
+	credit := make([]float64, len(hosts))
+	asked := make([]uint64, len(hosts)) // places of the ring
+	next := func(i int) int {
+		for asked[i] < ring {
+			gateway := (hosts[i].Hash>>32 + asked[i]*(hosts[i].Hash|1)) % ring
+			asked[i]++
+			if int(gateway) < gateways {
+				return int(gateway)
+			}
+		}
+		return -1
 	}
-	due, asked := make([]float64, len(hosts)), make([]uint64, len(hosts))
-	for left := seats * holds(seats, len(hosts)); left > 0; {
+	left := gateways * subsetSize(gateways, len(hosts))
+	for left > 0 {
 		for _, i := range order {
-			h := hosts[i]
-			if due[i] += h.Weight / most; due[i] < 0.5 || left == 0 {
+			credit[i] += hosts[i].Weight / maxWeight
+			if credit[i] < 0.5 || left == 0 {
 				continue
 			}
-			due[i], left = due[i]-1, left-1
-			turn(i, func() int {
-				for asked[i] < ring {
-					s := (h.Hash>>32 + asked[i]*(h.Hash|1)) % ring
-					if asked[i]++; int(s) < seats {
-						return int(s)
-					}
-				}
-				return -1
-			})
+			credit[i]--
+			left--
+			choose(i, func() int { return next(i) })
 		}
 	}
 }
--- a/lab/subsetsim/subsetsim_test.go
+++ b/lab/subsetsim/subsetsim_test.go
@@ -10,27 +10,29 @@
 	"ravensill/subset"
 )
 
-// TestTable: the table of docs/spread.md, with fewer lists. That "deal" is the most even is read off its rows.
-func TestTable(t *testing.T) {
-	golden.Check(t, Table([]Fleet{{300, 200, 0}, {300, 190, 0}, {300, 60, 0.25}, {80, 60, 0}, {24, 200, 0.25}}, 2, 1))
+// The figures of the rules are those of docs/spread.md, with fewer lists.
+func TestTableOfRulesIsUnchanged(t *testing.T) {
+	fleets := []Fleet{{300, 200, 0}, {300, 190, 0}, {300, 60, 0.25}, {80, 60, 0}, {24, 200, 0.25}}
+	golden.Check(t, Table(fleets, 2, 1))
 }
 
-// TestDay: 24 gateways of unequal traffic and 60 hosts: none idle, and over 10 s each takes 0.6 to 1.4 of its part, in
-// each of two plays alike. With the landed subsets and loads it was 0.43 to 1.47, by chance alone 0.78 to 1.28.
-func TestDay(t *testing.T) {
+// With 24 gateways of unequal traffic and 60 hosts, no host is idle, and over 10 s each has 0.6 to 1.4 of its share.
+// Two runs of a day are the same.
+func TestDayUsesHostsEvenly(t *testing.T) {
 	day := Days(3, 24, 60)[1]
-	r := Play(day)
-	sent, chance := r.Windows(15*time.Second, day.Length, 10*time.Second)
-	if idle, _, _ := r.Idle(15*time.Second, day.Length); idle > 0 || sent.Most > 1.4 || sent.Least < 0.6 {
+	result := Run(day)
+	sent, chance := result.Windows(stepAt, day.Duration, 10*time.Second)
+	idle, _, _ := result.IdleHosts(stepAt, day.Duration)
+	if idle > 0 || sent.Most > 1.4 || sent.Least < 0.6 {
 		t.Errorf("%d idle hosts; over 10 s %v, by chance %v", idle, sent, chance)
 	}
-	if a, b := Row(day, ""), Row(day, ""); a != b {
-		t.Errorf("two plays of one day differ:\n%s%s", a, b)
+	if first, second := Row(day, ""), Row(day, ""); first != second {
+		t.Errorf("two runs of one day differ:\n%s%s", first, second)
 	}
 }
 
-// TestMeasure plays the days at full size if SPREADSIM names a file: a measurement, not a test for CI.
-func TestMeasure(t *testing.T) {
+// The days at full size are measured, without a verdict, if SPREADSIM names a file.
+func TestFullSizeDays(t *testing.T) {
 	file := os.Getenv("SPREADSIM")
 	if file == "" {
 		t.Skip("SPREADSIM=FILE writes the days at full size there")
@@ -40,29 +42,30 @@
 	}
 }
 
-// BenchmarkDeal: what a gateway computes at a change of the list, and its ratio to the landed rule in the same run.
-func BenchmarkDeal(b *testing.B) {
-	for _, f := range []Fleet{{3, 10, 0}, {80, 60, 0}, {300, 60, 0.25}, {300, 200, 0}, {300, 200, 0.25}} {
-		b.Run(fmt.Sprintf("%d x %d", f.Gateways, f.Hosts), func(b *testing.B) {
-			hosts, all := make([]subset.Endpoint, f.Hosts), make([]*subset.Endpoint, f.Hosts)
+// BenchmarkAssignSubset measures what a gateway computes at a change of the list, beside the previous rule.
+func BenchmarkAssignSubset(b *testing.B) {
+	for _, fleet := range []Fleet{{3, 10, 0}, {80, 60, 0}, {300, 60, 0.25}, {300, 200, 0}, {300, 200, 0.25}} {
+		b.Run(fmt.Sprintf("%d x %d", fleet.Gateways, fleet.Hosts), func(b *testing.B) {
+			hosts := make([]subset.Endpoint, fleet.Hosts)
+			endpoints := make([]*subset.Endpoint, fleet.Hosts)
 			for i := range hosts {
 				hosts[i] = subset.Endpoint{Hash: mix(uint64(i + 1)), Weight: 1}
-				if float64(i) < f.Light*float64(f.Hosts) {
-					hosts[i].Weight = 0.25
+				if float64(i) < fleet.LightFraction*float64(fleet.Hosts) {
+					hosts[i].Weight = lightWeight
 				}
-				all[i] = &hosts[i]
+				endpoints[i] = &hosts[i]
 			}
-			var landed, now time.Duration
+			var previous, current time.Duration
 			for i := range b.N {
 				start := time.Now()
-				rendezvous(i%f.Gateways, f.Gateways, hosts)
-				landed += time.Since(start)
+				rendezvous(i%fleet.Gateways, fleet.Gateways, hosts)
+				previous += time.Since(start)
 				start = time.Now()
-				subset.AssignSubset(i%f.Gateways, f.Gateways, all)
-				now += time.Since(start)
+				subset.AssignSubset(i%fleet.Gateways, fleet.Gateways, endpoints)
+				current += time.Since(start)
 			}
-			b.ReportMetric(float64(now)/float64(b.N), "ns/deal")
-			b.ReportMetric(float64(now)/float64(landed), "of-landed")
+			b.ReportMetric(float64(current)/float64(b.N), "ns/deal")
+			b.ReportMetric(float64(current)/float64(previous), "of-landed")
 		})
 	}
 }
--- a/lab/subsetsim/table.go
+++ b/lab/subsetsim/table.go
@@ -9,145 +9,240 @@
 	"ravensill/subset"
 )
 
-// Fleet is a size to compute a rule for. Light is the part of the hosts with a quarter of the weight.
+// Fleet is a size to compute a rule for.
 type Fleet struct {
-	Gateways, Hosts int
-	Light           float64
+	Gateways      int
+	Hosts         int
+	LightFraction float64 // of the hosts: those with a quarter of the weight
 }
 
-// Figures are a rule's for one fleet, over several lists. Parts are by weight: 1 is even.
+// Figures are those of a rule for one fleet, over several lists. Loads are multiples of a host's share by weight, so
+// that 1 is even.
 type Figures struct {
-	HeldLeast, HeldMost float64 // gateways that hold a host, over its part
-	LoadLeast, LoadMost float64 // what a host gets if every gateway sends as much, evenly to those it holds
-	SkewLeast, SkewMost float64 // the same with gateways of unequal traffic (log-normal, sigma 1)
-	Fewest, Most        int     // hosts that a gateway holds
-	All                 float64 // connections
-	Leave, Join, Seat   float64 // opened when a host leaves, when one joins, when a gateway is added
-	Worst               int     // opened, at most, at any host's coming or going
-	MixLeast, MixMost   float64 // load while every second gateway lacks one host in twenty of the list
-	Zone                int     // hosts left to the gateway worst off when one of three zones is lost
-}
-
-// Compute gives a rule's figures over some lists, drawn by seed.
-func Compute(r Rule, f Fleet, lists int, seed uint64) Figures {
-	rnd := rand.New(rand.NewPCG(seed, 7))
-	draw := func() subset.Endpoint {
-		h := subset.Endpoint{Hash: mix(rnd.Uint64()), Weight: 1}
-		if rnd.Float64() < f.Light {
-			h.Weight = 0.25
-		}
-		return h
+	Holders         Range   // gateways that use a host
+	Even            Range   // load of a host if every gateway sends as much, evenly to its subset
+	Unequal         Range   // the same with gateways of unequal traffic (log-normal, sigma 1)
+	Differing       Range   // the same while every second gateway lacks one host in twenty of the list
+	SmallestSubset  int     // of a gateway
+	LargestSubset   int     // of a gateway
+	Connections     float64 // of all gateways
+	OpenedOnLeave   float64 // connections, when a host leaves
+	OpenedOnJoin    float64 // connections, when a host joins
+	OpenedOnGateway float64 // connections, when a gateway is added
+	MaxOpened       int     // connections, when a host leaves or joins
+	LeftWithoutZone int     // hosts of the gateway with the fewest when one of three zones is lost
+}
+
+// Range is the least and the greatest of some values.
+type Range struct {
+	Least float64
+	Most  float64
+}
+
+// newRange returns the range of no values.
+func newRange() Range { return Range{Least: math.Inf(1)} }
+
+// add extends the range by values.
+func (r *Range) add(values []float64) {
+	for _, value := range values {
+		r.Least = min(r.Least, value)
+		r.Most = max(r.Most, value)
+	}
+}
+
+// String returns the range in a few words.
+func (r Range) String() string { return fmt.Sprintf("%.2f..%.2f", r.Least, r.Most) }
+
+const (
+	tableStream   = 7  // of the random generator
+	changesOfList = 4  // hosts that leave and that join, one at a time, with each list
+	zones         = 3  // of hosts
+	lackedPart    = 20 // every second gateway lacks one host in as many
+)
+
+// computation computes a rule's figures.
+type computation struct {
+	rule    Rule
+	fleet   Fleet
+	lists   int
+	random  *rand.Rand
+	figures Figures
+}
+
+// Compute returns a rule's figures over a number of lists that follow from a seed.
+func Compute(rule Rule, fleet Fleet, lists int, seed uint64) Figures {
+	c := &computation{
+		rule:   rule,
+		fleet:  fleet,
+		lists:  lists,
+		random: rand.New(rand.NewPCG(seed, tableStream)),
+		figures: Figures{
+			Holders:         newRange(),
+			Even:            newRange(),
+			Unequal:         newRange(),
+			Differing:       newRange(),
+			SmallestSubset:  math.MaxInt,
+			LeftWithoutZone: math.MaxInt,
+		},
 	}
-	inf := math.Inf(1)
-	g := Figures{HeldLeast: inf, LoadLeast: inf, SkewLeast: inf, MixLeast: inf, Fewest: math.MaxInt, Zone: math.MaxInt}
 	for range lists {
-		var hosts []subset.Endpoint
-		traffic, even := make([]float64, f.Gateways), make([]float64, f.Gateways)
-		for range f.Hosts {
-			hosts = append(hosts, draw())
-		}
-		for i := range traffic {
-			traffic[i], even[i] = math.Exp(rnd.NormFloat64()), 1
-		}
-		held := r.Held(f.Gateways, hosts)
-		for _, own := range held {
-			g.Fewest, g.Most, g.All = min(g.Fewest, len(own)), max(g.Most, len(own)), g.All+float64(len(own))/float64(lists)
-			left := 0
-			for _, i := range own {
-				if i%3 > 0 {
-					left++
-				}
+		c.addList()
+	}
+	return c.figures
+}
+
+// drawHost draws a host.
+func (c *computation) drawHost() subset.Endpoint {
+	host := subset.Endpoint{Hash: mix(c.random.Uint64()), Weight: 1}
+	if c.random.Float64() < c.fleet.LightFraction {
+		host.Weight = lightWeight
+	}
+	return host
+}
+
+// addList draws a list and adds its figures.
+func (c *computation) addList() {
+	var hosts []subset.Endpoint
+	for range c.fleet.Hosts {
+		hosts = append(hosts, c.drawHost())
+	}
+	traffic := make([]float64, c.fleet.Gateways)
+	evenTraffic := make([]float64, c.fleet.Gateways)
+	for i := range traffic {
+		traffic[i] = math.Exp(c.random.NormFloat64())
+		evenTraffic[i] = 1
+	}
+	subsets := c.rule.Assign(c.fleet.Gateways, hosts)
+	c.addSubsets(subsets)
+	c.figures.Holders.add(holders(hosts, subsets))
+	c.figures.Even.add(loads(hosts, subsets, evenTraffic))
+	c.figures.Unequal.add(loads(hosts, subsets, traffic))
+	c.addChanges(hosts, subsets)
+	c.addDiffering(hosts, subsets, evenTraffic)
+}
+
+// addSubsets adds the figures of the subsets' sizes.
+func (c *computation) addSubsets(subsets [][]int) {
+	for _, own := range subsets {
+		c.figures.SmallestSubset = min(c.figures.SmallestSubset, len(own))
+		c.figures.LargestSubset = max(c.figures.LargestSubset, len(own))
+		c.figures.Connections += float64(len(own)) / float64(c.lists)
+		left := 0
+		for _, i := range own {
+			if i%zones > 0 {
+				left++
 			}
-			g.Zone = min(g.Zone, left)
-		}
-		g.HeldLeast, g.HeldMost = extremes(parts(hosts, held, nil), g.HeldLeast, g.HeldMost)
-		g.LoadLeast, g.LoadMost = extremes(parts(hosts, held, even), g.LoadLeast, g.LoadMost)
-		g.SkewLeast, g.SkewMost = extremes(parts(hosts, held, traffic), g.SkewLeast, g.SkewMost)
-		const tries = 4
-		for i := range tries {
-			less := append(append([]subset.Endpoint{}, hosts[:i]...), hosts[i+1:]...)
-			more := append(append([]subset.Endpoint{}, hosts...), draw())
-			a := opened(hosts, held, less, r.Held(f.Gateways, less))
-			b := opened(hosts, held, more, r.Held(f.Gateways, more))
-			g.Worst = max(g.Worst, a, b)
-			g.Leave += float64(a) / float64(tries*lists)
-			g.Join += float64(b) / float64(tries*lists)
 		}
-		g.Seat += float64(opened(hosts, held, hosts, r.Held(f.Gateways+1, hosts))) / float64(lists)
-		old := r.Held(f.Gateways, hosts[f.Hosts/20:]) // the hosts that half of the fleet has not heard of come first
-		for s := 1; s < f.Gateways; s += 2 {
-			held[s] = nil
-			for _, i := range old[s] {
-				held[s] = append(held[s], i+f.Hosts/20)
-			}
+		c.figures.LeftWithoutZone = min(c.figures.LeftWithoutZone, left)
+	}
+}
+
+// addChanges adds the connections that are opened when hosts leave and join and when a gateway is added.
+func (c *computation) addChanges(hosts []subset.Endpoint, subsets [][]int) {
+	gateways := c.fleet.Gateways
+	changes := float64(changesOfList * c.lists)
+	for i := range changesOfList {
+		less := append(append([]subset.Endpoint{}, hosts[:i]...), hosts[i+1:]...)
+		more := append(append([]subset.Endpoint{}, hosts...), c.drawHost())
+		onLeave := countOpened(hosts, subsets, less, c.rule.Assign(gateways, less))
+		onJoin := countOpened(hosts, subsets, more, c.rule.Assign(gateways, more))
+		c.figures.MaxOpened = max(c.figures.MaxOpened, onLeave, onJoin)
+		c.figures.OpenedOnLeave += float64(onLeave) / changes
+		c.figures.OpenedOnJoin += float64(onJoin) / changes
+	}
+	onGateway := countOpened(hosts, subsets, hosts, c.rule.Assign(gateways+1, hosts))
+	c.figures.OpenedOnGateway += float64(onGateway) / float64(c.lists)
+}
+
+// addDiffering adds the loads while every second gateway lacks the first hosts of the list.
+func (c *computation) addDiffering(hosts []subset.Endpoint, subsets [][]int, traffic []float64) {
+	lacked := c.fleet.Hosts / lackedPart
+	outdated := c.rule.Assign(c.fleet.Gateways, hosts[lacked:])
+	for gateway := 1; gateway < c.fleet.Gateways; gateway += 2 {
+		subsets[gateway] = nil
+		for _, i := range outdated[gateway] {
+			subsets[gateway] = append(subsets[gateway], i+lacked)
 		}
-		g.MixLeast, g.MixMost = extremes(parts(hosts, held, even)[f.Hosts/20:], g.MixLeast, g.MixMost)
 	}
-	return g
+	c.figures.Differing.add(loads(hosts, subsets, traffic)[lacked:])
 }
 
-// parts gives what each host gets over its part by weight; traffic nil counts the gateways that hold it.
-func parts(hosts []subset.Endpoint, held [][]int, traffic []float64) []float64 {
-	got, sum, weight := make([]float64, len(hosts)), 0.0, 0.0
-	for s, own := range held {
+// holders returns the number of gateways that use each host, as multiples of its share.
+func holders(hosts []subset.Endpoint, subsets [][]int) []float64 {
+	counts := make([]float64, len(hosts))
+	sum := 0.0
+	for _, own := range subsets {
 		for _, i := range own {
-			t := 1.0
-			if traffic != nil {
-				t = traffic[s] / float64(len(own))
-			}
-			got[i] += t
-			sum += t
+			counts[i]++
+			sum++
 		}
 	}
-	for _, h := range hosts {
-		weight += h.Weight
-	}
-	for i, h := range hosts {
-		got[i] /= sum * h.Weight / weight
+	return overShares(counts, sum, hosts)
+}
+
+// loads returns what each host receives as multiples of its share, if gateways send their traffic evenly to their
+// subsets.
+func loads(hosts []subset.Endpoint, subsets [][]int, traffic []float64) []float64 {
+	received := make([]float64, len(hosts))
+	sum := 0.0
+	for gateway, own := range subsets {
+		for _, i := range own {
+			sent := traffic[gateway] / float64(len(own))
+			received[i] += sent
+			sum += sent
+		}
 	}
-	return got
+	return overShares(received, sum, hosts)
 }
 
-func extremes(x []float64, least, most float64) (float64, float64) {
-	for _, v := range x {
-		least, most = min(least, v), max(most, v)
+// overShares divides values by the hosts' shares of their sum.
+func overShares(values []float64, sum float64, hosts []subset.Endpoint) []float64 {
+	weights := 0.0
+	for _, host := range hosts {
+		weights += host.Weight
 	}
-	return least, most
+	for i, host := range hosts {
+		values[i] /= sum * host.Weight / weights
+	}
+	return values
 }
 
-// opened counts the gateways' hosts that they did not hold before.
-func opened(before []subset.Endpoint, held [][]int, after []subset.Endpoint, now [][]int) (n int) {
-	for s, own := range now {
-		was := map[uint64]bool{}
-		if s < len(held) {
-			for _, i := range held[s] {
-				was[before[i].Hash] = true
+// countOpened returns the number of hosts that gateways use after a change and did not use before.
+func countOpened(hosts []subset.Endpoint, subsets [][]int, newHosts []subset.Endpoint, newSubsets [][]int) (count int) {
+	for gateway, own := range newSubsets {
+		used := map[uint64]bool{}
+		if gateway < len(subsets) {
+			for _, i := range subsets[gateway] {
+				used[hosts[i].Hash] = true
 			}
 		}
 		for _, i := range own {
-			if !was[after[i].Hash] {
-				n++
+			if !used[newHosts[i].Hash] {
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// Table writes the figures of all rules for the fleets, as docs/spread.md shows them.
+const tableHead = "| rule | held | even traffic | log-normal | lists differ | a gateway holds | zone lost | " +
+	"host leaves | joins | worst | seat added |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
+
+// Table returns the figures of all rules for some fleets, as docs/spread.md shows them.
 func Table(fleets []Fleet, lists int, seed uint64) string {
-	var b strings.Builder
-	for _, f := range fleets {
-		fmt.Fprintf(&b, "%d gateways, %d hosts, %.0f%% of them with a quarter of the weight; %d lists\n\n", f.Gateways,
-			f.Hosts, 100*f.Light, lists)
-		fmt.Fprintln(&b, "| rule | held | even traffic | log-normal | lists differ | a gateway holds | zone lost | host leaves | joins | worst | seat added |")
-		fmt.Fprintln(&b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-		for _, r := range Rules {
-			g := Compute(r, f, lists, seed)
-			fmt.Fprintf(&b, "| %s | %.2f..%.2f | %.2f..%.2f | %.2f..%.2f | %.2f..%.2f | %d..%d | %d | %.0f | %.0f | %d | %.0f of %.0f |\n",
-				r.Name, g.HeldLeast, g.HeldMost, g.LoadLeast, g.LoadMost, g.SkewLeast, g.SkewMost, g.MixLeast, g.MixMost,
-				g.Fewest, g.Most, g.Zone, g.Leave, g.Join, g.Worst, g.Seat, g.All)
+	var table strings.Builder
+	for _, fleet := range fleets {
+		fmt.Fprintf(&table, "%d gateways, %d hosts, %.0f%% of them with a quarter of the weight; %d lists\n\n",
+			fleet.Gateways, fleet.Hosts, 100*fleet.LightFraction, lists)
+		table.WriteString(tableHead)
+		for _, rule := range Rules {
+			figures := Compute(rule, fleet, lists, seed)
+			fmt.Fprintf(&table, "| %s | %v | %v | %v | %v | %d..%d | %d | %.0f | %.0f | %d | %.0f of %.0f |\n",
+				rule.Name, figures.Holders, figures.Even, figures.Unequal, figures.Differing,
+				figures.SmallestSubset, figures.LargestSubset, figures.LeftWithoutZone, figures.OpenedOnLeave,
+				figures.OpenedOnJoin, figures.MaxOpened, figures.OpenedOnGateway, figures.Connections)
 		}
-		fmt.Fprintln(&b)
+		table.WriteString("\n")
 	}
-	return b.String()
+	return table.String()
 }
