--- a/lab/simenv/config.go
+++ b/lab/simenv/config.go
@@ -1,25 +1,29 @@
 package simenv
 
-import "ravensill/counterfactual"
+import (
+	"time"
+
+	"ravensill/counterfactual"
+)
 
 // Host is a simulated host. Its response time for an attempt is lognormal around BaseTime, grows with the attempts in
 // flight, and is fixed by the attempt, the host and its load.
 type Host struct {
 	ID           uint32
 	Zone         int
-	BaseTime     float64 // median response time without load, ms
-	LoadScale    float64 // attempts in flight at which the time has doubled
-	LoadExponent float64 // power of the growth with load: 1 linear, 4 slow only under load
-	Sigma        float64 // standard deviation of the time's logarithm
-	FailureRate  float64 // fraction of attempts that fail at once
-	From         int64   // listed from then on, ns since the begin
-	Until        int64   // and until then; 0: always
-	NeverChosen  bool    // listed and available, but never chosen by any gateway
+	BaseTime     float64       // median response time without load, ms
+	LoadScale    float64       // attempts in flight at which the time has doubled
+	LoadExponent float64       // power of the growth with load: 1 linear, 4 slow only under load
+	Sigma        float64       // standard deviation of the time's logarithm
+	FailureRate  float64       // fraction of attempts that fail at once
+	From         time.Duration // since the begin of the run: listed from then on
+	Until        time.Duration // and until then; 0: always
+	NeverChosen  bool          // listed and available, but never chosen by any gateway
 	incarnation  uint32
 	inFlight     int
 }
 
-// Config describes one simulated fleet. Rates are of the whole fleet, times in nanoseconds unless said otherwise.
+// Config describes one simulated fleet. Rates are of the whole fleet.
 type Config struct {
 	Seed                uint64
 	Gateways            int
@@ -30,13 +34,13 @@
 	GatewaysPerCustomer int
 	RequestRate         float64 // requests a second
 	SwingAmplitude      float64 // fraction by which the rate rises and falls
-	SwingPeriod         float64 // seconds
-	Duration            int64
-	Window              int64     // of the observers' summaries
-	Objectives          []int64   // latency objective by request class
-	WorkFactors         []float64 // multiple of the hosts' base time by request class
-	ClientLeaveRate     float64   // fraction of clients that leave before the objective
-	CrossZoneDelay      float64   // ms more to a host in another zone
+	SwingPeriod         time.Duration
+	Duration            time.Duration
+	Window              time.Duration   // of the observers' summaries
+	Objectives          []time.Duration // latency objective by request class
+	WorkFactors         []float64       // multiple of the hosts' base time by request class
+	ClientLeaveRate     float64         // fraction of clients that leave before the objective
+	CrossZoneDelay      float64         // ms more to a host in another zone
 
 	Network Network
 	Faults  []Fault
@@ -48,16 +52,16 @@
 
 // Network describes what happens to messages on their way to the ledger.
 type Network struct {
-	Loss        float64 // fraction of messages and of confirmations
-	Duplication float64 // fraction of messages
-	MaxDelay    int64   // messages are delayed by up to so many ns, so that they are reordered
-	MaxAttempts int     // to send an unconfirmed message, one in each window
+	Loss        float64       // fraction of messages and of confirmations
+	Duplication float64       // fraction of messages
+	MaxDelay    time.Duration // of a message; delays differ, so that messages are reordered
+	MaxAttempts int           // to send an unconfirmed message, one in each window
 }
 
 // Fault stops or partitions a gateway.
 type Fault struct {
 	Gateway   int
-	At        int64 // ns since the begin
-	Until     int64 // when a partition heals or a stopped gateway restarts; 0: never
-	Partition bool  // its messages are lost; otherwise it is stopped and loses its unsent messages
+	At        time.Duration // since the begin of the run
+	Until     time.Duration // when a partition heals or a stopped gateway restarts; 0: never
+	Partition bool          // its messages are lost; otherwise it is stopped and loses its unsent messages
 }
--- a/lab/simenv/gateway.go
+++ b/lab/simenv/gateway.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"slices"
+	"time"
 
 	"ravensill/counterfactual"
 	"ravensill/internal/clock"
@@ -37,7 +38,7 @@
 // message is a part of a window's summary on its way to the ledger.
 type message struct {
 	encode    func(age uint32) []byte
-	end       int64 // of its window
+	end       clock.Instant // of its window
 	attempts  int
 	confirmed bool
 }
@@ -59,8 +60,8 @@
 		inFlight:        map[uint32]int{},
 		folder:          counterfactual.NewFolder(gateway.zone, maxCells),
 	}
-	firstClose := 1 + int64(e.random.Float64()*float64(e.config.Window))
-	e.at(e.now+firstClose, e.closeWindow(gateway, gateway.generation))
+	firstClose := 1 + time.Duration(e.random.Float64()*float64(e.config.Window))
+	e.after(firstClose, e.closeWindow(gateway, gateway.generation))
 }
 
 // subset returns the hosts that a gateway sends to, in hashed order.
@@ -93,7 +94,7 @@
 			m.attempts++
 			e.send(gateway, m)
 		}
-		e.at(e.now+e.config.Window, e.closeWindow(gateway, generation))
+		e.after(e.config.Window, e.closeWindow(gateway, generation))
 	}
 }
 
@@ -105,7 +106,7 @@
 		Zone:         uint8(gateway.zone),
 		Incarnation:  gateway.incarnation,
 		Window:       gateway.window,
-		WindowLength: uint32(e.config.Window / Millisecond),
+		WindowLength: uint32(e.config.Window / time.Millisecond),
 		Attempts:     seen,
 		LostRecords:  lost,
 	}
@@ -117,7 +118,7 @@
 
 // send sends a message through the network.
 func (e *Environment) send(gateway *gatewayModel, m *message) {
-	body := m.encode(uint32((e.now - m.end) / Millisecond))
+	body := m.encode(uint32(e.now.Sub(m.end) / time.Millisecond))
 	network := &e.config.Network
 	copies := 1
 	if e.random.Float64() < network.Duplication {
@@ -127,8 +128,8 @@
 		if gateway.partitioned || e.random.Float64() < network.Loss {
 			continue
 		}
-		delay := int64(e.random.Float64() * float64(network.MaxDelay))
-		e.at(e.now+delay, func() { e.receive(m, body) })
+		delay := time.Duration(e.random.Float64() * float64(network.MaxDelay))
+		e.after(delay, func() { e.receive(m, body) })
 	}
 }
 
@@ -139,7 +140,7 @@
 		e.Undecodable++
 		return
 	}
-	if e.Ledger.Receive(part, clock.Instant(e.now)) && e.random.Float64() >= e.config.Network.Loss {
+	if e.Ledger.Receive(part, e.now) && e.random.Float64() >= e.config.Network.Loss {
 		m.confirmed = true
 	}
 }
@@ -199,7 +200,7 @@
 // least load of one that may be chosen.
 func (e *Environment) available(gateway *gatewayModel) (candidates []counterfactual.Candidate, hosts []*Host,
 	leastLoad float64) {
-	elapsed := e.now - e.begin
+	elapsed := e.now.Sub(simulatedStart)
 	leastLoad = math.Inf(1)
 	for _, host := range gateway.hosts {
 		if elapsed < host.From || host.Until > 0 && elapsed >= host.Until {
--- a/lab/simenv/request.go
+++ b/lab/simenv/request.go
@@ -11,13 +11,13 @@
 // scheduleRequest draws the next request and schedules it; each request schedules the one after it.
 func (e *Environment) scheduleRequest(number uint64) {
 	config := &e.config
-	elapsed := float64(e.now-e.begin) / 1e9
+	seconds := float64(e.now.Sub(simulatedStart)) / float64(time.Second)
 	rate := config.RequestRate
 	if config.SwingAmplitude > 0 {
-		rate *= 1 + config.SwingAmplitude*math.Sin(2*math.Pi*elapsed/config.SwingPeriod)
+		rate *= 1 + config.SwingAmplitude*math.Sin(2*math.Pi*seconds/config.SwingPeriod.Seconds())
 	}
-	next := e.now + int64(e.random.ExpFloat64()/rate*1e9)
-	if next >= e.begin+config.Duration {
+	next := e.now.Add(time.Duration(e.random.ExpFloat64() / rate * 1e9))
+	if next >= simulatedStart.Add(config.Duration) {
 		return
 	}
 	draw := e.random.Float64() * e.cumulativeRates[len(e.cumulativeRates)-1]
@@ -77,8 +77,10 @@
 	add := func(rule counterfactual.Rule, host uint32) {
 		for i, share := range RuleShares(rule, a.candidates, host) {
 			if share > 0 {
-				time := a.times[i]
-				a.outcomes = append(a.outcomes, func() { e.recordOutcome(outcomeKey{rule, a.class, host}, time, share) })
+				responseTime := a.times[i]
+				a.outcomes = append(a.outcomes, func() {
+					e.recordOutcome(outcomeKey{rule, a.class, host}, responseTime, share)
+				})
 			}
 		}
 	}
@@ -114,9 +116,9 @@
 	host.inFlight++
 	a.gateway.inFlight[host.ID]++
 	incarnation := a.gateway.incarnation
-	workEnd := e.now + int64(workTime(a.times[0], a.objective)*1e6)
-	e.at(workEnd, func() { host.inFlight-- }) // the host goes on after the gateway has given up
-	e.at(e.now+int64(latency*1e6), func() {
+	busy := milliseconds(workTime(a.times[0], a.objective))
+	e.after(busy, func() { host.inFlight-- }) // the host goes on after the gateway has given up
+	e.after(milliseconds(latency), func() {
 		if a.gateway.incarnation != incarnation || a.gateway.stopped {
 			e.LostRecords++ // with the gateway
 		} else {
@@ -155,7 +157,7 @@
 		Class:      a.class,
 		Customer:   uint32(hashMix(uint64(a.customer) + 3)),
 		Candidates: a.candidates,
-		Latency:    time.Duration(latency * 1e6),
+		Latency:    milliseconds(latency),
 		End:        end,
 	})
 }
@@ -169,18 +171,18 @@
 	size := math.Exp(e.config.CustomerSigma * gaussian(seed, uint64(customer), 5))
 	loadFactor := 1 + math.Pow(float64(host.inFlight)/host.LoadScale, host.LoadExponent)
 	noise := math.Exp(host.Sigma * gaussian(seed, request, uint64(host.ID)))
-	time := e.config.WorkFactors[class] * host.BaseTime * size * loadFactor * noise
+	result := e.config.WorkFactors[class] * host.BaseTime * size * loadFactor * noise
 	if host.Zone != gateway.zone {
-		time += e.config.CrossZoneDelay
+		result += e.config.CrossZoneDelay
 	}
-	return time
+	return result
 }
 
 // workTime returns how long a host works on an attempt, in ms: briefly on one that fails, and never longer than three
 // times the latency objective.
-func workTime(time, objective float64) float64 {
-	if math.IsInf(time, 1) {
+func workTime(responseTime, objective float64) float64 {
+	if math.IsInf(responseTime, 1) {
 		return 1
 	}
-	return min(time, 3*objective)
+	return min(responseTime, 3*objective)
 }
--- a/lab/simenv/scenarios.go
+++ b/lab/simenv/scenarios.go
@@ -1,5 +1,7 @@
 package simenv
 
+import "time"
+
 // Base returns a calm fleet of 24 gateways and 12 hosts, some twice as fast as others.
 func Base(seed uint64) Config {
 	config := Config{
@@ -9,13 +11,13 @@
 		CustomerSigma:       0.25,
 		GatewaysPerCustomer: 3,
 		RequestRate:         600,
-		Duration:            20 * Second,
-		Window:              2 * Second,
-		Objectives:          []int64{800 * Millisecond, 300 * Millisecond},
+		Duration:            20 * time.Second,
+		Window:              2 * time.Second,
+		Objectives:          []time.Duration{800 * time.Millisecond, 300 * time.Millisecond},
 		WorkFactors:         []float64{1, 0.5},
 		ClientLeaveRate:     0.02,
 		CrossZoneDelay:      3,
-		Network:             Network{MaxDelay: 50 * Millisecond, MaxAttempts: 3},
+		Network:             Network{MaxDelay: 50 * time.Millisecond, MaxAttempts: 3},
 	}
 	for i := range 12 {
 		config.Hosts = append(config.Hosts, Host{
@@ -49,28 +51,28 @@
 	}},
 	{Name: "swings of load", Configure: func(c *Config) {
 		c.SwingAmplitude = 0.6
-		c.SwingPeriod = 8
+		c.SwingPeriod = 8 * time.Second
 	}},
 	{Name: "a third of the messages lost, a third doubled, out of order", Configure: func(c *Config) {
-		c.Network = Network{Loss: 0.33, Duplication: 0.33, MaxDelay: 1500 * Millisecond, MaxAttempts: 3}
+		c.Network = Network{Loss: 0.33, Duplication: 0.33, MaxDelay: 1500 * time.Millisecond, MaxAttempts: 3}
 	}},
 	{Name: "lost without a retry", Configure: func(c *Config) {
-		c.Network = Network{Loss: 0.1, MaxDelay: 50 * Millisecond, MaxAttempts: 1}
+		c.Network = Network{Loss: 0.1, MaxDelay: 50 * time.Millisecond, MaxAttempts: 1}
 	}},
 	{Name: "a gateway killed with its unsent summary, and back", Configure: func(c *Config) {
-		c.Faults = []Fault{{Gateway: 5, At: 9500 * Millisecond, Until: 11 * Second}}
+		c.Faults = []Fault{{Gateway: 5, At: 9500 * time.Millisecond, Until: 11 * time.Second}}
 	}},
 	{Name: "three gateways killed for good", RefusedWith: gatewaysMissing, Configure: func(c *Config) {
 		for gateway := range 3 {
-			c.Faults = append(c.Faults, Fault{Gateway: gateway, At: 8 * Second})
+			c.Faults = append(c.Faults, Fault{Gateway: gateway, At: 8 * time.Second})
 		}
 	}},
 	{Name: "a cut that heals in time", Configure: func(c *Config) {
-		c.Faults = []Fault{{Gateway: 2, At: 6 * Second, Until: 9 * Second, Partition: true}}
+		c.Faults = []Fault{{Gateway: 2, At: 6 * time.Second, Until: 9 * time.Second, Partition: true}}
 	}},
 	{Name: "a cut that heals too late", Configure: func(c *Config) {
 		for gateway := range 4 {
-			c.Faults = append(c.Faults, Fault{Gateway: gateway, At: 3 * Second, Until: 16 * Second, Partition: true})
+			c.Faults = append(c.Faults, Fault{Gateway: gateway, At: 3 * time.Second, Until: 16 * time.Second, Partition: true})
 		}
 	}},
 	{Name: "hosts replaced within the window", Configure: replaceHosts},
@@ -95,9 +97,9 @@
 // replaceHosts replaces four hosts by slower ones with the same ids.
 func replaceHosts(c *Config) {
 	for i := range 4 {
-		c.Hosts[i].Until = 10 * Second
+		c.Hosts[i].Until = 10 * time.Second
 		next := c.Hosts[i]
-		next.From = 10 * Second
+		next.From = 10 * time.Second
 		next.Until = 0
 		next.BaseTime *= 1.8
 		c.Hosts = append(c.Hosts, next)
--- a/lab/simenv/simenv.go
+++ b/lab/simenv/simenv.go
@@ -12,14 +12,12 @@
 	"time"
 
 	"ravensill/counterfactual"
+	"ravensill/internal/clock"
 	"ravensill/lab/schedule"
 )
 
-// Units of simulated time, in nanoseconds.
-const (
-	Millisecond = int64(1e6)
-	Second      = int64(1e9)
-)
+// simulatedStart is the simulated time at which a run begins.
+const simulatedStart = clock.Instant(1000 * time.Second)
 
 // Environment is a run that has ended.
 type Environment struct {
@@ -31,8 +29,7 @@
 
 	config          Config
 	random          *rand.Rand
-	begin           int64 // ns
-	now             int64 // ns
+	now             clock.Instant
 	schedule        schedule.Schedule[func()]
 	hosts           []*Host
 	gateways        []*gatewayModel
@@ -45,8 +42,7 @@
 	e := &Environment{
 		config:   config,
 		random:   rand.New(rand.NewPCG(config.Seed, 1)),
-		begin:    1000 * Second,
-		now:      1000 * Second,
+		now:      simulatedStart,
 		outcomes: map[outcomeKey]*Sample{},
 		Ledger:   newLedger(config),
 	}
@@ -55,25 +51,30 @@
 	e.scheduleFaults()
 	e.addCustomers()
 	e.scheduleRequest(0)
-	end := e.begin + config.Duration
-	e.runUntil(end + 20*config.Window)
-	e.From = counterfactual.BinNumber(e.begin / config.Window)
-	e.To = counterfactual.BinNumber(end/config.Window + 2)
+	end := simulatedStart.Add(config.Duration)
+	e.runUntil(end.Add(20 * config.Window))
+	e.From = binOf(simulatedStart, config.Window)
+	e.To = binOf(end, config.Window) + 2
 	return e
 }
 
+// binOf returns the bin of a ledger that a time is in.
+func binOf(at clock.Instant, window time.Duration) counterfactual.BinNumber {
+	return counterfactual.BinNumber(int64(at) / int64(window))
+}
+
 // newLedger returns the collector's ledger.
 func newLedger(config Config) *counterfactual.Ledger {
 	settings := counterfactual.Settings{
 		Gateways:   config.Gateways,
-		Window:     time.Duration(config.Window),
-		Grace:      time.Duration(3 * config.Window),
+		Window:     config.Window,
+		Grace:      3 * config.Window,
 		KeptBins:   int(config.Duration/config.Window) + 50,
 		MaxCells:   1 << 20,
 		MaxMissing: 0.05,
+		Objectives: config.Objectives,
 	}
-	for i, objective := range config.Objectives {
-		settings.Objectives = append(settings.Objectives, time.Duration(objective))
+	for i := range config.Objectives {
 		settings.Classes = append(settings.Classes, string(rune('a'+i)))
 	}
 	return counterfactual.NewLedger(settings)
@@ -81,7 +82,7 @@
 
 func (e *Environment) addHosts() {
 	for _, host := range e.config.Hosts {
-		host.incarnation = uint32(host.From / Second)
+		host.incarnation = uint32(host.From / time.Second)
 		e.hosts = append(e.hosts, &host)
 	}
 }
@@ -97,7 +98,7 @@
 func (e *Environment) scheduleFaults() {
 	for _, fault := range e.config.Faults {
 		gateway := e.gateways[fault.Gateway]
-		e.at(e.begin+fault.At, func() {
+		e.at(simulatedStart.Add(fault.At), func() {
 			gateway.partitioned = fault.Partition
 			if !fault.Partition {
 				e.LostRecords += gateway.unreported()
@@ -108,7 +109,7 @@
 		if fault.Until == 0 {
 			continue
 		}
-		e.at(e.begin+fault.Until, func() {
+		e.at(simulatedStart.Add(fault.Until), func() {
 			gateway.partitioned = false
 			if gateway.stopped {
 				gateway.incarnation++
@@ -128,16 +129,22 @@
 }
 
 // at schedules an event.
-func (e *Environment) at(at int64, event func()) { e.schedule.Add(at, event) }
+func (e *Environment) at(at clock.Instant, event func()) { e.schedule.Add(int64(at), event) }
+
+// after schedules an event after a delay.
+func (e *Environment) after(delay time.Duration, event func()) { e.at(e.now.Add(delay), event) }
+
+// milliseconds returns a duration of a number of milliseconds.
+func milliseconds(number float64) time.Duration { return time.Duration(number * 1e6) }
 
 // runUntil runs all events up to a time.
-func (e *Environment) runUntil(end int64) {
+func (e *Environment) runUntil(end clock.Instant) {
 	for e.schedule.Len() > 0 {
 		at, event := e.schedule.Next()
-		if at > end {
+		if clock.Instant(at) > end {
 			return
 		}
-		e.now = at
+		e.now = clock.Instant(at)
 		event()
 	}
 }
--- a/lab/simenv/simenv_test.go
+++ b/lab/simenv/simenv_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"strings"
 	"testing"
+	"time"
 
 	"ravensill/counterfactual"
 )
@@ -95,8 +96,8 @@
 	for seed := range n {
 		config := Base(uint64(seed) + 1)
 		config.SwingAmplitude = 0.6
-		config.SwingPeriod = 20
-		config.Duration = 60 * Second
+		config.SwingPeriod = 20 * time.Second
+		config.Duration = 60 * time.Second
 		all.Add(EvaluateReplaced(config, 0.3))
 	}
 	t.Log(all.String(), "\n", strings.Join(all.OffFigures, "\n"))
