--- a/internal/discovery/pending_read_test.go
+++ b/internal/discovery/pending_read_test.go
@@ -12,6 +12,19 @@
 	"ravensill/internal/sockets"
 )
 
+// acceptWatch accepts a watch at the agent's side and reads its request.
+func acceptWatch(t *testing.T, listener net.Listener) net.Conn {
+	t.Helper()
+	agent, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := http.ReadRequest(bufio.NewReader(agent)); err != nil {
+		t.Fatal(err)
+	}
+	return agent
+}
+
 // Bytes in the socket and a list that is being processed are pending; both together too.
 func TestPendingReadReportsUnprocessedBytes(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -28,30 +41,24 @@
 	received := make(chan bool)
 	processed := make(chan bool)
 	ended := make(chan bool)
-	update := func(string) {
-		received <- true
-		<-processed
+	options := WatchOptions{
+		System:     sockets.Kernel{},
+		Address:    listener.Addr().String(),
+		After:      1,
+		Timeouts:   longTimeouts(),
+		Pending:    pending,
+		OnReceived: func() {},
+		OnList: func(string) {
+			received <- true
+			<-processed
+		},
 	}
 	go func() {
 		defer close(ended)
-		Watch(ctx, WatchOptions{
-			System:     sockets.Kernel{},
-			Address:    listener.Addr().String(),
-			After:      1,
-			Timeouts:   longTimeouts(),
-			Pending:    pending,
-			OnReceived: func() {},
-			OnList:     update,
-		})
+		Watch(ctx, options)
 	}()
-	agent, err := listener.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
+	agent := acceptWatch(t, listener)
 	defer agent.Close()
-	if _, err := http.ReadRequest(bufio.NewReader(agent)); err != nil {
-		t.Fatal(err)
-	}
 	io.WriteString(agent, "HTTP/1.1 200 OK\r\n\r\n{}{}")
 	for range 2 {
 		<-received
--- a/lab/groundtruth/records.go
+++ b/lab/groundtruth/records.go
@@ -167,10 +167,14 @@
 			continue
 		}
 		model := f.Host(number).Model
-		if k == 0 {
-			times[k] = float64(command.ResponseTime)/1e6 + overhead
-		} else if time, _, ok := hosts.logs[number].ResponseTimeAt(model, entry.Request, command.Class, int64(entry.SentAt)); ok {
-			times[k] = float64(time)/1e6 + overhead
+		responseTime := command.ResponseTime
+		known := true
+		if k > 0 {
+			log := hosts.logs[number]
+			responseTime, _, known = log.ResponseTimeAt(model, entry.Request, command.Class, int64(entry.SentAt))
+		}
+		if known {
+			times[k] = float64(responseTime)/1e6 + overhead
 		}
 		if model.Fails(entry.Request) {
 			times[k] = math.Inf(1)
--- a/lab/rollout/hollow/report.go
+++ b/lab/rollout/hollow/report.go
@@ -140,7 +140,9 @@
 	for _, point := range r.Axis.Points {
 		fmt.Fprintf(w, " %d |", point.Followers)
 	}
-	fmt.Fprintf(w, " exponent, residual | form, error | budget | of it at most |\n| --- | --- |%s --- | --- | --- | --- |\n",
+	const lastHeads = " exponent, residual | form, error | budget | of it at most |\n" +
+		"| --- | --- |%s --- | --- | --- | --- |\n"
+	fmt.Fprintf(w, lastHeads,
 		strings.Repeat(" --- |", len(r.Axis.Points)))
 	for i := range r.Metrics {
 		metric := &r.Metrics[i]
