--- a/lab/emulator/host.go
+++ b/lab/emulator/host.go
@@ -41,7 +41,7 @@
 	listener  net.Listener
 	conns     map[*hostConn]bool
 	startedAt int64 // last start
-	warming   bool  // it started cold
+	warming   bool  // it warms up since its start
 	hanging   bool
 	slowdown  float64
 	withheld  []*command // commands to answer once it hangs no longer
@@ -239,13 +239,13 @@
 	}
 }
 
-// Start restarts the host at the same address, cold if its model has a ColdFactor. It returns the start time in
-// milliseconds, as in the host list.
+// Start restarts the host at the same address, and warms up if its model has a WarmUpFactor. It returns the start
+// time in milliseconds, as in the host list.
 func (h *Host) Start() (startedMS int64, err error) {
 	h.Ask(func() {
 		h.kill()
 		h.startedAt = actor.Now()
-		h.warming = h.Model.ColdFactor > 1
+		h.warming = h.Model.WarmUpFactor > 1
 		startedMS = h.startedAt / int64(time.Millisecond)
 		err = h.listen()
 	})
--- a/lab/emulator/hostlog.go
+++ b/lab/emulator/hostlog.go
@@ -47,7 +47,7 @@
 	At           int64
 	InFlight     int
 	Slowdown     float64 // without the warm-up
-	WarmingSince int64   // start of this process; 0: it did not start cold
+	WarmingSince int64   // start of this process; 0: it did not warm up
 	OpenConns    int
 }
 
--- a/lab/emulator/model.go
+++ b/lab/emulator/model.go
@@ -25,8 +25,8 @@
 	Slope float64
 	// MaxInFlight is the number of requests in flight from which on a host answers BUSY; 0: no limit.
 	MaxInFlight int
-	// ColdFactor multiplies the time right after a start and falls linearly to 1; 1 or less: no warm-up.
-	ColdFactor    float64
+	// WarmUpFactor multiplies the time right after a start and falls linearly to 1; 1 or less: no warm-up.
+	WarmUpFactor  float64
 	WarmUpTime    time.Duration
 	ErrorFraction float64            // of the requests
 	ClassFactors  map[string]float64 // multiple of the time by request class; 1 if absent
@@ -62,10 +62,10 @@
 
 // warmUpFactor returns the multiple of the response time at an age of the host's process.
 func (m *Model) warmUpFactor(age time.Duration) float64 {
-	if m.ColdFactor <= 1 || age >= m.WarmUpTime {
+	if m.WarmUpFactor <= 1 || age >= m.WarmUpTime {
 		return 1
 	}
-	return 1 + (m.ColdFactor-1)*(1-float64(age)/float64(m.WarmUpTime))
+	return 1 + (m.WarmUpFactor-1)*(1-float64(age)/float64(m.WarmUpTime))
 }
 
 // Uniform returns a number in (0, 1) that depends on the words alone.
--- a/lab/emulator/model_test.go
+++ b/lab/emulator/model_test.go
@@ -11,7 +11,7 @@
 // A response time depends on id, load and slowdown alone, so it is known for requests that a host never received too.
 func TestModelResponseTimeFollowsFromRequestAndLoad(t *testing.T) {
 	model := DefaultModel()
-	model.ColdFactor = 3
+	model.WarmUpFactor = 3
 	model.WarmUpTime = 10 * time.Second
 	model.ClassFactors = map[string]float64{"order": 2}
 	var text string
--- a/lab/fleet/cases.go
+++ b/lab/fleet/cases.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// addColdHosts adds a number of hosts that are not listed at first and start cold.
-func (o *Options) addColdHosts(count int) {
+// addWarmingHosts adds a number of hosts that are not listed at first and warm up after their start.
+func (o *Options) addWarmingHosts(count int) {
 	listed := o.Hosts
 	o.Hosts += count
 	o.UnlistedHosts = map[int]bool{}
@@ -78,10 +78,10 @@
 		o.UnlistedHosts[i] = true
 	}
 	o.ConfigureHost = func(i int, host *emulator.HostOptions) {
-		host.Model.ColdFactor = 4
+		host.Model.WarmUpFactor = 4
 		host.Model.WarmUpTime = 10 * second
 		if i < listed {
-			host.Model.ColdFactor = 1
+			host.Model.WarmUpFactor = 1
 		}
 	}
 }
@@ -96,7 +96,7 @@
 		s.networkPartitions(),
 		s.differingHostLists(),
 		s.hostsReplaced(),
-		s.coldHost(),
+		s.warmingHost(),
 		s.hotGateway(),
 		s.fewGateways(),
 		s.singleGateway(),
@@ -157,7 +157,7 @@
 		SetAgentMode(6500*time.Millisecond, outdated, "half receive what they missed",
 			func(mode *emulator.Mode) { mode.Frozen = false }),
 		Announce(500*time.Millisecond, nil, emulator.Leaving, 0, 1))
-	lists.Options.addColdHosts(2)
+	lists.Options.addWarmingHosts(2)
 	lists.measure(Indexes(2, s.Hosts), -1.5, 0.5, 3.5, 6.5, 8)
 	return lists
 }
@@ -166,7 +166,7 @@
 	const replacing = 7 * second
 	count := s.Hosts * 6 / 10
 	replaced := s.scenario("six in ten hosts replaced in 7 s", 10*second, 0.9)
-	replaced.Options.addColdHosts(count)
+	replaced.Options.addWarmingHosts(count)
 	for i := range count {
 		at := time.Duration(i) * replacing / time.Duration(count)
 		replaced.Steps = append(replaced.Steps, StartHosts(at, s.Hosts+i))
@@ -176,11 +176,11 @@
 	return replaced
 }
 
-func (s Size) coldHost() Scenario {
-	cold := s.scenario("a cold host that all see at once", 5*second, 0.95, StartHosts(1*second, s.Hosts))
-	cold.Options.addColdHosts(1)
-	cold.measure(nil, -1.5, 1, 5)
-	return cold
+func (s Size) warmingHost() Scenario {
+	warming := s.scenario("a new host that all see at once", 5*second, 0.95, StartHosts(1*second, s.Hosts))
+	warming.Options.addWarmingHosts(1)
+	warming.measure(nil, -1.5, 1, 5)
+	return warming
 }
 
 func (s Size) hotGateway() Scenario {
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -122,7 +122,8 @@
 	}}
 }
 
-// StartHosts returns a step that starts hosts, cold if their model says so, and announces them to all gateways at once.
+// StartHosts returns a step that starts hosts, which warm up if their model says so, and announces them to all
+// gateways at once.
 func StartHosts(at time.Duration, hosts ...int) Step {
 	return Step{at, fmt.Sprintf("start %d hosts and list them", len(hosts)), func(ctx context.Context, f *Fleet) error {
 		var entries []emulator.Entry
--- a/lab/groundtruth/records.go
+++ b/lab/groundtruth/records.go
@@ -167,9 +167,10 @@
 			continue
 		}
 		model := f.Host(number).Model
+		log := hosts.logs[number]
 		if k == 0 {
 			times[k] = float64(command.ResponseTime)/1e6 + overhead
-		} else if time, _, ok := hosts.logs[number].ResponseTimeAt(model, entry.Request, command.Class, int64(entry.SentAt)); ok {
+		} else if time, _, ok := log.ResponseTimeAt(model, entry.Request, command.Class, int64(entry.SentAt)); ok {
 			times[k] = float64(time)/1e6 + overhead
 		}
 		if model.Fails(entry.Request) {
--- a/lab/rollout/hollow/hollow_test.go
+++ b/lab/rollout/hollow/hollow_test.go
@@ -53,67 +53,75 @@
 	t.Log(logEvents.Events())
 }
 
+const (
+	restartedFollowers = 200
+	restartHistory     = 16 // deltas that the publishers keep
+)
+
+// restartTest is a restart and how many followers are to start from their disks and by snapshots.
+type restartTest struct {
+	restartOptions
+	fromDisk  int
+	snapshots int
+}
+
+var restartTests = []restartTest{
+	{
+		restartOptions: restartOptions{Description: "with their disks", Followers: restartedFollowers, Missed: 3},
+		fromDisk:       restartedFollowers,
+	},
+	{
+		restartOptions: restartOptions{
+			Description: "more missed than the history has",
+			Followers:   restartedFollowers,
+			Missed:      restartHistory + 4,
+		},
+		fromDisk:  restartedFollowers,
+		snapshots: restartedFollowers,
+	},
+	{
+		restartOptions: restartOptions{
+			Description: "with empty disks",
+			Followers:   restartedFollowers,
+			EmptyDisks:  true,
+			Missed:      3,
+		},
+		snapshots: restartedFollowers,
+	},
+	{
+		restartOptions: restartOptions{Description: "half of them", Followers: restartedFollowers / 2, Missed: 3},
+		fromDisk:       restartedFollowers / 2,
+	},
+	{
+		restartOptions: restartOptions{
+			Description:       "no publisher up, with their disks",
+			Followers:         restartedFollowers,
+			WithoutPublishers: true,
+		},
+		fromDisk: restartedFollowers,
+	},
+	{
+		restartOptions: restartOptions{
+			Description:       "no publisher up, with empty disks",
+			Followers:         restartedFollowers,
+			EmptyDisks:        true,
+			WithoutPublishers: true,
+		},
+		snapshots: restartedFollowers,
+	},
+}
+
 // Followers that restart at once go on from their disks and get deltas; snapshots go to those alone that have no disk
 // or that missed more than the publishers keep.
 func TestRestartedFollowersResumeFromDisk(t *testing.T) {
-	const followers = 200
-	const historyDeltas = 16 // of the publishers
 	ctx := testContext(t)
 	g := startGroup(ctx, t, Options{
-		Followers: followers,
+		Followers: restartedFollowers,
 		Content:   smallContent,
-		Settings:  rollout.PublisherSettings{HistoryDeltas: historyDeltas},
+		Settings:  rollout.PublisherSettings{HistoryDeltas: restartHistory},
 	})
 	defer g.Close()
-	for _, test := range []struct {
-		restartOptions
-		fromDisk  int
-		snapshots int
-	}{
-		{
-			restartOptions: restartOptions{Description: "with their disks", Followers: followers, Missed: 3},
-			fromDisk:       followers,
-		},
-		{
-			restartOptions: restartOptions{
-				Description: "more missed than the history has",
-				Followers:   followers,
-				Missed:      historyDeltas + 4,
-			},
-			fromDisk:  followers,
-			snapshots: followers,
-		},
-		{
-			restartOptions: restartOptions{
-				Description: "with empty disks",
-				Followers:   followers,
-				EmptyDisks:  true,
-				Missed:      3,
-			},
-			snapshots: followers,
-		},
-		{
-			restartOptions: restartOptions{Description: "half of them", Followers: followers / 2, Missed: 3},
-			fromDisk:       followers / 2,
-		},
-		{
-			restartOptions: restartOptions{
-				Description:       "no publisher up, with their disks",
-				Followers:         followers,
-				WithoutPublishers: true,
-			},
-			fromDisk: followers,
-		},
-		{
-			restartOptions: restartOptions{
-				Description:       "no publisher up, with empty disks",
-				Followers:         followers,
-				EmptyDisks:        true,
-				WithoutPublishers: true,
-			},
-			snapshots: followers,
-		},
-	} {
+	for _, test := range restartTests {
 		result, err := g.restartFollowers(ctx, test.restartOptions)
 		if err != nil {
 			t.Fatalf("%s: %v", test.Description, err)
--- a/lab/rollout/hollow/report.go
+++ b/lab/rollout/hollow/report.go
@@ -140,8 +140,8 @@
 	for _, point := range r.Axis.Points {
 		fmt.Fprintf(w, " %d |", point.Followers)
 	}
-	fmt.Fprintf(w, " exponent, residual | form, error | budget | of it at most |\n| --- | --- |%s --- | --- | --- | --- |\n",
-		strings.Repeat(" --- |", len(r.Axis.Points)))
+	fmt.Fprint(w, " exponent, residual | form, error | budget | of it at most |\n")
+	fmt.Fprintf(w, "| --- | --- |%s --- | --- | --- | --- |\n", strings.Repeat(" --- |", len(r.Axis.Points)))
 	for i := range r.Metrics {
 		metric := &r.Metrics[i]
 		fmt.Fprintf(w, "| %s | %s |", metric.title(), metric.Description)
--- a/lab/scale/hollow/main.go
+++ b/lab/scale/hollow/main.go
@@ -1,6 +1,6 @@
 // Command hollow runs hollow gateways on the real clock, one for each configuration file in its arguments, until its
-// standard input ends. Package scale starts it beside real processes of the program. It reads queries as JSON values from
-// standard input and answers each with one on standard output.
+// standard input ends. Package scale starts it beside real processes of the program. It reads queries as JSON values
+// from standard input and answers each with one on standard output.
 package main
 
 import (
