--- a/lab/fleet/evenwindows.go
+++ b/lab/fleet/evenwindows.go
@@ -17,7 +17,7 @@
 	overloadFactor = 1.5 // of a host's share
 	overloadTick   = 100 * time.Millisecond
 	overloadTicks  = int(shortWindow / overloadTick) // of a window
-	minAttempts    = 5                               // of a host, below which its load tells nothing
+	minAttempts    = 5                               // by the share of a host, below which it counts as not overloaded
 )
 
 // measureAttempts returns the figures that depend on the attempts alone.
--- a/lab/rollout/hollow/point.go
+++ b/lab/rollout/hollow/point.go
@@ -304,7 +304,7 @@
 		const fewest = 3
 		if len(sizes) >= fewest && slices.Min(figures) > 0 {
 			fit := scale.NewFit(sizes, figures, metric.Counted)
-			fit.TopExponent = 0 // told for sizes that grow by equal factors alone, and infinite for some others
+			fit.TopExponent = 0 // of use for sizes that grow by equal factors alone; infinite for some others
 			axis.Fits[metric.Name] = fit
 		}
 	}
--- a/lab/scale/axes.go
+++ b/lab/scale/axes.go
@@ -92,7 +92,7 @@
 		},
 		{
 			Name: "services",
-			Note: "not modelled: the program knows no service; hosts are listed in as many cells instead, which nothing reads",
+			Note: "not modelled: the program has no services; hosts are listed in as many cells instead, which nothing reads",
 			Base: withChange(func(d *Deployment) {
 				d.Hosts = 2048
 			}),
--- a/lab/scale/clock.go
+++ b/lab/scale/clock.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"golang.org/x/sys/unix"
 )
@@ -24,17 +25,17 @@
 // CPUMeter measures the processor time of work by the clock of the calling thread (clock_gettime, thread CPU time),
 // so that neither other processes nor the garbage collector's threads count. The caller is locked to its thread.
 type CPUMeter struct {
-	overhead  int64 // nanoseconds that reading the clock twice adds
-	durations [workKinds][]int64
+	overhead  time.Duration // that reading the clock twice adds
+	durations [workKinds][]time.Duration
 }
 
 // calibrations is how often the clock is read to measure what reading it takes.
 const calibrations = 1001
 
-// NewCPUMeter returns a meter that knows what the measurement itself takes.
+// NewCPUMeter returns a meter that subtracts what the measurement itself takes.
 func NewCPUMeter() *CPUMeter {
 	p := &CPUMeter{}
-	var reads []int64
+	var reads []time.Duration
 	for range calibrations {
 		reads = append(reads, threadTime(func() {}))
 	}
@@ -43,26 +44,26 @@
 	return p
 }
 
-// Measure does some work and returns its processor time in nanoseconds.
-func (p *CPUMeter) Measure(kind Work, work func()) int64 {
+// Measure does some work and returns its processor time.
+func (p *CPUMeter) Measure(kind Work, work func()) time.Duration {
 	took := max(threadTime(work)-p.overhead, 0)
 	p.durations[kind] = append(p.durations[kind], took)
 	return took
 }
 
 // Reset drops what was measured.
-func (p *CPUMeter) Reset() { p.durations = [workKinds][]int64{} }
+func (p *CPUMeter) Reset() { p.durations = [workKinds][]time.Duration{} }
 
-// Total returns the processor time of a kind of work, in nanoseconds, and how often it was done.
-func (p *CPUMeter) Total(kind Work) (total int64, times int) {
+// Total returns the processor time of a kind of work, and how often it was done.
+func (p *CPUMeter) Total(kind Work) (total time.Duration, times int) {
 	for _, one := range p.durations[kind] {
 		total += one
 	}
 	return total, len(p.durations[kind])
 }
 
-// Sum returns the processor time of several kinds of work, in nanoseconds.
-func (p *CPUMeter) Sum(kinds ...Work) (total int64) {
+// Sum returns the processor time of several kinds of work.
+func (p *CPUMeter) Sum(kinds ...Work) (total time.Duration) {
 	for _, kind := range kinds {
 		one, _ := p.Total(kind)
 		total += one
@@ -70,8 +71,8 @@
 	return total
 }
 
-// Min returns the least processor time of a kind of work, in nanoseconds; 0 if none was done.
-func (p *CPUMeter) Min(kind Work) int64 {
+// Min returns the least processor time of a kind of work; 0 if none was done.
+func (p *CPUMeter) Min(kind Work) time.Duration {
 	if len(p.durations[kind]) == 0 {
 		return 0
 	}
@@ -84,11 +85,11 @@
 	return float64(total) / float64(max(times, 1))
 }
 
-// threadTime returns the processor time of the calling thread during some work, in nanoseconds.
-func threadTime(work func()) int64 {
+// threadTime returns the processor time of the calling thread during some work.
+func threadTime(work func()) time.Duration {
 	var before, after unix.Timespec
 	unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &before)
 	work()
 	unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &after)
-	return after.Nano() - before.Nano()
+	return time.Duration(after.Nano() - before.Nano())
 }
--- a/lab/scale/deployment.go
+++ b/lab/scale/deployment.go
@@ -31,7 +31,7 @@
 	HostGroups           int     // stand-in for services: cells that the hosts are listed in
 	Plans                int     // quota plans
 	Classes              int     // request classes
-	Customers            int     // that each gateway knows; each has its first request at every gateway
+	Customers            int     // with a record at each gateway; each has its first request at every gateway
 	RequestRate          float64 // a second at each gateway
 	HostChanges          float64 // of one host's state, a second
 	ConfigurationChanges float64 // a second; each is taken in by all gateways
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -10,7 +10,6 @@
 
 const (
 	gcPercent           = 100 // percent; the program's 400 would take five times the live heap of all gateways
-	nanosPerSecond      = 1e9
 	nanosPerMillisecond = 1e6
 	nanosPerMicrosecond = 1e3
 )
@@ -126,7 +125,7 @@
 		return nil, err
 	}
 	_, allocated := heap()
-	figures = Figures{StartTime: float64(s.CPU.Min(Start)) / nanosPerSecond,
+	figures = Figures{StartTime: s.CPU.Min(Start).Seconds(),
 		StartAllocated: float64(allocated-allocatedBefore) / float64(d.Gateways)}
 	if err := s.measurePhases(figures, lengths); err != nil {
 		return nil, err
@@ -230,7 +229,7 @@
 	w.configurationIn = float64(after.ConfigurationIn-before.ConfigurationIn) / per
 	w.allocated = float64(allocated-allocatedBefore) / per
 	cpu := s.CPU.Sum(Start, Tick, Message, Arrival, Answer, Membership, Reconfigured)
-	w.share = float64(cpu) / nanosPerSecond / per
+	w.share = cpu.Seconds() / per
 	return w, nil
 }
 
--- a/lab/scale/product.go
+++ b/lab/scale/product.go
@@ -102,8 +102,8 @@
 	return []Product{
 		{
 			Name: "customers by gateways",
-			Note: "live heap: a record of each customer at each gateway, with an entry for each gateway that it hears " +
-				"or tells",
+			Note: "live heap: a record of each customer at each gateway, with an entry for each gateway with " +
+				"which it exchanges gossip",
 			Base:    withChange(func(d *Deployment) { d.RequestRate = 2 }),
 			First:   customers.at(64, 256, 1024, 2048),
 			Second:  gateways.at(16, 64, 256),
--- a/lab/scale/simulation.go
+++ b/lab/scale/simulation.go
@@ -106,7 +106,7 @@
 	}
 	s.gateways[index] = h
 	s.timers[index] = 0
-	s.busyUntil[index] = s.now + took
+	s.busyUntil[index] = s.now + int64(took)
 	s.scheduleTimer(h)
 	return nil
 }
@@ -277,7 +277,7 @@
 		}
 	})
 	index := h.Index()
-	s.busyUntil[index] = max(s.busyUntil[index], s.now) + took
+	s.busyUntil[index] = max(s.busyUntil[index], s.now) + int64(took)
 	s.scheduleTimer(h)
 }
 
