--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -121,15 +121,23 @@
 func (s *RealTimeGateway) follow(ctx context.Context, address string, version int64) {
 	for ctx.Err() == nil {
 		var feed discovery.PendingRead
-		discovery.Watch(ctx, sockets.Kernel{}, address, version, discovery.NewTimeouts(false), &feed, func() {},
-			func(text string) {
-				taken := make(chan int64, 1)
-				s.do(func() {
-					s.hollow.ApplyHostList(text, false)
-					taken <- s.hollow.endpoints.Version
-				})
-				version = <-taken
+		onList := func(text string) {
+			taken := make(chan int64, 1)
+			s.do(func() {
+				s.hollow.ApplyHostList(text, false)
+				taken <- s.hollow.endpoints.Version
 			})
+			version = <-taken
+		}
+		discovery.Watch(ctx, discovery.WatchOptions{
+			System:     sockets.Kernel{},
+			Address:    address,
+			After:      version,
+			Timeouts:   discovery.NewTimeouts(false),
+			Pending:    &feed,
+			OnReceived: func() {},
+			OnList:     onList,
+		})
 		select {
 		case <-time.After(discovery.RewatchDelay):
 		case <-ctx.Done():
--- /dev/null
+++ b/lab/stylecheck/exceptions_test.go
@@ -0,0 +1,79 @@
+package stylecheck
+
+import (
+	"slices"
+	"strings"
+)
+
+// exception allows a place to break a rule.
+type exception struct {
+	rule     rule
+	file     string
+	function string // such as Type.Method; empty: each place of the file
+	reason   string
+}
+
+// place returns the file, with the function if the exception is one function's.
+func (e exception) place() string {
+	if e.function == "" {
+		return e.file
+	}
+	return e.file + " " + e.function
+}
+
+func (e exception) covers(f finding) bool {
+	return e.rule == f.rule && e.file == f.file && (e.function == "" || e.function == f.function)
+}
+
+// except returns the findings that no exception covers, and the exceptions that cover none.
+func except(findings []finding, exceptions []exception) (faults []finding, unused []exception) {
+	for _, found := range findings {
+		if !slices.ContainsFunc(exceptions, func(e exception) bool { return e.covers(found) }) {
+			faults = append(faults, found)
+		}
+	}
+	for _, e := range exceptions {
+		if !slices.ContainsFunc(findings, e.covers) {
+			unused = append(unused, e)
+		}
+	}
+	return faults, unused
+}
+
+// allow returns exceptions from a rule with one reason. A place is a file, or a file, a space and a function.
+func allow(rule rule, reason string, places ...string) (exceptions []exception) {
+	for _, place := range places {
+		file, function, _ := strings.Cut(place, " ")
+		exceptions = append(exceptions, exception{rule: rule, file: file, function: function, reason: reason})
+	}
+	return exceptions
+}
+
+// exceptions are the places that may break a rule, each with the reason.
+var exceptions = slices.Concat(
+	allow(functionLength, "a table of cases",
+		"configsync/codec_test.go TestDecodeRefusesMalformedFrames",
+		"lab/fleet/checks_test.go TestEachCheckFindsItsViolation",
+		"lab/knownred/knownred_test.go TestOnlyNamedTestsArePassedOver",
+	),
+	allow(testName, "named by what it fuzzes",
+		"configsync/codec_test.go FuzzDecode",
+		"configsync/document_test.go FuzzApply",
+		"internal/frames/frames_test.go FuzzReader",
+		"internal/poolrunner/codec_test.go FuzzDecode",
+		"internal/publisher/content_test.go FuzzContent",
+		"internal/resp/parser_test.go FuzzParser",
+	),
+	allow(testName, "named by what it measures",
+		"configsync/bench_test.go BenchmarkApply",
+		"configsync/bench_test.go BenchmarkPublish",
+		"configsync/bench_test.go BenchmarkSnapshot",
+		"configsync/bench_test.go BenchmarkFile",
+		"configsync/bench_test.go BenchmarkSince",
+		"counterfactual/folder_test.go BenchmarkFold",
+		"internal/bufconn/link_test.go BenchmarkReading",
+		"internal/clients/command_test.go BenchmarkCommands",
+		"internal/config/live_benchmark_test.go BenchmarkRestore",
+		"internal/peers/peers_test.go BenchmarkChange",
+	),
+)
