--- a/lab/stylecheck/exceptions_test.go
+++ b/lab/stylecheck/exceptions_test.go
@@ -55,7 +55,6 @@
 		"configsync/codec_test.go TestDecodeRefusesMalformedFrames",
 		"lab/fleet/checks_test.go TestEachCheckFindsItsViolation",
 		"lab/knownred/knownred_test.go TestOnlyNamedTestsArePassedOver",
-		"lab/rollout/hollow/hollow_test.go TestRestartedFollowersResumeFromDisk",
 	),
 	allow(testName, "named by what it fuzzes",
 		"configsync/codec_test.go FuzzDecode",
