--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -76,7 +76,8 @@
 	dropped    atomic.Int64
 	caughtUp   atomic.Uint64 // the latest term in which CatchUp succeeded
 	machine    *trackedMachine
-	replayed   atomic.Bool // CaughtUp has been true
+	replayed   atomic.Bool   // CaughtUp has been true
+	closed     chan struct{} // closed when the library has shut down
 }
 
 // Open starts a replica of the state machine. It listens, opens the log and takes part in elections from then on.
@@ -88,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Replica{cfg: cfg, machine: &trackedMachine{FSM: machine}}
+	r := &Replica{cfg: cfg, machine: &trackedMachine{FSM: machine}, closed: make(chan struct{})}
 	r.id, err = identity(cfg.Dir, cfg.Index)
 	if err != nil {
 		return nil, err
@@ -154,6 +155,7 @@
 func (r *Replica) Close() {
 	r.disk.close()
 	r.raft.Shutdown().Error()
+	close(r.closed)
 	r.membership.close()
 	r.release()
 }
@@ -219,24 +221,39 @@
 
 // Propose proposes an entry to the group, in the order of the calls. The timeout is for a place in the queue.
 func (r *Replica) Propose(entry []byte, timeout time.Duration) Proposal {
-	return Proposal{r.raft.Apply(entry, timeout)}
+	return Proposal{replica: r, future: r.raft.Apply(entry, timeout)}
 }
 
 // Proposal is an entry that was proposed to the group.
 type Proposal struct {
-	future raft.ApplyFuture
+	replica *Replica
+	future  raft.ApplyFuture
 }
 
 // Wait waits for the outcome and returns the result of the entry in the state machine of this replica. The error is
-// ErrNotLeader if the entry was not accepted, and wraps ErrUnknownOutcome if it may be committed later.
+// ErrNotLeader if the entry was not accepted, and wraps ErrUnknownOutcome if it may be committed later or the replica
+// is closed.
 func (p Proposal) Wait() (any, error) {
-	err := outcomeError(p.future.Error())
+	err := p.replica.wait(p.future)
 	if err != nil {
 		return nil, err
 	}
 	return p.future.Response(), nil
 }
 
+// wait waits for a future until the replica is closed. The library does not answer the futures of entries that were
+// committed but not applied when it shut down.
+func (r *Replica) wait(future raft.Future) error {
+	outcome := make(chan error, 1)
+	go func() { outcome <- future.Error() }()
+	select {
+	case err := <-outcome:
+		return outcomeError(err)
+	case <-r.closed:
+		return outcomeError(raft.ErrRaftShutdown)
+	}
+}
+
 // outcomeError returns the error of this package for one of the library.
 func outcomeError(err error) error {
 	switch {
@@ -255,7 +272,7 @@
 	if r.caughtUp.Load() == term {
 		return nil
 	}
-	err := outcomeError(r.raft.Barrier(timeout).Error())
+	err := r.wait(r.raft.Barrier(timeout))
 	if err == nil {
 		r.caughtUp.Store(term)
 	}
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -79,6 +79,15 @@
 }
 
 func newGroup(t *testing.T) *group {
+	g := newClosedGroup(t)
+	for i := range g.replicas {
+		g.open(i)
+	}
+	return g
+}
+
+// newClosedGroup returns a group of replicas that are not open.
+func newClosedGroup(t *testing.T) *group {
 	g := &group{t: t, lists: make([]*list, 3), replicas: make([]*Replica, 3)}
 	for range 3 {
 		host := netip.AddrFrom4([4]byte{127, byte(64 + rand.IntN(64)), byte(rand.IntN(256)), byte(1 + rand.IntN(254))})
@@ -95,9 +104,6 @@
 			g.close(i)
 		}
 	})
-	for i := range g.replicas {
-		g.open(i)
-	}
 	return g
 }
 
