--- a/lab/fleet/full_test.go
+++ b/lab/fleet/full_test.go
@@ -5,10 +5,11 @@
 	"flag"
 	"io"
 	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"ravensill/lab/figures"
 )
 
 var (
@@ -38,7 +39,7 @@
 			var text strings.Builder
 			must(t, Measure(ctx, io.MultiWriter(os.Stdout, &text), scenario, measuredBinaries()))
 			if *into != "" {
-				appendFile(t, *into, text.String())
+				must(t, figures.Append(*into, text.String()))
 			}
 			if strings.Contains(text.String(), violationPrefix) {
 				t.Error("a check is violated, see above")
@@ -58,13 +59,3 @@
 	}
 	return binaries
 }
-
-// appendFile adds text to a file and makes the file and its folder if need be.
-func appendFile(t *testing.T, path, text string) {
-	t.Helper()
-	must(t, os.MkdirAll(filepath.Dir(path), 0o755))
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-	must(t, err)
-	_, err = file.WriteString(text)
-	must(t, err, file.Close())
-}
--- a/lab/groundtruth/groundtruth_test.go
+++ b/lab/groundtruth/groundtruth_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"ravensill/lab/figures"
 	"ravensill/lab/simenv"
 )
 
@@ -69,7 +70,9 @@
 	t.Log(all.String())
 	checkScore(t, &all)
 	if os.Getenv("FULL_SIZE") == "1" {
-		appendFile(t, fleetFiguresFile, text.String())
+		if err := figures.Append(fleetFiguresFile, text.String()); err != nil {
+			t.Error(err)
+		}
 	}
 }
 
@@ -88,19 +91,6 @@
 	}
 }
 
-// appendFile adds text to a file.
-func appendFile(t *testing.T, path, text string) {
-	t.Helper()
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer file.Close()
-	if _, err := file.WriteString(text); err != nil {
-		t.Error(err)
-	}
-}
-
 // The further cost of a request with the section enabled is measured at full size, without a verdict.
 func TestFullSizeCost(t *testing.T) {
 	if os.Getenv("FULL_SIZE") != "1" {
--- a/lab/pools/pools_test.go
+++ b/lab/pools/pools_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"ravensill/lab/emulator"
+	"ravensill/lab/figures"
 	"ravensill/lab/fleet"
 )
 
@@ -82,12 +83,10 @@
 		return
 	}
 	load, _ := os.ReadFile("/proc/loadavg")
-	file, err := os.OpenFile(figuresFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	err := figures.Append(figuresFile, fmt.Sprintf("%s (load of the machine %.5s)\n", text, load))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
-	fmt.Fprintf(file, "%s (load of the machine %.5s)\n", text, load)
 }
 
 // The store's capacity holds with negotiated quotas. First come, first served is measured beside them, and at full size
--- a/lab/rollout/full_test.go
+++ b/lab/rollout/full_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"ravensill/lab/figures"
 )
 
 var (
@@ -71,7 +73,9 @@
 	text := fmt.Sprintf(format, args...)
 	fmt.Print(text)
 	if *into != "" {
-		appendFile(r.t, *into, text)
+		if err := figures.Append(*into, text); err != nil {
+			r.t.Fatal(err)
+		}
 	}
 }
 
@@ -177,15 +181,3 @@
 	}
 	return strings.Join(strings.Fields(string(text))[:3], " ")
 }
-
-// appendFile adds text to a file.
-func appendFile(t *testing.T, path, text string) {
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer file.Close()
-	if _, err := file.WriteString(text); err != nil {
-		t.Error(err)
-	}
-}
