--- a/lab/scale/deployment.go
+++ b/lab/scale/deployment.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"time"
 
+	"ravensill/lab/emulator"
 	"ravensill/lab/gatewayconfig"
 )
 
@@ -40,47 +41,43 @@
 	Live                 bool    // gateways follow publishers, so that a configuration change restarts none
 }
 
-// hostEntry is one host in discovery's list.
-type hostEntry struct {
-	ID        string  `json:"id"`
-	Address   string  `json:"addr"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"kind"`
-	Cell      int     `json:"cell"`
-	State     string  `json:"state"`
-	Weight    float64 `json:"weight"`
-	StartedMS int64   `json:"started_ms"`
-}
-
+// hostList is a host list as discovery sends it, or what changed in it.
 type hostList struct {
-	Version int         `json:"version"`
-	Full    bool        `json:"full"`
-	Servers []hostEntry `json:"servers"`
+	Version int              `json:"version"`
+	Full    bool             `json:"full"`
+	Servers []emulator.Entry `json:"servers"`
 }
 
 // host returns host i with a state.
-func (d Deployment) host(i int, state string) hostEntry {
+func (d Deployment) host(i int, state string) emulator.Entry {
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7000)
-	return hostEntry{ID: fmt.Sprintf("host-%06d", i), Address: address.String(), Zone: "a", Kind: "m",
-		Cell: i % max(d.HostGroups, 1), State: state, Weight: 1}
+	return emulator.Entry{
+		ID:     fmt.Sprintf("host-%06d", i),
+		Addr:   address.String(),
+		Zone:   "a",
+		Kind:   "m",
+		Cell:   i % max(d.HostGroups, 1),
+		State:  state,
+		Weight: 1,
+	}
 }
 
 // HostList returns the full host list as discovery sends it.
 func (d Deployment) HostList() ([]byte, error) {
 	list := hostList{Version: 1, Full: true}
 	for i := range d.Hosts {
-		list.Servers = append(list.Servers, d.host(i, "active"))
+		list.Servers = append(list.Servers, d.host(i, emulator.Active))
 	}
 	return json.Marshal(list)
 }
 
 // HostChange returns the nth change of the list: one host after another starts to drain and is active again.
 func (d Deployment) HostChange(n int) ([]byte, error) {
-	state := "leaving"
+	state := emulator.Leaving
 	if n%2 == 1 {
-		state = "active"
+		state = emulator.Active
 	}
-	return json.Marshal(hostList{Version: 2 + n, Servers: []hostEntry{d.host(n/2%d.Hosts, state)}})
+	return json.Marshal(hostList{Version: 2 + n, Servers: []emulator.Entry{d.host(n/2%d.Hosts, state)}})
 }
 
 // members returns the size of the fleet in the configuration.
