--- a/lab/logline/logline.go
+++ b/lab/logline/logline.go
@@ -3,6 +3,7 @@
 package logline
 
 import (
+	"log/slog"
 	"strconv"
 	"strings"
 	"time"
@@ -10,13 +11,8 @@
 	"ravensill/internal/logging"
 )
 
-const (
-	eventKey = "event"
-	timeKey  = "time"
-)
-
 // Event returns the event of a line. ok is false for a line without one, such as one of a stack trace.
-func Event(line string) (event string, ok bool) { return lookUp(line, eventKey) }
+func Event(line string) (event string, ok bool) { return lookUp(line, logging.MessageKey) }
 
 // Value returns the value of a key, without quotes; "" if the line does not have the key.
 func Value(line, key string) string {
@@ -35,7 +31,7 @@
 
 // Time returns the time of a line; the zero time if the line has none.
 func Time(line string) time.Time {
-	at, err := time.Parse(logging.TimeLayout, Value(line, timeKey))
+	at, err := time.Parse(logging.TimeLayout, Value(line, slog.TimeKey))
 	if err != nil {
 		return time.Time{}
 	}
