--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -6,11 +6,10 @@
 )
 
 const (
-	acceptGrace  = 450 * time.Millisecond // new clients still come for so long after the call to stop
-	maxDrainWait = 3 * time.Second        // of the longest client timeout: the platform counts no more
-	drainMargin  = 500 * time.Millisecond // it kills 0.7 s after that: by then all that was taken is answered
-	// after that clients are read to their end for a second; what stays then is cut off
-	lingerLimit = 1500 * time.Millisecond
+	acceptGrace  = 450 * time.Millisecond  // new clients are accepted for so long after the signal
+	maxDrainWait = 3 * time.Second         // at most, of the longest client timeout: platforms grant no more
+	drainMargin  = 500 * time.Millisecond  // beyond the client timeout; platforms kill 0.7 s beyond it
+	lingerLimit  = 1500 * time.Millisecond // from the drain to closing the connections that are left
 )
 
 // phase is how far the graceful shutdown has come. Each phase ends at Node.nextPhaseAt. Clients keep sending on
@@ -19,11 +18,11 @@
 type phase int
 
 const (
-	serving  phase = iota // not called to stop
-	stopping              // called to stop; new clients still come
-	closed                // no new clients; what is open is served until answerBy
-	draining              // connections end as soon as they are owed nothing
-	cutOff                // all that is left was closed
+	serving  phase = iota // no signal yet
+	stopping              // after the signal; new clients are still accepted
+	closed                // no new clients; open connections are served until answerBy
+	draining              // each connection ends once its requests are answered
+	cutOff                // the connections that were left are closed
 )
 
 // beginShutdown begins the graceful shutdown. A gateway that does not accept clients yet ends at once.
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -9,6 +9,16 @@
 	"ravensill/internal/gossip"
 )
 
+// anyArrival is a request that has time enough.
+var anyArrival = gateway.Event{
+	Kind:      gateway.RequestArrived,
+	RequestID: "a",
+	Customer:  "c",
+	Spread:    1,
+	Units:     1,
+	Deadline:  gateway.Time(10 * time.Second),
+}
+
 // The cost of a timer, a request and a message does not grow with the list. Records outside the subset are
 // corrupted, so that a walk over them panics.
 func TestRequestWalksOnlyNearbyEndpoints(t *testing.T) {
@@ -40,14 +50,7 @@
 			h.health = []health{{lastGood: gateway.Time(2 * time.Second), unansweredFraction: 0.2}}
 		}
 	}
-	decide(2*gateway.Time(time.Second), gateway.Event{Kind: gateway.TimerFired}, gateway.Event{
-		Kind:      gateway.RequestArrived,
-		RequestID: "a",
-		Customer:  "c",
-		Spread:    1,
-		Units:     1,
-		Deadline:  gateway.Time(10 * time.Second),
-	})
+	decide(2*gateway.Time(time.Second), gateway.Event{Kind: gateway.TimerFired}, anyArrival)
 	if len(sim.gateways[0].messages) == 0 {
 		t.Fatal("no message to a peer")
 	}
@@ -57,7 +60,7 @@
 	}
 	far := g.endpoints.all[slices.IndexFunc(g.endpoints.all, func(h *endpoint) bool { return !h.InSubset })]
 	if g.endpoints.clearSuspicion(far.gossipTag(0)); far.health[0].unansweredFraction != 0.2 {
-		t.Error("a peer's message walked to a host that is not near")
+		t.Error("a peer's message walked to a host that is not nearby")
 	}
 	if len(g.endpoints.lastWeighed) != len(g.endpoints.nearby) || g.Gauges().InFlight != 1 {
 		t.Errorf("%d hosts were weighed for a request, %d are nearby, %d requests are in flight",
@@ -96,15 +99,7 @@
 // A timer walks only endpoints with attempts in flight, also if every endpoint is in the subset.
 func TestTimerAtRestWalksNoEndpoint(t *testing.T) {
 	sim, g := newGatewayWithEndpoints(1, 1000)
-	arrival := gateway.Event{
-		Kind:      gateway.RequestArrived,
-		RequestID: "a",
-		Customer:  "c",
-		Spread:    1,
-		Units:     1,
-		Deadline:  gateway.Time(10 * time.Second),
-	}
-	g.Decide(&gateway.Batch{Now: gateway.Time(time.Second), Events: []gateway.Event{arrival}}, sim.gateways[0])
+	g.Decide(&gateway.Batch{Now: gateway.Time(time.Second), Events: []gateway.Event{anyArrival}}, sim.gateways[0])
 	for _, h := range g.endpoints.all {
 		if len(h.inFlight) == 0 {
 			h.inFlight = []*attempt{nil}
