--- a/configsync/configsync.go
+++ b/configsync/configsync.go
@@ -8,6 +8,8 @@
 // docs/configuration-sync.md compares the options.
 package configsync
 
+import "encoding/hex"
+
 // LogID names one replicated log of versions. It is drawn at random once, when the publishers' log is created.
 // Versions of different logs can't be compared, so a gateway with a version of one log accepts no message of another.
 type LogID string
@@ -20,6 +22,15 @@
 // in.
 type Digest [32]byte
 
+// shortDigestBytes is the number of bytes of a short digest.
+const shortDigestBytes = 8
+
+// Hex returns the digest in hexadecimal digits.
+func (d Digest) Hex() string { return hex.EncodeToString(d[:]) }
+
+// Short returns the first digits of the digest, for log lines.
+func (d Digest) Short() string { return hex.EncodeToString(d[:shortDigestBytes]) }
+
 // Resource names one part of the configuration. The kinds are listed at the constants below.
 type Resource string
 
--- a/internal/publisher/publish.go
+++ b/internal/publisher/publish.go
@@ -120,7 +120,7 @@
 	slog.Info("configuration_published",
 		"version", delta.To,
 		"changes", len(delta.Changes),
-		"digest", fmt.Sprintf("%x", delta.Digest[:8]),
+		"digest", delta.Digest.Short(),
 	)
 	return newPublication(delta), nil
 }
@@ -129,7 +129,7 @@
 	return Publication{
 		Log:     delta.Log,
 		Version: delta.To,
-		Digest:  hex.EncodeToString(delta.Digest[:]),
+		Digest:  delta.Digest.Hex(),
 		Changes: len(delta.Changes),
 	}
 }
@@ -140,7 +140,7 @@
 	defer p.mu.Unlock()
 	document := p.state.Document()
 	digest := document.Digest()
-	return Publication{Log: document.Log(), Version: document.Version(), Digest: hex.EncodeToString(digest[:])}
+	return Publication{Log: document.Log(), Version: document.Version(), Digest: digest.Hex()}
 }
 
 // createLog creates the log of versions if there is none.
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -1,7 +1,6 @@
 package publisher
 
 import (
-	"encoding/hex"
 	"log/slog"
 	"time"
 
@@ -72,7 +71,7 @@
 	digest := document.Digest()
 	status.Log = document.Log()
 	status.Version = document.Version()
-	status.Digest = hex.EncodeToString(digest[:])
+	status.Digest = digest.Hex()
 	status.Oldest = p.state.History().Oldest()
 	status.Connected = p.sender.Len()
 	now := time.Now()
--- a/internal/subscriber/status.go
+++ b/internal/subscriber/status.go
@@ -3,15 +3,12 @@
 import (
 	"cmp"
 	"context"
-	"encoding/hex"
 	"log/slog"
 	"time"
 
 	"ravensill/configsync"
 )
 
-const loggedDigestBytes = 8 // of the digest, in a log line
-
 // Status is the status of a subscriber.
 type Status struct {
 	Version   configsync.Version // in force
@@ -62,7 +59,7 @@
 	c := &s.Counters
 	return []slog.Attr{
 		slog.Uint64("version", uint64(s.Version)),
-		slog.String("digest", hex.EncodeToString(s.Digest[:loggedDigestBytes])),
+		slog.String("digest", s.Digest.Short()),
 		slog.Uint64("latest_version", uint64(s.Latest)),
 		slog.Uint64("refused_version", uint64(s.Refused)),
 		slog.String("publisher", cmp.Or(s.Publisher, "none")),
--- a/lab/rollout/hollow/followers.go
+++ b/lab/rollout/hollow/followers.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/hex"
 	"encoding/json"
 	"fmt"
 	"net/netip"
@@ -210,7 +209,7 @@
 			continue
 		}
 		status := follower.subscriber.Status()
-		if status.Version != version || hex.EncodeToString(status.Digest[:]) != digest {
+		if status.Version != version || status.Digest.Hex() != digest {
 			violations = append(violations, fmt.Sprintf("%s: has version %d with digest %x, not version %d with digest %s",
 				follower.name, status.Version, status.Digest, version, digest))
 		}
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -5,7 +5,6 @@
 
 import (
 	"context"
-	"encoding/hex"
 	"errors"
 	"fmt"
 	"path/filepath"
@@ -247,5 +246,5 @@
 func readDisk(gateway *fleet.Gateway) DiskState {
 	document, err := subscriber.Load(filepath.Join(gateway.Dir, diskFolder))
 	digest := document.Digest()
-	return DiskState{document.Version(), hex.EncodeToString(digest[:]), err}
+	return DiskState{document.Version(), digest.Hex(), err}
 }
