--- a/gateway/events.go
+++ b/gateway/events.go
@@ -104,7 +104,7 @@
 	Result       Result
 	Latency      time.Duration
 	Usage        int       // 1 + the customer's metered use in percent; 0: not reported
-	LoadReport   []float64 // as LoadReportForm.Fields; nil: not reported
+	LoadReport   []float64 // as LoadReportFormat.Fields; nil: not reported
 	ListKind     ListKind
 	Endpoints    []Endpoint
 	Peer         int    // member index of the sender
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -316,7 +316,7 @@
 	}
 }
 
-func (o *orderRecorder) Reconfigure(_ gateway.Time, update *gateway.Update) {
+func (o *orderRecorder) Reconfigure(_ gateway.Time, update *gateway.SettingsUpdate) {
 	o.calls <- fmt.Sprint(update.Members, " members")
 }
 
@@ -331,7 +331,7 @@
 	applied := make(chan struct{})
 	n.runOnLoop(func() { <-busy })
 	go func() {
-		n.Apply(1, &config.Revision{Update: gateway.Update{Members: 1}, MemberCount: 1})
+		n.Apply(1, &config.Revision{Update: gateway.SettingsUpdate{Members: 1}, MemberCount: 1})
 		close(applied)
 	}()
 	io.WriteString(conn, command("a", 1)+command("a", 2))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 // Decider is the decision module.
 type Decider interface {
 	Decide(batch *gateway.Batch, actions gateway.Actions)
-	Reconfigure(now gateway.Time, update *gateway.Update) // called between two batches
+	Reconfigure(now gateway.Time, update *gateway.SettingsUpdate) // called between two batches
 }
 
 // DecisionCounter is a Decider that counts its decisions. They are logged every countsLogInterval.
