--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -44,7 +44,7 @@
 	return listener, err
 }
 
-var errStopped = errors.New("called to stop before it had its addresses")
+var errStopRequested = errors.New("called to stop before it had its addresses")
 
 // listenWithRetry calls listen until it succeeds, as long as the address is in use or the machine lacks a resource for
 // it. key is the address's key in the configuration file.
@@ -67,7 +67,7 @@
 		}
 		select {
 		case <-stop:
-			return errStopped
+			return errStopRequested
 		case <-time.After(listenRetryInterval):
 		}
 	}
