--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -107,7 +107,7 @@
 	for _, member := range next.Members {
 		changed = append(changed, peers.Member{Index: member.Index, Address: member.Address})
 	}
-	n.peerTransport.SetMembers(changed, next.MemberCount)
+	n.peerTransport.UpdateMembers(changed, next.MemberCount)
 }
 
 func (n *Node) logRevision(next *revision) {
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -294,7 +294,7 @@
 			t.Fatalf("address %d: %v", i, err)
 		}
 		decoded := false
-		gossip.Format{Members: 2, ByID: true}.Decode(message[:n], func(uint64, uint64) bool {
+		gossip.Format{Members: 2, PlansByID: true}.Decode(message[:n], func(uint64, uint64) bool {
 			decoded = true
 			return false
 		}, nil, nil)
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -29,7 +29,7 @@
 func (n *Node) openSockets(stop <-chan struct{}) (listener *net.TCPListener, err error) {
 	if len(n.cfg.Peers) > 0 {
 		err = listenWithRetry("peer_listen", n.cfg.PeerListen, stop, func() (err error) {
-			format := gossip.Format{Plans: len(n.cfg.Plans), Members: len(n.cfg.Peers), ByID: n.cfg.Configuration != nil}
+			format := gossip.Format{Plans: len(n.cfg.Plans), Members: len(n.cfg.Peers), PlansByID: n.cfg.Configuration != nil}
 			n.peerTransport, err = peers.Open(n.system, n.cfg.PeerListen, n.cfg.Peers, format)
 			return err
 		})
--- a/logic/metrics.go
+++ b/logic/metrics.go
@@ -42,7 +42,7 @@
 	for reason, count := range g.rejected {
 		counts = append(counts, gateway.DecisionCount{Outcome: Reason(reason).String(), Count: count})
 	}
-	if g.format.ByID {
+	if g.format.PlansByID {
 		counts = append(counts, gateway.DecisionCount{Outcome: "counters_unmatched", Count: g.unmatchedCounters})
 	}
 	return counts
--- a/logic/settings_test.go
+++ b/logic/settings_test.go
@@ -174,7 +174,7 @@
 	sim.deliver(0, gateway.Event{Kind: gateway.TimerFired})
 	for _, body := range sim.gateways[0].messages {
 		sound := false
-		format := gossip.Format{Members: 3, ByID: true}
+		format := gossip.Format{Members: 3, PlansByID: true}
 		format.Decode(body, func(uint64, uint64) bool { sound = true; return false }, nil, nil)
 		if sound {
 			t.Error("a message of a fleet of 4 is read in one of 3")
