--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -39,8 +39,8 @@
 	state       *configsync.State
 	sender      *configsync.Sender
 	replaying   bool // the log is being replayed, so the sender is paused
-	connections map[configsync.FollowerID]*connection
-	lastID      configsync.FollowerID
+	connections map[configsync.ConnectionID]*connection
+	lastID      configsync.ConnectionID
 	lastWake    time.Time // when all writers were last woken
 	waking      bool      // they will be woken again after the version interval
 
@@ -81,7 +81,7 @@
 		cfg:         cfg,
 		system:      options.Sockets,
 		state:       configsync.NewState(cfg.History),
-		connections: map[configsync.FollowerID]*connection{},
+		connections: map[configsync.ConnectionID]*connection{},
 		replaying:   true,
 		mirror:      &mirror{},
 		done:        make(chan struct{}),
@@ -170,7 +170,7 @@
 	current := p.replica.Current()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sender.SetCurrent(current)
+	p.sender.SetHasQuorum(current)
 	if !caughtUp || !p.replaying {
 		return false
 	}
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -88,8 +88,8 @@
 		Connected:      member.Connected,
 		InForce:        member.InForce,
 		Refused:        member.Refused,
-		Resource:       member.Resource,
-		Reason:         member.Reason,
+		Resource:       member.RefusedResource,
+		Reason:         member.RefusalReason,
 		SinceMessageMS: now.Sub(member.LastMessage).Milliseconds(),
 	}
 }
