--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -56,10 +56,10 @@
 			return nil
 		}
 		timeout := addressInUseTimeout
-		if sockets.IsShortage(err) {
+		if sockets.IsResourceExhausted(err) {
 			timeout = shortageTimeout
 		}
-		if !sockets.IsTransient(err) || time.Since(began) > timeout {
+		if !sockets.IsTransientListenError(err) || time.Since(began) > timeout {
 			return fmt.Errorf("%s: %w", key, err)
 		}
 		if !logged {
@@ -75,7 +75,7 @@
 
 // logListenRetry logs that an address will be tried again for a time.
 func logListenRetry(key string, addr netip.AddrPort, timeout time.Duration, err error) {
-	if sockets.IsShortage(err) {
+	if sockets.IsResourceExhausted(err) {
 		slog.Warn("listen_address_unavailable", "key", key, "addr", addr, "wait", timeout, "error", err)
 	} else {
 		slog.Warn("listen_address_in_use", "key", key, "addr", addr, "wait", timeout, "error", err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -153,7 +153,7 @@
 		Plans:    cfg.PlanNames,
 		MaxUnits: make([]float64, 0, len(cfg.Plans)),
 		Members:  cfg.Membership.Count,
-		Own:      cfg.Membership.Index,
+		OwnIndex: cfg.Membership.Index,
 	}
 	for i := range cfg.Classes {
 		catalog.Effects = append(catalog.Effects, cfg.Classes[i].Effect)
