--- a/configsync/codec.go
+++ b/configsync/codec.go
@@ -7,29 +7,30 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A frame is the length of what follows (four bytes, big endian), one byte for the kind of the message, and the message
-// as CBOR (RFC 8949) with integer keys.
+// Layout of a frame: a header with the length of the rest of the frame (4 bytes, big endian), one byte for the kind of
+// the message, and the message as a CBOR map (RFC 8949) with integer keys.
 const (
-	FrameHeaderBytes = 4
+	FrameHeaderBytes = 4 // the length field
 	kindBytes        = 1
 )
 
-// Limits of the decoder. Messages nest three deep: the message, its changes, a change. A snapshot of the state nests
-// six deep: the state, its history, an entry, its delta, its changes, a change.
+// Decoder limits, which protect memory against malformed input. A message has three levels of nesting: the message, its
+// list of changes, and a change. A snapshot of the state has six: the state, its history, an entry, the entry's delta,
+// the delta's list of changes, and a change.
 const (
-	messageNesting  = 4
-	fileNesting     = 8
-	maxFields       = 16      // of one CBOR map
-	maxFileElements = 1 << 20 // of one CBOR array in a file, a command or a snapshot of the state
+	maxMessageNesting    = 4
+	maxFileNesting       = 8
+	maxMapPairs          = 16      // pairs in one CBOR map
+	maxFileArrayElements = 1 << 20 // elements in one CBOR array of a file, a command or a state snapshot
 )
 
 var (
 	encoder        = newEncoder()
-	messageDecoder = newDecoder(messageNesting, MaxDeltaChanges)
-	fileDecoder    = newDecoder(fileNesting, maxFileElements)
+	messageDecoder = newDecoder(maxMessageNesting, MaxDeltaChanges)
+	fileDecoder    = newDecoder(maxFileNesting, maxFileArrayElements)
 )
 
-// newEncoder returns an encoder that writes a nil slice as an empty one, so that equal states have equal bytes.
+// newEncoder returns an encoder that writes nil slices as empty ones, so that equal states encode to equal bytes.
 func newEncoder() cbor.EncMode {
 	mode, err := cbor.EncOptions{NilContainers: cbor.NilContainerAsEmpty}.EncMode()
 	if err != nil {
@@ -44,7 +45,7 @@
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
 		MaxNestedLevels:  nesting,
-		MaxMapPairs:      maxFields,
+		MaxMapPairs:      maxMapPairs,
 		MaxArrayElements: elements,
 	}.DecMode()
 	if err != nil {
@@ -53,16 +54,17 @@
 	return mode
 }
 
-// marshal encodes a type of this package; all of them can be encoded.
+// marshal encodes a value of one of this package's types as CBOR. It panics on failure, which none of them can cause.
 func marshal(value any) []byte {
 	body, err := encoder.Marshal(value)
 	if err != nil {
-		panic(fmt.Sprintf("configsync: %T can't be encoded: %v", value, err))
+		panic(fmt.Sprintf("configsync: encoding a %T as CBOR: %v", value, err))
 	}
 	return body
 }
 
-// Encode returns the frame of a message. Decode refuses the frame of a message beyond the bounds of this package.
+// Encode returns a message as a frame. It doesn't check the message: Decode rejects one that exceeds the limits of this
+// package.
 func Encode(message Message) []byte {
 	body := marshal(message)
 	frame := make([]byte, 0, FrameHeaderBytes+kindBytes+len(body))
@@ -71,32 +73,33 @@
 	return append(frame, body...)
 }
 
-// FrameSize reads the first FrameHeaderBytes of a frame and returns the number of bytes that follow them. The error
-// is a *MalformedError where the frame is longer than MaxFrameBytes, so that no memory is reserved for it.
+// FrameSize reads a frame's header, its first FrameHeaderBytes, and returns the number of bytes that follow it. It
+// returns a *MalformedError if the frame would be longer than MaxFrameBytes, so that the caller reserves no memory for
+// it, or too short to hold a message.
 func FrameSize(header []byte) (int, error) {
 	if len(header) < FrameHeaderBytes {
-		return 0, &MalformedError{Reason: "frame cut short"}
+		return 0, &MalformedError{Reason: "truncated frame header"}
 	}
 	size := binary.BigEndian.Uint32(header)
 	if size <= kindBytes || size > MaxFrameBytes-FrameHeaderBytes {
-		return 0, &MalformedError{Reason: fmt.Sprintf("a frame of %d bytes", size)}
+		return 0, &MalformedError{Reason: fmt.Sprintf("invalid frame length of %d bytes", size)}
 	}
 	return int(size), nil
 }
 
-// Decode reads one complete frame and checks the bounds of its message. The error is a *MalformedError, or a
-// *NotIncreasingError for a delta that leads backwards.
+// Decode decodes one complete frame and checks its message against the limits of this package. The error is a
+// *MalformedError, or a *VersionNotIncreasingError for a delta whose target version is not later than its start.
 func Decode(frame []byte) (Message, error) {
 	size, err := FrameSize(frame)
 	if err != nil {
 		return nil, err
 	}
 	if len(frame) != FrameHeaderBytes+size {
-		return nil, &MalformedError{Reason: "frame of another length than it says"}
+		return nil, &MalformedError{Reason: "frame length differs from the length in its header"}
 	}
-	message := newMessage(kind(frame[FrameHeaderBytes]))
+	message := newMessage(messageKind(frame[FrameHeaderBytes]))
 	if message == nil {
-		return nil, &MalformedError{Reason: "unknown kind of message"}
+		return nil, &MalformedError{Reason: "unknown message kind"}
 	}
 	err = messageDecoder.Unmarshal(frame[FrameHeaderBytes+kindBytes:], message)
 	if err != nil {
--- a/configsync/codec_test.go
+++ b/configsync/codec_test.go
@@ -11,6 +11,7 @@
 	"pgregory.net/rapid"
 )
 
+// testMessages has one message of each kind.
 var testMessages = []Message{
 	&Hello{
 		Protocol:     Protocol,
@@ -24,7 +25,14 @@
 		WantSnapshot: true,
 	},
 	&Delta{Log: testLog, From: 1, To: 3, Changes: []Change{set("limits", "1"), remove("plans/a")}, Digest: Digest{2}},
-	&SnapshotPart{Log: testLog, Version: 4, Digest: Digest{3}, Index: 1, PartCount: 2, Changes: []Change{set("plans/b", "2")}},
+	&SnapshotPart{
+		Log:       testLog,
+		Version:   4,
+		Digest:    Digest{3},
+		Index:     1,
+		PartCount: 2,
+		Changes:   []Change{set("plans/b", "2")},
+	},
 	&Heartbeat{Log: testLog, Latest: 9, HasQuorum: true},
 	&SnapshotDeferral{After: BackoffBase},
 	&PublisherBehind{Latest: 8},
@@ -37,73 +45,75 @@
 	for _, message := range testMessages {
 		got, err := Decode(Encode(message))
 		if err != nil || !cmp.Equal(got, message) {
-			t.Errorf("%T: %v, %v", message, err, cmp.Diff(got, message))
+			t.Errorf("%T: error %v, difference after decoding: %v", message, err, cmp.Diff(got, message))
 		}
 	}
 }
 
-// frameOf returns a frame with a kind and the bytes of a body.
-func frameOf(k kind, body string) []byte {
+// newFrame returns a frame of a message kind with any bytes as its body.
+func newFrame(k messageKind, body string) []byte {
 	frame := binary.BigEndian.AppendUint32(nil, uint32(1+len(body)))
 	return append(append(frame, byte(k)), body...)
 }
 
-// A frame that breaks a rule of its format, or a bound that protects memory, is refused.
+// Decode rejects frames that violate the format, and frames beyond the limits that protect memory against malformed or
+// hostile input.
 func TestDecodeRefusesMalformedFrames(t *testing.T) {
 	good := Encode(&Heartbeat{Log: testLog, Latest: 9})
-	wide := longPlans("", 9)
+	wide := maxSizePlans("", 9)
 	var many []Change
 	for i := range MaxDeltaChanges + 1 {
 		many = append(many, set(Resource(fmt.Sprintf("plans/%05d", i)), "1"))
 	}
-	manyFields := string([]byte{0xa0 | (maxFields + 1)}) // CBOR: a map with that many pairs
-	for key := range maxFields + 1 {
+	manyFields := string([]byte{0xa0 | (maxMapPairs + 1)}) // CBOR header of a map with that many pairs
+	for key := range maxMapPairs + 1 {
 		manyFields += string([]byte{byte(key + 1), 0})
 	}
 	unsorted := []Change{set("plans/a", "1"), set("limits", "1")}
 	longLog := LogID(strings.Repeat("x", MaxLogIDBytes+1))
 	for name, frame := range map[string][]byte{
-		"empty":              {},
-		"cut":                good[:len(good)-1],
-		"longer":             append(bytes.Clone(good), 0),
-		"more in the body":   frameOf(kindBehind, "\xa1\x01\x05\x00"),
-		"length 0":           {0, 0, 0, 0},
-		"length of another":  append([]byte{0, 0, 0, 9}, good[FrameHeaderBytes:]...),
-		"unknown kind":       frameOf(99, "\xa0"),
-		"no kind":            frameOf(0, "\xa0"),
-		"no body":            {0, 0, 0, 1, byte(kindBehind)},
-		"not CBOR":           frameOf(kindBehind, "\xff"),
-		"duplicate key":      frameOf(kindBehind, "\xa2\x01\x05\x01\x06"),
-		"indefinite length":  frameOf(kindBehind, "\xbf\x01\x05\xff"),
-		"tag":                frameOf(kindBehind, "\xa1\x01\xc0\x05"),
-		"nested":             frameOf(kindBehind, "\xa1\x02\x81\x81\x81\x81\x81\x05"),
-		"many fields":        frameOf(kindBehind, manyFields),
-		"huge array":         frameOf(kindDelta, "\xa1\x04\x9a\x7f\xff\xff\xff"),
-		"many changes":       Encode(&Delta{Log: testLog, To: 1, Changes: many}),
-		"wide delta":         Encode(&Delta{Log: testLog, To: 1, Changes: wide}),
-		"delta of no log":    Encode(&Delta{To: 1}),
-		"delta backwards":    Encode(&Delta{Log: testLog, From: 2, To: 1}),
-		"delta unsorted":     Encode(&Delta{Log: testLog, To: 1, Changes: unsorted}),
-		"long log":           Encode(&Heartbeat{Log: longLog}),
-		"log of other":       Encode(&LogMismatch{Log: longLog}),
-		"member":             Encode(&Hello{Member: MaxMembers}),
-		"negative member":    Encode(&Hello{Member: -1}),
-		"long name":          Encode(&Hello{Name: strings.Repeat("x", MaxGatewayNameBytes+1)}),
-		"version of no log":  Encode(&Hello{InForce: 1}),
-		"refused of no log":  Encode(&Hello{Refused: 1}),
-		"deferral backwards": Encode(&SnapshotDeferral{After: -1}),
-		"long reason":        Encode(&Refusal{Reason: strings.Repeat("x", MaxRefusalReasonBytes+1)}),
-		"resource":           Encode(&Refusal{Resource: "routes/a"}),
-		"part of none":       Encode(&SnapshotPart{Log: testLog, Version: 1}),
-		"part beyond":        Encode(&SnapshotPart{Log: testLog, Version: 1, Index: 1, PartCount: 1}),
-		"negative part":      Encode(&SnapshotPart{Log: testLog, Version: 1, Index: -1, PartCount: 1}),
-		"many in a part":     Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: many}),
-		"many parts":         Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: MaxSnapshotParts + 1}),
-		"part of version 0":  Encode(&SnapshotPart{Log: testLog, PartCount: 1}),
-		"part of no log":     Encode(&SnapshotPart{Version: 1, PartCount: 1}),
-		"wide part":          Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: wide[:5]}),
-		"removal in a part":  Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: []Change{remove("limits")}}),
-		"unsorted part":      Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: unsorted}),
+		"empty":                {},
+		"truncated":            good[:len(good)-1],
+		"extra byte":           append(bytes.Clone(good), 0),
+		"two CBOR items":       newFrame(kindPublisherBehind, "\xa1\x01\x05\x00"),
+		"length 0":             {0, 0, 0, 0},
+		"wrong length":         append([]byte{0, 0, 0, 9}, good[FrameHeaderBytes:]...),
+		"unknown kind":         newFrame(99, "\xa0"),
+		"no kind":              newFrame(0, "\xa0"),
+		"no body":              {0, 0, 0, 1, byte(kindPublisherBehind)},
+		"not CBOR":             newFrame(kindPublisherBehind, "\xff"),
+		"duplicate key":        newFrame(kindPublisherBehind, "\xa2\x01\x05\x01\x06"),
+		"indefinite length":    newFrame(kindPublisherBehind, "\xbf\x01\x05\xff"),
+		"tag":                  newFrame(kindPublisherBehind, "\xa1\x01\xc0\x05"),
+		"nested too deep":      newFrame(kindPublisherBehind, "\xa1\x02\x81\x81\x81\x81\x81\x05"),
+		"many fields":          newFrame(kindPublisherBehind, manyFields),
+		"huge array":           newFrame(kindDelta, "\xa1\x04\x9a\x7f\xff\xff\xff"),
+		"many changes":         Encode(&Delta{Log: testLog, To: 1, Changes: many}),
+		"delta too large":      Encode(&Delta{Log: testLog, To: 1, Changes: wide}),
+		"delta of no log":      Encode(&Delta{To: 1}),
+		"delta backwards":      Encode(&Delta{Log: testLog, From: 2, To: 1}),
+		"delta unsorted":       Encode(&Delta{Log: testLog, To: 1, Changes: unsorted}),
+		"long log":             Encode(&Heartbeat{Log: longLog}),
+		"long log of mismatch": Encode(&LogMismatch{Log: longLog}),
+		"member too large":     Encode(&Hello{Member: MaxMembers}),
+		"negative member":      Encode(&Hello{Member: -1}),
+		"long name":            Encode(&Hello{Name: strings.Repeat("x", MaxGatewayNameBytes+1)}),
+		"version of no log":    Encode(&Hello{InForce: 1}),
+		"refused of no log":    Encode(&Hello{Refused: 1}),
+		"deferral backwards":   Encode(&SnapshotDeferral{After: -1}),
+		"long reason":          Encode(&Refusal{Reason: strings.Repeat("x", MaxRefusalReasonBytes+1)}),
+		"invalid resource":     Encode(&Refusal{Resource: "routes/a"}),
+		"part of zero parts":   Encode(&SnapshotPart{Log: testLog, Version: 1}),
+		"part beyond":          Encode(&SnapshotPart{Log: testLog, Version: 1, Index: 1, PartCount: 1}),
+		"negative part":        Encode(&SnapshotPart{Log: testLog, Version: 1, Index: -1, PartCount: 1}),
+		"many in a part":       Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: many}),
+		"many parts":           Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: MaxSnapshotParts + 1}),
+		"part of version 0":    Encode(&SnapshotPart{Log: testLog, PartCount: 1}),
+		"part of no log":       Encode(&SnapshotPart{Version: 1, PartCount: 1}),
+		"part too large":       Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: wide[:5]}),
+		"removal in a part": Encode(
+			&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: []Change{remove("limits")}}),
+		"unsorted part": Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: unsorted}),
 	} {
 		if message, err := Decode(frame); err == nil {
 			t.Errorf("%s: decoded as %+v", name, message)
@@ -111,7 +121,7 @@
 	}
 	for _, size := range []uint32{0, 1, MaxFrameBytes - FrameHeaderBytes + 1, 1 << 31} {
 		if _, err := FrameSize(binary.BigEndian.AppendUint32(nil, size)); err == nil {
-			t.Errorf("a frame of %d bytes", size)
+			t.Errorf("FrameSize accepted a length of %d bytes", size)
 		}
 	}
 	size, err := FrameSize(binary.BigEndian.AppendUint32(nil, MaxFrameBytes-FrameHeaderBytes))
@@ -120,6 +130,8 @@
 	}
 }
 
+// A refusal with an overlong reason, invalid UTF-8 or an invalid resource name would be rejected as malformed by the
+// publisher, which would then never learn of the refusal. NewRefusal therefore makes it valid.
 func TestNewRefusalKeepsWithinBounds(t *testing.T) {
 	refusal := NewRefusal(6, "routes/a", "x"+strings.Repeat("ü", MaxRefusalReasonBytes)+"\xff")
 	got, err := Decode(Encode(refusal))
@@ -131,10 +143,11 @@
 	}
 }
 
+// Any delta between two documents can be encoded, decoded and applied.
 func TestDrawnDeltasRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		document := NewDocument(testLog)
-		delta := next(document, drawChanges(t)...)
+		delta := nextDelta(document, drawChanges(t)...)
 		got, err := Decode(Encode(delta))
 		if err != nil {
 			t.Fatal(err)
@@ -145,7 +158,8 @@
 	})
 }
 
-// A decoded message can be encoded and decoded again to the same message.
+// Any message that Decode accepts can be encoded, and the result decodes to the same message. A snapshot part doesn't
+// make the assembler panic.
 func FuzzDecode(f *testing.F) {
 	for _, message := range testMessages {
 		f.Add(Encode(message))
@@ -156,8 +170,8 @@
 			return
 		}
 		again, err := Decode(Encode(message))
-		if err != nil || printed(again) != printed(message) {
-			t.Fatalf("%v: %+v, then %+v", err, message, again)
+		if err != nil || formatMessage(again) != formatMessage(message) {
+			t.Fatalf("error %v: decoded as %+v, then as %+v", err, message, again)
 		}
 		if part, isPart := message.(*SnapshotPart); isPart {
 			_, _ = (&SnapshotAssembler{}).Add(part)
@@ -165,5 +179,5 @@
 	})
 }
 
-// printed returns a message as text, in which nil and empty slices are the same.
-func printed(message Message) string { return fmt.Sprintf("%+v", message) }
+// formatMessage returns a message as text. Nil and empty slices look the same in it, as they do in encoded messages.
+func formatMessage(message Message) string { return fmt.Sprintf("%+v", message) }
--- a/configsync/decision.go
+++ b/configsync/decision.go
@@ -1,46 +1,46 @@
 package configsync
 
-// DecisionKind is the kind of a Decision.
+// DecisionKind says which action a Decision asks the caller to take.
 type DecisionKind int
 
-// Kinds of decisions.
+// The actions of a Decision.
 const (
-	NoAction  DecisionKind = iota // do nothing but send Reply where it is set
-	Apply                         // apply Update at the gateway, then call Accept or Refuse
-	Reconnect                     // close the connection, then wait until NextAttempt
+	NoAction  DecisionKind = iota // keep the connection and send Reply if it is not nil
+	Apply                         // try to apply Update to the gateway, then call Accept or Refuse with the outcome
+	Reconnect                     // close the connection, wait until NextAttempt, then connect to Publisher
 )
 
-// Cause is the reason of a Reconnect. Its text is a field of a log line.
+// Cause is the reason for a Reconnect. Its text is logged as a field.
 type Cause string
 
-// The reasons of a Reconnect; FollowerCounters has a count for each.
+// The causes of a Reconnect. FollowerCounters counts each of them.
 const (
 	CauseLogMismatch      Cause = "the publisher has another log"
-	CauseVersionGap       Cause = "a delta from a version that is not held"
-	CauseDigestMismatch   Cause = "a version's content differs from its digest"
+	CauseVersionGap       Cause = "a delta starts from a version that is not in force"
+	CauseDigestMismatch   Cause = "the content of a version doesn't match its digest"
 	CauseMalformed        Cause = "a malformed message"
 	CauseSilent           Cause = "nothing heard from the publisher"
 	CauseNoQuorum         Cause = "the publisher has no contact with a quorum"
-	CauseStalled          Cause = "an announced version doesn't come"
-	CausePublisherBehind  Cause = "the publisher is behind"
-	CauseSnapshotDeferred Cause = "the publisher put a snapshot off"
+	CauseStalled          Cause = "an announced version was not received in time"
+	CausePublisherBehind  Cause = "the publisher has only older versions"
+	CauseSnapshotDeferred Cause = "the publisher deferred the snapshot"
 	CauseConnectionLost   Cause = "the connection failed"
 )
 
-// Decision is what the caller has to do after an event.
+// Decision is what the owner of a Follower has to do after an event. The zero value asks for nothing.
 type Decision struct {
 	Kind   DecisionKind
-	Cause  Cause   // of Reconnect
-	Err    error   // of Reconnect: details beyond Cause; nil: none
-	Reply  Message // to be sent; nil: none
-	Update *Update // of Apply
+	Cause  Cause   // set for Reconnect
+	Err    error   // may be set for Reconnect: details of Cause
+	Reply  Message // to be sent to the publisher; nil: nothing to send
+	Update *Update // set for Apply
 }
 
-// Update is a later version to put in force.
+// Update describes a version that the gateway is to put in force.
 type Update struct {
 	Log     LogID
-	From    Version // the version in force; 0: that of the gateway's own configuration file
+	From    Version // the version in force before; 0: the gateway's own configuration file
 	To      Version
-	Changes []Change // sorted, from the content in force
-	Delta   *Delta   // to be appended to the gateway's file; nil: the file has to be rewritten
+	Changes []Change // sorted changes from the content in force to that of To
+	Delta   *Delta   // to be appended to the gateway's file; nil: the file must be rewritten
 }
--- a/configsync/document.go
+++ b/configsync/document.go
@@ -10,38 +10,38 @@
 	"strings"
 )
 
-// Document is the content of one version: named resources with their values. Values are shared between documents,
-// deltas and histories, and are never changed in place. It is not safe for concurrent use.
+// Document is the complete content of one version: resources with their values. Documents, deltas and histories share
+// the byte slices of values, which must never be changed in place. A Document is not safe for concurrent use.
 type Document struct {
 	log       LogID
 	version   Version
 	digest    Digest
 	resources map[Resource][]byte
-	size      int // bytes of names and values
+	size      int // total bytes of names and values
 }
 
-// NewDocument returns the empty document, version 0 of a log. If log is empty, the document belongs to no log yet, and
-// belongs to that of the first delta that is applied.
+// NewDocument returns the empty document, which is version 0 of a log. If log is empty, the document belongs to no log
+// until the first delta is applied, and from then on to the log of that delta.
 func NewDocument(log LogID) *Document {
 	return &Document{log: log, resources: map[Resource][]byte{}}
 }
 
-// Log returns the log of the document's version, empty where it belongs to none yet.
+// Log returns the log that the document belongs to, or "" if it belongs to none yet.
 func (d *Document) Log() LogID { return d.log }
 
-// Version returns the version of the content.
+// Version returns the version number of the content within its log.
 func (d *Document) Version() Version { return d.version }
 
-// Digest returns the digest of the content. Apply updates it, so a call costs nothing.
+// Digest returns the digest of the content. Apply keeps it up to date, so that this call computes nothing.
 func (d *Document) Digest() Digest { return d.digest }
 
 // Len returns the number of resources.
 func (d *Document) Len() int { return len(d.resources) }
 
-// Bytes returns the number of bytes of all names and values.
+// Bytes returns the total size of all names and values, in bytes.
 func (d *Document) Bytes() int { return d.size }
 
-// Get returns the value of a resource, which must not be changed.
+// Get returns the value of a resource. The caller must not change the value.
 func (d *Document) Get(resource Resource) (value []byte, found bool) {
 	value, found = d.resources[resource]
 	return value, found
@@ -58,7 +58,7 @@
 	}
 }
 
-// Changes returns the complete content as sorted changes from the empty document.
+// Changes returns the complete content as the sorted changes that build it from the empty document.
 func (d *Document) Changes() []Change {
 	changes := make([]Change, 0, len(d.resources))
 	for resource, value := range d.All() {
@@ -67,15 +67,16 @@
 	return changes
 }
 
-// Clone returns a copy of the document that shares its values. Its cost is proportional to the number of resources.
+// Clone returns an independent copy of the document that shares the values. Its cost is proportional to the number of
+// resources.
 func (d *Document) Clone() *Document {
 	clone := *d
 	clone.resources = maps.Clone(d.resources)
 	return &clone
 }
 
-// Diff returns the sorted changes from the document to the wanted content, in which an empty value counts as no
-// resource.
+// Diff returns the sorted changes that lead from the document to the wanted content. An empty value in wanted means
+// that the resource is absent.
 func (d *Document) Diff(wanted map[Resource][]byte) []Change {
 	var changes []Change
 	for resource, value := range wanted {
@@ -92,18 +93,18 @@
 	return changes
 }
 
-// Check returns the error that Apply would return, and changes nothing. Its cost is proportional to the delta, not to
-// the document.
+// Check returns the error that Apply would return for a delta, and changes nothing. Its cost is proportional to the
+// size of the delta, not of the document.
 func (d *Document) Check(delta *Delta) error {
-	_, err := d.effect(delta)
+	_, err := d.checkDelta(delta)
 	return err
 }
 
-// Apply applies a delta to the document. The error is a *WrongLogError, *WrongFromError, *NotIncreasingError,
-// *MalformedError or *DigestError, and then nothing has changed. Its cost is proportional to the delta, not to the
-// document.
+// Apply applies a delta to the document. If it fails, the document is unchanged and the error is a *LogMismatchError,
+// *VersionMismatchError, *VersionNotIncreasingError, *MalformedError or *DigestMismatchError. Its cost is proportional
+// to the size of the delta, not of the document.
 func (d *Document) Apply(delta *Delta) error {
-	after, err := d.effect(delta)
+	after, err := d.checkDelta(delta)
 	if err != nil {
 		return err
 	}
@@ -121,15 +122,15 @@
 	return nil
 }
 
-// summary is what a document records about all of its resources.
+// summary holds the digest, the total size of names and values in bytes, and the number of a document's resources.
 type summary struct {
 	digest Digest
 	size   int
 	count  int
 }
 
-// effect returns the summary of the document after a delta, or an error if the delta can't be applied.
-func (d *Document) effect(delta *Delta) (summary, error) {
+// checkDelta returns the summary that the document would have after a delta, or an error if the delta can't be applied.
+func (d *Document) checkDelta(delta *Delta) (summary, error) {
 	if err := d.checkPosition(delta); err != nil {
 		return summary{}, err
 	}
@@ -146,8 +147,10 @@
 	return after, nil
 }
 
+// checkPosition returns an error unless a delta belongs to the document's log and leads from its version to a later
+// one.
 func (d *Document) checkPosition(delta *Delta) error {
-	if err := checkLog(delta.Log); err != nil {
+	if err := checkLogID(delta.Log); err != nil {
 		return err
 	}
 	if d.log != "" && d.log != delta.Log {
@@ -162,6 +165,7 @@
 	return nil
 }
 
+// summaryAfter returns the summary that the document would have after changes, at a cost proportional to the changes.
 func (d *Document) summaryAfter(changes []Change) summary {
 	after := summary{digest: d.digest, size: d.size, count: len(d.resources)}
 	for i := range changes {
@@ -182,13 +186,14 @@
 
 func (s *summary) check() error {
 	if s.size > MaxDocumentBytes || s.count > MaxDocumentResources {
-		return &MalformedError{Reason: "the document would be too large"}
+		return &MalformedError{Reason: "the document would exceed the limit for its size or its number of resources"}
 	}
 	return nil
 }
 
-// previous returns the present value of each resource to be changed, empty where it has none.
-func (d *Document) previous(changes []Change) []Change {
+// previousValues returns the values that changes would replace, in the same order. The value of an absent resource is
+// empty.
+func (d *Document) previousValues(changes []Change) []Change {
 	previous := make([]Change, len(changes))
 	for i, change := range changes {
 		previous[i] = Change{change.Resource, d.resources[change.Resource]}
@@ -196,14 +201,15 @@
 	return previous
 }
 
-// toggle adds a resource to the digest, or removes one that was added. The exclusive or detects faults; it doesn't
-// withstand an attacker who chooses values so that two documents agree.
+// toggle adds a resource to the digest, or removes it if it was added before: the digest is the exclusive or of the
+// SHA-256 hashes of all resources. It detects faults, but doesn't withstand an attacker who can choose values so that
+// two documents have the same digest.
 func (d *Digest) toggle(resource Resource, value []byte) {
-	text := make([]byte, 0, 4+len(resource)+len(value))
-	text = binary.BigEndian.AppendUint32(text, uint32(len(resource)))
-	text = append(text, resource...)
-	text = append(text, value...)
-	sum := sha256.Sum256(text)
+	input := make([]byte, 0, 4+len(resource)+len(value))
+	input = binary.BigEndian.AppendUint32(input, uint32(len(resource)))
+	input = append(input, resource...)
+	input = append(input, value...)
+	sum := sha256.Sum256(input)
 	for i := range d {
 		d[i] ^= sum[i]
 	}
--- a/configsync/document_test.go
+++ b/configsync/document_test.go
@@ -17,8 +17,8 @@
 
 func remove(resource Resource) Change { return Change{Resource: resource} }
 
-// next returns the delta that leads a document to its next version by sorted changes.
-func next(document *Document, changes ...Change) *Delta {
+// nextDelta returns the delta that leads from a document to its next version. The changes have to be sorted.
+func nextDelta(document *Document, changes ...Change) *Delta {
 	return &Delta{
 		Log:     testLog,
 		From:    document.Version(),
@@ -28,26 +28,27 @@
 	}
 }
 
+// newTestDocument returns a document of version 1 with the content that sorted changes set.
 func newTestDocument(t testing.TB, changes ...Change) *Document {
 	t.Helper()
 	document := NewDocument(testLog)
-	if err := document.Apply(next(document, changes...)); err != nil {
+	if err := document.Apply(nextDelta(document, changes...)); err != nil {
 		t.Fatal(err)
 	}
 	return document
 }
 
-// describe returns the complete document as text, for comparisons.
-func describe(d *Document) string {
+// formatDocument returns all that a document holds as text, for comparisons.
+func formatDocument(d *Document) string {
 	return fmt.Sprintf("%s %d %x %d %q", d.Log(), d.Version(), d.Digest(), d.Bytes(), d.Changes())
 }
 
-// A refused delta leaves the document as it was.
+// Apply returns the right type of error for each invalid delta and leaves the document unchanged.
 func TestApplyRefusesInvalidDelta(t *testing.T) {
 	long := strings.Repeat("x", MaxResourceNameBytes)
 	for name, test := range map[string]struct {
-		spoil func(*Delta)
-		want  error
+		corrupt func(*Delta)
+		want    error
 	}{
 		"other log":      {func(d *Delta) { d.Log = "log-b" }, &LogMismatchError{}},
 		"no log":         {func(d *Delta) { d.Log = "" }, &MalformedError{}},
@@ -62,34 +63,35 @@
 		"no name":        {func(d *Delta) { d.Changes[1].Resource = PlanPrefix }, &MalformedError{}},
 		"long name":      {func(d *Delta) { d.Changes[1].Resource = Resource(PlanPrefix + long) }, &MalformedError{}},
 		"long value":     {func(d *Delta) { d.Changes[1].Value = make([]byte, MaxValueBytes+1) }, &MalformedError{}},
-		"control":        {func(d *Delta) { d.Changes[1].Resource = "plans/a\n" }, &MalformedError{}},
+		"control char":   {func(d *Delta) { d.Changes[1].Resource = "plans/a\n" }, &MalformedError{}},
 		"not UTF-8":      {func(d *Delta) { d.Changes[1].Resource = "plans/\xff" }, &MalformedError{}},
-		"member":         {func(d *Delta) { d.Changes[0].Resource = "members/07" }, &MalformedError{}},
+		"leading zero":   {func(d *Delta) { d.Changes[0].Resource = "members/07" }, &MalformedError{}},
 		"large member":   {func(d *Delta) { d.Changes[0].Resource = "members/65536" }, &MalformedError{}},
 	} {
 		document := newTestDocument(t, set("classes/a", "1"), set("plans/a", "2"))
-		before := describe(document)
-		delta := next(document, set("members/7", "3"), remove("plans/a"))
-		test.spoil(delta)
+		before := formatDocument(document)
+		delta := nextDelta(document, set("members/7", "3"), remove("plans/a"))
+		test.corrupt(delta)
 		err := document.Apply(delta)
 		if reflect.TypeOf(err) != reflect.TypeOf(test.want) {
-			t.Errorf("%s: %T %v", name, err, err)
+			t.Errorf("%s: unexpected error %T %v", name, err, err)
 		}
-		if describe(document) != before {
-			t.Errorf("%s: the document changed", name)
+		if formatDocument(document) != before {
+			t.Errorf("%s: the refused delta changed the document", name)
 		}
 	}
 }
 
+// A delta may fill a document up to MaxDocumentBytes, and not beyond.
 func TestApplyBoundsDocumentSize(t *testing.T) {
 	document := NewDocument(testLog)
 	document.size = MaxDocumentBytes - 10
-	err := document.Apply(next(document, set("plans/a", "1234")))
+	err := document.Apply(nextDelta(document, set("plans/a", "1234")))
 	var malformed *MalformedError
 	if !errors.As(err, &malformed) {
 		t.Error(err)
 	}
-	if err := document.Apply(next(document, set("plans/a", "123"))); err != nil {
+	if err := document.Apply(nextDelta(document, set("plans/a", "123"))); err != nil {
 		t.Error(err)
 	}
 }
@@ -102,9 +104,9 @@
 		LogID(make([]byte, MaxLogIDBytes)):   true,
 		LogID(make([]byte, MaxLogIDBytes+1)): false,
 	} {
-		err := checkLog(log)
+		err := checkLogID(log)
 		if (err == nil) != valid {
-			t.Errorf("%q: %v", log, err)
+			t.Errorf("checkLogID(%q): %v", log, err)
 		}
 	}
 }
@@ -114,12 +116,13 @@
 		after := summary{count: count}
 		err := after.check()
 		if (err == nil) != valid {
-			t.Errorf("%d resources: %v", count, err)
+			t.Errorf("check of %d resources: %v", count, err)
 		}
 	}
 }
 
-// A digest covers names, values and the boundary between them.
+// The digest covers the names, the values and the boundary between them, and its value is fixed: a change of it would
+// make gateways and publishers of different releases disagree.
 func TestDigestCoversNamesAndValues(t *testing.T) {
 	digests := map[Digest]Change{}
 	for _, change := range []Change{
@@ -134,43 +137,44 @@
 		}
 		digests[digest] = change
 	}
-	want := Digest(sha256.Sum256([]byte("\x00\x00\x00\x07plans/ab1"))) // gateways of other versions compare it
+	want := Digest(sha256.Sum256([]byte("\x00\x00\x00\x07plans/ab1"))) // other releases compute the same digest
 	if digest := newTestDocument(t, set("plans/a", "b1")).Digest(); digest != want {
-		t.Errorf("%x", digest)
+		t.Errorf("the digest of a document has changed to %x", digest)
 	}
 }
 
 func TestCloneIsIndependent(t *testing.T) {
 	document := newTestDocument(t, set("plans/a", "1"))
 	clone := document.Clone()
-	if err := clone.Apply(next(clone, remove("plans/a"))); err != nil {
+	if err := clone.Apply(nextDelta(clone, remove("plans/a"))); err != nil {
 		t.Fatal(err)
 	}
 	if _, found := document.Get("plans/a"); !found {
-		t.Error("changed with its clone:", describe(document))
+		t.Error("a change of the clone changed the document:", formatDocument(document))
 	}
 	if clone.Len() != 0 || clone.Bytes() != 0 || clone.Digest() != (Digest{}) {
-		t.Error("not empty:", describe(clone))
+		t.Error("the clone is not empty after the removal:", formatDocument(clone))
 	}
 }
 
-// A change costs the same in a large document: a digest of all resources would take an allocation for each.
+// Applying a change costs the same whatever the size of the document. Allocations show that: computing the digest anew
+// over all resources would take one for each.
 func TestApplyCostIsIndependentOfDocumentSize(t *testing.T) {
 	cost := func(resources int) float64 {
 		document := largeDocument(t, resources)
 		return testing.AllocsPerRun(100, func() {
-			if err := document.Apply(next(document, set("plans/000007", fmt.Sprint(document.Version())))); err != nil {
+			if err := document.Apply(nextDelta(document, set("plans/000007", fmt.Sprint(document.Version())))); err != nil {
 				t.Fatal(err)
 			}
 		})
 	}
 	if small, large := cost(100), cost(10_000); large > small {
-		t.Errorf("%v allocations instead of %v", large, small)
+		t.Errorf("%v allocations in the large document, %v in the small one", large, small)
 	}
 }
 
-// longPlans returns changes that set quota plans, each with a value of the largest size.
-func longPlans(namePrefix string, count int) []Change {
+// maxSizePlans returns sorted changes that set count quota plans, each with a value of MaxValueBytes.
+func maxSizePlans(namePrefix string, count int) []Change {
 	changes := make([]Change, count)
 	for i := range changes {
 		changes[i] = set(Resource(fmt.Sprintf("%s%s%02d", PlanPrefix, namePrefix, i)), strings.Repeat("x", MaxValueBytes))
@@ -178,7 +182,7 @@
 	return changes
 }
 
-// largeDocument returns a document of plans of some 200 bytes each.
+// largeDocument returns a document of quota plans with some 200 bytes each.
 func largeDocument(t testing.TB, resources int) *Document {
 	changes := make([]Change, resources)
 	for i := range changes {
@@ -187,7 +191,7 @@
 	return newTestDocument(t, changes...)
 }
 
-// drawChanges draws changes of a few resources, so that the same one is often changed again.
+// drawChanges draws sorted changes from a few resources and values, so that the same resource often changes again.
 func drawChanges(t *rapid.T) []Change {
 	drawn := rapid.MapOfN(
 		rapid.SampledFrom([]Resource{"classes/a", "classes/b", "limits", "members/0", "members/11", "plans/a", "plans/b"}),
@@ -200,61 +204,64 @@
 	return changes
 }
 
-// The digest and the size depend on the content alone, not on the changes before, and Diff leads to any content.
+// The digest and the size of a document depend on its content alone, not on the changes that led to it, and Diff leads
+// from any content to any other.
 func TestDigestDependsOnContentAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		document := NewDocument(testLog)
 		for range rapid.IntRange(1, 10).Draw(t, "versions") {
 			changes := drawChanges(t)
 			after := document.summaryAfter(changes)
-			if err := document.Apply(next(document, changes...)); err != nil || after.count != document.Len() {
+			if err := document.Apply(nextDelta(document, changes...)); err != nil || after.count != document.Len() {
 				t.Fatal(err, after.count, document.Len())
 			}
 		}
 		rebuilt, err := buildDocument(testLog, document.Version(), document.Digest(), document.Changes())
-		if err != nil || describe(rebuilt) != describe(document) {
-			t.Fatal(err, describe(rebuilt), describe(document))
+		if err != nil || formatDocument(rebuilt) != formatDocument(document) {
+			t.Fatal(err, formatDocument(rebuilt), formatDocument(document))
 		}
 		if document.Bytes() != changesSize(document.Changes()) {
-			t.Fatalf("%d bytes: %s", document.Bytes(), describe(document))
+			t.Fatalf("the document counts %d bytes: %s", document.Bytes(), formatDocument(document))
 		}
 		other := NewDocument(testLog)
-		if err := other.Apply(next(other, drawChanges(t)...)); err != nil {
+		if err := other.Apply(nextDelta(other, drawChanges(t)...)); err != nil {
 			t.Fatal(err)
 		}
-		err = other.Apply(next(other, other.Diff(document.resources)...))
+		err = other.Apply(nextDelta(other, other.Diff(document.resources)...))
 		if err != nil || other.Digest() != document.Digest() {
-			t.Fatal(err, describe(other), describe(document))
+			t.Fatal(err, formatDocument(other), formatDocument(document))
 		}
 	})
 }
 
+// Apply accepts any decoded delta without a panic and changes the document only if it returns no error. The digest then
+// matches the content.
 func FuzzApply(f *testing.F) {
 	document := newTestDocument(f, set("classes/a", "1"), set("plans/a", "2"))
 	for _, delta := range []*Delta{
-		next(document, set("members/7", "3"), remove("plans/a")),
+		nextDelta(document, set("members/7", "3"), remove("plans/a")),
 		{Log: "log-b", From: 1, To: 2},
 		{Log: testLog, From: 1, To: 9, Changes: []Change{set("limits", "4")}},
 	} {
 		f.Add(marshal(delta))
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(t *testing.T, encoded []byte) {
 		var delta Delta
-		if fileDecoder.Unmarshal(text, &delta) != nil {
+		if fileDecoder.Unmarshal(encoded, &delta) != nil {
 			return
 		}
 		changed := document.Clone()
 		if changed.Apply(&delta) != nil {
-			if describe(changed) != describe(document) {
-				t.Fatal("changed in spite of an error")
+			if formatDocument(changed) != formatDocument(document) {
+				t.Fatal("the document changed although Apply returned an error")
 			}
 			return
 		}
 		if changed.Version() <= document.Version() || changed.Log() != testLog {
-			t.Fatal(describe(changed))
+			t.Fatal(formatDocument(changed))
 		}
 		rebuilt, err := buildDocument(testLog, changed.Version(), delta.Digest, changed.Changes())
-		if err != nil || describe(rebuilt) != describe(changed) {
+		if err != nil || formatDocument(rebuilt) != formatDocument(changed) {
 			t.Fatal(err)
 		}
 	})
--- a/configsync/file_test.go
+++ b/configsync/file_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// testFile returns a document of version 3, its file with two deltas appended, and the offsets at which its records
-// end.
+// testFile returns a document of version 3, a file that holds it as version 1 and two deltas, and the offsets at which
+// the three records of the file end.
 func testFile(t testing.TB) (document *Document, file []byte, ends []int) {
 	document = newTestDocument(t, set("limits", "1"), set("plans/a", "2"))
 	file = EncodeFile(document)
 	ends = append(ends, len(file))
 	for _, change := range []Change{remove("limits"), set("plans/b", "3")} {
-		delta := next(document, change)
+		delta := nextDelta(document, change)
 		if err := document.Apply(delta); err != nil {
 			t.Fatal(err)
 		}
@@ -24,13 +24,14 @@
 	return document, file, ends
 }
 
-// checkDamagedFile checks that decoding stops after the last record that ends at an offset up to intact.
+// checkDamagedFile checks that decoding a file whose bytes from the offset intact on are damaged stops after the last
+// record that ends at or before that offset.
 func checkDamagedFile(t *testing.T, name string, file []byte, ends []int, intact int) {
 	t.Helper()
 	document, err := DecodeFile(file)
 	var fault *CorruptFileError
 	if !errors.As(err, &fault) {
-		t.Fatalf("%s: %v", name, err)
+		t.Fatalf("%s: not a *CorruptFileError: %v", name, err)
 	}
 	records := 0
 	wantOffset := 0
@@ -41,17 +42,18 @@
 		}
 	}
 	if fault.Offset != wantOffset || (document == nil) != (records == 0) {
-		t.Fatalf("%s: intact up to %d, %v", name, fault.Offset, document)
+		t.Fatalf("%s: reported intact up to %d, document %v", name, fault.Offset, document)
 	}
 	if document != nil && document.Version() != Version(records) {
-		t.Fatalf("%s: version %d of %d records", name, document.Version(), records)
+		t.Fatalf("%s: version %d after %d intact records", name, document.Version(), records)
 	}
 }
 
-// A file that is truncated or altered anywhere yields its intact part and an error with the offset at which that ends.
+// A file that is truncated or altered at any byte, as after a crash or a disk fault, yields the document of its intact
+// part and an error with the offset at which that part ends.
 func TestDecodeFileFindsDamage(t *testing.T) {
 	document, file, ends := testFile(t)
-	if got, err := DecodeFile(file); err != nil || describe(got) != describe(document) {
+	if got, err := DecodeFile(file); err != nil || formatDocument(got) != formatDocument(document) {
 		t.Fatal(err)
 	}
 	check := func(name string, file []byte, intact int) {
@@ -63,12 +65,12 @@
 		altered[at] ^= 0x10
 		check(fmt.Sprintf("altered at %d", at), altered, at)
 		if at != ends[0] && at != ends[1] {
-			check(fmt.Sprintf("cut at %d", at), file[:at], at)
+			check(fmt.Sprintf("truncated at %d", at), file[:at], at)
 		}
 	}
 }
 
-// A record whose checksum is right is refused if its kind, its format or its content is wrong.
+// A record with a valid checksum is rejected if its kind, its format or its content is wrong.
 func TestDecodeFileRefusesWrongRecords(t *testing.T) {
 	document, file, ends := testFile(t)
 	check := func(name string, file []byte, intact int) {
@@ -77,21 +79,21 @@
 	}
 	check("a delta repeated", append(bytes.Clone(file), file[ends[1]:]...), len(file))
 	check("a document appended", append(bytes.Clone(file), EncodeFile(document)...), len(file))
-	check("a delta first", EncodeFileDelta(next(document, set("limits", "1"))), 0)
-	asDelta := encodeRecord(recordDelta, marshal(fileDocumentOf(document)))
+	check("a delta first", EncodeFileDelta(nextDelta(document, set("limits", "1"))), 0)
+	asDelta := encodeRecord(recordDelta, marshal(newFileDocument(document)))
 	check("a document with the kind of a delta", asDelta, 0)
-	last := next(document, set("limits", "4"))
+	last := nextDelta(document, set("limits", "4"))
 	asDocument := encodeRecord(recordDocument, marshal(last))
 	check("a delta with the kind of a document", append(bytes.Clone(file), asDocument...), len(file))
-	for _, position := range []int{0, len(fileMagic)} { // another magic or format, with its checksum
+	for _, position := range []int{0, len(fileMagic)} { // another magic or format version, with a valid checksum
 		other := EncodeFile(document)
 		other[position]++
-		sum := recordSum(other, other[fileHeader:])
-		copy(other[checkedHeader:], sum[:])
+		sum := recordSum(other, other[recordHeaderBytes:])
+		copy(other[checksummedHeaderBytes:], sum[:])
 		check("another format", other, 0)
 	}
 	check("a state", NewState(testLimits).Snapshot(), 0)
-	wrong := fileDocumentOf(document)
+	wrong := newFileDocument(document)
 	wrong.Digest[0]++
 	check("a document of another digest", encodeRecord(recordDocument, marshal(wrong)), 0)
 	for _, none := range []*fileDocument{
@@ -113,8 +115,8 @@
 		appended int64
 		want     bool
 	}{
-		{10, minCompactedBytes - 1, false},
-		{10, minCompactedBytes, true},
+		{10, minCompactionBytes - 1, false},
+		{10, minCompactionBytes, true},
 		{8 << 20, 8<<20 - 1, false},
 		{8 << 20, 8 << 20, true},
 	} {
@@ -124,15 +126,16 @@
 	}
 }
 
+// Any file decodes without a panic, and a document that is decoded survives being encoded again.
 func FuzzDecodeFile(f *testing.F) {
 	_, file, ends := testFile(f)
 	f.Add(file)
 	f.Add(file[:ends[1]+5])
 	f.Fuzz(func(t *testing.T, file []byte) {
 		checkDecodedFile(t, file)
-		if len(file) > fileHeader { // past the checksum, which the fuzzer can't guess
-			checkDecodedFile(t, encodeRecord(recordDocument, file[fileHeader:]))
-			checkDecodedFile(t, append(EncodeFile(NewDocument("")), encodeRecord(recordDelta, file[fileHeader:])...))
+		if len(file) > recordHeaderBytes { // adds a valid checksum, which the fuzzer can't guess
+			checkDecodedFile(t, encodeRecord(recordDocument, file[recordHeaderBytes:]))
+			checkDecodedFile(t, append(EncodeFile(NewDocument("")), encodeRecord(recordDelta, file[recordHeaderBytes:])...))
 		}
 	})
 }
@@ -147,7 +150,7 @@
 		return
 	}
 	again, err := DecodeFile(EncodeFile(document))
-	if err != nil || describe(again) != describe(document) {
+	if err != nil || formatDocument(again) != formatDocument(document) {
 		t.Fatal(err)
 	}
 }
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -5,80 +5,80 @@
 	"time"
 )
 
-// FollowerConfig is the identity of a gateway.
+// FollowerConfig identifies a gateway to its publishers and says how many publishers it can choose from.
 type FollowerConfig struct {
 	Member      int    // member index
-	Name        string // cut to MaxNameBytes
-	Incarnation uint64 // increases with each start of the gateway
+	Name        string // cut to MaxGatewayNameBytes
+	Incarnation uint64 // greater at each start of the gateway than at the one before
 	Publishers  int    // number of publishers, 1 or more
 }
 
-// Follower is the gateway's side of a connection: the version in force, the publisher to follow, and a decision about
-// each message. The goroutine that owns the connection passes it events with their times and executes its decisions.
-// It is not safe for concurrent use.
+// Follower is the gateway's side of the protocol. It holds the version in force, chooses the publisher to connect to,
+// and decides about each message. The goroutine that owns the connection passes in events with their times and executes
+// the decisions. A Follower is not safe for concurrent use.
 //
 // The owner waits until NextAttempt, connects to Publisher within ConnectTimeout, and sends the messages that
-// Connected returns. It calls ReceivedBytes for bytes, Receive for messages, and Tick at Deadline. After an Update it
-// calls Accept or Refuse, as the gateway did.
+// Connected returns. It calls ReceivedBytes when bytes arrive, Receive for each message, and Tick at Deadline. After a
+// decision to Apply it calls Accept if the gateway applied the update, and Refuse if it couldn't.
 type Follower struct {
 	config FollowerConfig
 	random *rand.Rand
 
 	document     *Document // the version in force
-	refused      *Refusal  // the latest version refused; nil: none
-	refusedLog   LogID     // log of the version refused
+	refused      *Refusal  // of the latest version that the gateway refused; nil: none
+	refusedLog   LogID     // log of the refused version
 	pending      *pendingUpdate
-	wantSnapshot bool // a delta led to another digest, so the next connection asks for a snapshot
+	wantSnapshot bool // ask for a snapshot on the next connection, since a delta led to a wrong digest
 
-	publisher   int // index of the one to connect to, or connected to
-	failures    int // consecutive attempts without success
+	publisher   int // index of the publisher that is or will be connected
+	failures    int // consecutive failures, for the backoff; no longer counted once the backoff is at its cap
 	nextAttempt time.Time
 
 	connection *connection // nil: not connected
 	counters   FollowerCounters
 }
 
-// connection is the state of a follower's connection.
+// connection is the state of a follower's connection to a publisher.
 type connection struct {
-	since        time.Time
-	lastReceived time.Time // when bytes were last received
-	lastCurrent  time.Time // when the publisher last was in contact with a quorum
-	lastProgress time.Time // when no version was due, or a part of one was received
-	announced    Version   // the latest version of the publisher
-	assembler    *SnapshotAssembler
+	connectedAt  time.Time
+	lastReceived time.Time          // when any bytes were last received
+	lastQuorum   time.Time          // when the publisher last reported contact with a quorum
+	lastProgress time.Time          // when a part or an outcome of a version last arrived, or none was due
+	announced    Version            // the latest version that the publisher announced
+	assembler    *SnapshotAssembler // nil: no snapshot is being received
 }
 
-// pendingUpdate is a later version that the gateway has been asked to apply.
+// pendingUpdate is a version that the gateway was asked to apply and has neither accepted nor refused yet.
 type pendingUpdate struct {
-	delta    *Delta    // nil: document is set
-	document *Document // from a snapshot
+	delta    *Delta    // nil if the version came as a snapshot
+	document *Document // content of a snapshot; nil if the version came as a delta
 	log      LogID
 	to       Version
 }
 
-// FollowerCounters count events since the start.
+// FollowerCounters counts the events of a Follower since it was created.
 type FollowerCounters struct {
 	Accepted          uint64 // versions put in force
-	Refused           uint64 // versions that the gateway couldn't apply
-	Ignored           uint64 // deltas and snapshots that were repeated or not later
-	LogMismatches     uint64 // messages of another log than that in force
-	VersionGaps       uint64 // deltas that start from another version than that in force
-	DigestMismatches  uint64 // versions whose content has another digest than announced
-	MalformedMessages uint64 // messages that break the protocol
+	Refused           uint64 // versions that the gateway couldn't apply and refused
+	Ignored           uint64 // deltas and snapshots of a version that was in force, older or already pending
+	LogMismatches     uint64 // messages of a log other than that of the version in force
+	VersionGaps       uint64 // deltas from a version not in force, and versions while one was pending
+	DigestMismatches  uint64 // versions whose content doesn't match their digest
+	MalformedMessages uint64 // messages that violate the protocol
 	Silent            uint64 // connections closed after SilenceTimeout
-	NoQuorum          uint64 // connections closed after StaleTimeout
+	NoQuorum          uint64 // connections closed after QuorumTimeout
 	Stalled           uint64 // connections closed after StallTimeout
-	Behind            uint64 // publishers whose latest version was before that in force
-	SnapshotsDeferred uint64 // snapshots deferred by a publisher
-	ConnectionsLost   uint64 // connections that failed or were ended by the other side
+	Behind            uint64 // connections closed because the publisher had only versions older than the one in force
+	SnapshotsDeferred uint64 // snapshots that a publisher deferred
+	ConnectionsLost   uint64 // failed attempts to connect, and connections that failed or were closed by the publisher
 }
 
-// NewFollower returns the follower of a gateway that has a document in force: the one of its file, or
-// NewDocument(""). The follower takes ownership of the document. The first publisher depends on the member index,
-// which spreads the gateways.
+// NewFollower returns the follower of a gateway that starts with the document of its file, or with NewDocument("") if
+// it has none. The follower takes ownership of the document. The member index determines the first publisher, which
+// spreads the gateways over the publishers. random is the source of jitter.
 func NewFollower(config FollowerConfig, document *Document, random *rand.Rand) *Follower {
 	config.Publishers = max(config.Publishers, 1)
-	config.Name = cutText(config.Name, MaxGatewayNameBytes)
+	config.Name = truncateUTF8(config.Name, MaxGatewayNameBytes)
 	return &Follower{
 		config:    config,
 		random:    random,
@@ -87,24 +87,25 @@
 	}
 }
 
-// Document returns the version in force, which changes with Accept. The caller must not change it.
+// Document returns the content of the version in force. Accept changes or replaces it; the caller must not change it.
 func (f *Follower) Document() *Document { return f.document }
 
-// Refused returns the latest version that the gateway couldn't apply, or nil.
+// Refused returns the refusal of the latest version that the gateway couldn't apply. It is nil if there is none, or if
+// that version or a later one is in force by now.
 func (f *Follower) Refused() *Refusal { return f.refused }
 
-// Counters returns the counts since the start.
+// Counters returns a copy of the counters.
 func (f *Follower) Counters() FollowerCounters { return f.counters }
 
-// Publisher returns the index of the publisher to connect to.
+// Publisher returns the index of the publisher to connect to, from 0 up to FollowerConfig.Publishers - 1.
 func (f *Follower) Publisher() int { return f.publisher }
 
-// NextAttempt returns the time to connect; the zero time means at once.
+// NextAttempt returns the earliest time to connect. The zero time means immediately.
 func (f *Follower) NextAttempt() time.Time { return f.nextAttempt }
 
-// Connected starts a connection and returns the messages to send on it, in order.
+// Connected records that a connection to Publisher was established and returns the messages to send on it, in order.
 func (f *Follower) Connected(now time.Time) []Message {
-	f.connection = &connection{since: now, lastReceived: now, lastCurrent: now, lastProgress: now}
+	f.connection = &connection{connectedAt: now, lastReceived: now, lastQuorum: now, lastProgress: now}
 	hello := &Hello{
 		Protocol:     Protocol,
 		Member:       f.config.Member,
@@ -115,7 +116,7 @@
 		Digest:       f.document.Digest(),
 		WantSnapshot: f.wantSnapshot,
 	}
-	// A version has no meaning without its log, and before the first accepted version there is none to name in the hello.
+	// A refused version is reported only together with its log. Before the first accepted version the hello names no log.
 	if f.refused == nil || f.refusedLog != hello.Log {
 		return []Message{hello}
 	}
@@ -123,33 +124,33 @@
 	return []Message{hello, f.refused}
 }
 
-// ConnectionLost handles a failed attempt to connect, or the end of the connection without a Reconnect.
+// ConnectionLost handles a failed attempt to connect, or the end of a connection that no Reconnect decision asked for.
 func (f *Follower) ConnectionLost(now time.Time) Decision {
 	f.counters.ConnectionsLost++
 	return f.reconnect(now, CauseConnectionLost, nil)
 }
 
-// ReceiveMalformed handles bytes that Decode or FrameSize refused.
+// ReceiveMalformed handles received bytes that Decode or FrameSize rejected with err.
 func (f *Follower) ReceiveMalformed(now time.Time, err error) Decision {
 	f.counters.MalformedMessages++
 	return f.reconnect(now, CauseMalformed, err)
 }
 
-// ReceivedBytes notes that bytes were received, of complete messages or not, so that a slow connection doesn't count
-// as a silent one.
+// ReceivedBytes records that bytes were received, even if they don't complete a message yet, so that a slow connection
+// isn't closed as a silent one.
 func (f *Follower) ReceivedBytes(now time.Time) {
 	if f.connection != nil {
 		f.connection.lastReceived = now
 	}
 }
 
-// Deadline returns the latest time for the next Tick. ok is false while there is no connection.
+// Deadline returns the time at which the owner has to call Tick. ok is false while there is no connection.
 func (f *Follower) Deadline() (deadline time.Time, ok bool) {
 	if f.connection == nil {
 		return time.Time{}, false
 	}
 	silent := f.connection.lastReceived.Add(SilenceTimeout)
-	stale := f.connection.lastCurrent.Add(QuorumTimeout)
+	stale := f.connection.lastQuorum.Add(QuorumTimeout)
 	deadline = earlier(silent, stale)
 	if f.expectsVersion() {
 		stalled := f.connection.lastProgress.Add(StallTimeout)
@@ -158,7 +159,8 @@
 	return deadline, true
 }
 
-// Tick ends a connection that is silent, stale or stalled.
+// Tick decides to reconnect if nothing was received for SilenceTimeout, if the publisher had no contact with a quorum
+// for QuorumTimeout, or if an announced version made no progress for StallTimeout.
 func (f *Follower) Tick(now time.Time) Decision {
 	c := f.connection
 	switch {
@@ -167,7 +169,7 @@
 	case now.Sub(c.lastReceived) >= SilenceTimeout:
 		f.counters.Silent++
 		return f.reconnect(now, CauseSilent, nil)
-	case now.Sub(c.lastCurrent) >= QuorumTimeout:
+	case now.Sub(c.lastQuorum) >= QuorumTimeout:
 		f.counters.NoQuorum++
 		return f.reconnect(now, CauseNoQuorum, nil)
 	case f.expectsVersion() && now.Sub(c.lastProgress) >= StallTimeout:
@@ -177,12 +179,14 @@
 	return Decision{}
 }
 
-// expectsVersion reports whether the publisher has announced a version that it should send.
+// expectsVersion reports whether the publisher has announced a version that it still has to send: one later than the
+// version in force and the refused one, while no update is pending.
 func (f *Follower) expectsVersion() bool {
 	announced := f.connection.announced
 	return f.pending == nil && announced > f.document.Version() && announced > f.refusedVersion()
 }
 
+// refusedVersion returns the latest refused version, or 0 if there is none.
 func (f *Follower) refusedVersion() Version {
 	if f.refused == nil {
 		return 0
@@ -190,13 +194,13 @@
 	return f.refused.Version
 }
 
-// Accept puts the pending update in force, as the gateway did, and returns the message to send if there is a
-// connection. It returns nil if no update is pending.
+// Accept records that the gateway applied the pending update, which is then in force. It returns the message to send if
+// there is a connection, or nil if no update is pending.
 func (f *Follower) Accept(now time.Time) *Acknowledge {
 	if f.pending == nil {
 		return nil
 	}
-	f.commit()
+	f.applyPending()
 	f.counters.Accepted++
 	f.failures = 0
 	if f.refusedVersion() <= f.document.Version() {
@@ -212,7 +216,8 @@
 	return &Acknowledge{Version: f.document.Version(), Digest: f.document.Digest()}
 }
 
-func (f *Follower) commit() {
+// applyPending makes the pending update the document in force.
+func (f *Follower) applyPending() {
 	pending := f.pending
 	f.pending = nil
 	if pending.document != nil {
@@ -220,12 +225,12 @@
 		return
 	}
 	if err := f.document.Apply(pending.delta); err != nil {
-		panic(err) // Check succeeded, and nothing changes the document while an update is pending
+		panic(err) // Check succeeded before, and nothing changes the document while an update is pending
 	}
 }
 
-// Refuse drops the pending update, which the gateway couldn't apply, and returns the message to send if there is a
-// connection. It returns nil if no update is pending. resource is the one at fault, empty where it isn't known.
+// Refuse records that the gateway couldn't apply the pending update, which is dropped. It returns the message to send
+// if there is a connection, or nil if no update is pending. resource is the one at fault, or empty if that isn't known.
 func (f *Follower) Refuse(now time.Time, resource Resource, reason string) *Refusal {
 	if f.pending == nil {
 		return nil
@@ -240,29 +245,30 @@
 	return f.refused
 }
 
-// reconnect ends the connection and changes to the next publisher after a backoff.
+// reconnect decides to close the connection and to try the next publisher after the backoff.
 func (f *Follower) reconnect(now time.Time, cause Cause, err error) Decision {
 	f.disconnect(now.Add(f.backoff()))
 	return Decision{Kind: Reconnect, Cause: cause, Err: err}
 }
 
-// deferred ends the connection and changes to the next publisher after the wait that this one asks for. The jitter
-// spreads followers that were deferred at the same time.
-func (f *Follower) deferred(now time.Time, after time.Duration) Decision {
+// reconnectAfterDeferral decides to close the connection and to try the next publisher after the wait that the current
+// one asked for, within BackoffBase and MaxDeferral. The jitter spreads followers that were deferred at the same time.
+func (f *Follower) reconnectAfterDeferral(now time.Time, after time.Duration) Decision {
 	after = min(max(after, BackoffBase), MaxDeferral)
 	f.disconnect(now.Add(after + f.jitter(BackoffBase)))
 	return Decision{Kind: Reconnect, Cause: CauseSnapshotDeferred}
 }
 
+// disconnect drops the state of the connection and selects the next publisher.
 func (f *Follower) disconnect(nextAttempt time.Time) {
 	f.connection = nil
 	f.publisher = (f.publisher + 1) % f.config.Publishers
 	f.nextAttempt = nextAttempt
 }
 
-// backoff returns the wait before the next attempt, and counts a failure. It is exponential with full jitter
-// ("Exponential Backoff and Jitter", AWS Architecture Blog, 2015): any wait up to a bound that doubles with each
-// consecutive failure.
+// backoff counts a failure and returns the wait before the next attempt. It implements exponential backoff with full
+// jitter ("Exponential Backoff and Jitter", AWS Architecture Blog, 2015): a random wait below a bound that doubles with
+// each consecutive failure, from BackoffBase up to BackoffCap.
 func (f *Follower) backoff() time.Duration {
 	bound := BackoffBase
 	for range f.failures {
@@ -274,7 +280,7 @@
 	return f.jitter(bound)
 }
 
-// jitter returns a random duration from 0 up to a bound, the bound excluded.
+// jitter returns a random duration in [0, bound).
 func (f *Follower) jitter(bound time.Duration) time.Duration {
 	return time.Duration(f.random.Int64N(int64(bound)))
 }
--- a/configsync/follower_receive.go
+++ b/configsync/follower_receive.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Receive handles a message of the publisher.
+// Receive handles a message from the publisher. Without a connection it does nothing and returns the zero Decision.
 func (f *Follower) Receive(now time.Time, message Message) Decision {
 	if f.connection == nil {
 		return Decision{}
@@ -15,35 +15,36 @@
 	case *Delta:
 		return f.receiveDelta(now, message)
 	case *SnapshotPart:
-		return f.receivePart(now, message)
+		return f.receiveSnapshotPart(now, message)
 	case *Heartbeat:
 		return f.receiveHeartbeat(now, message)
 	case *SnapshotDeferral:
 		f.counters.SnapshotsDeferred++
-		return f.deferred(now, message.After)
+		return f.reconnectAfterDeferral(now, message.After)
 	case *PublisherBehind:
 		f.counters.Behind++
 		return f.reconnect(now, CausePublisherBehind, nil)
 	case *LogMismatch:
-		return f.otherLog(now, message.Log)
+		return f.reconnectForLogMismatch(now, message.Log)
 	}
-	return f.ReceiveMalformed(now, &MalformedError{Reason: "a message that no publisher sends"})
+	return f.ReceiveMalformed(now, &MalformedError{Reason: "unexpected message: publishers don't send this kind"})
 }
 
-func (f *Follower) otherLog(now time.Time, log LogID) Decision {
+func (f *Follower) reconnectForLogMismatch(now time.Time, log LogID) Decision {
 	f.counters.LogMismatches++
 	return f.reconnect(now, CauseLogMismatch, &LogMismatchError{Current: f.document.Log(), Got: log})
 }
 
-// isOtherLog reports whether versions of a log can't be compared with the one in force.
-func (f *Follower) isOtherLog(log LogID) bool {
+// isLogMismatch reports whether a log differs from that of the version in force, so that their versions can't be
+// compared. A follower that belongs to no log yet accepts any.
+func (f *Follower) isLogMismatch(log LogID) bool {
 	current := f.document.Log()
 	return current != "" && log != current
 }
 
 func (f *Follower) receiveHeartbeat(now time.Time, heartbeat *Heartbeat) Decision {
-	if heartbeat.Log != "" && f.isOtherLog(heartbeat.Log) {
-		return f.otherLog(now, heartbeat.Log)
+	if heartbeat.Log != "" && f.isLogMismatch(heartbeat.Log) {
+		return f.reconnectForLogMismatch(now, heartbeat.Log)
 	}
 	c := f.connection
 	if !f.expectsVersion() {
@@ -51,19 +52,19 @@
 	}
 	c.announced = heartbeat.Latest
 	if heartbeat.HasQuorum {
-		c.lastCurrent = now
+		c.lastQuorum = now
 	}
-	if heartbeat.HasQuorum && now.Sub(c.since) >= SilenceTimeout {
+	if heartbeat.HasQuorum && now.Sub(c.connectedAt) >= SilenceTimeout {
 		f.failures = 0
 	}
 	return Decision{}
 }
 
 func (f *Follower) receiveDelta(now time.Time, delta *Delta) Decision {
-	if f.isOtherLog(delta.Log) {
-		return f.otherLog(now, delta.Log)
+	if f.isLogMismatch(delta.Log) {
+		return f.reconnectForLogMismatch(now, delta.Log)
 	}
-	if decision, known := f.receiveKnown(delta.Log, delta.To); known {
+	if decision, known := f.receiveKnownVersion(delta.Log, delta.To); known {
 		return decision
 	}
 	if f.pending != nil || delta.From != f.document.Version() {
@@ -71,7 +72,7 @@
 		return f.reconnect(now, CauseVersionGap, &VersionMismatchError{Current: f.document.Version(), From: delta.From})
 	}
 	if err := f.document.Check(delta); err != nil {
-		return f.refuseContent(now, err)
+		return f.reconnectForInvalidContent(now, err)
 	}
 	f.pending = &pendingUpdate{delta: delta, log: delta.Log, to: delta.To}
 	return Decision{Kind: Apply, Update: &Update{
@@ -83,10 +84,10 @@
 	}}
 }
 
-// receiveKnown handles a version that is in force, older, pending or already refused; known is false for any other
-// one. It replies with the version in force, so that the publisher doesn't wait for an answer to a version that isn't
-// needed.
-func (f *Follower) receiveKnown(log LogID, version Version) (decision Decision, known bool) {
+// receiveKnownVersion handles a version that is in force, older, pending or already refused; known is false for any
+// other version. The reply is an acknowledgement of the version in force, or the refusal again, so that the publisher
+// doesn't wait for an answer. A pending version gets no reply yet: Accept or Refuse returns the answer to it.
+func (f *Follower) receiveKnownVersion(log LogID, version Version) (decision Decision, known bool) {
 	switch {
 	case version <= f.document.Version():
 		f.counters.Ignored++
@@ -100,8 +101,9 @@
 	return Decision{}, false
 }
 
-// refuseContent ends a connection on which a delta or a snapshot was not valid.
-func (f *Follower) refuseContent(now time.Time, err error) Decision {
+// reconnectForInvalidContent closes a connection on which an invalid delta or snapshot was received. After a digest
+// mismatch the next connection asks for a snapshot, since another delta would not repair the content.
+func (f *Follower) reconnectForInvalidContent(now time.Time, err error) Decision {
 	if _, isDigest := errors.AsType[*DigestMismatchError](err); isDigest {
 		f.counters.DigestMismatches++
 		f.wantSnapshot = true
@@ -110,9 +112,9 @@
 	return f.ReceiveMalformed(now, err)
 }
 
-func (f *Follower) receivePart(now time.Time, part *SnapshotPart) Decision {
-	if f.isOtherLog(part.Log) {
-		return f.otherLog(now, part.Log)
+func (f *Follower) receiveSnapshotPart(now time.Time, part *SnapshotPart) Decision {
+	if f.isLogMismatch(part.Log) {
+		return f.reconnectForLogMismatch(now, part.Log)
 	}
 	c := f.connection
 	c.lastProgress = now
@@ -121,21 +123,23 @@
 	}
 	document, err := c.assembler.Add(part)
 	if err != nil {
-		return f.refuseContent(now, err)
+		return f.reconnectForInvalidContent(now, err)
 	}
 	if document == nil {
 		return Decision{}
 	}
 	c.assembler = nil
 	f.wantSnapshot = false
-	return f.receiveDocument(now, document)
+	return f.receiveSnapshot(now, document)
 }
 
-func (f *Follower) receiveDocument(now time.Time, document *Document) Decision {
+// receiveSnapshot handles a complete snapshot. A snapshot of the version in force is applied only if its content
+// differs, which repairs the follower's content.
+func (f *Follower) receiveSnapshot(now time.Time, document *Document) Decision {
 	sameVersion := document.Version() == f.document.Version()
 	repairs := sameVersion && document.Digest() != f.document.Digest()
 	if !repairs {
-		decision, known := f.receiveKnown(document.Log(), document.Version())
+		decision, known := f.receiveKnownVersion(document.Log(), document.Version())
 		if known {
 			return decision
 		}
--- a/configsync/follower_snapshot_test.go
+++ b/configsync/follower_snapshot_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// A snapshot is applied if its version is later than the one in force, or if it is the same version with other content.
+// While another version is pending, it leads to a reconnect.
 func TestFollowerAppliesSnapshot(t *testing.T) {
 	for name, test := range map[string]struct {
 		version Version
@@ -31,30 +33,30 @@
 			t.Errorf("%s: %+v", name, update)
 		}
 		follower.Accept(start)
-		if describe(follower.Document()) != describe(content) {
-			t.Errorf("%s: another document", name)
+		if formatDocument(follower.Document()) != formatDocument(content) {
+			t.Errorf("%s: the document in force differs from the snapshot", name)
 		}
 	}
 	follower := newTestFollower(t)
 	later := newTestDocument(t, set("limits", "1"))
 	later.version = 4
-	if decision := follower.Receive(start, next(follower.Document(), remove("limits"))); decision.Kind != Apply {
+	if decision := follower.Receive(start, nextDelta(follower.Document(), remove("limits"))); decision.Kind != Apply {
 		t.Fatalf("%+v", decision)
 	}
 	decision := follower.Receive(start, SplitSnapshot(later)[0])
 	if decision.Cause != CauseVersionGap || follower.Counters().VersionGaps != 1 {
-		t.Errorf("while another version is pending: %+v", decision)
+		t.Errorf("snapshot while another version is pending: %+v", decision)
 	}
 	if answer := follower.Accept(start); answer.Version != 2 { // without a connection
 		t.Errorf("%+v", answer)
 	}
 }
 
-// After a digest mismatch the follower wants a snapshot until it has one, and accepts another one on the same
-// connection.
+// After a digest mismatch the follower asks for a snapshot on each new connection until it has received one. It accepts
+// a second snapshot on the same connection.
 func TestFollowerAppliesSnapshotsOnOneConnection(t *testing.T) {
 	follower := newTestFollower(t)
-	wrong := next(follower.Document(), remove("limits"))
+	wrong := nextDelta(follower.Document(), remove("limits"))
 	wrong.Digest[0]++
 	follower.Receive(start, wrong)
 	if hello := follower.Connected(start)[0].(*Hello); !hello.WantSnapshot {
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -10,9 +10,10 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func at(offset time.Duration) time.Time { return start.Add(offset) }
+func afterStart(offset time.Duration) time.Time { return start.Add(offset) }
 
-// newTestFollower returns a connected follower with member index 1, three publishers, and version 1 in force.
+// newTestFollower returns a follower with member index 1 that has version 1 in force and is connected to one of three
+// publishers, the one with index 1.
 func newTestFollower(t testing.TB) *Follower {
 	document := newTestDocument(t, set("limits", "1"), set("plans/a", "2"))
 	config := FollowerConfig{Member: 1, Name: "gateway-1", Incarnation: 7, Publishers: 3}
@@ -21,9 +22,10 @@
 	return follower
 }
 
+// A delta is in force only once the gateway has accepted it, and a repeated one is not applied again.
 func TestFollowerAppliesDeltaOnce(t *testing.T) {
 	follower := newTestFollower(t)
-	delta := next(follower.Document(), set("plans/b", "3"))
+	delta := nextDelta(follower.Document(), set("plans/b", "3"))
 	decision := follower.Receive(start, delta)
 	if decision.Kind != Apply {
 		t.Fatalf("%+v", decision)
@@ -33,10 +35,10 @@
 		t.Fatalf("%+v", update)
 	}
 	if follower.Document().Version() != 1 {
-		t.Error("in force before the gateway accepted it")
+		t.Error("the delta is in force before the gateway accepted it")
 	}
 	if decision := follower.Receive(start, delta); decision.Kind != NoAction {
-		t.Errorf("repeated while pending: %+v", decision)
+		t.Errorf("delta repeated while pending: %+v", decision)
 	}
 	answer := follower.Accept(start)
 	if count := follower.Counters().Accepted; count != 1 {
@@ -46,35 +48,37 @@
 		t.Errorf("%+v", answer)
 	}
 	if follower.Accept(start) != nil || follower.Refuse(start, "", "") != nil {
-		t.Error("an answer without a pending update")
+		t.Error("Accept or Refuse returned an answer without a pending update")
 	}
 	decision = follower.Receive(start, delta)
 	if decision.Kind != NoAction || !reflect.DeepEqual(decision.Reply, answer) || follower.Counters().Ignored != 2 {
-		t.Errorf("repeated: %+v", decision)
+		t.Errorf("delta repeated after it came into force: %+v", decision)
 	}
 }
 
+// A follower without any accepted version belongs to no log, and a version that it refused is known only within its own
+// log: the same version number of another log is applied.
 func TestFollowerWithoutLogAcceptsAnyLog(t *testing.T) {
 	follower := NewFollower(FollowerConfig{Member: 5, Publishers: 3}, NewDocument(""), rand.New(rand.NewPCG(1, 2)))
 	if follower.Publisher() != 2 {
-		t.Error("start positions aren't spread")
+		t.Error("member 5 does not start at publisher 2")
 	}
 	alone := NewFollower(FollowerConfig{Member: 5, Name: strings.Repeat("x", MaxGatewayNameBytes+1)}, NewDocument(""), nil)
 	if _, err := Decode(Encode(alone.Connected(start)[0])); err != nil || alone.Publisher() != 0 {
-		t.Error("the hello with a long name:", err)
+		t.Error("hello of a gateway with a long name:", err)
 	}
 	hello := follower.Connected(start)[0].(*Hello)
 	if hello.Log != "" || hello.InForce != 0 {
 		t.Errorf("%+v", hello)
 	}
-	first := next(NewDocument(testLog), set("limits", "x"))
+	first := nextDelta(NewDocument(testLog), set("limits", "x"))
 	follower.Receive(start, first)
 	follower.Refuse(start, "limits", "not an object")
 	if messages := follower.Connected(start); len(messages) != 1 || messages[0].(*Hello).Refused != 0 {
-		t.Errorf("a version of no log: %+v", messages)
+		t.Errorf("the follower reports a refused version without a log: %+v", messages)
 	}
 	if decision := follower.Receive(start, first); decision.Reply == nil {
-		t.Errorf("refused before: %+v", decision)
+		t.Errorf("refused version sent again: %+v", decision)
 	}
 	other := *first
 	other.Log = "log-b"
@@ -87,9 +91,11 @@
 	}
 }
 
+// A follower that refused a version keeps the one in force, repeats the refusal when the version or a connection comes
+// again, and forgets it with a later accepted version.
 func TestFollowerKeepsVersionAfterRefusal(t *testing.T) {
 	follower := newTestFollower(t)
-	bad := next(follower.Document(), set("plans/b", "x"))
+	bad := nextDelta(follower.Document(), set("plans/b", "x"))
 	follower.Receive(start, bad)
 	refusal := follower.Refuse(start, "plans/b", "not an object")
 	if *refusal != (Refusal{2, "plans/b", "not an object"}) {
@@ -100,33 +106,34 @@
 	}
 	decision := follower.Receive(start, bad)
 	if decision.Kind != NoAction || decision.Reply != Message(refusal) {
-		t.Errorf("sent again: %+v", decision)
+		t.Errorf("refused version sent again: %+v", decision)
 	}
 	messages := follower.Connected(start)
 	if hello := messages[0].(*Hello); hello.Refused != 2 || hello.InForce != 1 || messages[1] != Message(refusal) {
 		t.Errorf("%+v", messages)
 	}
-	later := next(follower.Document(), set("plans/b", "3"))
+	later := nextDelta(follower.Document(), set("plans/b", "3"))
 	later.To = 3
 	if decision := follower.Receive(start, later); decision.Kind != Apply {
 		t.Fatalf("%+v", decision)
 	}
 	follower.Accept(start)
 	if follower.Refused() != nil {
-		t.Error("still refused")
+		t.Error("the refusal is kept after a later version was accepted")
 	}
 }
 
-// Each event that ends a connection has its cause and counter, and leads to the next publisher after a wait.
+// Each event that ends a connection is reported with its cause and counted, and leads to the next publisher after a
+// wait. The version in force stays.
 func TestFollowerReconnectsToNextPublisher(t *testing.T) {
 	document := newTestDocument(t, set("limits", "1"), set("plans/a", "2"))
 	gap := &Delta{Log: testLog, From: 2, To: 3}
-	wrong := next(document, set("limits", "2"))
+	wrong := nextDelta(document, set("limits", "2"))
 	wrong.Digest[0]++
-	other := next(document, set("limits", "2"))
+	other := nextDelta(document, set("limits", "2"))
 	other.Log = "log-b"
-	unsorted := next(document, set("plans/a", "1"), set("limits", "1"))
-	later := next(document, set("limits", "3"))
+	unsorted := nextDelta(document, set("plans/a", "1"), set("limits", "1"))
+	later := nextDelta(document, set("limits", "3"))
 	later.To = 3
 	part := &SnapshotPart{Log: testLog, Version: 2, PartCount: 2, Index: 1}
 	wrongPart := &SnapshotPart{Log: testLog, Version: 2, PartCount: 1, Digest: Digest{1}}
@@ -150,13 +157,14 @@
 		"heartbeat of other": {receive(&Heartbeat{Log: "log-b"}), CauseLogMismatch, FollowerCounters{LogMismatches: 1}},
 		"unsorted":           {receive(unsorted), CauseMalformed, FollowerCounters{MalformedMessages: 1}},
 		"part out of order":  {receive(part), CauseMalformed, FollowerCounters{MalformedMessages: 1}},
-		"a follower's":       {receive(&Hello{}), CauseMalformed, FollowerCounters{MalformedMessages: 1}},
+		"follower message":   {receive(&Hello{}), CauseMalformed, FollowerCounters{MalformedMessages: 1}},
 		"malformed":          {malformed, CauseMalformed, FollowerCounters{MalformedMessages: 1}},
 		"behind":             {receive(&PublisherBehind{}), CausePublisherBehind, FollowerCounters{Behind: 1}},
-		"deferral":           {receive(&SnapshotDeferral{After: time.Second}), CauseSnapshotDeferred, FollowerCounters{SnapshotsDeferred: 1}},
-		"lost":               {lost, CauseConnectionLost, FollowerCounters{ConnectionsLost: 1}},
+		"deferral": {receive(&SnapshotDeferral{After: time.Second}), CauseSnapshotDeferred,
+			FollowerCounters{SnapshotsDeferred: 1}},
+		"lost": {lost, CauseConnectionLost, FollowerCounters{ConnectionsLost: 1}},
 		"another one pending": {func(f *Follower) Decision {
-			f.Receive(start, next(document, remove("limits")))
+			f.Receive(start, nextDelta(document, remove("limits")))
 			return f.Receive(start, later)
 		}, CauseVersionGap, FollowerCounters{VersionGaps: 1}},
 	} {
@@ -169,18 +177,19 @@
 			t.Errorf("%s: publisher %d, version %d", name, follower.Publisher(), follower.Document().Version())
 		}
 		if _, connected := follower.Deadline(); connected || follower.NextAttempt().Before(start) {
-			t.Errorf("%s: no wait", name)
+			t.Errorf("%s: still connected, or no wait before the next attempt", name)
 		}
 		hello := follower.Connected(start)[0].(*Hello)
 		if hello.WantSnapshot != (test.cause == CauseDigestMismatch) {
-			t.Errorf("%s: asks for a snapshot: %v", name, hello.WantSnapshot)
+			t.Errorf("%s: the next hello asks for a snapshot: %v", name, hello.WantSnapshot)
 		}
 	}
 }
 
-// A follower stays until the time limit for silence, a lost quorum or an overdue version, and not a moment longer.
+// A follower closes a connection exactly at the timeout for silence, for a publisher without a quorum or for an overdue
+// version.
 func TestFollowerEndsSilentStaleAndStalledConnections(t *testing.T) {
-	second := func(n int) time.Time { return at(time.Duration(n) * time.Second) }
+	second := func(n int) time.Time { return afterStart(time.Duration(n) * time.Second) }
 	current := &Heartbeat{Log: testLog, Latest: 1, HasQuorum: true}
 	for name, test := range map[string]struct {
 		events   func(*Follower)
@@ -210,7 +219,7 @@
 			t.Errorf("%s: deadline %v", name, deadline.Sub(start))
 		}
 		if decision := follower.Tick(deadline.Add(-1)); decision.Kind != NoAction {
-			t.Errorf("%s: %+v too early", name, decision)
+			t.Errorf("%s: %+v before the deadline", name, decision)
 		}
 		decision := follower.Tick(deadline)
 		if decision.Kind != Reconnect || decision.Cause != test.cause || follower.Counters() != test.counters {
@@ -221,79 +230,83 @@
 			t.Errorf("%s: %+v without a connection", name, late)
 		}
 		if late := follower.Receive(deadline, &PublisherBehind{}); late != (Decision{}) {
-			t.Errorf("%s: %+v of a connection that has ended", name, late)
+			t.Errorf("%s: %+v for a message of a closed connection", name, late)
 		}
 	}
 	follower := newTestFollower(t)
 	follower.Receive(start, &Heartbeat{Log: testLog, Latest: 2, HasQuorum: true})
-	if deadline, _ := follower.Deadline(); !deadline.Equal(at(SilenceTimeout)) {
-		t.Errorf("deadline %v", deadline.Sub(start))
+	if deadline, _ := follower.Deadline(); !deadline.Equal(afterStart(SilenceTimeout)) {
+		t.Errorf("deadline %v, want the silence timeout", deadline.Sub(start))
 	}
 	follower.ReceivedBytes(second(2)) // part of a message
 	if decision := follower.Tick(second(4)); decision.Cause == CauseSilent {
-		t.Error("bytes aren't silence")
+		t.Error("the connection was closed as silent although bytes were received")
 	}
 }
 
-// A version that is pending, refused, in force or in transfer doesn't count as overdue.
+// A connection isn't closed as stalled while the announced version is pending, refused, in force or in transfer, or if
+// it was announced only just now.
 func TestFollowerDoesNotStallWithoutDueVersion(t *testing.T) {
 	announce := func(f *Follower, times int, latest Version) {
 		for i := range times {
-			f.Receive(at(time.Duration(i)*time.Second), &Heartbeat{Log: testLog, Latest: latest, HasQuorum: true})
+			f.Receive(afterStart(time.Duration(i)*time.Second), &Heartbeat{Log: testLog, Latest: latest, HasQuorum: true})
 		}
 	}
 	for name, events := range map[string]func(*Follower){
 		"pending": func(f *Follower) {
-			f.Receive(start, next(f.Document(), remove("limits")))
+			f.Receive(start, nextDelta(f.Document(), remove("limits")))
 			announce(f, 6, 2)
 		},
 		"refused": func(f *Follower) {
-			f.Receive(start, next(f.Document(), remove("limits")))
+			f.Receive(start, nextDelta(f.Document(), remove("limits")))
 			f.Refuse(start, "", "")
 			announce(f, 6, 2)
 		},
 		"in force": func(f *Follower) {
-			f.Receive(start, next(f.Document(), remove("limits")))
+			f.Receive(start, nextDelta(f.Document(), remove("limits")))
 			f.Accept(start)
 			announce(f, 6, 2)
 		},
 		"accepted, one more announced": func(f *Follower) {
 			announce(f, 4, 3)
-			f.Receive(at(3500*time.Millisecond), next(f.Document(), remove("limits")))
-			f.Accept(at(3500 * time.Millisecond))
+			f.Receive(afterStart(3500*time.Millisecond), nextDelta(f.Document(), remove("limits")))
+			f.Accept(afterStart(3500 * time.Millisecond))
 		},
 		"refused, one more announced": func(f *Follower) {
 			announce(f, 4, 3)
-			f.Receive(at(3500*time.Millisecond), next(f.Document(), remove("limits")))
-			f.Refuse(at(3500*time.Millisecond), "", "")
+			f.Receive(afterStart(3500*time.Millisecond), nextDelta(f.Document(), remove("limits")))
+			f.Refuse(afterStart(3500*time.Millisecond), "", "")
 		},
 		"pending at last": func(f *Follower) {
 			announce(f, 6, 2)
-			f.Receive(at(5*time.Second), next(f.Document(), remove("limits")))
+			f.Receive(afterStart(5*time.Second), nextDelta(f.Document(), remove("limits")))
 		},
 		"announced late": func(f *Follower) {
 			for i := range 5 {
-				f.Receive(at(time.Duration(i)*time.Second), &Heartbeat{Log: testLog, Latest: 1, HasQuorum: true})
+				f.Receive(afterStart(time.Duration(i)*time.Second), &Heartbeat{Log: testLog, Latest: 1, HasQuorum: true})
 			}
-			f.Receive(at(5*time.Second), &Heartbeat{Log: testLog, Latest: 2, HasQuorum: true})
+			f.Receive(afterStart(5*time.Second), &Heartbeat{Log: testLog, Latest: 2, HasQuorum: true})
 		},
-		"no log there": func(f *Follower) { f.Receive(at(5*time.Second), &Heartbeat{HasQuorum: true}) },
+		"no log there": func(f *Follower) { f.Receive(afterStart(5*time.Second), &Heartbeat{HasQuorum: true}) },
 		"in transfer": func(f *Follower) {
 			announce(f, 6, 2)
-			f.Receive(at(5*time.Second), &SnapshotPart{Log: testLog, Version: 2, PartCount: 2})
+			f.Receive(afterStart(5*time.Second), &SnapshotPart{Log: testLog, Version: 2, PartCount: 2})
 		},
 	} {
 		follower := newTestFollower(t)
 		events(follower)
-		if decision := follower.Tick(at(5 * time.Second)); decision.Kind != NoAction {
+		if decision := follower.Tick(afterStart(5 * time.Second)); decision.Kind != NoAction {
 			t.Errorf("%s: %+v", name, decision)
 		}
-		if deadline, ok := follower.Deadline(); !ok || !deadline.After(at(5*time.Second)) {
-			t.Errorf("%s: a deadline that has passed", name)
+		if deadline, ok := follower.Deadline(); !ok || !deadline.After(afterStart(5*time.Second)) {
+			t.Errorf("%s: the deadline has already passed", name)
 		}
 	}
 }
 
+// The backoff is a random wait whose bound doubles up to a cap. It starts over only after SilenceTimeout on a
+// connection to a publisher with a quorum, or with an accepted version. A publisher that accepts connections and drops
+// them is therefore not tried in a fast loop.
 func TestFollowerBackoffDoublesUpToCap(t *testing.T) {
 	follower := newTestFollower(t)
 	longest := make([]time.Duration, 8)
@@ -308,30 +321,31 @@
 	for i, bound := range []time.Duration{200, 400, 800, 1600, 3000, 3000, 3000, 3000} {
 		bound *= time.Millisecond
 		if longest[i] >= bound || longest[i] < bound*95/100 {
-			t.Errorf("attempt %d: up to %v", i, longest[i])
+			t.Errorf("attempt %d: the longest wait is %v", i, longest[i])
 		}
 	}
 	follower.Connected(start)
 	follower.Receive(start, &Heartbeat{Log: testLog, Latest: 1, HasQuorum: true})
 	if follower.failures == 0 {
-		t.Error("a new connection ends the backoff")
+		t.Error("a new connection resets the backoff")
 	}
-	follower.Receive(at(SilenceTimeout), &Heartbeat{Log: testLog, Latest: 1})
+	follower.Receive(afterStart(SilenceTimeout), &Heartbeat{Log: testLog, Latest: 1})
 	if follower.failures == 0 {
-		t.Error("a publisher without a quorum ends the backoff")
+		t.Error("a publisher without a quorum resets the backoff")
 	}
-	follower.Receive(at(SilenceTimeout), &Heartbeat{Log: testLog, Latest: 1, HasQuorum: true})
+	follower.Receive(afterStart(SilenceTimeout), &Heartbeat{Log: testLog, Latest: 1, HasQuorum: true})
 	if follower.failures != 0 {
-		t.Error("the backoff doesn't end")
+		t.Error("a lasting connection to a publisher with a quorum doesn't reset the backoff")
 	}
 	follower.failures = 3
-	follower.Receive(at(SilenceTimeout), next(follower.Document(), remove("limits")))
+	follower.Receive(afterStart(SilenceTimeout), nextDelta(follower.Document(), remove("limits")))
 	follower.Accept(start)
 	if follower.failures != 0 {
-		t.Error("the backoff doesn't end with a version")
+		t.Error("an accepted version doesn't reset the backoff")
 	}
 }
 
+// A deferral is extended to BackoffBase and cut to MaxDeferral, with jitter added.
 func TestFollowerBoundsDeferral(t *testing.T) {
 	for after, want := range map[time.Duration]time.Duration{
 		0:           BackoffBase,
@@ -342,7 +356,7 @@
 		follower.Receive(start, &SnapshotDeferral{After: after})
 		wait := follower.NextAttempt().Sub(start)
 		if wait < want || wait >= want+BackoffBase {
-			t.Errorf("%v: %v", after, wait)
+			t.Errorf("deferred by %v: the wait is %v", after, wait)
 		}
 	}
 }
--- a/configsync/history.go
+++ b/configsync/history.go
@@ -6,51 +6,54 @@
 	"slices"
 )
 
-// entryOverhead is the number of bytes that an entry of a history counts beside its names and values.
-const entryOverhead = 128
+// entryOverheadBytes is added to the size of each history entry for the memory that it takes besides its names and
+// values.
+const entryOverheadBytes = 128
 
-// HistoryLimits bounds a History, which drops its oldest deltas first.
+// HistoryLimits bounds a History. When it exceeds either limit, it drops its oldest deltas.
 type HistoryLimits struct {
-	Deltas int // number of deltas
-	Bytes  int // names, new values and previous values
+	Deltas int // maximum number of deltas
+	Bytes  int // maximum size of names, new values and previous values, with the overhead of each delta
 }
 
-// History keeps the most recent deltas of a log with the values that they replaced. It is not safe for concurrent use.
+// History keeps the most recent deltas of a log, together with the values that they replaced, to serve deltas and
+// rollbacks. It is not safe for concurrent use.
 type History struct {
-	limits  HistoryLimits
-	oldest  Version // the earliest version that a delta starts from
-	digest  Digest  // of the document at oldest
-	latest  Version
-	entries []historyEntry
-	size    int
+	limits       HistoryLimits
+	oldest       Version // version from which the oldest delta starts
+	oldestDigest Digest  // of the document at version oldest
+	latest       Version
+	entries      []historyEntry
+	size         int // of all entries, in bytes
 }
 
-// historyEntry is one delta with the previous value of each changed resource, empty where there was none.
+// historyEntry is one delta with the previous value of each changed resource, in the same order. The value is empty if
+// the resource was absent.
 type historyEntry struct {
 	Delta    Delta    `cbor:"1,keyasint"`
 	Previous []Change `cbor:"2,keyasint"`
 }
 
-// NewHistory returns a history without deltas that starts at the version of a document.
+// NewHistory returns a history without deltas. Its oldest and latest version is that of the document start.
 func NewHistory(limits HistoryLimits, start *Document) *History {
 	return &History{
-		limits: limits,
-		oldest: start.Version(),
-		digest: start.Digest(),
-		latest: start.Version(),
+		limits:       limits,
+		oldest:       start.Version(),
+		oldestDigest: start.Digest(),
+		latest:       start.Version(),
 	}
 }
 
-// Oldest returns the earliest version that Since and ContentAt know.
+// Oldest returns the earliest version that DeltaSince and RollbackChanges accept.
 func (h *History) Oldest() Version { return h.oldest }
 
-// Latest returns the version that the latest delta leads to.
+// Latest returns the version that the latest delta leads to, which is Oldest without any delta.
 func (h *History) Latest() Version { return h.latest }
 
-// DigestAt returns the digest of the document at a version. ok is false where the history doesn't reach it.
+// DigestAt returns the digest of the document at a version. ok is false if the version is not in the history.
 func (h *History) DigestAt(version Version) (digest Digest, ok bool) {
 	if version == h.oldest {
-		return h.digest, true
+		return h.oldestDigest, true
 	}
 	index, found := slices.BinarySearchFunc(h.entries, version, func(entry historyEntry, version Version) int {
 		return cmp.Compare(entry.Delta.To, version)
@@ -61,7 +64,9 @@
 	return h.entries[index].Delta.Digest, true
 }
 
-// append adds the delta that was just applied to the document.
+// append adds a delta that was just applied to the document and drops old ones beyond the limits. previous holds the
+// values that the delta replaced. The error is a *VersionMismatchError if the delta doesn't start from the latest
+// version.
 func (h *History) append(delta *Delta, previous []Change) error {
 	if delta.From != h.latest {
 		return &VersionMismatchError{Current: h.latest, From: delta.From}
@@ -80,36 +85,36 @@
 	first := &h.entries[0]
 	h.size -= first.size()
 	h.oldest = first.Delta.To
-	h.digest = first.Delta.Digest
-	*first = historyEntry{} // releases its values
+	h.oldestDigest = first.Delta.Digest
+	*first = historyEntry{} // lets the garbage collector free its values
 	h.entries = h.entries[1:]
 }
 
 func (e *historyEntry) size() int {
-	return entryOverhead + changesSize(e.Delta.Changes) + changesSize(e.Previous)
+	return entryOverheadBytes + changesSize(e.Delta.Changes) + changesSize(e.Previous)
 }
 
-// DeltaSince merges all deltas after a version into one: each resource has its latest value, and one whose value is the
-// same as at the version is left out. ok is false where there is no later version or the history doesn't reach back
-// to it.
+// DeltaSince merges all deltas after a version into one, in which each resource has its latest value. Resources whose
+// value is the same as at that version are left out. ok is false if there is no later version, or if the history
+// doesn't reach back to the given one.
 func (h *History) DeltaSince(version Version) (delta Delta, ok bool) {
-	entries, _ := h.after(version)
+	entries, _ := h.entriesAfter(version)
 	if len(entries) == 0 {
 		return Delta{}, false
 	}
-	return merge(entries).delta(version, &entries[len(entries)-1].Delta), true
+	return mergeEntries(entries).delta(version, &entries[len(entries)-1].Delta), true
 }
 
-// BoundedDeltaSince merges as many deltas after a version as the bounds of a delta on the wire allow, and at least one. ok is
-// false where Since has none, or where the first delta alone exceeds the bounds.
+// BoundedDeltaSince merges as many deltas after a version, oldest first, as MaxDeltaBytes and MaxDeltaChanges allow, so
+// that the result can be sent. ok is false if DeltaSince has none, or if the first delta alone exceeds the limits.
 func (h *History) BoundedDeltaSince(version Version) (delta Delta, ok bool) {
-	entries, _ := h.after(version)
+	entries, _ := h.entriesAfter(version)
 	end := 0
-	merger := newMerger()
+	merger := newDeltaMerger()
 	for i := range entries {
 		merger.add(&entries[i])
-		if merger.size > MaxDeltaBytes || len(merger.last) > MaxDeltaChanges {
-			merger = merge(entries[:end])
+		if merger.size > MaxDeltaBytes || len(merger.after) > MaxDeltaChanges {
+			merger = mergeEntries(entries[:end])
 			break
 		}
 		end++
@@ -120,22 +125,25 @@
 	return merger.delta(version, &entries[end-1].Delta), true
 }
 
-func fitsWire(changes []Change) bool {
+// fitsDeltaLimits reports whether a delta with these changes may be sent.
+func fitsDeltaLimits(changes []Change) bool {
 	return len(changes) <= MaxDeltaChanges && changesSize(changes) <= MaxDeltaBytes
 }
 
-// RollbackChanges returns the sorted changes from the latest content back to the content of a version, for a rollback by a
-// new version. ok is false where the history doesn't reach back to it.
+// RollbackChanges returns the sorted changes that lead from the latest content back to the content of a version.
+// Publishing them as a new version rolls the configuration back. ok is false if the history doesn't reach back to that
+// version.
 func (h *History) RollbackChanges(version Version) (changes []Change, ok bool) {
-	entries, ok := h.after(version)
+	entries, ok := h.entriesAfter(version)
 	if !ok {
 		return nil, false
 	}
-	return merge(entries).undo(), true
+	return mergeEntries(entries).rollback(), true
 }
 
-// after returns the entries from a version on.
-func (h *History) after(version Version) (entries []historyEntry, ok bool) {
+// entriesAfter returns the entries whose deltas follow a version, oldest first. ok is false if the history doesn't
+// reach back to the version.
+func (h *History) entriesAfter(version Version) (entries []historyEntry, ok bool) {
 	if version == h.latest {
 		return nil, true
 	}
@@ -148,47 +156,50 @@
 	return h.entries[index:], true
 }
 
-// merger collects the value of each resource before the first delta added and after the last one; empty: absent.
-type merger struct {
-	first map[Resource][]byte
-	last  map[Resource][]byte
-	size  int // bytes of the names and values in last
+// deltaMerger merges consecutive deltas. It collects the values of the changed resources before the first delta and
+// after the last one. An empty value means that the resource is absent.
+type deltaMerger struct {
+	before map[Resource][]byte
+	after  map[Resource][]byte
+	size   int // bytes of the names and values in after
 }
 
-func newMerger() *merger {
-	return &merger{first: map[Resource][]byte{}, last: map[Resource][]byte{}}
+func newDeltaMerger() *deltaMerger {
+	return &deltaMerger{before: map[Resource][]byte{}, after: map[Resource][]byte{}}
 }
 
-func merge(entries []historyEntry) *merger {
-	merger := newMerger()
+// mergeEntries returns a deltaMerger to which the deltas of consecutive entries are added.
+func mergeEntries(entries []historyEntry) *deltaMerger {
+	merger := newDeltaMerger()
 	for i := range entries {
 		merger.add(&entries[i])
 	}
 	return merger
 }
 
-func (m *merger) add(entry *historyEntry) {
+// add adds the delta of the next entry.
+func (m *deltaMerger) add(entry *historyEntry) {
 	for i, change := range entry.Delta.Changes {
-		if old, found := m.last[change.Resource]; found {
+		if old, found := m.after[change.Resource]; found {
 			m.size -= len(change.Resource) + len(old)
 		} else {
-			m.first[change.Resource] = entry.Previous[i].Value
+			m.before[change.Resource] = entry.Previous[i].Value
 		}
-		m.last[change.Resource] = change.Value
+		m.after[change.Resource] = change.Value
 		m.size += change.size()
 	}
 }
 
-// delta returns the merged delta from a version to the one that the last delta leads to.
-func (m *merger) delta(from Version, last *Delta) Delta {
-	changes := netChanges(m.first, m.last)
+// delta returns the merged delta. from is the version that the first delta starts from; last is the last delta added.
+func (m *deltaMerger) delta(from Version, last *Delta) Delta {
+	changes := netChanges(m.before, m.after)
 	return Delta{Log: last.Log, From: from, To: last.To, Changes: changes, Digest: last.Digest}
 }
 
-// undo returns the changes from the values after the last delta to those before the first one.
-func (m *merger) undo() []Change { return netChanges(m.last, m.first) }
+// rollback returns the changes that restore the values from before the first delta.
+func (m *deltaMerger) rollback() []Change { return netChanges(m.after, m.before) }
 
-// netChanges returns the sorted changes between two states of the same resources.
+// netChanges returns the sorted changes that lead from one state to another. Both have the same resources as keys.
 func netChanges(before, after map[Resource][]byte) []Change {
 	changes := []Change{}
 	for resource, value := range after {
--- a/configsync/prepared.go
+++ b/configsync/prepared.go
@@ -1,31 +1,34 @@
 package configsync
 
-// preparedSnapshot has the frames of a document, which are shared by all followers that get it.
+// preparedSnapshot holds the encoded frames of a snapshot. All followers that get the snapshot share them.
 type preparedSnapshot struct {
 	version Version
 	digest  Digest
 	frames  [][]byte
-	size    int // bytes of all frames
+	size    int // total bytes of the frames
 }
 
-// deltaCache has the deltas to the latest version, which are shared by all followers with the same version in force.
+// deltaCache holds encoded deltas towards the latest version. All followers with the same version in force share one.
 type deltaCache struct {
-	latest Version
-	byFrom map[Version]preparedDelta // by the version that the delta starts from
-	size   int                       // bytes of all frames
+	latest Version                   // the version that the cache is valid for
+	byFrom map[Version]preparedDelta // by the version that a delta starts from
+	size   int                       // total bytes of the frames
 }
 
-// maxCachedBytes bounds the frames of a deltaCache. A delta beyond it is encoded for each follower.
-const maxCachedBytes = 16 << 20
+// maxDeltaCacheBytes bounds the total bytes of the frames in a deltaCache. A delta that doesn't fit is encoded for each
+// follower.
+const maxDeltaCacheBytes = 16 << 20
 
-// preparedDelta is the frame of a delta. A nil frame records that there is none, since the search for one is as costly.
+// preparedDelta is an encoded delta. A nil frame caches the result that there is no delta, since finding that out costs
+// as much as finding one.
 type preparedDelta struct {
 	to     Version
 	digest Digest
 	frame  []byte
 }
 
-// prepareDelta returns a delta that starts from a version. ok is false where there is none.
+// prepareDelta returns the encoded delta that starts from a version, from the cache if possible. It leads to the latest
+// version, or to an earlier one if it would be too long for one message. ok is false if there is no such delta.
 func (s *Sender) prepareDelta(from Version) (prepared preparedDelta, ok bool) {
 	s.deltas.resetIfOutdated(s.state.document.version)
 	prepared, found := s.deltas.byFrom[from]
@@ -40,15 +43,16 @@
 	return prepared, ok
 }
 
+// add caches a delta, or its absence, unless the cache is full.
 func (c *deltaCache) add(from Version, prepared preparedDelta) {
-	if c.size+len(prepared.frame) > maxCachedBytes {
+	if c.size+len(prepared.frame) > maxDeltaCacheBytes {
 		return
 	}
 	c.byFrom[from] = prepared
 	c.size += len(prepared.frame)
 }
 
-// resetIfOutdated empties the cache if there is another latest version.
+// resetIfOutdated empties the cache if it was filled for another latest version.
 func (c *deltaCache) resetIfOutdated(latest Version) {
 	if c.byFrom != nil && c.latest == latest {
 		return
@@ -58,8 +62,8 @@
 	c.size = 0
 }
 
-// prepareSnapshot returns the latest prepared snapshot as long as one delta leads from it to the latest version, so
-// that the document isn't encoded again for each version. Otherwise it prepares a new one.
+// prepareSnapshot returns the snapshot to send to a follower. It reuses the last one prepared as long as a single delta
+// leads from that to the latest version, so that not every new version causes the whole document to be encoded again.
 func (s *Sender) prepareSnapshot(follower *followerSession) *preparedSnapshot {
 	if s.snapshot == nil || !s.isUsable(s.snapshot, follower) {
 		s.snapshot = newPreparedSnapshot(s.state.document)
@@ -67,7 +71,9 @@
 	return s.snapshot
 }
 
-// isUsable reports whether a snapshot brings a follower to the latest version, with one delta after it at most.
+// isUsable reports whether a snapshot, followed by at most one delta, brings a follower to the latest version. It has
+// to be later than the version that the follower refused. It also has to be later than the follower's version in force,
+// unless it is of the latest version, which repairs wrong content.
 func (s *Sender) isUsable(snapshot *preparedSnapshot, follower *followerSession) bool {
 	document := s.state.document
 	if snapshot.version <= follower.refused {
@@ -83,6 +89,7 @@
 	return ok && delta.to == document.version
 }
 
+// newPreparedSnapshot encodes a document as the frames of a snapshot.
 func newPreparedSnapshot(document *Document) *preparedSnapshot {
 	snapshot := &preparedSnapshot{
 		version: document.Version(),
--- a/configsync/resource.go
+++ b/configsync/resource.go
@@ -7,14 +7,14 @@
 	"unicode/utf8"
 )
 
-// checkResource returns an error if the name of a resource is not valid.
+// checkResource returns a *MalformedError unless a resource name has one of the valid forms and lengths.
 func checkResource(resource Resource) error {
 	name := string(resource)
 	if len(name) > MaxResourceNameBytes {
-		return &MalformedError{resource, "name too long"}
+		return &MalformedError{resource, "resource name too long"}
 	}
 	if !utf8.ValidString(name) || strings.ContainsFunc(name, unicode.IsControl) {
-		return &MalformedError{resource, "name not printable UTF-8"}
+		return &MalformedError{resource, "resource name is not printable UTF-8"}
 	}
 	if name == LimitsResource {
 		return nil
@@ -29,19 +29,21 @@
 	if !found {
 		return &MalformedError{resource, "unknown kind of resource"}
 	}
-	return checkMember(resource, index)
+	return checkMemberIndex(resource, index)
 }
 
-// checkMember accepts only the shortest decimal form of a member index, so that each member has one name.
-func checkMember(resource Resource, index string) error {
+// checkMemberIndex accepts only the shortest decimal form of a member index, so that each member has exactly one
+// resource name.
+func checkMemberIndex(resource Resource, index string) error {
 	number, err := strconv.ParseUint(index, 10, 32)
 	if err != nil || number >= MaxMembers || strconv.FormatUint(number, 10) != index {
-		return &MalformedError{resource, "not a member index"}
+		return &MalformedError{resource, "invalid member index"}
 	}
 	return nil
 }
 
-// checkChanges returns an error if the names, the values or the order of changes are not valid.
+// checkChanges returns a *MalformedError if a resource name is invalid, a value is too long, or the changes aren't
+// sorted by resource with each resource at most once.
 func checkChanges(changes []Change) error {
 	for i := range changes {
 		change := &changes[i]
@@ -52,22 +54,24 @@
 			return &MalformedError{change.Resource, "value too long"}
 		}
 		if i > 0 && changes[i-1].Resource >= change.Resource {
-			return &MalformedError{change.Resource, "not in order, or named twice"}
+			return &MalformedError{change.Resource, "changes are not sorted by resource, or name it twice"}
 		}
 	}
 	return nil
 }
 
-func checkLog(log LogID) error {
+// checkLogID returns a *MalformedError if a log ID is invalid.
+func checkLogID(log LogID) error {
 	if log == "" || len(log) > MaxLogIDBytes || !utf8.ValidString(string(log)) {
-		return &MalformedError{Reason: "not a log's identity"}
+		return &MalformedError{Reason: "log ID is empty, too long or not UTF-8"}
 	}
 	return nil
 }
 
-// size returns the number of bytes of a change's name and value.
+// size returns the number of bytes of the resource name and the value.
 func (c *Change) size() int { return len(c.Resource) + len(c.Value) }
 
+// changesSize returns the total size of changes, in bytes of names and values.
 func changesSize(changes []Change) int {
 	size := 0
 	for i := range changes {
--- a/configsync/sender.go
+++ b/configsync/sender.go
@@ -9,59 +9,61 @@
 	"golang.org/x/time/rate"
 )
 
-// ConnectionID identifies a connection of a follower. The owner of the Sender assigns a new one to each connection.
+// ConnectionID identifies one connection of a follower. The owner of the Sender assigns a new ID, above 0, to each
+// connection.
 type ConnectionID uint64
 
-// SenderLimits bounds what one publisher sends to all of its followers. Zero values mean the defaults.
+// SenderLimits bounds what one publisher sends to its followers.
 type SenderLimits struct {
-	SnapshotRate  int // bytes a second
-	SnapshotBurst int // bytes
+	SnapshotRate  int // bytes per second, over all followers; 0: DefaultSnapshotRate
+	SnapshotBurst int // bytes; 0: DefaultSnapshotBurst
 
-	// VersionInterval is the least time between two versions to one follower. Versions published in between are
-	// merged into the next one. 0: none.
+	// VersionInterval is the minimum time from a delta to a follower until the next version to it. Versions published
+	// in between are merged into that one. 0 means no minimum.
 	VersionInterval time.Duration
 }
 
-// Sender is the publisher's side of all connections: the version in force at each follower, and what is sent to it
-// next. There is no queue: at most one version is in flight to a follower, and the next one leads from there to the
-// latest. It is not safe for concurrent use, nor for use during a change of its State.
+// Sender is the publisher's side of the protocol, for all of its connections. It keeps track of the version in force at
+// each follower and decides what to send to it next. There are no queues: at most one version is in flight to a
+// follower, and once that is acknowledged the next one leads from there to the latest. A Sender is not safe for
+// concurrent use, and must not be used while its State is being changed.
 //
-// The owner calls Connect for each Hello and Receive for each later message. While nothing is being written to a
-// follower, it calls Next when a message was received from it, when the state changed, and at the Wake time of the
+// The owner calls Connect for each Hello and Receive for each later message. Whenever no frame is being written to a
+// follower, the owner calls Next after a message from it, after a change of the state, and at the Wake time of the
 // latest Action.
 type Sender struct {
-	state     *State
-	limiter   *rate.Limiter
-	interval  time.Duration // the least between two versions to a follower
-	current   bool          // in contact with a quorum of publishers
-	paused    bool          // no version is sent
-	followers map[ConnectionID]*followerSession
-	members   map[int]*memberRecord
-	deltas    deltaCache
-	snapshot  *preparedSnapshot // the latest one prepared; nil: none
+	state           *State
+	limiter         *rate.Limiter
+	versionInterval time.Duration // SenderLimits.VersionInterval
+	hasQuorum       bool          // the publisher has contact with a quorum of publishers
+	paused          bool          // only heartbeats are sent
+	followers       map[ConnectionID]*followerSession
+	members         map[int]*memberRecord
+	deltas          deltaCache
+	snapshot        *preparedSnapshot // the last one prepared; nil: none
 
-	nextReturn time.Time // when the follower deferred last is expected to reconnect
+	latestDeferredUntil time.Time // when the follower deferred last is to reconnect
 }
 
-// followerSession is the state of one connection.
+// followerSession is the state of one connection of a follower.
 type followerSession struct {
 	member        int
 	log           LogID
 	inForce       Version
-	digest        Digest // of the version in force
+	digest        Digest // of the content in force
 	refused       Version
-	wantSnapshot  bool // no delta is sent
+	wantSnapshot  bool // the follower can't use a delta
 	inFlight      *transfer
 	nextHeartbeat time.Time // when the next heartbeat is due
-	nextVersion   time.Time // the earliest time for the next version
+	nextVersion   time.Time // earliest time to send the next version
 }
 
-// transfer is a version in flight to a follower.
+// transfer is a version that is being sent to a follower, or that was sent and is not answered yet.
 type transfer struct {
-	version  Version
-	digest   Digest
-	parts    [][]byte  // frames not returned by Next yet
-	deadline time.Time // for the answer
+	version             Version
+	digest              Digest
+	remainingFrames     [][]byte  // frames that Next has not returned yet
+	acknowledgeDeadline time.Time // for the follower's answer
 }
 
 // MemberStatus is the status of a gateway that is or was connected to the publisher.
@@ -70,28 +72,29 @@
 	Name            string
 	Incarnation     uint64
 	Connected       bool
-	InForce         Version // the latest version in force that the gateway reported
-	Refused         Version // a later version that it couldn't apply; 0: none
-	RefusedResource Resource
-	RefusalReason   string
-	LastMessage     time.Time
+	InForce         Version   // version in force that the gateway reported last
+	Refused         Version   // version later than InForce that the gateway refused; 0: none
+	RefusedResource Resource  // at fault in the refused version; empty: unknown
+	RefusalReason   string    // empty if no version is refused
+	LastMessage     time.Time // when the latest message was received
 }
 
+// memberRecord is the status of a gateway with the id of its connection.
 type memberRecord struct {
 	MemberStatus
-	id ConnectionID // of its connection, if Connected
+	id ConnectionID // valid while Connected is true
 }
 
-// ProtocolVersionError reports that a follower uses another version of the protocol.
+// ProtocolVersionError reports that a follower uses a version of the protocol other than Protocol.
 type ProtocolVersionError struct {
 	Protocol uint32
 }
 
 func (e *ProtocolVersionError) Error() string {
-	return fmt.Sprintf("protocol %d, not %d", e.Protocol, Protocol)
+	return fmt.Sprintf("follower uses protocol version %d, want %d", e.Protocol, Protocol)
 }
 
-// SupersededError reports that a later incarnation of the same gateway is connected.
+// SupersededError reports that a connection is refused because a later incarnation of the same gateway is connected.
 type SupersededError struct {
 	Member      int
 	Incarnation uint64
@@ -99,36 +102,36 @@
 }
 
 func (e *SupersededError) Error() string {
-	return fmt.Sprintf("member %d: incarnation %d after %d", e.Member, e.Incarnation, e.Connected)
+	return fmt.Sprintf("member %d: connected as incarnation %d after incarnation %d", e.Member, e.Incarnation, e.Connected)
 }
 
-// NewSender returns the sender of a publisher without followers.
+// NewSender returns a sender without followers that sends the versions of a state.
 func NewSender(state *State, limits SenderLimits) *Sender {
 	bytesPerSecond := cmp.Or(limits.SnapshotRate, DefaultSnapshotRate)
 	burst := cmp.Or(limits.SnapshotBurst, DefaultSnapshotBurst)
 	return &Sender{
-		state:     state,
-		limiter:   rate.NewLimiter(rate.Limit(bytesPerSecond), burst),
-		interval:  limits.VersionInterval,
-		followers: map[ConnectionID]*followerSession{},
-		members:   map[int]*memberRecord{},
+		state:           state,
+		limiter:         rate.NewLimiter(rate.Limit(bytesPerSecond), burst),
+		versionInterval: limits.VersionInterval,
+		followers:       map[ConnectionID]*followerSession{},
+		members:         map[int]*memberRecord{},
 	}
 }
 
-// SetHasQuorum sets whether the publisher is in contact with a quorum of publishers, which heartbeats report.
-func (s *Sender) SetHasQuorum(current bool) { s.current = current }
+// SetHasQuorum sets whether the publisher has contact with a quorum of publishers. Heartbeats report it to followers.
+func (s *Sender) SetHasQuorum(hasQuorum bool) { s.hasQuorum = hasQuorum }
 
-// SetPaused sets whether followers get only heartbeats. A publisher pauses its sender while its state may be older
-// than what the group has committed: a version of it would revert gateways, and followers with a later one would be
-// disconnected.
+// SetPaused sets whether followers get nothing but heartbeats without a version. A publisher pauses its sender while
+// its state may be older than what the publishers have committed: versions sent from it would revert gateways, and
+// followers with later versions would be disconnected.
 func (s *Sender) SetPaused(paused bool) { s.paused = paused }
 
 // Len returns the number of connected followers.
 func (s *Sender) Len() int { return len(s.followers) }
 
-// Connect adds a follower. If the same gateway has another connection, replaced is the id of that one, which has to
-// be closed; otherwise it is 0. The error is a *ProtocolError or a *SupersededError; the new connection has to be
-// closed then.
+// Connect registers a follower's connection. If the same gateway has an older connection, replaced is the ID of that
+// one, which the caller has to close; otherwise replaced is 0. If the error is a *ProtocolVersionError or a
+// *SupersededError, the caller has to close the new connection.
 func (s *Sender) Connect(now time.Time, id ConnectionID, hello *Hello) (replaced ConnectionID, err error) {
 	if hello.Protocol != Protocol {
 		return 0, &ProtocolVersionError{hello.Protocol}
@@ -169,7 +172,7 @@
 	}
 }
 
-// Disconnect removes a connection. The status of its gateway stays.
+// Disconnect unregisters a connection. Status goes on reporting its gateway, as not connected. Unknown IDs are ignored.
 func (s *Sender) Disconnect(id ConnectionID) {
 	follower := s.followers[id]
 	if follower == nil {
@@ -182,8 +185,8 @@
 	}
 }
 
-// Receive handles a message of a follower after its Hello. An error reports that the message breaks the protocol; the
-// connection has to be closed then.
+// Receive handles a message that a follower sent after its Hello. If it returns an error, the message violates the
+// protocol and the caller has to close the connection. Messages of an unknown connection are ignored.
 func (s *Sender) Receive(now time.Time, id ConnectionID, message Message) error {
 	follower := s.followers[id]
 	if follower == nil {
@@ -197,7 +200,7 @@
 	case *Refusal:
 		return s.receiveRefusal(follower, record, message)
 	}
-	return &MalformedError{Reason: "a message that no follower sends"}
+	return &MalformedError{Reason: "unexpected message: followers don't send this kind after their hello"}
 }
 
 func (s *Sender) receiveAcknowledge(follower *followerSession, record *memberRecord, message *Acknowledge) error {
@@ -206,7 +209,7 @@
 	}
 	want, known := s.digestOf(follower, message.Version)
 	if !known {
-		return &MalformedError{Reason: "acknowledges a version that wasn't sent"}
+		return &MalformedError{Reason: "acknowledgement of a version that was not sent"}
 	}
 	if want != message.Digest {
 		return &DigestMismatchError{Version: message.Version, Want: want, Got: message.Digest}
@@ -224,7 +227,8 @@
 	return nil
 }
 
-// digestOf returns the digest of a version that may be in force at a follower. known is false where it isn't known.
+// digestOf returns the expected digest of a version that a follower may have in force. known is false if the version is
+// not in flight, in force or in the history.
 func (s *Sender) digestOf(follower *followerSession, version Version) (digest Digest, known bool) {
 	if follower.inFlight != nil && follower.inFlight.version == version {
 		return follower.inFlight.digest, true
@@ -239,7 +243,7 @@
 	inFlight := follower.inFlight
 	sent := inFlight != nil && inFlight.version == message.Version
 	if !sent && message.Version != follower.refused {
-		return &MalformedError{Reason: "refuses a version that wasn't sent"}
+		return &MalformedError{Reason: "refusal of a version that was not sent"}
 	}
 	follower.refused = message.Version
 	record.Refused = message.Version
@@ -257,7 +261,7 @@
 	r.RefusalReason = ""
 }
 
-// Status returns the status of each gateway that has been connected, by member index.
+// Status returns the status of each gateway that is or was connected, sorted by member index.
 func (s *Sender) Status() []MemberStatus {
 	status := make([]MemberStatus, 0, len(s.members))
 	for _, record := range s.members {
--- a/configsync/simulation_test.go
+++ b/configsync/simulation_test.go
@@ -8,42 +8,43 @@
 	"pgregory.net/rapid"
 )
 
-// The simulation joins the state, senders and followers of this package by frames over a network that loses, repeats
-// and reorders them, with publishers that lag behind and gateways that restart with and without their file.
+// The simulation connects publishers and gateways by a network that loses, repeats and reorders frames. Publishers lag
+// behind or stop sending, and gateways restart with or without their file.
 
 const (
-	simulationStep = 100 * time.Millisecond
-	badResource    = Resource("classes/bad") // gateways refuse a document that has it
-	inForceWithin  = 12 * time.Second
+	simulationStep     = 100 * time.Millisecond
+	badResource        = Resource("classes/bad") // gateways refuse an update that sets it
+	convergenceTimeout = 12 * time.Second
 )
 
 type simulation struct {
 	t          *rapid.T
 	random     *rand.Rand
 	now        time.Time
-	log        [][]byte // commands
+	commands   [][]byte // encoded commands, as in the replicated log
 	publishers []*simPublisher
 	gateways   []*simGateway
 	lastID     ConnectionID
 }
 
 type simPublisher struct {
-	state   *State
-	sender  *Sender
-	applied int  // commands of the log
-	lagging bool // applies nothing and has no contact with a quorum
-	silent  bool // accepts connections and frames, and sends nothing
+	state           *State
+	sender          *Sender
+	appliedCommands int  // number of commands applied
+	lagging         bool // applies no commands and has no contact with a quorum
+	silent          bool // accepts connections and frames, but sends nothing
 }
 
 type simGateway struct {
-	follower    *Follower
-	incarnation uint64
-	highest     Version // the version in force, which never decreases unless the disk is lost
-	file        []byte
-	update      *Update // not accepted or refused yet
-	link        *simLink
+	follower       *Follower
+	incarnation    uint64
+	highestVersion Version // version in force, which must never decrease unless the file is lost
+	file           []byte
+	update         *Update // neither accepted nor refused yet; nil: none
+	link           *simLink
 }
 
+// simLink is a connection with the frames in flight on it.
 type simLink struct {
 	publisher   *simPublisher
 	id          ConnectionID
@@ -63,11 +64,11 @@
 		s.gateways = append(s.gateways, &simGateway{})
 		s.restart(len(s.gateways)-1, false)
 	}
-	s.log = append(s.log, marshal(&Command{CreateLog: testLog}))
+	s.commands = append(s.commands, marshal(&Command{CreateLog: testLog}))
 	return s
 }
 
-// restart starts a gateway from its file, if it has one.
+// restart restarts a gateway, from its file if withFile is true and there is one, or else as after a loss of its disk.
 func (s *simulation) restart(index int, withFile bool) {
 	g := s.gateways[index]
 	document := NewDocument("")
@@ -81,36 +82,38 @@
 			s.t.Fatal(err)
 		}
 	}
-	if document.Version() < g.highest && withFile {
-		s.t.Fatalf("gateway %d starts at version %d after %d", index, document.Version(), g.highest)
+	if document.Version() < g.highestVersion && withFile {
+		s.t.Fatalf("gateway %d restarts at version %d after %d", index, document.Version(), g.highestVersion)
 	}
-	g.highest = document.Version()
+	g.highestVersion = document.Version()
 	g.incarnation++
 	config := FollowerConfig{Member: index, Incarnation: g.incarnation, Publishers: len(s.publishers)}
 	g.follower = NewFollower(config, document, s.random)
 	g.update = nil
-	g.link = nil // the publisher isn't notified, as after a crash
+	g.link = nil // as after a crash, the publisher isn't notified
 }
 
-// propose publishes changes at a publisher with the complete log, as the leader has it.
+// propose appends a command with changes to the log if a publisher that has applied the whole log, as the leader has,
+// accepts the command.
 func (s *simulation) propose(changes []Change) {
 	leader := NewState(testLimits)
-	for _, text := range s.log {
+	for _, text := range s.commands {
 		leader.Apply(text)
 	}
 	command := NewCommand(testLog, leader.Document().Version(), changes)
 	if _, err := leader.Apply(marshal(command)); err == nil {
-		s.log = append(s.log, marshal(command))
+		s.commands = append(s.commands, marshal(command))
 	}
 }
 
+// step advances the time and runs each publisher and each gateway once.
 func (s *simulation) step() {
 	s.now = s.now.Add(simulationStep)
 	for _, p := range s.publishers {
 		p.sender.SetHasQuorum(!p.lagging)
-		for !p.lagging && p.applied < len(s.log) {
-			p.state.Apply(s.log[p.applied])
-			p.applied++
+		for !p.lagging && p.appliedCommands < len(s.commands) {
+			p.state.Apply(s.commands[p.appliedCommands])
+			p.appliedCommands++
 		}
 	}
 	for _, g := range s.gateways {
@@ -119,6 +122,7 @@
 	}
 }
 
+// stepGateway lets a gateway finish its update and connect, or handle all frames that have arrived.
 func (s *simulation) stepGateway(g *simGateway) {
 	s.finishUpdate(g)
 	if g.link == nil {
@@ -167,7 +171,7 @@
 	return true
 }
 
-// finishUpdate accepts or refuses the update of the step before.
+// finishUpdate accepts or refuses the update that the follower asked for in an earlier step.
 func (s *simulation) finishUpdate(g *simGateway) {
 	update := g.update
 	if update == nil {
@@ -175,7 +179,7 @@
 	}
 	g.update = nil
 	var answer Message
-	if hasBad(update.Changes) {
+	if containsBadResource(update.Changes) {
 		answer = g.follower.Refuse(s.now, badResource, "bad")
 	} else {
 		answer = g.follower.Accept(s.now)
@@ -186,7 +190,7 @@
 	}
 }
 
-func hasBad(changes []Change) bool {
+func containsBadResource(changes []Change) bool {
 	for i := range changes {
 		if changes[i].Resource == badResource && !changes[i].IsRemoval() {
 			return true
@@ -195,12 +199,13 @@
 	return false
 }
 
+// putInForce checks that the version has increased and writes the gateway's file.
 func (s *simulation) putInForce(g *simGateway, update *Update) {
 	version := g.follower.Document().Version()
-	if version <= g.highest {
-		s.t.Fatalf("version %d in force after %d", version, g.highest)
+	if version <= g.highestVersion {
+		s.t.Fatalf("version %d came into force after version %d", version, g.highestVersion)
 	}
-	g.highest = version
+	g.highestVersion = version
 	if update.Delta != nil && g.file != nil {
 		g.file = append(g.file, EncodeFileDelta(update.Delta)...)
 	} else {
@@ -208,6 +213,7 @@
 	}
 }
 
+// stepPublisher lets a publisher handle all frames that have arrived on a connection and send what is due on it.
 func (s *simulation) stepPublisher(link *simLink) {
 	if link == nil || link.publisher.silent {
 		return
@@ -237,7 +243,7 @@
 	}
 }
 
-// receive passes a message to the sender and reports whether the sender accepts it. The follower isn't notified if not.
+// receive passes a message to the sender and reports whether that accepts it. If not, the follower isn't notified.
 func (s *simulation) receive(link *simLink, message Message) bool {
 	sender := link.publisher.sender
 	if hello, isHello := message.(*Hello); isHello {
@@ -251,8 +257,8 @@
 	return true
 }
 
-// disturb drops, repeats or reorders frames in flight to a follower or a publisher.
-func (s *simulation) disturb(t *rapid.T) {
+// disturbFrames drops, repeats or reorders frames in flight on the connection of a gateway, in either direction.
+func (s *simulation) disturbFrames(t *rapid.T) {
 	link := s.drawGateway(t).link
 	if link == nil {
 		return
@@ -279,13 +285,14 @@
 	return rapid.SampledFrom(s.gateways).Draw(t, "gateway")
 }
 
-// converge runs the simulation for a duration, after which the latest version must be in force everywhere.
+// converge runs the simulation for a duration and then checks that each gateway has the latest version in force and in
+// its file.
 func (s *simulation) converge(within time.Duration) {
 	for end := s.now.Add(within); s.now.Before(end); {
 		s.step()
 	}
 	want := NewState(testLimits)
-	for _, text := range s.log {
+	for _, text := range s.commands {
 		want.Apply(text)
 	}
 	for i, g := range s.gateways {
@@ -295,14 +302,15 @@
 				i, got.Version(), want.Document().Version(), g.follower.Counters())
 		}
 		stored, err := DecodeFile(g.file)
-		if err != nil || describe(stored) != describe(got) {
-			s.t.Fatalf("gateway %d has another file: %v", i, err)
+		if err != nil || formatDocument(stored) != formatDocument(got) {
+			s.t.Fatalf("the file of gateway %d differs from its document in force: %v", i, err)
 		}
 	}
 }
 
-// Versions never decrease, and once all faults are over, also if one publisher then falls silent or loses its quorum,
-// the latest version is in force everywhere within 12 s.
+// Under faults of the network, the publishers and the gateways, the version in force never decreases. Within 12 s after
+// all faults end, the latest version is in force at all gateways. The same holds after one publisher then stops sending
+// or loses its quorum.
 func TestFleetConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
@@ -318,7 +326,7 @@
 					s.step()
 				}
 			},
-			"disturb": s.disturb,
+			"disturb": s.disturbFrames,
 			"lag": func(t *rapid.T) {
 				p := rapid.SampledFrom(s.publishers).Draw(t, "publisher")
 				p.lagging = !p.lagging
@@ -344,7 +352,7 @@
 		}
 		s.propose([]Change{remove(badResource)})
 		s.propose([]Change{set("limits", "healed")})
-		s.converge(inForceWithin)
+		s.converge(convergenceTimeout)
 		lost := rapid.SampledFrom(s.publishers).Draw(t, "lost")
 		if rapid.Bool().Draw(t, "silent") {
 			lost.silent = true
@@ -352,6 +360,6 @@
 			lost.lagging = true
 		}
 		s.propose([]Change{set("limits", "one publisher lost")})
-		s.converge(inForceWithin)
+		s.converge(convergenceTimeout)
 	})
 }
--- a/configsync/snapshot.go
+++ b/configsync/snapshot.go
@@ -1,16 +1,17 @@
 package configsync
 
-// encodedChangeBytes bounds the bytes that CBOR adds to the name and the value of one change.
-const encodedChangeBytes = 16
+// maxChangeOverheadBytes is the largest number of bytes that CBOR adds to the name and the value of one change.
+const maxChangeOverheadBytes = 16
 
-// SplitSnapshot returns the parts of a document, each with at most PartBytes of encoded changes, or one value. Its
-// cost is proportional to the number of resources.
+// SplitSnapshot splits a document into the parts of its snapshot. A part has at most MaxSnapshotPartChanges changes and
+// at most TargetSnapshotPartBytes of encoded changes, unless it is a single longer change. The empty document yields
+// one empty part. The cost is proportional to the number of resources.
 func SplitSnapshot(document *Document) []*SnapshotPart {
 	var groups [][]Change
 	var group []Change
 	size := 0
 	for _, change := range document.Changes() {
-		added := change.size() + encodedChangeBytes
+		added := change.size() + maxChangeOverheadBytes
 		if len(group) > 0 && size+added > TargetSnapshotPartBytes || len(group) == MaxSnapshotPartChanges {
 			groups = append(groups, group)
 			group = nil
@@ -35,52 +36,55 @@
 	return parts
 }
 
-// SnapshotAssembler joins the parts of one snapshot. The zero value is ready for the first part.
+// SnapshotAssembler builds a document from the parts of one snapshot. The zero value is ready for the first part. It is
+// not safe for concurrent use.
 type SnapshotAssembler struct {
-	first   *SnapshotPart
-	next    int // index of the next part
-	size    int // bytes of names and values so far
-	changes []Change
+	first     *SnapshotPart // nil: none added yet
+	nextIndex int           // index of the part that has to come next
+	size      int           // bytes of names and values added so far
+	changes   []Change
 }
 
-// Add adds the next part. It returns the document after the last part, and nil before. The error is a *MalformedError
-// or a *DigestError; the Assembler can't be used after an error.
+// Add adds the next part. It returns the document once the last part is added, and nil before. The error is a
+// *MalformedError or a *DigestMismatchError, after which the SnapshotAssembler can't be used any more.
 func (a *SnapshotAssembler) Add(part *SnapshotPart) (*Document, error) {
 	if a.first == nil {
 		a.first = part
 	}
-	if err := a.check(part); err != nil {
+	if err := a.checkPart(part); err != nil {
 		return nil, err
 	}
-	a.next++
+	a.nextIndex++
 	a.size += changesSize(part.Changes)
 	a.changes = append(a.changes, part.Changes...)
 	if a.size > MaxDocumentBytes || len(a.changes) > MaxDocumentResources {
-		return nil, &MalformedError{Reason: "the document would be too large"}
+		return nil, &MalformedError{Reason: "the document would exceed the limit for its size or its number of resources"}
 	}
-	if a.next < part.PartCount {
+	if a.nextIndex < part.PartCount {
 		return nil, nil
 	}
 	return buildDocument(part.Log, part.Version, part.Digest, a.changes)
 }
 
-func (a *SnapshotAssembler) check(part *SnapshotPart) error {
+// checkPart returns a *MalformedError unless a part is valid and the next one of the same snapshot.
+func (a *SnapshotAssembler) checkPart(part *SnapshotPart) error {
 	if err := part.check(); err != nil {
 		return err
 	}
 	first := a.first
-	if part.Log != first.Log || part.Version != first.Version || part.Digest != first.Digest || part.PartCount != first.PartCount {
-		return &MalformedError{Reason: "a part of another snapshot"}
+	if part.Log != first.Log || part.Version != first.Version || part.Digest != first.Digest ||
+		part.PartCount != first.PartCount {
+		return &MalformedError{Reason: "snapshot part belongs to another snapshot"}
 	}
-	if part.Index != a.next {
-		return &MalformedError{Reason: "a part of a snapshot out of order"}
+	if part.Index != a.nextIndex {
+		return &MalformedError{Reason: "snapshot part out of order"}
 	}
 	return nil
 }
 
-// buildDocument returns the document with the given content, which has to be sorted.
+// buildDocument returns the document with the given content and checks its digest. The changes have to be sorted.
 func buildDocument(log LogID, version Version, digest Digest, changes []Change) (*Document, error) {
-	if err := checkOptionalLog(log); err != nil {
+	if err := checkOptionalLogID(log); err != nil {
 		return nil, err
 	}
 	document := NewDocument(log)
--- a/configsync/snapshot_test.go
+++ b/configsync/snapshot_test.go
@@ -5,43 +5,47 @@
 	"testing"
 )
 
+// The parts of a snapshot stay within the limits for messages and assemble to the same document.
 func TestSnapshotPartsRoundTripWithinBounds(t *testing.T) {
 	document := NewDocument(testLog)
 	var changes []Change
 	for i := range MaxSnapshotPartChanges + 10 {
 		changes = append(changes, set(Resource(fmt.Sprintf("classes/%05d", i)), "1"))
 	}
-	changes = append(changes, longPlans("", 9)...)
-	if err := document.Apply(next(document, changes...)); err != nil {
+	changes = append(changes, maxSizePlans("", 9)...)
+	if err := document.Apply(nextDelta(document, changes...)); err != nil {
 		t.Fatal(err)
 	}
 	parts := SplitSnapshot(document)
-	if len(parts) != 8+9 { // eight with the short values, and each long value by itself
+	if len(parts) != 8+9 { // eight with the short values, and one for each long value
 		t.Errorf("%d parts", len(parts))
 	}
 	assembler := &SnapshotAssembler{}
 	for i, part := range parts {
 		frame := Encode(part)
 		message, err := Decode(frame)
-		if err != nil || len(frame) > TargetSnapshotPartBytes+200 && len(part.Changes) > 1 || len(frame) > MaxSnapshotPartBytes {
+		if err != nil || len(frame) > TargetSnapshotPartBytes+200 && len(part.Changes) > 1 ||
+			len(frame) > MaxSnapshotPartBytes {
 			t.Fatal(len(frame), err)
 		}
 		got, err := assembler.Add(message.(*SnapshotPart))
 		if err != nil || (got != nil) != (i == len(parts)-1) {
 			t.Fatal(i, got, err)
 		}
-		if got != nil && describe(got) != describe(document) {
-			t.Error("another document")
+		if got != nil && formatDocument(got) != formatDocument(document) {
+			t.Error("the assembled document differs")
 		}
 	}
 	empty := newTestDocument(t)
-	if got, err := (&SnapshotAssembler{}).Add(SplitSnapshot(empty)[0]); err != nil || describe(got) != describe(empty) {
+	if got, err := (&SnapshotAssembler{}).Add(SplitSnapshot(empty)[0]); err != nil ||
+		formatDocument(got) != formatDocument(empty) {
 		t.Error(err)
 	}
 }
 
+// The assembler rejects parts that don't belong together, parts out of order and snapshots beyond the limits.
 func TestAssemblerRefusesWrongParts(t *testing.T) {
-	for name, spoil := range map[string]func(parts []*SnapshotPart){
+	for name, corrupt := range map[string]func(parts []*SnapshotPart){
 		"not the first": func(parts []*SnapshotPart) { parts[0].Index = 1 },
 		"repeated":      func(parts []*SnapshotPart) { parts[1].Index = 0 },
 		"left out":      func(parts []*SnapshotPart) { parts[1].Index = 2 },
@@ -64,7 +68,7 @@
 			part.PartCount = len(parts)
 			part.Changes = all[i : i+1]
 		}
-		spoil(parts)
+		corrupt(parts)
 		assembler := &SnapshotAssembler{}
 		var err error
 		for _, part := range parts {
@@ -80,13 +84,13 @@
 	for _, full := range []*SnapshotAssembler{{size: MaxDocumentBytes}, {changes: make([]Change, MaxDocumentResources)}} {
 		part := &SnapshotPart{Log: testLog, Version: 1, PartCount: 2, Changes: []Change{set("limits", "1")}}
 		if _, err := full.Add(part); err == nil {
-			t.Error("a snapshot of any size")
+			t.Error("a snapshot beyond the document limits was accepted")
 		}
 	}
-	wide := longPlans("", 5)
+	wide := maxSizePlans("", 5)
 	document := newTestDocument(t, wide...)
 	part := &SnapshotPart{Log: testLog, Version: 1, Digest: document.Digest(), PartCount: 1, Changes: wide}
 	if _, err := (&SnapshotAssembler{}).Add(part); err == nil {
-		t.Error("a part of any size")
+		t.Error("a part beyond the size limit was accepted")
 	}
 }
--- a/configsync/state_test.go
+++ b/configsync/state_test.go
@@ -41,7 +41,7 @@
 	mustApply(t, state, NewCommand(testLog, state.Document().Version(), changes))
 }
 
-// Plan ids match the published test vectors of FNV-1a, and a name whose hash is 0 has the id 1.
+// Plan ids match the published test vectors of FNV-1a. A name whose hash is 0 has the id 1.
 func TestPlanIDMatchesFNVVectors(t *testing.T) {
 	for name, want := range map[string]uint32{
 		"":        0x811c9dc5,
@@ -55,7 +55,7 @@
 	}
 }
 
-// A refused command leaves the state as it was, and Check returns the same error before.
+// A refused command leaves the state unchanged, and Check returns the same type of error as Apply.
 func TestStateRefusesCommandWithoutChange(t *testing.T) {
 	unsorted := []Change{set("plans/b", "1"), set("limits", "1")}
 	sameID := []Change{set("plans/altarage", "1"), set("plans/zinke", "1")}
@@ -82,38 +82,41 @@
 	} {
 		err := applyCommand(t, state, test.command)
 		if reflect.TypeOf(err) != reflect.TypeOf(test.want) {
-			t.Errorf("%s: %T %v", name, err, err)
+			t.Errorf("%s: unexpected error %T %v", name, err, err)
 		}
 		if !bytes.Equal(state.Snapshot(), before) {
-			t.Errorf("%s: the state changed", name)
+			t.Errorf("%s: the refused command changed the state", name)
 		}
 		if test.command.CreateLog == "" {
 			err = state.Check(test.command)
 			if reflect.TypeOf(err) != reflect.TypeOf(test.want) {
-				t.Errorf("%s, checked before: %T %v", name, err, err)
+				t.Errorf("%s: unexpected error of Check: %T %v", name, err, err)
 			}
 		}
 	}
 }
 
-// The id of a removed plan stays reserved for its name, so that counters of two plans are never mixed.
+// The id of a removed plan stays reserved for its name. Otherwise a new plan with the same id could take over the
+// counters of the removed one.
 func TestStateReservesIDOfRemovedPlan(t *testing.T) {
 	state := newTestState(t, testLimits)
 	publish(t, state, set("plans/costarring", "1"), set("plans/a", "1"))
 	publish(t, state, remove("plans/costarring"))
 	err := applyCommand(t, state, NewCommand(testLog, 2, []Change{set("plans/liquid", "1")}))
-	if refused, ok := err.(*PlanIDConflictError); !ok || refused.Resource != "plans/liquid" || refused.Owner != "costarring" {
+	if refused, ok := err.(*PlanIDConflictError); !ok || refused.Resource != "plans/liquid" ||
+		refused.Owner != "costarring" {
 		t.Errorf("%+v", err)
 	}
-	publish(t, state, set("plans/costarring", "2")) // the name itself may be used again
+	publish(t, state, set("plans/costarring", "2")) // the same name may be used again
 }
 
+// Commands that exceed the size limit, can't be decoded or propose a version without a log are refused.
 func TestStateRefusesMalformedCommand(t *testing.T) {
 	if _, err := EncodeCommand(&Command{Changes: []Change{{Value: make([]byte, MaxCommandBytes)}}}); err == nil {
-		t.Error("a command of any size was encoded")
+		t.Error("a command beyond the size limit was encoded")
 	}
 	for name, text := range map[string][]byte{
-		"any size":   marshal(map[int]any{1: "log", 99: make([]byte, MaxCommandBytes)}),
+		"too large":  marshal(map[int]any{1: "log", 99: make([]byte, MaxCommandBytes)}),
 		"wrong type": marshal(map[int]any{1: "log", 3: "x"}),
 		"not CBOR":   []byte("\xff"),
 		"long log":   marshal(&Command{CreateLog: LogID(make([]byte, MaxLogIDBytes+1))}),
@@ -121,17 +124,17 @@
 		empty := NewState(testLimits)
 		_, err := empty.Apply(text)
 		if _, malformed := err.(*MalformedError); !malformed || empty.Document().Log() != "" {
-			t.Errorf("a command of %s applied: %v", name, err)
+			t.Errorf("%s: the malformed command was not refused: %v", name, err)
 		}
 	}
 	err := applyCommand(t, NewState(testLimits), NewCommand("", 0, []Change{set("limits", "1")}))
 	if _, ok := err.(*LogMismatchError); !ok {
-		t.Errorf("a version without a log: %v", err)
+		t.Errorf("proposal to a state without a log: %v", err)
 	}
 }
 
-// The same commands lead to the same bytes, also after a restore from a snapshot, and merged deltas and rollbacks
-// lead to the same content as the single steps.
+// The same commands lead to byte-identical states, even if a replica is restored from a snapshot in between. Merged
+// deltas and rollbacks lead to the same content as the single versions.
 func TestStateAndHistoryAreDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := HistoryLimits{
@@ -163,7 +166,7 @@
 				replica = restored
 			}
 			if !bytes.Equal(state.Snapshot(), replica.Snapshot()) {
-				t.Fatal("different states from the same commands")
+				t.Fatal("the same commands led to different states")
 			}
 			contents[state.Document().Version()] = state.Document().Clone()
 		}
@@ -173,7 +176,8 @@
 	})
 }
 
-// checkHistory compares the digest, the delta and the rollback that the history has for a version with its content.
+// checkHistory checks the digest, the delta and the rollback that the history returns for a version against the content
+// of that version.
 func checkHistory(t *rapid.T, state *State, version Version, content *Document) {
 	history := state.History()
 	latest := state.Document()
@@ -184,30 +188,31 @@
 	}
 	delta, found := history.DeltaSince(version)
 	if found != (known && version < latest.Version()) {
-		t.Fatalf("version %d: a delta: %v", version, found)
+		t.Fatalf("version %d: delta found: %v", version, found)
 	}
 	if found {
 		merged := content.Clone()
-		if err := merged.Apply(&delta); err != nil || describe(merged) != describe(latest) {
+		if err := merged.Apply(&delta); err != nil || formatDocument(merged) != formatDocument(latest) {
 			t.Fatal(version, err)
 		}
 		if wanted := content.Diff(latest.resources); fmt.Sprint(wanted) != fmt.Sprint(delta.Changes) {
-			t.Fatalf("version %d: %v instead of %v", version, delta.Changes, wanted)
+			t.Fatalf("version %d: the delta has changes %v, want %v", version, delta.Changes, wanted)
 		}
 	}
 	changes, found := history.RollbackChanges(version)
 	if found != known {
-		t.Fatalf("version %d: its content: %v", version, found)
+		t.Fatalf("version %d: rollback found: %v", version, found)
 	}
 	if wanted := latest.Diff(content.resources); known && fmt.Sprint(changes) != fmt.Sprint(wanted) {
-		t.Fatalf("version %d: back by %v instead of %v", version, changes, wanted)
+		t.Fatalf("version %d: the rollback has changes %v, want %v", version, changes, wanted)
 	}
 }
 
+// The history drops its oldest deltas beyond either limit.
 func TestHistoryDropsOldestDeltas(t *testing.T) {
 	for _, limits := range []HistoryLimits{
 		{Deltas: 3, Bytes: 1 << 20},
-		{Deltas: 100, Bytes: 3 * (entryOverhead + 2*len("limits") + 2)},
+		{Deltas: 100, Bytes: 3 * (entryOverheadBytes + 2*len("limits") + 2)},
 	} {
 		state := newTestState(t, limits)
 		for i := range 10 {
@@ -217,15 +222,15 @@
 			t.Errorf("%+v: oldest %d", limits, oldest)
 		}
 		if _, ok := state.History().DeltaSince(11); ok {
-			t.Error("a delta from the future")
+			t.Error("the history has a delta from a version that doesn't exist yet")
 		}
 		if _, ok := state.History().RollbackChanges(6); ok {
-			t.Error("content that is gone")
+			t.Error("the history has a rollback to a version that it dropped")
 		}
 	}
 }
 
-// Merged deltas beyond the bounds of a message become several messages.
+// Deltas that together exceed the size limit of a message are merged into several deltas within it.
 func TestHistorySplitsMergedDeltaBySize(t *testing.T) {
 	state := newTestState(t, HistoryLimits{Deltas: 100, Bytes: 8 << 20})
 	for i := range 20 {
@@ -234,25 +239,26 @@
 	document := NewDocument(testLog)
 	for document.Version() < 20 {
 		delta, ok := state.History().BoundedDeltaSince(document.Version())
-		if !ok || !fitsWire(delta.Changes) || len(Encode(&delta)) > MaxFrameBytes {
+		if !ok || !fitsDeltaLimits(delta.Changes) || len(Encode(&delta)) > MaxFrameBytes {
 			t.Fatal(ok, len(delta.Changes))
 		}
 		if err := document.Apply(&delta); err != nil {
 			t.Fatal(err)
 		}
 		if document.Version() == 1 {
-			t.Error("no deltas merged")
+			t.Error("the first delta covers only one version")
 		}
 	}
 	if _, ok := state.History().BoundedDeltaSince(21); ok {
-		t.Error("a delta from the future")
+		t.Error("the history has a delta from a version that doesn't exist yet")
 	}
-	publish(t, state, longPlans("new", 20)...)
+	publish(t, state, maxSizePlans("new", 20)...)
 	if _, ok := state.History().BoundedDeltaSince(20); ok {
-		t.Error("a delta beyond the bounds of a message")
+		t.Error("a delta that exceeds the size limit of a message")
 	}
 }
 
+// Deltas that together have more than MaxDeltaChanges changes are not merged into one.
 func TestHistorySplitsMergedDeltaByCount(t *testing.T) {
 	state := newTestState(t, HistoryLimits{Deltas: 100, Bytes: 8 << 20})
 	for i := range 2 {
@@ -267,8 +273,10 @@
 	}
 }
 
+// A command is refused if it has too many changes or would make the document or the list of reserved plan names too
+// large.
 func TestStateRefusesExcessiveSizes(t *testing.T) {
-	isMalformed := func(name string, state *State, changes []Change) {
+	checkMalformed := func(name string, state *State, changes []Change) {
 		err := state.Check(NewCommand(testLog, state.Document().Version(), changes))
 		if _, ok := err.(*MalformedError); !ok {
 			t.Errorf("%s: %v", name, err)
@@ -278,21 +286,22 @@
 	for i := range many {
 		many[i] = remove(Resource(fmt.Sprintf("plans/%06d", i)))
 	}
-	isMalformed("many changes", newTestState(t, testLimits), many)
+	checkMalformed("many changes", newTestState(t, testLimits), many)
 	full := newTestState(t, testLimits)
 	full.document.size = MaxDocumentBytes
-	isMalformed("a large document", full, []Change{set("limits", "1")})
+	checkMalformed("a large document", full, []Change{set("limits", "1")})
 	named := newTestState(t, testLimits)
 	for id := range uint32(maxReservedPlans) {
-		named.plans[id] = "an earlier plan"
+		named.planNames[id] = "an earlier plan"
 	}
-	isMalformed("many plans", named, []Change{set("plans/a", "1")})
-	publish(t, named, set("classes/a", "1")) // reserves no id
-	if len(named.plans) != maxReservedPlans {
-		t.Errorf("%d names", len(named.plans))
+	checkMalformed("many plans", named, []Change{set("plans/a", "1")})
+	publish(t, named, set("classes/a", "1")) // needs no plan id
+	if len(named.planNames) != maxReservedPlans {
+		t.Errorf("%d plan names are reserved", len(named.planNames))
 	}
 }
 
+// Restore refuses a snapshot that is damaged or whose parts contradict each other, and leaves the state unchanged.
 func TestRestoreRefusesDamagedSnapshots(t *testing.T) {
 	state := newTestState(t, testLimits)
 	publish(t, state, set("limits", "1"))
@@ -320,14 +329,14 @@
 		"history with a gap":      gap.Snapshot(),
 		"history without values":  unpaired.Snapshot(),
 		"digest":                  wrong.Snapshot(),
-		"another kind":            encodeRecord(recordDocument, good[fileHeader:]),
+		"another kind":            encodeRecord(recordDocument, good[recordHeaderBytes:]),
 		"not CBOR":                encodeRecord(recordState, []byte("\xff")),
 	} {
 		if err := state.Restore(text); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
 		if !bytes.Equal(state.Snapshot(), good) {
-			t.Fatalf("%s: the state changed", name)
+			t.Fatalf("%s: the refused snapshot changed the state", name)
 		}
 	}
 }
--- a/internal/frames/frames.go
+++ b/internal/frames/frames.go
@@ -1,4 +1,4 @@
-// Package frames reads the messages of package configsync from connections, for publishers and subscribers.
+// Package frames reads configsync messages from connections. Publishers and subscribers use it.
 package frames
 
 import (
@@ -9,10 +9,12 @@
 	"ravensill/configsync"
 )
 
-// maxRetainedBuffer is the largest buffer, in bytes, that a Reader retains between two frames.
+// maxRetainedBuffer is the largest buffer, in bytes, that a Reader reuses for the next frame. A larger buffer is
+// replaced, so that a connection doesn't keep the memory of one long frame.
 const maxRetainedBuffer = 16 << 10
 
-// MalformedError reports that a frame is too long, is truncated or contains no message. Nothing after it can be read.
+// MalformedError reports that a frame is too long or truncated, or that its content is not a valid message. Nothing
+// after such a frame can be read.
 type MalformedError struct {
 	Err error
 }
@@ -21,21 +23,23 @@
 
 func (e *MalformedError) Unwrap() error { return e.Err }
 
-// Reader reads messages. It is not safe for concurrent use.
+// Reader reads framed messages from one connection. It is not safe for concurrent use.
 type Reader struct {
-	source io.Reader
-	limit  int // bytes of a frame without its header
-	buffer []byte
+	source       io.Reader
+	maxBodyBytes int // largest frame accepted, in bytes without its header
+	buffer       []byte
 }
 
-// NewReader returns a reader that refuses frames of more than limit bytes after their header, in addition to those
-// beyond the limit of configsync.
-func NewReader(source io.Reader, limit int) *Reader { return &Reader{source: source, limit: limit} }
+// NewReader returns a Reader that rejects a frame with more than limit bytes after its header. configsync.FrameSize
+// rejects frames longer than configsync.MaxFrameBytes, whatever the limit.
+func NewReader(source io.Reader, limit int) *Reader {
+	return &Reader{source: source, maxBodyBytes: limit}
+}
 
-// Next reads one message. The error is a *MalformedError or that of the connection, which is io.EOF if it was closed
-// between two frames.
+// Next blocks until one complete message is read. It returns a *MalformedError for a bad frame and otherwise the error
+// of the connection: io.EOF if the peer closed it between two frames.
 func (r *Reader) Next() (configsync.Message, error) {
-	header := r.grow(configsync.FrameHeaderBytes)
+	header := r.resizeBuffer(configsync.FrameHeaderBytes)
 	_, err := io.ReadFull(r.source, header)
 	if err != nil {
 		return nil, truncationError(err)
@@ -44,10 +48,10 @@
 	if err != nil {
 		return nil, &MalformedError{err}
 	}
-	if size > r.limit {
-		return nil, &MalformedError{fmt.Errorf("a frame of %d bytes, %d allowed", size, r.limit)}
+	if size > r.maxBodyBytes {
+		return nil, &MalformedError{fmt.Errorf("frame body of %d bytes exceeds the limit of %d", size, r.maxBodyBytes)}
 	}
-	frame := r.grow(configsync.FrameHeaderBytes + size)
+	frame := r.resizeBuffer(configsync.FrameHeaderBytes + size)
 	_, err = io.ReadFull(r.source, frame[configsync.FrameHeaderBytes:])
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
@@ -62,8 +66,9 @@
 	return message, nil
 }
 
-// grow returns a buffer of a size that begins with the content of the buffer before.
-func (r *Reader) grow(size int) []byte {
+// resizeBuffer returns the reader's buffer resized to size bytes. It keeps the content as far as that fits, so that a
+// frame's header stays in place when the buffer grows for its body.
+func (r *Reader) resizeBuffer(size int) []byte {
 	if cap(r.buffer) > maxRetainedBuffer || cap(r.buffer) < size {
 		larger := make([]byte, max(size, configsync.FrameHeaderBytes))
 		copy(larger, r.buffer)
@@ -73,8 +78,8 @@
 	return r.buffer
 }
 
-// truncationError returns a *MalformedError if an error means that a frame is truncated, and otherwise the error
-// itself.
+// truncationError wraps io.ErrUnexpectedEOF, which means a truncated frame, in a *MalformedError. It returns any other
+// error unchanged.
 func truncationError(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return &MalformedError{err}
--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -9,9 +9,10 @@
 	"ravensill/configsync"
 )
 
-const testLimit = 4 << 10
+const testLimit = 4 << 10 // bytes of a frame without its header
 
-// FuzzReader checks that messages are read up to a malformed one or the end, and that no buffer grows beyond the limit.
+// FuzzReader checks, for any bytes received, that reading ends at a malformed frame or at the end of the data, that no
+// message comes without the bytes of a frame, and that the buffer never grows beyond the limit for a frame.
 func FuzzReader(f *testing.F) {
 	acknowledge := configsync.Encode(&configsync.Acknowledge{Version: 3})
 	f.Add(bytes.Repeat(acknowledge, 3))
@@ -26,18 +27,18 @@
 		for {
 			message, err := reader.Next()
 			if cap(reader.buffer) > configsync.FrameHeaderBytes+testLimit {
-				t.Fatalf("a buffer of %d bytes", cap(reader.buffer))
+				t.Fatalf("buffer grew to %d bytes, beyond the limit", cap(reader.buffer))
 			}
 			var malformed *MalformedError
 			if errors.Is(err, io.EOF) && source.Len() == 0 || errors.As(err, &malformed) {
 				return
 			}
 			if err != nil || message == nil {
-				t.Fatalf("%v, %v with %d bytes left", message, err, source.Len())
+				t.Fatalf("Next returned message %v and error %v with %d bytes left", message, err, source.Len())
 			}
 			read++
 			if read > len(text)/configsync.FrameHeaderBytes {
-				t.Fatalf("%d messages from %d bytes", read, len(text))
+				t.Fatalf("read %d messages from only %d bytes", read, len(text))
 			}
 		}
 	})
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,4 +1,5 @@
-// Package strictjson decodes JSON that operators write, in which a misspelt key must not be ignored.
+// Package strictjson decodes JSON written by operators. It rejects unknown keys, so that a misspelt setting is reported
+// instead of silently having no effect.
 package strictjson
 
 import (
@@ -9,15 +10,15 @@
 	"strings"
 )
 
-// Decode decodes one JSON object into a struct. A key that the struct lacks, or a value of another type, is an error
-// that names the key.
+// Decode decodes exactly one JSON object into the struct that into points to. A key without a matching field or a value
+// of the wrong type is an error that names the key. Text after the object is an error, too.
 func Decode(raw string, into any) error {
 	d := json.NewDecoder(strings.NewReader(raw))
 	d.DisallowUnknownFields()
 	err := d.Decode(into)
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
-		return describe(typeError)
+		return describeTypeError(typeError)
 	}
 	if err != nil {
 		return err
@@ -29,11 +30,11 @@
 	return nil
 }
 
-// describe returns an error that names the key of a value of another type.
-func describe(err *json.UnmarshalTypeError) error {
+// describeTypeError returns an error that names the key whose value has the wrong type.
+func describeTypeError(err *json.UnmarshalTypeError) error {
 	if err.Field == "" {
 		return errors.New("not an object")
 	}
-	key := err.Field[strings.LastIndexByte(err.Field, '.')+1:] // without the name of an embedded struct
+	key := err.Field[strings.LastIndexByte(err.Field, '.')+1:] // drops the path of embedded structs before the key
 	return fmt.Errorf("%s: unexpected value %s", key, err.Value)
 }
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each error names the key at fault, since operators find it by that.
+// Every error about a key names it, so that operators can find it in their file.
 func TestDecodeRefusesWhatIsNotOneKnownObject(t *testing.T) {
 	type embedded struct {
 		Rate int `json:"rate"`
@@ -26,7 +26,7 @@
 			got = err.Error()
 		}
 		if got != want {
-			t.Errorf("%s: %q, want %q", text, got, want)
+			t.Errorf("Decode(%s): error %q, want %q", text, got, want)
 		}
 	}
 }
