--- a/configsync/decision.go
+++ b/configsync/decision.go
@@ -5,7 +5,7 @@
 
 // The actions of a Decision.
 const (
-	NoAction  DecisionKind = iota // keep the connection and send Reply if it is not nil
+	NoAction  DecisionKind = iota // nothing to do but to send Reply if it is not nil
 	Apply                         // try to apply Update to the gateway, then call Accept or Refuse with the outcome
 	Reconnect                     // close the connection, wait until NextAttempt, then connect to Publisher
 )
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -25,7 +25,7 @@
 	random *rand.Rand
 
 	document     *Document // the version in force
-	refused      *Refusal  // of the latest version that the gateway refused; nil: none
+	refused      *Refusal  // refusal of the latest refused version; nil: none
 	refusedLog   LogID     // log of the refused version
 	pending      *pendingUpdate
 	wantSnapshot bool // ask for a snapshot on the next connection, since a delta led to a wrong digest
--- a/configsync/history.go
+++ b/configsync/history.go
@@ -6,8 +6,7 @@
 	"slices"
 )
 
-// entryOverheadBytes is added to the size of each history entry for the memory that it takes besides its names and
-// values.
+// entryOverheadBytes is what each entry of a history counts towards HistoryLimits.Bytes besides its names and values.
 const entryOverheadBytes = 128
 
 // HistoryLimits bounds a History. When it exceeds either limit, it drops its oldest deltas.
--- a/configsync/limits.go
+++ b/configsync/limits.go
@@ -18,7 +18,7 @@
 // Limits for messages.
 const (
 	MaxFrameBytes        = 1 << 20   // a frame, including its header
-	MaxDeltaBytes        = 512 << 10 // names and values of a delta; a snapshot is sent in place of a longer one
+	MaxDeltaBytes        = 512 << 10 // names and values of a delta; a snapshot replaces a single longer one
 	MaxDeltaChanges      = 8 << 10   // at 24 bytes of encoding per change or less, a delta fits into a frame
 	MaxSnapshotPartBytes = 256 << 10 // names and values of a received part of a snapshot
 
@@ -85,9 +85,9 @@
 	DefaultSnapshotBurst = 32 << 20 // bytes
 )
 
-// DefaultVersionInterval is the default for SenderLimits.VersionInterval. It merges a burst of hundreds of changes into
-// some ten versions per second, in place of one per change, and delays a change by less than a hundredth of the 12 s. A
-// single change is sent immediately.
+// DefaultVersionInterval is the SenderLimits.VersionInterval that publishers use. It merges a burst of hundreds of
+// changes into some ten versions per second, in place of one per change, and delays a change by less than a hundredth
+// of the 12 s. A single change is sent immediately.
 const DefaultVersionInterval = 100 * time.Millisecond
 
 // minCompactionBytes is the length of appended deltas, in bytes, below which a gateway's file is never rewritten.
--- a/configsync/messages.go
+++ b/configsync/messages.go
@@ -35,8 +35,8 @@
 	Log       LogID    `cbor:"1,keyasint"`
 	Version   Version  `cbor:"2,keyasint"`
 	Digest    Digest   `cbor:"3,keyasint"` // of the complete document
-	Index     int      `cbor:"4,keyasint"`
-	PartCount int      `cbor:"5,keyasint"`
+	Index     int      `cbor:"4,keyasint"` // of this part, from 0 on
+	PartCount int      `cbor:"5,keyasint"` // number of parts of the snapshot
 	Changes   []Change `cbor:"6,keyasint"`
 }
 
--- a/configsync/sender.go
+++ b/configsync/sender.go
@@ -38,7 +38,7 @@
 	hasQuorum       bool          // the publisher has contact with a quorum of publishers
 	paused          bool          // only heartbeats are sent
 	followers       map[ConnectionID]*followerSession
-	members         map[int]*memberRecord
+	members         map[int]*memberRecord // by member index
 	deltas          deltaCache
 	snapshot        *preparedSnapshot // the last one prepared; nil: none
 
@@ -205,7 +205,7 @@
 
 func (s *Sender) receiveAcknowledge(follower *followerSession, record *memberRecord, message *Acknowledge) error {
 	if message.Version < follower.inForce {
-		return nil // sent before the follower reconnected
+		return nil // late: the follower has reported a later version since
 	}
 	want, known := s.digestOf(follower, message.Version)
 	if !known {
