--- a/internal/publisher/disk_test.go
+++ b/internal/publisher/disk_test.go
@@ -145,9 +145,9 @@
 		{Errno: syscall.ENOMEM},
 	}
 	system := socketstest.New(5, map[socketstest.Call]socketstest.Rate{
-		socketstest.Listen: {Chance: 0.5, Faults: shortages},
-		socketstest.Accept: {Chance: 0.3, Faults: shortages},
-		socketstest.Dial:   {Chance: 0.2, Faults: shortages},
+		socketstest.Listen: {Probability: 0.5, Faults: shortages},
+		socketstest.Accept: {Probability: 0.3, Faults: shortages},
+		socketstest.Dial:   {Probability: 0.2, Faults: shortages},
 	})
 	g := publishertest.NewGroupOn(t, system, 3, nil)
 	g.Agreed(g.Put())
@@ -160,7 +160,7 @@
 			t.Errorf("replica %d sends version %d", i, version)
 		}
 	}
-	if failed := system.Count(socketstest.Accept); failed == 0 {
+	if failed := system.CallCount(socketstest.Accept); failed == 0 {
 		t.Error("no accept failed")
 	}
 }
--- a/internal/publisher/publish.go
+++ b/internal/publisher/publish.go
@@ -82,8 +82,8 @@
 	defer p.publishing.Unlock()
 	var err error
 	for range draftAttempts {
-		if !p.replica.Leads() {
-			return Publication{}, &NotLeaderError{p.replica.Leader()}
+		if !p.replica.IsLeader() {
+			return Publication{}, &NotLeaderError{p.replica.LeaderIndex()}
 		}
 		var publication Publication
 		publication, err = p.publishOnce(changesFor, base)
@@ -96,7 +96,7 @@
 }
 
 func (p *Publisher) publishOnce(changesFor draft, base *configsync.Version) (Publication, error) {
-	err := p.replica.CatchUp(proposeTimeout)
+	err := p.replica.Barrier(proposeTimeout)
 	if err != nil {
 		return Publication{}, err
 	}
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -51,9 +51,9 @@
 func (p *Publisher) Status() *Status {
 	status := &Status{
 		Replica:   p.cfg.Index,
-		Leader:    p.replica.Leader(),
-		Leads:     p.replica.Leads(),
-		Current:   p.replica.Current(),
+		Leader:    p.replica.LeaderIndex(),
+		Leads:     p.replica.IsLeader(),
+		Current:   p.replica.IsUpToDate(),
 		Followers: []Follower{},
 		Counters: Counters{
 			Connections:         p.counters.connected.Load(),
