--- a/internal/bufconn/link.go
+++ b/internal/bufconn/link.go
@@ -36,7 +36,7 @@
 
 	// The reader's.
 	readBuffer []byte // free space of In
-	readCount  int    // bytes read into it
+	bytesRead  int    // bytes read into it
 	readErr    error
 	reads      atomic.Int64 // reads that returned bytes or an end
 	reading    atomic.Bool  // a read is between taking bytes from the socket and being counted
@@ -71,7 +71,7 @@
 	if err := l.raw.Read(l.readFunc); err != nil {
 		return err
 	}
-	l.In.Extend(l.readCount)
+	l.In.Extend(l.bytesRead)
 	return l.readErr
 }
 
@@ -105,7 +105,7 @@
 
 // setReadResult sets the result of a read.
 func (l *Link) setReadResult(count int, err error) {
-	l.readCount = count
+	l.bytesRead = count
 	l.readErr = err
 }
 
--- a/internal/bufconn/link_test.go
+++ b/internal/bufconn/link_test.go
@@ -121,21 +121,21 @@
 		"close":       (*Link).CloseIfNoInputSince,
 		"close write": func(link *Link, reads int64) bool { return link.CloseWriteIfNoInputSince(reads, time.Minute) },
 	}
-	for name, closeIfQuiet := range closers {
+	for name, closeIfNoInput := range closers {
 		t.Run(name, func(t *testing.T) {
 			link, peer := newLinkPair(t)
 			peer.Write([]byte("a"))
 			waitFor(t, "a byte has arrived", func() bool { return !link.socketEmpty() })
-			if closeIfQuiet(link, 0) {
+			if closeIfNoInput(link, 0) {
 				t.Error("closed over an unread byte")
 			}
 			if err := link.Read(); err != nil {
 				t.Fatal(err)
 			}
-			if closeIfQuiet(link, 0) {
+			if closeIfNoInput(link, 0) {
 				t.Error("closed over a byte that the caller does not know of")
 			}
-			if !closeIfQuiet(link, 1) {
+			if !closeIfNoInput(link, 1) {
 				t.Error("not closed though nothing has arrived")
 			}
 			if n, err := peer.Read(make([]byte, 1)); n > 0 || err != io.EOF {
--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -50,15 +50,15 @@
 		link, err := s.accept(listener)
 		switch {
 		case err == nil:
-			s.open(link)
+			s.startConn(link)
 		case errors.Is(err, os.ErrDeadlineExceeded) && timeouts < acceptDeadlines:
 			timeouts++
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed):
 			listener.Close()
 			return
 		default:
-			if now := s.now(); failureLog.due(now) {
-				slog.Warn("accept_failed", "error", err, "count", failureLog.logged(now))
+			if now := s.now(); failureLog.recordEvent(now) {
+				slog.Warn("accept_failed", "error", err, "count", failureLog.takeCount(now))
 			}
 			time.Sleep(acceptRetryDelay)
 		}
@@ -68,8 +68,8 @@
 // waitForSlot returns once the loop has a slot for one more connection.
 func (s *Server) waitForSlot() {
 	for {
-		s.runOnLoop(s.answerAdmission)
-		if <-s.admissions {
+		s.runOnLoop(s.replySlotAvailable)
+		if <-s.slotReplies {
 			return
 		}
 		select {
@@ -79,12 +79,12 @@
 	}
 }
 
-// answerAdmission sends the waiting accept loop whether there is a slot for one more connection. It sends even if it
+// replySlotAvailable sends the waiting accept loop whether there is a slot for one more connection. It sends even if it
 // panics, since nothing else would release that loop. Slots are counted from the connections themselves, so none can
 // leak.
-func (s *Server) answerAdmission() {
+func (s *Server) replySlotAvailable() {
 	admitted := false
-	defer func() { s.admissions <- admitted }()
+	defer func() { s.slotReplies <- admitted }()
 	if len(s.conns) >= s.maxConns && !s.acceptClosed {
 		s.evictConn()
 	}
@@ -105,8 +105,8 @@
 	return link, nil
 }
 
-// open starts a connection. The loop registers it before it answers the next admission, so that it counts there.
-func (s *Server) open(link *bufconn.Link) {
+// startConn starts a connection. The loop registers it before it answers the next admission, so that it counts there.
+func (s *Server) startConn(link *bufconn.Link) {
 	c := &Conn{
 		server:       s,
 		link:         link,
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -22,9 +22,9 @@
 
 // AnswerQueue writes the answers of one connection in the order of its commands.
 type AnswerQueue struct {
-	out     *bufconn.Buffer
-	waiting []*Answer
-	full    bool // an answer did not fit: the client reads too slowly
+	out        *bufconn.Buffer
+	pending    []*Answer
+	overflowed bool // an answer did not fit: the client reads too slowly
 
 	// onReady is called after each answer, with the number of answers that were written to out.
 	onReady func(count int)
@@ -36,7 +36,7 @@
 // Add adds a place for the answer to the next command.
 func (q *AnswerQueue) Add() *Answer {
 	a := &Answer{queue: q}
-	q.waiting = append(q.waiting, a)
+	q.pending = append(q.pending, a)
 	return a
 }
 
@@ -63,19 +63,19 @@
 	a.OnClientGone = nil
 	q := a.queue
 	count := 0
-	for count < len(q.waiting) && q.waiting[count].done {
-		written := q.out.Write(q.waiting[count].text)
-		q.full = q.full || !written
+	for count < len(q.pending) && q.pending[count].done {
+		written := q.out.Write(q.pending[count].text)
+		q.overflowed = q.overflowed || !written
 		count++
 	}
-	q.waiting = slices.Delete(q.waiting, 0, count)
+	q.pending = slices.Delete(q.pending, 0, count)
 	q.onReady(count)
 }
 
-// end drops all answers that are not written: the client is gone.
-func (q *AnswerQueue) end() {
-	waiting := q.waiting
-	q.waiting = nil
+// dropPending drops all answers that are not written: the client is gone.
+func (q *AnswerQueue) dropPending() {
+	waiting := q.pending
+	q.pending = nil
 	for _, a := range waiting {
 		a.done = true
 		if a.OnClientGone != nil {
--- a/internal/clients/answer_test.go
+++ b/internal/clients/answer_test.go
@@ -26,7 +26,7 @@
 	first.set(rejection(0))
 	golden.Check(t, fmt.Sprintf("%sanswers written: %v\n", queue.out.Span(0, queue.out.Len()), written))
 	queue.Add().set(make([]byte, 65))
-	if !queue.full {
+	if !queue.overflowed {
 		t.Error("full is not set by an answer that does not fit")
 	}
 }
--- a/internal/clients/arguments.go
+++ b/internal/clients/arguments.go
@@ -88,12 +88,12 @@
 			length = len(a.list) - start
 		}
 		name, value, _ := bytes.Cut(a.list[start:start+length], []byte{'='})
-		if which := argumentNamed(name); which != argumentUnknown {
-			if a.seen&(1<<which) > 0 { // the host might use the other one
+		if arg := argumentNamed(name); arg != argumentUnknown {
+			if a.seen&(1<<arg) > 0 { // the host might use the other one
 				return fmt.Errorf("%s: given twice", name)
 			}
-			a.seen |= 1 << which
-			a.set(catalog, members, which, value, start)
+			a.seen |= 1 << arg
+			a.set(catalog, members, arg, value, start)
 		}
 		start += length + 1
 	}
@@ -101,8 +101,8 @@
 }
 
 // set parses one value, whose argument starts at an offset of the list. An invalid value leaves the argument unset.
-func (a *arguments) set(catalog *Catalog, members int, which argument, value []byte, offset int) {
-	switch which {
+func (a *arguments) set(catalog *Catalog, members int, arg argument, value []byte, offset int) {
+	switch arg {
 	case argumentClass:
 		a.terms.class = catalog.class(value)
 	case argumentPlan:
--- a/internal/clients/catalog.go
+++ b/internal/clients/catalog.go
@@ -50,8 +50,8 @@
 func (e *RemovedError) Error() string { return e.Kind + ": removed" }
 
 var (
-	errNoKey    = errors.New("k: missing")
-	errNotOfSet = errors.New("first, spread: this gateway is not of that set")
+	errNoKey           = errors.New("k: missing")
+	errNotInGatewaySet = errors.New("first, spread: this gateway is not of that set")
 )
 
 // requestTerms are the arguments of a request that the catalog checks.
@@ -76,7 +76,7 @@
 	classes      []ClassEdit // by index, as set by the latest edit
 	plans        []PlanEdit
 	members      int // gateways of the fleet
-	own          int // member index of this one
+	ownIndex     int // member index of this one
 }
 
 // NewCatalog returns a catalog with the content of config. A name that occurs twice stands for its first index.
@@ -87,7 +87,7 @@
 		classes:      make([]ClassEdit, 0, len(config.Classes)),
 		plans:        make([]PlanEdit, 0, len(config.Plans)),
 		members:      config.Members,
-		own:          config.OwnIndex,
+		ownIndex:     config.OwnIndex,
 	}
 	for i, name := range config.Classes {
 		c.classes = append(c.classes, ClassEdit{Index: i, Name: name, Effect: config.Effects[i]})
@@ -191,17 +191,17 @@
 		return errNoKey
 	case plan.MaxUnits > 0 && terms.units > plan.MaxUnits:
 		return fmt.Errorf("units: %g are more than %s ever grants", terms.units, plan.Name)
-	case !c.isOwnSet(terms.firstGateway, terms.spread):
-		return errNotOfSet
+	case !c.isInGatewaySet(terms.firstGateway, terms.spread):
+		return errNotInGatewaySet
 	}
 	return nil
 }
 
-// isOwnSet reports whether this gateway is one of the spread gateways from the member index first on, cyclically.
-func (c *Catalog) isOwnSet(first, spread int) bool {
+// isInGatewaySet reports whether this gateway is one of the spread gateways from the member index first on, cyclically.
+func (c *Catalog) isInGatewaySet(first, spread int) bool {
 	if first >= c.members || spread > c.members {
 		return false
 	}
-	distance := (c.own - first + c.members) % c.members
+	distance := (c.ownIndex - first + c.members) % c.members
 	return distance < spread
 }
--- a/internal/clients/command_queue.go
+++ b/internal/clients/command_queue.go
@@ -13,14 +13,14 @@
 // flood of commands neither fills the loop's inbox nor keeps the reader from the end of the connection, and commands
 // that are not started by then never are.
 type commandQueue struct {
-	mu            sync.Mutex
-	commands      []queuedCommand // not started, from head on
-	head          int             // index of the next one to start
-	queuedBytes   int             // size of the commands from head on
-	readsPosted   int64           // the link's count of reads at the latest notification
-	partialPosted clock.Instant   // partialBegan at that time
-	notified      bool            // a notification is on its way to the loop
-	hasSpace      chan struct{}   // holds a value once at most maxQueuedBytes are queued
+	mu                 sync.Mutex
+	commands           []queuedCommand // not started, from head on
+	head               int             // index of the next one to start
+	queuedBytes        int             // size of the commands from head on
+	postedReads        int64           // the link's count of reads at the latest notification
+	postedPartialSince clock.Instant   // partialBegan at that time
+	notified           bool            // a notification is on its way to the loop
+	hasSpace           chan struct{}   // holds a value once at most maxQueuedBytes are queued
 }
 
 // queuedCommand is one command that waits to be started, or several in a row that are rejected.
@@ -44,22 +44,22 @@
 
 // postProgress sets the reader's progress for the next notification. It reports whether a notification has to be
 // sent, and the number of queued bytes.
-func (q *commandQueue) postProgress(reads int64, partialBegan clock.Instant) (notify bool, queuedBytes int) {
+func (q *commandQueue) postProgress(reads int64, partialSince clock.Instant) (notify bool, queuedBytes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.readsPosted = reads
-	q.partialPosted = partialBegan
+	q.postedReads = reads
+	q.postedPartialSince = partialSince
 	notify = !q.notified
 	q.notified = true
 	return notify, q.queuedBytes
 }
 
 // receiveProgress ends a notification and returns the reader's progress.
-func (q *commandQueue) receiveProgress() (reads int64, partialBegan clock.Instant) {
+func (q *commandQueue) receiveProgress() (reads int64, partialSince clock.Instant) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.notified = false
-	return q.readsPosted, q.partialPosted
+	return q.postedReads, q.postedPartialSince
 }
 
 // loadQueuedBytes returns the number of queued bytes.
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -15,34 +15,34 @@
 	link   *bufconn.Link
 	AnswerQueue
 	commandQueue
-	receiveFunc  func()        // receive as a value, made once
-	done         chan struct{} // closed when the connection has ended: its reader waits for nothing then
-	readsSeen    int64         // the link's count of reads whose commands the loop has received
-	partialSince clock.Instant // when the first byte of an incomplete command was read, as far as received; 0: none
-	flushPending bool          // in the server's list of unflushed or stalled connections
-	commandCount int           // complete commands received
-	lastAnswer   clock.Instant // when the latest answer was set; before that, when it connected
-	stalledSince clock.Instant // when its client last accepted some of the unsent bytes; 0: nothing is unsent
-	closing      bool          // no command is started; it ends when all are answered
-	halfClosed   bool          // the sending side is closed
-	closed       bool
+	receiveFunc   func()        // receive as a value, made once
+	done          chan struct{} // closed when the connection has ended: its reader waits for nothing then
+	readsReceived int64         // the link's count of reads whose commands the loop has received
+	partialSince  clock.Instant // when the first byte of an incomplete command was read, as far as received; 0: none
+	flushPending  bool          // in the server's list of unflushed or stalled connections
+	commandCount  int           // complete commands received
+	lastAnswerAt  clock.Instant // when the latest answer was set; before that, when it connected
+	stalledSince  clock.Instant // when its client last accepted some of the unsent bytes; 0: nothing is unsent
+	closing       bool          // no command is started; it ends when all are answered
+	halfClosed    bool          // the sending side is closed
+	closed        bool
 
 	// The reader's.
-	readAt       clock.Instant // when the latest bytes arrived
-	partialBegan clock.Instant // when the first byte of an incomplete command was read; 0: none
-	malformed    int           // malformed commands in a row
+	readAt             clock.Instant // when the latest bytes arrived
+	readerPartialSince clock.Instant // when the first byte of an incomplete command was read; 0: none
+	malformedInRow     int           // malformed commands in a row
 }
 
 // register adds the connection to its server.
 func (c *Conn) register() {
 	c.server.conns[c] = true
-	c.lastAnswer = c.server.now()
+	c.lastAnswerAt = c.server.now()
 	c.halfCloseIfIdle()
 }
 
 // receive receives what the reader has queued.
 func (c *Conn) receive() {
-	c.readsSeen, c.partialSince = c.receiveProgress()
+	c.readsReceived, c.partialSince = c.receiveProgress()
 	c.startCommands()
 	c.rejectOverflow()
 	c.halfCloseIfIdle()
@@ -51,7 +51,7 @@
 // startCommands starts queued commands up to the limit of commands in flight, and none of a client that is known to be
 // gone.
 func (c *Conn) startCommands() {
-	for !c.closed && !c.clientGone.Load() && len(c.waiting) < maxInFlight {
+	for !c.closed && !c.clientGone.Load() && len(c.pending) < maxInFlight {
 		command, ok := c.dequeue()
 		if !ok {
 			return
@@ -81,12 +81,12 @@
 
 // answerReady schedules a flush of the answers that became ready.
 func (c *Conn) answerReady(int) {
-	if c.full {
+	if c.overflowed {
 		c.closeOnFault(errSlowReader)
 		c.close()
 		return
 	}
-	c.lastAnswer = c.server.now()
+	c.lastAnswerAt = c.server.now()
 	if !c.flushPending {
 		c.flushPending = true
 		c.server.unflushed = append(c.server.unflushed, c)
@@ -101,26 +101,26 @@
 		c.close()
 	case c.closing, c.server.draining:
 		c.halfCloseIfIdle()
-	case c.commandOverdue(now):
+	case c.isCommandOverdue(now):
 		c.closeWithError(errCommandTimeout)
-	case c.idleTooLong(now):
-		c.halfCloseIfQuiet() // half-closed only: closing over bytes that arrive now would be a reset
+	case c.isIdleTooLong(now):
+		c.halfCloseIfNoInput() // half-closed only: closing over bytes that arrive now would be a reset
 	}
 }
 
-// commandOverdue reports whether a command is incomplete, or the first one missing, for too long. One whose rest is
+// isCommandOverdue reports whether a command is incomplete, or the first one missing, for too long. One whose rest is
 // read, or about to be, is not: the connection would end over a complete command.
-func (c *Conn) commandOverdue(now clock.Instant) bool {
+func (c *Conn) isCommandOverdue(now clock.Instant) bool {
 	since := c.partialSince
 	if since == 0 && c.commandCount == 0 {
-		since = c.lastAnswer
+		since = c.lastAnswerAt
 	}
-	return since > 0 && now.Sub(since) > commandTimeout && c.link.NoInputSince(c.readsSeen)
+	return since > 0 && now.Sub(since) > commandTimeout && c.link.NoInputSince(c.readsReceived)
 }
 
-// idleTooLong reports whether a connection that had commands is idle for too long.
-func (c *Conn) idleTooLong(now clock.Instant) bool {
-	return c.idle() && c.commandCount > 0 && c.partialSince == 0 && now.Sub(c.lastAnswer) > idleTimeout
+// isIdleTooLong reports whether a connection that had commands is idle for too long.
+func (c *Conn) isIdleTooLong(now clock.Instant) bool {
+	return c.isIdle() && c.commandCount > 0 && c.partialSince == 0 && now.Sub(c.lastAnswerAt) > idleTimeout
 }
 
 // flush writes answers, as far as the socket accepts them, and starts commands that waited for them.
@@ -149,14 +149,14 @@
 	c.server.stalled = append(c.server.stalled, c)
 }
 
-// idle reports whether no command is in flight and no answer unsent.
-func (c *Conn) idle() bool { return len(c.waiting) == 0 && c.out.Len() == 0 }
+// isIdle reports whether no command is in flight and no answer unsent.
+func (c *Conn) isIdle() bool { return len(c.pending) == 0 && c.out.Len() == 0 }
 
 // halfCloseIfIdle closes the sending side of a connection that is to end and has no answer due. So neither the latest
 // answer nor a command on its way is reset away. While the server drains, a complete command that is unread, or on its
 // way to the loop, is received first; a partial one is not waited for.
 func (c *Conn) halfCloseIfIdle() {
-	if c.closed || c.halfClosed || !c.idle() {
+	if c.closed || c.halfClosed || !c.isIdle() {
 		return
 	}
 	switch {
@@ -164,14 +164,14 @@
 		c.halfClosed = true
 		c.link.CloseWrite(lingerTimeout)
 	case c.server.draining:
-		c.halfCloseIfQuiet()
+		c.halfCloseIfNoInput()
 	}
 }
 
-// halfCloseIfQuiet closes the sending side of an idle connection if nothing has arrived that the loop has not received.
+// halfCloseIfNoInput closes the sending side of an idle connection if nothing has arrived that the loop has not received.
 // No command can be read between that check and the close: it would never be answered.
-func (c *Conn) halfCloseIfQuiet() {
-	if c.link.CloseWriteIfNoInputSince(c.readsSeen, lingerTimeout) {
+func (c *Conn) halfCloseIfNoInput() {
+	if c.link.CloseWriteIfNoInputSince(c.readsReceived, lingerTimeout) {
 		c.closing = true
 		c.halfClosed = true
 	}
@@ -184,8 +184,8 @@
 	}
 	s := c.server
 	now := s.now()
-	if s.faultLog.due(now) {
-		slog.Warn("client_fault", "error", err, "in_flight", len(c.waiting), "count", s.faultLog.logged(now))
+	if s.faultLog.recordEvent(now) {
+		slog.Warn("client_fault", "error", err, "in_flight", len(c.pending), "count", s.faultLog.takeCount(now))
 	}
 	c.closing = true
 	c.halfCloseIfIdle()
@@ -197,9 +197,9 @@
 	c.closeOnFault(err)
 }
 
-// closeIfQuiet closes the connection if nothing has arrived that the loop has not received.
-func (c *Conn) closeIfQuiet() {
-	if c.link.CloseIfNoInputSince(c.readsSeen) {
+// closeIfNoInput closes the connection if nothing has arrived that the loop has not received.
+func (c *Conn) closeIfNoInput() {
+	if c.link.CloseIfNoInputSince(c.readsReceived) {
 		c.close()
 	}
 }
@@ -217,5 +217,5 @@
 	case c.server.slotFreed <- struct{}{}:
 	default:
 	}
-	c.AnswerQueue.end()
+	c.AnswerQueue.dropPending()
 }
--- a/internal/clients/conn_test.go
+++ b/internal/clients/conn_test.go
@@ -60,7 +60,7 @@
 	server.advance(idleTimeout + 1)
 	c.send("second")
 	server.waitFor("second read", func() bool {
-		return c.conn.link.ReadCount() > c.conn.readsSeen && len(server.work) > 0
+		return c.conn.link.ReadCount() > c.conn.readsReceived && len(server.work) > 0
 	})
 	closeConn()
 	server.runLoop("second arrived, or closed", func() bool { return len(server.requests) == 2 || c.conn.closed })
@@ -71,7 +71,7 @@
 	server.Flush()
 
 	server.advance(idleTimeout + 1)
-	server.runLoop("quiet", func() bool { return c.conn.halfClosed || c.conn.link.NoInputSince(c.conn.readsSeen) })
+	server.runLoop("quiet", func() bool { return c.conn.halfClosed || c.conn.link.NoInputSince(c.conn.readsReceived) })
 	closeConn()
 	server.record("%s: nothing on its way: closed %t", name, isClosed())
 
--- a/internal/clients/eviction.go
+++ b/internal/clients/eviction.go
@@ -22,18 +22,18 @@
 	now := s.now()
 	var victim *Conn
 	for c := range s.conns {
-		if c.evictable(now) && c.evictedBefore(victim) && c.nothingUnread() {
+		if c.isEvictable(now) && c.evictedBefore(victim) && c.hasNoUnreadInput() {
 			victim = c
 		}
 	}
-	if victim != nil && now.Sub(victim.lastAnswer) <= answerTransit { // it can be closed soon
+	if victim != nil && now.Sub(victim.lastAnswerAt) <= answerTransit { // it can be closed soon
 		return
 	}
-	if s.fullLog.due(now) {
+	if s.connLimitLog.recordEvent(now) {
 		slog.Warn("client_limit_reached",
 			"clients", len(s.conns),
 			"evicted", victim != nil,
-			"count", s.fullLog.logged(now),
+			"count", s.connLimitLog.takeCount(now),
 		)
 	}
 	if victim == nil {
@@ -43,13 +43,13 @@
 		victim.close()
 		return
 	}
-	victim.closeIfQuiet() // else the next admission evicts another
+	victim.closeIfNoInput() // else the next admission evicts another
 }
 
-// evictable reports whether a connection may be evicted: it is idle, not new, and no answer is on its way.
-func (c *Conn) evictable(now clock.Instant) bool {
-	sinceAnswer := now.Sub(c.lastAnswer)
-	if !c.idle() {
+// isEvictable reports whether a connection may be evicted: it is idle, not new, and no answer is on its way.
+func (c *Conn) isEvictable(now clock.Instant) bool {
+	sinceAnswer := now.Sub(c.lastAnswerAt)
+	if !c.isIdle() {
 		return false
 	}
 	if c.commandCount == 0 && sinceAnswer <= connectGrace {
@@ -67,7 +67,7 @@
 	if rank != otherRank {
 		return rank < otherRank
 	}
-	return c.lastAnswer < other.lastAnswer
+	return c.lastAnswerAt < other.lastAnswerAt
 }
 
 // evictionRank returns a rank that is lower for a connection that matters less.
@@ -78,8 +78,8 @@
 	return min(c.commandCount, 2)
 }
 
-// nothingUnread reports whether no further command is unread, or read and on its way to the loop. After a half-close
+// hasNoUnreadInput reports whether no further command is unread, or read and on its way to the loop. After a half-close
 // none counts.
-func (c *Conn) nothingUnread() bool {
-	return c.halfClosed || c.link.NoInputSince(c.readsSeen)
+func (c *Conn) hasNoUnreadInput() bool {
+	return c.halfClosed || c.link.NoInputSince(c.readsReceived)
 }
--- a/internal/clients/log_limiter.go
+++ b/internal/clients/log_limiter.go
@@ -15,14 +15,14 @@
 	loggedAt   clock.Instant // of the latest line; 0: none yet
 }
 
-// due counts an event and reports whether a line may be logged now.
-func (l *logLimiter) due(now clock.Instant) bool {
+// recordEvent counts an event and reports whether a line may be logged now.
+func (l *logLimiter) recordEvent(now clock.Instant) bool {
 	l.suppressed++
 	return l.loggedAt == 0 || now.Sub(l.loggedAt) >= logInterval
 }
 
-// logged notes that a line is logged now and returns the number of events that it stands for.
-func (l *logLimiter) logged(now clock.Instant) (count int) {
+// takeCount notes that a line is logged now and returns the number of events that it stands for.
+func (l *logLimiter) takeCount(now clock.Instant) (count int) {
 	count = l.suppressed
 	l.suppressed = 0
 	l.loggedAt = now
--- a/internal/clients/reader.go
+++ b/internal/clients/reader.go
@@ -34,9 +34,9 @@
 			return
 		}
 		if c.link.In.Len() == 0 {
-			c.partialBegan = 0
-		} else if c.partialBegan == 0 {
-			c.partialBegan = c.readAt
+			c.readerPartialSince = 0
+		} else if c.readerPartialSince == 0 {
+			c.readerPartialSince = c.readAt
 		}
 		c.notifyLoop()
 	}
@@ -49,7 +49,7 @@
 		if err != nil {
 			return err
 		}
-		if c.malformed >= maxMalformed {
+		if c.malformedInRow >= maxMalformed {
 			return errTooManyMalformed
 		}
 		if !ok {
@@ -60,7 +60,7 @@
 
 // handleRequest implements commandHandler: it copies the request out of the read buffer and queues it.
 func (c *Conn) handleRequest(parsed parsedRequest) {
-	c.malformed = 0
+	c.malformedInRow = 0
 	request := newQueuedRequest(&parsed, c.readAt)
 	c.enqueueCommand(len(request.text), func(a *Answer) { c.startRequest(a, request) })
 }
@@ -84,9 +84,9 @@
 func (c *Conn) handleMalformed(reason error) {
 	var removed *RemovedError
 	if errors.As(reason, &removed) {
-		c.malformed = 0
+		c.malformedInRow = 0
 	} else {
-		c.malformed++
+		c.malformedInRow++
 	}
 	c.enqueueCommand(0, func(a *Answer) { a.set(errorReply(reason.Error())) })
 }
@@ -101,13 +101,13 @@
 
 // enqueueCommand queues a command whose text has size bytes.
 func (c *Conn) enqueueCommand(size int, run func(*Answer)) {
-	c.partialBegan = 0
+	c.readerPartialSince = 0
 	c.enqueue(size, run)
 }
 
 // notifyLoop notifies the loop of queued commands, and waits until it has received them if too many bytes are queued.
 func (c *Conn) notifyLoop() {
-	notify, queuedBytes := c.postProgress(c.link.ReadCount(), c.partialBegan)
+	notify, queuedBytes := c.postProgress(c.link.ReadCount(), c.readerPartialSince)
 	if notify {
 		c.server.runOnLoop(c.receiveFunc)
 	}
--- a/internal/clients/reader_test.go
+++ b/internal/clients/reader_test.go
@@ -55,7 +55,7 @@
 		server.requests = nil
 		select {
 		case n := <-answers:
-			server.record("%d answers; %d bytes queued, %d in flight", n, client.conn.queuedBytes, len(client.conn.waiting))
+			server.record("%d answers; %d bytes queued, %d in flight", n, client.conn.queuedBytes, len(client.conn.pending))
 			return true
 		default:
 			return false
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -55,15 +55,15 @@
 	stalled   []*Conn // during Flush: those whose client did not accept all bytes
 
 	listener     *net.TCPListener
-	admissions   chan bool     // one value for each question of the accept loop: whether there is a free slot
+	slotReplies  chan bool     // one value for each question of the accept loop: whether there is a free slot
 	slotFreed    chan struct{} // holds a value after a connection has ended
 	accepting    bool          // the accept loop runs
 	acceptClosed bool          // the accept loop is to end
 	draining     bool          // connections end as soon as they are idle
 
-	lastSweep clock.Instant // time of the latest CloseOverdue
-	faultLog  logLimiter
-	fullLog   logLimiter
+	lastSweep    clock.Instant // time of the latest CloseOverdue
+	faultLog     logLimiter
+	connLimitLog logLimiter
 }
 
 // NewServer returns a server that holds at most maxConns connections and accepts commands that name what the catalog
@@ -78,15 +78,15 @@
 	onRequest RequestHandler,
 ) *Server {
 	return &Server{
-		system:     system,
-		catalog:    catalog,
-		maxConns:   maxConns,
-		runOnLoop:  runOnLoop,
-		now:        now,
-		onRequest:  onRequest,
-		conns:      map[*Conn]bool{},
-		admissions: make(chan bool, 1),
-		slotFreed:  make(chan struct{}, 1),
+		system:      system,
+		catalog:     catalog,
+		maxConns:    maxConns,
+		runOnLoop:   runOnLoop,
+		now:         now,
+		onRequest:   onRequest,
+		conns:       map[*Conn]bool{},
+		slotReplies: make(chan bool, 1),
+		slotFreed:   make(chan struct{}, 1),
 	}
 }
 
--- a/internal/hosts/answer.go
+++ b/internal/hosts/answer.go
@@ -10,19 +10,20 @@
 	"ravensill/internal/resp"
 )
 
-// maxReportedNumber bounds the numbers in usage and load reports.
+// maxReportedNumber is the largest number accepted in a usage or load report, in the unit of the reported field.
 const maxReportedNumber = 1e9
 
 var errMalformed = errors.New("malformed answer")
 
-// parseAnswer parses an answer. It returns the value, nil without one, and sets the result, usage and load report in
-// event. loadFields names the fields of a load report. The value shares memory with the parsed bytes. Usage and load
-// reports that can't be parsed are ignored: the value is the client's whatever comes with it.
+// parseAnswer parses the answer to a request or probe. It returns the value, or nil if the answer has none, and stores
+// the result, the usage and the load report in event. loadFields names the fields of a load report. The value shares
+// memory with the answer. A usage or load report that can't be parsed is ignored, because the client must get the value
+// in any case. It fails with errMalformed if the answer has none of the forms that a host may send.
 func parseAnswer(answer resp.Value, loadFields []string, event *gateway.Event) (value []byte, err error) {
 	switch answer.Kind {
 	case '*':
 		return parseValue(answer.BulkStrings, loadFields, event)
-	case '$': // of a probe
+	case '$': // the answer to a probe
 		if answer.BulkStrings[0] == nil {
 			return nil, errMalformed
 		}
@@ -35,7 +36,7 @@
 	return nil, errMalformed
 }
 
-// parseValue parses an answer of a value, then optionally usage and a load report.
+// parseValue parses an array of a value, an optional usage report and an optional load report.
 func parseValue(parts [][]byte, loadFields []string, event *gateway.Event) (value []byte, err error) {
 	if parts[0] == nil || len(parts) > 3 {
 		return nil, errMalformed
@@ -49,7 +50,8 @@
 	return parts[0], nil
 }
 
-// parseError parses an error answer: a code, then optionally usage and a load report.
+// parseError parses the line of an error answer: an error code, followed by optional usage and load reports. Words that
+// are neither, such as those of an error message, are ignored.
 func parseError(line []byte, loadFields []string, event *gateway.Event) {
 	words := bytes.Split(line, []byte{' '})
 	event.Result = gateway.Errored
@@ -67,7 +69,9 @@
 	}
 }
 
-// parseUsage sets the usage in event if all of text can be parsed.
+// parseUsage stores a usage report in event if all of text can be parsed. used is the customer's metered use in
+// percent, stored plus one because a Usage of 0 means that none was reported; cost is the number of units of the
+// request.
 func parseUsage(text []byte, event *gateway.Event) {
 	used := 0
 	units := 0.0
@@ -85,7 +89,8 @@
 	}
 }
 
-// parseLoad sets the load report in event if it has all fields: those missing from a partial report would read as zero.
+// parseLoad stores a load report in event if it contains all of loadFields. A partial report is ignored, because its
+// missing fields would be taken for zero.
 func parseLoad(text []byte, loadFields []string, event *gateway.Event) {
 	report := make([]float64, len(loadFields))
 	seen := 0
@@ -100,8 +105,8 @@
 	}
 }
 
-// forEachPair calls f for each name=number of a comma-separated list, and reports whether all of them are valid. It
-// stops at the first that is not.
+// forEachPair calls f for each name=number pair of a comma-separated list, and reports whether all pairs are valid. It
+// stops at the first invalid one.
 func forEachPair(text []byte, f func(name string, number float64)) bool {
 	for len(text) > 0 {
 		var pair []byte
--- a/internal/hosts/answer_test.go
+++ b/internal/hosts/answer_test.go
@@ -11,7 +11,7 @@
 	"ravensill/internal/resp"
 )
 
-// parseTrace returns a trace of what an answer is parsed as.
+// parseTrace parses the text of an answer and returns the result, the value, the reports and the error in one line.
 func parseTrace(text string) string {
 	in := bufconn.NewBuffer(resp.MaxValueBytes)
 	in.Write([]byte(text))
@@ -54,7 +54,7 @@
 	golden.Check(t, trace.String())
 }
 
-// FuzzParseAnswer checks that no answer panics.
+// FuzzParseAnswer checks that parsing doesn't panic, whatever the answer.
 func FuzzParseAnswer(f *testing.F) {
 	f.Add("*3\r\n$2\r\nab\r\n$14\r\nused=37,cost=4\r\n$16\r\nutilization=0.61\r\n")
 	f.Add("-ERR failed used=1 utilization=0.1\r\n")
--- a/internal/hosts/attempt.go
+++ b/internal/hosts/attempt.go
@@ -8,38 +8,39 @@
 	"ravensill/internal/clock"
 )
 
-// ResultHandler receives the result of an attempt or probe. event has the result, the usage and the load report; value
-// is the host's answer, nil without one; received is the time at which the answer was read.
+// ResultHandler is called on the event loop with the result of an attempt or probe. event holds the result, the usage
+// and the load report; value is the value that the host answered, nil if it answered none; received is the time at
+// which the answer was read, or at which the attempt failed.
 type ResultHandler func(event gateway.Event, value []byte, received clock.Instant)
 
-// Attempt is one command sent, or to be sent, to a host.
+// Attempt is one command that is sent to a host at most once. It belongs to the event loop.
 type Attempt struct {
 	pool     *hostPool
-	conn     *conn    // nil until one is assigned
-	command  *Command // nil once it was written, unless it may have to be written again
+	conn     *conn    // the connection that carries the attempt; nil until one is assigned
+	command  *Command // nil once written, unless a connection quota may require that it is written again
 	onResult ResultHandler
-	probe    bool
+	probe    bool // whether it asks for a load report
 	urgent   bool // whether its request class is urgent
-	done     bool // whether onResult was called
+	done     bool // whether the attempt has its result: onResult was called or is about to be
 
-	// deadline is the time until which the answer is waited for. The command has the time left until then.
+	// deadline is the time at which waiting for the answer ends. The command tells the host the time left until then.
 	deadline clock.Instant
-	// writeDeadline is the latest time at which the last byte is written; the attempt fails after it.
+	// writeDeadline is the time by which the last byte has to be written. After it the attempt fails.
 	writeDeadline clock.Instant
-	// queueDeadline is the latest time at which the attempt leaves the queue of a connection quota.
+	// queueDeadline is the time by which the attempt has to leave the queue of the ConnectionLimiter.
 	queueDeadline clock.Instant
 
-	started   bool          // whether bytes of it were written
-	startedAt clock.Instant // no byte was written before this time
+	started   bool          // whether its command was passed to the connection's output buffer
+	startedAt clock.Instant // when that happened: no byte was written before
 }
 
-// NeverStarted is an attempt that is over and was never sent.
+// NeverStarted is an attempt that is over and of which nothing was sent.
 var NeverStarted = &Attempt{done: true}
 
-// Written reports whether the attempt is over or its last byte written.
+// Written reports whether the attempt is over or the last byte of its command was written.
 func (a *Attempt) Written() bool { return a.done || a.stage() == Sent }
 
-// stage returns how far the attempt has come.
+// stage returns how much of the attempt's command was written.
 func (a *Attempt) stage() Stage {
 	switch {
 	case a.conn == nil:
@@ -50,7 +51,8 @@
 	return Sent
 }
 
-// Cancel ends the attempt with the given reason. It has no effect on one that is over.
+// Cancel fails the attempt with the given reason, and closes the connection that carries it. It has no effect on an
+// attempt that is over.
 func (a *Attempt) Cancel(reason error) {
 	if a.done {
 		return
@@ -67,8 +69,9 @@
 	a.fail(Connecting, reason)
 }
 
-// fail reports a failure as the attempt's result. It logs the first failure of a host that answered before, and the
-// first shortage on this machine.
+// fail passes a failure to onResult, unless the attempt is over. It logs the first failure by the host's fault since
+// the host last answered, and the first dial since the last successful one that failed for lack of resources on this
+// machine.
 func (a *Attempt) fail(stage Stage, err error) {
 	if a.done {
 		return
@@ -80,8 +83,8 @@
 		pool.failing = true
 		slog.Warn("host_failing", "addr", pool.addr, "stage", failure.Stage, "error", failure.Err)
 	}
-	if failure.isShortage() && !pool.transport.dialShortage {
-		pool.transport.dialShortage = true
+	if failure.isResourceExhausted() && !pool.transport.dialResourcesExhausted {
+		pool.transport.dialResourcesExhausted = true
 		slog.Warn("dial_resources_exhausted", "error", failure.Err)
 	}
 	a.onResult(gateway.Event{Result: failure.Result()}, nil, pool.transport.now())
--- a/internal/hosts/command.go
+++ b/internal/hosts/command.go
@@ -7,24 +7,24 @@
 	"ravensill/internal/bufconn"
 )
 
-// Command is the text of a request for a host. Head is followed by one bulk string that consists of Before, the time
-// left until the deadline in milliseconds, and After; Tail follows that. The slices must not change until the attempt
-// is over.
+// Command is the encoded text of a request for a host, without the time that is left until the request's deadline. Head
+// is followed by one bulk string, which consists of BeforeTimeLeft, the time left in milliseconds and AfterTimeLeft.
+// Tail follows that string. The slices must not change until the attempt is over.
 type Command struct {
 	Head           []byte
 	BeforeTimeLeft []byte
 	AfterTimeLeft  []byte
 	Tail           []byte
 
-	constant bool // Head is the complete command
+	complete bool // whether Head is the whole command, which then has no time left in it
 }
 
-// write appends the command, with the time left until the deadline, to a connection's output. The time is computed here
-// and not where the attempt was decided on: the attempt may have waited for a connection since, and with a longer time
-// the host would work for a client that is gone.
+// write appends the command to a connection's output buffer. timeLeft is the time from now until the deadline. It is
+// determined when the command is written, not when the attempt was decided on: the attempt may have waited for a
+// connection in between, and with a longer time the host would work for a client that is gone.
 func (c *Command) write(out *bufconn.Buffer, timeLeft time.Duration) {
 	out.Write(c.Head)
-	if c.constant {
+	if c.complete {
 		return
 	}
 	milliseconds := strconv.AppendInt(nil, max(timeLeft.Milliseconds(), 1), 10)
--- a/internal/hosts/command_test.go
+++ b/internal/hosts/command_test.go
@@ -11,7 +11,7 @@
 	"ravensill/internal/clock"
 )
 
-// readTimeLeft reads a command without a body and returns the time left that it has.
+// readTimeLeft reads a command without a body and returns the time left that it contains.
 func (h *scriptedHost) readTimeLeft(c *net.TCPConn) time.Duration {
 	h.Helper()
 	reader := bufio.NewReader(c)
@@ -19,18 +19,19 @@
 	for range 2 { // the lines before the tail
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			h.Fatalf("%q, then %v", text+line, err)
+			h.Fatalf("read %q of a command, then %v", text+line, err)
 		}
 		text = strings.TrimSpace(line)
 	}
 	milliseconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		h.Fatalf("no time in %q: %v", text, err)
+		h.Fatalf("the command has no time left in %q: %v", text, err)
 	}
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// Each of these makes an attempt, lets the given time pass before its command is written, and returns its connection.
+// Each of these functions makes an attempt, lets the time wait pass before its command is written, and returns the
+// connection on which it is written.
 
 func writeOnNewConnection(h *scriptedHost, wait time.Duration) *net.TCPConn {
 	release := h.holdDials()
@@ -53,7 +54,7 @@
 	h.schedule("b", 0)
 	h.advance(wait / 2)
 	c.Close()
-	handleEnd := <-h.work // the end has arrived, and the loop receives it after the flush
+	handleEnd := <-h.work // the end of the stream was read; the event loop handles it after the flush
 	h.Flush()
 	handleEnd()
 	h.advance(wait - wait/2)
@@ -74,8 +75,8 @@
 	return c
 }
 
-// The time in a command is what is left when it is written, not when the attempt was decided on: else a host would work
-// on for a client that is gone, for as long as the attempt waited for its connection.
+// A command contains the time left when it is written, not when the attempt was decided on. Otherwise a host would go
+// on working for a client that is gone, for as long as the attempt had waited for its connection.
 func TestCommandHasTimeLeftWhenWritten(t *testing.T) {
 	const wait = 7 * time.Second
 	tests := []struct {
@@ -93,18 +94,19 @@
 			c := test.write(h, wait)
 			want := attemptTimeout - wait
 			if got := h.readTimeLeft(c); got > want || got < want-10*time.Millisecond {
-				t.Errorf("command has %v, %v left", got, want)
+				t.Errorf("the command contains a time left of %v, want %v", got, want)
 			}
 		})
 	}
 }
 
-// A process that is stalled between reading its clock and the write exceeds the time left by no more than the slack.
+// If the process stalls between reading its clock and writing the command, the time left in the command is too long by
+// no more than the slack.
 func TestCommandTimeLeftUnderStall(t *testing.T) {
 	const (
 		wait  = time.Second
-		stall = 150 * time.Millisecond // between the clock reading that the command is written by and the write
-		slack = 150 * time.Millisecond
+		stall = 150 * time.Millisecond // after each reading of the clock
+		slack = 150 * time.Millisecond // by which the time left may be too long
 	)
 	h := newScriptedHost(t)
 	c := h.serveFirst()
@@ -119,6 +121,6 @@
 	stalled := h.readClock().Sub(reading)
 	left := attemptTimeout - wait - stalled
 	if got := h.readTimeLeft(c); got > left+slack {
-		t.Errorf("command has %v, %v left and %v of slack", got, left, slack)
+		t.Errorf("the command contains a time left of %v, want at most %v and %v of slack", got, left, slack)
 	}
 }
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -13,39 +13,40 @@
 )
 
 var (
-	errUnexpectedAnswer = errors.New("unexpected answer")
-	errClosedEarly      = errors.New("ended before anything was sent")
+	errUnsolicitedAnswer = errors.New("answer received before a command was sent")
+	errClosedBeforeWrite = errors.New("connection closed before a command was sent")
 )
 
-// conn is a connection to a host. It carries one attempt at a time. It belongs to the event loop, except for run and
-// the methods that run calls, which read from the socket on the connection's goroutine.
+// conn is a connection to a host. It carries one attempt at a time. Its fields and methods belong to the event loop,
+// except run and the methods that run calls: they dial and read from the socket on the connection's own goroutine.
 type conn struct {
-	pool        *hostPool
-	addr        netip.AddrPort
-	link        *bufconn.Link // nil until the dial succeeded
-	attempt     *Attempt      // nil while it carries none
-	idleSince   clock.Instant
-	idleElement *list.Element // in the transport's idle list; nil unless idle
-	answers     int           // received
-	readsSeen   int64         // the link's Reads at the latest answer
-	flushQueued bool          // whether it is in the transport's toFlush
-	used        bool          // whether a command was written
-	closed      bool
+	pool                *hostPool
+	addr                netip.AddrPort
+	link                *bufconn.Link // nil until the dial succeeded
+	attempt             *Attempt      // the attempt that the connection carries, nil for none
+	idleSince           clock.Instant // when the connection became idle for the latest time
+	idleElement         *list.Element // in the transport's idle list; nil unless idle
+	answerCount         int           // answers received on the connection
+	readsAtLatestAnswer int64         // the link's ReadCount when the latest answer was complete; 0: no answer yet
+	flushQueued         bool          // whether the connection is in the transport's toFlush list
+	commandWritten      bool          // whether a command was ever passed to the output buffer
+	closed              bool
 }
 
-// dialSucceeded sets the connection's link and assigns the connection to an attempt.
+// dialSucceeded takes over the link of a new connection and makes the connection available to attempts.
 func (c *conn) dialSucceeded(link *bufconn.Link) {
 	c.link = link
 	t := c.pool.transport
-	if t.dialShortage {
-		t.dialShortage = false
+	if t.dialResourcesExhausted {
+		t.dialResourcesExhausted = false
 		slog.Info("dial_resources_restored")
 	}
 	c.pool.addDialing(-1)
 	c.release()
 }
 
-// dialFailed fails the longest pending attempt if no other dial is left for it.
+// dialFailed fails the attempt that has been pending for the longest time, unless enough other dials are in progress
+// for all pending attempts. Under a connection quota the attempt may return to the queue instead.
 func (c *conn) dialFailed(err error) {
 	pool := c.pool
 	pool.addDialing(-1)
@@ -61,8 +62,9 @@
 	attempt.fail(Connecting, err)
 }
 
-// release assigns a new connection to the longest pending attempt, or makes it idle. A connection that has just
-// received an answer becomes idle and is not used before the reuse delay: each pending attempt has its own dial.
+// release assigns a new connection to the attempt that has been pending for the longest time, or marks it as idle. A
+// connection that has just received an answer always becomes idle and is not used before the reuse delay is over: each
+// pending attempt has a dial of its own. A connection to an address that is no longer the host's is closed.
 func (c *conn) release() {
 	pool := c.pool
 	if c.addr != pool.addr || pool.removed {
@@ -72,7 +74,7 @@
 	}
 	now := pool.transport.now()
 	limiter := pool.transport.limiter
-	isNew := c.readsSeen == 0
+	isNew := c.readsAtLatestAnswer == 0
 	if limiter != nil && isNew {
 		limiter.requeuePending(pool)
 	}
@@ -87,7 +89,7 @@
 	c.addIdle(now)
 }
 
-// assign has the connection carry the attempt, whose command is written by the next flush.
+// assign makes the connection carry the attempt. The next Flush of the transport writes the command.
 func (c *conn) assign(attempt *Attempt) {
 	c.removeIdle()
 	c.attempt = attempt
@@ -102,22 +104,23 @@
 	}
 }
 
-// unassign ends the connection's part in its attempt.
+// unassign detaches the connection from its attempt. answered says whether the attempt got an answer.
 func (c *conn) unassign(answered bool) {
 	if limiter := c.pool.transport.limiter; limiter != nil {
-		limiter.attemptDone(c.attempt, answered)
+		limiter.attemptUnassigned(c.attempt, answered)
 	}
 	c.attempt = nil
 }
 
-// flush writes what the connection carries, as far as its socket accepts it, and reports whether bytes are left. All
-// attempts start here, and their connection and deadline are checked here: the decision to make them may be long past.
+// flush writes the command of the connection's attempt, as far as the socket accepts it, and reports whether bytes are
+// left to be written. Every attempt starts here. Its connection and its write deadline are checked here again, because
+// much time may have passed since the attempt was decided on.
 func (c *conn) flush() (left bool) {
 	attempt := c.attempt
 	if attempt == nil {
 		return false
 	}
-	if !attempt.started && !c.untouched() {
+	if !attempt.started && !c.noInputSinceAnswer() {
 		c.replaceStale()
 		return false
 	}
@@ -136,28 +139,30 @@
 	return c.link.Out.Len() > 0
 }
 
-// startAttempt writes the command of the connection's attempt to the output buffer.
+// startAttempt appends the command of the connection's attempt to the output buffer.
 func (c *conn) startAttempt(now clock.Instant) {
 	attempt := c.attempt
 	attempt.started = true
 	attempt.startedAt = now
-	c.used = true
+	c.commandWritten = true
 	attempt.command.write(c.link.Out, attempt.deadline.Sub(now))
-	if c.pool.transport.limiter == nil { // under a quota, a refused connection needs the command again
+	if c.pool.transport.limiter == nil { // under a quota, a refused attempt writes its command again elsewhere
 		attempt.command = nil
 	}
 }
 
-// untouched reports whether neither bytes nor an end have arrived since the dial or the latest answer.
-func (c *conn) untouched() bool {
-	if c.answers == 0 {
+// noInputSinceAnswer reports whether neither bytes nor the end of the stream have arrived since the latest answer, or
+// since the dial if there was no answer.
+func (c *conn) noInputSinceAnswer() bool {
+	if c.answerCount == 0 {
 		return c.link.NoInputYet()
 	}
-	return c.link.NoInputSince(c.readsSeen)
+	return c.link.NoInputSince(c.readsAtLatestAnswer)
 }
 
-// replaceStale closes a connection on which bytes or an end arrived before its attempt was written. The attempt never
-// ran and is scheduled again; if the connection was new, the attempt fails as one that could not connect.
+// replaceStale closes a connection on which bytes or the end of the stream arrived before its attempt was started. The
+// attempt never ran. It is scheduled again, except if the connection was new: then it fails as if the connection could
+// not be opened, or returns to the queue under a connection quota.
 func (c *conn) replaceStale() {
 	limiter := c.pool.transport.limiter
 	attempt := c.attempt
@@ -165,9 +170,9 @@
 	attempt.conn = nil
 	c.close()
 	switch {
-	case c.answers == 0:
+	case c.answerCount == 0:
 		if limiter == nil || !limiter.requeueRefused(attempt, errStoreRefused) {
-			attempt.fail(Connecting, errClosedEarly)
+			attempt.fail(Connecting, errClosedBeforeWrite)
 		}
 	case limiter != nil:
 		limiter.requeue(attempt)
@@ -177,13 +182,16 @@
 	}
 }
 
-// handleAnswer completes the connection's attempt, or fails the connection if the answer can't be that attempt's.
+// handleAnswer completes the connection's attempt with an answer. It fails the connection if the answer can't belong to
+// that attempt: no attempt was assigned or fully written, the answer was received before the attempt started, or it has
+// a value where a load report is expected or the reverse. Under a connection quota, a BUSY as the first answer on a
+// connection means that the store refused the connection; the attempt then returns to the queue.
 func (c *conn) handleAnswer(a answer) {
 	attempt := c.attempt
 	limiter := c.pool.transport.limiter
-	c.readsSeen = a.reads
-	c.answers++
-	refusedByStore := c.answers == 1 && a.event.Result == gateway.Busy
+	c.readsAtLatestAnswer = a.readCount
+	c.answerCount++
+	refusedByStore := c.answerCount == 1 && a.event.Result == gateway.Busy
 	if limiter != nil && attempt != nil && refusedByStore {
 		c.unassign(false)
 		c.close()
@@ -191,7 +199,7 @@
 		return
 	}
 	if attempt == nil || attempt.stage() != Sent || a.received < attempt.startedAt {
-		c.fail(errUnexpectedAnswer)
+		c.fail(errUnsolicitedAnswer)
 		return
 	}
 	if a.event.Result == gateway.Succeeded && (a.value == nil) != attempt.probe {
@@ -200,8 +208,8 @@
 	}
 	c.unassign(true)
 	attempt.done = true
-	c.pool.hostAnswered()
-	if a.more {
+	c.pool.markRecovered()
+	if a.hasTrailingBytes {
 		c.close()
 	} else {
 		c.release()
@@ -209,7 +217,8 @@
 	attempt.onResult(a.event, a.value, a.received)
 }
 
-// fail closes the connection and fails the attempt that it carries.
+// fail closes the connection and fails the attempt that it carries, or one that waits for its dial. It has no effect on
+// a closed connection.
 func (c *conn) fail(err error) {
 	switch {
 	case c.closed:
@@ -223,32 +232,34 @@
 	}
 }
 
-// failUnassigned closes a connection that carries no attempt. Under a quota, the store has refused a connection that it
-// closed before anything was sent.
+// failUnassigned closes a connection that carries no attempt. Under a connection quota, one that ends before any
+// command was written counts as refused by the store.
 func (c *conn) failUnassigned() {
 	c.close()
 	limiter := c.pool.transport.limiter
-	if limiter != nil && !c.used {
+	if limiter != nil && !c.commandWritten {
 		limiter.RefusedConnections++
 		limiter.backOff()
 	}
 }
 
-// failAttempt closes the connection and fails its attempt, unless the store refused the connection.
+// failAttempt closes the connection and fails its attempt. Under a connection quota, an attempt whose new connection
+// fails before the whole command was written may return to the queue instead.
 func (c *conn) failAttempt(err error) {
 	attempt := c.attempt
 	stage := attempt.stage()
 	c.unassign(false)
 	c.close()
 	limiter := c.pool.transport.limiter
-	neverRan := stage == Writing && c.answers == 0
+	neverRan := stage == Writing && c.answerCount == 0
 	if limiter != nil && neverRan && limiter.requeueRefused(attempt, err) {
 		return
 	}
 	attempt.fail(stage, err)
 }
 
-// close closes the connection. It leaves alone the attempt that the connection carries.
+// close closes the connection and removes it from the idle ones. It does not change the attempt that the connection
+// carries.
 func (c *conn) close() {
 	if c.closed {
 		return
--- a/internal/hosts/conn_reader.go
+++ b/internal/hosts/conn_reader.go
@@ -17,30 +17,31 @@
 )
 
 const (
-	// maxCommandBytes holds the command with the largest body and all its other words.
+	// maxCommandBytes is the limit of a connection's output buffer. The largest command fits: a body of the largest
+	// size and all other words.
 	maxCommandBytes = 160 << 10
-	// answerTimeout is the longest time from an answer's first byte to its last.
+	// answerTimeout is the time that an answer may take from its first read to its last byte.
 	answerTimeout = 500 * time.Millisecond
 )
 
-// answer is a complete answer of a host.
+// answer is a complete answer that was read from a connection.
 type answer struct {
-	event    gateway.Event
-	value    []byte        // nil without one
-	received clock.Instant // when its last byte was read
-	reads    int64         // the link's Reads at that time
-	more     bool          // whether further bytes follow it
-	split    bool          // whether it came in several reads, the later ones under answerTimeout
+	event            gateway.Event
+	value            []byte        // nil without one
+	received         clock.Instant // when its last byte was read
+	readCount        int64         // the link's ReadCount at that time
+	hasTrailingBytes bool          // whether further bytes follow it
+	split            bool          // whether it took several reads: the read timeout is set
 }
 
-// run dials the host, then passes answers to the event loop until the connection fails or an answer is followed by more
-// bytes. It runs on the connection's goroutine, which ends when the event loop closes the connection.
+// run dials the host, then passes answers to the event loop until the connection fails, the event loop closes it, or an
+// answer is followed by more bytes. It is the connection's goroutine.
 func (c *conn) run() {
 	t := c.pool.transport
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "host", "error", p, "stack", debug.Stack())
-			t.runOnLoop(func() { c.fail(errors.New("panic")) })
+			t.runOnLoop(func() { c.fail(errors.New("panic on the goroutine of the connection")) })
 		}
 	}()
 	link, err := c.dial()
@@ -52,7 +53,7 @@
 	c.readAnswers(link)
 }
 
-// dial connects to the host. It runs on the connection's goroutine.
+// dial connects to the host and returns the connection with its buffers. It runs on the connection's goroutine.
 func (c *conn) dial() (*bufconn.Link, error) {
 	t := c.pool.transport
 	socket, err := t.Dial(c.addr.String())
@@ -67,7 +68,8 @@
 	return link, nil
 }
 
-// readAnswers passes answers to the event loop. It runs on the connection's goroutine.
+// readAnswers passes each answer, and the error that ends the connection, to the event loop. It runs on the
+// connection's goroutine.
 func (c *conn) readAnswers(link *bufconn.Link) {
 	t := c.pool.transport
 	var parser resp.Parser
@@ -78,7 +80,7 @@
 			return
 		}
 		t.runOnLoop(func() { c.handleAnswer(answer) })
-		if answer.more {
+		if answer.hasTrailingBytes {
 			return
 		}
 		if answer.split {
@@ -87,7 +89,8 @@
 	}
 }
 
-// readAnswer reads the next answer. It runs on the connection's goroutine.
+// readAnswer waits for the next complete answer and parses it. It fails if the connection ends, if the answer is
+// malformed, or if its rest does not arrive within answerTimeout. It runs on the connection's goroutine.
 func (c *conn) readAnswer(link *bufconn.Link, parser *resp.Parser) (answer, error) {
 	t := c.pool.transport
 	split := false
@@ -108,7 +111,7 @@
 			}
 			continue
 		}
-		a := answer{received: received, reads: reads, split: split}
+		a := answer{received: received, readCount: reads, split: split}
 		if err == nil {
 			a.value, err = parseAnswer(parsed, t.loadFields, &a.event)
 		}
@@ -116,7 +119,7 @@
 			return answer{}, fmt.Errorf("%w: %w", errInvalidAnswer, err)
 		}
 		a.value = slices.Clone(a.value)
-		a.more = parser.More(link.In)
+		a.hasTrailingBytes = parser.More(link.In)
 		return a, nil
 	}
 }
--- a/internal/hosts/conn_test.go
+++ b/internal/hosts/conn_test.go
@@ -13,8 +13,9 @@
 	"ravensill/internal/golden"
 )
 
-// Whatever arrives on a connection before the next command is written on it, that command runs once, on another
-// connection, and gets no answer but its own. What arrives as it is written is not taken for its answer either.
+// If bytes or the end of the stream arrive on an idle connection before the next command is written on it, that command
+// runs once, on another connection, and gets its own answer. An answer that arrives while the command is written is not
+// taken for the answer to that command either.
 func TestBytesBeforeNextCommandAreNotItsAnswer(t *testing.T) {
 	arrivals := []struct {
 		name   string
@@ -27,10 +28,10 @@
 	}
 	var trace strings.Builder
 	for _, arrival := range arrivals {
-		reachesLoop := arrival.name != "half a line" // which is no answer yet
+		reachesLoop := arrival.name != "half a line" // an incomplete answer is not passed to the event loop
 		for _, moment := range []string{"before it is chosen", "before it is written", "as it is written"} {
 			if moment == "as it is written" && arrival.name != "a second answer" {
-				continue // the command may have run: the host may have read it before the connection ended
+				continue // the host may have read and run the command before the connection ended
 			}
 			h := newScriptedHost(t)
 			result := h.sendWhileBytesArrive(moment, reachesLoop, arrival.arrive)
@@ -40,8 +41,9 @@
 	golden.Check(t, trace.String())
 }
 
-// sendWhileBytesArrive sends "b" on a used connection on which arrive happens at the given moment, and returns its
-// result. The loop receives what arrived, if it reaches the loop at all, after it has flushed "b".
+// sendWhileBytesArrive sends "b" on a connection that has served a command before, calls arrive for that connection at
+// the given moment, and returns the result of "b". reachesLoop says whether the arrival is passed to the event loop,
+// which then handles it after the flush of "b".
 func (h *scriptedHost) sendWhileBytesArrive(moment string, reachesLoop bool, arrive func(c *net.TCPConn)) string {
 	c := h.serveFirst()
 	handleArrival := func() {}
@@ -59,7 +61,7 @@
 	case "before it is written":
 		arriveNow()
 	case "as it is written":
-		afterCheck := func() { // between the check of the connection and the write
+		afterCheck := func() { // runs between the check of the connection and the write
 			arriveNow()
 			h.advance(1)
 		}
@@ -74,8 +76,8 @@
 	return h.results[1]
 }
 
-// A second answer that arrives milliseconds after the first, when the next command is scheduled, is not taken for that
-// command's answer: nothing would distinguish the two.
+// A second answer to a command that arrives some milliseconds after the first, when the next command is already
+// scheduled, is not taken for the answer to that next command. Nothing in the answers would distinguish the two.
 func TestLateSecondAnswerIsDiscarded(t *testing.T) {
 	const delay = 4 * time.Millisecond
 	h := newScriptedHost(t)
@@ -90,10 +92,11 @@
 	golden.Check(t, h.trace())
 }
 
-// connectionBreaks are ways in which a connection ends under an attempt. The command is scheduled and not yet written.
+// connectionBreaks are ways in which a connection ends while it carries an attempt. When breakUnder is called, the
+// command is scheduled and not yet written.
 var connectionBreaks = []struct {
 	name       string
-	body       int // bytes
+	body       int // size of the command's body in bytes
 	breakUnder func(h *scriptedHost, c *net.TCPConn)
 }{
 	{"reset before it is written", 0, func(h *scriptedHost, c *net.TCPConn) {
@@ -147,9 +150,10 @@
 	}},
 }
 
-const exceedsSocketBuffers = 150 << 10 // bytes
+// exceedsSocketBuffers is the size of a body, in bytes, of which the socket buffers accept only a part.
+const exceedsSocketBuffers = 150 << 10
 
-// How much of a command was written when its connection broke decides whether it may have run.
+// Whether the result says that a command may have run depends on how much of it was written when its connection broke.
 func TestBrokenConnectionResultDependsOnStage(t *testing.T) {
 	var trace strings.Builder
 	for _, test := range connectionBreaks {
@@ -163,8 +167,8 @@
 	golden.Check(t, trace.String())
 }
 
-// A connection that comes up after the deadline of the attempt that waits for it carries nothing of that attempt, and
-// serves the next.
+// If a connection is opened after the write deadline of the attempt that waited for it, nothing of that attempt is
+// written, and the connection serves the next attempt.
 func TestConnectionAfterDeadlineServesNextAttempt(t *testing.T) {
 	h := newScriptedHost(t)
 	release := h.holdDials()
@@ -182,15 +186,17 @@
 	golden.Check(t, h.trace())
 }
 
-// A value is served whatever comes with it or behind it, each attempt gets its own, and a malformed answer ends its
-// connection.
+// A valid value is passed on even if the reports with it are malformed or further bytes follow it. Each attempt gets
+// the answer to its own command, and a malformed answer ends its connection.
 func TestMalformedAnswerEndsConnection(t *testing.T) {
 	a, b := valueAnswer("a"), valueAnswer("b")
-	tests := []string{ // the answers to two commands, cut at |; what follows "late" comes when the connection is idle
+	// Each test is a sequence of answers separated by |, one for each command. What follows "late" is sent when the
+	// connection is idle.
+	tests := []string{
 		a + a + "|" + b,
 		a + "+no|" + b,
 		a + "late" + a + "|" + b,
-		"*3\r\n$1\r\na\r\n$5\r\nused=\r\n$3\r\n=,=\r\n|" + b, // reports that can't be parsed
+		"*3\r\n$1\r\na\r\n$5\r\nused=\r\n$3\r\n=,=\r\n|" + b, // malformed reports
 		"*3\r\n$3000000000\r\naaaa|" + b,
 		":5\r\n|" + b,
 		"*3\r\n$4\r\nabcdefgh\r\n|" + b,
@@ -232,8 +238,8 @@
 	golden.Check(t, trace.String())
 }
 
-// serveOne answers the first command on the first connection with text. It closes answered after that, and ended when
-// the connection has ended.
+// serveOne answers the first command on the first connection with text, and nothing else. It closes answered once the
+// answer is written, and ended once the connection has ended.
 func serveOne(t *testing.T, text string) (addr string, answered, ended chan struct{}) {
 	answered = make(chan struct{})
 	ended = make(chan struct{})
@@ -251,7 +257,8 @@
 	return addr, answered, ended
 }
 
-// A canceled attempt may have run, and the host sees the end of its connection.
+// The result of an attempt that is canceled after its command was written says that it may have run. The connection is
+// closed, so that the host can stop working on the command.
 func TestCancelEndsConnection(t *testing.T) {
 	addr, answered, ended := serveOne(t, "")
 	loop := newTestLoop(t, addr, manyConns)
@@ -264,16 +271,17 @@
 	golden.Check(t, loop.trace())
 }
 
-// An attempt that is canceled before it has a connection never ran, and the connection serves another.
+// The result of an attempt that is canceled before it has a connection says that it never ran. The connection that is
+// being opened for it is kept for other attempts.
 func TestCancelWhileConnectingKeepsConnection(t *testing.T) {
 	listener := listen(t)
 	loop := newTestLoop(t, listener.Addr().String(), manyConns)
 	attempt := loop.send()
 	attempt.Cancel(ErrTimedOut)
-	attempt.Cancel(ErrTimedOut) // without effect
+	attempt.Cancel(ErrTimedOut) // must have no effect
 	loop.runWork(1)
 	if len(loop.pool(1).idle) != 1 {
-		t.Error("its connection was not kept")
+		t.Error("the connection of the canceled attempt was not kept")
 	}
 	loop.Remove(1)
 	loop.send()
@@ -284,7 +292,7 @@
 	golden.Check(t, loop.trace())
 }
 
-// A probe accepts a load report and no value, and an attempt the reverse.
+// A load report is a valid answer to a probe and a value is not. For other attempts it is the reverse.
 func TestProbeAcceptsOnlyLoadReport(t *testing.T) {
 	var trace strings.Builder
 	for _, answer := range []string{"$16\r\nutilization=0.25\r\n", "*1\r\n$1\r\nv\r\n", "-NOPERM\r\n"} {
--- a/internal/hosts/failure.go
+++ b/internal/hosts/failure.go
@@ -8,31 +8,31 @@
 	"ravensill/internal/sockets"
 )
 
-// Stage is how far an attempt had come when it failed.
+// Stage is how much of an attempt's command was written when the attempt failed.
 type Stage int
 
 const (
-	Connecting Stage = iota // no connection yet
-	Writing                 // a part of the command may be written
-	Sent                    // its last byte is written: the host may have run it
+	Connecting Stage = iota // no connection was assigned
+	Writing                 // a part of the command may have been written, but not its last byte
+	Sent                    // the last byte was written: the host may have run the command
 )
 
-// String returns the stage as log lines name it.
+// String returns the name of the stage in log lines.
 func (s Stage) String() string { return [...]string{"connecting", "writing", "sent"}[s] }
 
-// Reasons for which the gateway ends an attempt.
+// Reasons for which the gateway itself ends an attempt.
 var (
 	ErrTimedOut = errors.New("timed out")
 	ErrCanceled = errors.New("canceled")
 )
 
 var (
-	errInvalidAnswer = errors.New("invalid answer")
-	errNoDescriptor  = errors.New("no free descriptor")
-	errHostRemoved   = errors.New("host removed")
+	errInvalidAnswer   = errors.New("invalid answer")
+	errConnectionLimit = errors.New("connection limit reached and no connection is idle")
+	errHostRemoved     = errors.New("host removed")
 )
 
-// Failure is the error of an attempt that got no valid answer.
+// Failure is the error of an attempt that got no valid answer: how far the attempt had come, and the cause.
 type Failure struct {
 	Stage Stage
 	Err   error
@@ -40,13 +40,14 @@
 
 func (f *Failure) Error() string { return fmt.Sprintf("%v while %v", f.Err, f.Stage) }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the failure.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// Result returns the failure as a result of the gateway interface.
+// Result returns the gateway.Result for the failure. Before the stage Sent it is one of those for an attempt that never
+// ran.
 func (f *Failure) Result() gateway.Result {
 	switch {
-	case f.Stage < Sent && f.isGatewayCause():
+	case f.Stage < Sent && f.isCausedByGateway():
 		return gateway.NotSent
 	case f.Stage < Sent:
 		return gateway.Unreachable
@@ -60,28 +61,29 @@
 	return gateway.Disconnected
 }
 
-// isHostFault reports whether the failure is the host's, and not one of time, cancellation, the connection quota or
-// this machine.
+// isHostFault reports whether the failure is logged as one of the host. Timeouts, cancellations, rejections by the
+// connection quota and failures for lack of resources on this machine are not.
 func (f *Failure) isHostFault() bool {
 	switch {
 	case errors.Is(f.Err, ErrTimedOut), errors.Is(f.Err, ErrCanceled), errors.Is(f.Err, errQueueTimeout):
 		return false
 	}
-	return !f.isShortage()
+	return !f.isResourceExhausted()
 }
 
-// isGatewayCause reports whether the attempt ended for a cause at the gateway. Such a failure must not count against
-// the host: a gateway that lacks ports would treat all hosts as outliers.
-func (f *Failure) isGatewayCause() bool {
-	for _, cause := range []error{ErrCanceled, errNoDescriptor, errHostRemoved, errQueueTimeout} {
+// isCausedByGateway reports whether the cause of the failure is the gateway or its machine. Such a failure must not
+// count against the host: a gateway that lacks ports would treat all hosts as outliers.
+func (f *Failure) isCausedByGateway() bool {
+	for _, cause := range []error{ErrCanceled, errConnectionLimit, errHostRemoved, errQueueTimeout} {
 		if errors.Is(f.Err, cause) {
 			return true
 		}
 	}
-	return f.isShortage()
+	return f.isResourceExhausted()
 }
 
-// isShortage reports whether no connection could be opened because this machine lacks a resource.
-func (f *Failure) isShortage() bool {
+// isResourceExhausted reports whether no connection could be opened because this machine lacks a resource, such as
+// descriptors or ports.
+func (f *Failure) isResourceExhausted() bool {
 	return f.Stage == Connecting && sockets.IsResourceExhausted(f.Err)
 }
--- a/internal/hosts/failure_test.go
+++ b/internal/hosts/failure_test.go
@@ -13,7 +13,7 @@
 	"ravensill/internal/golden"
 )
 
-// How far an attempt had come decides whether it may have run.
+// Whether the result of a failure says that the attempt may have run depends on its stage, not on the cause.
 func TestFailureResultDependsOnStage(t *testing.T) {
 	var trace strings.Builder
 	for _, cause := range []error{errMalformed, io.EOF, ErrTimedOut, ErrCanceled} {
@@ -26,8 +26,8 @@
 	golden.Check(t, trace.String())
 }
 
-// A shortage on this machine never counts against the host, and an attempt that may have run is never reported as one
-// that did not.
+// A dial that fails for lack of resources on this machine never counts against the host, and an attempt that may have
+// run is never reported as one that never ran.
 func TestSystemErrorResultDependsOnStage(t *testing.T) {
 	local := []syscall.Errno{
 		syscall.EMFILE,
@@ -68,7 +68,7 @@
 	}
 	for _, errno := range append(local, remote...) {
 		if failure := (&Failure{Sent, errno}); failure.Result().NeverRan() {
-			t.Errorf("%v: never ran", failure)
+			t.Errorf("%v: the result says that the attempt never ran", failure)
 		}
 	}
 }
--- a/internal/hosts/helpers_test.go
+++ b/internal/hosts/helpers_test.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	attemptTimeout = 20 * time.Second // of the attempts of testLoop.schedule
-	testTimeout    = 20 * time.Second // after which a test that waits fails
+	attemptTimeout = 20 * time.Second // time until both deadlines of attempts made by testLoop.schedule
+	testTimeout    = 20 * time.Second // time after which a test that waits fails
 
-	// manyConns is a connection limit that a test does not reach.
+	// manyConns is a connection limit that no test reaches.
 	manyConns = 9
-	// noWriteDeadline is later than any time of a test.
+	// noWriteDeadline is a write deadline that no test reaches.
 	noWriteDeadline = clock.Instant(1e18)
 )
 
-// testLoop is the event loop of a transport with one host, number 1. It records the results of its attempts.
+// testLoop is a transport with one host, which has the id 1, and its event loop, which the test runs step by step. It
+// records the results of attempts.
 type testLoop struct {
 	*testing.T
 	*Transport
-	work    chan func()  // for the event loop
-	clock   atomic.Int64 // read by the transport, in nanoseconds
-	results []string
+	work    chan func()  // functions queued for the event loop
+	clock   atomic.Int64 // the transport's time in nanoseconds
+	results []string     // one line for each attempt that has ended, in that order
 }
 
 func newTestLoop(t *testing.T, addr string, maxConns int) *testLoop {
@@ -52,19 +53,19 @@
 	return l
 }
 
-// readClock returns the time of the clock.
+// readClock returns the time that the test has set.
 func (l *testLoop) readClock() clock.Instant { return clock.Instant(l.clock.Load()) }
 
 // advance sets the clock forward.
 func (l *testLoop) advance(d time.Duration) { l.clock.Add(int64(d)) }
 
-// useRealTime lets the clock follow real time.
+// useRealTime makes the transport use real time instead of clock.
 func (l *testLoop) useRealTime() {
 	start := time.Now()
 	l.Transport.now = func() clock.Instant { return clock.Instant(time.Since(start)) }
 }
 
-// send makes an attempt with two milliseconds left and flushes it.
+// send makes an attempt whose deadline is two milliseconds away, and flushes it.
 func (l *testLoop) send() *Attempt {
 	command := Command{Head: []byte("*2\r\n"), BeforeTimeLeft: []byte("d=")}
 	deadline := l.Transport.now().Add(2 * time.Millisecond)
@@ -73,24 +74,24 @@
 	return attempt
 }
 
-// schedule makes an attempt with a named command and a body, and does not flush it.
+// schedule makes an attempt and does not flush it. Its command begins with name and has a body of that many bytes.
 func (l *testLoop) schedule(name string, body int) *Attempt {
 	command := Command{Head: []byte(name + " "), Tail: make([]byte, body)}
 	deadline := l.Transport.now().Add(attemptTimeout)
 	return l.Send(1, command, deadline, deadline, l.recordResult(name+": result"))
 }
 
-// recordResult returns a handler that records the result under a label.
+// recordResult returns a handler that adds the result to results, after a label.
 func (l *testLoop) recordResult(label string) ResultHandler {
 	return func(event gateway.Event, value []byte, _ clock.Instant) {
 		l.results = append(l.results, fmt.Sprintf("%s %d, value %q", label, event.Result, value))
 	}
 }
 
-// trace returns the results, one a line.
+// trace returns the recorded results, one per line.
 func (l *testLoop) trace() string { return strings.Join(l.results, "\n") + "\n" }
 
-// runWork runs the next n functions for the event loop.
+// runWork waits for the next n functions queued for the event loop, and runs them.
 func (l *testLoop) runWork(n int) {
 	for range n {
 		(<-l.work)()
@@ -113,7 +114,7 @@
 			f()
 			l.Flush()
 		case <-time.After(testTimeout):
-			l.Fatalf("only these ended: %q", l.results)
+			l.Fatalf("%d of %d attempts ended: %q", len(l.results), n, l.results)
 		}
 	}
 }
@@ -129,13 +130,13 @@
 	return listener
 }
 
-// serveConns accepts connections, numbered from 0 on, and runs handle for each on a goroutine. At the end of the test
-// it closes all of them and waits for the goroutines.
+// serveConns listens on addr, accepts connections, and runs handle for each on a goroutine of its own, with the number
+// of the connection, counted from 0. At the end of the test it closes all connections and waits for the goroutines.
 func serveConns(t *testing.T, handle func(number int, c *net.TCPConn)) (addr string) {
 	t.Helper()
 	var (
 		listener  = listen(t)
-		conns     []net.Conn // of the accepting goroutine until it has ended
+		conns     []net.Conn // accepted; owned by the accepting goroutine until it has ended
 		accepting sync.WaitGroup
 		handling  sync.WaitGroup
 	)
@@ -160,7 +161,8 @@
 	return listener.Addr().String()
 }
 
-// answerEach calls answer for each command that arrives in one read, until the connection ends or answer returns false.
+// answerEach calls answer for each command, which has to arrive in one read, until the connection ends or answer
+// returns false.
 func answerEach(c net.Conn, answer func(command string) bool) {
 	buf := make([]byte, 99)
 	for {
@@ -171,7 +173,7 @@
 	}
 }
 
-// valueAnswer returns an answer of a value without usage and load report.
+// valueAnswer returns an answer with a value of one byte and without usage and load reports.
 func valueAnswer(value string) string { return fmt.Sprintf("*3\r\n$1\r\n%s\r\n$-1\r\n$-1\r\n", value) }
 
 // reset closes a connection with a reset.
@@ -180,12 +182,13 @@
 	c.Close()
 }
 
-// scriptedHost is a testLoop whose host is the test itself, connection by connection. Both ends have small buffers.
+// scriptedHost is a testLoop for tests that play the host themselves, on each connection that is accepted. Both ends of
+// a connection have small socket buffers.
 type scriptedHost struct {
 	*testLoop
 	conns chan *net.TCPConn // accepted
 
-	// onClockRead is called once, when the clock is read next.
+	// onClockRead, if not nil, is called once, when the transport reads the time for the next time.
 	onClockRead atomic.Pointer[func()]
 }
 
@@ -225,7 +228,7 @@
 	return func() { close(released) }
 }
 
-// accept completes all dials, writes what is scheduled, and returns the next accepted connection.
+// accept waits until all dials have ended, flushes, and returns the next accepted connection.
 func (h *scriptedHost) accept() *net.TCPConn {
 	h.runUntilConnected()
 	h.Flush()
@@ -239,7 +242,7 @@
 	b := make([]byte, 1)
 	for bytes.Count(text, []byte{'\n'}) < 2 {
 		if _, err := io.ReadFull(c, b); err != nil {
-			h.Fatalf("%q and %v", text, err)
+			h.Fatalf("read %q of a command, then %v", text, err)
 		}
 		text = append(text, b[0])
 	}
@@ -247,13 +250,14 @@
 	return name
 }
 
-// answerCommand reads a command without a body and answers with its name.
+// answerCommand reads a command without a body and answers it with its name as the value.
 func (h *scriptedHost) answerCommand(c *net.TCPConn) {
 	h.Helper()
 	io.WriteString(c, valueAnswer(h.readCommand(c)))
 }
 
-// serveFirst serves the command "a" and returns its connection, which is idle and past the reuse delay.
+// serveFirst makes an attempt with the command "a", answers it, and returns its connection, which is idle and past its
+// reuse delay then.
 func (h *scriptedHost) serveFirst() *net.TCPConn {
 	h.Helper()
 	h.schedule("a", 0)
--- a/internal/hosts/idle.go
+++ b/internal/hosts/idle.go
@@ -6,14 +6,14 @@
 	"ravensill/internal/clock"
 )
 
-// addIdle marks the connection as idle from now on.
+// addIdle adds the connection, which is idle from now on, to the idle connections of its pool and of the transport.
 func (c *conn) addIdle(now clock.Instant) {
 	c.idleSince = now
 	c.pool.idle = append(c.pool.idle, c)
 	c.idleElement = c.pool.transport.idle.PushBack(c)
 }
 
-// removeIdle removes the connection from the idle ones, if it is idle.
+// removeIdle removes the connection from the idle connections of its pool and of the transport, if it is idle.
 func (c *conn) removeIdle() {
 	if c.idleElement == nil {
 		return
@@ -25,10 +25,10 @@
 	}
 }
 
-// reusableConn returns the most recently used connection that has been idle for the reuse delay, nil if there is
-// none. Some hosts send more after an answer, even a second copy, some milliseconds later, which must not be taken
-// for the answer of the next request. What arrives within the delay is detected before the next command is written;
-// what arrives later could not be distinguished from its answer.
+// reusableConn returns the most recently used connection that has been idle for at least the reuse delay, nil if there
+// is none. Some hosts send further bytes some milliseconds after an answer, even a second copy of it, which must not be
+// taken for the answer to the next request. Bytes that arrive within the delay are detected before the next command is
+// written; bytes that arrive later could not be told from the answer to that command.
 func (p *hostPool) reusableConn(now clock.Instant) *conn {
 	for _, c := range slices.Backward(p.idle) {
 		if now.Sub(c.idleSince) >= p.transport.reuseDelay {
@@ -38,14 +38,15 @@
 	return nil
 }
 
-// closeIdle closes the host's idle connections.
+// closeIdle closes all idle connections to the host.
 func (p *hostPool) closeIdle() {
 	for len(p.idle) > 0 {
 		p.idle[0].close()
 	}
 }
 
-// ensureCapacity reports whether one more connection may be opened. At the limit it closes the longest idle one.
+// ensureCapacity reports whether one more connection may be opened. At the connection limit it makes room by closing
+// the connection that has been idle the longest; it returns false if none is idle.
 func (t *Transport) ensureCapacity() bool {
 	if t.openConns < t.maxConns {
 		return true
@@ -72,8 +73,9 @@
 	return true
 }
 
-// CloseIdle closes connections that have been idle for longer than the idle timeout. Hosts close theirs soon after, and
-// a request that is sent at that moment may have run. It checks only the connections that it closes and one more.
+// CloseIdle closes connections that have been idle for longer than the idle timeout, which is shorter than that of the
+// hosts: if a host closes a connection just as a request is sent on it, the request may or may not have run. It checks
+// only the connections that it closes and one more.
 func (t *Transport) CloseIdle() {
 	now := t.now()
 	for {
--- a/internal/hosts/limiter.go
+++ b/internal/hosts/limiter.go
@@ -11,55 +11,60 @@
 )
 
 const (
-	// limitedReuseDelay is the reuse delay under a quota, whose connections are too few for the default.
+	// limitedReuseDelay is the reuse delay under a connection quota. The default would leave the few connections of a
+	// quota idle for too long.
 	limitedReuseDelay = time.Millisecond
 
-	// Bounds of the pause of dials after a refusal, which doubles with each.
+	// Bounds of the pause between dials after a refusal. The pause doubles with each refusal in a row.
 	minDialBackoff = 50 * time.Millisecond
 	maxDialBackoff = 400 * time.Millisecond
 
-	// Bounds of RetryAfter.
+	// Bounds of the time that RetryAfter returns for a rejected attempt.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 
-	// serviceTimeWeight is the weight of the latest attempt in the average service time.
+	// serviceTimeWeight is the weight of the latest attempt in the moving average of the service time.
 	serviceTimeWeight = 1.0 / 16
 )
 
 var (
-	errQueueTimeout = errors.New("no connection in time") // rejected by the quota; it never ran
+	// errQueueTimeout is the error of an attempt that the ConnectionLimiter rejects. The attempt never ran.
+	errQueueTimeout = errors.New("no connection within the quota by the queue deadline")
 	errStoreRefused = errors.New("the store refused the connection")
 )
 
-// ConnectionLimiter keeps a transport within a quota of connections, dials included, over all hosts: they share one
-// store. Attempts without a connection queue, urgent ones first while fewer than the urgent floor are in flight. An
-// attempt that would wait too long is rejected at once, with a time to retry after. Where the store refuses a
-// connection, the attempt stays in the queue and dials pause.
+// ConnectionLimiter keeps the connections of a transport, dials in progress included, within a quota that applies to
+// all hosts together, because they share one store. Attempts that get no connection wait in a queue. Urgent attempts go
+// first while fewer of them than the urgent floor are in flight. An attempt that is expected to wait for too long is
+// rejected at once, with a time to retry after. If the store refuses a connection, the attempt stays in the queue and
+// no dial starts for a while. Its methods must be called on the event loop of the transport.
 type ConnectionLimiter struct {
 	transport *Transport
-	// allowed returns the quota at a time.
-	allowed func(now clock.Instant) int
-	// onRejected is called for each rejected attempt, with the expected time for which it would use a connection.
+	// quotaAt returns the number of connections that may be open at a time.
+	quotaAt func(now clock.Instant) int
+	// onRejected is called for each rejected attempt, with the average time for which an attempt uses a connection.
 	onRejected  func(serviceTime time.Duration)
-	urgentFloor int           // urgent attempts go first while fewer of them are in flight
-	maxWait     time.Duration // in the queue
+	urgentFloor int           // urgent attempts go first while fewer of them than this are in flight
+	maxWait     time.Duration // longest time that an attempt waits in the queue
 
 	queue          []*Attempt    // the longest waiting first
-	serviceTime    float64       // moving average of an attempt's time on a connection, in nanoseconds
-	urgentInFlight int           // urgent attempts on a connection
-	dialBackoff    time.Duration // latest pause of dials after a refusal
-	nextDial       clock.Instant // no dial starts earlier
-	timerSet       bool          // whether a timer for serveQueue is running
-	retryAfter     time.Duration // see RetryAfter
+	serviceTime    float64       // moving average of the time from write to answer, in nanoseconds; 0: no answer yet
+	urgentInFlight int           // urgent attempts that are assigned to a connection
+	dialBackoff    time.Duration // latest pause after a refusal; 0 once an attempt was answered
+	nextDial       clock.Instant // no dial starts before this time
+	timerRunning   bool          // whether a timer for serveQueue is running
+	retryAfter     time.Duration // what RetryAfter returns
 
 	// Cumulative counters.
-	QueuedAttempts     int // attempts that had to wait
-	RejectedAttempts   int // attempts rejected
-	RefusedConnections int // connections that the store refused
-	Dials              int
+	QueuedAttempts     int // attempts that got no connection at once, including those rejected for that
+	RejectedAttempts   int
+	RefusedConnections int // connections that the store refused, or closed without serving a command
+	Dials              int // dials started
 }
 
-// LimitConnections puts the transport under a quota of connections. It is called before the first attempt.
+// LimitConnections puts the transport under a quota of connections, which allowed returns for a time. It must be called
+// before the first attempt. See ConnectionLimiter for urgentFloor, maxWait (the longest time in the queue) and
+// onRejected, which is called for each rejected attempt with the average time for which an attempt uses a connection.
 func (t *Transport) LimitConnections(
 	urgentFloor int,
 	maxWait time.Duration,
@@ -69,7 +74,7 @@
 	t.reuseDelay = limitedReuseDelay
 	t.limiter = &ConnectionLimiter{
 		transport:   t,
-		allowed:     allowed,
+		quotaAt:     allowed,
 		onRejected:  onRejected,
 		urgentFloor: urgentFloor,
 		maxWait:     maxWait,
@@ -80,11 +85,12 @@
 // SetUrgent sets whether the attempts made from now on are of an urgent request class.
 func (l *ConnectionLimiter) SetUrgent(urgent bool) { l.transport.nextUrgent = urgent }
 
-// RetryAfter returns the time after which to retry while a rejected attempt reports its result, and 0 otherwise.
+// RetryAfter returns the time after which a rejected attempt may be retried. It is set while the ResultHandler of that
+// attempt runs, and 0 otherwise.
 func (l *ConnectionLimiter) RetryAfter() time.Duration { return l.retryAfter }
 
-// Usage returns the number of open connections, dials included, and the number of attempts that are on a connection or
-// wait for one.
+// Usage returns the number of open connections, dials in progress included, and the number of attempts that are
+// assigned to a connection or wait for one.
 func (l *ConnectionLimiter) Usage() (open, demand int) {
 	t := l.transport
 	unassigned := t.idle.Len() + t.dialingCount
@@ -92,8 +98,8 @@
 	return t.openConns, len(l.queue) + t.pendingCount + assigned
 }
 
-// enqueue adds an attempt to the queue and serves the queue. If the attempt is still there and is expected to wait past
-// its queue deadline, it is rejected at once.
+// enqueue adds an attempt to the queue and serves the queue. If the attempt gets no connection at once, it is rejected
+// if it is expected to wait past its queue deadline. Otherwise the queue is served again at that deadline.
 func (l *ConnectionLimiter) enqueue(attempt *Attempt) {
 	now := l.transport.now()
 	attempt.queueDeadline = now.Add(min(l.maxWait, attempt.deadline.Sub(now)/2))
@@ -110,9 +116,10 @@
 	time.AfterFunc(attempt.queueDeadline.Sub(now), func() { l.transport.runOnLoop(l.serveQueue) })
 }
 
-// expectedWait returns the time until a queued attempt is expected to get a connection.
+// expectedWait estimates the time until a queued attempt gets a connection, from its place in the queue, the
+// connections that are in use and the average service time.
 func (l *ConnectionLimiter) expectedWait(attempt *Attempt, now clock.Instant) time.Duration {
-	allowed := l.allowed(now)
+	allowed := l.quotaAt(now)
 	_, demand := l.Usage()
 	busy := demand - len(l.queue)
 	available := max(allowed-busy, 0)
@@ -120,13 +127,14 @@
 	return time.Duration(ahead * l.serviceTime / float64(max(allowed, 1)))
 }
 
-// reject fails an attempt that gets no connection in time, and sets the time to retry after.
+// reject removes an attempt from the queue and fails it with errQueueTimeout. While its ResultHandler runs, RetryAfter
+// returns the expected time until the queue is empty and dials may start, within its bounds.
 func (l *ConnectionLimiter) reject(attempt *Attempt) {
 	now := l.transport.now()
 	l.dequeue(attempt)
 	l.RejectedAttempts++
 	l.onRejected(time.Duration(l.serviceTime))
-	drainTime := time.Duration(float64(len(l.queue)+1) * l.serviceTime / float64(max(l.allowed(now), 1)))
+	drainTime := time.Duration(float64(len(l.queue)+1) * l.serviceTime / float64(max(l.quotaAt(now), 1)))
 	l.retryAfter = min(max(drainTime, l.nextDial.Sub(now), minRetryAfter), maxRetryAfter)
 	attempt.fail(Connecting, errQueueTimeout)
 	l.retryAfter = 0
@@ -137,8 +145,8 @@
 	l.queue = slices.DeleteFunc(l.queue, func(other *Attempt) bool { return other == attempt })
 }
 
-// inOrder returns the queued attempts in the order in which they get connections.
-func (l *ConnectionLimiter) inOrder() []*Attempt {
+// servingOrder returns a copy of the queue in the order in which its attempts get connections.
+func (l *ConnectionLimiter) servingOrder() []*Attempt {
 	ordered := slices.Clone(l.queue)
 	if l.urgentInFlight >= l.urgentFloor {
 		return ordered
@@ -147,7 +155,7 @@
 	return ordered
 }
 
-// urgentFirst compares attempts to sort urgent ones before others.
+// urgentFirst is a comparison function that sorts urgent attempts before others.
 func urgentFirst(a, b *Attempt) int {
 	switch {
 	case a.urgent == b.urgent:
@@ -158,12 +166,12 @@
 	return 1
 }
 
-// serveQueue closes idle connections above the quota, and assigns connections and dials to queued attempts in their
-// order.
+// serveQueue closes idle connections above the quota, then assigns connections or dials to the queued attempts in
+// servingOrder.
 func (l *ConnectionLimiter) serveQueue() {
 	t := l.transport
 	now := t.now()
-	allowed := l.allowed(now)
+	allowed := l.quotaAt(now)
 	for t.openConns > allowed {
 		if !t.closeLongestIdle() {
 			break
@@ -172,15 +180,15 @@
 	if len(l.queue) == 0 {
 		return
 	}
-	for _, attempt := range l.inOrder() {
-		l.serve(attempt, now, allowed)
+	for _, attempt := range l.servingOrder() {
+		l.serveAttempt(attempt, now, allowed)
 	}
-	l.setTimer(now)
+	l.startTimer(now)
 }
 
-// serve assigns an idle connection to a queued attempt, or dials one within the quota. It ends attempts whose host is
-// removed or whose queue deadline is over.
-func (l *ConnectionLimiter) serve(attempt *Attempt, now clock.Instant, allowed int) {
+// serveAttempt assigns an idle connection to a queued attempt, or starts a dial for it if the quota and the backoff
+// permit one. It fails an attempt whose host was removed and rejects one whose queue deadline is over.
+func (l *ConnectionLimiter) serveAttempt(attempt *Attempt, now clock.Instant, allowed int) {
 	pool := attempt.pool
 	switch {
 	case attempt.done:
@@ -208,8 +216,8 @@
 	pool.dialPending()
 }
 
-// ensureQuota reports whether one more connection to a host is within the quota. At the quota it closes an idle one of
-// another host.
+// ensureQuota reports whether the quota permits one more connection to a host. At the quota it makes room by closing an
+// idle connection to another host, if there is one.
 func (l *ConnectionLimiter) ensureQuota(pool *hostPool, allowed int) bool {
 	t := l.transport
 	if t.openConns < allowed {
@@ -218,8 +226,8 @@
 	return t.openConns == allowed && l.closeIdleExcept(pool)
 }
 
-// closeIdleExcept closes the longest idle connection and reports whether there was one. It spares connections to the
-// given host and to the hosts of queued attempts.
+// closeIdleExcept closes the connection that has been idle the longest, except for connections to the given host and to
+// hosts of queued attempts. It reports whether it closed one.
 func (l *ConnectionLimiter) closeIdleExcept(pool *hostPool) bool {
 	for element := l.transport.idle.Front(); element != nil; element = element.Next() {
 		c := element.Value.(*conn)
@@ -231,24 +239,24 @@
 	return false
 }
 
-// setTimer starts a timer that serves the queue again when a connection or dial may become available, unless one is
-// running.
-func (l *ConnectionLimiter) setTimer(now clock.Instant) {
+// startTimer starts a timer that serves the queue again when an idle connection or a dial may become available. It does
+// nothing if a timer is running or only an answer can make a connection available.
+func (l *ConnectionLimiter) startTimer(now clock.Instant) {
 	delay := l.untilNextCheck(now)
-	if delay == 0 || l.timerSet {
+	if delay == 0 || l.timerRunning {
 		return
 	}
-	l.timerSet = true
+	l.timerRunning = true
 	time.AfterFunc(delay, func() {
 		l.transport.runOnLoop(func() {
-			l.timerSet = false
+			l.timerRunning = false
 			l.serveQueue()
 		})
 	})
 }
 
-// untilNextCheck returns the time until a connection within its reuse delay, or a dial that is paused, may serve the
-// queue; 0 where only an answer can. The queue is served after each answer anyway.
+// untilNextCheck returns the time until the reuse delay of an idle connection or the pause between dials is over, if
+// that can serve a queued attempt. It returns 0 if only an answer can: the queue is served after each answer anyway.
 func (l *ConnectionLimiter) untilNextCheck(now clock.Instant) time.Duration {
 	for _, attempt := range l.queue {
 		if len(attempt.pool.idle) > 0 {
@@ -261,7 +269,7 @@
 	return 0
 }
 
-// requeue adds an attempt at the head of the queue.
+// requeue puts an attempt back at the head of the queue.
 func (l *ConnectionLimiter) requeue(attempt *Attempt) {
 	l.queue = append([]*Attempt{attempt}, l.queue...)
 }
@@ -271,8 +279,10 @@
 	return slices.ContainsFunc(l.queue, func(attempt *Attempt) bool { return attempt.pool == pool })
 }
 
-// requeueRefused puts an attempt back at the head of the queue if err means that the store refused its connection, or
-// that this machine lacks a resource for a dial, and reports whether it did. Other errors of a dial are the host's.
+// requeueRefused handles an attempt whose connection failed with err before the attempt could run. If err means that
+// the store refused the connection, or that this machine lacks a resource for a dial, it pauses dials, puts the attempt
+// back at the head of the queue, or rejects it past its queue deadline, and returns true. It returns false for other
+// errors, which are failures of the host.
 func (l *ConnectionLimiter) requeueRefused(attempt *Attempt, err error) bool {
 	switch {
 	case isStoreRefusal(err):
@@ -292,36 +302,37 @@
 	return true
 }
 
-// isStoreRefusal reports whether the error means that the store refused a connection.
+// isStoreRefusal reports whether err means that the store, as it is at its own connection limit, refused a connection.
 func isStoreRefusal(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, errStoreRefused)
 }
 
-// backOff pauses dials, longer with each call in a row.
+// backOff pauses dials. The pause doubles with each call until an attempt is answered, between minDialBackoff and
+// maxDialBackoff.
 func (l *ConnectionLimiter) backOff() {
 	l.dialBackoff = min(max(2*l.dialBackoff, minDialBackoff), maxDialBackoff)
 	l.nextDial = l.transport.now().Add(l.dialBackoff)
 }
 
-// requeuePending moves the host's longest pending attempt back to the queue when its connection is open, which is then
-// idle for the reuse delay: a full store may accept a connection and close it at once, and a request written to it
-// might have run.
+// requeuePending is called when a dial has succeeded. It moves the host's longest pending attempt back to the queue, so
+// that the new connection is idle for the reuse delay before it is used: a store at its connection limit may accept a
+// connection and close it at once, and a request that was already written to it might have run.
 func (l *ConnectionLimiter) requeuePending(pool *hostPool) {
 	if len(pool.pending) > 0 {
 		l.requeue(pool.takePending())
 	}
 }
 
-// attemptAssigned counts an attempt that got a connection.
+// attemptAssigned is called when an attempt was assigned to a connection. It counts urgent attempts in flight.
 func (l *ConnectionLimiter) attemptAssigned(attempt *Attempt) {
 	if attempt.urgent {
 		l.urgentInFlight++
 	}
 }
 
-// attemptDone counts an attempt that left its connection. An answer ends the backoff and updates the average service
-// time.
-func (l *ConnectionLimiter) attemptDone(attempt *Attempt, answered bool) {
+// attemptUnassigned is called when an attempt was detached from its connection. An answer ends the backoff and updates
+// the average service time.
+func (l *ConnectionLimiter) attemptUnassigned(attempt *Attempt, answered bool) {
 	if attempt.urgent {
 		l.urgentInFlight--
 	}
--- a/internal/hosts/limiter_test.go
+++ b/internal/hosts/limiter_test.go
@@ -13,8 +13,8 @@
 	"ravensill/internal/golden"
 )
 
-// serveAsFullStore rejects the first connection as a full store does, and answers all commands of later ones. It sends
-// the last word of each command on commands.
+// serveAsFullStore refuses the first connection as a store at its connection limit does, by BUSY, and answers all
+// commands on later connections. It sends the third word of each command on commands.
 func serveAsFullStore(t *testing.T, commands chan<- string) (addr string) {
 	return serveConns(t, func(number int, c *net.TCPConn) {
 		if number == 0 {
@@ -30,8 +30,8 @@
 	})
 }
 
-// Attempts wait for the one connection of the quota, urgent ones first, and are rejected at once if that takes too
-// long. A connection that the store refuses fails no attempt.
+// Under a quota of one connection attempts wait for that connection, urgent ones first. An attempt that would wait for
+// too long is rejected at once. An attempt whose connection the store refuses does not fail.
 func TestLimiterQueuesAttemptsWithinQuota(t *testing.T) {
 	const wait = 40 * time.Second
 	commands := make(chan string, 9)
@@ -53,17 +53,17 @@
 	send("b")
 	send("urgent")
 	if open, demand := limiter.Usage(); open != 1 || demand != 3 {
-		t.Errorf("%d connections for a demand of %d", open, demand)
+		t.Errorf("%d connections for a demand of %d, want 1 and 3", open, demand)
 	}
-	if limiter.timerSet {
+	if limiter.timerRunning {
 		t.Error("a timer is set though only an answer can serve the queue")
 	}
 	loop.runUntilResults(3)
 	limiter.serviceTime = float64(time.Hour)
-	send("c") // gets the idle connection after its reuse delay
+	send("c") // gets the idle connection once its reuse delay is over
 	send("late")
 	loop.runUntilResults(5)
-	allowed = 0 // idle connections are closed
+	allowed = 0 // the next flush closes idle connections
 	loop.Flush()
 	open, _ := limiter.Usage()
 	golden.Check(t, fmt.Sprintf("%sstore received %.3s... first, %d refused, %d rejected, %d open\n",
--- a/internal/hosts/pool.go
+++ b/internal/hosts/pool.go
@@ -9,15 +9,15 @@
 // hostPool holds the connections to one host and the attempts that wait for one.
 type hostPool struct {
 	transport *Transport
-	addr      netip.AddrPort
-	idle      []*conn // the longest idle first
-	pending   []*Attempt
-	dialing   int  // dials in progress
-	failing   bool // whether the latest attempt failed by the host's fault; logged when it changes
-	removed   bool // whether the host is removed: no attempt is made to it
+	addr      netip.AddrPort // the host's current address
+	idle      []*conn        // the longest idle first
+	pending   []*Attempt     // attempts that wait for a dial, the longest waiting first
+	dialing   int            // dials in progress
+	failing   bool           // whether an attempt has failed by the host's fault since the host last answered
+	removed   bool           // whether the host was removed: no attempt is made to it
 }
 
-// schedule assigns an idle connection to the attempt, or dials one for it.
+// schedule assigns an idle connection to the attempt, or adds the attempt to the pending ones and dials for it.
 func (p *hostPool) schedule(attempt *Attempt) {
 	if c := p.reusableConn(p.transport.now()); c != nil {
 		c.assign(attempt)
@@ -27,7 +27,7 @@
 	p.dialPending()
 }
 
-// dialPending starts a dial for each pending attempt that has none. Attempts for which no connection may be opened
+// dialPending starts dials until there is one for each pending attempt. Attempts for which no connection may be opened
 // fail, the latest first.
 func (p *hostPool) dialPending() {
 	for p.dialing < len(p.pending) {
@@ -35,7 +35,7 @@
 			latest := len(p.pending) - 1
 			attempt := p.pending[latest]
 			p.setPending(p.pending[:latest])
-			attempt.fail(Connecting, errNoDescriptor)
+			attempt.fail(Connecting, errConnectionLimit)
 			continue
 		}
 		p.addDialing(1)
@@ -45,14 +45,15 @@
 	}
 }
 
-// takePending removes and returns the attempt that has waited longest.
+// takePending removes and returns the attempt that has been pending for the longest time. There must be one.
 func (p *hostPool) takePending() *Attempt {
 	attempt := p.pending[0]
 	p.setPending(p.pending[1:])
 	return attempt
 }
 
-// setPending replaces the pending attempts and updates the transport's count of them.
+// setPending replaces the pending attempts and updates the transport's count of them, which excludes those of removed
+// hosts.
 func (p *hostPool) setPending(pending []*Attempt) {
 	if !p.removed {
 		p.transport.pendingCount += len(pending) - len(p.pending)
@@ -60,7 +61,8 @@
 	p.pending = pending
 }
 
-// addDialing adds to the dials in progress, and to the transport's count of them.
+// addDialing adds delta to the number of dials in progress and to the transport's count of them, which excludes those
+// to removed hosts.
 func (p *hostPool) addDialing(delta int) {
 	p.dialing += delta
 	if !p.removed {
@@ -68,15 +70,15 @@
 	}
 }
 
-// hostAnswered logs that the host answers again if its latest attempt failed.
-func (p *hostPool) hostAnswered() {
+// markRecovered is called when the host has answered. It logs that if an attempt has failed since the previous answer.
+func (p *hostPool) markRecovered() {
 	if p.failing {
 		p.failing = false
 		slog.Info("host_recovered", "addr", p.addr)
 	}
 }
 
-// cancelUnstarted cancels all attempts to the host of which no byte is written.
+// cancelUnstarted cancels, with the given reason, all attempts to the host whose command was not started.
 func (p *hostPool) cancelUnstarted(reason error) {
 	t := p.transport
 	attempts := slices.Clone(p.pending)
--- a/internal/hosts/shortage_test.go
+++ b/internal/hosts/shortage_test.go
@@ -16,7 +16,8 @@
 	"ravensill/internal/sockets/socketstest"
 )
 
-// newLoopOnFaultySystem returns a loop whose host answers every command, on a system whose calls the test makes fail.
+// newLoopOnFaultySystem returns a testLoop whose host answers every command, and the system that makes its calls, in
+// which the test can script faults.
 func newLoopOnFaultySystem(t *testing.T) (*testLoop, *socketstest.System) {
 	addr := serveConns(t, func(_ int, c *net.TCPConn) {
 		answerEach(c, func(string) bool {
@@ -31,8 +32,8 @@
 	return loop, system
 }
 
-// Attempts whose dial fails because this machine lacks a resource never ran and don't count against the host. Begin and
-// end of the shortage are logged once each.
+// Attempts whose dial fails because this machine lacks a resource are reported as not sent and don't count against the
+// host. The first such failure and the next successful dial are logged, once each.
 func TestDialShortageIsNotHostFault(t *testing.T) {
 	var lines bytes.Buffer
 	defer logging.SetOutput(&lines)()
@@ -50,7 +51,7 @@
 		}
 	}
 	if got := loop.results[3]; got != `result 0, value "v"` {
-		t.Errorf("after the shortage: %s", got)
+		t.Errorf("after the faults: %s", got)
 	}
 	wantLines := map[string]int{
 		"event=dial_resources_exhausted": 1,
@@ -59,13 +60,13 @@
 	}
 	for text, want := range wantLines {
 		if got := strings.Count(lines.String(), text); got != want {
-			t.Errorf("%d lines %s, want %d\n%s", got, text, want, &lines)
+			t.Errorf("%d log lines contain %s, want %d\n%s", got, text, want, &lines)
 		}
 	}
 }
 
-// Under a connection quota an attempt whose dial meets a shortage stays in the queue and is dialed again after a pause.
-// It does not count as refused by the store.
+// Under a connection quota, an attempt whose dial fails because this machine lacks a resource stays in the queue, and
+// the dial is retried after a pause. The failure does not count as a refusal by the store.
 func TestDialShortageUnderQuotaIsRetried(t *testing.T) {
 	loop, system := newLoopOnFaultySystem(t)
 	loop.useRealTime()
@@ -79,6 +80,6 @@
 		t.Error(got)
 	}
 	if limiter.RefusedConnections > 0 || limiter.Dials != 3 {
-		t.Errorf("%d refused, %d dials", limiter.RefusedConnections, limiter.Dials)
+		t.Errorf("%d connections refused, want 0; %d dials, want 3", limiter.RefusedConnections, limiter.Dials)
 	}
 }
--- a/internal/hosts/transport.go
+++ b/internal/hosts/transport.go
@@ -1,5 +1,6 @@
-// Package hosts sends attempts to hosts and parses their answers. The names of the wire protocol are known here only.
-// It makes no routing decisions and never sends a command twice.
+// Package hosts sends attempts to hosts over pooled RESP connections and parses the answers. It is the only package
+// that knows the names of the protocol between gateway and host. It makes no routing decisions and never sends a
+// command twice if the command may have run.
 package hosts
 
 import (
@@ -14,50 +15,51 @@
 	"ravensill/internal/sockets"
 )
 
-// defaultReuseDelay is the time for which a connection is not used again after an answer: whatever else the host sends
-// for that answer arrives within it.
+// defaultReuseDelay is the time for which a connection is not used again after an answer. Further bytes that the host
+// may send after that answer are expected to arrive within it.
 const defaultReuseDelay = 10 * time.Millisecond
 
-// probeTimeout bounds a load probe, its wait for a connection included.
+// probeTimeout is the longest time that a load probe takes, its wait for a connection included.
 const probeTimeout = time.Second
 
-// Transport owns the connections to all hosts. It is not safe for concurrent use: its methods and callbacks run on
-// one event loop, to which runOnLoop brings work from other goroutines.
+// Transport owns the connections to all hosts. It is not safe for concurrent use: its methods and callbacks run on one
+// event loop. Its goroutines pass functions to that loop by runOnLoop.
 type Transport struct {
 	system      sockets.System
 	runOnLoop   func(func())
 	now         func() clock.Instant
-	loadFields  []string           // names of a load report's fields
-	idleTimeout time.Duration      // idle connections are closed after it
+	loadFields  []string           // names of the fields of a load report
+	idleTimeout time.Duration      // CloseIdle closes connections that are idle for longer
 	reuseDelay  time.Duration      // minimum idle time before a connection is used again
 	limiter     *ConnectionLimiter // nil without a connection quota
 	maxConns    int                // limit of openConns
 
-	addrs        map[uint32]netip.AddrPort
-	pools        map[uint32]*hostPool // of the hosts that an attempt was made to
-	openConns    int                  // connections, dials in progress included
-	pendingCount int                  // attempts that wait for a connection, over all pools
-	dialingCount int                  // dials in progress, over all pools
-	idle         *list.List           // of *conn, over all pools, the longest idle first
-	toFlush      []*conn              // connections with something to write
-	nextUrgent   bool                 // whether the next attempt is of an urgent request class
+	addrs        map[uint32]netip.AddrPort // of all hosts, by host id
+	pools        map[uint32]*hostPool      // of the hosts that an attempt was made to, by host id
+	openConns    int                       // open connections, dials in progress included
+	pendingCount int                       // attempts that wait for a dial, over all pools
+	dialingCount int                       // dials in progress, over all pools
+	idle         *list.List                // of *conn, over all pools, the longest idle first
+	toFlush      []*conn                   // connections with bytes to write
+	nextUrgent   bool                      // whether the next attempt is of an urgent request class
 
-	// dialShortage is set while dials fail because this machine lacks a resource. It is logged when it changes.
-	dialShortage bool
+	// dialResourcesExhausted is set while dials fail because this machine lacks a resource. Each change is logged.
+	dialResourcesExhausted bool
 
-	// Dial opens a connection, which must be a *net.TCPConn. Tests replace it.
+	// Dial opens a connection, which must be a *net.TCPConn. It is called on goroutines other than the event loop.
+	// Tests replace it.
 	Dial func(addr string) (net.Conn, error)
 }
 
-// Options are the options of a Transport.
+// Options configures a Transport.
 type Options struct {
-	System         sockets.System // makes the system calls
-	RunOnLoop      func(func())   // runs a function on the event loop
-	Now            func() clock.Instant
-	LoadFields     []string // names of a load report's fields
-	ConnectTimeout time.Duration
-	IdleTimeout    time.Duration // idle connections are closed after it
-	MaxConns       int           // connections that are open at a time
+	System         sockets.System       // makes the system calls
+	RunOnLoop      func(func())         // queues a function for the event loop; called on any goroutine
+	Now            func() clock.Instant // returns the current time; called on any goroutine
+	LoadFields     []string             // names of the fields of a load report
+	ConnectTimeout time.Duration        // longest time of one dial
+	IdleTimeout    time.Duration        // CloseIdle closes connections that are idle for longer
+	MaxConns       int                  // largest number of open connections, dials in progress included
 }
 
 // NewTransport returns a transport without hosts.
@@ -79,7 +81,8 @@
 	}
 }
 
-// SetAddress adds a host or changes its address. Connections to an earlier address are closed once they are idle.
+// SetAddress adds a host or changes its address. Connections to an earlier address are closed as soon as they carry no
+// attempt.
 func (t *Transport) SetAddress(id uint32, addr netip.AddrPort) {
 	t.addrs[id] = addr
 	pool := t.pools[id]
@@ -89,8 +92,8 @@
 	}
 }
 
-// Remove removes a host. Its idle connections are closed and attempts that wait for one fail; attempts that have
-// started continue.
+// Remove removes a host. Its idle connections are closed. Attempts whose command is not started fail; the others
+// continue.
 func (t *Transport) Remove(id uint32) {
 	delete(t.addrs, id)
 	pool := t.pools[id]
@@ -105,17 +108,18 @@
 	pool.cancelUnstarted(errHostRemoved)
 }
 
-// Drain cancels the attempts to a host that have not started: a connection that they wait for may come up after the
-// host's grace period. The policy knows of the drain before these results reach it, and makes its next attempts
-// elsewhere.
+// Drain cancels the attempts to a host whose command is not started: the connection that they wait for may be opened
+// only after the host's grace period. The routing policy is told of the drain before it gets the results of these
+// attempts, and makes its next attempts on other hosts.
 func (t *Transport) Drain(id uint32) {
 	if pool := t.pools[id]; pool != nil {
 		pool.cancelUnstarted(ErrCanceled)
 	}
 }
 
-// Send makes an attempt. Its client, or the gateway, waits for the answer until deadline; the command has the time left
-// until then. It is not started after writeDeadline. onResult is called once, possibly before Send returns.
+// Send makes an attempt to run a command on a host. The client, or the gateway, waits for the answer until deadline,
+// and the command tells the host the time left until then. The attempt fails if its command is not fully written by
+// writeDeadline. onResult is called once, possibly before Send returns.
 func (t *Transport) Send(
 	id uint32,
 	command Command,
@@ -130,14 +134,14 @@
 	})
 }
 
-// Probe asks a host for its load report.
+// Probe asks a host for its load report. onResult is called once, possibly before Probe returns.
 func (t *Transport) Probe(id uint32, onResult ResultHandler) *Attempt {
 	request := resp.AppendArrayHeader(nil, 2)
 	request = resp.AppendBulk(request, "INFO")
 	request = resp.AppendBulk(request, "load")
 	deadline := t.now().Add(probeTimeout)
 	return t.start(id, &Attempt{
-		command:       &Command{Head: request, constant: true},
+		command:       &Command{Head: request, complete: true},
 		deadline:      deadline,
 		writeDeadline: deadline,
 		probe:         true,
@@ -145,7 +149,7 @@
 	})
 }
 
-// start makes an attempt whose command, deadlines and handler are set.
+// start makes an attempt whose command, deadlines and handler are set. It fails the attempt if the host is unknown.
 func (t *Transport) start(id uint32, attempt *Attempt) *Attempt {
 	attempt.pool = t.pool(id)
 	if attempt.pool == nil {
@@ -162,7 +166,7 @@
 	return attempt
 }
 
-// pool returns the connection pool of a host, nil for an unknown host.
+// pool returns the connection pool of a host, which it creates if necessary. It returns nil for an unknown host.
 func (t *Transport) pool(id uint32) *hostPool {
 	if pool := t.pools[id]; pool != nil {
 		return pool
@@ -176,9 +180,9 @@
 	return pool
 }
 
-// Flush writes the commands scheduled since the previous call, with one write per connection, and reports whether bytes
-// are left to be written. A write that fails may schedule its attempt on another connection, which then joins the list
-// that is being iterated.
+// Flush writes the commands of attempts that were assigned to a connection since the previous call, and what earlier
+// calls left unwritten. It reports whether bytes are still left. An attempt whose connection turns out to be unusable
+// may be assigned to another connection, which is then appended to the list during the iteration.
 func (t *Transport) Flush() bool {
 	if t.limiter != nil {
 		t.limiter.serveQueue()
--- a/internal/hosts/transport_test.go
+++ b/internal/hosts/transport_test.go
@@ -13,13 +13,13 @@
 	"ravensill/internal/golden"
 )
 
-// hostAddr returns the address of a listener as that of a host.
+// hostAddr returns the address of a listener, as SetAddress takes it.
 func hostAddr(listener net.Listener) netip.AddrPort {
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// A connection carries one attempt at a time until its host has moved or it is idle for too long. An attempt beyond the
-// connection limit never runs.
+// A connection is reused, for one attempt at a time, until the address of its host changes or it is idle for too long.
+// An attempt beyond the connection limit fails without being sent.
 func TestConnectionIsReusedUntilMovedOrIdle(t *testing.T) {
 	addr := serveConns(t, func(_ int, c *net.TCPConn) {
 		answerEach(c, func(command string) bool {
@@ -39,16 +39,16 @@
 	loop.advance(defaultReuseDelay)
 	loop.send()
 	loop.runUntilResults(4)
-	loop.runUntilConnected() // the first connection may have served all before the second was up
+	loop.runUntilConnected() // one connection may have served all attempts before the other was open
 	if idle := len(loop.pool(1).idle); loop.openConns != 2 || idle != 2 {
-		t.Errorf("%d connections, %d idle", loop.openConns, idle)
+		t.Errorf("%d connections, %d of them idle, want 2 and 2", loop.openConns, idle)
 	}
 	loop.advance(defaultReuseDelay)
 	loop.send()
 	loop.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:1"))
 	loop.runUntilResults(5)
 	if loop.openConns != 0 {
-		t.Errorf("%d connections to the earlier address", loop.openConns)
+		t.Errorf("%d connections to the earlier address are open", loop.openConns)
 	}
 	loop.SetAddress(1, netip.MustParseAddrPort(addr))
 	loop.send()
@@ -56,7 +56,7 @@
 	loop.advance(2 * time.Second)
 	loop.CloseIdle()
 	if loop.openConns != 0 {
-		t.Errorf("%d connections idle for too long", loop.openConns)
+		t.Errorf("%d connections that were idle for too long are open", loop.openConns)
 	}
 	golden.Check(t, loop.trace())
 }
@@ -76,7 +76,8 @@
 	}
 }
 
-// The transport's counts and order of idle connections are those of its pools, whatever happens to a host.
+// The transport's own counts, and its list of idle connections, agree with its pools after every kind of event: an
+// attempt, a cancellation, an answer, the close of an idle connection and the removal of the host.
 func TestTransportCountsMatchPools(t *testing.T) {
 	h := newScriptedHost(t)
 	for _, name := range []string{"a", "b", "c"} {
@@ -91,7 +92,7 @@
 	for range 4 {
 		io.WriteString(<-h.conns, "*1\r\n$1\r\nv\r\n")
 	}
-	for len(h.results) < 4 { // one connection carries no attempt: its answer ends it
+	for len(h.results) < 4 { // one connection carries no attempt and is closed by its unexpected answer
 		h.runWork(1)
 	}
 	h.checkCounts("answered")
@@ -112,7 +113,8 @@
 	h.checkCounts("all ended")
 }
 
-// Work of each tick iterates over no list of hosts. Each host here has a nil pool and would panic if it were visited.
+// The work that is done at every tick does not iterate over the hosts, of which there may be very many. Each host of
+// this test has a nil pool, so that the transport would panic if it visited one.
 func TestPeriodicWorkVisitsNoIdleHost(t *testing.T) {
 	const hosts = 87_000
 	loop := newTestLoop(t, "127.0.0.1:1", 1)
@@ -132,7 +134,7 @@
 		limiter.Usage()
 	})
 	if allocations != 0 {
-		t.Errorf("%v allocations for a tick", allocations)
+		t.Errorf("%v allocations by the work of a tick, want none", allocations)
 	}
 	loop.SetAddress(1, netip.MustParseAddrPort("127.0.0.1:2"))
 	loop.Probe(1, func(gateway.Event, []byte, clock.Instant) {}).Cancel(ErrCanceled)
--- a/internal/resp/parser.go
+++ b/internal/resp/parser.go
@@ -40,8 +40,8 @@
 	kind         byte // of a bulk string or array; 0: not known yet
 	offset       int  // bytes of the value parsed so far
 	elementsLeft int  // bulk strings to come
-	inBulk       bool // the header of a bulk string was parsed
-	bulkSize     int  // bytes of that one
+	headerParsed bool // the header of a bulk string was parsed
+	elementSize  int  // bytes of that one
 	elements     []element
 	spans        [][]byte // of the latest value
 	consumed     int      // bytes of the latest value, dropped by the next call
@@ -126,23 +126,23 @@
 
 // parseElement parses the next bulk string, or returns false if not all of it has arrived.
 func (p *Parser) parseElement(in *bufconn.Buffer) (ok bool, err error) {
-	if !p.inBulk {
+	if !p.headerParsed {
 		if ok, err := p.parseBulkHeader(in); !ok {
 			return false, err
 		}
 	}
-	if p.bulkSize == nullSize {
+	if p.elementSize == nullSize {
 		p.addElement(element{size: nullSize})
 		return true, nil
 	}
-	end := p.offset + p.bulkSize
+	end := p.offset + p.elementSize
 	if in.Len() < end+lineEndBytes {
 		return false, nil
 	}
 	if in.At(end) != '\r' || in.At(end+1) != '\n' {
 		return false, ErrInvalidLength
 	}
-	p.addElement(element{offset: p.offset, size: p.bulkSize})
+	p.addElement(element{offset: p.offset, size: p.elementSize})
 	p.offset = end + lineEndBytes
 	return true, nil
 }
@@ -166,8 +166,8 @@
 	if size != nullSize && p.offset+size+lineEndBytes > MaxValueBytes {
 		return false, ErrValueTooLarge
 	}
-	p.bulkSize = size
-	p.inBulk = true
+	p.elementSize = size
+	p.headerParsed = true
 	return true, nil
 }
 
@@ -175,7 +175,7 @@
 func (p *Parser) addElement(e element) {
 	p.elements = append(p.elements, e)
 	p.elementsLeft--
-	p.inBulk = false
+	p.headerParsed = false
 }
 
 // value returns the value, all of whose bytes have arrived, and resets the parser.
--- a/internal/sockets/datagrams.go
+++ b/internal/sockets/datagrams.go
@@ -22,10 +22,10 @@
 				return
 			}
 			if err != nil { // such as an ICMP error for an earlier datagram to a peer that is down
-				pause.failed()
+				pause.waitAfterFailure()
 				continue
 			}
-			pause.succeeded()
+			pause.reset()
 			if !yield(buffer[:n], from) {
 				return
 			}
@@ -42,8 +42,8 @@
 // readBackoff slows down a loop that reads datagrams while all reads fail. The zero value is ready to use.
 type readBackoff struct{ backoff *backoff.ExponentialBackOff }
 
-// failed waits after a read that failed, longer with each failure in a row.
-func (p *readBackoff) failed() {
+// waitAfterFailure waits after a read that failed, longer with each failure in a row.
+func (p *readBackoff) waitAfterFailure() {
 	if p.backoff == nil {
 		p.backoff = backoff.NewExponentialBackOff()
 		p.backoff.InitialInterval = minReadBackoff
@@ -53,5 +53,5 @@
 	time.Sleep(p.backoff.NextBackOff())
 }
 
-// succeeded ends a row of failures.
-func (p *readBackoff) succeeded() { p.backoff = nil }
+// reset ends a row of failures.
+func (p *readBackoff) reset() { p.backoff = nil }
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// shortages are the errors of connect(2), socket(2), accept(2) and bind(2) for which this machine is the cause: it
+// resourceErrnos are the errors of connect(2), socket(2), accept(2) and bind(2) for which this machine is the cause: it
 // lacks a descriptor, port, memory or route. They are transient, and independent of the other side.
-var shortages = []syscall.Errno{
+var resourceErrnos = []syscall.Errno{
 	syscall.EMFILE,        // the process's descriptors
 	syscall.ENFILE,        // the system's descriptors
 	syscall.ENOBUFS,       // memory for sockets
@@ -21,7 +21,7 @@
 
 // IsResourceExhausted reports whether a call failed because this machine lacks a resource.
 func IsResourceExhausted(err error) bool {
-	return slices.ContainsFunc(shortages, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
+	return slices.ContainsFunc(resourceErrnos, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
 
 // IsTransientListenError reports whether a listener that could not be opened with this error may be opened later:
--- a/internal/sockets/errors_test.go
+++ b/internal/sockets/errors_test.go
@@ -11,9 +11,9 @@
 // TestErrorsAreClassifiedByNumber checks errors that are wrapped as package net wraps them.
 func TestErrorsAreClassifiedByNumber(t *testing.T) {
 	tests := []struct {
-		errno     syscall.Errno
-		shortage  bool
-		transient bool
+		errno             syscall.Errno
+		resourceExhausted bool
+		transient         bool
 	}{
 		{syscall.EMFILE, true, true},
 		{syscall.ENFILE, true, true},
@@ -31,7 +31,7 @@
 	}
 	for _, test := range tests {
 		err := error(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", test.errno)})
-		if IsResourceExhausted(err) != test.shortage || IsTransientListenError(err) != test.transient {
+		if IsResourceExhausted(err) != test.resourceExhausted || IsTransientListenError(err) != test.transient {
 			t.Errorf("%v: shortage %t, transient %t", err, IsResourceExhausted(err), IsTransientListenError(err))
 		}
 	}
--- a/internal/sockets/read_backoff_test.go
+++ b/internal/sockets/read_backoff_test.go
@@ -11,11 +11,11 @@
 	var backoff readBackoff
 	start := time.Now()
 	for range 20 {
-		backoff.failed()
+		backoff.waitAfterFailure()
 	}
 	if took := time.Since(start); took < 50*time.Millisecond {
 		t.Errorf("20 failures took %v", took)
 	}
-	backoff.succeeded()
-	backoff.failed() // the zero value again
+	backoff.reset()
+	backoff.waitAfterFailure() // the zero value again
 }
--- a/internal/sockets/socketstest/socketstest.go
+++ b/internal/sockets/socketstest/socketstest.go
@@ -27,10 +27,10 @@
 	ReadPacket
 	Read
 	Write
-	calls
+	callCount
 )
 
-var callNames = [calls]string{"connect", "bind", "accept", "bind", "recvfrom", "read", "write"}
+var callNames = [callCount]string{"connect", "bind", "accept", "bind", "recvfrom", "read", "write"}
 
 // Fault is the failure of a call.
 type Fault struct {
@@ -52,7 +52,7 @@
 	random  *rand.Rand
 	rates   map[Call]Rate
 	scripts map[Call][]*Fault // faults of the next calls; nil: none
-	counts  [calls]int
+	counts  [callCount]int
 }
 
 // New returns a system whose calls fail at random, the same way for the same seed and order of calls.
@@ -73,9 +73,9 @@
 }
 
 // ErrorScript returns a script of errors.
-func ErrorScript(numbers ...syscall.Errno) []*Fault {
+func ErrorScript(errnos ...syscall.Errno) []*Fault {
 	var faults []*Fault
-	for _, errno := range numbers {
+	for _, errno := range errnos {
 		faults = append(faults, &Fault{Errno: errno})
 	}
 	return faults
@@ -88,8 +88,8 @@
 	return s.counts[call]
 }
 
-// next returns the fault of the next call of a kind, nil for none.
-func (s *System) next(call Call) *Fault {
+// nextFault returns the fault of the next call of a kind, nil for none.
+func (s *System) nextFault(call Call) *Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts[call]++
@@ -104,9 +104,9 @@
 	return &rate.Faults[s.random.IntN(len(rate.Faults))]
 }
 
-// failure returns the error of the next call of a kind as package net would, nil for none.
-func (s *System) failure(call Call) error {
-	fault := s.next(call)
+// nextError returns the error of the next call of a kind as package net would, nil for none.
+func (s *System) nextError(call Call) error {
+	fault := s.nextFault(call)
 	if fault == nil {
 		return nil
 	}
@@ -115,7 +115,7 @@
 
 // Dial implements sockets.System.
 func (s *System) Dial(ctx context.Context, dialer *net.Dialer, address string) (*net.TCPConn, error) {
-	if err := s.failure(Dial); err != nil {
+	if err := s.nextError(Dial); err != nil {
 		return nil, err
 	}
 	return s.Kernel.Dial(ctx, dialer, address)
@@ -123,7 +123,7 @@
 
 // Listen implements sockets.System.
 func (s *System) Listen(address netip.AddrPort) (*net.TCPListener, error) {
-	if err := s.failure(Listen); err != nil {
+	if err := s.nextError(Listen); err != nil {
 		return nil, err
 	}
 	return s.Kernel.Listen(address)
@@ -132,7 +132,7 @@
 // Accept implements sockets.System. ECONNABORTED removes a connection from the listen queue; after every other error it
 // stays there.
 func (s *System) Accept(listener *net.TCPListener) (*net.TCPConn, error) {
-	err := s.failure(Accept)
+	err := s.nextError(Accept)
 	if errors.Is(err, syscall.ECONNABORTED) {
 		if conn, acceptErr := s.Kernel.Accept(listener); acceptErr == nil {
 			conn.Close()
@@ -146,7 +146,7 @@
 
 // ListenPacket implements sockets.System.
 func (s *System) ListenPacket(address netip.AddrPort) (*net.UDPConn, error) {
-	if err := s.failure(ListenPacket); err != nil {
+	if err := s.nextError(ListenPacket); err != nil {
 		return nil, err
 	}
 	return s.Kernel.ListenPacket(address)
@@ -154,7 +154,7 @@
 
 // ReadPacket implements sockets.System.
 func (s *System) ReadPacket(conn *net.UDPConn, buffer []byte) (int, netip.AddrPort, error) {
-	if err := s.failure(ReadPacket); err != nil {
+	if err := s.nextError(ReadPacket); err != nil {
 		return 0, netip.AddrPort{}, err
 	}
 	return s.Kernel.ReadPacket(conn, buffer)
@@ -162,7 +162,7 @@
 
 // Read implements sockets.System.
 func (s *System) Read(descriptor uintptr, buffer []byte) (int, syscall.Errno) {
-	fault := s.next(Read)
+	fault := s.nextFault(Read)
 	switch {
 	case fault == nil:
 		return s.Kernel.Read(descriptor, buffer)
@@ -174,7 +174,7 @@
 
 // Write implements sockets.System.
 func (s *System) Write(descriptor uintptr, buffer []byte) (int, syscall.Errno) {
-	fault := s.next(Write)
+	fault := s.nextFault(Write)
 	switch {
 	case fault == nil:
 		return s.Kernel.Write(descriptor, buffer)
