--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// acceptDeadlines is how often accepting may time out after StopAccepting before the listener is closed.
-	// Connections that the system has completed by then are accepted first, as closing the listener would reset them.
+	// acceptDeadlines is the number of accept calls that may time out after StopAccepting before the listener is
+	// closed. Until then the accept loop accepts connections that the kernel has already completed: closing the
+	// listener resets those that are not accepted.
 	acceptDeadlines = 2
-	// slotRetryInterval is the time between two requests of the accept loop for a free slot.
+	// slotRetryInterval is the longest time after which the accept loop asks again for a free slot.
 	slotRetryInterval = 20 * time.Millisecond
-	// acceptRetryDelay is the pause after a failed accept.
+	// acceptRetryDelay is the pause of the accept loop after an error.
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// StartAccepting starts to accept connections from the listener, until StopAccepting or CloseAll. The accept loop has
-// ended when Closed returns true.
+// StartAccepting starts a goroutine that accepts connections from the listener until StopAccepting or CloseAll is
+// called. It has ended when Closed returns true.
 func (s *Server) StartAccepting(listener *net.TCPListener) {
 	s.listener = listener
 	s.accepting = true
 	go s.acceptLoop(listener)
 }
 
-// StopAccepting stops accepting connections; open ones are still served.
+// StopAccepting stops accepting connections. Open ones are still served.
 func (s *Server) StopAccepting() {
 	s.acceptClosed = true
 	if s.listener != nil { // nil before StartAccepting
@@ -37,14 +38,15 @@
 	}
 }
 
-// acceptLoop accepts connections while there are free slots.
+// acceptLoop accepts connections whenever a slot is free, until the listener is closed or accepting has timed out more
+// than acceptDeadlines times after StopAccepting. It runs on its own goroutine.
 func (s *Server) acceptLoop(listener *net.TCPListener) {
 	defer s.runOnLoop(func() { s.accepting = false })
 	failureLog := logLimiter{}
 	timeouts := 0
 	for {
 		s.waitForSlot()
-		if timeouts > 0 { // set here: it must not pass while the loop waits for a slot
+		if timeouts > 0 { // the deadline is set after the wait for a slot, during which it could pass
 			listener.SetDeadline(time.Now().Add(slotRetryInterval))
 		}
 		link, err := s.accept(listener)
@@ -65,7 +67,7 @@
 	}
 }
 
-// waitForSlot returns once the loop has a slot for one more connection.
+// waitForSlot returns once there is a slot for one more connection. The accept loop calls it.
 func (s *Server) waitForSlot() {
 	for {
 		s.runOnLoop(s.replySlotAvailable)
@@ -79,9 +81,9 @@
 	}
 }
 
-// replySlotAvailable sends the waiting accept loop whether there is a slot for one more connection. It sends even if it
-// panics, since nothing else would release that loop. Slots are counted from the connections themselves, so none can
-// leak.
+// replySlotAvailable tells the waiting accept loop whether there is a slot for one more connection, for which it may
+// evict another. It sends a reply even if it panics, since nothing else would wake that goroutine. The number of used
+// slots is the number of registered connections, so that no slot can leak.
 func (s *Server) replySlotAvailable() {
 	admitted := false
 	defer func() { s.slotReplies <- admitted }()
@@ -91,7 +93,7 @@
 	admitted = s.acceptClosed || len(s.conns) < s.maxConns
 }
 
-// accept accepts one connection and sets up its buffers.
+// accept accepts one connection and returns it with its buffers.
 func (s *Server) accept(listener *net.TCPListener) (*bufconn.Link, error) {
 	conn, err := s.system.Accept(listener)
 	if err != nil {
@@ -105,7 +107,8 @@
 	return link, nil
 }
 
-// startConn starts a connection. The loop registers it before it answers the next admission, so that it counts there.
+// startConn starts the reader of a new connection. The event loop registers the connection before it runs the next
+// replySlotAvailable, so that the connection is counted there.
 func (s *Server) startConn(link *bufconn.Link) {
 	c := &Conn{
 		server:       s,
--- a/internal/clients/accept_test.go
+++ b/internal/clients/accept_test.go
@@ -8,7 +8,7 @@
 	"ravensill/internal/sockets/socketstest"
 )
 
-// No error of accept(2) ends the accept loop: each concerns one connection, or passes.
+// No error of accept(2) ends the accept loop: each concerns a single connection or is transient.
 func TestAcceptErrorKeepsAccepting(t *testing.T) {
 	errnos := []syscall.Errno{
 		syscall.ECONNABORTED,
@@ -28,7 +28,7 @@
 			system := socketstest.New(1, nil)
 			system.Script(socketstest.Accept, socketstest.ErrorScript(errno, errno)...)
 			server := newTestServerOn(t, system, 9)
-			if errno == syscall.ECONNABORTED { // two connections are lost with it
+			if errno == syscall.ECONNABORTED { // each such error removes a connection from the listen queue
 				server.dial()
 				server.dial()
 			}
@@ -43,7 +43,8 @@
 	}
 }
 
-// Connections that the system completed before StopAccepting, while the loop was busy, are served.
+// Connections that the kernel completed before StopAccepting, but that were not accepted yet because the event loop was
+// busy, are served.
 func TestStopAcceptingServesCompletedConnections(t *testing.T) {
 	const count = 20
 	server := newTestServer(t, 99)
@@ -65,18 +66,18 @@
 	server.Flush()
 	for i, client := range clients {
 		if answer := client.readLine(); answer != "+PONG" {
-			t.Errorf("connection %d of %d: %s", i, count, answer)
+			t.Errorf("answer on connection %d of %d: %s", i, count, answer)
 		}
 	}
 }
 
-// writerFunc is a function as a writer.
+// writerFunc implements io.Writer by a function.
 type writerFunc func(line []byte) (int, error)
 
 func (f writerFunc) Write(line []byte) (int, error) { return f(line) }
 
-// A command that is read between the choice of the connection to evict and its close keeps the connection open, and is
-// answered.
+// If a command is read on a connection after the connection was chosen for eviction and before it is closed, the
+// connection stays open and the command is answered.
 func TestCommandReadDuringEvictionIsAnswered(t *testing.T) {
 	server := newTestServer(t, 1)
 	client := server.connect()
@@ -84,7 +85,7 @@
 	server.runUntilRequests(1)
 	server.reject(0)
 	server.clock.Add(int64(logInterval + 1))
-	sendSecond := writerFunc(func(line []byte) (int, error) { // the log line is written between the choice and the close
+	sendSecond := writerFunc(func(line []byte) (int, error) { // evictConn logs between the choice and the close
 		client.send("second")
 		client.waitUntilRead("second read")
 		return len(line), nil
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -11,49 +11,50 @@
 	"ravensill/internal/resp"
 )
 
-// Answer is the answer to one command, at its place in the order of its connection. It is set once; later calls have no
-// effect.
+// Answer is the answer to one command, at its place in the order of the connection's commands. It is set once, by
+// Succeed, Reject or Fail; later calls have no effect. Its methods must be called on the event loop.
 type Answer struct {
 	queue        *AnswerQueue
 	text         []byte
-	done         bool
-	OnClientGone func() // called if the client goes away before the answer
+	done         bool   // whether the answer is set or its client is gone
+	OnClientGone func() // called if the client leaves before the answer is set; may be nil
 }
 
 // AnswerQueue writes the answers of one connection in the order of its commands.
 type AnswerQueue struct {
 	out        *bufconn.Buffer
-	pending    []*Answer
-	overflowed bool // an answer did not fit: the client reads too slowly
+	pending    []*Answer // answers that are not in out yet, in the order of the commands
+	overflowed bool      // whether an answer did not fit into out, because the client reads too slowly
 
-	// onReady is called after each answer, with the number of answers that were written to out.
+	// onReady is called each time an answer is set, with the number of answers that were written to out.
 	onReady func(count int)
 
-	// clientGone is set by the connection's reader, before the loop receives the end of the connection.
+	// clientGone is set by the connection's reader at the end of the connection, before the event loop is told of it.
 	clientGone atomic.Bool
 }
 
-// Add adds a place for the answer to the next command.
+// Add appends an answer, to be set later, to the next command.
 func (q *AnswerQueue) Add() *Answer {
 	a := &Answer{queue: q}
 	q.pending = append(q.pending, a)
 	return a
 }
 
-// Succeed answers with a value.
+// Succeed sets the answer to a value.
 func (a *Answer) Succeed(value []byte) { a.set(successReply(value)) }
 
-// Reject answers that the request did not run, with the time to retry after; 0: at once.
+// Reject sets the answer to a rejection: the request did not run and may be retried after the given time, 0 for at
+// once.
 func (a *Answer) Reject(retryAfter time.Duration) { a.set(rejection(retryAfter)) }
 
-// Fail answers with an error: the request may have run.
+// Fail sets the answer to an error. The request may have run.
 func (a *Answer) Fail(reason string) { a.set(errorReply(reason)) }
 
-// IsClientGone reports whether the client has left, even if the loop has not received that yet. No attempt is made for
-// such a client.
+// IsClientGone reports whether the client has left, even if the event loop has not handled the end of the connection
+// yet. No attempt must be made for such a client.
 func (a *Answer) IsClientGone() bool { return a.queue.clientGone.Load() }
 
-// set sets the answer, and writes all answers that no earlier command holds back.
+// set sets the answer to an encoded text, and writes all answers that have no unset answer before them.
 func (a *Answer) set(text []byte) {
 	if a.done {
 		return
@@ -72,7 +73,7 @@
 	q.onReady(count)
 }
 
-// dropPending drops all answers that are not written: the client is gone.
+// dropPending drops all answers that are not written, because the client is gone, and calls their OnClientGone.
 func (q *AnswerQueue) dropPending() {
 	waiting := q.pending
 	q.pending = nil
@@ -84,26 +85,28 @@
 	}
 }
 
-// pongReply is the answer to a PING.
+// pongReply is the encoded answer to a PING.
 const pongReply = "+PONG\r\n"
 
-// successReply returns the answer of a value.
+// successReply returns the encoded answer with a value.
 func successReply(value []byte) []byte {
-	const maxHeader = 16 // bytes around the value
+	const maxHeader = 16 // bytes of the encoding beside the value
 	return resp.AppendBulk(make([]byte, 0, len(value)+maxHeader), value)
 }
 
-// rejection returns the answer to a request that did not run, with the time to retry after; 0: at once.
+// rejection returns the encoded answer to a request that did not run and may be retried after the given time, 0 for at
+// once.
 func rejection(retryAfter time.Duration) []byte {
 	if retryAfter <= 0 {
 		return []byte("-BUSY\r\n")
 	}
-	roundedUp := (retryAfter + time.Millisecond - 1).Milliseconds() // an earlier retry would be rejected again
+	roundedUp := (retryAfter + time.Millisecond - 1).Milliseconds() // a retry any earlier would be rejected
 	text := strconv.AppendInt([]byte("-BUSY "), roundedUp, 10)
 	return append(text, "\r\n"...)
 }
 
-// errorReply returns the answer of an error, in one line.
+// errorReply returns the encoded answer for an error. It replaces control characters in reason, which would end the
+// line.
 func errorReply(reason string) []byte {
 	line := bytes.Map(func(r rune) rune {
 		if r < ' ' {
--- a/internal/clients/arguments.go
+++ b/internal/clients/arguments.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	maxUnits = 1e9 // of one request
+	maxUnits = 1e9 // largest number of units of one request
 
-	// unset is the value of an argument that is missing or invalid.
+	// unset is the value of a number or index whose argument is missing, invalid or names something unknown.
 	unset = -1
 )
 
-// argument is an argument that the gateway uses; hosts may know others.
+// argument identifies an argument of a request that the gateway uses. Hosts may use others.
 type argument int
 
 const (
@@ -29,7 +29,7 @@
 	argumentFirst
 )
 
-// argumentNamed returns the argument of a name of the wire protocol.
+// argumentNamed returns the argument that has the name in the wire protocol, argumentUnknown if there is none.
 func argumentNamed(name []byte) argument {
 	switch string(name) {
 	case "c":
@@ -52,18 +52,19 @@
 	return argumentUnknown
 }
 
-// arguments is the list of names and values of a request.
+// arguments holds the argument list of a request and the values parsed from it.
 type arguments struct {
-	list      []byte
+	list      []byte // name=value pairs, separated by commas
 	terms     requestTerms
-	wait      time.Duration
-	retry     bool
-	waitStart int  // of the number of d in the list
-	waitEnd   int  // of the same
-	seen      uint // bits by argument
+	wait      time.Duration // value of d: how long the client waits for the answer
+	retry     bool          // whether the client marked the request as a retry
+	waitStart int           // offset in list at which the number of d begins
+	waitEnd   int           // offset in list at which the number of d ends
+	seen      uint          // bit set of the arguments that occurred
 }
 
-// newArguments returns the arguments of a list, all of them unset.
+// newArguments returns the arguments of a list that is not parsed yet: all numbers and indices are unset. readOnly says
+// whether the request is one of CALL.GET.
 func newArguments(list []byte, readOnly bool) *arguments {
 	return &arguments{
 		list: list,
@@ -79,7 +80,8 @@
 	}
 }
 
-// parse parses the list.
+// parse parses the list. It fails if an argument that the gateway uses occurs twice, or if a required one is missing or
+// invalid.
 func (a *arguments) parse(catalog *Catalog) error {
 	members := catalog.memberCount()
 	for start := 0; start < len(a.list); {
@@ -89,7 +91,7 @@
 		}
 		name, value, _ := bytes.Cut(a.list[start:start+length], []byte{'='})
 		if arg := argumentNamed(name); arg != argumentUnknown {
-			if a.seen&(1<<arg) > 0 { // the host might use the other one
+			if a.seen&(1<<arg) > 0 { // the host might use the other value
 				return fmt.Errorf("%s: given twice", name)
 			}
 			a.seen |= 1 << arg
@@ -100,7 +102,8 @@
 	return a.checkComplete()
 }
 
-// set parses one value, whose argument starts at an offset of the list. An invalid value leaves the argument unset.
+// set parses the value of an argument whose name starts at offset in the list. members is the number of gateways of the
+// fleet. An invalid value leaves the argument unset.
 func (a *arguments) set(catalog *Catalog, members int, arg argument, value []byte, offset int) {
 	switch arg {
 	case argumentClass:
@@ -125,7 +128,7 @@
 	}
 }
 
-// setWait parses the value of d, which starts at an offset of the list.
+// setWait parses the value of d, a whole number of milliseconds that starts at offset in the list.
 func (a *arguments) setWait(value []byte, offset int) {
 	milliseconds, err := strconv.ParseUint(string(value), 10, 31)
 	if err != nil || milliseconds == 0 {
@@ -136,7 +139,7 @@
 	a.waitEnd = offset + len(value)
 }
 
-// checkComplete returns an error of the first required argument that is unset.
+// checkComplete returns an error for the first required argument that is unset, nil if all are set.
 func (a *arguments) checkComplete() error {
 	switch {
 	case a.terms.class < 0:
@@ -155,12 +158,12 @@
 	return nil
 }
 
-// missingArgument returns the error of a required argument that is unset.
+// missingArgument returns the error for a required argument that is unset.
 func missingArgument(name string) error {
 	return fmt.Errorf("%s: missing, or its value is none that is known", name)
 }
 
-// parseIndex parses a whole number within bounds, and returns unset for anything else.
+// parseIndex parses a whole number from least to most, and returns unset for any other text.
 func parseIndex(text []byte, least, most int) int {
 	number, err := strconv.ParseUint(string(text), 10, 31)
 	if err != nil || int(number) < least || int(number) > most {
--- a/internal/clients/catalog.go
+++ b/internal/clients/catalog.go
@@ -8,24 +8,24 @@
 	"ravensill/gateway"
 )
 
-// CatalogConfig is what the catalog starts with: names by index, and the bounds of the numbers in commands.
+// CatalogConfig is the initial content of a Catalog.
 type CatalogConfig struct {
-	Classes  []string
-	Effects  []gateway.Effect // by request class
-	Plans    []string
-	MaxUnits []float64 // of one request, by quota plan; 0: unlimited
-	Members  int       // gateways of the fleet
-	OwnIndex int       // member index of this one
+	Classes  []string         // names of the request classes, by class index
+	Effects  []gateway.Effect // effects of the request classes, by class index
+	Plans    []string         // names of the quota plans, by plan index
+	MaxUnits []float64        // largest number of units of one request, by plan index; 0: unlimited
+	Members  int              // number of gateways of the fleet
+	OwnIndex int              // member index of this gateway
 }
 
-// CatalogEdit changes what commands may name.
+// CatalogEdit is a change of a Catalog. What it does not mention stays as it is.
 type CatalogEdit struct {
 	Classes []ClassEdit
 	Plans   []PlanEdit
-	Members int // gateways of the fleet; 0: unchanged
+	Members int // number of gateways of the fleet; 0: unchanged
 }
 
-// ClassEdit sets or removes the request class of an index.
+// ClassEdit adds, replaces or removes the request class with an index.
 type ClassEdit struct {
 	Index   int
 	Name    string
@@ -33,16 +33,16 @@
 	Removed bool
 }
 
-// PlanEdit sets or removes the quota plan of an index.
+// PlanEdit adds, replaces or removes the quota plan with an index.
 type PlanEdit struct {
 	Index    int
 	Name     string
-	MaxUnits float64 // of one request; 0: unlimited
+	MaxUnits float64 // largest number of units of one request; 0: unlimited
 	Removed  bool
 }
 
-// RemovedError is the error of a command that names a class or plan which the configuration no longer has. The command
-// is well formed, and its answer is final.
+// RemovedError is the error of a command that names a request class or quota plan which was removed from the
+// configuration. The command is well formed, and a retry gets the same answer.
 type RemovedError struct {
 	Kind string // "plan" or "class"
 }
@@ -54,32 +54,32 @@
 	errNotInGatewaySet = errors.New("first, spread: this gateway is not of that set")
 )
 
-// requestTerms are the arguments of a request that the catalog checks.
+// requestTerms are the properties of a request that the catalog checks.
 type requestTerms struct {
-	class        int // index
-	plan         int // index
+	class        int // index in the catalog
+	plan         int // index in the catalog
 	units        float64
-	spread       int    // the customer's requests come in at this many gateways,
-	firstGateway int    // from this member index on
-	readOnly     bool   // sent by CALL.GET
-	hasKey       bool   // it has a key by which hosts drop repeats
-	version      uint64 // of the catalog when it was checked
+	spread       int    // number of gateways, in a row by member index, that receive the customer's requests
+	firstGateway int    // member index of the first of these gateways
+	readOnly     bool   // whether the request was sent by CALL.GET
+	hasKey       bool   // whether the request has a key by which hosts detect repeats of it
+	version      uint64 // version of the catalog by which the request was checked
 }
 
-// Catalog holds the request classes, the quota plans and the size of the fleet. Connections' readers look names up in
-// it; only the loop changes it.
+// Catalog holds the request classes, the quota plans and the number of gateways of the fleet, by which commands are
+// checked. The readers of connections look names up in it on their goroutines; only the event loop changes it.
 type Catalog struct {
-	mu           sync.RWMutex
-	version      uint64         // counts the edits
-	classIndices map[string]int // by name, including removed ones
-	planIndices  map[string]int
-	classes      []ClassEdit // by index, as set by the latest edit
-	plans        []PlanEdit
-	members      int // gateways of the fleet
-	ownIndex     int // member index of this one
+	mu           sync.RWMutex   // guards the other fields against changes by the event loop
+	version      uint64         // number of edits applied
+	classIndices map[string]int // by name, including removed classes
+	planIndices  map[string]int // by name, including removed plans
+	classes      []ClassEdit    // by index, as set by the latest edit
+	plans        []PlanEdit     // by index, as set by the latest edit
+	members      int            // number of gateways of the fleet
+	ownIndex     int            // member index of this gateway
 }
 
-// NewCatalog returns a catalog with the content of config. A name that occurs twice stands for its first index.
+// NewCatalog returns a catalog with the content of config. If a name occurs twice, it stands for its first index.
 func NewCatalog(config CatalogConfig) *Catalog {
 	c := &Catalog{
 		classIndices: make(map[string]int, len(config.Classes)),
@@ -100,14 +100,15 @@
 	return c
 }
 
-// addName adds a name with its index, unless the name is known.
+// addName maps a name to its index, unless the name is already mapped.
 func addName(indices map[string]int, name string, index int) {
 	if _, known := indices[name]; !known {
 		indices[name] = index
 	}
 }
 
-// Apply applies an edit, of which a reader sees all or nothing. An index is that of a known name, or the next one.
+// Apply applies an edit; readers see all of it or nothing. Each index in it must be one that is in use, for the same
+// name, or the next free one. It must be called on the event loop.
 func (c *Catalog) Apply(edit CatalogEdit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,14 +132,15 @@
 	}
 }
 
-// memberCount returns the number of gateways of the fleet.
+// memberCount returns the number of gateways of the fleet. It may be called on any goroutine.
 func (c *Catalog) memberCount() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.members
 }
 
-// class returns the index of a request class by its name, unset for an unknown one.
+// class returns the index of the request class with a name, or unset if there is none. It may be called on any
+// goroutine.
 func (c *Catalog) class(name []byte) int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -148,7 +150,7 @@
 	return unset
 }
 
-// plan returns the index of a quota plan by its name, unset for an unknown one.
+// plan returns the index of the quota plan with a name, or unset if there is none. It may be called on any goroutine.
 func (c *Catalog) plan(name []byte) int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -158,7 +160,8 @@
 	return unset
 }
 
-// check returns an error if a request with these terms can't be served, and sets the version that it was checked by.
+// check returns an error if a request with these terms can't be served, and stores the version of the catalog in terms.
+// It may be called on any goroutine.
 func (c *Catalog) check(terms *requestTerms) error {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -166,8 +169,8 @@
 	return c.validate(terms)
 }
 
-// recheck is check for a request that was checked before, perhaps by an earlier version. It is called on the loop,
-// which alone changes the catalog.
+// recheck repeats check for a request if the catalog has changed since that was checked. It must be called on the event
+// loop, which alone changes the catalog; so it needs no lock.
 func (c *Catalog) recheck(terms *requestTerms) error {
 	if terms.version == c.version {
 		return nil
@@ -175,7 +178,8 @@
 	return c.validate(terms)
 }
 
-// validate returns an error if a request with these terms can't be served. It is called with mu locked or on the loop.
+// validate returns an error if a request with these terms can't be served. It must be called with mu locked or on the
+// event loop.
 func (c *Catalog) validate(terms *requestTerms) error {
 	class := &c.classes[terms.class]
 	plan := &c.plans[terms.plan]
@@ -197,7 +201,8 @@
 	return nil
 }
 
-// isInGatewaySet reports whether this gateway is one of the spread gateways from the member index first on, cyclically.
+// isInGatewaySet reports whether this gateway is one of the spread gateways that begin at the member index first, where
+// index 0 follows the last index.
 func (c *Catalog) isInGatewaySet(first, spread int) bool {
 	if first >= c.members || spread > c.members {
 		return false
--- a/internal/clients/catalog_test.go
+++ b/internal/clients/catalog_test.go
@@ -10,7 +10,8 @@
 	"ravensill/internal/golden"
 )
 
-// checkCommand returns the error of a command with a verb that names a class and a plan.
+// checkCommand returns the error that the catalog has for a request with a verb, the name of a request class and the
+// name of a quota plan.
 func (c *Catalog) checkCommand(verb, class, plan string) error {
 	terms := requestTerms{
 		class:        c.class([]byte(class)),
@@ -26,7 +27,8 @@
 	return c.check(&terms)
 }
 
-// What commands may name follows the edits. The error of a removed name differs from that of an unknown one.
+// The names that commands may contain change with each edit. The error for a removed name differs from that for an
+// unknown one.
 func TestCatalogCheckFollowsEdits(t *testing.T) {
 	edits := []CatalogEdit{
 		{},
@@ -67,7 +69,8 @@
 	golden.Check(t, trace.String())
 }
 
-// A lookup allocates nothing, however many names there are. A name that occurs twice stands for its first index.
+// A lookup among tens of thousands of names finds the right index and allocates nothing. A name that occurs twice
+// stands for its first index.
 func TestCatalogLookupAmongManyNames(t *testing.T) {
 	const plans = 54_000
 	config := CatalogConfig{
@@ -92,11 +95,12 @@
 		t.Errorf("an unknown name has the index %d", index)
 	}
 	if n := testing.AllocsPerRun(100, func() { catalog.plan(latest) }); n != 0 {
-		t.Errorf("%v allocations for a name", n)
+		t.Errorf("%v allocations by a lookup, want none", n)
 	}
 }
 
-// A request that is read before an edit and reaches the loop after it is checked by the edited catalog.
+// A request that is read before an edit of the catalog, and handled by the event loop after the edit, is checked by the
+// edited catalog.
 func TestCatalogChangesWhileCommandIsQueued(t *testing.T) {
 	s := newTestServer(t, 9)
 	c := s.connect()
@@ -138,10 +142,10 @@
 		s.catalog.Apply(test.edit)
 		s.runLoop("answered", func() bool { return c.conn.commandCount == i+1 })
 		if got := c.readLine(); got != test.want {
-			t.Errorf("%q, want %q", got, test.want)
+			t.Errorf("answer %q, want %q", got, test.want)
 		}
 	}
 	if len(s.requests) > 0 {
-		t.Errorf("%d requests received", len(s.requests))
+		t.Errorf("%d requests were passed to the handler, want none", len(s.requests))
 	}
 }
--- a/internal/clients/command.go
+++ b/internal/clients/command.go
@@ -19,11 +19,11 @@
 
 // Bounds of a command.
 const (
-	customerDigits  = 16                 // hex digits of a customer's number
-	customerLimit   = "0000000200000000" // all customers' numbers are less
-	maxIDBytes      = 64
-	minCommandWords = 4
-	maxCommandWords = 5 // with a body
+	customerDigits  = 16                 // hexadecimal digits of a customer's number
+	customerLimit   = "0000000200000000" // 2^33: every customer's number is less
+	maxIDBytes      = 64                 // of a request's id
+	minCommandWords = 4                  // of a request without a body
+	maxCommandWords = 5                  // of a request with a body
 )
 
 var (
@@ -34,7 +34,7 @@
 	errInvalidBytes = errors.New("names and values: a space or a control among them")
 )
 
-// verbOf returns the verb of requests that are read-only, or of those that are not.
+// verbOf returns the verb by which read-only requests, or all other requests, are sent.
 func verbOf(readOnly bool) string {
 	if readOnly {
 		return verbGet
@@ -42,34 +42,35 @@
 	return verbPost
 }
 
-// parsedRequest is a request as its command describes it. Its slices are valid until the handler returns.
+// parsedRequest is the content of a request's command. Its slices are valid until the handler returns.
 type parsedRequest struct {
 	verb     []byte
 	customer []byte
 	id       []byte
 	before   []byte // the list of arguments up to the number of d
-	after    []byte // the rest of that list
+	after    []byte // the list of arguments behind the number of d
 	body     []byte // nil without one
 	terms    requestTerms
-	wait     time.Duration // for the answer, from the arrival of the request
-	retry    bool
+	wait     time.Duration // how long the client waits for the answer, from the arrival of the request
+	retry    bool          // whether the client marked the request as a retry
 }
 
-// commandHandler receives parsed commands.
+// commandHandler handles parsed commands.
 type commandHandler interface {
 	handleRequest(request parsedRequest)
 	handlePing()
-	handleMalformed(reason error)
+	handleMalformed(reason error) // also called for a request that the catalog does not permit
 }
 
-// CommandParser parses the commands that a client sends, as their bytes arrive.
+// CommandParser parses the commands of one client as their bytes arrive. It is not safe for concurrent use.
 type CommandParser struct {
 	catalog *Catalog
 	parser  resp.Parser
 }
 
-// Next passes the next complete command to the handler and reports whether there was one. After an error it is unknown
-// where the next command starts.
+// Next passes the next complete command in the buffer to the handler and reports whether there was one. It fails if the
+// bytes are no array of bulk strings. The connection must be closed then, because it is unknown where the next command
+// starts.
 func (p *CommandParser) Next(in *bufconn.Buffer, handler commandHandler) (bool, error) {
 	value, complete, err := p.parser.Next(in)
 	if err != nil || !complete {
@@ -84,7 +85,7 @@
 	return true, nil
 }
 
-// handle passes one command to the handler, or returns an error if it is malformed.
+// handle passes one command to the handler, or returns an error if it is malformed or not permitted by the catalog.
 func (p *CommandParser) handle(words [][]byte, handler commandHandler) error {
 	if slices.ContainsFunc(words, isNull) {
 		return errNullWord
@@ -128,7 +129,8 @@
 // isNull reports whether a word is the null bulk string.
 func isNull(word []byte) bool { return word == nil }
 
-// checkWords checks the words of a request: verb, customer, id, arguments, and a body where the verb takes one.
+// checkWords returns an error if the words of a request are malformed. They are verb, customer, id, list of arguments
+// and optionally, except with CALL.GET, a body. The arguments in the list are not checked here.
 func checkWords(words [][]byte) error {
 	if len(words) < minCommandWords || len(words) > maxCommandWords {
 		return fmt.Errorf("%s: %d words, not 4 or 5", words[0], len(words))
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// isCustomer reports whether text is a customer's number.
+// isCustomer reports whether text is a customer's number: 16 lower-case hexadecimal digits of a number below 2^33.
 func isCustomer(text []byte) bool {
 	if len(text) != customerDigits || string(text) >= customerLimit {
 		return false
@@ -163,7 +165,7 @@
 	return true
 }
 
-// isPlain reports whether text is printable ASCII without spaces: a host could take other bytes for the end of a word.
+// isPlain reports whether text is printable ASCII without spaces. A host could take other bytes for the end of a word.
 func isPlain(text []byte) bool {
 	for _, b := range text {
 		if b <= ' ' || b > '~' {
--- a/internal/clients/command_queue.go
+++ b/internal/clients/command_queue.go
@@ -6,34 +6,34 @@
 	"ravensill/internal/clock"
 )
 
-// queuedOverhead is the memory of a queued command beside its text, in bytes.
+// queuedOverhead is the size that a queued command counts in addition to its text, in bytes.
 const queuedOverhead = 128
 
-// commandQueue passes commands from a connection's reader to the loop. The loop gets one notification at a time: a
-// flood of commands neither fills the loop's inbox nor keeps the reader from the end of the connection, and commands
-// that are not started by then never are.
+// commandQueue passes commands from a connection's reader to the event loop. At most one notification per connection is
+// queued for the loop. So a client that sends very many commands neither fills the loop's queue of functions nor keeps
+// the reader from seeing the end of the connection; commands that are not started by then never start.
 type commandQueue struct {
-	mu                 sync.Mutex
-	commands           []queuedCommand // not started, from head on
-	head               int             // index of the next one to start
-	queuedBytes        int             // size of the commands from head on
-	postedReads        int64           // the link's count of reads at the latest notification
-	postedPartialSince clock.Instant   // partialBegan at that time
-	notified           bool            // a notification is on its way to the loop
-	hasSpace           chan struct{}   // holds a value once at most maxQueuedBytes are queued
+	mu                 sync.Mutex      // guards the other fields except hasSpace
+	commands           []queuedCommand // commands[head:] are not started
+	head               int             // index of the next command to start
+	queuedBytes        int             // total size of commands[head:]
+	postedReads        int64           // the link's ReadCount when the reader last called postProgress
+	postedPartialSince clock.Instant   // the reader's readerPartialSince at that time
+	notified           bool            // whether a notification is on its way to the loop
+	hasSpace           chan struct{}   // holds a value after queuedBytes has fallen to maxQueuedBytes or less
 }
 
-// queuedCommand is one command that waits to be started, or several in a row that are rejected.
+// queuedCommand is one command that waits to be started, or stands for several commands in a row that are rejected.
 type queuedCommand struct {
-	size     int // bytes
-	run      func(*Answer)
-	rejected int // number of rejected commands; 0: the one of run
+	size     int           // bytes that it counts in the queue
+	run      func(*Answer) // starts the command, on the event loop; nil for rejected ones
+	rejected int           // number of rejected commands; 0: one command that is not rejected
 }
 
-// count returns the number of commands that it stands for.
+// count returns the number of commands for which the entry stands.
 func (q queuedCommand) count() int { return max(q.rejected, 1) }
 
-// enqueue adds a command of size bytes.
+// enqueue adds a command whose text has size bytes. The reader calls it.
 func (q *commandQueue) enqueue(size int, run func(*Answer)) {
 	size += queuedOverhead
 	q.mu.Lock()
@@ -42,8 +42,9 @@
 	q.queuedBytes += size
 }
 
-// postProgress sets the reader's progress for the next notification. It reports whether a notification has to be
-// sent, and the number of queued bytes.
+// postProgress stores how far the reader has come: the link's ReadCount, and the time since which a command is
+// incomplete, 0 if none is. It returns whether the loop has to be notified, and the number of queued bytes. The reader
+// calls it.
 func (q *commandQueue) postProgress(reads int64, partialSince clock.Instant) (notify bool, queuedBytes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -54,7 +55,8 @@
 	return notify, q.queuedBytes
 }
 
-// receiveProgress ends a notification and returns the reader's progress.
+// receiveProgress returns what the reader stored by the latest postProgress, whose next call asks for a notification
+// again. The loop calls it.
 func (q *commandQueue) receiveProgress() (reads int64, partialSince clock.Instant) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -62,14 +64,15 @@
 	return q.postedReads, q.postedPartialSince
 }
 
-// loadQueuedBytes returns the number of queued bytes.
+// loadQueuedBytes returns the number of queued bytes. It may be called on any goroutine.
 func (q *commandQueue) loadQueuedBytes() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.queuedBytes
 }
 
-// dequeue removes the first queued command.
+// dequeue removes and returns the first queued command; ok is false if there is none. It wakes the reader if the queue
+// has space then.
 func (q *commandQueue) dequeue() (command queuedCommand, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -82,7 +85,7 @@
 		return queuedCommand{rejected: 1}, true
 	}
 	command = *first
-	q.commands[q.head] = queuedCommand{} // for the garbage collector
+	q.commands[q.head] = queuedCommand{} // releases the memory that run holds
 	q.head++
 	if q.head == len(q.commands) {
 		q.resetCommands()
@@ -94,7 +97,8 @@
 	return command, true
 }
 
-// resetCommands empties the slice of commands, all of which are started, and drops one that a flood has made large.
+// resetCommands empties the slice of commands once all of them are started. It releases a slice that has grown large,
+// so that it does not stay allocated for the life of the connection.
 func (q *commandQueue) resetCommands() {
 	q.commands = q.commands[:0]
 	q.head = 0
@@ -103,9 +107,9 @@
 	}
 }
 
-// rejectOverflow rejects all queued commands if more than maxQueuedBytes are queued though the loop has started what
-// it may. Else the reader would wait for commands in flight and would not see the end of a client that has closed
-// behind what is unread: attempts would be made for commands whose client is gone.
+// rejectOverflow rejects all queued commands if more than maxQueuedBytes are queued after the loop has started as many
+// commands as may be in flight. Otherwise the reader would wait until commands in flight are answered and would not
+// read the end of the stream behind the unread commands: attempts would be made for commands whose client is gone.
 func (q *commandQueue) rejectOverflow() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -123,7 +127,7 @@
 	q.signalSpace()
 }
 
-// signalSpace wakes a reader that waits for space in the queue.
+// signalSpace wakes the reader if it waits for space in the queue.
 func (q *commandQueue) signalSpace() {
 	select {
 	case q.hasSpace <- struct{}{}:
--- a/internal/clients/command_test.go
+++ b/internal/clients/command_test.go
@@ -10,7 +10,7 @@
 	"ravensill/internal/resp"
 )
 
-// recordingHandler records what commands are parsed as.
+// recordingHandler records each parsed command in one line.
 type recordingHandler struct{ strings.Builder }
 
 func (h *recordingHandler) handleRequest(r parsedRequest) {
@@ -24,7 +24,8 @@
 
 func (h *recordingHandler) handleMalformed(err error) { fmt.Fprintln(h, err) }
 
-// parseTrace returns a trace of what the commands in a stream, read in pieces, are parsed as.
+// parseTrace parses the commands of a stream that arrives in pieces, and returns the lines of a recordingHandler and
+// the error that ended the stream.
 func parseTrace(pieces ...string) string {
 	var handler recordingHandler
 	in := bufconn.NewBuffer(resp.MaxValueBytes)
@@ -44,12 +45,12 @@
 	return handler.String()
 }
 
-// validStream holds a command of each verb.
+// validStream contains one command of each verb.
 var validStream = command(verbGet, testCustomer, "9b1f03aa5c7e2d41", testArguments) +
 	command(verbPing) +
 	command(verbPost, testCustomer, "a", "d=20,c=order,k=5c0f,x,t=basic,units=1.5,spread=3,first=0,r=1", "BO\r\nDY")
 
-// Commands are parsed the same wherever the stream is cut between two reads.
+// A stream that arrives in two reads is parsed to the same commands wherever it is cut.
 func TestCommandsAreParsedAcrossReads(t *testing.T) {
 	uncut := parseTrace(validStream)
 	golden.Check(t, uncut)
@@ -60,12 +61,13 @@
 	}
 }
 
-// withArguments returns a request of testArguments in which one part is replaced.
+// withArguments returns a request with testArguments in which old is replaced.
 func withArguments(verb, old, replacement string) string {
 	return command(verb, testCustomer, "a", strings.Replace(testArguments, old, replacement, 1))
 }
 
-// The stream goes on after a malformed command, and ends where it is unknown where the next command starts.
+// A malformed command is reported and the next one is parsed, unless it is unknown where the next one starts: then the
+// stream ends with an error.
 func TestMalformedCommandIsReported(t *testing.T) {
 	streams := []string{
 		command("EVAL", "x"),
@@ -103,7 +105,7 @@
 	golden.Check(t, trace.String())
 }
 
-// FuzzCommandParser checks that no stream panics, and that one is parsed the same wherever it is cut.
+// FuzzCommandParser checks that parsing panics for no stream and gives the same commands wherever the stream is cut.
 func FuzzCommandParser(f *testing.F) {
 	f.Add(validStream, 100)
 	f.Add(command(verbGet, testCustomer, "a", "d=,c==,,t"), 30)
@@ -132,7 +134,7 @@
 	}
 }
 
-// discardingHandler discards valid commands.
+// discardingHandler ignores valid commands and panics at a malformed one.
 type discardingHandler struct{}
 
 func (discardingHandler) handleRequest(parsedRequest) {}
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -9,38 +9,40 @@
 	"ravensill/internal/clock"
 )
 
-// Conn is one client connection. Its fields belong to the loop, except the queue and the reader's fields.
+// Conn is one client connection. Its fields belong to the event loop, except the command queue, which is safe for
+// concurrent use, and the fields of the reader.
 type Conn struct {
 	server *Server
 	link   *bufconn.Link
 	AnswerQueue
 	commandQueue
-	receiveFunc   func()        // receive as a value, made once
-	done          chan struct{} // closed when the connection has ended: its reader waits for nothing then
-	readsReceived int64         // the link's count of reads whose commands the loop has received
-	partialSince  clock.Instant // when the first byte of an incomplete command was read, as far as received; 0: none
-	flushPending  bool          // in the server's list of unflushed or stalled connections
-	commandCount  int           // complete commands received
-	lastAnswerAt  clock.Instant // when the latest answer was set; before that, when it connected
-	stalledSince  clock.Instant // when its client last accepted some of the unsent bytes; 0: nothing is unsent
-	closing       bool          // no command is started; it ends when all are answered
-	halfClosed    bool          // the sending side is closed
+	receiveFunc   func()        // the method value receive, allocated once
+	done          chan struct{} // closed when the connection has ended, to wake the reader
+	readsReceived int64         // the link's ReadCount up to which the loop has received the commands
+	partialSince  clock.Instant // readerPartialSince as last received by the loop
+	flushPending  bool          // whether the connection is in the server's list unflushed or stalled
+	commandCount  int           // commands that the loop has taken from the queue
+	lastAnswerAt  clock.Instant // when the latest answer was set, or when the client connected if there was none
+	stalledSince  clock.Instant // when the client last accepted some of the unsent bytes; 0: none are unsent
+	closing       bool          // whether commands are rejected and the connection ends once all are answered
+	halfClosed    bool          // whether the sending side is closed
 	closed        bool
 
-	// The reader's.
-	readAt             clock.Instant // when the latest bytes arrived
-	readerPartialSince clock.Instant // when the first byte of an incomplete command was read; 0: none
-	malformedInRow     int           // malformed commands in a row
+	// The following fields belong to the reader.
+	readAt             clock.Instant // when the latest bytes were read
+	readerPartialSince clock.Instant // when the first byte of the incomplete command was read; 0: none is incomplete
+	malformedInRow     int           // number of malformed commands since the latest well-formed one
 }
 
-// register adds the connection to its server.
+// register adds the connection to those of the server. While the server drains, it closes the sending side if nothing
+// has arrived.
 func (c *Conn) register() {
 	c.server.conns[c] = true
 	c.lastAnswerAt = c.server.now()
 	c.halfCloseIfIdle()
 }
 
-// receive receives what the reader has queued.
+// receive starts the commands that the reader has queued, and rejects them if they are too many.
 func (c *Conn) receive() {
 	c.readsReceived, c.partialSince = c.receiveProgress()
 	c.startCommands()
@@ -48,8 +50,8 @@
 	c.halfCloseIfIdle()
 }
 
-// startCommands starts queued commands up to the limit of commands in flight, and none of a client that is known to be
-// gone.
+// startCommands starts queued commands until maxInFlight commands are in flight. It starts none of a client that is
+// known to be gone.
 func (c *Conn) startCommands() {
 	for !c.closed && !c.clientGone.Load() && len(c.pending) < maxInFlight {
 		command, ok := c.dequeue()
@@ -58,16 +60,17 @@
 		}
 		c.commandCount++
 		switch {
-		case c.halfClosed: // the close crossed the command: the client sees the end and sends it again elsewhere
+		case c.halfClosed: // sent before the client saw the close; without an answer it sends the command elsewhere
 		case c.closing, command.rejected > 0:
-			c.Add().Reject(0) // never started: the client may retry elsewhere at once, idempotent or not
+			c.Add().Reject(0) // not started: the client may retry at once on another gateway, idempotent or not
 		default:
 			c.start(command.run)
 		}
 	}
 }
 
-// start runs one command. After a panic it is still answered: a missing answer would hold back all later ones for ever.
+// start runs one command. If that panics, the command is answered with an error: without an answer no later one could
+// ever be written.
 func (c *Conn) start(run func(*Answer)) {
 	answer := c.Add()
 	defer func() {
@@ -79,7 +82,8 @@
 	run(answer)
 }
 
-// answerReady schedules a flush of the answers that became ready.
+// answerReady schedules a flush after an answer was set. It closes the connection if an answer did not fit into the
+// output buffer.
 func (c *Conn) answerReady(int) {
 	if c.overflowed {
 		c.closeOnFault(errSlowReader)
@@ -93,7 +97,8 @@
 	}
 }
 
-// closeIfOverdue ends the connection if its client is too slow or idle.
+// closeIfOverdue ends the connection if its client accepts no bytes, does not complete a command, or is idle for too
+// long.
 func (c *Conn) closeIfOverdue(now clock.Instant) {
 	switch {
 	case c.stalledSince > 0 && now.Sub(c.stalledSince) > writeStallTimeout:
@@ -104,12 +109,13 @@
 	case c.isCommandOverdue(now):
 		c.closeWithError(errCommandTimeout)
 	case c.isIdleTooLong(now):
-		c.halfCloseIfNoInput() // half-closed only: closing over bytes that arrive now would be a reset
+		c.halfCloseIfNoInput() // a full close would reset the connection if bytes arrived now
 	}
 }
 
-// isCommandOverdue reports whether a command is incomplete, or the first one missing, for too long. One whose rest is
-// read, or about to be, is not: the connection would end over a complete command.
+// isCommandOverdue reports whether a command is incomplete, or the first command has not begun, for longer than
+// commandTimeout. It returns false if bytes have arrived that the loop has not received, because they may complete the
+// command.
 func (c *Conn) isCommandOverdue(now clock.Instant) bool {
 	since := c.partialSince
 	if since == 0 && c.commandCount == 0 {
@@ -118,12 +124,13 @@
 	return since > 0 && now.Sub(since) > commandTimeout && c.link.NoInputSince(c.readsReceived)
 }
 
-// isIdleTooLong reports whether a connection that had commands is idle for too long.
+// isIdleTooLong reports whether a connection that has had commands is idle for longer than idleTimeout.
 func (c *Conn) isIdleTooLong(now clock.Instant) bool {
 	return c.isIdle() && c.commandCount > 0 && c.partialSince == 0 && now.Sub(c.lastAnswerAt) > idleTimeout
 }
 
-// flush writes answers, as far as the socket accepts them, and starts commands that waited for them.
+// flush writes answers as far as the socket accepts them, and starts commands that waited because maxInFlight were in
+// flight.
 func (c *Conn) flush() {
 	unsentBefore := c.out.Len()
 	if err := c.link.Flush(); err != nil {
@@ -135,7 +142,8 @@
 	c.halfCloseIfIdle()
 }
 
-// updateStall notes whether the latest flush has left unsent bytes, which the next Flush writes.
+// updateStall records whether the latest flush, before which unsentBefore bytes were unsent, has left unsent bytes.
+// Those are written by the next Flush of the server.
 func (c *Conn) updateStall(unsentBefore int) {
 	unsent := c.out.Len()
 	if unsent == 0 {
@@ -149,12 +157,12 @@
 	c.server.stalled = append(c.server.stalled, c)
 }
 
-// isIdle reports whether no command is in flight and no answer unsent.
+// isIdle reports whether no command is in flight and no byte of an answer is unsent.
 func (c *Conn) isIdle() bool { return len(c.pending) == 0 && c.out.Len() == 0 }
 
-// halfCloseIfIdle closes the sending side of a connection that is to end and has no answer due. So neither the latest
-// answer nor a command on its way is reset away. While the server drains, a complete command that is unread, or on its
-// way to the loop, is received first; a partial one is not waited for.
+// halfCloseIfIdle closes the sending side of a connection that is to end, once it is idle. A full close could reset the
+// connection, by which the latest answer or a command on its way would be lost. While the server drains, a complete
+// command that is unread or on its way to the loop is received first; an incomplete one is not waited for.
 func (c *Conn) halfCloseIfIdle() {
 	if c.closed || c.halfClosed || !c.isIdle() {
 		return
@@ -168,8 +176,8 @@
 	}
 }
 
-// halfCloseIfNoInput closes the sending side of an idle connection if nothing has arrived that the loop has not received.
-// No command can be read between that check and the close: it would never be answered.
+// halfCloseIfNoInput closes the sending side of an idle connection if nothing has arrived that the loop has not
+// received. No command can be read between that check and the close; such a command would never be answered.
 func (c *Conn) halfCloseIfNoInput() {
 	if c.link.CloseWriteIfNoInputSince(c.readsReceived, lingerTimeout) {
 		c.closing = true
@@ -177,7 +185,7 @@
 	}
 }
 
-// closeOnFault logs a fault of the client and ends the connection after the answers that are due.
+// closeOnFault logs a fault of the client and ends the connection once all commands in flight are answered.
 func (c *Conn) closeOnFault(err error) {
 	if c.closed {
 		return
@@ -191,7 +199,7 @@
 	c.halfCloseIfIdle()
 }
 
-// closeWithError ends the connection with an error line after the answers that are due.
+// closeWithError ends the connection once all commands in flight are answered, with an error as the last answer.
 func (c *Conn) closeWithError(err error) {
 	c.Add().set(errorReply(err.Error()))
 	c.closeOnFault(err)
@@ -204,7 +212,8 @@
 	}
 }
 
-// close ends the connection at once. Its slot is released first, whatever happens in the callbacks after that.
+// close ends the connection at once. It releases the slot before it calls the callbacks of answers, so that the slot is
+// free even if one of them panics.
 func (c *Conn) close() {
 	if c.closed {
 		return
--- a/internal/clients/conn_test.go
+++ b/internal/clients/conn_test.go
@@ -8,7 +8,8 @@
 	"ravensill/internal/golden"
 )
 
-// A command whose time is over, and whose rest is read and not yet received by the loop, is answered as a complete one.
+// If the rest of an overdue command has been read but not yet received by the event loop, the connection stays open and
+// the command is answered.
 func TestCompleteCommandIsNotOverdue(t *testing.T) {
 	server := newTestServer(t, 9)
 	client := server.connect()
@@ -25,8 +26,8 @@
 	}
 }
 
-// A command that arrives as an idle connection is closed is answered if it is read before the close, and else never
-// starts: its client sees the end of the stream, not a reset.
+// A command that arrives while an idle connection is being closed is answered if it is read before the close. Otherwise
+// it never starts, and its client reads the end of the stream and gets no reset.
 func TestCommandCrossingCloseIsAnsweredOrNeverStarted(t *testing.T) {
 	closers := []struct {
 		name  string
@@ -46,8 +47,8 @@
 	golden.Check(t, trace.String())
 }
 
-// crossClose closes the connection of a client three times as a command crosses the close, and records the outcome: the
-// command is on its way to the loop, none is on its way, or it comes after the close.
+// crossClose calls closeConn twice and records what happens to commands: at the first call a command is read and on its
+// way to the event loop, at the second call there is none, and after that the client sends another command.
 func (c *testClient) crossClose(name string, closeConn func()) {
 	c.Helper()
 	server := c.testServer
@@ -75,7 +76,7 @@
 	closeConn()
 	server.record("%s: nothing on its way: closed %t", name, isClosed())
 
-	c.send("third") // before the client has read the answers
+	c.send("third") // sent before the client has read the answers and the end
 	server.record("%s: its client gets %s %s %s %s, then %s",
 		name, c.readLine(), c.readLine(), c.readLine(), c.readLine(), c.readLine())
 	c.Close()
@@ -83,7 +84,8 @@
 	server.record("%s: %d arrived, %d open", name, len(server.requests), server.ConnCount())
 }
 
-// Commands that arrive behind a partial one whose time is over, until the connection can end, are answered.
+// Commands that arrive after an incomplete command has timed out are answered if the connection can't end yet, because
+// an earlier command is unanswered.
 func TestCommandsBehindTimeoutAreAnswered(t *testing.T) {
 	server := newTestServer(t, 9)
 	client := server.connect()
@@ -104,7 +106,8 @@
 	golden.Check(t, server.trace.String())
 }
 
-// After a panic under one of three pipelined commands each is answered, in order, and the connection is still served.
+// If the handler panics for one of three pipelined commands, each of them is answered, in order, and the connection is
+// still served.
 func TestPanicUnderCommandIsAnswered(t *testing.T) {
 	server := newTestServer(t, 9)
 	client := server.connect()
@@ -121,7 +124,7 @@
 	golden.Check(t, server.trace.String())
 }
 
-// stall sends requests that are answered until the client's side accepts no more bytes.
+// stall sends requests and answers them, which the client does not read, until its side accepts no more bytes.
 func (c *testClient) stall() {
 	c.Helper()
 	c.send(requestIDs(maxInFlight)...)
@@ -132,7 +135,8 @@
 	}
 }
 
-// A client that reads no answers and never closes is disconnected in the end, also if its connection is to end anyway.
+// A client that reads no answers and does not close is disconnected after writeStallTimeout. This also holds if the
+// connection is already to end, which otherwise waits for the answers to be sent.
 func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
 	for _, closing := range []bool{false, true} {
 		server := newTestServer(t, 9)
@@ -149,7 +153,7 @@
 		if !closing {
 			golden.Check(t, server.trace.String())
 		} else if server.ConnCount() > 0 {
-			t.Error("a connection that is to end stays open")
+			t.Error("a connection that is to end stays open although its client reads nothing")
 		}
 	}
 }
--- a/internal/clients/eviction.go
+++ b/internal/clients/eviction.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// connectGrace is the time before which a new connection is not evicted: its first command may be on its way.
+	// connectGrace is the time for which a new connection is not evicted, because its first command may be on its way.
 	connectGrace = 100 * time.Millisecond
-	// answerTransit is the time for which an answer may be on its way: closing over unread bytes would reset it away.
+	// answerTransit is the time for which a written answer is taken to be on its way to the client. A connection is not
+	// closed during it: if unread bytes arrived, the close would reset the connection and the answer would be lost.
 	answerTransit = 20 * time.Millisecond
 )
 
-// evictConn closes the connection that matters least, if one may be closed. Connections that sent no command could
-// use all slots: they are closed first, like those that are half-closed; then those with a single command; then the
-// one idle the longest. It is closed at once: if it were half-closed, a client that stays would keep its slot, and
-// each new client would wait for that.
+// evictConn closes one idle connection to free a slot, if there is one that may be closed. It takes half-closed
+// connections first, then those without a command, which could otherwise use all slots, then those with a single
+// command, then all others; among equals, the one whose latest answer is the oldest. It closes the connection fully:
+// after a half-close, a client that does not close its side would keep the slot, and each new client would have to wait
+// for it.
 func (s *Server) evictConn() {
 	now := s.now()
 	var victim *Conn
@@ -26,7 +28,7 @@
 			victim = c
 		}
 	}
-	if victim != nil && now.Sub(victim.lastAnswerAt) <= answerTransit { // it can be closed soon
+	if victim != nil && now.Sub(victim.lastAnswerAt) <= answerTransit { // it can be evicted shortly
 		return
 	}
 	if s.connLimitLog.recordEvent(now) {
@@ -43,10 +45,11 @@
 		victim.close()
 		return
 	}
-	victim.closeIfNoInput() // else the next admission evicts another
+	victim.closeIfNoInput() // if it stays open, the next request for a slot evicts another one
 }
 
-// isEvictable reports whether a connection may be evicted: it is idle, not new, and no answer is on its way.
+// isEvictable reports whether the connection may be evicted: it is idle, it is not so new that its first command may be
+// on its way, and if it is to end, it is half-closed and its latest answer is no longer on its way.
 func (c *Conn) isEvictable(now clock.Instant) bool {
 	sinceAnswer := now.Sub(c.lastAnswerAt)
 	if !c.isIdle() {
@@ -58,7 +61,7 @@
 	return !c.closing || c.halfClosed && sinceAnswer > answerTransit
 }
 
-// evictedBefore reports whether a connection is evicted rather than another, which may be nil.
+// evictedBefore reports whether the connection is evicted rather than the other one, which may be nil.
 func (c *Conn) evictedBefore(other *Conn) bool {
 	if other == nil {
 		return true
@@ -70,7 +73,8 @@
 	return c.lastAnswerAt < other.lastAnswerAt
 }
 
-// evictionRank returns a rank that is lower for a connection that matters less.
+// evictionRank returns a rank by which connections are evicted, the lowest first: 0 for one that is half-closed or had
+// no command, 1 after a single command, 2 after more.
 func (c *Conn) evictionRank() int {
 	if c.halfClosed {
 		return 0
@@ -78,8 +82,8 @@
 	return min(c.commandCount, 2)
 }
 
-// hasNoUnreadInput reports whether no further command is unread, or read and on its way to the loop. After a half-close
-// none counts.
+// hasNoUnreadInput reports whether nothing has arrived that the loop has not received. After a half-close it returns
+// true, because commands that arrive then are not answered.
 func (c *Conn) hasNoUnreadInput() bool {
 	return c.halfClosed || c.link.NoInputSince(c.readsReceived)
 }
--- a/internal/clients/helpers_test.go
+++ b/internal/clients/helpers_test.go
@@ -19,7 +19,7 @@
 // testTimeout is the time after which a test that waits fails.
 const testTimeout = 20 * time.Second
 
-// startCatalog is the catalog of the tests' servers.
+// startCatalog is the initial content of the catalog of test servers.
 var startCatalog = CatalogConfig{
 	Classes:  []string{"lookup", "order"},
 	Effects:  []gateway.Effect{gateway.Idempotent, gateway.Deduplicated},
@@ -34,7 +34,7 @@
 	testArguments = "c=lookup,t=team,d=480,units=2,spread=3,first=1"
 )
 
-// command returns words as an array of bulk strings.
+// command returns a command, encoded as an array of bulk strings.
 func command(words ...string) string {
 	text := resp.AppendArrayHeader(nil, len(words))
 	for _, word := range words {
@@ -43,27 +43,27 @@
 	return string(text)
 }
 
-// getCommand returns a request with an id that the servers of the tests accept.
+// getCommand returns the command of a request that test servers accept, with the given id.
 func getCommand(id string) string { return command(verbGet, testCustomer, id, testArguments) }
 
-// testServer is a server whose loop the test runs: functions for the loop stay in work until then.
+// testServer is a server whose event loop is run by the test: functions for the loop stay in work until runLoop.
 type testServer struct {
 	*testing.T
 	*Server
 	addr      string
-	work      chan func()
-	clock     atomic.Int64   // nanoseconds
-	requests  []*Answer      // the answers of requests received, in order
-	connected map[*Conn]bool // connections of clients that connect has returned
-	trace     strings.Builder
+	work      chan func()     // functions queued for the event loop
+	clock     atomic.Int64    // the server's time in nanoseconds
+	requests  []*Answer       // the answers, to be set, of the requests that the handler got, in order
+	connected map[*Conn]bool  // connections of the clients that connect has returned
+	trace     strings.Builder // lines added by record
 }
 
-// newTestServer listens on a loopback port. A request with the id "panic" panics in its handler.
+// newTestServer returns a server that listens on a loopback port. Its handler panics at a request with the id "panic".
 func newTestServer(t *testing.T, maxConns int) *testServer {
 	return newTestServerOn(t, sockets.Kernel{}, maxConns)
 }
 
-// newTestServerOn is newTestServer with the system calls of system.
+// newTestServerOn is newTestServer for a server that makes its system calls through system.
 func newTestServerOn(t *testing.T, system sockets.System, maxConns int) *testServer {
 	s := &testServer{T: t, work: make(chan func(), 99), connected: map[*Conn]bool{}}
 	s.clock.Store(1)
@@ -91,25 +91,27 @@
 	fmt.Fprintf(&s.trace, format+"\n", values...)
 }
 
-// advance sets the clock forward, by a process that has not paused meanwhile.
+// advance sets the clock forward without making the next CloseOverdue assume that the process was paused.
 func (s *testServer) advance(d time.Duration) {
 	s.clock.Add(int64(d))
 	s.lastSweep = s.now()
 }
 
-// waitFor waits for a condition that readers and sockets bring about by themselves.
+// waitFor waits for a condition that comes about without the event loop, by the readers or the kernel. what names the
+// condition in the failure message.
 func (s *testServer) waitFor(what string, condition func() bool) {
 	s.Helper()
 	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			s.Fatalf("never: %s; so far:\n%s", what, s.trace.String())
+			s.Fatalf("timed out waiting for: %s; trace so far:\n%s", what, s.trace.String())
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// runLoop runs the loop until a condition holds, as the node does.
+// runLoop runs the event loop, flushing after each batch of functions as the gateway does, until a condition holds.
+// what names the condition in the failure message.
 func (s *testServer) runLoop(what string, condition func() bool) {
 	s.Helper()
 	s.waitFor(what, func() bool {
@@ -121,13 +123,13 @@
 	})
 }
 
-// runUntilRequests runs the loop until n requests have been received.
+// runUntilRequests runs the event loop until the handler has got n requests.
 func (s *testServer) runUntilRequests(n int) {
 	s.Helper()
 	s.runLoop(fmt.Sprintf("%d requests", n), func() bool { return len(s.requests) == n })
 }
 
-// reject rejects all requests received from a first one on, and flushes the answers.
+// reject rejects all requests from the index first on, and flushes the answers.
 func (s *testServer) reject(first int) {
 	for _, answer := range s.requests[first:] {
 		answer.Reject(0)
@@ -135,7 +137,7 @@
 	s.Flush()
 }
 
-// dial opens a connection that the system completes, whether the server accepts it or not.
+// dial opens a connection, which the kernel completes even if the server does not accept it.
 func (s *testServer) dial() *net.TCPConn {
 	s.Helper()
 	conn, err := net.Dial("tcp4", s.addr)
@@ -152,17 +154,17 @@
 	*testServer
 	*net.TCPConn
 	reader *bufio.Reader
-	conn   *Conn // the server's end; nil until the loop has registered it
+	conn   *Conn // the server's end of the connection; set by connect
 }
 
-// newClient returns a client whose connection the system completes.
+// newClient returns a client whose connection the kernel has completed and the server may not have accepted.
 func (s *testServer) newClient() *testClient {
 	s.Helper()
 	conn := s.dial()
 	return &testClient{testServer: s, TCPConn: conn, reader: bufio.NewReader(conn)}
 }
 
-// connect connects a client and waits until the loop has registered it.
+// connect returns a client whose connection the event loop has registered.
 func (s *testServer) connect() *testClient {
 	s.Helper()
 	client := s.newClient()
@@ -178,7 +180,7 @@
 	return client
 }
 
-// sendText sends bytes.
+// sendText sends text as it is.
 func (c *testClient) sendText(text string) { io.WriteString(c.TCPConn, text) }
 
 // send sends one request for each id.
@@ -190,7 +192,8 @@
 	c.sendText(text)
 }
 
-// readLine returns the next line, or the error that ended the stream.
+// readLine returns the next line without its CR LF. If the stream ends, it returns the text up to the end, followed by
+// the error.
 func (c *testClient) readLine() string {
 	line, err := c.reader.ReadString('\n')
 	if err != nil {
@@ -199,25 +202,26 @@
 	return strings.TrimSuffix(line, "\r\n")
 }
 
-// waitUntilRead waits until the reader has read more than the loop has received.
+// waitUntilRead waits until the server's reader has read bytes that the event loop has not received. what names them in
+// the failure message.
 func (c *testClient) waitUntilRead(what string) {
 	c.Helper()
 	c.waitFor(what, func() bool { return c.conn.link.ReadCount() > c.conn.readsReceived })
 }
 
-// waitUntilGone waits until the reader has seen the end of the connection.
+// waitUntilGone waits until the server's reader has seen the end of the connection.
 func (c *testClient) waitUntilGone() {
 	c.Helper()
 	c.waitFor("the client is gone", c.conn.clientGone.Load)
 }
 
-// runUntilClosed runs the loop until it has closed the connection.
+// runUntilClosed runs the event loop until it has closed the connection.
 func (c *testClient) runUntilClosed() {
 	c.Helper()
 	c.runLoop("closed", func() bool { return c.conn.closed })
 }
 
-// sendPartial sends a part of a command and waits until the loop has received it.
+// sendPartial sends a part of a command and runs the event loop until it knows that a command is incomplete.
 func (c *testClient) sendPartial(text string) {
 	c.Helper()
 	c.sendText(text)
--- a/internal/clients/log_limiter.go
+++ b/internal/clients/log_limiter.go
@@ -6,13 +6,14 @@
 	"ravensill/internal/clock"
 )
 
-// logInterval is the time between log lines of one kind.
+// logInterval is the shortest time between two log lines of one logLimiter.
 const logInterval = time.Second
 
-// logLimiter limits log lines that any client can cause by the thousand to one in logInterval, and counts the others.
+// logLimiter limits a kind of log line, which a client could cause thousands of times, to one per logInterval. It
+// counts the events, so that the next line can report their number.
 type logLimiter struct {
 	suppressed int           // events since the latest line
-	loggedAt   clock.Instant // of the latest line; 0: none yet
+	loggedAt   clock.Instant // time of the latest line; 0: none yet
 }
 
 // recordEvent counts an event and reports whether a line may be logged now.
@@ -21,7 +22,7 @@
 	return l.loggedAt == 0 || now.Sub(l.loggedAt) >= logInterval
 }
 
-// takeCount notes that a line is logged now and returns the number of events that it stands for.
+// takeCount records that a line is logged now. It returns the number of events since the previous line and resets it.
 func (l *logLimiter) takeCount(now clock.Instant) (count int) {
 	count = l.suppressed
 	l.suppressed = 0
--- a/internal/clients/reader.go
+++ b/internal/clients/reader.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// floodPause is the pause after each maxQueuedBytes of a client that sends faster than the loop starts commands.
+// floodPause is the pause of the reader each time more than maxQueuedBytes were queued, because the client sends faster
+// than the loop starts its commands.
 const floodPause = 2 * time.Millisecond
 
-// readCommands reads the connection until it ends and queues its commands for the loop. It runs on the connection's
-// goroutine, which ends when the loop closes the connection.
+// readCommands reads the connection until it ends and queues its commands for the event loop. It is the connection's
+// goroutine, its reader, which also ends when the loop closes the connection.
 func (c *Conn) readCommands() {
 	s := c.server
 	defer func() {
@@ -24,7 +25,7 @@
 	parser := CommandParser{catalog: s.catalog}
 	for {
 		if err := c.link.Read(); err != nil {
-			return // the client is gone, or the connection was closed here
+			return // the client is gone, or the event loop has closed the connection
 		}
 		c.readAt = s.now()
 		if err := c.parseCommands(&parser); err != nil {
@@ -42,7 +43,8 @@
 	}
 }
 
-// parseCommands queues all complete commands that were read. An error ends the connection.
+// parseCommands queues all complete commands that were read. It fails if the connection has to end: the bytes are not
+// RESP arrays, or too many commands in a row are malformed.
 func (c *Conn) parseCommands(parser *CommandParser) error {
 	for {
 		ok, err := parser.Next(c.link.In, c)
@@ -58,14 +60,15 @@
 	}
 }
 
-// handleRequest implements commandHandler: it copies the request out of the read buffer and queues it.
+// handleRequest implements commandHandler. It copies the request out of the read buffer and queues it.
 func (c *Conn) handleRequest(parsed parsedRequest) {
 	c.malformedInRow = 0
 	request := newQueuedRequest(&parsed, c.readAt)
 	c.enqueueCommand(len(request.text), func(a *Answer) { c.startRequest(a, request) })
 }
 
-// startRequest passes a request to the server's handler, unless the catalog has changed so that it can't be served.
+// startRequest passes a request to the server's handler. If the catalog has changed since the request was read so that
+// it can't be served, startRequest answers it with an error instead.
 func (c *Conn) startRequest(a *Answer, request *queuedRequest) {
 	if err := c.server.catalog.recheck(&request.terms); err != nil {
 		a.Fail(err.Error())
@@ -79,8 +82,9 @@
 	c.enqueueCommand(0, func(a *Answer) { a.set([]byte(pongReply)) })
 }
 
-// handleMalformed implements commandHandler: a malformed command is answered with an error. One that names what was
-// removed is well formed: its client may not know yet, and many such commands in a row don't end the connection.
+// handleMalformed implements commandHandler. It queues an error as the answer to the command. A command that names a
+// removed class or plan does not count as malformed: the client may not know of the removal yet, so that many such
+// commands in a row must not end the connection.
 func (c *Conn) handleMalformed(reason error) {
 	var removed *RemovedError
 	if errors.As(reason, &removed) {
@@ -91,7 +95,7 @@
 	c.enqueueCommand(0, func(a *Answer) { a.set(errorReply(reason.Error())) })
 }
 
-// enqueueFault queues the end of the connection, with an error as the answer.
+// enqueueFault queues the end of the connection because of a fault of the client, with an error as the last answer.
 func (c *Conn) enqueueFault(err error) {
 	c.enqueueCommand(0, func(a *Answer) {
 		a.set(errorReply(err.Error()))
@@ -105,7 +109,8 @@
 	c.enqueue(size, run)
 }
 
-// notifyLoop notifies the loop of queued commands, and waits until it has received them if too many bytes are queued.
+// notifyLoop notifies the event loop of queued commands and of the reader's progress. While more than maxQueuedBytes
+// are queued, it waits until the loop has taken commands from the queue or the connection has ended.
 func (c *Conn) notifyLoop() {
 	notify, queuedBytes := c.postProgress(c.link.ReadCount(), c.readerPartialSince)
 	if notify {
--- a/internal/clients/reader_test.go
+++ b/internal/clients/reader_test.go
@@ -7,8 +7,8 @@
 	"ravensill/internal/golden"
 )
 
-// No command starts whose client is known to be gone, whether it left before the loop received the first of its
-// commands or while some of them were in flight.
+// No command of a client starts once the client is known to be gone, whether it left before the event loop received the
+// first of its commands or while some of them were in flight.
 func TestFloodOfGoneClientStartsNoCommand(t *testing.T) {
 	server := newTestServer(t, 9)
 	early, late := server.connect(), server.connect()
@@ -27,13 +27,13 @@
 		}
 		answer.Reject(0)
 	}
-	server.Flush() // the loop has not received the end, yet starts no other command
+	server.Flush() // must start no other command, although the loop has not received the end of the connection
 	late.runUntilClosed()
 	server.record("of one that leaves later: %d arrived", len(server.requests))
 	golden.Check(t, server.trace.String())
 }
 
-// The reader of a client that sends more than it queues waits, and continues: each command is answered.
+// If a client sends more commands than may be queued, the reader waits and then continues: each command is answered.
 func TestFloodOfCommandsIsAnswered(t *testing.T) {
 	const commands = 9000
 	server := newTestServer(t, 9)
@@ -64,22 +64,22 @@
 	golden.Check(t, server.trace.String())
 }
 
-// The reader sees the end of a client behind more than it queues, though no command in flight is answered. No queued
-// command starts after that.
+// The reader sees the end of the stream behind more commands than may be queued, even if no command in flight is
+// answered. No queued command starts after that.
 func TestEndBehindFullQueueStartsNoCommand(t *testing.T) {
 	server := newTestServer(t, 9)
 	client := server.connect()
 	go func() {
-		for range 30 { // several times the queue
+		for range 30 { // together several times maxQueuedBytes
 			client.send(requestIDs(1000)...)
 		}
-		client.CloseWrite() // no reset, which a write of answers would notice
+		client.CloseWrite() // no full close, which would make writes of answers fail with a reset
 	}()
 	server.runLoop("the client is gone", client.conn.clientGone.Load)
 	client.checkNoStartAfterEnd()
 }
 
-// The reader sees the end of a client behind malformed bytes, which follow more commands than may be in flight. No
+// The reader sees the end of the stream behind malformed bytes that follow more commands than may be in flight. No
 // queued command starts after that.
 func TestEndBehindMalformedBytesStartsNoCommand(t *testing.T) {
 	server := newTestServer(t, 9)
@@ -95,7 +95,8 @@
 	client.checkNoStartAfterEnd()
 }
 
-// checkNoStartAfterEnd answers some of the commands in flight of a client that is gone, which must start no others.
+// checkNoStartAfterEnd answers some of the commands in flight of a client that is gone, and checks that no other
+// command starts.
 func (c *testClient) checkNoStartAfterEnd() {
 	c.Helper()
 	for _, answer := range c.requests[:9] {
@@ -103,6 +104,6 @@
 	}
 	c.runUntilClosed()
 	if n := len(c.requests); n != maxInFlight {
-		c.Errorf("%d requests arrived, %d of them after the end", n, n-maxInFlight)
+		c.Errorf("%d requests started, %d of them after the end of the stream", n, n-maxInFlight)
 	}
 }
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -7,31 +7,31 @@
 	"ravensill/internal/resp"
 )
 
-// Request is one request of a client. Times are of the server's clock.
+// Request is one request of a client. Its times are those of the server's clock.
 type Request struct {
 	ID           string
 	Customer     string
 	ReceivedAt   clock.Instant // when its last byte was read
-	Deadline     clock.Instant // its client waits until then
+	Deadline     clock.Instant // until when the client waits for the answer
 	Class        int           // index in the Catalog
 	Plan         int           // index in the Catalog
 	Units        float64
-	Spread       int  // the customer's requests come in at this many gateways,
-	FirstGateway int  // from this member index on
-	Retry        bool // marked by the client as a retry
+	Spread       int  // number of gateways, in a row by member index, that receive the customer's requests
+	FirstGateway int  // member index of the first of these gateways
+	Retry        bool // whether the client marked the request as a retry
 
-	// The command to send to a host is the concatenation of Head, a bulk string of Before, the time left in
-	// milliseconds and After, and Tail.
+	// The command to send to a host consists of Head, one bulk string and Tail. The bulk string consists of
+	// BeforeTimeLeft, the time left until Deadline in milliseconds, and AfterTimeLeft.
 	Head           []byte
 	BeforeTimeLeft []byte
 	AfterTimeLeft  []byte
 	Tail           []byte
 }
 
-// RequestHandler is called on the loop for each request. It sets the answer then or later.
+// RequestHandler is called on the event loop for each request. It has to set the answer before it returns or later.
 type RequestHandler func(answer *Answer, request *Request)
 
-// queuedRequest is a request that waits to be started. It is smaller than a Request, as a flood may queue thousands.
+// queuedRequest is a request that waits to be started. It is smaller than a Request, because thousands may be queued.
 type queuedRequest struct {
 	id         string
 	customer   string
@@ -40,7 +40,8 @@
 	terms      requestTerms
 	retry      bool
 
-	// text is the command to send to a host, and the others are the offsets in it at which Head, Before and After end.
+	// text is the command to send to a host, without the time left and the header of its bulk string. The other fields
+	// are the offsets in text at which Head, BeforeTimeLeft and AfterTimeLeft of the Request end; Tail is the rest.
 	text      []byte
 	headEnd   int
 	beforeEnd int
@@ -49,7 +50,7 @@
 
 // newQueuedRequest returns a request that shares no memory with the parsed one.
 func newQueuedRequest(parsed *parsedRequest, receivedAt clock.Instant) *queuedRequest {
-	const maxHeaders = 64 // bytes around the words
+	const maxHeaders = 64 // bytes of the encoding beside the words
 	words := minCommandWords
 	if parsed.body != nil {
 		words = maxCommandWords
@@ -82,7 +83,7 @@
 	}
 }
 
-// request returns the request for the handler.
+// request returns the Request to pass to the handler. It shares the memory of text.
 func (q *queuedRequest) request() *Request {
 	return &Request{
 		ID:             q.id,
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -1,6 +1,7 @@
-// Package clients serves clients over RESP2: it parses their commands and writes the answers in the commands' order.
-// The names of the wire protocol are known here only. It makes no decisions on requests. Each connection has a
-// goroutine that reads it (reader.go); everything else belongs to the event loop of the gateway.
+// Package clients serves clients over RESP2: it parses their commands and writes the answers in the order of the
+// commands. It is the only package that knows the names of the protocol between client and gateway, and it makes no
+// decisions on requests. Each connection has a goroutine that reads it, its reader (reader.go), and one goroutine
+// accepts connections (accept.go); everything else runs on the event loop of the gateway.
 package clients
 
 import (
@@ -14,23 +15,23 @@
 
 // Limits of a connection.
 const (
-	maxInFlight    = 256       // commands that wait for answers; later ones stay queued
-	maxQueuedBytes = 512 << 10 // of queued commands; beyond that all queued ones are rejected
-	maxUnsentBytes = 256 << 10 // of answers that wait for a client that reads slowly
-	maxMalformed   = 16        // malformed commands in a row that end the connection
+	maxInFlight    = 256       // commands that are started and not answered; later ones stay queued
+	maxQueuedBytes = 512 << 10 // bytes of queued commands; beyond that all queued commands are rejected
+	maxUnsentBytes = 256 << 10 // bytes of answers that a slow client has not accepted; beyond that it is disconnected
+	maxMalformed   = 16        // number of malformed commands in a row that ends the connection
 )
 
 const (
-	// writeStallTimeout is the time after which a client that accepts no byte of its answers is disconnected.
+	// writeStallTimeout is the time after which a client that accepts none of the unsent bytes is disconnected.
 	writeStallTimeout = 10 * time.Second
-	// commandTimeout is the longest time from connecting to a complete first command, and from any command's first byte
-	// to its last.
+	// commandTimeout is the longest time from the connect to the first complete command, and from the first byte of any
+	// command to its last.
 	commandTimeout = 2 * time.Second
-	// idleTimeout is the time after which an idle connection is closed.
+	// idleTimeout is the time after which a connection without commands in flight and unsent answers is closed.
 	idleTimeout = 2 * time.Second
-	// lingerTimeout is the time for which a half-closed connection is still read.
+	// lingerTimeout is the longest time for which a half-closed connection is still read.
 	lingerTimeout = time.Second
-	// maxSweepGap is the time between two calls of CloseOverdue that shows a pause of the process.
+	// maxSweepGap is the longest time between two calls of CloseOverdue in a process that was not paused.
 	maxSweepGap = time.Second
 )
 
@@ -40,35 +41,35 @@
 	errSlowReader       = errors.New("answers are read too slowly")
 )
 
-// Server accepts client connections and serves them. All fields belong to the loop, the goroutine that runs the
-// functions passed to runOnLoop.
+// Server accepts client connections and serves them. Its methods must be called on the event loop, the goroutine that
+// runs the functions passed to runOnLoop, to which its fields belong.
 type Server struct {
 	system    sockets.System
 	catalog   *Catalog
-	maxConns  int // further connections wait in the listen queue
+	maxConns  int // limit of conns; further connections wait in the listen queue of the kernel
 	runOnLoop func(func())
 	now       func() clock.Instant
 	onRequest RequestHandler
 
-	conns     map[*Conn]bool
-	unflushed []*Conn // have answers to write
-	stalled   []*Conn // during Flush: those whose client did not accept all bytes
+	conns     map[*Conn]bool // the open connections
+	unflushed []*Conn        // connections with answers to write; nil: flushed during the current Flush
+	stalled   []*Conn        // connections whose client did not accept all bytes during the current Flush
 
 	listener     *net.TCPListener
-	slotReplies  chan bool     // one value for each question of the accept loop: whether there is a free slot
+	slotReplies  chan bool     // one value per replySlotAvailable: whether a slot is free
 	slotFreed    chan struct{} // holds a value after a connection has ended
-	accepting    bool          // the accept loop runs
-	acceptClosed bool          // the accept loop is to end
-	draining     bool          // connections end as soon as they are idle
+	accepting    bool          // whether the accept loop runs
+	acceptClosed bool          // whether the accept loop is to end
+	draining     bool          // whether connections end as soon as they are idle
 
 	lastSweep    clock.Instant // time of the latest CloseOverdue
 	faultLog     logLimiter
 	connLimitLog logLimiter
 }
 
-// NewServer returns a server that holds at most maxConns connections and accepts commands that name what the catalog
-// contains. It makes its system calls by system. runOnLoop queues a function for the loop, on which onRequest is
-// called; now returns the time.
+// NewServer returns a server that keeps at most maxConns connections open and checks commands by the catalog. It makes
+// its system calls through system. runOnLoop queues a function for the event loop, on which onRequest is called for
+// each request, and now returns the current time; both are called on any goroutine.
 func NewServer(
 	system sockets.System,
 	catalog *Catalog,
@@ -90,12 +91,13 @@
 	}
 }
 
-// CloseOverdue ends connections whose client has not completed a command in time, is idle, or reads none of its
-// answers. It does so although slots may be free: clients may use a third of the descriptors only, and idle ones keep
-// others from connecting.
+// CloseOverdue ends connections whose client has not completed a command in time, is idle for too long, or accepts none
+// of its answers. It has to be called more than once per maxSweepGap: a call after a longer gap closes nothing, because
+// the process was paused and bytes that arrived may not be read yet. Connections end even if slots are free: clients
+// may use only a third of the descriptors, and idle clients keep others from connecting.
 func (s *Server) CloseOverdue() {
 	now := s.now()
-	paused := now.Sub(s.lastSweep) > maxSweepGap // what arrived meanwhile is not read yet
+	paused := now.Sub(s.lastSweep) > maxSweepGap // what arrived during the pause may not be read yet
 	s.lastSweep = now
 	if paused {
 		return
@@ -105,15 +107,15 @@
 	}
 }
 
-// Flush writes all answers set since the previous call, with one write per connection, and starts the commands that
-// waited for them. It reports whether some bytes could not be written yet.
+// Flush writes all answers set since the previous call, with one write per connection, and starts commands that waited
+// because too many were in flight. It reports whether some bytes could not be written yet.
 func (s *Server) Flush() bool {
 	for i := 0; i < len(s.unflushed); i++ { // starting commands may append to the list
 		c := s.unflushed[i]
 		if c == nil {
 			continue
 		}
-		s.unflushed[i] = nil // first: a panic must not keep the others unflushed for ever
+		s.unflushed[i] = nil // before the flush: if that panics, the next Flush must not start with it again
 		c.flushPending = false
 		if !c.closed {
 			c.flush()
@@ -124,7 +126,8 @@
 	return len(s.unflushed) > 0
 }
 
-// Drain ends each connection once all its commands are answered. A command that crosses the close gets no answer.
+// Drain ends each connection once all its commands are answered. A command that arrives after the close of the sending
+// side gets no answer.
 func (s *Server) Drain() {
 	s.draining = true
 	for c := range s.conns {
@@ -142,8 +145,8 @@
 	}
 }
 
-// ConnCount returns the number of connections.
+// ConnCount returns the number of open connections.
 func (s *Server) ConnCount() int { return len(s.conns) }
 
-// Closed reports whether all connections have ended and none can be accepted any more.
+// Closed reports whether all connections have ended and no further one can be accepted.
 func (s *Server) Closed() bool { return len(s.conns) == 0 && !s.accepting }
--- a/internal/hosts/helpers_test.go
+++ b/internal/hosts/helpers_test.go
@@ -114,7 +114,7 @@
 			f()
 			l.Flush()
 		case <-time.After(testTimeout):
-			l.Fatalf("%d of %d attempts ended: %q", len(l.results), n, l.results)
+			l.Fatalf("too few attempts ended: %q", l.results)
 		}
 	}
 }
