--- a/internal/bufconn/buffer.go
+++ b/internal/bufconn/buffer.go
@@ -1,17 +1,18 @@
-// Package bufconn provides the buffers of a connection, one for each direction, and the driver between them and its
-// socket. It knows no protocol.
+// Package bufconn reads and writes a TCP connection through two ring buffers, one for each direction. It knows nothing
+// of the protocol on the connection.
 package bufconn
 
-// minBufferBytes is the size of a buffer's first memory.
+// minBufferBytes is the size of the memory that a buffer allocates at first.
 const minBufferBytes = 4096
 
-// Buffer is a ring buffer: bytes are read in the order in which they were written. It grows when full, up to a limit.
+// Buffer is a ring buffer, from which bytes are read in the order in which they were written. It grows when it is full,
+// up to a limit. It is not safe for concurrent use.
 type Buffer struct {
-	buf     []byte
-	wrapped []byte // copies of spans that wrap around the end of buf
-	head    int    // index of the first byte in buf
-	length  int    // bytes in the buffer
-	maxSize int    // bytes that buf may grow to
+	buf     []byte // the memory of the ring; nil when nothing is allocated
+	wrapped []byte // contiguous copies of spans that wrap around the end of buf
+	head    int    // index in buf of the first byte
+	length  int    // number of bytes in the buffer
+	maxSize int    // size up to which buf may grow
 }
 
 // NewBuffer returns an empty buffer that grows up to maxSize bytes.
@@ -20,7 +21,8 @@
 // Len returns the number of bytes in the buffer.
 func (b *Buffer) Len() int { return b.length }
 
-// FreeSpace returns free memory to be filled from its start, or none if the buffer is full and may not grow.
+// FreeSpace returns free memory, to be filled from its start and then added by Extend. It returns nil if the buffer is
+// full and may not grow.
 func (b *Buffer) FreeSpace() []byte {
 	if b.length == len(b.buf) && !b.grow(b.length+1) {
 		return nil
@@ -32,10 +34,10 @@
 	return b.buf[tail:]
 }
 
-// Extend appends the first n bytes of the latest FreeSpace to the buffer.
+// Extend appends the first n bytes of the memory that FreeSpace returned last.
 func (b *Buffer) Extend(n int) { b.length += n }
 
-// Write appends all of p, or returns false and appends nothing if it does not fit.
+// Write appends all of p. If p does not fit, it appends nothing and returns false.
 func (b *Buffer) Write(p []byte) bool {
 	if b.length+len(p) > len(b.buf) && !b.grow(b.length+len(p)) {
 		return false
@@ -48,10 +50,11 @@
 	return true
 }
 
-// Head returns the first bytes, as far as they are contiguous.
+// Head returns the first bytes, as many as are contiguous in memory.
 func (b *Buffer) Head() []byte { return b.buf[b.head:min(b.head+b.length, len(b.buf))] }
 
-// Drop removes the first n bytes. An empty buffer that has grown releases its memory.
+// Drop removes the first n bytes, which must not exceed Len. It releases the memory of a buffer that has grown and
+// is empty after that.
 func (b *Buffer) Drop(n int) {
 	b.length -= n
 	b.head += n
@@ -71,7 +74,7 @@
 // At returns the byte at an offset from the first one.
 func (b *Buffer) At(offset int) byte { return b.buf[b.index(offset)] }
 
-// index returns the index in buf of the byte at an offset.
+// index returns the index in buf of the byte at an offset from the first one.
 func (b *Buffer) index(offset int) int {
 	i := b.head + offset
 	if i >= len(b.buf) {
@@ -80,22 +83,23 @@
 	return i
 }
 
-// Span returns bytes from an offset on as one slice. It is valid until the buffer changes or ReleaseSpans is called.
+// Span returns length bytes, from an offset on, as one slice. The slice is valid until the buffer changes or
+// ReleaseSpans is called.
 func (b *Buffer) Span(offset, length int) []byte {
 	start := b.index(offset)
 	if start+length <= len(b.buf) {
 		return b.buf[start : start+length]
 	}
-	first := len(b.wrapped) // earlier spans stay valid
+	first := len(b.wrapped) // the earlier copies stay valid
 	b.wrapped = append(b.wrapped, b.buf[start:]...)
 	b.wrapped = append(b.wrapped, b.buf[:start+length-len(b.buf)]...)
 	return b.wrapped[first:]
 }
 
-// ReleaseSpans ends the validity of all spans, so that their copies are reused.
+// ReleaseSpans ends the validity of all slices that Span has returned, so that the memory of copies can be reused.
 func (b *Buffer) ReleaseSpans() { b.wrapped = b.wrapped[:0] }
 
-// grow moves the bytes to larger memory, or returns false if the needed size exceeds the limit.
+// grow moves the bytes to larger memory of at least the needed size. It returns false if that exceeds the limit.
 func (b *Buffer) grow(needed int) bool {
 	size := max(2*len(b.buf), minBufferBytes)
 	for size < needed {
--- a/internal/bufconn/link.go
+++ b/internal/bufconn/link.go
@@ -14,46 +14,48 @@
 	"ravensill/internal/sockets"
 )
 
-// The pace of Discard. The end of a peer that has closed follows the bytes that both systems hold in transit,
-// and has to be seen soon.
+// Discard reads at most discardChunkBytes in each discardPause. If the peer has closed, the end of the stream follows
+// the bytes that the kernels of both machines hold in transit; Discard has to be fast enough to reach it soon.
 const (
 	discardChunkBytes = 256 << 10
 	discardPause      = 2 * time.Millisecond
 )
 
-// Link reads and writes one TCP connection. One goroutine, the reader, reads into In; another one, the loop, writes out
-// of Out.
+// Link reads and writes one TCP connection. Two goroutines use it: one, the reader, calls Read, SetReadTimeout and
+// Discard and owns In; the other, the event loop, calls all other methods and owns Out. ReadCount and Close may be
+// called on both.
 type Link struct {
-	In  *Buffer
-	Out *Buffer
+	In  *Buffer // bytes that were read
+	Out *Buffer // bytes to be written by Flush
 
 	system    sockets.System
 	conn      *net.TCPConn
 	raw       syscall.RawConn
-	writeFunc func(fd uintptr) bool // method values, made once
-	readFunc  func(fd uintptr) bool
-	peekFunc  func(fd uintptr)
-
-	// The reader's.
-	readBuffer []byte // free space of In
-	bytesRead  int    // bytes read into it
-	readErr    error
-	reads      atomic.Int64 // reads that returned bytes or an end
-	reading    atomic.Bool  // a read is between taking bytes from the socket and being counted
-
-	readMutex  sync.Mutex // locked from taking bytes from the socket until the read is counted
-	readsEnded bool       // guarded by readMutex: no more is read from the socket
-
-	// The loop's.
-	wouldBlock bool // result of peekSocket: nothing to read
-	writeErr   error
+	writeFunc func(fd uintptr) bool // the method value writeSocket, allocated once
+	readFunc  func(fd uintptr) bool // the method value readSocket
+	peekFunc  func(fd uintptr)      // the method value peekSocket
+
+	// The following fields belong to the reader, except the atomic ones.
+	readBuffer []byte       // free space of In, for the read in progress
+	bytesRead  int          // number of bytes that the latest read put into readBuffer
+	readErr    error        // error of the latest read
+	reads      atomic.Int64 // number of reads that returned bytes, an error or the end of the stream
+	reading    atomic.Bool  // set from before a read takes input from the socket until that is counted in reads
+
+	readMutex  sync.Mutex // locked from before a read takes input from the socket until that is counted in reads
+	readsEnded bool       // guarded by readMutex: whether reads fail instead of taking input from the socket
+
+	// The following fields belong to the event loop.
+	wouldBlock bool  // result of peekSocket: whether there is nothing to read
+	writeErr   error // error of the latest flush
 }
 
-// NewLink returns a link whose buffers grow up to maxIn and maxOut bytes. It reads and writes by the calls of system.
+// NewLink returns a link whose buffers In and Out grow up to maxIn and maxOut bytes. It reads and writes through
+// system.
 func NewLink(system sockets.System, conn *net.TCPConn, maxIn, maxOut int) (*Link, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
-		return nil, fmt.Errorf("descriptor of %v: %w", conn.RemoteAddr(), err)
+		return nil, fmt.Errorf("access the descriptor of the connection to %v: %w", conn.RemoteAddr(), err)
 	}
 	link := &Link{In: NewBuffer(maxIn), Out: NewBuffer(maxOut), system: system, conn: conn, raw: raw}
 	link.writeFunc = link.writeSocket
@@ -62,7 +64,8 @@
 	return link, nil
 }
 
-// Read waits for bytes and appends them to In. It returns io.EOF at the end of the stream.
+// Read waits for bytes and appends them to In. It returns io.EOF at the end of the stream, and io.ErrShortBuffer if In
+// is full.
 func (l *Link) Read() error {
 	l.readBuffer = l.In.FreeSpace()
 	if len(l.readBuffer) == 0 {
@@ -75,7 +78,7 @@
 	return l.readErr
 }
 
-// readSocket reads what the socket holds, and returns false if that is nothing.
+// readSocket reads what the socket holds, and returns false if it holds nothing, so that RawConn.Read waits.
 func (l *Link) readSocket(fd uintptr) bool {
 	l.readMutex.Lock()
 	defer l.readMutex.Unlock()
@@ -103,7 +106,7 @@
 	return true
 }
 
-// setReadResult sets the result of a read.
+// setReadResult stores the result of readSocket for Read.
 func (l *Link) setReadResult(count int, err error) {
 	l.bytesRead = count
 	l.readErr = err
@@ -147,7 +150,7 @@
 // whose rest it could return.
 func (l *Link) NoInputYet() bool { return l.socketEmpty() && l.reads.Load() == 0 }
 
-// socketEmpty reports whether the socket holds neither bytes nor an end.
+// socketEmpty reports whether the socket holds neither bytes nor an error nor the end of the stream.
 func (l *Link) socketEmpty() bool { return l.raw.Control(l.peekFunc) == nil && l.wouldBlock }
 
 // ReadCount returns the number of reads that returned bytes, an error or the end of the stream.
@@ -161,7 +164,7 @@
 	l.wouldBlock = errno == syscall.EAGAIN
 }
 
-// SetReadTimeout limits the total time for which the next Reads wait; 0 removes the limit.
+// SetReadTimeout limits the time from now until which all following Reads together may wait; 0 removes the limit.
 func (l *Link) SetReadTimeout(limit time.Duration) {
 	deadline := time.Time{}
 	if limit > 0 {
@@ -170,9 +173,10 @@
 	l.conn.SetReadDeadline(deadline)
 }
 
-// Discard reads and discards bytes until the peer closes or the time limit of CloseWrite is over: closing over unread
-// bytes would reset away the latest answer. It reads at most discardChunkBytes in each discardPause: a peer with 60
-// MB to send must not cost others their processor time.
+// Discard reads and discards bytes until the peer closes or the time limit of CloseWrite is over. If the connection
+// were closed while bytes are unread, it would be reset and the peer could lose the latest answer. Discard reads at
+// most discardChunkBytes in each discardPause: a peer with 60 MB to send must not use up the processor time that others
+// need.
 func (l *Link) Discard() {
 	buf := make([]byte, discardChunkBytes)
 	for {
@@ -183,8 +187,8 @@
 	}
 }
 
-// Flush writes what the socket accepts at once and never waits: a slow peer must not delay the loop, which serves all
-// others. The rest stays in Out for the next Flush.
+// Flush writes as many bytes of Out as the socket accepts at once. It never waits, because a slow peer must not delay
+// the event loop, which serves all others. The rest stays in Out for the next Flush.
 func (l *Link) Flush() error {
 	l.writeErr = nil
 	if err := l.raw.Write(l.writeFunc); err != nil {
@@ -193,7 +197,7 @@
 	return l.writeErr
 }
 
-// writeSocket writes what the socket accepts.
+// writeSocket writes what the socket accepts. It always returns true, so that RawConn.Write does not wait.
 func (l *Link) writeSocket(fd uintptr) bool {
 	for l.Out.Len() > 0 {
 		n, errno := l.system.Write(fd, l.Out.Head())
@@ -201,7 +205,7 @@
 		case errno == 0 && n > 0:
 			l.Out.Drop(n)
 		case errno == syscall.EINTR:
-		case errno == 0, errno == syscall.EAGAIN: // a retry now would be a busy loop
+		case errno == 0, errno == syscall.EAGAIN: // retrying at once would be a busy loop
 			return true
 		default:
 			l.writeErr = os.NewSyscallError("write", errno)
@@ -211,11 +215,11 @@
 	return true
 }
 
-// CloseWrite closes the sending side, and ends reads after the time limit.
+// CloseWrite closes the sending side. Reads fail once the time limit is over.
 func (l *Link) CloseWrite(limit time.Duration) {
 	l.conn.CloseWrite()
 	l.conn.SetReadDeadline(time.Now().Add(limit))
 }
 
-// Close closes the connection; a waiting Read returns net.ErrClosed.
+// Close closes the connection. A Read that waits returns net.ErrClosed.
 func (l *Link) Close() { l.conn.Close() }
--- a/internal/bufconn/link_test.go
+++ b/internal/bufconn/link_test.go
@@ -35,7 +35,7 @@
 	return dialed.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
-// newLink returns the link of a connection on a system.
+// newLink returns a link of a connection that makes its calls through system.
 func newLink(t testing.TB, system sockets.System, conn *net.TCPConn, maxIn, maxOut int) *Link {
 	t.Helper()
 	link, err := NewLink(system, conn, maxIn, maxOut)
@@ -45,32 +45,32 @@
 	return link
 }
 
-// newLinkPair returns the link of one end of a connection, and the other end.
+// newLinkPair returns a link of one end of a connection, and the other end.
 func newLinkPair(t *testing.T) (link *Link, peer *net.TCPConn) {
 	near, peer := connPair(t)
 	return newLink(t, sockets.Kernel{}, near, 1<<20, 1<<10), peer
 }
 
-// waitFor waits for a state that the system brings about.
+// waitFor waits for a condition that the kernel brings about. what names the condition in the failure message.
 func waitFor(t *testing.T, what string, reached func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
 	for !reached() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Flush returns at once with a peer that reads nothing, and the rest is written later.
+// Flush returns at once if the peer reads nothing, and later calls write the rest.
 func TestFlushDoesNotWaitForSlowPeer(t *testing.T) {
 	near, peer := connPair(t)
 	link := newLink(t, sockets.Kernel{}, near, 1<<20, 64<<20)
 	want := bytes.Repeat([]byte("ravensill"), 4<<20)
 	link.Out.Write(want)
 	if err := link.Flush(); err != nil || link.Out.Len() == 0 {
-		t.Fatalf("left %d, error %v", link.Out.Len(), err)
+		t.Fatalf("Flush leaves %d bytes, error %v", link.Out.Len(), err)
 	}
 	got := make([]byte, 0, len(want))
 	buf := make([]byte, 1<<20)
@@ -85,11 +85,12 @@
 		}
 	}
 	if !bytes.Equal(got, want) {
-		t.Error("other bytes were read than written")
+		t.Error("the bytes that were read differ from those written")
 	}
 }
 
-// The system delays no small write, on dialed and accepted connections: a reset that follows would discard it.
+// The kernel does not delay small writes (TCP_NODELAY), neither on dialed nor on accepted connections: if the
+// connection were reset meanwhile, a delayed write would be discarded.
 func TestSmallWritesAreNotDelayed(t *testing.T) {
 	near, peer := connPair(t)
 	for _, conn := range []*net.TCPConn{near, peer} {
@@ -103,19 +104,20 @@
 	}
 }
 
-// Discard reaches the end of a peer that has closed within a tenth of a second, after all bytes that the systems may
-// hold. Attempts for that peer that begin later break the rules.
+// If the peer has closed, Discard reaches the end of the stream within 100 ms, behind as many bytes as both kernels may
+// hold in transit. No attempt for a client may begin later than that after the client has left.
 func TestDiscardReachesEndInTime(t *testing.T) {
 	const (
-		maxBytesInTransit = 10 << 20 // by the default limits of Linux, tcp_rmem and tcp_wmem
+		maxBytesInTransit = 10 << 20 // with the default values of tcp_rmem and tcp_wmem on Linux
 		chunks            = maxBytesInTransit / discardChunkBytes
 	)
 	if took := chunks * discardPause; took > 100*time.Millisecond {
-		t.Errorf("%v for %d bytes", took, maxBytesInTransit)
+		t.Errorf("Discard needs %v for %d bytes", took, maxBytesInTransit)
 	}
 }
 
-// A connection is closed only if nothing has arrived since the reads that the caller knows of.
+// A connection is closed only if nothing has arrived since the ReadCount that the caller passes, neither unread bytes
+// nor bytes of a later read.
 func TestCloseIfQuietKeepsConnectionWithUnknownBytes(t *testing.T) {
 	closers := map[string]func(link *Link, reads int64) bool{
 		"close":       (*Link).CloseIfNoInputSince,
@@ -133,7 +135,7 @@
 				t.Fatal(err)
 			}
 			if closeIfNoInput(link, 0) {
-				t.Error("closed over a byte that the caller does not know of")
+				t.Error("closed over a byte of a read that the caller does not know of")
 			}
 			if !closeIfNoInput(link, 1) {
 				t.Error("not closed though nothing has arrived")
@@ -145,7 +147,8 @@
 	}
 }
 
-// CloseIfQuiet ends a read that waits for bytes, and one that is about to take some, and no byte is taken after it.
+// CloseIfNoInputSince ends a read that waits for bytes and one that is about to take some from the socket. No read
+// takes a byte after that.
 func TestCloseIfQuietEndsRead(t *testing.T) {
 	for range 200 {
 		link, peer := newLinkPair(t)
@@ -161,7 +164,8 @@
 	}
 }
 
-// fault returns the fault of a system call that fails, or transfers only a part of its bytes.
+// fault returns the fault of a system call that fails with errno or, if errno is 0, transfers at most the given number
+// of bytes.
 func fault(errno syscall.Errno, bytes int) *socketstest.Fault {
 	return &socketstest.Fault{Errno: errno, MaxBytes: bytes}
 }
@@ -171,7 +175,7 @@
 	name   string
 	reads  []*socketstest.Fault
 	writes []*socketstest.Fault
-	err    syscall.Errno // of the first call that fails for good; 0: none
+	err    syscall.Errno // error that ends the transfer; 0: none
 }{
 	{
 		name: "none",
@@ -231,8 +235,8 @@
 	},
 }
 
-// Calls that are interrupted, transfer a part or transfer nothing lose and repeat no byte. Other errors are returned as
-// they are.
+// System calls that are interrupted, transfer a part of the bytes or transfer nothing neither lose nor repeat a byte.
+// Other errors are returned to the caller.
 func TestFaultyCallsLoseNoByte(t *testing.T) {
 	want := []byte("0123456789")
 	for _, test := range faultyCalls {
@@ -246,26 +250,26 @@
 			err := transfer(t, sender, receiver, want, len(test.writes))
 			if test.err != 0 {
 				if !errors.Is(err, test.err) {
-					t.Errorf("%v, want %v", err, test.err)
+					t.Errorf("error %v, want %v", err, test.err)
 				}
 				return
 			}
 			got := receiver.In.Span(0, receiver.In.Len())
 			if err != nil || !bytes.Equal(got, want) {
-				t.Errorf("%v; %q", err, got)
+				t.Errorf("error %v, received %q", err, got)
 			}
 		})
 	}
 }
 
-// transfer sends bytes over a connection until they are received or a call fails. It allows one flush more than
-// maxFaults.
+// transfer sends text over a connection until all of it is received or a call fails. It fails the test if more than
+// maxFaults+1 flushes are needed.
 func transfer(t *testing.T, sender, receiver *Link, text []byte, maxFaults int) error {
 	t.Helper()
 	sender.Out.Write(text)
 	for flushes := 0; sender.Out.Len() > 0; flushes++ {
 		if flushes > maxFaults {
-			t.Fatalf("%d flushes leave %d bytes", flushes, sender.Out.Len())
+			t.Fatalf("%d flushes leave %d bytes unwritten", flushes, sender.Out.Len())
 		}
 		if err := sender.Flush(); err != nil {
 			return err
@@ -279,8 +283,8 @@
 	return nil
 }
 
-// When Close returns, the connection is closed even if a Read waits on it: an attempt that begins after an earlier one
-// was canceled must not run beside it.
+// When Close returns, the descriptor of the connection is closed, even if a Read waits on it. Otherwise a host could
+// not see that an attempt was canceled, and the next attempt of the request could run beside it.
 func TestCloseEndsWaitingRead(t *testing.T) {
 	near, _ := connPair(t)
 	link := newLink(t, sockets.Kernel{}, near, 1<<10, 1<<10)
@@ -294,7 +298,7 @@
 	}
 	ended := make(chan error)
 	go func() { ended <- link.Read() }()
-	<-reading // nothing has arrived: it waits, or is about to, and holds the descriptor
+	<-reading // nothing has arrived: the Read waits or is about to, and holds a reference to the descriptor
 	link.Close()
 	if _, _, errno := syscall.Syscall(syscall.SYS_FCNTL, descriptor, syscall.F_GETFD, 0); errno != syscall.EBADF {
 		t.Errorf("the descriptor is still open: %v", errno)
@@ -304,7 +308,8 @@
 	}
 }
 
-// BenchmarkReading compares a link with a bufio.Reader in front of a buffer, for writes of one command of 120 bytes.
+// BenchmarkReading compares reading by a link with reading by a bufio.Reader from which bytes are copied into a Buffer.
+// Each write is a command of 120 bytes.
 func BenchmarkReading(b *testing.B) {
 	command := bytes.Repeat([]byte("c"), 120)
 	b.Run("ring", func(b *testing.B) {
--- a/internal/clock/instant.go
+++ b/internal/clock/instant.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Instant is a moment of a monotonic clock, in nanoseconds since the moment from which that clock counts.
+// Instant is a time of a monotonic clock, in nanoseconds since the moment from which that clock counts. Instants of
+// different clocks can't be compared.
 type Instant int64
 
-// Add returns the moment that is d later.
+// Add returns the instant that is d later than i.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Sub returns the time from earlier to i.
+// Sub returns the duration from earlier to i, which is negative if earlier is the later one.
 func (i Instant) Sub(earlier Instant) time.Duration { return time.Duration(i - earlier) }
--- a/internal/resp/parser.go
+++ b/internal/resp/parser.go
@@ -9,14 +9,15 @@
 
 // Limits of a value.
 const (
-	MaxBulkBytes  = 64 << 10  // of a bulk string
-	MaxValueBytes = 128 << 10 // of a value: a buffer of this size holds any that is accepted
-	maxLineBytes  = 4 << 10
-	maxElements   = 16 // of an array
-	maxDigits     = 7  // of a length or count
+	MaxBulkBytes  = 64 << 10  // largest bulk string
+	MaxValueBytes = 128 << 10 // largest encoded value: a buffer of this size can hold every value that is accepted
+	maxLineBytes  = 4 << 10   // longest line
+	maxElements   = 16        // most elements of an array
+	maxDigits     = 7         // most digits of a length or count
 )
 
-// Errors of the stream. None is recoverable: it is unknown where the next value begins.
+// Errors of a malformed stream. After any of them the stream can't be parsed further, because it is unknown where the
+// next value begins.
 var (
 	ErrUnknownType   = errors.New("unknown kind of value")
 	ErrInvalidLine   = errors.New("line too long or not ended by CR LF")
@@ -28,36 +29,38 @@
 // lineEndBytes is the length of CR LF.
 const lineEndBytes = 2
 
-// Value is a line (kinds +, - and :), a bulk string ($) or a flat array of bulk strings (*).
+// Value is a RESP2 value. Its Kind is the first byte of the encoding: +, - or : for a line, $ for a bulk string, * for
+// an array, all of whose elements are bulk strings.
 type Value struct {
 	Kind        byte
-	Line        []byte   // of +, - and :
-	BulkStrings [][]byte // of $ and *; nil stands for null
+	Line        []byte   // text of a line, without its kind and CR LF
+	BulkStrings [][]byte // the bulk string, or the elements of the array; nil for a null bulk string
 }
 
-// Parser is the state of parsing a value whose bytes have not all arrived. Its zero value is ready to use.
+// Parser parses the values of one stream, and keeps the state of a value whose bytes have not all arrived. Its zero
+// value is ready to use. It is not safe for concurrent use.
 type Parser struct {
-	kind         byte // of a bulk string or array; 0: not known yet
-	offset       int  // bytes of the value parsed so far
-	elementsLeft int  // bulk strings to come
-	headerParsed bool // the header of a bulk string was parsed
-	elementSize  int  // bytes of that one
-	elements     []element
-	spans        [][]byte // of the latest value
-	consumed     int      // bytes of the latest value, dropped by the next call
+	kind         byte      // kind of the bulk string or array that is being parsed; 0: not known yet
+	offset       int       // bytes of the value that are parsed
+	elementsLeft int       // bulk strings that are not completely parsed
+	headerParsed bool      // whether the header of the next bulk string is parsed
+	elementSize  int       // size of that bulk string in bytes
+	elements     []element // bulk strings that are completely parsed
+	spans        [][]byte  // BulkStrings of the latest value; its memory is reused
+	consumed     int       // bytes of the latest value, which the next call of Next drops
 }
 
-// element is the position of a bulk string in the value.
+// element is the position of a bulk string's content in the encoded value.
 type element struct {
-	offset int
-	size   int // nullSize for null
+	offset int // from the first byte of the value
+	size   int // in bytes; nullSize for a null bulk string
 }
 
 // nullSize is the size of a null bulk string.
 const nullSize = -1
 
-// Next returns the next complete value, or false if it has not arrived. The value is valid until the next call and
-// until more bytes are read into the buffer.
+// Next returns the next value in the buffer, or false if not all of it has arrived. The value is valid until the next
+// call or until the buffer changes. The buffer must be the same in all calls.
 func (p *Parser) Next(in *bufconn.Buffer) (value Value, ok bool, err error) {
 	if p.consumed > 0 {
 		in.Drop(p.consumed)
@@ -81,10 +84,11 @@
 	return p.value(in), true, nil
 }
 
-// More reports whether the buffer holds bytes after the value that Next returned last.
+// More reports whether the buffer holds bytes behind the value that Next returned last.
 func (p *Parser) More(in *bufconn.Buffer) bool { return in.Len() > p.consumed }
 
-// parseStart parses the start of a value. It returns true with a value that is a line, and sets the kind of others.
+// parseStart parses the start of a value. If the value is a line that has arrived, it returns the value and true. For a
+// bulk string, or an array whose header has arrived, it sets kind and elementsLeft and returns false.
 func (p *Parser) parseStart(in *bufconn.Buffer) (line Value, ok bool, err error) {
 	if in.Len() == 0 {
 		return Value{}, false, nil
@@ -109,7 +113,7 @@
 	return Value{}, false, ErrUnknownType
 }
 
-// parseArrayHeader parses the header of an array, and sets the kind if all of it has arrived.
+// parseArrayHeader parses the header of an array. It sets kind and elementsLeft if all of the header has arrived.
 func (p *Parser) parseArrayHeader(in *bufconn.Buffer) error {
 	text, ok, err := p.parseLine(in)
 	if !ok {
@@ -124,7 +128,7 @@
 	return nil
 }
 
-// parseElement parses the next bulk string, or returns false if not all of it has arrived.
+// parseElement parses the next bulk string and adds it to the elements. It returns false if not all of it has arrived.
 func (p *Parser) parseElement(in *bufconn.Buffer) (ok bool, err error) {
 	if !p.headerParsed {
 		if ok, err := p.parseBulkHeader(in); !ok {
@@ -147,7 +151,7 @@
 	return true, nil
 }
 
-// parseBulkHeader parses the header of a bulk string, or returns false if not all of it has arrived.
+// parseBulkHeader parses the header of a bulk string. It returns false if not all of it has arrived.
 func (p *Parser) parseBulkHeader(in *bufconn.Buffer) (ok bool, err error) {
 	if in.Len() == p.offset {
 		return false, nil
@@ -171,14 +175,14 @@
 	return true, nil
 }
 
-// addElement adds a bulk string that has arrived.
+// addElement adds a bulk string, all of which has arrived, to the elements.
 func (p *Parser) addElement(e element) {
 	p.elements = append(p.elements, e)
 	p.elementsLeft--
 	p.headerParsed = false
 }
 
-// value returns the value, all of whose bytes have arrived, and resets the parser.
+// value returns the bulk string or array that consists of the elements, and resets the state for the next value.
 func (p *Parser) value(in *bufconn.Buffer) Value {
 	p.spans = p.spans[:0]
 	for _, e := range p.elements {
@@ -196,7 +200,7 @@
 	return value
 }
 
-// parseLine returns the text of the line at the offset, without its kind and its CR LF, and moves the offset behind it.
+// parseLine returns the text of the line at offset, without its kind and its CR LF, and moves offset behind the line.
 // It returns false if not all of the line has arrived.
 func (p *Parser) parseLine(in *bufconn.Buffer) (text []byte, ok bool, err error) {
 	length, err := lineLength(in, p.offset)
@@ -208,7 +212,7 @@
 	return text, true, nil
 }
 
-// lineLength returns the length of the line at an offset, without its CR LF; -1 if it has not arrived.
+// lineLength returns the length of the line at an offset, without its CR LF, or -1 if not all of the line has arrived.
 func lineLength(in *bufconn.Buffer, offset int) (int, error) {
 	for length := 0; offset+length < in.Len(); length++ {
 		if in.At(offset+length) != '\n' {
@@ -225,7 +229,7 @@
 	return -1, nil
 }
 
-// parseLength parses a whole number in its canonical form.
+// parseLength parses a whole number of at most maxDigits characters. It is not valid with a plus sign or leading zeros.
 func parseLength(text []byte) (n int, valid bool) {
 	if len(text) == 0 || len(text) > maxDigits {
 		return 0, false
--- a/internal/resp/parser_test.go
+++ b/internal/resp/parser_test.go
@@ -9,7 +9,8 @@
 	"ravensill/internal/golden"
 )
 
-// parseTrace parses the pieces, one after the other, and returns a trace of all values.
+// parseTrace parses a stream that arrives in pieces. It returns its values, one per line, and the error that ended the
+// stream.
 func parseTrace(pieces ...string) string {
 	var trace strings.Builder
 	in := bufconn.NewBuffer(MaxValueBytes)
@@ -30,7 +31,7 @@
 	return trace.String()
 }
 
-// validStream holds a value of each kind.
+// validStream contains at least one value of each kind.
 const validStream = "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n" +
 	"-BUSY 12\r\n" +
 	"*3\r\n$10\r\nva\r\nlue\r\n\x00\r\n$-1\r\n$0\r\n\r\n" +
@@ -38,7 +39,7 @@
 	"+PONG\r\n" +
 	":7\r\n"
 
-// The values of a stream are the same wherever it is cut.
+// A stream that arrives in several pieces is parsed to the same values wherever it is cut.
 func TestParserReturnsSameValuesForAnyCut(t *testing.T) {
 	uncut := parseTrace(validStream)
 	golden.Check(t, uncut)
@@ -52,7 +53,7 @@
 	}
 }
 
-// A malformed stream ends with an error that says what is wrong.
+// A malformed stream is parsed up to the fault and ends with an error that tells the kind of fault.
 func TestParserRejectsMalformedStream(t *testing.T) {
 	largestBulk := fmt.Sprintf("$%d\r\n%s\r\n", MaxBulkBytes, strings.Repeat("b", MaxBulkBytes))
 	streams := []string{
@@ -83,7 +84,7 @@
 	golden.Check(t, trace.String())
 }
 
-// FuzzParser checks that no stream panics, and that the values of one are the same wherever it is cut.
+// FuzzParser checks that parsing panics for no stream and gives the same values wherever the stream is cut.
 func FuzzParser(f *testing.F) {
 	f.Add(validStream, 7)
 	f.Add("*1\r\n$3\r\nabc\r\n*", 3)
--- a/internal/sockets/datagrams.go
+++ b/internal/sockets/datagrams.go
@@ -10,8 +10,9 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Datagrams returns the datagrams that arrive at a socket, each with its sender, until the socket is closed. A datagram
-// is valid until the next one. Longer ones are cut off at maxBytes.
+// Datagrams returns an iterator over the datagrams that arrive at a socket, each with its sender. It ends when the
+// socket is closed; after other errors it pauses and goes on. A datagram is valid until the next one arrives, and is
+// cut off after maxBytes.
 func Datagrams(system System, conn *net.UDPConn, maxBytes int) iter.Seq2[[]byte, netip.AddrPort] {
 	return func(yield func([]byte, netip.AddrPort) bool) {
 		buffer := make([]byte, maxBytes)
@@ -33,16 +34,18 @@
 	}
 }
 
-// Bounds of the pause after a datagram that could not be read.
+// Bounds of the pause after a read that failed.
 const (
 	minReadBackoff = time.Millisecond
 	maxReadBackoff = 100 * time.Millisecond
 )
 
-// readBackoff slows down a loop that reads datagrams while all reads fail. The zero value is ready to use.
+// readBackoff pauses a loop that reads datagrams while its reads fail, so that it does not use up the processor. The
+// zero value is ready to use.
 type readBackoff struct{ backoff *backoff.ExponentialBackOff }
 
-// waitAfterFailure waits after a read that failed, longer with each failure in a row.
+// waitAfterFailure is called after a read that failed. It sleeps for a random time that grows with each failure in a
+// row.
 func (p *readBackoff) waitAfterFailure() {
 	if p.backoff == nil {
 		p.backoff = backoff.NewExponentialBackOff()
@@ -53,5 +56,5 @@
 	time.Sleep(p.backoff.NextBackOff())
 }
 
-// reset ends a row of failures.
+// reset is called after a read that succeeded. The next pause is as short as the first one.
 func (p *readBackoff) reset() { p.backoff = nil }
--- a/internal/sockets/datagrams_test.go
+++ b/internal/sockets/datagrams_test.go
@@ -9,8 +9,8 @@
 	"ravensill/internal/sockets/socketstest"
 )
 
-// TestDatagramsSurviveReadErrorsUntilClose checks that a datagram arrives after reads that failed, cut off at the
-// maximum length, and that the loop ends once the socket is closed.
+// Datagrams returns a datagram that arrives after reads that failed, cut off at the maximum length, and ends once the
+// socket is closed.
 func TestDatagramsSurviveReadErrorsUntilClose(t *testing.T) {
 	system := socketstest.New(1, nil)
 	system.Script(socketstest.ReadPacket, socketstest.ErrorScript(syscall.ECONNREFUSED, syscall.ENOBUFS)...)
@@ -32,6 +32,6 @@
 		conn.Close()
 	}
 	if len(received) != 1 || received[0] != "data" {
-		t.Errorf("received %q", received)
+		t.Errorf("received %q, want only \"data\"", received)
 	}
 }
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -6,20 +6,22 @@
 	"syscall"
 )
 
-// resourceErrnos are the errors of connect(2), socket(2), accept(2) and bind(2) for which this machine is the cause: it
-// lacks a descriptor, port, memory or route. They are transient, and independent of the other side.
+// resourceErrnos are the errors of connect(2), socket(2), accept(2) and bind(2) that are caused by this machine: it
+// lacks a descriptor, a port, memory or a route, or the call was interrupted. They are transient and don't depend on
+// the peer.
 var resourceErrnos = []syscall.Errno{
-	syscall.EMFILE,        // the process's descriptors
-	syscall.ENFILE,        // the system's descriptors
-	syscall.ENOBUFS,       // memory for sockets
-	syscall.ENOMEM,        // memory
-	syscall.EADDRNOTAVAIL, // no port is free, or the address is not on an interface yet
-	syscall.ENETUNREACH,   // no route, as without an interface
+	syscall.EMFILE,        // the process has no free descriptor
+	syscall.ENFILE,        // the machine has no free descriptor
+	syscall.ENOBUFS,       // no memory for sockets
+	syscall.ENOMEM,        // no memory
+	syscall.EADDRNOTAVAIL, // no port is free, or no interface has the address yet
+	syscall.ENETUNREACH,   // no route, for example because no interface is up
 	syscall.ENETDOWN,
 	syscall.EINTR,
 }
 
-// IsResourceExhausted reports whether a call failed because this machine lacks a resource.
+// IsResourceExhausted reports whether err, the error of a socket call, is caused by a lack of resources on this
+// machine. It returns false for nil.
 func IsResourceExhausted(err error) bool {
 	return slices.ContainsFunc(resourceErrnos, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
--- a/internal/sockets/errors_test.go
+++ b/internal/sockets/errors_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestErrorsAreClassifiedByNumber checks errors that are wrapped as package net wraps them.
+// Errors are classified by their error number, also when they are wrapped as package net wraps them.
 func TestErrorsAreClassifiedByNumber(t *testing.T) {
 	tests := []struct {
 		errno             syscall.Errno
@@ -32,10 +32,10 @@
 	for _, test := range tests {
 		err := error(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", test.errno)})
 		if IsResourceExhausted(err) != test.resourceExhausted || IsTransientListenError(err) != test.transient {
-			t.Errorf("%v: shortage %t, transient %t", err, IsResourceExhausted(err), IsTransientListenError(err))
+			t.Errorf("%v: resource exhausted %t, transient %t", err, IsResourceExhausted(err), IsTransientListenError(err))
 		}
 	}
 	if IsResourceExhausted(nil) || IsResourceExhausted(errors.New("other")) {
-		t.Error("nil or an error without a number is a shortage")
+		t.Error("nil or an error without an error number is taken for a lack of resources")
 	}
 }
--- a/internal/sockets/listener.go
+++ b/internal/sockets/listener.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	acceptRetryDelay = 10 * time.Millisecond // after an accept that failed
-	bindRetryDelay   = 20 * time.Millisecond // between attempts to open a listener
-	bindTimeout      = 5 * time.Second       // while this machine lacks a resource
+	acceptRetryDelay = 10 * time.Millisecond // pause after an accept that failed
+	bindRetryDelay   = 20 * time.Millisecond // pause between two calls of RetryResourceExhausted's try
+	bindTimeout      = 5 * time.Second       // how long Listen retries while this machine lacks a resource
 )
 
-// Listener is a net.Listener whose Accept fails only once it is closed: every other error concerns one connection, or
-// is transient. A server of package net/http would end on some of them.
+// Listener is a net.Listener whose Accept fails only once the listener is closed. Every other error of accept(2)
+// concerns a single connection or is transient, but some of them would end an http.Server.
 type Listener struct {
 	*net.TCPListener
-	System System
+	System System // makes the system calls
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection. After an error it pauses and tries again, unless the listener is closed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.System.Accept(l.TCPListener)
@@ -47,7 +47,7 @@
 	}
 }
 
-// Listen opens a TCP listener by the calls of system. It retries for bindTimeout while this machine lacks a resource.
+// Listen opens a TCP listener through system. While this machine lacks a resource, it retries for bindTimeout.
 func Listen(system System, address netip.AddrPort) (*Listener, error) {
 	var listener *net.TCPListener
 	err := RetryResourceExhausted(bindTimeout, func() (err error) {
--- a/internal/sockets/listener_test.go
+++ b/internal/sockets/listener_test.go
@@ -15,7 +15,7 @@
 	"ravensill/internal/sockets/socketstest"
 )
 
-// An HTTP server ends by the close of its listener, and by no error of accept(2).
+// An HTTP server on a Listener serves requests after errors of accept(2), and ends only when it is closed.
 func TestListenerSurvivesAcceptErrors(t *testing.T) {
 	errnos := []syscall.Errno{
 		syscall.ENOBUFS,
@@ -50,7 +50,7 @@
 	}
 }
 
-// A call is retried while it fails by a shortage, until the limit, and not after another error.
+// A call is retried while it fails for lack of resources, until the limit, and is not retried after another error.
 func TestRetryShortageRetriesUntilLimit(t *testing.T) {
 	bindError := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}
--- a/internal/sockets/read_backoff_test.go
+++ b/internal/sockets/read_backoff_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestReadBackoffGrows checks that a loop whose reads all fail is slowed down: the pauses of 20 failures add up to
-// 50 ms, whatever their random part.
+// A loop whose reads all fail must not use up the processor: the pauses after 20 failures add up to at least 50 ms,
+// whatever their random part.
 func TestReadBackoffGrows(t *testing.T) {
 	var backoff readBackoff
 	start := time.Now()
@@ -14,8 +14,8 @@
 		backoff.waitAfterFailure()
 	}
 	if took := time.Since(start); took < 50*time.Millisecond {
-		t.Errorf("20 failures took %v", took)
+		t.Errorf("the pauses after 20 failures took %v, want at least 50 ms", took)
 	}
 	backoff.reset()
-	backoff.waitAfterFailure() // the zero value again
+	backoff.waitAfterFailure() // after reset, the readBackoff is a zero value again, which must not panic
 }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,5 +1,5 @@
-// Package sockets makes the system calls of the gateway's sockets. Callers handle every result that a call may have,
-// and tests replace the System by one that fails on purpose (package socketstest).
+// Package sockets makes the system calls for the sockets of the gateway through an interface. Tests replace the kernel
+// by a System that fails on purpose (package socketstest), to check that callers handle every result of a call.
 package sockets
 
 import (
@@ -10,9 +10,9 @@
 	"unsafe"
 )
 
-// System makes the system calls. It is safe for concurrent use.
+// System makes the system calls for sockets. It is safe for concurrent use.
 type System interface {
-	// Dial opens a TCP connection over IPv4 with the settings of a dialer.
+	// Dial opens a TCP connection over IPv4 to a host:port address with the settings of a dialer.
 	Dial(ctx context.Context, dialer *net.Dialer, address string) (*net.TCPConn, error)
 	// Listen opens a TCP listener over IPv4.
 	Listen(address netip.AddrPort) (*net.TCPListener, error)
@@ -20,15 +20,16 @@
 	Accept(listener *net.TCPListener) (*net.TCPConn, error)
 	// ListenPacket opens a UDP socket over IPv4.
 	ListenPacket(address netip.AddrPort) (*net.UDPConn, error)
-	// ReadPacket reads a datagram and returns its length and sender.
+	// ReadPacket waits for a datagram, reads it into the buffer, cut off at the buffer's length, and returns its length
+	// and sender.
 	ReadPacket(conn *net.UDPConn, buffer []byte) (int, netip.AddrPort, error)
-	// Read reads from a descriptor that does not block; see read(2). The buffer is not empty.
+	// Read reads from a non-blocking descriptor; see read(2). The buffer must not be empty.
 	Read(descriptor uintptr, buffer []byte) (int, syscall.Errno)
-	// Write writes to a descriptor that does not block; see write(2). The buffer is not empty.
+	// Write writes to a non-blocking descriptor; see write(2). The buffer must not be empty.
 	Write(descriptor uintptr, buffer []byte) (int, syscall.Errno)
 }
 
-// Kernel makes the calls of the operating system.
+// Kernel is the System that makes the real system calls.
 type Kernel struct{}
 
 var _ System = Kernel{}
@@ -60,9 +61,9 @@
 	return conn.ReadFromUDPAddrPort(buffer)
 }
 
-// Read implements System. It and Write never wait in the kernel, so they use raw system calls, which the runtime does
-// not notice: after one that ends an idle period it would wake its monitor thread, and during one that lasts, as a
-// write to loopback does, it would take the processor away.
+// Read implements System. Read and Write never block in the kernel, so they use raw system calls, of which the Go
+// runtime is not told. Otherwise it would wake its monitor thread for a call that ends an idle period, and would give
+// the processor (P) of the goroutine to another thread during a call that takes long, such as a write to loopback.
 func (Kernel) Read(descriptor uintptr, buffer []byte) (int, syscall.Errno) {
 	n, _, errno := syscall.RawSyscall(
 		syscall.SYS_READ,
@@ -73,7 +74,7 @@
 	return int(n), errno
 }
 
-// Write implements System.
+// Write implements System. It uses a raw system call for the reasons given at Read.
 func (Kernel) Write(descriptor uintptr, buffer []byte) (int, syscall.Errno) {
 	n, _, errno := syscall.RawSyscall(
 		syscall.SYS_WRITE,
--- a/internal/sockets/socketstest/socketstest.go
+++ b/internal/sockets/socketstest/socketstest.go
@@ -1,5 +1,5 @@
-// Package socketstest provides a sockets.System that fails on purpose: by a script, call by call, or at random with a
-// seed.
+// Package socketstest provides a sockets.System for tests whose calls fail on purpose: as scripted call by call, or at
+// random with a seed.
 package socketstest
 
 import (
@@ -18,7 +18,7 @@
 // Call is a kind of system call.
 type Call int
 
-// The calls of a sockets.System.
+// The kinds of calls of a sockets.System.
 const (
 	Dial Call = iota
 	Listen
@@ -27,35 +27,38 @@
 	ReadPacket
 	Read
 	Write
-	callCount
+	callCount // number of kinds
 )
 
+// callNames are the names of the system calls in errors, by Call.
 var callNames = [callCount]string{"connect", "bind", "accept", "bind", "recvfrom", "read", "write"}
 
 // Fault is the failure of a call.
 type Fault struct {
-	Errno    syscall.Errno // 0: a short read or write
-	MaxBytes int           // that a short read or write transfers at most; a write may transfer none
+	Errno    syscall.Errno // error of the call; 0: a short read or write instead
+	MaxBytes int           // limit of the bytes that a short read or write transfers; only a write may transfer none
 }
 
-// Rate is the probability of faults in a call.
+// Rate is the frequency of random faults in calls of one kind.
 type Rate struct {
-	Probability float64 // that a call has a fault, 0 to 1
-	Faults      []Fault // of which one is drawn, each with the same probability
+	Probability float64 // probability that a call has a fault, from 0 to 1
+	Faults      []Fault // the possible faults, which are equally probable
 }
 
-// System makes the kernel's calls, some of which fail.
+// System is a sockets.System that makes some calls fail and passes the others to the kernel. It is safe for concurrent
+// use.
 type System struct {
 	sockets.Kernel
 
 	mu      sync.Mutex
 	random  *rand.Rand
 	rates   map[Call]Rate
-	scripts map[Call][]*Fault // faults of the next calls; nil: none
-	counts  [callCount]int
+	scripts map[Call][]*Fault // faults of the next calls, by kind of call; a nil element is a call without a fault
+	counts  [callCount]int    // calls made, by kind of call
 }
 
-// New returns a system whose calls fail at random, the same way for the same seed and order of calls.
+// New returns a System whose calls fail at random at the given rates; kinds of calls that have no rate don't fail. The
+// same seed and order of calls give the same faults.
 func New(seed uint64, rates map[Call]Rate) *System {
 	return &System{
 		random:  rand.New(rand.NewPCG(seed, 1)),
@@ -64,15 +67,15 @@
 	}
 }
 
-// Script sets the faults of the next calls of a kind, after which they fail at random again; nil is a call without a
-// fault.
+// Script appends to the script of a kind of call: the next calls of the kind have these faults, one each, where nil
+// stands for no fault. Calls fail at random again once the script is over.
 func (s *System) Script(call Call, faults ...*Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.scripts[call] = append(s.scripts[call], faults...)
 }
 
-// ErrorScript returns a script of errors.
+// ErrorScript returns faults, to be passed to Script, by which one call after the other fails with the given errors.
 func ErrorScript(errnos ...syscall.Errno) []*Fault {
 	var faults []*Fault
 	for _, errno := range errnos {
@@ -81,14 +84,14 @@
 	return faults
 }
 
-// CallCount returns the number of calls of a kind, failed ones included.
+// CallCount returns the number of calls of a kind that were made, including those that failed.
 func (s *System) CallCount(call Call) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts[call]
 }
 
-// nextFault returns the fault of the next call of a kind, nil for none.
+// nextFault counts a call of a kind and returns its fault, or nil if it has none.
 func (s *System) nextFault(call Call) *Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +107,8 @@
 	return &rate.Faults[s.random.IntN(len(rate.Faults))]
 }
 
-// nextError returns the error of the next call of a kind as package net would, nil for none.
+// nextError counts a call of a kind and returns the error of its fault, wrapped as package net would wrap it, or nil if
+// it has none.
 func (s *System) nextError(call Call) error {
 	fault := s.nextFault(call)
 	if fault == nil {
@@ -129,8 +133,8 @@
 	return s.Kernel.Listen(address)
 }
 
-// Accept implements sockets.System. ECONNABORTED removes a connection from the listen queue; after every other error it
-// stays there.
+// Accept implements sockets.System. As in the kernel, a call that fails with ECONNABORTED removes a connection from the
+// listen queue; a call that fails with another error leaves the queue as it is.
 func (s *System) Accept(listener *net.TCPListener) (*net.TCPConn, error) {
 	err := s.nextError(Accept)
 	if errors.Is(err, syscall.ECONNABORTED) {
@@ -160,7 +164,8 @@
 	return s.Kernel.ReadPacket(conn, buffer)
 }
 
-// Read implements sockets.System.
+// Read implements sockets.System. A short read transfers at least one byte, because zero would mean the end of the
+// stream.
 func (s *System) Read(descriptor uintptr, buffer []byte) (int, syscall.Errno) {
 	fault := s.nextFault(Read)
 	switch {
@@ -172,7 +177,7 @@
 	return s.Kernel.Read(descriptor, buffer[:min(max(fault.MaxBytes, 1), len(buffer))])
 }
 
-// Write implements sockets.System.
+// Write implements sockets.System. A short write may transfer nothing.
 func (s *System) Write(descriptor uintptr, buffer []byte) (int, syscall.Errno) {
 	fault := s.nextFault(Write)
 	switch {
