--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -105,8 +105,8 @@
 	return append(text, "\r\n"...)
 }
 
-// errorReply returns the encoded answer for an error. It replaces control characters in reason, which would end the
-// line.
+// errorReply returns the encoded answer for an error. It replaces control characters in reason by spaces, because CR LF
+// would end the answer.
 func errorReply(reason string) []byte {
 	line := bytes.Map(func(r rune) rune {
 		if r < ' ' {
--- a/internal/clients/command_queue.go
+++ b/internal/clients/command_queue.go
@@ -6,7 +6,7 @@
 	"ravensill/internal/clock"
 )
 
-// queuedOverhead is the size that a queued command counts in addition to its text, in bytes.
+// queuedOverhead is the memory counted for a queued command in addition to its text, in bytes.
 const queuedOverhead = 128
 
 // commandQueue passes commands from a connection's reader to the event loop. At most one notification per connection is
--- a/internal/hosts/command_test.go
+++ b/internal/hosts/command_test.go
@@ -62,11 +62,11 @@
 }
 
 func writeAfterQuotaQueue(h *scriptedHost, wait time.Duration) *net.TCPConn {
-	allowed := 0
-	limiter := h.LimitConnections(0, 19*time.Second, func(clock.Instant) int { return allowed }, func(time.Duration) {})
+	quota := 0
+	limiter := h.LimitConnections(0, 19*time.Second, func(clock.Instant) int { return quota }, func(time.Duration) {})
 	h.schedule("a", 0)
 	h.advance(wait)
-	allowed = 1
+	quota = 1
 	limiter.serveQueue()
 	h.runUntilConnected()
 	c := <-h.conns
--- a/internal/hosts/conn_test.go
+++ b/internal/hosts/conn_test.go
@@ -96,7 +96,7 @@
 // command is scheduled and not yet written.
 var connectionBreaks = []struct {
 	name       string
-	body       int // size of the command's body in bytes
+	bodySize   int // size of the command's body in bytes
 	breakUnder func(h *scriptedHost, c *net.TCPConn)
 }{
 	{"reset before it is written", 0, func(h *scriptedHost, c *net.TCPConn) {
@@ -158,7 +158,7 @@
 	var trace strings.Builder
 	for _, test := range connectionBreaks {
 		h := newScriptedHost(t)
-		h.schedule("a", test.body)
+		h.schedule("a", test.bodySize)
 		h.runWork(1)
 		test.breakUnder(h, <-h.conns)
 		h.runUntilResults(1)
--- a/internal/hosts/failure_test.go
+++ b/internal/hosts/failure_test.go
@@ -29,7 +29,7 @@
 // A dial that fails for lack of resources on this machine never counts against the host, and an attempt that may have
 // run is never reported as one that never ran.
 func TestSystemErrorResultDependsOnStage(t *testing.T) {
-	local := []syscall.Errno{
+	localErrors := []syscall.Errno{
 		syscall.EMFILE,
 		syscall.ENFILE,
 		syscall.ENOBUFS,
@@ -39,7 +39,7 @@
 		syscall.ENETDOWN,
 		syscall.EINTR,
 	}
-	remote := []syscall.Errno{
+	remoteErrors := []syscall.Errno{
 		syscall.ECONNREFUSED,
 		syscall.ECONNRESET,
 		syscall.ETIMEDOUT,
@@ -56,17 +56,17 @@
 			t.Errorf("%v: host fault %t, want %t", failure, got, hostFault)
 		}
 	}
-	for _, errno := range local {
+	for _, errno := range localErrors {
 		check(errno, Connecting, gateway.NotSent, false)
 		check(errno, Writing, gateway.Unreachable, true)
 		check(errno, Sent, gateway.Disconnected, true)
 	}
-	for _, errno := range remote {
+	for _, errno := range remoteErrors {
 		check(errno, Connecting, gateway.Unreachable, true)
 		check(errno, Writing, gateway.Unreachable, true)
 		check(errno, Sent, gateway.Disconnected, true)
 	}
-	for _, errno := range append(local, remote...) {
+	for _, errno := range append(localErrors, remoteErrors...) {
 		if failure := (&Failure{Sent, errno}); failure.Result().NeverRan() {
 			t.Errorf("%v: the result says that the attempt never ran", failure)
 		}
--- a/internal/hosts/helpers_test.go
+++ b/internal/hosts/helpers_test.go
@@ -75,8 +75,8 @@
 }
 
 // schedule makes an attempt and does not flush it. Its command begins with name and has a body of that many bytes.
-func (l *testLoop) schedule(name string, body int) *Attempt {
-	command := Command{Head: []byte(name + " "), Tail: make([]byte, body)}
+func (l *testLoop) schedule(name string, bodySize int) *Attempt {
+	command := Command{Head: []byte(name + " "), Tail: make([]byte, bodySize)}
 	deadline := l.Transport.now().Add(attemptTimeout)
 	return l.Send(1, command, deadline, deadline, l.recordResult(name+": result"))
 }
--- a/internal/hosts/limiter.go
+++ b/internal/hosts/limiter.go
@@ -62,19 +62,19 @@
 	Dials              int // dials started
 }
 
-// LimitConnections puts the transport under a quota of connections, which allowed returns for a time. It must be called
+// LimitConnections puts the transport under a quota of connections, which quotaAt returns for a time. It must be called
 // before the first attempt. See ConnectionLimiter for urgentFloor, maxWait (the longest time in the queue) and
 // onRejected, which is called for each rejected attempt with the average time for which an attempt uses a connection.
 func (t *Transport) LimitConnections(
 	urgentFloor int,
 	maxWait time.Duration,
-	allowed func(now clock.Instant) int,
+	quotaAt func(now clock.Instant) int,
 	onRejected func(serviceTime time.Duration),
 ) *ConnectionLimiter {
 	t.reuseDelay = limitedReuseDelay
 	t.limiter = &ConnectionLimiter{
 		transport:   t,
-		quotaAt:     allowed,
+		quotaAt:     quotaAt,
 		onRejected:  onRejected,
 		urgentFloor: urgentFloor,
 		maxWait:     maxWait,
@@ -119,12 +119,12 @@
 // expectedWait estimates the time until a queued attempt gets a connection, from its place in the queue, the
 // connections that are in use and the average service time.
 func (l *ConnectionLimiter) expectedWait(attempt *Attempt, now clock.Instant) time.Duration {
-	allowed := l.quotaAt(now)
+	quota := l.quotaAt(now)
 	_, demand := l.Usage()
 	busy := demand - len(l.queue)
-	available := max(allowed-busy, 0)
+	available := max(quota-busy, 0)
 	ahead := float64(max(slices.Index(l.queue, attempt)+1-available, 0))
-	return time.Duration(ahead * l.serviceTime / float64(max(allowed, 1)))
+	return time.Duration(ahead * l.serviceTime / float64(max(quota, 1)))
 }
 
 // reject removes an attempt from the queue and fails it with errQueueTimeout. While its ResultHandler runs, RetryAfter
@@ -171,8 +171,8 @@
 func (l *ConnectionLimiter) serveQueue() {
 	t := l.transport
 	now := t.now()
-	allowed := l.quotaAt(now)
-	for t.openConns > allowed {
+	quota := l.quotaAt(now)
+	for t.openConns > quota {
 		if !t.closeLongestIdle() {
 			break
 		}
@@ -181,14 +181,14 @@
 		return
 	}
 	for _, attempt := range l.servingOrder() {
-		l.serveAttempt(attempt, now, allowed)
+		l.serveAttempt(attempt, now, quota)
 	}
 	l.startTimer(now)
 }
 
 // serveAttempt assigns an idle connection to a queued attempt, or starts a dial for it if the quota and the backoff
 // permit one. It fails an attempt whose host was removed and rejects one whose queue deadline is over.
-func (l *ConnectionLimiter) serveAttempt(attempt *Attempt, now clock.Instant, allowed int) {
+func (l *ConnectionLimiter) serveAttempt(attempt *Attempt, now clock.Instant, quota int) {
 	pool := attempt.pool
 	switch {
 	case attempt.done:
@@ -207,7 +207,7 @@
 		c.assign(attempt)
 		return
 	}
-	if now < l.nextDial || len(pool.idle) > 0 || !l.ensureQuota(pool, allowed) {
+	if now < l.nextDial || len(pool.idle) > 0 || !l.ensureQuota(pool, quota) {
 		return
 	}
 	l.dequeue(attempt)
@@ -218,12 +218,12 @@
 
 // ensureQuota reports whether the quota permits one more connection to a host. At the quota it makes room by closing an
 // idle connection to another host, if there is one.
-func (l *ConnectionLimiter) ensureQuota(pool *hostPool, allowed int) bool {
+func (l *ConnectionLimiter) ensureQuota(pool *hostPool, quota int) bool {
 	t := l.transport
-	if t.openConns < allowed {
+	if t.openConns < quota {
 		return true
 	}
-	return t.openConns == allowed && l.closeIdleExcept(pool)
+	return t.openConns == quota && l.closeIdleExcept(pool)
 }
 
 // closeIdleExcept closes the connection that has been idle the longest, except for connections to the given host and to
--- a/internal/hosts/limiter_test.go
+++ b/internal/hosts/limiter_test.go
@@ -37,8 +37,8 @@
 	commands := make(chan string, 9)
 	loop := newTestLoop(t, serveAsFullStore(t, commands), 99)
 	loop.useRealTime()
-	allowed := 1
-	limiter := loop.LimitConnections(1, 19*time.Second, func(clock.Instant) int { return allowed }, func(time.Duration) {})
+	quota := 1
+	limiter := loop.LimitConnections(1, 19*time.Second, func(clock.Instant) int { return quota }, func(time.Duration) {})
 	send := func(name string) {
 		limiter.SetUrgent(name == "urgent")
 		command := Command{Head: []byte("*2\r\n"), BeforeTimeLeft: []byte(name)}
@@ -63,7 +63,7 @@
 	send("c") // gets the idle connection once its reuse delay is over
 	send("late")
 	loop.runUntilResults(5)
-	allowed = 0 // the next flush closes idle connections
+	quota = 0 // the next flush closes idle connections
 	loop.Flush()
 	open, _ := limiter.Usage()
 	golden.Check(t, fmt.Sprintf("%sstore received %.3s... first, %d refused, %d rejected, %d open\n",
