--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -60,7 +60,7 @@
 		}
 		c.commandCount++
 		switch {
-		case c.halfClosed: // sent before the client saw the close; without an answer it sends the command elsewhere
+		case c.halfClosed: // sent before the client saw the close: it gets no answer and is sent again elsewhere
 		case c.closing, command.rejected > 0:
 			c.Add().Reject(0) // not started: the client may retry at once on another gateway, idempotent or not
 		default:
