--- a/internal/config/adjustments.go
+++ b/internal/config/adjustments.go
@@ -63,12 +63,12 @@
 func (s *Settings) resolveLoadReport(reader *objectReader) {
 	if s.LoadReport.WithProbes && reader.contains("limits.probes", "false") {
 		s.adjust("report.how", "as off: limits.probes is false, so that no report comes")
-		s.LoadReport = gateway.LoadReportForm{}
+		s.LoadReport = gateway.LoadReportFormat{}
 		s.ReportNames = nil
 	}
 	if reader.contains("report.how", "off") && len(s.ReportNames) > 0 {
 		s.adjust("report.names", "ignored: report.how is off")
-		s.LoadReport = gateway.LoadReportForm{}
+		s.LoadReport = gateway.LoadReportFormat{}
 		s.ReportNames = nil
 	}
 }
--- a/internal/config/live_decode.go
+++ b/internal/config/live_decode.go
@@ -59,14 +59,14 @@
 	if index, ok := strings.CutPrefix(resource, configsync.MemberPrefix); ok {
 		return l.stageMember(edit, change, index)
 	}
-	if resource == configsync.LimitsName {
+	if resource == configsync.LimitsResource {
 		return l.stageLimits(edit, change)
 	}
 	return &ResourceError{Resource: change.Resource, Err: errUnknown}
 }
 
 func (l *Live) stagePlan(edit *liveEdit, change *configsync.Change, name string) error {
-	if change.Removed() {
+	if change.IsRemoval() {
 		l.plans.remove(&edit.plans, name)
 		return nil
 	}
@@ -118,7 +118,7 @@
 }
 
 func (l *Live) stageClass(edit *liveEdit, change *configsync.Change, name string) error {
-	if change.Removed() {
+	if change.IsRemoval() {
 		l.classes.remove(&edit.classes, name)
 		return nil
 	}
@@ -145,7 +145,7 @@
 }
 
 func (l *Live) stageLimits(edit *liveEdit, change *configsync.Change) error {
-	if change.Removed() {
+	if change.IsRemoval() {
 		edit.limits = l.file.limits
 		return nil
 	}
--- a/internal/node/connecting_test.go
+++ b/internal/node/connecting_test.go
@@ -105,7 +105,7 @@
 }
 
 // Reconfigure implements Decider.
-func (g *testGateway) Reconfigure(_ gateway.Time, update *gateway.Update) {
+func (g *testGateway) Reconfigure(_ gateway.Time, update *gateway.SettingsUpdate) {
 	g.events <- fmt.Sprintf("reconfigured: %d plans, %d classes", len(update.Plans), len(update.Classes))
 }
 
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -101,7 +101,7 @@
 // retryingDecider sends each request, and again after each end while it is open. It writes down its events.
 type retryingDecider struct{ strings.Builder }
 
-func (*retryingDecider) Reconfigure(gateway.Time, *gateway.Update) {}
+func (*retryingDecider) Reconfigure(gateway.Time, *gateway.SettingsUpdate) {}
 
 func (d *retryingDecider) Decide(batch *gateway.Batch, actions gateway.Actions) {
 	for _, event := range batch.Events {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 // Decider is the decision module.
 type Decider interface {
 	Decide(batch *gateway.Batch, actions gateway.Actions)
-	Reconfigure(now gateway.Time, update *gateway.Update) // called between two batches
+	Reconfigure(now gateway.Time, update *gateway.SettingsUpdate) // called between two batches
 }
 
 // DecisionCounter is a Decider that counts its decisions. They are logged every countsLogInterval.
@@ -103,10 +103,10 @@
 }
 
 // New returns a gateway on the process's own platform. It is not reachable before Run.
-func New(cfg *config.Config, module Decider) *Node { return NewOn(Platform{}, cfg, module) }
+func New(cfg *config.Config, module Decider) *Node { return NewOnPlatform(Platform{}, cfg, module) }
 
-// NewOn returns a gateway on a platform.
-func NewOn(platform Platform, cfg *config.Config, module Decider) *Node {
+// NewOnPlatform returns a gateway on a platform.
+func NewOnPlatform(platform Platform, cfg *config.Config, module Decider) *Node {
 	if platform.Clock == nil {
 		platform.Clock = clock.System{}
 	}
@@ -190,15 +190,15 @@
 // clock don't change it.
 func (n *Node) now() gateway.Time { return n.epoch.Add(n.clock.Monotonic()) }
 
-// WhileRunning has Run start a task beside the loop once the gateway has its addresses, at which point the
+// AddBackgroundTask has Run start a task beside the loop once the gateway has its addresses, at which point the
 // process before it has ended. Run calls the function that start returns after the loop has ended, and waits
 // for it.
-func (n *Node) WhileRunning(start func() (end func())) { n.tasks = append(n.tasks, start) }
+func (n *Node) AddBackgroundTask(start func() (end func())) { n.tasks = append(n.tasks, start) }
 
 // Run serves until it is called to stop and every request has its answer.
 func (n *Node) Run(stop <-chan struct{}) error {
 	err := n.run(stop)
-	if err != nil && !errors.Is(err, errStopped) {
+	if err != nil && !errors.Is(err, errStopRequested) {
 		return err
 	}
 	slog.Info("stopped")
--- a/internal/node/panic_test.go
+++ b/internal/node/panic_test.go
@@ -40,7 +40,7 @@
 // those of b.
 type panickingDecider struct{}
 
-func (panickingDecider) Reconfigure(gateway.Time, *gateway.Update) {}
+func (panickingDecider) Reconfigure(gateway.Time, *gateway.SettingsUpdate) {}
 
 func (panickingDecider) Decide(batch *gateway.Batch, actions gateway.Actions) {
 	for _, event := range batch.Events {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -41,10 +41,10 @@
 	stop := make(chan struct{})
 	go signals.handleShutdowns(stop)
 	module := logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport)
-	n := node.NewOn(platform, cfg, module)
+	n := node.NewOnPlatform(platform, cfg, module)
 	if follows != nil {
 		follows.node = n
-		n.WhileRunning(follows.start)
+		n.AddBackgroundTask(follows.start)
 	}
 	go signals.handleReloads(n)
 	if err := n.Run(stop); err != nil {
--- a/internal/publisher/admin.go
+++ b/internal/publisher/admin.go
@@ -48,7 +48,7 @@
 // atLeader returns a handler that handles a change at this replica, or forwards it if another one leads.
 func (p *Publisher) atLeader(parse func(body string) (draft, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		leader := p.replica.Leader()
+		leader := p.replica.LeaderIndex()
 		elsewhere := leader >= 0 && leader < len(p.cfg.Admin) && leader != p.cfg.Index
 		if elsewhere && r.Header.Get(forwardedHeader) == "" {
 			p.forward(w, r, leader)
--- a/internal/publisher/disk_test.go
+++ b/internal/publisher/disk_test.go
@@ -16,7 +16,7 @@
 func waitForHeartbeat(t *testing.T, g *publishertest.Group, replica int, current bool) {
 	t.Helper()
 	f := follow(t, g, replica, hello(1))
-	eventually(t, "the heartbeats of the replica", func() bool { return f.heartbeat().Current == current })
+	eventually(t, "the heartbeats of the replica", func() bool { return f.heartbeat().HasQuorum == current })
 	f.conn.Close()
 }
 
--- a/internal/publisher/follower_test.go
+++ b/internal/publisher/follower_test.go
@@ -74,7 +74,7 @@
 		case *configsync.Delta:
 			return m.To, m.Digest
 		case *configsync.SnapshotPart:
-			if m.Part == m.Parts-1 {
+			if m.Index == m.PartCount-1 {
 				return m.Version, m.Digest
 			}
 		}
@@ -185,7 +185,7 @@
 	other := hello(3)
 	other.Log = "another"
 	other.InForce = 4
-	if _, ok := follow(t, g, 0, other).next().(*configsync.OtherLog); !ok {
+	if _, ok := follow(t, g, 0, other).next().(*configsync.LogMismatch); !ok {
 		t.Error("a follower of another log is served")
 	}
 }
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -182,10 +182,10 @@
 	leader := g.Leader()
 	minority := (leader + 1) % 3
 	f := follow(t, g, minority, &configsync.Hello{Protocol: configsync.Protocol})
-	eventually(t, "a current replica", func() bool { return f.heartbeat().Current })
+	eventually(t, "a current replica", func() bool { return f.heartbeat().HasQuorum })
 	g.Close(leader)
 	g.Close(3 - leader - minority)
-	eventually(t, "heartbeats without a quorum", func() bool { return !f.heartbeat().Current })
+	eventually(t, "heartbeats without a quorum", func() bool { return !f.heartbeat().HasQuorum })
 	status, answer := g.Request(minority, "PATCH", "/v1/configuration", `{"remove":["limits"]}`, "")
 	if status != http.StatusServiceUnavailable {
 		t.Errorf("a minority: %d %s", status, answer)
@@ -221,7 +221,7 @@
 		for _, f := range []*follower{empty, ahead} {
 			message := f.next()
 			heartbeat, ok := message.(*configsync.Heartbeat)
-			if !ok || heartbeat.Latest != 0 || heartbeat.Current {
+			if !ok || heartbeat.Latest != 0 || heartbeat.HasQuorum {
 				t.Fatalf("%T %+v", message, message)
 			}
 		}
--- a/internal/publisher/serve_test.go
+++ b/internal/publisher/serve_test.go
@@ -14,7 +14,7 @@
 	c := &connection{wake: make(chan struct{}, 1)}
 	p := &Publisher{
 		cfg:         &config.Publisher{Sending: configsync.SenderLimits{VersionInterval: interval}},
-		connections: map[configsync.FollowerID]*connection{1: c},
+		connections: map[configsync.ConnectionID]*connection{1: c},
 	}
 	announce := func() {
 		p.mu.Lock()
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -51,9 +51,9 @@
 func (p *Publisher) Status() *Status {
 	status := &Status{
 		Replica:   p.cfg.Index,
-		Leader:    p.replica.Leader(),
-		Leads:     p.replica.Leads(),
-		Current:   p.replica.Current(),
+		Leader:    p.replica.LeaderIndex(),
+		Leads:     p.replica.IsLeader(),
+		Current:   p.replica.IsUpToDate(),
 		Followers: []Follower{},
 		Counters: Counters{
 			Connections:         p.counters.connected.Load(),
@@ -88,8 +88,8 @@
 		Connected:      member.Connected,
 		InForce:        member.InForce,
 		Refused:        member.Refused,
-		Resource:       member.Resource,
-		Reason:         member.Reason,
+		Resource:       member.RefusedResource,
+		Reason:         member.RefusalReason,
 		SinceMessageMS: now.Sub(member.LastMessage).Milliseconds(),
 	}
 }
--- a/internal/subscriber/status.go
+++ b/internal/subscriber/status.go
@@ -67,9 +67,9 @@
 		slog.Int64("bytes_out", s.BytesOut),
 		slog.Uint64("versions_accepted", c.Accepted),
 		slog.Uint64("versions_refused", c.Refused),
-		slog.Uint64("connections_lost", c.Lost),
-		slog.Uint64("malformed", c.Malformed),
-		slog.Uint64("snapshots_deferred", c.Deferred),
+		slog.Uint64("connections_lost", c.ConnectionsLost),
+		slog.Uint64("malformed", c.MalformedMessages),
+		slog.Uint64("snapshots_deferred", c.SnapshotsDeferred),
 		slog.Int("versions_unsaved", s.Unsaved),
 	}
 }
--- a/internal/subscriber/store_test.go
+++ b/internal/subscriber/store_test.go
@@ -148,7 +148,7 @@
 	}
 	failed := s.failing
 	document, err := Load(s.dir)
-	var damaged *configsync.FileError
+	var damaged *configsync.CorruptFileError
 	if err != nil && !errors.As(err, &damaged) {
 		t.Errorf("failed %t: %v", failed, err)
 	}
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -84,7 +84,7 @@
 	}
 	for _, change := range u.Changes {
 		content[change.Resource] = change.Value
-		if change.Removed() {
+		if change.IsRemoval() {
 			delete(content, change.Resource)
 		}
 	}
@@ -101,7 +101,7 @@
 // digestOf returns the digest of a content, which it takes from the error for a delta with a wrong one.
 func digestOf(content map[configsync.Resource][]byte) configsync.Digest {
 	d := configsync.NewDocument("any")
-	var wrong *configsync.DigestError
+	var wrong *configsync.DigestMismatchError
 	errors.As(d.Check(&configsync.Delta{Log: "any", To: 1, Changes: d.Diff(content)}), &wrong)
 	return wrong.Got
 }
@@ -268,7 +268,7 @@
 			t.Fatal(err)
 		}
 		document, err := Load(g.cfg.Dir)
-		var damaged *configsync.FileError
+		var damaged *configsync.CorruptFileError
 		if !errors.As(err, &damaged) || document.Version() != x.version {
 			t.Errorf("%s: version %d, %v", x.name, document.Version(), err)
 		}
@@ -347,7 +347,7 @@
 		g := newGateway(t, 0, []netip.AddrPort{bad, group.Configs[0].Listen})
 		g.start()
 		g.waitInForce(first)
-		if s := g.sub.Status(); s.Counters.Malformed == 0 {
+		if s := g.sub.Status(); s.Counters.MalformedMessages == 0 {
 			t.Errorf("%x: %+v", text, s)
 		}
 		g.stop()
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -181,7 +181,7 @@
 func hostileToGateways() map[string]hostileAnswer {
 	all := malformedToGateways()
 	all["another log"] = func(*configsync.Hello) []byte {
-		return configsync.Encode(&configsync.Heartbeat{Log: otherLog, Latest: farAheadVersion, Current: true})
+		return configsync.Encode(&configsync.Heartbeat{Log: otherLog, Latest: farAheadVersion, HasQuorum: true})
 	}
 	all["a delta that does not lead on"] = func(hello *configsync.Hello) []byte {
 		return configsync.Encode(falseDelta(hello, hello.InForce+1))
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -101,7 +101,7 @@
 
 // messageForm returns the format of the messages between gateways, as in package node.
 func messageForm(c *config.Config) gossip.Format {
-	return gossip.Format{Plans: len(c.Plans), Members: len(c.Peers), ByID: c.Configuration != nil}
+	return gossip.Format{Plans: len(c.Plans), Members: len(c.Peers), PlansByID: c.Configuration != nil}
 }
 
 // Index returns the gateway's member index.
