--- a/internal/clients/log_limiter.go
+++ b/internal/clients/log_limiter.go
@@ -6,23 +6,24 @@
 	"ravensill/internal/clock"
 )
 
-// logInterval is the time between log lines of one kind.
+// logInterval is the shortest time between two log lines of one logLimiter.
 const logInterval = time.Second
 
-// logLimiter limits log lines that any client can cause by the thousand to one in logInterval, and counts the others.
+// logLimiter limits a kind of log line, which a client could cause thousands of times, to one per logInterval. It
+// counts the events, so that the next line can report their number.
 type logLimiter struct {
 	suppressed int           // events since the latest line
-	loggedAt   clock.Instant // of the latest line; 0: none yet
+	loggedAt   clock.Instant // time of the latest line; 0: none yet
 }
 
-// due counts an event and reports whether a line may be logged now.
-func (l *logLimiter) due(now clock.Instant) bool {
+// recordEvent counts an event and reports whether a line may be logged now.
+func (l *logLimiter) recordEvent(now clock.Instant) bool {
 	l.suppressed++
 	return l.loggedAt == 0 || now.Sub(l.loggedAt) >= logInterval
 }
 
-// logged notes that a line is logged now and returns the number of events that it stands for.
-func (l *logLimiter) logged(now clock.Instant) (count int) {
+// takeCount records that a line is logged now. It returns the number of events since the previous line and resets it.
+func (l *logLimiter) takeCount(now clock.Instant) (count int) {
 	count = l.suppressed
 	l.suppressed = 0
 	l.loggedAt = now
--- a/internal/hosts/failure_test.go
+++ b/internal/hosts/failure_test.go
@@ -13,7 +13,7 @@
 	"ravensill/internal/golden"
 )
 
-// How far an attempt had come decides whether it may have run.
+// Whether the result of a failure says that the attempt may have run depends on its stage, not on the cause.
 func TestFailureResultDependsOnStage(t *testing.T) {
 	var trace strings.Builder
 	for _, cause := range []error{errMalformed, io.EOF, ErrTimedOut, ErrCanceled} {
@@ -26,10 +26,10 @@
 	golden.Check(t, trace.String())
 }
 
-// A shortage on this machine never counts against the host, and an attempt that may have run is never reported as one
-// that did not.
+// A dial that fails for lack of resources on this machine never counts against the host, and an attempt that may have
+// run is never reported as one that never ran.
 func TestSystemErrorResultDependsOnStage(t *testing.T) {
-	local := []syscall.Errno{
+	localErrors := []syscall.Errno{
 		syscall.EMFILE,
 		syscall.ENFILE,
 		syscall.ENOBUFS,
@@ -39,7 +39,7 @@
 		syscall.ENETDOWN,
 		syscall.EINTR,
 	}
-	remote := []syscall.Errno{
+	remoteErrors := []syscall.Errno{
 		syscall.ECONNREFUSED,
 		syscall.ECONNRESET,
 		syscall.ETIMEDOUT,
@@ -56,19 +56,19 @@
 			t.Errorf("%v: host fault %t, want %t", failure, got, hostFault)
 		}
 	}
-	for _, errno := range local {
+	for _, errno := range localErrors {
 		check(errno, Connecting, gateway.NotSent, false)
 		check(errno, Writing, gateway.Unreachable, true)
 		check(errno, Sent, gateway.Disconnected, true)
 	}
-	for _, errno := range remote {
+	for _, errno := range remoteErrors {
 		check(errno, Connecting, gateway.Unreachable, true)
 		check(errno, Writing, gateway.Unreachable, true)
 		check(errno, Sent, gateway.Disconnected, true)
 	}
-	for _, errno := range append(local, remote...) {
+	for _, errno := range append(localErrors, remoteErrors...) {
 		if failure := (&Failure{Sent, errno}); failure.Result().NeverRan() {
-			t.Errorf("%v: never ran", failure)
+			t.Errorf("%v: the result says that the attempt never ran", failure)
 		}
 	}
 }
--- a/internal/sockets/errors_test.go
+++ b/internal/sockets/errors_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// TestErrorsAreClassifiedByNumber checks errors that are wrapped as package net wraps them.
+// Errors are classified by their error number, also when they are wrapped as package net wraps them.
 func TestErrorsAreClassifiedByNumber(t *testing.T) {
 	tests := []struct {
-		errno     syscall.Errno
-		shortage  bool
-		transient bool
+		errno             syscall.Errno
+		resourceExhausted bool
+		transient         bool
 	}{
 		{syscall.EMFILE, true, true},
 		{syscall.ENFILE, true, true},
@@ -31,11 +31,11 @@
 	}
 	for _, test := range tests {
 		err := error(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", test.errno)})
-		if IsResourceExhausted(err) != test.shortage || IsTransientListenError(err) != test.transient {
-			t.Errorf("%v: shortage %t, transient %t", err, IsResourceExhausted(err), IsTransientListenError(err))
+		if IsResourceExhausted(err) != test.resourceExhausted || IsTransientListenError(err) != test.transient {
+			t.Errorf("%v: resource exhausted %t, transient %t", err, IsResourceExhausted(err), IsTransientListenError(err))
 		}
 	}
 	if IsResourceExhausted(nil) || IsResourceExhausted(errors.New("other")) {
-		t.Error("nil or an error without a number is a shortage")
+		t.Error("nil or an error without an error number is taken for a lack of resources")
 	}
 }
--- a/internal/sockets/socketstest/socketstest.go
+++ b/internal/sockets/socketstest/socketstest.go
@@ -1,5 +1,5 @@
-// Package socketstest provides a sockets.System that fails on purpose: by a script, call by call, or at random with a
-// seed.
+// Package socketstest provides a sockets.System for tests whose calls fail on purpose: as scripted call by call, or at
+// random with a seed.
 package socketstest
 
 import (
@@ -18,7 +18,7 @@
 // Call is a kind of system call.
 type Call int
 
-// The calls of a sockets.System.
+// The kinds of calls of a sockets.System.
 const (
 	Dial Call = iota
 	Listen
@@ -27,35 +27,38 @@
 	ReadPacket
 	Read
 	Write
-	calls
+	callCount // number of kinds
 )
 
-var callNames = [calls]string{"connect", "bind", "accept", "bind", "recvfrom", "read", "write"}
+// callNames are the names of the system calls in errors, by Call.
+var callNames = [callCount]string{"connect", "bind", "accept", "bind", "recvfrom", "read", "write"}
 
 // Fault is the failure of a call.
 type Fault struct {
-	Errno    syscall.Errno // 0: a short read or write
-	MaxBytes int           // that a short read or write transfers at most; a write may transfer none
+	Errno    syscall.Errno // error of the call; 0: a short read or write instead
+	MaxBytes int           // limit of the bytes that a short read or write transfers; only a write may transfer none
 }
 
-// Rate is the probability of faults in a call.
+// Rate is the frequency of random faults in calls of one kind.
 type Rate struct {
-	Probability float64 // that a call has a fault, 0 to 1
-	Faults      []Fault // of which one is drawn, each with the same probability
+	Probability float64 // probability that a call has a fault, from 0 to 1
+	Faults      []Fault // the possible faults, which are equally probable
 }
 
-// System makes the kernel's calls, some of which fail.
+// System is a sockets.System that makes some calls fail and passes the others to the kernel. It is safe for concurrent
+// use.
 type System struct {
 	sockets.Kernel
 
 	mu      sync.Mutex
 	random  *rand.Rand
 	rates   map[Call]Rate
-	scripts map[Call][]*Fault // faults of the next calls; nil: none
-	counts  [calls]int
+	scripts map[Call][]*Fault // faults of the next calls, by kind of call; a nil element is a call without a fault
+	counts  [callCount]int    // calls made, by kind of call
 }
 
-// New returns a system whose calls fail at random, the same way for the same seed and order of calls.
+// New returns a System whose calls fail at random at the given rates; kinds of calls that have no rate don't fail. The
+// same seed and order of calls give the same faults.
 func New(seed uint64, rates map[Call]Rate) *System {
 	return &System{
 		random:  rand.New(rand.NewPCG(seed, 1)),
@@ -64,32 +67,32 @@
 	}
 }
 
-// Script sets the faults of the next calls of a kind, after which they fail at random again; nil is a call without a
-// fault.
+// Script appends to the script of a kind of call: the next calls of the kind have these faults, one each, where nil
+// stands for no fault. Calls fail at random again once the script is over.
 func (s *System) Script(call Call, faults ...*Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.scripts[call] = append(s.scripts[call], faults...)
 }
 
-// ErrorScript returns a script of errors.
-func ErrorScript(numbers ...syscall.Errno) []*Fault {
+// ErrorScript returns faults, to be passed to Script, by which one call after the other fails with the given errors.
+func ErrorScript(errnos ...syscall.Errno) []*Fault {
 	var faults []*Fault
-	for _, errno := range numbers {
+	for _, errno := range errnos {
 		faults = append(faults, &Fault{Errno: errno})
 	}
 	return faults
 }
 
-// CallCount returns the number of calls of a kind, failed ones included.
+// CallCount returns the number of calls of a kind that were made, including those that failed.
 func (s *System) CallCount(call Call) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts[call]
 }
 
-// next returns the fault of the next call of a kind, nil for none.
-func (s *System) next(call Call) *Fault {
+// nextFault counts a call of a kind and returns its fault, or nil if it has none.
+func (s *System) nextFault(call Call) *Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts[call]++
@@ -104,9 +107,10 @@
 	return &rate.Faults[s.random.IntN(len(rate.Faults))]
 }
 
-// failure returns the error of the next call of a kind as package net would, nil for none.
-func (s *System) failure(call Call) error {
-	fault := s.next(call)
+// nextError counts a call of a kind and returns the error of its fault, wrapped as package net would wrap it, or nil if
+// it has none.
+func (s *System) nextError(call Call) error {
+	fault := s.nextFault(call)
 	if fault == nil {
 		return nil
 	}
@@ -115,7 +119,7 @@
 
 // Dial implements sockets.System.
 func (s *System) Dial(ctx context.Context, dialer *net.Dialer, address string) (*net.TCPConn, error) {
-	if err := s.failure(Dial); err != nil {
+	if err := s.nextError(Dial); err != nil {
 		return nil, err
 	}
 	return s.Kernel.Dial(ctx, dialer, address)
@@ -123,16 +127,16 @@
 
 // Listen implements sockets.System.
 func (s *System) Listen(address netip.AddrPort) (*net.TCPListener, error) {
-	if err := s.failure(Listen); err != nil {
+	if err := s.nextError(Listen); err != nil {
 		return nil, err
 	}
 	return s.Kernel.Listen(address)
 }
 
-// Accept implements sockets.System. ECONNABORTED removes a connection from the listen queue; after every other error it
-// stays there.
+// Accept implements sockets.System. As in the kernel, a call that fails with ECONNABORTED removes a connection from the
+// listen queue; a call that fails with another error leaves the queue as it is.
 func (s *System) Accept(listener *net.TCPListener) (*net.TCPConn, error) {
-	err := s.failure(Accept)
+	err := s.nextError(Accept)
 	if errors.Is(err, syscall.ECONNABORTED) {
 		if conn, acceptErr := s.Kernel.Accept(listener); acceptErr == nil {
 			conn.Close()
@@ -146,7 +150,7 @@
 
 // ListenPacket implements sockets.System.
 func (s *System) ListenPacket(address netip.AddrPort) (*net.UDPConn, error) {
-	if err := s.failure(ListenPacket); err != nil {
+	if err := s.nextError(ListenPacket); err != nil {
 		return nil, err
 	}
 	return s.Kernel.ListenPacket(address)
@@ -154,15 +158,16 @@
 
 // ReadPacket implements sockets.System.
 func (s *System) ReadPacket(conn *net.UDPConn, buffer []byte) (int, netip.AddrPort, error) {
-	if err := s.failure(ReadPacket); err != nil {
+	if err := s.nextError(ReadPacket); err != nil {
 		return 0, netip.AddrPort{}, err
 	}
 	return s.Kernel.ReadPacket(conn, buffer)
 }
 
-// Read implements sockets.System.
+// Read implements sockets.System. A short read transfers at least one byte, because zero would mean the end of the
+// stream.
 func (s *System) Read(descriptor uintptr, buffer []byte) (int, syscall.Errno) {
-	fault := s.next(Read)
+	fault := s.nextFault(Read)
 	switch {
 	case fault == nil:
 		return s.Kernel.Read(descriptor, buffer)
@@ -172,9 +177,9 @@
 	return s.Kernel.Read(descriptor, buffer[:min(max(fault.MaxBytes, 1), len(buffer))])
 }
 
-// Write implements sockets.System.
+// Write implements sockets.System. A short write may transfer nothing.
 func (s *System) Write(descriptor uintptr, buffer []byte) (int, syscall.Errno) {
-	fault := s.next(Write)
+	fault := s.nextFault(Write)
 	switch {
 	case fault == nil:
 		return s.Kernel.Write(descriptor, buffer)
