--- a/internal/publisher/admin.go
+++ b/internal/publisher/admin.go
@@ -49,7 +49,7 @@
 func (p *Publisher) atLeader(parse func(body string) (draft, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		leader := p.replica.LeaderIndex()
-		elsewhere := leader >= 0 && leader < len(p.cfg.Admin) && leader != p.cfg.Index
+		elsewhere := leader >= 0 && leader < len(p.cfg.AdminAddresses) && leader != p.cfg.Index
 		if elsewhere && r.Header.Get(forwardedHeader) == "" {
 			p.forward(w, r, leader)
 			return
@@ -66,7 +66,7 @@
 
 // forward sends a request to the leader and returns its response.
 func (p *Publisher) forward(w http.ResponseWriter, r *http.Request, leader int) {
-	target := &url.URL{Scheme: "http", Host: p.cfg.Admin[leader].String()}
+	target := &url.URL{Scheme: "http", Host: p.cfg.AdminAddresses[leader].String()}
 	proxy := &httputil.ReverseProxy{
 		Rewrite: func(request *httputil.ProxyRequest) {
 			request.SetURL(target)
--- a/internal/publisher/fleet.go
+++ b/internal/publisher/fleet.go
@@ -34,7 +34,7 @@
 func (p *Publisher) Fleet(ctx context.Context) *Fleet {
 	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 	defer cancel()
-	fleet := &Fleet{Replicas: make([]ReplicaStatus, len(p.cfg.Admin))}
+	fleet := &Fleet{Replicas: make([]ReplicaStatus, len(p.cfg.AdminAddresses))}
 	var requests sync.WaitGroup
 	for i := range fleet.Replicas {
 		requests.Go(func() { fleet.Replicas[i] = p.statusAt(ctx, i) })
@@ -49,7 +49,7 @@
 	if replica == p.cfg.Index {
 		return ReplicaStatus{Status: p.Status(), Replica: replica}
 	}
-	status, err := fetchStatus(ctx, "http://"+p.cfg.Admin[replica].String()+"/v1/status")
+	status, err := fetchStatus(ctx, "http://"+p.cfg.AdminAddresses[replica].String()+"/v1/status")
 	if err != nil {
 		return ReplicaStatus{Replica: replica, Error: err.Error()}
 	}
