--- a/internal/publisher/admin.go
+++ b/internal/publisher/admin.go
@@ -26,7 +26,7 @@
 //	GET /v1/configuration    the content in force by resource
 //	POST /v1/rollback        {"to": version}: its content as a new version
 //	GET /v1/status           this replica's Status
-//	GET /v1/fleet            Fleet: the followers of all replicas
+//	GET /v1/fleet            FleetStatus: the followers of all replicas
 //
 // Changes are forwarded to the leader. With the header If-Match, a quoted version, a change is made only if that is the
 // current version (RFC 9110, section 13.1.1).
@@ -40,7 +40,7 @@
 		writeJSON(w, http.StatusOK, p.Status())
 	})
 	mux.HandleFunc("GET /v1/fleet", func(w http.ResponseWriter, r *http.Request) {
-		writeJSON(w, http.StatusOK, p.Fleet(r.Context()))
+		writeJSON(w, http.StatusOK, p.FleetStatus(r.Context()))
 	})
 	return mux
 }
@@ -183,7 +183,7 @@
 func statusOf(err error) int {
 	var notLeader *NotLeaderError
 	var conflict *configsync.ConflictError
-	var history *HistoryError
+	var history *VersionNotInHistoryError
 	switch {
 	case errors.As(err, &notLeader), errors.Is(err, consensus.ErrNotLeader), errors.Is(err, consensus.ErrUnknownOutcome):
 		return http.StatusServiceUnavailable
