--- a/concurrency/limiter.go
+++ b/concurrency/limiter.go
@@ -14,9 +14,9 @@
 	MaxLateness          = 0.35
 	UtilizationObjective = 0.85 // utilization that the limit lets the fleet reach where endpoints report it
 
-	increase = 0.05 // fraction of its start by which the limit grows in a round trip while it is reached
-	decrease = 0.85 // factor of the limit, applied once in as long as answers may take
-	minLimit = 0.05 // attempts; a utilization below it counts as this much
+	increaseFraction = 0.05 // fraction of its start by which the limit grows in a round trip while it is reached
+	decreaseFactor   = 0.85 // factor of the limit, applied once in as long as answers may take
+	minLimit         = 0.05 // attempts; a utilization below it counts as this much
 
 	maxLatenessWindow = 16       // answers over which the mean lateness is taken, at most
 	utilizationWeight = 1.0 / 8  // of a report in the mean utilization
@@ -58,8 +58,8 @@
 // ObserveAnswer updates the limit by the latency of an answer, the latency objective of its class, and the
 // utilization that the endpoint reported with it, negative for none.
 func (l *Limiter) ObserveAnswer(latency, objective time.Duration, now gateway.Time, inFlight int, utilization float64) {
-	late := min(float64(latency)/float64(objective), 1)
-	l.lateness += (late - l.lateness) / min(2+l.limit, maxLatenessWindow)
+	relative := min(float64(latency)/float64(objective), 1)
+	l.lateness += (relative - l.lateness) / min(2+l.limit, maxLatenessWindow)
 	if utilization >= 0 {
 		l.observeUtilization(min(utilization, 1), inFlight)
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	if float64(inFlight+2) > l.limit {
-		l.limit += min(l.limit, increase*l.InitialLimitPerEndpoint*float64(l.endpoints)/l.limit)
+		l.limit += min(l.limit, increaseFraction*l.InitialLimitPerEndpoint*float64(l.endpoints)/l.limit)
 	}
 	if l.utilizationKnown && l.utilization < UtilizationObjective {
 		l.limit = max(l.limit, l.meanInFlight*UtilizationObjective/max(l.utilization, minLimit))
@@ -91,7 +91,7 @@
 	if now.Sub(l.lastDecrease) < interval {
 		return
 	}
-	l.limit = max(minLimit, l.limit*decrease)
+	l.limit = max(minLimit, l.limit*decreaseFactor)
 	l.lastDecrease = now
 }
 
--- a/concurrency/limiter_test.go
+++ b/concurrency/limiter_test.go
@@ -61,14 +61,14 @@
 		limiter.ObserveAnswer(900*ms, 1000*ms, now, 9, -1)
 	}
 	// 500 ms of late answers, at least 350 ms between decreases: one decrease of what the first answers raised it to.
-	if l := limiter.Limit(); l < 10*decrease || l > 10.5*decrease {
+	if l := limiter.Limit(); l < 10*decreaseFactor || l > 10.5*decreaseFactor {
 		t.Errorf("limit %.2f after 0.5 s of late answers, want one decrease of 10 to 10.5", l)
 	}
 	for range 40 {
 		now = now.Add(10 * ms)
 		limiter.ObserveAnswer(900*ms, 1000*ms, now, 9, -1)
 	}
-	if l := limiter.Limit(); l < 10*decrease*decrease || l > 10.5*decrease*decrease {
+	if l := limiter.Limit(); l < 10*decreaseFactor*decreaseFactor || l > 10.5*decreaseFactor*decreaseFactor {
 		t.Errorf("limit %.2f after 0.9 s of late answers, want two decreases", l)
 	}
 	if limiter.Lateness() <= MaxLateness {
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -10,16 +10,16 @@
 // Reason is why a request was rejected.
 type Reason int
 
-// The reasons, as Gauges counts them.
+// The rejection reasons. They index Gauges.Rejected.
 const (
-	OverQuota          Reason = iota // the copy of the bucket lacks the units
-	OverCeiling                      // this gateway's fraction of the ceiling lacks the units
-	CustomerUnanswered               // most of the customer's requests go unanswered
-	TooLate                          // no answer could come in time
-	OverConcurrencyCap               // too many of the customer's are in flight
-	NoEndpoint                       // the limit on attempts in flight, or no endpoint will do
-	AttemptFailed                    // its attempt failed, and a repeat is harmless
-	ReasonCount                      // number of reasons
+	OverQuota          Reason = iota // this gateway's copy of the token bucket has too few units
+	OverCeiling                      // this gateway's part of the hard ceiling has too few units
+	CustomerUnanswered               // most of the customer's recent attempts timed out
+	TooLate                          // no answer is expected in time
+	OverConcurrencyCap               // the customer is at its plan's cap on requests in flight
+	NoEndpoint                       // the limit on attempts in flight is reached, or no endpoint is available
+	AttemptFailed                    // an attempt failed, and the client may safely repeat the request
+	ReasonCount                      // number of rejection reasons
 )
 
 var reasonNames = [ReasonCount]string{
@@ -32,7 +32,7 @@
 	AttemptFailed:      "attempt_failed",
 }
 
-// String returns the reason as log lines name it.
+// String returns the name of the reason in log lines, such as "over_quota".
 func (r Reason) String() string {
 	if r < 0 || r >= ReasonCount {
 		return fmt.Sprintf("Reason(%d)", int(r))
@@ -41,22 +41,23 @@
 }
 
 const (
-	// unansweredLimit is the fraction of a customer's requests that may go unanswered. Beyond it one request is
-	// admitted in each unansweredInterval.
+	// unansweredLimit is the moving average of the fraction of a customer's attempts that time out, above which
+	// only one request is admitted in each unansweredInterval.
 	unansweredLimit    = 0.5
 	unansweredInterval = time.Second
-	answerMemory       = 0.75 // weight of the earlier requests in that fraction
-	maxUnseenBursts    = 0.5  // most that peers are taken to admit between two counters
+	unansweredDecay    = 0.75 // weight of the previous average in the unanswered fraction
+	maxUnseenBursts    = 0.5  // cap of the estimate in spendableLevel, in bursts of the plan
 )
 
-// admit decides a request: the design's ordinary path from top to bottom. withinCap is the probability that the
-// customer is within its cap on requests in flight. If mayAskCounter, the shared counter is asked for that
-// first, and counterReplied calls admit again.
+// admit runs the admission checks on a request and either rejects it, asks the shared counter, or starts its first
+// attempt. withinCap is the probability that the customer is within its cap on requests in flight. If mayAskCounter
+// is set and that probability is not 0, the shared counter is asked, and counterReplied calls admit again with its
+// answer.
 func (g *Gateway) admit(r *request, withinCap float64, mayAskCounter bool) {
 	demand := r.customer.demandRatio()
 	level := g.spendableLevel(r.customer, demand)
-	share := g.limitFraction(r)
-	if reason, retryAfter, objection := g.objection(r, level); objection {
+	fraction := g.limitFraction(r)
+	if reason, retryAfter, rejected := g.rejectionReason(r, level); rejected {
 		g.reject(r, reason, retryAfter)
 		return
 	}
@@ -64,24 +65,25 @@
 		g.askCounter(r)
 		return
 	}
-	if !r.customer.mayExceedCap(withinCap, demand) {
+	if !r.customer.worthSending(withinCap, demand) {
 		g.reject(r, OverConcurrencyCap, r.class.typicalLatency)
 		return
 	}
-	to := g.endpoints.choose(r.customer, r.class, g.now, share, nil)
-	if to == nil { // a rejection now is better than a late answer
+	target := g.endpoints.choose(r.customer, r.class, g.now, fraction, nil)
+	if target == nil { // reject now rather than answer late
 		g.reject(r, NoEndpoint, r.class.typicalLatency)
 		return
 	}
 	g.admitted++
 	g.spend(r.customer, r.units, withinCap)
 	g.addRetryBudget()
-	g.startAttempt(r, to)
+	g.startAttempt(r, target)
 }
 
-// objection returns why a request can't be admitted by what is known here, and the time in nanoseconds to retry
-// after.
-func (g *Gateway) objection(r *request, level float64) (reason Reason, retryAfter float64, objection bool) {
+// rejectionReason checks the quota, the hard ceiling, the unanswered fraction and the expected latency. If a check
+// fails, it returns the reason and the time in nanoseconds after which the client may retry. level is the part of
+// the bucket's level that may be spent, in units.
+func (g *Gateway) rejectionReason(r *request, level float64) (reason Reason, retryAfter float64, rejected bool) {
 	c := r.customer
 	timeLeft := float64(r.stopAt.Sub(g.now))
 	switch {
@@ -93,13 +95,14 @@
 		return CustomerUnanswered, float64(unansweredInterval), true
 	case g.answerTooLate(r):
 		return TooLate, r.class.typicalLatency, true
-	case r.stopAt > 0 && timeLeft < r.class.typicalLatency: // another gateway has the time to answer
+	case r.stopAt > 0 && timeLeft < r.class.typicalLatency: // the gateway stops before; others have time
 		return TooLate, r.class.typicalLatency, true
 	}
 	return 0, 0, false
 }
 
-// answerTooLate reports whether an answer is expected too late to be of value.
+// answerTooLate reports whether the deadline has passed, or the answer is expected after the latency objective in a
+// class whose late answers have no value.
 func (g *Gateway) answerTooLate(r *request) bool {
 	if r.deadline <= g.now {
 		return true
@@ -108,20 +111,23 @@
 	return r.class.LateValue == 0 && expected > float64(r.class.LatencyObjective)
 }
 
-// demandRatio returns the units that the customer asked for over those that were admitted, both decaying.
+// demandRatio returns the ratio of requested to admitted units of the customer, from sums that decay with the peer
+// timeout. It is 1 if every request is admitted.
 func (c *customer) demandRatio() float64 { return (1 + c.requestedUnits) / (1 + c.admittedUnits) }
 
-// spendableLevel returns the level of the copy less what peers may have admitted since their latest counters: a
-// random number, which varies more the more is asked for.
+// spendableLevel returns the level of this gateway's copy of the bucket less an estimate of what peers have
+// admitted since their latest counters. The estimate is a random number, at most maxUnseenBursts bursts, between 0
+// and twice its mean. Its mean grows with the peers' rate, the age of their counters and the demand ratio, so it
+// varies more the more is asked for.
 func (g *Gateway) spendableLevel(c *customer, demand float64) float64 {
 	unseen := 2 * g.random.fraction() * c.peerRate * g.counterAge * demand
 	return c.level - min(unseen, c.plan.Burst*maxUnseenBursts)
 }
 
-// recordAnswered records whether an attempt of the customer was answered in time.
-func (c *customer) recordAnswered(result gateway.Result) {
-	c.unansweredFraction *= answerMemory
+// recordResult updates the moving average of the fraction of the customer's attempts that time out.
+func (c *customer) recordResult(result gateway.Result) {
+	c.unansweredFraction *= unansweredDecay
 	if result == gateway.TimedOut {
-		c.unansweredFraction += 1 - answerMemory
+		c.unansweredFraction += 1 - unansweredDecay
 	}
 }
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -178,14 +178,14 @@
 }
 
 // answerCounter ends the earliest call of gateway i to the shared counter.
-func (sim *simulation) answerCounter(i int, res gateway.Result, total float64) {
+func (sim *simulation) answerCounter(i int, result gateway.Result, total float64) {
 	s := sim.gateways[i]
 	name := s.counterNames[0]
 	s.counterNames = s.counterNames[1:]
 	sim.deliver(i, gateway.Event{
 		Kind:         gateway.CounterReplied,
 		CounterName:  name,
-		Result:       res,
+		Result:       result,
 		CounterTotal: total,
 		Latency:      5 * ms,
 	})
--- a/logic/candidates.go
+++ b/logic/candidates.go
@@ -6,28 +6,28 @@
 	"ravensill/gateway"
 )
 
-// reportCandidates reports to an observer among which endpoints an attempt's was chosen, by the loads that
-// choose has set: every endpoint of the subset that could be chosen, and any other that was. The ranking is a
-// hash, so over customers each acceptable endpoint is the first with the same probability. Nothing is decided
-// by the report.
+// reportCandidates passes the candidates for an attempt to the actions, if they are a gateway.CandidateObserver. It
+// uses the loads that choose computed. The candidates are the chosen endpoint, every acceptable endpoint, and the
+// other available endpoints of the subset with a chance of 0. The ranking is a hash, so over all customers each
+// acceptable endpoint ranks first with the same probability. The report has no influence on decisions.
 func (g *Gateway) reportCandidates(r *request, chosen *endpoint) {
-	observer, on := g.actions.(gateway.CandidateObserver)
-	if !on {
+	observer, ok := g.actions.(gateway.CandidateObserver)
+	if !ok {
 		return
 	}
-	least := math.Inf(1)
-	for _, e := range g.endpoints.lastWeighed {
-		least = min(least, e.load)
+	leastLoad := math.Inf(1)
+	for _, e := range g.endpoints.candidates {
+		leastLoad = min(leastLoad, e.load)
 	}
-	most := r.customer.acceptableLoad(least)
-	candidates := append(g.candidates[:0], gateway.Candidate{Host: chosen.id, Load: chosen.load})
-	var next *endpoint // the customer's next in rank
+	maxLoad := r.customer.maxAcceptableLoad(leastLoad)
+	candidates := append(g.candidateBuffer[:0], gateway.Candidate{Host: chosen.id, Load: chosen.load})
+	var next *endpoint // the acceptable endpoint that ranks next for the customer
 	nextIndex := 0
-	within := 0
-	for _, e := range g.endpoints.lastWeighed {
-		acceptable := e.load <= most
+	acceptableCount := 0
+	for _, e := range g.endpoints.candidates {
+		acceptable := e.load <= maxLoad
 		if acceptable {
-			within++
+			acceptableCount++
 		}
 		if e == chosen || !acceptable && (!e.InSubset || math.IsInf(e.load, 1)) {
 			continue
@@ -44,11 +44,11 @@
 	}
 	candidates[0].Chance = 1
 	for i := range candidates {
-		candidates[i].Chance /= float64(within)
+		candidates[i].Chance /= float64(acceptableCount)
 	}
 	if next != nil {
 		candidates[1], candidates[nextIndex] = candidates[nextIndex], candidates[1]
 	}
-	g.candidates = candidates
+	g.candidateBuffer = candidates
 	observer.ObserveCandidates(r.id, r.customer.hash, candidates)
 }
--- a/logic/ceiling.go
+++ b/logic/ceiling.go
@@ -1,24 +1,25 @@
 package logic
 
-// assignCeiling sets this gateway's fraction of a customer's hard ceiling: 0 if the customer's requests do not
-// arrive here.
+// assignCeiling sets this gateway's part of the customer's hard ceiling: its rate and burst divided evenly among
+// the gateways that the customer's requests arrive at. The rate is 0 if this gateway is not one of them.
 func (g *Gateway) assignCeiling(c *customer) {
 	count := len(g.peers)
-	place := (g.membership.Index - c.firstGateway%count + count) % count
+	offset := (g.membership.Index - c.firstGateway%count + count) % count
 	c.ceilingBurst = c.plan.CeilingBurst / float64(max(c.spread, 1))
 	c.ceilingRate = 0
-	if place < c.spread {
+	if offset < c.spread {
 		c.ceilingRate = c.plan.CeilingRate / float64(c.spread)
 	}
 }
 
-// startCeiling fills the ceiling of a new record as from the start of this process: the process before may have
-// just spent it.
-func (g *Gateway) startCeiling(c *customer) {
+// initCeilingLevel sets the level of the ceiling in a new customer record to what has been refilled since this
+// process started. It doesn't start full, because a previous process of this gateway may just have spent the
+// ceiling.
+func (g *Gateway) initCeilingLevel(c *customer) {
 	c.ceilingLevel = min(c.ceilingBurst, c.ceilingRate*seconds(g.now.Sub(g.start)))
 }
 
-// refillCeiling adds what the ceiling gains in a time in seconds.
+// refillCeiling refills the ceiling for an elapsed time in seconds, up to its burst.
 func (c *customer) refillCeiling(elapsed float64) {
 	c.ceilingLevel = min(c.ceilingLevel+c.ceilingRate*elapsed, c.ceilingBurst)
 }
--- a/logic/clock_test.go
+++ b/logic/clock_test.go
@@ -35,8 +35,8 @@
 			sim.arrive(1, "a", 4)
 			sim.finishAll(1)
 			sim.advance(time.Second, true)
-			if quiet := sim.now.Sub(peer.lastReceived); quiet > sim.gateways[0].gateway.heartbeatInterval {
-				t.Errorf("the peer counts as silent for %v", quiet)
+			if silence := sim.now.Sub(peer.lastReceived); silence > sim.gateways[0].gateway.heartbeatInterval {
+				t.Errorf("the peer counts as silent for %v", silence)
 			}
 			c := sim.gateways[0].gateway.customers[hashText("a")]
 			const left, presumed = 10 - 3 - 4, 3 // presumed: taken for a peer that is not heard, which goes on as before
@@ -78,22 +78,22 @@
 			sim := newSimulation(1, 3, func(sim *simulation) { sim.now = epoch })
 			sim.gateways[0].clockOffset = step
 			sim.restart(0, 3, 1)
-			pool := &sim.gateways[0].gateway.endpoints
-			notify := func(l gateway.Endpoint) {
-				sim.list(0, gateway.ListChanges, []gateway.Endpoint{l})
+			endpoints := &sim.gateways[0].gateway.endpoints
+			notify := func(listed gateway.Endpoint) {
+				sim.list(0, gateway.ListChanges, []gateway.Endpoint{listed})
 			}
 			notify(gateway.Endpoint{Host: 2, Cell: 0})
 			sim.now = sim.now.Add(100 * time.Second)
 			started := sim.now
 			sim.now = sim.now.Add(delay)
 			notify(gateway.Endpoint{Host: 3, StartedAt: started})
-			h := pool.all[2]
+			e := endpoints.all[2]
 			duration := sim.slowStart.Duration
 			for _, age := range []time.Duration{delay, 3 * time.Second, duration / 2, duration + delay} {
 				sim.now = started.Add(age)
 				most := expectedWarmUp(sim.slowStart, age)
 				least := expectedWarmUp(sim.slowStart, age-delay)
-				if warm := pool.warmUpFraction(h, sim.now.Add(step)); warm > min(most, 1) || warm < min(least, 1) {
+				if warm := endpoints.warmUpFraction(e, sim.now.Add(step)); warm > min(most, 1) || warm < min(least, 1) {
 					t.Errorf("at the age of %v: %.3f warm, want %.3f to %.3f", age, warm, least, most)
 				}
 			}
@@ -105,14 +105,14 @@
 func TestSlowStartOfHostWithClockSetBack(t *testing.T) {
 	sim := newSimulation(1, 3, func(sim *simulation) { sim.now = epoch })
 	notify := func(since gateway.Time) {
-		l := gateway.Endpoint{Host: 3, StartedAt: since}
-		sim.list(0, gateway.ListChanges, []gateway.Endpoint{l})
+		listed := gateway.Endpoint{Host: 3, StartedAt: since}
+		sim.list(0, gateway.ListChanges, []gateway.Endpoint{listed})
 	}
 	notify(sim.now)
 	sim.advance(sim.slowStart.Duration+time.Second, true)
 	notify(sim.now.Add(-3600 * time.Second))
-	pool := &sim.gateways[0].gateway.endpoints
-	if warm := pool.warmUpFraction(pool.all[2], sim.now); warm > sim.slowStart.InitialFraction+0.15 {
+	endpoints := &sim.gateways[0].gateway.endpoints
+	if warm := endpoints.warmUpFraction(endpoints.all[2], sim.now); warm > sim.slowStart.InitialFraction+0.15 {
 		t.Errorf("%.2f warm", warm)
 	}
 }
--- a/logic/concurrency_cap.go
+++ b/logic/concurrency_cap.go
@@ -8,65 +8,68 @@
 )
 
 const (
-	counterSpan         = 5 * time.Second // time that one name at the shared counter covers
-	counterRetryDelay   = time.Second     // without calls after maxCounterFailures
-	maxCounterFailures  = 4               // in a row
-	counterTimeoutsLeft = 2               // left to the client at least, for a call to be made
+	counterPeriod          = 5 * time.Second // each customer has a new shared counter in each period
+	counterBackoff         = time.Second     // time without calls after maxCounterFailures
+	maxCounterFailures     = 4               // consecutive failures that suspend calls
+	minCounterTimeoutsLeft = 2               // a call needs more than this many call timeouts until the deadline
 )
 
-// withinCapProbability returns the probability that the customer is within its cap on requests in flight. The
-// number that peers have in flight is taken as Poisson distributed, with its mean by Little's law.
+// withinCapProbability estimates the probability that one more request of the customer is within its plan's cap on
+// requests in flight. It is 1 without a cap. The number in flight at peers is modeled as Poisson distributed; its
+// mean is the peers' request rate times the typical latency (Little's law).
 func (c *customer) withinCapProbability(class *class) float64 {
 	if c.plan.MaxInFlight == 0 {
 		return 1
 	}
-	elsewhere := c.peerRate / class.typicalUnits * class.typicalLatency / float64(time.Second)
+	meanAtPeers := c.peerRate / class.typicalUnits * class.typicalLatency / float64(time.Second)
 	probability := 0.0
-	term := math.Exp(-elsewhere)
+	term := math.Exp(-meanAtPeers)
 	for k := range max(c.plan.MaxInFlight-c.inFlight, 0) {
 		probability += term
-		term *= elsewhere / float64(k+1)
+		term *= meanAtPeers / float64(k+1)
 	}
 	return probability
 }
 
-// mayExceedCap reports whether a request is worth sending at a probability to be within the cap. A request that
-// surely exceeds it is not.
-func (c *customer) mayExceedCap(withinCap, demand float64) bool {
+// worthSending reports whether the expected value of sending a request outweighs the expected cost of exceeding the
+// cap on requests in flight. withinCap is the probability that the customer is within the cap; at 0 the request is
+// not sent.
+func (c *customer) worthSending(withinCap, demand float64) bool {
 	if withinCap == 0 {
 		return false
 	}
 	return withinCap/2 >= (1-withinCap)*c.plan.OverQuotaCost*demand
 }
 
-// mayAskCounter reports whether the shared counter can be asked if a request is within the cap: there is one,
-// it answers, and the client still waits then.
+// mayAskCounter reports whether the shared counter can decide on a request: the counter exists and calls of it are
+// not suspended, the plan has a cap and the customer's requests also arrive at peers, and enough time is left until
+// the deadline.
 func (g *Gateway) mayAskCounter(r *request) bool {
-	if !g.limits.SharedCounter || g.now < g.counterRetry {
+	if !g.limits.SharedCounter || g.now < g.counterRetryAt {
 		return false
 	}
 	capped := r.customer.plan.MaxInFlight > 0 && len(r.customer.subscriptions) > 0
 	timeLeft := r.deadline.Sub(g.now)
-	return capped && timeLeft > counterTimeoutsLeft*g.limits.CounterTimeout
+	return capped && timeLeft > minCounterTimeoutsLeft*g.limits.CounterTimeout
 }
 
-// askCounter counts a request as in flight at the shared counter; counterReplied continues with it. The
-// counter's name follows from the customer and the current span of time, alike on all gateways. Each span
-// starts from zero, or requests in flight at a killed gateway would count forever.
+// askCounter counts a request as in flight at the shared counter; counterReplied continues with the request. All
+// gateways derive the same counter name from the customer and the current period. Each period uses a new counter
+// that starts at zero, because requests in flight at a gateway that was killed are never subtracted.
 func (g *Gateway) askCounter(r *request) {
-	span := uint64(g.now / gateway.Time(counterSpan))
-	r.counterName = mix(uint64(r.customer.hash)<<32|span) >> 1
+	period := uint64(g.now / gateway.Time(counterPeriod))
+	r.counterName = mix(uint64(r.customer.hash)<<32|period) >> 1
 	g.callCounter(r.counterName, 1, r)
 }
 
-// callCounter adds to a number of requests in flight. r, if not nil, waits for the answer.
+// callCounter adds an amount to a shared counter. r is the request that waits for the reply, or nil if none does.
 func (g *Gateway) callCounter(name uint64, amount float64, r *request) {
 	g.counterCalls[name] = append(g.counterCalls[name], r)
-	g.actions.AddToCounter(name, amount, 2*counterSpan)
+	g.actions.AddToCounter(name, amount, 2*counterPeriod)
 }
 
-// counterReplied continues with the request that waits for an answer of the counter. Without an answer the
-// estimate decides.
+// counterReplied continues with the request that waits for a reply of the shared counter. If the call failed, the
+// estimate of withinCapProbability decides on the request.
 func (g *Gateway) counterReplied(event *gateway.Event) {
 	r, known := g.removeCounterCall(event.CounterName)
 	if !known {
@@ -87,8 +90,8 @@
 	g.admit(r, withinCap, false)
 }
 
-// removeCounterCall removes the first call of a counter that has no answer yet. It returns the request that
-// waits for it, nil for none.
+// removeCounterCall removes the oldest pending call of a shared counter. It returns the request that waits for its
+// reply, or nil if none does. known is false if no call is pending.
 func (g *Gateway) removeCounterCall(name uint64) (r *request, known bool) {
 	calls := g.counterCalls[name]
 	if len(calls) == 0 {
@@ -101,7 +104,8 @@
 	return calls[0], true
 }
 
-// recordCounterResult suspends calls of the counter for a while after several failures in a row.
+// recordCounterResult suspends calls of the shared counter for counterBackoff after maxCounterFailures consecutive
+// failures.
 func (g *Gateway) recordCounterResult(result gateway.Result) {
 	if result == gateway.Succeeded {
 		g.counterFailures = 0
@@ -109,6 +113,6 @@
 	}
 	g.counterFailures++
 	if g.counterFailures >= maxCounterFailures {
-		g.counterRetry = g.now.Add(counterRetryDelay)
+		g.counterRetryAt = g.now.Add(counterBackoff)
 	}
 }
--- a/logic/customer.go
+++ b/logic/customer.go
@@ -6,40 +6,43 @@
 	"ravensill/gateway"
 )
 
-// customer is this gateway's copy of a customer's token bucket, with what its peers have sent of it.
+// customer is the state of one customer at this gateway: its copy of the customer's token bucket, its part of the
+// hard ceiling, and the counters exchanged with peers. Sums that decay do so with the peer timeout.
 type customer struct {
 	hash          uint32
 	plan          *gateway.Plan
 	planIndex     int
-	spread        int            // gateways that the customer's requests arrive at,
-	firstGateway  int            // from this member index on, cyclically
-	subscriptions []subscription // peers that send its counters or are sent them
-	created       gateway.Time
+	spread        int            // number of gateways that the customer's requests arrive at
+	firstGateway  int            // member index of the first of them; the others follow cyclically
+	subscriptions []subscription // peers that exchange the customer's counters with this gateway
+	createdAt     gateway.Time
 
-	refilled       gateway.Time // latest refill
-	lastAdmission  gateway.Time // here or at a peer
-	level          float64      // units in the bucket; negative: debt
-	peerRate       float64      // units a second that the peers admit
-	requestedUnits float64      // decaying sum
-	admittedUnits  float64      // decaying sum
-	presumedUnits  float64      // decaying sum of units subtracted without messages of the peers
-	counters       [2]float64
+	refilledAt     gateway.Time // time of the latest refill
+	lastAdmission  gateway.Time // latest admission known, here or at a peer
+	level          float64      // units in the bucket; a negative level is a debt
+	peerRate       float64      // units a second that peers admit, a decaying average
+	requestedUnits float64      // requested here, a decaying sum
+	admittedUnits  float64      // admitted here, a decaying sum
+	presumedUnits  float64      // subtracted for silent peers by subtractPresumed, a decaying sum
+	counters       [2]float64   // cumulative units, by ownCounter and rowCounter
 
-	ceilingLevel float64 // units in this gateway's fraction of the ceiling
-	ceilingRate  float64 // units a second
-	ceilingBurst float64 // most units
+	ceilingLevel float64 // units left in this gateway's part of the ceiling; negative: overspent
+	ceilingRate  float64 // units a second at this gateway
+	ceilingBurst float64 // units at this gateway, at most
 
-	inFlight           int     // attempts from here
-	unansweredFraction float64 // moving average over its requests
+	inFlight           int     // attempts of this gateway
+	unansweredFraction float64 // moving average of the fraction of attempts that time out
 }
 
-// The cumulative counters of a customer, in units, as they are gossiped.
+// The indices of customer.counters. The counters are sent to peers as gossip. In a grid of members (see
+// buildTopology), peers in the same row receive ownCounter, and peers in other rows receive rowCounter.
 const (
-	ownCounter = 0 // admitted here
-	rowCounter = 1 // admitted here and by the others of this gateway's row
+	ownCounter = 0 // units admitted at this gateway
+	rowCounter = 1 // units admitted in this gateway's row, itself included
 )
 
-// customerFor returns a customer's record, a new one with a full copy if there is none.
+// customerFor returns the record of a customer. It creates one with a full copy of the token bucket if there is
+// none.
 func (g *Gateway) customerFor(hash uint32, plan, spread, firstGateway int) *customer {
 	if c := g.customers[hash]; c != nil {
 		return c
@@ -50,21 +53,21 @@
 		planIndex:     plan,
 		spread:        spread,
 		firstGateway:  firstGateway,
-		created:       g.now,
-		refilled:      g.now,
+		createdAt:     g.now,
+		refilledAt:    g.now,
 		lastAdmission: g.now,
 		level:         g.plans[plan].Burst,
 	}
 	g.subscribe(c)
 	g.assignCeiling(c)
-	g.startCeiling(c)
+	g.initCeilingLevel(c)
 	g.customers[hash] = c
 	return c
 }
 
-// changePlan applies another plan to a customer, or a new version of its plan. The change adds no units and
-// takes effect at once. Counters belong to one plan: with another ID they start again from zero, or peers would
-// charge units of the former plan to this one.
+// changePlan moves a customer to another plan, or to a new version of its plan. The change adds no units and takes
+// effect at once. Under a plan with another ID the counters restart from zero, because peers would charge units of
+// the former plan to the new one.
 func (g *Gateway) changePlan(c *customer, plan *gateway.Plan) {
 	if plan.ID != c.plan.ID {
 		c.counters = [2]float64{}
@@ -75,12 +78,14 @@
 	}
 	c.plan = plan
 	g.assignCeiling(c)
-	c.level = max(min(c.level, plan.Burst), -maxDebt*plan.Burst)
+	c.level = max(min(c.level, plan.Burst), -maxDebtBursts*plan.Burst)
 	c.ceilingLevel = min(c.ceilingLevel, c.ceilingBurst)
 }
 
-// forgettable reports whether a customer's record can be dropped without loss.
-func (g *Gateway) forgettable(c *customer) bool {
+// evictable reports whether the record of a customer can be dropped without loss: a new record would be the same.
+// Neither the bucket nor the ceiling lacks units, nothing is in flight or queued, and the latest admission is older
+// than the peer timeout.
+func (g *Gateway) evictable(c *customer) bool {
 	g.refill(c)
 	if c.inFlight > 0 || g.now.Sub(c.lastAdmission) <= g.peerTimeout {
 		return false
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -8,56 +8,55 @@
 	"ravensill/subset"
 )
 
-// initialInFlight is the limit on attempts in flight at each endpoint to start with, from all gateways
-// together.
+// initialInFlight is the initial limit on attempts in flight for each endpoint, over all gateways together.
 const initialInFlight = 6.0
 
-// endpointSet holds the endpoints of the list.
+// endpointSet holds the listed endpoints, their measured health and load, and the limit on attempts in flight.
 type endpointSet struct {
-	all         []*endpoint // by id
-	nearby      []*endpoint // those of all that are in this gateway's subset or were sent an attempt
-	lastWeighed []*endpoint // those whose loads were set by the latest call of weigh
-	busy        []*endpoint // those with attempts in flight at the last timer, or sent one since
+	all        []*endpoint // ordered by id
+	inUse      []*endpoint // endpoints in this gateway's subset or contacted before, ordered by id
+	candidates []*endpoint // endpoints that computeLoads was last called with
+	active     []*endpoint // endpoints with attempts in flight, ordered by id; activeEndpoints removes idle ones
 
 	slowStart        gateway.SlowStart
 	random           *generator
-	utilizationField int // index of the utilization in load reports; -1: none
-	inFlight         int // attempts of this gateway
-	memberIndex      int // of this gateway
-	memberCount      int
-	limit            concurrency.Limiter
-	listReceived     bool         // whether a list was received beside the cached one
-	stallEnd         gateway.Time // end of this gateway's latest stall
-	stallLength      time.Duration
+	utilizationField int                 // index of the utilization in load reports; -1: not reported
+	inFlight         int                 // attempts of this gateway in flight
+	memberIndex      int                 // member index of this gateway
+	memberCount      int                 // number of gateways in the fleet
+	limit            concurrency.Limiter // on attempts of this gateway in flight
+	listReceived     bool                // whether a list other than the cached one was received
+	stallEnd         gateway.Time        // end of this gateway's latest stall; 0: none so far
+	stallLength      time.Duration       // of the latest stall
 }
 
-// endpoint is one endpoint of the list.
+// endpoint is one listed endpoint with its measured state.
 type endpoint struct {
 	subset.Endpoint
 	id              uint32
 	state           gateway.EndpointState
-	contacted       bool         // whether an attempt was sent to it since it is in the list
-	announcedStart  gateway.Time // latest start by its own wall clock, as in the list; 0: long ago
-	startedAt       gateway.Time // latest start by this gateway's clock, see startOf
-	inFlight        []*attempt
-	inBusy          bool    // whether it is in endpointSet.busy
-	relativeLatency float64 // of its answers, over the typical latency
-	utilization     float64 // as it reports
-	load            float64 // expected relative latency of an answer, as set by weigh
-	allowance       float64 // attempts that it may get while it warms up
-	health          []health
+	contacted       bool         // whether it was sent an attempt since it was listed
+	announcedStart  gateway.Time // latest start by the host's wall clock, as listed; 0: long ago
+	startedAt       gateway.Time // latest start by this gateway's clock, see localStart; 0: long ago
+	inFlight        []*attempt   // of this gateway
+	isActive        bool         // whether it is in endpointSet.active
+	relativeLatency float64      // moving average of its answers' latency, relative to the class's typical latency
+	utilization     float64      // moving average of its reports, 0 to 1
+	load            float64      // expected relative latency, set by computeLoads; +Inf: unavailable
+	allowance       float64      // attempts that it may be sent during slow start
+	health          []health     // by index of the request class, see healthFor
 }
 
-// health is how an endpoint serves one request class: it may fail one class and serve the others.
+// health is how an endpoint serves one request class. An endpoint may fail one class and serve the others.
 type health struct {
-	lastGood           gateway.Time
-	lastAnswer         gateway.Time
-	lastFailure        gateway.Time
-	unansweredFraction float64      // of the attempts, as of unansweredAt
-	unansweredAt       gateway.Time // see suspicion
+	lastGood           gateway.Time // latest success
+	lastAnswer         gateway.Time // latest success or busy answer
+	lastFailure        gateway.Time // latest error, lost connection or malformed answer
+	unansweredFraction float64      // estimated fraction of attempts that get no answer, as of fractionUpdatedAt
+	fractionUpdatedAt  gateway.Time // suspicion lets the fraction decay from then on
 }
 
-// healthFor returns how the endpoint serves a class. Records are made on first use, since most endpoints of a
+// healthFor returns the endpoint's health for a class. Records are created on first use, since most endpoints of a
 // large list are never used.
 func (e *endpoint) healthFor(class *class) *health {
 	if missing := class.index + 1 - len(e.health); missing > 0 {
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -9,8 +9,8 @@
 	"ravensill/subset"
 )
 
-// updateList applies a list of endpoints, or changes of it. An endpoint that is gone loses its record and its
-// part of the limit on attempts in flight.
+// updateList applies a complete list of endpoints or changes of it. The record of an endpoint that is gone is
+// dropped, and the limit on attempts in flight changes in proportion to the number of endpoints.
 func (s *endpointSet) updateList(kind gateway.ListKind, listed []gateway.Endpoint, now gateway.Time) {
 	if kind == gateway.ListComplete || kind == gateway.ListCached {
 		for _, e := range s.all {
@@ -28,11 +28,12 @@
 	s.chooseSubset()
 }
 
-// updateEndpoint applies one entry of a list. A new start voids what was measured of the process before.
+// updateEndpoint applies one entry of a list. A changed start time means a new process: measurements of the
+// previous process are dropped.
 func (s *endpointSet) updateEndpoint(e *endpoint, listed *gateway.Endpoint, now gateway.Time) {
 	if listed.StartedAt != e.announcedStart {
 		e.announcedStart = listed.StartedAt
-		e.startedAt = s.startOf(listed.StartedAt, now)
+		e.startedAt = s.localStart(listed.StartedAt, now)
 		e.relativeLatency = 1
 		e.allowance = s.random.fraction()
 		e.utilization = 0
@@ -42,11 +43,11 @@
 	e.Weight = listed.Weight
 }
 
-// byID compares an endpoint with an id, for binary searches.
+// byID compares an endpoint's id with an id, for binary searches in lists ordered by id.
 func byID(e *endpoint, id uint32) int { return cmp.Compare(e.id, id) }
 
-// recordsFor returns the record of each endpoint of a list, new ones for unknown endpoints. It sorts once: an
-// insertion for each new endpoint would take a number of moves quadratic in the list's length.
+// recordsFor returns the record of each listed endpoint and creates those of unknown endpoints. It sorts all
+// records once: inserting new endpoints one by one would take a quadratic number of moves.
 func (s *endpointSet) recordsFor(listed []gateway.Endpoint) []*endpoint {
 	known := s.all
 	added := map[uint32]*endpoint{}
@@ -72,8 +73,9 @@
 	return records
 }
 
-// chooseSubset marks this gateway's subset of the endpoints, so that it keeps few connections and gets answers
-// from each often. The other endpoints serve when none of the subset can.
+// chooseSubset marks the endpoints in this gateway's subset. With a subset the gateway keeps few connections and
+// gets answers from each endpoint often. Endpoints outside the subset are used only if those in it are overloaded
+// or unavailable.
 func (s *endpointSet) chooseSubset() {
 	var running []*subset.Endpoint
 	for _, e := range s.all {
@@ -83,42 +85,44 @@
 		}
 	}
 	subset.AssignSubset(s.memberIndex, s.memberCount, running)
-	s.collectNearby()
+	s.collectInUse()
 }
 
-// collectNearby collects the endpoints of the subset and those that were sent an attempt. Walks are over these,
-// but for a rare one in choose: their cost does not grow with the list.
-func (s *endpointSet) collectNearby() {
-	s.nearby = s.nearby[:0]
+// collectInUse collects the endpoints that are in the subset or were sent an attempt. Requests and timers iterate
+// over these alone, so that their cost does not grow with the list. Only choose falls back to all endpoints, which
+// is rare.
+func (s *endpointSet) collectInUse() {
+	s.inUse = s.inUse[:0]
 	for _, e := range s.all {
 		if e.InSubset || e.contacted {
-			s.nearby = append(s.nearby, e)
+			s.inUse = append(s.inUse, e)
 		}
 	}
 }
 
-// withAttempts returns the endpoints with attempts in flight, ordered by id.
-func (s *endpointSet) withAttempts() []*endpoint {
-	s.busy = slices.DeleteFunc(s.busy, func(e *endpoint) bool {
-		e.inBusy = len(e.inFlight) > 0 && e.state != gateway.Gone
-		return !e.inBusy
+// activeEndpoints returns the endpoints with attempts in flight, ordered by id. It first removes from the active
+// list those that have none left or are gone.
+func (s *endpointSet) activeEndpoints() []*endpoint {
+	s.active = slices.DeleteFunc(s.active, func(e *endpoint) bool {
+		e.isActive = len(e.inFlight) > 0 && e.state != gateway.Gone
+		return !e.isActive
 	})
-	return s.busy
+	return s.active
 }
 
-// recordContact records that an endpoint is sent an attempt.
+// recordContact adds an endpoint that is sent an attempt to the active endpoints and to those in use.
 func (s *endpointSet) recordContact(e *endpoint) {
-	if !e.inBusy {
-		e.inBusy = true
-		s.busy = insertByID(s.busy, e)
+	if !e.isActive {
+		e.isActive = true
+		s.active = insertByID(s.active, e)
 	}
 	if !e.InSubset && !e.contacted {
-		s.nearby = insertByID(s.nearby, e)
+		s.inUse = insertByID(s.inUse, e)
 	}
 	e.contacted = true
 }
 
-// insertByID inserts an endpoint into a list that is ordered by id.
+// insertByID inserts an endpoint into a list ordered by id.
 func insertByID(list []*endpoint, e *endpoint) []*endpoint {
 	i, _ := slices.BinarySearchFunc(list, e.id, byID)
 	return slices.Insert(list, i, e)
--- a/logic/endpoint_poll.go
+++ b/logic/endpoint_poll.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	firstPollPause   = 300 * time.Millisecond // mean pause before a lost list is polled again
-	maxPollPauses    = 13                     // longest pause, in first pauses
-	maxPollDoublings = 5                      // failures in a row that double the pause
+	initialPollDelay   = 300 * time.Millisecond // mean delay of the first poll after the list was lost
+	maxPollDelayFactor = 13                     // longest delay, as a multiple of initialPollDelay
+	maxPollDoublings   = 5                      // consecutive failures from which on the mean delay stays the same
 )
 
-// schedulePoll sets when a lost endpoint list is polled again, with exponential backoff and jitter: gateways of
-// a fleet poll at different times, and each has its list within 6 s.
+// schedulePoll schedules the next poll of the endpoint list after a failure, with exponential backoff and jitter:
+// the gateways of a fleet poll at different times, and each has its list within 6 s. Any received list cancels the
+// poll.
 func (g *Gateway) schedulePoll(kind gateway.ListKind) {
 	if kind != gateway.ListUnavailable {
 		g.failedPolls = 0
@@ -25,12 +26,12 @@
 	if g.failedPolls == 1 {
 		g.lastPoll = g.now
 	}
-	drawn := time.Duration((0.5 + g.random.fraction()) * float64(firstPollPause<<(g.failedPolls-1)))
-	pause := min(drawn, maxPollPauses*firstPollPause)
-	g.nextPoll = max(g.lastPoll.Add(pause), g.now.Add(pause/8))
+	jittered := time.Duration((0.5 + g.random.fraction()) * float64(initialPollDelay<<(g.failedPolls-1)))
+	delay := min(jittered, maxPollDelayFactor*initialPollDelay)
+	g.nextPoll = max(g.lastPoll.Add(delay), g.now.Add(delay/8))
 }
 
-// pollIfDue polls a lost endpoint list.
+// pollIfDue requests the endpoint list if a poll of it is due.
 func (g *Gateway) pollIfDue() {
 	if !g.limits.PollEndpoints || g.now < g.nextPoll {
 		return
--- a/logic/endpoint_test.go
+++ b/logic/endpoint_test.go
@@ -124,9 +124,9 @@
 	sim.gateways[0].gateway.retryBudget = 1
 	sim.finishAttempt(0, 0, gateway.Malformed, false)
 	sim.finishAll(0)
-	for _, h := range sim.gateways[0].gateway.endpoints.all {
-		if h.healthFor(sim.gateways[0].gateway.classes[0]).unansweredFraction != 0 {
-			t.Errorf("host %d is suspected", h.id)
+	for _, e := range sim.gateways[0].gateway.endpoints.all {
+		if e.healthFor(sim.gateways[0].gateway.classes[0]).unansweredFraction != 0 {
+			t.Errorf("host %d is suspected", e.id)
 		}
 	}
 	golden.Check(t, sim.trace.String())
@@ -140,9 +140,9 @@
 		used[i] = map[uint32]bool{}
 		for c := range 200 {
 			sim.arrive(i, fmt.Sprintf("c%d", c), 1)
-			for _, h := range sim.gateways[i].gateway.endpoints.all {
-				if len(h.inFlight) > 0 {
-					used[i][h.id] = true
+			for _, e := range sim.gateways[i].gateway.endpoints.all {
+				if len(e.inFlight) > 0 {
+					used[i][e.id] = true
 				}
 			}
 			sim.finishAll(i)
@@ -268,24 +268,24 @@
 				})
 			}
 			sim.advance(80*ms, true)
-			for _, h := range sim.gateways[0].gateway.endpoints.all {
-				for i := 0; i < len(h.inFlight); {
-					s := h.inFlight[i]
-					f, res, lag := s.request.class.index, gateway.Succeeded, 80*ms
-					if h.id <= 2 {
-						n[f]++
-						if f == 0 {
-							res, lag = gateway.TimedOut, 800*ms
+			for _, e := range sim.gateways[0].gateway.endpoints.all {
+				for i := 0; i < len(e.inFlight); {
+					a := e.inFlight[i]
+					class, result, latency := a.request.class.index, gateway.Succeeded, 80*ms
+					if e.id <= 2 {
+						n[class]++
+						if class == 0 {
+							result, latency = gateway.TimedOut, 800*ms
 						}
 					}
 					sim.deliver(0, gateway.Event{
 						Kind:      gateway.AttemptEnded,
-						RequestID: s.request.id,
-						Host:      h.id,
-						Attempt:   s.number,
-						Result:    res,
-						Latency:   lag,
-						Closed:    res == gateway.Succeeded,
+						RequestID: a.request.id,
+						Host:      e.id,
+						Attempt:   a.number,
+						Result:    result,
+						Latency:   latency,
+						Closed:    result == gateway.Succeeded,
 					})
 				}
 			}
@@ -333,19 +333,19 @@
 	for i, s := range sim.gateways {
 		sim.list(i, gateway.ListComplete, all)
 		slices.Reverse(all)
-		was, n := map[uint32]bool{}, 0
-		for _, h := range s.gateway.endpoints.all {
-			if was[h.id] = h.InSubset; h.InSubset {
+		before, n := map[uint32]bool{}, 0
+		for _, e := range s.gateway.endpoints.all {
+			if before[e.id] = e.InSubset; e.InSubset {
 				n++
-				members[h.id]++
+				members[e.id]++
 			}
 		}
 		if n != 8 {
 			t.Errorf("gateway %d has a subset of %d hosts, want 12*180/300 or a little more", i, n)
 		}
 		sim.list(i, gateway.ListChanges, []gateway.Endpoint{{Host: 40, State: gateway.Gone}})
-		for _, h := range s.gateway.endpoints.all {
-			if h.InSubset && !was[h.id] {
+		for _, e := range s.gateway.endpoints.all {
+			if e.InSubset && !before[e.id] {
 				added++
 			}
 		}
--- a/logic/gateway.go
+++ b/logic/gateway.go
@@ -1,26 +1,27 @@
-// Package logic holds all decisions on the path of a request. It does no I/O: Decide takes a batch of events and
-// writes actions.
+// Package logic makes all decisions on the path of a request. It does no I/O: Gateway.Decide takes a batch of events
+// and calls the actions that follow from them.
 //
-// The design (docs/design.md) decides each request's ordinary path. Every gateway holds an undivided copy of
-// each customer's token bucket, refilled at the full rate. What peers admit is gossiped as cumulative counters
-// and subtracted from the copy, down to a bounded debt. A copy without the units rejects. Beside that stand
-// these mechanisms, each in a file of its own:
+// Every gateway holds a full copy of each customer's token bucket, refilled at the full rate. Gateways gossip what
+// they admit as cumulative counters; each gateway subtracts what its peers admitted from its copy, down to a bounded
+// debt, and rejects requests for which its copy has too few units (docs/design.md). The other mechanisms, each in a
+// file of its own:
 //
-//   - request.go: the way of a request, from its arrival to its final answer
-//   - admission.go: whether a request is admitted, the checks in their order
-//   - token_bucket.go: the copy of a customer's bucket
-//   - ceiling.go: this gateway's fraction of a plan's hard ceiling
-//   - concurrency_cap.go: the cap on requests in flight, asked of the shared counter, else estimated
-//   - load_shedding.go: the limit on attempts in flight (package concurrency); requests of low value give way
-//     first
-//   - retry.go: retries, their budget, and until when an answer is waited for
-//   - endpoint_list.go, endpoint_choice.go: the endpoint list, this gateway's subset of it (package subset), the choice
-//   - slow_start.go: what an endpoint may get while it warms up
-//   - outlier.go: endpoints that fail a request class or fall silent
-//   - gossip_send.go, gossip_receive.go, membership.go: the exchange with peers
-//   - timer.go, endpoint_poll.go, settings.go: what time, a lost endpoint list and new settings bring
+//   - request.go: the life of a request, from its arrival to its final answer
+//   - admission.go: the admission checks, in their order
+//   - token_bucket.go: this gateway's copy of a customer's token bucket
+//   - ceiling.go: this gateway's part of a plan's hard ceiling
+//   - concurrency_cap.go: the plan's cap on requests in flight, decided by the shared counter or estimated
+//   - load_shedding.go: rejects requests of low value first near the limit on attempts in flight (package
+//     concurrency)
+//   - retry.go: retries, their budget, and how long an answer is waited for
+//   - endpoint_list.go, endpoint_choice.go: the endpoint list, this gateway's subset of it (package subset), and the
+//     choice of an endpoint for an attempt
+//   - slow_start.go: limits what an endpoint is sent after its start
+//   - outlier.go: detects endpoints that fail a request class or don't answer
+//   - gossip_send.go, gossip_receive.go, membership.go: gossip between gateways
+//   - timer.go, endpoint_poll.go, settings.go: periodic work, polls of a lost endpoint list, new settings
 //
-// Times and durations are in nanoseconds of the gateway's clock, units are those of the quotas.
+// Times are of the gateway's clock, durations are in nanoseconds, and quotas are in units.
 package logic
 
 import (
@@ -31,68 +32,70 @@
 	"ravensill/internal/gossip"
 )
 
-// stallThreshold is the time without a batch from which on the gateway counts as stalled.
+// stallThreshold is the time between two batches beyond which the gateway counts as stalled.
 const stallThreshold = 100 * time.Millisecond
 
-// Gateway decides for one gateway. It belongs to one goroutine.
+// Gateway holds the state of one gateway's decisions. Its methods are not safe for concurrent use: one goroutine
+// calls them.
 type Gateway struct {
-	now     gateway.Time
-	start   gateway.Time // -1 before the first batch
+	now     gateway.Time // time of the current batch
+	start   gateway.Time // time of the first batch; -1 before it
 	random  *generator
-	actions gateway.Actions // of the batch
-
-	membership gateway.Membership
-	limits     gateway.Limits
-	classes    []*class        // by index
-	plans      []*gateway.Plan // by index; nil: removed
-	planByID   map[uint32]int  // indices of the plans by their IDs
-	candidates []gateway.Candidate
-
-	customers    map[uint32]*customer // by the hash of their names
-	requests     map[string]*request
-	counterCalls map[uint64][]*request // calls of the shared counter in flight, by the counter's name, in order
+	actions gateway.Actions // of the current batch
+
+	membership      gateway.Membership
+	limits          gateway.Limits
+	classes         []*class            // by index
+	plans           []*gateway.Plan     // by index; nil: removed
+	planByID        map[uint32]int      // index of each plan, by its ID
+	candidateBuffer []gateway.Candidate // reused by reportCandidates
+
+	customers    map[uint32]*customer  // by the hash of their names
+	requests     map[string]*request   // open, or with an attempt in flight, by id
+	counterCalls map[uint64][]*request // pending calls of the shared counter, by its name; nil: no request waits
 	endpoints    endpointSet
 
-	format            gossip.Format
-	gridRows          int           // of the grid in which members are arranged
-	neighbours        []*peer       // the members that this one sends gossip to or receives it from
-	peers             []*peer       // by member index; nil: no neighbour
-	nextHops          []*peer       // by member index: the neighbour on the way there
-	previousHops      []*peer       // by member index: the neighbour on the way from there
-	messageRate       float64       // messages a second to a peer
-	counterAge        float64       // mean age of a received counter, in seconds
-	heartbeatInterval time.Duration // between messages to a peer without new counters
-	peerTimeout       time.Duration // without a message for so long, peers count as gone
-	partitionTimeout  time.Duration // without a message for so long, a network partition is suspected
+	gossipFormat      gossip.Format
+	gridRows          int           // rows of the grid of members; 1: each member sends to all others
+	neighbours        []*peer       // members that exchange gossip with this one
+	peers             []*peer       // the neighbours by member index; nil: not a neighbour
+	nextHops          []*peer       // by member index: the neighbour that gossip to the member is sent to
+	previousHops      []*peer       // by member index: the neighbour that gossip of the member arrives from
+	messageRate       float64       // messages a second to each peer
+	counterAge        float64       // mean age of a counter on its receipt, in seconds
+	heartbeatInterval time.Duration // between messages to a peer while no counters change
+	peerTimeout       time.Duration // time without a message after which a peer counts as gone
+	partitionTimeout  time.Duration // time without a message of any peer after which a partition is suspected
 	lastGossip        gateway.Time  // latest message of any peer
-	resizedAt         gateway.Time  // latest change of the fleet's size
+	resizedAt         gateway.Time  // latest change of the fleet's size; 0: none
 
-	lastTimer       gateway.Time
-	nextSweep       gateway.Time // of customers that can be forgotten
-	nextPoll        gateway.Time // of the endpoint list
+	lastTimer       gateway.Time // latest call of handleTimer
+	nextSweep       gateway.Time // next removal of evictable customers
+	nextPoll        gateway.Time // next poll of the endpoint list; math.MaxInt64: none
 	lastPoll        gateway.Time // latest poll of the endpoint list, or its loss
-	failedPolls     int          // in a row
-	counterRetry    gateway.Time // the shared counter is not asked before
-	counterFailures int          // calls of it without an answer, in a row
-
-	largestRequest    float64 // most units that a request asked for
-	meanValue         float64 // of a request for its time
-	retryBudget       float64 // retries of attempts that may have run
-	arrivals          int     // requests since the last timer
-	admitted          int     // requests sent to an endpoint, since the start
-	rejected          [ReasonCount]int
-	unmatchedCounters int // of peers, dropped for an unknown plan, since the start
+	failedPolls     int          // consecutive failures to get the endpoint list
+	counterRetryAt  gateway.Time // the shared counter is not called before this time
+	counterFailures int          // consecutive failed calls of the shared counter
+
+	largestRequest    float64          // most units that any request asked for
+	meanValue         float64          // moving average of the requests' value per nanosecond of typical latency
+	retryBudget       float64          // retries allowed for requests that may have run
+	arrivals          int              // requests since the latest call of handleTimer
+	admitted          int              // requests sent to an endpoint, since the start
+	rejected          [ReasonCount]int // requests rejected since the start, by reason
+	unmatchedCounters int              // counters of peers dropped since the start: unknown plan, or not the customer's
 }
 
-// class is a request class, with what was measured of it.
+// class is a request class with its settings and measurements.
 type class struct {
 	gateway.RequestClass
 	index          int
-	typicalLatency float64 // of its answers, ns
-	typicalUnits   float64 // that its requests ask for
+	typicalLatency float64 // moving average of the latency of successes, ns
+	typicalUnits   float64 // moving average of the units that its requests ask for
 }
 
-// New returns a gateway that has neither endpoints nor customers yet.
+// New returns a gateway without endpoints and customers. seed determines all random decisions. If the first plan
+// has an ID, gossip names plans by ID, else by index.
 func New(seed uint64, membership gateway.Membership, classes []gateway.RequestClass, plans []gateway.Plan,
 	limits gateway.Limits, slowStart gateway.SlowStart, report gateway.LoadReportFormat) *Gateway {
 	random := generator(seed | 1)
@@ -118,13 +121,13 @@
 	for i := range plans {
 		g.setPlan(&gateway.PlanUpdate{Index: i, Plan: plans[i]})
 	}
-	g.format = gossip.Format{Plans: len(plans), ByID: len(plans) > 0 && plans[0].ID != 0}
+	g.gossipFormat = gossip.Format{Plans: len(plans), ByID: len(plans) > 0 && plans[0].ID != 0}
 	g.setFleetSize(max(membership.Count, 1))
 	return g
 }
 
-// Decide handles a batch of events and writes the actions that they call for. Updates of endpoints and of peers
-// are handled first, so that every request of the batch is decided on all that is known.
+// Decide handles a batch of events and calls the actions that follow. Updates of the endpoint list and gossip are
+// handled before all other events, so that every request of the batch is decided with the latest state.
 func (g *Gateway) Decide(batch *gateway.Batch, actions gateway.Actions) {
 	stalled := g.beginBatch(batch, actions)
 	for i := range batch.Events {
@@ -135,14 +138,15 @@
 	count := time.Duration(len(batch.Events))
 	for i := range batch.Events {
 		if event := &batch.Events[i]; !isStateUpdate(event) {
-			// What arrived during a stall is taken to have arrived evenly over it.
+			// After a stall, events are assumed to have arrived evenly over it.
 			remaining := count - time.Duration(i)
-			g.handle(event, g.now.Add(-stalled*remaining/count))
+			g.handleEvent(event, g.now.Add(-stalled*remaining/count))
 		}
 	}
 }
 
-// beginBatch begins a batch and returns for how long the gateway was stalled before it.
+// beginBatch sets the time and the actions of a batch and detects a stall. It returns the length of the stall, 0
+// for none. The first batch also starts the timer.
 func (g *Gateway) beginBatch(batch *gateway.Batch, actions gateway.Actions) (stalled time.Duration) {
 	sinceLast := batch.Now.Sub(g.now)
 	g.now = batch.Now
@@ -162,7 +166,7 @@
 	return sinceLast
 }
 
-// isStateUpdate reports whether an event is an update of the endpoint list or of a peer.
+// isStateUpdate reports whether an event updates the endpoint list or brings gossip.
 func isStateUpdate(event *gateway.Event) bool {
 	return event.Kind == gateway.EndpointsListed || event.Kind == gateway.GossipReceived
 }
@@ -176,16 +180,17 @@
 	g.schedulePoll(event.ListKind)
 }
 
-// handle handles any other event; arrived is when it came in.
-func (g *Gateway) handle(event *gateway.Event, arrived gateway.Time) {
+// handleEvent handles any event that is not a state update. arrived is the estimated time of its arrival, earlier
+// than now after a stall. StreamStarted and ProbeEnded have no effect.
+func (g *Gateway) handleEvent(event *gateway.Event, arrived gateway.Time) {
 	switch event.Kind {
 	case gateway.RequestArrived:
-		g.arrive(event, arrived)
+		g.requestArrived(event, arrived)
 	case gateway.AttemptEnded:
 		g.attemptEnded(event)
 	case gateway.ClientGone:
 		if r := g.requests[event.RequestID]; r != nil {
-			g.close(r)
+			g.closeRequest(r)
 		}
 	case gateway.CounterReplied:
 		g.counterReplied(event)
--- a/logic/gossip_receive.go
+++ b/logic/gossip_receive.go
@@ -5,26 +5,27 @@
 	"slices"
 )
 
-// receiveGossip handles a message of a peer.
+// receiveGossip handles a gossip message of a member. Messages of members that are not neighbours are dropped.
 func (g *Gateway) receiveGossip(from int, message []byte) {
 	if from < 0 || from >= len(g.peers) || g.peers[from] == nil {
 		return
 	}
 	p := g.peers[from]
 	header := func(incarnation, sequence uint64) bool { return g.receiveHeader(p, incarnation, sequence) }
-	counter := func(hash, plan uint32, spread, firstGateway int, total, owed uint64) {
+	counter := func(hash, plan uint32, spread, firstGateway int, total, debt uint64) {
 		index, known := g.planIndex(hash, plan)
 		if !known {
 			g.unmatchedCounters++
 			return
 		}
-		g.subtractReceived(p, g.customerFor(hash, index, spread, firstGateway), total, owed)
+		g.receiveCounter(p, g.customerFor(hash, index, spread, firstGateway), total, debt)
 	}
-	g.format.Decode(message, header, g.endpoints.clearSuspicion, counter)
+	g.gossipFormat.Decode(message, header, g.endpoints.reduceSuspicion, counter)
 }
 
-// receiveHeader records that a peer is alive. It returns false for a message that was overtaken by a later one;
-// the rest of it is not read.
+// receiveHeader records a message of a peer by its header. It returns false for a message that a later one
+// overtook; the rest of such a message is not read. To a restarted peer the counters of all customers are sent
+// again.
 func (g *Gateway) receiveHeader(p *peer, incarnation, sequence uint64) bool {
 	if g.overtaken(p, incarnation, sequence) {
 		return false
@@ -36,7 +37,7 @@
 			g.customers[hash].queueCounters(false, p)
 		}
 	}
-	if restarted || g.now.Sub(p.lastReceived) > 2*g.peerTimeout { // its next counters are first ones again
+	if restarted || g.now.Sub(p.lastReceived) > 2*g.peerTimeout { // its next counters have nothing to be compared with
 		p.incarnation = incarnation
 		p.firstReceived = g.now
 	}
@@ -46,10 +47,10 @@
 	return true
 }
 
-// overtaken reports whether a later message of the peer was received before this one. Incarnations are numbered
-// by the peer's wall clock, so one that restarts after its clock was set back has a lower number. Its messages
-// count as overtaken as long as such a message may be under way: until the later incarnation has been silent
-// for the peer timeout.
+// overtaken reports whether a later message of the peer was received before this one. An incarnation is numbered by
+// the peer's wall clock at its start, so a peer that restarts after its clock was set back has a lower number. Its
+// messages are dropped while delayed messages of the former incarnation may still arrive, that is until the later
+// incarnation has been silent for the peer timeout.
 func (g *Gateway) overtaken(p *peer, incarnation, sequence uint64) bool {
 	if incarnation == p.incarnation {
 		return sequence <= p.sequence
@@ -57,10 +58,10 @@
 	return incarnation < p.incarnation && g.now.Sub(p.lastReceived) <= g.peerTimeout
 }
 
-// planIndex returns the index of the plan that a counter names. It is unknown if there is no such plan here, or
-// if the customer is on another one.
+// planIndex returns the index of the plan that a counter names. known is false if this gateway has no such plan or
+// has the customer on another one.
 func (g *Gateway) planIndex(hash, plan uint32) (index int, known bool) {
-	if !g.format.ByID {
+	if !g.gossipFormat.ByID {
 		return int(plan), true
 	}
 	index, known = g.planByID[plan]
@@ -70,22 +71,24 @@
 	return index, known
 }
 
-// subtractReceived subtracts what a peer admitted since its last counter, and queues that for the other rows.
-// Of a first or lower counter it subtracts the debt that the peer states; the rest is only recorded.
-func (g *Gateway) subtractReceived(p *peer, c *customer, total, owed uint64) {
+// receiveCounter subtracts the units that a peer admitted since its previous counter from the customer's bucket,
+// and queues them for the other rows if the peer is in this row. If there is no previous counter to compare with,
+// or the counter is lower than it, only the debt that the peer states is subtracted. total and debt are in parts of
+// a unit (counterScale).
+func (g *Gateway) receiveCounter(p *peer, c *customer, total, debt uint64) {
 	i := slices.IndexFunc(c.subscriptions, func(s subscription) bool { return s.peer == p })
 	if i < 0 {
 		return
 	}
 	g.refill(c)
 	s := &c.subscriptions[i]
-	last := s.receivedTotal
-	if s.lastReceived < p.firstReceived || s.lastReceived == 0 || total < last {
-		last = total - owed
+	previousTotal := s.receivedTotal
+	if s.lastReceived < p.firstReceived || s.lastReceived == 0 || total < previousTotal {
+		previousTotal = total - debt
 	}
-	units := float64(total-last) / counterScale
+	units := float64(total-previousTotal) / counterScale
 	if units > 0 {
-		g.subtract(c, units)
+		g.subtractPeerUnits(c, units)
 	}
 	if units > 0 && p.counter == ownCounter {
 		c.counters[rowCounter] += units
--- a/logic/gossip_send.go
+++ b/logic/gossip_send.go
@@ -8,15 +8,16 @@
 	"ravensill/internal/gossip"
 )
 
-// counterScale is the number of parts that a unit has in counters on the wire.
+// counterScale is the number of parts of a unit that counters are in on the wire.
 const counterScale = 16
 
-// sendGossip sends a peer the counters that changed as soon as its rate limit allows, and heartbeats with the
-// tags of healthy endpoints.
+// sendGossip sends a peer one message if its rate limit allows: with the changed counters as soon as there are any,
+// and with the tags of healthy endpoints in each heartbeat interval. credit is what is added to the number of
+// messages that the peer may be sent.
 func (g *Gateway) sendGossip(p *peer, credit float64) {
 	p.credit = min(p.credit+credit, max(g.messageRate, 1))
 	due := g.now >= p.heartbeatDue
-	if !p.sends || p.credit < 1 || !due && len(p.queue) == 0 {
+	if !p.sendTo || p.credit < 1 || !due && len(p.queue) == 0 {
 		return
 	}
 	var tags []uint16
@@ -26,14 +27,14 @@
 	}
 	p.sentMessages++
 	p.credit--
-	header := g.format.Header(uint64(g.start/1e6), p.sentMessages, tags)
+	header := g.gossipFormat.Header(uint64(g.start/1e6), p.sentMessages, tags)
 	g.actions.SendGossip(p.member, g.appendCounters(header, p))
 }
 
-// healthyTags returns the tags of endpoints and request classes with good answers lately, as many as fit in a
-// message.
+// healthyTags returns the tags of endpoints and request classes with a success in the latest heartbeat interval and
+// few unanswered attempts, as many as fit in a message.
 func (g *Gateway) healthyTags() (tags []uint16) {
-	for _, e := range g.endpoints.nearby {
+	for _, e := range g.endpoints.inUse {
 		for class, h := range e.health {
 			recent := h.lastGood > 0 && g.now.Sub(h.lastGood) <= g.heartbeatInterval
 			if recent && h.unansweredFraction < suspicionLimit && len(tags) < gossip.MaxTags {
@@ -44,8 +45,8 @@
 	return tags
 }
 
-// appendCounters appends the queued counters of a peer to a message, those with the most unsent units first, as
-// many as fit.
+// appendCounters appends the counters queued for a peer to a message, those with the most unsent units first, until
+// the message is full. Counters that don't fit stay queued.
 func (g *Gateway) appendCounters(message []byte, p *peer) []byte {
 	slices.SortStableFunc(p.queue, func(a, b *subscription) int { return cmp.Compare(b.unsent(), a.unsent()) })
 	for len(p.queue) > 0 {
@@ -54,7 +55,7 @@
 		total := uint64(c.counters[p.counter] * counterScale)
 		g.refill(c)
 		debt := g.initialDebt(s, total)
-		entry := g.format.Counter(c.hash, g.planName(c), c.spread, c.firstGateway, total, debt)
+		entry := g.gossipFormat.Counter(c.hash, g.gossipPlan(c), c.spread, c.firstGateway, total, debt)
 		if debt > 0 || s.unsent() > 0 {
 			if len(message)+len(entry) > gossip.MaxMessageBytes {
 				break
@@ -68,28 +69,28 @@
 	return message
 }
 
-// planName returns what names a customer's plan in messages: its ID or its index.
-func (g *Gateway) planName(c *customer) uint32 {
-	if g.format.ByID {
+// gossipPlan returns how gossip names a customer's plan: by its ID or by its index.
+func (g *Gateway) gossipPlan(c *customer) uint32 {
+	if g.gossipFormat.ByID {
 		return c.plan.ID
 	}
 	return uint32(c.planIndex)
 }
 
-// initialDebt returns what the copy at a peer has to subtract if the counter is the first that it receives, in
-// parts of a unit (counterScale).
+// initialDebt returns the units, in parts (counterScale), that the peer subtracts from its copy if it has no
+// previous counter to compare this one with. total is the counter in the same parts.
 func (g *Gateway) initialDebt(s *subscription, total uint64) uint64 {
 	c := s.customer
 	recent := func(at gateway.Time) bool { return g.now.Sub(at) < g.peerTimeout }
 	missing := max(c.plan.Burst-c.level, 0) * counterScale
 	switch {
-	case recent(c.created) && c.created >= g.resizedAt: // the peer has no copy yet: all of it
+	case recent(c.createdAt) && c.createdAt >= g.resizedAt: // the peer has no record yet: all admitted units
 		return total
-	case recent(s.peer.incarnationSeen): // a new incarnation has a full copy: this gateway's share of what is missing
+	case recent(s.peer.incarnationSeen): // a restarted peer has a full copy: this gateway's part of the missing units
 		return uint64(missing / float64(len(c.subscriptions)))
-	case g.resizedAt > 0 && recent(g.resizedAt): // what was unsent when the fleet's size changed
+	case g.resizedAt > 0 && recent(g.resizedAt): // the fleet was resized: the units not sent before
 		return uint64(s.unsent() * counterScale)
-	case s.sentTotal == 0: // sent late for the first time: what has not been refilled since
+	case s.sentTotal == 0: // first sent late: the units not refilled since
 		return min(total, uint64(missing))
 	}
 	return 0
--- a/logic/lab.go
+++ b/logic/lab.go
@@ -1,10 +1,10 @@
 package logic
 
-// OverrideSubset replaces the subset of package subset by another, until the next list. Simulations compare rules
-// with it; nothing calls it in production.
+// OverrideSubset replaces the subset chosen by package subset until the next endpoint list. It is for simulations
+// that compare subsetting rules; nothing calls it in production.
 func (g *Gateway) OverrideSubset(inSubset func(host uint32) bool) {
 	for _, e := range g.endpoints.all {
 		e.InSubset = inSubset(e.id)
 	}
-	g.endpoints.collectNearby()
+	g.endpoints.collectInUse()
 }
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	gossipInterval  = time.Second / 2 // between messages to a peer, longer if a gateway can't receive that many
-	silentIntervals = 4               // intervals without a message, after which a peer counts as gone
-	gossipShare     = 0.4             // fraction of the messages a gateway can receive that its peers use
-	minMessageRate  = 0.01            // messages a second to a peer
+	gossipInterval       = time.Second / 2 // least time between heartbeats to a peer
+	peerTimeoutIntervals = 4               // heartbeat intervals without a message after which a peer counts as gone
+	gossipBudgetFraction = 0.4             // fraction of the messages that a gateway can receive that gossip uses
+	minMessageRate       = 0.01            // least messages a second to a peer
 )
 
-// setFleetSize sets the number of gateways: with which of them this one exchanges gossip, and how often. The
-// next counters of each peer are first ones again on both sides, since who sends what to whom may differ.
+// setFleetSize sets the number of gateways, and from it the peers that this gateway exchanges gossip with, the
+// message rates and the timeouts. Peers may change, so on both sides the next counter of each peer is not compared
+// with earlier ones.
 func (g *Gateway) setFleetSize(count int) {
-	budget := g.membership.MessageRate * gossipShare
-	g.format.Members = count
+	budget := g.membership.MessageRate * gossipBudgetFraction
+	g.gossipFormat.Members = count
 	g.gridRows = 1
 	if float64(count-1) > budget*seconds(gossipInterval) {
 		g.gridRows = int(math.Sqrt(float64(count)) + 0.5)
@@ -29,21 +30,21 @@
 	hops := min(g.gridRows, 2)
 	g.messageRate = max(budget/float64(partners), minMessageRate)
 	g.heartbeatInterval = max(gossipInterval, time.Duration(float64(time.Second)/g.messageRate))
-	g.peerTimeout = silentIntervals * g.heartbeatInterval
+	g.peerTimeout = peerTimeoutIntervals * g.heartbeatInterval
 	g.counterAge = 0.5 / g.messageRate * float64(hops)
-	// After this time several heartbeats, of one peer or another, are overdue.
+	// Within this time several heartbeats of all peers together were due.
 	overdue := g.peerTimeout / time.Duration(max(len(g.neighbours), 1))
 	g.partitionTimeout = max(overdue, 2*stallThreshold)
 	g.endpoints.memberCount = count
 	g.endpoints.limit.InitialLimitPerEndpoint = initialInFlight / float64(count)
 }
 
-// buildTopology sets the peers that this gateway sends gossip to and receives it from. If a message to every
-// member in each interval is more than members can receive, they form a grid: each sends its own counters to
-// its row, and its row's counters to its column. That takes two hops, and few messages for any number of
-// members. What is known of a peer's incarnation is kept.
+// buildTopology sets the peers that this gateway exchanges gossip with. If members can't receive a message from
+// every other member in each gossip interval, the members form a grid: each sends its own counters to its row and
+// its row's counters to its column. A counter then takes up to two hops, and a member exchanges messages with few
+// others. What is known of a peer's incarnation is kept.
 func (g *Gateway) buildTopology(count int) {
-	former := g.peers
+	previous := g.peers
 	self := g.membership.Index
 	g.peers = make([]*peer, count)
 	g.nextHops = make([]*peer, count)
@@ -53,34 +54,35 @@
 		if member == self || !g.membership.Gossip {
 			continue
 		}
-		g.nextHops[member] = g.neighbour(g.otherEnd(self, member, member), former)
-		g.previousHops[member] = g.neighbour(g.otherEnd(member, self, member), former)
-		g.nextHops[member].sends = true
+		g.nextHops[member] = g.peerFor(g.hopNeighbour(self, member, member), previous)
+		g.previousHops[member] = g.peerFor(g.hopNeighbour(member, self, member), previous)
+		g.nextHops[member].sendTo = true
 	}
 	for _, hash := range slices.Sorted(maps.Keys(g.customers)) {
 		g.subscribe(g.customers[hash])
 	}
 }
 
-// otherEnd returns the gateway at the other end of this gateway's hop on the path between two members, of which
-// other is not this gateway.
-func (g *Gateway) otherEnd(from, to, other int) int {
-	via := g.via(from, to)
-	if via == g.membership.Index {
+// hopNeighbour returns the neighbour of this gateway on the gossip path between two members. One of them is this
+// gateway, and other is the other one.
+func (g *Gateway) hopNeighbour(from, to, other int) int {
+	hop := g.forwarder(from, to)
+	if hop == g.membership.Index {
 		return other
 	}
-	return via
+	return hop
 }
 
-// neighbour returns the peer with a member index. A new one keeps what former knows of its incarnation.
-func (g *Gateway) neighbour(member int, former []*peer) *peer {
+// peerFor returns the peer with a member index and creates it if needed. A new one keeps what is known of its
+// incarnation from the previous peers.
+func (g *Gateway) peerFor(member int, previous []*peer) *peer {
 	if p := g.peers[member]; p != nil {
 		return p
 	}
 	p := &peer{member: member, credit: g.random.fraction()}
 	p.counter = cmp.Compare(g.row(member), g.row(g.membership.Index)) & 1
-	if member < len(former) && former[member] != nil {
-		known := former[member]
+	if member < len(previous) && previous[member] != nil {
+		known := previous[member]
 		p.incarnation = known.incarnation
 		p.sequence = known.sequence
 		p.sentMessages = known.sentMessages
@@ -91,15 +93,16 @@
 	return p
 }
 
-// row returns the grid row of a member.
+// row returns the grid row of a member. Rows are ranges of member indices of about equal length.
 func (g *Gateway) row(member int) int { return member * g.gridRows / len(g.peers) }
 
-// rowStart returns the first member of a row.
+// rowStart returns the lowest member index in a row.
 func (g *Gateway) rowStart(row int) int { return (row*len(g.peers) + g.gridRows - 1) / g.gridRows }
 
-// via returns the member in from's row that forwards the row's counters to a member: the one in its column, or
-// the last of the row.
-func (g *Gateway) via(from, to int) int {
+// forwarder returns the member that gossip from one member to another passes through, in the sender's row: the one
+// in the receiver's column, or the last of the row if the row is shorter. Within one row, gossip goes directly to
+// the receiver.
+func (g *Gateway) forwarder(from, to int) int {
 	fromRow := g.row(from)
 	toRow := g.row(to)
 	if fromRow == toRow {
@@ -110,26 +113,27 @@
 	return min(g.rowStart(fromRow)+column, last)
 }
 
-// subscribe links a customer to the peers that send its counters or are sent them. Units that were unsent under
-// the topology before stay unsent.
+// subscribe links a customer to the peers that exchange its counters with this gateway. After a change of the
+// topology, units that were not sent before stay unsent.
 func (g *Gateway) subscribe(c *customer) {
-	former := c.subscriptions
+	previous := c.subscriptions
 	c.subscriptions = make([]subscription, 0, min(c.spread, len(g.neighbours)))
 	for i := range c.spread {
 		member := (c.firstGateway + i) % len(g.peers)
-		c.subscribe(g.previousHops[member], false)
-		c.subscribe(g.nextHops[member], true)
+		c.addSubscription(g.previousHops[member], false)
+		c.addSubscription(g.nextHops[member], true)
 	}
-	for i := range former {
-		g.keepSent(c, &former[i])
+	for i := range previous {
+		g.restoreSentTotal(c, &previous[i])
 	}
-	if len(former) > 0 {
+	if len(previous) > 0 {
 		c.queueCounters(true, nil)
 	}
 }
 
-// subscribe links the customer to one peer, once.
-func (c *customer) subscribe(p *peer, sends bool) {
+// addSubscription links the customer to a peer, unless it is linked already or p is nil. sendTo is set if the peer
+// is sent the customer's counters.
+func (c *customer) addSubscription(p *peer, sendTo bool) {
 	if p == nil {
 		return
 	}
@@ -139,17 +143,18 @@
 		c.subscriptions = append(c.subscriptions, subscription{customer: c, peer: p, sentTotal: c.counters[p.counter]})
 	}
 	s := &c.subscriptions[p.subscriptionIndex]
-	s.sends = s.sends || sends
+	s.sendTo = s.sendTo || sendTo
 }
 
-// keepSent carries over what was sent to a peer under the topology before.
-func (g *Gateway) keepSent(c *customer, former *subscription) {
-	member := former.peer.member
+// restoreSentTotal takes over the counter that was last sent to a peer under the previous topology, if the peer is
+// still sent the same counter.
+func (g *Gateway) restoreSentTotal(c *customer, previous *subscription) {
+	member := previous.peer.member
 	if member >= len(g.peers) {
 		return
 	}
 	p := g.peers[member]
-	if p != nil && p.lastSubscriber == c && p.counter == former.peer.counter {
-		c.subscriptions[p.subscriptionIndex].sentTotal = former.sentTotal
+	if p != nil && p.lastSubscriber == c && p.counter == previous.peer.counter {
+		c.subscriptions[p.subscriptionIndex].sentTotal = previous.sentTotal
 	}
 }
--- a/logic/metrics.go
+++ b/logic/metrics.go
@@ -2,18 +2,18 @@
 
 import "ravensill/gateway"
 
-// Gauges are figures of what the gateway holds, for metrics and the laboratory; nothing is decided by them.
+// Gauges is a snapshot of a gateway's state, for metrics and simulations.
 type Gauges struct {
-	InFlightLimit float64 // on attempts in flight from here
-	Lateness      float64 // mean fraction of the latency objective that answers take
-	InFlight      int
-	Customers     int
-	OpenRequests  int
-	Admitted      int              // requests sent to an endpoint, since the start
-	Rejected      [ReasonCount]int // requests rejected, since the start
+	InFlightLimit float64          // on attempts of this gateway in flight
+	Lateness      float64          // mean fraction of the latency objective that answers take
+	InFlight      int              // attempts in flight
+	Customers     int              // customers with a record
+	OpenRequests  int              // requests without a final answer, or with an attempt in flight
+	Admitted      int              // requests sent to an endpoint since the start
+	Rejected      [ReasonCount]int // requests rejected since the start, by Reason
 }
 
-// Gauges returns the present figures.
+// Gauges returns the current values.
 func (g *Gateway) Gauges() Gauges {
 	return Gauges{
 		InFlightLimit: g.endpoints.limit.Limit(),
@@ -27,7 +27,7 @@
 }
 
 // CustomerBucket returns the level of this gateway's copy of a customer's token bucket, in units, as of its latest
-// refill, and the units a second that its peers admit. known is false if there is no record of the customer.
+// refill, and the units a second that peers admit. known is false if this gateway has no record of the customer.
 func (g *Gateway) CustomerBucket(customer string) (level, peerRate float64, known bool) {
 	c := g.customers[hashText(customer)]
 	if c == nil {
@@ -36,13 +36,14 @@
 	return c.level, c.peerRate, true
 }
 
-// DecisionCounts returns the decisions since the start: the requests sent on, then the rejections by reason.
+// DecisionCounts returns the numbers of decisions since the start: requests admitted, then rejections by reason.
+// Where gossip names plans by ID, the dropped counters of peers follow.
 func (g *Gateway) DecisionCounts() []gateway.DecisionCount {
 	counts := []gateway.DecisionCount{{Outcome: "admitted", Count: g.admitted}}
 	for reason, count := range g.rejected {
 		counts = append(counts, gateway.DecisionCount{Outcome: Reason(reason).String(), Count: count})
 	}
-	if g.format.ByID {
+	if g.gossipFormat.ByID {
 		counts = append(counts, gateway.DecisionCount{Outcome: "counters_unmatched", Count: g.unmatchedCounters})
 	}
 	return counts
--- a/logic/peer.go
+++ b/logic/peer.go
@@ -2,50 +2,51 @@
 
 import "ravensill/gateway"
 
-// peer is another gateway that this one sends gossip to or receives it from.
+// peer is another gateway that exchanges gossip with this one.
 type peer struct {
-	member            int // member index
-	subscriptionIndex int // of its subscription, in the subscriptions of lastSubscriber
-	lastSubscriber    *customer
-	counter           int  // which of the customers' counters it is sent: rowCounter if it is in another row
-	sends             bool // whether it is sent counters
+	member            int       // its member index
+	subscriptionIndex int       // index of its subscription in lastSubscriber.subscriptions
+	lastSubscriber    *customer // the customer that was linked to it last
+	counter           int       // counters exchanged with it: ownCounter in the same row, else rowCounter
+	sendTo            bool      // whether it is sent gossip
 
-	lastReceived    gateway.Time // latest message
-	firstReceived   gateway.Time // first message after a silence or of an incarnation
-	incarnationSeen gateway.Time // first message of this incarnation
-	incarnation     uint64       // its start by its own clock, in Unix milliseconds
-	sequence        uint64       // number of its latest message
+	lastReceived    gateway.Time // latest message received; 0: none
+	firstReceived   gateway.Time // first message of its incarnation or after a long silence
+	incarnationSeen gateway.Time // first message of its incarnation
+	incarnation     uint64       // start time by its own clock, in Unix milliseconds; 0: unknown
+	sequence        uint64       // sequence number of the latest message received
 
-	heartbeatDue gateway.Time
-	queue        []*subscription // of counters to send
-	sentMessages uint64
-	credit       float64 // messages that may be sent to it now
+	heartbeatDue gateway.Time    // time of the next heartbeat
+	queue        []*subscription // subscriptions whose counters are to be sent
+	sentMessages uint64          // sequence number of the latest message sent
+	credit       float64         // number of messages that may be sent now
 }
 
-// subscription is what a customer's copies here and at a peer have exchanged.
+// subscription is the exchange of one customer's counters with one peer.
 type subscription struct {
 	customer      *customer
 	peer          *peer
-	lastReceived  gateway.Time // time of the latest counter received
-	receivedTotal uint64       // that counter, in parts of a unit (counterScale)
+	lastReceived  gateway.Time // receipt of the latest counter; 0: none
+	receivedTotal uint64       // latest counter received, in parts of a unit (counterScale)
 	sentTotal     float64      // latest counter sent, in units
-	sends         bool         // whether counters are sent to the peer
-	queued        bool         // whether it is in the peer's queue
+	sendTo        bool         // whether the customer's counters are sent to the peer
+	queued        bool         // whether it is in peer.queue
 }
 
-// unsent returns the units that were not sent to the peer yet.
+// unsent returns the units by which the counter has grown since it was last sent to the peer.
 func (s *subscription) unsent() float64 { return s.customer.counters[s.peer.counter] - s.sentTotal }
 
-// queueCounters queues the customer's counters: after admissions here for all peers, after admissions in the
-// row for the peers in other rows. only, if not nil, is the one peer to queue them for.
-func (c *customer) queueCounters(admittedHere bool, only *peer) {
+// queueCounters queues the customer's counters for its peers: for all of them if admittedHere, else only for those
+// in other rows, whose counter also grows by admissions in this row. If target is not nil, they are queued for that
+// peer alone.
+func (c *customer) queueCounters(admittedHere bool, target *peer) {
 	for i := range c.subscriptions {
 		s := &c.subscriptions[i]
-		wanted := s.peer == only
-		if only == nil {
+		wanted := s.peer == target
+		if target == nil {
 			wanted = admittedHere || s.peer.counter == rowCounter
 		}
-		if wanted && s.sends && !s.queued {
+		if wanted && s.sendTo && !s.queued {
 			s.queued = true
 			s.peer.queue = append(s.peer.queue, s)
 		}
--- a/logic/request.go
+++ b/logic/request.go
@@ -10,40 +10,40 @@
 // minAttemptTimeout is the shortest timeout of an attempt.
 const minAttemptTimeout = time.Microsecond
 
-// request is kept from its arrival until it is closed and no attempt is in flight.
+// request is a client's request. Its record is kept until the request is closed and no attempt is in flight.
 type request struct {
 	id          string
 	customer    *customer
 	class       *class
 	units       float64
 	arrived     gateway.Time
-	deadline    gateway.Time // the client gives up then
-	stopAt      gateway.Time // end of this gateway's shutdown; 0: it does not shut down
-	attempts    int
-	current     *attempt // in flight; nil: none
-	mayHaveRun  *attempt // first attempt that may have run; nil: none
-	closed      bool
-	counterName uint64 // name at the shared counter under which it counts as in flight; 0: none
+	deadline    gateway.Time // the client stops waiting then
+	stopAt      gateway.Time // end of this gateway's shutdown; 0: no shutdown
+	attempts    int          // started so far
+	current     *attempt     // the attempt in flight; nil: none
+	mayHaveRun  *attempt     // first attempt that may have run; nil: none
+	closed      bool         // it has its final answer, or its client is gone
+	counterName uint64       // shared counter that counts it as in flight; 0: none
 }
 
-// attempt is a request sent to one endpoint.
+// attempt is one sending of a request to an endpoint.
 type attempt struct {
 	request   *request
-	host      *endpoint
-	number    int // of the request's attempts, from 0 on
+	endpoint  *endpoint
+	number    int // position among the request's attempts, from 0 on
 	startedAt gateway.Time
 }
 
-// A request passes through these functions, in this order:
+// The functions that handle a request, in order:
 //
-//	arrive          records it with its customer and class
-//	admit           rejects it, or admits it to an endpoint (admission.go); the shared counter may be asked first
-//	startAttempt    sends it to the endpoint
-//	attemptEnded    ends it, sends it again (retry.go), rejects or fails it
-//	close           drops its record
+//	requestArrived  creates its record
+//	admit           rejects it or starts its first attempt, perhaps after a reply of the shared counter (admission.go)
+//	startAttempt    sends it to an endpoint
+//	attemptEnded    closes it, retries it (retry.go), rejects it or fails it
+//	closeRequest    drops its record once no attempt is in flight
 
-// arrive handles a request that arrived at a time.
-func (g *Gateway) arrive(event *gateway.Event, at gateway.Time) {
+// requestArrived creates the record of a request and runs the admission checks. at is the time of its arrival.
+func (g *Gateway) requestArrived(event *gateway.Event, at gateway.Time) {
 	c := g.customerFor(hashText(event.Customer), event.Plan, event.Spread, event.FirstGateway)
 	r := &request{
 		id:       event.RequestID,
@@ -58,7 +58,7 @@
 	r.class.typicalUnits += (r.units - r.class.typicalUnits) / 64
 	g.arrivals++
 	g.largestRequest = max(g.largestRequest, r.units)
-	if g.format.ByID { // plans may be removed and customers change plans
+	if g.gossipFormat.ByID { // refill moves the customer to its current plan
 		c.planIndex = event.Plan
 	}
 	g.refill(c)
@@ -66,19 +66,20 @@
 	g.admit(r, c.withinCapProbability(r.class), g.mayAskCounter(r))
 }
 
-// startAttempt sends a request to an endpoint.
-func (g *Gateway) startAttempt(r *request, to *endpoint) {
-	g.reportCandidates(r, to)
-	r.current = &attempt{request: r, host: to, number: r.attempts, startedAt: g.now}
+// startAttempt sends a request to an endpoint. The attempt times out at the answer deadline.
+func (g *Gateway) startAttempt(r *request, target *endpoint) {
+	g.reportCandidates(r, target)
+	r.current = &attempt{request: r, endpoint: target, number: r.attempts, startedAt: g.now}
 	r.attempts++
 	r.customer.inFlight++
-	to.inFlight = append(to.inFlight, r.current)
-	g.endpoints.countAttempt(to, r.class, r.attempts > 1, g.now)
-	g.actions.StartAttempt(r.id, to.id, max(g.answerDeadline(r).Sub(g.now), minAttemptTimeout))
+	target.inFlight = append(target.inFlight, r.current)
+	g.endpoints.countAttempt(target, r.class, r.attempts > 1, g.now)
+	g.actions.StartAttempt(r.id, target.id, max(g.answerDeadline(r).Sub(g.now), minAttemptTimeout))
 }
 
-// attemptEnded handles the end of an attempt: the request is closed, sent again where that is allowed and may
-// help, rejected, or failed.
+// attemptEnded handles the end of an attempt. A request that has no final answer yet is retried where that is
+// allowed and may help. Else it is rejected if the client may safely repeat it, and failed if not. Events for any
+// attempt but the current one are ignored.
 func (g *Gateway) attemptEnded(event *gateway.Event) {
 	r := g.requests[event.RequestID]
 	if r == nil || r.current == nil || r.current.number != event.Attempt {
@@ -91,39 +92,41 @@
 	g.endpoints.observeResult(ended, event, g.now)
 	switch {
 	case r.closed || event.Closed:
-		g.close(r)
-	case event.Result != gateway.TimedOut && g.retry(r, ended.host):
+		g.closeRequest(r)
+	case event.Result != gateway.TimedOut && g.retry(r, ended.endpoint):
 	case r.mayHaveRun == nil || r.class.repeatable(r.mayHaveRun.startedAt, g.now):
 		g.reject(r, AttemptFailed, r.class.typicalLatency)
 	default:
 		g.actions.Fail(r.id)
-		g.close(r)
+		g.closeRequest(r)
 	}
 }
 
-// endCurrentAttempt removes the attempt that a request has in flight and returns it.
+// endCurrentAttempt removes the attempt that a request has in flight, updates the counts of attempts in flight, and
+// returns the attempt.
 func (g *Gateway) endCurrentAttempt(r *request, result gateway.Result) *attempt {
 	ended := r.current
 	r.current = nil
 	r.customer.inFlight--
-	r.customer.recordAnswered(result)
-	ended.host.inFlight = slices.DeleteFunc(ended.host.inFlight, func(other *attempt) bool { return other == ended })
+	r.customer.recordResult(result)
+	ended.endpoint.inFlight = slices.DeleteFunc(ended.endpoint.inFlight, func(other *attempt) bool { return other == ended })
 	g.endpoints.inFlight--
 	return ended
 }
 
-// reject ends a request with the final answer that allows a safe retry, after a time in nanoseconds.
+// reject ends a request with the answer that the client may safely repeat it after retryAfter, in nanoseconds.
 func (g *Gateway) reject(r *request, reason Reason, retryAfter float64) {
 	g.rejected[reason]++
 	if !g.limits.RetryAfter {
 		retryAfter = 0
 	}
 	g.actions.Reject(r.id, time.Duration(retryAfter))
-	g.close(r)
+	g.closeRequest(r)
 }
 
-// close ends a request. Its record is dropped once no attempt is in flight.
-func (g *Gateway) close(r *request) {
+// closeRequest marks a request as closed. Once no attempt is in flight, it drops the record and subtracts the
+// request from the shared counter.
+func (g *Gateway) closeRequest(r *request) {
 	r.closed = true
 	if r.current != nil {
 		return
--- a/logic/request_test.go
+++ b/logic/request_test.go
@@ -77,13 +77,13 @@
 		sim.arrive(0, "poison", 2)
 		sim.arrive(0, "good", 1)
 		sim.advance(800*ms, true)
-		for _, h := range sim.gateways[0].gateway.endpoints.all {
-			for len(h.inFlight) > 0 {
-				res := gateway.TimedOut
-				if strings.HasPrefix(h.inFlight[0].request.id, "good") {
-					res = gateway.Succeeded
+		for _, e := range sim.gateways[0].gateway.endpoints.all {
+			for len(e.inFlight) > 0 {
+				result := gateway.TimedOut
+				if strings.HasPrefix(e.inFlight[0].request.id, "good") {
+					result = gateway.Succeeded
 				}
-				sim.finishAttempt(0, h.id, res, res == gateway.Succeeded)
+				sim.finishAttempt(0, e.id, result, result == gateway.Succeeded)
 			}
 		}
 	}
@@ -96,20 +96,20 @@
 	sim.arrive(0, "a", 2)
 	limit := sim.gateways[0].gateway.endpoints.limit.Limit()
 	sim.now = sim.now.Add(2 * time.Second)
-	var in []gateway.Event
-	for _, h := range sim.gateways[0].gateway.endpoints.all {
-		for _, s := range h.inFlight {
-			in = append(in, gateway.Event{
+	var events []gateway.Event
+	for _, e := range sim.gateways[0].gateway.endpoints.all {
+		for _, a := range e.inFlight {
+			events = append(events, gateway.Event{
 				Kind:      gateway.AttemptEnded,
-				RequestID: s.request.id,
-				Host:      h.id,
+				RequestID: a.request.id,
+				Host:      e.id,
 				Latency:   2 * time.Second,
 				Closed:    true,
 			})
 		}
 	}
 	for k := range 6 {
-		in = append(in, gateway.Event{
+		events = append(events, gateway.Event{
 			Kind:      gateway.RequestArrived,
 			RequestID: fmt.Sprint("late", k),
 			Customer:  "b",
@@ -118,7 +118,7 @@
 			Deadline:  sim.now.Add(2 * time.Second),
 		})
 	}
-	sim.deliver(0, in...)
+	sim.deliver(0, events...)
 	sim.gateways[0].record("limit moved by %.1f", sim.gateways[0].gateway.endpoints.limit.Limit()-limit)
 	golden.Check(t, sim.trace.String())
 }
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -8,39 +8,42 @@
 )
 
 const (
-	windowMargin     = time.Second / 5 // left of a deduplicated request's window, at least, for a repeat
-	retryBudgetShare = 0.25            // of a retry, that each admitted request adds to the budget
-	maxRetryBudget   = 10
+	dedupWindowMargin     = time.Second / 5 // least time left of the deduplication window for a retry
+	retryBudgetPerRequest = 0.25            // retries that each admitted request adds to the budget
+	maxRetryBudget        = 10              // retries
 )
 
-// repeatable reports whether a request that was first sent at a time may be repeated now without effect: its
-// endpoints drop repeats within a window.
+// repeatable reports whether a request that may have run may safely be sent again now. It is safe in an idempotent
+// class, and in a deduplicated class if all hosts deduplicate together and the window is not about to end. first is
+// when the first attempt that may have run started.
 func (c *class) repeatable(first, now gateway.Time) bool {
 	switch c.Effect {
 	case gateway.Idempotent:
 		return true
 	case gateway.Deduplicated:
-		return c.Group == gateway.AllHosts && now <= first.Add(c.DedupWindow-windowMargin)
+		return c.Group == gateway.AllHosts && now <= first.Add(c.DedupWindow-dedupWindowMargin)
 	}
 	return false
 }
 
-// addRetryBudget adds an admitted request's share to the budget of retries.
+// addRetryBudget adds the part of a retry that an admitted request allows to the retry budget.
 func (g *Gateway) addRetryBudget() {
-	g.retryBudget = min(g.retryBudget+retryBudgetShare, maxRetryBudget)
+	g.retryBudget = min(g.retryBudget+retryBudgetPerRequest, maxRetryBudget)
 }
 
-// answerDeadline returns the time at which the gateway stops waiting for an answer. After a stall, answers that
-// were received but not yet read are late, and the ones that are still of some value are waited for.
+// answerDeadline returns the time at which the gateway stops waiting for an answer: the end of the latency
+// objective, or the client's deadline if that is earlier. For a while after a stall the wait is longer in
+// proportion to the value of late answers, since answers received during the stall are read late.
 func (g *Gateway) answerDeadline(r *request) gateway.Time {
-	late := time.Duration(0)
+	extra := time.Duration(0)
 	if g.endpoints.stallEnd > 0 && g.now.Sub(g.endpoints.stallEnd) < decayTime {
-		late = time.Duration(r.class.LateValue * float64(r.class.Timeout-r.class.LatencyObjective))
+		extra = time.Duration(r.class.LateValue * float64(r.class.Timeout-r.class.LatencyObjective))
 	}
-	return min(r.deadline, r.arrived.Add(r.class.LatencyObjective+late))
+	return min(r.deadline, r.arrived.Add(r.class.LatencyObjective+extra))
 }
 
-// retry sends a request to another endpoint than the last one, and reports whether it did.
+// retry sends a request to an endpoint other than the last one, and reports whether it did. A request that may have
+// run needs a repeatable class and takes one retry from the budget.
 func (g *Gateway) retry(r *request, last *endpoint) bool {
 	if r.attempts >= g.limits.MaxAttempts || g.now >= g.answerDeadline(r) {
 		return false
@@ -48,21 +51,21 @@
 	if r.mayHaveRun != nil && (g.retryBudget < 1 || !r.class.repeatable(r.mayHaveRun.startedAt, g.now)) {
 		return false
 	}
-	to := g.endpoints.choose(r.customer, r.class, g.now, 1, last)
-	if to == nil {
+	target := g.endpoints.choose(r.customer, r.class, g.now, 1, last)
+	if target == nil {
 		return false
 	}
 	if r.mayHaveRun != nil {
 		g.retryBudget--
 	}
-	g.startAttempt(r, to)
+	g.startAttempt(r, target)
 	return true
 }
 
-// cancelOverdue marks endpoints whose attempts take much longer than usual as suspected, and cancels those
-// attempts whose requests may be sent again. A request is sent again once the end of its attempt is confirmed.
+// cancelOverdue marks endpoints with overdue attempts as suspected and cancels those attempts if their requests may
+// be sent again. The retry follows when the end of the attempt is reported.
 func (g *Gateway) cancelOverdue() {
-	for _, e := range g.endpoints.withAttempts() {
+	for _, e := range g.endpoints.activeEndpoints() {
 		for _, a := range e.inFlight {
 			if !e.overdue(a, g.now) {
 				continue
@@ -75,7 +78,7 @@
 	}
 }
 
-// mayCancel reports whether an attempt's request could be sent again after a cancellation.
+// mayCancel reports whether the request of an attempt could be sent again after the attempt is canceled.
 func (g *Gateway) mayCancel(a *attempt) bool {
 	r := a.request
 	first := cmp.Or(r.mayHaveRun, a)
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -37,17 +37,17 @@
 		ListKind:  gateway.ListComplete,
 		Endpoints: list,
 	})
-	if nearby := len(g.endpoints.nearby); nearby == 0 || nearby > hosts/10 {
+	if nearby := len(g.endpoints.inUse); nearby == 0 || nearby > hosts/10 {
 		t.Fatalf("%d of %d hosts are nearby", nearby, hosts)
 	}
-	for i, h := range g.endpoints.all {
-		if i > 0 && h.id <= g.endpoints.all[i-1].id {
+	for i, e := range g.endpoints.all {
+		if i > 0 && e.id <= g.endpoints.all[i-1].id {
 			t.Fatal("hosts are not in the order of their ids")
 		}
-		if !h.InSubset {
-			h.inFlight = []*attempt{nil}
+		if !e.InSubset {
+			e.inFlight = []*attempt{nil}
 			// a walk would gossip it, or clear it
-			h.health = []health{{lastGood: gateway.Time(2 * time.Second), unansweredFraction: 0.2}}
+			e.health = []health{{lastGood: gateway.Time(2 * time.Second), unansweredFraction: 0.2}}
 		}
 	}
 	decide(2*gateway.Time(time.Second), gateway.Event{Kind: gateway.TimerFired}, anyArrival)
@@ -58,13 +58,13 @@
 		gossip.Format{Plans: 1, Members: 300}.Decode(body, func(uint64, uint64) bool { return true },
 			func(uint16) { t.Error("gossip names a host that is not nearby") }, nil)
 	}
-	far := g.endpoints.all[slices.IndexFunc(g.endpoints.all, func(h *endpoint) bool { return !h.InSubset })]
-	if g.endpoints.clearSuspicion(far.gossipTag(0)); far.health[0].unansweredFraction != 0.2 {
+	far := g.endpoints.all[slices.IndexFunc(g.endpoints.all, func(e *endpoint) bool { return !e.InSubset })]
+	if g.endpoints.reduceSuspicion(far.gossipTag(0)); far.health[0].unansweredFraction != 0.2 {
 		t.Error("a peer's message walked to a host that is not nearby")
 	}
-	if len(g.endpoints.lastWeighed) != len(g.endpoints.nearby) || g.Gauges().InFlight != 1 {
+	if len(g.endpoints.candidates) != len(g.endpoints.inUse) || g.Gauges().InFlight != 1 {
 		t.Errorf("%d hosts were weighed for a request, %d are nearby, %d requests are in flight",
-			len(g.endpoints.lastWeighed), len(g.endpoints.nearby), g.Gauges().InFlight)
+			len(g.endpoints.candidates), len(g.endpoints.inUse), g.Gauges().InFlight)
 	}
 }
 
@@ -86,13 +86,13 @@
 // If all endpoints of the subset are busy, another one is chosen.
 func TestBusySubsetLeavesToOtherEndpoints(t *testing.T) {
 	_, g := newGatewayWithEndpoints(300, 1000)
-	for _, h := range g.endpoints.nearby {
-		h.relativeLatency = 1000
-		h.healthFor(g.classes[0]).lastAnswer = gateway.Time(time.Second)
+	for _, e := range g.endpoints.inUse {
+		e.relativeLatency = 1000
+		e.healthFor(g.classes[0]).lastAnswer = gateway.Time(time.Second)
 	}
 	c := g.customerFor(1, 0, 1, 0)
-	if h := g.endpoints.choose(c, g.classes[0], gateway.Time(time.Second), 1, nil); h == nil || h.InSubset {
-		t.Fatalf("choose returned %v, not a host outside the subset", h)
+	if e := g.endpoints.choose(c, g.classes[0], gateway.Time(time.Second), 1, nil); e == nil || e.InSubset {
+		t.Fatalf("choose returned %v, not a host outside the subset", e)
 	}
 }
 
@@ -109,7 +109,7 @@
 		Now:    gateway.Time(2 * time.Second),
 		Events: []gateway.Event{{Kind: gateway.TimerFired}},
 	}, sim.gateways[0])
-	if len(g.endpoints.busy) != 1 {
-		t.Errorf("%d hosts are walked by a tick, 1 has an attempt in flight", len(g.endpoints.busy))
+	if len(g.endpoints.active) != 1 {
+		t.Errorf("%d hosts are walked by a tick, 1 has an attempt in flight", len(g.endpoints.active))
 	}
 }
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -2,8 +2,8 @@
 
 import "ravensill/gateway"
 
-// Reconfigure applies a new version of the settings that may change while a gateway runs. It is called between
-// two batches. A request in flight keeps its class; a customer is moved to its plan's new version by the next
+// Reconfigure applies a new version of the settings that may change while a gateway runs. It must be called between
+// two batches. Requests in flight keep their class. Customers move to the new version of their plan with their next
 // refill, within a second.
 func (g *Gateway) Reconfigure(now gateway.Time, update *gateway.SettingsUpdate) {
 	for i := range update.Plans {
@@ -22,7 +22,7 @@
 	}
 }
 
-// setPlan sets or removes a plan. An index belongs to one plan for good.
+// setPlan sets or removes the plan of an index. An index is never reused for another plan.
 func (g *Gateway) setPlan(update *gateway.PlanUpdate) {
 	missing := max(update.Index+1-len(g.plans), 0)
 	g.plans = append(g.plans, make([]*gateway.Plan, missing)...)
@@ -35,7 +35,7 @@
 	g.planByID[update.Plan.ID] = update.Index
 }
 
-// setClass sets a request class. A class that changes keeps what was measured of its answers.
+// setClass sets the request class of an index. A changed class keeps its measured latency and units.
 func (g *Gateway) setClass(update *gateway.ClassUpdate) {
 	next := &class{
 		RequestClass:   update.Class,
--- a/logic/settings_test.go
+++ b/logic/settings_test.go
@@ -175,10 +175,10 @@
 	sim.gateways[0].gateway.Reconfigure(sim.now, &gateway.SettingsUpdate{Members: 4})
 	sim.deliver(0, gateway.Event{Kind: gateway.TimerFired})
 	for _, body := range sim.gateways[0].messages {
-		sound := false
+		decoded := false
 		format := gossip.Format{Members: 3, ByID: true}
-		format.Decode(body, func(uint64, uint64) bool { sound = true; return false }, nil, nil)
-		if sound {
+		format.Decode(body, func(uint64, uint64) bool { decoded = true; return false }, nil, nil)
+		if decoded {
 			t.Error("a message of a fleet of 4 is read in one of 3")
 		}
 	}
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -66,8 +66,8 @@
 	s.counterNames = append(s.counterNames, name)
 }
 
-func (s *simulatedGateway) SendGossip(peer int, body []byte) {
-	s.messages = append(s.messages, body)
+func (s *simulatedGateway) SendGossip(peer int, message []byte) {
+	s.messages = append(s.messages, message)
 	s.receivers = append(s.receivers, peer)
 }
 
@@ -119,12 +119,12 @@
 }
 
 // arrive delivers n requests of a customer to gateway i, of one unit each.
-func (sim *simulation) arrive(i int, c string, n int) {
+func (sim *simulation) arrive(i int, customer string, n int) {
 	for k := range n {
 		sim.deliver(i, gateway.Event{
 			Kind:      gateway.RequestArrived,
-			RequestID: fmt.Sprintf("%s%d.%d", c, sim.now.Sub(simulationStart)/ms, k),
-			Customer:  c,
+			RequestID: fmt.Sprintf("%s%d.%d", customer, sim.now.Sub(simulationStart)/ms, k),
+			Customer:  customer,
 			Deadline:  sim.now.Add(sim.gateways[i].clockOffset + 2500*ms),
 			Units:     1,
 			Spread:    len(sim.gateways),
@@ -133,17 +133,17 @@
 }
 
 // finishAttempt ends the first attempt that gateway i has in flight at a host, or at any host if it is 0.
-func (sim *simulation) finishAttempt(i int, h uint32, res gateway.Result, closed bool) {
-	for _, x := range sim.gateways[i].gateway.endpoints.all {
-		if len(x.inFlight) > 0 && (h == 0 || x.id == h) {
-			s := x.inFlight[0]
+func (sim *simulation) finishAttempt(i int, host uint32, result gateway.Result, closed bool) {
+	for _, e := range sim.gateways[i].gateway.endpoints.all {
+		if len(e.inFlight) > 0 && (host == 0 || e.id == host) {
+			a := e.inFlight[0]
 			sim.deliver(i, gateway.Event{
 				Kind:      gateway.AttemptEnded,
-				RequestID: s.request.id,
-				Host:      x.id,
-				Attempt:   s.number,
-				Result:    res,
-				Latency:   sim.now.Add(sim.gateways[i].clockOffset).Sub(s.startedAt),
+				RequestID: a.request.id,
+				Host:      e.id,
+				Attempt:   a.number,
+				Result:    result,
+				Latency:   sim.now.Add(sim.gateways[i].clockOffset).Sub(a.startedAt),
 				Closed:    closed,
 			})
 			return
@@ -178,13 +178,13 @@
 }
 
 // recordLevels records the levels of all copies of a customer's bucket.
-func (sim *simulation) recordLevels(c string) {
+func (sim *simulation) recordLevels(customer string) {
 	for _, s := range sim.gateways {
-		if x := s.gateway.customers[hashText(c)]; x != nil {
-			s.gateway.refill(x)
-			s.record("copy of %s holds %.1f units", c, x.level)
+		if c := s.gateway.customers[hashText(customer)]; c != nil {
+			s.gateway.refill(c)
+			s.record("copy of %s holds %.1f units", customer, c.level)
 		} else {
-			s.record("holds no copy of %s", c)
+			s.record("holds no copy of %s", customer)
 		}
 	}
 }
--- a/logic/timer.go
+++ b/logic/timer.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	timerInterval = time.Second / 25
-	sweepInterval = time.Second // between walks over all customers
+	timerInterval = time.Second / 25 // between calls of handleTimer
+	sweepInterval = time.Second      // between removals of evictable customers
 )
 
-// handleTimer does what is due: polls, the cancellation of overdue attempts, gossip, and the removal of
-// customers that can be forgotten.
+// handleTimer does the periodic work: it polls a lost endpoint list, cancels overdue attempts, sends gossip and,
+// once in sweepInterval, drops evictable customers.
 func (g *Gateway) handleTimer() {
 	g.actions.SetTimer(timerInterval)
 	credit := g.messageCredit()
@@ -24,14 +24,14 @@
 	}
 	if g.now >= g.nextSweep {
 		g.nextSweep = g.now.Add(sweepInterval)
-		maps.DeleteFunc(g.customers, func(_ uint32, c *customer) bool { return g.forgettable(c) })
+		maps.DeleteFunc(g.customers, func(_ uint32, c *customer) bool { return g.evictable(c) })
 	}
 }
 
-// messageCredit returns the number of messages that each peer may be sent since the last timer: the message
-// rate, and up to twice that while many requests arrive.
+// messageCredit returns the number of messages that each peer may be sent for the time since the last timer. It
+// follows the message rate; when many requests arrive, it is up to twice that.
 func (g *Gateway) messageCredit() float64 {
 	elapsed := seconds(g.now.Sub(g.lastTimer))
-	byRequests := float64(g.arrivals) / max(g.membership.MessageRate*gossipShare, 1)
+	byRequests := float64(g.arrivals) / max(g.membership.MessageRate*gossipBudgetFraction, 1)
 	return g.messageRate * max(elapsed, min(byRequests, 2*elapsed))
 }
--- a/logic/token_bucket.go
+++ b/logic/token_bucket.go
@@ -2,25 +2,28 @@
 
 import "math"
 
-// maxDebt is the most units that a copy may owe, in bursts of its plan.
-const maxDebt = 1.0
+// maxDebtBursts is the largest debt of a copy, in bursts of its plan.
+const maxDebtBursts = 1.0
 
-// refill brings a copy up to the present. Without messages of any peer, the design rejects everything. The copy
-// is refilled at this gateway's fraction of the rate instead, as if all of the customer's gateways were
-// partitioned from each other: that is safe, but a gateway that is the only one left serves just that fraction.
+// refill refills this gateway's copy of a bucket up to the present, decays the sums, and moves the customer to a
+// new version of its plan. If no peer has sent a message for the peer timeout, the copy gets only this gateway's
+// fraction of the rate and burst, as if the customer's gateways were all partitioned from each other, but room for
+// one request at least. Rejecting everything would be safe too. The fraction never exceeds the quota, but a gateway
+// that is the only one left serves just its fraction. Under a suspected partition before that timeout, peers are
+// assumed to go on admitting.
 func (g *Gateway) refill(c *customer) {
-	elapsed := seconds(g.now.Sub(c.refilled))
-	c.refilled = g.now
+	elapsed := seconds(g.now.Sub(c.refilledAt))
+	c.refilledAt = g.now
 	decay := math.Exp(-elapsed / seconds(g.peerTimeout))
 	fraction := 1.0
 	silence := g.now.Sub(g.lastGossip)
 	if silence > g.peerTimeout {
 		fraction /= float64(max(c.spread, 1))
 	} else if silence > g.partitionTimeout {
-		c.presumePeers(elapsed, decay)
+		c.subtractPresumed(elapsed, decay)
 	}
-	most := max(c.plan.Burst*fraction, min(c.plan.Burst, g.largestRequest))
-	c.level = min(c.level+c.plan.Rate*elapsed*fraction, most)
+	maxLevel := max(c.plan.Burst*fraction, min(c.plan.Burst, g.largestRequest))
+	c.level = min(c.level+c.plan.Rate*elapsed*fraction, maxLevel)
 	c.refillCeiling(elapsed)
 	c.peerRate *= decay
 	c.requestedUnits *= decay
@@ -31,18 +34,18 @@
 	}
 }
 
-// presumePeers subtracts what peers admit if they go on at their latest rate: without messages they may be
-// running all the same.
-func (c *customer) presumePeers(elapsed, decay float64) {
-	taken := max(min(c.peerRate*elapsed, c.level+maxDebt*c.plan.Burst), 0)
+// subtractPresumed subtracts the units that peers admit if they go on at their latest rate: peers without messages
+// may still be running. It undoes the decay of that rate.
+func (c *customer) subtractPresumed(elapsed, decay float64) {
+	taken := max(min(c.peerRate*elapsed, c.level+maxDebtBursts*c.plan.Burst), 0)
 	c.level -= taken
 	c.presumedUnits += taken
 	c.peerRate /= decay
 }
 
-// spend takes an admitted request's units from the copy and from this gateway's fraction of the ceiling, and
-// queues the counters for gossip. The part that exceeds the cap on requests in flight, by its probability,
-// takes nothing from the quota.
+// spend takes an admitted request's units from the copy and from this gateway's part of the ceiling, and queues the
+// counters for gossip. From the quota it takes the units times withinCap, the probability that the request is
+// within the cap on requests in flight.
 func (g *Gateway) spend(c *customer, units, withinCap float64) {
 	taken := units * withinCap
 	if c.plan.Rate > 0 {
@@ -56,11 +59,11 @@
 	c.queueCounters(true, nil)
 }
 
-// subtract takes what a peer admitted off the copy, down to the bounded debt. Units that were presumed of peers
-// are not taken twice.
-func (g *Gateway) subtract(c *customer, units float64) {
-	known := min(units, c.presumedUnits)
-	c.presumedUnits -= known
-	c.level = max(c.level-units+known, min(c.level, -maxDebt*c.plan.Burst))
+// subtractPeerUnits subtracts units that a peer admitted from the copy, down to the largest debt. Units that
+// subtractPresumed already took are not taken twice.
+func (g *Gateway) subtractPeerUnits(c *customer, units float64) {
+	alreadySubtracted := min(units, c.presumedUnits)
+	c.presumedUnits -= alreadySubtracted
+	c.level = max(c.level-units+alreadySubtracted, min(c.level, -maxDebtBursts*c.plan.Burst))
 	c.peerRate += units / seconds(g.peerTimeout)
 }
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -21,8 +21,8 @@
 	Weight   float64 // in any unit
 	InSubset bool    // whether AssignSubset put it in the subset
 
-	claimsDue float64 // by its weight
-	tried     uint64  // gateways in its order that it has tried to claim
+	claimsDue       float64 // by its weight
+	candidatesTried uint64  // gateways in its order that it has tried to claim
 }
 
 // AssignSubset sets which running endpoints are in the subset of a gateway, by its member index. All gateways
@@ -30,25 +30,25 @@
 func AssignSubset(member, members int, endpoints []*Endpoint) {
 	size := (gatewaysPerEndpoint*len(endpoints) + members - 1) / members
 	a := assignment{
-		member: member,
-		size:   min(max(size, minSubset), len(endpoints)),
-		sizes:  make([]int, members),
-		places: uint64(1) << bits.Len(uint(members-1)),
+		member:     member,
+		size:       min(max(size, minSubset), len(endpoints)),
+		sizes:      make([]int, members),
+		candidates: uint64(1) << bits.Len(uint(members-1)),
 	}
-	a.left = members * a.size
+	a.freePlaces = members * a.size
 	maxWeight := 0.0
 	for _, e := range endpoints {
 		e.InSubset = false
 		e.claimsDue = initialClaim
-		e.tried = 0
+		e.candidatesTried = 0
 		maxWeight = max(maxWeight, e.Weight)
 	}
-	for a.left > 0 {
+	for a.freePlaces > 0 {
 		for _, e := range endpoints {
 			e.claimsDue += max(e.Weight/maxWeight, minWeight)
 			// The first claim is never delayed, so that each endpoint is in some subset. Without weights no claim is.
-			delayed := e.claimsDue < 1 && e.tried > 0
-			if a.left > 0 && !delayed {
+			delayed := e.claimsDue < 1 && e.candidatesTried > 0
+			if a.freePlaces > 0 && !delayed {
 				e.claimsDue--
 				a.claim(e)
 			}
@@ -58,25 +58,25 @@
 
 // assignment is the state of one computation.
 type assignment struct {
-	member int
-	size   int    // of each subset
-	sizes  []int  // of the subsets so far, by member index
-	left   int    // places in subsets that are still free
-	places uint64 // the least power of two of members or more: any odd step visits all of them
+	member     int
+	size       int    // of each subset
+	sizes      []int  // of the subsets so far, by member index
+	freePlaces int    // places in subsets that are still free
+	candidates uint64 // the least power of two of members or more: any odd step visits all of them
 }
 
 // claim puts an endpoint in the subset of the next gateway in its order that has a free place, if there is one.
 func (a *assignment) claim(e *Endpoint) {
 	start := e.Hash >> 32
 	step := e.Hash | 1
-	for e.tried < a.places {
-		candidate := int((start + e.tried*step) & (a.places - 1))
-		e.tried++
+	for e.candidatesTried < a.candidates {
+		candidate := int((start + e.candidatesTried*step) & (a.candidates - 1))
+		e.candidatesTried++
 		if candidate >= len(a.sizes) || a.sizes[candidate] >= a.size {
 			continue
 		}
 		a.sizes[candidate]++
-		a.left--
+		a.freePlaces--
 		e.InSubset = e.InSubset || candidate == a.member
 		return
 	}
