--- a/gateway/events.go
+++ b/gateway/events.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// EventKind is the kind of an Event.
+// EventKind is the kind of an Event. It determines which fields of the event are set.
 type EventKind int
 
-// The kinds of events, with the fields that each sets beside Kind. Fields that an adapter can't know stay zero.
+// The kinds of events, each with the fields of Event that it sets beside Kind. A field that an adapter has no value
+// for is zero.
 const (
-	// RequestArrived is a client's new request: RequestID, Customer, Class, Plan, Deadline, StopAt, Units,
+	// RequestArrived is a new request of a client: RequestID, Customer, Class, Plan, Deadline, StopAt, Units,
 	// Spread, FirstGateway, Retry.
 	RequestArrived EventKind = iota
 	// AttemptEnded is the end of an attempt: RequestID, Host, Attempt, Result, Latency, Units, Usage, LoadReport, Closed.
 	AttemptEnded
-	// StreamStarted is the begin of a streamed answer: RequestID, Host, Attempt, Latency.
+	// StreamStarted is the beginning of a streamed answer: RequestID, Host, Attempt, Latency.
 	StreamStarted
 	// ClientGone is the disconnect of a request's client: RequestID.
 	ClientGone
 	// EndpointsListed is an update of the endpoint list: ListKind, Endpoints.
 	EndpointsListed
-	// GossipReceived is a gossip message of another gateway: Peer, Message.
+	// GossipReceived is a gossip message from another gateway: Peer, Message.
 	GossipReceived
 	// ProbeEnded is the end of a probe: Host, Result, Latency, LoadReport.
 	ProbeEnded
@@ -28,92 +29,95 @@
 	CounterReplied
 )
 
-// Result is how an attempt, a probe or a call of the counter ended.
+// Result is how an attempt, a probe or a call of the shared counter ended.
 type Result int
 
-// The results.
+// The results. Each comment says whether the endpoint may have run the request.
 const (
-	Succeeded    Result = iota // answered with success
-	Errored                    // the endpoint answered with an error; it may have run
-	Busy                       // the endpoint rejected it; it never ran
+	Succeeded    Result = iota // a successful answer
+	Errored                    // an error as the answer; it may have run
+	Busy                       // rejected by the endpoint; it never ran
 	TimedOut                   // no answer in time; it may have run
 	Unreachable                // no connection; it never ran
 	Disconnected               // the connection broke; it may have run
 	Canceled                   // canceled by the gateway; it may have run
-	NotSent                    // never sent
+	NotSent                    // the gateway did not send it; it never ran
 	Malformed                  // the answer is malformed; it may have run
 )
 
 // NeverRan reports whether the result proves that the endpoint did not run the request.
 func (r Result) NeverRan() bool { return r == Busy || r == Unreachable || r == NotSent }
 
-// ListKind is what an EndpointsListed event holds.
+// ListKind is what the endpoints of an EndpointsListed event stand for.
 type ListKind int
 
-// The kinds of lists.
+// The kinds of endpoint lists.
 const (
-	ListChanges     ListKind = iota // changed endpoints only
-	ListComplete                    // all endpoints
+	ListChanges     ListKind = iota // only the endpoints that changed
+	ListComplete                    // all endpoints; others are gone
 	ListCached                      // all endpoints as this gateway last received them, perhaps long ago
-	ListUnavailable                 // a poll of the list failed; there are no endpoints
+	ListUnavailable                 // the list could not be received; the event has no endpoints
 )
 
-// EndpointState is an endpoint's state in the list.
+// EndpointState is an endpoint's state in the list. Only running endpoints are sent new attempts.
 type EndpointState int
 
-// The states of an endpoint.
+// The states of an endpoint. A draining endpoint finishes its attempts in flight; one that is gone has been
+// removed.
 const (
 	Running EndpointState = iota
 	Draining
 	Gone
 )
 
-// String returns the state as log lines name it.
+// String returns the state's name in log lines.
 func (s EndpointState) String() string { return [...]string{"running", "draining", "gone"}[s] }
 
-// Endpoint is one endpoint of a list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	Host      uint32
-	Zone      int
-	Cell      int
-	Machine   int // index of the machine kind
+	Host      uint32 // id of the host
+	Zone      int    // index of the zone
+	Cell      int    // index of the cell
+	Machine   int    // index of the machine kind
 	State     EndpointState
-	Weight    float64
-	StartedAt Time // last start, by the host's wall clock; 0: long ago
+	Weight    float64 // relative weight for subsets, in any unit
+	StartedAt Time    // latest start by the host's wall clock; 0: long ago
 }
 
-// Event is an event at a gateway. EventKind has the fields that each kind sets.
+// Event is one event at a gateway. The constants of EventKind list the fields that each kind sets.
 type Event struct {
 	Kind      EventKind
-	RequestID string
-	Customer  string
-	Class     int  // index of the request class
-	Plan      int  // index of the quota plan
-	Deadline  Time // the client gives up then
-	StopAt    Time // the gateway that shuts down answers nothing later; 0: it does not shut down
-
-	// Units of the quota that a request asks for; for the end of an attempt the settled units, 0 if unsettled.
+	RequestID string // unique among the open requests
+	Customer  string // name of the customer
+	Class     int    // index of the request class
+	Plan      int    // index of the quota plan
+	Deadline  Time   // time at which the client gives up
+	StopAt    Time   // end of the gateway's shutdown, after which it answers nothing; 0: no shutdown
+
+	// Units is the quota units that a request asks for. At the end of an attempt it is the settled units, 0 if not
+	// settled.
 	Units float64
 
-	Spread       int  // gateways that the customer's requests arrive at,
-	FirstGateway int  // from this member index on, cyclically
-	Retry        bool // the client marked the request as a retry
-	Closed       bool // the request has its final answer, or its client is gone
-	Host         uint32
-	Attempt      int // number of the request's attempt, from 0 on
+	Spread       int    // number of gateways that the customer's requests arrive at
+	FirstGateway int    // member index of the first of them; the others follow cyclically
+	Retry        bool   // the client marked the request as a retry
+	Closed       bool   // the request has its final answer, or its client is gone
+	Host         uint32 // id of the endpoint's host
+	Attempt      int    // position among the request's attempts, from 0 on
 	Result       Result
-	Latency      time.Duration
-	Usage        int       // 1 + the customer's metered use in percent; 0: not reported
-	LoadReport   []float64 // as LoadReportFormat.Fields; nil: not reported
+	Latency      time.Duration // from the start of the attempt, probe or call
+	Usage        int           // the customer's metered use in percent, plus 1; 0: not reported
+	LoadReport   []float64     // values of LoadReportFormat.Fields, in that order; nil: not reported
 	ListKind     ListKind
-	Endpoints    []Endpoint
-	Peer         int    // member index of the sender
-	Message      []byte // of gossip
-	CounterName  uint64
-	CounterTotal float64 // the number after a call that succeeded
+	Endpoints    []Endpoint // of the list, as ListKind says
+	Peer         int        // member index of the sender
+	Message      []byte     // encoded gossip
+	CounterName  uint64     // as given to AddToCounter
+	CounterTotal float64    // value of the counter after the call, if it succeeded
 }
 
-// Batch is the events that arrived at one gateway up to Now, in order. All times are of the gateway's clock.
+// Batch is the events that arrived at one gateway up to Now, in order of arrival. All times are of the gateway's
+// clock.
 type Batch struct {
 	Now    Time
 	Events []Event
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,12 +1,12 @@
-// Package gateway is the interface between the decisions, package logic, and whatever runs them: the events that
-// they are made on, the actions that they lead to, and their settings.
+// Package gateway defines the types that connect the decisions (package logic) with the code that runs them: the
+// events that decisions are made on, the actions that follow from them, and the settings.
 //
-// Four packages have a gateway in their names or comments:
+// Several packages deal with a gateway:
 //
 //   - gateway (this one) has types only;
-//   - logic.Gateway holds the decisions' state of one gateway and does no I/O;
+//   - logic.Gateway decides for one gateway, holds its state, and does no I/O;
 //   - internal/node.Node runs one logic.Gateway on sockets;
 //   - internal/program runs one Node as a process, with signals and a configuration file.
 //
-// internal/simwire runs many logic.Gateway on the simulator's wire instead.
+// internal/simwire connects many logic.Gateway to a simulator instead.
 package gateway
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -1,7 +1,7 @@
 package gateway
 
-// DecisionCount is how many requests a gateway has decided with one outcome since its start.
+// DecisionCount is the number of requests that a gateway has decided with one outcome since its start.
 type DecisionCount struct {
-	Outcome string // as log lines name it
+	Outcome string // its name in log lines, such as "admitted"
 	Count   int
 }
--- a/logic/endpoint_choice.go
+++ b/logic/endpoint_choice.go
@@ -17,7 +17,8 @@
 // choose returns the endpoint for an attempt: the highest ranked one for the customer among those whose load is
 // close to the least load. It returns nil if no endpoint is available or the limit on attempts in flight is
 // reached. fraction is the part of the limit that is open to the request. exclude is not chosen; it may be nil.
-func (s *endpointSet) choose(c *customer, class *class, now gateway.Time, fraction float64, exclude *endpoint) *endpoint {
+func (s *endpointSet) choose(c *customer, class *class, now gateway.Time, fraction float64,
+	exclude *endpoint) *endpoint {
 	if s.stallEnd > 0 && now.Sub(s.stallEnd) < s.stallLength { // the requests that queued come in addition
 		fraction *= stallLimitFactor
 	}
--- a/logic/request.go
+++ b/logic/request.go
@@ -109,7 +109,8 @@
 	r.current = nil
 	r.customer.inFlight--
 	r.customer.recordResult(result)
-	ended.endpoint.inFlight = slices.DeleteFunc(ended.endpoint.inFlight, func(other *attempt) bool { return other == ended })
+	ended.endpoint.inFlight = slices.DeleteFunc(ended.endpoint.inFlight,
+		func(other *attempt) bool { return other == ended })
 	g.endpoints.inFlight--
 	return ended
 }
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,39 +1,39 @@
-// Package subset implements deterministic subsetting: it assigns each gateway a subset of the endpoints, by the
-// list and the member index alone. Every gateway computes the same assignment, without messages. Endpoints
-// claim gateways in turns, as Maglev fills its table (Eisenbud et al., NSDI 2016). An endpoint is in the
-// subsets of gateways in proportion to its weight, all subsets have the same size, and a change of the list
-// moves few endpoints.
+// Package subset implements deterministic subsetting: it assigns each gateway a subset of the endpoints, computed
+// from the endpoint list and the gateway's member index alone. Every gateway computes the same assignment, without
+// messages. In turns, each endpoint claims a place in the subset of a gateway, as backends claim entries of the
+// lookup table in Maglev (Eisenbud et al., NSDI 2016). All subsets have the same size, an endpoint is in a number
+// of subsets in proportion to its weight, and a change of the list moves few endpoints.
 package subset
 
 import "math/bits"
 
 const (
-	gatewaysPerEndpoint = 12 // with an endpoint in their subsets, on average
-	minSubset           = 6  // endpoints
+	gatewaysPerEndpoint = 12 // mean number of gateways with an endpoint in their subsets
+	minSubset           = 6  // least size of a subset, if there are as many endpoints
 
-	minWeight    = 1.0 / 64 // an endpoint counts with at least this fraction of the greatest weight
-	initialClaim = 0.5      // claims that each endpoint begins with
+	minWeight    = 1.0 / 64 // least weight of an endpoint, as a fraction of the greatest weight
+	initialClaim = 0.5      // initial value of Endpoint.claimsDue
 )
 
 // Endpoint is an endpoint to be assigned.
 type Endpoint struct {
-	Hash     uint64  // of its id, well mixed
-	Weight   float64 // in any unit
-	InSubset bool    // whether AssignSubset put it in the subset
+	Hash     uint64  // hash of its id; all bits must be well mixed
+	Weight   float64 // relative to the other endpoints, in any unit
+	InSubset bool    // set by AssignSubset: whether the endpoint is in the subset
 
-	claimsDue       float64 // by its weight
+	claimsDue       float64 // claims that its weight entitles it to and that it has not made
 	candidatesTried uint64  // gateways in its order that it has tried to claim
 }
 
-// AssignSubset sets which running endpoints are in the subset of a gateway, by its member index. All gateways
-// must pass the endpoints in the same order.
+// AssignSubset sets InSubset of each endpoint for the gateway with a member index, in a fleet of a number of
+// members. All gateways must pass the same running endpoints in the same order.
 func AssignSubset(member, members int, endpoints []*Endpoint) {
 	size := (gatewaysPerEndpoint*len(endpoints) + members - 1) / members
 	a := assignment{
-		member:     member,
-		size:       min(max(size, minSubset), len(endpoints)),
-		sizes:      make([]int, members),
-		candidates: uint64(1) << bits.Len(uint(members-1)),
+		member:         member,
+		size:           min(max(size, minSubset), len(endpoints)),
+		sizes:          make([]int, members),
+		candidateCount: uint64(1) << bits.Len(uint(members-1)),
 	}
 	a.freePlaces = members * a.size
 	maxWeight := 0.0
@@ -46,7 +46,8 @@
 	for a.freePlaces > 0 {
 		for _, e := range endpoints {
 			e.claimsDue += max(e.Weight/maxWeight, minWeight)
-			// The first claim is never delayed, so that each endpoint is in some subset. Without weights no claim is.
+			// The first claim is never delayed, so that each endpoint is in some subset. Among endpoints of equal
+			// weight no claim is.
 			delayed := e.claimsDue < 1 && e.candidatesTried > 0
 			if a.freePlaces > 0 && !delayed {
 				e.claimsDue--
@@ -56,21 +57,22 @@
 	}
 }
 
-// assignment is the state of one computation.
+// assignment is the state of one call of AssignSubset.
 type assignment struct {
-	member     int
-	size       int    // of each subset
-	sizes      []int  // of the subsets so far, by member index
-	freePlaces int    // places in subsets that are still free
-	candidates uint64 // the least power of two of members or more: any odd step visits all of them
+	member         int    // member index of this gateway
+	size           int    // of each subset
+	sizes          []int  // of the subsets so far, by member index
+	freePlaces     int    // places in subsets that are still free
+	candidateCount uint64 // least power of two that is not below the number of members: any odd step visits all
 }
 
-// claim puts an endpoint in the subset of the next gateway in its order that has a free place, if there is one.
+// claim puts an endpoint in the subset of the next candidate member that has a free place, if there is one. The
+// candidates of an endpoint are a permutation of the member indices that its hash determines.
 func (a *assignment) claim(e *Endpoint) {
 	start := e.Hash >> 32
 	step := e.Hash | 1
-	for e.candidatesTried < a.candidates {
-		candidate := int((start + e.candidatesTried*step) & (a.candidates - 1))
+	for e.candidatesTried < a.candidateCount {
+		candidate := int((start + e.candidatesTried*step) & (a.candidateCount - 1))
 		e.candidatesTried++
 		if candidate >= len(a.sizes) || a.sizes[candidate] >= a.size {
 			continue
