--- a/concurrency/limiter_test.go
+++ b/concurrency/limiter_test.go
@@ -10,12 +10,13 @@
 
 const ms = time.Millisecond
 
-// A limit below one allows a fraction of the attempts, one at a time; from two on, all that fit.
+// A limit below 1 allows only a fraction of the attempts, and only one at a time. A limit of 2 allows every attempt
+// while none is in flight.
 func TestLimitBelowOneIsAProbability(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for _, c := range []struct {
 		limit    float64
-		from, to int // attempts allowed of 1000, with none in flight
+		from, to int // bounds of the attempts allowed of 1000, with none in flight
 	}{{0.05, 60, 130}, {0.5, 600, 800}, {2, 1000, 1000}} {
 		limiter := Limiter{limit: c.limit}
 		n := 0
@@ -33,25 +34,26 @@
 	}
 }
 
-// The limit is in proportion to the number of endpoints.
+// The limit stays in proportion to the number of endpoints, and starts again at its initial value if there were
+// none.
 func TestLimitFollowsEndpoints(t *testing.T) {
 	limiter := Limiter{InitialLimitPerEndpoint: 0.5}
 	limiter.SetEndpoints(10)
 	if limiter.Limit() != 5 {
-		t.Errorf("start: %v, want 5", limiter.Limit())
+		t.Errorf("10 endpoints at first: limit %v, want 5", limiter.Limit())
 	}
 	limiter.SetEndpoints(20)
 	if limiter.Limit() != 10 {
-		t.Errorf("twice the endpoints: %v, want 10", limiter.Limit())
+		t.Errorf("twice the endpoints: limit %v, want 10", limiter.Limit())
 	}
 	limiter.SetEndpoints(0)
 	limiter.SetEndpoints(4)
 	if limiter.Limit() != 2 {
-		t.Errorf("none, then 4: %v, want the start of 4 endpoints, 2", limiter.Limit())
+		t.Errorf("no endpoints, then 4: limit %v, want 2, the initial limit of 4 endpoints", limiter.Limit())
 	}
 }
 
-// Answers that take most of their objective decrease the limit, once in each 0.35 of the objective.
+// Late answers decrease the limit, at most once in each interval of 0.35 latency objectives (MaxLateness).
 func TestLateAnswersDecreaseOnceAnInterval(t *testing.T) {
 	limiter := Limiter{InitialLimitPerEndpoint: 1}
 	limiter.SetEndpoints(10)
@@ -60,7 +62,8 @@
 		now = now.Add(10 * ms)
 		limiter.ObserveAnswer(900*ms, 1000*ms, now, 9, -1)
 	}
-	// 500 ms of late answers, at least 350 ms between decreases: one decrease of what the first answers raised it to.
+	// Late answers for 500 ms, with at least 350 ms between decreases, decrease the limit once; the first answers,
+	// whose mean lateness is still low, may raise it a little before.
 	if l := limiter.Limit(); l < 10*decreaseFactor || l > 10.5*decreaseFactor {
 		t.Errorf("limit %.2f after 0.5 s of late answers, want one decrease of 10 to 10.5", l)
 	}
@@ -76,8 +79,8 @@
 	}
 }
 
-// Few attempts in flight and early answers raise the limit slowly. Where endpoints report capacity, the limit
-// must use it at once, up to the utilization objective.
+// Early answers with few attempts in flight raise the limit slowly. Where endpoints report spare capacity, the
+// limit must rise to use it at once, up to the utilization objective.
 func TestLowUtilizationRaisesLimit(t *testing.T) {
 	limitAt := func(utilization float64) float64 {
 		limiter := Limiter{InitialLimitPerEndpoint: 6.0 / 60}
@@ -88,13 +91,13 @@
 		return limiter.Limit()
 	}
 	if l := limitAt(-1); l > 5.5 {
-		t.Errorf("no reports: limit %.2f, want the slow growth by lateness alone", l)
+		t.Errorf("no reports: limit %.2f, want at most 5.5, the slow growth by early answers alone", l)
 	}
 	if l := limitAt(0.33); l < 0.95*4*UtilizationObjective/0.33 {
-		t.Errorf("endpoints a third busy: limit %.2f, want about %.1f", l, 4*UtilizationObjective/0.33)
+		t.Errorf("endpoints report a utilization of 0.33: limit %.2f, want about %.1f", l, 4*UtilizationObjective/0.33)
 	}
 	if l := limitAt(0.95); l > 5.5 {
-		t.Errorf("endpoints above the objective: limit %.2f, want the growth by lateness alone", l)
+		t.Errorf("endpoints report a utilization of 0.95: limit %.2f, want at most 5.5, as without reports", l)
 	}
 }
 
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -10,7 +10,8 @@
 	"ravensill/internal/golden"
 )
 
-// A copy is spent, rejects with the time to retry after, is refilled, and is forgotten once full.
+// The copy of a customer's bucket is spent by admitted requests. Once empty it rejects with the time to retry
+// after. It is refilled, and the record is dropped when the bucket is full.
 func TestOrdinaryPath(t *testing.T) {
 	sim := newSimulation(2, 4, nil)
 	sim.arrive(0, "a", 11)
@@ -24,7 +25,8 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// Two gateways that spend a burst each before they exchange counters owe one burst at most, and refill.
+// Two gateways that each admit a full burst before they exchange counters have a debt of at most one burst each,
+// and refill from there.
 func TestDebtIsBounded(t *testing.T) {
 	sim := newSimulation(2, 4, nil)
 	sim.arrive(0, "a", 10)
@@ -41,8 +43,8 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// Without a message for the peer timeout a copy has half of rate and burst, and all of them after the next
-// message.
+// A gateway of two that receives no gossip for the peer timeout uses half of the rate and the burst. After the next
+// message it uses all of them again.
 func TestCopyWithoutPeersKeepsItsShare(t *testing.T) {
 	sim := newSimulation(2, 4, nil)
 	sim.advance(time.Second, true)
@@ -57,7 +59,8 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// Each of two gateways has half of the ceiling; one that restarts starts with an empty half.
+// Each of two gateways enforces half of the hard ceiling. One that restarts starts with an empty ceiling, since its
+// previous process may just have spent it.
 func TestCeilingIsSplitAmongGateways(t *testing.T) {
 	sim := newSimulation(2, 4, func(sim *simulation) {
 		sim.plans[0] = gateway.Plan{Rate: 100, Burst: 100, CeilingRate: 8, CeilingBurst: 8, PriorityWeight: 1}
@@ -72,7 +75,8 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// No more requests are in flight than the plan's cap, and fewer if a peer admits many.
+// A gateway without a shared counter keeps a customer within the plan's cap on requests in flight by an estimate,
+// which allows fewer requests if a peer admits many.
 func TestConcurrencyCapIsEstimated(t *testing.T) {
 	sim := newSimulation(2, 4, func(sim *simulation) {
 		sim.setQuota(100)
@@ -89,30 +93,31 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// Near the limit on attempts in flight, the class of less value for its time is rejected first.
+// Near the limit on attempts in flight, requests of the class with less value per unit of latency are rejected
+// first.
 func TestLowValueIsShedFirst(t *testing.T) {
 	sim := newSimulation(1, 2, func(sim *simulation) {
 		sim.setQuota(1000)
 		sim.classes = append(sim.classes, gateway.RequestClass{LatencyObjective: 800 * ms, Value: 5})
 	})
 	for i := range 15 {
-		for f := range 2 {
+		for class := range 2 {
 			sim.deliver(0, gateway.Event{
 				Kind:      gateway.RequestArrived,
-				RequestID: fmt.Sprintf("worth%.0f.%d", sim.classes[f].Value, i),
+				RequestID: fmt.Sprintf("worth%.0f.%d", sim.classes[class].Value, i),
 				Customer:  "a",
 				Deadline:  sim.now.Add(2500 * ms),
 				Units:     1,
 				Spread:    1,
-				Class:     f,
+				Class:     class,
 			})
 		}
 	}
 	golden.Check(t, sim.trace.String())
 }
 
-// A customer that asks for five times its rate at 100 gateways gets about its rate, though counters are a
-// second old.
+// A customer that sends five times its rate to 100 gateways is admitted at about its rate, although the counters
+// that gateways have of each other are about a second old.
 func TestDemandRatioLowersSpendableLevel(t *testing.T) {
 	sim := newSimulation(100, 100, nil)
 	text := ""
@@ -131,10 +136,11 @@
 	golden.Check(t, text)
 }
 
-// Each admission is counted once, each rejection under its reason.
+// DecisionCounts counts each admitted request once, whatever its number of attempts, and each rejection under its
+// reason.
 func TestDecisionCounts(t *testing.T) {
 	sim := newSimulation(1, 2, nil)
-	sim.arrive(0, "a", 12) // a burst of 10: two lack the units
+	sim.arrive(0, "a", 12) // the burst is 10: two requests are over quota
 	g := sim.gateways[0].gateway
 	var got strings.Builder
 	for _, count := range g.DecisionCounts() {
@@ -144,30 +150,30 @@
 		"over_concurrency_cap=0 no_endpoint=0 attempt_failed=0 "; got.String() != want {
 		t.Fatalf("counts %q, want %q", got.String(), want)
 	}
-	sim.finishAttempt(0, 0, gateway.Unreachable, false) // never ran: sent again, not rejected
+	sim.finishAttempt(0, 0, gateway.Unreachable, false) // it never ran, so it is retried and not rejected
 	if x := g.Gauges(); x.Admitted != 10 || x.Rejected != [ReasonCount]int{OverQuota: 2} || x.InFlight != 10 {
 		t.Fatalf("after an attempt that never ran: %+v", x)
 	}
-	for k := 0; g.endpoints.inFlight > 0 && k < 40; k++ { // every attempt fails: each request is rejected once
+	for k := 0; g.endpoints.inFlight > 0 && k < 40; k++ { // every attempt fails, each request is rejected once
 		sim.finishAttempt(0, 0, gateway.Errored, false)
 	}
-	if x := g.Gauges(); x.Admitted != 10 || x.Rejected != [ReasonCount]int{
+	if gauges := g.Gauges(); gauges.Admitted != 10 || gauges.Rejected != [ReasonCount]int{
 		OverQuota:     2,
 		AttemptFailed: 10,
-	} || x.OpenRequests != 0 {
-		t.Fatalf("after failures: %+v", x)
+	} || gauges.OpenRequests != 0 {
+		t.Fatalf("after failures: %+v", gauges)
 	}
 }
 
-// A partitioned gateway of 30 still serves its fraction of the rate, though that fraction of the burst is less
-// than one request.
+// A gateway that is partitioned from its 29 peers still admits its fraction of the customer's rate. That fraction
+// of the burst is less than one request, which must not make the gateway reject all.
 func TestPeersCutOff(t *testing.T) {
 	sim := newSimulation(30, 4, nil)
 	sim.arrive(0, "a", 1)
 	sim.finishAll(0)
 	sim.advance(8*time.Second, false)
 	sim.trace.Reset()
-	for range 30 { // its fraction is 0.33 units a second
+	for range 30 { // its fraction of the rate is 0.33 units a second
 		sim.arrive(0, "a", 1)
 		sim.finishAll(0)
 		sim.advance(500*ms, false)
@@ -177,7 +183,7 @@
 	}
 }
 
-// answerCounter ends the earliest call of gateway i to the shared counter.
+// answerCounter ends the oldest pending call of gateway i to the shared counter.
 func (sim *simulation) answerCounter(i int, result gateway.Result, total float64) {
 	s := sim.gateways[i]
 	name := s.counterNames[0]
@@ -191,8 +197,9 @@
 	})
 }
 
-// The shared counter decides on a cap. Without an answer the estimate decides, and the counter is not asked for
-// a while. Admissions leave no debt.
+// The shared counter decides whether a request is within the plan's cap on requests in flight. If the counter
+// doesn't answer, the gateway falls back to its estimate and stops calling the counter for a while. A request whose
+// deadline leaves no time for a call is decided without it. Admissions leave no debt under a plan without a rate.
 func TestSharedCounterDecidesCap(t *testing.T) {
 	sim := newSimulation(2, 4, func(sim *simulation) {
 		sim.plans[0] = gateway.Plan{MaxInFlight: 2, PriorityWeight: 1, OverQuotaCost: 0.5}
@@ -206,7 +213,7 @@
 	sim.answerCounter(0, gateway.Busy, 0)
 	sim.arrive(0, "left", 1)
 	sim.deliver(0, gateway.Event{Kind: gateway.ClientGone, RequestID: "left0.0"})
-	sim.deliver(0, gateway.Event{Kind: gateway.CounterReplied, CounterName: 77, CounterTotal: 1}) // nobody asked
+	sim.deliver(0, gateway.Event{Kind: gateway.CounterReplied, CounterName: 77, CounterTotal: 1}) // no call waits
 	sim.finishAll(0)
 	sim.deliver(0, gateway.Event{
 		Kind:      gateway.RequestArrived,
@@ -223,7 +230,7 @@
 	sim.finishAll(0)
 	sim.advance(time.Second+timerInterval, true)
 	sim.arrive(0, "again", 1)
-	sim.answerCounter(0, gateway.Succeeded, 1) // a lower total than any before
+	sim.answerCounter(0, gateway.Succeeded, 1) // lower than the totals before
 	sim.finishAll(0)
 	g := sim.gateways[0].gateway
 	level := g.customerFor(hashText("within"), 0, 2, 0).level
@@ -231,12 +238,13 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// In a partition of 100 gateways, a customer that asks for four times its rate gets about as much as before.
+// If 100 gateways are partitioned from each other, a customer that sends four times its rate is admitted at about
+// the same rate as before: each gateway assumes that its silent peers go on admitting.
 func TestPartitionIsPresumedFromSilence(t *testing.T) {
 	sim := newSimulation(100, 400, nil)
 	var all strings.Builder
 	n := 0
-	for half := range 20 { // half seconds
+	for halfSecond := range 20 { // periods of half a second, in each of which 20 requests arrive
 		sent := 0
 		for range 20 {
 			sim.trace.Reset()
@@ -244,14 +252,14 @@
 			sim.arrive(n*37%100, "a", 1)
 			sent += strings.Count(sim.trace.String(), "attempt")
 			sim.finishAll(n * 37 % 100)
-			sim.advance(timerInterval*5/8, half < 8 || half >= 14)
+			sim.advance(timerInterval*5/8, halfSecond < 8 || halfSecond >= 14)
 		}
-		if half%2 == 0 {
-			fmt.Fprintf(&all, "%d s", half/2)
+		if halfSecond%2 == 0 {
+			fmt.Fprintf(&all, "%d s", halfSecond/2)
 		}
 		fmt.Fprintf(&all, " %d of 20", sent)
-		if half%2 == 1 {
-			fmt.Fprintf(&all, ", partitioned %t\n", half >= 8 && half < 14)
+		if halfSecond%2 == 1 {
+			fmt.Fprintf(&all, ", partitioned %t\n", halfSecond >= 8 && halfSecond < 14)
 		}
 	}
 	golden.Check(t, all.String())
--- a/logic/candidates_test.go
+++ b/logic/candidates_test.go
@@ -10,12 +10,13 @@
 	"ravensill/gateway"
 )
 
-// candidateRecorder records the candidates of each attempt in place of the trace.
+// candidateRecorder is a simulated gateway that records the candidates and the chosen host of each attempt instead
+// of writing the trace.
 type candidateRecorder struct {
 	*simulatedGateway
 	candidates []gateway.Candidate // of the latest attempt
-	hosts      []uint32            // chosen, by attempt
-	observed   int                 // calls of ObserveCandidates
+	hosts      []uint32            // chosen host of each attempt, in order
+	observed   int                 // number of calls of ObserveCandidates
 }
 
 func (r *candidateRecorder) StartAttempt(_ string, host uint32, _ time.Duration) {
@@ -27,17 +28,17 @@
 	r.observed++
 }
 
-// withoutObserver hides that a candidateRecorder observes candidates.
+// withoutObserver wraps a candidateRecorder so that it is no gateway.CandidateObserver.
 type withoutObserver struct{ gateway.Actions }
 
-// candidatesRun has one gateway decide on requests of 4000 customers, observed or not.
+// candidatesRun sends requests of different customers to one gateway and sums up the candidates that are reported.
 type candidatesRun struct {
 	t        *testing.T
 	sim      *simulation
 	recorder *candidateRecorder
 	actions  gateway.Actions
-	chances  map[uint32]float64 // sum over requests, by host
-	chosen   map[uint32]float64 // attempts, by host
+	chances  map[uint32]float64 // sum of the candidates' chances, by host
+	chosen   map[uint32]float64 // number of attempts, by host
 }
 
 func newCandidatesRun(t *testing.T, observed bool) *candidatesRun {
@@ -61,7 +62,7 @@
 	r.recorder.gateway.Decide(&gateway.Batch{Now: r.sim.now, Events: []gateway.Event{event}}, r.actions)
 }
 
-// request sends request i of a customer of its own.
+// request sends request i, of a customer that no other request has.
 func (r *candidatesRun) request(i int) {
 	r.sim.now = r.sim.now.Add(ms)
 	r.decide(gateway.Event{
@@ -77,7 +78,7 @@
 	}
 }
 
-// check checks the candidates of request i, and adds them up.
+// check checks the candidates reported for request i and adds their chances to the sums.
 func (r *candidatesRun) check(i int) {
 	candidates := r.recorder.candidates
 	host := r.recorder.hosts[i]
@@ -88,17 +89,18 @@
 		finite := c.Load > 0 && c.Load < math.Inf(1)
 		nextWithoutChance := k == 1 && c.Chance == 0 && len(candidates) > 2 && candidates[2].Chance > 0
 		if !finite || nextWithoutChance {
-			r.t.Fatalf("candidates %+v", candidates)
+			r.t.Fatalf("a load is not finite, or a candidate without a chance precedes one with a chance: %+v", candidates)
 		}
 	}
 	first := candidates[0]
 	if first.Host != host || math.Abs(sum-1) > 1e-9 || first.Chance == 0 {
-		r.t.Fatalf("host %d of %+v", host, candidates)
+		r.t.Fatalf("host %d was chosen; want it first, with chances that add up to 1: candidates %+v", host, candidates)
 	}
 	r.chosen[host]++
 }
 
-// finishOneAtEachHost ends the first attempt in flight at each host, after a time that grows with the host.
+// finishOneAtEachHost ends the first attempt in flight at each host with success, with a latency in proportion to
+// the host's id.
 func (r *candidatesRun) finishOneAtEachHost() {
 	for _, e := range r.recorder.gateway.endpoints.all {
 		if len(e.inFlight) == 0 {
@@ -116,8 +118,8 @@
 	}
 }
 
-// The chosen host is the first candidate, chances add up to one, and hosts are chosen as often as their chances say.
-// Observing changes no decision.
+// The chosen host is the first candidate, the chances of a request add up to 1, and over many customers each host
+// is chosen as often as its chances add up to. The same hosts are chosen without an observer.
 func TestCandidatesOfAnAttempt(t *testing.T) {
 	const requests = 4000
 	var hosts [2][]uint32
@@ -147,11 +149,11 @@
 		hosts[k] = r.recorder.hosts
 	}
 	if !slices.Equal(hosts[0], hosts[1]) {
-		t.Error("the decisions differ")
+		t.Error("hosts chosen with and without an observer differ")
 	}
 }
 
-// BenchmarkRequestWithObserver measures a request with and without an observer of candidates.
+// BenchmarkRequestWithObserver measures a request without (off) and with (on) an observer of candidates.
 func BenchmarkRequestWithObserver(b *testing.B) {
 	for _, name := range []string{"off", "on"} {
 		b.Run(name, func(b *testing.B) {
--- a/logic/clock_test.go
+++ b/logic/clock_test.go
@@ -8,19 +8,21 @@
 	"ravensill/gateway"
 )
 
-// expectedWarmUp returns the fraction of its capacity that an endpoint of an age has.
+// expectedWarmUp returns the fraction of its capacity that an endpoint has at an age within the slow start
+// duration.
 func expectedWarmUp(s gateway.SlowStart, age time.Duration) float64 {
 	return s.InitialFraction + (1-s.InitialFraction)*float64(age)/float64(s.Duration)
 }
 
-// clockSteps are steps of a wall clock in both directions.
+// clockSteps are steps by which a wall clock is set forward or back.
 var clockSteps = []time.Duration{3600 * time.Second, -3600 * time.Second, 5 * time.Second, -5 * time.Second}
 
-// epoch is the time at which these tests begin: far enough from 0 for a clock to be set back.
+// epoch is the time at which these tests begin. It is far enough from 0 to set a clock back by an hour.
 const epoch = gateway.Time(1_000_000 * time.Second)
 
-// A peer that restarts after a step of its wall clock is heard within the peer timeout, and the admissions of
-// both incarnations are subtracted.
+// A peer numbers its incarnation by its wall clock. If the clock is set back before a restart, its messages look
+// older than those of the former incarnation. They must be accepted after the peer timeout, and the admissions of
+// both incarnations must be subtracted.
 func TestPeerRestartAfterClockStep(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
@@ -36,18 +38,18 @@
 			sim.finishAll(1)
 			sim.advance(time.Second, true)
 			if silence := sim.now.Sub(peer.lastReceived); silence > sim.gateways[0].gateway.heartbeatInterval {
-				t.Errorf("the peer counts as silent for %v", silence)
+				t.Errorf("the latest accepted message of the peer is %v old", silence)
 			}
 			c := sim.gateways[0].gateway.customers[hashText("a")]
-			const left, presumed = 10 - 3 - 4, 3 // presumed: taken for a peer that is not heard, which goes on as before
+			const left, presumed = 10 - 3 - 4, 3 // presumed: subtracted while the peer was silent
 			if c == nil || c.level > left+0.1 || c.level < left-presumed {
-				t.Errorf("the copy at the peer: %+v", c)
+				t.Errorf("the copy at the other gateway is not reduced by 3 and 4 units: %+v", c)
 			}
 		})
 	}
 }
 
-// A late datagram of the former incarnation changes nothing while the later one is heard.
+// A delayed message of a peer's former incarnation changes nothing while messages of the current one arrive.
 func TestOvertakenDatagramOfFormerIncarnation(t *testing.T) {
 	sim := newSimulation(2, 4, nil)
 	sim.arrive(1, "a", 3)
@@ -65,14 +67,14 @@
 	incarnation, level := peer.incarnation, sim.gateways[0].gateway.customerFor(hashText("a"), 0, 2, 0).level
 	sim.deliver(0, gateway.Event{Kind: gateway.GossipReceived, Peer: 1, Message: overtaken})
 	if peer.incarnation != incarnation || sim.gateways[0].gateway.customers[hashText("a")].level != level {
-		t.Errorf("incarnation %d, then %d", incarnation, peer.incarnation)
+		t.Errorf("a message of the former incarnation was applied: incarnation %d, then %d", incarnation, peer.incarnation)
 	}
 }
 
-// An endpoint that starts while the gateway's wall clock is off counts as warm as it is, or colder by the delay
-// of its announcement.
+// Slow start must not depend on a gateway's wall clock being right: an endpoint that starts while that clock is off
+// counts as warm as it is, or less warm by the delay of its announcement.
 func TestSlowStartUnderClockStep(t *testing.T) {
-	const delay = 100 * ms // of the notification
+	const delay = 100 * ms // between an endpoint's start and its announcement
 	for _, step := range append([]time.Duration{0}, clockSteps...) {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			sim := newSimulation(1, 3, func(sim *simulation) { sim.now = epoch })
@@ -94,14 +96,15 @@
 				most := expectedWarmUp(sim.slowStart, age)
 				least := expectedWarmUp(sim.slowStart, age-delay)
 				if warm := endpoints.warmUpFraction(e, sim.now.Add(step)); warm > min(most, 1) || warm < min(least, 1) {
-					t.Errorf("at the age of %v: %.3f warm, want %.3f to %.3f", age, warm, least, most)
+					t.Errorf("endpoint of age %v: warm-up fraction %.3f, want %.3f to %.3f", age, warm, least, most)
 				}
 			}
 		})
 	}
 }
 
-// An endpoint that restarts after its own wall clock was set back warms up like any other.
+// An endpoint that restarts after its host's wall clock was set back is announced with an earlier start than
+// before. It warms up like any other.
 func TestSlowStartOfHostWithClockSetBack(t *testing.T) {
 	sim := newSimulation(1, 3, func(sim *simulation) { sim.now = epoch })
 	notify := func(since gateway.Time) {
@@ -113,6 +116,6 @@
 	notify(sim.now.Add(-3600 * time.Second))
 	endpoints := &sim.gateways[0].gateway.endpoints
 	if warm := endpoints.warmUpFraction(endpoints.all[2], sim.now); warm > sim.slowStart.InitialFraction+0.15 {
-		t.Errorf("%.2f warm", warm)
+		t.Errorf("the restarted endpoint has a warm-up fraction of %.2f", warm)
 	}
 }
--- a/logic/endpoint_test.go
+++ b/logic/endpoint_test.go
@@ -14,7 +14,8 @@
 	"ravensill/internal/golden"
 )
 
-// No attempt is sent to a draining or removed endpoint from the batch of its update on.
+// An update of the endpoint list applies from its batch on: no attempt is sent to an endpoint that drains or is
+// removed.
 func TestNothingNewToDrainingEndpoint(t *testing.T) {
 	sim := newSimulation(1, 2, nil)
 	sim.list(0, gateway.ListChanges, []gateway.Endpoint{{Host: 1, State: gateway.Draining}})
@@ -24,7 +25,7 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// An endpoint that warms up gets attempts in proportion to its capacity.
+// An endpoint in slow start gets attempts in proportion to its capacity at that time.
 func TestEndpointWarmingUpGetsItsShare(t *testing.T) {
 	sim := newSimulation(1, 3, func(sim *simulation) { sim.setQuota(1000) })
 	sim.list(0, gateway.ListChanges, []gateway.Endpoint{{Host: 3, StartedAt: sim.now}})
@@ -42,7 +43,9 @@
 	}
 }
 
-// An endpoint that answers nothing is avoided, its requests are sent elsewhere, and it is used again later.
+// Attempts at an endpoint that doesn't answer become overdue and are canceled, their requests are retried
+// elsewhere, and the endpoint is avoided. It is used again once gossip reports that another gateway gets answers
+// from it.
 func TestSilentEndpointIsEjectedAndReturns(t *testing.T) {
 	sim := newSimulation(2, 2, nil)
 	sim.gateways[0].gateway.retryBudget = 10
@@ -55,14 +58,14 @@
 		sim.finishAttempt(0, 1, gateway.Canceled, false)
 	}
 	sim.arrive(0, "b", 2)
-	// the peer has good answers of it
+	// the peer reports a success at host 1
 	sim.gateways[1].gateway.endpoints.all[0].healthFor(sim.gateways[1].gateway.classes[0]).lastGood = sim.now
 	sim.advance(600*ms, true)
 	sim.arrive(0, "c", 2)
 	golden.Check(t, sim.trace.String())
 }
 
-// If all endpoints are silent the cause is shared, and they stay in use.
+// If no endpoint answers, the cause is shared and no endpoint is at fault: they all stay in use.
 func TestAllEndpointsSilentAreStillUsed(t *testing.T) {
 	sim := newSimulation(1, 2, nil)
 	sim.arrive(0, "a", 2)
@@ -71,7 +74,8 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// An endpoint that fails at once looks idle; it must not attract requests.
+// An endpoint that fails at once looks idle, since nothing is in flight there. It must become suspected, or it
+// would attract requests.
 func TestErrorsMarkEndpointSuspected(t *testing.T) {
 	sim := newSimulation(2, 2, func(sim *simulation) { sim.setQuota(1000) })
 	for range 3 {
@@ -83,12 +87,13 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// When endpoints are replaced one by one, records and the limit follow those that are listed.
+// When endpoints are replaced one by one, the records and the limit on attempts in flight follow the endpoints that
+// are listed.
 func TestReplacedEndpointsAreForgotten(t *testing.T) {
 	sim := newSimulation(1, 4, nil)
 	set := &sim.gateways[0].gateway.endpoints
 	set.limit = concurrency.Limiter{InitialLimitPerEndpoint: 2.5}
-	set.limit.SetEndpoints(4) // 10, as if learned
+	set.limit.SetEndpoints(4) // a limit of 10, as if adjusted by answers
 	record := func() {
 		fmt.Fprintf(&sim.trace, "%d hosts, limit %.1f\n", len(set.all), set.limit.Limit())
 	}
@@ -99,7 +104,7 @@
 		sim.list(0, gateway.ListChanges, []gateway.Endpoint{{Host: uint32(i + 5)}})
 	}
 	record()
-	sim.deliver(0, gateway.Event{ // at a host that is gone
+	sim.deliver(0, gateway.Event{ // an attempt at a host that is gone
 		Kind:      gateway.AttemptEnded,
 		RequestID: "a0.0",
 		Host:      1,
@@ -115,7 +120,8 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// A malformed answer among good ones may have run, and does not make its endpoint suspected.
+// A request with a malformed answer may have run, so its retry takes one from the budget. One malformed answer
+// among successes does not make the endpoint suspected.
 func TestMalformedAnswersMarkEndpointSuspected(t *testing.T) {
 	sim := newSimulation(1, 2, nil)
 	sim.arrive(0, "a", 1)
@@ -132,7 +138,8 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// Each of 300 gateways sends to its own few of 180 endpoints.
+// Each of 300 gateways sends requests only to the endpoints in its subset of 180, and gateways have different
+// subsets.
 func TestSubsetAtScale(t *testing.T) {
 	sim := newSimulation(300, 180, func(sim *simulation) { sim.setQuota(1000) })
 	used := map[int]map[uint32]bool{}
@@ -147,17 +154,17 @@
 			}
 			sim.finishAll(i)
 		}
-		if n, k := len(used[i]), (12*180+299)/300; n > k || n < 2 {
-			t.Errorf("gateway %d sent to %d hosts, subset of %d", i, n, k)
+		if usedHosts, subsetSize := len(used[i]), (12*180+299)/300; usedHosts > subsetSize || usedHosts < 2 {
+			t.Errorf("gateway %d sent to %d hosts, want 2 to %d, the size of its subset", i, usedHosts, subsetSize)
 		}
 	}
 	if maps.Equal(used[0], used[137]) && maps.Equal(used[0], used[299]) {
-		t.Error("three gateways use the same hosts: the load is not spread")
+		t.Error("three gateways use the same hosts")
 	}
 }
 
-// loseList fails the list of all gateways at once and returns the time.
-func (sim *simulation) loseList() gateway.Time {
+// failAllLists reports to all gateways at once that the endpoint list is unavailable, and returns the time.
+func (sim *simulation) failAllLists() gateway.Time {
 	for i, s := range sim.gateways {
 		s.listRequestedAt = nil
 		sim.list(i, gateway.ListUnavailable, nil)
@@ -165,8 +172,9 @@
 	return sim.now
 }
 
-// rejectPolls advances the clock by one tick and fails each poll of the list that it brings.
-func (sim *simulation) rejectPolls() {
+// failPolls advances the clock by one timer interval and fails every poll of the endpoint list that gateways make
+// in it.
+func (sim *simulation) failPolls() {
 	polls := make([]int, len(sim.gateways))
 	for i, s := range sim.gateways {
 		polls[i] = len(s.listRequestedAt)
@@ -179,7 +187,8 @@
 	}
 }
 
-// Gateways that lose the list together poll it with exponential backoff and jitter.
+// Gateways that lose the endpoint list at the same time must not poll it at the same time. They poll with
+// exponential backoff and jitter.
 func TestFleetPollsListAtDifferentTimes(t *testing.T) {
 	sim := newSimulation(20, 4, func(sim *simulation) { sim.limits.PollEndpoints = true })
 	pauses := [][2]time.Duration{
@@ -190,15 +199,15 @@
 		{2400 * ms, 3900 * ms},
 		{2400 * ms, 3900 * ms},
 	}
-	lost := sim.loseList()
+	lost := sim.failAllLists()
 	for sim.now < lost.Add(16*time.Second) {
-		sim.rejectPolls()
+		sim.failPolls()
 	}
 	for k, pause := range pauses {
 		distinct := map[gateway.Time]bool{}
 		for i, s := range sim.gateways {
 			if len(s.listRequestedAt) <= k {
-				t.Fatalf("gateway %d polled %d times only", i, len(s.listRequestedAt))
+				t.Fatalf("gateway %d polled only %d times", i, len(s.listRequestedAt))
 			}
 			previous := lost
 			if k > 0 {
@@ -210,61 +219,62 @@
 			distinct[s.listRequestedAt[k]] = true
 		}
 		ticks := int((pause[1] - pause[0]) / timerInterval)
-		if len(distinct) < min(ticks/2, 8) { // in half of the ticks, or in eight
-			t.Errorf("poll %d: 20 gateways polled in %d ticks only", k+1, len(distinct))
+		if len(distinct) < min(ticks/2, 8) { // in half of the timer intervals, or in eight
+			t.Errorf("poll %d: 20 gateways polled in only %d different timer intervals", k+1, len(distinct))
 		}
 	}
 	checkListResetsBackoff(t, sim)
 	checkListCancelsPoll(t, sim)
 }
 
-// checkListResetsBackoff checks that the first poll after a list has the shortest pause again.
+// checkListResetsBackoff checks that the first poll after a received list has the shortest delay again.
 func checkListResetsBackoff(t *testing.T, sim *simulation) {
 	for i := range sim.gateways {
 		sim.list(i, gateway.ListChanges, nil)
 	}
-	lost := sim.loseList()
+	lost := sim.failAllLists()
 	sim.advance(450*ms+timerInterval, false)
 	for i, s := range sim.gateways {
 		if len(s.listRequestedAt) != 1 || s.listRequestedAt[0].Sub(lost) > 450*ms+timerInterval {
-			t.Fatalf("after a list: gateway %d polled %d times, first %v", i, len(s.listRequestedAt), s.listRequestedAt)
+			t.Fatalf("after a received list: gateway %d polled %d times, at %v", i, len(s.listRequestedAt), s.listRequestedAt)
 		}
 	}
 }
 
-// checkListCancelsPoll checks that a list, as of the watch after a SIGHUP, cancels a poll that is due.
+// checkListCancelsPoll checks that a received list, such as that of a new watch after a SIGHUP, cancels a scheduled
+// poll.
 func checkListCancelsPoll(t *testing.T, sim *simulation) {
-	sim.loseList()
+	sim.failAllLists()
 	for i := range sim.gateways {
 		sim.list(i, gateway.ListComplete, nil)
 	}
 	sim.advance(2000*ms, false)
 	for i, s := range sim.gateways {
 		if len(s.listRequestedAt) != 0 {
-			t.Fatalf("with a list: gateway %d polled at %v", i, s.listRequestedAt)
+			t.Fatalf("the list was received, but gateway %d polled at %v", i, s.listRequestedAt)
 		}
 	}
 }
 
-// Endpoints that fail one class get few requests of it and still those of the other; their timeouts do not
-// lower the limit.
+// Endpoints that fail one class get few requests of that class and still their part of the other. The timeouts of
+// that class do not lower the limit on attempts in flight.
 func TestHealthIsKeptByClass(t *testing.T) {
 	sim := newSimulation(1, 4, func(sim *simulation) {
 		sim.setQuota(1000)
 		sim.classes = append(sim.classes, sim.classes[0])
 		sim.classes[0].Effect = gateway.NonIdempotent
 	})
-	sent := func(rounds int) (n [2]int) { // to hosts 1 and 2, by class
+	sent := func(rounds int) (counts [2]int) { // attempts at hosts 1 and 2, by class
 		for k := range rounds {
-			for f := range 6 {
+			for request := range 6 {
 				sim.deliver(0, gateway.Event{
 					Kind:      gateway.RequestArrived,
-					RequestID: fmt.Sprintf("f%d.%d.%d", f, sim.now, k),
-					Customer:  fmt.Sprint(k, f),
+					RequestID: fmt.Sprintf("f%d.%d.%d", request, sim.now, k),
+					Customer:  fmt.Sprint(k, request),
 					Deadline:  sim.now.Add(2500 * ms),
 					Units:     1,
 					Spread:    1,
-					Class:     f % 2,
+					Class:     request % 2,
 				})
 			}
 			sim.advance(80*ms, true)
@@ -273,7 +283,7 @@
 					a := e.inFlight[i]
 					class, result, latency := a.request.class.index, gateway.Succeeded, 80*ms
 					if e.id <= 2 {
-						n[class]++
+						counts[class]++
 						if class == 0 {
 							result, latency = gateway.TimedOut, 800*ms
 						}
@@ -290,18 +300,19 @@
 				}
 			}
 		}
-		return n
+		return counts
 	}
 	first, later := sent(30), sent(30)
 	if first[0] < 2 || later[0] > 9 || later[1] < 45 {
-		t.Errorf("of 90 requests of each class hosts 1 and 2 got %v, then %v; want a tenth and a half", first, later)
+		t.Errorf("hosts 1 and 2 got %v, then %v of 90 requests of each class; want at most 9 and at least 45 in the end",
+			first, later)
 	}
 	if l := sim.gateways[0].gateway.endpoints.limit.Limit(); l < 20 {
-		t.Errorf("limit %.1f: timeouts of suspected hosts lowered it", l)
+		t.Errorf("limit %.1f, want at least 20: timeouts of suspected hosts lowered it", l)
 	}
 }
 
-// A drain that follows an arrival in a batch takes effect before it.
+// An update of the endpoint list applies to all requests of its batch, also to those before it.
 func TestListUpdatesAreHandledBeforeRequests(t *testing.T) {
 	for k := range 8 {
 		sim := newSimulation(1, 2, nil)
@@ -315,33 +326,33 @@
 		},
 			gateway.Event{Kind: gateway.EndpointsListed, Endpoints: []gateway.Endpoint{{Host: 1, State: gateway.Draining}}})
 		if got := sim.trace.String(); !strings.Contains(got, "at host 2,") {
-			t.Errorf("host 1 drains, yet: %s", got)
+			t.Errorf("want an attempt at host 2, since host 1 drains; got: %s", got)
 		}
 	}
 }
 
-// Gateways assign the same subsets in whatever order the list comes, in proportion to weight, and the removal
-// of an endpoint moves few others.
+// All gateways assign the same subsets, whatever the order of the list. Endpoints are in subsets in proportion to
+// their weight, and removing one of them changes few subsets otherwise.
 func TestSubsetsAreEvenByWeight(t *testing.T) {
 	sim := newSimulation(300, 180, nil)
 	var all []gateway.Endpoint
 	for h := range 180 {
 		all = append(all, gateway.Endpoint{Host: uint32(h + 1), Weight: float64(1 + h%2)})
 	}
-	members := map[uint32]int{} // gateways with a host in their subset
+	members := map[uint32]int{} // number of gateways with a host in their subset
 	added := 0
 	for i, s := range sim.gateways {
 		sim.list(i, gateway.ListComplete, all)
 		slices.Reverse(all)
-		before, n := map[uint32]bool{}, 0
+		before, subsetSize := map[uint32]bool{}, 0
 		for _, e := range s.gateway.endpoints.all {
 			if before[e.id] = e.InSubset; e.InSubset {
-				n++
+				subsetSize++
 				members[e.id]++
 			}
 		}
-		if n != 8 {
-			t.Errorf("gateway %d has a subset of %d hosts, want 12*180/300 or a little more", i, n)
+		if subsetSize != 8 {
+			t.Errorf("gateway %d has a subset of %d hosts, want 8 (12*180/300 rounded up)", i, subsetSize)
 		}
 		sim.list(i, gateway.ListChanges, []gateway.Endpoint{{Host: 40, State: gateway.Gone}})
 		for _, e := range s.gateway.endpoints.all {
@@ -350,12 +361,12 @@
 			}
 		}
 	}
-	for id, n := range members { // 2400 places over a total weight of 270
-		if part := float64(2-id%2) * 2400 / 270; math.Abs(float64(n)-part) > 1 {
-			t.Errorf("host %d is in the subset of %d gateways, want %.1f", id, n, part)
+	for id, memberCount := range members { // 300 subsets of 8 over a total weight of 270
+		if want := float64(2-id%2) * 2400 / 270; math.Abs(float64(memberCount)-want) > 1 {
+			t.Errorf("host %d is in the subset of %d gateways, want %.1f", id, memberCount, want)
 		}
 	}
 	if added < members[40] || added > 5*members[40] {
-		t.Errorf("%d subsets got another host when one of %d subsets was removed", added, members[40])
+		t.Errorf("%d subsets got another host when a host in %d subsets was removed", added, members[40])
 	}
 }
--- a/logic/request_test.go
+++ b/logic/request_test.go
@@ -10,7 +10,8 @@
 	"ravensill/internal/golden"
 )
 
-// After an answer that proves nothing, each kind of class is retried as its effect allows.
+// A request that may have run is retried only as the effect of its class allows: if it is idempotent, or
+// deduplicated by all hosts and within the window.
 func TestRetriesKeepTheClassEffect(t *testing.T) {
 	for _, kind := range []struct {
 		name  string
@@ -30,7 +31,7 @@
 			sim := newSimulation(1, 4, func(sim *simulation) { sim.classes[0] = kind.class })
 			sim.gateways[0].gateway.retryBudget = 10
 			sim.arrive(0, "a", 1)
-			sim.finishAttempt(0, 0, gateway.Busy, false) // it never ran: again, anywhere
+			sim.finishAttempt(0, 0, gateway.Busy, false) // it never ran, so every class allows a retry
 			sim.finishAttempt(0, 0, gateway.Errored, false)
 			sim.advance(500*ms, true)
 			sim.finishAttempt(0, 0, gateway.Errored, false)
@@ -39,7 +40,7 @@
 	}
 }
 
-// Late answers lower the limit on attempts in flight; requests beyond it are rejected at once.
+// Late answers lower the limit on attempts in flight. Requests beyond the limit are rejected at once.
 func TestOverloadIsShed(t *testing.T) {
 	sim := newSimulation(1, 2, func(sim *simulation) { sim.setQuota(1000) })
 	for range 40 {
@@ -52,7 +53,8 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// A request that succeeds, times out, loses its client or finds no endpoint gets one final answer.
+// Every request gets exactly one final answer, whether it succeeds, times out, loses its client or finds no
+// endpoint, and its record is dropped.
 func TestEachRequestGetsOneFinalAnswer(t *testing.T) {
 	sim := newSimulation(1, 1, nil)
 	sim.arrive(0, "a", 1)
@@ -70,7 +72,7 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// A customer whose requests go unanswered takes no capacity from others.
+// A customer whose requests time out is admitted once a second, so that it takes no capacity from others.
 func TestUnansweredCustomerGetsOneASecond(t *testing.T) {
 	sim := newSimulation(1, 4, func(sim *simulation) { sim.setQuota(1000) })
 	for range 5 {
@@ -90,7 +92,8 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// After a stall the requests that waited longest are rejected, and late answers do not lower the limit.
+// During a stall requests queue. After it those that waited longest are rejected. Answers that were read late
+// because of the stall do not lower the limit on attempts in flight.
 func TestRequestsAfterAStall(t *testing.T) {
 	sim := newSimulation(1, 4, func(sim *simulation) { sim.setQuota(100) })
 	sim.arrive(0, "a", 2)
@@ -123,7 +126,8 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// If the connection breaks under one attempt in four, each request is retried; under one in two, not all are.
+// The retry budget allows a retry for one admitted request in four. If the connection breaks under one attempt in
+// four, each request is retried; under one in two, some are rejected.
 func TestRetryBudget(t *testing.T) {
 	for _, every := range []int{4, 2} {
 		sim := newSimulation(1, 4, func(sim *simulation) { sim.setQuota(1000) })
@@ -136,44 +140,44 @@
 			sim.finishAll(0)
 		}
 		if n := strings.Count(sim.trace.String(), "reject"); (n > 0) != (every == 2) {
-			t.Errorf("one in %d broken: %d rejected", every, n)
+			t.Errorf("connection broken under one attempt in %d: %d requests rejected", every, n)
 		}
 	}
 }
 
-// After a stall the gateway waits beyond the latency objective in proportion to the value of a late answer;
-// without a stall it does not.
+// For a while after a stall the gateway waits beyond the latency objective, in proportion to the value of late
+// answers. Without a stall it does not.
 func TestLateValue(t *testing.T) {
-	for _, x := range []struct {
-		late  float64
-		stood bool
-		want  string
+	for _, test := range []struct {
+		lateValue float64
+		stalled   bool
+		want      string
 	}{
 		{0.2, false, "timeout 800 ms"},
 		{0, true, "timeout 800 ms"},
 		{0.2, true, "timeout 1240 ms"},
 		{1, true, "timeout 2500 ms"},
 	} {
-		sim := newSimulation(1, 2, func(sim *simulation) { sim.classes[0].LateValue = x.late })
-		if x.stood {
+		sim := newSimulation(1, 2, func(sim *simulation) { sim.classes[0].LateValue = test.lateValue })
+		if test.stalled {
 			sim.now = sim.now.Add(2 * time.Second)
 			sim.deliver(0, gateway.Event{Kind: gateway.TimerFired})
 			sim.now = sim.now.Add(100 * ms)
 		}
 		sim.arrive(0, "a", 1) // its client gives up after 2.5 s
-		if got := sim.trace.String(); !strings.Contains(got, x.want) {
-			t.Errorf("late answers earn %.1f, stood still %t: %q, want %s", x.late, x.stood, got, x.want)
+		if got := sim.trace.String(); !strings.Contains(got, test.want) {
+			t.Errorf("value of late answers %.1f, stalled %t: %q, want %s", test.lateValue, test.stalled, got, test.want)
 		}
-		sim.advance(5*time.Second, true) // what was learned of the stall wears off
+		sim.advance(5*time.Second, true) // the stall is past
 		sim.finishAll(0)
 		sim.trace.Reset()
 		if sim.arrive(0, "b", 1); !strings.Contains(sim.trace.String(), "timeout 800 ms") {
-			t.Errorf("5 s after the stall: %q", sim.trace.String())
+			t.Errorf("5 s after the stall: %q, want timeout 800 ms", sim.trace.String())
 		}
 	}
 }
 
-// A request whose deadline has passed is rejected at once: an attempt could not be answered, and may have run.
+// A request whose deadline has passed is rejected at once: an attempt could not be answered in time, and might run.
 func TestNoAttemptAfterDeadline(t *testing.T) {
 	sim := newSimulation(1, 3, nil)
 	for i, left := range []time.Duration{time.Second, 0, -time.Second} {
@@ -189,12 +193,12 @@
 	golden.Check(t, sim.trace.String())
 }
 
-// A gateway that shuts down rejects a request that it would not answer in time; the client can still go to
-// another gateway.
+// A gateway that shuts down rejects a request that it could not answer before its end. The client can still send it
+// to another gateway.
 func TestRejectsWhatEndsWithGateway(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		left   time.Duration // until the gateway ends; 0: it is not called to stop
+		left   time.Duration // until the gateway ends; 0: it does not shut down
 		reject bool
 	}{
 		{"not called to stop", 0, false},
@@ -218,7 +222,7 @@
 			sim.trace.Reset()
 			sim.deliver(0, request)
 			if rejected := strings.Contains(sim.trace.String(), "reject r"); rejected != test.reject {
-				t.Errorf("rejected %t:\n%s", rejected, sim.trace.String())
+				t.Errorf("rejected %t, want the opposite:\n%s", rejected, sim.trace.String())
 			}
 		})
 	}
--- a/logic/rule_settings_test.go
+++ b/logic/rule_settings_test.go
@@ -20,17 +20,17 @@
 type ruleSettings struct {
 	effect    int // index in effectWords
 	group     int // index in groupWords
-	window    int // microseconds, like the next two
+	window    int // microseconds, as are timeout and objective
 	timeout   int
 	objective int
 	hedging   bool
-	verbatim  bool // whether the decisions get the settings without adjustments
+	verbatim  bool // whether logic gets the settings without the adjustments of package config
 }
 
-// ruleCombinations is the number of combinations.
+// ruleCombinations is the number of combinations: the product of the numbers of values of each field.
 const ruleCombinations = 3 * 3 * 3 * 2 * 2 * 2 * 2
 
-// ruleCombination returns combination i.
+// ruleCombination returns combination i, from 0 to ruleCombinations-1.
 func ruleCombination(i int) ruleSettings {
 	draw := func(count int) int {
 		index := i % count
@@ -69,12 +69,12 @@
 	}
 }
 
-// kind names the settings that decide which answers must occur.
+// kind returns the settings that determine which answers must occur.
 func (s ruleSettings) kind() string {
 	return fmt.Sprintf("%s %s %d", effectWords[s.effect], groupWords[s.group], s.window)
 }
 
-// checkRules runs the decisions under one combination of settings.
+// checkRules runs the decisions under combination i and returns the checker with its counts.
 func checkRules(t *testing.T, i int) *ruleChecker {
 	combination := ruleCombination(i)
 	text := combination.text()
@@ -99,13 +99,15 @@
 		settings.LoadReport)
 	checker.run(g)
 	if left := g.Gauges(); left.InFlight != 0 || left.OpenRequests != 0 {
-		t.Errorf("%s: %d attempts and %d requests are left with none open", text, left.InFlight, left.OpenRequests)
+		t.Errorf("%s: %d attempts and %d requests are left after the end of all requests", text, left.InFlight,
+			left.OpenRequests)
 	}
 	return checker
 }
 
-// Under every combination of settings that operators vary the rules hold, whatever hosts, clients and lists do. They
-// also hold for decisions that get the settings without the adjustments of package config.
+// The rules that ruleChecker checks hold under every combination of settings that operators vary, whatever hosts,
+// clients and endpoint lists do. They also hold if logic gets the settings without the adjustments of package
+// config.
 func TestRulesHoldForAllSettings(t *testing.T) {
 	sums := map[string]*ruleChecker{}
 	for i := range ruleCombinations {
@@ -121,7 +123,7 @@
 			sum.answers[answer] += count
 		}
 	}
-	for kind, sum := range sums { // a run without these answers would show nothing
+	for kind, sum := range sums { // without these answers the rules were not exercised
 		repeatable := kind == "safe all 0" || kind == "keyed all 10000000"
 		answered := sum.answers[rejected] > 0 && sum.answers[succeeded] > 0 && sum.resends > 0
 		if !answered || repeatable && sum.repeats == 0 {
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -13,13 +13,13 @@
 
 const ms = time.Millisecond
 
-// sentAttempt is an attempt that the gateway sent.
+// sentAttempt is an attempt that the gateway started.
 type sentAttempt struct {
 	host            uint32
 	startedAt       gateway.Time
-	due             gateway.Time
+	due             gateway.Time // it times out then
 	canceled        bool
-	clientGoneFirst bool // its client was gone before: the adapter does not send it
+	clientGoneFirst bool // its client was gone before, so the node does not send it
 }
 
 // clientRequest is a request as its client sees it.
@@ -28,12 +28,12 @@
 	deadline   gateway.Time
 	inFlight   *sentAttempt
 	attempts   int
-	mayHaveRun *sentAttempt // the first that may have run
-	done       bool         // it has its final answer, or its client is gone
-	goneNow    bool         // its client left in this batch: actions on earlier events of the batch don't count
+	mayHaveRun *sentAttempt // the first attempt that may have run; nil: none
+	done       bool         // whether it has its final answer or its client is gone
+	goneNow    bool         // whether its client left in this batch; actions on earlier events of the batch are allowed
 }
 
-// counterCall is a call of the shared counter.
+// counterCall is a pending call of the shared counter.
 type counterCall struct {
 	name uint64
 	at   gateway.Time
@@ -47,11 +47,11 @@
 	answerKinds
 )
 
-// ruleChecker simulates the clients, hosts, endpoint list and counter of one gateway, as a node connects them to it. It
-// checks every decision against the rules that the settings state.
+// ruleChecker simulates the clients, hosts, endpoint list and shared counter of one gateway, as a node connects
+// them to it. It checks every decision against the rules that the settings state.
 type ruleChecker struct {
 	*testing.T
-	settings   string               // for messages
+	settings   string               // the settings as text, for failure messages
 	class      gateway.RequestClass // as the settings state it
 	limits     gateway.Limits
 	now        gateway.Time
@@ -59,8 +59,8 @@
 	requests   []*clientRequest
 	hostStates map[uint32]gateway.EndpointState
 	calls      []counterCall
-	repeats    int // attempts of requests that may have run
-	resends    int // attempts of requests that never ran
+	repeats    int // number of attempts of requests that may have run
+	resends    int // number of further attempts of requests that never ran
 	answers    [answerKinds]int
 }
 
@@ -82,18 +82,18 @@
 
 func cellOf(host uint32) uint32 { return host % 3 }
 
-// StartAttempt checks that a request may be sent to a host, and records the attempt.
+// StartAttempt checks that an attempt may start at a host, and records it.
 func (r *ruleChecker) StartAttempt(id string, host uint32, timeout time.Duration) {
 	request := r.find(id)
 	switch {
 	case request.done && !request.goneNow:
-		r.violated(request, "sent after its end")
+		r.violated(request, "an attempt starts after its final answer")
 	case request.inFlight != nil:
 		r.violated(request, "two attempts are in flight")
 	case request.attempts >= r.limits.MaxAttempts:
-		r.violated(request, "attempt %d", request.attempts)
+		r.violated(request, "more attempts than the limit: attempt %d", request.attempts)
 	case r.hostStates[host] != gateway.Running:
-		r.violated(request, "sent to a draining or removed host")
+		r.violated(request, "an attempt starts at a draining or removed host")
 	}
 	r.checkRepeat(request, host)
 	request.attempts++
@@ -108,7 +108,8 @@
 	}
 }
 
-// checkRepeat checks that a request which may have run is repeated only where its class allows that.
+// checkRepeat checks that a request that may have run is sent again only where its class allows that, and counts
+// it.
 func (r *ruleChecker) checkRepeat(request *clientRequest, host uint32) {
 	first := request.mayHaveRun
 	if first == nil {
@@ -118,14 +119,14 @@
 		return
 	}
 	if r.class.Effect == gateway.NonIdempotent {
-		r.violated(request, "may have run, and is sent again")
+		r.violated(request, "non-idempotent, may have run and is sent again")
 	}
 	if r.class.Effect == gateway.Deduplicated {
 		pastWindow := r.now > first.startedAt.Add(r.class.DedupWindow)
 		otherZone := r.class.Group == gateway.SameZone && zoneOf(host) != zoneOf(first.host)
 		otherCell := r.class.Group == gateway.SameCell && cellOf(host) != cellOf(first.host)
 		if pastWindow || otherZone || otherCell {
-			r.violated(request, "may have run, and is sent again past its window or group")
+			r.violated(request, "may have run and is sent again beyond its deduplication window or group")
 		}
 	}
 	r.repeats++
@@ -147,17 +148,17 @@
 	r.answers[answer]++
 }
 
-// checkRejection checks that the client may repeat a rejected request.
+// checkRejection checks that the client may safely repeat a rejected request.
 func (r *ruleChecker) checkRejection(request *clientRequest) {
 	first := request.mayHaveRun
 	unsafe := r.class.Effect == gateway.NonIdempotent ||
 		r.class.Effect == gateway.Deduplicated && r.class.Group != gateway.AllHosts
 	if unsafe && (first != nil || request.inFlight != nil) {
-		r.violated(request, "may have run, and is rejected as safe to repeat")
+		r.violated(request, "may have run and is rejected, though a repeat is not safe")
 	}
 	deduplicated := r.class.Effect == gateway.Deduplicated
 	if first != nil && deduplicated && r.now > first.startedAt.Add(r.class.DedupWindow) {
-		r.violated(request, "may have run, and is rejected past its window")
+		r.violated(request, "may have run and is rejected after its deduplication window")
 	}
 }
 
@@ -175,14 +176,16 @@
 	r.calls = append(r.calls, counterCall{name, r.now})
 }
 
-func (r *ruleChecker) SendProbe(uint32) { r.Fatal(r.settings, ": probes") }
+func (r *ruleChecker) SendProbe(uint32) {
+	r.Fatal(r.settings, ": a probe is sent, but the settings allow none")
+}
 
 func (r *ruleChecker) SendGossip(int, []byte) {}
 func (r *ruleChecker) SetTimer(time.Duration) {}
 func (r *ruleChecker) WatchEndpoints()        {}
 func (r *ruleChecker) LogNote(string)         {}
 
-// attemptResults are drawn for attempts that end before they are due.
+// attemptResults are the results to draw from for attempts that end before they are due.
 var attemptResults = []gateway.Result{
 	gateway.Succeeded,
 	gateway.Succeeded,
@@ -194,7 +197,7 @@
 	gateway.NotSent,
 }
 
-// drawResult returns how the attempt of a request ends now, if it does.
+// drawResult draws whether the attempt in flight of a request ends now, and how.
 func (r *ruleChecker) drawResult(request *clientRequest) (result gateway.Result, ends bool) {
 	result = attemptResults[r.random.Intn(len(attemptResults))]
 	attempt := request.inFlight
@@ -213,7 +216,8 @@
 	return result, true
 }
 
-// endAttempt returns the event of the attempt's end, if it ends now.
+// endAttempt draws whether the attempt in flight of a request ends now. If so, it records that and returns the
+// event.
 func (r *ruleChecker) endAttempt(request *clientRequest) (event gateway.Event, ends bool) {
 	result, ends := r.drawResult(request)
 	if !ends {
@@ -241,15 +245,15 @@
 
 const (
 	ruleHosts   = 6
-	ruleBatches = 300 // with new requests
+	ruleBatches = 300 // batches with new requests
 )
 
-// hostEndpoint returns the list's entry of a host.
+// hostEndpoint returns the entry of a host in the endpoint list.
 func hostEndpoint(host uint32, state gateway.EndpointState) gateway.Endpoint {
 	return gateway.Endpoint{Host: host, Zone: int(zoneOf(host)), Cell: int(cellOf(host)), Weight: 1, State: state}
 }
 
-// run sends some 300 requests over a few seconds with stalls, clients that leave, and hosts that come and go.
+// run sends about 300 requests over a few seconds, with stalls, clients that leave, and hosts that come and go.
 func (r *ruleChecker) run(g *logic.Gateway) {
 	list := gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListComplete}
 	for host := range uint32(ruleHosts) {
@@ -262,7 +266,7 @@
 		r.checkDeadlines()
 		r.requests = slices.DeleteFunc(r.requests, func(q *clientRequest) bool { return q.done && q.inFlight == nil })
 		events = []gateway.Event{{Kind: gateway.TimerFired}}
-		r.passTime()
+		r.advanceClock()
 		events = append(events, r.clientAndHostEvents()...)
 		events = append(events, r.counterEvents()...)
 		events = append(events, r.listEvents()...)
@@ -275,20 +279,21 @@
 func (r *ruleChecker) checkDeadlines() {
 	for _, request := range r.requests {
 		if request.deadline <= r.now && !request.done {
-			r.violated(request, "no answer at its deadline")
+			r.violated(request, "no final answer at its deadline")
 		}
 	}
 }
 
-// passTime advances the clock, now and then by a stall past latency objectives and some deadlines.
-func (r *ruleChecker) passTime() {
+// advanceClock advances the clock by up to 20 ms. Now and then it adds a stall, up to the request timeout.
+func (r *ruleChecker) advanceClock() {
 	r.now = r.now.Add(time.Duration(r.random.Intn(20)) * ms)
 	if r.random.Intn(25) == 0 {
 		r.now = r.now.Add(time.Duration(r.random.Intn(int(r.class.Timeout/ms))) * ms)
 	}
 }
 
-// clientAndHostEvents returns ends of attempts and disconnects of clients, in either order for a request of both.
+// clientAndHostEvents returns the ends of attempts and the disconnects of clients. A request may have both, in
+// either order.
 func (r *ruleChecker) clientAndHostEvents() (events []gateway.Event) {
 	for _, request := range r.requests {
 		request.goneNow = false
@@ -313,7 +318,7 @@
 	return gateway.Event{Kind: gateway.ClientGone, RequestID: request.id}
 }
 
-// counterEvents returns answers of the counter and timeouts of its calls.
+// counterEvents returns replies of the shared counter and timeouts of its calls.
 func (r *ruleChecker) counterEvents() (events []gateway.Event) {
 	for len(r.calls) > 0 && (r.random.Intn(2) == 0 || r.now.Sub(r.calls[0].at) >= r.limits.CounterTimeout) {
 		event := gateway.Event{Kind: gateway.CounterReplied, CounterName: r.calls[0].name, Result: gateway.TimedOut}
@@ -327,7 +332,7 @@
 	return events
 }
 
-// listEvents returns, now and then, a change of a host's state.
+// listEvents returns a change of one host's state in one batch out of 20, else nothing.
 func (r *ruleChecker) listEvents() []gateway.Event {
 	if r.random.Intn(20) != 0 {
 		return nil
@@ -340,7 +345,7 @@
 	return []gateway.Event{{Kind: gateway.EndpointsListed, ListKind: gateway.ListChanges, Endpoints: changed}}
 }
 
-// arrivals returns so many new requests in batch n.
+// arrivals returns count new requests in batch n.
 func (r *ruleChecker) arrivals(n, count int) (events []gateway.Event) {
 	for k := count; k > 0; k-- {
 		timeout := r.class.Timeout / time.Duration(1+r.random.Intn(3))
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -9,7 +9,7 @@
 	"ravensill/internal/gossip"
 )
 
-// anyArrival is a request that has time enough.
+// anyArrival is a request with ample time until its deadline.
 var anyArrival = gateway.Event{
 	Kind:      gateway.RequestArrived,
 	RequestID: "a",
@@ -19,8 +19,8 @@
 	Deadline:  gateway.Time(10 * time.Second),
 }
 
-// The cost of a timer, a request and a message does not grow with the list. Records outside the subset are
-// corrupted, so that a walk over them panics.
+// The cost of a timer, a request and a gossip message must not grow with the endpoint list. Records outside the
+// subset are corrupted, so that iterating over them panics or changes them visibly.
 func TestRequestWalksOnlyNearbyEndpoints(t *testing.T) {
 	const hosts = 5000
 	sim := newSimulation(1, 1, func(sim *simulation) { sim.limits.Cancellation = true })
@@ -38,37 +38,38 @@
 		Endpoints: list,
 	})
 	if nearby := len(g.endpoints.inUse); nearby == 0 || nearby > hosts/10 {
-		t.Fatalf("%d of %d hosts are nearby", nearby, hosts)
+		t.Fatalf("%d of %d hosts are in use", nearby, hosts)
 	}
 	for i, e := range g.endpoints.all {
 		if i > 0 && e.id <= g.endpoints.all[i-1].id {
-			t.Fatal("hosts are not in the order of their ids")
+			t.Fatal("hosts are not ordered by id")
 		}
 		if !e.InSubset {
 			e.inFlight = []*attempt{nil}
-			// a walk would gossip it, or clear it
+			// iterating over it would put it in gossip, or reduce its suspicion
 			e.health = []health{{lastGood: gateway.Time(2 * time.Second), unansweredFraction: 0.2}}
 		}
 	}
 	decide(2*gateway.Time(time.Second), gateway.Event{Kind: gateway.TimerFired}, anyArrival)
 	if len(sim.gateways[0].messages) == 0 {
-		t.Fatal("no message to a peer")
+		t.Fatal("no gossip message was sent")
 	}
-	for _, body := range sim.gateways[0].messages {
-		gossip.Format{Plans: 1, Members: 300}.Decode(body, func(uint64, uint64) bool { return true },
-			func(uint16) { t.Error("gossip names a host that is not nearby") }, nil)
+	for _, message := range sim.gateways[0].messages {
+		gossip.Format{Plans: 1, Members: 300}.Decode(message, func(uint64, uint64) bool { return true },
+			func(uint16) { t.Error("gossip has the tag of a host that is not in use") }, nil)
 	}
-	far := g.endpoints.all[slices.IndexFunc(g.endpoints.all, func(e *endpoint) bool { return !e.InSubset })]
-	if g.endpoints.reduceSuspicion(far.gossipTag(0)); far.health[0].unansweredFraction != 0.2 {
-		t.Error("a peer's message walked to a host that is not nearby")
+	outside := g.endpoints.all[slices.IndexFunc(g.endpoints.all, func(e *endpoint) bool { return !e.InSubset })]
+	if g.endpoints.reduceSuspicion(outside.gossipTag(0)); outside.health[0].unansweredFraction != 0.2 {
+		t.Error("a peer's message changed a host that is not in use")
 	}
 	if len(g.endpoints.candidates) != len(g.endpoints.inUse) || g.Gauges().InFlight != 1 {
-		t.Errorf("%d hosts were weighed for a request, %d are nearby, %d requests are in flight",
+		t.Errorf("%d hosts were candidates for a request, %d are in use, %d requests are in flight",
 			len(g.endpoints.candidates), len(g.endpoints.inUse), g.Gauges().InFlight)
 	}
 }
 
-// newGatewayWithEndpoints returns a gateway, one of some members, that has received a list of endpoints.
+// newGatewayWithEndpoints returns a gateway that has received a list of endpoints, in a fleet of a number of
+// members, and the simulation that provides its settings.
 func newGatewayWithEndpoints(members, endpoints int) (*simulation, *Gateway) {
 	sim := newSimulation(1, 1, nil)
 	g := sim.newGateway(gateway.Membership{Count: members})
@@ -83,7 +84,7 @@
 	return sim, g
 }
 
-// If all endpoints of the subset are busy, another one is chosen.
+// If all endpoints of the subset are overloaded, an endpoint outside the subset is chosen.
 func TestBusySubsetLeavesToOtherEndpoints(t *testing.T) {
 	_, g := newGatewayWithEndpoints(300, 1000)
 	for _, e := range g.endpoints.inUse {
@@ -96,7 +97,8 @@
 	}
 }
 
-// A timer walks only endpoints with attempts in flight, also if every endpoint is in the subset.
+// A timer iterates only over endpoints with attempts in flight, even if every endpoint is in the subset. The others
+// are corrupted, so that iterating over them panics.
 func TestTimerAtRestWalksNoEndpoint(t *testing.T) {
 	sim, g := newGatewayWithEndpoints(1, 1000)
 	g.Decide(&gateway.Batch{Now: gateway.Time(time.Second), Events: []gateway.Event{anyArrival}}, sim.gateways[0])
@@ -110,6 +112,6 @@
 		Events: []gateway.Event{{Kind: gateway.TimerFired}},
 	}, sim.gateways[0])
 	if len(g.endpoints.active) != 1 {
-		t.Errorf("%d hosts are walked by a tick, 1 has an attempt in flight", len(g.endpoints.active))
+		t.Errorf("a timer iterates over %d hosts, want 1, the one with an attempt in flight", len(g.endpoints.active))
 	}
 }
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -10,11 +10,11 @@
 
 const ms = time.Millisecond
 
-// simulationStart is the time at which a simulation starts.
+// simulationStart is the time at which simulations start.
 const simulationStart = gateway.Time(100 * time.Second)
 
-// simulation runs gateways on a simulated clock and records their decisions. Hosts, clients and the network are
-// simulated by the tests.
+// simulation runs gateways on a simulated clock and records their decisions in a trace. Tests play the parts of
+// hosts, clients and the network.
 type simulation struct {
 	now       gateway.Time
 	gateways  []*simulatedGateway
@@ -25,19 +25,19 @@
 	slowStart gateway.SlowStart
 }
 
-// simulatedGateway is a gateway of the simulation, and the actions that it records.
+// simulatedGateway is one gateway of a simulation. It implements gateway.Actions by recording them.
 type simulatedGateway struct {
 	simulation      *simulation
 	index           int
 	gateway         *Gateway
-	clockOffset     time.Duration  // by which its clock is ahead
-	messages        [][]byte       // sent and not yet delivered
-	receivers       []int          // of each message
+	clockOffset     time.Duration  // how far its clock is ahead of the simulation's
+	messages        [][]byte       // gossip messages sent and not yet delivered
+	receivers       []int          // member index of each message's receiver
 	listRequestedAt []gateway.Time // times of its polls of the endpoint list
-	counterNames    []uint64       // of calls of the shared counter that have no answer
+	counterNames    []uint64       // names in the pending calls of the shared counter, oldest first
 }
 
-// record writes a line of the trace.
+// record adds a line to the trace.
 func (s *simulatedGateway) record(format string, args ...any) {
 	now := s.simulation.now / gateway.Time(ms)
 	fmt.Fprintf(&s.simulation.trace, "%5d ms  gateway %d  %s\n", now, s.index, fmt.Sprintf(format, args...))
@@ -71,8 +71,8 @@
 	s.receivers = append(s.receivers, peer)
 }
 
-// newSimulation starts n gateways with one idempotent class and one plan of 10 units a second and a burst of
-// 10; configure may change that.
+// newSimulation starts n gateways with one idempotent class and one plan of 10 units a second and a burst of 10.
+// configure, if not nil, may change the settings before that.
 func newSimulation(n, hosts int, configure func(sim *simulation)) *simulation {
 	sim := &simulation{
 		classes: []gateway.RequestClass{{LatencyObjective: 800 * ms, Timeout: 3000 * ms, Value: 1}},
@@ -94,7 +94,7 @@
 	return sim
 }
 
-// restart starts gateway i with its cached endpoint list.
+// restart starts gateway i of n anew, with a cached list of hosts 1 to hosts.
 func (sim *simulation) restart(i, hosts, n int) {
 	var list []gateway.Endpoint
 	for h := range hosts {
@@ -112,13 +112,13 @@
 	sim.list(i, gateway.ListCached, list)
 }
 
-// deliver has gateway i decide on a batch of events.
+// deliver delivers a batch of events to gateway i.
 func (sim *simulation) deliver(i int, e ...gateway.Event) {
 	s := sim.gateways[i]
 	s.gateway.Decide(&gateway.Batch{Now: sim.now.Add(s.clockOffset), Events: e}, s)
 }
 
-// arrive delivers n requests of a customer to gateway i, of one unit each.
+// arrive delivers n requests of a customer, of one unit each, to gateway i.
 func (sim *simulation) arrive(i int, customer string, n int) {
 	for k := range n {
 		sim.deliver(i, gateway.Event{
@@ -132,7 +132,7 @@
 	}
 }
 
-// finishAttempt ends the first attempt that gateway i has in flight at a host, or at any host if it is 0.
+// finishAttempt ends the first attempt that gateway i has in flight at a host, or at any host if host is 0.
 func (sim *simulation) finishAttempt(i int, host uint32, result gateway.Result, closed bool) {
 	for _, e := range sim.gateways[i].gateway.endpoints.all {
 		if len(e.inFlight) > 0 && (host == 0 || e.id == host) {
@@ -158,8 +158,8 @@
 	}
 }
 
-// advance runs the clock in ticks and returns the number of gossip messages sent. Messages are delivered at
-// once if deliverGossip, else lost.
+// advance advances the clock in timer intervals and returns the number of gossip messages sent. They are delivered
+// at once if deliverGossip is set, else lost.
 func (sim *simulation) advance(t time.Duration, deliverGossip bool) (sent int) {
 	for end := sim.now.Add(t); sim.now < end; {
 		sim.now = sim.now.Add(timerInterval)
@@ -177,7 +177,7 @@
 	return sent
 }
 
-// recordLevels records the levels of all copies of a customer's bucket.
+// recordLevels records the level of a customer's bucket at each gateway in the trace.
 func (sim *simulation) recordLevels(customer string) {
 	for _, s := range sim.gateways {
 		if c := s.gateway.customers[hashText(customer)]; c != nil {
@@ -189,18 +189,18 @@
 	}
 }
 
-// list delivers a list of endpoints to gateway i.
+// list delivers an endpoint list to gateway i.
 func (sim *simulation) list(i int, kind gateway.ListKind, endpoints []gateway.Endpoint) {
 	sim.deliver(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: endpoints})
 }
 
-// setQuota sets the rate and the burst of the plan.
+// setQuota sets the rate and the burst of the first plan.
 func (sim *simulation) setQuota(units float64) {
 	sim.plans[0].Rate = units
 	sim.plans[0].Burst = units
 }
 
-// newGateway returns a gateway with the settings of the simulation, but no slow start, that is not part of it.
+// newGateway returns a gateway that is not part of the simulation but has its settings, except slow start.
 func (sim *simulation) newGateway(membership gateway.Membership) *Gateway {
 	return New(1, membership, sim.classes, sim.plans, sim.limits, gateway.SlowStart{}, gateway.LoadReportFormat{})
 }
