--- a/concurrency/limiter.go
+++ b/concurrency/limiter.go
@@ -18,7 +18,7 @@
 
 	increaseFraction = 0.05 // increase per round trip at the limit, as a fraction of the initial limit
 	decreaseFactor   = 0.85 // multiplicative decrease, at most once in MaxLateness of the latency objective
-	minLimit         = 0.05 // least limit in attempts after a decrease, and least utilization that is divided by
+	minLimit         = 0.05 // lower bound of the limit in attempts, and of the utilization as a divisor
 
 	maxLatenessWindow = 16       // answers over which the mean lateness is taken; fewer under a low limit
 	utilizationWeight = 1.0 / 8  // weight of a report in the mean utilization
@@ -30,13 +30,13 @@
 type Limiter struct {
 	InitialLimitPerEndpoint float64 // attempts that each endpoint adds to the limit at first
 
-	endpoints        int     // number of endpoints
-	limit            float64 // in attempts
-	lateness         float64 // moving average of the fraction of the latency objective that answers take
-	meanInFlight     float64 // moving average of the attempts in flight when answers arrive
-	utilization      float64 // moving average of the reports
-	utilizationKnown bool    // whether any report was received
-	lastDecrease     gateway.Time
+	endpoints        int          // number of endpoints
+	limit            float64      // in attempts
+	lateness         float64      // moving average of the fraction of the latency objective that answers take
+	meanInFlight     float64      // moving average of the attempts in flight when answers arrive
+	utilization      float64      // moving average of the reports
+	utilizationKnown bool         // whether any report was received
+	lastDecrease     gateway.Time // time of the latest decrease
 }
 
 // SetEndpoints sets the number of endpoints. The limit changes in proportion. If there were none before, it starts
@@ -80,7 +80,8 @@
 	}
 }
 
-// observeUtilization updates the moving averages by a report. The first report sets them.
+// observeUtilization updates the moving average of the utilization by a report. The first report also sets both it
+// and meanInFlight, for want of earlier ones.
 func (l *Limiter) observeUtilization(utilization float64, inFlight int) {
 	if !l.utilizationKnown {
 		l.utilizationKnown = true
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -95,7 +95,7 @@
 		return CustomerUnanswered, float64(unansweredInterval), true
 	case g.answerTooLate(r):
 		return TooLate, r.class.typicalLatency, true
-	case r.stopAt > 0 && timeLeft < r.class.typicalLatency: // the gateway stops before; others have time
+	case r.stopAt > 0 && timeLeft < r.class.typicalLatency: // another gateway still has the time to answer
 		return TooLate, r.class.typicalLatency, true
 	}
 	return 0, 0, false
--- a/logic/customer.go
+++ b/logic/customer.go
@@ -82,9 +82,9 @@
 	c.ceilingLevel = min(c.ceilingLevel, c.ceilingBurst)
 }
 
-// evictable reports whether the record of a customer can be dropped without loss: a new record would be the same.
-// Neither the bucket nor the ceiling lacks units, nothing is in flight or queued, and the latest admission is older
-// than the peer timeout.
+// evictable reports whether the record of a customer can be dropped without loss: neither the bucket nor the
+// ceiling lacks units, nothing is in flight or queued for a peer, and the latest admission is older than the peer
+// timeout.
 func (g *Gateway) evictable(c *customer) bool {
 	g.refill(c)
 	if c.inFlight > 0 || g.now.Sub(c.lastAdmission) <= g.peerTimeout {
--- a/logic/endpoint_choice.go
+++ b/logic/endpoint_choice.go
@@ -19,7 +19,8 @@
 // reached. fraction is the part of the limit that is open to the request. exclude is not chosen; it may be nil.
 func (s *endpointSet) choose(c *customer, class *class, now gateway.Time, fraction float64,
 	exclude *endpoint) *endpoint {
-	if s.stallEnd > 0 && now.Sub(s.stallEnd) < s.stallLength { // the requests that queued come in addition
+	// Requests that queued during a stall come in addition to the usual ones.
+	if s.stallEnd > 0 && now.Sub(s.stallEnd) < s.stallLength {
 		fraction *= stallLimitFactor
 	}
 	if !s.limit.Allows(s.inFlight, fraction, s.random.fraction()) {
--- a/logic/gossip_receive.go
+++ b/logic/gossip_receive.go
@@ -47,10 +47,10 @@
 	return true
 }
 
-// overtaken reports whether a later message of the peer was received before this one. An incarnation is numbered by
-// the peer's wall clock at its start, so a peer that restarts after its clock was set back has a lower number. Its
-// messages are dropped while delayed messages of the former incarnation may still arrive, that is until the later
-// incarnation has been silent for the peer timeout.
+// overtaken reports whether a message counts as overtaken by a later one of the same peer, and is to be dropped. An
+// incarnation is numbered by the peer's wall clock at its start, so a peer that restarts after its clock was set
+// back has a lower number. A message with a lower number may then be new, or a delayed one of a former incarnation.
+// It is dropped until the incarnation with the higher number has been silent for the peer timeout.
 func (g *Gateway) overtaken(p *peer, incarnation, sequence uint64) bool {
 	if incarnation == p.incarnation {
 		return sequence <= p.sequence
--- a/logic/gossip_send.go
+++ b/logic/gossip_send.go
@@ -8,7 +8,7 @@
 	"ravensill/internal/gossip"
 )
 
-// counterScale is the number of parts of a unit that counters are in on the wire.
+// counterScale is the number of parts that a unit has in counters on the wire.
 const counterScale = 16
 
 // sendGossip sends a peer one message if its rate limit allows: with the changed counters as soon as there are any,
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -32,7 +32,7 @@
 	g.heartbeatInterval = max(gossipInterval, time.Duration(float64(time.Second)/g.messageRate))
 	g.peerTimeout = peerTimeoutIntervals * g.heartbeatInterval
 	g.counterAge = 0.5 / g.messageRate * float64(hops)
-	// Within this time several heartbeats of all peers together were due.
+	// Several heartbeats, over all peers, are due within this time.
 	overdue := g.peerTimeout / time.Duration(max(len(g.neighbours), 1))
 	g.partitionTimeout = max(overdue, 2*stallThreshold)
 	g.endpoints.memberCount = count
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -10,7 +10,7 @@
 const (
 	dedupWindowMargin     = time.Second / 5 // least time left of the deduplication window for a retry
 	retryBudgetPerRequest = 0.25            // retries that each admitted request adds to the budget
-	maxRetryBudget        = 10              // retries
+	maxRetryBudget        = 10              // retries that the budget holds at most
 )
 
 // repeatable reports whether a request that may have run may safely be sent again now. It is safe in an idempotent
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -8,10 +8,10 @@
 )
 
 // localStart returns an endpoint's start by this gateway's clock, 0 or less if it was long ago. The list has the
-// start by the host's wall clock, and either clock may be off by an hour. A gateway whose clock is ahead would take
-// every endpoint for warm. So a start that is announced while this gateway runs counts from its announcement, when
-// the endpoint is at least that old. For endpoints of the first list, the announced time is all there is; a start
-// in the future counts as now.
+// start by the host's wall clock, and either clock may be off by an hour: a gateway whose clock is ahead would take
+// every endpoint for warm. So a start that is announced while this gateway runs counts from its announcement, which
+// can only make the endpoint seem younger than it is. For endpoints of the first list, the announced time is all
+// there is; a start in the future counts as now.
 func (s *endpointSet) localStart(announced, now gateway.Time) gateway.Time {
 	if announced <= 0 { // long ago
 		return announced
--- a/logic/token_bucket.go
+++ b/logic/token_bucket.go
@@ -6,11 +6,11 @@
 const maxDebtBursts = 1.0
 
 // refill refills this gateway's copy of a bucket up to the present, decays the sums, and moves the customer to a
-// new version of its plan. If no peer has sent a message for the peer timeout, the copy gets only this gateway's
-// fraction of the rate and burst, as if the customer's gateways were all partitioned from each other, but room for
-// one request at least. Rejecting everything would be safe too. The fraction never exceeds the quota, but a gateway
-// that is the only one left serves just its fraction. Under a suspected partition before that timeout, peers are
-// assumed to go on admitting.
+// new version of its plan. A copy without messages of any peer for the peer timeout does not reject everything: it
+// is limited to this gateway's fraction of the rate and of the burst, but at least the largest request, as if the
+// customer's gateways were all partitioned from each other. The sum over all gateways keeps to the quota, but a
+// gateway that is the only one left serves just its fraction. In a suspected partition, before the peer timeout,
+// peers are assumed to go on admitting.
 func (g *Gateway) refill(c *customer) {
 	elapsed := seconds(g.now.Sub(c.refilledAt))
 	c.refilledAt = g.now
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -22,7 +22,7 @@
 	InSubset bool    // set by AssignSubset: whether the endpoint is in the subset
 
 	claimsDue       float64 // claims that its weight entitles it to and that it has not made
-	candidatesTried uint64  // gateways in its order that it has tried to claim
+	candidatesTried uint64  // candidates that its claims have tried, see claim
 }
 
 // AssignSubset sets InSubset of each endpoint for the gateway with a member index, in a fleet of a number of
@@ -60,14 +60,15 @@
 // assignment is the state of one call of AssignSubset.
 type assignment struct {
 	member         int    // member index of this gateway
-	size           int    // of each subset
-	sizes          []int  // of the subsets so far, by member index
-	freePlaces     int    // places in subsets that are still free
-	candidateCount uint64 // least power of two that is not below the number of members: any odd step visits all
+	size           int    // final size of each subset
+	sizes          []int  // current sizes of the subsets, by member index
+	freePlaces     int    // free places, over all subsets
+	candidateCount uint64 // least power of two not below the number of members: any odd step visits all candidates
 }
 
-// claim puts an endpoint in the subset of the next candidate member that has a free place, if there is one. The
-// candidates of an endpoint are a permutation of the member indices that its hash determines.
+// claim puts an endpoint in the subset of the next of its candidates that has a free place, if there is one. The
+// candidates are the numbers below candidateCount in an order that the endpoint's hash determines; those that are
+// no member index are skipped.
 func (a *assignment) claim(e *Endpoint) {
 	start := e.Hash >> 32
 	step := e.Hash | 1
