--- a/logic/ceiling.go
+++ b/logic/ceiling.go
@@ -1,8 +1,8 @@
 package logic
 
-// assignCeiling sets this gateway's part of the customer's hard ceiling: its rate and burst divided evenly among
+// setCeilingShare sets this gateway's part of the customer's hard ceiling: its rate and burst divided evenly among
 // the gateways that the customer's requests arrive at. The rate is 0 if this gateway is not one of them.
-func (g *Gateway) assignCeiling(c *customer) {
+func (g *Gateway) setCeilingShare(c *customer) {
 	count := len(g.peers)
 	offset := (g.membership.Index - c.firstGateway%count + count) % count
 	c.ceilingBurst = c.plan.CeilingBurst / float64(max(c.spread, 1))
--- a/logic/clock_test.go
+++ b/logic/clock_test.go
@@ -20,9 +20,9 @@
 // epoch is the time at which these tests begin. It is far enough from 0 to set a clock back by an hour.
 const epoch = gateway.Time(1_000_000 * time.Second)
 
-// A peer numbers its incarnation by its wall clock. If the clock is set back before a restart, its messages look
-// older than those of the former incarnation. They must be accepted after the peer timeout, and the admissions of
-// both incarnations must be subtracted.
+// A peer numbers its incarnation by its wall clock. If that clock is set back before a restart, messages of the new
+// incarnation look older than those of the former one. They must be accepted after the peer timeout, and the
+// admissions of both incarnations must be subtracted, in whichever direction the clock was set.
 func TestPeerRestartAfterClockStep(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
--- a/logic/customer.go
+++ b/logic/customer.go
@@ -59,7 +59,7 @@
 		level:         g.plans[plan].Burst,
 	}
 	g.subscribe(c)
-	g.assignCeiling(c)
+	g.setCeilingShare(c)
 	g.initCeilingLevel(c)
 	g.customers[hash] = c
 	return c
@@ -77,7 +77,7 @@
 		}
 	}
 	c.plan = plan
-	g.assignCeiling(c)
+	g.setCeilingShare(c)
 	c.level = max(min(c.level, plan.Burst), -maxDebtBursts*plan.Burst)
 	c.ceilingLevel = min(c.ceilingLevel, c.ceilingBurst)
 }
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -49,7 +49,7 @@
 
 // health is how an endpoint serves one request class. An endpoint may fail one class and serve the others.
 type health struct {
-	lastGood           gateway.Time // latest success
+	lastSuccess        gateway.Time // latest success
 	lastAnswer         gateway.Time // latest success or busy answer
 	lastFailure        gateway.Time // latest error, lost connection or malformed answer
 	unansweredFraction float64      // estimated fraction of attempts that get no answer, as of fractionUpdatedAt
--- a/logic/endpoint_test.go
+++ b/logic/endpoint_test.go
@@ -59,7 +59,7 @@
 	}
 	sim.arrive(0, "b", 2)
 	// the peer reports a success at host 1
-	sim.gateways[1].gateway.endpoints.all[0].healthFor(sim.gateways[1].gateway.classes[0]).lastGood = sim.now
+	sim.gateways[1].gateway.endpoints.all[0].healthFor(sim.gateways[1].gateway.classes[0]).lastSuccess = sim.now
 	sim.advance(600*ms, true)
 	sim.arrive(0, "c", 2)
 	golden.Check(t, sim.trace.String())
--- a/logic/gateway.go
+++ b/logic/gateway.go
@@ -70,7 +70,7 @@
 	resizedAt         gateway.Time  // latest change of the fleet's size; 0: none
 
 	lastTimer       gateway.Time // latest call of handleTimer
-	nextSweep       gateway.Time // next removal of evictable customers
+	nextEviction    gateway.Time // next removal of evictable customers
 	nextPoll        gateway.Time // next poll of the endpoint list; math.MaxInt64: none
 	lastPoll        gateway.Time // latest poll of the endpoint list, or its loss
 	failedPolls     int          // consecutive failures to get the endpoint list
--- a/logic/gossip_receive.go
+++ b/logic/gossip_receive.go
@@ -90,7 +90,7 @@
 	if units > 0 {
 		g.subtractPeerUnits(c, units)
 	}
-	if units > 0 && p.counter == ownCounter {
+	if units > 0 && p.counterIndex == ownCounter {
 		c.counters[rowCounter] += units
 		c.queueCounters(false, nil)
 	}
--- a/logic/gossip_send.go
+++ b/logic/gossip_send.go
@@ -16,12 +16,12 @@
 // messages that the peer may be sent.
 func (g *Gateway) sendGossip(p *peer, credit float64) {
 	p.credit = min(p.credit+credit, max(g.messageRate, 1))
-	due := g.now >= p.heartbeatDue
-	if !p.sendTo || p.credit < 1 || !due && len(p.queue) == 0 {
+	heartbeatDue := g.now >= p.heartbeatDue
+	if !p.sendTo || p.credit < 1 || !heartbeatDue && len(p.queue) == 0 {
 		return
 	}
 	var tags []uint16
-	if due {
+	if heartbeatDue {
 		p.heartbeatDue = g.now.Add(g.heartbeatInterval)
 		tags = g.healthyTags()
 	}
@@ -36,7 +36,7 @@
 func (g *Gateway) healthyTags() (tags []uint16) {
 	for _, e := range g.endpoints.inUse {
 		for class, h := range e.health {
-			recent := h.lastGood > 0 && g.now.Sub(h.lastGood) <= g.heartbeatInterval
+			recent := h.lastSuccess > 0 && g.now.Sub(h.lastSuccess) <= g.heartbeatInterval
 			if recent && h.unansweredFraction < suspicionLimit && len(tags) < gossip.MaxTags {
 				tags = append(tags, e.gossipTag(class))
 			}
@@ -52,7 +52,7 @@
 	for len(p.queue) > 0 {
 		s := p.queue[0]
 		c := s.customer
-		total := uint64(c.counters[p.counter] * counterScale)
+		total := uint64(c.counters[p.counterIndex] * counterScale)
 		g.refill(c)
 		debt := g.initialDebt(s, total)
 		entry := g.gossipFormat.Counter(c.hash, g.gossipPlan(c), c.spread, c.firstGateway, total, debt)
@@ -62,7 +62,7 @@
 			}
 			message = append(message, entry...)
 		}
-		s.sentTotal = c.counters[p.counter]
+		s.sentTotal = c.counters[p.counterIndex]
 		s.queued = false
 		p.queue = p.queue[1:]
 	}
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// hopNeighbour returns the neighbour of this gateway on the gossip path between two members. One of them is this
-// gateway, and other is the other one.
+// hopNeighbour returns the neighbour that this gateway exchanges gossip with on the path between the members from
+// and to. One of the two must be this gateway; other is the index of the remaining one.
 func (g *Gateway) hopNeighbour(from, to, other int) int {
 	hop := g.forwarder(from, to)
 	if hop == g.membership.Index {
@@ -80,7 +80,7 @@
 		return p
 	}
 	p := &peer{member: member, credit: g.random.fraction()}
-	p.counter = cmp.Compare(g.row(member), g.row(g.membership.Index)) & 1
+	p.counterIndex = cmp.Compare(g.row(member), g.row(g.membership.Index)) & 1
 	if member < len(previous) && previous[member] != nil {
 		known := previous[member]
 		p.incarnation = known.incarnation
@@ -99,9 +99,9 @@
 // rowStart returns the lowest member index in a row.
 func (g *Gateway) rowStart(row int) int { return (row*len(g.peers) + g.gridRows - 1) / g.gridRows }
 
-// forwarder returns the member that gossip from one member to another passes through, in the sender's row: the one
-// in the receiver's column, or the last of the row if the row is shorter. Within one row, gossip goes directly to
-// the receiver.
+// forwarder returns the member that sends gossip of one member on to another: the member of the sender's row that
+// is in the receiver's column, or the last of the row if the row is shorter. Within one row, gossip goes directly
+// to the receiver, which is returned.
 func (g *Gateway) forwarder(from, to int) int {
 	fromRow := g.row(from)
 	toRow := g.row(to)
@@ -140,7 +140,7 @@
 	if p.lastSubscriber != c {
 		p.lastSubscriber = c
 		p.subscriptionIndex = len(c.subscriptions)
-		c.subscriptions = append(c.subscriptions, subscription{customer: c, peer: p, sentTotal: c.counters[p.counter]})
+		c.subscriptions = append(c.subscriptions, subscription{customer: c, peer: p, sentTotal: c.counters[p.counterIndex]})
 	}
 	s := &c.subscriptions[p.subscriptionIndex]
 	s.sendTo = s.sendTo || sendTo
@@ -154,7 +154,7 @@
 		return
 	}
 	p := g.peers[member]
-	if p != nil && p.lastSubscriber == c && p.counter == previous.peer.counter {
+	if p != nil && p.lastSubscriber == c && p.counterIndex == previous.peer.counterIndex {
 		c.subscriptions[p.subscriptionIndex].sentTotal = previous.sentTotal
 	}
 }
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -47,7 +47,7 @@
 	switch result {
 	case gateway.Succeeded:
 		class.typicalLatency += (float64(event.Latency) - class.typicalLatency) * typicalLatencyWeight
-		h.lastGood = now
+		h.lastSuccess = now
 		h.lastAnswer = now
 		h.unansweredFraction /= 2
 	case gateway.Busy:
@@ -58,7 +58,7 @@
 			h.unansweredFraction += (1 - h.unansweredFraction) / 4
 		}
 	case gateway.Errored, gateway.Unreachable, gateway.Disconnected, gateway.Malformed:
-		if h.lastFailure >= h.lastGood { // no success since the previous failure
+		if h.lastFailure >= h.lastSuccess { // no success since the previous failure
 			h.markSuspected(now)
 		}
 		h.lastFailure = now
--- a/logic/peer.go
+++ b/logic/peer.go
@@ -7,7 +7,7 @@
 	member            int       // its member index
 	subscriptionIndex int       // index of its subscription in lastSubscriber.subscriptions
 	lastSubscriber    *customer // the customer that was linked to it last
-	counter           int       // counters exchanged with it: ownCounter in the same row, else rowCounter
+	counterIndex      int       // counters exchanged with it: ownCounter in the same row, else rowCounter
 	sendTo            bool      // whether it is sent gossip
 
 	lastReceived    gateway.Time // latest message received; 0: none
@@ -34,7 +34,9 @@
 }
 
 // unsent returns the units by which the counter has grown since it was last sent to the peer.
-func (s *subscription) unsent() float64 { return s.customer.counters[s.peer.counter] - s.sentTotal }
+func (s *subscription) unsent() float64 {
+	return s.customer.counters[s.peer.counterIndex] - s.sentTotal
+}
 
 // queueCounters queues the customer's counters for its peers: for all of them if admittedHere, else only for those
 // in other rows, whose counter also grows by admissions in this row. If target is not nil, they are queued for that
@@ -44,7 +46,7 @@
 		s := &c.subscriptions[i]
 		wanted := s.peer == target
 		if target == nil {
-			wanted = admittedHere || s.peer.counter == rowCounter
+			wanted = admittedHere || s.peer.counterIndex == rowCounter
 		}
 		if wanted && s.sendTo && !s.queued {
 			s.queued = true
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -24,13 +24,13 @@
 
 // clientRequest is a request as its client sees it.
 type clientRequest struct {
-	id         string
-	deadline   gateway.Time
-	inFlight   *sentAttempt
-	attempts   int
-	mayHaveRun *sentAttempt // the first attempt that may have run; nil: none
-	done       bool         // whether it has its final answer or its client is gone
-	goneNow    bool         // whether its client left in this batch; actions on earlier events of the batch are allowed
+	id                string
+	deadline          gateway.Time
+	inFlight          *sentAttempt
+	attempts          int
+	mayHaveRun        *sentAttempt // the first attempt that may have run; nil: none
+	done              bool         // whether it has its final answer or its client is gone
+	clientGoneInBatch bool         // actions on earlier events of that batch are still allowed
 }
 
 // counterCall is a pending call of the shared counter.
@@ -86,7 +86,7 @@
 func (r *ruleChecker) StartAttempt(id string, host uint32, timeout time.Duration) {
 	request := r.find(id)
 	switch {
-	case request.done && !request.goneNow:
+	case request.done && !request.clientGoneInBatch:
 		r.violated(request, "an attempt starts after its final answer")
 	case request.inFlight != nil:
 		r.violated(request, "two attempts are in flight")
@@ -101,7 +101,7 @@
 		host:            host,
 		startedAt:       r.now,
 		due:             request.deadline,
-		clientGoneFirst: request.goneNow,
+		clientGoneFirst: request.clientGoneInBatch,
 	}
 	if timeout > 0 {
 		request.inFlight.due = min(request.deadline, r.now.Add(timeout))
@@ -135,7 +135,7 @@
 // end checks and records the final answer of a request.
 func (r *ruleChecker) end(id string, answer int) {
 	request := r.find(id)
-	if request.goneNow {
+	if request.clientGoneInBatch {
 		return
 	}
 	if request.done {
@@ -296,7 +296,7 @@
 // either order.
 func (r *ruleChecker) clientAndHostEvents() (events []gateway.Event) {
 	for _, request := range r.requests {
-		request.goneNow = false
+		request.clientGoneInBatch = false
 		leaves := !request.done && r.random.Intn(60) == 0
 		leavesFirst := r.random.Intn(2) == 0
 		if leaves && leavesFirst {
@@ -314,7 +314,7 @@
 
 func (r *ruleChecker) disconnect(request *clientRequest) gateway.Event {
 	request.done = true
-	request.goneNow = true
+	request.clientGoneInBatch = true
 	return gateway.Event{Kind: gateway.ClientGone, RequestID: request.id}
 }
 
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -47,7 +47,7 @@
 		if !e.InSubset {
 			e.inFlight = []*attempt{nil}
 			// iterating over it would put it in gossip, or reduce its suspicion
-			e.health = []health{{lastGood: gateway.Time(2 * time.Second), unansweredFraction: 0.2}}
+			e.health = []health{{lastSuccess: gateway.Time(2 * time.Second), unansweredFraction: 0.2}}
 		}
 	}
 	decide(2*gateway.Time(time.Second), gateway.Event{Kind: gateway.TimerFired}, anyArrival)
--- a/logic/timer.go
+++ b/logic/timer.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	timerInterval = time.Second / 25 // between calls of handleTimer
-	sweepInterval = time.Second      // between removals of evictable customers
+	timerInterval    = time.Second / 25 // between calls of handleTimer
+	evictionInterval = time.Second      // between removals of evictable customers
 )
 
 // handleTimer does the periodic work: it polls a lost endpoint list, cancels overdue attempts, sends gossip and,
-// once in sweepInterval, drops evictable customers.
+// once in evictionInterval, drops evictable customers.
 func (g *Gateway) handleTimer() {
 	g.actions.SetTimer(timerInterval)
 	credit := g.messageCredit()
@@ -22,8 +22,8 @@
 	for _, p := range g.neighbours {
 		g.sendGossip(p, credit)
 	}
-	if g.now >= g.nextSweep {
-		g.nextSweep = g.now.Add(sweepInterval)
+	if g.now >= g.nextEviction {
+		g.nextEviction = g.now.Add(evictionInterval)
 		maps.DeleteFunc(g.customers, func(_ uint32, c *customer) bool { return g.evictable(c) })
 	}
 }
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -9,10 +9,10 @@
 
 const (
 	gatewaysPerEndpoint = 12 // mean number of gateways with an endpoint in their subsets
-	minSubset           = 6  // least size of a subset, if there are as many endpoints
+	minSubsetSize       = 6  // least size of a subset, if there are as many endpoints
 
-	minWeight    = 1.0 / 64 // least weight of an endpoint, as a fraction of the greatest weight
-	initialClaim = 0.5      // initial value of Endpoint.claimsDue
+	minWeight        = 1.0 / 64 // least weight of an endpoint, as a fraction of the greatest weight
+	initialClaimsDue = 0.5      // initial value of Endpoint.claimsDue
 )
 
 // Endpoint is an endpoint to be assigned.
@@ -31,7 +31,7 @@
 	size := (gatewaysPerEndpoint*len(endpoints) + members - 1) / members
 	a := assignment{
 		member:         member,
-		size:           min(max(size, minSubset), len(endpoints)),
+		size:           min(max(size, minSubsetSize), len(endpoints)),
 		sizes:          make([]int, members),
 		candidateCount: uint64(1) << bits.Len(uint(members-1)),
 	}
@@ -39,7 +39,7 @@
 	maxWeight := 0.0
 	for _, e := range endpoints {
 		e.InSubset = false
-		e.claimsDue = initialClaim
+		e.claimsDue = initialClaimsDue
 		e.candidatesTried = 0
 		maxWeight = max(maxWeight, e.Weight)
 	}
