--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -127,7 +127,7 @@
 	unsent = n.transport.Flush() || unsent
 	if n.counter != nil {
 		unsent = n.counter.Flush() || unsent
-		counterDue = n.counter.Expire(n.now())
+		counterDue = n.counter.TimeOutCalls(n.now())
 	}
 	return unsent, counterDue
 }
@@ -172,7 +172,7 @@
 		n.counterReplied(gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
 		return
 	}
-	n.counter.Count(name, amount, lifetime)
+	n.counter.Increment(name, amount, lifetime)
 }
 
 // counterReplied collects an answer of the counter.
--- a/internal/node/panic_test.go
+++ b/internal/node/panic_test.go
@@ -31,7 +31,7 @@
 	n.transport = transport
 	n.epoch = n.epoch.Add(2 * farDeadline)
 	n.iterate()
-	answer.ClientGone()
+	answer.OnClientGone()
 	n.iterate()
 	golden.Check(t, module.String()+n.left())
 }
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -31,7 +31,7 @@
 	if cfg == nil {
 		return func() {}, nil
 	}
-	client, err := poolrunner.Dial(n.system, cfg, n.runOnLoop)
+	client, err := poolrunner.NewClient(n.system, cfg, n.runOnLoop)
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 		p.lastLog = now
 		p.logStatus(now, open, demand)
 	}
-	return p.leaseholder.Due(now)
+	return p.leaseholder.NextDeadline(now)
 }
 
 // logStatus logs how many connections are allowed, open and wanted.
@@ -103,13 +103,13 @@
 		"allowed", p.leaseholder.Allowed(now),
 		"connections", open,
 		"demand", demand,
-		"queued", p.limiter.Queued,
-		"rejected", p.limiter.Rejected,
+		"queued", p.limiter.QueuedAttempts,
+		"rejected", p.limiter.RejectedAttempts,
 		"dials", p.limiter.Dials,
-		"dials_refused", p.limiter.Refused,
-		"datagrams_sent", p.client.Sent,
-		"datagrams_received", p.client.Received,
-		"datagrams_dropped", p.client.Dropped,
+		"dials_refused", p.limiter.RefusedConnections,
+		"datagrams_sent", p.client.DatagramsSent,
+		"datagrams_received", p.client.DatagramsReceived,
+		"datagrams_dropped", p.client.DatagramsDropped,
 		"since_grant_ms", now.Sub(p.leaseholder.LastAnswered()).Milliseconds(),
 	)
 }
--- a/internal/poolrunner/voter_test.go
+++ b/internal/poolrunner/voter_test.go
@@ -48,8 +48,8 @@
 			Members:        2,
 			Floor:          2,
 			Reserve:        3,
-			Lease:          time.Minute,
-			Drain:          time.Minute,
+			LeaseDuration:  time.Minute,
+			MaxDrain:       time.Minute,
 			ReportInterval: time.Second,
 		},
 		Voters:          []netip.AddrPort{address},
@@ -64,7 +64,7 @@
 	}
 	defer voter.Close()
 	deadline := time.Now().Add(waitTimeout)
-	for voter.replica.CatchUp(proposeTimeout) != nil {
+	for voter.replica.Barrier(proposeTimeout) != nil {
 		if time.Now().After(deadline) {
 			t.Fatal("the voter does not lead")
 		}
--- a/logic/gateway.go
+++ b/logic/gateway.go
@@ -121,7 +121,7 @@
 	for i := range plans {
 		g.setPlan(&gateway.PlanUpdate{Index: i, Plan: plans[i]})
 	}
-	g.gossipFormat = gossip.Format{Plans: len(plans), ByID: len(plans) > 0 && plans[0].ID != 0}
+	g.gossipFormat = gossip.Format{Plans: len(plans), PlansByID: len(plans) > 0 && plans[0].ID != 0}
 	g.setFleetSize(max(membership.Count, 1))
 	return g
 }
--- a/logic/gossip_receive.go
+++ b/logic/gossip_receive.go
@@ -61,7 +61,7 @@
 // planIndex returns the index of the plan that a counter names. known is false if this gateway has no such plan or
 // has the customer on another one.
 func (g *Gateway) planIndex(hash, plan uint32) (index int, known bool) {
-	if !g.gossipFormat.ByID {
+	if !g.gossipFormat.PlansByID {
 		return int(plan), true
 	}
 	index, known = g.planByID[plan]
--- a/logic/gossip_send.go
+++ b/logic/gossip_send.go
@@ -27,7 +27,7 @@
 	}
 	p.sentMessages++
 	p.credit--
-	header := g.gossipFormat.Header(uint64(g.start/1e6), p.sentMessages, tags)
+	header := g.gossipFormat.EncodeHeader(uint64(g.start/1e6), p.sentMessages, tags)
 	g.actions.SendGossip(p.member, g.appendCounters(header, p))
 }
 
@@ -55,7 +55,7 @@
 		total := uint64(c.counters[p.counterIndex] * counterScale)
 		g.refill(c)
 		debt := g.initialDebt(s, total)
-		entry := g.gossipFormat.Counter(c.hash, g.gossipPlan(c), c.spread, c.firstGateway, total, debt)
+		entry := g.gossipFormat.EncodeCounter(c.hash, g.gossipPlan(c), c.spread, c.firstGateway, total, debt)
 		if debt > 0 || s.unsent() > 0 {
 			if len(message)+len(entry) > gossip.MaxMessageBytes {
 				break
@@ -71,7 +71,7 @@
 
 // gossipPlan returns how gossip names a customer's plan: by its ID or by its index.
 func (g *Gateway) gossipPlan(c *customer) uint32 {
-	if g.gossipFormat.ByID {
+	if g.gossipFormat.PlansByID {
 		return c.plan.ID
 	}
 	return uint32(c.planIndex)
--- a/logic/metrics.go
+++ b/logic/metrics.go
@@ -43,7 +43,7 @@
 	for reason, count := range g.rejected {
 		counts = append(counts, gateway.DecisionCount{Outcome: Reason(reason).String(), Count: count})
 	}
-	if g.gossipFormat.ByID {
+	if g.gossipFormat.PlansByID {
 		counts = append(counts, gateway.DecisionCount{Outcome: "counters_unmatched", Count: g.unmatchedCounters})
 	}
 	return counts
--- a/logic/request.go
+++ b/logic/request.go
@@ -58,7 +58,7 @@
 	r.class.typicalUnits += (r.units - r.class.typicalUnits) / 64
 	g.arrivals++
 	g.largestRequest = max(g.largestRequest, r.units)
-	if g.gossipFormat.ByID { // refill moves the customer to its current plan
+	if g.gossipFormat.PlansByID { // refill moves the customer to its current plan
 		c.planIndex = event.Plan
 	}
 	g.refill(c)
--- a/logic/settings_test.go
+++ b/logic/settings_test.go
@@ -179,7 +179,7 @@
 	sim.deliver(0, gateway.Event{Kind: gateway.TimerFired})
 	for _, message := range sim.gateways[0].messages {
 		decoded := false
-		format := gossip.Format{Members: 3, ByID: true}
+		format := gossip.Format{Members: 3, PlansByID: true}
 		format.Decode(message, func(uint64, uint64) bool { decoded = true; return false }, nil, nil)
 		if decoded {
 			t.Error("a message of a fleet of 4 was decoded by a gateway in a fleet of 3")
