--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -11,8 +11,8 @@
 // TimeLayout is the layout of the time of a line, which is in UTC.
 const TimeLayout = "2006-01-02T15:04:05.000000Z"
 
-// EventKey is the key of the message of a line, which is the event.
-const EventKey = "event"
+// MessageKey is the key of the message of a line, which is the event.
+const MessageKey = "event"
 
 // SetOutput has package log/slog write to w from now on. The returned function restores what was there before.
 func SetOutput(w io.Writer) (restore func()) {
@@ -29,7 +29,7 @@
 func replaceAttr(_ []string, attr slog.Attr) slog.Attr {
 	switch attr.Key {
 	case slog.MessageKey:
-		attr.Key = EventKey
+		attr.Key = MessageKey
 	case slog.TimeKey:
 		attr.Value = slog.StringValue(attr.Value.Time().UTC().Format(TimeLayout))
 	}
