--- a/lab/docscheck/docscheck_test.go
+++ b/lab/docscheck/docscheck_test.go
@@ -167,7 +167,7 @@
 // The check finds a file, a function and a method that are gone.
 func TestUnknownNamesAreFound(t *testing.T) {
 	m := loadModule(t)
-	const text = "`logic/request.go` (`Gateway.admit`, `Gateway.arrive`), `logic/gone.go`, " +
+	const text = "`logic/request.go` (`Gateway.admit`, `Gateway.requestArrived`), `logic/gone.go`, " +
 		"`subset/subset.go` (`AssignSubset`, `Gone`)"
 	want := []string{"logic/request.go Gateway.admit", "logic/gone.go", "subset/subset.go Gone"}
 	if got := m.unknownNames(text); !slices.Equal(got, want) {
