--- a/cmd/ravensill-publisher/main.go
+++ b/cmd/ravensill-publisher/main.go
@@ -1,5 +1,5 @@
-// Command ravensill-publisher runs one replica of the publishers of the gateways' configuration. The environment
-// variable PUBLISHER_CONFIG names its file.
+// Command ravensill-publisher runs one replica of the publisher, which stores the gateways' configuration and sends it
+// to them. The environment variable PUBLISHER_CONFIG names the replica's settings file. SIGTERM and SIGINT stop it.
 package main
 
 import (
@@ -13,17 +13,16 @@
 	"ravensill/internal/publisher"
 )
 
-// Exit codes.
 const (
-	exitFailed      = 1
-	exitBadSettings = 2
+	exitFailed      = 1 // the replica could not start
+	exitBadSettings = 2 // the settings file could not be read or is invalid
 )
 
 func main() {
 	logging.SetOutput(os.Stderr)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGPIPE, syscall.SIGHUP) // the reader of the log may exit
+	signal.Ignore(syscall.SIGPIPE, syscall.SIGHUP) // the process must go on after the reader of its log has exited
 	cfg, err := config.LoadPublisher(os.Getenv)
 	if err != nil {
 		slog.Error("start_failed", "error", err)
--- a/cmd/ravensill/main.go
+++ b/cmd/ravensill/main.go
@@ -1,4 +1,5 @@
-// Command ravensill is one gateway on sockets.
+// Command ravensill runs one gateway. The environment variable GW_CONFIG names its configuration file. SIGTERM shuts
+// the gateway down gracefully, and SIGHUP reloads the file.
 package main
 
 import (
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,7 +1,6 @@
-// Command simhost runs many gateways in one process for the operators' simulator. The gateways share no state;
-// the simulator provides hosts, clients and the clock, and talks to all of them over the simulator's wire
-// (package simwire) on standard input and output. It ends when its input ends, and exits with 1 at a malformed
-// line.
+// Command simhost runs many gateways in one process, connected to a simulator. The gateways share no state. The
+// simulator provides hosts, clients and the clock, and exchanges lines with the gateways on standard input and output,
+// in the format of package simwire. The command ends when its input ends, and exits with status 1 at a malformed line.
 package main
 
 import (
@@ -14,7 +13,7 @@
 	"ravensill/logic"
 )
 
-// gcPercent is higher than the default: many short-lived events are allocated.
+// gcPercent is higher than the default of 100, since many short-lived events are allocated.
 const gcPercent = 400
 
 func main() {
@@ -25,7 +24,7 @@
 	}
 }
 
-// start starts a gateway with the decisions of package logic.
+// start returns the decision module of a new gateway.
 func start(seed uint64, settings *config.Settings) simwire.Decider {
 	return logic.New(
 		seed,
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -11,22 +11,24 @@
 const (
 	probeTimeout = time.Second
 
-	// stallAllowance is the longest stall between reading the clock and writing that the deadline of a write allows for.
+	// stallAllowance is subtracted from the deduplication window in writeDeadline: a stall of the process up to this long
+	// between reading the clock and writing does not take a retry past the window.
 	stallAllowance = 150 * time.Millisecond
 )
 
-// attempt is an attempt or a probe in flight. A probe has no request.
+// attempt is an attempt of a request, or a probe, that is in flight at a host.
 type attempt struct {
-	node      *Node
-	request   *request
-	host      uint32
-	number    int // of the request's attempts
-	startedAt gateway.Time
-	deadline  gateway.Time
-	send      *hosts.Attempt
+	node        *Node
+	request     *request // nil: a probe
+	host        uint32
+	number      int // index in request.attempts
+	startedAt   gateway.Time
+	deadline    gateway.Time
+	hostAttempt *hosts.Attempt
 }
 
-// StartAttempt implements gateway.Actions.
+// StartAttempt implements gateway.Actions. The attempt times out after timeout or at the request's deadline, whichever
+// is first; a timeout of 0 leaves the deadline. An unknown request is ignored.
 func (n *Node) StartAttempt(id string, host uint32, timeout time.Duration) {
 	r := n.requests[id]
 	if r == nil {
@@ -39,8 +41,8 @@
 	a := n.newAttempt(r, host, wait)
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	// The client is gone, perhaps by an event that still waits for the loop. Nothing is sent, and the attempt ends at
-	// once: the module counts it as in flight until then.
+	// The client may have disconnected without the module knowing yet. Nothing is sent then, but the attempt has to end
+	// with an event, since the module counts it as in flight from now on.
 	if r.closed || r.answer.IsClientGone() {
 		r.closed = true
 		a.end(gateway.Event{Result: gateway.NotSent}, nil, n.now())
@@ -48,14 +50,14 @@
 	}
 	n.quota.setUrgency(r)
 	command := hosts.Command{Head: r.command.Head, Before: r.command.Before, After: r.command.After, Tail: r.command.Tail}
-	a.send = n.transport.Send(host, command, a.deadline, a.writeDeadline(), a.end)
-	if r.closed { // the client is gone by the end of another attempt
-		a.withdraw()
+	a.hostAttempt = n.transport.Send(host, command, a.deadline, a.writeDeadline(), a.end)
+	if r.closed { // Send ended another attempt, and its end closed the request
+		a.cancelUnwritten()
 	}
 }
 
-// writeDeadline returns the time at which the attempt's first byte must be written. Hosts drop a repeat within
-// a window only, and a connection may take longer than that to come up.
+// writeDeadline returns the time by which the attempt's first byte must be written. Hosts discard a repeated request
+// only within the deduplication window, and a connection may take longer than that to be established.
 func (a *attempt) writeDeadline() gateway.Time {
 	r := a.request
 	if r.mayHaveRunAt == 0 || r.class.Effect != gateway.Deduplicated {
@@ -64,21 +66,22 @@
 	return min(a.deadline, r.mayHaveRunAt.Add(r.class.DedupWindow-stallAllowance))
 }
 
-// SendProbe implements gateway.Actions.
+// SendProbe implements gateway.Actions. The probe times out after probeTimeout.
 func (n *Node) SendProbe(host uint32) {
 	a := n.newAttempt(nil, host, probeTimeout)
-	a.send = n.transport.Probe(host, a.end)
+	a.hostAttempt = n.transport.Probe(host, a.end)
 }
 
-// newAttempt records an attempt that times out after a wait.
+// newAttempt adds an attempt that times out after wait, counted from the time of the batch, to those in flight. A nil
+// request stands for a probe.
 func (n *Node) newAttempt(r *request, host uint32, wait time.Duration) *attempt {
 	a := &attempt{
-		node:      n,
-		request:   r,
-		host:      host,
-		startedAt: n.batch.Now,
-		deadline:  n.batch.Now.Add(wait),
-		send:      hosts.NeverStarted,
+		node:        n,
+		request:     r,
+		host:        host,
+		startedAt:   n.batch.Now,
+		deadline:    n.batch.Now.Add(wait),
+		hostAttempt: hosts.NeverStarted,
 	}
 	if r != nil {
 		a.number = len(r.attempts)
@@ -90,15 +93,16 @@
 	return a
 }
 
-// withdraw cancels an attempt that is not on its way yet: it waits for a connection, or its last byte is not
-// written. The connection may come up long after the client has gone.
-func (a *attempt) withdraw() {
-	if !a.send.Written() {
-		a.send.Cancel(hosts.ErrCanceled)
+// cancelUnwritten cancels an attempt that is waiting for a connection or is not completely written. Otherwise it would
+// be sent even if the connection is established long after the client disconnected.
+func (a *attempt) cancelUnwritten() {
+	if !a.hostAttempt.Written() {
+		a.hostAttempt.Cancel(hosts.ErrCanceled)
 	}
 }
 
-// end handles the end of an attempt. The first good answer goes to the client at once.
+// end handles the end of an attempt or probe and adds its event to the next batch. The first success is answered to the
+// client at once, without a decision of the module. value is the host's answer, received when the attempt ended.
 func (a *attempt) end(event gateway.Event, value []byte, received gateway.Time) {
 	n := a.node
 	r := a.request
@@ -116,7 +120,7 @@
 	if r.mayHaveRunAt == 0 && !event.Result.NeverRan() {
 		r.mayHaveRunAt = a.startedAt
 	}
-	defer func() { // after a panic, too, or the module counts the attempt as in flight forever
+	defer func() { // deferred: after a panic the module would count the attempt as in flight forever
 		if r.closed {
 			r.close()
 		}
@@ -132,29 +136,30 @@
 	n.observer.attemptEnded(a, event.Result, event.Latency)
 }
 
-// CancelAttempt implements gateway.Actions.
+// CancelAttempt implements gateway.Actions. Unknown requests and attempts are ignored.
 func (n *Node) CancelAttempt(id string, number int) {
 	if r := n.requests[id]; r != nil && uint(number) < uint(len(r.attempts)) {
-		r.attempts[number].send.Cancel(hosts.ErrCanceled)
+		r.attempts[number].hostAttempt.Cancel(hosts.ErrCanceled)
 	}
 }
 
-// expire ends the attempts that have timed out, including those whose send a panic has ended.
-func (n *Node) expire(now gateway.Time) {
+// expireAttempts ends the attempts that have timed out. Canceling an attempt ends it, unless a panic interrupted its
+// sending, or interrupts the cancellation; such an attempt is ended here directly.
+func (n *Node) expireAttempts(now gateway.Time) {
 	if n.nextExpiry == 0 || now < n.nextExpiry {
 		return
 	}
-	var due []*attempt
+	var timedOut []*attempt
 	n.nextExpiry = 0
 	for _, a := range n.inFlight {
 		if a.deadline <= now {
-			due = append(due, a)
+			timedOut = append(timedOut, a)
 		} else if n.nextExpiry == 0 || a.deadline < n.nextExpiry {
 			n.nextExpiry = a.deadline
 		}
 	}
-	for _, a := range due {
-		n.recoverPanics("loop", func() { a.send.Cancel(hosts.ErrTimedOut) })
+	for _, a := range timedOut {
+		n.recoverPanics("loop", func() { a.hostAttempt.Cancel(hosts.ErrTimedOut) })
 		if slices.Contains(n.inFlight, a) {
 			n.recoverPanics("loop", func() { a.end(gateway.Event{Result: gateway.TimedOut}, nil, now) })
 		}
--- a/internal/node/client_gone_test.go
+++ b/internal/node/client_gone_test.go
@@ -15,13 +15,13 @@
 // module started ends for it, so that none stays in flight.
 func TestNoAttemptAfterClientGone(t *testing.T) {
 	module := &retryingDecider{}
-	n := newIdleNode(module, gateway.RequestClass{}, silentHost(t))
+	n := newSteppedNode(module, gateway.RequestClass{}, silentHost(t))
 	n.request("before-its-arrival-is-decided").ClientGone()
 	n.process()
 
 	answer := n.request("with-the-end-of-its-attempt")
 	n.process()
-	n.requests["with-the-end-of-its-attempt"].attempts[0].send.Cancel(hosts.ErrTimedOut)
+	n.requests["with-the-end-of-its-attempt"].attempts[0].hostAttempt.Cancel(hosts.ErrTimedOut)
 	answer.ClientGone()
 	n.process()
 
@@ -35,9 +35,9 @@
 	n.processUntilWritten("during-its-attempt", 0)
 	answer.ClientGone()
 	n.process()
-	n.requests["during-its-attempt"].attempts[0].send.Cancel(hosts.ErrTimedOut)
+	n.requests["during-its-attempt"].attempts[0].hostAttempt.Cancel(hosts.ErrTimedOut)
 	n.process()
-	golden.Check(t, module.String()+n.left())
+	golden.Check(t, module.String()+n.openWork())
 }
 
 // clientGoneDecider has the client of each request disconnect while the batch of its arrival is decided, and sends it.
@@ -73,16 +73,16 @@
 	fmt.Fprint(conn, command("a", 1))
 	conns <- conn
 	running.stop()
-	if events := running.ended(); len(events) > 0 {
+	if events := running.wait(); len(events) > 0 {
 		t.Error("a panic")
 	}
-	golden.Check(t, module.String()+module.node.left())
+	golden.Check(t, module.String()+module.node.openWork())
 }
 
 // A request whose client disconnects while its attempt connects is not sent when the connection comes up.
 func TestNothingSentForClientGoneWhileConnecting(t *testing.T) {
 	g := newTestGateway(t)
-	dials, connect := g.holdConnections()
+	dials, connect := g.holdDials()
 	conn := g.sendRequest("a")
 	<-dials
 	events := <-g.events + "\n" + <-g.events + "\n"
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -11,50 +11,51 @@
 	"ravensill/internal/peers"
 )
 
-// maxAdjustedLines is the most log lines on adjusted settings of one version: a document may contain thousands.
-const maxAdjustedLines = 20
+// maxAdjustedLogLines limits the log lines on adjusted settings of one version: a version may contain thousands of
+// such settings.
+const maxAdjustedLogLines = 20
 
-// ErrStopped is the error for a revision that came after the gateway had ended.
-var ErrStopped = errors.New("the gateway has ended")
+// ErrStopped is returned for a revision that the gateway stopped before applying.
+var ErrStopped = errors.New("configuration not applied: the gateway has stopped")
 
-// revision is a checked version of the configuration that is not in force yet.
+// revision is a validated version of the configuration that waits to be applied.
 type revision struct {
 	*config.Revision
 	version configsync.Version
-	inForce chan struct{} // closed once it is in force
+	applied chan struct{} // closed once the revision is applied
 }
 
-// ApplyConfiguration puts a revision in force between two batches of events, and returns once it is. The subscriber calls it
-// with one revision at a time. The error is ErrStopped.
+// ApplyConfiguration applies a validated revision between two batches of events and waits until that is done. Any
+// goroutine but the loop's may call it, with one revision at a time. It fails only with ErrStopped.
 func (n *Node) ApplyConfiguration(version configsync.Version, changes *config.Revision) error {
-	next := revision{Revision: changes, version: version, inForce: make(chan struct{})}
+	next := revision{Revision: changes, version: version, applied: make(chan struct{})}
 	select {
-	case n.work <- func() { n.pendingRevisions = append(n.pendingRevisions, next) }:
-	case <-n.ended:
+	case n.inbox <- func() { n.pendingRevisions = append(n.pendingRevisions, next) }:
+	case <-n.loopEnded:
 		return ErrStopped
 	}
 	select {
-	case <-next.inForce:
+	case <-next.applied:
 		return nil
-	case <-n.ended:
+	case <-n.loopEnded:
 		return ErrStopped
 	}
 }
 
-// applyPending puts the pending revisions in force and reports whether there were any. It is called after an
-// iteration: earlier events are decided under the earlier version.
-func (n *Node) applyPending() bool {
+// applyPendingRevisions applies the pending revisions and reports whether there were any. It is called after an
+// iteration, so that events that were collected before a revision are decided under the version before it.
+func (n *Node) applyPendingRevisions() bool {
 	pending := n.pendingRevisions
 	n.pendingRevisions = nil
 	for i := range pending {
 		n.recoverPanics("configuration", func() { n.applyRevision(&pending[i]) })
-		close(pending[i].inForce)
+		close(pending[i].applied)
 	}
 	return len(pending) > 0
 }
 
-// applyRevision applies a revision to every part of the gateway, first to the module: no other part may name an
-// index that it lacks.
+// applyRevision applies a revision to every part of the gateway. The module comes first, since events that the other
+// parts send it must not contain the index of a plan, class or member that it does not know.
 func (n *Node) applyRevision(next *revision) {
 	n.module.Reconfigure(n.now(), &next.Update)
 	if next.Update.Limits != nil {
@@ -66,6 +67,7 @@
 	n.logRevision(next)
 }
 
+// applyClasses updates the request classes. A class whose index is the number of classes is new.
 func (n *Node) applyClasses(changes []config.ClassChange) {
 	for _, change := range changes {
 		if change.Index == len(n.classes) {
@@ -76,7 +78,7 @@
 	}
 }
 
-// catalogEdit returns what commands may name from now on.
+// catalogEdit returns the changes of a revision to the plans, classes and members that clients may name in commands.
 func catalogEdit(next *config.Revision) clients.CatalogEdit {
 	edit := clients.CatalogEdit{Members: next.MemberCount}
 	for i := range next.Update.Plans {
@@ -99,6 +101,7 @@
 	return edit
 }
 
+// applyMembers updates the addresses of peers. A gateway without gossip ignores them.
 func (n *Node) applyMembers(next *config.Revision) {
 	if n.peerTransport == nil || len(next.Members) == 0 && next.Update.Members == 0 {
 		return
@@ -110,9 +113,10 @@
 	n.peerTransport.SetMembers(changed, next.MemberCount)
 }
 
+// logRevision logs an applied revision, with the settings that were adjusted in it.
 func (n *Node) logRevision(next *revision) {
 	for i, adjusted := range next.Adjusted {
-		if i == maxAdjustedLines {
+		if i == maxAdjustedLogLines {
 			slog.Warn("settings_adjusted", "more", len(next.Adjusted)-i)
 			break
 		}
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -23,15 +23,15 @@
 // liveGateway is a gateway with the real decision module and one host, whose configuration the test changes.
 type liveGateway struct {
 	*testing.T
-	node    *Node
-	config  *config.Live
-	version configsync.Version
-	lines   chan string   // of the log, on the configuration
-	addr    string        // where clients connect
-	held    chan struct{} // receives when the host gets a request whose id begins with "hold"
-	release chan struct{} // closed: the host answers those too
-	result  chan error    // of Run
-	stopped chan struct{} // closed: the gateway is called to stop
+	node         *Node
+	config       *config.Live
+	version      configsync.Version
+	lines        chan string   // of the log, on the configuration
+	addr         string        // where clients connect
+	heldRequests chan struct{} // receives when the host gets a request whose id begins with "hold"
+	release      chan struct{} // closed: the host answers those too
+	result       chan error    // of Run
+	stopped      chan struct{} // closed: the gateway is called to stop
 }
 
 const liveSettings = `{"balancers":1,
@@ -43,12 +43,12 @@
 
 func newLiveGateway(t *testing.T, configure func(*config.Config)) *liveGateway {
 	g := &liveGateway{
-		T:       t,
-		lines:   make(chan string, 99),
-		held:    make(chan struct{}, 9),
-		release: make(chan struct{}),
-		result:  make(chan error, 1),
-		stopped: make(chan struct{}),
+		T:            t,
+		lines:        make(chan string, 99),
+		heldRequests: make(chan struct{}, 9),
+		release:      make(chan struct{}),
+		result:       make(chan error, 1),
+		stopped:      make(chan struct{}),
 	}
 	settings, err := config.Decode(liveSettings)
 	if err != nil {
@@ -59,7 +59,7 @@
 	settings.ConnIdle = connectionLimit
 	settings.Limits.PollEndpoints = true // clients are accepted without an agent
 	cfg := testConfig(settings)
-	cfg.KnownEndpoints = knownHost(g.startHost())
+	cfg.KnownEndpoints = singleHostList(g.startHost())
 	cfg.Configuration = &config.Configuration{}
 	if configure != nil {
 		configure(cfg)
@@ -133,8 +133,8 @@
 			}
 			lines[i] = line
 		}
-		if strings.HasPrefix(lines[requestIDAt], "hold") {
-			g.held <- struct{}{}
+		if strings.HasPrefix(lines[requestIDLine], "hold") {
+			g.heldRequests <- struct{}{}
 			<-g.release
 		}
 		io.WriteString(conn, "*1\r\n$1\r\nv\r\n")
@@ -226,8 +226,8 @@
 	g := newLiveGateway(t, nil)
 	trace := &configurationTrace{gateway: g}
 	inFlight := []net.Conn{g.send("hold-1", "lookup", "gold"), g.send("hold-2", "order", "gold")}
-	<-g.held
-	<-g.held
+	<-g.heldRequests
+	<-g.heldRequests
 	trace.request("lookup", "gold") // the burst is spent
 	trace.change(`limits {"max_attempts":2}`)
 	trace.request("lookup", "gold")
@@ -335,7 +335,7 @@
 		close(applied)
 	}()
 	io.WriteString(conn, command("a", 1)+command("a", 2))
-	for len(n.work) < 2 { // the reader's and the change, in either order
+	for len(n.inbox) < 2 { // the reader's and the change, in either order
 		time.Sleep(time.Millisecond)
 	}
 	close(busy)
@@ -345,5 +345,5 @@
 	}
 	conn.Close()
 	running.stop()
-	running.ended()
+	running.wait()
 }
--- a/internal/node/connecting_test.go
+++ b/internal/node/connecting_test.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	requestLines = 9 // of a command of four words
-	requestIDAt  = 6 // line of the third word
+	requestLines  = 9 // of a command of four words
+	requestIDLine = 6 // line of the third word
 )
 
 // testGateway is a node on sockets with one host. Its module sends each request to the host, and once more if it
@@ -27,11 +27,11 @@
 type testGateway struct {
 	*testing.T
 	*Node
-	addr     chan string // on which it serves
-	host     uint32
-	hostAddr string
-	running  bool        // whether the host is neither draining nor gone
-	events   chan string // each event that the module decides on
+	addr        chan string // on which it serves
+	host        uint32
+	hostAddr    string
+	hostRunning bool        // whether the host is neither draining nor gone
+	events      chan string // each event that the module decides on
 
 	mu       sync.Mutex
 	received []string // ids of the requests that the host received
@@ -49,7 +49,7 @@
 	settings.ConnectTimeout = connectionLimit
 	settings.Limits = gateway.Limits{PollEndpoints: true}
 	cfg := testConfig(settings)
-	cfg.KnownEndpoints = knownHost(g.hostAddr)
+	cfg.KnownEndpoints = singleHostList(g.hostAddr)
 	g.Node = New(cfg, g)
 
 	restoreLog := logging.SetOutput(g)
@@ -94,7 +94,7 @@
 			if err != nil {
 				return
 			}
-			if i == requestIDAt {
+			if i == requestIDLine {
 				g.mu.Lock()
 				g.received = append(g.received, strings.TrimSpace(line))
 				g.mu.Unlock()
@@ -118,7 +118,7 @@
 			for _, endpoint := range event.Endpoints {
 				g.events <- "listed " + endpoint.State.String()
 				g.host = endpoint.Host
-				g.running = endpoint.State == gateway.Running
+				g.hostRunning = endpoint.State == gateway.Running
 			}
 		case gateway.RequestArrived:
 			g.events <- "arrived " + event.RequestID
@@ -136,26 +136,26 @@
 	const ended = "ended %s %d: result %d, closed %t"
 	g.events <- fmt.Sprintf(ended, event.RequestID, event.Attempt, event.Result, event.Closed)
 	switch {
-	case event.Result.NeverRan() && event.Attempt == 0 && g.running:
+	case event.Result.NeverRan() && event.Attempt == 0 && g.hostRunning:
 		actions.StartAttempt(event.RequestID, g.host, 0)
 	case event.Result != gateway.Succeeded:
 		actions.Reject(event.RequestID, 0)
 	}
 }
 
-// holdConnections keeps connections to the host from coming up until connect is closed. Each dial is sent to dials.
-func (g *testGateway) holdConnections() (dials <-chan struct{}, connect chan<- struct{}) {
+// holdDials keeps connections to the host from coming up until connect is closed. Each dial is sent to dials.
+func (g *testGateway) holdDials() (dials <-chan struct{}, connect chan<- struct{}) {
 	dialed := make(chan struct{}, 9)
-	up := make(chan struct{})
+	connected := make(chan struct{})
 	g.runOnLoop(func() {
 		dial := g.transport.Dial
 		g.transport.Dial = func(addr string) (net.Conn, error) {
 			dialed <- struct{}{}
-			<-up
+			<-connected
 			return dial(addr)
 		}
 	})
-	return dialed, up
+	return dialed, connected
 }
 
 // sendRequest connects and sends a request.
@@ -179,7 +179,7 @@
 		events = append(events, <-g.events)
 	}
 	left := make(chan string)
-	g.runOnLoop(func() { left <- g.left() })
+	g.runOnLoop(func() { left <- g.openWork() })
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	slices.Sort(g.received)
@@ -189,19 +189,19 @@
 // An attempt that waits for a connection to a host that starts to drain is not sent when the connection comes up.
 func TestNothingSentToHostDrainingWhileConnecting(t *testing.T) {
 	g := newTestGateway(t)
-	dials, connect := g.holdConnections()
+	dials, connect := g.holdDials()
 	g.sendRequest("a")
 	<-dials
 	events := <-g.events + "\n" + <-g.events + "\n"
-	g.list(2, "leaving")
+	g.updateHostState(2, "leaving")
 	events += <-g.events + "\n"
-	g.list(3, "active")
+	g.updateHostState(3, "active")
 	close(connect)
 	golden.Check(t, events+g.serveLastRequest())
 }
 
-// list applies a change of the host's state to the endpoint list.
-func (g *testGateway) list(version int, state string) {
+// updateHostState applies a change of the host's state to the endpoint list.
+func (g *testGateway) updateHostState(version int, state string) {
 	list := fmt.Sprintf(`{"version":%d,"full":false,"servers":[{"id":"s","addr":"%s","state":"%s","weight":1}]}`,
 		version, g.hostAddr, state)
 	g.runOnLoop(func() { g.updateEndpoints(list, false) })
--- a/internal/node/dedup_window_test.go
+++ b/internal/node/dedup_window_test.go
@@ -16,11 +16,11 @@
 	host := silentHost(t)
 	module := &retryingDecider{}
 	for _, effect := range []gateway.Effect{gateway.Idempotent, gateway.Deduplicated} {
-		n := newIdleNode(module, gateway.RequestClass{Effect: effect, DedupWindow: 1}, host)
+		n := newSteppedNode(module, gateway.RequestClass{Effect: effect, DedupWindow: 1}, host)
 		n.request("r")
 		n.process()
 		n.processUntilWritten("r", 0)
-		n.requests["r"].attempts[0].send.Cancel(hosts.ErrTimedOut) // it may have run
+		n.requests["r"].attempts[0].hostAttempt.Cancel(hosts.ErrTimedOut) // it may have run
 		n.process()
 		n.processUntilWritten("r", 1)
 		r := n.requests["r"]
@@ -44,15 +44,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			module := &retryingDecider{}
 			class := gateway.RequestClass{Effect: gateway.Deduplicated, DedupWindow: window}
-			n := newIdleNode(module, class, host)
+			n := newSteppedNode(module, class, host)
 			n.request("r")
 			n.process()
 			n.processUntilWritten("r", 0)
-			n.requests["r"].attempts[0].send.Cancel(hosts.ErrTimedOut) // it may have run
+			n.requests["r"].attempts[0].hostAttempt.Cancel(hosts.ErrTimedOut) // it may have run
 			n.process()
 			n.epoch = n.epoch.Add(window - test.left)
 			n.processUntilWritten("r", 1)
-			n.requests["r"].attempts[1].send.Cancel(hosts.ErrTimedOut)
+			n.requests["r"].attempts[1].hostAttempt.Cancel(hosts.ErrTimedOut)
 			n.process()
 			want := fmt.Sprintf("r attempt 1 ended: result %d,", test.result)
 			if !strings.Contains(module.String(), want) {
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -11,51 +11,57 @@
 )
 
 const (
-	firstListWait = 2 * time.Second        // for the first list, before clients are accepted without it
-	maxReadDelay  = 100 * time.Millisecond // of a decision, for updates that are received but unread
+	// firstListTimeout is how long the start waits for the discovery agent's first answer. Clients are then accepted
+	// with the endpoint list of the configuration.
+	firstListTimeout = 2 * time.Second
+
+	// maxPendingReadTime is how long a batch of decisions may be delayed to read endpoint updates that the connection
+	// to the agent has already received.
+	maxPendingReadTime = 100 * time.Millisecond
 )
 
-// watch is one attempt to follow the endpoint list. Only what the newest one receives counts.
-type watch struct {
-	stop      context.CancelFunc
-	feed      discovery.PendingRead
-	skipUntil gateway.Time // its unread updates delay no decision before
+// endpointWatch is one watch of the endpoint list at the discovery agent. Results of a watch that is no longer
+// Node.watch are ignored.
+type endpointWatch struct {
+	cancel      context.CancelFunc
+	pendingRead discovery.PendingRead
+	skipUntil   gateway.Time // until then, decisions don't wait for unread updates
 }
 
-// startWatch watches the endpoint list, unless the module polls it. What the agent knows counts as notified
-// from the first moment on, and the list of the configuration may be old: clients are accepted once the agent
-// has answered, or after firstListWait.
+// startWatch starts to watch the endpoint list, unless the module polls it with WatchEndpoints. From its start on, the
+// gateway counts as notified of every drain that the agent knows, and the list in the configuration may be outdated.
+// Clients are therefore accepted only once the agent has answered, or after firstListTimeout.
 func (n *Node) startWatch() {
 	if n.cfg.Limits.PollEndpoints {
-		n.listAnswered = true
+		n.firstListDone = true
 		return
 	}
 	n.WatchEndpoints()
-	time.AfterFunc(firstListWait, func() {
+	time.AfterFunc(firstListTimeout, func() {
 		n.runOnLoop(func() {
-			if !n.listAnswered {
+			if !n.firstListDone {
 				slog.Warn("endpoint_list_timeout", "version", n.endpointList.Version)
 			}
-			n.listAnswered = true
+			n.firstListDone = true
 		})
 	})
 }
 
-// WatchEndpoints implements gateway.Actions: it watches the list from the latest version on. A watch that still
-// runs ends.
+// WatchEndpoints implements gateway.Actions. It starts a watch for versions of the list later than the current one,
+// and cancels the previous watch.
 func (n *Node) WatchEndpoints() {
 	n.stopWatch()
 	ctx, stop := context.WithCancel(context.Background())
-	w := &watch{stop: stop}
+	w := &endpointWatch{cancel: stop}
 	n.watch = w
 	options := discovery.WatchOptions{
 		System:     n.system,
 		Address:    n.cfg.Discovery,
 		After:      n.endpointList.Version,
 		Timeouts:   discovery.NewTimeouts(n.cfg.Limits.PollEndpoints),
-		Pending:    &w.feed,
-		OnReceived: func() { n.runForWatch(w, n.watchReceived) },
-		OnList:     func(list string) { n.runForWatch(w, func() { n.updateEndpoints(list, false) }) },
+		Pending:    &w.pendingRead,
+		OnReceived: func() { n.runIfCurrentWatch(w, n.watchReceived) },
+		OnList:     func(list string) { n.runIfCurrentWatch(w, func() { n.updateEndpoints(list, false) }) },
 	}
 	n.readers.Go(func() {
 		err := discovery.Watch(ctx, options)
@@ -64,15 +70,15 @@
 	})
 }
 
-// stopWatch ends the newest watch, if there is one.
+// stopWatch cancels the current watch, if there is one.
 func (n *Node) stopWatch() {
 	if n.watch != nil {
-		n.watch.stop()
+		n.watch.cancel()
 	}
 }
 
-// runForWatch has the loop run f if the watch is still the newest one then.
-func (n *Node) runForWatch(w *watch, f func()) {
+// runIfCurrentWatch has the loop run f, unless w has been replaced by another watch by then.
+func (n *Node) runIfCurrentWatch(w *endpointWatch, f func()) {
 	n.runOnLoop(func() {
 		if n.watch == w {
 			f()
@@ -80,7 +86,7 @@
 	})
 }
 
-// watchReceived records that the newest watch has received something.
+// watchReceived handles data received on the current watch: a lost watch is restored.
 func (n *Node) watchReceived() {
 	if n.watchLost {
 		slog.Info("endpoint_watch_restored")
@@ -88,29 +94,30 @@
 	n.watchLost = false
 }
 
-// readPendingList has the newest watch pass on what its connection has received, before the module decides. A
-// process that was stalled or has much to read would otherwise send requests to endpoints that were drained
-// long before.
-func (n *Node) readPendingList() {
+// readPendingUpdates waits, before the module decides on events, until the current watch has passed on the updates that
+// its connection has received. Otherwise a process that was stalled, or that has much to read, would send requests to
+// endpoints that were drained long before.
+func (n *Node) readPendingUpdates() {
 	if len(n.events) == 0 || n.watch == nil || n.now() < n.watch.skipUntil {
 		return
 	}
-	for limit := n.now().Add(maxReadDelay); n.watch.feed.Pending(); {
-		if now := n.now(); now >= limit { // updates without end must not delay batch after batch
+	for limit := n.now().Add(maxPendingReadTime); n.watch.pendingRead.Pending(); {
+		if now := n.now(); now >= limit { // a constant stream of updates must not delay every batch
 			n.watch.skipUntil = now.Add(time.Second)
 			break
 		}
 		select {
-		case f := <-n.work:
+		case f := <-n.inbox:
 			n.recoverPanics("loop", f)
 		case <-time.After(time.Millisecond):
 		}
 	}
-	n.runQueued() // applies what was passed on
+	n.runQueued() // applies the updates
 }
 
-// Reload handles a SIGHUP. cfg is the configuration file as it is now, err why it could not be read. Only the
-// address of discovery changes while the gateway runs; its list, requests and connections stay.
+// Reload applies a configuration file that was read again after a SIGHUP. If it could not be read, err says why, and
+// nothing changes. Only the discovery address and the capacity of the pool take effect while the gateway runs; the
+// endpoint list, requests and connections are kept. Any goroutine may call it.
 func (n *Node) Reload(cfg *config.Config, err error) {
 	n.runOnLoop(func() {
 		if err != nil {
@@ -121,7 +128,7 @@
 			"discovery", cfg.Discovery,
 			"version", n.endpointList.Version,
 			"other_keys_changed", n.cfg.FixedKeysHash != cfg.FixedKeysHash,
-		) // other keys apply from the next start on
+		) // changes of other keys take effect at the next start
 		if cfg.Pool != nil {
 			n.quota.setCapacity(cfg.Pool.Serial, cfg.Pool.Capacity)
 		}
@@ -129,19 +136,20 @@
 			return
 		}
 		n.cfg.Discovery = cfg.Discovery
-		if n.watch != nil { // at once: what the new agent knows counts as notified
+		if n.watch != nil { // at once: the gateway counts as notified of every drain that the new agent knows
 			n.watchLost = false
 			n.WatchEndpoints()
 		}
 	})
 }
 
-// watchEnded handles the end of a watch. If the module polls the list, it decides when to watch again.
-func (n *Node) watchEnded(w *watch, err error) {
-	if n.watch != w { // it was replaced
+// watchEnded handles the failure of a watch. It starts another one after discovery.RewatchDelay, unless the module
+// polls the list and decides itself when to ask again.
+func (n *Node) watchEnded(w *endpointWatch, err error) {
+	if n.watch != w { // another watch has replaced it
 		return
 	}
-	if !n.watchLost { // once, not for each attempt
+	if !n.watchLost { // logged once, not for each failed attempt to restore it
 		slog.Warn("endpoint_watch_lost", "error", err, "version", n.endpointList.Version)
 	}
 	n.watchLost = true
@@ -158,14 +166,15 @@
 	})
 }
 
-// updateEndpoints applies a list or changes of it. cached says that it is the list of the configuration.
+// updateEndpoints applies a full endpoint list or a delta in the form of the agent's answers. cached means that the
+// text is the list in the configuration. Invalid text is logged and ignored.
 func (n *Node) updateEndpoints(text string, cached bool) {
-	n.listAnswered = n.listAnswered || !cached
+	n.firstListDone = n.firstListDone || !cached
 	previous := n.endpointList.Version
 	kind, endpoints, invalid, err := n.endpointList.Decode(text, n.transport.SetAddress)
 	if err != nil {
-		n.droppedLists++
-		slog.Warn("endpoint_list_rejected", "error", err, "count", n.droppedLists)
+		n.rejectedLists++
+		slog.Warn("endpoint_list_rejected", "error", err, "count", n.rejectedLists)
 		return
 	}
 	if invalid != nil {
@@ -177,7 +186,7 @@
 	if cached {
 		kind = gateway.ListCached
 	}
-	n.observer.endpointsListed(endpoints)
+	n.observer.updateHosts(endpoints)
 	for i := range endpoints {
 		n.updateTransport(&endpoints[i])
 	}
@@ -185,7 +194,8 @@
 	n.listEvents = append(n.listEvents, event)
 }
 
-// updateTransport starts nothing new at an endpoint that is draining or gone, before the module decides on its update.
+// updateTransport has the transport send nothing new to an endpoint that is draining or gone. This takes effect before
+// the module decides on the update.
 func (n *Node) updateTransport(endpoint *gateway.Endpoint) {
 	if endpoint.State == gateway.Running {
 		return
--- a/internal/node/endpoint_watch_test.go
+++ b/internal/node/endpoint_watch_test.go
@@ -7,7 +7,7 @@
 func TestEndpointListsAreReleased(t *testing.T) {
 	g := newTestGateway(t)
 	<-g.events // the list of the configuration
-	keepers := make(chan []string, 1)
+	result := make(chan []string, 1)
 	g.runOnLoop(func() {
 		var kept []string
 		if g.cfg.KnownEndpoints != "" {
@@ -23,9 +23,9 @@
 				kept = append(kept, "the batch")
 			}
 		}
-		keepers <- kept
+		result <- kept
 	})
-	if kept := <-keepers; len(kept) > 0 {
+	if kept := <-result; len(kept) > 0 {
 		t.Errorf("kept by %q", kept)
 	}
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// knownHost is a list of the one endpoint s.
-func knownHost(addr string) string {
+// singleHostList is a list of the one endpoint s.
+func singleHostList(addr string) string {
 	return fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":"%s","state":"active","weight":1}]}`, addr)
 }
 
@@ -60,23 +60,23 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// idleNode is a node whose loop the test runs step by step, with one host.
-type idleNode struct {
+// steppedNode is a node whose loop the test runs step by step, with one host.
+type steppedNode struct {
 	*Node
 }
 
-func newIdleNode(module Decider, class gateway.RequestClass, host netip.AddrPort) idleNode {
+func newSteppedNode(module Decider, class gateway.RequestClass, host netip.AddrPort) steppedNode {
 	settings := testSettings()
 	settings.Classes[0] = class
 	n := New(testConfig(settings), module)
 	n.transport.SetAddress(1, host)
-	return idleNode{n}
+	return steppedNode{n}
 }
 
 // request has a request arrive and returns its answer.
-func (n idleNode) request(id string) *clients.Answer {
+func (n steppedNode) request(id string) *clients.Answer {
 	answer := new(clients.AnswerQueue).Add()
-	n.arrive(answer, &clients.Request{
+	n.handleRequest(answer, &clients.Request{
 		ID:       id,
 		Customer: "c",
 		Deadline: n.now().Add(farDeadline),
@@ -87,14 +87,14 @@
 }
 
 // processUntilWritten runs the loop until an attempt of a request is written.
-func (n idleNode) processUntilWritten(id string, attempt int) {
-	for ; !n.requests[id].attempts[attempt].send.Written(); n.process() {
-		(<-n.work)()
+func (n steppedNode) processUntilWritten(id string, attempt int) {
+	for ; !n.requests[id].attempts[attempt].hostAttempt.Written(); n.process() {
+		(<-n.inbox)()
 	}
 }
 
-// left returns a line on what is left open.
-func (n *Node) left() string {
+// openWork returns a line on what is left open.
+func (n *Node) openWork() string {
 	return fmt.Sprintf("%d requests and %d attempts are left\n", len(n.requests), len(n.inFlight))
 }
 
@@ -124,9 +124,9 @@
 
 // runningNode is a node that runs on an address of its own.
 type runningNode struct {
-	addr  string
-	stop  func()
-	ended func() (events []string) // waits for the end and returns the log's events that were asked for
+	addr string
+	stop func()
+	wait func() (events []string) // waits for the end and returns the log's events that were asked for
 }
 
 // serve runs a gateway with a module. configure, if not nil, changes it before. ended returns those of the
@@ -148,7 +148,7 @@
 	return runningNode{
 		addr: addr,
 		stop: func() { close(stop) },
-		ended: func() []string {
+		wait: func() []string {
 			if err := <-result; err != nil {
 				t.Error(err)
 			}
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -15,17 +15,24 @@
 )
 
 const (
-	addressInUseTimeout = 25 * time.Second      // an earlier process of this gateway may still be shutting down
-	shortageTimeout     = 5 * time.Second       // for an address or resource that the machine lacks
-	listenRetryInterval = 20 * time.Millisecond // between attempts
+	// addressInUseTimeout is how long an address may be in use: a previous process of this gateway may be shutting down.
+	addressInUseTimeout = 25 * time.Second
 
-	// reservedDescriptors are three standard streams, two of the runtime, the listener, datagrams, the counter, two
-	// watches, a file, and those of the optional sections.
+	// shortageTimeout is how long the machine may lack the address or a resource that is needed to listen.
+	shortageTimeout = 5 * time.Second
+
+	// listenRetryInterval is the wait between two attempts to listen on an address.
+	listenRetryInterval = 20 * time.Millisecond
+
+	// reservedDescriptors is the number of file descriptors kept back from clients and hosts: three standard streams, two
+	// of the Go runtime, the listener, the gossip socket, the counter, two watches, a file, and the rest for the optional
+	// sections of the configuration.
 	reservedDescriptors = 16
 )
 
-// openSockets listens on the gateway's addresses, the one for datagrams first, before anything else of it runs.
-// A process of this gateway that is still shutting down holds them, the one for datagrams up to its end.
+// openSockets listens on the gateway's addresses, first on the one for gossip, before any other part of the gateway
+// runs. It waits for a previous process of this gateway that is still shutting down. That process holds the gossip
+// address until its end, and may hold the other one.
 func (n *Node) openSockets(stop <-chan struct{}) (listener *net.TCPListener, err error) {
 	if len(n.cfg.Peers) > 0 {
 		err = listenWithRetry("peer_listen", n.cfg.PeerListen, stop, func() (err error) {
@@ -44,12 +51,13 @@
 	return listener, err
 }
 
-var errStopRequested = errors.New("called to stop before it had its addresses")
+var errStopRequested = errors.New("stop requested while waiting for a listen address")
 
-// listenWithRetry calls listen until it succeeds, as long as the address is in use or the machine lacks a resource for
-// it. key is the address's key in the configuration file.
+// listenWithRetry calls listen until it succeeds. It retries, up to a timeout, while the address is in use or the
+// machine lacks the address or a resource, and returns any other error at once. If stop is closed meanwhile, it returns
+// errStopRequested. key is the key of the address in the configuration file.
 func listenWithRetry(key string, addr netip.AddrPort, stop <-chan struct{}, listen func() error) error {
-	began := time.Now()
+	start := time.Now()
 	for logged := false; ; logged = true {
 		err := listen()
 		if err == nil {
@@ -59,7 +67,7 @@
 		if sockets.IsShortage(err) {
 			timeout = shortageTimeout
 		}
-		if !sockets.IsTransient(err) || time.Since(began) > timeout {
+		if !sockets.IsTransient(err) || time.Since(start) > timeout {
 			return fmt.Errorf("%s: %w", key, err)
 		}
 		if !logged {
@@ -73,7 +81,7 @@
 	}
 }
 
-// logListenRetry logs that an address will be tried again for a time.
+// logListenRetry logs that listening on an address failed and is retried for up to timeout.
 func logListenRetry(key string, addr netip.AddrPort, timeout time.Duration, err error) {
 	if sockets.IsShortage(err) {
 		slog.Warn("listen_address_unavailable", "key", key, "addr", addr, "wait", timeout, "error", err)
@@ -82,17 +90,17 @@
 	}
 }
 
-// descriptorShares returns the most descriptors that clients and hosts may use, about 5/11 and 6/11 of those
-// that are not reserved. The system's limit counts if it is lower than the configuration's: idle clients must
-// not take the descriptors of the watch, the hosts and the listener.
+// descriptorShares returns how many file descriptors clients and hosts may use: about 5/11 and 6/11 of those that are
+// not reserved. If the system allows fewer descriptors than the configuration, the system's limit is shared out:
+// otherwise idle clients could take the descriptors that the watch, the hosts and the listener need.
 func descriptorShares(configured int) (clients, hosts int) {
-	most := configured
+	maxDescriptors := configured
 	var limit syscall.Rlimit
 	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit)
-	if err == nil && limit.Cur < uint64(most) {
-		slog.Warn("descriptor_limit_low", "limit", limit.Cur, "sockets", most)
-		most = int(limit.Cur)
+	if err == nil && limit.Cur < uint64(maxDescriptors) {
+		slog.Warn("descriptor_limit_low", "limit", limit.Cur, "sockets", maxDescriptors)
+		maxDescriptors = int(limit.Cur)
 	}
-	shared := min(most, max(most-reservedDescriptors, 1)*15/11)
-	return shared / 3, shared * 2 / 5
+	available := min(maxDescriptors, max(maxDescriptors-reservedDescriptors, 1)*15/11)
+	return available / 3, available * 2 / 5
 }
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -15,7 +15,7 @@
 	bindError := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}
 	}
-	passing := []syscall.Errno{
+	temporary := []syscall.Errno{
 		syscall.EADDRINUSE,
 		syscall.EADDRNOTAVAIL,
 		syscall.EMFILE,
@@ -23,7 +23,7 @@
 		syscall.ENOBUFS,
 		syscall.ENOMEM,
 	}
-	for _, errno := range passing {
+	for _, errno := range temporary {
 		attempts := 0
 		err := listenWithRetry("listen", address, nil, func() error {
 			attempts++
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -10,51 +10,53 @@
 )
 
 const (
-	flushRetryInterval = 5 * time.Millisecond // until a write that a socket did not take is tried again
-	droppedLogInterval = time.Second          // between log lines on dropped datagrams
-	countsLogInterval  = 5 * time.Second      // between log lines of the module's decisions
-	maxWait            = time.Hour            // if nothing is due
+	flushRetryInterval = 5 * time.Millisecond // delay before bytes that a full socket buffer did not take are retried
+	droppedLogInterval = time.Second          // shortest interval between log lines on dropped datagrams
+	countsLogInterval  = 5 * time.Second      // interval between log lines with the module's decision counts
+	maxWait            = time.Hour            // longest wait of the loop, used when nothing is due
 )
 
-// runQueued runs the functions that are in the inbox now.
+// runQueued runs the functions that are in the inbox at the time of the call. Functions that are added meanwhile wait
+// for the next call, so that senders can't keep the loop here.
 func (n *Node) runQueued() {
-	for count := len(n.work); count > 0; count-- {
-		n.recoverPanics("loop", <-n.work)
+	for count := len(n.inbox); count > 0; count-- {
+		n.recoverPanics("loop", <-n.inbox)
 	}
 }
 
-// iterate runs one iteration of the loop. A panic in it loses what was being processed, but does not end the
-// program.
+// iterate runs process and returns the time until the next iteration is due. A panic in process loses the work that it
+// was doing, but does not end the program.
 func (n *Node) iterate() (wait time.Duration) {
 	wait = flushRetryInterval
 	n.recoverPanics("loop", func() { wait = n.process() })
 	return wait
 }
 
-// process does what is due, decides on the collected events and carries the actions out. It returns the time
-// until something is due.
+// process handles timers and timeouts that are due, has the module decide on the collected events, and writes to
+// sockets. It returns the time until something is due.
 func (n *Node) process() time.Duration {
 	now := n.now()
 	if n.nextPhaseAt > 0 && now >= n.nextPhaseAt {
 		n.enterNextPhase()
 	}
-	n.expire(now)
+	n.expireAttempts(now)
 	if n.timerAt > 0 && now >= n.timerAt {
 		n.timerFired(now)
 	}
 	unsent := false
 	counterDue := gateway.Time(0)
-	for more := true; more; more = n.hasEvents() { // a failed write is another event
+	for more := true; more; more = n.hasEvents() { // a failed write adds an event
 		if n.hasEvents() {
 			n.decide()
 		}
-		// Without a decision, too: an answer to PING must not wait for a timer.
+		// Needed without a decision, too: an answer to PING must not wait for a timer.
 		unsent, counterDue = n.flush()
 	}
-	return n.waitFor(unsent, counterDue)
+	return n.timeUntilDue(unsent, counterDue)
 }
 
-// timerFired handles the module's timer, and the periodic work that goes along with it.
+// timerFired handles the module's timer. Periodic work of the loop runs along with it: closing idle connections and
+// overdue clients, and logging counts.
 func (n *Node) timerFired(now gateway.Time) {
 	n.timerAt = 0
 	n.transport.CloseIdle()
@@ -72,7 +74,7 @@
 	}
 }
 
-// logDecisions logs the decisions since the start.
+// logDecisions logs how many decisions of each outcome the module has made since the start.
 func logDecisions(counts []gateway.DecisionCount) {
 	fields := make([]any, 0, len(counts))
 	for _, count := range counts {
@@ -83,21 +85,21 @@
 
 func (n *Node) hasEvents() bool { return len(n.events)+len(n.listEvents) > 0 }
 
-// decide has the module decide on all collected events.
+// decide has the module decide on all collected events as one batch, those of the endpoint list first.
 func (n *Node) decide() {
 	n.batch.Now = n.now()
 	n.batch.Events = append(append(n.batch.Events[:0], n.listEvents...), n.events...)
-	clear(n.listEvents) // frees the list
+	clear(n.listEvents) // so that the endpoint lists can be garbage-collected
 	n.listEvents = n.listEvents[:0]
 	n.events = n.events[:0]
 	n.batchCount++
 	n.callModule()
-	n.forgetGone()
+	n.forgetDisconnected()
 	clear(n.batch.Events)
 }
 
-// callModule calls the module. After a panic in it the requests of the batch that are left without a decision
-// fail: they must not wait for their clients' timeouts.
+// callModule calls the module. If the module panics, the requests of the batch for which it started no attempt fail at
+// once instead of waiting for their clients' timeouts.
 func (n *Node) callModule() {
 	n.recoverPanics("module", func() {
 		defer func() {
@@ -106,11 +108,11 @@
 				panic(p)
 			}
 		}()
-		n.module.Decide(&n.batch, n.actions())
+		n.module.Decide(&n.batch, n.batchActions())
 	})
 }
 
-// failUndecided fails the requests of a batch that have no attempt in flight.
+// failUndecided fails the open requests of the batch that have no attempt in flight.
 func (n *Node) failUndecided() {
 	n.SetTimer(flushRetryInterval)
 	for _, event := range n.batch.Events {
@@ -120,8 +122,8 @@
 	}
 }
 
-// flush writes what is to be written. It reports whether a socket did not take everything, and when the counter
-// is due; 0: it is not.
+// flush writes the buffered bytes to clients, hosts and the counter. unsent reports whether a socket did not take all
+// of them. counterDue is the time of the counter's next timeout, 0 if no call to it is in flight.
 func (n *Node) flush() (unsent bool, counterDue gateway.Time) {
 	unsent = n.clients.Flush()
 	unsent = n.transport.Flush() || unsent
@@ -132,10 +134,11 @@
 	return unsent, counterDue
 }
 
-// waitFor returns the time until something is due.
-func (n *Node) waitFor(unsent bool, counterDue gateway.Time) time.Duration {
+// timeUntilDue returns the time until the loop has something to do, 0 if that time has passed. It also sends a due
+// report of the connection quota.
+func (n *Node) timeUntilDue(unsent bool, counterDue gateway.Time) time.Duration {
 	wait := maxWait
-	for _, at := range []gateway.Time{n.timerAt, n.nextExpiry, n.nextPhaseAt, counterDue, n.quota.report()} {
+	for _, at := range []gateway.Time{n.timerAt, n.nextExpiry, n.nextPhaseAt, counterDue, n.quota.sendReport()} {
 		if at > 0 {
 			wait = min(wait, at.Sub(n.now()))
 		}
@@ -146,7 +149,7 @@
 	return max(wait, 0)
 }
 
-// recoverPanics runs f and logs a panic in it.
+// recoverPanics runs f. A panic in f ends f only; it is logged with where, which names the part of the program.
 func (n *Node) recoverPanics(where string, f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -156,17 +159,17 @@
 	f()
 }
 
-// SetTimer implements gateway.Actions.
+// SetTimer implements gateway.Actions. It replaces the previous timer; after counts from the time of the batch.
 func (n *Node) SetTimer(after time.Duration) { n.timerAt = n.batch.Now.Add(after) }
 
-// SendGossip implements gateway.Actions.
+// SendGossip implements gateway.Actions. Without peers it does nothing.
 func (n *Node) SendGossip(peer int, message []byte) {
 	if n.peerTransport != nil {
 		n.peerTransport.Send(peer, message)
 	}
 }
 
-// AddToCounter implements gateway.Actions. Without a counter the call ends as unreachable.
+// AddToCounter implements gateway.Actions. Without a configured counter, the call ends at once as unreachable.
 func (n *Node) AddToCounter(name uint64, amount float64, lifetime time.Duration) {
 	if n.counter == nil {
 		n.counterReplied(gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
@@ -175,8 +178,8 @@
 	n.counter.Count(name, amount, lifetime)
 }
 
-// counterReplied collects an answer of the counter.
+// counterReplied adds the result of a call to the counter to the next batch.
 func (n *Node) counterReplied(event gateway.Event) { n.events = append(n.events, event) }
 
-// LogNote implements gateway.Actions.
+// LogNote implements gateway.Actions. It logs a text from the module.
 func (n *Node) LogNote(text string) { slog.Info("module_message", "text", text) }
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -4,7 +4,7 @@
 
 // Goroutines that Run waits for must not block in runOnLoop once nobody reads the inbox.
 func TestRunOnLoopDropsFunctionAfterLoopEnded(t *testing.T) {
-	n := &Node{work: make(chan func()), ended: make(chan struct{})}
-	close(n.ended)
+	n := &Node{inbox: make(chan func()), loopEnded: make(chan struct{})}
+	close(n.loopEnded)
 	n.runOnLoop(func() { t.Error("the function was run") })
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,15 +1,16 @@
-// Package node runs one gateway on sockets. Its loop collects events, has the decision module (logic.Gateway) decide on
-// them, and carries the actions out. It decides nothing itself. One goroutine runs the loop and owns all state; other
-// goroutines send it functions to run (Node.runOnLoop).
+// Package node runs one gateway on sockets. Its event loop collects events, has the decision module (logic.Gateway)
+// decide on them, and carries out the resulting actions: sending attempts to hosts, answering clients, sending gossip.
+// The package itself decides nothing about requests. One goroutine runs the loop and owns all state; other goroutines
+// pass it functions to run (Node.runOnLoop).
 //
-//   - node.go: the state of a gateway, from its first socket to its last connection
+//   - node.go: the state of a gateway, its start and its end
 //   - loop.go: one iteration of the loop
 //   - request.go, attempt.go: requests of clients, and the attempts that are sent to hosts for them
 //   - shutdown.go: the phases of the graceful shutdown
-//   - endpoint_watch.go: the endpoint list
-//   - configuration.go: new versions of the settings
+//   - endpoint_watch.go: the endpoint list, received from the discovery agent
+//   - configuration.go: new versions of the configuration
 //   - quota.go, observed_actions.go: the optional connection quota and counterfactual observer
-//   - listen.go: sockets and descriptors
+//   - listen.go: listening with retries, and the shares of file descriptors
 package node
 
 import (
@@ -32,49 +33,53 @@
 )
 
 const (
-	inboxSize    = 1024 // functions that wait for the loop; a sender waits while the inbox is full
-	idleFraction = 0.5  // of the hosts' idle timeout for which an idle connection is kept
+	inboxSize    = 1024 // functions that can wait for the loop; senders block while the inbox is full
+	idleFraction = 0.5  // an idle connection to a host is kept for this fraction of the host's idle timeout
 )
 
-// Decider is the decision module.
+// Decider is the decision module. The loop calls its methods, one call at a time.
 type Decider interface {
+	// Decide decides on the events of a batch by calling actions. It must not keep the batch.
 	Decide(batch *gateway.Batch, actions gateway.Actions)
-	Reconfigure(now gateway.Time, update *gateway.Update) // called between two batches
+
+	// Reconfigure applies a change of the configuration. It is called between two batches.
+	Reconfigure(now gateway.Time, update *gateway.Update)
 }
 
-// DecisionCounter is a Decider that counts its decisions. They are logged every countsLogInterval.
+// DecisionCounter is implemented by a Decider that counts its decisions. The counts are logged every countsLogInterval.
 type DecisionCounter interface {
+	// DecisionCounts returns the number of decisions since the start, by outcome.
 	DecisionCounts() []gateway.DecisionCount
 }
 
-// Platform is what a gateway runs on. Zero values stand for the process's own clock and sockets.
+// Platform is the clock and the sockets that a gateway uses. A nil field stands for those of the operating system.
 type Platform struct {
 	Clock   clock.Clock
 	Sockets sockets.System
 }
 
-// Node is one gateway. All its fields belong to the loop.
+// Node is one gateway. Only the loop uses its fields, but for the channels and those that never change.
 type Node struct {
-	cfg     *config.Config
-	module  Decider
-	system  sockets.System
-	clock   clock.Clock
-	epoch   gateway.Time           // Unix time of the monotonic clock's zero, as of the start
-	work    chan func()            // the loop's inbox
-	ended   chan struct{}          // closed once the loop has ended
-	readers sync.WaitGroup         // goroutines that read from peers and the agent for the loop
-	tasks   []func() (end func())  // started once the gateway has its addresses
-	classes []gateway.RequestClass // by index, as they are in force
+	cfg             *config.Config
+	module          Decider
+	system          sockets.System
+	clock           clock.Clock
+	epoch           gateway.Time           // Unix time at the monotonic clock's zero, computed once at the start
+	inbox           chan func()            // functions for the loop to run
+	loopEnded       chan struct{}          // closed once the loop has ended
+	readers         sync.WaitGroup         // goroutines that read from peers and from the discovery agent
+	backgroundTasks []func() (end func())  // of AddBackgroundTask
+	classes         []gateway.RequestClass // by index, with the settings in force
 
-	events     []gateway.Event // since the latest batch
-	listEvents []gateway.Event // of the endpoint list: first in a batch, so that a drain applies to all of it
-	batch      gateway.Batch
-	batchCount int          // batches decided
-	timerAt    gateway.Time // the module's timer; 0: not set
+	events     []gateway.Event // collected for the next batch
+	listEvents []gateway.Event // of the endpoint list; first in the batch, so that a drain applies to all its events
+	batch      gateway.Batch   // the current or latest batch
+	batchCount int             // batches that the module was given
+	timerAt    gateway.Time    // when the module's timer fires; 0: not set
 
-	requests   map[string]*request
-	inFlight   []*attempt
-	nextExpiry gateway.Time // no attempt in flight times out earlier; 0: none is in flight
+	requests   map[string]*request // by id
+	inFlight   []*attempt          // attempts and probes, in the order of their starts
+	nextExpiry gateway.Time        // no attempt in flight times out earlier; 0: none is in flight
 
 	catalog       *clients.Catalog
 	clients       *clients.Server
@@ -84,28 +89,28 @@
 	observer      *observedActions // nil: off
 	quota         *connectionQuota // nil: off
 
-	endpointList *discovery.EndpointList
-	watch        *watch
-	watchLost    bool // whether the watch broke and none has received anything since
-	listAnswered bool // whether the agent has answered once, or was waited for long enough: clients are accepted then
-	droppedLists int
+	endpointList  *discovery.EndpointList
+	watch         *endpointWatch // the current watch; nil: none was started
+	watchLost     bool           // whether a watch failed, and none has received data since
+	firstListDone bool           // whether clients may be accepted: the agent has answered, or was waited for long enough
+	rejectedLists int            // invalid lists and deltas since the start
 
 	pendingRevisions []revision // of the configuration, applied after the current iteration
 
-	listening   bool // whether clients are accepted
-	phase       phase
-	nextPhaseAt gateway.Time // the phase ends then; 0: it does not end by time
-	answerBy    gateway.Time // every request has its answer by then; 0: not shutting down
+	acceptingClients bool // whether StartAccepting was called for the clients' listener
+	phase            shutdownPhase
+	nextPhaseAt      gateway.Time // when the phase ends; 0: no time is set
+	answerDeadline   gateway.Time // latest deadline of all requests; 0: not shutting down
 
-	droppedDatagrams int // since the latest log line on them
-	droppedLoggedAt  gateway.Time
-	countsLoggedAt   gateway.Time
+	droppedDatagrams int          // since the latest log line datagrams_dropped
+	droppedLoggedAt  gateway.Time // time of that line
+	countsLoggedAt   gateway.Time // time of the latest log line decisions
 }
 
-// New returns a gateway on the process's own platform. It is not reachable before Run.
+// New returns a gateway on the operating system's clock and sockets. It opens no socket before Run.
 func New(cfg *config.Config, module Decider) *Node { return NewOnPlatform(Platform{}, cfg, module) }
 
-// NewOnPlatform returns a gateway on a platform.
+// NewOnPlatform returns a gateway on the given clock and sockets. It opens no socket before Run.
 func NewOnPlatform(platform Platform, cfg *config.Config, module Decider) *Node {
 	if platform.Clock == nil {
 		platform.Clock = clock.System{}
@@ -119,16 +124,16 @@
 		system:       platform.Sockets,
 		clock:        platform.Clock,
 		epoch:        gateway.Time(platform.Clock.Wall().UnixNano()).Add(-platform.Clock.Monotonic()),
-		work:         make(chan func(), inboxSize),
-		ended:        make(chan struct{}),
+		inbox:        make(chan func(), inboxSize),
+		loopEnded:    make(chan struct{}),
 		classes:      slices.Clone(cfg.Classes),
 		requests:     map[string]*request{},
 		endpointList: discovery.NewEndpointList(cfg.Zones, cfg.Machines),
-		catalog:      clients.NewCatalog(catalogOf(cfg)),
+		catalog:      clients.NewCatalog(newCatalogConfig(cfg)),
 	}
 	n.endpointList.EqualWeights = cfg.EqualWeights
-	clientDescriptors, hostDescriptors := descriptorShares(cfg.Sockets)
-	n.clients = clients.NewServer(n.system, n.catalog, clientDescriptors, n.runOnLoop, n.now, n.arrive)
+	maxClientConns, maxHostConns := descriptorShares(cfg.Sockets)
+	n.clients = clients.NewServer(n.system, n.catalog, maxClientConns, n.runOnLoop, n.now, n.handleRequest)
 	n.transport = hosts.NewTransport(hosts.Options{
 		System:         n.system,
 		RunOnLoop:      n.runOnLoop,
@@ -136,7 +141,7 @@
 		LoadFields:     cfg.ReportNames,
 		ConnectTimeout: cfg.ConnectTimeout,
 		IdleTimeout:    time.Duration(idleFraction * float64(cfg.ConnIdle)),
-		MaxConns:       hostDescriptors,
+		MaxConns:       maxHostConns,
 	})
 	if cfg.Counter.IsValid() {
 		n.counter = counter.New(n.system, cfg.Counter, cfg.Limits.CounterTimeout, n.runOnLoop, n.now,
@@ -145,8 +150,8 @@
 	return n
 }
 
-// catalogOf returns what the arguments of commands may name.
-func catalogOf(cfg *config.Config) clients.CatalogConfig {
+// newCatalogConfig returns the request classes, quota plans and members that clients may name in commands.
+func newCatalogConfig(cfg *config.Config) clients.CatalogConfig {
 	catalog := clients.CatalogConfig{
 		Classes:  cfg.ClassNames,
 		Effects:  make([]gateway.Effect, 0, len(cfg.Classes)),
@@ -164,7 +169,7 @@
 	return catalog
 }
 
-// maxUnits returns the most units that a request on a quota plan may ask for; 0: any.
+// maxUnits returns the most units that one request on a quota plan may ask for; 0: unlimited.
 func maxUnits(plan *gateway.Plan) float64 {
 	if plan.Rate == 0 {
 		return 0
@@ -172,30 +177,33 @@
 	return plan.Burst
 }
 
-// runOnLoop has the loop run a function. It waits while the inbox is full, and drops the function if the loop has
-// ended.
+// runOnLoop has the loop run f, and drops f if the loop has ended. Any goroutine may call it; it blocks while the inbox
+// is full.
 func (n *Node) runOnLoop(f func()) {
-	select { // without waiting: costs less than a choice of two channels
-	case n.work <- f:
+	select { // the common case; a send with a default costs less than a select on two channels
+	case n.inbox <- f:
 		return
 	default:
 	}
 	select {
-	case n.work <- f:
-	case <-n.ended:
+	case n.inbox <- f:
+	case <-n.loopEnded:
 	}
 }
 
-// now returns the wall clock's time at the start of the gateway plus the monotonic time since: steps of the wall
-// clock don't change it.
+// now returns the wall clock's time at the start of the gateway plus the monotonic time since then. Steps of the wall
+// clock don't affect it.
 func (n *Node) now() gateway.Time { return n.epoch.Add(n.clock.Monotonic()) }
 
-// AddBackgroundTask has Run start a task beside the loop once the gateway has its addresses, at which point the
-// process before it has ended. Run calls the function that start returns after the loop has ended, and waits
-// for it.
-func (n *Node) AddBackgroundTask(start func() (end func())) { n.tasks = append(n.tasks, start) }
+// AddBackgroundTask has Run start a task beside the loop. Run calls start once the gateway has its addresses, that is
+// after a previous process of the gateway has ended. After the loop has ended, Run calls end, which must stop the task
+// and wait for it. AddBackgroundTask must be called before Run.
+func (n *Node) AddBackgroundTask(start func() (end func())) {
+	n.backgroundTasks = append(n.backgroundTasks, start)
+}
 
-// Run serves until it is called to stop and every request has its answer.
+// Run runs the gateway. Once stop is closed, it shuts down gracefully and returns nil. An error means that the gateway
+// could not start. Run may be called once.
 func (n *Node) Run(stop <-chan struct{}) error {
 	err := n.run(stop)
 	if err != nil && !errors.Is(err, errStopRequested) {
@@ -205,13 +213,13 @@
 	return nil
 }
 
-// run opens what the gateway needs, runs the loop, and closes everything after it.
+// run opens the gateway's sockets, starts its tasks, runs the loop, and then stops and closes all of them.
 func (n *Node) run(stop <-chan struct{}) error {
-	endLoop := sync.OnceFunc(func() { close(n.ended) })
-	var ends []func()
+	endLoop := sync.OnceFunc(func() { close(n.loopEnded) })
+	var endTasks []func()
 	defer func() {
 		endLoop()
-		for _, end := range ends {
+		for _, end := range endTasks {
 			end()
 		}
 	}()
@@ -240,10 +248,10 @@
 		return err
 	}
 	defer endQuota()
-	defer endLoop() // first: no goroutine that is waited for blocks in runOnLoop then
+	defer endLoop() // before the other deferred calls: they wait for goroutines that must not block in runOnLoop
 	n.decideFirstBatch()
-	for _, start := range n.tasks {
-		ends = append(ends, start())
+	for _, start := range n.backgroundTasks {
+		endTasks = append(endTasks, start())
 	}
 	if n.peerTransport != nil {
 		n.readers.Go(func() { n.peerTransport.Listen(n.receiveGossip, n.countDropped) })
@@ -254,7 +262,7 @@
 	return nil
 }
 
-// decideFirstBatch has the module decide on the endpoint list of the configuration.
+// decideFirstBatch has the module decide on the endpoint list in the configuration, which may be empty.
 func (n *Node) decideFirstBatch() {
 	if n.cfg.KnownEndpoints == "" {
 		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached})
@@ -265,22 +273,22 @@
 	n.iterate()
 }
 
-// receiveGossip sends a message of a peer to the loop. It runs on the peers' goroutine.
+// receiveGossip adds a message from a peer to the next batch. The goroutine that reads datagrams calls it.
 func (n *Node) receiveGossip(member int, message []byte) {
 	n.runOnLoop(func() {
 		n.events = append(n.events, gateway.Event{Kind: gateway.GossipReceived, Peer: member, Message: message})
 	})
 }
 
-// countDropped counts a dropped datagram. It runs on the peers' goroutine.
+// countDropped counts a dropped datagram. The goroutine that reads datagrams calls it.
 func (n *Node) countDropped() { n.runOnLoop(func() { n.droppedDatagrams++ }) }
 
-// listenWhenReady accepts clients from the time on when the endpoint list is known.
+// listenWhenReady starts to accept clients once the endpoint list is known, unless the gateway is shutting down.
 func (n *Node) listenWhenReady(listener *net.TCPListener) {
-	if !n.listAnswered || n.listening || n.phase != serving {
+	if !n.firstListDone || n.acceptingClients || n.phase != phaseServing {
 		return
 	}
-	n.listening = true
+	n.acceptingClients = true
 	n.clients.StartAccepting(listener)
 	slog.Info("serving",
 		"name", n.cfg.Name,
@@ -291,13 +299,13 @@
 	)
 }
 
-// loop runs until the shutdown has ended.
+// loop runs the event loop until the shutdown is complete.
 func (n *Node) loop(listener *net.TCPListener, stop <-chan struct{}) {
 	timer := time.NewTimer(0)
-	for !n.shutdownEnded() {
+	for !n.shutdownComplete() {
 		n.listenWhenReady(listener)
 		select {
-		case f := <-n.work:
+		case f := <-n.inbox:
 			n.recoverPanics("loop", f)
 		case <-timer.C:
 		case <-stop:
@@ -305,9 +313,9 @@
 			n.beginShutdown()
 		}
 		n.runQueued()
-		n.readPendingList()
+		n.readPendingUpdates()
 		wait := n.iterate()
-		if n.applyPending() {
+		if n.applyPendingRevisions() {
 			wait = n.iterate()
 		}
 		timer.Reset(wait)
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -10,34 +10,36 @@
 )
 
 const (
-	maxObservedHosts = 4096 // hosts whose ids and places are kept, gone ones among them
-	maxRecycled      = 4 * observer.Batch
+	maxObservedHosts = 4096               // above this number, hosts that are gone are forgotten
+	maxFreeEntries   = 4 * observer.Batch // entries kept for reuse; the rest is garbage-collected
 
-	// observerStream selects the random stream by which batches are observed.
-	observerStream = 0x7769746e657373
+	// observerRandomStream is the second half of the seed by which batches are chosen for observation.
+	observerRandomStream = 0x7769746e657373
 )
 
-// observedActions are the actions of a batch that is observed for package counterfactual. They record what each attempt
-// was chosen among and how it ended, and pass the records to the observer. All fields belong to the loop.
+// observedActions are the actions of a batch that is observed for package counterfactual. They record the hosts that
+// each attempt was chosen from and how it ended, and pass these records to the observer. Only the loop uses them. They
+// are nil if the observer is not configured; attemptEnded and updateHosts do nothing then.
 type observedActions struct {
 	*Node
-	task     *observer.Observer
-	hosts    map[uint32]observedHost
-	pending  map[*attempt]*observer.Entry
-	upcoming *observer.Entry   // of the attempt that the module starts next
-	finished []*observer.Entry // of attempts that ended since the latest timer
-	recycled []*observer.Entry // to be used again
-	random   *rand.Rand
+	recorder    *observer.Observer
+	hosts       map[uint32]observedHost      // by host number
+	pending     map[*attempt]*observer.Entry // of the attempts in flight
+	nextEntry   *observer.Entry              // of the attempt that the module starts next; nil: it is not observed
+	completed   []*observer.Entry            // of ended attempts, not passed to the observer yet
+	freeEntries []*observer.Entry            // for reuse
+	random      *rand.Rand
 }
 
-// observedHost is what records say of a host.
+// observedHost describes a host in records.
 type observedHost struct {
 	id          string
 	zone        int
 	incarnation uint32
 }
 
-// startObserver starts the observer if it is configured. The returned function ends it.
+// startObserver starts the observer if it is configured. The returned function stops it. If stop is closed while the
+// observer's address is in use, it returns errStopRequested.
 func (n *Node) startObserver(stop <-chan struct{}) (end func(), err error) {
 	cfg := n.cfg.Counterfactual
 	if cfg == nil {
@@ -52,27 +54,27 @@
 	for i := range n.cfg.Classes {
 		options.Objectives = append(options.Objectives, n.cfg.Classes[i].LatencyObjective)
 	}
-	var task *observer.Observer
+	var recorder *observer.Observer
 	err = listenWithRetry("counterfactual", cfg.Listen, stop, func() (err error) {
-		task, err = observer.Open(options)
+		recorder, err = observer.Open(options)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
 	n.observer = &observedActions{
-		Node:    n,
-		task:    task,
-		hosts:   map[uint32]observedHost{},
-		pending: map[*attempt]*observer.Entry{},
-		random:  rand.New(rand.NewPCG(n.cfg.Seed, observerStream)),
+		Node:     n,
+		recorder: recorder,
+		hosts:    map[uint32]observedHost{},
+		pending:  map[*attempt]*observer.Entry{},
+		random:   rand.New(rand.NewPCG(n.cfg.Seed, observerRandomStream)),
 	}
-	return task.Close, nil
+	return recorder.Close, nil
 }
 
-// actions returns the actions for the next batch: observed ones for a random fraction of the batches, so that
-// the others cost no more than without an observer.
-func (n *Node) actions() gateway.Actions {
+// batchActions returns the actions for the next batch. A random fraction of the batches gets observed actions; the
+// others cost no more than without an observer.
+func (n *Node) batchActions() gateway.Actions {
 	o := n.observer
 	if o != nil && o.random.Float64() < n.cfg.Counterfactual.RecordedFraction {
 		return o
@@ -80,7 +82,8 @@
 	return n
 }
 
-// ObserveCandidates implements gateway.CandidateObserver.
+// ObserveCandidates implements gateway.CandidateObserver. It begins the record of the attempt that the module starts
+// next. An entry from newEntry may be a used one, whose slice of candidates is reused.
 func (o *observedActions) ObserveCandidates(requestID string, customer uint32, candidates []gateway.Candidate) {
 	entry := o.newEntry()
 	*entry = observer.Entry{
@@ -97,31 +100,31 @@
 			Load:        candidate.Load,
 		})
 	}
-	o.upcoming = entry
+	o.nextEntry = entry
 }
 
-// newEntry returns a recycled entry, or a new one if there is none.
+// newEntry returns a free entry, which may hold old values, or a new one if none is free.
 func (o *observedActions) newEntry() *observer.Entry {
-	last := len(o.recycled) - 1
+	last := len(o.freeEntries) - 1
 	if last < 0 {
 		return &observer.Entry{}
 	}
-	entry := o.recycled[last]
-	o.recycled = o.recycled[:last]
+	entry := o.freeEntries[last]
+	o.freeEntries = o.freeEntries[:last]
 	return entry
 }
 
-// StartAttempt implements gateway.Actions. The record of the attempt waits for its end.
+// StartAttempt implements gateway.Actions. The record of the attempt is pending until the attempt ends.
 func (o *observedActions) StartAttempt(id string, host uint32, timeout time.Duration) {
-	entry := o.upcoming
-	o.upcoming = nil
+	entry := o.nextEntry
+	o.nextEntry = nil
 	o.Node.StartAttempt(id, host, timeout)
 	r := o.requests[id]
 	if entry == nil || entry.Request != id || r == nil || len(o.inFlight) == 0 {
 		return
 	}
 	started := o.inFlight[len(o.inFlight)-1]
-	if started.request != r { // the attempt has ended, unsent
+	if started.request != r { // the attempt has ended already, without being sent
 		return
 	}
 	entry.Class = r.command.Class
@@ -130,8 +133,8 @@
 	o.pending[started] = entry
 }
 
-// attemptEnded completes the record of an attempt. An attempt that was never sent proves nothing of its host, and has
-// none.
+// attemptEnded completes the record of an attempt, if it has one. The record of an attempt that was never sent is
+// dropped, since it says nothing about its host.
 func (o *observedActions) attemptEnded(ended *attempt, result gateway.Result, latency time.Duration) {
 	if o == nil {
 		return
@@ -151,33 +154,34 @@
 	default:
 		entry.End = counterfactual.Failed
 	}
-	o.finished = append(o.finished, entry)
-	if len(o.finished) == observer.Batch {
-		o.offer()
+	o.completed = append(o.completed, entry)
+	if len(o.completed) == observer.Batch {
+		o.passCompleted()
 	}
 }
 
-// offer passes the finished records to the observer. It is called for a full batch and by timers, so that the
-// observer is not woken for each attempt.
-func (o *observedActions) offer() {
-	if len(o.finished) == 0 {
+// passCompleted passes the completed records to the observer. It is called for a full batch and at the module's timers,
+// so that the observer's goroutine is not woken for each attempt.
+func (o *observedActions) passCompleted() {
+	if len(o.completed) == 0 {
 		return
 	}
-	free := o.task.Offer(o.finished)
-	o.finished = free[:0]
-	if len(o.recycled) < maxRecycled {
-		o.recycled = append(o.recycled, free...)
+	free := o.recorder.Offer(o.completed)
+	o.completed = free[:0]
+	if len(o.freeEntries) < maxFreeEntries {
+		o.freeEntries = append(o.freeEntries, free...)
 	}
 }
 
-// SetTimer implements gateway.Actions. The module calls it when its timer has fired.
+// SetTimer implements gateway.Actions. The module calls it whenever its timer has fired, so that completed records
+// don't wait for a full batch.
 func (o *observedActions) SetTimer(after time.Duration) {
-	o.offer()
+	o.passCompleted()
 	o.Node.SetTimer(after)
 }
 
-// endpointsListed records the places of hosts and the starts of their processes.
-func (o *observedActions) endpointsListed(endpoints []gateway.Endpoint) {
+// updateHosts records the ids, zones and start times of listed hosts. A host keeps them after it is gone.
+func (o *observedActions) updateHosts(endpoints []gateway.Endpoint) {
 	if o == nil {
 		return
 	}
@@ -197,11 +201,11 @@
 	for number, host := range o.hosts {
 		ids[number] = host.id
 	}
-	o.task.SetHostIDs(ids)
+	o.recorder.SetHostIDs(ids)
 }
 
-// forgetGoneHosts drops hosts that are gone while there are too many. Others keep their ids for queries on past
-// windows.
+// forgetGoneHosts drops hosts that are gone while there are more than maxObservedHosts hosts. The others keep their
+// ids, since queries on past windows may name them.
 func (o *observedActions) forgetGoneHosts() {
 	for number := range o.hosts {
 		if len(o.hosts) > maxObservedHosts && o.endpointList.ID(number) == "" {
--- a/internal/node/panic_test.go
+++ b/internal/node/panic_test.go
@@ -15,7 +15,7 @@
 func TestPanicLeavesNoAttemptInFlight(t *testing.T) {
 	defer logging.SetOutput(io.Discard)()
 	module := &retryingDecider{}
-	n := newIdleNode(module, gateway.RequestClass{}, netip.MustParseAddrPort("127.0.0.1:1"))
+	n := newSteppedNode(module, gateway.RequestClass{}, netip.MustParseAddrPort("127.0.0.1:1"))
 	n.request("answered") // its queue has no buffer: an answer panics
 	n.iterate()
 	answered := n.requests["answered"].attempts[0]
@@ -33,7 +33,7 @@
 	n.iterate()
 	answer.ClientGone()
 	n.iterate()
-	golden.Check(t, module.String()+n.left())
+	golden.Check(t, module.String()+n.openWork())
 }
 
 // panickingDecider rejects requests, panics on those of customer f, and names unknown requests and attempts on
@@ -73,7 +73,7 @@
 	}
 	conn.Close()
 	running.stop()
-	if lines := len(running.ended()); lines != 1 {
+	if lines := len(running.wait()); lines != 1 {
 		t.Errorf("%d lines on panics", lines)
 	}
 }
@@ -107,7 +107,7 @@
 	}
 	conn.Close()
 	running.stop()
-	if lines := len(running.ended()); lines > 1 {
+	if lines := len(running.wait()); lines > 1 {
 		t.Errorf("%d lines on panics", lines)
 	}
 }
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -10,22 +10,23 @@
 	"ravensill/pool"
 )
 
-// connectionQuota keeps the gateway within its quota of connections if the section pool is configured: the
-// lease holder knows how many may be open, the connection limiter enforces that, and the client exchanges
-// reports and grants with the voters. Its fields belong to the loop. Without a quota it is nil, and its methods
-// do nothing.
+// connectionQuota keeps the gateway within its share of the connections to the store, if the configuration has the
+// section pool. The lease holder knows how many connections may be open, the limiter enforces that number, and the
+// client sends reports to the voters and receives their grants. Only the loop uses the fields. Methods of a nil
+// connectionQuota do nothing.
 type connectionQuota struct {
-	node        *Node
-	leaseholder *pool.Leaseholder
-	limiter     *hosts.ConnectionLimiter
-	client      *poolrunner.Client
-	urgent      []bool       // by request class
-	lastLog     gateway.Time // time of the latest status line
+	node          *Node
+	leaseholder   *pool.Leaseholder
+	limiter       *hosts.ConnectionLimiter
+	client        *poolrunner.Client
+	urgentClasses []bool       // whether a request class is urgent, by index
+	lastLoggedAt  gateway.Time // time of the latest log line pool_quota_status
 }
 
-const poolLogInterval = 5 * time.Second
+const quotaLogInterval = 5 * time.Second // between log lines pool_quota_status
 
-// startQuota starts the lease holder, and the voter if this gateway is one. The returned function ends them.
+// startQuota starts the connection quota if the section pool is configured, and the voter if this gateway is one. The
+// returned function stops both. If stop is closed while the voter's address is in use, it returns errStopRequested.
 func (n *Node) startQuota(stop <-chan struct{}) (end func(), err error) {
 	cfg := n.cfg.Pool
 	if cfg == nil {
@@ -52,24 +53,24 @@
 		}
 	}
 	now := n.now()
-	p := &connectionQuota{
-		node:    n,
-		client:  client,
-		lastLog: now,
+	q := &connectionQuota{
+		node:         n,
+		client:       client,
+		lastLoggedAt: now,
 		leaseholder: pool.NewLeaseholder(&cfg.Terms, n.cfg.Membership.Index, uint64(n.epoch), cfg.Weight, cfg.Serial,
 			cfg.Capacity, now),
 	}
 	for index, name := range n.cfg.ClassNames {
-		p.addClass(index, name)
+		q.addClass(index, name)
 	}
-	p.limiter = n.transport.LimitConnections(
+	q.limiter = n.transport.LimitConnections(
 		cfg.Terms.Floor,
 		cfg.MaxWait,
-		p.leaseholder.Allowed,
-		p.leaseholder.AddRejected,
+		q.leaseholder.Allowed,
+		q.leaseholder.AddRejected,
 	)
-	n.quota = p
-	client.Start(func(grant *pool.Grant) { p.leaseholder.Receive(n.now(), grant) })
+	n.quota = q
+	client.Start(func(grant *pool.Grant) { q.leaseholder.Receive(n.now(), grant) })
 	slog.Info("pool_enabled",
 		"member", n.cfg.Membership.Index,
 		"floor", cfg.Terms.Floor,
@@ -79,74 +80,77 @@
 	return end, nil
 }
 
-// report sends a report if one is due, and returns when to call it again; 0: there is no quota.
-func (p *connectionQuota) report() gateway.Time {
-	if p == nil {
+// sendReport updates the lease holder with the present use of connections, sends its report to the voters if one is
+// due, and returns when to call it again; 0: there is no quota.
+func (q *connectionQuota) sendReport() gateway.Time {
+	if q == nil {
 		return 0
 	}
-	now := p.node.now()
-	open, demand := p.limiter.Usage()
-	p.leaseholder.SetUsage(now, open, demand)
-	if report := p.leaseholder.Report(now); report != nil {
-		p.client.Send(report)
+	now := q.node.now()
+	open, demand := q.limiter.Usage()
+	q.leaseholder.SetUsage(now, open, demand)
+	if report := q.leaseholder.Report(now); report != nil {
+		q.client.Send(report)
 	}
-	if now.Sub(p.lastLog) >= poolLogInterval {
-		p.lastLog = now
-		p.logStatus(now, open, demand)
+	if now.Sub(q.lastLoggedAt) >= quotaLogInterval {
+		q.lastLoggedAt = now
+		q.logStatus(now, open, demand)
 	}
-	return p.leaseholder.Due(now)
+	return q.leaseholder.Due(now)
 }
 
-// logStatus logs how many connections are allowed, open and wanted.
-func (p *connectionQuota) logStatus(now gateway.Time, open, demand int) {
+// logStatus logs how many connections are allowed, open and wanted, with the counts of the limiter and the client.
+func (q *connectionQuota) logStatus(now gateway.Time, open, demand int) {
 	slog.Info("pool_quota_status",
-		"allowed", p.leaseholder.Allowed(now),
+		"allowed", q.leaseholder.Allowed(now),
 		"connections", open,
 		"demand", demand,
-		"queued", p.limiter.Queued,
-		"rejected", p.limiter.Rejected,
-		"dials", p.limiter.Dials,
-		"dials_refused", p.limiter.Refused,
-		"datagrams_sent", p.client.Sent,
-		"datagrams_received", p.client.Received,
-		"datagrams_dropped", p.client.Dropped,
-		"since_grant_ms", now.Sub(p.leaseholder.LastAnswered()).Milliseconds(),
+		"queued", q.limiter.Queued,
+		"rejected", q.limiter.Rejected,
+		"dials", q.limiter.Dials,
+		"dials_refused", q.limiter.Refused,
+		"datagrams_sent", q.client.Sent,
+		"datagrams_received", q.client.Received,
+		"datagrams_dropped", q.client.Dropped,
+		"since_grant_ms", now.Sub(q.leaseholder.LastAnswered()).Milliseconds(),
 	)
 }
 
-// addClass adds a request class. A new one has the next index.
-func (p *connectionQuota) addClass(index int, name string) {
-	if p != nil && index == len(p.urgent) {
-		p.urgent = append(p.urgent, p.node.cfg.Pool.UrgentClasses[name])
+// addClass adds a request class if its index is the next one. Other indexes belong to known classes.
+func (q *connectionQuota) addClass(index int, name string) {
+	if q != nil && index == len(q.urgentClasses) {
+		q.urgentClasses = append(q.urgentClasses, q.node.cfg.Pool.UrgentClasses[name])
 	}
 }
 
-// setUrgency sets whether the next attempt is of an urgent request class.
-func (p *connectionQuota) setUrgency(r *request) {
-	if p != nil {
-		p.limiter.SetUrgent(p.urgent[r.command.Class])
+// setUrgency tells the limiter whether the next attempt is of an urgent request class. It is called before each send.
+func (q *connectionQuota) setUrgency(r *request) {
+	if q != nil {
+		q.limiter.SetUrgent(q.urgentClasses[r.command.Class])
 	}
 }
 
-// rejectThrottled rejects a request whose attempt got no connection, with the time to retry after.
-func (p *connectionQuota) rejectThrottled(r *request) {
-	if p == nil || r.closed || r.inFlight > 0 || p.limiter.RetryAfter() == 0 {
+// rejectThrottled rejects an open request whose attempt has ended because the limiter gave it no connection. The answer
+// has the time to retry after, unless the configuration omits it. A request with another attempt in flight goes on.
+func (q *connectionQuota) rejectThrottled(r *request) {
+	if q == nil || r.closed || r.inFlight > 0 || q.limiter.RetryAfter() == 0 {
 		return
 	}
-	after := p.limiter.RetryAfter()
-	if !p.node.cfg.Limits.RetryAfter {
+	after := q.limiter.RetryAfter()
+	if !q.node.cfg.Limits.RetryAfter {
 		after = 0
 	}
-	if most := p.node.cfg.Limits.MaxRetryAfter; most > 0 {
-		after = min(after, most)
+	if maxRetryAfter := q.node.cfg.Limits.MaxRetryAfter; maxRetryAfter > 0 {
+		after = min(after, maxRetryAfter)
 	}
 	r.answer.Reject(after)
 	r.closed = true
 }
 
-// setCapacity sets the capacity of the store, after a change of the configuration file.
-func (p *connectionQuota) setCapacity(serial uint64, capacity int) {
-	if p != nil {
-		p.leaseholder.SetCapacity(serial, capacity)
+// setCapacity sets the capacity of the store from a reloaded configuration file. A serial older than the known one is
+// ignored.
+func (q *connectionQuota) setCapacity(serial uint64, capacity int) {
+	if q != nil {
+		q.leaseholder.SetCapacity(serial, capacity)
 	}
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -7,31 +7,32 @@
 	"ravensill/internal/clients"
 )
 
-// request is a client's request. It is kept until it is answered and no attempt is in flight.
+// request is a client's request. It is kept until it is closed and none of its attempts is in flight.
 type request struct {
 	node         *Node
 	id           string
 	answer       *clients.Answer // nil: the client is gone
 	command      *clients.Request
-	class        gateway.RequestClass // as of the arrival
-	deadline     gateway.Time
-	attempts     []*attempt // by their numbers
-	inFlight     int        // attempts, plus 1 from the client's disconnect until the module has decided on that
-	closed       bool
-	mayHaveRunAt gateway.Time // start of the first attempt that may have run; 0: none has ended so
-	batchNumber  int          // of the batch that its arrival is in,
-	eventIndex   int          // and its place there
+	class        gateway.RequestClass // the settings in force when the request arrived
+	deadline     gateway.Time         // no attempt lasts longer
+	attempts     []*attempt           // all attempts, by number
+	inFlight     int                  // attempts in flight, plus 1 while the module has yet to decide on the disconnect
+	closed       bool                 // whether the request is answered or its client is gone
+	mayHaveRunAt gateway.Time         // start of the first ended attempt that a host may have run; 0: none
+	batchNumber  int                  // Node.batchCount when the request arrived
+	eventIndex   int                  // index of the arrival in Node.events
 }
 
-// arrive handles a request of a client.
-func (n *Node) arrive(answer *clients.Answer, command *clients.Request) {
+// handleRequest adds a client's request, and its arrival to the next batch. A request with the id of another request
+// that is still open, or has an attempt in flight, fails at once.
+func (n *Node) handleRequest(answer *clients.Answer, command *clients.Request) {
 	if n.requests[command.ID] != nil {
 		answer.Fail("id: in use")
 		return
 	}
 	deadline := command.Deadline
-	if n.answerBy > 0 {
-		deadline = min(deadline, n.answerBy)
+	if n.answerDeadline > 0 {
+		deadline = min(deadline, n.answerDeadline)
 	}
 	r := &request{
 		node:        n,
@@ -52,7 +53,7 @@
 		Class:        command.Class,
 		Plan:         command.Plan,
 		Deadline:     deadline,
-		StopAt:       n.answerBy,
+		StopAt:       n.answerDeadline,
 		Units:        command.Units,
 		Spread:       command.Spread,
 		FirstGateway: command.FirstGateway,
@@ -60,12 +61,12 @@
 	})
 }
 
-// clientGone handles the disconnect of the request's client. If the arrival is in the batch that is being
-// collected, the disconnect replaces it: the module never sees the request. Otherwise the request is kept
-// closed until the module has decided on the disconnect, since actions of that batch may still name it.
+// clientGone handles the disconnect of the request's client. If the arrival is in the batch that is being collected,
+// the disconnect replaces it, and the module never sees the request. Otherwise the closed request is kept until the
+// module has decided on the disconnect, since the actions of that batch may still refer to it.
 func (r *request) clientGone() {
 	n := r.node
-	if n.requests[r.id] != r { // it has ended, and the id may be in use again
+	if n.requests[r.id] != r { // the request has ended; another one may have its id
 		return
 	}
 	r.answer = nil
@@ -78,12 +79,13 @@
 		n.events = append(n.events, gone)
 	}
 	for _, a := range r.attempts {
-		a.withdraw()
+		a.cancelUnwritten()
 	}
 }
 
-// forgetGone drops the requests whose clients' disconnects were in the batch.
-func (n *Node) forgetGone() {
+// forgetDisconnected drops, after a batch, the requests whose clients' disconnects were in it. Those with an attempt in
+// flight are dropped when it ends.
+func (n *Node) forgetDisconnected() {
 	for _, event := range n.batch.Events {
 		if event.Kind != gateway.ClientGone {
 			continue
@@ -95,7 +97,7 @@
 	}
 }
 
-// close ends a request. It is dropped once no attempt is in flight.
+// close marks a request as closed, and drops it if no attempt is in flight.
 func (r *request) close() {
 	r.closed = true
 	if r.inFlight == 0 {
@@ -103,7 +105,7 @@
 	}
 }
 
-// Reject implements gateway.Actions.
+// Reject implements gateway.Actions. It ignores requests that are unknown or closed.
 func (n *Node) Reject(id string, retryAfter time.Duration) {
 	if r := n.requests[id]; r != nil && !r.closed {
 		r.answer.Reject(retryAfter)
@@ -111,7 +113,7 @@
 	}
 }
 
-// Fail implements gateway.Actions.
+// Fail implements gateway.Actions. It ignores requests that are unknown or closed.
 func (n *Node) Fail(id string) {
 	if r := n.requests[id]; r != nil && !r.closed {
 		r.answer.Fail("aborted")
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -21,7 +21,7 @@
 	roundTrip(t, conn, "", 0)
 	io.WriteString(conn, command("a", 1))
 	running.stop()
-	if got := fmt.Sprint(running.ended()); got != "[connections_aborted clients=1 stopped]" {
+	if got := fmt.Sprint(running.wait()); got != "[connections_aborted clients=1 stopped]" {
 		t.Error(got)
 	}
 }
--- a/internal/program/configuration.go
+++ b/internal/program/configuration.go
@@ -10,20 +10,20 @@
 	"ravensill/internal/subscriber"
 )
 
-// following is the state of a gateway that follows the publishers of the configuration.
-type following struct {
+// configurationFollower is the state of a gateway that follows the publishers of the configuration.
+type configurationFollower struct {
 	platform node.Platform
-	cfg      *config.Config       // with which the gateway starts
-	live     *config.Live         // belongs to the subscriber once that runs
-	stored   *configsync.Document // with which the gateway starts; nil once the subscriber has it
+	cfg      *config.Config       // the gateway's configuration at its start
+	live     *config.Live         // the configuration in force; only the subscriber uses it once that runs
+	stored   *configsync.Document // the version of cfg, empty if there is none; nil once passed to the subscriber
 	node     *node.Node
 }
 
-// newFollowing reads the version stored on disk. The gateway starts with it, whether a publisher is up or not, or with
-// its file alone if there is no stored version or that is invalid.
-func newFollowing(platform node.Platform, file *config.Config) *following {
+// newConfigurationFollower reads the version that is stored on disk. The gateway starts with this version, so that it
+// needs no publisher for that. It starts with its own file alone if no version is stored or the stored one is invalid.
+func newConfigurationFollower(platform node.Platform, file *config.Config) *configurationFollower {
 	stored, err := subscriber.Load(file.Configuration.Dir)
-	if err != nil { // the file is torn or altered, and the document is the one before that
+	if err != nil { // the end of the file is incomplete or altered; stored is the last version before that
 		slog.Warn("configuration_damaged",
 			"dir", file.Configuration.Dir,
 			"version", stored.Version(),
@@ -39,11 +39,11 @@
 				"classes", len(cfg.Classes),
 				"members", cfg.Membership.Count,
 			)
-			return &following{platform: platform, cfg: cfg, live: live, stored: stored}
+			return &configurationFollower{platform: platform, cfg: cfg, live: live, stored: stored}
 		}
-		logRejected(stored.Version(), err)
+		logInvalidVersion(stored.Version(), err)
 	}
-	return &following{
+	return &configurationFollower{
 		platform: platform,
 		cfg:      file,
 		live:     config.NewLive(file),
@@ -51,8 +51,8 @@
 	}
 }
 
-// logRejected logs that a stored version is invalid, in the form in which the subscriber logs it of a received one.
-func logRejected(version configsync.Version, err error) {
+// logInvalidVersion logs that a stored version is invalid, in the same form as the subscriber logs a received one.
+func logInvalidVersion(version configsync.Version, err error) {
 	resource := configsync.Resource("")
 	var resourceError *config.ResourceError
 	if errors.As(err, &resourceError) {
@@ -61,8 +61,9 @@
 	slog.Warn("configuration_refused", "version", version, "resource", resource, "reason", err)
 }
 
-// start starts the subscriber and returns the function that ends it.
-func (f *following) start() (end func()) {
+// start starts the subscriber and returns the function that stops it. If the incarnation can't be saved, the subscriber
+// uses it all the same.
+func (f *configurationFollower) start() (end func()) {
 	dir := f.cfg.Configuration.Dir
 	incarnation, err := subscriber.NextIncarnation(dir, f.platform.Clock)
 	if err != nil {
@@ -82,9 +83,10 @@
 	return s.Close
 }
 
-// apply puts an update in force and returns once it is. complete means that the update is a complete document. The
-// subscriber calls it on its goroutine.
-func (f *following) apply(update *configsync.Update, complete bool) error {
+// apply validates an update and applies it to the gateway. complete means that the update holds a complete document
+// instead of changes. The subscriber's goroutine calls it. It fails if the update is invalid, or with
+// subscriber.ErrStopped if the gateway has stopped.
+func (f *configurationFollower) apply(update *configsync.Update, complete bool) error {
 	revision, err := f.live.Apply(update.Changes, complete)
 	if err != nil {
 		return err
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program is the gateway as a process: its signals, the limits of its runtime, the configuration that it starts
-// with, and its exit status.
+// Package program runs the gateway as a process: it loads the configuration, handles signals, limits the Go runtime,
+// and sets the exit status.
 package program
 
 import (
@@ -14,13 +14,13 @@
 	"ravensill/logic"
 )
 
-// Exit statuses.
 const (
-	exitFailed               = 1
+	exitFailed               = 1 // the gateway could not start, or its shutdown was aborted
 	exitInvalidConfiguration = 2
 )
 
-// Main runs one gateway on a platform. It ends the process with a status other than 0 if the gateway fails.
+// Main runs one gateway on the given platform until it has shut down. If the configuration is invalid, it exits the
+// process with status 2, and if the gateway can't start, with status 1.
 func Main(platform node.Platform) {
 	logging.SetOutput(os.Stderr)
 	signals := notifySignals()
@@ -29,10 +29,10 @@
 		slog.Error("start_failed", "error", err)
 		os.Exit(exitInvalidConfiguration)
 	}
-	var follows *following // nil: the gateway follows no publisher
+	var follower *configurationFollower // nil: the gateway follows no publisher
 	if cfg.Configuration != nil {
-		follows = newFollowing(platform, cfg)
-		cfg = follows.cfg
+		follower = newConfigurationFollower(platform, cfg)
+		cfg = follower.cfg
 	}
 	for _, adjusted := range cfg.Adjusted {
 		slog.Warn("settings_adjusted", "key", adjusted.Key, "meaning", adjusted.Meaning)
@@ -42,9 +42,9 @@
 	go signals.handleShutdowns(stop)
 	module := logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport)
 	n := node.NewOnPlatform(platform, cfg, module)
-	if follows != nil {
-		follows.node = n
-		n.AddBackgroundTask(follows.start)
+	if follower != nil {
+		follower.node = n
+		n.AddBackgroundTask(follower.start)
 	}
 	go signals.handleReloads(n)
 	if err := n.Run(stop); err != nil {
@@ -53,12 +53,13 @@
 	}
 }
 
-// garbagePercent is the garbage, over the live memory, at which a collection starts.
-const garbagePercent = 400
+// gcPercent is the garbage at which a collection starts, in percent of the live memory (debug.SetGCPercent).
+const gcPercent = 400
 
-// limitRuntime sets the limits of Go's runtime. A quarter of the memory is left for what the runtime doesn't count.
+// limitRuntime sets the limits of the Go runtime. A quarter of the configured memory is left for memory that the
+// runtime doesn't count.
 func limitRuntime(cfg *config.Config) {
-	runtime.GOMAXPROCS(1) // the gateway has one processor
+	runtime.GOMAXPROCS(1) // a gateway is deployed with one processor
 	debug.SetMemoryLimit(cfg.Memory * 3 / 4)
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 }
--- a/internal/program/signals.go
+++ b/internal/program/signals.go
@@ -10,13 +10,14 @@
 	"ravensill/internal/node"
 )
 
-// processSignals are the signals that the process has received. They are handled until the process ends.
+// processSignals holds the channels of the signals that the process handles until it ends.
 type processSignals struct {
 	shutdowns chan os.Signal // SIGTERM and SIGINT
 	reloads   chan os.Signal // SIGHUP
 }
 
-// notifySignals starts receiving signals. Before it, a SIGHUP ends the process.
+// notifySignals registers for signals. It is called first in Main, since until then a SIGHUP ends the process. Signals
+// that are received before their handler runs wait in the channels.
 func notifySignals() *processSignals {
 	s := &processSignals{
 		shutdowns: make(chan os.Signal, 2),
@@ -24,12 +25,13 @@
 	}
 	signal.Notify(s.reloads, syscall.SIGHUP)
 	signal.Notify(s.shutdowns, syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGPIPE) // a log line must not end the process when the log's reader is gone
+	signal.Ignore(syscall.SIGPIPE) // writing a log line must not end the process if the reader of the log has exited
 	return s
 }
 
-// handleShutdowns closes stop at the first signal. A further SIGINT, as from a terminal, aborts the shutdown. A further
-// SIGTERM does not: the platform has SIGKILL for that, and open requests have their time to end.
+// handleShutdowns closes stop at the first SIGTERM or SIGINT. A later SIGINT, such as from a terminal, aborts the
+// shutdown and exits the process. A later SIGTERM is only logged: open requests keep their time to end, and a platform
+// that wants to abort the shutdown sends SIGKILL.
 func (s *processSignals) handleShutdowns(stop chan<- struct{}) {
 	<-s.shutdowns
 	close(stop)
@@ -42,7 +44,8 @@
 	}
 }
 
-// handleReloads reloads the configuration at each signal. Signals that come during a reload lead to one more.
+// handleReloads reloads the configuration file at each SIGHUP. All signals received during a reload together cause one
+// more reload.
 func (s *processSignals) handleReloads(n *node.Node) {
 	for range s.reloads {
 		n.Reload(config.Reload(os.Getenv))
