--- a/cmd/ravensill-publisher/main.go
+++ b/cmd/ravensill-publisher/main.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	exitFailed      = 1 // the replica could not start
-	exitBadSettings = 2 // the settings file could not be read or is invalid
+	exitFailed          = 1 // the replica could not start
+	exitInvalidSettings = 2 // the settings file could not be read or is invalid
 )
 
 func main() {
@@ -26,7 +26,7 @@
 	cfg, err := config.LoadPublisher(os.Getenv)
 	if err != nil {
 		slog.Error("start_failed", "error", err)
-		os.Exit(exitBadSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	p, err := publisher.Start(cfg)
 	if err != nil {
--- a/cmd/ravensill-publisher/main_test.go
+++ b/cmd/ravensill-publisher/main_test.go
@@ -17,28 +17,28 @@
 	"ravensill/internal/publishertest"
 )
 
-// runMain is an environment variable. If it is set, the test program runs as the publisher.
-const runMain = "RAVENSILL_PUBLISHER_TEST_MAIN"
+// runAsPublisher is the environment variable that makes this test binary run the publisher's main instead of the tests.
+const runAsPublisher = "RAVENSILL_PUBLISHER_TEST_MAIN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(runMain) != "" {
+	if os.Getenv(runAsPublisher) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// process is a publisher of one replica.
-type process struct {
+// publisherProcess is a running publisher that has one replica.
+type publisherProcess struct {
 	t       *testing.T
 	cmd     *exec.Cmd
 	lines   *bufio.Scanner
-	started []string // match of the publisher_started line: index, admin address, version
+	started []string // of the log line publisher_started: the matched text, index, admin address and version
 }
 
-func start(t *testing.T, file string) *process {
-	p := &process{t: t, cmd: exec.Command(os.Args[0])}
-	p.cmd.Env = append(os.Environ(), runMain+"=1", "PUBLISHER_CONFIG="+file)
+func start(t *testing.T, file string) *publisherProcess {
+	p := &publisherProcess{t: t, cmd: exec.Command(os.Args[0])}
+	p.cmd.Env = append(os.Environ(), runAsPublisher+"=1", "PUBLISHER_CONFIG="+file)
 	output, err := p.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -48,32 +48,32 @@
 	}
 	t.Cleanup(func() { p.cmd.Process.Kill() })
 	p.lines = bufio.NewScanner(output)
-	p.started = p.line(`event=publisher_started index=(\d+) .*admin_listen=(\S+) version=(\d+)`)
+	p.started = p.waitForLog(`event=publisher_started index=(\d+) .*admin_listen=(\S+) version=(\d+)`)
 	return p
 }
 
-// line reads the log up to a line that matches a pattern, and returns the match.
-func (p *process) line(pattern string) []string {
+// waitForLog reads the log up to a line that matches a pattern, and returns the match with its groups.
+func (p *publisherProcess) waitForLog(pattern string) []string {
 	p.t.Helper()
 	for p.lines.Scan() {
 		if match := regexp.MustCompile(pattern).FindStringSubmatch(p.lines.Text()); match != nil {
 			return match
 		}
 	}
-	p.t.Fatalf("no line %q", pattern)
+	p.t.Fatalf("the log ended without a line that matches %q", pattern)
 	return nil
 }
 
-func (p *process) stop() {
+func (p *publisherProcess) stop() {
 	p.t.Helper()
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.line("event=stopped")
+	p.waitForLog("event=stopped")
 	if err := p.cmd.Wait(); err != nil {
 		p.t.Error(err)
 	}
 }
 
-// publisherSettings are the settings of a publisher's replica.
+// publisherSettings is the settings file of a publisher's replica.
 type publisherSettings struct {
 	Index          int      `json:"index"`
 	Listen         string   `json:"listen"`
@@ -86,7 +86,7 @@
 	ElectionMS     int      `json:"election_ms"`
 }
 
-// defaultSettings returns the text of the settings of a publisher's only replica.
+// defaultSettings returns the settings of a publisher with one replica. Its ports are free ones.
 func defaultSettings(t *testing.T) []byte {
 	text, err := json.Marshal(publisherSettings{
 		Listen:         "127.0.0.1:0",
@@ -113,11 +113,11 @@
 	return file
 }
 
-// TestPublisherKeepsVersionsAfterSIGTERM restarts a publisher: its version is the one before the stop.
+// TestPublisherKeepsVersionsAfterSIGTERM guards against the loss of a published version at a restart of the publisher.
 func TestPublisherKeepsVersionsAfterSIGTERM(t *testing.T) {
 	file := writeSettings(t, defaultSettings(t))
 	p := start(t, file)
-	p.line("event=publisher_leader_changed leader=true")
+	p.waitForLog("event=publisher_leader_changed leader=true")
 	url := "http://" + p.started[2] + "/v1/configuration"
 	request, err := http.NewRequest("PUT", url, strings.NewReader(publishertest.FirstContent))
 	if err != nil {
@@ -131,10 +131,10 @@
 	if err != nil || response.StatusCode != http.StatusOK {
 		t.Fatalf("%d %s, %v", response.StatusCode, text, err)
 	}
-	p.line("event=configuration_published version=1 changes=4")
+	p.waitForLog("event=configuration_published version=1 changes=4")
 	p.stop()
 	p = start(t, file)
-	p.line("event=publisher_leader_changed leader=true")
+	p.waitForLog("event=publisher_leader_changed leader=true")
 	publishertest.Eventually(t, "the version before the restart", func() bool {
 		response, err := http.Get("http://" + p.started[2] + "/v1/status")
 		if err != nil {
@@ -147,16 +147,16 @@
 	p.stop()
 }
 
-// TestPublisherRefusesUnknownKey checks that a publisher with an unknown key in its settings exits with the code
-// for bad settings and names the key.
+// TestPublisherRefusesUnknownKey guards against misspelled settings that are ignored: a publisher with an unknown key
+// in its settings must exit with status 2 and name the key.
 func TestPublisherRefusesUnknownKey(t *testing.T) {
-	bad := append([]byte(`{"adress":"",`), defaultSettings(t)[len("{"):]...)
+	settings := append([]byte(`{"adress":"",`), defaultSettings(t)[len("{"):]...)
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), runMain+"=1", "PUBLISHER_CONFIG="+writeSettings(t, bad))
+	cmd.Env = append(os.Environ(), runAsPublisher+"=1", "PUBLISHER_CONFIG="+writeSettings(t, settings))
 	cmd.WaitDelay = time.Minute
 	output, _ := cmd.CombinedOutput()
 	code := cmd.ProcessState.ExitCode()
-	if code != exitBadSettings || !strings.Contains(string(output), `unknown field \"adress\"`) {
+	if code != exitInvalidSettings || !strings.Contains(string(output), `unknown field \"adress\"`) {
 		t.Errorf("exit %d: %s", code, output)
 	}
 }
--- a/cmd/ravensill/clients_test.go
+++ b/cmd/ravensill/clients_test.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// configureFewSockets leaves about 20 descriptors for clients.
+// configureFewSockets limits the descriptors so that about 20 clients can be connected at a time.
 func configureFewSockets(config *gatewayConfig) { config.Resources = resourceLimits{Sockets: 64} }
 
-// TestLongestIdleClientIsEvictedForNext connects more clients than the descriptors allow.
+// TestLongestIdleClientIsEvictedForNext guards against a new client that is not served because idle ones hold all
+// descriptors: more clients connect than the descriptors allow.
 func TestLongestIdleClientIsEvictedForNext(t *testing.T) {
 	gateway := startGateway(t, configureFewSockets, newHost(t, func([]string) string { return "" }))
 	first := gateway.connect()
@@ -24,16 +25,16 @@
 	next := gateway.connect()
 	next.send(respArray("PING"))
 	if a := first.readAnswer(); a != "EOF" {
-		t.Errorf("the longest idle client: %s", a)
+		t.Errorf("the longest idle client reads %s, want EOF", a)
 	}
 	first.Close()
 	if a := next.readAnswer(); a != "+PONG" {
-		t.Errorf("the next client: %s", a)
+		t.Errorf("the next client reads %s, want +PONG", a)
 	}
 }
 
-// TestMalformedInputEndsOnlyItsConnection checks that malformed input gets an error line and a close in time, that none
-// of it reaches a host, and that other clients are served.
+// TestMalformedInputEndsOnlyItsConnection guards against malformed input that affects other clients or reaches a host.
+// Each input gets an error line, and its connection is closed in time.
 func TestMalformedInputEndsOnlyItsConnection(t *testing.T) {
 	host := valueHost(t)
 	gateway := startGateway(t, nil, host)
@@ -56,28 +57,29 @@
 	for i, c := range clients {
 		a := c.readAnswer()
 		if !strings.HasPrefix(a, "-ERR ") {
-			t.Errorf("input %d: %s", i, a)
+			t.Errorf("input %d is answered %s, want -ERR", i, a)
 		}
 		for strings.HasPrefix(a, "-ERR ") {
 			a = c.readAnswer()
 		}
 		if a != "EOF" && !strings.Contains(a, "reset") {
-			t.Errorf("input %d, at the end: %s", i, a)
+			t.Errorf("input %d: the connection ends with %s, want EOF or a reset", i, a)
 		}
 	}
-	if d := time.Since(began); d < 1500*time.Millisecond { // the silent client has 2 s for a command
-		t.Errorf("all connections ended after %v", d)
+	if d := time.Since(began); d < 1500*time.Millisecond { // the client that sends nothing has 2 s for a command
+		t.Errorf("all connections ended too early, after %v", d)
 	}
 	if commands := host.takeReceived(); len(commands) > 0 {
-		t.Errorf("sent to the host: %q", commands)
+		t.Errorf("malformed input was sent to the host: %q", commands)
 	}
 	if a := gateway.connect().roundTrip(validCommand); a != "v" {
-		t.Errorf("another client: %s", a)
+		t.Errorf("another client reads %s, want v", a)
 	}
 }
 
-// TestClientsThatStayConnectedDelayNoOther connects many more clients than there are places. Each sends one command and
-// stays connected, also when the gateway closes its side: none waits until another closes.
+// TestClientsThatStayConnectedDelayNoOther guards against new clients that wait until others close. Many more clients
+// connect than there are descriptors. Each sends one command and stays connected, even after the gateway has closed its
+// side of the connection.
 func TestClientsThatStayConnectedDelayNoOther(t *testing.T) {
 	retryWhenSlow(t, func() string {
 		gateway := startGateway(t, configureFewSockets, valueHost(t))
@@ -89,18 +91,18 @@
 			}
 			waits = append(waits, time.Since(began))
 		}
-		slices.Sort(waits[:20]) // places were free
+		slices.Sort(waits[:20]) // of clients for which descriptors were free
 		slices.Sort(waits[20:])
 		free, full := waits[10], waits[85]
 		if full > 10*free+5*time.Millisecond {
-			return fmt.Sprintf("half of the clients waited %v and more, with places free %v", full, free)
+			return fmt.Sprintf("half of the clients waited %v or longer, but %v while descriptors were free", full, free)
 		}
 		return ""
 	})
 }
 
-// TestRegularClientIsKeptBesideOneTimeClients checks that a client that sent several commands is not evicted for
-// clients that send one and stay, and that an idle connection ends.
+// TestRegularClientIsKeptBesideOneTimeClients guards against the eviction of a client that has sent several commands in
+// favor of clients that send one command and stay connected. It also checks that an idle connection ends.
 func TestRegularClientIsKeptBesideOneTimeClients(t *testing.T) {
 	retryWhenSlow(t, func() string {
 		gateway := startGateway(t, configureFewSockets, valueHost(t))
@@ -108,24 +110,24 @@
 		regular.roundTrip(respArray("PING"))
 		lastCommand := time.Now()
 		regular.roundTrip(respArray("PING"))
-		for i := range 60 { // three times the places
+		for i := range 60 { // three times as many as can be connected at a time
 			gateway.connect().roundTrip(requestCommand("lookup", i))
 		}
 		if a := regular.roundTrip(requestCommand("lookup", 100)); a != "v" {
-			if d := time.Since(lastCommand); d > 2*time.Second { // idle for too long by then
-				return fmt.Sprintf("%s after %v", a, d)
+			if d := time.Since(lastCommand); d > 2*time.Second { // it was idle for too long
+				return fmt.Sprintf("the regular client reads %s after %v", a, d)
 			}
-			t.Errorf("evicted for one-time clients: %s", a)
+			t.Errorf("the regular client was evicted for one-time clients: it reads %s", a)
 		}
-		if a := regular.readAnswer(); a != "EOF" { // without an error line
-			t.Errorf("idle: %s", a)
+		if a := regular.readAnswer(); a != "EOF" { // an idle connection ends without an error line
+			t.Errorf("the idle client reads %s, want EOF", a)
 		}
 		return ""
 	})
 }
 
-// TestSilentClientsAreEvictedForOneWithCommand fills all places with silent clients: one that sends a command is served
-// at once.
+// TestSilentClientsAreEvictedForOneWithCommand guards against a client with a command that waits while clients that
+// have sent nothing hold all descriptors.
 func TestSilentClientsAreEvictedForOneWithCommand(t *testing.T) {
 	retryWhenSlow(t, func() string {
 		gateway := startGateway(t, configureFewSockets, valueHost(t))
@@ -138,18 +140,18 @@
 			t.Error(a)
 		}
 		if d := time.Since(began); d > 1500*time.Millisecond { // a silent client has 2 s
-			return fmt.Sprintf("served after %v", d)
+			return fmt.Sprintf("the client with a command was served after %v", d)
 		}
 		if a := silent[0].readAnswer(); a != "EOF" && !strings.Contains(a, "reset") {
-			t.Errorf("the first silent client: %s", a)
+			t.Errorf("the first silent client reads %s, want EOF or a reset", a)
 		}
 		return ""
 	})
 }
 
-// TestWatchAndClientsServedWithDescriptorsExhausted fills the descriptors with silent clients while discovery is down
-// and the system allows fewer descriptors than configured: the watch is restored with the agent, its updates apply,
-// and clients that send commands are served.
+// TestWatchAndClientsServedWithDescriptorsExhausted guards against silent clients that take the descriptors which the
+// watch and other clients need. The system allows fewer descriptors than the configuration, and silent clients connect
+// while the discovery agent is down. Once it is up, the watch is restored and its updates apply.
 func TestWatchAndClientsServedWithDescriptorsExhausted(t *testing.T) {
 	a, b := valueHost(t), valueHost(t)
 	gateway := startGateway(t, func(config *gatewayConfig) { config.DescriptorLimit = 64 }, a, b)
@@ -162,9 +164,9 @@
 	for range 100 {
 		gateway.connect()
 	}
-	gateway.waitForLog("event=client_limit_reached") // far below the configuration's
+	gateway.waitForLog("event=client_limit_reached") // at the system's limit, far below the configured one
 	if a := gateway.connect().roundTrip(respArray("PING")); a != "+PONG" {
-		t.Errorf("with the descriptors exhausted: %s", a)
+		t.Errorf("PING with the descriptors exhausted is answered %s", a)
 	}
 	agent, err := net.Listen("tcp4", gateway.discoveryAgent.Addr().String())
 	if err != nil {
@@ -178,13 +180,13 @@
 	for i := range 8 {
 		gateway.connect() // a silent one before each that sends a command
 		if got := gateway.connect().roundTrip(requestCommand("lookup", i)); got != "v" || len(a.takeReceived()) > 0 {
-			t.Errorf("%s, or sent to the draining host", got)
+			t.Errorf("the answer is %s, or the request was sent to the draining host", got)
 		}
 	}
 }
 
-// TestClientThatReadsNothingIsDisconnected checks that a client is disconnected once too many bytes of answers wait for
-// it, and that others are served.
+// TestClientThatReadsNothingIsDisconnected guards against unbounded memory for answers that a client does not read. It
+// is disconnected once too many bytes wait for it, and other clients are served.
 func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
 	large := successReply(strings.Repeat("v", 60<<10))
 	gateway := startGateway(t, func(config *gatewayConfig) {
--- a/cmd/ravensill/configuration_test.go
+++ b/cmd/ravensill/configuration_test.go
@@ -17,13 +17,14 @@
 	"ravensill/internal/publishertest"
 )
 
-// fleetContent is the content that the tests publish first: that of the gateways' own file, but for the plan's burst.
-const fleetContent = `{"plans":[{"name":"team","rate":0.01,"burst":2,"worth_factor":1}],
+// initialContent is the content that the tests publish first. Unlike the gateways' own files, it gives the quota plan a
+// burst of 2 and has two request classes only.
+const initialContent = `{"plans":[{"name":"team","rate":0.01,"burst":2,"worth_factor":1}],
  "profiles":[{"name":"lookup","target_us":4000000,"hard_limit_us":5000000,"points":1},
   {"name":"order","effect":"keyed","window_us":5000000,"target_us":4000000,"hard_limit_us":5000000,"points":1}],
  "limits":{"max_attempts":3,"retry_after":true}}`
 
-// followPublishers turns the section on in a gateway's configuration.
+// followPublishers returns a function that makes a gateway follow a group of publishers and store versions in dir.
 func followPublishers(group *publishertest.Group, dir string) func(*gatewayConfig) {
 	return func(config *gatewayConfig) {
 		var addresses []string
@@ -34,38 +35,39 @@
 	}
 }
 
-// waitInForce waits until a gateway has put a published version in force.
-func (g *gatewayProcess) waitInForce(p publisher.Publication) string {
+// waitUntilApplied waits until the gateway has applied a published version, and returns the log line of that.
+func (g *gatewayProcess) waitUntilApplied(p publisher.Publication) string {
 	g.Helper()
 	return g.waitForLog(fmt.Sprintf("event=configuration_applied version=%d ", p.Version))
 }
 
-// onPlan replaces the plan in a request's command by one with a name of the same length, which the command contains.
-func onPlan(plan, command string) string {
+// withPlan replaces the quota plan in an encoded command. The name must have 4 letters, since the command contains its
+// length.
+func withPlan(plan, command string) string {
 	return strings.Replace(command, "t=team", "t="+plan, 1)
 }
 
-// roundTripUntil repeats a request until its answer begins as wanted.
+// roundTripUntil repeats a request until its answer begins with want.
 func (c *testClient) roundTripUntil(want string, command func() string) {
 	c.Helper()
 	answer := ""
-	for limit := time.Now().Add(waitLimit); time.Now().Before(limit); {
+	for deadline := time.Now().Add(waitLimit); time.Now().Before(deadline); {
 		answer = c.roundTrip(command())
 		if strings.HasPrefix(answer, want) {
 			return
 		}
 	}
-	c.Errorf("%s is never answered by %s but by %s", command(), want, answer)
+	c.Errorf("%q is never answered with %s, but with %s", command(), want, answer)
 }
 
-// TestConfigurationChangesApplyFromNextRequest publishes one change after the other to a running gateway while a
-// request is in flight: each applies from the next request on, an invalid one is refused and changes nothing, and the
-// request in flight is answered.
+// TestConfigurationChangesApplyFromNextRequest publishes several changes to a running gateway while a request is in
+// flight. It guards against changes that miss the next request, invalid changes that have an effect, and requests in
+// flight that are not answered.
 func TestConfigurationChangesApplyFromNextRequest(t *testing.T) {
-	host, received, release := newBlockingHost(t) // which blocks customer 1
+	host, received, release := newBlockingHost(t) // delays the answer to customer 1
 	group := publishertest.NewGroup(t, 1, nil)
 	gateway := startGateway(t, followPublishers(group, t.TempDir()), host)
-	gateway.waitInForce(group.Publish(0, "PUT", "/v1/configuration", fleetContent))
+	gateway.waitUntilApplied(group.Publish(0, "PUT", "/v1/configuration", initialContent))
 	inFlight, c := gateway.connect(), gateway.connect()
 	inFlight.send(requestCommand("order", 1))
 	receive(gateway, received)
@@ -77,7 +79,7 @@
 	}
 	change := func(body string) {
 		t.Helper()
-		gateway.waitInForce(group.Publish(0, "PATCH", "/v1/configuration", body))
+		gateway.waitUntilApplied(group.Publish(0, "PATCH", "/v1/configuration", body))
 	}
 	expect("v", requestCommand("lookup", 2))
 	expect("v", requestCommand("lookup", 2))
@@ -91,8 +93,8 @@
 	change(`{"set":{"plans/gold":{"parallel":9,"worth_factor":1},
 		"classes/fresh":{"effect":"unsafe","hard_limit_us":5000000,"points":1}},"remove":["plans/team"]}`)
 	expect("-ERR plan: removed", requestCommand("lookup", 2))
-	expect("v", onPlan("gold", requestCommand("lookup", 2)))
-	expect("v", onPlan("gold", requestCommand("fresh", 2)))
+	expect("v", withPlan("gold", requestCommand("lookup", 2)))
+	expect("v", withPlan("gold", requestCommand("fresh", 2)))
 	for body, key := range map[string]string{
 		`{"set":{"limits":{"probes":true}}}`: "limits: probes",
 		`{"set":{"plans/gold":{"rate":-1}}}`: "plans/gold: rate",
@@ -103,43 +105,44 @@
 			t.Errorf("%s: %d %s, want it to name %s", body, status, answer, key)
 		}
 	}
-	// The publisher accepts members, this gateway refuses them: it has no peer_listen.
+	// The publisher accepts members, but this gateway refuses them, since it has no peer_listen.
 	refused := group.Publish(0, "PATCH", "/v1/configuration",
 		`{"set":{"members/0":"127.0.0.1:9","members/1":"127.0.0.1:10"},"remove":["classes/fresh"]}`)
 	line := gateway.waitForLog("event=configuration_refused")
 	if !strings.Contains(line, fmt.Sprint("version=", refused.Version)) || !strings.Contains(line, "members/0") {
 		t.Error(line)
 	}
-	expect("v", onPlan("gold", requestCommand("fresh", 2)))
+	expect("v", withPlan("gold", requestCommand("fresh", 2)))
 	change(`{"remove":["members/0","members/1"]}`)
-	expect("-ERR class: removed", onPlan("gold", requestCommand("fresh", 2)))
+	expect("-ERR class: removed", withPlan("gold", requestCommand("fresh", 2)))
 	close(release)
 	if answer := inFlight.readAnswer(); answer != "v" {
 		t.Errorf("in flight during all changes: %s", answer)
 	}
 }
 
-// restart is a restart of a gateway, and its outcome.
-type restart struct {
+// restartTest is a restart of a gateway with a saved file, and its expected outcome.
+type restartTest struct {
 	name      string
-	text      []byte // of the saved file
-	timeoutUS int    // of its own file's request classes; the section pool refuses versions with longer ones; 0: off
-	logged    string
-	team      string // answer to a request on the plan team
-	gold      string // answer to a request on the plan gold
+	savedText []byte // of the saved file
+	timeoutUS int    // client timeout in the gateway's own file, with the section pool; 0: the default, without it
+	wantLog   string
+	wantTeam  string // answer to a request on the plan team
+	wantGold  string // answer to a request on the plan gold
 }
 
-// TestRestartUsesLastValidSavedVersion starts gateways again with no publisher up: with the last version, with the one
-// before where the end of the file is torn, and with their own file where none can be read or applied.
+// TestRestartUsesLastValidSavedVersion restarts gateways while no publisher is up. It guards against a restart that
+// fails or uses the wrong version: the gateway must use the last saved version, the one before it if the end of the
+// file is incomplete, and its own file if no version can be read or applied.
 func TestRestartUsesLastValidSavedVersion(t *testing.T) {
 	host := valueHost(t)
 	group, dir := publishertest.NewGroup(t, 1, nil), t.TempDir()
 	gateway := startGateway(t, followPublishers(group, dir), host)
-	gateway.waitInForce(group.Publish(0, "PUT", "/v1/configuration", fleetContent))
-	gateway.waitInForce(group.Publish(0, "PATCH", "/v1/configuration",
+	gateway.waitUntilApplied(group.Publish(0, "PUT", "/v1/configuration", initialContent))
+	gateway.waitUntilApplied(group.Publish(0, "PATCH", "/v1/configuration",
 		`{"set":{"plans/gold":{"parallel":9,"worth_factor":1}}}`))
 	last := group.Publish(0, "PATCH", "/v1/configuration", `{"remove":["plans/team"]}`)
-	gateway.waitInForce(last)
+	gateway.waitUntilApplied(last)
 	group.Close(0)
 	gateway.signal(syscall.SIGTERM, "")
 	if status := gateway.exitStatus(); status != "exit 0" {
@@ -150,40 +153,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const unknown = "-ERR t: missing, or its value is none that is known"
-	for _, test := range []restart{
+	const unknownPlan = "-ERR t: missing, or its value is none that is known"
+	for _, test := range []restartTest{
 		{
-			name:   "complete",
-			text:   text,
-			logged: fmt.Sprint("configuration_loaded version=", last.Version),
-			team:   unknown,
-			gold:   "v",
+			name:      "complete",
+			savedText: text,
+			wantLog:   fmt.Sprint("configuration_loaded version=", last.Version),
+			wantTeam:  unknownPlan,
+			wantGold:  "v",
 		},
 		{
-			name:   "torn",
-			text:   text[:len(text)-1],
-			logged: fmt.Sprint("configuration_loaded version=", last.Version-1),
-			team:   "v",
-			gold:   "v",
+			name:      "torn",
+			savedText: text[:len(text)-1],
+			wantLog:   fmt.Sprint("configuration_loaded version=", last.Version-1),
+			wantTeam:  "v",
+			wantGold:  "v",
 		},
 		{
-			name:   "unreadable",
-			text:   text[1:],
-			logged: "configuration_damaged",
-			team:   "v",
-			gold:   unknown,
+			name:      "unreadable",
+			savedText: text[1:],
+			wantLog:   "configuration_damaged",
+			wantTeam:  "v",
+			wantGold:  unknownPlan,
 		},
 		{
 			name:      "refused",
-			text:      text,
+			savedText: text,
 			timeoutUS: 4500000,
-			logged:    fmt.Sprintf("configuration_refused version=%d resource=classes/lookup ", last.Version),
-			team:      "v",
-			gold:      unknown,
+			wantLog:   fmt.Sprintf("configuration_refused version=%d resource=classes/lookup ", last.Version),
+			wantTeam:  "v",
+			wantGold:  unknownPlan,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if err := os.WriteFile(file, test.text, 0o600); err != nil {
+			if err := os.WriteFile(file, test.savedText, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			test.check(t, host, followPublishers(group, dir))
@@ -192,29 +195,29 @@
 }
 
 // check starts a gateway with the saved file and sends a request on each of two plans.
-func (r *restart) check(t *testing.T, host *testHost, follow func(*gatewayConfig)) {
+func (r *restartTest) check(t *testing.T, host *testHost, follow func(*gatewayConfig)) {
 	gateway := startGateway(t, func(config *gatewayConfig) {
 		follow(config)
 		if r.timeoutUS > 0 {
 			limitClientTimeouts(t, config, r.timeoutUS)
 		}
 	}, host)
-	if log := strings.Join(gateway.startupLog, "\n"); !strings.Contains(log, r.logged) {
-		t.Errorf("it starts with\n%s\nwant %s", log, r.logged)
+	if log := strings.Join(gateway.startupLog, "\n"); !strings.Contains(log, r.wantLog) {
+		t.Errorf("the gateway logs at the start\n%s\nwant %s", log, r.wantLog)
 	}
 	c := gateway.connect()
-	if answer := c.roundTrip(requestCommand("lookup", 2)); answer != r.team {
-		t.Errorf("on team: %s, want %s", answer, r.team)
+	if answer := c.roundTrip(requestCommand("lookup", 2)); answer != r.wantTeam {
+		t.Errorf("a request on plan team is answered %s, want %s", answer, r.wantTeam)
 	}
-	if answer := c.roundTrip(onPlan("gold", requestCommand("lookup", 3))); answer != r.gold {
-		t.Errorf("on gold: %s, want %s", answer, r.gold)
+	if answer := c.roundTrip(withPlan("gold", requestCommand("lookup", 3))); answer != r.wantGold {
+		t.Errorf("a request on plan gold is answered %s, want %s", answer, r.wantGold)
 	}
 	gateway.cmd.Process.Kill()
 	receive(gateway, gateway.exited)
 }
 
-// limitClientTimeouts sets the request classes' client timeouts, and turns the section pool on, which refuses longer
-// ones.
+// limitClientTimeouts sets the client timeouts of the request classes, and configures the section pool, which refuses
+// versions with longer timeouts.
 func limitClientTimeouts(t *testing.T, config *gatewayConfig, timeoutUS int) {
 	for i := range config.Settings.Classes {
 		config.Settings.Classes[i].TimeoutUS = timeoutUS
@@ -222,7 +225,8 @@
 	config.Pool = newPoolSection(t, 1)
 }
 
-// TestGossipFollowsMemberAddresses has a fleet of one grow by a member, whose address is then replaced.
+// TestGossipFollowsMemberAddresses guards against gossip to an outdated address: a fleet of one gets a second member,
+// whose address is then replaced.
 func TestGossipFollowsMemberAddresses(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	follow := followPublishers(group, t.TempDir())
@@ -231,22 +235,22 @@
 		config.PeerListen = "127.0.0.1:0"
 		config.Peers = []string{"127.0.0.1:9"}
 	}, valueHost(t))
-	gateway.waitInForce(group.Publish(0, "PUT", "/v1/configuration", fleetContent))
+	gateway.waitUntilApplied(group.Publish(0, "PUT", "/v1/configuration", initialContent))
 	for range 2 {
 		member := listenUDP(t)
 		body := fmt.Sprintf(`{"set":{"members/0":"127.0.0.1:9","members/1":"%s"}}`, member.LocalAddr())
-		line := gateway.waitInForce(group.Publish(0, "PATCH", "/v1/configuration", body))
+		line := gateway.waitUntilApplied(group.Publish(0, "PATCH", "/v1/configuration", body))
 		if !strings.Contains(line, "members=2") {
 			t.Error(line)
 		}
 		message := readDatagram(t, member)
 		if byID := (gossip.Format{Members: 2, ByID: true}); !hasFormat(byID, message) {
-			t.Errorf("a message of another format: %x", message)
+			t.Errorf("the message is not in the format with plan IDs: %x", message)
 		}
 	}
 }
 
-// readDatagram returns the next datagram.
+// readDatagram returns the next datagram that a socket receives.
 func readDatagram(t *testing.T, conn *net.UDPConn) []byte {
 	message := make([]byte, gossip.MaxMessageBytes)
 	conn.SetReadDeadline(time.Now().Add(waitLimit))
@@ -257,7 +261,7 @@
 	return message[:n]
 }
 
-// hasFormat reports whether a message's header can be decoded by a format.
+// hasFormat reports whether the header of a gossip message can be decoded in a format.
 func hasFormat(format gossip.Format, message []byte) (decoded bool) {
 	format.Decode(message, func(uint64, uint64) bool {
 		decoded = true
@@ -266,12 +270,12 @@
 	return decoded
 }
 
-// goroutineHead is the first line of each goroutine in a dump.
+// goroutineHead matches the start of each goroutine in a stack dump.
 var goroutineHead = regexp.MustCompile(`(?m)^goroutine \d+ `)
 
-// usage is the descriptors and goroutines of a process.
-type usage struct {
-	descriptors map[string]int // by kind: socket, a file's path, ...
+// resourceUsage holds the open descriptors and the goroutines of a process.
+type resourceUsage struct {
+	descriptors map[string]int // counts by kind, such as socket or the path of a file
 	goroutines  []string       // their stacks
 }
 
@@ -285,9 +289,10 @@
 	return open
 }
 
-// measure ends the process with SIGQUIT, on which the runtime writes the stacks of all goroutines.
-func (g *gatewayProcess) measure() usage {
-	u := usage{descriptors: g.descriptors()}
+// measureAndKill returns the resources of the process. It ends the process with SIGQUIT, on which the Go runtime logs
+// the stacks of all goroutines.
+func (g *gatewayProcess) measureAndKill() resourceUsage {
+	u := resourceUsage{descriptors: g.descriptors()}
 	g.cmd.Process.Signal(syscall.SIGQUIT)
 	var dump []string
 	for line := range g.log {
@@ -297,8 +302,8 @@
 	return u
 }
 
-// subscribing counts the goroutines that run code of the section configuration.
-func (u usage) subscribing() (n int) {
+// subscriberGoroutines returns the number of goroutines that follow publishers, by the packages in their stacks.
+func (u resourceUsage) subscriberGoroutines() (n int) {
 	for _, stack := range u.goroutines {
 		if strings.Contains(stack, "ravensill/internal/subscriber") || strings.Contains(stack, "ravensill/configsync") {
 			n++
@@ -307,9 +312,9 @@
 	return n
 }
 
-// TestConfigurationOffUsesNothing checks that a gateway without the section configuration has no goroutine, socket or
-// file of it, logs nothing of it, and names plans by index in gossip; with it, it has two goroutines, a connection and
-// a file more.
+// TestConfigurationOffUsesNothing guards against costs of the section configuration for gateways without it: they have
+// no goroutine, socket, file or log line for it, and identify plans by index in gossip. With the section, a gateway has
+// two more goroutines, one more connection and one more file.
 func TestConfigurationOffUsesNothing(t *testing.T) {
 	member := listenUDP(t)
 	group, dir := publishertest.NewGroup(t, 1, nil), t.TempDir()
@@ -325,25 +330,25 @@
 	}
 	gateway, message := start(false)
 	if byIndex := (gossip.Format{Plans: 1, Members: 2}); !hasFormat(byIndex, message) {
-		t.Errorf("off: a message of another format: %x", message)
+		t.Errorf("without the section: the message is not in the format with plan indexes: %x", message)
 	}
 	if log := strings.Join(gateway.startupLog, "\n"); strings.Contains(log, "configuration") {
-		t.Errorf("off: it logs\n%s", log)
+		t.Errorf("without the section, the gateway logs\n%s", log)
 	}
-	off := gateway.measure()
+	off := gateway.measureAndKill()
 	gateway, _ = start(true)
-	gateway.waitInForce(group.Publish(0, "PUT", "/v1/configuration", fleetContent))
+	gateway.waitUntilApplied(group.Publish(0, "PUT", "/v1/configuration", initialContent))
 	file := filepath.Join(dir, "configuration")
 	publishertest.Eventually(t, "the version on disk", func() bool { return gateway.descriptors()[file] == 1 })
-	on := gateway.measure()
-	if off.subscribing() != 0 || on.subscribing() != 2 || len(on.goroutines) != len(off.goroutines)+2 {
-		t.Errorf("goroutines: off %d, of them %d of the section; on %d, of them %d",
-			len(off.goroutines), off.subscribing(), len(on.goroutines), on.subscribing())
+	on := gateway.measureAndKill()
+	if off.subscriberGoroutines() != 0 || on.subscriberGoroutines() != 2 || len(on.goroutines) != len(off.goroutines)+2 {
+		t.Errorf("%d goroutines without the section, %d of them of the subscriber; %d with it, %d of them",
+			len(off.goroutines), off.subscriberGoroutines(), len(on.goroutines), on.subscriberGoroutines())
 	}
 	kinds := map[string]int{"socket": 1, file: 1}
 	for kind, n := range on.descriptors {
 		if n-off.descriptors[kind] != kinds[kind] {
-			t.Errorf("descriptors of %s: off %d, on %d", kind, off.descriptors[kind], n)
+			t.Errorf("descriptors of %s: %d without the section, %d with it", kind, off.descriptors[kind], n)
 		}
 	}
 }
--- a/cmd/ravensill/deploy_test.go
+++ b/cmd/ravensill/deploy_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// deployBuild returns the build line of deploy/balancer.toml, as .ci/run reads it.
+// deployBuild returns the build command in deploy/balancer.toml, which .ci/run runs, too.
 func deployBuild(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -25,8 +25,8 @@
 	return m[1]
 }
 
-// TestDeployBuildUsesExternalLinker holds the deploy file against the requirements of the mass bench: cgo on and the
-// external linker, so that the program is linked dynamically against the C library, and CI runs that very line.
+// TestDeployBuildUsesExternalLinker checks that the build command enables cgo and uses the external linker, as the mass
+// bench requires, and that CI runs the same command. The program is then linked dynamically against the C library.
 func TestDeployBuildUsesExternalLinker(t *testing.T) {
 	build := deployBuild(t)
 	for _, want := range []string{"CGO_ENABLED=1", "-ldflags=-linkmode=external", "./cmd/..."} {
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestDeployBuildIsDynamicallyLinked builds the gateway with the deploy file's flags and reads the result: it must name
-// the system's dynamic loader and need the C library.
+// TestDeployBuildIsDynamicallyLinked builds the gateway with the flags of the deploy file. The binary must name the
+// system's dynamic loader and need the C library.
 func TestDeployBuildIsDynamicallyLinked(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the program")
@@ -76,7 +76,8 @@
 	}
 }
 
-// TestGatewayStartsNoOtherProgram holds a requirement of the mass bench: nothing that could start one is imported.
+// TestGatewayStartsNoOtherProgram guards against imports that could start another program: the mass bench requires that
+// the gateway starts none.
 func TestGatewayStartsNoOtherProgram(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
--- a/cmd/ravensill/endpoint_list_test.go
+++ b/cmd/ravensill/endpoint_list_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// checkWatchRequest takes the next watch that discovery's agent received, and checks the version after which it asks.
+// checkWatchRequest returns the connection of the next watch that the agent received, and checks that it asks for
+// changes after the given version.
 func (g *gatewayProcess) checkWatchRequest(after string) (watch net.Conn) {
 	g.Helper()
 	if request := receive(g, g.watchRequests); !strings.Contains(request, "after="+after+" ") {
@@ -19,8 +20,8 @@
 	return receive(g, g.watches)
 }
 
-// TestDrainAppliesAndWatchResumes checks that a drain delivered on the watch applies, whatever else arrives on it, and
-// that a broken watch is resumed from the last version received.
+// TestDrainAppliesAndWatchResumes guards against a drain that has no effect because of other data on the watch, and
+// against a broken watch that is not resumed from the last version received.
 func TestDrainAppliesAndWatchResumes(t *testing.T) {
 	a, b, c := valueHost(t), valueHost(t), valueHost(t)
 	gateway := startGateway(t, nil, a, b)
@@ -45,7 +46,7 @@
 	}
 	serveEight()
 	if len(a.takeReceived()) > 0 || len(b.takeReceived())+len(c.takeReceived()) != 8 {
-		t.Error("the drain did not apply")
+		t.Error("the draining host got requests, or the other hosts did not get all of them")
 	}
 	watch.Close()
 	gateway.waitForLog("event=endpoint_watch_lost")
@@ -53,21 +54,22 @@
 	sendHostList(watch, 44, newHostEntry("h1", "", "left"))
 	gateway.waitForLog("event=endpoint_watch_restored")
 	gateway.waitForLog("event=endpoint_state id=h1 state=gone version=44")
-	io.WriteString(watch, "2\r\n{]\r\n") // the end of this value can't be found
+	io.WriteString(watch, "2\r\n{]\r\n") // malformed, so that the start of the next list can't be found
 	gateway.waitForLog(`event=endpoint_watch_lost error="invalid character`)
 	gateway.checkWatchRequest("44")
 	serveEight()
 	if len(c.takeReceived()) != 8 || len(b.takeReceived()) > 0 {
-		t.Error("the host that is gone got requests")
+		t.Error("the host that is gone got requests, or the other one did not get all of them")
 	}
 }
 
 const okHead = "HTTP/1.1 200 OK\r\n\r\n"
 
-// watchFault breaks a watch: it answers on the connection, which is closed when it returns.
+// watchFault answers a watch in a faulty way. list is the list that a correct answer would contain. The connection is
+// closed when the function returns.
 type watchFault func(conn net.Conn, list string)
 
-// completeThenReset is the one fault whose list counts.
+// completeThenReset is the only fault whose list must take effect.
 const completeThenReset = "complete, reset"
 
 var watchFaults = map[string]watchFault{
@@ -98,13 +100,14 @@
 
 func resetOnClose(conn net.Conn) { conn.(*net.TCPConn).SetLinger(0) }
 
-// TestBrokenWatchResumesFromLastCompleteList breaks the watch in each way: the list is requested again from the last
-// complete version, no part of an incomplete list counts, and a drain delivered later applies.
+// TestBrokenWatchResumesFromLastCompleteList breaks the watch with each fault. It guards against incomplete lists that
+// take effect, against a list that is not requested again from the last complete version, and against a drain that has
+// no effect after the fault.
 func TestBrokenWatchResumesFromLastCompleteList(t *testing.T) {
 	for name, fault := range watchFaults {
 		for _, mode := range []string{"pushed", "on_request"} {
 			t.Run(name+" "+mode, func(t *testing.T) {
-				t.Parallel() // silent watches take their time
+				t.Parallel() // silent watches last until a timeout
 				checkBrokenWatch(t, mode, name, fault)
 			})
 		}
@@ -138,12 +141,12 @@
 	gateway.waitForLog("event=endpoint_state id=h0 state=draining version=44")
 	got := gateway.connect().roundTrip(requestCommand("lookup", 1))
 	if !strings.HasPrefix(got, want) || len(a.takeReceived()) > 0 {
-		t.Errorf("%s, or sent to the draining host", got)
+		t.Errorf("the answer is %s, or the request was sent to the draining host", got)
 	}
 }
 
-// serveBrokenWatch answers three watches: the first gets a list and is reset, the second has a fault, with a list in
-// which host b drains, and the third gets a list in which host a drains.
+// serveBrokenWatch answers three watches: the first gets a list and is reset, the second is answered by fault with a
+// list in which host b drains, and the third gets a list in which host a drains.
 func serveBrokenWatch(agent net.Listener, watchRequests chan<- string, a, b *testHost, fault watchFault) {
 	for n := range 3 {
 		conn, err := agent.Accept()
@@ -170,8 +173,9 @@
 	}
 }
 
-// TestPausedGatewayAppliesDrainBeforeRequests pauses a gateway, so that requests and a drain wait in its sockets
-// together: the drain applies before the first of the requests is sent, whichever came first.
+// TestPausedGatewayAppliesDrainBeforeRequests guards against requests that are sent to a host after its drain has
+// arrived. The gateway is paused, so that requests and the drain wait in its sockets together. The drain must apply
+// before the first request is sent, whichever came first.
 func TestPausedGatewayAppliesDrainBeforeRequests(t *testing.T) {
 	a, b := valueHost(t), valueHost(t)
 	gateway := startGateway(t, configureAmpleBurst, a, b)
@@ -198,12 +202,13 @@
 			}
 		}
 		if got := len(a.takeReceived()); state == "leaving" && got > 0 {
-			t.Errorf("%d requests were sent to a host listed as draining before", got)
+			t.Errorf("%d requests were sent to a host whose drain had arrived", got)
 		}
 	}
 }
 
-// TestFirstListAppliesBeforeClients checks that the agent's host list applies before the first client is accepted.
+// TestFirstListAppliesBeforeClients guards against requests to a host that drained before the start: the agent's list
+// must apply before the first client is accepted.
 func TestFirstListAppliesBeforeClients(t *testing.T) {
 	a, b := valueHost(t), valueHost(t)
 	gateway := startGateway(t, func(config *gatewayConfig) {
@@ -214,12 +219,13 @@
 	for i := range 8 {
 		got := gateway.connect().roundTrip(requestCommand("lookup", i))
 		if got != "v" || len(a.takeReceived()) > 0 {
-			t.Errorf("%s, or sent to the draining host", got)
+			t.Errorf("the answer is %s, or the request was sent to the draining host", got)
 		}
 	}
 }
 
-// TestSilentAgentDelaysStartForBoundedTime checks that a gateway serves with the list of its file in the end.
+// TestSilentAgentDelaysStartForBoundedTime guards against a gateway that never serves because the discovery agent does
+// not answer: after a time it serves with the host list in its configuration file.
 func TestSilentAgentDelaysStartForBoundedTime(t *testing.T) {
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/ravensill/gossip_test.go
+++ b/cmd/ravensill/gossip_test.go
@@ -9,11 +9,12 @@
 	"ravensill/internal/gossip"
 )
 
-// TestQuotaHoldsAcrossGateways checks that a gateway rejects a customer whose burst its peer has admitted, and that
-// datagrams from unknown addresses are dropped.
+// TestQuotaHoldsAcrossGateways guards against a customer that gets its burst at each of two gateways: one gateway must
+// reject the customer after its peer has reported the whole burst as admitted. It also checks that datagrams from
+// unknown addresses and malformed ones are dropped.
 func TestQuotaHoldsAcrossGateways(t *testing.T) {
 	host := valueHost(t)
-	var relays [2]*net.UDPConn // the peer of gateway i sees it at the address of relays[i]
+	var relays [2]*net.UDPConn // relays[i] has the gossip address of gateway i in the configurations
 	var addrs []string
 	for i := range relays {
 		relays[i] = listenUDP(t)
@@ -28,7 +29,7 @@
 	}
 	peerAddr, _ := net.ResolveUDPAddr("udp4", gateways[1].peerAddr)
 	reported := make(chan struct{}, 99)
-	go func() { // from gateway 0 to 1; nothing in the other direction
+	go func() { // relays messages from gateway 0 to 1, and none in the other direction
 		message := make([]byte, 300)
 		for {
 			n, err := relays[1].Read(message)
@@ -62,11 +63,11 @@
 	}
 	a := gateways[1].connect().roundTrip(spread(requestCommand("lookup", 5)))
 	if !strings.HasPrefix(a, "-BUSY") {
-		t.Errorf("the burst is spent at the peer, yet the answer is %s", a)
+		t.Errorf("the burst is spent at the peer, but the answer is %s, want -BUSY", a)
 	}
 }
 
-// reportsFullBurst reports whether a message holds a counter of 8 units.
+// reportsFullBurst reports whether a gossip message contains a counter of 8 units, the burst of the quota plan.
 func reportsFullBurst(message []byte) (found bool) {
 	const units, unitParts = 8, 16
 	gossip.Format{Plans: 1, Members: 2}.Decode(message,
--- a/cmd/ravensill/harness_client_test.go
+++ b/cmd/ravensill/harness_client_test.go
@@ -32,7 +32,8 @@
 
 func (c *testClient) send(commands ...string) { io.WriteString(c.Conn, strings.Join(commands, "")) }
 
-// readAnswer returns the next answer, or the text of the error that ended the connection.
+// readAnswer returns the next answer: the value, or the line of any other answer. If the connection has ended, it
+// returns the text of the error.
 func (c *testClient) readAnswer() string {
 	elements, err := readReply(c.reader)
 	if err != nil {
@@ -41,6 +42,7 @@
 	return elements[0]
 }
 
+// roundTrip sends a command and returns its answer.
 func (c *testClient) roundTrip(command string) string {
 	c.send(command)
 	return c.readAnswer()
@@ -48,7 +50,8 @@
 
 var lastRequestID int
 
-// requestCommand encodes a request of a customer in a request class.
+// requestCommand encodes a request of a customer in a request class, on the quota plan team, with a new id and an
+// optional body.
 func requestCommand(class string, customer int, body ...string) string {
 	lastRequestID++
 	verb := "CALL.POST"
@@ -64,7 +67,7 @@
 	return respArray(append(head, body...)...)
 }
 
-// waitUntilHalfClosed waits until the gateway has closed its sending side; received bytes stay unread.
+// waitUntilHalfClosed waits until the gateway has closed its sending side of the connection. It reads no bytes.
 func (c *testClient) waitUntilHalfClosed() {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/cmd/ravensill/harness_config_test.go
+++ b/cmd/ravensill/harness_config_test.go
@@ -22,22 +22,22 @@
 	Counterfactual *counterfactualSection `json:"counterfactual,omitempty"`
 	Pool           *poolSection           `json:"pool,omitempty"`
 
-	// What follows is for the test harness; the gateway ignores the keys.
+	// The remaining fields are for the test harness. The gateway ignores their keys.
 
-	AgentHosts      []hostEntry `json:"agent,omitempty"`  // the agent's list from its first answer on
-	DescriptorLimit int         `json:"ulimit,omitempty"` // of the process; 0: the limit of the test
+	AgentHosts      []hostEntry `json:"agent,omitempty"`  // sent by the discovery agent in its first answer
+	DescriptorLimit int         `json:"ulimit,omitempty"` // of the gateway's process; 0: as in the test's process
 
-	// edit changes the text of the file, for a test of text that the types cannot express.
-	edit func(text []byte) []byte
+	// editText, if not nil, changes the text of the file to one that the types can't express.
+	editText func(text []byte) []byte
 }
 
-// resourceLimits bound what a gateway takes of its machine.
+// resourceLimits limit the memory and descriptors that a gateway uses.
 type resourceLimits struct {
 	MemoryMB int `json:"memory_mb,omitempty"`
 	Sockets  int `json:"sockets,omitempty"`
 }
 
-// hostList is a list of hosts, or a delta of one.
+// hostList is a list of hosts or a delta of one, as the discovery agent sends it.
 type hostList struct {
 	Version int         `json:"version"`
 	Full    bool        `json:"full"`
@@ -70,7 +70,7 @@
 	Gossip         gossipSettings `json:"family_info"`
 }
 
-// requestLimits bound what a gateway does for a request.
+// requestLimits are the limits of the work that a gateway does for a request.
 type requestLimits struct {
 	MaxAttempts      int  `json:"max_attempts"`
 	Cancellation     bool `json:"cancelling"`
@@ -110,7 +110,7 @@
 	CounterTimeoutUS  int  `json:"count_wait_us,omitempty"`
 }
 
-// configurationSection makes a gateway follow publishers.
+// configurationSection makes a gateway follow the publishers of the configuration.
 type configurationSection struct {
 	Publishers []string `json:"publishers"`
 	Directory  string   `json:"dir"`
@@ -121,13 +121,13 @@
 	Listen     string   `json:"listen"`
 	Peers      []string `json:"peers,omitempty"`
 	Collectors []int    `json:"collectors,omitempty"` // member indexes
-	Fraction   float64  `json:"part,omitempty"`       // of the requests that are observed
+	Fraction   float64  `json:"part,omitempty"`       // fraction of the batches of events that is observed
 	WindowMS   int      `json:"window_ms,omitempty"`
 	GraceMS    int      `json:"grace_ms,omitempty"`
 	QueueSize  int      `json:"queue,omitempty"`
 }
 
-// poolSection turns the connection pool with leases on.
+// poolSection turns the connection quota on: gateways lease connections from a shared capacity.
 type poolSection struct {
 	Capacity     int      `json:"capacity"`
 	Floor        int      `json:"floor"`
@@ -138,7 +138,7 @@
 	Key          string   `json:"key"`
 }
 
-// newGatewayConfig returns the configuration of a gateway that runs alone with some hosts.
+// newGatewayConfig returns the configuration of a gateway that runs alone and knows the given hosts.
 func newGatewayConfig(discovery string, hosts []*testHost) *gatewayConfig {
 	return &gatewayConfig{
 		Name:      "n0",
@@ -151,7 +151,7 @@
 	}
 }
 
-// defaultSettings returns the settings of a gateway that runs alone.
+// defaultSettings returns the settings of a gateway that runs alone, with four request classes and one quota plan.
 func defaultSettings() gatewaySettings {
 	return gatewaySettings{
 		Members:      1,
@@ -210,10 +210,10 @@
 // ampleBurst is more units than any test spends.
 const ampleBurst = 1e6
 
-// configureAmpleBurst sets a burst of the quota plan that no test spends.
+// configureAmpleBurst gives the quota plan a burst that no test spends.
 func configureAmpleBurst(config *gatewayConfig) { config.Settings.Plans[0].Burst = ampleBurst }
 
-// configureShortDeadlines sets client timeouts so short that a gateway ends all connections 0.8 s after SIGTERM.
+// configureShortDeadlines sets client timeouts of 0.3 s, with which a gateway ends all connections 0.8 s after SIGTERM.
 func configureShortDeadlines(config *gatewayConfig) {
 	for i := range config.Settings.Classes {
 		class := &config.Settings.Classes[i]
@@ -222,14 +222,14 @@
 	}
 }
 
-// configureTwoMembers makes a gateway the first of two members that gossip.
+// configureTwoMembers makes a gateway the first of two members that gossip. peers are the gossip addresses of both.
 func configureTwoMembers(config *gatewayConfig, peers ...string) {
 	config.Settings.Members = 2
 	config.PeerListen = "127.0.0.1:0"
 	config.Peers = peers
 }
 
-// setKey returns the text of a JSON object with the value of a key replaced, or added.
+// setKey returns the text of a JSON object in which a key has the given value.
 func setKey(t *testing.T, object []byte, key, value string) []byte {
 	t.Helper()
 	values := map[string]json.RawMessage{}
--- a/cmd/ravensill/harness_discovery_test.go
+++ b/cmd/ravensill/harness_discovery_test.go
@@ -8,7 +8,8 @@
 	"net"
 )
 
-// serveDiscovery is a discovery agent: it answers each watch at once with entries.
+// serveDiscovery runs a discovery agent. It answers each watch at once with a delta of the given entries, keeps the
+// connection open, and passes the request line and the connection to the test.
 func (g *gatewayProcess) serveDiscovery(agent net.Listener, entries ...hostEntry) {
 	for {
 		conn, err := agent.Accept()
@@ -29,7 +30,8 @@
 	}
 }
 
-// sendHostList sends a delta of the host list in two HTTP chunks; odd versions are indented.
+// sendHostList sends a delta of the host list in two HTTP chunks. Odd versions are indented, so that both forms of JSON
+// are tested.
 func sendHostList(conn net.Conn, version int, entries ...hostEntry) {
 	update := hostList{Version: version, Hosts: entries}
 	text, _ := json.Marshal(update)
--- a/cmd/ravensill/harness_host_test.go
+++ b/cmd/ravensill/harness_host_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// readReply reads one RESP value: the elements of an array, or a single line or bulk string.
+// readReply reads one RESP value. It returns the elements of an array, or the single element of any other value: the
+// content of a bulk string, or the line with its type byte.
 func readReply(r *bufio.Reader) ([]string, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -50,23 +51,23 @@
 // respBulk encodes a RESP bulk string.
 func respBulk(value string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(value), value) }
 
-// successReply returns a host's reply with a value and a load report.
+// successReply encodes a host's reply with a value and a load report.
 func successReply(value string) string {
 	return "*3\r\n" + respBulk(value) + respBulk("used=3") + respBulk("utilization=0.5")
 }
 
-// testHost is an emulated host of the back end. reply returns the bytes to write; a trailing "close" closes the
-// connection after them.
+// testHost is an emulated host of the back end. reply returns the bytes to write in answer to a command. If they end
+// with "close", that word is not written, and the connection is closed after the other bytes.
 type testHost struct {
 	net.Listener
 	reply        func(command []string) string
 	mu           sync.Mutex
 	received     [][]string    // commands since the last takeReceived
 	disconnected chan struct{} // receives a value each time the gateway closes a connection
-	inOrder      bool          // replies are written in the order of the commands
+	inOrder      bool          // whether replies are written in the order of the commands
 }
 
-// newHost starts a host on a loopback port.
+// newHost starts a host on a free loopback port.
 func newHost(t *testing.T, reply func(command []string) string) *testHost {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -126,8 +127,9 @@
 	return newHost(t, func([]string) string { return successReply("v") })
 }
 
-// newBlockingHost starts a host that answers all commands at once but that of customer 1: received is closed when that
-// command arrives, and it is answered once the test closes release.
+// newBlockingHost starts a host that delays the answer to the command of customer 1, of which a test may send only one:
+// received is closed when that command arrives, and it is answered once the test closes release. All other commands are
+// answered at once.
 func newBlockingHost(t *testing.T) (host *testHost, received, release chan struct{}) {
 	received, release = make(chan struct{}), make(chan struct{})
 	return newHost(t, func(command []string) string {
--- a/cmd/ravensill/harness_test.go
+++ b/cmd/ravensill/harness_test.go
@@ -31,27 +31,27 @@
 	os.Exit(m.Run())
 }
 
-// gatewayProcess is one running gateway with its configuration, its log and the discovery agent that it watches.
+// gatewayProcess is one gateway process with its configuration, its log and the discovery agent that it watches.
 type gatewayProcess struct {
 	*testing.T
 	cmd            *exec.Cmd
 	configFile     string
-	discoveryAgent net.Listener // the agent named by the first configuration
+	discoveryAgent net.Listener // listener of the agent in the first configuration
 	config         *gatewayConfig
 	addr           string        // where clients connect
-	peerAddr       string        // where datagrams of other gateways arrive
-	startError     string        // log line of a start that failed
-	observerLine   string        // log line of the counterfactual observer's start, if it is configured
-	watches        chan net.Conn // discovery watches whose response head was sent
+	peerAddr       string        // where gossip of other gateways arrives
+	startError     string        // log line start_failed; empty: the start did not fail that way
+	observerLine   string        // log line observer_started; empty: the counterfactual observer is not configured
+	watches        chan net.Conn // connections of discovery watches that got their first answer
 	watchRequests  chan string   // request lines of these watches
-	startupLog     []string      // log lines up to the start that no test has taken
-	log            chan string   // later log lines
-	logs           io.Closer     // read end of the log
-	exited         chan error
+	startupLog     []string      // log lines of the start that waitForLog has not passed yet
+	log            chan string   // log lines after the start; closed when the process has ended
+	logPipe        io.Closer     // read end of the log
+	exited         chan error    // receives the result of the process
 }
 
-// startGateway writes a configuration, changed by configure if that is not nil, starts a gateway with it and a
-// discovery agent beside it, and waits until the gateway serves or has failed to start.
+// startGateway starts a gateway with the default configuration and a discovery agent, and waits until the gateway
+// serves, has failed to start, or waits for an address. configure, if not nil, changes the configuration before.
 func startGateway(t *testing.T, configure func(*gatewayConfig), hosts ...*testHost) *gatewayProcess {
 	discoveryAgent, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -84,26 +84,26 @@
 	return gateway
 }
 
-// newProcess returns a gateway that has not started.
+// newProcess returns a gateway process that is not started and has no configuration yet.
 func newProcess(t *testing.T) *gatewayProcess {
 	gateway := &gatewayProcess{T: t, log: make(chan string, 999), exited: make(chan error, 1)}
 	gateway.cmd = exec.Command(os.Args[0])
 	return gateway
 }
 
-// startAndWait starts the program and waits for its first event.
+// startAndWait starts the program and waits for the outcome of the start.
 func (g *gatewayProcess) startAndWait() {
 	g.startProcess()
 	g.waitUntilStarted()
 }
 
-// startProcess starts the program and follows its log; a logged panic kills it.
+// startProcess starts the program and reads its log. A program that logs a panic is killed, so that the test fails.
 func (g *gatewayProcess) startProcess() {
 	out, err := g.cmd.StderrPipe()
 	if err != nil {
 		g.Fatal(err)
 	}
-	g.logs = out
+	g.logPipe = out
 	if err := g.cmd.Start(); err != nil {
 		g.Fatal(err)
 	}
@@ -120,11 +120,11 @@
 	g.Cleanup(func() { g.cmd.Process.Kill() })
 }
 
-// waitUntilStarted reads the log up to the line that shows the outcome of the start.
+// waitUntilStarted reads the log up to the line that shows the outcome of the start, and takes addresses from it.
 func (g *gatewayProcess) waitUntilStarted() {
 	line := ""
 	var lines []string
-	for !endsStart(line) {
+	for !isStartOutcome(line) {
 		line = g.waitForLog("event=")
 		lines = append(lines, line)
 		if strings.Contains(line, "event=observer_started") {
@@ -139,8 +139,9 @@
 	}
 }
 
-// endsStart reports whether a log line is the last one of a start, successful or not.
-func endsStart(line string) bool {
+// isStartOutcome reports whether a log line shows that the gateway serves, has failed to start, is stopping, or waits
+// for an address.
+func isStartOutcome(line string) bool {
 	if strings.Contains(line, "event=settings") {
 		return false
 	}
@@ -149,11 +150,11 @@
 		strings.Contains(line, "event=gateway_failed")
 }
 
-// writeConfig writes config to the configuration file.
+// writeConfig writes g.config to the configuration file, changed by editText if that is not nil.
 func (g *gatewayProcess) writeConfig() {
 	text := encodeJSON(g.T, g.config)
-	if g.config.edit != nil {
-		text = g.config.edit(text)
+	if g.config.editText != nil {
+		text = g.config.editText(text)
 	}
 	g.writeConfigText(text)
 }
@@ -165,7 +166,8 @@
 	}
 }
 
-// waitForLog waits for a log line that contains text.
+// waitForLog waits for a log line that contains text and returns it. Lines before it are skipped. The lines of the
+// start are searched first.
 func (g *gatewayProcess) waitForLog(text string) string {
 	i := slices.IndexFunc(g.startupLog, func(line string) bool { return strings.Contains(line, text) })
 	if i >= 0 {
@@ -183,24 +185,24 @@
 				return line
 			}
 		case <-limit:
-			g.Fatalf("never logged %q", text)
+			g.Fatalf("%q is not logged in time", text)
 		}
 	}
 }
 
-// receive takes the next value of a channel.
+// receive returns the next value of a channel. The test fails if there is none within waitLimit.
 func receive[T any](gateway *gatewayProcess, c chan T) T {
 	select {
 	case value := <-c:
 		return value
 	case <-time.After(waitLimit):
-		gateway.Fatal("nothing was received")
+		gateway.Fatal("no value was received in time")
 		panic("")
 	}
 }
 
-// retryWhenSlow repeats a run of which the machine's load may have delayed a step: run returns that delay, or "" when
-// every step was in time. A faulty program is slow in every run and fails the test.
+// retryWhenSlow repeats a run in which the load of the machine may have delayed a step. run returns a description of
+// that delay, or "" if every step was in time. A faulty program is slow in each of the 6 runs and fails the test.
 func retryWhenSlow(t *testing.T, run func() (slow string)) {
 	slow := ""
 	for range 6 {
@@ -212,9 +214,10 @@
 	t.Error(slow)
 }
 
-// faultUnlessLate reports a command that a gateway left unanswered after SIGTERM. Only in the last moments before it
-// exits, which begin 3 s after the signal at the earliest, may a command on an open connection have no answer.
-func faultUnlessLate(t *testing.T, stopRequested time.Time, fault string) string {
+// failUnlessLate reports that a command was not answered after SIGTERM, and returns the fault for retryWhenSlow. A
+// gateway may leave commands on an open connection unanswered only in the last moments before it exits. Those begin no
+// earlier than 3 s after the signal; before that, the test fails.
+func failUnlessLate(t *testing.T, stopRequested time.Time, fault string) string {
 	if time.Since(stopRequested) < 3*time.Second {
 		t.Error(fault)
 	}
@@ -235,7 +238,7 @@
 	}
 }
 
-// signal sends a signal and waits for a log line, if one is given.
+// signal sends a signal, and waits for a log line that contains line unless that is empty.
 func (g *gatewayProcess) signal(s syscall.Signal, line string) {
 	g.cmd.Process.Signal(s)
 	if line != "" {
@@ -243,7 +246,8 @@
 	}
 }
 
-// sendAllSignals sends each signal that a platform sends, in the worst order: none may end the program early.
+// sendAllSignals sends the signals that a platform may send, in the order that is most likely to end the program early:
+// a SIGHUP after SIGTERM, and a second SIGTERM.
 func (g *gatewayProcess) sendAllSignals() {
 	g.signal(syscall.SIGHUP, "event=reloaded")
 	g.signal(syscall.SIGTERM, "event=shutdown_started clients=")
@@ -251,7 +255,7 @@
 	g.signal(syscall.SIGTERM, "event=shutdown_signal_repeated")
 }
 
-// exitStatus waits for the end of the process.
+// exitStatus waits for the end of the process and returns "exit 0" or the error.
 func (g *gatewayProcess) exitStatus() string {
 	if err := receive(g, g.exited); err != nil {
 		return err.Error()
@@ -259,7 +263,7 @@
 	return "exit 0"
 }
 
-// descriptorTargets returns what the process's open descriptors refer to: a file's path, a socket's number, ...
+// descriptorTargets returns what the process's open descriptors refer to, such as a file's path or socket:[INODE].
 func (g *gatewayProcess) descriptorTargets() []string {
 	process, err := procfs.NewProc(g.cmd.Process.Pid)
 	if err != nil {
@@ -272,7 +276,7 @@
 	return targets
 }
 
-// countUDPSockets returns how many UDP sockets the process has open.
+// countUDPSockets returns the number of UDP sockets that the process has open.
 func (g *gatewayProcess) countUDPSockets() (n int) {
 	targets := g.descriptorTargets()
 	fs, err := procfs.NewDefaultFS()
@@ -301,7 +305,7 @@
 		t.Error(a)
 	}
 	if n := gateway.countUDPSockets(); n != 0 {
-		t.Errorf("%d UDP sockets", n)
+		t.Errorf("%d UDP sockets are open, want none", n)
 	}
 	gateway.cmd.Process.Signal(os.Interrupt)
 	for line := range gateway.log {
--- a/cmd/ravensill/observer_test.go
+++ b/cmd/ravensill/observer_test.go
@@ -12,7 +12,8 @@
 	"ravensill/counterfactual"
 )
 
-// TestObserverOffOpensNoSocketAndLogsNothing checks a gateway without the section counterfactual.
+// TestObserverOffOpensNoSocketAndLogsNothing guards against costs of the counterfactual observer for gateways that
+// don't configure it.
 func TestObserverOffOpensNoSocketAndLogsNothing(t *testing.T) {
 	checkSectionOff(t, "observer")
 }
@@ -22,12 +23,13 @@
 		config.Counterfactual = &counterfactualSection{Listen: "127.0.0.1:0", QueueSize: -1}
 	}, valueHost(t))
 	if !strings.Contains(gateway.startError, "counterfactual: queue: -1 is not from 1 to") {
-		t.Errorf("the line does not name the key: %s", gateway.startError)
+		t.Errorf("the error does not name the key: %s", gateway.startError)
 	}
 }
 
-// TestCollectorCountsOwnAndPeerAttempts checks that a collector folds its own attempts and the summaries of a peer,
-// and that malformed, oversized and forged datagrams and queries are counted or rejected and end nothing.
+// TestCollectorCountsOwnAndPeerAttempts checks that a collector aggregates its own attempts and confirms the summaries
+// of a peer. It guards against malformed, oversized and forged datagrams and queries that stop the collector: they must
+// be counted as dropped or be answered with an error.
 func TestCollectorCountsOwnAndPeerAttempts(t *testing.T) {
 	peer := listenUDP(t)
 	gateway := startGateway(t, func(config *gatewayConfig) {
@@ -44,7 +46,7 @@
 	}, valueHost(t))
 	client := gateway.connect()
 	if n := gateway.countUDPSockets(); n != 1 {
-		t.Errorf("%d UDP sockets", n)
+		t.Errorf("%d UDP sockets are open, want 1", n)
 	}
 	gateway.sendMalformedSummaries(peer)
 	gateway.checkSummaryConfirmed(peer)
@@ -66,7 +68,7 @@
 		{`{"host":"h0"}`, `"host":"h0"`},
 	} {
 		if a := gateway.queryCollector(test.query); !strings.Contains(a, test.want) {
-			t.Errorf("%s: %s", test.query, a)
+			t.Errorf("query %s is answered %s", test.query, a)
 		}
 	}
 	for a := ""; !strings.Contains(a, `"reqs":5,`); {
@@ -94,7 +96,7 @@
 	return line
 }
 
-// observerAddr returns the address of the observer's datagrams.
+// observerAddr returns the address where the observer receives datagrams.
 func (g *gatewayProcess) observerAddr() *net.UDPAddr {
 	_, rest, _ := strings.Cut(g.observerLine, " listen=")
 	text, _, _ := strings.Cut(rest, " ")
@@ -105,8 +107,8 @@
 	return addr
 }
 
-// summaryOf returns a summary of a gateway, by its member index, that holds nothing.
-func summaryOf(member uint32) []byte {
+// emptySummary encodes a summary without attempts from the gateway with a member index.
+func emptySummary(member uint32) []byte {
 	part := counterfactual.Part{Gateway: member, Incarnation: 1, WindowLength: 100}
 	return append([]byte{'S'}, counterfactual.Encode(part, nil)[0](0)...)
 }
@@ -122,8 +124,8 @@
 		{'?', 1},
 		[]byte("S\x9f\x9f\x9f"),
 		bytes.Repeat([]byte{'S'}, 9000),
-		summaryOf(0),
-		append(summaryOf(1), 0),
+		emptySummary(0),
+		append(emptySummary(1), 0),
 	}
 	for _, datagram := range malformed {
 		peer.WriteToUDP(datagram, addr)
@@ -133,9 +135,9 @@
 		g.Fatal(err)
 	}
 	defer unknownSender.Close()
-	unknownSender.Write(summaryOf(1))
+	unknownSender.Write(emptySummary(1))
 	dropped := 0
-	for dropped < len(malformed) { // the empty one is not counted, that of the unknown sender is
+	for dropped < len(malformed) { // the empty datagram is not counted, but that of the unknown sender is
 		n := 0
 		line := g.waitForLog("event=observer_dropped")
 		fmt.Sscanf(line[strings.Index(line, "datagrams="):], "datagrams=%d", &n)
@@ -145,11 +147,11 @@
 
 // checkSummaryConfirmed sends a summary from the peer and waits for its confirmation.
 func (g *gatewayProcess) checkSummaryConfirmed(peer *net.UDPConn) {
-	peer.WriteToUDP(summaryOf(1), g.observerAddr())
+	peer.WriteToUDP(emptySummary(1), g.observerAddr())
 	peer.SetReadDeadline(time.Now().Add(waitLimit))
 	confirmation := make([]byte, 100)
 	n, err := peer.Read(confirmation)
 	if err != nil || confirmation[0] != 'A' || n < 3 {
-		g.Errorf("not confirmed: %v", err)
+		g.Errorf("the summary was not confirmed: %v", err)
 	}
 }
--- a/cmd/ravensill/pool_test.go
+++ b/cmd/ravensill/pool_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newPoolSection returns a section pool of a gateway that is its own raft voter.
+// newPoolSection returns a section pool in which the gateway is the only Raft voter.
 func newPoolSection(t *testing.T, floor int) *poolSection {
 	return &poolSection{
 		Capacity:     9,
@@ -18,13 +18,14 @@
 	}
 }
 
-// TestPoolOffOpensNoSocketAndLogsNothing checks a gateway without the section pool.
+// TestPoolOffOpensNoSocketAndLogsNothing guards against costs of the connection quota for gateways that don't configure
+// it.
 func TestPoolOffOpensNoSocketAndLogsNothing(t *testing.T) {
 	checkSectionOff(t, "pool")
 }
 
-// TestPoolOfOneGatewayLeasesConnections checks that a gateway alone, its own raft voter, gets the leases for its
-// requests.
+// TestPoolOfOneGatewayLeasesConnections guards against a gateway that can't serve because it gets no leases: it is
+// alone and the only Raft voter.
 func TestPoolOfOneGatewayLeasesConnections(t *testing.T) {
 	section := newPoolSection(t, 1)
 	gateway := startGateway(t, func(config *gatewayConfig) { config.Pool = section }, valueHost(t))
@@ -32,7 +33,7 @@
 		t.Error(a)
 	}
 	if n := gateway.countUDPSockets(); n != 2 {
-		t.Errorf("%d UDP sockets, want one of the lease holder and one of the voter", n)
+		t.Errorf("%d UDP sockets are open, want 1 of the lease holder and 1 of the voter", n)
 	}
 }
 
@@ -41,6 +42,6 @@
 	gateway := startGateway(t, func(config *gatewayConfig) { config.Pool = section }, valueHost(t))
 	const want = "pool: floor: 10 for each of 1 gateways is more than capacity less reserve, 9"
 	if !strings.Contains(gateway.startError, want) {
-		t.Errorf("the line does not name the key: %s", gateway.startError)
+		t.Errorf("the error does not name the key: %s", gateway.startError)
 	}
 }
--- a/cmd/ravensill/readme_test.go
+++ b/cmd/ravensill/readme_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestReadmeCommandStartsGateway runs README's start command with its shipped file, from the root; only the port is
-// another, since other gateways may run at the same time.
+// TestReadmeCommandStartsGateway runs the start command of the README from the root of the repository, with the file
+// that it names. Only the port differs, since other gateways may run at the same time.
 func TestReadmeCommandStartsGateway(t *testing.T) {
 	readme, err := os.ReadFile("../../README.md")
 	if err != nil {
@@ -25,10 +25,10 @@
 	const arguments = "c=lookup,t=team,d=480,units=1,spread=1,first=0"
 	for _, test := range []struct{ command, want string }{
 		{respArray("PING"), "+PONG"},
-		{respArray("CALL.GET", "00000000b4d65521", "id1", arguments), "-BUSY"}, // no host runs
+		{respArray("CALL.GET", "00000000b4d65521", "id1", arguments), "-BUSY"}, // no host is running
 	} {
 		if a := gateway.connect().roundTrip(test.command); !strings.HasPrefix(a, test.want) {
-			t.Errorf("%q is answered %s, not %s", test.command, a, test.want)
+			t.Errorf("%q is answered %s, want %s", test.command, a, test.want)
 		}
 	}
 }
--- a/cmd/ravensill/reload_test.go
+++ b/cmd/ravensill/reload_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// reload writes the configuration and sends SIGHUP.
+// reload writes g.config to the configuration file and sends SIGHUP.
 func (g *gatewayProcess) reload() {
 	g.writeConfig()
 	g.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// TestReloadFollowsNewDiscoveryAddress checks SIGHUP: the new address of discovery is followed at once, though the
-// environment names the first one; host list, requests and connections stay; an invalid file changes nothing; lists
-// from the old address no longer apply.
+// TestReloadFollowsNewDiscoveryAddress checks that a gateway follows a new discovery address in its file after a
+// SIGHUP, although the environment names the first address. It guards against a reload that loses the host list,
+// requests or connections, that applies an invalid file, or that still applies lists from the old address.
 func TestReloadFollowsNewDiscoveryAddress(t *testing.T) {
 	a, received, release := newBlockingHost(t)
 	b := newHost(t, func([]string) string { return successReply("of b") })
@@ -44,14 +44,14 @@
 	)
 	line := gateway.waitForLog("event=endpoint_state id=")
 	if !strings.Contains(line, "id=h0 state=draining version=43") {
-		t.Errorf("a list from the old address applied: %s", line)
+		t.Errorf("a list from the old address was applied: %s", line)
 	}
 	if a := gateway.connect().roundTrip(requestCommand("lookup", 2)); a != "of b" {
-		t.Errorf("after the list of the new address: %s", a)
+		t.Errorf("after the list from the new address, the answer is %s", a)
 	}
 	close(release)
 	if a := c.readAnswer(); a != "v" {
-		t.Errorf("in flight during the reload: %s", a)
+		t.Errorf("the request in flight during the reload is answered %s", a)
 	}
 	gateway.config.Discovery = firstAddress
 	gateway.config.Resources = resourceLimits{MemoryMB: 64}
@@ -63,12 +63,12 @@
 	gateway.waitForLog("event=endpoint_state id=h0 state=draining version=42")
 	for i := range 8 {
 		if a := gateway.connect().roundTrip(requestCommand("lookup", 10+i)); a != "of b" {
-			t.Errorf("a stale list brought the draining host back: %s", a)
+			t.Errorf("after the stale list, the answer is %s, want of b", a)
 		}
 	}
 }
 
-// checkInvalidReloads reloads files with invalid addresses of discovery.
+// checkInvalidReloads reloads files with invalid discovery addresses, and checks that the error names the key.
 func (g *gatewayProcess) checkInvalidReloads() {
 	valid := encodeJSON(g.T, g.config)
 	for _, invalid := range []string{`"nowhere"`, "7"} {
@@ -76,7 +76,7 @@
 		g.cmd.Process.Signal(syscall.SIGHUP)
 		line := g.waitForLog("event=reload_failed")
 		if !strings.Contains(line, `error="discovery: `) {
-			g.Errorf("the line does not name the key: %s", line)
+			g.Errorf("the error does not name the key: %s", line)
 		}
 	}
 }
--- a/cmd/ravensill/requests_test.go
+++ b/cmd/ravensill/requests_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestPipelinedCommandsAreAnsweredInOrder sends many commands on one connection: answers come in their order, values
-// byte for byte, and a host receives the body and the time left.
+// TestPipelinedCommandsAreAnsweredInOrder sends several commands on one connection without waiting for answers. It
+// guards against answers in another order, altered values, and a host that gets an altered body or a wrong time left.
 func TestPipelinedCommandsAreAnsweredInOrder(t *testing.T) {
 	secondArrived := make(chan struct{})
 	host := newHost(t, func(command []string) string {
@@ -40,7 +40,7 @@
 		"+PONG",
 	} {
 		if a := c.readAnswer(); a != want {
-			t.Errorf("%q, not %q", a, want)
+			t.Errorf("the answer is %q, want %q", a, want)
 		}
 	}
 	elapsed := time.Since(sent)
@@ -51,45 +51,47 @@
 	}
 }
 
-// checkForwardedOrder checks the command that a host received for a request with a body, which was sent no longer than
-// elapsed before.
+// checkForwardedOrder checks the command that a host received for a request with a body. The client sent the request at
+// most elapsed ago, so that its time left may have decreased by that.
 func checkForwardedOrder(t *testing.T, command []string, elapsed time.Duration) {
 	if len(command) != 5 || command[4] != "BO\r\nDY" {
-		t.Errorf("forwarded as %q", command)
+		t.Errorf("the request was forwarded as %q", command)
 		return
 	}
 	const form = "c=order,t=team,d=%d,k=00ff,units=1,spread=1,first=0"
 	const clientWait = 3 * time.Second
-	left := 0 // milliseconds
-	fmt.Sscanf(command[3], form, &left)
+	remaining := 0 // milliseconds
+	fmt.Sscanf(command[3], form, &remaining)
 	longest := int(clientWait.Milliseconds())
 	shortest := int((clientWait - elapsed).Milliseconds()) - 1
-	if command[3] != fmt.Sprintf(form, left) || left > longest || left < shortest {
-		t.Errorf("forwarded as %q, %v after it was sent", command[3], elapsed)
+	if command[3] != fmt.Sprintf(form, remaining) || remaining > longest || remaining < shortest {
+		t.Errorf("the request was forwarded with %q at most %v after it was sent", command[3], elapsed)
 	}
 }
 
-// TestRequestBeyondQuotaIsRejectedWithRetryAfter spends a burst of 8.
+// TestRequestBeyondQuotaIsRejectedWithRetryAfter spends the burst of 8 units. It guards against a further request that
+// is forwarded, or rejected without a time to retry after.
 func TestRequestBeyondQuotaIsRejectedWithRetryAfter(t *testing.T) {
 	host := valueHost(t)
 	c := startGateway(t, nil, host).connect()
 	for i := range 8 {
 		if a := c.roundTrip(requestCommand("lookup", 3)); a != "v" {
-			t.Errorf("request %d within the quota: %s", i, a)
+			t.Errorf("request %d within the quota is answered %s", i, a)
 		}
 	}
 	a := c.roundTrip(requestCommand("lookup", 3))
 	if !strings.HasPrefix(a, "-BUSY ") || len(host.takeReceived()) != 8 {
-		t.Fatalf("beyond the quota: %s", a)
+		t.Fatalf("the request beyond the quota is answered %s, or was forwarded", a)
 	}
 	retryAfterMS := 0
 	fmt.Sscanf(a, "-BUSY %d", &retryAfterMS)
 	if retryAfterMS < 1000 {
-		t.Errorf("retry after %d ms", retryAfterMS)
+		t.Errorf("the time to retry after is %d ms, want at least 1000", retryAfterMS)
 	}
 }
 
-// TestMalformedStreamEndsOnlyItsConnection sends a stream whose next command can't be found.
+// TestMalformedStreamEndsOnlyItsConnection guards against a client that can't be parsed and affects other clients, or
+// is parsed further: the start of its next command can't be found.
 func TestMalformedStreamEndsOnlyItsConnection(t *testing.T) {
 	gateway := startGateway(t, nil, valueHost(t))
 	other := gateway.connect()
@@ -97,32 +99,32 @@
 	malformed.send("*1\r\n:9\r\n", requestCommand("lookup", 4))
 	a, end := malformed.readAnswer(), malformed.readAnswer()
 	if !strings.HasPrefix(a, "-ERR") || end != "EOF" {
-		t.Errorf("malformed stream: %q, then %q", a, end)
+		t.Errorf("the malformed stream is answered %q, then %q, want -ERR, then EOF", a, end)
 	}
 	if a := other.roundTrip(respArray("PING")); a != "+PONG" {
-		t.Errorf("another client: %s", a)
+		t.Errorf("another client reads %s, want +PONG", a)
 	}
 }
 
-// TestRetriesOnlyWhereHarmless checks the answer after each outcome of an attempt: a retry follows only if the host ran
-// nothing or a repeat is harmless.
+// TestRetriesOnlyWhereHarmless guards against retries that run a request twice: an attempt is retried only if the host
+// did not run it, or if running it again is harmless. Each case is one outcome of the first attempt.
 func TestRetriesOnlyWhereHarmless(t *testing.T) {
 	for _, test := range []struct {
 		class      string // request class
-		firstReply string // of the host that gets the first attempt
+		firstReply string // reply of the host that gets the first attempt
 		want       string // prefix of the client's answer
-		attempts   int
+		attempts   int    // expected number of attempts
 	}{
-		{"pay", "-BUSY\r\n", "value", 2},                     // never ran: the next host
-		{"pay", "-ERR failed\r\n", "-ERR", 1},                // may have run
-		{"pay", "close", "-ERR", 1},                          // may have run
-		{"pay", "%3\r\n", "-ERR", 1},                         // malformed
-		{"pay", successReply("v")[:20] + "close", "-ERR", 1}, // cut short
-		{"lookup", "close", "-BUSY", 1},                      // harmless, but no retry budget yet
-		{"quick", "", "-BUSY", 1},                            // no answer by the latency objective
-		{"order", "$-1\r\n", "-BUSY", 1},                     // null is no value; deduplicated by all hosts
-		{"pay", "*1\r\n$-1\r\n", "-ERR", 1},                  // null is no value
-		{"pay", "-BUSY used=9 x=2\r\n", "value", 2},          // usage in an error line
+		{"pay", "-BUSY\r\n", "value", 2},                     // the host did not run it: retried at the next host
+		{"pay", "-ERR failed\r\n", "-ERR", 1},                // the host may have run it
+		{"pay", "close", "-ERR", 1},                          // the host may have run it
+		{"pay", "%3\r\n", "-ERR", 1},                         // malformed reply
+		{"pay", successReply("v")[:20] + "close", "-ERR", 1}, // incomplete reply
+		{"lookup", "close", "-BUSY", 1},                      // a retry is harmless, but there is no retry budget yet
+		{"quick", "", "-BUSY", 1},                            // no reply within the latency objective
+		{"order", "$-1\r\n", "-BUSY", 1},                     // null is no valid value; all hosts deduplicate orders
+		{"pay", "*1\r\n$-1\r\n", "-ERR", 1},                  // null is no valid value
+		{"pay", "-BUSY used=9 x=2\r\n", "value", 2},          // an error line with a load report
 	} {
 		t.Run(fmt.Sprintf("%s %.12q", test.class, test.firstReply), func(t *testing.T) {
 			var mu sync.Mutex
@@ -139,10 +141,10 @@
 			a, b := newHost(t, reply), newHost(t, reply)
 			c := startGateway(t, nil, a, b).connect()
 			if got := c.roundTrip(requestCommand(test.class, 1)); !strings.HasPrefix(got, test.want) {
-				t.Errorf("%s, %q: %s", test.class, test.firstReply, got)
+				t.Errorf("class %s, first reply %q: the answer is %s", test.class, test.firstReply, got)
 			}
 			if got := len(a.takeReceived()) + len(b.takeReceived()); got != test.attempts {
-				t.Errorf("%s, %q: %d attempts", test.class, test.firstReply, got)
+				t.Errorf("class %s, first reply %q: %d attempts", test.class, test.firstReply, got)
 			}
 			if test.firstReply == "" {
 				checkDisconnected(t, a, b)
@@ -151,19 +153,19 @@
 	}
 }
 
-// checkDisconnected waits until the gateway closes a connection to one of two hosts: the host of a canceled attempt may
-// stop its work.
+// checkDisconnected waits until the gateway closes a connection to one of two hosts. That tells the host of a canceled
+// attempt to stop its work.
 func checkDisconnected(t *testing.T, a, b *testHost) {
 	select {
 	case <-a.disconnected:
 	case <-b.disconnected:
 	case <-time.After(waitLimit):
-		t.Error("the attempt was canceled, but its connection stays")
+		t.Error("the connection of the canceled attempt is still open")
 	}
 }
 
-// TestDisconnectedClientDelaysNoOther checks that other clients are served while the attempt of one that disconnected
-// ends.
+// TestDisconnectedClientDelaysNoOther guards against a client that disconnects during its request and delays other
+// clients: they must be served while its attempt ends.
 func TestDisconnectedClientDelaysNoOther(t *testing.T) {
 	host, received, release := newBlockingHost(t)
 	gateway := startGateway(t, nil, host)
@@ -179,8 +181,8 @@
 	}
 }
 
-// TestRefusedConnectionFailsNoRequest checks that a host that refuses connections fails no request, not even one that
-// must not run twice.
+// TestRefusedConnectionFailsNoRequest guards against requests that fail because a host refuses connections. Even a
+// request that must not run twice is then retried at another host.
 func TestRefusedConnectionFailsNoRequest(t *testing.T) {
 	a, b := newHost(t, nil), valueHost(t)
 	a.Close()
--- a/cmd/ravensill/shutdown_test.go
+++ b/cmd/ravensill/shutdown_test.go
@@ -12,8 +12,8 @@
 // acceptTime is shorter than the time for which new clients are accepted after SIGTERM.
 const acceptTime = 300 * time.Millisecond
 
-// TestShutdownAnswersRequestsInFlight checks that a gateway accepts connections for a while after SIGTERM, answers all
-// requests that it has, and then closes each connection.
+// TestShutdownAnswersRequestsInFlight guards against clients that get no answer because of a shutdown. A gateway
+// accepts connections for a while after SIGTERM, answers all open requests, and then closes each connection.
 func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	retryWhenSlow(t, func() string {
 		received, receivedLater, release := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -43,17 +43,17 @@
 				answers <- active.readAnswer()
 			}
 		}()
-		active.send(requestCommand("lookup", 3)) // while the one before is in flight
+		active.send(requestCommand("lookup", 3)) // while the previous request is in flight
 		select {
 		case <-receivedLater:
 		case a := <-answers:
 			close(release)
-			return faultUnlessLate(t, stopRequested, fmt.Sprintf("%q, and the host has not received the later request", a))
+			return failUnlessLate(t, stopRequested, fmt.Sprintf("%q, but the host has not received the later request", a))
 		}
 		close(release)
 		for range 2 {
 			if a := receive(gateway, answers); a != "v" {
-				return faultUnlessLate(t, stopRequested, fmt.Sprintf("%q, not v", a))
+				return failUnlessLate(t, stopRequested, fmt.Sprintf("the answer is %q, want v", a))
 			}
 		}
 		idle.Close()
@@ -65,8 +65,8 @@
 	})
 }
 
-// checkNewClientServed connects a client right after SIGTERM. One that connects or is answered after acceptTime, on a
-// machine that is slow, shows nothing.
+// checkNewClientServed checks that a client that connects right after SIGTERM is served. A failure later than
+// acceptTime after the signal is ignored: on a slow machine the gateway may accept no clients by then.
 func checkNewClientServed(gateway *gatewayProcess, stopRequested time.Time) {
 	conn, err := net.Dial("tcp4", gateway.addr)
 	if err != nil {
@@ -78,13 +78,13 @@
 	gateway.Cleanup(func() { conn.Close() })
 	c := &testClient{gateway, conn, bufio.NewReader(conn)}
 	if a := c.roundTrip(requestCommand("lookup", 2)); a != "v" && time.Since(stopRequested) < acceptTime {
-		gateway.Errorf("a client that connects after SIGTERM: %s", a)
+		gateway.Errorf("a client that connects after SIGTERM reads %s, want v", a)
 	}
 }
 
-// TestShutdownServesOpenConnections has clients that don't check for the end of the stream and go on sending on their
-// open connections. Each command is answered long after the listener closed, and all connections end before a platform
-// may kill the process.
+// TestShutdownServesOpenConnections guards against lost commands of clients that go on sending on their open
+// connections without checking for the end of the stream. Each command is answered long after the listener is closed,
+// and all connections end before a platform may kill the process.
 func TestShutdownServesOpenConnections(t *testing.T) {
 	retryWhenSlow(t, func() string {
 		gateway := startGateway(t, configureAmpleBurst, valueHost(t))
@@ -93,7 +93,7 @@
 			clients = append(clients, gateway.connect())
 		}
 		n := 0
-		sendAll := func() (served int) { // one command each
+		sendAll := func() (served int) { // sends one command on each connection
 			for _, c := range clients {
 				if n++; c.roundTrip(requestCommand("lookup", n)) == "v" {
 					served++
@@ -107,13 +107,13 @@
 		gateway.waitForLog("event=listener_closed")
 		for i := range 3 {
 			if served := sendAll(); served < len(clients) {
-				fault := fmt.Sprintf("repeat %d after the listener closed: %d of %d answered", i, served, len(clients))
-				return faultUnlessLate(t, stopRequested, fault)
+				fault := fmt.Sprintf("round %d after the listener closed: %d of %d answered", i, served, len(clients))
+				return failUnlessLate(t, stopRequested, fault)
 			}
 		}
 		for _, c := range clients { // the gateway closes first
 			if a := c.readAnswer(); a != "EOF" {
-				t.Errorf("at the end: %s", a)
+				t.Errorf("a connection ends with %s, want EOF", a)
 			}
 		}
 		if err := receive(gateway, gateway.exited); err != nil {
--- a/cmd/ravensill/signals_test.go
+++ b/cmd/ravensill/signals_test.go
@@ -18,7 +18,8 @@
 
 const exampleFile = "../../deploy/example.json"
 
-// TestSignalsWhileConfigurationIsRead checks that SIGHUP does not end the program then and SIGTERM does.
+// TestSignalsWhileConfigurationIsRead sends a signal while the gateway reads its configuration file, which is a named
+// pipe. A SIGHUP must not end the program, and a SIGTERM must.
 func TestSignalsWhileConfigurationIsRead(t *testing.T) {
 	var trace strings.Builder
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
@@ -43,7 +44,7 @@
 			"GW_DISCOVERY="+silent.Addr().String(),
 		)
 		gateway.startProcess()
-		file, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the gateway has opened it and reads
+		file, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the gateway has opened the pipe to read it
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +52,7 @@
 		file.Write(text)
 		file.Close()
 		if s == syscall.SIGHUP {
-			gateway.waitForLog("event=serving") // without a list: the agent is silent
+			gateway.waitForLog("event=serving") // without a list from the agent, which is silent
 			gateway.signal(syscall.SIGTERM, "event=shutdown_started clients=0")
 		}
 		fmt.Fprintf(&trace, "%v: %s\n", s, gateway.exitStatus())
@@ -59,8 +60,8 @@
 	golden.Check(t, trace.String())
 }
 
-// TestSignalsBeforeFirstList sends signals while the program waits for the agent's first answer and serves nobody:
-// SIGHUP is handled, and SIGTERM ends it at once, whatever the agent answers then.
+// TestSignalsBeforeFirstList sends signals while the program waits for the agent's first answer and accepts no clients
+// yet. A SIGHUP must be handled, and a SIGTERM must end the program at once, even if the agent answers then.
 func TestSignalsBeforeFirstList(t *testing.T) {
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -78,7 +79,7 @@
 	gateway.writeConfigText(text)
 	gateway.cmd.Env = append(os.Environ(), runAsGateway+"=1", "GW_CONFIG="+gateway.configFile)
 	gateway.startProcess()
-	c, err := silent.Accept() // its watch: the gateway runs
+	c, err := silent.Accept() // the gateway's watch, which shows that the gateway runs
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,15 +94,15 @@
 	}
 	log := strings.Join(lines, "\n")
 	if strings.Contains(log, "event=serving") || !strings.Contains(log, "event=stopped") {
-		t.Errorf("it accepted clients, or did not end:\n%s", log)
+		t.Errorf("the gateway accepted clients, or did not stop:\n%s", log)
 	}
 	if status := gateway.exitStatus(); status != "exit 0" {
 		t.Error(status)
 	}
 }
 
-// TestSignalsDuringRequest checks that the request is answered, and so are later ones on the same connection, until all
-// connections end.
+// TestSignalsDuringRequest guards against a request in flight, or later ones on the same connection, that are not
+// answered after signals: they are served until all connections end.
 func TestSignalsDuringRequest(t *testing.T) {
 	host, received, release := newBlockingHost(t)
 	gateway := startGateway(t, nil, host)
@@ -118,8 +119,8 @@
 	golden.Check(t, trace+gateway.exitStatus()+"\n")
 }
 
-// TestSignalsDuringPartialCommand sends signals while a command is partly read: its rest is read, and it is answered.
-// One whose rest never comes ends with all other connections.
+// TestSignalsDuringPartialCommand sends signals while the gateway has read a part of a command. The rest must be read
+// and the command answered. A connection on which the rest never arrives must end with all others.
 func TestSignalsDuringPartialCommand(t *testing.T) {
 	host := valueHost(t)
 	gateway := startGateway(t, configureShortDeadlines, host)
@@ -138,12 +139,13 @@
 	trace += fmt.Sprintln("at the end:", c.readAnswer())
 	golden.Check(t, trace+gateway.exitStatus()+"\n")
 	if commands := host.takeReceived(); len(commands) != 1 {
-		t.Errorf("sent to the host: %.99q", commands)
+		t.Errorf("the host received %.99q, want one command", commands)
 	}
 }
 
-// TestSignalsBetweenAnswerAndClose sends a command after the half-close: the answers before it arrive complete, the
-// command is not forwarded, and its client sees the end of the stream.
+// TestSignalsBetweenAnswerAndClose sends a command after the gateway has half-closed the connection at its shutdown.
+// The earlier answers must arrive complete, and the command must not be forwarded: the client sees the end of the
+// stream instead of an answer.
 func TestSignalsBetweenAnswerAndClose(t *testing.T) {
 	large := strings.Repeat("v", 20<<10)
 	host := newHost(t, func([]string) string { return successReply(large) })
@@ -151,7 +153,7 @@
 	c := gateway.connect()
 	c.send(requestCommand("lookup", 1), requestCommand("lookup", 2), requestCommand("lookup", 3))
 	gateway.sendAllSignals()
-	c.waitUntilHalfClosed() // the client has read nothing of its answers yet
+	c.waitUntilHalfClosed() // the client has not read any of its answers yet
 	c.send(requestCommand("lookup", 4))
 	gateway.signal(syscall.SIGTERM, "event=shutdown_signal_repeated")
 	var trace strings.Builder
@@ -161,7 +163,7 @@
 	}
 	fmt.Fprintln(&trace, "after the half-close:", c.readAnswer())
 	fmt.Fprintln(&trace, "commands forwarded:", len(host.takeReceived()))
-	fmt.Fprintln(&trace, gateway.exitStatus()) // though no client closes
+	fmt.Fprintln(&trace, gateway.exitStatus()) // the process ends although no client closes its connection
 	golden.Check(t, trace.String())
 }
 
@@ -176,13 +178,13 @@
 	}
 }
 
-// TestServesWithoutLogReader closes the pipe that the program logs to.
+// TestServesWithoutLogReader guards against a program that ends or stops serving once the reader of its log has exited.
 func TestServesWithoutLogReader(t *testing.T) {
 	gateway := startGateway(t, nil, valueHost(t))
 	c := gateway.connect()
-	gateway.logs.Close()
+	gateway.logPipe.Close()
 	for range 3 {
-		gateway.cmd.Process.Signal(syscall.SIGHUP) // each writes a line
+		gateway.cmd.Process.Signal(syscall.SIGHUP) // each one makes the gateway write a log line
 		if a := c.roundTrip(requestCommand("lookup", 1)); a != "v" {
 			t.Fatal(a)
 		}
--- a/cmd/ravensill/startup_test.go
+++ b/cmd/ravensill/startup_test.go
@@ -9,20 +9,21 @@
 	"testing"
 )
 
-// formerProcess has the addresses of a gateway that starts, as a predecessor that drains would.
-type formerProcess struct {
+// previousProcess holds the addresses of a gateway that starts, as an earlier process of the gateway that is shutting
+// down would.
+type previousProcess struct {
 	listener net.Listener // of clients
 	gossip   *net.UDPConn
 	observer *net.UDPConn
 }
 
-func newFormerProcess(t *testing.T) *formerProcess {
+func newPreviousProcess(t *testing.T) *previousProcess {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	return &formerProcess{listener: listener, gossip: listenUDP(t), observer: listenUDP(t)}
+	return &previousProcess{listener: listener, gossip: listenUDP(t), observer: listenUDP(t)}
 }
 
 // listenUDP opens a UDP socket on loopback.
@@ -35,8 +36,8 @@
 	return conn
 }
 
-// configure sets the addresses of a gateway to those of the former process.
-func (p *formerProcess) configure(config *gatewayConfig) {
+// configure sets the addresses of a gateway to those of the previous process.
+func (p *previousProcess) configure(config *gatewayConfig) {
 	config.Listen = p.listener.Addr().String()
 	config.Settings.Members = 2
 	gossip := p.gossip.LocalAddr().String()
@@ -50,38 +51,38 @@
 	}
 }
 
-// waitForListenRetry waits until a gateway logs that the address of a key is in use.
+// waitForListenRetry waits until the gateway logs that an address is in use. key is its key in the configuration file.
 func (g *gatewayProcess) waitForListenRetry(key string, addr net.Addr) {
 	g.waitForLog("event=listen_address_in_use key=" + key + " addr=" + addr.String())
 }
 
-// startBesideFormerProcess starts a gateway at the addresses of a former process, frees that of gossip, and waits until
-// the gateway waits for that of clients.
-func startBesideFormerProcess(t *testing.T) (*formerProcess, *gatewayProcess) {
-	former := newFormerProcess(t)
-	gateway := startGateway(t, former.configure, valueHost(t))
-	gateway.waitForListenRetry("peer_listen", former.gossip.LocalAddr())
-	former.gossip.Close()
-	gateway.waitForListenRetry("listen", former.listener.Addr())
-	return former, gateway
+// startBesidePreviousProcess starts a gateway at the addresses of a previous process, frees the gossip address, and
+// returns when the gateway waits for the address of its clients.
+func startBesidePreviousProcess(t *testing.T) (*previousProcess, *gatewayProcess) {
+	previous := newPreviousProcess(t)
+	gateway := startGateway(t, previous.configure, valueHost(t))
+	gateway.waitForListenRetry("peer_listen", previous.gossip.LocalAddr())
+	previous.gossip.Close()
+	gateway.waitForListenRetry("listen", previous.listener.Addr())
+	return previous, gateway
 }
 
-// TestStartWaitsForAddressesOfFormerProcess checks that a start waits for each address, logs that once, and serves
-// when all are free.
+// TestStartWaitsForAddressesOfFormerProcess guards against a start that fails while the previous process still holds
+// its addresses. The gateway logs each address that it waits for, and serves once all are free.
 func TestStartWaitsForAddressesOfFormerProcess(t *testing.T) {
-	former, gateway := startBesideFormerProcess(t)
-	former.listener.Close()
-	gateway.waitForListenRetry("counterfactual", former.observer.LocalAddr())
-	former.observer.Close()
+	previous, gateway := startBesidePreviousProcess(t)
+	previous.listener.Close()
+	gateway.waitForListenRetry("counterfactual", previous.observer.LocalAddr())
+	previous.observer.Close()
 	gateway.waitForLog("event=serving")
-	gateway.addr = former.listener.Addr().String()
+	gateway.addr = previous.listener.Addr().String()
 	if a := gateway.connect().roundTrip(requestCommand("lookup", 1)); a != "v" {
 		t.Error(a)
 	}
 }
 
 func TestSignalEndsWaitForAddress(t *testing.T) {
-	_, gateway := startBesideFormerProcess(t)
+	_, gateway := startBesidePreviousProcess(t)
 	gateway.cmd.Process.Signal(syscall.SIGTERM)
 	gateway.waitForLog("event=stopped")
 	if err := receive(gateway, gateway.exited); err != nil {
@@ -90,28 +91,29 @@
 }
 
 func TestAddressOfOtherMachineEndsStart(t *testing.T) {
-	former := newFormerProcess(t)
+	previous := newPreviousProcess(t)
 	gateway := startGateway(t, func(config *gatewayConfig) {
-		former.configure(config)
+		previous.configure(config)
 		config.Listen = "192.0.2.1:6379"
-		former.gossip.Close()
+		previous.gossip.Close()
 	}, valueHost(t))
 	gateway.waitForLog(`event=gateway_failed error="listen: listen tcp4 192.0.2.1:6379: bind`)
 	if receive(gateway, gateway.exited) == nil {
-		t.Error("exit code 0")
+		t.Error("the process exited with status 0")
 	}
 }
 
-// TestInvalidConfigurationEndsStart checks that the message names the key.
+// TestInvalidConfigurationEndsStart checks that a configuration with an invalid value ends the process with status 2,
+// and that the error names the key of the value.
 func TestInvalidConfigurationEndsStart(t *testing.T) {
 	gateway := startGateway(t, func(config *gatewayConfig) {
-		config.edit = func(text []byte) []byte {
+		config.editText = func(text []byte) []byte {
 			settings := setKey(t, encodeJSON(t, config.Settings), "plans", `[{"rate":"many"}]`)
 			return setKey(t, text, "settings", string(settings))
 		}
 	}, newHost(t, nil))
 	if !strings.Contains(gateway.startError, "settings: plans.0.rate: unexpected value") {
-		t.Errorf("the line does not name the key: %s", gateway.startError)
+		t.Errorf("the error does not name the key: %s", gateway.startError)
 	}
 	var exit *exec.ExitError
 	if err := receive(gateway, gateway.exited); !errors.As(err, &exit) || exit.ExitCode() != 2 {
