--- a/cmd/ravensill/harness_test.go
+++ b/cmd/ravensill/harness_test.go
@@ -175,7 +175,7 @@
 		g.startupLog = g.startupLog[i+1:]
 		return line
 	}
-	for limit := time.After(waitLimit); ; {
+	for timeout := time.After(waitLimit); ; {
 		select {
 		case line, ok := <-g.log:
 			if !ok {
@@ -184,7 +184,7 @@
 			if strings.Contains(line, text) {
 				return line
 			}
-		case <-limit:
+		case <-timeout:
 			g.Fatalf("%q is not logged in time", text)
 		}
 	}
--- a/cmd/ravensill/observer_test.go
+++ b/cmd/ravensill/observer_test.go
@@ -12,8 +12,8 @@
 	"ravensill/counterfactual"
 )
 
-// TestObserverOffOpensNoSocketAndLogsNothing guards against costs of the counterfactual observer for gateways that
-// don't configure it.
+// TestObserverOffOpensNoSocketAndLogsNothing guards against sockets and log lines of the counterfactual observer in a
+// gateway that does not configure it.
 func TestObserverOffOpensNoSocketAndLogsNothing(t *testing.T) {
 	checkSectionOff(t, "observer")
 }
--- a/cmd/ravensill/pool_test.go
+++ b/cmd/ravensill/pool_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestPoolOffOpensNoSocketAndLogsNothing guards against costs of the connection quota for gateways that don't configure
-// it.
+// TestPoolOffOpensNoSocketAndLogsNothing guards against sockets and log lines of the connection quota in a gateway that
+// does not configure it.
 func TestPoolOffOpensNoSocketAndLogsNothing(t *testing.T) {
 	checkSectionOff(t, "pool")
 }
--- a/cmd/ravensill/requests_test.go
+++ b/cmd/ravensill/requests_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestMalformedStreamEndsOnlyItsConnection guards against a client that can't be parsed and affects other clients, or
-// is parsed further: the start of its next command can't be found.
+// TestMalformedStreamEndsOnlyItsConnection guards against a malformed stream that affects other clients, or is read
+// further although the start of its next command can't be found.
 func TestMalformedStreamEndsOnlyItsConnection(t *testing.T) {
 	gateway := startGateway(t, nil, valueHost(t))
 	other := gateway.connect()
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -102,7 +102,8 @@
 }
 
 // end handles the end of an attempt or probe and adds its event to the next batch. The first success is answered to the
-// client at once, without a decision of the module. value is the host's answer, received when the attempt ended.
+// client at once, without a decision of the module. value is the value in the host's answer, received the time of the
+// end.
 func (a *attempt) end(event gateway.Event, value []byte, received gateway.Time) {
 	n := a.node
 	r := a.request
--- a/internal/node/client_gone_test.go
+++ b/internal/node/client_gone_test.go
@@ -81,8 +81,7 @@
 	golden.Check(t, module.String()+module.node.openWork())
 }
 
-// Guards against sending a request whose client disconnects while its attempt waits for a connection, once that is
-// established.
+// Guards against sending a request whose client has disconnected while its attempt waited for a connection to the host.
 func TestNothingSentForClientGoneWhileConnecting(t *testing.T) {
 	g := newTestGateway(t)
 	dials, connect := g.holdDials()
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -15,7 +15,7 @@
 // such settings.
 const maxAdjustedLogLines = 20
 
-// ErrStopped is returned for a revision that the gateway stopped before applying.
+// ErrStopped is the error of ApplyConfiguration if the gateway stops before it has applied the revision.
 var ErrStopped = errors.New("configuration not applied: the gateway has stopped")
 
 // revision is a validated version of the configuration that waits to be applied.
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -24,8 +24,8 @@
 // Node.watch are ignored.
 type endpointWatch struct {
 	cancel      context.CancelFunc
-	pendingRead discovery.PendingRead
-	skipUntil   gateway.Time // until then, decisions don't wait for unread updates
+	pendingRead discovery.PendingRead // reports whether the connection has unread updates
+	skipUntil   gateway.Time          // until then, decisions don't wait for unread updates
 }
 
 // startWatch starts to watch the endpoint list, unless the module polls it with WatchEndpoints. From its start on, the
@@ -101,8 +101,8 @@
 	if len(n.events) == 0 || n.watch == nil || n.now() < n.watch.skipUntil {
 		return
 	}
-	for limit := n.now().Add(maxPendingReadTime); n.watch.pendingRead.Pending(); {
-		if now := n.now(); now >= limit { // a constant stream of updates must not delay every batch
+	for deadline := n.now().Add(maxPendingReadTime); n.watch.pendingRead.Pending(); {
+		if now := n.now(); now >= deadline { // a constant stream of updates must not delay every batch
 			n.watch.skipUntil = now.Add(time.Second)
 			break
 		}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// iterate runs process and returns the time until the next iteration is due. A panic in process loses the work that it
-// was doing, but does not end the program.
-func (n *Node) iterate() (wait time.Duration) {
+// runIteration runs process and returns the time until the next iteration is due. A panic in process loses the work
+// that it was doing, but does not end the program.
+func (n *Node) runIteration() (wait time.Duration) {
 	wait = flushRetryInterval
 	n.recoverPanics("loop", func() { wait = n.process() })
 	return wait
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,7 +58,8 @@
 	Sockets sockets.System
 }
 
-// Node is one gateway. Only the loop uses its fields, but for the channels and those that never change.
+// Node is one gateway. Its fields belong to the loop's goroutine, except for the channels and those that never change
+// once Run is called.
 type Node struct {
 	cfg             *config.Config
 	module          Decider
@@ -81,13 +82,13 @@
 	inFlight   []*attempt          // attempts and probes, in the order of their starts
 	nextExpiry gateway.Time        // no attempt in flight times out earlier; 0: none is in flight
 
-	catalog       *clients.Catalog
-	clients       *clients.Server
-	transport     *hosts.Transport
-	peerTransport *peers.Transport
-	counter       *counter.Counter // nil: none is configured
-	observer      *observedActions // nil: off
-	quota         *connectionQuota // nil: off
+	catalog       *clients.Catalog // what clients may name in commands
+	clients       *clients.Server  // connections of clients
+	transport     *hosts.Transport // connections to hosts
+	peerTransport *peers.Transport // gossip; nil: no peers are configured
+	counter       *counter.Counter // client of the shared counter; nil: none is configured
+	observer      *observedActions // nil: no counterfactual observer is configured
+	quota         *connectionQuota // nil: no connection quota is configured
 
 	endpointList  *discovery.EndpointList
 	watch         *endpointWatch // the current watch; nil: none was started
@@ -248,7 +249,7 @@
 		return err
 	}
 	defer endQuota()
-	defer endLoop() // before the other deferred calls: they wait for goroutines that must not block in runOnLoop
+	defer endLoop() // runs before the calls deferred above, which wait for goroutines that may block in runOnLoop
 	n.decideFirstBatch()
 	for _, start := range n.backgroundTasks {
 		endTasks = append(endTasks, start())
@@ -270,7 +271,7 @@
 		n.updateEndpoints(n.cfg.KnownEndpoints, true)
 		n.cfg.KnownEndpoints = "" // frees the text
 	}
-	n.iterate()
+	n.runIteration()
 }
 
 // receiveGossip adds a message from a peer to the next batch. The goroutine that reads datagrams calls it.
@@ -314,9 +315,9 @@
 		}
 		n.runQueued()
 		n.readPendingUpdates()
-		wait := n.iterate()
+		wait := n.runIteration()
 		if n.applyPendingRevisions() {
-			wait = n.iterate()
+			wait = n.runIteration()
 		}
 		timer.Reset(wait)
 	}
--- a/internal/node/panic_test.go
+++ b/internal/node/panic_test.go
@@ -17,22 +17,22 @@
 	module := &retryingDecider{}
 	n := newSteppedNode(module, gateway.RequestClass{}, netip.MustParseAddrPort("127.0.0.1:1"))
 	n.request("answered") // its answer queue has no buffer, so that answering panics
-	n.iterate()
+	n.runIteration()
 	answered := n.requests["answered"].attempts[0]
 	n.recoverPanics("loop", func() {
 		answered.end(gateway.Event{Result: gateway.Succeeded}, []byte("v"), n.now())
 	})
-	n.iterate()
+	n.runIteration()
 
 	transport := n.transport
 	n.transport = nil
 	answer := n.request("sent")
-	n.iterate()
+	n.runIteration()
 	n.transport = transport
 	n.epoch = n.epoch.Add(2 * farDeadline)
-	n.iterate()
+	n.runIteration()
 	answer.ClientGone()
-	n.iterate()
+	n.runIteration()
 	golden.Check(t, module.String()+n.openWork())
 }
 
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -12,8 +12,8 @@
 
 // connectionQuota keeps the gateway within its share of the connections to the store, if the configuration has the
 // section pool. The lease holder knows how many connections may be open, the limiter enforces that number, and the
-// client sends reports to the voters and receives their grants. Only the loop uses the fields. Methods of a nil
-// connectionQuota do nothing.
+// client sends reports to the voters and receives their grants. Only the loop uses the fields. A Node without a quota
+// has a nil connectionQuota, on which the methods do nothing.
 type connectionQuota struct {
 	node          *Node
 	leaseholder   *pool.Leaseholder
