--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -59,7 +59,7 @@
 // limitRuntime sets the limits of the Go runtime. A quarter of the configured memory is left for memory that the
 // runtime doesn't count.
 func limitRuntime(cfg *config.Config) {
-	runtime.GOMAXPROCS(1) // a gateway is deployed with one processor
+	runtime.GOMAXPROCS(1) // each gateway has one processor
 	debug.SetMemoryLimit(cfg.Memory * 3 / 4)
 	debug.SetGCPercent(gcPercent)
 }
