--- a/cmd/ravensill/configuration_test.go
+++ b/cmd/ravensill/configuration_test.go
@@ -244,7 +244,7 @@
 			t.Error(line)
 		}
 		message := readDatagram(t, member)
-		if byID := (gossip.Format{Members: 2, ByID: true}); !hasFormat(byID, message) {
+		if byID := (gossip.Format{Members: 2, PlansByID: true}); !hasFormat(byID, message) {
 			t.Errorf("the message is not in the format with plan IDs: %x", message)
 		}
 	}
--- a/cmd/ravensill/gossip_test.go
+++ b/cmd/ravensill/gossip_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	defer unknownSender.Close()
-	unknownSender.Write(gossip.Format{}.Header(1, 1, nil)) // well-formed, but from an unknown address
+	unknownSender.Write(gossip.Format{}.EncodeHeader(1, 1, nil)) // well-formed, but from an unknown address
 	relays[0].WriteToUDP([]byte("hello"), peerAddr)
 	for n, dropped := 0, 0; dropped < 2; dropped += n {
 		line := gateways[1].waitForLog("event=datagrams_dropped")
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -43,13 +43,13 @@
 
 // Config describes one replica.
 type Config struct {
-	Name      string           // of the cluster, in log lines: cluster=NAME
-	Index     int              // this replica's place in Addresses
-	Addresses []netip.AddrPort // TCP addresses of all replicas, as this one sees them
-	Listen    netip.AddrPort   // TCP
-	Dir       string           // created if needed
-	Key       []byte           // shared by the replicas; signs each connection's greeting
-	Election  time.Duration    // time without contact with the leader before an election
+	ClusterName     string           // of the cluster, in log lines: cluster=NAME
+	Index           int              // this replica's place in Addresses
+	Addresses       []netip.AddrPort // TCP addresses of all replicas, as this one sees them
+	Listen          netip.AddrPort   // TCP
+	Dir             string           // created if needed
+	Key             []byte           // shared by the replicas; signs each connection's greeting
+	ElectionTimeout time.Duration    // time without contact with the leader before an election
 
 	SnapshotThreshold uint64 // log entries between snapshots; 0: 4096
 	TrailingEntries   uint64 // log entries kept after a snapshot; 0: 1024
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	network := raft.NewNetworkTransportWithLogger(r.transport, connectionPool, r.cfg.Election, quiet)
+	network := raft.NewNetworkTransportWithLogger(r.transport, connectionPool, r.cfg.ElectionTimeout, quiet)
 	r.raft, err = raft.NewRaft(r.options(quiet), r.machine, r.entries, r.disk, snapshots, network)
 	return err
 }
@@ -134,9 +134,9 @@
 func (r *Replica) options(logger hclog.Logger) *raft.Config {
 	c := raft.DefaultConfig()
 	c.LocalID = r.id
-	c.HeartbeatTimeout = r.cfg.Election
-	c.ElectionTimeout = r.cfg.Election
-	c.LeaderLeaseTimeout = r.cfg.Election / 2
+	c.HeartbeatTimeout = r.cfg.ElectionTimeout
+	c.ElectionTimeout = r.cfg.ElectionTimeout
+	c.LeaderLeaseTimeout = r.cfg.ElectionTimeout / 2
 	c.CommitTimeout = commitTimeout
 	c.SnapshotInterval = snapshotInterval
 	c.SnapshotThreshold = snapshotThreshold
@@ -173,32 +173,32 @@
 // be. A change that is not read in time is replaced by the next one.
 func (r *Replica) Leadership() <-chan bool { return r.raft.LeaderCh() }
 
-// Leads reports whether this replica leads, as far as it knows.
-func (r *Replica) Leads() bool { return r.raft.State() == raft.Leader }
+// IsLeader reports whether this replica leads, as far as it knows.
+func (r *Replica) IsLeader() bool { return r.raft.State() == raft.Leader }
 
-// Leader returns the index of the leading replica, or -1 if it is not known.
-func (r *Replica) Leader() int {
+// LeaderIndex returns the index of the leading replica, or -1 if it is not known.
+func (r *Replica) LeaderIndex() int {
 	_, id := r.raft.LeaderWithID()
 	if id == "" {
 		return -1
 	}
-	return IndexOf(id)
+	return ReplicaIndex(id)
 }
 
-// InContact reports whether this replica is in contact with a quorum: it leads, which it ceases to without a quorum
+// HasQuorumContact reports whether this replica is in contact with a quorum: it leads, which it ceases to without a quorum
 // within half of the election timeout, or it was in contact with a leader within twice the election timeout.
-func (r *Replica) InContact() bool {
-	if r.Leads() {
+func (r *Replica) HasQuorumContact() bool {
+	if r.IsLeader() {
 		return true
 	}
-	return r.Leader() >= 0 && time.Since(r.raft.LastContact()) < 2*r.cfg.Election
+	return r.LeaderIndex() >= 0 && time.Since(r.raft.LastContact()) < 2*r.cfg.ElectionTimeout
 }
 
-// Current reports whether this replica is in contact with a quorum and has applied what that has committed. A replica
+// IsUpToDate reports whether this replica is in contact with a quorum and has applied what that has committed. A replica
 // whose disk fails stays in contact, since the library answers heartbeats without the disk, but it misses entries
 // until a write has succeeded again and all entries up to then are applied.
-func (r *Replica) Current() bool {
-	if !r.InContact() || r.disk.failing.Load() {
+func (r *Replica) IsUpToDate() bool {
+	if !r.HasQuorumContact() || r.disk.failing.Load() {
 		return false
 	}
 	if r.disk.missed.Load() && r.machine.applied.Load() >= r.lastProposal(r.raft.CommitIndex()) {
@@ -207,17 +207,17 @@
 	return !r.disk.missed.Load()
 }
 
-// Resign transfers the lead to another replica, so that the group need not wait for an election after this one is
+// TransferLeadership transfers the lead to another replica, so that the group need not wait for an election after this one is
 // closed. It does nothing if this replica does not lead, and waits no longer than the election timeout.
-func (r *Replica) Resign() error {
-	if !r.Leads() || len(r.cfg.Addresses) == 1 {
+func (r *Replica) TransferLeadership() error {
+	if !r.IsLeader() || len(r.cfg.Addresses) == 1 {
 		return nil
 	}
 	return r.raft.LeadershipTransfer().Error()
 }
 
-// Dropped returns the number of announcements of other replicas that were not valid.
-func (r *Replica) Dropped() int { return int(r.dropped.Load()) }
+// DroppedAnnouncements returns the number of announcements of other replicas that were not valid.
+func (r *Replica) DroppedAnnouncements() int { return int(r.dropped.Load()) }
 
 // Propose proposes an entry to the group, in the order of the calls. The timeout is for a place in the queue.
 func (r *Replica) Propose(entry []byte, timeout time.Duration) Proposal {
@@ -265,9 +265,9 @@
 	return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 }
 
-// CatchUp waits until this replica, as the leader, has applied all that was committed under earlier leaders. It costs
+// Barrier waits until this replica, as the leader, has applied all that was committed under earlier leaders. It costs
 // one log entry in each term. The errors are those of Proposal.Wait.
-func (r *Replica) CatchUp(timeout time.Duration) error {
+func (r *Replica) Barrier(timeout time.Duration) error {
 	term := r.raft.CurrentTerm()
 	if r.caughtUp.Load() == term {
 		return nil
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -109,13 +109,13 @@
 
 func (g *group) config(i int) Config {
 	return Config{
-		Name:              "test",
+		ClusterName:       "test",
 		Index:             i,
 		Addresses:         g.addresses,
 		Listen:            g.addresses[i],
 		Dir:               g.dirs[i],
 		Key:               []byte("0123456789abcdef"),
-		Election:          200 * time.Millisecond,
+		ElectionTimeout:   200 * time.Millisecond,
 		SnapshotThreshold: 4,
 		TrailingEntries:   2,
 	}
@@ -143,7 +143,7 @@
 	g.t.Helper()
 	eventually(g.t, "an entry to be committed", func() bool {
 		for i, r := range g.replicas {
-			if r == nil || !r.Leads() {
+			if r == nil || !r.IsLeader() {
 				continue
 			}
 			_, err := r.Propose([]byte(entry), time.Second).Wait()
@@ -173,7 +173,7 @@
 	first := g.propose("a")
 	g.waitForEntries("a")
 	for i, r := range g.replicas {
-		eventually(t, "contact with a quorum", func() bool { return r.InContact() && r.Leader() == first })
+		eventually(t, "contact with a quorum", func() bool { return r.HasQuorumContact() && r.LeaderIndex() == first })
 		if i == first {
 			continue
 		}
@@ -182,10 +182,10 @@
 			t.Errorf("a replica that does not lead: %v", err)
 		}
 	}
-	if err := g.replicas[first].Resign(); err != nil {
+	if err := g.replicas[first].TransferLeadership(); err != nil {
 		t.Error(err)
 	}
-	eventually(t, "another to lead", func() bool { return !g.replicas[first].Leads() })
+	eventually(t, "another to lead", func() bool { return !g.replicas[first].IsLeader() })
 	g.close(first)
 	second := g.propose("b")
 	g.waitForEntries("a", "b")
@@ -202,7 +202,7 @@
 	}
 	g.propose("c")
 	g.open(lost)
-	if g.replicas[lost].id == previous || IndexOf(g.replicas[lost].id) != lost {
+	if g.replicas[lost].id == previous || ReplicaIndex(g.replicas[lost].id) != lost {
 		t.Errorf("id %s after %s", g.replicas[lost].id, previous)
 	}
 	g.waitForEntries("a", "b", "c")
@@ -279,7 +279,7 @@
 			g.close(i)
 		}
 	}
-	eventually(t, "the leader to step down", func() bool { return !g.replicas[leader].InContact() })
+	eventually(t, "the leader to step down", func() bool { return !g.replicas[leader].HasQuorumContact() })
 	_, err := g.replicas[leader].Propose([]byte("b"), time.Second).Wait()
 	if err == nil {
 		t.Error("a minority committed an entry")
@@ -306,7 +306,7 @@
 			t.Fatal(err)
 		}
 	}
-	eventually(t, "the announcements to be dropped", func() bool { return g.replicas[1].Dropped() == 3 })
+	eventually(t, "the announcements to be dropped", func() bool { return g.replicas[1].DroppedAnnouncements() == 3 })
 	g.close(0)
 	cfg := g.config(0)
 	cfg.Index = 1
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -34,7 +34,7 @@
 	return &disk{
 		LogStore:    entries,
 		StableStore: state,
-		cluster:     cfg.Name,
+		cluster:     cfg.ClusterName,
 		fault:       cfg.DiskFault,
 		closing:     make(chan struct{}),
 	}
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -24,7 +24,7 @@
 	file := filepath.Join(dir, identityFile)
 	text, err := os.ReadFile(file)
 	if err == nil {
-		if IndexOf(raft.ServerID(text)) != index {
+		if ReplicaIndex(raft.ServerID(text)) != index {
 			return "", fmt.Errorf("%s: of another replica", file)
 		}
 		return raft.ServerID(text), nil
@@ -39,8 +39,8 @@
 	return raft.ServerID(id), err
 }
 
-// IndexOf returns the index of the replica with an id, or -1 if the id is not valid.
-func IndexOf(id raft.ServerID) int {
+// ReplicaIndex returns the index of the replica with an id, or -1 if the id is not valid.
+func ReplicaIndex(id raft.ServerID) int {
 	text, _, found := strings.Cut(string(id), "-")
 	index, err := strconv.Atoi(text)
 	if err != nil || !found {
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -82,12 +82,12 @@
 func (m *membership) handle(a Announcement) {
 	cfg := &m.replica.cfg
 	known := a.Index >= 0 && a.Index < len(cfg.Addresses) && a.Index != cfg.Index
-	if !known || IndexOf(raft.ServerID(a.ID)) != a.Index {
+	if !known || ReplicaIndex(raft.ServerID(a.ID)) != a.Index {
 		m.replica.dropped.Add(1)
 		return
 	}
 	m.latest[a.Index] = receivedAnnouncement{a.ID, time.Now()}
-	if m.replica.Leads() {
+	if m.replica.IsLeader() {
 		m.replace(a)
 	}
 }
@@ -126,10 +126,10 @@
 	}
 	err := m.replica.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
 	if err != nil {
-		slog.Warn("raft_cluster_bootstrap_failed", "cluster", cfg.Name, "voters", len(servers), "error", err)
+		slog.Warn("raft_cluster_bootstrap_failed", "cluster", cfg.ClusterName, "voters", len(servers), "error", err)
 		return
 	}
-	slog.Info("raft_cluster_bootstrapped", "cluster", cfg.Name, "voters", len(servers))
+	slog.Info("raft_cluster_bootstrapped", "cluster", cfg.ClusterName, "voters", len(servers))
 }
 
 // server returns the voter with an id, whose address is the id itself: transport resolves it.
@@ -148,7 +148,7 @@
 		if string(s.ID) == a.ID {
 			return
 		}
-		if IndexOf(s.ID) == a.Index {
+		if ReplicaIndex(s.ID) == a.Index {
 			previous = s.ID
 		}
 	}
@@ -161,8 +161,8 @@
 		err = m.replica.raft.AddVoter(s.ID, s.Address, 0, changeTimeout).Error()
 	}
 	if err != nil {
-		slog.Warn("raft_voter_replacement_failed", "cluster", m.replica.cfg.Name, "voter", a.Index, "error", err)
+		slog.Warn("raft_voter_replacement_failed", "cluster", m.replica.cfg.ClusterName, "voter", a.Index, "error", err)
 		return
 	}
-	slog.Info("raft_voter_replaced", "cluster", m.replica.cfg.Name, "voter", a.Index)
+	slog.Info("raft_voter_replaced", "cluster", m.replica.cfg.ClusterName, "voter", a.Index)
 }
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -28,7 +28,7 @@
 	if r.replayed.Load() {
 		return true
 	}
-	if !r.InContact() {
+	if !r.HasQuorumContact() {
 		return false
 	}
 	committed := r.raft.AppliedIndex()
--- a/internal/consensus/shutdown_test.go
+++ b/internal/consensus/shutdown_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the lead", r.Leads)
+	eventually(t, "the lead", r.IsLeader)
 	var proposals []Proposal
 	for range waitingEntries {
 		committed := r.raft.CommitIndex()
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -196,7 +196,7 @@
 
 // find returns the address of the replica with an id.
 func (t *transport) find(id raft.ServerID) (netip.AddrPort, error) {
-	index := IndexOf(id)
+	index := ReplicaIndex(id)
 	if index < 0 || index >= len(t.cfg.Addresses) {
 		return netip.AddrPort{}, errors.New("no such replica")
 	}
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// Count adds an amount to a named number, which expires a lifetime after its first call.
-func (c *Counter) Count(name uint64, amount float64, lifetime time.Duration) {
+// Increment adds an amount to a named number, which expires a lifetime after its first call.
+func (c *Counter) Increment(name uint64, amount float64, lifetime time.Duration) {
 	newCall := call{name: name, started: c.now()}
 	if c.link == nil {
 		c.Connect()
@@ -128,9 +128,9 @@
 	})
 }
 
-// Expire times out calls and returns the instant at which to call it next, 0 if no call is in flight. It closes a
+// TimeOutCalls times out calls and returns the instant at which to call it next, 0 if no call is in flight. It closes a
 // connection with a call that is long overdue.
-func (c *Counter) Expire(now clock.Instant) (next clock.Instant) {
+func (c *Counter) TimeOutCalls(now clock.Instant) (next clock.Instant) {
 	for i := range c.inFlight {
 		call := &c.inFlight[i]
 		if timesOutAt := call.started.Add(c.timeout); now < timesOutAt {
@@ -239,7 +239,7 @@
 		text := string(value.Line)
 		total := 0.0
 		if kind == '$' {
-			total, err = parseNumber(value.Parts[0])
+			total, err = parseNumber(value.BulkStrings[0])
 			if err != nil {
 				return err
 			}
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -95,8 +95,8 @@
 // A call is two commands. Answers come in the order of the calls, and a late reply does not answer a later call.
 func TestCountSendsCommandsAndAnswersInOrder(t *testing.T) {
 	c := newTestCounter(t)
-	c.counter.Count(7, 1, 10*time.Second)
-	c.counter.Count(8, -2.5, 1)
+	c.counter.Increment(7, 1, 10*time.Second)
+	c.counter.Increment(8, -2.5, 1)
 	c.counter.Flush()
 	want := "*3\r\n$11\r\nINCRBYFLOAT\r\n$11\r\nravensill:7\r\n$1\r\n1\r\n" +
 		"*4\r\n$7\r\nPEXPIRE\r\n$11\r\nravensill:7\r\n$5\r\n10000\r\n$2\r\nNX\r\n" +
@@ -110,12 +110,12 @@
 	c.reply("$1\r\n3\r\n:1\r\n-OOM command not allowed\r\n:0\r\n")
 	c.expect(answer(7, gateway.Succeeded, 3), answer(8, gateway.Busy, 0))
 
-	c.counter.Count(9, 1, 1)
+	c.counter.Increment(9, 1, 1)
 	c.now = c.now.Add(testTimeout + 10*time.Millisecond)
-	c.counter.Expire(c.now)
+	c.counter.TimeOutCalls(c.now)
 	c.expect(answer(9, gateway.TimedOut, 0))
 
-	c.counter.Count(10, 1, 1)
+	c.counter.Increment(10, 1, 1)
 	c.reply("$1\r\n1\r\n:1\r\n$1\r\n2\r\n:1\r\n") // the reply of call 9, then that of call 10
 	c.expect(answer(10, gateway.Succeeded, 2))
 }
@@ -129,22 +129,22 @@
 		"closed":   func(c *testCounter) { c.server.Close() },
 		"silent": func(c *testCounter) {
 			c.now = c.now.Add(overdueFactor*testTimeout + time.Millisecond)
-			c.counter.Expire(c.now)
+			c.counter.TimeOutCalls(c.now)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newTestCounter(t)
-			c.counter.Count(7, 1, 1)
-			c.counter.Count(8, 1, 1)
+			c.counter.Increment(7, 1, 1)
+			c.counter.Increment(8, 1, 1)
 			fault(c)
 			c.runUntil(func() bool { return c.counter.link == nil })
 			if len(c.answers) != 2 {
 				t.Errorf("answers of two calls: %q", c.answers)
 			}
 			c.answers = nil
-			c.counter.Count(9, 1, 1)
+			c.counter.Increment(9, 1, 1)
 			c.expect(answer(9, gateway.Unreachable, 0))
-			if c.counter.Expire(c.now.Add(100*time.Millisecond)) != 0 {
+			if c.counter.TimeOutCalls(c.now.Add(100*time.Millisecond)) != 0 {
 				t.Error("a call is in flight")
 			}
 		})
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -29,15 +29,15 @@
 // different versions of the configuration decode each other's messages. Their header has the number of gateways that
 // the sender knows, and a message with another number is not decoded: the routes of gossip depend on it.
 type Format struct {
-	Plans   int  // number of quota plans; used only where plans are named by index
-	Members int  // number of gateways
-	ByID    bool // whether plans are named by ID
+	Plans     int  // number of quota plans; used only where plans are named by index
+	Members   int  // number of gateways
+	PlansByID bool // whether plans are named by ID
 }
 
-// Header returns the beginning of a message. The tags have two bytes each, little-endian.
-func (f Format) Header(incarnation, number uint64, tags []uint16) []byte {
+// EncodeHeader returns the beginning of a message. The tags have two bytes each, little-endian.
+func (f Format) EncodeHeader(incarnation, number uint64, tags []uint16) []byte {
 	message := appendNumbers([]byte{f.version()}, incarnation, number)
-	if f.ByID {
+	if f.PlansByID {
 		message = appendNumbers(message, uint64(f.Members))
 	}
 	message = appendNumbers(message, uint64(len(tags)))
@@ -47,13 +47,13 @@
 	return message
 }
 
-// Counter returns the entry of a customer's counter. The customer's hash has four bytes, little-endian, and so has the
+// EncodeCounter returns the entry of a customer's counter. The customer's hash has four bytes, little-endian, and so has the
 // plan if it is named by ID; otherwise plan is its index. owed is what a receiver subtracts from total if it receives
 // the counter for the first time.
-func (f Format) Counter(hash, plan uint32, spread, first int, total, owed uint64) []byte {
+func (f Format) EncodeCounter(hash, plan uint32, spread, first int, total, owed uint64) []byte {
 	entry := binary.LittleEndian.AppendUint32(nil, hash)
 	var flags uint64
-	if f.ByID {
+	if f.PlansByID {
 		entry = binary.LittleEndian.AppendUint32(entry, plan)
 	} else {
 		flags = uint64(plan) << flagBits
@@ -69,7 +69,7 @@
 }
 
 func (f Format) version() byte {
-	if f.ByID {
+	if f.PlansByID {
 		return versionByID
 	}
 	return versionByIndex
@@ -93,7 +93,7 @@
 	r := reader{rest: message[1:], ok: true}
 	incarnation := r.number()
 	number := r.number()
-	if f.ByID && r.number() != uint64(f.Members) {
+	if f.PlansByID && r.number() != uint64(f.Members) {
 		return
 	}
 	tagCount := r.number()
@@ -111,7 +111,7 @@
 	}
 	r = reader{rest: counters, ok: true}
 	for len(r.rest) > 0 {
-		e := r.entry(f.ByID)
+		e := r.entry(f.PlansByID)
 		counter(e.hash, e.plan, int(e.spread), int(e.first), e.total, e.owed)
 	}
 }
@@ -120,8 +120,8 @@
 func (f Format) validCounters(counters []byte) bool {
 	r := reader{rest: counters, ok: true}
 	for len(r.rest) > 0 {
-		e := r.entry(f.ByID)
-		planKnown := f.ByID || int(e.plan) < f.Plans
+		e := r.entry(f.PlansByID)
+		planKnown := f.PlansByID || int(e.plan) < f.Plans
 		membersKnown := e.spread <= uint64(f.Members) && e.first < uint64(f.Members)
 		if !r.ok || !planKnown || !membersKnown {
 			return false
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -27,12 +27,12 @@
 	const want = "header 7 300, tag 1, tag 65535, counter beef 1 3 2 1000 0, counter cafe 0 1 0 5 2"
 	for _, f := range []Format{
 		{Plans: 2, Members: 3},
-		{Members: 3, ByID: true},
+		{Members: 3, PlansByID: true},
 	} {
 		message := slices.Concat(
-			f.Header(7, 300, []uint16{1, 65535}),
-			f.Counter(0xbeef, 1, 3, 2, 1000, 0),
-			f.Counter(0xcafe, 0, 1, 0, 5, 2),
+			f.EncodeHeader(7, 300, []uint16{1, 65535}),
+			f.EncodeCounter(0xbeef, 1, 3, 2, 1000, 0),
+			f.EncodeCounter(0xcafe, 0, 1, 0, 5, 2),
 		)
 		if got := decode(f, message); got != want {
 			t.Errorf("%+v: %s, want %s", f, got, want)
@@ -43,9 +43,9 @@
 // No part of an invalid message is decoded.
 func TestDecodeIgnoresInvalidMessage(t *testing.T) {
 	byIndex := Format{Plans: 2, Members: 3}
-	byID := Format{Members: 3, ByID: true}
-	header := byIndex.Header(7, 300, []uint16{1})
-	counter := byIndex.Counter(0xbeef, 1, 3, 2, 1000, 4)
+	byID := Format{Members: 3, PlansByID: true}
+	header := byIndex.EncodeHeader(7, 300, []uint16{1})
+	counter := byIndex.EncodeCounter(0xbeef, 1, 3, 2, 1000, 4)
 	message := slices.Concat(header, counter)
 	for length := range len(message) {
 		if length == len(header) {
@@ -59,13 +59,13 @@
 		format  Format
 		message []byte
 	}{
-		"version of messages by ID":    {byIndex, byID.Header(7, 300, nil)},
+		"version of messages by ID":    {byIndex, byID.EncodeHeader(7, 300, nil)},
 		"version of messages by index": {byID, header},
-		"another number of gateways":   {byID, Format{Members: 4, ByID: true}.Header(7, 300, nil)},
-		"unknown plan":                 {byIndex, append(slices.Clone(header), byIndex.Counter(1, 2, 3, 2, 9, 0)...)},
-		"more gateways than there are": {byIndex, append(slices.Clone(header), byIndex.Counter(1, 1, 4, 2, 9, 0)...)},
-		"first gateway does not exist": {byIndex, append(slices.Clone(header), byIndex.Counter(1, 1, 3, 3, 9, 0)...)},
-		"more tags than a message has": {byIndex, byIndex.Header(7, 300, make([]uint16, MaxTags+1))},
+		"another number of gateways":   {byID, Format{Members: 4, PlansByID: true}.EncodeHeader(7, 300, nil)},
+		"unknown plan":                 {byIndex, append(slices.Clone(header), byIndex.EncodeCounter(1, 2, 3, 2, 9, 0)...)},
+		"more gateways than there are": {byIndex, append(slices.Clone(header), byIndex.EncodeCounter(1, 1, 4, 2, 9, 0)...)},
+		"first gateway does not exist": {byIndex, append(slices.Clone(header), byIndex.EncodeCounter(1, 1, 3, 3, 9, 0)...)},
+		"more tags than a message has": {byIndex, byIndex.EncodeHeader(7, 300, make([]uint16, MaxTags+1))},
 		"longer than the largest":      {byIndex, append(slices.Clone(header), make([]byte, MaxMessageBytes)...)},
 	} {
 		if got := decode(test.format, test.message); got != "" {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -110,7 +110,7 @@
 	for _, member := range next.Members {
 		changed = append(changed, peers.Member{Index: member.Index, Address: member.Address})
 	}
-	n.peerTransport.SetMembers(changed, next.MemberCount)
+	n.peerTransport.UpdateMembers(changed, next.MemberCount)
 }
 
 // logRevision logs an applied revision, with the settings that were adjusted in it.
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -51,7 +51,7 @@
 		runResult:        make(chan error, 1),
 		stopRequested:    make(chan struct{}),
 	}
-	settings, err := config.Decode(testSettingsText)
+	settings, err := config.DecodeSettings(testSettingsText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 	settings.ConnIdle = connectionLimit
 	settings.Limits.PollEndpoints = true // clients are accepted without an agent
 	cfg := testConfig(settings)
-	cfg.KnownEndpoints = singleHostList(g.startHost())
+	cfg.InitialEndpointList = singleHostList(g.startHost())
 	cfg.Configuration = &config.Configuration{}
 	if configure != nil {
 		configure(cfg)
@@ -299,7 +299,7 @@
 			t.Fatalf("address %d: %v", i, err)
 		}
 		decoded := false
-		gossip.Format{Members: 2, ByID: true}.Decode(message[:n], func(uint64, uint64) bool {
+		gossip.Format{Members: 2, PlansByID: true}.Decode(message[:n], func(uint64, uint64) bool {
 			decoded = true
 			return false
 		}, nil, nil)
@@ -321,7 +321,7 @@
 	}
 }
 
-func (o *callRecorder) Reconfigure(_ gateway.Time, update *gateway.Update) {
+func (o *callRecorder) Reconfigure(_ gateway.Time, update *gateway.SettingsUpdate) {
 	o.calls <- fmt.Sprint(update.Members, " members")
 }
 
@@ -337,7 +337,7 @@
 	applied := make(chan struct{})
 	n.runOnLoop(func() { <-releaseLoop })
 	go func() {
-		n.ApplyConfiguration(1, &config.Revision{Update: gateway.Update{Members: 1}, MemberCount: 1})
+		n.ApplyConfiguration(1, &config.Revision{Update: gateway.SettingsUpdate{Members: 1}, MemberCount: 1})
 		close(applied)
 	}()
 	io.WriteString(conn, command("a", 1)+command("a", 2))
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -55,13 +55,13 @@
 	w := &endpointWatch{cancel: stop}
 	n.watch = w
 	options := discovery.WatchOptions{
-		System:     n.system,
-		Address:    n.cfg.Discovery,
-		After:      n.endpointList.Version,
-		Timeouts:   discovery.NewTimeouts(n.cfg.Limits.PollEndpoints),
-		Pending:    &w.pendingRead,
-		OnReceived: func() { n.runIfCurrentWatch(w, n.watchReceived) },
-		OnList:     func(list string) { n.runIfCurrentWatch(w, func() { n.updateEndpoints(list, false) }) },
+		System:       n.system,
+		Address:      n.cfg.DiscoveryAddress,
+		AfterVersion: n.endpointList.Version,
+		Timeouts:     discovery.NewTimeouts(n.cfg.Limits.PollEndpoints),
+		Pending:      &w.pendingRead,
+		OnReceived:   func() { n.runIfCurrentWatch(w, n.watchReceived) },
+		OnList:       func(list string) { n.runIfCurrentWatch(w, func() { n.updateEndpoints(list, false) }) },
 	}
 	n.readers.Go(func() {
 		err := discovery.Watch(ctx, options)
@@ -125,17 +125,17 @@
 			return
 		}
 		slog.Info("reloaded",
-			"discovery", cfg.Discovery,
+			"discovery", cfg.DiscoveryAddress,
 			"version", n.endpointList.Version,
-			"other_keys_changed", n.cfg.FixedKeysHash != cfg.FixedKeysHash,
+			"other_keys_changed", n.cfg.StartupKeysHash != cfg.StartupKeysHash,
 		) // changes of other keys take effect at the next start
 		if cfg.Pool != nil {
 			n.quota.setCapacity(cfg.Pool.Serial, cfg.Pool.Capacity)
 		}
-		if cfg.Discovery == n.cfg.Discovery {
+		if cfg.DiscoveryAddress == n.cfg.DiscoveryAddress {
 			return
 		}
-		n.cfg.Discovery = cfg.Discovery
+		n.cfg.DiscoveryAddress = cfg.DiscoveryAddress
 		if n.watch != nil { // at once: the gateway counts as notified of every drain that the new agent knows
 			n.watchLost = false
 			n.WatchEndpoints()
@@ -157,7 +157,7 @@
 		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
 		return
 	}
-	time.AfterFunc(discovery.RewatchDelay, func() {
+	time.AfterFunc(discovery.WatchRetryDelay, func() {
 		n.runOnLoop(func() {
 			if n.watch == w {
 				n.WatchEndpoints()
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -36,7 +36,7 @@
 func (n *Node) openSockets(stop <-chan struct{}) (listener *net.TCPListener, err error) {
 	if len(n.cfg.Peers) > 0 {
 		err = listenWithRetry("peer_listen", n.cfg.PeerListen, stop, func() (err error) {
-			format := gossip.Format{Plans: len(n.cfg.Plans), Members: len(n.cfg.Peers), ByID: n.cfg.Configuration != nil}
+			format := gossip.Format{Plans: len(n.cfg.Plans), Members: len(n.cfg.Peers), PlansByID: n.cfg.Configuration != nil}
 			n.peerTransport, err = peers.Open(n.system, n.cfg.PeerListen, n.cfg.Peers, format)
 			return err
 		})
@@ -64,10 +64,10 @@
 			return nil
 		}
 		timeout := addressInUseTimeout
-		if sockets.IsShortage(err) {
+		if sockets.IsResourceExhausted(err) {
 			timeout = shortageTimeout
 		}
-		if !sockets.IsTransient(err) || time.Since(start) > timeout {
+		if !sockets.IsTransientListenError(err) || time.Since(start) > timeout {
 			return fmt.Errorf("%s: %w", key, err)
 		}
 		if !logged {
@@ -83,7 +83,7 @@
 
 // logListenRetry logs that listening on an address failed and is retried for up to timeout.
 func logListenRetry(key string, addr netip.AddrPort, timeout time.Duration, err error) {
-	if sockets.IsShortage(err) {
+	if sockets.IsResourceExhausted(err) {
 		slog.Warn("listen_address_unavailable", "key", key, "addr", addr, "wait", timeout, "error", err)
 	} else {
 		slog.Warn("listen_address_in_use", "key", key, "addr", addr, "wait", timeout, "error", err)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -129,7 +129,7 @@
 	unsent = n.transport.Flush() || unsent
 	if n.counter != nil {
 		unsent = n.counter.Flush() || unsent
-		counterDue = n.counter.Expire(n.now())
+		counterDue = n.counter.TimeOutCalls(n.now())
 	}
 	return unsent, counterDue
 }
@@ -175,7 +175,7 @@
 		n.counterReplied(gateway.Event{Kind: gateway.CounterReplied, CounterName: name, Result: gateway.Unreachable})
 		return
 	}
-	n.counter.Count(name, amount, lifetime)
+	n.counter.Increment(name, amount, lifetime)
 }
 
 // counterReplied adds the result of a call to the counter to the next batch.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,7 +43,7 @@
 	Decide(batch *gateway.Batch, actions gateway.Actions)
 
 	// Reconfigure applies a change of the configuration. It is called between two batches.
-	Reconfigure(now gateway.Time, update *gateway.Update)
+	Reconfigure(now gateway.Time, update *gateway.SettingsUpdate)
 }
 
 // DecisionCounter is implemented by a Decider that counts its decisions. The counts are logged every countsLogInterval.
@@ -133,7 +133,7 @@
 		catalog:      clients.NewCatalog(newCatalogConfig(cfg)),
 	}
 	n.endpointList.EqualWeights = cfg.EqualWeights
-	maxClientConns, maxHostConns := descriptorShares(cfg.Sockets)
+	maxClientConns, maxHostConns := descriptorShares(cfg.MaxDescriptors)
 	n.clients = clients.NewServer(n.system, n.catalog, maxClientConns, n.runOnLoop, n.now, n.handleRequest)
 	n.transport = hosts.NewTransport(hosts.Options{
 		System:         n.system,
@@ -144,8 +144,8 @@
 		IdleTimeout:    time.Duration(idleFraction * float64(cfg.ConnIdle)),
 		MaxConns:       maxHostConns,
 	})
-	if cfg.Counter.IsValid() {
-		n.counter = counter.New(n.system, cfg.Counter, cfg.Limits.CounterTimeout, n.runOnLoop, n.now,
+	if cfg.CounterAddress.IsValid() {
+		n.counter = counter.New(n.system, cfg.CounterAddress, cfg.Limits.CounterTimeout, n.runOnLoop, n.now,
 			n.counterReplied)
 	}
 	return n
@@ -159,7 +159,7 @@
 		Plans:    cfg.PlanNames,
 		MaxUnits: make([]float64, 0, len(cfg.Plans)),
 		Members:  cfg.Membership.Count,
-		Own:      cfg.Membership.Index,
+		OwnIndex: cfg.Membership.Index,
 	}
 	for i := range cfg.Classes {
 		catalog.Effects = append(catalog.Effects, cfg.Classes[i].Effect)
@@ -265,11 +265,11 @@
 
 // decideFirstBatch has the module decide on the endpoint list in the configuration, which may be empty.
 func (n *Node) decideFirstBatch() {
-	if n.cfg.KnownEndpoints == "" {
+	if n.cfg.InitialEndpointList == "" {
 		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached})
 	} else {
-		n.updateEndpoints(n.cfg.KnownEndpoints, true)
-		n.cfg.KnownEndpoints = "" // frees the text
+		n.updateEndpoints(n.cfg.InitialEndpointList, true)
+		n.cfg.InitialEndpointList = "" // frees the text
 	}
 	n.runIteration()
 }
--- a/internal/node/panic_test.go
+++ b/internal/node/panic_test.go
@@ -31,7 +31,7 @@
 	n.transport = transport
 	n.epoch = n.epoch.Add(2 * farDeadline)
 	n.runIteration()
-	answer.ClientGone()
+	answer.OnClientGone()
 	n.runIteration()
 	golden.Check(t, module.String()+n.openWork())
 }
@@ -40,7 +40,7 @@
 // actions on those of customer b.
 type panickingDecider struct{}
 
-func (panickingDecider) Reconfigure(gateway.Time, *gateway.Update) {}
+func (panickingDecider) Reconfigure(gateway.Time, *gateway.SettingsUpdate) {}
 
 func (panickingDecider) Decide(batch *gateway.Batch, actions gateway.Actions) {
 	for _, event := range batch.Events {
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -32,7 +32,7 @@
 	if cfg == nil {
 		return func() {}, nil
 	}
-	client, err := poolrunner.Dial(n.system, cfg, n.runOnLoop)
+	client, err := poolrunner.NewClient(n.system, cfg, n.runOnLoop)
 	if err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 		q.lastLoggedAt = now
 		q.logStatus(now, open, demand)
 	}
-	return q.leaseholder.Due(now)
+	return q.leaseholder.NextDeadline(now)
 }
 
 // logStatus logs how many connections are allowed, open and wanted, with the counts of the limiter and the client.
@@ -105,13 +105,13 @@
 		"allowed", q.leaseholder.Allowed(now),
 		"connections", open,
 		"demand", demand,
-		"queued", q.limiter.Queued,
-		"rejected", q.limiter.Rejected,
+		"queued", q.limiter.QueuedAttempts,
+		"rejected", q.limiter.RejectedAttempts,
 		"dials", q.limiter.Dials,
-		"dials_refused", q.limiter.Refused,
-		"datagrams_sent", q.client.Sent,
-		"datagrams_received", q.client.Received,
-		"datagrams_dropped", q.client.Dropped,
+		"dials_refused", q.limiter.RefusedConnections,
+		"datagrams_sent", q.client.DatagramsSent,
+		"datagrams_received", q.client.DatagramsReceived,
+		"datagrams_dropped", q.client.DatagramsDropped,
 		"since_grant_ms", now.Sub(q.leaseholder.LastAnswered()).Milliseconds(),
 	)
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -45,7 +45,7 @@
 		eventIndex:  len(n.events),
 	}
 	n.requests[r.id] = r
-	answer.ClientGone = r.clientGone
+	answer.OnClientGone = r.clientGone
 	n.events = append(n.events, gateway.Event{
 		Kind:         gateway.RequestArrived,
 		RequestID:    r.id,
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -46,7 +46,7 @@
 	if !n.acceptingClients {
 		n.nextPhaseAt = now
 	}
-	slog.Info("shutdown_started", "clients", n.clients.Count(), "in_flight", len(n.requests))
+	slog.Info("shutdown_started", "clients", n.clients.ConnCount(), "in_flight", len(n.requests))
 }
 
 // enterNextPhase enters the next phase of the shutdown. The last phase closes all connections, so that a client that
@@ -57,7 +57,7 @@
 		n.phase = phaseListenerClosed
 		n.nextPhaseAt = n.answerDeadline
 		n.clients.StopAccepting()
-		slog.Info("listener_closed", "clients", n.clients.Count(), "in_flight", len(n.requests))
+		slog.Info("listener_closed", "clients", n.clients.ConnCount(), "in_flight", len(n.requests))
 	case phaseListenerClosed:
 		n.phase = phaseDraining
 		n.nextPhaseAt = n.now().Add(drainTimeout)
@@ -65,7 +65,7 @@
 	default:
 		n.phase = phaseAborted
 		n.nextPhaseAt = 0
-		slog.Info("connections_aborted", "clients", n.clients.Count(), "in_flight", len(n.requests))
+		slog.Info("connections_aborted", "clients", n.clients.ConnCount(), "in_flight", len(n.requests))
 		n.clients.CloseAll()
 	}
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -11,8 +11,8 @@
 // idleDecider makes no decisions, so that requests stay unanswered.
 type idleDecider struct{}
 
-func (idleDecider) Decide(*gateway.Batch, gateway.Actions)    {}
-func (idleDecider) Reconfigure(gateway.Time, *gateway.Update) {}
+func (idleDecider) Decide(*gateway.Batch, gateway.Actions)            {}
+func (idleDecider) Reconfigure(gateway.Time, *gateway.SettingsUpdate) {}
 
 // Guards against a shutdown that never ends because a client waits for an answer and never closes its connection.
 func TestShutdownIsBounded(t *testing.T) {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -61,9 +61,9 @@
 	return members
 }
 
-// SetMembers changes addresses and the number of gateways atomically: a message is received with the old table or with
+// UpdateMembers changes addresses and the number of gateways atomically: a message is received with the old table or with
 // the new one. Members from count on are removed; each new one below count must have its address in changed.
-func (t *Transport) SetMembers(changed []Member, count int) {
+func (t *Transport) UpdateMembers(changed []Member, count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for index := count; index < len(t.addresses); index++ {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -37,7 +37,7 @@
 	received := make(chan int, 1)
 	dropped := make(chan struct{}, 1)
 	go receiver.Listen(func(member int, _ []byte) { received <- member }, func() { dropped <- struct{}{} })
-	message := gossip.Format{}.Header(1, 1, nil)
+	message := gossip.Format{}.EncodeHeader(1, 1, nil)
 	sender.Send(0, message)
 	if member := <-received; member != 1 {
 		t.Errorf("the message is from member %d, want 1", member)
@@ -54,7 +54,7 @@
 	var transports []*Transport
 	var addresses []netip.AddrPort
 	for range 4 {
-		transport := open(t, sockets.Kernel{}, gossip.Format{ByID: true})
+		transport := open(t, sockets.Kernel{}, gossip.Format{PlansByID: true})
 		transports = append(transports, transport)
 		addresses = append(addresses, address(transport))
 	}
@@ -65,12 +65,12 @@
 	delivered := make(chan int, 1)
 	for i, transport := range transports[1:] {
 		go transport.Listen(func(int, []byte) { delivered <- i + 1 }, func() {})
-		transport.SetMembers([]Member{{0, addresses[0]}}, 1)
+		transport.UpdateMembers([]Member{{0, addresses[0]}}, 1)
 	}
 	// expect has each of the other transports send a message. senders are the members that the messages must be from.
 	expect := func(members int, senders ...int) {
 		t.Helper()
-		message := gossip.Format{Members: members, ByID: true}.Header(1, 1, nil)
+		message := gossip.Format{Members: members, PlansByID: true}.EncodeHeader(1, 1, nil)
 		for i, want := range senders {
 			transports[i+1].Send(0, message)
 			got := unknownMember
@@ -83,15 +83,15 @@
 			}
 		}
 	}
-	receiver.SetMembers([]Member{{0, addresses[0]}, {1, addresses[1]}, {2, addresses[2]}}, 3)
+	receiver.UpdateMembers([]Member{{0, addresses[0]}, {1, addresses[1]}, {2, addresses[2]}}, 3)
 	expect(3, 1, 2, unknownMember)
 	expect(2, unknownMember, unknownMember, unknownMember)
-	receiver.SetMembers([]Member{{1, addresses[2]}, {2, addresses[1]}}, 3) // swapped
+	receiver.UpdateMembers([]Member{{1, addresses[2]}, {2, addresses[1]}}, 3) // swapped
 	expect(3, 2, 1, unknownMember)
-	receiver.SetMembers([]Member{{1, addresses[3]}}, 2) // one replaced, one removed
+	receiver.UpdateMembers([]Member{{1, addresses[3]}}, 2) // one replaced, one removed
 	expect(2, unknownMember, unknownMember, 1)
-	transports[3].SetMembers([]Member{{0, addresses[0]}}, 2)
-	receiver.Send(1, gossip.Format{Members: 2, ByID: true}.Header(1, 1, nil))
+	transports[3].UpdateMembers([]Member{{0, addresses[0]}}, 2)
+	receiver.Send(1, gossip.Format{Members: 2, PlansByID: true}.EncodeHeader(1, 1, nil))
 	if transport := <-delivered; transport != 3 {
 		t.Errorf("a message to the replaced member went to transport %d", transport)
 	}
@@ -108,15 +108,15 @@
 		syscall.EHOSTUNREACH,
 	}
 	system := socketstest.New(1, nil)
-	system.Script(socketstest.ReadPacket, socketstest.Errors(errnos...)...)
+	system.Script(socketstest.ReadPacket, socketstest.ErrorScript(errnos...)...)
 	sender := open(t, sockets.Kernel{}, gossip.Format{})
 	receiver := open(t, system, gossip.Format{Plans: 1, Members: 1}, address(sender))
 	received := make(chan int, 1)
 	go receiver.Listen(func(member int, _ []byte) { received <- member }, func() {})
-	sender.SetMembers([]Member{{0, address(receiver)}}, 1)
-	sender.Send(0, gossip.Format{}.Header(1, 1, nil))
+	sender.UpdateMembers([]Member{{0, address(receiver)}}, 1)
+	sender.Send(0, gossip.Format{}.EncodeHeader(1, 1, nil))
 	member := <-received
-	reads := system.Count(socketstest.ReadPacket)
+	reads := system.CallCount(socketstest.ReadPacket)
 	if member != 0 || reads < len(errnos) {
 		t.Errorf("member %d after %d reads", member, reads)
 	}
@@ -132,9 +132,9 @@
 	for i := range 6000 {
 		members = append(members, Member{i, address(i)})
 	}
-	transport.SetMembers(members, len(members))
+	transport.UpdateMembers(members, len(members))
 	b.ReportAllocs()
 	for i := range b.N {
-		transport.SetMembers([]Member{{7, address(6000 + i%2)}}, len(members))
+		transport.UpdateMembers([]Member{{7, address(6000 + i%2)}}, len(members))
 	}
 }
--- a/internal/poolrunner/client.go
+++ b/internal/poolrunner/client.go
@@ -24,13 +24,13 @@
 	lastReport *pool.Report
 	resent     bool // lastReport was sent again, to another voter
 
-	Sent     int // datagrams
-	Received int // valid datagrams
-	Dropped  int // invalid datagrams
+	DatagramsSent     int // datagrams
+	DatagramsReceived int // valid datagrams
+	DatagramsDropped  int // invalid datagrams
 }
 
-// Dial opens the client's socket by the calls of system. runOnLoop runs a function on the event loop.
-func Dial(system sockets.System, cfg *config.Pool, runOnLoop func(func())) (*Client, error) {
+// NewClient opens the client's socket by the calls of system. runOnLoop runs a function on the event loop.
+func NewClient(system sockets.System, cfg *config.Pool, runOnLoop func(func())) (*Client, error) {
 	conn, err := listenMessages(system, netip.AddrPortFrom(netip.IPv4Unspecified(), 0), cfg.Key)
 	if err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 
 func (c *Client) sendLastReport() {
 	if c.conn.send(c.cfg.Voters[c.leader], &Message{Report: c.lastReport}) {
-		c.Sent++
+		c.DatagramsSent++
 	}
 }
 
@@ -75,17 +75,17 @@
 func (c *Client) receive(message *Message, err error, from netip.AddrPort, onGrant func(*pool.Grant)) {
 	switch {
 	case err != nil:
-		c.Dropped++
+		c.DatagramsDropped++
 	case message.Grant != nil:
-		c.Received++
+		c.DatagramsReceived++
 		c.unanswered = 0
 		c.setLeader(from)
 		onGrant(message.Grant)
 	case message.Leader != nil && c.isVoter(*message.Leader):
-		c.Received++
+		c.DatagramsReceived++
 		c.resendTo(*message.Leader)
 	default:
-		c.Dropped++
+		c.DatagramsDropped++
 	}
 }
 
--- a/internal/poolrunner/client_test.go
+++ b/internal/poolrunner/client_test.go
@@ -19,7 +19,7 @@
 	for range 3 {
 		cfg.Voters = append(cfg.Voters, unusedAddress(t))
 	}
-	client, err := Dial(sockets.Kernel{}, cfg, func(f func()) { f() })
+	client, err := NewClient(sockets.Kernel{}, cfg, func(f func()) { f() })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,24 +59,24 @@
 		client.receive(&Message{Leader: &leader}, nil, client.cfg.Voters[0], nil)
 	}
 	receiveLeader(2) // no report to send again
-	if client.leader != 0 || client.Sent != 0 {
-		t.Errorf("before a report: leader %d, %d datagrams sent", client.leader, client.Sent)
+	if client.leader != 0 || client.DatagramsSent != 0 {
+		t.Errorf("before a report: leader %d, %d datagrams sent", client.leader, client.DatagramsSent)
 	}
 	client.Send(&pool.Report{})
 	receiveLeader(2)
 	receiveLeader(1)
-	if client.leader != 2 || client.Sent != 2 {
-		t.Errorf("leader %d, %d datagrams sent", client.leader, client.Sent)
+	if client.leader != 2 || client.DatagramsSent != 2 {
+		t.Errorf("leader %d, %d datagrams sent", client.leader, client.DatagramsSent)
 	}
 	client.Send(&pool.Report{})
 	receiveLeader(1)
-	if client.leader != 1 || client.Sent != 4 {
-		t.Errorf("after the next report: leader %d, %d datagrams sent", client.leader, client.Sent)
+	if client.leader != 1 || client.DatagramsSent != 4 {
+		t.Errorf("after the next report: leader %d, %d datagrams sent", client.leader, client.DatagramsSent)
 	}
 	receiveLeader(3)
 	receiveLeader(-1)
-	if client.Received != 4 || client.Dropped != 2 {
-		t.Errorf("%d datagrams received, %d dropped", client.Received, client.Dropped)
+	if client.DatagramsReceived != 4 || client.DatagramsDropped != 2 {
+		t.Errorf("%d datagrams received, %d dropped", client.DatagramsReceived, client.DatagramsDropped)
 	}
 }
 
@@ -100,7 +100,7 @@
 		t.Errorf("leader %d, %d unanswered, %d grants", client.leader, client.unanswered, granted)
 	}
 	client.receive(nil, errors.New("forged"), netip.AddrPort{}, onGrant)
-	if client.Received != 1 || client.Dropped != 1 || granted != 1 {
-		t.Errorf("%d received, %d dropped, %d grants", client.Received, client.Dropped, granted)
+	if client.DatagramsReceived != 1 || client.DatagramsDropped != 1 || granted != 1 {
+		t.Errorf("%d received, %d dropped, %d grants", client.DatagramsReceived, client.DatagramsDropped, granted)
 	}
 }
--- a/internal/poolrunner/voter.go
+++ b/internal/poolrunner/voter.go
@@ -65,14 +65,14 @@
 		return nil, err
 	}
 	v.replica, err = consensus.Open(consensus.Config{
-		Name:      "pool",
-		Sockets:   system,
-		Index:     index,
-		Addresses: cfg.VoterStreams,
-		Listen:    cfg.Listen,
-		Dir:       cfg.Dir,
-		Key:       cfg.Key,
-		Election:  cfg.ElectionTimeout,
+		ClusterName:     "pool",
+		Sockets:         system,
+		Index:           index,
+		Addresses:       cfg.VoterStreams,
+		Listen:          cfg.Listen,
+		Dir:             cfg.Dir,
+		Key:             cfg.Key,
+		ElectionTimeout: cfg.ElectionTimeout,
 	}, &ledgerMachine{ledger: pool.NewLedger(&cfg.Terms)})
 	if err != nil {
 		v.conn.close()
@@ -160,7 +160,7 @@
 	}
 }
 
-func logNotes(notes []pool.Note) {
+func logNotes(notes []pool.Warning) {
 	for _, note := range notes {
 		slog.Warn(note.Event,
 			"member", note.Member,
@@ -236,7 +236,7 @@
 		v.grantor.Receive(v.now(), report)
 		return
 	}
-	leader := v.replica.Leader()
+	leader := v.replica.LeaderIndex()
 	if leader >= 0 && leader != v.index {
 		v.send(from, &Message{Leader: &leader})
 	}
@@ -248,7 +248,7 @@
 		return
 	}
 	v.lastStatus = now
-	dropped := v.dropped + v.replica.Dropped()
+	dropped := v.dropped + v.replica.DroppedAnnouncements()
 	if v.grantor == nil {
 		slog.Info("pool_voter_status",
 			"leading", false,
@@ -271,6 +271,6 @@
 		"free", totals.Free,
 		"stranded", totals.Stranded,
 		"connections", totals.Connections,
-		"members_reporting", totals.Reporting,
+		"members_reporting", totals.ReportingMembers,
 	)
 }
--- a/internal/poolrunner/voter_test.go
+++ b/internal/poolrunner/voter_test.go
@@ -64,7 +64,7 @@
 	}
 	defer voter.Close()
 	deadline := time.Now().Add(waitTimeout)
-	for voter.replica.CatchUp(proposeTimeout) != nil {
+	for voter.replica.Barrier(proposeTimeout) != nil {
 		if time.Now().After(deadline) {
 			t.Fatal("the voter does not lead")
 		}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -60,6 +60,6 @@
 // runtime doesn't count.
 func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(1) // each gateway has one processor
-	debug.SetMemoryLimit(cfg.Memory * 3 / 4)
+	debug.SetMemoryLimit(cfg.MemoryLimit * 3 / 4)
 	debug.SetGCPercent(gcPercent)
 }
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -88,20 +88,20 @@
 		LoadFields:     configuration.ReportNames,
 		ConnectTimeout: configuration.ConnectTimeout,
 		IdleTimeout:    configuration.ConnIdle,
-		MaxConns:       int(connectionsPerSocket * float64(configuration.Sockets)),
+		MaxConns:       int(connectionsPerSocket * float64(configuration.MaxDescriptors)),
 	})
 	if configuration.Configuration != nil {
 		h.follow()
 	}
-	h.ApplyHostList(configuration.KnownEndpoints, true)
-	configuration.KnownEndpoints = "" // as package node: the list is in the book
+	h.ApplyHostList(configuration.InitialEndpointList, true)
+	configuration.InitialEndpointList = "" // as package node: the list is in the book
 	h.Process(now)
 	return h
 }
 
 // messageForm returns the format of the messages between gateways, as in package node.
 func messageForm(c *config.Config) gossip.Format {
-	return gossip.Format{Plans: len(c.Plans), Members: len(c.Peers), ByID: c.Configuration != nil}
+	return gossip.Format{Plans: len(c.Plans), Members: len(c.Peers), PlansByID: c.Configuration != nil}
 }
 
 // Index returns the gateway's member index.
--- a/logic/gossip_receive.go
+++ b/logic/gossip_receive.go
@@ -60,7 +60,7 @@
 // planIndex returns the index of the plan that a counter names. It is unknown if there is no such plan here, or
 // if the customer is on another one.
 func (g *Gateway) planIndex(hash, plan uint32) (index int, known bool) {
-	if !g.format.ByID {
+	if !g.format.PlansByID {
 		return int(plan), true
 	}
 	index, known = g.planByID[plan]
--- a/logic/gossip_send.go
+++ b/logic/gossip_send.go
@@ -26,7 +26,7 @@
 	}
 	p.sentMessages++
 	p.credit--
-	header := g.format.Header(uint64(g.start/1e6), p.sentMessages, tags)
+	header := g.format.EncodeHeader(uint64(g.start/1e6), p.sentMessages, tags)
 	g.actions.SendGossip(p.member, g.appendCounters(header, p))
 }
 
@@ -54,7 +54,7 @@
 		total := uint64(c.counters[p.counter] * counterScale)
 		g.refill(c)
 		debt := g.initialDebt(s, total)
-		entry := g.format.Counter(c.hash, g.planName(c), c.spread, c.firstGateway, total, debt)
+		entry := g.format.EncodeCounter(c.hash, g.planName(c), c.spread, c.firstGateway, total, debt)
 		if debt > 0 || s.unsent() > 0 {
 			if len(message)+len(entry) > gossip.MaxMessageBytes {
 				break
@@ -70,7 +70,7 @@
 
 // planName returns what names a customer's plan in messages: its ID or its index.
 func (g *Gateway) planName(c *customer) uint32 {
-	if g.format.ByID {
+	if g.format.PlansByID {
 		return c.plan.ID
 	}
 	return uint32(c.planIndex)
--- a/logic/request.go
+++ b/logic/request.go
@@ -58,7 +58,7 @@
 	r.class.typicalUnits += (r.units - r.class.typicalUnits) / 64
 	g.arrivals++
 	g.largestRequest = max(g.largestRequest, r.units)
-	if g.format.ByID { // plans may be removed and customers change plans
+	if g.format.PlansByID { // plans may be removed and customers change plans
 		c.planIndex = event.Plan
 	}
 	g.refill(c)
--- a/pool/grantor.go
+++ b/pool/grantor.go
@@ -8,8 +8,8 @@
 	EventCapacityRefused = "pool_capacity_refused" // a capacity below the floors and the reserve
 )
 
-// Note is a message to the operators.
-type Note struct {
+// Warning is a message to the operators.
+type Warning struct {
 	Event       string
 	Member      int // index
 	Incarnation uint64
@@ -71,7 +71,7 @@
 		electedAt: now,
 		claims:    make([]Claim, terms.Members),
 	}
-	leaseEnd := now.Add(terms.Outlasts(terms.Lease))
+	leaseEnd := now.Add(terms.WithDriftMargin(terms.Lease))
 	for i := range g.members {
 		entry := ledger.Entries[i]
 		g.members[i] = memberState{
@@ -127,7 +127,7 @@
 type proposal struct {
 	batch  Batch
 	ledger *Ledger // with the batch applied so far
-	notes  []Note
+	notes  []Warning
 }
 
 // add adds a change and applies it.
@@ -139,12 +139,12 @@
 
 // note adds a note about a member.
 func (p *proposal) note(event string, member int, incarnation uint64, units int) {
-	p.notes = append(p.notes, Note{Event: event, Member: member, Incarnation: incarnation, Units: units})
+	p.notes = append(p.notes, Warning{Event: event, Member: member, Incarnation: incarnation, Units: units})
 }
 
 // Tick returns a batch to propose for what happened since the one before, or nil, and notes for the operators. It
 // returns neither while a batch is pending.
-func (g *Grantor) Tick(now Instant) (*Batch, []Note) {
+func (g *Grantor) Tick(now Instant) (*Batch, []Warning) {
 	if g.pending {
 		return nil, nil
 	}
@@ -165,7 +165,7 @@
 func (g *Grantor) proposeMember(now Instant, p *proposal, i int) {
 	member := &g.members[i]
 	entry := &p.ledger.Entries[i]
-	drained := g.terms.Outlasts(g.terms.Drain)
+	drained := g.terms.WithDriftMargin(g.terms.Drain)
 	if member.unproposed != nil {
 		g.proposeReport(now, p, i)
 	} else if entry.Units > 0 && now > member.leaseEnd.Add(drained) {
@@ -200,7 +200,7 @@
 		p.add(Change{Member: i, Units: report.Bound})
 	}
 	if report.Incarnation == entry.Incarnation {
-		member.leaseEnd = now.Add(g.terms.Outlasts(g.terms.Lease))
+		member.leaseEnd = now.Add(g.terms.WithDriftMargin(g.terms.Lease))
 	}
 	g.proposeCapacity(p, report)
 }
@@ -296,13 +296,13 @@
 
 // Totals are sums over the ledger and the reports of a lease grantor, for the operators.
 type Totals struct {
-	Capacity    int
-	Serial      uint64
-	Leased      int // units
-	Free        int // units
-	Stranded    int // units
-	Connections int // as reported
-	Reporting   int // members that have reported
+	Capacity         int
+	Serial           uint64
+	Leased           int // units
+	Free             int // units
+	Stranded         int // units
+	Connections      int // as reported
+	ReportingMembers int // members that have reported
 }
 
 // Totals returns the present sums.
@@ -317,7 +317,7 @@
 		totals.Leased += entry.Units
 		totals.Stranded += entry.Stranded
 		if g.members[i].lastReport > 0 {
-			totals.Reporting++
+			totals.ReportingMembers++
 		}
 	}
 	return totals
--- a/pool/leaseholder.go
+++ b/pool/leaseholder.go
@@ -189,8 +189,8 @@
 	return report
 }
 
-// Due returns the latest time for the next call of Report or Allowed.
-func (h *Leaseholder) Due(now Instant) Instant {
+// NextDeadline returns the latest time for the next call of Report or Allowed.
+func (h *Leaseholder) NextDeadline(now Instant) Instant {
 	due := h.lastReport.Add(h.terms.ReportInterval)
 	if h.bound > max(h.limit, h.connections-h.terms.Floor) {
 		closed := h.boundReached.Add(h.terms.CloseDelay)
--- a/pool/ledger.go
+++ b/pool/ledger.go
@@ -32,9 +32,9 @@
 	CloseDelay     time.Duration // from closing a connection until the store has noticed it for certain
 }
 
-// Outlasts returns the time by a grantor's clock after which d has passed by a lease holder's clock for certain: the
+// WithDriftMargin returns the time by a grantor's clock after which d has passed by a lease holder's clock for certain: the
 // holder's clock may be the slowest and the grantor's the fastest allowed.
-func (t *Terms) Outlasts(d time.Duration) time.Duration {
+func (t *Terms) WithDriftMargin(d time.Duration) time.Duration {
 	return time.Duration(float64(d)*(1+t.Drift)/(1-t.Drift)) + 1
 }
 
