--- a/internal/node/connecting_test.go
+++ b/internal/node/connecting_test.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	requestLines = 9 // of a command of four words
-	requestIDAt  = 6 // line of the third word
+	requestLines  = 9 // lines of a command that is an array of four bulk strings
+	requestIDLine = 6 // index of the line with the third string, the request's id
 )
 
-// testGateway is a node on sockets with one host. Its module sends each request to the host, and once more if it
-// never ran.
+// testGateway is a running node with one host. It is also the node's decision module, which sends each request to the
+// host, and once more if the first attempt never ran.
 type testGateway struct {
 	*testing.T
 	*Node
-	addr     chan string // on which it serves
-	host     uint32
-	hostAddr string
-	running  bool        // whether the host is neither draining nor gone
-	events   chan string // each event that the module decides on
+	addr        chan string // holds the address where clients connect
+	host        uint32
+	hostAddr    string
+	hostRunning bool        // whether the host is neither draining nor gone
+	events      chan string // each event that the module decides on
 
 	mu       sync.Mutex
 	received []string // ids of the requests that the host received
@@ -49,7 +49,7 @@
 	settings.ConnectTimeout = connectionLimit
 	settings.Limits = gateway.Limits{PollEndpoints: true}
 	cfg := testConfig(settings)
-	cfg.InitialEndpointList = knownHost(g.hostAddr)
+	cfg.InitialEndpointList = singleHostList(g.hostAddr)
 	g.Node = New(cfg, g)
 
 	restoreLog := logging.SetOutput(g)
@@ -65,7 +65,7 @@
 	return g
 }
 
-// Write reads a line of the log.
+// Write handles a line of the node's log: it takes the address from the line that the node serves.
 func (g *testGateway) Write(line []byte) (int, error) {
 	if _, rest, found := bytes.Cut(line, []byte(`event=serving name="" listen=`)); found {
 		addr, _, _ := bytes.Cut(rest, []byte{' '})
@@ -84,7 +84,7 @@
 	}
 }
 
-// serveAtHost answers every command on a connection.
+// serveAtHost answers each command on a connection with the value "v" and records the request's id.
 func (g *testGateway) serveAtHost(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
@@ -94,7 +94,7 @@
 			if err != nil {
 				return
 			}
-			if i == requestIDAt {
+			if i == requestIDLine {
 				g.mu.Lock()
 				g.received = append(g.received, strings.TrimSpace(line))
 				g.mu.Unlock()
@@ -118,7 +118,7 @@
 			for _, endpoint := range event.Endpoints {
 				g.events <- "listed " + endpoint.State.String()
 				g.host = endpoint.Host
-				g.running = endpoint.State == gateway.Running
+				g.hostRunning = endpoint.State == gateway.Running
 			}
 		case gateway.RequestArrived:
 			g.events <- "arrived " + event.RequestID
@@ -131,34 +131,34 @@
 	}
 }
 
-// attemptEnded sends a request that never ran once more, even if its client is gone: a module may not know that yet.
+// attemptEnded retries a request that never ran, once, even if its client is gone: a module may not know that yet.
 func (g *testGateway) attemptEnded(event *gateway.Event, actions gateway.Actions) {
 	const ended = "ended %s %d: result %d, closed %t"
 	g.events <- fmt.Sprintf(ended, event.RequestID, event.Attempt, event.Result, event.Closed)
 	switch {
-	case event.Result.NeverRan() && event.Attempt == 0 && g.running:
+	case event.Result.NeverRan() && event.Attempt == 0 && g.hostRunning:
 		actions.StartAttempt(event.RequestID, g.host, 0)
 	case event.Result != gateway.Succeeded:
 		actions.Reject(event.RequestID, 0)
 	}
 }
 
-// holdConnections keeps connections to the host from coming up until connect is closed. Each dial is sent to dials.
-func (g *testGateway) holdConnections() (dials <-chan struct{}, connect chan<- struct{}) {
+// holdDials delays all connections to the host until connect is closed. dials receives a value for each one started.
+func (g *testGateway) holdDials() (dials <-chan struct{}, connect chan<- struct{}) {
 	dialed := make(chan struct{}, 9)
-	up := make(chan struct{})
+	connected := make(chan struct{})
 	g.runOnLoop(func() {
 		dial := g.transport.Dial
 		g.transport.Dial = func(addr string) (net.Conn, error) {
 			dialed <- struct{}{}
-			<-up
+			<-connected
 			return dial(addr)
 		}
 	})
-	return dialed, up
+	return dialed, connected
 }
 
-// sendRequest connects and sends a request.
+// sendRequest sends a request on a new client connection, which it returns.
 func (g *testGateway) sendRequest(id string) net.Conn {
 	addr := <-g.addr
 	g.addr <- addr
@@ -168,7 +168,8 @@
 	return conn
 }
 
-// serveLastRequest sends a request that is served. It returns all events up to its end, and what the host received.
+// serveLastRequest sends request z and waits until it is served. It returns the events up to its end, the ids that the
+// host received, and the numbers of open requests and attempts.
 func (g *testGateway) serveLastRequest() string {
 	conn := g.sendRequest("z")
 	if _, err := io.ReadFull(conn, make([]byte, len("$1\r\nv\r\n"))); err != nil {
@@ -179,29 +180,30 @@
 		events = append(events, <-g.events)
 	}
 	left := make(chan string)
-	g.runOnLoop(func() { left <- g.left() })
+	g.runOnLoop(func() { left <- g.openWork() })
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	slices.Sort(g.received)
 	return fmt.Sprintf("%s\nhost received %q; %s", strings.Join(events, "\n"), g.received, <-left)
 }
 
-// An attempt that waits for a connection to a host that starts to drain is not sent when the connection comes up.
+// Guards against sending to a draining host. The host starts to drain while an attempt waits for a connection to it,
+// and the connection is established afterwards.
 func TestNothingSentToHostDrainingWhileConnecting(t *testing.T) {
 	g := newTestGateway(t)
-	dials, connect := g.holdConnections()
+	dials, connect := g.holdDials()
 	g.sendRequest("a")
 	<-dials
 	events := <-g.events + "\n" + <-g.events + "\n"
-	g.list(2, "leaving")
+	g.updateHostState(2, "leaving")
 	events += <-g.events + "\n"
-	g.list(3, "active")
+	g.updateHostState(3, "active")
 	close(connect)
 	golden.Check(t, events+g.serveLastRequest())
 }
 
-// list applies a change of the host's state to the endpoint list.
-func (g *testGateway) list(version int, state string) {
+// updateHostState applies a delta of the endpoint list in which the host has a new state.
+func (g *testGateway) updateHostState(version int, state string) {
 	list := fmt.Sprintf(`{"version":%d,"full":false,"servers":[{"id":"s","addr":"%s","state":"%s","weight":1}]}`,
 		version, g.hostAddr, state)
 	g.runOnLoop(func() { g.updateEndpoints(list, false) })
--- a/internal/node/endpoint_watch_test.go
+++ b/internal/node/endpoint_watch_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// A list that the module has decided on is kept neither in the configuration nor in the loop's events: it may be
-// as large as everything else together.
+// Guards against endpoint lists that stay in memory after the module has decided on them. A list may need as much
+// memory as the rest of the gateway.
 func TestEndpointListsAreReleased(t *testing.T) {
 	g := newTestGateway(t)
-	<-g.events // the list of the configuration
-	keepers := make(chan []string, 1)
+	<-g.events // the module has decided on the list of the configuration
+	result := make(chan []string, 1)
 	g.runOnLoop(func() {
 		var kept []string
 		if g.cfg.InitialEndpointList != "" {
@@ -23,9 +23,9 @@
 				kept = append(kept, "the batch")
 			}
 		}
-		keepers <- kept
+		result <- kept
 	})
-	if kept := <-keepers; len(kept) > 0 {
-		t.Errorf("kept by %q", kept)
+	if kept := <-result; len(kept) > 0 {
+		t.Errorf("the list is still referenced by %q", kept)
 	}
 }
