--- a/pool/json_test.go
+++ b/pool/json_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Logs, snapshots and datagrams keep the JSON names of earlier releases, so that voters and lease holders of both
-// read them.
+// The JSON keys in logs, snapshots and datagrams must stay those of earlier releases: otherwise a voter can't read its
+// stored state after an upgrade, and gateways of different releases can't read each other's messages.
 func TestJSONKeepsNamesOfEarlierReleases(t *testing.T) {
 	ledger := NewLedger(&Terms{Members: 1, Floor: 2, Reserve: 3})
 	ledger.Entries[0] = Entry{Incarnation: 4, Number: 5, Units: 6, Stranded: 7}
@@ -48,11 +48,11 @@
 	} {
 		text, err := json.Marshal(test.value)
 		if err != nil || string(text) != test.want {
-			t.Errorf("%T is written as %s, %v; want %s", test.value, text, err, test.want)
+			t.Errorf("%T is encoded as %s, error %v; want %s", test.value, text, err, test.want)
 		}
-		read := reflect.New(reflect.TypeOf(test.value).Elem()).Interface()
-		if err := json.Unmarshal([]byte(test.want), read); err != nil || !reflect.DeepEqual(read, test.value) {
-			t.Errorf("%s is read as %+v, %v; want %+v", test.want, read, err, test.value)
+		decoded := reflect.New(reflect.TypeOf(test.value).Elem()).Interface()
+		if err := json.Unmarshal([]byte(test.want), decoded); err != nil || !reflect.DeepEqual(decoded, test.value) {
+			t.Errorf("%s is decoded as %+v, error %v; want %+v", test.want, decoded, err, test.value)
 		}
 	}
 }
--- a/pool/ledger.go
+++ b/pool/ledger.go
@@ -1,11 +1,16 @@
-// Package pool divides the connections that one store accepts among the gateways, by leases. It does no I/O and reads
-// no clock: its parts get messages and the time of their own monotonic clock, and return what to send. A Leaseholder
-// keeps one gateway to its quota. The Ledger has all leases, and is replicated by some of the gateways, the raft
-// voters. The Grantor decides about leases for the voter that leads.
+// Package pool divides the connections that a shared store accepts among the gateways by leases. It does no I/O and
+// reads no clock: callers pass in messages and the time of their monotonic clock, and send the messages that it
+// returns. One unit is one connection above a gateway's floor, the number of connections that it may have without a
+// lease.
 //
-// Safety depends on three sums and on no message. Floors are always reserved, the ledger refuses a change that would
-// lease more than the rest, and a lease (Gray and Cheriton, SOSP 1989) expires at its holder before the grantor
-// counts it as expired.
+// Each gateway has a Leaseholder, which computes how many connections the gateway may have. The Ledger records the
+// units leased to all gateways. Some of the gateways, the raft voters, replicate it. On the voter that is the leader,
+// the Grantor decides on changes of leases.
+//
+// That the gateways together stay within the capacity of the store does not depend on the delivery of any message. It
+// follows from three facts: floors are always reserved, the ledger rejects a change that would lease more than the
+// remaining units, and a lease (Gray and Cheriton, SOSP 1989) expires at its holder before the grantor counts it as
+// expired. The last one requires that clocks drift by no more than Terms.MaxClockDrift.
 package pool
 
 import (
@@ -15,75 +20,75 @@
 	"ravensill/internal/clock"
 )
 
-// Instant is a moment of the monotonic clock of one lease holder or grantor. Instants of different clocks can't be
-// compared.
+// Instant is a time by the monotonic clock of one lease holder or grantor. Instants of different clocks must not be
+// compared. 0 means no time.
 type Instant = clock.Instant
 
-// Terms are the settings that all gateways of a store have in common.
+// Terms are the settings of the leases. All gateways that share a store must have the same.
 type Terms struct {
 	Members           int           // number of gateways
 	Floor             int           // connections that each gateway may have without a lease
 	Reserve           int           // connections of the store that are never leased
-	LeaseDuration     time.Duration // of a lease, from the time of the report that it answers
+	LeaseDuration     time.Duration // time from sending a report until the lease in the grant that answers it expires
 	MaxDrain          time.Duration // longest time that a request uses a connection after its lease has expired
-	MaxClockDrift     float64       // the rate of a clock is within 1-Drift and 1+Drift
-	MinTargetInterval time.Duration // least time between two changes of a gateway's target
-	ReportInterval    time.Duration // between two reports of a gateway
-	CloseDelay        time.Duration // from closing a connection until the store has noticed it for certain
+	MaxClockDrift     float64       // a clock runs at 1-MaxClockDrift to 1+MaxClockDrift times the true rate
+	MinTargetInterval time.Duration // least time between two changes of the units that a gateway should have
+	ReportInterval    time.Duration // time between two reports of a gateway
+	CloseDelay        time.Duration // time from closing a connection until the store has certainly noticed it
 }
 
-// WithDriftMargin returns the time by a grantor's clock after which d has passed by a lease holder's clock for certain:
-// the holder's clock may be the slowest and the grantor's the fastest allowed.
+// WithDriftMargin returns a duration by the grantor's clock in which at least d passes by any lease holder's clock,
+// even if the grantor's clock is the fastest and the holder's the slowest that MaxClockDrift allows.
 func (t *Terms) WithDriftMargin(d time.Duration) time.Duration {
 	return time.Duration(float64(d)*(1+t.MaxClockDrift)/(1-t.MaxClockDrift)) + 1
 }
 
-// Entry has the units leased to one gateway, connections above its floor. Its JSON form, with the names of earlier
-// releases, is in the voters' snapshots.
+// Entry records the units leased to one gateway. Its JSON keys are those of earlier releases, because the snapshots of
+// the voters contain it.
 type Entry struct {
-	Incarnation uint64 `json:"Life"` // of the process that has Units
-	Number      uint64 // of the latest change; it never decreases
-	Units       int
-	Stranded    int // units of earlier incarnations that were not returned
+	Incarnation uint64 `json:"Life"` // of the gateway's process to which Units are leased
+	Number      uint64 // number of changes so far, which identifies the state of the entry
+	Units       int    // leased connections above the floor
+	Stranded    int    // units of earlier incarnations that were not returned and whose leases may not have expired
 }
 
-// Ledger has the leases of all gateways. Only Apply changes it, in the same way at all voters.
+// Ledger records the units leased to all gateways. Only Apply changes it, with the same result at all voters.
 type Ledger struct {
 	Capacity int     // connections that the store accepts
-	Serial   uint64  // of the capacity
+	Serial   uint64  // of the capacity; only a capacity with a higher serial replaces it
 	Entries  []Entry // by member index
-	Reserve  int
-	Floor    int
+	Reserve  int     // connections that are never leased
+	Floor    int     // connections that each gateway may have without a lease
 }
 
-// Change is a change of one entry. It applies only if the entry still has the number for which the change was made.
-// Its JSON form, with the names of earlier releases, is in the voters' logs.
+// Change is a change of one ledger entry. It applies only if the entry still has the Number for which the change was
+// made. Its JSON keys are those of earlier releases, because the logs of the voters contain it.
 type Change struct {
 	Member int    `json:"Seat"` // member index
-	Number uint64 // of the entry
+	Number uint64 // Entry.Number before the change
 
-	// Incarnation above that of the entry starts a new incarnation, and the units of the one before are stranded.
+	// Incarnation, if higher than that of the entry, replaces it: the units of the previous incarnation become stranded,
+	// and the new one has none. Units and Clear are ignored then.
 	Incarnation uint64 `json:"Life,omitempty"`
 
-	Units int  // of the entry after the change
-	Clear bool `json:",omitempty"` // stranded units become free
+	Units int  // Entry.Units after the change; ignored with Clear
+	Clear bool `json:",omitempty"` // the entry's stranded units become free
 }
 
-// Batch is an entry of the replicated log: changes that are applied in order. A Serial above that of the ledger sets
-// the capacity.
+// Batch is an entry of the replicated log.
 type Batch struct {
-	Serial   uint64   `json:",omitempty"`
-	Capacity int      `json:",omitempty"`
-	Changes  []Change `json:",omitempty"`
+	Serial   uint64   `json:",omitempty"` // if higher than that of the ledger, Capacity replaces the ledger's capacity
+	Capacity int      `json:",omitempty"` // connections that the store accepts
+	Changes  []Change `json:",omitempty"` // applied in order, after the capacity
 }
 
-// NewLedger returns a ledger without leases. Its serial and capacity are 0, so that nothing can be leased until they
-// are set.
+// NewLedger returns a ledger without leases. Its capacity and serial are 0, so nothing can be leased until a batch sets
+// the capacity.
 func NewLedger(terms *Terms) *Ledger {
 	return &Ledger{Entries: make([]Entry, terms.Members), Reserve: terms.Reserve, Floor: terms.Floor}
 }
 
-// Free returns the number of units that can still be leased. It may be negative after the capacity was lowered.
+// Free returns the number of units that can still be leased. It may be negative after the capacity has been lowered.
 func (l *Ledger) Free() int {
 	free := l.Capacity - l.Reserve - l.Floor*len(l.Entries)
 	for _, entry := range l.Entries {
@@ -92,8 +97,8 @@
 	return free
 }
 
-// Apply applies a batch. It skips changes for an older state of an entry and those that would lease more than is
-// free, so that no fault of a grantor leases more than the capacity.
+// Apply applies a batch. It skips invalid changes, changes that were made for an older state of an entry, and changes
+// that would lease more than the free units, so that even a faulty grantor can't lease more than the capacity.
 func (l *Ledger) Apply(batch *Batch) {
 	if batch.Serial > l.Serial && batch.Capacity >= 0 {
 		l.Serial = batch.Serial
@@ -126,7 +131,7 @@
 	}
 }
 
-// Clone returns a deep copy.
+// Clone returns a copy of the ledger that shares no entries with it.
 func (l *Ledger) Clone() *Ledger {
 	clone := *l
 	clone.Entries = slices.Clone(l.Entries)
--- a/pool/plan.go
+++ b/pool/plan.go
@@ -6,51 +6,52 @@
 	"slices"
 )
 
-// headroomMultiples are the multiples of the root of a member's demand that are tried as its headroom, the largest
-// first.
+// headroomMultiples are the multiples of the square root of a member's demand that are tried as its headroom, in this
+// order. Headroom is the units claimed beyond the estimated demand.
 var headroomMultiples = []float64{3, 2, 1.5, 1, 0.7, 0.5, 0.3}
 
 const (
-	demandMargin       = 0.35 // connections by which an estimated demand may exceed the one that is claimed
-	headroomHysteresis = 20   // one unit in this many has to be left for a larger headroom than the one in force
+	demandMargin         = 0.35 // connections by which an estimated demand may exceed its claim
+	headroomSlackDivisor = 20   // a larger headroom than the one in force must leave one in this many units unclaimed
 )
 
-// plan is the planning of one batch.
-type plan struct {
-	grantor  *Grantor
-	terms    *Terms
-	members  []memberState
-	proposal *proposal
-	now      Instant
-	free     int    // units that may be leased
-	alive    []bool // by member
-	shares   []int  // by member: the fair share above the floor
+// planner computes targets and leases for one batch.
+type planner struct {
+	grantor *Grantor
+	terms   *Terms
+	members []memberState
+	builder *batchBuilder
+	now     Instant
+	free    int    // units that can still be leased; negative if the capacity was lowered
+	alive   []bool // by member index, as Grantor.alive
+	shares  []int  // by member index: units of the fair share
 }
 
-// plan sets the target of each member, and leases free units.
-func (g *Grantor) plan(now Instant, proposal *proposal) {
-	p := &plan{
-		grantor:  g,
-		terms:    g.terms,
-		members:  g.members,
-		proposal: proposal,
-		now:      now,
-		free:     proposal.ledger.Free(),
+// assignUnits updates the targets of the members, warns of overdue recalls, and leases free units.
+func (g *Grantor) assignUnits(now Instant, builder *batchBuilder) {
+	p := &planner{
+		grantor: g,
+		terms:   g.terms,
+		members: g.members,
+		builder: builder,
+		now:     now,
+		free:    builder.ledger.Free(),
 	}
 	p.computeShares()
 	shortage := p.raiseTargets()
 	if shortage > 0 {
 		p.recall(shortage)
 	}
-	p.noteOverdue()
+	p.warnOverdueRecalls()
 	p.leaseFree()
 }
 
-// entry returns the ledger entry of a member with the batch applied so far.
-func (p *plan) entry(i int) *Entry { return &p.proposal.ledger.Entries[i] }
+// entry returns the ledger entry of a member, with the changes in the batch applied so far.
+func (p *planner) entry(i int) *Entry { return &p.builder.ledger.Entries[i] }
 
-// computeShares computes the fair shares of the members from their claims.
-func (p *plan) computeShares() {
+// computeShares computes the claims of the members and their fair shares of the units that are free or leased to
+// members that are alive.
+func (p *planner) computeShares() {
 	leasable := p.free
 	claims := make([]Claim, len(p.members))
 	p.alive = make([]bool, len(p.members))
@@ -69,24 +70,24 @@
 	p.grantor.claims = claims
 }
 
-// onHold reports whether the target of a member changed too recently to change again.
-func (p *plan) onHold(i int) bool {
-	return p.now.Sub(p.members[i].targetChanged) < p.terms.MinTargetInterval
+// targetOnHold reports whether a member's target changed less than Terms.MinTargetInterval ago.
+func (p *planner) targetOnHold(i int) bool {
+	return p.now.Sub(p.members[i].targetChangedAt) < p.terms.MinTargetInterval
 }
 
-// setTarget sets the target of a member.
-func (p *plan) setTarget(i, units int) {
+// setTarget sets the target of a member and, if that is a change, records its time.
+func (p *planner) setTarget(i, units int) {
 	member := &p.members[i]
 	if member.target != units {
 		member.target = units
-		member.targetChanged = p.now
+		member.targetChangedAt = p.now
 	}
 }
 
-// raiseTargets raises the targets of members below their share, and returns how many units have to be recalled for
-// them. Only members below their share justify a recall from those above: when one demand changes, the level moves
-// slightly for all members, and nothing needs to move.
-func (p *plan) raiseTargets() (shortage int) {
+// raiseTargets raises the targets of members with fewer units than their share, and returns how many more units have to
+// be recalled from others for them. Members with more units than their share keep them while no member lacks units: a
+// change of one demand changes the shares of all members slightly, and that alone should move no units.
+func (p *planner) raiseTargets() (shortage int) {
 	shortage = -p.free
 	for i := range p.members {
 		if !p.alive[i] {
@@ -94,24 +95,25 @@
 		}
 		member := &p.members[i]
 		units := p.entry(i).Units
-		if lack := p.shares[i] - units; lack > 0 {
-			shortage += lack
-			if p.shares[i] > member.target && !p.onHold(i) {
+		if deficit := p.shares[i] - units; deficit > 0 {
+			shortage += deficit
+			if p.shares[i] > member.target && !p.targetOnHold(i) {
 				p.setTarget(i, p.shares[i])
 			}
 		}
 		if member.target < units {
-			shortage -= units - member.target // is being recalled already
+			shortage -= units - member.target // recalled already
 		}
 	}
 	return shortage
 }
 
-// recall lowers the targets of members above their share, those furthest above first.
-func (p *plan) recall(shortage int) {
+// recall lowers the targets of members above their share, those furthest above first, until the shortage is met.
+// Targets on hold are lowered only if more units are leased than the capacity allows.
+func (p *planner) recall(shortage int) {
 	var donors []int
 	for i := range p.members {
-		if p.alive[i] && p.members[i].target > p.shares[i] && (!p.onHold(i) || p.free < 0) {
+		if p.alive[i] && p.members[i].target > p.shares[i] && (!p.targetOnHold(i) || p.free < 0) {
 			donors = append(donors, i)
 		}
 	}
@@ -128,26 +130,27 @@
 	}
 }
 
-// noteOverdue notes members that have not returned recalled units in time.
-func (p *plan) noteOverdue() {
+// warnOverdueRecalls warns once of each member that has not returned recalled units within MaxDrain and half a lease.
+func (p *planner) warnOverdueRecalls() {
 	for i := range p.members {
 		member := &p.members[i]
 		entry := p.entry(i)
 		switch {
 		case member.target >= entry.Units:
 			member.overTargetSince = 0
-			member.recallNoted = false
+			member.recallWarned = false
 		case member.overTargetSince == 0:
 			member.overTargetSince = p.now
-		case !member.recallNoted && p.now.Sub(member.overTargetSince) > p.terms.MaxDrain+p.terms.LeaseDuration/2:
-			member.recallNoted = true
-			p.proposal.note(EventRecallOverdue, i, entry.Incarnation, entry.Units-member.target)
+		case !member.recallWarned && p.now.Sub(member.overTargetSince) > p.terms.MaxDrain+p.terms.LeaseDuration/2:
+			member.recallWarned = true
+			p.builder.warn(EventRecallOverdue, i, entry.Incarnation, entry.Units-member.target)
 		}
 	}
 }
 
-// leaseFree leases free units to the members below their target, those with the lowest level first.
-func (p *plan) leaseFree() {
+// leaseFree leases free units to the members below their target, those with the fewest connections per unit of weight
+// first.
+func (p *planner) leaseFree() {
 	var receivers []int
 	for i := range p.members {
 		member := &p.members[i]
@@ -167,18 +170,18 @@
 		units := p.entry(i).Units
 		extra := min(p.members[i].target-units, p.free)
 		p.free -= extra
-		p.proposal.add(Change{Member: i, Units: units + extra})
+		p.builder.addChange(Change{Member: i, Units: units + extra})
 	}
 }
 
-// addHeadroom adds the largest headroom to the claims for which there are enough units. A demand with the mean d
-// varies by its root, so each member gets the same multiple of that, as in square-root staffing (Halfin and Whitt,
-// Operations Research 29, 1981).
+// addHeadroom adds to each claim the headroom of the largest of headroomMultiples for which the units suffice, and none
+// if they suffice for none. A demand with mean d varies by about the square root of d, so each member gets the same
+// multiple of its root, as in square-root staffing (Halfin and Whitt, Operations Research 29, 1981).
 func (g *Grantor) addHeadroom(claims []Claim, units int) {
 	for i, multiple := range headroomMultiples {
 		limit := units
 		if i < g.headroomIndex {
-			limit = units * (headroomHysteresis - 1) / headroomHysteresis
+			limit = units * (headroomSlackDivisor - 1) / headroomSlackDivisor
 		}
 		headroom, total := g.headroom(claims, multiple)
 		if total > limit {
@@ -193,7 +196,8 @@
 	g.headroomIndex = math.MaxInt
 }
 
-// headroom returns the headroom of each claim, and the units that all claims need with it.
+// headroom returns the headroom of each claim for one of headroomMultiples, and the number of connections that all
+// claims need with it, which is at least the floor for each.
 func (g *Grantor) headroom(claims []Claim, multiple float64) (headroom []int, total int) {
 	for _, claim := range claims {
 		extra := 0
--- a/pool/shares.go
+++ b/pool/shares.go
@@ -6,28 +6,30 @@
 	"slices"
 )
 
-// Claim is the claim of one gateway.
+// Claim is the claim of one gateway to connections.
 type Claim struct {
-	Demand int     // connections, those of its floor included
-	Weight float64 // above 0
-	Leased int     // connections above its floor now, which decide between equal claims to a unit
+	Demand int     // connections, including those of the floor
+	Weight float64 // positive; shares are proportional to it where demand exceeds supply
+	Leased int     // units leased now; between equal fractions, a gateway that keeps a unit comes first
 }
 
-// aboveFloor returns the part of a claim above the floor, up to a level of connections for each unit of weight.
+// aboveFloor returns the connections above the floor that the claim gets at a level: its demand, but at most level
+// connections per unit of weight. The result may be a fraction.
 func (c Claim) aboveFloor(level float64, floor int) float64 {
 	return max(min(float64(c.Demand), c.Weight*level)-float64(floor), 0)
 }
 
 const (
-	bisections       = 60  // until the level is as exact as a float64
-	fractionsPerUnit = 1e6 // by which exact shares are rounded
+	bisectionSteps   = 60  // enough to find the level to the precision of a float64
+	fractionsPerUnit = 1e6 // precision of exact shares: differences below 1/fractionsPerUnit are rounding errors
 )
 
-// Shares returns how many of the units each claim gets above the floor: weighted max-min fairness by progressive
-// filling (Bertsekas and Gallager, Data Networks, 6.5.2). All levels rise together in proportion to weight. A gateway
-// whose demand is met stops, and its part is left to the others. The floor is a part of each level, so that a gateway
-// with little demand leaves more to the others. Units are indivisible: those that are left after rounding down go to
-// the largest fractions.
+// Shares divides the units among the claims and returns the units of each, which are connections above the floor. The
+// division is max-min fair with weights, by progressive filling (Bertsekas and Gallager, Data Networks, 6.5.2): the
+// connections of all gateways grow together in proportion to their weights, and a gateway whose demand is met stops
+// growing and leaves the rest to the others. The connections of the floor count as part of each gateway's connections,
+// so a gateway with a demand below its floor gets no units. Shares are rounded down to whole units, and the remaining
+// units go to the claims with the largest fractions.
 func Shares(claims []Claim, floor, units int) []int {
 	shares := make([]int, len(claims))
 	if units <= 0 {
@@ -51,7 +53,8 @@
 	return shares
 }
 
-// fairLevel returns the level at which the claims use up the units, or the one that meets all demand.
+// fairLevel returns the level, in connections per unit of weight, at which the claims use up the units. If the units
+// suffice for all demand, it returns the lowest level that meets all demand.
 func fairLevel(claims []Claim, floor, units int) float64 {
 	high := 0.0
 	for _, claim := range claims {
@@ -68,7 +71,7 @@
 		return high
 	}
 	low := 0.0
-	for range bisections {
+	for range bisectionSteps {
 		level := (low + high) / 2
 		if exceedsUnits(level) {
 			high = level
@@ -79,14 +82,15 @@
 	return low
 }
 
-// remainder is the claim of a member to one of the units that are left after rounding down.
+// remainder is the claim of a member to one of the units that remain after its share was rounded down.
 type remainder struct {
 	member   int
-	fraction float64 // of a unit, rounded
-	leased   bool    // the member has the unit now
+	fraction float64 // of a unit, rounded to 1/fractionsPerUnit
+	leased   bool    // the member has more units leased now than its rounded-down share
 }
 
-// compareRemainders orders larger fractions first, then members that have the unit now.
+// compareRemainders orders larger fractions first, and among equal ones the members that have the unit leased now, so
+// that no unit moves without need.
 func compareRemainders(a, b remainder) int {
 	if order := cmp.Compare(b.fraction, a.fraction); order != 0 {
 		return order
@@ -97,11 +101,12 @@
 		}
 		return 1
 	}
-	return cmp.Compare(scatter(a.member), scatter(b.member))
+	return cmp.Compare(hashMember(a.member), hashMember(b.member))
 }
 
-// scatter returns a hash of a member index, so that the units that are left don't always go to the first members.
-func scatter(member int) uint64 {
+// hashMember returns a hash of a member index. It orders equal claims to the remaining units, so that these don't
+// always go to the members with the lowest indices.
+func hashMember(member int) uint64 {
 	x := uint64(member)*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019
 	x ^= x >> 29
 	return x * 0xbf58476d1ce4e5b9
