--- a/internal/poolrunner/client_test.go
+++ b/internal/poolrunner/client_test.go
@@ -12,7 +12,8 @@
 	"ravensill/pool"
 )
 
-// newTestClient returns a client of three voters, whose addresses nothing listens at.
+// newTestClient returns a client configured with three voters. Nothing listens at their addresses. runOnLoop calls its
+// function directly.
 func newTestClient(t *testing.T) *Client {
 	t.Helper()
 	cfg := &config.Pool{Key: []byte("0123456789abcdef")}
@@ -27,7 +28,8 @@
 	return client
 }
 
-// After Close nothing uses what onGrant uses.
+// Close must wait for the goroutine that reads datagrams. Otherwise onGrant could run after Close returned, and use
+// state that the caller has released.
 func TestClientCloseWaitsForReader(t *testing.T) {
 	client := newTestClient(t)
 	reading := make(chan struct{})
@@ -36,71 +38,79 @@
 	client.runOnLoop = func(func()) {
 		close(reading)
 		<-closing
-		ended = true // a race with the check below unless Close waits
+		ended = true // a data race with the check below, unless Close waits
 	}
 	client.Start(func(*pool.Grant) {})
 	port := client.conn.socket.LocalAddr().(*net.UDPAddr).AddrPort().Port()
 	loopback := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)
 	if !client.conn.send(loopback, &Message{Report: &pool.Report{}}) {
-		t.Fatal("not sent")
+		t.Fatal("the report could not be encoded")
 	}
 	<-reading
 	time.AfterFunc(10*time.Millisecond, func() { close(closing) })
 	client.Close()
 	if !ended {
-		t.Error("Close returned before the reader had ended")
+		t.Error("Close returned before the goroutine that reads datagrams had ended")
 	}
 }
 
-// A voter that doesn't lead names the leader: the latest report is sent again to that one, once for each report.
+// A voter that doesn't lead answers with the index of the leader. The client must send the latest report again, to that
+// voter, but only once for each report: otherwise voters that name each other as the leader would cause an endless
+// loop.
 func TestClientResendsReportOnceToNamedLeader(t *testing.T) {
 	client := newTestClient(t)
 	receiveLeader := func(leader int) {
 		client.receive(&Message{Leader: &leader}, nil, client.cfg.Voters[0], nil)
 	}
 	receiveLeader(2) // no report to send again
-	if client.leader != 0 || client.DatagramsSent != 0 {
-		t.Errorf("before a report: leader %d, %d datagrams sent", client.leader, client.DatagramsSent)
+	if client.leaderIndex != 0 || client.DatagramsSent != 0 {
+		t.Errorf("before the first report: leader %d, %d datagrams sent; want leader 0, 0 sent",
+			client.leaderIndex, client.DatagramsSent)
 	}
 	client.Send(&pool.Report{})
 	receiveLeader(2)
 	receiveLeader(1)
-	if client.leader != 2 || client.DatagramsSent != 2 {
-		t.Errorf("leader %d, %d datagrams sent", client.leader, client.DatagramsSent)
+	if client.leaderIndex != 2 || client.DatagramsSent != 2 {
+		t.Errorf("after two answers to the first report: leader %d, %d datagrams sent; want leader 2, 2 sent",
+			client.leaderIndex, client.DatagramsSent)
 	}
 	client.Send(&pool.Report{})
 	receiveLeader(1)
-	if client.leader != 1 || client.DatagramsSent != 4 {
-		t.Errorf("after the next report: leader %d, %d datagrams sent", client.leader, client.DatagramsSent)
+	if client.leaderIndex != 1 || client.DatagramsSent != 4 {
+		t.Errorf("after an answer to the next report: leader %d, %d datagrams sent; want leader 1, 4 sent",
+			client.leaderIndex, client.DatagramsSent)
 	}
 	receiveLeader(3)
 	receiveLeader(-1)
 	if client.DatagramsReceived != 4 || client.DatagramsDropped != 2 {
-		t.Errorf("%d datagrams received, %d dropped", client.DatagramsReceived, client.DatagramsDropped)
+		t.Errorf("%d datagrams received, %d dropped; want 4 and 2", client.DatagramsReceived, client.DatagramsDropped)
 	}
 }
 
-// A voter that leaves too many reports unanswered is replaced by the next one, and one that grants is the leader.
+// If a voter leaves maxUnanswered reports unanswered, the client must send the next one to the next voter. A voter that
+// sends a grant must become the presumed leader.
 func TestClientChangesSilentVoter(t *testing.T) {
 	client := newTestClient(t)
 	for range maxUnanswered {
 		client.Send(&pool.Report{})
 	}
-	if client.leader != 0 {
-		t.Errorf("leader %d after %d reports", client.leader, maxUnanswered)
+	if client.leaderIndex != 0 {
+		t.Errorf("leader %d after %d unanswered reports, want 0", client.leaderIndex, maxUnanswered)
 	}
 	client.Send(&pool.Report{})
-	if client.leader != 1 {
-		t.Errorf("leader %d after %d reports", client.leader, maxUnanswered+1)
+	if client.leaderIndex != 1 {
+		t.Errorf("leader %d after %d unanswered reports, want 1", client.leaderIndex, maxUnanswered+1)
 	}
 	granted := 0
 	onGrant := func(*pool.Grant) { granted++ }
 	client.receive(&Message{Grant: &pool.Grant{}}, nil, client.cfg.Voters[2], onGrant)
-	if client.leader != 2 || client.unanswered != 0 || granted != 1 {
-		t.Errorf("leader %d, %d unanswered, %d grants", client.leader, client.unanswered, granted)
+	if client.leaderIndex != 2 || client.unansweredReports != 0 || granted != 1 {
+		t.Errorf("after a grant of voter 2: leader %d, %d reports unanswered, %d grants received; want 2, 0 and 1",
+			client.leaderIndex, client.unansweredReports, granted)
 	}
 	client.receive(nil, errors.New("forged"), netip.AddrPort{}, onGrant)
 	if client.DatagramsReceived != 1 || client.DatagramsDropped != 1 || granted != 1 {
-		t.Errorf("%d received, %d dropped, %d grants", client.DatagramsReceived, client.DatagramsDropped, granted)
+		t.Errorf("after an invalid datagram: %d received, %d dropped, %d grants received; want 1 of each",
+			client.DatagramsReceived, client.DatagramsDropped, granted)
 	}
 }
--- a/internal/poolrunner/codec.go
+++ b/internal/poolrunner/codec.go
@@ -1,5 +1,5 @@
-// Package poolrunner runs the parts of package pool: it exchanges datagrams between lease holders and the leading
-// raft voter, and replicates the ledger among the voters.
+// Package poolrunner connects the parts of package pool over the network: it exchanges signed UDP datagrams between the
+// lease holders and the leading raft voter, and replicates the ledger among the voters.
 package poolrunner
 
 import (
@@ -13,53 +13,55 @@
 )
 
 const (
-	maxDatagramBytes = 1024                    // with the signature
-	signatureBytes   = consensus.SignatureSize // at the beginning of a datagram
+	maxDatagramBytes = 1024                    // including the signature
+	signatureBytes   = consensus.SignatureSize // length of the signature, which precedes the message
 )
 
-var errForged = errors.New("not signed with the pool's key")
+var errInvalidSignature = errors.New("the datagram is not signed with the pool's key")
 
 // Message is the content of a datagram. Exactly one field is set.
 type Message struct {
-	Report *pool.Report `json:"r,omitempty"` // of a lease holder
-	Grant  *pool.Grant  `json:"g,omitempty"` // of the leading voter
-	Leader *int         `json:"l,omitempty"` // of another voter: index of the leading one
+	Report *pool.Report `json:"r,omitempty"` // from a lease holder
+	Grant  *pool.Grant  `json:"g,omitempty"` // from the leading voter
+	Leader *int         `json:"l,omitempty"` // from another voter: the index of the leading one
 }
 
-// Encode returns the signed datagram of a message.
+// Encode encodes a message as a datagram: a signature with the key, then the message as JSON. It fails if the datagram
+// would exceed maxDatagramBytes.
 func Encode(key []byte, message *Message) ([]byte, error) {
-	text, err := json.Marshal(message)
+	payload, err := json.Marshal(message)
 	if err != nil {
 		return nil, err
 	}
-	if len(text)+signatureBytes > maxDatagramBytes {
-		return nil, errors.New("message too long")
+	if len(payload)+signatureBytes > maxDatagramBytes {
+		return nil, errors.New("the encoded message exceeds the maximum datagram size")
 	}
-	return append(consensus.Sign(key, text), text...), nil
+	return append(consensus.Sign(key, payload), payload...), nil
 }
 
-// Decode checks the signature of a datagram and returns its message.
+// Decode verifies the signature of a datagram and decodes its message. It fails if the datagram has an invalid length
+// or signature, or if its message doesn't have exactly one field.
 func Decode(key, datagram []byte) (*Message, error) {
 	if len(datagram) <= signatureBytes || len(datagram) > maxDatagramBytes {
-		return nil, fmt.Errorf("a datagram of %d bytes", len(datagram))
+		return nil, fmt.Errorf("datagram of %d bytes is too short or too long", len(datagram))
 	}
 	signature := datagram[:signatureBytes]
-	text := datagram[signatureBytes:]
-	if !hmac.Equal(signature, consensus.Sign(key, text)) {
-		return nil, errForged
+	payload := datagram[signatureBytes:]
+	if !hmac.Equal(signature, consensus.Sign(key, payload)) {
+		return nil, errInvalidSignature
 	}
 	message := &Message{}
-	if err := json.Unmarshal(text, message); err != nil {
+	if err := json.Unmarshal(payload, message); err != nil {
 		return nil, err
 	}
-	fields := 0
+	setFields := 0
 	for _, set := range []bool{message.Report != nil, message.Grant != nil, message.Leader != nil} {
 		if set {
-			fields++
+			setFields++
 		}
 	}
-	if fields != 1 {
-		return nil, errors.New("not exactly one field")
+	if setFields != 1 {
+		return nil, errors.New("the message does not have exactly one of the fields r, g and l")
 	}
 	return message, nil
 }
--- a/internal/poolrunner/codec_test.go
+++ b/internal/poolrunner/codec_test.go
@@ -7,8 +7,8 @@
 	"ravensill/pool"
 )
 
-// FuzzDecode checks that no datagram makes Decode accept another key, a grantor fail, or a lease holder go below its
-// floor.
+// FuzzDecode checks that Decode rejects datagrams that were signed with another key, and that no decoded message makes
+// a Grantor panic or a Leaseholder allow fewer connections than the floor.
 func FuzzDecode(f *testing.F) {
 	key := []byte("0123456789abcdef")
 	report := &pool.Report{Member: 3, Incarnation: 1 << 63, Demand: 2.5, Weight: 1}
@@ -29,7 +29,7 @@
 			return
 		}
 		if _, err := Decode([]byte("another key of it"), datagram); err == nil {
-			t.Error("a message signed with another key was accepted")
+			t.Error("Decode accepted a datagram that was signed with another key")
 		}
 		if message.Report != nil {
 			grantor := pool.NewGrantor(&terms, 1, pool.NewLedger(&terms))
@@ -40,7 +40,7 @@
 			holder := pool.NewLeaseholder(&terms, 0, 1, 1, 1, 9, 1)
 			holder.Receive(2, message.Grant)
 			if holder.Allowed(2) < terms.Floor {
-				t.Error("less than the floor")
+				t.Error("after a grant the lease holder allows fewer connections than the floor")
 			}
 		}
 	})
--- a/internal/poolrunner/ledger_machine.go
+++ b/internal/poolrunner/ledger_machine.go
@@ -12,13 +12,15 @@
 	"ravensill/pool"
 )
 
-// ledgerMachine is the replicated state machine of the voters. Its ledger belongs to the goroutine of the raft library.
-type ledgerMachine struct {
+// ledgerFSM is the replicated state machine of the voters, for the raft library. Only the library's goroutine uses the
+// ledger.
+type ledgerFSM struct {
 	ledger *pool.Ledger
 }
 
-// Apply applies a committed batch and returns a copy of the ledger. All voters skip a batch that can't be decoded.
-func (m *ledgerMachine) Apply(entry *raft.Log) any {
+// Apply applies a committed batch and returns a copy of the ledger after it. A batch that can't be decoded is logged
+// and changes nothing, on any voter.
+func (m *ledgerFSM) Apply(entry *raft.Log) any {
 	var batch pool.Batch
 	if err := json.Unmarshal(entry.Data, &batch); err != nil {
 		slog.Error("pool_batch_dropped", "error", err)
@@ -27,28 +29,29 @@
 	return m.ledger.Clone()
 }
 
-// Snapshot returns the ledger as JSON.
-func (m *ledgerMachine) Snapshot() (raft.FSMSnapshot, error) {
+// Snapshot returns a snapshot that writes a copy of the present ledger as JSON.
+func (m *ledgerFSM) Snapshot() (raft.FSMSnapshot, error) {
 	ledger := m.ledger.Clone()
 	write := func(w io.Writer) error { return json.NewEncoder(w).Encode(ledger) }
 	return consensus.SnapshotWriter(write), nil
 }
 
-// Restore replaces the ledger by that of a snapshot. It returns an error if the snapshot was taken with other terms.
-func (m *ledgerMachine) Restore(snapshot io.ReadCloser) error {
+// Restore replaces the ledger by that of a snapshot. It fails if the snapshot can't be decoded, or was taken with
+// another number of members, floor or reserve.
+func (m *ledgerFSM) Restore(snapshot io.ReadCloser) error {
 	defer snapshot.Close()
 	ledger := &pool.Ledger{}
 	if err := json.NewDecoder(snapshot).Decode(ledger); err != nil {
 		return err
 	}
 	if !sameTerms(ledger, m.ledger) {
-		return errors.New("snapshot of other terms")
+		return errors.New("the ledger in the snapshot has another number of members, floor or reserve")
 	}
 	m.ledger = ledger
 	return nil
 }
 
-// sameTerms reports whether two ledgers were made with the same terms.
+// sameTerms reports whether two ledgers have the same number of members, floor and reserve.
 func sameTerms(a, b *pool.Ledger) bool {
 	return len(a.Entries) == len(b.Entries) && a.Floor == b.Floor && a.Reserve == b.Reserve
 }
--- a/internal/poolrunner/voter.go
+++ b/internal/poolrunner/voter.go
@@ -14,49 +14,52 @@
 )
 
 const (
-	statusInterval  = 5 * time.Second // between status lines in the log
-	proposeTimeout  = 5 * time.Second
-	minTickInterval = 10 * time.Millisecond
-	ticksPerReport  = 3 // ticks in a report interval
-	inboxSize       = 4096
+	statusInterval  = 5 * time.Second       // time between status lines in the log
+	proposeTimeout  = 5 * time.Second       // longest wait for a place in the queue of proposals
+	minTickInterval = 10 * time.Millisecond // least time between ticks
+	ticksPerReport  = 3                     // ticks in a report interval
+	eventQueueSize  = 4096
 
-	// restartsPerElection is the share of the election timeout that a voter waits before it starts a new grantor.
-	restartsPerElection = 4
+	// restartDelayDivisor divides the election timeout. A voter that drops its grantor while it leads waits for that part
+	// of the timeout before it creates a new one.
+	restartDelayDivisor = 4
 )
 
-// Voter is one of the raft voters, which replicate the ledger with package consensus. The goroutine of run owns the
-// lease grantor while the voter leads, and sends all datagrams.
+// Voter is one of the raft voters, which replicate the ledger by package consensus. While it leads, it runs the
+// grantor, and otherwise it tells lease holders which voter leads. One goroutine, that of run, handles all events and
+// sends all datagrams; the other goroutines pass it functions.
 type Voter struct {
-	cfg     *config.Pool
-	index   int
-	replica *consensus.Replica
-	conn    *messageConn
-	inbox   chan func() // work for run
-	done    chan struct{}
-	task    sync.WaitGroup // run
-	helpers sync.WaitGroup // goroutines that pass work to run
-	epoch   time.Time      // start of the clock
+	cfg          *config.Pool
+	index        int // in cfg.Voters and cfg.VoterStreams
+	replica      *consensus.Replica
+	conn         *messageConn
+	eventQueue   chan func()    // functions for the goroutine of run
+	done         chan struct{}  // closed by Close
+	runGoroutine sync.WaitGroup // the goroutine of run
+	producers    sync.WaitGroup // the goroutines that add to eventQueue
+	startTime    time.Time      // origin of the clock that now reads
 
-	// The fields below belong to the goroutine of run.
-	grantor     *pool.Grantor    // nil unless the voter leads and has read the ledger
-	term        int              // number of changes of leadership and of the grantor
-	leading     bool             // as reported by the replica
-	memberAddrs []netip.AddrPort // of lease holders, by member index
-	lastStatus  pool.Instant     // time of the latest status line
-	received    int              // datagrams
-	sent        int              // datagrams
-	dropped     int              // invalid datagrams
-	batches     int              // proposed
+	// Only the goroutine of run uses the fields below.
+	grantor           *pool.Grantor    // nil unless the voter leads and has read the ledger
+	generation        int              // incremented when leadership changes or the grantor is dropped
+	leading           bool             // the latest state that the replica reported
+	memberAddrs       []netip.AddrPort // UDP addresses of the lease holders, by member index; invalid: unknown
+	lastStatus        pool.Instant     // time of the latest status line
+	datagramsReceived int              // including invalid ones
+	datagramsSent     int
+	datagramsDropped  int // received, but invalid
+	batchesProposed   int
 }
 
-// StartVoter opens the sockets and the replicated log of the voter with an index, and starts its goroutines.
+// StartVoter opens the sockets and the replicated log of the voter with the given index in cfg.Voters, and starts its
+// goroutines. It fails if a socket or the log can't be opened.
 func StartVoter(system sockets.System, cfg *config.Pool, index int) (*Voter, error) {
 	v := &Voter{
 		cfg:         cfg,
 		index:       index,
-		inbox:       make(chan func(), inboxSize),
+		eventQueue:  make(chan func(), eventQueueSize),
 		done:        make(chan struct{}),
-		epoch:       time.Now(),
+		startTime:   time.Now(),
 		memberAddrs: make([]netip.AddrPort, cfg.Terms.Members),
 	}
 	var err error
@@ -73,43 +76,43 @@
 		Dir:             cfg.Dir,
 		Key:             cfg.Key,
 		ElectionTimeout: cfg.ElectionTimeout,
-	}, &ledgerMachine{ledger: pool.NewLedger(&cfg.Terms)})
+	}, &ledgerFSM{ledger: pool.NewLedger(&cfg.Terms)})
 	if err != nil {
 		v.conn.close()
 		return nil, err
 	}
-	v.helpers.Go(v.read)
-	v.task.Go(v.run)
+	v.producers.Go(v.read)
+	v.runGoroutine.Go(v.run)
 	return v, nil
 }
 
-// Close closes the replica and the socket, and waits until the goroutines have ended.
+// Close closes the replica and the socket, and waits until the voter's goroutines have ended.
 func (v *Voter) Close() {
 	close(v.done)
-	v.task.Wait()
-	v.replica.Close() // ends proposals in progress
+	v.runGoroutine.Wait()
+	v.replica.Close() // ends the wait for the outcome of proposals
 	v.conn.close()
-	v.helpers.Wait()
+	v.producers.Wait()
 }
 
-// now returns the time since the start. It is above 0, which means no time in package pool.
-func (v *Voter) now() pool.Instant { return pool.Instant(time.Since(v.epoch)) + 1 }
+// now returns the time since the voter was started, plus 1 ns, because 0 means no time in package pool.
+func (v *Voter) now() pool.Instant { return pool.Instant(time.Since(v.startTime)) + 1 }
 
-// enqueue passes f to the goroutine of run. It drops f after Close.
+// enqueue passes f to the goroutine of run. It blocks while the queue is full, and drops f after Close.
 func (v *Voter) enqueue(f func()) {
 	select {
-	case v.inbox <- f:
+	case v.eventQueue <- f:
 	case <-v.done:
 	}
 }
 
-// read passes datagrams to the goroutine of run until the socket is closed.
+// read passes received datagrams to the goroutine of run until the socket is closed.
 func (v *Voter) read() {
 	v.conn.read(func(message *Message, err error, from netip.AddrPort) {
 		v.enqueue(func() {
-			v.received++
+			v.datagramsReceived++
 			if err != nil {
-				v.dropped++
+				v.datagramsDropped++
 				return
 			}
 			v.receive(message, from)
@@ -123,12 +126,12 @@
 	defer tick.Stop()
 	for {
 		select {
-		case f := <-v.inbox:
+		case f := <-v.eventQueue:
 			f()
 		case leading := <-v.replica.Leadership():
 			v.leading = leading
 			v.grantor = nil
-			v.term++
+			v.generation++
 			slog.Info("pool_leader_changed", "leader", leading)
 			if leading {
 				v.startLeading()
@@ -141,11 +144,11 @@
 	}
 }
 
-// tick proposes what the grantor decides, and logs the status if a line is due.
+// tick proposes the next batch of the grantor if there is one, and logs the status if it is due.
 func (v *Voter) tick(now pool.Instant) {
 	if v.grantor != nil {
 		batch, notes := v.grantor.Tick(now)
-		logNotes(notes)
+		logWarnings(notes)
 		if batch != nil {
 			v.propose(batch, v.sendGrants)
 		}
@@ -153,14 +156,15 @@
 	v.logStatus(now)
 }
 
-// sendGrants sends the grants that follow from the commit of a batch.
+// sendGrants sends the grants that the grantor issues after a batch was committed. ledger is the ledger after the
+// batch.
 func (v *Voter) sendGrants(ledger *pool.Ledger) {
 	for _, grant := range v.grantor.Committed(ledger) {
 		v.send(v.memberAddrs[grant.Member], &Message{Grant: grant})
 	}
 }
 
-func logNotes(notes []pool.Warning) {
+func logWarnings(notes []pool.Warning) {
 	for _, note := range notes {
 		slog.Warn(note.Event,
 			"member", note.Member,
@@ -170,29 +174,31 @@
 	}
 }
 
-// startLeading reads the ledger by an empty batch: when that is applied, so is all that was committed before.
+// startLeading creates a grantor once an empty batch is committed. The ledger after that batch includes all batches
+// that were committed under earlier leaders.
 func (v *Voter) startLeading() {
 	v.propose(&pool.Batch{}, func(ledger *pool.Ledger) {
 		v.grantor = pool.NewGrantor(&v.cfg.Terms, v.now(), ledger)
 	})
 }
 
-// propose proposes a batch and calls onCommit on the goroutine of run, with the ledger after the batch. If the
-// outcome is uncertain, it drops the grantor and starts leading again.
+// propose proposes a batch. When the batch is committed, it calls onCommit on the goroutine of run, with the ledger
+// after the batch. If the proposal fails or its outcome is unknown, it replaces the grantor, since the ledger may then
+// differ from the one that the grantor assumes. Outcomes of an earlier generation are ignored.
 func (v *Voter) propose(batch *pool.Batch, onCommit func(*pool.Ledger)) {
-	text, err := json.Marshal(batch)
+	data, err := json.Marshal(batch)
 	if err != nil {
 		slog.Error("pool_batch_encode_failed", "error", err)
 		return
 	}
-	term := v.term
-	v.batches++
-	proposal := v.replica.Propose(text, proposeTimeout)
-	v.helpers.Go(func() {
+	generation := v.generation
+	v.batchesProposed++
+	proposal := v.replica.Propose(data, proposeTimeout)
+	v.producers.Go(func() {
 		ledger, err := proposal.Wait()
 		v.enqueue(func() {
 			switch {
-			case v.term != term:
+			case v.generation != generation:
 			case err == nil:
 				onCommit(ledger.(*pool.Ledger))
 			default:
@@ -203,32 +209,34 @@
 	})
 }
 
-// restartLeading drops the grantor, and starts a new one after a pause if the voter still leads then.
+// restartLeading drops the grantor. After a pause it creates a new one, unless leadership or the grantor has changed
+// meanwhile.
 func (v *Voter) restartLeading() {
 	v.grantor = nil
-	v.term++
-	term := v.term
-	time.AfterFunc(v.cfg.ElectionTimeout/restartsPerElection, func() {
+	v.generation++
+	generation := v.generation
+	time.AfterFunc(v.cfg.ElectionTimeout/restartDelayDivisor, func() {
 		v.enqueue(func() {
-			if v.leading && v.term == term {
+			if v.leading && v.generation == generation {
 				v.startLeading()
 			}
 		})
 	})
 }
 
-// send sends a message, unless the address is not known yet.
+// send sends a message. It does nothing if the address is invalid, as that of a member which has not reported yet.
 func (v *Voter) send(to netip.AddrPort, message *Message) {
 	if to.IsValid() && v.conn.send(to, message) {
-		v.sent++
+		v.datagramsSent++
 	}
 }
 
-// receive handles a report, or answers it with the voter that leads.
+// receive passes a report to the grantor. Without a grantor it answers with the index of the leading voter, if that is
+// known and another one. It drops other messages.
 func (v *Voter) receive(message *Message, from netip.AddrPort) {
 	report := message.Report
 	if report == nil || report.Member < 0 || report.Member >= len(v.memberAddrs) {
-		v.dropped++
+		v.datagramsDropped++
 		return
 	}
 	if v.grantor != nil {
@@ -242,18 +250,18 @@
 	}
 }
 
-// logStatus logs a status line when one is due.
+// logStatus logs a status line if statusInterval has passed since the last one.
 func (v *Voter) logStatus(now pool.Instant) {
 	if now.Sub(v.lastStatus) < statusInterval {
 		return
 	}
 	v.lastStatus = now
-	dropped := v.dropped + v.replica.DroppedAnnouncements()
+	dropped := v.datagramsDropped + v.replica.DroppedAnnouncements()
 	if v.grantor == nil {
 		slog.Info("pool_voter_status",
 			"leading", false,
-			"datagrams_received", v.received,
-			"datagrams_sent", v.sent,
+			"datagrams_received", v.datagramsReceived,
+			"datagrams_sent", v.datagramsSent,
 			"datagrams_dropped", dropped,
 		)
 		return
@@ -261,10 +269,10 @@
 	totals := v.grantor.Totals()
 	slog.Info("pool_voter_status",
 		"leading", true,
-		"datagrams_received", v.received,
-		"datagrams_sent", v.sent,
+		"datagrams_received", v.datagramsReceived,
+		"datagrams_sent", v.datagramsSent,
 		"datagrams_dropped", dropped,
-		"batches", v.batches,
+		"batches", v.batchesProposed,
 		"capacity", totals.Capacity,
 		"serial", totals.Serial,
 		"leased", totals.Leased,
--- a/internal/poolrunner/voter_test.go
+++ b/internal/poolrunner/voter_test.go
@@ -30,12 +30,13 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// landedLedger is the ledger that the folder testdata/landed-6d43e16 holds, which the program at 6d43e16 wrote: a
-// snapshot, and batches in the log after it.
+// landedLedger is the ledger in testdata/landed-6d43e16, the directory of a voter of an earlier release: a snapshot,
+// and later batches in the log.
 const landedLedger = `{"Capacity":40,"Serial":5,"Entries":[` +
 	`{"Life":77,"Number":5,"Units":25,"Stranded":0},{"Life":88,"Number":2,"Units":8,"Stranded":0}],"Reserve":3,"Floor":2}`
 
-// A voter's folder of an earlier release is opened as it was left: what was lent counts as lent.
+// A voter must read the directory that an earlier release wrote. If it lost leases after an upgrade, their units would
+// be leased a second time, and the store would get more connections than it accepts.
 func TestVoterOpensFolderOfEarlierRelease(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "voter")
 	err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "landed-6d43e16")))
@@ -66,7 +67,7 @@
 	deadline := time.Now().Add(waitTimeout)
 	for voter.replica.Barrier(proposeTimeout) != nil {
 		if time.Now().After(deadline) {
-			t.Fatal("the voter does not lead")
+			t.Fatal("the voter has not become the leader in time")
 		}
 		time.Sleep(pollInterval)
 	}
@@ -76,6 +77,6 @@
 	}
 	text, err := json.Marshal(ledger)
 	if err != nil || string(text) != landedLedger {
-		t.Errorf("the ledger is %s, %v; want %s", text, err, landedLedger)
+		t.Errorf("the ledger is %s, error %v; want %s", text, err, landedLedger)
 	}
 }
