--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -22,38 +22,38 @@
 	testPoll    = 5 * time.Millisecond
 )
 
-// eventually waits until a condition is true, which other goroutines bring about.
-func eventually(t *testing.T, what string, reached func() bool) {
+// eventually waits until other goroutines have made a condition true, and fails the test after testTimeout.
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
-	for !reached() {
+	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited for %s", what)
+			t.Fatalf("timed out waiting for %s", description)
 		}
 		time.Sleep(testPoll)
 	}
 }
 
-// list is a state machine that stores its entries in order.
-type list struct {
+// listFSM is a state machine whose state is the list of all entries. The result of an entry is the length of the list.
+type listFSM struct {
 	mu      sync.Mutex
 	entries []string
 }
 
-func (l *list) Apply(entry *raft.Log) any {
+func (l *listFSM) Apply(entry *raft.Log) any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entries = append(l.entries, string(entry.Data))
 	return len(l.entries)
 }
 
-func (l *list) get() []string {
+func (l *listFSM) get() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.entries)
 }
 
-func (l *list) Snapshot() (raft.FSMSnapshot, error) {
+func (l *listFSM) Snapshot() (raft.FSMSnapshot, error) {
 	text := strings.Join(l.get(), " ")
 	return SnapshotWriter(func(w io.Writer) error {
 		_, err := io.WriteString(w, text)
@@ -61,7 +61,7 @@
 	}), nil
 }
 
-func (l *list) Restore(r io.ReadCloser) error {
+func (l *listFSM) Restore(r io.ReadCloser) error {
 	text, err := io.ReadAll(r)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,51 +69,52 @@
 	return errors.Join(err, r.Close())
 }
 
-// group is a group of three replicas on loopback.
-type group struct {
+// testCluster is a cluster of three replicas with loopback addresses.
+type testCluster struct {
 	t         *testing.T
 	addresses []netip.AddrPort
 	dirs      []string
-	lists     []*list
-	replicas  []*Replica // nil: closed
+	fsms      []*listFSM
+	replicas  []*Replica // nil: not open
 }
 
-func newGroup(t *testing.T) *group {
-	g := newClosedGroup(t)
-	for i := range g.replicas {
-		g.open(i)
+func newCluster(t *testing.T) *testCluster {
+	c := newClosedCluster(t)
+	for i := range c.replicas {
+		c.open(i)
 	}
-	return g
+	return c
 }
 
-// newClosedGroup returns a group of replicas that are not open.
-func newClosedGroup(t *testing.T) *group {
-	g := &group{t: t, lists: make([]*list, 3), replicas: make([]*Replica, 3)}
+// newClosedCluster returns a cluster whose replicas are not open yet.
+func newClosedCluster(t *testing.T) *testCluster {
+	c := &testCluster{t: t, fsms: make([]*listFSM, 3), replicas: make([]*Replica, 3)}
 	for range 3 {
+		// A random loopback address makes it unlikely that another process takes the port after it is closed.
 		host := netip.AddrFrom4([4]byte{127, byte(64 + rand.IntN(64)), byte(rand.IntN(256)), byte(1 + rand.IntN(254))})
-		l, err := net.Listen("tcp4", netip.AddrPortFrom(host, 0).String()) // a random host, so that the port stays free
+		l, err := net.Listen("tcp4", netip.AddrPortFrom(host, 0).String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.addresses = append(g.addresses, l.Addr().(*net.TCPAddr).AddrPort())
-		g.dirs = append(g.dirs, t.TempDir())
+		c.addresses = append(c.addresses, l.Addr().(*net.TCPAddr).AddrPort())
+		c.dirs = append(c.dirs, t.TempDir())
 		l.Close()
 	}
 	t.Cleanup(func() {
-		for i := range g.replicas {
-			g.close(i)
+		for i := range c.replicas {
+			c.close(i)
 		}
 	})
-	return g
+	return c
 }
 
-func (g *group) config(i int) Config {
+func (c *testCluster) config(i int) Config {
 	return Config{
 		ClusterName:       "test",
 		Index:             i,
-		Addresses:         g.addresses,
-		Listen:            g.addresses[i],
-		Dir:               g.dirs[i],
+		Addresses:         c.addresses,
+		Listen:            c.addresses[i],
+		Dir:               c.dirs[i],
 		Key:               []byte("0123456789abcdef"),
 		ElectionTimeout:   200 * time.Millisecond,
 		SnapshotThreshold: 4,
@@ -121,28 +122,28 @@
 	}
 }
 
-func (g *group) open(i int) {
-	g.t.Helper()
+func (c *testCluster) open(i int) {
+	c.t.Helper()
 	var err error
-	g.lists[i] = &list{}
-	g.replicas[i], err = Open(g.config(i), g.lists[i])
+	c.fsms[i] = &listFSM{}
+	c.replicas[i], err = Open(c.config(i), c.fsms[i])
 	if err != nil {
-		g.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 }
 
-func (g *group) close(i int) {
-	if g.replicas[i] != nil {
-		g.replicas[i].Close()
-		g.replicas[i] = nil
+func (c *testCluster) close(i int) {
+	if c.replicas[i] != nil {
+		c.replicas[i].Close()
+		c.replicas[i] = nil
 	}
 }
 
-// propose proposes an entry to the leader until it is committed, and returns the index of the leader.
-func (g *group) propose(entry string) (leader int) {
-	g.t.Helper()
-	eventually(g.t, "an entry to be committed", func() bool {
-		for i, r := range g.replicas {
+// propose proposes an entry to the leader until it is committed, and returns the index of that leader.
+func (c *testCluster) propose(entry string) (leader int) {
+	c.t.Helper()
+	eventually(c.t, "an entry to be committed", func() bool {
+		for i, r := range c.replicas {
 			if r == nil || !r.IsLeader() {
 				continue
 			}
@@ -158,140 +159,143 @@
 }
 
 // waitForEntries waits until all running replicas have applied the entries.
-func (g *group) waitForEntries(want ...string) {
-	g.t.Helper()
-	for i, r := range g.replicas {
+func (c *testCluster) waitForEntries(want ...string) {
+	c.t.Helper()
+	for i, r := range c.replicas {
 		if r != nil {
-			eventually(g.t, "equal lists", func() bool { return slices.Equal(g.lists[i].get(), want) })
+			eventually(c.t, "the expected entries on a replica", func() bool { return slices.Equal(c.fsms[i].get(), want) })
 		}
 	}
 }
 
-// A group bootstraps itself, goes on without its leader, and takes back a replica with its disk or without.
+// A new cluster must bootstrap itself, go on after the loss of its leader, and take back a replica, whether it still
+// has its disk or not. A replica that lost its disk has to get a new id, and must be able to vote again.
 func TestGroupSurvivesLossOfLeaderAndOfDisk(t *testing.T) {
-	g := newGroup(t)
-	first := g.propose("a")
-	g.waitForEntries("a")
-	for i, r := range g.replicas {
+	c := newCluster(t)
+	first := c.propose("a")
+	c.waitForEntries("a")
+	for i, r := range c.replicas {
 		eventually(t, "contact with a quorum", func() bool { return r.HasQuorumContact() && r.LeaderIndex() == first })
 		if i == first {
 			continue
 		}
 		_, err := r.Propose(nil, time.Second).Wait()
 		if !errors.Is(err, ErrNotLeader) {
-			t.Errorf("a replica that does not lead: %v", err)
+			t.Errorf("a proposal to a replica that is not the leader: error %v, want ErrNotLeader", err)
 		}
 	}
-	if err := g.replicas[first].TransferLeadership(); err != nil {
+	if err := c.replicas[first].TransferLeadership(); err != nil {
 		t.Error(err)
 	}
-	eventually(t, "another to lead", func() bool { return !g.replicas[first].IsLeader() })
-	g.close(first)
-	second := g.propose("b")
-	g.waitForEntries("a", "b")
-	if err := g.replicas[second].Snapshot(); err != nil {
+	eventually(t, "the leadership transfer", func() bool { return !c.replicas[first].IsLeader() })
+	c.close(first)
+	second := c.propose("b")
+	c.waitForEntries("a", "b")
+	if err := c.replicas[second].Snapshot(); err != nil {
 		t.Fatal(err)
 	}
-	g.open(first)
-	g.waitForEntries("a", "b")
+	c.open(first)
+	c.waitForEntries("a", "b")
 	lost := 3 - first - second
-	previous := g.replicas[lost].id
-	g.close(lost)
-	if err := os.RemoveAll(g.dirs[lost]); err != nil {
+	previous := c.replicas[lost].id
+	c.close(lost)
+	if err := os.RemoveAll(c.dirs[lost]); err != nil {
 		t.Fatal(err)
 	}
-	g.propose("c")
-	g.open(lost)
-	if g.replicas[lost].id == previous || ReplicaIndex(g.replicas[lost].id) != lost {
-		t.Errorf("id %s after %s", g.replicas[lost].id, previous)
+	c.propose("c")
+	c.open(lost)
+	if c.replicas[lost].id == previous || ReplicaIndex(c.replicas[lost].id) != lost {
+		t.Errorf("after the loss of its disk the replica has the id %s, before %s", c.replicas[lost].id, previous)
 	}
-	g.waitForEntries("a", "b", "c")
-	g.close(first)
-	g.propose("d") // the replica that lost its disk votes again
-	g.waitForEntries("a", "b", "c", "d")
+	c.waitForEntries("a", "b", "c")
+	c.close(first)
+	c.propose("d") // needs the vote of the replica that lost its disk
+	c.waitForEntries("a", "b", "c", "d")
 }
 
-// A replica has caught up when it has applied what was committed before its start, from its log, its own snapshot or
-// one of the leader. Without a leader it never has.
+// CaughtUp must be true only after the replica has applied all entries that were committed before its start, from its
+// own snapshot and log, or from a snapshot of the leader. A replica without a leader can't know which entries of its
+// log are committed, so it must not report that it has caught up.
 func TestReplicaCatchesUpOnlyWithLeader(t *testing.T) {
-	g := newGroup(t)
-	g.propose("a")
-	for _, r := range g.replicas {
-		eventually(t, "all to be caught up", r.CaughtUp)
+	c := newCluster(t)
+	c.propose("a")
+	for _, r := range c.replicas {
+		eventually(t, "all replicas to catch up", r.CaughtUp)
 	}
-	g.waitForEntries("a")
-	err := g.replicas[0].Snapshot()
+	c.waitForEntries("a")
+	err := c.replicas[0].Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.propose("b")
-	g.waitForEntries("a", "b")
-	for i := range g.replicas {
-		g.close(i)
+	c.propose("b")
+	c.waitForEntries("a", "b")
+	for i := range c.replicas {
+		c.close(i)
 	}
-	g.open(0)
-	alone := g.replicas[0]
-	eventually(t, "the replica to call for an election", func() bool { return alone.raft.State() == raft.Candidate })
+	c.open(0)
+	alone := c.replicas[0]
+	eventually(t, "the replica to start an election", func() bool { return alone.raft.State() == raft.Candidate })
 	if alone.CaughtUp() {
-		t.Errorf("caught up alone, with %v", g.lists[0].get())
+		t.Errorf("a replica without a leader has caught up, with the entries %v", c.fsms[0].get())
 	}
-	g.open(1)
-	eventually(t, "two to be caught up", func() bool { return g.replicas[0].CaughtUp() && g.replicas[1].CaughtUp() })
+	c.open(1)
+	eventually(t, "two replicas to catch up", func() bool { return c.replicas[0].CaughtUp() && c.replicas[1].CaughtUp() })
 	for i := range 2 {
-		if got := g.lists[i].get(); !slices.Equal(got, []string{"a", "b"}) {
-			t.Errorf("replica %d is caught up with %v", i, got)
+		if got := c.fsms[i].get(); !slices.Equal(got, []string{"a", "b"}) {
+			t.Errorf("replica %d has caught up with the entries %v, want [a b]", i, got)
 		}
 	}
 	for _, entry := range []string{"c", "d", "e", "f", "g", "h"} { // more than the entries kept after a snapshot
-		g.propose(entry)
+		c.propose(entry)
 	}
-	for _, r := range g.replicas[:2] {
+	for _, r := range c.replicas[:2] {
 		err := r.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	g.open(2)
-	eventually(t, "the third to be caught up by a snapshot", g.replicas[2].CaughtUp)
-	if got := g.lists[2].get(); len(got) != 8 {
-		t.Errorf("caught up with %v", got)
+	c.open(2)
+	eventually(t, "the third replica to catch up by a snapshot of the leader", c.replicas[2].CaughtUp)
+	if got := c.fsms[2].get(); len(got) != 8 {
+		t.Errorf("the third replica has caught up with the entries %v, want 8 entries", got)
 	}
 }
 
-// The latest entry is read from memory: the leader reads it all the time, and it may have megabytes.
+// The latest entry must be cached in memory. The leader reads it many times per second, and decoding an entry of
+// several megabytes from disk each time would take too long.
 func TestLatestEntryIsCached(t *testing.T) {
-	g := newGroup(t)
-	r := g.replicas[g.propose(strings.Repeat("a", 1<<20))]
-	index := r.machine.applied.Load()
+	c := newCluster(t)
+	r := c.replicas[c.propose(strings.Repeat("a", 1<<20))]
+	index := r.fsm.applied.Load()
 	var first, second raft.Log
-	err := errors.Join(r.entries.GetLog(index, &first), r.entries.GetLog(index, &second))
+	err := errors.Join(r.logStore.GetLog(index, &first), r.logStore.GetLog(index, &second))
 	if err != nil || len(first.Data) == 0 || &first.Data[0] != &second.Data[0] {
-		t.Errorf("entry %d with %d bytes is decoded at each read, %v", index, len(first.Data), err)
+		t.Errorf("entry %d with %d bytes is not cached, or can't be read: error %v", index, len(first.Data), err)
 	}
 }
 
-// A minority neither commits an entry nor reports contact with a quorum.
+// A leader that is left without a quorum must neither commit an entry nor report contact with a quorum.
 func TestMinorityCommitsNothing(t *testing.T) {
-	g := newGroup(t)
-	leader := g.propose("a")
-	for i := range g.replicas {
+	c := newCluster(t)
+	leader := c.propose("a")
+	for i := range c.replicas {
 		if i != leader {
-			g.close(i)
+			c.close(i)
 		}
 	}
-	eventually(t, "the leader to step down", func() bool { return !g.replicas[leader].HasQuorumContact() })
-	_, err := g.replicas[leader].Propose([]byte("b"), time.Second).Wait()
+	eventually(t, "the leader to step down", func() bool { return !c.replicas[leader].HasQuorumContact() })
+	_, err := c.replicas[leader].Propose([]byte("b"), time.Second).Wait()
 	if err == nil {
-		t.Error("a minority committed an entry")
+		t.Error("a leader without a quorum committed an entry")
 	}
 }
 
-// A connection without a valid greeting is closed, invalid announcements are dropped, and a directory belongs to one
-// replica.
+// A replica must close a connection without a valid greeting, drop announcements whose index and id don't fit, and
+// refuse to open the directory of another replica.
 func TestReplicaRejectsForeignConnectionsAndDirectory(t *testing.T) {
-	g := newGroup(t)
-	g.propose("a")
-	conn, err := net.Dial("tcp4", g.addresses[1].String())
+	c := newCluster(t)
+	c.propose("a")
+	conn, err := net.Dial("tcp4", c.addresses[1].String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -299,19 +303,19 @@
 	conn.Write(make([]byte, SignatureSize))
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	if n, err := conn.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%d bytes after an invalid greeting, %v", n, err)
+		t.Errorf("after an invalid greeting: read %d bytes, error %v; want a closed connection", n, err)
 	}
 	for _, a := range []Announcement{{Index: 7, ID: "7-aa"}, {Index: 2, ID: "1-aa"}, {Index: -1}} {
-		if err := g.replicas[0].transport.announce(1, a); err != nil {
+		if err := c.replicas[0].transport.sendAnnouncement(1, a); err != nil {
 			t.Fatal(err)
 		}
 	}
-	eventually(t, "the announcements to be dropped", func() bool { return g.replicas[1].DroppedAnnouncements() == 3 })
-	g.close(0)
-	cfg := g.config(0)
+	eventually(t, "the announcements to be dropped", func() bool { return c.replicas[1].DroppedAnnouncements() == 3 })
+	c.close(0)
+	cfg := c.config(0)
 	cfg.Index = 1
-	_, err = Open(cfg, &list{})
-	if err == nil || !strings.Contains(err.Error(), filepath.Join(g.dirs[0], identityFile)) {
-		t.Errorf("the directory of another replica: %v", err)
+	_, err = Open(cfg, &listFSM{})
+	if err == nil || !strings.Contains(err.Error(), filepath.Join(c.dirs[0], identityFile)) {
+		t.Errorf("opening the directory of another replica: error %v, want one that names the id file", err)
 	}
 }
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -10,53 +10,54 @@
 	"github.com/hashicorp/raft"
 )
 
-// Bounds of the backoff between attempts to write the term or the vote.
+// Bounds of the delay between attempts to write the term or the vote, which doubles after each failure.
 const (
 	minWriteRetry = 50 * time.Millisecond
 	maxWriteRetry = time.Second
 )
 
-// disk is the replica's log and its state on disk. It logs failed writes, as on a full disk, and keeps the library
-// from ending the process after one.
-type disk struct {
+// diskStore is the log of a replica and its stable state on disk: the term and the vote. It logs when writes begin to
+// fail, as on a full disk, and when they succeed again. It also prevents the library from ending the process after a
+// failed write of the term.
+type diskStore struct {
 	raft.LogStore
 	raft.StableStore
 
-	cluster string       // its name in log lines
-	fault   func() error // Config.DiskFault; nil: none
-	failing atomic.Bool  // the latest write failed
-	missed  atomic.Bool  // a write failed, and the entries that it missed may not be applied yet
-	closing chan struct{}
-	once    sync.Once
+	cluster     string        // Config.ClusterName
+	injectFault func() error  // Config.DiskFault
+	failing     atomic.Bool   // the latest write failed
+	missedWrite atomic.Bool   // a write has failed, and entries that were committed since may not be applied yet
+	closing     chan struct{} // closed by close
+	closeOnce   sync.Once
 }
 
-func newDisk(cfg *Config, entries raft.LogStore, state raft.StableStore) *disk {
-	return &disk{
+func newDiskStore(cfg *Config, entries raft.LogStore, state raft.StableStore) *diskStore {
+	return &diskStore{
 		LogStore:    entries,
 		StableStore: state,
 		cluster:     cfg.ClusterName,
-		fault:       cfg.DiskFault,
+		injectFault: cfg.DiskFault,
 		closing:     make(chan struct{}),
 	}
 }
 
-// close ends the retries of writes.
-func (d *disk) close() {
-	d.once.Do(func() { close(d.closing) })
+// close makes writeStateWithRetry give up. It may be called more than once.
+func (d *diskStore) close() {
+	d.closeOnce.Do(func() { close(d.closing) })
 }
 
-// write makes a write and records its outcome. It logs the first of consecutive failures, and the first success after
-// one.
-func (d *disk) write(do func() error) error {
+// tryWrite calls write once, unless a test injects a fault, and records whether that failed. It logs the first of
+// consecutive failures, and the first success after a failure.
+func (d *diskStore) tryWrite(write func() error) error {
 	err := error(nil)
-	if d.fault != nil {
-		err = d.fault()
+	if d.injectFault != nil {
+		err = d.injectFault()
 	}
 	if err == nil {
-		err = do()
+		err = write()
 	}
 	if err != nil {
-		d.missed.Store(true)
+		d.missedWrite.Store(true)
 	}
 	failed := err != nil
 	failedBefore := d.failing.Swap(failed)
@@ -70,37 +71,38 @@
 }
 
 // StoreLog implements raft.LogStore.
-func (d *disk) StoreLog(entry *raft.Log) error {
-	return d.write(func() error { return d.LogStore.StoreLog(entry) })
+func (d *diskStore) StoreLog(entry *raft.Log) error {
+	return d.tryWrite(func() error { return d.LogStore.StoreLog(entry) })
 }
 
 // StoreLogs implements raft.LogStore.
-func (d *disk) StoreLogs(entries []*raft.Log) error {
-	return d.write(func() error { return d.LogStore.StoreLogs(entries) })
+func (d *diskStore) StoreLogs(entries []*raft.Log) error {
+	return d.tryWrite(func() error { return d.LogStore.StoreLogs(entries) })
 }
 
 // DeleteRange implements raft.LogStore.
-func (d *disk) DeleteRange(first, last uint64) error {
-	return d.write(func() error { return d.LogStore.DeleteRange(first, last) })
+func (d *diskStore) DeleteRange(first, last uint64) error {
+	return d.tryWrite(func() error { return d.LogStore.DeleteRange(first, last) })
 }
 
 // Set implements raft.StableStore.
-func (d *disk) Set(key, value []byte) error {
-	return d.writeState(func() error { return d.StableStore.Set(key, value) })
+func (d *diskStore) Set(key, value []byte) error {
+	return d.writeStateWithRetry(func() error { return d.StableStore.Set(key, value) })
 }
 
 // SetUint64 implements raft.StableStore.
-func (d *disk) SetUint64(key []byte, value uint64) error {
-	return d.writeState(func() error { return d.StableStore.SetUint64(key, value) })
+func (d *diskStore) SetUint64(key []byte, value uint64) error {
+	return d.writeStateWithRetry(func() error { return d.StableStore.SetUint64(key, value) })
 }
 
-// writeState writes the term or the vote, with retries until it succeeds. The library ends the process if the term
-// can't be stored ("failed to save current term"), so an election while the disk is full would kill the replica, at
-// each start again. A replica that waits neither votes nor follows, as if it were down, and continues when the disk
-// has free space. When the replica is closed, the waiting goroutine exits, since an error would end the process.
-func (d *disk) writeState(do func() error) error {
+// writeStateWithRetry writes the term or the vote, and retries until that succeeds. The library panics if the term
+// can't be stored ("failed to save current term"), so an election while the disk is full would end the process, and
+// again after each restart. While this function waits, the replica neither votes nor follows a leader, as if it were
+// down. It continues when writes succeed again. If the replica is closed meanwhile, the waiting goroutine exits without
+// returning to the library, since an error would make the library panic.
+func (d *diskStore) writeStateWithRetry(write func() error) error {
 	for backoff := minWriteRetry; ; backoff = min(2*backoff, maxWriteRetry) {
-		err := d.write(do)
+		err := d.tryWrite(write)
 		if err == nil {
 			return nil
 		}
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -16,16 +16,17 @@
 
 const (
 	identityFile  = "id"
-	identityBytes = 8 // random bytes of an id
+	identityBytes = 8 // number of random bytes in an id
 )
 
-// identity returns the replica's id from its directory, or creates one: the index, a dash and random hex digits.
-func identity(dir string, index int) (raft.ServerID, error) {
+// loadOrCreateID returns the id that is stored in a replica's directory. If there is none, it creates and stores one:
+// the replica's index, a dash, and random hexadecimal digits. It fails if the directory has the id of another replica.
+func loadOrCreateID(dir string, index int) (raft.ServerID, error) {
 	file := filepath.Join(dir, identityFile)
 	text, err := os.ReadFile(file)
 	if err == nil {
 		if ReplicaIndex(raft.ServerID(text)) != index {
-			return "", fmt.Errorf("%s: of another replica", file)
+			return "", fmt.Errorf("%s holds the id of another replica", file)
 		}
 		return raft.ServerID(text), nil
 	}
@@ -35,11 +36,12 @@
 	random := make([]byte, identityBytes)
 	rand.Read(random)
 	id := strconv.Itoa(index) + "-" + hex.EncodeToString(random)
-	err = renameio.WriteFile(file, []byte(id), 0o600) // syncs the file, which must not be empty after a power failure
+	err = renameio.WriteFile(file, []byte(id), 0o600) // syncs the file, so that it is complete after a power failure
 	return raft.ServerID(id), err
 }
 
-// ReplicaIndex returns the index of the replica with an id, or -1 if the id is not valid.
+// ReplicaIndex returns the index in Config.Addresses that an id contains, or -1 if the id is malformed. The index may
+// be out of range.
 func ReplicaIndex(id raft.ServerID) int {
 	text, _, found := strings.Cut(string(id), "-")
 	index, err := strconv.Atoi(text)
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	announceInterval = 300 * time.Millisecond
-	announcementTTL  = 5 * announceInterval
-	changeTimeout    = 5 * time.Second // of one change of the membership
+	announceInterval        = 300 * time.Millisecond // between announcements of a replica
+	announcementTTL         = 5 * announceInterval   // age up to which an announcement counts for bootstrapping
+	membershipChangeTimeout = 5 * time.Second        // longest wait to enqueue the removal or addition of a voter
 
-	// announcementCapacity bounds the announcements that wait to be handled. More are dropped.
-	announcementCapacity = 64
+	// announcementQueueSize is the number of received announcements that can wait to be handled. More are dropped.
+	announcementQueueSize = 64
 )
 
-// Announcement is the message of a replica with an empty log to the others. It repeats it until its log has an entry.
+// Announcement is the message by which a replica with an empty log tells the others its id. It is repeated until the
+// log has an entry.
 type Announcement struct {
-	Index int    `json:"v"`
-	ID    string `json:"i"`
+	Index int    `json:"v"` // of the sender in Config.Addresses
+	ID    string `json:"i"` // of the sender
 }
 
 // receivedAnnouncement is the latest announcement of a replica.
@@ -28,49 +29,51 @@
 	receivedAt time.Time
 }
 
-// membership bootstraps the group and replaces replicas that lost their disk. Its fields belong to the goroutine of
-// run.
+// membership bootstraps the cluster and replaces the ids of replicas that lost their disk. Only the goroutine of run
+// uses latest.
 type membership struct {
-	replica   *Replica
-	latest    map[int]receivedAnnouncement // by replica index
-	announced chan Announcement
-	done      chan struct{}
-	ended     chan struct{}
+	replica       *Replica
+	latest        map[int]receivedAnnouncement // by replica index
+	announcements chan Announcement            // received and not yet handled
+	done          chan struct{}                // closed by close
+	ended         chan struct{}                // closed when run returns
 }
 
 func newMembership(r *Replica) *membership {
 	return &membership{
-		replica:   r,
-		latest:    map[int]receivedAnnouncement{},
-		announced: make(chan Announcement, announcementCapacity),
-		done:      make(chan struct{}),
-		ended:     make(chan struct{}),
+		replica:       r,
+		latest:        map[int]receivedAnnouncement{},
+		announcements: make(chan Announcement, announcementQueueSize),
+		done:          make(chan struct{}),
+		ended:         make(chan struct{}),
 	}
 }
 
-// close ends the goroutine and waits for it. The library has to be shut down before, which ends a membership change in
-// progress.
+// close ends the goroutine of run and waits for it. The library has to be shut down before, since that ends a change of
+// the membership that run may be waiting for.
 func (m *membership) close() {
 	close(m.done)
 	<-m.ended
 }
 
-// receive queues an announcement, from any goroutine. It drops one if the queue is full, since the sender repeats it.
+// receive queues an announcement for run. If the queue is full, it drops the announcement, which the sender repeats. It
+// may be called on any goroutine.
 func (m *membership) receive(a Announcement) {
 	select {
-	case m.announced <- a:
+	case m.announcements <- a:
 	default:
 	}
 }
 
+// run handles announcements and sends its own until close.
 func (m *membership) run() {
 	defer close(m.ended)
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case a := <-m.announced:
-			m.handle(a)
+		case a := <-m.announcements:
+			m.handleAnnouncement(a)
 		case <-ticker.C:
 			m.tick()
 		case <-m.done:
@@ -79,21 +82,24 @@
 	}
 }
 
-func (m *membership) handle(a Announcement) {
+// handleAnnouncement records an announcement and, on the leader, replaces the sender's previous id. It drops an
+// announcement whose index is invalid, that of this replica, or not the one in the id.
+func (m *membership) handleAnnouncement(a Announcement) {
 	cfg := &m.replica.cfg
-	known := a.Index >= 0 && a.Index < len(cfg.Addresses) && a.Index != cfg.Index
-	if !known || ReplicaIndex(raft.ServerID(a.ID)) != a.Index {
-		m.replica.dropped.Add(1)
+	validIndex := a.Index >= 0 && a.Index < len(cfg.Addresses) && a.Index != cfg.Index
+	if !validIndex || ReplicaIndex(raft.ServerID(a.ID)) != a.Index {
+		m.replica.droppedAnnouncements.Add(1)
 		return
 	}
 	m.latest[a.Index] = receivedAnnouncement{a.ID, time.Now()}
 	if m.replica.IsLeader() {
-		m.replace(a)
+		m.replaceVoter(a)
 	}
 }
 
-// tick announces this replica while its log is empty. The replica with index 0 bootstraps the group when all replicas
-// have announced an empty log: no earlier group can have committed anything then.
+// tick announces this replica to the others while its log is empty. The replica with index 0 bootstraps the cluster
+// when all others have announced an empty log too: then no earlier cluster of these replicas can have committed
+// anything.
 func (m *membership) tick() {
 	if m.replica.raft.LastIndex() > 0 {
 		return
@@ -103,7 +109,7 @@
 	transport := m.replica.transport
 	for i := range cfg.Addresses {
 		if i != cfg.Index {
-			transport.tasks.Go(func() { transport.announce(i, own) })
+			transport.goroutines.Go(func() { transport.sendAnnouncement(i, own) })
 		}
 	}
 	if cfg.Index == 0 {
@@ -111,14 +117,15 @@
 	}
 }
 
-// bootstrap starts the group if all other replicas have announced themselves lately.
+// bootstrap starts the cluster with all replicas as voters, if all others have announced themselves within
+// announcementTTL.
 func (m *membership) bootstrap() {
 	cfg := &m.replica.cfg
-	servers := []raft.Server{server(m.replica.id)}
+	servers := []raft.Server{raftServer(m.replica.id)}
 	for i := 1; i < len(cfg.Addresses); i++ {
 		a, ok := m.latest[i]
 		if ok && time.Since(a.receivedAt) < announcementTTL {
-			servers = append(servers, server(raft.ServerID(a.id)))
+			servers = append(servers, raftServer(raft.ServerID(a.id)))
 		}
 	}
 	if len(servers) < len(cfg.Addresses) {
@@ -132,13 +139,15 @@
 	slog.Info("raft_cluster_bootstrapped", "cluster", cfg.ClusterName, "voters", len(servers))
 }
 
-// server returns the voter with an id, whose address is the id itself: transport resolves it.
-func server(id raft.ServerID) raft.Server {
+// raftServer returns the library's description of the voter with an id. Its address is the id too, which the transport
+// resolves to a TCP address.
+func raftServer(id raft.ServerID) raft.Server {
 	return raft.Server{Suffrage: raft.Voter, ID: id, Address: raft.ServerAddress(id)}
 }
 
-// replace removes the previous id of a replica that lost its disk from the membership, and adds its new id.
-func (m *membership) replace(a Announcement) {
+// replaceVoter removes the previous id of a replica that lost its disk from the membership and adds the announced one
+// as a voter. It does nothing if the announced id is a member already. If it fails, the next announcement repeats it.
+func (m *membership) replaceVoter(a Announcement) {
 	future := m.replica.raft.GetConfiguration()
 	if future.Error() != nil {
 		return
@@ -154,11 +163,11 @@
 	}
 	var err error
 	if previous != "" {
-		err = m.replica.raft.RemoveServer(previous, 0, changeTimeout).Error()
+		err = m.replica.raft.RemoveServer(previous, 0, membershipChangeTimeout).Error()
 	}
 	if err == nil {
-		s := server(raft.ServerID(a.ID))
-		err = m.replica.raft.AddVoter(s.ID, s.Address, 0, changeTimeout).Error()
+		s := raftServer(raft.ServerID(a.ID))
+		err = m.replica.raft.AddVoter(s.ID, s.Address, 0, membershipChangeTimeout).Error()
 	}
 	if err != nil {
 		slog.Warn("raft_voter_replacement_failed", "cluster", m.replica.cfg.ClusterName, "voter", a.Index, "error", err)
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -7,47 +7,47 @@
 	"github.com/hashicorp/raft"
 )
 
-// trackedMachine is a state machine that records the index of the last entry applied. The index of the library also
-// counts entries that are still queued for the state machine.
-type trackedMachine struct {
+// progressFSM wraps a state machine and records the index of the last entry that it has applied. The applied index of
+// the library can't be used for this: it includes entries that are still queued for the state machine.
+type progressFSM struct {
 	raft.FSM
-	applied atomic.Uint64 // index in the log
+	applied atomic.Uint64 // log index of the last applied entry; 0: none since the start
 }
 
-// Apply implements raft.FSM.
-func (t *trackedMachine) Apply(entry *raft.Log) any {
-	outcome := t.FSM.Apply(entry)
+// Apply applies an entry and then records its index. It implements raft.FSM.
+func (t *progressFSM) Apply(entry *raft.Log) any {
+	result := t.FSM.Apply(entry)
 	t.applied.Store(entry.Index)
-	return outcome
+	return result
 }
 
-// CaughtUp reports whether this replica, at any time since its start, has applied all that was committed before the
-// election of the present leader. Until then its state may be any earlier one: the log is replayed from the latest
-// snapshot on, and only a leader knows which of its entries are committed.
+// CaughtUp reports whether this replica has, at some time since its start, applied all entries that were committed
+// before the election of the leader at that time. Before that its state may be older than at its last shutdown: it
+// replays the log from the latest snapshot on, and only a leader can tell which entries of the log are committed.
 func (r *Replica) CaughtUp() bool {
-	if r.replayed.Load() {
+	if r.everCaughtUp.Load() {
 		return true
 	}
 	if !r.HasQuorumContact() {
 		return false
 	}
 	committed := r.raft.AppliedIndex()
-	if r.termOf(committed) != r.raft.CurrentTerm() || r.machine.applied.Load() < r.lastProposal(committed) {
+	if r.termOf(committed) != r.raft.CurrentTerm() || r.fsm.applied.Load() < r.lastProposal(committed) {
 		return false
 	}
-	r.replayed.Store(true)
+	r.everCaughtUp.Store(true)
 	return true
 }
 
-// termOf returns the term of the committed entry at an index, or 0 if it isn't known. The first entry of a leader has
-// the leader's term, and all that was committed under earlier leaders precedes it.
+// termOf returns the term of the committed entry at an index, or 0 if it is unknown. If that is the current term, the
+// entry is one of the current leader's, and all entries that were committed under earlier leaders precede it.
 func (r *Replica) termOf(index uint64) uint64 {
 	var entry raft.Log
-	err := r.entries.GetLog(index, &entry)
+	err := r.logStore.GetLog(index, &entry)
 	if err == nil {
 		return entry.Term
 	}
-	stats := r.raft.Stats() // the entry may have been compacted into the snapshot that ends with it
+	stats := r.raft.Stats() // the entry may have left the log as the last one in the snapshot
 	if stats["last_snapshot_index"] != strconv.FormatUint(index, 10) {
 		return 0
 	}
@@ -58,12 +58,12 @@
 	return term
 }
 
-// lastProposal returns the index of the last entry for the state machine up to an index, or 0 if there is none in the
-// log. There are few entries for the library between two of them, such as the first one of each leader.
+// lastProposal returns the index of the last log entry for the state machine at or before index upTo, or 0 if the log
+// has none. The search is short, since few entries are for the library itself, such as the first one of each leader.
 func (r *Replica) lastProposal(upTo uint64) uint64 {
 	var entry raft.Log
 	for index := upTo; index > 0; index-- {
-		err := r.entries.GetLog(index, &entry)
+		err := r.logStore.GetLog(index, &entry)
 		if err != nil {
 			return 0
 		}
--- a/internal/consensus/shutdown_test.go
+++ b/internal/consensus/shutdown_test.go
@@ -9,45 +9,46 @@
 	"github.com/hashicorp/raft"
 )
 
-// waitingEntries is how many committed entries wait for the state machine as the replica shuts down. The library
-// drops those after the one at which it ends, which it picks at random.
+// waitingEntries is the number of committed entries that wait for the state machine when the replica shuts down. The
+// library stops at a random one of them and never reports the outcome of the rest.
 const waitingEntries = 32
 
-// blockedMachine is a state machine that applies nothing until it is released.
-type blockedMachine struct {
-	list
+// blockedFSM is a state machine whose Apply blocks until released is closed.
+type blockedFSM struct {
+	listFSM
 	released chan struct{}
 }
 
-func (m *blockedMachine) Apply(entry *raft.Log) any {
+func (m *blockedFSM) Apply(entry *raft.Log) any {
 	<-m.released
-	return m.list.Apply(entry)
+	return m.listFSM.Apply(entry)
 }
 
-// A proposal whose entry is committed as the replica closes has an outcome, though the library never reports one.
+// Wait must return when the replica is closed, also for a proposal whose entry was committed but not yet applied. The
+// library never completes the future of such an entry, so a Wait that relies on it alone would block forever.
 func TestProposalEndsWithReplica(t *testing.T) {
-	g := newClosedGroup(t)
-	cfg := g.config(0)
-	cfg.Addresses = []netip.AddrPort{g.addresses[0]}
-	machine := &blockedMachine{released: make(chan struct{})}
-	r, err := Open(cfg, machine)
+	c := newClosedCluster(t)
+	cfg := c.config(0)
+	cfg.Addresses = []netip.AddrPort{c.addresses[0]}
+	fsm := &blockedFSM{released: make(chan struct{})}
+	r, err := Open(cfg, fsm)
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the lead", r.IsLeader)
+	eventually(t, "the replica to become the leader", r.IsLeader)
 	var proposals []Proposal
 	for range waitingEntries {
 		committed := r.raft.CommitIndex()
 		proposals = append(proposals, r.Propose([]byte("entry"), testTimeout))
-		eventually(t, "the commit", func() bool { return r.raft.CommitIndex() > committed })
+		eventually(t, "the commit of an entry", func() bool { return r.raft.CommitIndex() > committed })
 	}
 	closed := make(chan struct{})
 	go func() {
 		r.Close()
 		close(closed)
 	}()
-	eventually(t, "the shutdown", func() bool { return r.raft.State() == raft.Shutdown })
-	close(machine.released)
+	eventually(t, "the shutdown of the library", func() bool { return r.raft.State() == raft.Shutdown })
+	close(fsm.released)
 	<-closed
 	for i, proposal := range proposals {
 		outcome := make(chan error, 1)
@@ -58,10 +59,10 @@
 		select {
 		case err := <-outcome:
 			if err != nil && !errors.Is(err, ErrUnknownOutcome) {
-				t.Errorf("proposal %d: %v", i, err)
+				t.Errorf("proposal %d: error %v, want none or one that wraps ErrUnknownOutcome", i, err)
 			}
 		case <-time.After(testTimeout):
-			t.Fatalf("proposal %d has no outcome", i)
+			t.Fatalf("Wait of proposal %d did not return after Close", i)
 		}
 	}
 }
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -20,67 +20,71 @@
 )
 
 const (
-	greetingTimeout   = time.Second
-	announcementLimit = 256 // bytes
+	greetingTimeout      = time.Second // limit for receiving a greeting, and for sending an announcement
+	maxAnnouncementBytes = 256         // including its signature; the rest is not read
 )
 
 // SignatureSize is the length of a signature in bytes.
 const SignatureSize = 16
 
-// Sign returns the signature of a text: HMAC-SHA-256, truncated to SignatureSize.
-func Sign(key, text []byte) []byte {
+// Sign returns the signature of a payload with a secret key: its HMAC-SHA-256, truncated to SignatureSize bytes.
+func Sign(key, payload []byte) []byte {
 	m := hmac.New(sha256.New, key)
-	m.Write(text)
+	m.Write(payload)
 	return m.Sum(nil)[:SignatureSize]
 }
 
-// transport connects the replicas for the library by TCP. The caller first sends a signature of the id that it wants to
-// reach, so that messages for a replica that lost its disk don't reach the one with a new id at the same address.
+// transport provides the library with TCP connections between the replicas. It implements raft.StreamLayer. A caller
+// starts each connection with a greeting: the signature of the id that it wants to reach. This authenticates the
+// caller, and keeps messages for a replica that lost its disk from reaching the replica with the new id at the same
+// address. Another greeting, which contains the index of the receiver in place of its id, precedes an Announcement.
 type transport struct {
-	listener  *sockets.Listener
-	cfg       *Config
-	id        raft.ServerID
-	announced func(Announcement)
-	greeted   chan net.Conn   // connections of the library with a valid greeting
-	ctx       context.Context // canceled by Close
-	cancel    context.CancelFunc
-	tasks     sync.WaitGroup
-	closeOnce sync.Once
+	listener       *sockets.Listener
+	cfg            *Config
+	id             raft.ServerID // of this replica
+	onAnnouncement func(Announcement)
+	authenticated  chan net.Conn   // connections with a valid greeting, which Accept returns to the library
+	ctx            context.Context // canceled by Close
+	cancel         context.CancelFunc
+	goroutines     sync.WaitGroup // that accept connections, read greetings, and send announcements
+	closeOnce      sync.Once
 }
 
-// listen opens the listener and starts to accept connections. It calls announced for each announcement.
-func listen(cfg *Config, id raft.ServerID, announced func(Announcement)) (*transport, error) {
+// listen opens the listener and starts to accept connections. onAnnouncement is called for each received announcement,
+// on any goroutine.
+func listen(cfg *Config, id raft.ServerID, onAnnouncement func(Announcement)) (*transport, error) {
 	listener, err := sockets.Listen(cfg.Sockets, cfg.Listen)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &transport{
-		listener:  listener,
-		cfg:       cfg,
-		id:        id,
-		announced: announced,
-		greeted:   make(chan net.Conn),
-		ctx:       ctx,
-		cancel:    cancel,
-	}
-	t.tasks.Go(t.accept)
+		listener:       listener,
+		cfg:            cfg,
+		id:             id,
+		onAnnouncement: onAnnouncement,
+		authenticated:  make(chan net.Conn),
+		ctx:            ctx,
+		cancel:         cancel,
+	}
+	t.goroutines.Go(t.accept)
 	return t, nil
 }
 
-// accept accepts connections until the listener is closed, and starts a goroutine for each greeting.
+// accept accepts connections until the listener is closed, and starts a goroutine that reads the greeting of each.
 func (t *transport) accept() {
 	for {
 		conn, err := t.listener.Accept()
-		if err != nil { // closed
+		if err != nil { // the listener is closed
 			return
 		}
-		t.tasks.Go(func() { t.greet(conn) })
+		t.goroutines.Go(func() { t.readGreeting(conn) })
 	}
 }
 
-// greet reads the greeting of a connection and passes the connection to the library if it is valid.
-func (t *transport) greet(conn net.Conn) {
+// readGreeting reads the greeting of an accepted connection. It passes the connection to the library, or reads an
+// announcement from it, or closes it if the greeting is invalid or late.
+func (t *transport) readGreeting(conn net.Conn) {
 	stopClosing := context.AfterFunc(t.ctx, func() { conn.Close() })
 	defer stopClosing()
 	conn.SetDeadline(time.Now().Add(greetingTimeout))
@@ -99,9 +103,9 @@
 		return
 	}
 	conn.SetDeadline(time.Time{})
-	stopClosing() // the library closes its connections
+	stopClosing() // from here on the library closes the connection
 	select {
-	case t.greeted <- conn:
+	case t.authenticated <- conn:
 	case <-t.ctx.Done():
 		conn.Close()
 	}
@@ -111,52 +115,53 @@
 
 func idGreeting(id raft.ServerID) []byte { return []byte("to " + id) }
 
-// readAnnouncement reads a signed announcement.
+// readAnnouncement reads a signed announcement, passes it on if the signature is valid, and closes the connection.
 func (t *transport) readAnnouncement(conn net.Conn) {
 	defer conn.Close()
-	text, err := io.ReadAll(io.LimitReader(conn, announcementLimit))
-	if err != nil || len(text) <= SignatureSize {
+	payload, err := io.ReadAll(io.LimitReader(conn, maxAnnouncementBytes))
+	if err != nil || len(payload) <= SignatureSize {
 		return
 	}
-	signature := text[:SignatureSize]
-	text = text[SignatureSize:]
-	if !hmac.Equal(signature, Sign(t.cfg.Key, text)) {
+	signature := payload[:SignatureSize]
+	payload = payload[SignatureSize:]
+	if !hmac.Equal(signature, Sign(t.cfg.Key, payload)) {
 		return
 	}
 	a := Announcement{}
-	if json.Unmarshal(text, &a) == nil {
-		t.announced(a)
+	if json.Unmarshal(payload, &a) == nil {
+		t.onAnnouncement(a)
 	}
 }
 
-// announce sends an announcement to another replica.
-func (t *transport) announce(to int, a Announcement) error {
+// sendAnnouncement sends an announcement to the replica with index to, on a connection of its own.
+func (t *transport) sendAnnouncement(to int, a Announcement) error {
 	dialer := &net.Dialer{Timeout: greetingTimeout}
 	conn, err := t.cfg.Sockets.Dial(t.ctx, dialer, t.cfg.Addresses[to].String())
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	text, err := json.Marshal(a)
+	payload, err := json.Marshal(a)
 	if err != nil {
 		return err
 	}
 	conn.SetDeadline(time.Now().Add(greetingTimeout))
-	_, err = conn.Write(slices.Concat(Sign(t.cfg.Key, announceGreeting(to)), Sign(t.cfg.Key, text), text))
+	_, err = conn.Write(slices.Concat(Sign(t.cfg.Key, announceGreeting(to)), Sign(t.cfg.Key, payload), payload))
 	return err
 }
 
-// Accept returns the next connection with a valid greeting.
+// Accept waits for the next connection with a valid greeting and returns it. After Close it returns net.ErrClosed.
 func (t *transport) Accept() (net.Conn, error) {
 	select {
-	case conn := <-t.greeted:
+	case conn := <-t.authenticated:
 		return conn, nil
 	case <-t.ctx.Done():
 		return nil, net.ErrClosed
 	}
 }
 
-// Close closes the listener. It may be called more than once: the library and the replica both do.
+// Close closes the listener and makes Accept fail. Both the library and the replica call it; only the first call has an
+// effect.
 func (t *transport) Close() error {
 	err := error(nil)
 	t.closeOnce.Do(func() {
@@ -166,17 +171,18 @@
 	return err
 }
 
-// Addr returns the replica's id as an address. Each replica resolves it by its own configuration.
-func (t *transport) Addr() net.Addr { return address(t.id) }
+// Addr returns the id of this replica as its address. Each replica resolves ids to TCP addresses by its own
+// configuration.
+func (t *transport) Addr() net.Addr { return replicaAddr(t.id) }
 
-type address string
+type replicaAddr string
 
-func (address) Network() string  { return "raft" }
-func (a address) String() string { return string(a) }
+func (replicaAddr) Network() string  { return "raft" }
+func (a replicaAddr) String() string { return string(a) }
 
-// Dial opens a connection to a replica by its id.
+// Dial opens a connection to the replica whose id is to, and sends the greeting. timeout applies to each of the two.
 func (t *transport) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	peer, err := t.find(raft.ServerID(to))
+	peer, err := t.resolve(raft.ServerID(to))
 	if err != nil {
 		return nil, err
 	}
@@ -194,11 +200,11 @@
 	return conn, nil
 }
 
-// find returns the address of the replica with an id.
-func (t *transport) find(id raft.ServerID) (netip.AddrPort, error) {
+// resolve returns the TCP address of the replica with an id. It fails if the index in the id is not a configured one.
+func (t *transport) resolve(id raft.ServerID) (netip.AddrPort, error) {
 	index := ReplicaIndex(id)
 	if index < 0 || index >= len(t.cfg.Addresses) {
-		return netip.AddrPort{}, errors.New("no such replica")
+		return netip.AddrPort{}, errors.New("the id does not contain the index of a configured replica")
 	}
 	return t.cfg.Addresses[index], nil
 }
