--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -1,6 +1,6 @@
 // Package counter is the client of the shared counter: a server that speaks RESP2 and supports INCRBYFLOAT and PEXPIRE
-// with NX, as Redis does from version 7 on. Each call gets exactly one answer within its timeout, whatever the server
-// does.
+// with NX, as Redis 7 and later do. Each call is answered exactly once. If the server doesn't reply within the timeout,
+// or the connection fails, the answer says so.
 package counter
 
 import (
@@ -22,7 +22,7 @@
 	"ravensill/internal/sockets"
 )
 
-// States of the connection that are logged.
+// States of the connection. A change from one to the other is logged.
 const (
 	stateLost     = "lost"
 	stateRestored = "restored"
@@ -30,49 +30,50 @@
 
 const (
 	keyPrefix      = "ravensill:"
-	maxUnsent      = 64 << 10        // bytes of unsent commands; a call beyond that is rejected
-	overdueFactor  = 20              // a call older than its timeout by this factor ends the connection
-	dialTimeout    = time.Second     // of an attempt to connect
-	reconnectDelay = time.Second / 2 // between attempts to connect
+	maxUnsentBytes = 64 << 10        // a call is rejected if its commands would exceed this limit of unsent bytes
+	overdueFactor  = 20              // the connection is closed if a call gets no reply within this many timeouts
+	dialTimeout    = time.Second     // for one attempt to connect
+	reconnectDelay = time.Second / 2 // from a failed attempt to connect until the next
 )
 
 var (
-	errUnsolicitedReply = errors.New("a reply that nothing was asked for")
-	errNotANumber       = errors.New("a reply that holds no number")
+	errUnsolicitedReply = errors.New("the server sent a reply although no call is in flight")
+	errNotANumber       = errors.New("the reply to INCRBYFLOAT is not a finite number")
 )
 
-// Counter is one gateway's connection to the shared counter. All its fields belong to the loop, the goroutine that runs
-// the functions of runOnLoop.
+// Counter is one gateway's connection to the shared counter. All methods must be called on the event loop, the
+// goroutine that runs the functions given to runOnLoop.
 type Counter struct {
 	system    sockets.System
 	address   netip.AddrPort
-	timeout   time.Duration // of a call
-	runOnLoop func(func())
+	timeout   time.Duration // from a call until it is answered with gateway.TimedOut
+	runOnLoop func(func())  // runs a function on the event loop
 	now       func() clock.Instant
-	onAnswer  func(gateway.Event)
+	onAnswer  func(gateway.Event) // receives the answer of each call
 
 	link     *bufconn.Link // nil: not connected
-	inFlight []call        // in the order of their commands
-	dialing  bool
-	closed   bool
+	inFlight []call        // calls with outstanding replies, in the order of their commands
+	dialing  bool          // an attempt to connect is in progress, or failed less than reconnectDelay ago
+	closed   bool          // Close was called
 
-	cancelDial context.CancelFunc // nil: no attempt to connect yet
+	cancelDial context.CancelFunc // ends the latest attempt to connect; nil: none yet
 	goroutines sync.WaitGroup     // that connect and read replies
 
-	loggedState    string // of the latest log line
-	noExpiryLogged bool   // it is logged that the server does not support expiry
+	loggedState       string // state in the latest log line; empty: none was logged
+	expiryErrorLogged bool   // it was logged for this connection that the server rejects PEXPIRE with NX
 }
 
-// call waits for two replies: to INCRBYFLOAT, then to PEXPIRE.
+// call is a call of Increment with outstanding replies: one to INCRBYFLOAT, then one to PEXPIRE.
 type call struct {
-	name             uint64
+	counterName      uint64
 	started          clock.Instant
-	answered         bool // further replies are ignored
+	answered         bool // onAnswer was called; later replies only complete the call
 	incrementReplied bool // the reply to INCRBYFLOAT has arrived
 }
 
-// New returns a counter that is not connected yet and uses the sockets of system. onAnswer is called on the loop with
-// the answer of each call.
+// New returns a counter that is not connected yet. It opens connections to address through system. timeout limits the
+// time until a call is answered. runOnLoop has to run a function on the event loop, and may be called on any goroutine.
+// onAnswer is called on the event loop with the answer of each call, an event of kind gateway.CounterReplied.
 func New(system sockets.System, address netip.AddrPort, timeout time.Duration, runOnLoop func(func()),
 	now func() clock.Instant, onAnswer func(gateway.Event)) *Counter {
 	return &Counter{
@@ -85,26 +86,28 @@
 	}
 }
 
-// Increment adds an amount to a named number, which expires a lifetime after its first call.
-func (c *Counter) Increment(name uint64, amount float64, lifetime time.Duration) {
-	newCall := call{name: name, started: c.now()}
+// Increment adds an amount to the counter with a name on the server, which creates it if it does not exist. The counter
+// expires when lifetime has passed since the increment that created it. onAnswer receives the total after the
+// increment, or the reason why there is none. Without a connection it is called before Increment returns.
+func (c *Counter) Increment(counterName uint64, amount float64, lifetime time.Duration) {
+	newCall := call{counterName: counterName, started: c.now()}
 	if c.link == nil {
 		c.Connect()
-		c.finish(&newCall, gateway.Unreachable, 0)
+		c.answer(&newCall, gateway.Unreachable, 0)
 		return
 	}
-	key := keyPrefix + strconv.FormatUint(name, 10)
+	key := keyPrefix + strconv.FormatUint(counterName, 10)
 	milliseconds := max(lifetime.Milliseconds(), 1)
 	commands := appendCommand(nil, "INCRBYFLOAT", key, strconv.FormatFloat(amount, 'f', -1, 64))
 	commands = appendCommand(commands, "PEXPIRE", key, strconv.FormatInt(milliseconds, 10), "NX")
 	if !c.link.Out.Write(commands) {
-		c.finish(&newCall, gateway.Busy, 0)
+		c.answer(&newCall, gateway.Busy, 0)
 		return
 	}
 	c.inFlight = append(c.inFlight, newCall)
 }
 
-// appendCommand appends an encoded command.
+// appendCommand appends a command to dst as a RESP array of bulk strings.
 func appendCommand(dst []byte, elements ...string) []byte {
 	dst = resp.AppendArrayHeader(dst, len(elements))
 	for _, element := range elements {
@@ -113,55 +116,56 @@
 	return dst
 }
 
-// finish answers a call, unless it is answered.
-func (c *Counter) finish(call *call, result gateway.Result, total float64) {
+// answer passes the answer of a call to onAnswer, unless the call was answered before.
+func (c *Counter) answer(call *call, result gateway.Result, total float64) {
 	if call.answered {
 		return
 	}
 	call.answered = true
 	c.onAnswer(gateway.Event{
 		Kind:         gateway.CounterReplied,
-		CounterName:  call.name,
+		CounterName:  call.counterName,
 		Result:       result,
 		CounterTotal: total,
 		Latency:      c.now().Sub(call.started),
 	})
 }
 
-// TimeOutCalls times out calls and returns the instant at which to call it next, 0 if no call is in flight. It closes a
-// connection with a call that is long overdue.
+// TimeOutCalls answers the calls whose timeout has passed, and closes a connection on which a call has been in flight
+// for overdueFactor timeouts. It returns the time at which it has to be called next, or 0 if no call is in flight.
 func (c *Counter) TimeOutCalls(now clock.Instant) (next clock.Instant) {
 	for i := range c.inFlight {
 		call := &c.inFlight[i]
 		if timesOutAt := call.started.Add(c.timeout); now < timesOutAt {
 			return timesOutAt
 		}
-		c.finish(call, gateway.TimedOut, 0)
+		c.answer(call, gateway.TimedOut, 0)
 	}
 	if len(c.inFlight) == 0 {
 		return 0
 	}
 	next = c.inFlight[0].started.Add(overdueFactor * c.timeout)
 	if now >= next {
-		c.closeLink(c.link, "no answer")
+		c.disconnect(c.link, "no reply from the server")
 		return 0
 	}
 	return next
 }
 
-// Flush writes unsent commands and reports whether some are left.
+// Flush writes as many unsent commands as the socket accepts without blocking, and reports whether some are left.
 func (c *Counter) Flush() bool {
 	if c.link == nil || c.link.Out.Len() == 0 {
 		return false
 	}
 	if err := c.link.Flush(); err != nil {
-		c.closeLink(c.link, err.Error())
+		c.disconnect(c.link, err.Error())
 		return false
 	}
 	return c.link.Out.Len() > 0
 }
 
-// Connect starts a goroutine that connects, unless there is a connection or an attempt.
+// Connect starts an attempt to connect on another goroutine. It does nothing if the counter is connected or closed,
+// while an attempt is in progress, and until reconnectDelay after a failed one.
 func (c *Counter) Connect() {
 	if c.dialing || c.closed || c.link != nil {
 		return
@@ -187,14 +191,14 @@
 	if err != nil {
 		return nil, err
 	}
-	link, err := bufconn.NewLink(c.system, conn, maxUnsent, maxUnsent)
+	link, err := bufconn.NewLink(c.system, conn, maxUnsentBytes, maxUnsentBytes)
 	if err != nil {
 		conn.Close()
 	}
 	return link, err
 }
 
-// connected starts using a new connection.
+// connected makes a new connection the one in use and starts to read replies from it.
 func (c *Counter) connected(link *bufconn.Link) {
 	c.dialing = false
 	if c.closed {
@@ -202,17 +206,18 @@
 		return
 	}
 	c.link = link
-	c.noExpiryLogged = false
+	c.expiryErrorLogged = false
 	c.logState(stateRestored, "")
 	c.goroutines.Go(func() { c.readReplies(link) })
 }
 
-// readReplies passes the server's replies to the loop until the connection ends.
+// readReplies passes the server's replies to the event loop until the connection ends. If it panics, the connection is
+// closed.
 func (c *Counter) readReplies(link *bufconn.Link) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "counter", "error", p, "stack", debug.Stack())
-			c.runOnLoop(func() { c.closeLink(link, "panic") })
+			c.runOnLoop(func() { c.disconnect(link, "panic") })
 		}
 	}()
 	var parser resp.Parser
@@ -222,13 +227,13 @@
 			err = c.parseReplies(link, &parser)
 		}
 		if err != nil {
-			c.runOnLoop(func() { c.closeLink(link, err.Error()) })
+			c.runOnLoop(func() { c.disconnect(link, err.Error()) })
 			return
 		}
 	}
 }
 
-// parseReplies passes all complete replies to the loop.
+// parseReplies passes all complete replies in the input buffer to the event loop.
 func (c *Counter) parseReplies(link *bufconn.Link, parser *resp.Parser) error {
 	for {
 		value, ok, err := parser.Next(link.In)
@@ -248,7 +253,7 @@
 	}
 }
 
-// parseNumber parses a finite number.
+// parseNumber parses the number in a reply. It rejects infinities and NaN.
 func parseNumber(text []byte) (float64, error) {
 	number, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || math.IsInf(number, 0) || math.IsNaN(number) {
@@ -257,13 +262,14 @@
 	return number, nil
 }
 
-// handleReply handles one reply: a number, or a line of its kind.
+// handleReply handles one reply, which belongs to the oldest call in flight. kind is the first byte of the reply; text
+// is its line, and total its number if kind is '$'. Replies of an earlier connection are ignored.
 func (c *Counter) handleReply(link *bufconn.Link, kind byte, text string, total float64) {
 	if c.link != link {
 		return
 	}
 	if len(c.inFlight) == 0 {
-		c.closeLink(link, errUnsolicitedReply.Error())
+		c.disconnect(link, errUnsolicitedReply.Error())
 		return
 	}
 	call := &c.inFlight[0]
@@ -273,28 +279,30 @@
 		return
 	}
 	switch kind {
-	case '-': // not executed
-		c.finish(call, gateway.Busy, 0)
+	case '-': // an error: the command was not executed
+		c.answer(call, gateway.Busy, 0)
 	case '$':
-		c.finish(call, gateway.Succeeded, total)
+		c.answer(call, gateway.Succeeded, total)
 	default:
-		c.closeLink(link, errNotANumber.Error())
+		c.disconnect(link, errNotANumber.Error())
 		return
 	}
 	call.incrementReplied = true
 }
 
-// handleExpiryReply logs that a server does not support PEXPIRE with NX: numbers of such a server never expire.
+// handleExpiryReply logs an error reply to PEXPIRE, once per connection: a server without support for NX rejects the
+// command, and its counters never expire.
 func (c *Counter) handleExpiryReply(kind byte, text string) {
-	if kind != '-' || c.noExpiryLogged {
+	if kind != '-' || c.expiryErrorLogged {
 		return
 	}
-	c.noExpiryLogged = true
+	c.expiryErrorLogged = true
 	slog.Warn("counter_expiry_unsupported", "addr", c.address, "error", text)
 }
 
-// closeLink closes a connection. The calls in flight on it may have been executed.
-func (c *Counter) closeLink(link *bufconn.Link, reason string) {
+// disconnect closes a connection, unless it is no longer the one in use. It answers the calls in flight with
+// gateway.Disconnected, since the server may have executed them or not.
+func (c *Counter) disconnect(link *bufconn.Link, reason string) {
 	if c.link != link || link == nil {
 		return
 	}
@@ -304,11 +312,11 @@
 	abandoned := c.inFlight
 	c.inFlight = nil
 	for i := range abandoned {
-		c.finish(&abandoned[i], gateway.Disconnected, 0)
+		c.answer(&abandoned[i], gateway.Disconnected, 0)
 	}
 }
 
-// logState logs a change of the connection's state.
+// logState logs the state of the connection if it differs from the one logged last. It logs nothing after Close.
 func (c *Counter) logState(state, reason string) {
 	if c.loggedState == state || c.closed {
 		return
@@ -321,13 +329,13 @@
 	}
 }
 
-// Close closes the connection for good and waits for the counter's goroutines. The function runOnLoop must not block
-// then.
+// Close closes the connection for good and waits until the counter's goroutines have ended. They may be calling
+// runOnLoop, so runOnLoop must return even though the event loop is waiting in Close.
 func (c *Counter) Close() {
 	c.closed = true
 	if c.cancelDial != nil {
 		c.cancelDial()
 	}
-	c.closeLink(c.link, "")
+	c.disconnect(c.link, "")
 	c.goroutines.Wait()
 }
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	testTimeout = 50 * time.Millisecond // of a call
+	testTimeout = 50 * time.Millisecond // of a call, by the clock of the test
 
-	// waitLimit is longer than any step of a test takes on a busy machine.
+	// waitLimit is longer than any step of a test takes even on a busy machine.
 	waitLimit = 10 * time.Second
 )
 
-// testCounter is a counter whose loop, clock and server are the test's.
+// testCounter is a Counter whose event loop, clock and server the test controls.
 type testCounter struct {
 	*testing.T
 	counter  *Counter
-	loop     chan func()
-	now      clock.Instant
-	answers  []string      // since the latest expect
+	loop     chan func()   // functions for the event loop, which runUntil runs
+	now      clock.Instant // time that the counter reads
+	answers  []string      // since the latest call of expect, as answer formats them
 	server   net.Conn      // the server's end of the connection
-	requests *bufio.Reader // what the server received
+	commands *bufio.Reader // reads the commands that the server has received
 }
 
-// answer describes the answer of a call.
+// answer formats the answer of a call for comparison.
 func answer(name uint64, result gateway.Result, total float64) string {
 	return fmt.Sprintf("%d %d %g", name, result, total)
 }
 
-// newTestCounter returns a connected counter.
+// newTestCounter returns a testCounter that is connected to its server.
 func newTestCounter(t *testing.T) *testCounter {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -60,13 +60,13 @@
 		t.Fatal(err)
 	}
 	c.server.SetDeadline(time.Now().Add(waitLimit))
-	c.requests = bufio.NewReader(c.server)
+	c.commands = bufio.NewReader(c.server)
 	c.runUntil(func() bool { return c.counter.link != nil })
 	t.Cleanup(c.counter.Close)
 	return c
 }
 
-// runUntil runs the loop until a condition holds.
+// runUntil runs the event loop until a condition holds. It fails the test if nothing happens for waitLimit.
 func (c *testCounter) runUntil(condition func() bool) {
 	c.Helper()
 	for !condition() {
@@ -74,15 +74,15 @@
 		case f := <-c.loop:
 			f()
 		case <-time.After(waitLimit):
-			c.Fatalf("the condition does not hold after %v; answers: %v", waitLimit, c.answers)
+			c.Fatalf("nothing happened for %v and the condition does not hold; answers: %v", waitLimit, c.answers)
 		}
 	}
 }
 
-// reply sends bytes from the server.
+// reply sends bytes from the server to the counter.
 func (c *testCounter) reply(text string) { io.WriteString(c.server, text) }
 
-// expect waits for answers and compares them.
+// expect runs the event loop until as many answers have arrived, and compares them.
 func (c *testCounter) expect(answers ...string) {
 	c.Helper()
 	c.runUntil(func() bool { return len(c.answers) >= len(answers) })
@@ -92,7 +92,8 @@
 	c.answers = nil
 }
 
-// A call is two commands. Answers come in the order of the calls, and a late reply does not answer a later call.
+// Each call must send INCRBYFLOAT and PEXPIRE, and answers must come in the order of the calls. A reply that arrives
+// after its call timed out must not be taken for the reply of a later call, which would get a wrong total.
 func TestCountSendsCommandsAndAnswersInOrder(t *testing.T) {
 	c := newTestCounter(t)
 	c.counter.Increment(7, 1, 10*time.Second)
@@ -103,7 +104,7 @@
 		"*3\r\n$11\r\nINCRBYFLOAT\r\n$11\r\nravensill:8\r\n$4\r\n-2.5\r\n" +
 		"*4\r\n$7\r\nPEXPIRE\r\n$11\r\nravensill:8\r\n$1\r\n1\r\n$2\r\nNX\r\n"
 	sent := make([]byte, len(want))
-	io.ReadFull(c.requests, sent)
+	io.ReadFull(c.commands, sent)
 	if string(sent) != want {
 		t.Errorf("sent %q, want %q", sent, want)
 	}
@@ -116,11 +117,12 @@
 	c.expect(answer(9, gateway.TimedOut, 0))
 
 	c.counter.Increment(10, 1, 1)
-	c.reply("$1\r\n1\r\n:1\r\n$1\r\n2\r\n:1\r\n") // the reply of call 9, then that of call 10
+	c.reply("$1\r\n1\r\n:1\r\n$1\r\n2\r\n:1\r\n") // late replies to the call for counter 9, then those for counter 10
 	c.expect(answer(10, gateway.Succeeded, 2))
 }
 
-// Whatever ends the connection, each call in flight is answered once, and later calls are answered at once.
+// However the connection ends, each call in flight must be answered exactly once, and a call without a connection must
+// be answered immediately. Otherwise requests would wait for a total that never comes.
 func TestLostConnectionAnswersCallsOnce(t *testing.T) {
 	for name, fault := range map[string]func(c *testCounter){
 		"garbled":  func(c *testCounter) { c.reply("what\r\n") },
@@ -139,13 +141,13 @@
 			fault(c)
 			c.runUntil(func() bool { return c.counter.link == nil })
 			if len(c.answers) != 2 {
-				t.Errorf("answers of two calls: %q", c.answers)
+				t.Errorf("the two calls got the answers %q, want one answer each", c.answers)
 			}
 			c.answers = nil
 			c.counter.Increment(9, 1, 1)
 			c.expect(answer(9, gateway.Unreachable, 0))
 			if c.counter.TimeOutCalls(c.now.Add(100*time.Millisecond)) != 0 {
-				t.Error("a call is in flight")
+				t.Error("a call is still in flight after the connection was lost")
 			}
 		})
 	}
