--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,5 +1,13 @@
-// Package gossip encodes and decodes the messages between gateways: a version, the sender's incarnation, the message's
-// sequence number, tags of hosts, then cumulative counters of customers. Integers are varints unless said otherwise.
+// Package gossip encodes and decodes the messages that gateways send to each other. A message has, in this order:
+//
+//   - a version, one byte
+//   - the incarnation of the sender
+//   - the sequence number of the message
+//   - where plans are named by ID, the number of gateways that the sender knows
+//   - the number of tags, and the tags, which identify hosts
+//   - any number of cumulative counters of customers, up to the end of the message
+//
+// Integers are unsigned varints unless stated otherwise.
 package gossip
 
 import (
@@ -8,49 +16,54 @@
 )
 
 const (
-	versionByIndex = 3 // of messages that name a quota plan by its index
-	versionByID    = 4 // of messages that name a quota plan by its ID
+	versionByIndex = 3 // of messages that name quota plans by index
+	versionByID    = 4 // of messages that name quota plans by ID
 )
 
-// Bounds of one message.
+// Limits of one message. Decode ignores messages that exceed them.
 const (
 	MaxMessageBytes = 256
 	MaxTags         = 100
 )
 
-// Flags of a counter, below its plan's index.
+// Flags of a counter: the lowest flagBits bits of an integer whose other bits are the index of the plan, if plans are
+// named by index.
 const (
-	flagOwed     = 1 // the number owed follows
-	flagObsolete = 2 // another number follows, which older versions sent; it is ignored
-	flagBits     = 2
+	flagInitialDebt = 1 // the initial debt follows
+	flagObsolete    = 2 // an integer follows that only older versions of the program sent; it is ignored
+	flagBits        = 2
 )
 
-// Format is what gateways must agree on to decode each other's messages. Where plans are named by ID, gateways with
-// different versions of the configuration decode each other's messages. Their header has the number of gateways that
-// the sender knows, and a message with another number is not decoded: the routes of gossip depend on it.
+// Format is what two gateways must agree on to decode each other's messages. If plans are named by ID, gateways with
+// different versions of the configuration can do so, as long as these have the same number of gateways: the routes of
+// gossip depend on that number, so the header contains it and a message with another number is not decoded.
 type Format struct {
-	Plans     int  // number of quota plans; used only where plans are named by index
+	Plans     int  // number of quota plans; used only if plans are named by index
 	Members   int  // number of gateways
-	PlansByID bool // whether plans are named by ID
+	PlansByID bool // counters name quota plans by ID, rather than by index
 }
 
-// EncodeHeader returns the beginning of a message. The tags have two bytes each, little-endian.
-func (f Format) EncodeHeader(incarnation, number uint64, tags []uint16) []byte {
-	message := appendNumbers([]byte{f.version()}, incarnation, number)
+// EncodeHeader returns the beginning of a message, up to the tags. Counters may be appended. A tag is encoded in two
+// bytes, little-endian.
+func (f Format) EncodeHeader(incarnation, sequence uint64, tags []uint16) []byte {
+	message := appendUvarints([]byte{f.version()}, incarnation, sequence)
 	if f.PlansByID {
-		message = appendNumbers(message, uint64(f.Members))
+		message = appendUvarints(message, uint64(f.Members))
 	}
-	message = appendNumbers(message, uint64(len(tags)))
+	message = appendUvarints(message, uint64(len(tags)))
 	for _, tag := range tags {
 		message = binary.LittleEndian.AppendUint16(message, tag)
 	}
 	return message
 }
 
-// EncodeCounter returns the entry of a customer's counter. The customer's hash has four bytes, little-endian, and so
-// has the plan if it is named by ID; otherwise plan is its index. owed is what a receiver subtracts from total if it
-// receives the counter for the first time.
-func (f Format) EncodeCounter(hash, plan uint32, spread, first int, total, owed uint64) []byte {
+// EncodeCounter returns the encoded counter of a customer, to be appended to a message. hash identifies the customer
+// and is encoded in four bytes, little-endian. plan is the ID of the customer's quota plan, encoded likewise, or its
+// index, depending on the format. spread is the number of gateways that the customer's requests arrive at, and
+// firstGateway the member index of the first of them. total is the cumulative count. A receiver that has no earlier
+// count of the sender for the customer takes initialDebt, instead of the difference from the earlier count, as what was
+// admitted.
+func (f Format) EncodeCounter(hash, plan uint32, spread, firstGateway int, total, initialDebt uint64) []byte {
 	entry := binary.LittleEndian.AppendUint32(nil, hash)
 	var flags uint64
 	if f.PlansByID {
@@ -58,16 +71,17 @@
 	} else {
 		flags = uint64(plan) << flagBits
 	}
-	if owed > 0 {
-		flags |= flagOwed
+	if initialDebt > 0 {
+		flags |= flagInitialDebt
 	}
-	entry = appendNumbers(entry, flags, uint64(spread), uint64(first), total)
-	if owed > 0 {
-		entry = appendNumbers(entry, owed)
+	entry = appendUvarints(entry, flags, uint64(spread), uint64(firstGateway), total)
+	if initialDebt > 0 {
+		entry = appendUvarints(entry, initialDebt)
 	}
 	return entry
 }
 
+// version returns the version of messages in the format.
 func (f Format) version() byte {
 	if f.PlansByID {
 		return versionByID
@@ -75,34 +89,35 @@
 	return versionByIndex
 }
 
-func appendNumbers(message []byte, numbers ...uint64) []byte {
+func appendUvarints(message []byte, numbers ...uint64) []byte {
 	for _, number := range numbers {
 		message = binary.AppendUvarint(message, number)
 	}
 	return message
 }
 
-// Decode calls header, tag and counter with the parts of a message, in their order. It calls none of them for a message
-// that is truncated, has another version or another number of gateways, or names a plan's index or a member that does
-// not exist. If header returns false, it calls nothing else.
-func (f Format) Decode(message []byte, header func(incarnation, number uint64) bool, tag func(uint16),
-	counter func(hash, plan uint32, spread, first int, total, owed uint64)) {
+// Decode calls header once, then tag for each tag and counter for each counter of a message, in the order of the
+// message. If header returns false, it calls nothing else, and tag and counter may be nil. Decode calls none of them if
+// the message is truncated, exceeds a limit, has another version or another number of gateways, or names a plan index
+// or a member that does not exist.
+func (f Format) Decode(message []byte, header func(incarnation, sequence uint64) bool, tag func(uint16),
+	counter func(hash, plan uint32, spread, firstGateway int, total, initialDebt uint64)) {
 	if len(message) == 0 || len(message) > MaxMessageBytes || message[0] != f.version() {
 		return
 	}
 	r := reader{rest: message[1:], ok: true}
-	incarnation := r.number()
-	number := r.number()
-	if f.PlansByID && r.number() != uint64(f.Members) {
+	incarnation := r.readUvarint()
+	sequence := r.readUvarint()
+	if f.PlansByID && r.readUvarint() != uint64(f.Members) {
 		return
 	}
-	tagCount := r.number()
+	tagCount := r.readUvarint()
 	if !r.ok || tagCount > MaxTags || len(r.rest) < 2*int(tagCount) {
 		return
 	}
 	tags := r.rest[:2*tagCount]
 	counters := r.rest[2*tagCount:]
-	if !f.validCounters(counters) || !header(incarnation, number) {
+	if !f.validCounters(counters) || !header(incarnation, sequence) {
 		return
 	}
 	for len(tags) > 0 {
@@ -111,18 +126,19 @@
 	}
 	r = reader{rest: counters, ok: true}
 	for len(r.rest) > 0 {
-		e := r.entry(f.PlansByID)
-		counter(e.hash, e.plan, int(e.spread), int(e.first), e.total, e.owed)
+		e := r.readCounter(f.PlansByID)
+		counter(e.hash, e.plan, int(e.spread), int(e.firstGateway), e.total, e.initialDebt)
 	}
 }
 
-// validCounters reports whether all counters are complete and name plans and members that exist.
+// validCounters reports whether all encoded counters are complete and name plan indices and members that exist. A plan
+// ID is not checked.
 func (f Format) validCounters(counters []byte) bool {
 	r := reader{rest: counters, ok: true}
 	for len(r.rest) > 0 {
-		e := r.entry(f.PlansByID)
+		e := r.readCounter(f.PlansByID)
 		planKnown := f.PlansByID || int(e.plan) < f.Plans
-		membersKnown := e.spread <= uint64(f.Members) && e.first < uint64(f.Members)
+		membersKnown := e.spread <= uint64(f.Members) && e.firstGateway < uint64(f.Members)
 		if !r.ok || !planKnown || !membersKnown {
 			return false
 		}
@@ -130,45 +146,45 @@
 	return true
 }
 
-// entry is a decoded counter of a customer.
-type entry struct {
-	hash   uint32
-	plan   uint32
-	spread uint64
-	first  uint64
-	total  uint64
-	owed   uint64
+// counterEntry is a decoded counter. Its fields are the parameters of EncodeCounter.
+type counterEntry struct {
+	hash         uint32
+	plan         uint32 // ID or index
+	spread       uint64
+	firstGateway uint64
+	total        uint64
+	initialDebt  uint64
 }
 
-// entry reads a counter. Its result is valid only if r.ok holds afterwards.
-func (r *reader) entry(byID bool) (e entry) {
-	e.hash = r.uint32()
+// readCounter reads a counter. The result is valid only if r.ok is true afterwards.
+func (r *reader) readCounter(byID bool) (e counterEntry) {
+	e.hash = r.readUint32()
 	if byID {
-		e.plan = r.uint32()
+		e.plan = r.readUint32()
 	}
-	flags := r.number()
+	flags := r.readUvarint()
 	if !byID {
 		e.plan = uint32(min(flags>>flagBits, math.MaxUint32))
 	}
-	e.spread = r.number()
-	e.first = r.number()
-	e.total = r.number()
-	if flags&flagOwed > 0 {
-		e.owed = r.number()
+	e.spread = r.readUvarint()
+	e.firstGateway = r.readUvarint()
+	e.total = r.readUvarint()
+	if flags&flagInitialDebt > 0 {
+		e.initialDebt = r.readUvarint()
 	}
 	if flags&flagObsolete > 0 {
-		r.number()
+		r.readUvarint()
 	}
 	return e
 }
 
-// reader reads numbers from the front of rest. ok becomes false at the first that is truncated or too large.
+// reader reads integers from the front of rest.
 type reader struct {
-	rest []byte
-	ok   bool
+	rest []byte // not read yet
+	ok   bool   // no integer so far was truncated or too large for 64 bits
 }
 
-func (r *reader) number() uint64 {
+func (r *reader) readUvarint() uint64 {
 	number, length := binary.Uvarint(r.rest)
 	if length <= 0 {
 		r.ok = false
@@ -178,7 +194,7 @@
 	return number
 }
 
-func (r *reader) uint32() uint32 {
+func (r *reader) readUint32() uint32 {
 	if len(r.rest) < 4 {
 		r.ok = false
 		r.rest = nil
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -7,17 +7,18 @@
 	"testing"
 )
 
-// decode describes the parts of a message in the order in which they are decoded.
-func decode(f Format, message []byte) string {
+// describeDecoded decodes a message and describes its parts in the order in which Decode passes them on. It returns an
+// empty string for a message that Decode ignores.
+func describeDecoded(f Format, message []byte) string {
 	var parts []string
 	add := func(format string, args ...any) { parts = append(parts, fmt.Sprintf(format, args...)) }
-	header := func(incarnation, number uint64) bool {
-		add("header %d %d", incarnation, number)
+	header := func(incarnation, sequence uint64) bool {
+		add("header %d %d", incarnation, sequence)
 		return true
 	}
 	tag := func(tag uint16) { add("tag %d", tag) }
-	counter := func(hash, plan uint32, spread, first int, total, owed uint64) {
-		add("counter %x %d %d %d %d %d", hash, plan, spread, first, total, owed)
+	counter := func(hash, plan uint32, spread, firstGateway int, total, initialDebt uint64) {
+		add("counter %x %d %d %d %d %d", hash, plan, spread, firstGateway, total, initialDebt)
 	}
 	f.Decode(message, header, tag, counter)
 	return strings.Join(parts, ", ")
@@ -34,13 +35,13 @@
 			f.EncodeCounter(0xbeef, 1, 3, 2, 1000, 0),
 			f.EncodeCounter(0xcafe, 0, 1, 0, 5, 2),
 		)
-		if got := decode(f, message); got != want {
-			t.Errorf("%+v: %s, want %s", f, got, want)
+		if got := describeDecoded(f, message); got != want {
+			t.Errorf("%+v: decoded %s, want %s", f, got, want)
 		}
 	}
 }
 
-// No part of an invalid message is decoded.
+// Decode must ignore an invalid message as a whole: a gateway that applied a part of it would count wrong units.
 func TestDecodeIgnoresInvalidMessage(t *testing.T) {
 	byIndex := Format{Plans: 2, Members: 3}
 	byID := Format{Members: 3, PlansByID: true}
@@ -49,10 +50,10 @@
 	message := slices.Concat(header, counter)
 	for length := range len(message) {
 		if length == len(header) {
-			continue // complete without the counter
+			continue // a valid message without counters
 		}
-		if got := decode(byIndex, message[:length]); got != "" {
-			t.Errorf("cut at %d: %s", length, got)
+		if got := describeDecoded(byIndex, message[:length]); got != "" {
+			t.Errorf("a message truncated to %d bytes is decoded as %s", length, got)
 		}
 	}
 	for name, test := range map[string]struct {
@@ -68,8 +69,8 @@
 		"more tags than a message has": {byIndex, byIndex.EncodeHeader(7, 300, make([]uint16, MaxTags+1))},
 		"longer than the largest":      {byIndex, append(slices.Clone(header), make([]byte, MaxMessageBytes)...)},
 	} {
-		if got := decode(test.format, test.message); got != "" {
-			t.Errorf("%s: %s", name, got)
+		if got := describeDecoded(test.format, test.message); got != "" {
+			t.Errorf("%s: decoded as %s, want no call", name, got)
 		}
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,4 +1,4 @@
-// Package peers sends and receives gossip messages between gateways as UDP datagrams.
+// Package peers sends gossip messages to other gateways, and receives theirs, as UDP datagrams.
 package peers
 
 import (
@@ -13,44 +13,45 @@
 	"ravensill/internal/sockets"
 )
 
-// Transport is this gateway's socket for gossip. It is safe for concurrent use.
+// Transport is this gateway's UDP socket for gossip, with the addresses of all gateways. It is safe for concurrent use.
 type Transport struct {
 	system sockets.System
 	conn   *net.UDPConn
 
-	mu        sync.RWMutex
-	addresses []netip.AddrPort       // by member index
-	members   map[netip.AddrPort]int // indices by address
-	format    gossip.Format          // of the messages that are received
+	mu          sync.RWMutex
+	addresses   []netip.AddrPort       // by member index
+	indexByAddr map[netip.AddrPort]int // member index by address
+	format      gossip.Format          // that received messages must have
 }
 
-// unknownMember is the index of a sender that is no member.
+// unknownMember stands for the member index of an address that no member has.
 const unknownMember = -1
 
-// Member is the address of a gateway.
+// Member is one gateway and the address that it receives gossip at.
 type Member struct {
-	Index   int
+	Index   int // member index
 	Address netip.AddrPort
 }
 
-// Open listens at the address by the calls of system. peers are the addresses of all gateways by member index, and
-// format is that of their messages.
-func Open(system sockets.System, listen netip.AddrPort, peers []netip.AddrPort,
+// Open opens a UDP socket through system and listens at an address. addresses are those of all gateways, including this
+// one, by member index. format is what received messages must have. Open fails if the socket can't be opened.
+func Open(system sockets.System, listen netip.AddrPort, addresses []netip.AddrPort,
 	format gossip.Format) (*Transport, error) {
 	conn, err := system.ListenPacket(listen)
 	if err != nil {
 		return nil, err
 	}
 	return &Transport{
-		system:    system,
-		conn:      conn,
-		addresses: slices.Clone(peers),
-		members:   indexByAddress(peers),
-		format:    format,
+		system:      system,
+		conn:        conn,
+		addresses:   slices.Clone(addresses),
+		indexByAddr: indexByAddress(addresses),
+		format:      format,
 	}, nil
 }
 
-// indexByAddress returns the member index of each address. Of two members at one address the first counts.
+// indexByAddress returns the member index of each address. If several members have the same address, the first one is
+// taken.
 func indexByAddress(peers []netip.AddrPort) map[netip.AddrPort]int {
 	members := make(map[netip.AddrPort]int, len(peers))
 	for index, address := range peers {
@@ -61,8 +62,9 @@
 	return members
 }
 
-// UpdateMembers changes addresses and the number of gateways atomically: a message is received with the old table or
-// with the new one. Members from count on are removed; each new one below count must have its address in changed.
+// UpdateMembers sets the number of gateways to count and the addresses of changed members. Both take effect atomically
+// for received messages. Members with an index of count or more are removed; each new member must be in changed, with
+// an index below count.
 func (t *Transport) UpdateMembers(changed []Member, count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,32 +80,33 @@
 	t.addresses = slices.Grow(t.addresses, added)[:count]
 	for _, member := range changed {
 		t.addresses[member.Index] = member.Address
-		t.members[member.Address] = member.Index
+		t.indexByAddr[member.Address] = member.Index
 	}
 	t.format.Members = count
 }
 
-// removeAddress removes a member's address from the index, unless another member has it by now.
+// removeAddress removes the address of a member from indexByAddr, unless it is recorded for another member. The caller
+// must hold mu for writing.
 func (t *Transport) removeAddress(index int) {
 	address := t.addresses[index]
-	if t.members[address] == index {
-		delete(t.members, address)
+	if t.indexByAddr[address] == index {
+		delete(t.indexByAddr, address)
 	}
 }
 
-// sender returns the index of the member with an address, unknownMember for none, and the format of its messages.
+// sender returns the index of the member with an address, or unknownMember, and the format that its messages must have.
 func (t *Transport) sender(from netip.AddrPort) (index int, format gossip.Format) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	index, known := t.members[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+	index, known := t.indexByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	if !known {
 		return unknownMember, t.format
 	}
 	return index, t.format
 }
 
-// Listen calls received for each well-formed message from the address of a peer, and dropped for each other message,
-// until Close. The callee may keep the body.
+// Listen receives messages until Close. It calls received for each message that is well-formed and comes from the
+// address of a member, and dropped for any other message. received may keep body.
 func (t *Transport) Listen(received func(member int, body []byte), dropped func()) {
 	defer func() {
 		if e := recover(); e != nil {
@@ -120,7 +123,7 @@
 	}
 }
 
-// wellFormed reports whether a message is of the format.
+// wellFormed reports whether a message can be decoded with the format.
 func wellFormed(format gossip.Format, message []byte) bool {
 	valid := false
 	header := func(uint64, uint64) bool {
@@ -131,16 +134,17 @@
 	return valid
 }
 
-// Send sends a message, which may be lost. It drops messages to unknown members and messages that are too long.
-func (t *Transport) Send(member int, body []byte) {
+// Send sends a message to a member, without a guarantee that it arrives. It drops the message if there is no such
+// member or the message is longer than gossip.MaxMessageBytes.
+func (t *Transport) Send(member int, message []byte) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	if member >= 0 && member < len(t.addresses) && len(body) <= gossip.MaxMessageBytes {
-		t.conn.WriteToUDPAddrPort(body, t.addresses[member])
+	if member >= 0 && member < len(t.addresses) && len(message) <= gossip.MaxMessageBytes {
+		t.conn.WriteToUDPAddrPort(message, t.addresses[member])
 	}
 }
 
-// Addr returns the address that this gateway listens at, "none" for a nil transport.
+// Addr returns the address that this gateway listens at, or "none" for a nil Transport.
 func (t *Transport) Addr() string {
 	if t == nil {
 		return "none"
@@ -148,5 +152,5 @@
 	return t.conn.LocalAddr().String()
 }
 
-// Close ends Listen.
+// Close closes the socket, which makes Listen return.
 func (t *Transport) Close() { t.conn.Close() }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -12,7 +12,7 @@
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// open returns a transport on a free port.
+// open returns a transport that listens on a free port of the loopback address until the test ends.
 func open(t *testing.T, system sockets.System, format gossip.Format, peers ...netip.AddrPort) *Transport {
 	t.Helper()
 	transport, err := Open(system, anyPort, peers, format)
@@ -23,33 +23,34 @@
 	return transport
 }
 
+// address returns the address that a transport listens at.
 func address(t *Transport) netip.AddrPort { return netip.MustParseAddrPort(t.Addr()) }
 
-// A message counts as from the member whose address it came from, the first of two. One from an unknown address, and
-// one that is not well-formed, are dropped.
+// A message must be attributed to the member with the address that it came from, and to the first of two members with
+// that address. Messages from unknown addresses and malformed messages must be dropped.
 func TestListenIdentifiesSenderByAddress(t *testing.T) {
 	format := gossip.Format{Plans: 1, Members: 1}
 	receiver := open(t, sockets.Kernel{}, format)
 	sender := open(t, sockets.Kernel{}, format, address(receiver))
-	stranger := open(t, sockets.Kernel{}, format, address(receiver))
+	unknownSender := open(t, sockets.Kernel{}, format, address(receiver))
 	receiver.addresses = []netip.AddrPort{address(receiver), address(sender), address(sender)}
-	receiver.members = indexByAddress(receiver.addresses)
+	receiver.indexByAddr = indexByAddress(receiver.addresses)
 	received := make(chan int, 1)
 	dropped := make(chan struct{}, 1)
 	go receiver.Listen(func(member int, _ []byte) { received <- member }, func() { dropped <- struct{}{} })
 	message := gossip.Format{}.EncodeHeader(1, 1, nil)
 	sender.Send(0, message)
 	if member := <-received; member != 1 {
-		t.Errorf("the message is from member %d, want 1", member)
+		t.Errorf("the message is attributed to member %d, want 1", member)
 	}
-	stranger.Send(0, message)
+	unknownSender.Send(0, message)
 	<-dropped
 	sender.Send(0, []byte("malformed"))
 	<-dropped
 }
 
-// After a change members are known by their new addresses alone, and messages go there. A message of a sender that
-// knows another number of gateways is dropped.
+// After UpdateMembers, members must be recognized only by their new addresses, and messages must be sent there. A
+// message of a sender that knows another number of gateways must be dropped.
 func TestSetMembersReplacesAddresses(t *testing.T) {
 	var transports []*Transport
 	var addresses []netip.AddrPort
@@ -67,7 +68,8 @@
 		go transport.Listen(func(int, []byte) { delivered <- i + 1 }, func() {})
 		transport.UpdateMembers([]Member{{0, addresses[0]}}, 1)
 	}
-	// expect has each of the other transports send a message. senders are the members that the messages must be from.
+	// expect makes each of the other transports send a message whose header has the given number of members. senders are
+	// the member indices that the receiver must attribute the messages to, or unknownMember for a message to be dropped.
 	expect := func(members int, senders ...int) {
 		t.Helper()
 		message := gossip.Format{Members: members, PlansByID: true}.EncodeHeader(1, 1, nil)
@@ -79,26 +81,26 @@
 			case <-dropped:
 			}
 			if got != want {
-				t.Errorf("a message of transport %d is from member %d, want %d", i+1, got, want)
+				t.Errorf("the message of transport %d is attributed to member %d, want %d", i+1, got, want)
 			}
 		}
 	}
 	receiver.UpdateMembers([]Member{{0, addresses[0]}, {1, addresses[1]}, {2, addresses[2]}}, 3)
 	expect(3, 1, 2, unknownMember)
 	expect(2, unknownMember, unknownMember, unknownMember)
-	receiver.UpdateMembers([]Member{{1, addresses[2]}, {2, addresses[1]}}, 3) // swapped
+	receiver.UpdateMembers([]Member{{1, addresses[2]}, {2, addresses[1]}}, 3) // the two members swap their addresses
 	expect(3, 2, 1, unknownMember)
-	receiver.UpdateMembers([]Member{{1, addresses[3]}}, 2) // one replaced, one removed
+	receiver.UpdateMembers([]Member{{1, addresses[3]}}, 2) // one member gets another address, one is removed
 	expect(2, unknownMember, unknownMember, 1)
 	transports[3].UpdateMembers([]Member{{0, addresses[0]}}, 2)
 	receiver.Send(1, gossip.Format{Members: 2, PlansByID: true}.EncodeHeader(1, 1, nil))
 	if transport := <-delivered; transport != 3 {
-		t.Errorf("a message to the replaced member went to transport %d", transport)
+		t.Errorf("a message to the member with the new address arrived at transport %d, want 3", transport)
 	}
-	receiver.Send(2, nil) // of no member: must not panic
+	receiver.Send(2, nil) // there is no such member: must not panic
 }
 
-// Failed reads neither end Listen nor lose a later message.
+// A failed read of the socket must neither make Listen return nor prevent it from receiving a later message.
 func TestListenSurvivesReadErrors(t *testing.T) {
 	errnos := []syscall.Errno{
 		syscall.ECONNREFUSED,
@@ -118,13 +120,13 @@
 	member := <-received
 	reads := system.Count(socketstest.ReadPacket)
 	if member != 0 || reads < len(errnos) {
-		t.Errorf("member %d after %d reads", member, reads)
+		t.Errorf("received a message of member %d after %d reads, want one of member 0 after the failed reads", member, reads)
 	}
 }
 
-// BenchmarkChange changes the address of one of 6,000 members.
+// BenchmarkChange measures UpdateMembers with one changed address among 6,000 members.
 func BenchmarkChange(b *testing.B) {
-	transport := &Transport{members: map[netip.AddrPort]int{}}
+	transport := &Transport{indexByAddr: map[netip.AddrPort]int{}}
 	address := func(i int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7946)
 	}
