--- a/internal/poolrunner/client.go
+++ b/internal/poolrunner/client.go
@@ -22,8 +22,8 @@
 	reader            sync.WaitGroup // the goroutine that reads datagrams
 	leaderIndex       int            // index in cfg.Voters of the presumed leader
 	unansweredReports int            // reports sent to that voter since the latest grant
-	lastReport        *pool.Report
-	resent            bool // lastReport was sent a second time, to another voter
+	lastReport        *pool.Report   // latest report that was sent; nil: none
+	resent            bool           // lastReport was sent a second time, to another voter
 
 	DatagramsSent     int
 	DatagramsReceived int // valid ones only
@@ -33,7 +33,7 @@
 // NewClient opens a UDP socket through system, on a port that the kernel chooses, and returns a client that uses it.
 // runOnLoop has to run a function on the event loop. NewClient fails if the socket can't be opened.
 func NewClient(system sockets.System, cfg *config.Pool, runOnLoop func(func())) (*Client, error) {
-	conn, err := listenMessages(system, netip.AddrPortFrom(netip.IPv4Unspecified(), 0), cfg.Key)
+	conn, err := openMessageConn(system, netip.AddrPortFrom(netip.IPv4Unspecified(), 0), cfg.Key)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/poolrunner/client_test.go
+++ b/internal/poolrunner/client_test.go
@@ -34,11 +34,11 @@
 	client := newTestClient(t)
 	reading := make(chan struct{})
 	closing := make(chan struct{})
-	ended := false
+	handlerReturned := false
 	client.runOnLoop = func(func()) {
 		close(reading)
 		<-closing
-		ended = true // a data race with the check below, unless Close waits
+		handlerReturned = true // a data race with the check below, unless Close waits
 	}
 	client.Start(func(*pool.Grant) {})
 	port := client.conn.socket.LocalAddr().(*net.UDPAddr).AddrPort().Port()
@@ -49,7 +49,7 @@
 	<-reading
 	time.AfterFunc(10*time.Millisecond, func() { close(closing) })
 	client.Close()
-	if !ended {
+	if !handlerReturned {
 		t.Error("Close returned before the goroutine that reads datagrams had ended")
 	}
 }
@@ -101,16 +101,16 @@
 	if client.leaderIndex != 1 {
 		t.Errorf("leader %d after %d unanswered reports, want 1", client.leaderIndex, maxUnanswered+1)
 	}
-	granted := 0
-	onGrant := func(*pool.Grant) { granted++ }
+	grantsReceived := 0
+	onGrant := func(*pool.Grant) { grantsReceived++ }
 	client.receive(&Message{Grant: &pool.Grant{}}, nil, client.cfg.Voters[2], onGrant)
-	if client.leaderIndex != 2 || client.unansweredReports != 0 || granted != 1 {
+	if client.leaderIndex != 2 || client.unansweredReports != 0 || grantsReceived != 1 {
 		t.Errorf("after a grant of voter 2: leader %d, %d reports unanswered, %d grants received; want 2, 0 and 1",
-			client.leaderIndex, client.unansweredReports, granted)
+			client.leaderIndex, client.unansweredReports, grantsReceived)
 	}
 	client.receive(nil, errors.New("forged"), netip.AddrPort{}, onGrant)
-	if client.DatagramsReceived != 1 || client.DatagramsDropped != 1 || granted != 1 {
+	if client.DatagramsReceived != 1 || client.DatagramsDropped != 1 || grantsReceived != 1 {
 		t.Errorf("after an invalid datagram: %d received, %d dropped, %d grants received; want 1 of each",
-			client.DatagramsReceived, client.DatagramsDropped, granted)
+			client.DatagramsReceived, client.DatagramsDropped, grantsReceived)
 	}
 }
--- a/internal/poolrunner/codec_test.go
+++ b/internal/poolrunner/codec_test.go
@@ -12,11 +12,11 @@
 func FuzzDecode(f *testing.F) {
 	key := []byte("0123456789abcdef")
 	report := &pool.Report{Member: 3, Incarnation: 1 << 63, Demand: 2.5, Weight: 1}
-	good, err := Encode(key, &Message{Report: report})
+	validDatagram, err := Encode(key, &Message{Report: report})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good, false)
+	f.Add(validDatagram, false)
 	f.Add([]byte(`{"g":{"Seat":-1,"Units":-5}}`), true)
 	f.Add([]byte(`{"r":{"Seat":1e99},"g":{}}`), true)
 	terms := pool.Terms{Members: 4, Floor: 1, LeaseDuration: 5, ReportInterval: 1}
--- a/internal/poolrunner/message_conn.go
+++ b/internal/poolrunner/message_conn.go
@@ -14,9 +14,9 @@
 	socket *net.UDPConn
 }
 
-// listenMessages opens a UDP socket at an address through system. key signs the messages that are sent and verifies
+// openMessageConn opens a UDP socket at an address through system. key signs the messages that are sent and verifies
 // those that are received.
-func listenMessages(system sockets.System, address netip.AddrPort, key []byte) (*messageConn, error) {
+func openMessageConn(system sockets.System, address netip.AddrPort, key []byte) (*messageConn, error) {
 	socket, err := system.ListenPacket(address)
 	if err != nil {
 		return nil, err
--- a/internal/poolrunner/voter.go
+++ b/internal/poolrunner/voter.go
@@ -18,7 +18,7 @@
 	proposeTimeout  = 5 * time.Second       // longest wait for a place in the queue of proposals
 	minTickInterval = 10 * time.Millisecond // least time between ticks
 	ticksPerReport  = 3                     // ticks in a report interval
-	eventQueueSize  = 4096
+	eventQueueSize  = 4096                  // functions that can wait for the goroutine of run before enqueue blocks
 
 	// restartDelayDivisor divides the election timeout. A voter that drops its grantor while it leads waits for that part
 	// of the timeout before it creates a new one.
@@ -63,7 +63,7 @@
 		memberAddrs: make([]netip.AddrPort, cfg.Terms.Members),
 	}
 	var err error
-	v.conn, err = listenMessages(system, cfg.Listen, cfg.Key)
+	v.conn, err = openMessageConn(system, cfg.Listen, cfg.Key)
 	if err != nil {
 		return nil, err
 	}
@@ -147,8 +147,8 @@
 // tick proposes the next batch of the grantor if there is one, and logs the status if it is due.
 func (v *Voter) tick(now pool.Instant) {
 	if v.grantor != nil {
-		batch, notes := v.grantor.Tick(now)
-		logWarnings(notes)
+		batch, warnings := v.grantor.Tick(now)
+		logWarnings(warnings)
 		if batch != nil {
 			v.propose(batch, v.sendGrants)
 		}
@@ -164,12 +164,12 @@
 	}
 }
 
-func logWarnings(notes []pool.Warning) {
-	for _, note := range notes {
-		slog.Warn(note.Event,
-			"member", note.Member,
-			"incarnation", note.Incarnation,
-			"units", note.Units,
+func logWarnings(warnings []pool.Warning) {
+	for _, warning := range warnings {
+		slog.Warn(warning.Event,
+			"member", warning.Member,
+			"incarnation", warning.Incarnation,
+			"units", warning.Units,
 		)
 	}
 }
@@ -250,7 +250,8 @@
 	}
 }
 
-// logStatus logs a status line if statusInterval has passed since the last one.
+// logStatus logs a status line if statusInterval has passed since the last one. Its number of dropped datagrams
+// includes the invalid announcements that the replica received.
 func (v *Voter) logStatus(now pool.Instant) {
 	if now.Sub(v.lastStatus) < statusInterval {
 		return
--- a/internal/poolrunner/voter_test.go
+++ b/internal/poolrunner/voter_test.go
@@ -30,9 +30,9 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// landedLedger is the ledger in testdata/landed-6d43e16, the directory of a voter of an earlier release: a snapshot,
-// and later batches in the log.
-const landedLedger = `{"Capacity":40,"Serial":5,"Entries":[` +
+// earlierReleaseLedger is the ledger in testdata/landed-6d43e16, the directory of a voter of an earlier release: a
+// snapshot, and later batches in the log.
+const earlierReleaseLedger = `{"Capacity":40,"Serial":5,"Entries":[` +
 	`{"Life":77,"Number":5,"Units":25,"Stranded":0},{"Life":88,"Number":2,"Units":8,"Stranded":0}],"Reserve":3,"Floor":2}`
 
 // A voter must read the directory that an earlier release wrote. If it lost leases after an upgrade, their units would
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	text, err := json.Marshal(ledger)
-	if err != nil || string(text) != landedLedger {
-		t.Errorf("the ledger is %s, error %v; want %s", text, err, landedLedger)
+	if err != nil || string(text) != earlierReleaseLedger {
+		t.Errorf("the ledger is %s, error %v; want %s", text, err, earlierReleaseLedger)
 	}
 }
--- a/pool/estimate.go
+++ b/pool/estimate.go
@@ -17,9 +17,10 @@
 )
 
 // demandEstimate estimates a member's demand from its reports and filters out noise. The level moves to the median of
-// the newest three reports if the two differ by more than a quarter of the level, and otherwise to the mean of the
-// newest five if the difference exceeds what the scatter of the reports explains. A lasting change of the demand,
-// large or small, is therefore followed within five reports, while noise of 20% hardly ever moves the level.
+// the newest three reports if the two differ by more than a quarter of the level and more than minMedianStepUnits, and
+// otherwise to the mean of the newest five if the difference exceeds what the scatter of the reports explains. A
+// lasting change of the demand, large or small, is therefore followed within five reports, while noise of 20% hardly
+// ever moves the level.
 type demandEstimate struct {
 	level       float64               // estimated demand in connections
 	samples     [sampleWindow]float64 // demands of the newest reports, the newest last
@@ -37,7 +38,7 @@
 		}
 		return
 	}
-	if e.sampleCount == 2 {
+	if e.sampleCount == 2 { // the first report counts twice in the median of three
 		e.samples[2] = e.samples[3]
 	}
 	median := e.medianOfThree()
--- a/pool/grantor.go
+++ b/pool/grantor.go
@@ -39,16 +39,16 @@
 
 // memberState is what a Grantor knows of one member. Times are of the grantor's clock unless stated otherwise.
 type memberState struct {
-	newReport      *Report // latest report that no batch includes yet; nil: none
-	proposedReport *Report // report that the pending batch includes; nil: none
-	grantedUnits   int     // units of the latest grant
-	answeredSent   Instant // Sent of the latest committed report, by the holder's clock; 0: none
-	lastReportSent Instant // Sent of the incarnation's latest report, by the holder's clock
-	incarnation    uint64  // of the member's process that sent the latest report
-	lastReportAt   Instant // when the latest report arrived; 0: never
-	weight         float64 // from the latest report; 1 before the first
-	connections    int     // open or being dialed, from the latest report
-	demand         demandEstimate
+	newReport           *Report // latest report that no batch includes yet; nil: none
+	proposedReport      *Report // report that the pending batch includes; nil: none
+	grantedUnits        int     // units of the latest grant
+	committedReportSent Instant // Sent of the latest committed report, by the holder's clock; 0: none
+	lastReportSent      Instant // Sent of the incarnation's latest report, by the holder's clock
+	incarnation         uint64  // of the member's process that sent the latest report
+	lastReportAt        Instant // when the latest report arrived; 0: never
+	weight              float64 // from the latest report; 1 before the first
+	connections         int     // open or being dialed, from the latest report
+	demand              demandEstimate
 
 	leaseEnd      Instant // after this, the member's lease has certainly expired by its own clock
 	strandedUntil Instant // the same for the leases of its earlier incarnations
@@ -198,7 +198,7 @@
 		b.addChange(Change{Member: i, Incarnation: report.Incarnation})
 		member.target = 0
 		member.overTargetSince = 0
-		member.answeredSent = 0
+		member.committedReportSent = 0
 	case report.Incarnation == entry.Incarnation && report.Number == entry.Number && report.Bound < entry.Units:
 		b.addChange(Change{Member: i, Units: report.Bound})
 	}
@@ -245,7 +245,7 @@
 	for _, i := range g.pendingReporters {
 		member := &g.members[i]
 		if member.proposedReport.Incarnation == ledger.Entries[i].Incarnation {
-			member.answeredSent = member.proposedReport.Sent
+			member.committedReportSent = member.proposedReport.Sent
 		}
 		grants = append(grants, g.grant(i, member.proposedReport.Incarnation))
 		member.proposedReport = nil
@@ -254,7 +254,7 @@
 		member := &g.members[i]
 		// A grant beyond the answers repeats the time of the latest committed report, so it does not extend the lease.
 		changed := member.grantedUnits != min(entry.Units, member.target)
-		if member.answeredSent > 0 && member.incarnation == entry.Incarnation && changed {
+		if member.committedReportSent > 0 && member.incarnation == entry.Incarnation && changed {
 			grants = append(grants, g.grant(i, entry.Incarnation))
 		}
 	}
@@ -268,7 +268,7 @@
 	grant := &Grant{
 		Member:           i,
 		Incarnation:      incarnation,
-		Sent:             member.answeredSent,
+		Sent:             member.committedReportSent,
 		KnownIncarnation: entry.Incarnation,
 		Serial:           g.ledger.Serial,
 	}
--- a/pool/plan.go
+++ b/pool/plan.go
@@ -11,7 +11,7 @@
 var headroomMultiples = []float64{3, 2, 1.5, 1, 0.7, 0.5, 0.3}
 
 const (
-	demandMargin         = 0.35 // connections by which an estimated demand may exceed its claim
+	demandMargin         = 0.35 // connections by which an estimated demand may exceed the claim for it, a whole number
 	headroomSlackDivisor = 20   // a larger headroom than the one in force must leave one in this many units unclaimed
 )
 
