--- a/pool/grantor.go
+++ b/pool/grantor.go
@@ -72,7 +72,7 @@
 		electedAt: now,
 		claims:    make([]Claim, terms.Members),
 	}
-	leaseEnd := now.Add(terms.WithDriftMargin(terms.LeaseDuration))
+	leaseEnd := now.Add(terms.WithDriftMargin(terms.Lease))
 	for i := range g.members {
 		entry := ledger.Entries[i]
 		g.members[i] = memberState{
@@ -80,7 +80,7 @@
 			strandedUntil:   leaseEnd,
 			target:          entry.Units,
 			weight:          1,
-			targetChangedAt: now.Add(-terms.MinTargetInterval),
+			targetChangedAt: now.Add(-terms.TargetHold),
 			incarnation:     entry.Incarnation,
 		}
 		if entry.Units > 0 { // assumed demand until the first report
@@ -167,7 +167,7 @@
 func (g *Grantor) proposeMember(now Instant, b *batchBuilder, i int) {
 	member := &g.members[i]
 	entry := &b.ledger.Entries[i]
-	drainTime := g.terms.WithDriftMargin(g.terms.MaxDrain)
+	drainTime := g.terms.WithDriftMargin(g.terms.Drain)
 	if member.newReport != nil {
 		g.proposeReport(now, b, i)
 	} else if entry.Units > 0 && now > member.leaseEnd.Add(drainTime) {
@@ -203,7 +203,7 @@
 		b.addChange(Change{Member: i, Units: report.Bound})
 	}
 	if report.Incarnation == entry.Incarnation {
-		member.leaseEnd = now.Add(g.terms.WithDriftMargin(g.terms.LeaseDuration))
+		member.leaseEnd = now.Add(g.terms.WithDriftMargin(g.terms.Lease))
 	}
 	g.proposeCapacity(b, report)
 }
--- a/pool/leaseholder.go
+++ b/pool/leaseholder.go
@@ -155,7 +155,7 @@
 	} else {
 		h.limit = min(h.limit, grant.Units)
 	}
-	h.leaseEnd = max(h.leaseEnd, grant.Sent.Add(h.terms.LeaseDuration))
+	h.leaseEnd = max(h.leaseEnd, grant.Sent.Add(h.terms.Lease))
 	h.lastAnsweredSent = max(h.lastAnsweredSent, grant.Sent)
 	h.serialInForce = grant.Serial
 	h.updateBound(now)
--- a/pool/ledger.go
+++ b/pool/ledger.go
@@ -10,7 +10,7 @@
 // That the gateways together stay within the capacity of the store does not depend on the delivery of any message. It
 // follows from three facts: floors are always reserved, the ledger rejects a change that would lease more than the
 // remaining units, and a lease (Gray and Cheriton, SOSP 1989) expires at its holder before the grantor counts it as
-// expired. The last one requires that clocks drift by no more than Terms.MaxClockDrift.
+// expired. The last one requires that clocks drift by no more than Terms.Drift.
 package pool
 
 import (
@@ -26,21 +26,21 @@
 
 // Terms are the settings of the leases. All gateways that share a store must have the same.
 type Terms struct {
-	Members           int           // number of gateways
-	Floor             int           // connections that each gateway may have without a lease
-	Reserve           int           // connections of the store that are never leased
-	LeaseDuration     time.Duration // time from sending a report until the lease in the grant that answers it expires
-	MaxDrain          time.Duration // longest time that a request uses a connection after its lease has expired
-	MaxClockDrift     float64       // a clock runs at 1-MaxClockDrift to 1+MaxClockDrift times the true rate
-	MinTargetInterval time.Duration // least time between two changes of the units that a gateway should have
-	ReportInterval    time.Duration // time between two reports of a gateway
-	CloseDelay        time.Duration // time from closing a connection until the store has certainly noticed it
+	Members        int           // number of gateways
+	Floor          int           // connections that each gateway may have without a lease
+	Reserve        int           // connections of the store that are never leased
+	Lease          time.Duration // time from sending a report until the lease in the grant that answers it expires
+	Drain          time.Duration // longest time that a request uses a connection after its lease has expired
+	Drift          float64       // a clock runs at 1-Drift to 1+Drift times the true rate
+	TargetHold     time.Duration // least time between two changes of the units that a gateway should have
+	ReportInterval time.Duration // time between two reports of a gateway
+	CloseDelay     time.Duration // time from closing a connection until the store has certainly noticed it
 }
 
 // WithDriftMargin returns a duration by the grantor's clock in which at least d passes by any lease holder's clock,
-// even if the grantor's clock is the fastest and the holder's the slowest that MaxClockDrift allows.
+// even if the grantor's clock is the fastest and the holder's the slowest that Drift allows.
 func (t *Terms) WithDriftMargin(d time.Duration) time.Duration {
-	return time.Duration(float64(d)*(1+t.MaxClockDrift)/(1-t.MaxClockDrift)) + 1
+	return time.Duration(float64(d)*(1+t.Drift)/(1-t.Drift)) + 1
 }
 
 // Entry records the units leased to one gateway. Its JSON keys are those of earlier releases, because the snapshots of
--- a/pool/plan.go
+++ b/pool/plan.go
@@ -70,9 +70,9 @@
 	p.grantor.claims = claims
 }
 
-// targetOnHold reports whether a member's target changed less than Terms.MinTargetInterval ago.
+// targetOnHold reports whether a member's target changed less than Terms.TargetHold ago.
 func (p *planner) targetOnHold(i int) bool {
-	return p.now.Sub(p.members[i].targetChangedAt) < p.terms.MinTargetInterval
+	return p.now.Sub(p.members[i].targetChangedAt) < p.terms.TargetHold
 }
 
 // setTarget sets the target of a member and, if that is a change, records its time.
@@ -130,7 +130,7 @@
 	}
 }
 
-// warnOverdueRecalls warns once of each member that has not returned recalled units within MaxDrain and half a lease.
+// warnOverdueRecalls warns once of each member that has not returned recalled units within Drain and half a lease.
 func (p *planner) warnOverdueRecalls() {
 	for i := range p.members {
 		member := &p.members[i]
@@ -141,7 +141,7 @@
 			member.recallWarned = false
 		case member.overTargetSince == 0:
 			member.overTargetSince = p.now
-		case !member.recallWarned && p.now.Sub(member.overTargetSince) > p.terms.MaxDrain+p.terms.LeaseDuration/2:
+		case !member.recallWarned && p.now.Sub(member.overTargetSince) > p.terms.Drain+p.terms.Lease/2:
 			member.recallWarned = true
 			p.builder.warn(EventRecallOverdue, i, entry.Incarnation, entry.Units-member.target)
 		}
