--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -70,27 +70,29 @@
 	return err
 }
 
-// StoreLog implements raft.LogStore.
+// StoreLog stores a log entry. Like the other writes to the log it is tried once, and an error is returned to the
+// library. It implements raft.LogStore.
 func (d *diskStore) StoreLog(entry *raft.Log) error {
 	return d.tryWrite(func() error { return d.LogStore.StoreLog(entry) })
 }
 
-// StoreLogs implements raft.LogStore.
+// StoreLogs stores several log entries. It implements raft.LogStore.
 func (d *diskStore) StoreLogs(entries []*raft.Log) error {
 	return d.tryWrite(func() error { return d.LogStore.StoreLogs(entries) })
 }
 
-// DeleteRange implements raft.LogStore.
+// DeleteRange deletes the log entries from index first to last, both included. It implements raft.LogStore.
 func (d *diskStore) DeleteRange(first, last uint64) error {
 	return d.tryWrite(func() error { return d.LogStore.DeleteRange(first, last) })
 }
 
-// Set implements raft.StableStore.
+// Set stores a value under a key of the stable state, with retries until it succeeds. It implements raft.StableStore.
 func (d *diskStore) Set(key, value []byte) error {
 	return d.writeStateWithRetry(func() error { return d.StableStore.Set(key, value) })
 }
 
-// SetUint64 implements raft.StableStore.
+// SetUint64 stores a number under a key of the stable state, with retries until it succeeds. It implements
+// raft.StableStore.
 func (d *diskStore) SetUint64(key []byte, value uint64) error {
 	return d.writeStateWithRetry(func() error { return d.StableStore.SetUint64(key, value) })
 }
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -25,8 +25,8 @@
 
 // receivedAnnouncement is the latest announcement of a replica.
 type receivedAnnouncement struct {
-	id         string
-	receivedAt time.Time
+	id         string    // Announcement.ID
+	receivedAt time.Time // by this replica
 }
 
 // membership bootstraps the cluster and replaces the ids of replicas that lost their disk. Only the goroutine of run
--- a/internal/poolrunner/voter_test.go
+++ b/internal/poolrunner/voter_test.go
@@ -19,7 +19,8 @@
 	pollInterval = 10 * time.Millisecond
 )
 
-// unusedAddress returns a loopback address whose port is free for both TCP and UDP.
+// unusedAddress returns a loopback address whose TCP port is free at the moment. Tests use the port for UDP too,
+// without checking that it is free there.
 func unusedAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/pool/grantor.go
+++ b/pool/grantor.go
@@ -41,7 +41,7 @@
 type memberState struct {
 	newReport           *Report // latest report that no batch includes yet; nil: none
 	proposedReport      *Report // report that the pending batch includes; nil: none
-	grantedUnits        int     // units of the latest grant
+	grantedUnits        int     // Units of the latest grant that was issued
 	committedReportSent Instant // Sent of the latest committed report, by the holder's clock; 0: none
 	lastReportSent      Instant // Sent of the incarnation's latest report, by the holder's clock
 	incarnation         uint64  // of the member's process that sent the latest report
