--- a/concurrency/limiter.go
+++ b/concurrency/limiter.go
@@ -25,7 +25,7 @@
 
 // Limiter is the limit of one gateway. Set Start, what an endpoint adds to it at first, then call SetEndpoints.
 type Limiter struct {
-	Start float64 // attempts
+	InitialLimitPerEndpoint float64 // attempts
 
 	endpoints        int
 	limit            float64 // attempts
@@ -39,7 +39,7 @@
 // SetEndpoints sets the number of endpoints. The limit changes in proportion.
 func (l *Limiter) SetEndpoints(count int) {
 	if l.endpoints == 0 {
-		l.limit = l.Start * float64(count)
+		l.limit = l.InitialLimitPerEndpoint * float64(count)
 	} else {
 		l.limit *= float64(count) / float64(l.endpoints)
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	if float64(inFlight+2) > l.limit {
-		l.limit += min(l.limit, increase*l.Start*float64(l.endpoints)/l.limit)
+		l.limit += min(l.limit, increase*l.InitialLimitPerEndpoint*float64(l.endpoints)/l.limit)
 	}
 	if l.utilizationKnown && l.utilization < UtilizationObjective {
 		l.limit = max(l.limit, l.meanInFlight*UtilizationObjective/max(l.utilization, minLimit))
--- a/concurrency/limiter_test.go
+++ b/concurrency/limiter_test.go
@@ -35,7 +35,7 @@
 
 // The limit is in proportion to the number of endpoints.
 func TestLimitFollowsEndpoints(t *testing.T) {
-	limiter := Limiter{Start: 0.5}
+	limiter := Limiter{InitialLimitPerEndpoint: 0.5}
 	limiter.SetEndpoints(10)
 	if limiter.Limit() != 5 {
 		t.Errorf("start: %v, want 5", limiter.Limit())
@@ -53,7 +53,7 @@
 
 // Answers that take most of their objective decrease the limit, once in each 0.35 of the objective.
 func TestLateAnswersDecreaseOnceAnInterval(t *testing.T) {
-	limiter := Limiter{Start: 1}
+	limiter := Limiter{InitialLimitPerEndpoint: 1}
 	limiter.SetEndpoints(10)
 	now := gateway.Time(0)
 	for range 50 {
@@ -80,7 +80,7 @@
 // must use it at once, up to the utilization objective.
 func TestLowUtilizationRaisesLimit(t *testing.T) {
 	limitAt := func(utilization float64) float64 {
-		limiter := Limiter{Start: 6.0 / 60}
+		limiter := Limiter{InitialLimitPerEndpoint: 6.0 / 60}
 		limiter.SetEndpoints(40) // 4 attempts to start with
 		for k := range 24 {
 			limiter.ObserveAnswer(300*ms, 2000*ms, gateway.Time(k)*gateway.Time(40*ms), 4, utilization)
@@ -99,7 +99,7 @@
 }
 
 func BenchmarkObserveAnswer(b *testing.B) {
-	limiter := Limiter{Start: 0.1}
+	limiter := Limiter{InitialLimitPerEndpoint: 0.1}
 	limiter.SetEndpoints(100)
 	for now := gateway.Time(0); b.Loop(); now = now.Add(ms) {
 		limiter.ObserveAnswer(300*ms, 2000*ms, now, 4, 0.5)
--- a/configsync/bench_test.go
+++ b/configsync/bench_test.go
@@ -33,19 +33,19 @@
 			state := newTestState(b, testLimits)
 			sender := NewSender(state, SenderLimits{})
 			for i := range followers {
-				if _, err := sender.Connect(start, FollowerID(i), &Hello{Protocol: Protocol, Member: i, Log: testLog}); err != nil {
+				if _, err := sender.Connect(start, ConnectionID(i), &Hello{Protocol: Protocol, Member: i, Log: testLog}); err != nil {
 					b.Fatal(err)
 				}
-				sender.Next(start, FollowerID(i))
+				sender.Next(start, ConnectionID(i))
 			}
 			for b.Loop() {
 				publish(b, state, set("limits", fmt.Sprint(state.Document().Version())))
 				answer := &Acknowledge{state.Document().Version(), state.Document().Digest()}
 				for i := range followers {
-					if sender.Next(start, FollowerID(i)).Frame == nil {
+					if sender.Next(start, ConnectionID(i)).Frame == nil {
 						b.Fatal("nothing sent")
 					}
-					if err := sender.Receive(start, FollowerID(i), answer); err != nil {
+					if err := sender.Receive(start, ConnectionID(i), answer); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -80,7 +80,7 @@
 		publish(b, state, set(Resource(fmt.Sprintf("plans/%d", i)), time.Duration(i).String()))
 	}
 	for b.Loop() {
-		if _, ok := state.History().Since(0); !ok {
+		if _, ok := state.History().DeltaSince(0); !ok {
 			b.Fatal("gone")
 		}
 	}
--- a/configsync/codec_test.go
+++ b/configsync/codec_test.go
@@ -24,11 +24,11 @@
 		WantSnapshot: true,
 	},
 	&Delta{Log: testLog, From: 1, To: 3, Changes: []Change{set("limits", "1"), remove("plans/a")}, Digest: Digest{2}},
-	&SnapshotPart{Log: testLog, Version: 4, Digest: Digest{3}, Part: 1, Parts: 2, Changes: []Change{set("plans/b", "2")}},
-	&Heartbeat{Log: testLog, Latest: 9, Current: true},
-	&Deferral{After: BackoffBase},
-	&Behind{Latest: 8},
-	&OtherLog{Log: testLog},
+	&SnapshotPart{Log: testLog, Version: 4, Digest: Digest{3}, Index: 1, PartCount: 2, Changes: []Change{set("plans/b", "2")}},
+	&Heartbeat{Log: testLog, Latest: 9, HasQuorum: true},
+	&SnapshotDeferral{After: BackoffBase},
+	&PublisherBehind{Latest: 8},
+	&LogMismatch{Log: testLog},
 	&Acknowledge{Version: 7, Digest: Digest{4}},
 	NewRefusal(6, "plans/a", "rate: not a number"),
 }
@@ -61,7 +61,7 @@
 		manyFields += string([]byte{byte(key + 1), 0})
 	}
 	unsorted := []Change{set("plans/a", "1"), set("limits", "1")}
-	longLog := LogID(strings.Repeat("x", MaxLogBytes+1))
+	longLog := LogID(strings.Repeat("x", MaxLogIDBytes+1))
 	for name, frame := range map[string][]byte{
 		"empty":              {},
 		"cut":                good[:len(good)-1],
@@ -85,25 +85,25 @@
 		"delta backwards":    Encode(&Delta{Log: testLog, From: 2, To: 1}),
 		"delta unsorted":     Encode(&Delta{Log: testLog, To: 1, Changes: unsorted}),
 		"long log":           Encode(&Heartbeat{Log: longLog}),
-		"log of other":       Encode(&OtherLog{Log: longLog}),
+		"log of other":       Encode(&LogMismatch{Log: longLog}),
 		"member":             Encode(&Hello{Member: MaxMembers}),
 		"negative member":    Encode(&Hello{Member: -1}),
-		"long name":          Encode(&Hello{Name: strings.Repeat("x", MaxNameBytes+1)}),
+		"long name":          Encode(&Hello{Name: strings.Repeat("x", MaxGatewayNameBytes+1)}),
 		"version of no log":  Encode(&Hello{InForce: 1}),
 		"refused of no log":  Encode(&Hello{Refused: 1}),
-		"deferral backwards": Encode(&Deferral{After: -1}),
-		"long reason":        Encode(&Refusal{Reason: strings.Repeat("x", MaxReasonBytes+1)}),
+		"deferral backwards": Encode(&SnapshotDeferral{After: -1}),
+		"long reason":        Encode(&Refusal{Reason: strings.Repeat("x", MaxRefusalReasonBytes+1)}),
 		"resource":           Encode(&Refusal{Resource: "routes/a"}),
 		"part of none":       Encode(&SnapshotPart{Log: testLog, Version: 1}),
-		"part beyond":        Encode(&SnapshotPart{Log: testLog, Version: 1, Part: 1, Parts: 1}),
-		"negative part":      Encode(&SnapshotPart{Log: testLog, Version: 1, Part: -1, Parts: 1}),
-		"many in a part":     Encode(&SnapshotPart{Log: testLog, Version: 1, Parts: 1, Changes: many}),
-		"many parts":         Encode(&SnapshotPart{Log: testLog, Version: 1, Parts: MaxSnapshotParts + 1}),
-		"part of version 0":  Encode(&SnapshotPart{Log: testLog, Parts: 1}),
-		"part of no log":     Encode(&SnapshotPart{Version: 1, Parts: 1}),
-		"wide part":          Encode(&SnapshotPart{Log: testLog, Version: 1, Parts: 1, Changes: wide[:5]}),
-		"removal in a part":  Encode(&SnapshotPart{Log: testLog, Version: 1, Parts: 1, Changes: []Change{remove("limits")}}),
-		"unsorted part":      Encode(&SnapshotPart{Log: testLog, Version: 1, Parts: 1, Changes: unsorted}),
+		"part beyond":        Encode(&SnapshotPart{Log: testLog, Version: 1, Index: 1, PartCount: 1}),
+		"negative part":      Encode(&SnapshotPart{Log: testLog, Version: 1, Index: -1, PartCount: 1}),
+		"many in a part":     Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: many}),
+		"many parts":         Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: MaxSnapshotParts + 1}),
+		"part of version 0":  Encode(&SnapshotPart{Log: testLog, PartCount: 1}),
+		"part of no log":     Encode(&SnapshotPart{Version: 1, PartCount: 1}),
+		"wide part":          Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: wide[:5]}),
+		"removal in a part":  Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: []Change{remove("limits")}}),
+		"unsorted part":      Encode(&SnapshotPart{Log: testLog, Version: 1, PartCount: 1, Changes: unsorted}),
 	} {
 		if message, err := Decode(frame); err == nil {
 			t.Errorf("%s: decoded as %+v", name, message)
@@ -121,7 +121,7 @@
 }
 
 func TestNewRefusalKeepsWithinBounds(t *testing.T) {
-	refusal := NewRefusal(6, "routes/a", "x"+strings.Repeat("ü", MaxReasonBytes)+"\xff")
+	refusal := NewRefusal(6, "routes/a", "x"+strings.Repeat("ü", MaxRefusalReasonBytes)+"\xff")
 	got, err := Decode(Encode(refusal))
 	if err != nil || !cmp.Equal(got, Message(refusal)) || refusal.Resource != "" {
 		t.Error(err, refusal)
@@ -160,7 +160,7 @@
 			t.Fatalf("%v: %+v, then %+v", err, message, again)
 		}
 		if part, isPart := message.(*SnapshotPart); isPart {
-			_, _ = (&Assembler{}).Add(part)
+			_, _ = (&SnapshotAssembler{}).Add(part)
 		}
 	})
 }
--- a/configsync/configsync.go
+++ b/configsync/configsync.go
@@ -36,10 +36,10 @@
 
 // Kinds of resources. A kind that ends in a slash is followed by a name.
 const (
-	PlanPrefix   = "plans/"   // a quota plan by its name: the object as in settings.plans
-	ClassPrefix  = "classes/" // a request class by its name: the object as in settings.profiles
-	MemberPrefix = "members/" // a gateway by its member index: a string, the address that it gossips at
-	LimitsName   = "limits"   // the object as in settings.limits, the keys that may change in a running gateway
+	PlanPrefix     = "plans/"   // a quota plan by its name: the object as in settings.plans
+	ClassPrefix    = "classes/" // a request class by its name: the object as in settings.profiles
+	MemberPrefix   = "members/" // a gateway by its member index: a string, the address that it gossips at
+	LimitsResource = "limits"   // the object as in settings.limits, the keys that may change in a running gateway
 )
 
 // Change sets a resource or removes it.
@@ -48,8 +48,8 @@
 	Value    []byte   `cbor:"2,keyasint,omitempty"` // JSON; empty: the resource is removed
 }
 
-// Removed reports whether the change removes its resource.
-func (c *Change) Removed() bool { return len(c.Value) == 0 }
+// IsRemoval reports whether the change removes its resource.
+func (c *Change) IsRemoval() bool { return len(c.Value) == 0 }
 
 // Delta leads from one version of a log to a later one. Its changes are sorted by resource, each named once.
 type Delta struct {
--- a/configsync/decision.go
+++ b/configsync/decision.go
@@ -5,7 +5,7 @@
 
 // Kinds of decisions.
 const (
-	Ignore    DecisionKind = iota // do nothing but send Reply where it is set
+	NoAction  DecisionKind = iota // do nothing but send Reply where it is set
 	Apply                         // apply Update at the gateway, then call Accept or Refuse
 	Reconnect                     // close the connection, then wait until NextAttempt
 )
@@ -15,16 +15,16 @@
 
 // The reasons of a Reconnect; FollowerCounters has a count for each.
 const (
-	CauseOtherLog  Cause = "the publisher has another log"
-	CauseGap       Cause = "a delta from a version that is not held"
-	CauseDigest    Cause = "a version's content differs from its digest"
-	CauseMalformed Cause = "a malformed message"
-	CauseSilent    Cause = "nothing heard from the publisher"
-	CauseStale     Cause = "the publisher has no contact with a quorum"
-	CauseStalled   Cause = "an announced version doesn't come"
-	CauseBehind    Cause = "the publisher is behind"
-	CauseDeferred  Cause = "the publisher put a snapshot off"
-	CauseLost      Cause = "the connection failed"
+	CauseLogMismatch      Cause = "the publisher has another log"
+	CauseVersionGap       Cause = "a delta from a version that is not held"
+	CauseDigestMismatch   Cause = "a version's content differs from its digest"
+	CauseMalformed        Cause = "a malformed message"
+	CauseSilent           Cause = "nothing heard from the publisher"
+	CauseNoQuorum         Cause = "the publisher has no contact with a quorum"
+	CauseStalled          Cause = "an announced version doesn't come"
+	CausePublisherBehind  Cause = "the publisher is behind"
+	CauseSnapshotDeferred Cause = "the publisher put a snapshot off"
+	CauseConnectionLost   Cause = "the connection failed"
 )
 
 // Decision is what the caller has to do after an event.
--- a/configsync/document.go
+++ b/configsync/document.go
@@ -108,7 +108,7 @@
 		return err
 	}
 	for _, change := range delta.Changes {
-		if change.Removed() {
+		if change.IsRemoval() {
 			delete(d.resources, change.Resource)
 		} else {
 			d.resources[change.Resource] = change.Value
@@ -141,7 +141,7 @@
 		return summary{}, err
 	}
 	if after.digest != delta.Digest {
-		return summary{}, &DigestError{Version: delta.To, Want: delta.Digest, Got: after.digest}
+		return summary{}, &DigestMismatchError{Version: delta.To, Want: delta.Digest, Got: after.digest}
 	}
 	return after, nil
 }
@@ -151,13 +151,13 @@
 		return err
 	}
 	if d.log != "" && d.log != delta.Log {
-		return &WrongLogError{Current: d.log, Got: delta.Log}
+		return &LogMismatchError{Current: d.log, Got: delta.Log}
 	}
 	if d.version != delta.From {
-		return &WrongFromError{Current: d.version, From: delta.From}
+		return &VersionMismatchError{Current: d.version, From: delta.From}
 	}
 	if delta.To <= delta.From {
-		return &NotIncreasingError{From: delta.From, To: delta.To}
+		return &VersionNotIncreasingError{From: delta.From, To: delta.To}
 	}
 	return nil
 }
@@ -171,7 +171,7 @@
 			after.size -= len(change.Resource) + len(old)
 			after.count--
 		}
-		if !change.Removed() {
+		if !change.IsRemoval() {
 			after.digest.toggle(change.Resource, change.Value)
 			after.size += change.size()
 			after.count++
--- a/configsync/document_test.go
+++ b/configsync/document_test.go
@@ -44,18 +44,18 @@
 
 // A refused delta leaves the document as it was.
 func TestApplyRefusesInvalidDelta(t *testing.T) {
-	long := strings.Repeat("x", MaxResourceBytes)
+	long := strings.Repeat("x", MaxResourceNameBytes)
 	for name, test := range map[string]struct {
 		spoil func(*Delta)
 		want  error
 	}{
-		"other log":      {func(d *Delta) { d.Log = "log-b" }, &WrongLogError{}},
+		"other log":      {func(d *Delta) { d.Log = "log-b" }, &LogMismatchError{}},
 		"no log":         {func(d *Delta) { d.Log = "" }, &MalformedError{}},
-		"older":          {func(d *Delta) { d.From = 0 }, &WrongFromError{}},
-		"gap":            {func(d *Delta) { d.From = 2; d.To = 3 }, &WrongFromError{}},
-		"not increasing": {func(d *Delta) { d.To = d.From }, &NotIncreasingError{}},
-		"digest":         {func(d *Delta) { d.Digest[31] ^= 1 }, &DigestError{}},
-		"value altered":  {func(d *Delta) { d.Changes[0].Value = []byte("5") }, &DigestError{}},
+		"older":          {func(d *Delta) { d.From = 0 }, &VersionMismatchError{}},
+		"gap":            {func(d *Delta) { d.From = 2; d.To = 3 }, &VersionMismatchError{}},
+		"not increasing": {func(d *Delta) { d.To = d.From }, &VersionNotIncreasingError{}},
+		"digest":         {func(d *Delta) { d.Digest[31] ^= 1 }, &DigestMismatchError{}},
+		"value altered":  {func(d *Delta) { d.Changes[0].Value = []byte("5") }, &DigestMismatchError{}},
 		"unsorted":       {func(d *Delta) { d.Changes[0], d.Changes[1] = d.Changes[1], d.Changes[0] }, &MalformedError{}},
 		"named twice":    {func(d *Delta) { d.Changes[1] = d.Changes[0] }, &MalformedError{}},
 		"unknown kind":   {func(d *Delta) { d.Changes[1].Resource = "routes/a" }, &MalformedError{}},
@@ -96,11 +96,11 @@
 
 func TestCheckLogBoundsLength(t *testing.T) {
 	for log, valid := range map[LogID]bool{
-		"a":                                true,
-		"":                                 false,
-		"a\xff":                            false,
-		LogID(make([]byte, MaxLogBytes)):   true,
-		LogID(make([]byte, MaxLogBytes+1)): false,
+		"a":                                  true,
+		"":                                   false,
+		"a\xff":                              false,
+		LogID(make([]byte, MaxLogIDBytes)):   true,
+		LogID(make([]byte, MaxLogIDBytes+1)): false,
 	} {
 		err := checkLog(log)
 		if (err == nil) != valid {
--- a/configsync/errors.go
+++ b/configsync/errors.go
@@ -2,44 +2,44 @@
 
 import "fmt"
 
-// WrongLogError reports that a message or a command belongs to another log than the current one.
-type WrongLogError struct {
+// LogMismatchError reports that a message or a command belongs to another log than the current one.
+type LogMismatchError struct {
 	Current LogID
 	Got     LogID
 }
 
-func (e *WrongLogError) Error() string {
+func (e *LogMismatchError) Error() string {
 	return fmt.Sprintf("of log %q, not of log %q", e.Got, e.Current)
 }
 
-// WrongFromError reports that a delta starts from another version than the current one.
-type WrongFromError struct {
+// VersionMismatchError reports that a delta starts from another version than the current one.
+type VersionMismatchError struct {
 	Current Version
 	From    Version
 }
 
-func (e *WrongFromError) Error() string {
+func (e *VersionMismatchError) Error() string {
 	return fmt.Sprintf("a delta from version %d, not from version %d", e.From, e.Current)
 }
 
-// NotIncreasingError reports that a delta doesn't lead to a later version.
-type NotIncreasingError struct {
+// VersionNotIncreasingError reports that a delta doesn't lead to a later version.
+type VersionNotIncreasingError struct {
 	From Version
 	To   Version
 }
 
-func (e *NotIncreasingError) Error() string {
+func (e *VersionNotIncreasingError) Error() string {
 	return fmt.Sprintf("a delta from version %d to version %d, which is not later", e.From, e.To)
 }
 
-// DigestError reports that the content of a version doesn't have the digest that was announced for it.
-type DigestError struct {
+// DigestMismatchError reports that the content of a version doesn't have the digest that was announced for it.
+type DigestMismatchError struct {
 	Version Version
 	Want    Digest
 	Got     Digest
 }
 
-func (e *DigestError) Error() string {
+func (e *DigestMismatchError) Error() string {
 	return fmt.Sprintf("version %d has digest %x, not %x", e.Version, e.Got[:8], e.Want[:8])
 }
 
@@ -54,7 +54,7 @@
 	if e.Resource == "" {
 		return e.Reason
 	}
-	return fmt.Sprintf("%.*q: %s", MaxResourceBytes, string(e.Resource), e.Reason)
+	return fmt.Sprintf("%.*q: %s", MaxResourceNameBytes, string(e.Resource), e.Reason)
 }
 
 // ConflictError reports that a command was made for another version than the current one.
@@ -67,14 +67,14 @@
 	return fmt.Sprintf("based on version %d, the current one is %d", e.Base, e.Current)
 }
 
-// PlanIDError reports that a quota plan can't have its name, because its id belongs to another name, live or removed.
-type PlanIDError struct {
+// PlanIDConflictError reports that a quota plan can't have its name, because its id belongs to another name, live or removed.
+type PlanIDConflictError struct {
 	Resource Resource // of the plan that was refused
 	ID       uint32
 	Owner    string // the name that has the id
 }
 
-func (e *PlanIDError) Error() string {
+func (e *PlanIDConflictError) Error() string {
 	return fmt.Sprintf("%s: its id %08x is reserved for plan %q; choose another name", e.Resource, e.ID, e.Owner)
 }
 
@@ -94,18 +94,18 @@
 
 func (e *LogExistsError) Error() string { return fmt.Sprintf("log %q exists", e.Log) }
 
-// FileError reports the first byte from which a file is damaged. All before Offset is intact.
-type FileError struct {
+// CorruptFileError reports the first byte from which a file is damaged. All before Offset is intact.
+type CorruptFileError struct {
 	Offset int // bytes
 	Reason string
 	Err    error // the cause; nil: none but Reason
 }
 
-func (e *FileError) Error() string {
+func (e *CorruptFileError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("at byte %d: %s: %v", e.Offset, e.Reason, e.Err)
 	}
 	return fmt.Sprintf("at byte %d: %s", e.Offset, e.Reason)
 }
 
-func (e *FileError) Unwrap() error { return e.Err }
+func (e *CorruptFileError) Unwrap() error { return e.Err }
--- a/configsync/file.go
+++ b/configsync/file.go
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	if kind != recordDocument {
-		return nil, &FileError{Reason: "no document at its beginning"}
+		return nil, &CorruptFileError{Reason: "no document at its beginning"}
 	}
 	document, err := decodeFileDocument(body)
 	if err != nil {
@@ -77,11 +77,11 @@
 func decodeFileDocument(body []byte) (*Document, error) {
 	var content fileDocument
 	if err := fileDecoder.Unmarshal(body, &content); err != nil {
-		return nil, &FileError{Reason: "not a document", Err: err}
+		return nil, &CorruptFileError{Reason: "not a document", Err: err}
 	}
 	document, err := content.document()
 	if err != nil {
-		return nil, &FileError{Reason: "not a document", Err: err}
+		return nil, &CorruptFileError{Reason: "not a document", Err: err}
 	}
 	return document, nil
 }
@@ -93,14 +93,14 @@
 		return 0, err
 	}
 	if kind != recordDelta {
-		return 0, &FileError{Offset: offset, Reason: "not a delta"}
+		return 0, &CorruptFileError{Offset: offset, Reason: "not a delta"}
 	}
 	var delta Delta
 	if err := fileDecoder.Unmarshal(body, &delta); err != nil {
-		return 0, &FileError{Offset: offset, Reason: "not a delta", Err: err}
+		return 0, &CorruptFileError{Offset: offset, Reason: "not a delta", Err: err}
 	}
 	if err := document.Apply(&delta); err != nil {
-		return 0, &FileError{Offset: offset, Reason: "a delta that doesn't fit", Err: err}
+		return 0, &CorruptFileError{Offset: offset, Reason: "a delta that doesn't fit", Err: err}
 	}
 	return size, nil
 }
@@ -140,7 +140,7 @@
 func decodeRecord(file []byte, offset int) (kind recordKind, body []byte, size int, err error) {
 	record := file[offset:]
 	fail := func(reason string) (recordKind, []byte, int, error) {
-		return 0, nil, 0, &FileError{Offset: offset, Reason: reason}
+		return 0, nil, 0, &CorruptFileError{Offset: offset, Reason: reason}
 	}
 	if len(record) < fileHeader {
 		return fail("cut short")
--- a/configsync/file_test.go
+++ b/configsync/file_test.go
@@ -28,7 +28,7 @@
 func checkDamagedFile(t *testing.T, name string, file []byte, ends []int, intact int) {
 	t.Helper()
 	document, err := DecodeFile(file)
-	var fault *FileError
+	var fault *CorruptFileError
 	if !errors.As(err, &fault) {
 		t.Fatalf("%s: %v", name, err)
 	}
@@ -95,7 +95,7 @@
 	wrong.Digest[0]++
 	check("a document of another digest", encodeRecord(recordDocument, marshal(wrong)), 0)
 	for _, none := range []*fileDocument{
-		{Log: LogID(make([]byte, MaxLogBytes+1))},
+		{Log: LogID(make([]byte, MaxLogIDBytes+1))},
 		{Digest: Digest{1}},
 		{Log: testLog, Changes: []Change{set("limits", "1")}},
 	} {
@@ -139,7 +139,7 @@
 
 func checkDecodedFile(t *testing.T, file []byte) {
 	document, err := DecodeFile(file)
-	var fault *FileError
+	var fault *CorruptFileError
 	if err != nil && (!errors.As(err, &fault) || fault.Offset > len(file)) {
 		t.Fatal(err)
 	}
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -45,7 +45,7 @@
 	lastCurrent  time.Time // when the publisher last was in contact with a quorum
 	lastProgress time.Time // when no version was due, or a part of one was received
 	announced    Version   // the latest version of the publisher
-	assembler    *Assembler
+	assembler    *SnapshotAssembler
 }
 
 // pendingUpdate is a later version that the gateway has been asked to apply.
@@ -58,19 +58,19 @@
 
 // FollowerCounters count events since the start.
 type FollowerCounters struct {
-	Accepted         uint64 // versions put in force
-	Refused          uint64 // versions that the gateway couldn't apply
-	Ignored          uint64 // deltas and snapshots that were repeated or not later
-	OtherLog         uint64 // messages of another log than that in force
-	Gaps             uint64 // deltas that start from another version than that in force
-	DigestMismatches uint64 // versions whose content has another digest than announced
-	Malformed        uint64 // messages that break the protocol
-	Silent           uint64 // connections closed after SilenceTimeout
-	Stale            uint64 // connections closed after StaleTimeout
-	Stalled          uint64 // connections closed after StallTimeout
-	Behind           uint64 // publishers whose latest version was before that in force
-	Deferred         uint64 // snapshots deferred by a publisher
-	Lost             uint64 // connections that failed or were ended by the other side
+	Accepted          uint64 // versions put in force
+	Refused           uint64 // versions that the gateway couldn't apply
+	Ignored           uint64 // deltas and snapshots that were repeated or not later
+	LogMismatches     uint64 // messages of another log than that in force
+	VersionGaps       uint64 // deltas that start from another version than that in force
+	DigestMismatches  uint64 // versions whose content has another digest than announced
+	MalformedMessages uint64 // messages that break the protocol
+	Silent            uint64 // connections closed after SilenceTimeout
+	NoQuorum          uint64 // connections closed after StaleTimeout
+	Stalled           uint64 // connections closed after StallTimeout
+	Behind            uint64 // publishers whose latest version was before that in force
+	SnapshotsDeferred uint64 // snapshots deferred by a publisher
+	ConnectionsLost   uint64 // connections that failed or were ended by the other side
 }
 
 // NewFollower returns the follower of a gateway that has a document in force: the one of its file, or
@@ -78,7 +78,7 @@
 // which spreads the gateways.
 func NewFollower(config FollowerConfig, document *Document, random *rand.Rand) *Follower {
 	config.Publishers = max(config.Publishers, 1)
-	config.Name = cutText(config.Name, MaxNameBytes)
+	config.Name = cutText(config.Name, MaxGatewayNameBytes)
 	return &Follower{
 		config:    config,
 		random:    random,
@@ -123,15 +123,15 @@
 	return []Message{hello, f.refused}
 }
 
-// Lost handles a failed attempt to connect, or the end of the connection without a Reconnect.
-func (f *Follower) Lost(now time.Time) Decision {
-	f.counters.Lost++
-	return f.reconnect(now, CauseLost, nil)
+// ConnectionLost handles a failed attempt to connect, or the end of the connection without a Reconnect.
+func (f *Follower) ConnectionLost(now time.Time) Decision {
+	f.counters.ConnectionsLost++
+	return f.reconnect(now, CauseConnectionLost, nil)
 }
 
-// Malformed handles bytes that Decode or FrameSize refused.
-func (f *Follower) Malformed(now time.Time, err error) Decision {
-	f.counters.Malformed++
+// ReceiveMalformed handles bytes that Decode or FrameSize refused.
+func (f *Follower) ReceiveMalformed(now time.Time, err error) Decision {
+	f.counters.MalformedMessages++
 	return f.reconnect(now, CauseMalformed, err)
 }
 
@@ -149,7 +149,7 @@
 		return time.Time{}, false
 	}
 	silent := f.connection.lastReceived.Add(SilenceTimeout)
-	stale := f.connection.lastCurrent.Add(StaleTimeout)
+	stale := f.connection.lastCurrent.Add(QuorumTimeout)
 	deadline = earlier(silent, stale)
 	if f.expectsVersion() {
 		stalled := f.connection.lastProgress.Add(StallTimeout)
@@ -167,9 +167,9 @@
 	case now.Sub(c.lastReceived) >= SilenceTimeout:
 		f.counters.Silent++
 		return f.reconnect(now, CauseSilent, nil)
-	case now.Sub(c.lastCurrent) >= StaleTimeout:
-		f.counters.Stale++
-		return f.reconnect(now, CauseStale, nil)
+	case now.Sub(c.lastCurrent) >= QuorumTimeout:
+		f.counters.NoQuorum++
+		return f.reconnect(now, CauseNoQuorum, nil)
 	case f.expectsVersion() && now.Sub(c.lastProgress) >= StallTimeout:
 		f.counters.Stalled++
 		return f.reconnect(now, CauseStalled, nil)
@@ -251,7 +251,7 @@
 func (f *Follower) deferred(now time.Time, after time.Duration) Decision {
 	after = min(max(after, BackoffBase), MaxDeferral)
 	f.disconnect(now.Add(after + f.jitter(BackoffBase)))
-	return Decision{Kind: Reconnect, Cause: CauseDeferred}
+	return Decision{Kind: Reconnect, Cause: CauseSnapshotDeferred}
 }
 
 func (f *Follower) disconnect(nextAttempt time.Time) {
--- a/configsync/follower_receive.go
+++ b/configsync/follower_receive.go
@@ -18,21 +18,21 @@
 		return f.receivePart(now, message)
 	case *Heartbeat:
 		return f.receiveHeartbeat(now, message)
-	case *Deferral:
-		f.counters.Deferred++
+	case *SnapshotDeferral:
+		f.counters.SnapshotsDeferred++
 		return f.deferred(now, message.After)
-	case *Behind:
+	case *PublisherBehind:
 		f.counters.Behind++
-		return f.reconnect(now, CauseBehind, nil)
-	case *OtherLog:
+		return f.reconnect(now, CausePublisherBehind, nil)
+	case *LogMismatch:
 		return f.otherLog(now, message.Log)
 	}
-	return f.Malformed(now, &MalformedError{Reason: "a message that no publisher sends"})
+	return f.ReceiveMalformed(now, &MalformedError{Reason: "a message that no publisher sends"})
 }
 
 func (f *Follower) otherLog(now time.Time, log LogID) Decision {
-	f.counters.OtherLog++
-	return f.reconnect(now, CauseOtherLog, &WrongLogError{Current: f.document.Log(), Got: log})
+	f.counters.LogMismatches++
+	return f.reconnect(now, CauseLogMismatch, &LogMismatchError{Current: f.document.Log(), Got: log})
 }
 
 // isOtherLog reports whether versions of a log can't be compared with the one in force.
@@ -50,10 +50,10 @@
 		c.lastProgress = now
 	}
 	c.announced = heartbeat.Latest
-	if heartbeat.Current {
+	if heartbeat.HasQuorum {
 		c.lastCurrent = now
 	}
-	if heartbeat.Current && now.Sub(c.since) >= SilenceTimeout {
+	if heartbeat.HasQuorum && now.Sub(c.since) >= SilenceTimeout {
 		f.failures = 0
 	}
 	return Decision{}
@@ -67,8 +67,8 @@
 		return decision
 	}
 	if f.pending != nil || delta.From != f.document.Version() {
-		f.counters.Gaps++
-		return f.reconnect(now, CauseGap, &WrongFromError{Current: f.document.Version(), From: delta.From})
+		f.counters.VersionGaps++
+		return f.reconnect(now, CauseVersionGap, &VersionMismatchError{Current: f.document.Version(), From: delta.From})
 	}
 	if err := f.document.Check(delta); err != nil {
 		return f.refuseContent(now, err)
@@ -102,12 +102,12 @@
 
 // refuseContent ends a connection on which a delta or a snapshot was not valid.
 func (f *Follower) refuseContent(now time.Time, err error) Decision {
-	if _, isDigest := errors.AsType[*DigestError](err); isDigest {
+	if _, isDigest := errors.AsType[*DigestMismatchError](err); isDigest {
 		f.counters.DigestMismatches++
 		f.wantSnapshot = true
-		return f.reconnect(now, CauseDigest, err)
+		return f.reconnect(now, CauseDigestMismatch, err)
 	}
-	return f.Malformed(now, err)
+	return f.ReceiveMalformed(now, err)
 }
 
 func (f *Follower) receivePart(now time.Time, part *SnapshotPart) Decision {
@@ -117,7 +117,7 @@
 	c := f.connection
 	c.lastProgress = now
 	if c.assembler == nil {
-		c.assembler = &Assembler{}
+		c.assembler = &SnapshotAssembler{}
 	}
 	document, err := c.assembler.Add(part)
 	if err != nil {
@@ -141,8 +141,8 @@
 		}
 	}
 	if f.pending != nil {
-		f.counters.Gaps++
-		return f.reconnect(now, CauseGap, nil)
+		f.counters.VersionGaps++
+		return f.reconnect(now, CauseVersionGap, nil)
 	}
 	f.pending = &pendingUpdate{document: document, log: document.Log(), to: document.Version()}
 	return Decision{Kind: Apply, Update: &Update{
--- a/configsync/follower_snapshot_test.go
+++ b/configsync/follower_snapshot_test.go
@@ -12,7 +12,7 @@
 		want    DecisionKind
 	}{
 		"later":         {4, []Change{set("limits", "1"), set("plans/b", "3")}, Apply},
-		"in force":      {1, []Change{set("limits", "1"), set("plans/a", "2")}, Ignore},
+		"in force":      {1, []Change{set("limits", "1"), set("plans/a", "2")}, NoAction},
 		"other content": {1, []Change{set("limits", "1"), set("plans/a", "9")}, Apply},
 	} {
 		follower := newTestFollower(t)
@@ -42,7 +42,7 @@
 		t.Fatalf("%+v", decision)
 	}
 	decision := follower.Receive(start, SplitSnapshot(later)[0])
-	if decision.Cause != CauseGap || follower.Counters().Gaps != 1 {
+	if decision.Cause != CauseVersionGap || follower.Counters().VersionGaps != 1 {
 		t.Errorf("while another version is pending: %+v", decision)
 	}
 	if answer := follower.Accept(start); answer.Version != 2 { // without a connection
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -35,7 +35,7 @@
 	if follower.Document().Version() != 1 {
 		t.Error("in force before the gateway accepted it")
 	}
-	if decision := follower.Receive(start, delta); decision.Kind != Ignore {
+	if decision := follower.Receive(start, delta); decision.Kind != NoAction {
 		t.Errorf("repeated while pending: %+v", decision)
 	}
 	answer := follower.Accept(start)
@@ -49,7 +49,7 @@
 		t.Error("an answer without a pending update")
 	}
 	decision = follower.Receive(start, delta)
-	if decision.Kind != Ignore || !reflect.DeepEqual(decision.Reply, answer) || follower.Counters().Ignored != 2 {
+	if decision.Kind != NoAction || !reflect.DeepEqual(decision.Reply, answer) || follower.Counters().Ignored != 2 {
 		t.Errorf("repeated: %+v", decision)
 	}
 }
@@ -59,7 +59,7 @@
 	if follower.Publisher() != 2 {
 		t.Error("start positions aren't spread")
 	}
-	alone := NewFollower(FollowerConfig{Member: 5, Name: strings.Repeat("x", MaxNameBytes+1)}, NewDocument(""), nil)
+	alone := NewFollower(FollowerConfig{Member: 5, Name: strings.Repeat("x", MaxGatewayNameBytes+1)}, NewDocument(""), nil)
 	if _, err := Decode(Encode(alone.Connected(start)[0])); err != nil || alone.Publisher() != 0 {
 		t.Error("the hello with a long name:", err)
 	}
@@ -99,7 +99,7 @@
 		t.Errorf("%+v, version %d", follower.Counters(), follower.Document().Version())
 	}
 	decision := follower.Receive(start, bad)
-	if decision.Kind != Ignore || decision.Reply != Message(refusal) {
+	if decision.Kind != NoAction || decision.Reply != Message(refusal) {
 		t.Errorf("sent again: %+v", decision)
 	}
 	messages := follower.Connected(start)
@@ -128,37 +128,37 @@
 	unsorted := next(document, set("plans/a", "1"), set("limits", "1"))
 	later := next(document, set("limits", "3"))
 	later.To = 3
-	part := &SnapshotPart{Log: testLog, Version: 2, Parts: 2, Part: 1}
-	wrongPart := &SnapshotPart{Log: testLog, Version: 2, Parts: 1, Digest: Digest{1}}
-	otherPart := &SnapshotPart{Log: "log-b", Version: 2, Parts: 1}
+	part := &SnapshotPart{Log: testLog, Version: 2, PartCount: 2, Index: 1}
+	wrongPart := &SnapshotPart{Log: testLog, Version: 2, PartCount: 1, Digest: Digest{1}}
+	otherPart := &SnapshotPart{Log: "log-b", Version: 2, PartCount: 1}
 	receive := func(message Message) func(*Follower) Decision {
 		return func(f *Follower) Decision { return f.Receive(start, message) }
 	}
-	malformed := func(f *Follower) Decision { return f.Malformed(start, nil) }
-	lost := func(f *Follower) Decision { return f.Lost(start) }
+	malformed := func(f *Follower) Decision { return f.ReceiveMalformed(start, nil) }
+	lost := func(f *Follower) Decision { return f.ConnectionLost(start) }
 	for name, test := range map[string]struct {
 		event    func(*Follower) Decision
 		cause    Cause
 		counters FollowerCounters
 	}{
-		"gap":                {receive(gap), CauseGap, FollowerCounters{Gaps: 1}},
-		"digest":             {receive(wrong), CauseDigest, FollowerCounters{DigestMismatches: 1}},
-		"digest of snapshot": {receive(wrongPart), CauseDigest, FollowerCounters{DigestMismatches: 1}},
-		"delta of other log": {receive(other), CauseOtherLog, FollowerCounters{OtherLog: 1}},
-		"part of other log":  {receive(otherPart), CauseOtherLog, FollowerCounters{OtherLog: 1}},
-		"other log":          {receive(&OtherLog{Log: "log-b"}), CauseOtherLog, FollowerCounters{OtherLog: 1}},
-		"heartbeat of other": {receive(&Heartbeat{Log: "log-b"}), CauseOtherLog, FollowerCounters{OtherLog: 1}},
-		"unsorted":           {receive(unsorted), CauseMalformed, FollowerCounters{Malformed: 1}},
-		"part out of order":  {receive(part), CauseMalformed, FollowerCounters{Malformed: 1}},
-		"a follower's":       {receive(&Hello{}), CauseMalformed, FollowerCounters{Malformed: 1}},
-		"malformed":          {malformed, CauseMalformed, FollowerCounters{Malformed: 1}},
-		"behind":             {receive(&Behind{}), CauseBehind, FollowerCounters{Behind: 1}},
-		"deferral":           {receive(&Deferral{After: time.Second}), CauseDeferred, FollowerCounters{Deferred: 1}},
-		"lost":               {lost, CauseLost, FollowerCounters{Lost: 1}},
+		"gap":                {receive(gap), CauseVersionGap, FollowerCounters{VersionGaps: 1}},
+		"digest":             {receive(wrong), CauseDigestMismatch, FollowerCounters{DigestMismatches: 1}},
+		"digest of snapshot": {receive(wrongPart), CauseDigestMismatch, FollowerCounters{DigestMismatches: 1}},
+		"delta of other log": {receive(other), CauseLogMismatch, FollowerCounters{LogMismatches: 1}},
+		"part of other log":  {receive(otherPart), CauseLogMismatch, FollowerCounters{LogMismatches: 1}},
+		"other log":          {receive(&LogMismatch{Log: "log-b"}), CauseLogMismatch, FollowerCounters{LogMismatches: 1}},
+		"heartbeat of other": {receive(&Heartbeat{Log: "log-b"}), CauseLogMismatch, FollowerCounters{LogMismatches: 1}},
+		"unsorted":           {receive(unsorted), CauseMalformed, FollowerCounters{MalformedMessages: 1}},
+		"part out of order":  {receive(part), CauseMalformed, FollowerCounters{MalformedMessages: 1}},
+		"a follower's":       {receive(&Hello{}), CauseMalformed, FollowerCounters{MalformedMessages: 1}},
+		"malformed":          {malformed, CauseMalformed, FollowerCounters{MalformedMessages: 1}},
+		"behind":             {receive(&PublisherBehind{}), CausePublisherBehind, FollowerCounters{Behind: 1}},
+		"deferral":           {receive(&SnapshotDeferral{After: time.Second}), CauseSnapshotDeferred, FollowerCounters{SnapshotsDeferred: 1}},
+		"lost":               {lost, CauseConnectionLost, FollowerCounters{ConnectionsLost: 1}},
 		"another one pending": {func(f *Follower) Decision {
 			f.Receive(start, next(document, remove("limits")))
 			return f.Receive(start, later)
-		}, CauseGap, FollowerCounters{Gaps: 1}},
+		}, CauseVersionGap, FollowerCounters{VersionGaps: 1}},
 	} {
 		follower := newTestFollower(t)
 		decision := test.event(follower)
@@ -172,7 +172,7 @@
 			t.Errorf("%s: no wait", name)
 		}
 		hello := follower.Connected(start)[0].(*Hello)
-		if hello.WantSnapshot != (test.cause == CauseDigest) {
+		if hello.WantSnapshot != (test.cause == CauseDigestMismatch) {
 			t.Errorf("%s: asks for a snapshot: %v", name, hello.WantSnapshot)
 		}
 	}
@@ -181,7 +181,7 @@
 // A follower stays until the time limit for silence, a lost quorum or an overdue version, and not a moment longer.
 func TestFollowerEndsSilentStaleAndStalledConnections(t *testing.T) {
 	second := func(n int) time.Time { return at(time.Duration(n) * time.Second) }
-	current := &Heartbeat{Log: testLog, Latest: 1, Current: true}
+	current := &Heartbeat{Log: testLog, Latest: 1, HasQuorum: true}
 	for name, test := range map[string]struct {
 		events   func(*Follower)
 		deadline time.Time
@@ -196,10 +196,10 @@
 			for i := 2; i < 5; i++ {
 				f.Receive(second(i), &Heartbeat{Log: testLog, Latest: 1})
 			}
-		}, second(4), CauseStale, FollowerCounters{Stale: 1}},
+		}, second(4), CauseNoQuorum, FollowerCounters{NoQuorum: 1}},
 		"stalled": {func(f *Follower) {
 			for i := range 5 {
-				f.Receive(second(i), &Heartbeat{Log: testLog, Latest: 2, Current: true})
+				f.Receive(second(i), &Heartbeat{Log: testLog, Latest: 2, HasQuorum: true})
 			}
 		}, second(4), CauseStalled, FollowerCounters{Stalled: 1}},
 	} {
@@ -209,7 +209,7 @@
 		if !deadline.Equal(test.deadline) {
 			t.Errorf("%s: deadline %v", name, deadline.Sub(start))
 		}
-		if decision := follower.Tick(deadline.Add(-1)); decision.Kind != Ignore {
+		if decision := follower.Tick(deadline.Add(-1)); decision.Kind != NoAction {
 			t.Errorf("%s: %+v too early", name, decision)
 		}
 		decision := follower.Tick(deadline)
@@ -220,12 +220,12 @@
 		if late := follower.Tick(deadline); late != (Decision{}) {
 			t.Errorf("%s: %+v without a connection", name, late)
 		}
-		if late := follower.Receive(deadline, &Behind{}); late != (Decision{}) {
+		if late := follower.Receive(deadline, &PublisherBehind{}); late != (Decision{}) {
 			t.Errorf("%s: %+v of a connection that has ended", name, late)
 		}
 	}
 	follower := newTestFollower(t)
-	follower.Receive(start, &Heartbeat{Log: testLog, Latest: 2, Current: true})
+	follower.Receive(start, &Heartbeat{Log: testLog, Latest: 2, HasQuorum: true})
 	if deadline, _ := follower.Deadline(); !deadline.Equal(at(SilenceTimeout)) {
 		t.Errorf("deadline %v", deadline.Sub(start))
 	}
@@ -239,7 +239,7 @@
 func TestFollowerDoesNotStallWithoutDueVersion(t *testing.T) {
 	announce := func(f *Follower, times int, latest Version) {
 		for i := range times {
-			f.Receive(at(time.Duration(i)*time.Second), &Heartbeat{Log: testLog, Latest: latest, Current: true})
+			f.Receive(at(time.Duration(i)*time.Second), &Heartbeat{Log: testLog, Latest: latest, HasQuorum: true})
 		}
 	}
 	for name, events := range map[string]func(*Follower){
@@ -273,19 +273,19 @@
 		},
 		"announced late": func(f *Follower) {
 			for i := range 5 {
-				f.Receive(at(time.Duration(i)*time.Second), &Heartbeat{Log: testLog, Latest: 1, Current: true})
+				f.Receive(at(time.Duration(i)*time.Second), &Heartbeat{Log: testLog, Latest: 1, HasQuorum: true})
 			}
-			f.Receive(at(5*time.Second), &Heartbeat{Log: testLog, Latest: 2, Current: true})
+			f.Receive(at(5*time.Second), &Heartbeat{Log: testLog, Latest: 2, HasQuorum: true})
 		},
-		"no log there": func(f *Follower) { f.Receive(at(5*time.Second), &Heartbeat{Current: true}) },
+		"no log there": func(f *Follower) { f.Receive(at(5*time.Second), &Heartbeat{HasQuorum: true}) },
 		"in transfer": func(f *Follower) {
 			announce(f, 6, 2)
-			f.Receive(at(5*time.Second), &SnapshotPart{Log: testLog, Version: 2, Parts: 2})
+			f.Receive(at(5*time.Second), &SnapshotPart{Log: testLog, Version: 2, PartCount: 2})
 		},
 	} {
 		follower := newTestFollower(t)
 		events(follower)
-		if decision := follower.Tick(at(5 * time.Second)); decision.Kind != Ignore {
+		if decision := follower.Tick(at(5 * time.Second)); decision.Kind != NoAction {
 			t.Errorf("%s: %+v", name, decision)
 		}
 		if deadline, ok := follower.Deadline(); !ok || !deadline.After(at(5*time.Second)) {
@@ -300,7 +300,7 @@
 	for range 2000 {
 		follower.failures = 0
 		for i := range longest {
-			follower.Lost(start)
+			follower.ConnectionLost(start)
 			wait := follower.NextAttempt().Sub(start)
 			longest[i] = max(longest[i], wait)
 		}
@@ -312,7 +312,7 @@
 		}
 	}
 	follower.Connected(start)
-	follower.Receive(start, &Heartbeat{Log: testLog, Latest: 1, Current: true})
+	follower.Receive(start, &Heartbeat{Log: testLog, Latest: 1, HasQuorum: true})
 	if follower.failures == 0 {
 		t.Error("a new connection ends the backoff")
 	}
@@ -320,7 +320,7 @@
 	if follower.failures == 0 {
 		t.Error("a publisher without a quorum ends the backoff")
 	}
-	follower.Receive(at(SilenceTimeout), &Heartbeat{Log: testLog, Latest: 1, Current: true})
+	follower.Receive(at(SilenceTimeout), &Heartbeat{Log: testLog, Latest: 1, HasQuorum: true})
 	if follower.failures != 0 {
 		t.Error("the backoff doesn't end")
 	}
@@ -339,7 +339,7 @@
 		time.Hour:   MaxDeferral,
 	} {
 		follower := newTestFollower(t)
-		follower.Receive(start, &Deferral{After: after})
+		follower.Receive(start, &SnapshotDeferral{After: after})
 		wait := follower.NextAttempt().Sub(start)
 		if wait < want || wait >= want+BackoffBase {
 			t.Errorf("%v: %v", after, wait)
--- a/configsync/history.go
+++ b/configsync/history.go
@@ -64,7 +64,7 @@
 // append adds the delta that was just applied to the document.
 func (h *History) append(delta *Delta, previous []Change) error {
 	if delta.From != h.latest {
-		return &WrongFromError{Current: h.latest, From: delta.From}
+		return &VersionMismatchError{Current: h.latest, From: delta.From}
 	}
 	entry := historyEntry{Delta: *delta, Previous: previous}
 	h.entries = append(h.entries, entry)
@@ -89,10 +89,10 @@
 	return entryOverhead + changesSize(e.Delta.Changes) + changesSize(e.Previous)
 }
 
-// Since merges all deltas after a version into one: each resource has its latest value, and one whose value is the
+// DeltaSince merges all deltas after a version into one: each resource has its latest value, and one whose value is the
 // same as at the version is left out. ok is false where there is no later version or the history doesn't reach back
 // to it.
-func (h *History) Since(version Version) (delta Delta, ok bool) {
+func (h *History) DeltaSince(version Version) (delta Delta, ok bool) {
 	entries, _ := h.after(version)
 	if len(entries) == 0 {
 		return Delta{}, false
@@ -100,9 +100,9 @@
 	return merge(entries).delta(version, &entries[len(entries)-1].Delta), true
 }
 
-// SinceWithin merges as many deltas after a version as the bounds of a delta on the wire allow, and at least one. ok is
+// BoundedDeltaSince merges as many deltas after a version as the bounds of a delta on the wire allow, and at least one. ok is
 // false where Since has none, or where the first delta alone exceeds the bounds.
-func (h *History) SinceWithin(version Version) (delta Delta, ok bool) {
+func (h *History) BoundedDeltaSince(version Version) (delta Delta, ok bool) {
 	entries, _ := h.after(version)
 	end := 0
 	merger := newMerger()
@@ -124,9 +124,9 @@
 	return len(changes) <= MaxDeltaChanges && changesSize(changes) <= MaxDeltaBytes
 }
 
-// ContentAt returns the sorted changes from the latest content back to the content of a version, for a rollback by a
+// RollbackChanges returns the sorted changes from the latest content back to the content of a version, for a rollback by a
 // new version. ok is false where the history doesn't reach back to it.
-func (h *History) ContentAt(version Version) (changes []Change, ok bool) {
+func (h *History) RollbackChanges(version Version) (changes []Change, ok bool) {
 	entries, ok := h.after(version)
 	if !ok {
 		return nil, false
--- a/configsync/limits.go
+++ b/configsync/limits.go
@@ -5,28 +5,28 @@
 // Bounds of names and contents. A document at the operators' size (54,000 quota plans, 6,000 members, some thousands of
 // request classes, about 200 bytes each) has 13 MB and is within them by a factor of four or more.
 const (
-	MaxResourceBytes     = 256      // of a resource's name
-	MaxValueBytes        = 64 << 10 // of a resource's value; one value has to fit into a part of a snapshot
-	MaxLogBytes          = 64       // of a LogID
-	MaxNameBytes         = 128      // of a gateway's name
-	MaxReasonBytes       = 1 << 10  // of the reason of a refusal
-	MaxMembers           = 1 << 16  // member indices are below it
-	MaxDocumentBytes     = 64 << 20 // names and values of a document
-	MaxDocumentResources = 1 << 19
+	MaxResourceNameBytes  = 256      // of a resource's name
+	MaxValueBytes         = 64 << 10 // of a resource's value; one value has to fit into a part of a snapshot
+	MaxLogIDBytes         = 64       // of a LogID
+	MaxGatewayNameBytes   = 128      // of a gateway's name
+	MaxRefusalReasonBytes = 1 << 10  // of the reason of a refusal
+	MaxMembers            = 1 << 16  // member indices are below it
+	MaxDocumentBytes      = 64 << 20 // names and values of a document
+	MaxDocumentResources  = 1 << 19
 )
 
 // Bounds of messages.
 const (
-	MaxFrameBytes   = 1 << 20   // a frame with its length
-	MaxDeltaBytes   = 512 << 10 // names and values of a delta; a longer one is sent as a snapshot
-	MaxDeltaChanges = 8 << 10   // with the encoding's 24 bytes a change or less, such a delta fits into a frame
-	MaxPartBytes    = 256 << 10 // the encoded changes of one part of a snapshot that is read
+	MaxFrameBytes        = 1 << 20   // a frame with its length
+	MaxDeltaBytes        = 512 << 10 // names and values of a delta; a longer one is sent as a snapshot
+	MaxDeltaChanges      = 8 << 10   // with the encoding's 24 bytes a change or less, such a delta fits into a frame
+	MaxSnapshotPartBytes = 256 << 10 // the encoded changes of one part of a snapshot that is read
 
-	// PartBytes is the size of a part that is sent, unless one value is longer. One part within StallTimeout is 8 KB a
+	// TargetSnapshotPartBytes is the size of a part that is sent, unless one value is longer. One part within StallTimeout is 8 KB a
 	// second, so that a snapshot also completes over a slow link.
-	PartBytes        = 32 << 10
-	MaxPartChanges   = 8 << 10
-	MaxSnapshotParts = 8 << 10 // a document of the largest size has some 2,500
+	TargetSnapshotPartBytes = 32 << 10
+	MaxSnapshotPartChanges  = 8 << 10
+	MaxSnapshotParts        = 8 << 10 // a document of the largest size has some 2,500
 )
 
 // Bounds of the publishers' state.
@@ -49,9 +49,9 @@
 	SilenceTimeout = 3 * time.Second // three heartbeats: one may be lost and one late
 	ConnectTimeout = time.Second     // for a connection to a publisher
 
-	// StaleTimeout is how long a follower stays with a publisher that has no contact with a quorum. During an
+	// QuorumTimeout is how long a follower stays with a publisher that has no contact with a quorum. During an
 	// election of a second or two no publisher has contact, and changing to another one would not help.
-	StaleTimeout = 3 * time.Second
+	QuorumTimeout = 3 * time.Second
 
 	// StallTimeout is how long a follower stays with a publisher that announces a later version and sends no part of it.
 	// With StaleTimeout, a second attempt fits into the 12 s.
--- a/configsync/messages.go
+++ b/configsync/messages.go
@@ -30,33 +30,33 @@
 
 // SnapshotPart is one part of a document, from 0 on. Its changes are sorted, across the parts too, and remove nothing.
 type SnapshotPart struct {
-	Log     LogID    `cbor:"1,keyasint"`
-	Version Version  `cbor:"2,keyasint"`
-	Digest  Digest   `cbor:"3,keyasint"` // of the complete document
-	Part    int      `cbor:"4,keyasint"`
-	Parts   int      `cbor:"5,keyasint"`
-	Changes []Change `cbor:"6,keyasint"`
+	Log       LogID    `cbor:"1,keyasint"`
+	Version   Version  `cbor:"2,keyasint"`
+	Digest    Digest   `cbor:"3,keyasint"` // of the complete document
+	Index     int      `cbor:"4,keyasint"`
+	PartCount int      `cbor:"5,keyasint"`
+	Changes   []Change `cbor:"6,keyasint"`
 }
 
 // Heartbeat reports that the publisher is alive, and its latest version.
 type Heartbeat struct {
-	Log     LogID   `cbor:"1,keyasint,omitempty"` // empty: no log has been made yet
-	Latest  Version `cbor:"2,keyasint"`
-	Current bool    `cbor:"3,keyasint,omitempty"` // the publisher is in contact with a quorum of publishers
+	Log       LogID   `cbor:"1,keyasint,omitempty"` // empty: no log has been made yet
+	Latest    Version `cbor:"2,keyasint"`
+	HasQuorum bool    `cbor:"3,keyasint,omitempty"` // the publisher is in contact with a quorum of publishers
 }
 
-// Deferral asks a follower that needs a snapshot to come back later; the connection ends.
-type Deferral struct {
+// SnapshotDeferral asks a follower that needs a snapshot to come back later; the connection ends.
+type SnapshotDeferral struct {
 	After time.Duration `cbor:"1,keyasint"` // nanoseconds
 }
 
-// Behind reports that the follower has a later version in force than the publisher has; the connection ends.
-type Behind struct {
+// PublisherBehind reports that the follower has a later version in force than the publisher has; the connection ends.
+type PublisherBehind struct {
 	Latest Version `cbor:"1,keyasint"`
 }
 
-// OtherLog reports that the publisher has another log than the follower; the connection ends.
-type OtherLog struct {
+// LogMismatch reports that the publisher has another log than the follower; the connection ends.
+type LogMismatch struct {
 	Log LogID `cbor:"1,keyasint,omitempty"`
 }
 
@@ -78,7 +78,7 @@
 	if checkResource(resource) != nil {
 		resource = ""
 	}
-	return &Refusal{Version: version, Resource: resource, Reason: cutText(reason, MaxReasonBytes)}
+	return &Refusal{Version: version, Resource: resource, Reason: cutText(reason, MaxRefusalReasonBytes)}
 }
 
 // cutText returns the text as valid UTF-8 of at most limit bytes.
@@ -109,15 +109,15 @@
 	kindRefusal
 )
 
-func (*Hello) kind() kind        { return kindHello }
-func (*Delta) kind() kind        { return kindDelta }
-func (*SnapshotPart) kind() kind { return kindSnapshotPart }
-func (*Heartbeat) kind() kind    { return kindHeartbeat }
-func (*Deferral) kind() kind     { return kindDeferral }
-func (*Behind) kind() kind       { return kindBehind }
-func (*OtherLog) kind() kind     { return kindOtherLog }
-func (*Acknowledge) kind() kind  { return kindAcknowledge }
-func (*Refusal) kind() kind      { return kindRefusal }
+func (*Hello) kind() kind            { return kindHello }
+func (*Delta) kind() kind            { return kindDelta }
+func (*SnapshotPart) kind() kind     { return kindSnapshotPart }
+func (*Heartbeat) kind() kind        { return kindHeartbeat }
+func (*SnapshotDeferral) kind() kind { return kindDeferral }
+func (*PublisherBehind) kind() kind  { return kindBehind }
+func (*LogMismatch) kind() kind      { return kindOtherLog }
+func (*Acknowledge) kind() kind      { return kindAcknowledge }
+func (*Refusal) kind() kind          { return kindRefusal }
 
 // newMessage returns an empty message of a kind, or nil for an unknown one.
 func newMessage(k kind) Message {
@@ -131,11 +131,11 @@
 	case kindHeartbeat:
 		return &Heartbeat{}
 	case kindDeferral:
-		return &Deferral{}
+		return &SnapshotDeferral{}
 	case kindBehind:
-		return &Behind{}
+		return &PublisherBehind{}
 	case kindOtherLog:
-		return &OtherLog{}
+		return &LogMismatch{}
 	case kindAcknowledge:
 		return &Acknowledge{}
 	case kindRefusal:
@@ -148,7 +148,7 @@
 	if m.Member < 0 || m.Member >= MaxMembers {
 		return &MalformedError{Reason: "not a member index"}
 	}
-	if len(m.Name) > MaxNameBytes {
+	if len(m.Name) > MaxGatewayNameBytes {
 		return &MalformedError{Reason: "name too long"}
 	}
 	if m.Log == "" && (m.InForce != 0 || m.Refused != 0) {
@@ -162,7 +162,7 @@
 		return err
 	}
 	if m.To <= m.From {
-		return &NotIncreasingError{From: m.From, To: m.To}
+		return &VersionNotIncreasingError{From: m.From, To: m.To}
 	}
 	if !fitsWire(m.Changes) {
 		return &MalformedError{Reason: "delta too long"}
@@ -177,14 +177,14 @@
 	if m.Version == 0 {
 		return &MalformedError{Reason: "a snapshot of no version"}
 	}
-	if m.Parts > MaxSnapshotParts || m.Part < 0 || m.Part >= m.Parts {
+	if m.PartCount > MaxSnapshotParts || m.Index < 0 || m.Index >= m.PartCount {
 		return &MalformedError{Reason: "not a part of a snapshot"}
 	}
-	if len(m.Changes) > MaxPartChanges || changesSize(m.Changes) > MaxPartBytes {
+	if len(m.Changes) > MaxSnapshotPartChanges || changesSize(m.Changes) > MaxSnapshotPartBytes {
 		return &MalformedError{Reason: "part of a snapshot too long"}
 	}
 	for i := range m.Changes {
-		if m.Changes[i].Removed() {
+		if m.Changes[i].IsRemoval() {
 			return &MalformedError{m.Changes[i].Resource, "removed in a snapshot"}
 		}
 	}
@@ -193,21 +193,21 @@
 
 func (m *Heartbeat) check() error { return checkOptionalLog(m.Log) }
 
-func (m *Deferral) check() error {
+func (m *SnapshotDeferral) check() error {
 	if m.After < 0 {
 		return &MalformedError{Reason: "a deferral into the past"}
 	}
 	return nil
 }
 
-func (m *Behind) check() error { return nil }
+func (m *PublisherBehind) check() error { return nil }
 
-func (m *OtherLog) check() error { return checkOptionalLog(m.Log) }
+func (m *LogMismatch) check() error { return checkOptionalLog(m.Log) }
 
 func (m *Acknowledge) check() error { return nil }
 
 func (m *Refusal) check() error {
-	if len(m.Reason) > MaxReasonBytes {
+	if len(m.Reason) > MaxRefusalReasonBytes {
 		return &MalformedError{Reason: "reason too long"}
 	}
 	if m.Resource == "" {
--- a/configsync/prepared.go
+++ b/configsync/prepared.go
@@ -32,7 +32,7 @@
 	if found {
 		return prepared, prepared.frame != nil
 	}
-	delta, ok := s.state.history.SinceWithin(from)
+	delta, ok := s.state.history.BoundedDeltaSince(from)
 	if ok {
 		prepared = preparedDelta{to: delta.To, digest: delta.Digest, frame: Encode(&delta)}
 	}
--- a/configsync/resource.go
+++ b/configsync/resource.go
@@ -10,13 +10,13 @@
 // checkResource returns an error if the name of a resource is not valid.
 func checkResource(resource Resource) error {
 	name := string(resource)
-	if len(name) > MaxResourceBytes {
+	if len(name) > MaxResourceNameBytes {
 		return &MalformedError{resource, "name too long"}
 	}
 	if !utf8.ValidString(name) || strings.ContainsFunc(name, unicode.IsControl) {
 		return &MalformedError{resource, "name not printable UTF-8"}
 	}
-	if name == LimitsName {
+	if name == LimitsResource {
 		return nil
 	}
 	for _, prefix := range []string{PlanPrefix, ClassPrefix} {
@@ -59,7 +59,7 @@
 }
 
 func checkLog(log LogID) error {
-	if log == "" || len(log) > MaxLogBytes || !utf8.ValidString(string(log)) {
+	if log == "" || len(log) > MaxLogIDBytes || !utf8.ValidString(string(log)) {
 		return &MalformedError{Reason: "not a log's identity"}
 	}
 	return nil
--- a/configsync/sender.go
+++ b/configsync/sender.go
@@ -9,8 +9,8 @@
 	"golang.org/x/time/rate"
 )
 
-// FollowerID identifies a connection of a follower. The owner of the Sender assigns a new one to each connection.
-type FollowerID uint64
+// ConnectionID identifies a connection of a follower. The owner of the Sender assigns a new one to each connection.
+type ConnectionID uint64
 
 // SenderLimits bounds what one publisher sends to all of its followers. Zero values mean the defaults.
 type SenderLimits struct {
@@ -35,7 +35,7 @@
 	interval  time.Duration // the least between two versions to a follower
 	current   bool          // in contact with a quorum of publishers
 	paused    bool          // no version is sent
-	followers map[FollowerID]*followerSession
+	followers map[ConnectionID]*followerSession
 	members   map[int]*memberRecord
 	deltas    deltaCache
 	snapshot  *preparedSnapshot // the latest one prepared; nil: none
@@ -66,28 +66,28 @@
 
 // MemberStatus is the status of a gateway that is or was connected to the publisher.
 type MemberStatus struct {
-	Member      int
-	Name        string
-	Incarnation uint64
-	Connected   bool
-	InForce     Version // the latest version in force that the gateway reported
-	Refused     Version // a later version that it couldn't apply; 0: none
-	Resource    Resource
-	Reason      string
-	LastMessage time.Time
+	Member          int
+	Name            string
+	Incarnation     uint64
+	Connected       bool
+	InForce         Version // the latest version in force that the gateway reported
+	Refused         Version // a later version that it couldn't apply; 0: none
+	RefusedResource Resource
+	RefusalReason   string
+	LastMessage     time.Time
 }
 
 type memberRecord struct {
 	MemberStatus
-	id FollowerID // of its connection, if Connected
+	id ConnectionID // of its connection, if Connected
 }
 
-// ProtocolError reports that a follower uses another version of the protocol.
-type ProtocolError struct {
+// ProtocolVersionError reports that a follower uses another version of the protocol.
+type ProtocolVersionError struct {
 	Protocol uint32
 }
 
-func (e *ProtocolError) Error() string {
+func (e *ProtocolVersionError) Error() string {
 	return fmt.Sprintf("protocol %d, not %d", e.Protocol, Protocol)
 }
 
@@ -110,13 +110,13 @@
 		state:     state,
 		limiter:   rate.NewLimiter(rate.Limit(bytesPerSecond), burst),
 		interval:  limits.VersionInterval,
-		followers: map[FollowerID]*followerSession{},
+		followers: map[ConnectionID]*followerSession{},
 		members:   map[int]*memberRecord{},
 	}
 }
 
-// SetCurrent sets whether the publisher is in contact with a quorum of publishers, which heartbeats report.
-func (s *Sender) SetCurrent(current bool) { s.current = current }
+// SetHasQuorum sets whether the publisher is in contact with a quorum of publishers, which heartbeats report.
+func (s *Sender) SetHasQuorum(current bool) { s.current = current }
 
 // SetPaused sets whether followers get only heartbeats. A publisher pauses its sender while its state may be older
 // than what the group has committed: a version of it would revert gateways, and followers with a later one would be
@@ -129,9 +129,9 @@
 // Connect adds a follower. If the same gateway has another connection, replaced is the id of that one, which has to
 // be closed; otherwise it is 0. The error is a *ProtocolError or a *SupersededError; the new connection has to be
 // closed then.
-func (s *Sender) Connect(now time.Time, id FollowerID, hello *Hello) (replaced FollowerID, err error) {
+func (s *Sender) Connect(now time.Time, id ConnectionID, hello *Hello) (replaced ConnectionID, err error) {
 	if hello.Protocol != Protocol {
-		return 0, &ProtocolError{hello.Protocol}
+		return 0, &ProtocolVersionError{hello.Protocol}
 	}
 	record := s.members[hello.Member]
 	if record != nil && record.Connected {
@@ -154,7 +154,7 @@
 	return replaced, nil
 }
 
-func newMemberRecord(now time.Time, id FollowerID, hello *Hello) *memberRecord {
+func newMemberRecord(now time.Time, id ConnectionID, hello *Hello) *memberRecord {
 	return &memberRecord{
 		id: id,
 		MemberStatus: MemberStatus{
@@ -170,7 +170,7 @@
 }
 
 // Disconnect removes a connection. The status of its gateway stays.
-func (s *Sender) Disconnect(id FollowerID) {
+func (s *Sender) Disconnect(id ConnectionID) {
 	follower := s.followers[id]
 	if follower == nil {
 		return
@@ -184,7 +184,7 @@
 
 // Receive handles a message of a follower after its Hello. An error reports that the message breaks the protocol; the
 // connection has to be closed then.
-func (s *Sender) Receive(now time.Time, id FollowerID, message Message) error {
+func (s *Sender) Receive(now time.Time, id ConnectionID, message Message) error {
 	follower := s.followers[id]
 	if follower == nil {
 		return nil
@@ -209,7 +209,7 @@
 		return &MalformedError{Reason: "acknowledges a version that wasn't sent"}
 	}
 	if want != message.Digest {
-		return &DigestError{Version: message.Version, Want: want, Got: message.Digest}
+		return &DigestMismatchError{Version: message.Version, Want: want, Got: message.Digest}
 	}
 	follower.inForce = message.Version
 	follower.digest = message.Digest
@@ -243,8 +243,8 @@
 	}
 	follower.refused = message.Version
 	record.Refused = message.Version
-	record.Resource = message.Resource
-	record.Reason = message.Reason
+	record.RefusedResource = message.Resource
+	record.RefusalReason = message.Reason
 	if sent {
 		follower.inFlight = nil
 	}
@@ -253,8 +253,8 @@
 
 func (r *memberRecord) clearRefusal() {
 	r.Refused = 0
-	r.Resource = ""
-	r.Reason = ""
+	r.RefusedResource = ""
+	r.RefusalReason = ""
 }
 
 // Status returns the status of each gateway that has been connected, by member index.
--- a/configsync/sender_next.go
+++ b/configsync/sender_next.go
@@ -15,7 +15,7 @@
 }
 
 // Next returns what to send to a follower now.
-func (s *Sender) Next(now time.Time, id FollowerID) Action {
+func (s *Sender) Next(now time.Time, id ConnectionID) Action {
 	follower := s.followers[id]
 	if follower == nil {
 		return Action{Close: true}
@@ -65,9 +65,9 @@
 	log := s.state.document.log
 	switch {
 	case follower.log != "" && log != "" && follower.log != log:
-		return &OtherLog{Log: log}
+		return &LogMismatch{Log: log}
 	case follower.inForce > s.state.document.version:
-		return &Behind{Latest: s.state.document.version}
+		return &PublisherBehind{Latest: s.state.document.version}
 	}
 	return nil
 }
@@ -78,7 +78,7 @@
 	if !s.paused {
 		heartbeat.Log = s.state.document.log
 		heartbeat.Latest = s.state.document.version
-		heartbeat.Current = s.current
+		heartbeat.HasQuorum = s.current
 	}
 	return Action{Frame: Encode(heartbeat), Wake: follower.nextHeartbeat}
 }
@@ -137,7 +137,7 @@
 		s.limiter.SetBurstAt(now, snapshot.size) // a document beyond the burst would never be sent
 	}
 	if !s.limiter.AllowN(now, snapshot.size) {
-		deferral := &Deferral{After: s.deferral(now, snapshot.size)}
+		deferral := &SnapshotDeferral{After: s.deferral(now, snapshot.size)}
 		return Action{Frame: Encode(deferral), Close: true}
 	}
 	follower.inFlight = &transfer{
--- a/configsync/sender_snapshot_test.go
+++ b/configsync/sender_snapshot_test.go
@@ -15,11 +15,11 @@
 		return &Hello{Protocol: Protocol, Member: member, WantSnapshot: true}
 	}
 	id := s.connect(start, wantingSnapshot(1))
-	assembler := &Assembler{}
+	assembler := &SnapshotAssembler{}
 	var document *Document
 	for document == nil {
 		part := s.next(start, id).(*SnapshotPart)
-		if part.Part == 1 {
+		if part.Index == 1 {
 			publish(t, s.state, set("limits", "1"))
 		}
 		var err error
@@ -75,7 +75,7 @@
 		switch message := s.next(now, s.connect(now, hello)).(type) {
 		case *SnapshotPart:
 			served++
-		case *Deferral:
+		case *SnapshotDeferral:
 			waits = append(waits, message.After)
 		}
 	}
--- a/configsync/sender_test.go
+++ b/configsync/sender_test.go
@@ -13,7 +13,7 @@
 	t      *testing.T
 	state  *State
 	sender *Sender
-	lastID FollowerID
+	lastID ConnectionID
 }
 
 // newTestSender returns a sender whose state has a number of versions and a history of the latest three.
@@ -23,7 +23,7 @@
 		publish(t, state, set("limits", fmt.Sprint(i)), set(Resource(fmt.Sprintf("plans/%d", i)), "1"))
 	}
 	sender := NewSender(state, limits)
-	sender.SetCurrent(true)
+	sender.SetHasQuorum(true)
 	return &testSender{t: t, state: state, sender: sender}
 }
 
@@ -33,7 +33,7 @@
 	return &Hello{Protocol: Protocol, Member: member, Log: testLog, InForce: inForce, Digest: digest}
 }
 
-func (s *testSender) connect(now time.Time, hello *Hello) FollowerID {
+func (s *testSender) connect(now time.Time, hello *Hello) ConnectionID {
 	s.t.Helper()
 	s.lastID++
 	_, err := s.sender.Connect(now, s.lastID, hello)
@@ -44,7 +44,7 @@
 }
 
 // next returns the first message for a follower that is not a heartbeat, or nil.
-func (s *testSender) next(now time.Time, id FollowerID) Message {
+func (s *testSender) next(now time.Time, id ConnectionID) Message {
 	s.t.Helper()
 	action := s.sender.Next(now, id)
 	if action.Frame == nil {
@@ -61,7 +61,7 @@
 	switch message.(type) {
 	case *Heartbeat:
 		return s.next(now, id)
-	case *Deferral, *Behind, *OtherLog:
+	case *SnapshotDeferral, *PublisherBehind, *LogMismatch:
 		closes = true
 	}
 	if action.Close != closes {
@@ -70,7 +70,7 @@
 	return message
 }
 
-func (s *testSender) acknowledge(id FollowerID, version Version, digest Digest) {
+func (s *testSender) acknowledge(id ConnectionID, version Version, digest Digest) {
 	s.t.Helper()
 	if err := s.sender.Receive(start, id, &Acknowledge{version, digest}); err != nil {
 		s.t.Fatal(err)
@@ -134,7 +134,7 @@
 	s.sender.SetPaused(true)
 	earlier := s.connect(start, s.hello(1, 1))
 	later := s.connect(start, &Hello{Protocol: Protocol, Member: 2, Log: testLog, InForce: 9})
-	for _, id := range []FollowerID{earlier, later} {
+	for _, id := range []ConnectionID{earlier, later} {
 		action := s.sender.Next(start, id)
 		message, err := Decode(action.Frame)
 		if err != nil || action.Close || !reflect.DeepEqual(message, &Heartbeat{}) {
@@ -149,7 +149,7 @@
 	if delta, ok := s.next(start, earlier).(*Delta); !ok || delta.To != 2 {
 		t.Errorf("%+v", delta)
 	}
-	if _, ok := s.next(start, later).(*Behind); !ok {
+	if _, ok := s.next(start, later).(*PublisherBehind); !ok {
 		t.Error("a follower of a later version stays")
 	}
 }
@@ -215,8 +215,8 @@
 		"refused the latest": {3, func(h *Hello) { h.Refused = 5 }, nil},
 		"refused a later":    {3, func(h *Hello) { h.Refused = 6 }, nil},
 		"refused an earlier": {3, func(h *Hello) { h.Refused = 4 }, &Delta{}},
-		"ahead":              {6, nil, &Behind{}},
-		"other log":          {5, func(h *Hello) { h.Log = "log-b" }, &OtherLog{}},
+		"ahead":              {6, nil, &PublisherBehind{}},
+		"other log":          {5, func(h *Hello) { h.Log = "log-b" }, &LogMismatch{}},
 	} {
 		s := newTestSender(t, 5, SenderLimits{})
 		hello := s.hello(1, test.inForce)
@@ -231,7 +231,7 @@
 	fresh := NewSender(NewState(testLimits), SenderLimits{})
 	s := &testSender{t: t, state: fresh.state, sender: fresh}
 	message := s.next(start, s.connect(start, &Hello{Protocol: Protocol, Log: testLog, InForce: 1}))
-	if _, isBehind := message.(*Behind); !isBehind {
+	if _, isBehind := message.(*PublisherBehind); !isBehind {
 		t.Errorf("a publisher without a log: %T", message)
 	}
 }
@@ -247,13 +247,13 @@
 		t.Errorf("after a refusal: %+v", message)
 	}
 	want := MemberStatus{
-		Member:      9,
-		Connected:   true,
-		InForce:     1,
-		Refused:     2,
-		Resource:    "limits",
-		Reason:      "no",
-		LastMessage: at(time.Second),
+		Member:          9,
+		Connected:       true,
+		InForce:         1,
+		Refused:         2,
+		RefusedResource: "limits",
+		RefusalReason:   "no",
+		LastMessage:     at(time.Second),
 	}
 	if status := s.sender.Status()[0]; status != want {
 		t.Errorf("%+v", status)
@@ -350,9 +350,9 @@
 	id := s.connect(start, s.hello(1, 2))
 	for i := range 3 {
 		now := at(time.Duration(i) * HeartbeatInterval)
-		s.sender.SetCurrent(i != 2)
+		s.sender.SetHasQuorum(i != 2)
 		action := s.sender.Next(now, id)
-		want := Encode(&Heartbeat{Log: testLog, Latest: 2, Current: i != 2})
+		want := Encode(&Heartbeat{Log: testLog, Latest: 2, HasQuorum: i != 2})
 		if !bytes.Equal(action.Frame, want) || !action.Wake.Equal(now.Add(HeartbeatInterval)) {
 			t.Errorf("%d: %+v", i, action)
 		}
--- a/configsync/simulation_test.go
+++ b/configsync/simulation_test.go
@@ -24,7 +24,7 @@
 	log        [][]byte // commands
 	publishers []*simPublisher
 	gateways   []*simGateway
-	lastID     FollowerID
+	lastID     ConnectionID
 }
 
 type simPublisher struct {
@@ -46,7 +46,7 @@
 
 type simLink struct {
 	publisher   *simPublisher
-	id          FollowerID
+	id          ConnectionID
 	toFollower  [][]byte
 	toPublisher [][]byte
 }
@@ -63,7 +63,7 @@
 		s.gateways = append(s.gateways, &simGateway{})
 		s.restart(len(s.gateways)-1, false)
 	}
-	s.log = append(s.log, marshal(&Command{Create: testLog}))
+	s.log = append(s.log, marshal(&Command{CreateLog: testLog}))
 	return s
 }
 
@@ -107,7 +107,7 @@
 func (s *simulation) step() {
 	s.now = s.now.Add(simulationStep)
 	for _, p := range s.publishers {
-		p.sender.SetCurrent(!p.lagging)
+		p.sender.SetHasQuorum(!p.lagging)
 		for !p.lagging && p.applied < len(s.log) {
 			p.state.Apply(s.log[p.applied])
 			p.applied++
@@ -188,7 +188,7 @@
 
 func hasBad(changes []Change) bool {
 	for i := range changes {
-		if changes[i].Resource == badResource && !changes[i].Removed() {
+		if changes[i].Resource == badResource && !changes[i].IsRemoval() {
 			return true
 		}
 	}
@@ -333,7 +333,7 @@
 			"cut": func(t *rapid.T) {
 				g := s.drawGateway(t)
 				if g.link != nil {
-					g.follower.Lost(s.now)
+					g.follower.ConnectionLost(s.now)
 					g.link = nil
 				}
 			},
--- a/configsync/snapshot.go
+++ b/configsync/snapshot.go
@@ -11,7 +11,7 @@
 	size := 0
 	for _, change := range document.Changes() {
 		added := change.size() + encodedChangeBytes
-		if len(group) > 0 && size+added > PartBytes || len(group) == MaxPartChanges {
+		if len(group) > 0 && size+added > TargetSnapshotPartBytes || len(group) == MaxSnapshotPartChanges {
 			groups = append(groups, group)
 			group = nil
 			size = 0
@@ -24,19 +24,19 @@
 	parts := make([]*SnapshotPart, len(groups))
 	for i, changes := range groups {
 		parts[i] = &SnapshotPart{
-			Log:     document.Log(),
-			Version: document.Version(),
-			Digest:  document.Digest(),
-			Part:    i,
-			Parts:   len(groups),
-			Changes: changes,
+			Log:       document.Log(),
+			Version:   document.Version(),
+			Digest:    document.Digest(),
+			Index:     i,
+			PartCount: len(groups),
+			Changes:   changes,
 		}
 	}
 	return parts
 }
 
-// Assembler joins the parts of one snapshot. The zero value is ready for the first part.
-type Assembler struct {
+// SnapshotAssembler joins the parts of one snapshot. The zero value is ready for the first part.
+type SnapshotAssembler struct {
 	first   *SnapshotPart
 	next    int // index of the next part
 	size    int // bytes of names and values so far
@@ -45,7 +45,7 @@
 
 // Add adds the next part. It returns the document after the last part, and nil before. The error is a *MalformedError
 // or a *DigestError; the Assembler can't be used after an error.
-func (a *Assembler) Add(part *SnapshotPart) (*Document, error) {
+func (a *SnapshotAssembler) Add(part *SnapshotPart) (*Document, error) {
 	if a.first == nil {
 		a.first = part
 	}
@@ -58,21 +58,21 @@
 	if a.size > MaxDocumentBytes || len(a.changes) > MaxDocumentResources {
 		return nil, &MalformedError{Reason: "the document would be too large"}
 	}
-	if a.next < part.Parts {
+	if a.next < part.PartCount {
 		return nil, nil
 	}
 	return buildDocument(part.Log, part.Version, part.Digest, a.changes)
 }
 
-func (a *Assembler) check(part *SnapshotPart) error {
+func (a *SnapshotAssembler) check(part *SnapshotPart) error {
 	if err := part.check(); err != nil {
 		return err
 	}
 	first := a.first
-	if part.Log != first.Log || part.Version != first.Version || part.Digest != first.Digest || part.Parts != first.Parts {
+	if part.Log != first.Log || part.Version != first.Version || part.Digest != first.Digest || part.PartCount != first.PartCount {
 		return &MalformedError{Reason: "a part of another snapshot"}
 	}
-	if part.Part != a.next {
+	if part.Index != a.next {
 		return &MalformedError{Reason: "a part of a snapshot out of order"}
 	}
 	return nil
--- a/configsync/snapshot_test.go
+++ b/configsync/snapshot_test.go
@@ -8,7 +8,7 @@
 func TestSnapshotPartsRoundTripWithinBounds(t *testing.T) {
 	document := NewDocument(testLog)
 	var changes []Change
-	for i := range MaxPartChanges + 10 {
+	for i := range MaxSnapshotPartChanges + 10 {
 		changes = append(changes, set(Resource(fmt.Sprintf("classes/%05d", i)), "1"))
 	}
 	changes = append(changes, longPlans("", 9)...)
@@ -19,11 +19,11 @@
 	if len(parts) != 8+9 { // eight with the short values, and each long value by itself
 		t.Errorf("%d parts", len(parts))
 	}
-	assembler := &Assembler{}
+	assembler := &SnapshotAssembler{}
 	for i, part := range parts {
 		frame := Encode(part)
 		message, err := Decode(frame)
-		if err != nil || len(frame) > PartBytes+200 && len(part.Changes) > 1 || len(frame) > MaxPartBytes {
+		if err != nil || len(frame) > TargetSnapshotPartBytes+200 && len(part.Changes) > 1 || len(frame) > MaxSnapshotPartBytes {
 			t.Fatal(len(frame), err)
 		}
 		got, err := assembler.Add(message.(*SnapshotPart))
@@ -35,37 +35,37 @@
 		}
 	}
 	empty := newTestDocument(t)
-	if got, err := (&Assembler{}).Add(SplitSnapshot(empty)[0]); err != nil || describe(got) != describe(empty) {
+	if got, err := (&SnapshotAssembler{}).Add(SplitSnapshot(empty)[0]); err != nil || describe(got) != describe(empty) {
 		t.Error(err)
 	}
 }
 
 func TestAssemblerRefusesWrongParts(t *testing.T) {
 	for name, spoil := range map[string]func(parts []*SnapshotPart){
-		"not the first": func(parts []*SnapshotPart) { parts[0].Part = 1 },
-		"repeated":      func(parts []*SnapshotPart) { parts[1].Part = 0 },
-		"left out":      func(parts []*SnapshotPart) { parts[1].Part = 2 },
+		"not the first": func(parts []*SnapshotPart) { parts[0].Index = 1 },
+		"repeated":      func(parts []*SnapshotPart) { parts[1].Index = 0 },
+		"left out":      func(parts []*SnapshotPart) { parts[1].Index = 2 },
 		"other log":     func(parts []*SnapshotPart) { parts[1].Log = "log-b" },
 		"other version": func(parts []*SnapshotPart) { parts[1].Version = 2 },
 		"other digest":  func(parts []*SnapshotPart) { parts[1].Digest[0]++ },
-		"other count":   func(parts []*SnapshotPart) { parts[1].Parts = 4 },
+		"other count":   func(parts []*SnapshotPart) { parts[1].PartCount = 4 },
 		"order of parts": func(parts []*SnapshotPart) {
 			parts[0].Changes, parts[1].Changes = parts[1].Changes, parts[0].Changes
 		},
 		"content":       func(parts []*SnapshotPart) { parts[1].Changes[0].Value = []byte("9") },
-		"negative part": func(parts []*SnapshotPart) { parts[0].Part = -1 },
+		"negative part": func(parts []*SnapshotPart) { parts[0].Index = -1 },
 	} {
 		document := newTestDocument(t, set("limits", "1"), set("plans/a", "2"), set("plans/b", "3"))
 		parts := SplitSnapshot(document)
 		parts = []*SnapshotPart{parts[0], new(*parts[0]), new(*parts[0])}
 		all := parts[0].Changes
 		for i, part := range parts {
-			part.Part = i
-			part.Parts = len(parts)
+			part.Index = i
+			part.PartCount = len(parts)
 			part.Changes = all[i : i+1]
 		}
 		spoil(parts)
-		assembler := &Assembler{}
+		assembler := &SnapshotAssembler{}
 		var err error
 		for _, part := range parts {
 			_, err = assembler.Add(part)
@@ -77,16 +77,16 @@
 			t.Errorf("%s: accepted", name)
 		}
 	}
-	for _, full := range []*Assembler{{size: MaxDocumentBytes}, {changes: make([]Change, MaxDocumentResources)}} {
-		part := &SnapshotPart{Log: testLog, Version: 1, Parts: 2, Changes: []Change{set("limits", "1")}}
+	for _, full := range []*SnapshotAssembler{{size: MaxDocumentBytes}, {changes: make([]Change, MaxDocumentResources)}} {
+		part := &SnapshotPart{Log: testLog, Version: 1, PartCount: 2, Changes: []Change{set("limits", "1")}}
 		if _, err := full.Add(part); err == nil {
 			t.Error("a snapshot of any size")
 		}
 	}
 	wide := longPlans("", 5)
 	document := newTestDocument(t, wide...)
-	part := &SnapshotPart{Log: testLog, Version: 1, Digest: document.Digest(), Parts: 1, Changes: wide}
-	if _, err := (&Assembler{}).Add(part); err == nil {
+	part := &SnapshotPart{Log: testLog, Version: 1, Digest: document.Digest(), PartCount: 1, Changes: wide}
+	if _, err := (&SnapshotAssembler{}).Add(part); err == nil {
 		t.Error("a part of any size")
 	}
 }
--- a/configsync/state.go
+++ b/configsync/state.go
@@ -14,10 +14,10 @@
 // Command is an entry of the publishers' replicated log. It either sets Create alone, which creates the log of
 // versions, or the other fields, which propose one new version.
 type Command struct {
-	Create  LogID    `cbor:"1,keyasint,omitempty"`
-	Log     LogID    `cbor:"2,keyasint,omitempty"`
-	Base    Version  `cbor:"3,keyasint,omitempty"` // the version that the changes were made for
-	Changes []Change `cbor:"4,keyasint,omitempty"` // sorted by resource, each named once
+	CreateLog LogID    `cbor:"1,keyasint,omitempty"`
+	Log       LogID    `cbor:"2,keyasint,omitempty"`
+	Base      Version  `cbor:"3,keyasint,omitempty"` // the version that the changes were made for
+	Changes   []Change `cbor:"4,keyasint,omitempty"` // sorted by resource, each named once
 }
 
 // NewCommand returns a command that proposes changes, in any order, to a version.
@@ -90,8 +90,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if command.Create != "" {
-		return nil, s.create(command.Create)
+	if command.CreateLog != "" {
+		return nil, s.create(command.CreateLog)
 	}
 	return s.propose(command)
 }
@@ -133,7 +133,7 @@
 // Check returns the error that Apply would return for a proposal at this moment, and changes nothing.
 func (s *State) Check(command *Command) error {
 	if s.document.log == "" || command.Log != s.document.log {
-		return &WrongLogError{Current: s.document.log, Got: command.Log}
+		return &LogMismatchError{Current: s.document.log, Got: command.Log}
 	}
 	if command.Base != s.document.version {
 		return &ConflictError{Base: command.Base, Current: s.document.version}
@@ -160,7 +160,7 @@
 	var effective []Change
 	for _, change := range changes {
 		old, found := s.document.resources[change.Resource]
-		if found == change.Removed() || found && !bytes.Equal(old, change.Value) {
+		if found == change.IsRemoval() || found && !bytes.Equal(old, change.Value) {
 			effective = append(effective, change)
 		}
 	}
@@ -182,7 +182,7 @@
 			owner, reserved = added[id]
 		}
 		if reserved && owner != name {
-			return &PlanIDError{Resource: change.Resource, ID: id, Owner: owner}
+			return &PlanIDConflictError{Resource: change.Resource, ID: id, Owner: owner}
 		}
 		if !reserved {
 			added[id] = name
@@ -232,15 +232,15 @@
 		return err
 	}
 	if kind != recordState || size != len(snapshot) {
-		return &FileError{Reason: "not a state"}
+		return &CorruptFileError{Reason: "not a state"}
 	}
 	var record stateRecord
 	if err := fileDecoder.Unmarshal(body, &record); err != nil {
-		return &FileError{Reason: "not a state", Err: err}
+		return &CorruptFileError{Reason: "not a state", Err: err}
 	}
 	restored, err := record.state(s.limits)
 	if err != nil {
-		return &FileError{Reason: "not a state", Err: err}
+		return &CorruptFileError{Reason: "not a state", Err: err}
 	}
 	*s = *restored
 	return nil
--- a/configsync/state_test.go
+++ b/configsync/state_test.go
@@ -14,7 +14,7 @@
 func newTestState(t testing.TB, limits HistoryLimits) *State {
 	t.Helper()
 	state := NewState(limits)
-	mustApply(t, state, &Command{Create: testLog})
+	mustApply(t, state, &Command{CreateLog: testLog})
 	return state
 }
 
@@ -67,8 +67,8 @@
 		command *Command
 		want    error
 	}{
-		"second log":       {&Command{Create: "log-b"}, &LogExistsError{}},
-		"other log":        {NewCommand("log-b", 2, []Change{set("limits", "1")}), &WrongLogError{}},
+		"second log":       {&Command{CreateLog: "log-b"}, &LogExistsError{}},
+		"other log":        {NewCommand("log-b", 2, []Change{set("limits", "1")}), &LogMismatchError{}},
 		"older base":       {NewCommand(testLog, 1, []Change{set("limits", "1")}), &ConflictError{}},
 		"later base":       {NewCommand(testLog, 3, []Change{set("limits", "1")}), &ConflictError{}},
 		"nothing":          {NewCommand(testLog, 2, nil), &NoChangeError{}},
@@ -77,8 +77,8 @@
 		"unknown kind":     {NewCommand(testLog, 2, []Change{set("routes/a", "1")}), &MalformedError{}},
 		"named twice":      {NewCommand(testLog, 2, []Change{set("limits", "1"), set("limits", "2")}), &MalformedError{}},
 		"unsorted":         {&Command{Log: testLog, Base: 2, Changes: unsorted}, &MalformedError{}},
-		"id of removed":    {NewCommand(testLog, 2, []Change{set("plans/liquid", "1")}), &PlanIDError{}},
-		"id in one change": {NewCommand(testLog, 2, sameID), &PlanIDError{}},
+		"id of removed":    {NewCommand(testLog, 2, []Change{set("plans/liquid", "1")}), &PlanIDConflictError{}},
+		"id in one change": {NewCommand(testLog, 2, sameID), &PlanIDConflictError{}},
 	} {
 		err := applyCommand(t, state, test.command)
 		if reflect.TypeOf(err) != reflect.TypeOf(test.want) {
@@ -87,7 +87,7 @@
 		if !bytes.Equal(state.Snapshot(), before) {
 			t.Errorf("%s: the state changed", name)
 		}
-		if test.command.Create == "" {
+		if test.command.CreateLog == "" {
 			err = state.Check(test.command)
 			if reflect.TypeOf(err) != reflect.TypeOf(test.want) {
 				t.Errorf("%s, checked before: %T %v", name, err, err)
@@ -102,7 +102,7 @@
 	publish(t, state, set("plans/costarring", "1"), set("plans/a", "1"))
 	publish(t, state, remove("plans/costarring"))
 	err := applyCommand(t, state, NewCommand(testLog, 2, []Change{set("plans/liquid", "1")}))
-	if refused, ok := err.(*PlanIDError); !ok || refused.Resource != "plans/liquid" || refused.Owner != "costarring" {
+	if refused, ok := err.(*PlanIDConflictError); !ok || refused.Resource != "plans/liquid" || refused.Owner != "costarring" {
 		t.Errorf("%+v", err)
 	}
 	publish(t, state, set("plans/costarring", "2")) // the name itself may be used again
@@ -116,7 +116,7 @@
 		"any size":   marshal(map[int]any{1: "log", 99: make([]byte, MaxCommandBytes)}),
 		"wrong type": marshal(map[int]any{1: "log", 3: "x"}),
 		"not CBOR":   []byte("\xff"),
-		"long log":   marshal(&Command{Create: LogID(make([]byte, MaxLogBytes+1))}),
+		"long log":   marshal(&Command{CreateLog: LogID(make([]byte, MaxLogIDBytes+1))}),
 	} {
 		empty := NewState(testLimits)
 		_, err := empty.Apply(text)
@@ -125,7 +125,7 @@
 		}
 	}
 	err := applyCommand(t, NewState(testLimits), NewCommand("", 0, []Change{set("limits", "1")}))
-	if _, ok := err.(*WrongLogError); !ok {
+	if _, ok := err.(*LogMismatchError); !ok {
 		t.Errorf("a version without a log: %v", err)
 	}
 }
@@ -144,7 +144,7 @@
 		for i := range rapid.IntRange(1, 30).Draw(t, "commands") {
 			command := NewCommand(testLog, state.Document().Version(), drawChanges(t))
 			if i == 0 {
-				command = &Command{Create: testLog}
+				command = &Command{CreateLog: testLog}
 			}
 			text, err := EncodeCommand(command)
 			if err != nil {
@@ -182,7 +182,7 @@
 	if found != known || known && digest != content.Digest() {
 		t.Fatalf("version %d: digest %x, %v", version, digest, found)
 	}
-	delta, found := history.Since(version)
+	delta, found := history.DeltaSince(version)
 	if found != (known && version < latest.Version()) {
 		t.Fatalf("version %d: a delta: %v", version, found)
 	}
@@ -195,7 +195,7 @@
 			t.Fatalf("version %d: %v instead of %v", version, delta.Changes, wanted)
 		}
 	}
-	changes, found := history.ContentAt(version)
+	changes, found := history.RollbackChanges(version)
 	if found != known {
 		t.Fatalf("version %d: its content: %v", version, found)
 	}
@@ -216,10 +216,10 @@
 		if oldest := state.History().Oldest(); oldest != 7 {
 			t.Errorf("%+v: oldest %d", limits, oldest)
 		}
-		if _, ok := state.History().Since(11); ok {
+		if _, ok := state.History().DeltaSince(11); ok {
 			t.Error("a delta from the future")
 		}
-		if _, ok := state.History().ContentAt(6); ok {
+		if _, ok := state.History().RollbackChanges(6); ok {
 			t.Error("content that is gone")
 		}
 	}
@@ -233,7 +233,7 @@
 	}
 	document := NewDocument(testLog)
 	for document.Version() < 20 {
-		delta, ok := state.History().SinceWithin(document.Version())
+		delta, ok := state.History().BoundedDeltaSince(document.Version())
 		if !ok || !fitsWire(delta.Changes) || len(Encode(&delta)) > MaxFrameBytes {
 			t.Fatal(ok, len(delta.Changes))
 		}
@@ -244,11 +244,11 @@
 			t.Error("no deltas merged")
 		}
 	}
-	if _, ok := state.History().SinceWithin(21); ok {
+	if _, ok := state.History().BoundedDeltaSince(21); ok {
 		t.Error("a delta from the future")
 	}
 	publish(t, state, longPlans("new", 20)...)
-	if _, ok := state.History().SinceWithin(20); ok {
+	if _, ok := state.History().BoundedDeltaSince(20); ok {
 		t.Error("a delta beyond the bounds of a message")
 	}
 }
@@ -262,7 +262,7 @@
 		}
 		publish(t, state, changes...)
 	}
-	if delta, ok := state.History().SinceWithin(0); !ok || delta.To != 1 {
+	if delta, ok := state.History().BoundedDeltaSince(0); !ok || delta.To != 1 {
 		t.Error(ok, delta.To)
 	}
 }
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -12,12 +12,12 @@
 	NonIdempotent        // runs once at most
 )
 
-// Group is the set of endpoints that deduplicate requests together.
-type Group int
+// DedupGroup is the set of endpoints that deduplicate requests together.
+type DedupGroup int
 
 // The groups of endpoints.
 const (
-	AllHosts Group = iota
+	AllHosts DedupGroup = iota
 	SameZone
 	SameCell
 )
@@ -25,7 +25,7 @@
 // RequestClass is the settings of a class of requests.
 type RequestClass struct {
 	Effect           Effect
-	Group            Group
+	Group            DedupGroup
 	DedupWindow      time.Duration // deduplicated: repeats are dropped for so long after the first attempt
 	LatencyObjective time.Duration
 	Timeout          time.Duration // client timeout, of all attempts together
@@ -93,8 +93,8 @@
 	ErrorRate         // errors a second
 )
 
-// LoadReportForm is the form of the load reports.
-type LoadReportForm struct {
+// LoadReportFormat is the form of the load reports.
+type LoadReportFormat struct {
 	Fields      []LoadField
 	WithAnswers bool // else with probes, if at all
 	WithProbes  bool
--- a/gateway/update.go
+++ b/gateway/update.go
@@ -1,9 +1,9 @@
 package gateway
 
-// Update is a new version of those settings that may change while a gateway runs. It is applied between two
+// SettingsUpdate is a new version of those settings that may change while a gateway runs. It is applied between two
 // batches: what came in before is decided under the old version. An index keeps its quota plan or request class
 // for the life of the process; a new one takes the next index.
-type Update struct {
+type SettingsUpdate struct {
 	Plans   []PlanUpdate
 	Classes []ClassUpdate
 	Limits  *Limits // nil: unchanged
--- a/internal/bufconn/link.go
+++ b/internal/bufconn/link.go
@@ -109,17 +109,17 @@
 	l.readErr = err
 }
 
-// Quiet reports whether nothing, neither bytes nor an end, has arrived since Reads returned reads. It may be called
+// NoInputSince reports whether nothing, neither bytes nor an end, has arrived since Reads returned reads. It may be called
 // while a Read waits. The order of the checks matters: what the socket no longer holds is either being counted or has
 // been.
-func (l *Link) Quiet(reads int64) bool {
+func (l *Link) NoInputSince(reads int64) bool {
 	return l.socketEmpty() && !l.reading.Load() && l.reads.Load() == reads
 }
 
-// CloseIfQuiet closes the connection if nothing has arrived since Reads returned reads, and reports whether it did.
+// CloseIfNoInputSince closes the connection if nothing has arrived since Reads returned reads, and reports whether it did.
 // No read can take bytes between the check and the close, as it could between Quiet and Close: a command that is read
 // has to be answered.
-func (l *Link) CloseIfQuiet(reads int64) bool {
+func (l *Link) CloseIfNoInputSince(reads int64) bool {
 	l.readMutex.Lock()
 	quiet := l.socketEmpty() && l.reads.Load() == reads
 	l.readsEnded = quiet
@@ -130,9 +130,9 @@
 	return quiet
 }
 
-// CloseWriteIfQuiet calls CloseWrite if nothing has arrived since Reads returned reads, and reports whether it did.
+// CloseWriteIfNoInputSince calls CloseWrite if nothing has arrived since Reads returned reads, and reports whether it did.
 // Bytes that are read after that arrived after the end was sent.
-func (l *Link) CloseWriteIfQuiet(reads int64, limit time.Duration) bool {
+func (l *Link) CloseWriteIfNoInputSince(reads int64, limit time.Duration) bool {
 	l.readMutex.Lock()
 	defer l.readMutex.Unlock()
 	if !l.socketEmpty() || l.reads.Load() != reads {
@@ -142,15 +142,15 @@
 	return true
 }
 
-// Fresh reports whether nothing has arrived at all. It ignores a Read that waits: the first Read of a connection begins
+// NoInputYet reports whether nothing has arrived at all. It ignores a Read that waits: the first Read of a connection begins
 // together with its first write, and there is no earlier answer whose rest it could return.
-func (l *Link) Fresh() bool { return l.socketEmpty() && l.reads.Load() == 0 }
+func (l *Link) NoInputYet() bool { return l.socketEmpty() && l.reads.Load() == 0 }
 
 // socketEmpty reports whether the socket holds neither bytes nor an end.
 func (l *Link) socketEmpty() bool { return l.raw.Control(l.peekFunc) == nil && l.wouldBlock }
 
-// Reads returns the number of reads that returned bytes or an end.
-func (l *Link) Reads() int64 { return l.reads.Load() }
+// ReadCount returns the number of reads that returned bytes or an end.
+func (l *Link) ReadCount() int64 { return l.reads.Load() }
 
 // peekSocket sets wouldBlock to whether the socket has nothing to read.
 func (l *Link) peekSocket(fd uintptr) {
--- a/internal/bufconn/link_test.go
+++ b/internal/bufconn/link_test.go
@@ -118,8 +118,8 @@
 // A connection is closed only if nothing has arrived since the reads that the caller knows of.
 func TestCloseIfQuietKeepsConnectionWithUnknownBytes(t *testing.T) {
 	closers := map[string]func(link *Link, reads int64) bool{
-		"close":       (*Link).CloseIfQuiet,
-		"close write": func(link *Link, reads int64) bool { return link.CloseWriteIfQuiet(reads, time.Minute) },
+		"close":       (*Link).CloseIfNoInputSince,
+		"close write": func(link *Link, reads int64) bool { return link.CloseWriteIfNoInputSince(reads, time.Minute) },
 	}
 	for name, closeIfQuiet := range closers {
 		t.Run(name, func(t *testing.T) {
@@ -152,9 +152,9 @@
 		ended := make(chan error)
 		go func() { ended <- link.Read() }()
 		go peer.Write([]byte("a"))
-		closed := link.CloseIfQuiet(0)
+		closed := link.CloseIfNoInputSince(0)
 		err := <-ended
-		hasByte := link.Reads() > 0 && link.In.Len() > 0
+		hasByte := link.ReadCount() > 0 && link.In.Len() > 0
 		if closed != (err != nil) || closed == hasByte {
 			t.Fatalf("closed %t, read %v, %d bytes", closed, err, link.In.Len())
 		}
@@ -163,7 +163,7 @@
 
 // fault returns the fault of a system call that fails, or transfers only a part of its bytes.
 func fault(errno syscall.Errno, bytes int) *socketstest.Fault {
-	return &socketstest.Fault{Errno: errno, Bytes: bytes}
+	return &socketstest.Fault{Errno: errno, MaxBytes: bytes}
 }
 
 // faultyCalls are scripts of system calls for the transfer of ten bytes.
@@ -201,32 +201,32 @@
 	},
 	{
 		name:  "read times out",
-		reads: socketstest.Errors(syscall.ETIMEDOUT),
+		reads: socketstest.ErrorScript(syscall.ETIMEDOUT),
 		err:   syscall.ETIMEDOUT,
 	},
 	{
 		name:  "read finds no host",
-		reads: socketstest.Errors(syscall.EHOSTUNREACH),
+		reads: socketstest.ErrorScript(syscall.EHOSTUNREACH),
 		err:   syscall.EHOSTUNREACH,
 	},
 	{
 		name:  "read reset",
-		reads: socketstest.Errors(syscall.ECONNRESET),
+		reads: socketstest.ErrorScript(syscall.ECONNRESET),
 		err:   syscall.ECONNRESET,
 	},
 	{
 		name:   "write times out",
-		writes: socketstest.Errors(syscall.ETIMEDOUT),
+		writes: socketstest.ErrorScript(syscall.ETIMEDOUT),
 		err:    syscall.ETIMEDOUT,
 	},
 	{
 		name:   "write to a closed one",
-		writes: socketstest.Errors(syscall.EPIPE),
+		writes: socketstest.ErrorScript(syscall.EPIPE),
 		err:    syscall.EPIPE,
 	},
 	{
 		name:   "write out of memory",
-		writes: socketstest.Errors(syscall.ENOBUFS),
+		writes: socketstest.ErrorScript(syscall.ENOBUFS),
 		err:    syscall.ENOBUFS,
 	},
 }
--- a/internal/clients/accept_test.go
+++ b/internal/clients/accept_test.go
@@ -26,7 +26,7 @@
 	for _, errno := range errnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			system := socketstest.New(1, nil)
-			system.Script(socketstest.Accept, socketstest.Errors(errno, errno)...)
+			system.Script(socketstest.Accept, socketstest.ErrorScript(errno, errno)...)
 			server := newTestServerOn(t, system, 9)
 			if errno == syscall.ECONNABORTED { // two connections are lost with it
 				server.dial()
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -14,10 +14,10 @@
 // Answer is the answer to one command, at its place in the order of its connection. It is set once; later calls have no
 // effect.
 type Answer struct {
-	queue      *AnswerQueue
-	text       []byte
-	done       bool
-	ClientGone func() // called if the client goes away before the answer
+	queue        *AnswerQueue
+	text         []byte
+	done         bool
+	OnClientGone func() // called if the client goes away before the answer
 }
 
 // AnswerQueue writes the answers of one connection in the order of its commands.
@@ -60,7 +60,7 @@
 	}
 	a.text = text
 	a.done = true
-	a.ClientGone = nil
+	a.OnClientGone = nil
 	q := a.queue
 	count := 0
 	for count < len(q.waiting) && q.waiting[count].done {
@@ -78,8 +78,8 @@
 	q.waiting = nil
 	for _, a := range waiting {
 		a.done = true
-		if a.ClientGone != nil {
-			a.ClientGone()
+		if a.OnClientGone != nil {
+			a.OnClientGone()
 		}
 	}
 }
--- a/internal/clients/catalog.go
+++ b/internal/clients/catalog.go
@@ -15,7 +15,7 @@
 	Plans    []string
 	MaxUnits []float64 // of one request, by quota plan; 0: unlimited
 	Members  int       // gateways of the fleet
-	Own      int       // member index of this one
+	OwnIndex int       // member index of this one
 }
 
 // CatalogEdit changes what commands may name.
@@ -44,10 +44,10 @@
 // RemovedError is the error of a command that names a class or plan which the configuration no longer has. The command
 // is well formed, and its answer is final.
 type RemovedError struct {
-	What string // "plan" or "class"
+	Kind string // "plan" or "class"
 }
 
-func (e *RemovedError) Error() string { return e.What + ": removed" }
+func (e *RemovedError) Error() string { return e.Kind + ": removed" }
 
 var (
 	errNoKey    = errors.New("k: missing")
@@ -87,7 +87,7 @@
 		classes:      make([]ClassEdit, 0, len(config.Classes)),
 		plans:        make([]PlanEdit, 0, len(config.Plans)),
 		members:      config.Members,
-		own:          config.Own,
+		own:          config.OwnIndex,
 	}
 	for i, name := range config.Classes {
 		c.classes = append(c.classes, ClassEdit{Index: i, Name: name, Effect: config.Effects[i]})
--- a/internal/clients/command.go
+++ b/internal/clients/command.go
@@ -78,7 +78,7 @@
 	if value.Kind != '*' {
 		return false, errNoCommand
 	}
-	if err := p.handle(value.Parts, handler); err != nil {
+	if err := p.handle(value.BulkStrings, handler); err != nil {
 		handler.handleMalformed(err)
 	}
 	return true, nil
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -115,7 +115,7 @@
 	if since == 0 && c.commandCount == 0 {
 		since = c.lastAnswer
 	}
-	return since > 0 && now.Sub(since) > commandTimeout && c.link.Quiet(c.readsSeen)
+	return since > 0 && now.Sub(since) > commandTimeout && c.link.NoInputSince(c.readsSeen)
 }
 
 // idleTooLong reports whether a connection that had commands is idle for too long.
@@ -171,7 +171,7 @@
 // halfCloseIfQuiet closes the sending side of an idle connection if nothing has arrived that the loop has not received.
 // No command can be read between that check and the close: it would never be answered.
 func (c *Conn) halfCloseIfQuiet() {
-	if c.link.CloseWriteIfQuiet(c.readsSeen, lingerTimeout) {
+	if c.link.CloseWriteIfNoInputSince(c.readsSeen, lingerTimeout) {
 		c.closing = true
 		c.halfClosed = true
 	}
@@ -199,7 +199,7 @@
 
 // closeIfQuiet closes the connection if nothing has arrived that the loop has not received.
 func (c *Conn) closeIfQuiet() {
-	if c.link.CloseIfQuiet(c.readsSeen) {
+	if c.link.CloseIfNoInputSince(c.readsSeen) {
 		c.close()
 	}
 }
--- a/internal/clients/conn_test.go
+++ b/internal/clients/conn_test.go
@@ -60,7 +60,7 @@
 	server.advance(idleTimeout + 1)
 	c.send("second")
 	server.waitFor("second read", func() bool {
-		return c.conn.link.Reads() > c.conn.readsSeen && len(server.work) > 0
+		return c.conn.link.ReadCount() > c.conn.readsSeen && len(server.work) > 0
 	})
 	closeConn()
 	server.runLoop("second arrived, or closed", func() bool { return len(server.requests) == 2 || c.conn.closed })
@@ -71,7 +71,7 @@
 	server.Flush()
 
 	server.advance(idleTimeout + 1)
-	server.runLoop("quiet", func() bool { return c.conn.halfClosed || c.conn.link.Quiet(c.conn.readsSeen) })
+	server.runLoop("quiet", func() bool { return c.conn.halfClosed || c.conn.link.NoInputSince(c.conn.readsSeen) })
 	closeConn()
 	server.record("%s: nothing on its way: closed %t", name, isClosed())
 
@@ -80,7 +80,7 @@
 		name, c.readLine(), c.readLine(), c.readLine(), c.readLine(), c.readLine())
 	c.Close()
 	c.runUntilClosed()
-	server.record("%s: %d arrived, %d open", name, len(server.requests), server.Count())
+	server.record("%s: %d arrived, %d open", name, len(server.requests), server.ConnCount())
 }
 
 // Commands that arrive behind a partial one whose time is over, until the connection can end, are answered.
@@ -144,11 +144,11 @@
 		for _, step := range []time.Duration{writeStallTimeout, 1} {
 			server.advance(step)
 			server.CloseOverdue()
-			server.record("closing %t: open %d", closing, server.Count())
+			server.record("closing %t: open %d", closing, server.ConnCount())
 		}
 		if !closing {
 			golden.Check(t, server.trace.String())
-		} else if server.Count() > 0 {
+		} else if server.ConnCount() > 0 {
 			t.Error("a connection that is to end stays open")
 		}
 	}
--- a/internal/clients/eviction.go
+++ b/internal/clients/eviction.go
@@ -81,5 +81,5 @@
 // nothingUnread reports whether no further command is unread, or read and on its way to the loop. After a half-close
 // none counts.
 func (c *Conn) nothingUnread() bool {
-	return c.halfClosed || c.link.Quiet(c.readsSeen)
+	return c.halfClosed || c.link.NoInputSince(c.readsSeen)
 }
--- a/internal/clients/helpers_test.go
+++ b/internal/clients/helpers_test.go
@@ -26,7 +26,7 @@
 	Plans:    []string{"basic", "team"},
 	MaxUnits: []float64{8, 8},
 	Members:  3,
-	Own:      1,
+	OwnIndex: 1,
 }
 
 const (
@@ -202,7 +202,7 @@
 // waitUntilRead waits until the reader has read more than the loop has received.
 func (c *testClient) waitUntilRead(what string) {
 	c.Helper()
-	c.waitFor(what, func() bool { return c.conn.link.Reads() > c.conn.readsSeen })
+	c.waitFor(what, func() bool { return c.conn.link.ReadCount() > c.conn.readsSeen })
 }
 
 // waitUntilGone waits until the reader has seen the end of the connection.
--- a/internal/clients/reader.go
+++ b/internal/clients/reader.go
@@ -107,7 +107,7 @@
 
 // notifyLoop notifies the loop of queued commands, and waits until it has received them if too many bytes are queued.
 func (c *Conn) notifyLoop() {
-	notify, queuedBytes := c.postProgress(c.link.Reads(), c.partialBegan)
+	notify, queuedBytes := c.postProgress(c.link.ReadCount(), c.partialBegan)
 	if notify {
 		c.server.runOnLoop(c.receiveFunc)
 	}
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -22,10 +22,10 @@
 
 	// The command to send to a host is the concatenation of Head, a bulk string of Before, the time left in
 	// milliseconds and After, and Tail.
-	Head   []byte
-	Before []byte
-	After  []byte
-	Tail   []byte
+	Head           []byte
+	BeforeTimeLeft []byte
+	AfterTimeLeft  []byte
+	Tail           []byte
 }
 
 // RequestHandler is called on the loop for each request. It sets the answer then or later.
@@ -85,19 +85,19 @@
 // request returns the request for the handler.
 func (q *queuedRequest) request() *Request {
 	return &Request{
-		ID:           q.id,
-		Customer:     q.customer,
-		ReceivedAt:   q.receivedAt,
-		Deadline:     q.receivedAt.Add(q.wait),
-		Class:        q.terms.class,
-		Plan:         q.terms.plan,
-		Units:        q.terms.units,
-		Spread:       q.terms.spread,
-		FirstGateway: q.terms.firstGateway,
-		Retry:        q.retry,
-		Head:         q.text[:q.headEnd],
-		Before:       q.text[q.headEnd:q.beforeEnd],
-		After:        q.text[q.beforeEnd:q.afterEnd],
-		Tail:         q.text[q.afterEnd:],
+		ID:             q.id,
+		Customer:       q.customer,
+		ReceivedAt:     q.receivedAt,
+		Deadline:       q.receivedAt.Add(q.wait),
+		Class:          q.terms.class,
+		Plan:           q.terms.plan,
+		Units:          q.terms.units,
+		Spread:         q.terms.spread,
+		FirstGateway:   q.terms.firstGateway,
+		Retry:          q.retry,
+		Head:           q.text[:q.headEnd],
+		BeforeTimeLeft: q.text[q.headEnd:q.beforeEnd],
+		AfterTimeLeft:  q.text[q.beforeEnd:q.afterEnd],
+		Tail:           q.text[q.afterEnd:],
 	}
 }
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// Count returns the number of connections.
-func (s *Server) Count() int { return len(s.conns) }
+// ConnCount returns the number of connections.
+func (s *Server) ConnCount() int { return len(s.conns) }
 
 // Closed reports whether all connections have ended and none can be accepted any more.
 func (s *Server) Closed() bool { return len(s.conns) == 0 && !s.accepting }
--- a/internal/config/adjustments.go
+++ b/internal/config/adjustments.go
@@ -63,12 +63,12 @@
 func (s *Settings) resolveLoadReport(reader *objectReader) {
 	if s.LoadReport.WithProbes && reader.contains("limits.probes", "false") {
 		s.adjust("report.how", "as off: limits.probes is false, so that no report comes")
-		s.LoadReport = gateway.LoadReportForm{}
+		s.LoadReport = gateway.LoadReportFormat{}
 		s.ReportNames = nil
 	}
 	if reader.contains("report.how", "off") && len(s.ReportNames) > 0 {
 		s.adjust("report.names", "ignored: report.how is off")
-		s.LoadReport = gateway.LoadReportForm{}
+		s.LoadReport = gateway.LoadReportFormat{}
 		s.ReportNames = nil
 	}
 }
@@ -93,13 +93,13 @@
 // resolveCounter turns the shared counter off unless both it and its address are configured.
 func (c *Config) resolveCounter() {
 	shared := c.Limits.SharedCounter
-	hasAddress := c.Counter.IsValid()
+	hasAddress := c.CounterAddress.IsValid()
 	switch {
 	case shared && !hasAddress:
 		c.adjust("family_info.shared_counter", "as false: counter (its address) is missing")
 		c.Limits.SharedCounter = false
 	case !shared && hasAddress:
 		c.adjust("counter", "ignored: family_info.shared_counter is not true")
-		c.Counter = netip.AddrPort{}
+		c.CounterAddress = netip.AddrPort{}
 	}
 }
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -31,7 +31,7 @@
 	name = r.text("name")
 	class = gateway.RequestClass{
 		Effect:           gateway.Effect(r.choice("effect", "safe", "keyed", "unsafe")),
-		Group:            gateway.Group(r.choice("group", "all", "zone", "cell")),
+		Group:            gateway.DedupGroup(r.choice("group", "all", "zone", "cell")),
 		DedupWindow:      r.microseconds("window_us"),
 		LatencyObjective: r.microseconds("target_us"),
 		Timeout:          r.microseconds("hard_limit_us"),
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -108,13 +108,13 @@
 
 // Revision is the difference that changes made to the configuration in force.
 type Revision struct {
-	Update      gateway.Update // for the decision module
-	PlanNames   []string       // of Update.Plans, in its order
-	Classes     []ClassChange  // those of Update.Classes, and the removed ones
-	Members     []MemberChange // addresses that changed
-	MemberCount int            // members in force; indices from here on are removed
-	PlanCount   int            // quota plans in force
-	ClassCount  int            // request classes in force
+	Update      gateway.SettingsUpdate // for the decision module
+	PlanNames   []string               // of Update.Plans, in its order
+	Classes     []ClassChange          // those of Update.Classes, and the removed ones
+	Members     []MemberChange         // addresses that changed
+	MemberCount int                    // members in force; indices from here on are removed
+	PlanCount   int                    // quota plans in force
+	ClassCount  int                    // request classes in force
 	Adjusted    []Adjustment
 }
 
--- a/internal/config/live_decode.go
+++ b/internal/config/live_decode.go
@@ -59,14 +59,14 @@
 	if index, ok := strings.CutPrefix(resource, configsync.MemberPrefix); ok {
 		return l.stageMember(edit, change, index)
 	}
-	if resource == configsync.LimitsName {
+	if resource == configsync.LimitsResource {
 		return l.stageLimits(edit, change)
 	}
 	return &ResourceError{Resource: change.Resource, Err: errUnknown}
 }
 
 func (l *Live) stagePlan(edit *liveEdit, change *configsync.Change, name string) error {
-	if change.Removed() {
+	if change.IsRemoval() {
 		l.plans.remove(&edit.plans, name)
 		return nil
 	}
@@ -96,7 +96,7 @@
 		owner, taken = edit.identities[id]
 	}
 	if taken && owner != name {
-		return 0, &IdentityError{ID: id, OtherName: owner}
+		return 0, &PlanIDConflictError{ID: id, OtherName: owner}
 	}
 	if !taken {
 		if edit.identities == nil {
@@ -107,18 +107,18 @@
 	return id, nil
 }
 
-// IdentityError is the error of a quota plan's name whose identity, a hash, is that of another name.
-type IdentityError struct {
+// PlanIDConflictError is the error of a quota plan's name whose identity, a hash, is that of another name.
+type PlanIDConflictError struct {
 	ID        uint32
 	OtherName string // of a plan in force or removed
 }
 
-func (e *IdentityError) Error() string {
+func (e *PlanIDConflictError) Error() string {
 	return fmt.Sprintf("the name's identity %08x is that of plan %q; another name is wanted", e.ID, e.OtherName)
 }
 
 func (l *Live) stageClass(edit *liveEdit, change *configsync.Change, name string) error {
-	if change.Removed() {
+	if change.IsRemoval() {
 		l.classes.remove(&edit.classes, name)
 		return nil
 	}
@@ -145,7 +145,7 @@
 }
 
 func (l *Live) stageLimits(edit *liveEdit, change *configsync.Change) error {
-	if change.Removed() {
+	if change.IsRemoval() {
 		edit.limits = l.file.limits
 		return nil
 	}
--- a/internal/config/live_members.go
+++ b/internal/config/live_members.go
@@ -67,17 +67,17 @@
 		return &ResourceError{Resource: change.Resource, Err: errMemberIndex}
 	}
 	var address netip.AddrPort
-	if !change.Removed() {
+	if !change.IsRemoval() {
 		address, err = memberAddress(change.Value)
 		if err != nil {
 			return &ResourceError{Resource: change.Resource, Err: err}
 		}
 	}
 	exists := l.members.has(&edit.members, index)
-	if exists && change.Removed() {
+	if exists && change.IsRemoval() {
 		edit.members.count--
 	}
-	if !exists && !change.Removed() {
+	if !exists && !change.IsRemoval() {
 		edit.members.count++
 	}
 	if edit.members.changes == nil {
--- a/internal/config/live_random_test.go
+++ b/internal/config/live_random_test.go
@@ -31,7 +31,7 @@
 		}
 		for _, change := range changes {
 			current[change.Resource] = string(change.Value)
-			if change.Removed() {
+			if change.IsRemoval() {
 				delete(current, change.Resource)
 			}
 		}
@@ -67,7 +67,7 @@
 		resource = fmt.Sprint("members/", random.IntN(6))
 		value = fmt.Sprintf(`"10.3.0.1:%d"`, 1+random.IntN(9))
 	default:
-		resource = configsync.LimitsName
+		resource = configsync.LimitsResource
 		value = fmt.Sprintf(`{"max_attempts":%d,"parallel_tries":true}`, random.IntN(9))
 	}
 	if removed {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -16,7 +16,7 @@
 	Plans      []gateway.Plan
 	Limits     gateway.Limits
 	SlowStart  gateway.SlowStart
-	LoadReport gateway.LoadReportForm
+	LoadReport gateway.LoadReportFormat
 
 	ClassNames  []string // by index in Classes
 	PlanNames   []string // by index in Plans
@@ -34,8 +34,8 @@
 	Adjusted []Adjustment
 }
 
-// Decode reads the settings object.
-func Decode(text string) (*Settings, error) {
+// DecodeSettings reads the settings object.
+func DecodeSettings(text string) (*Settings, error) {
 	reader, err := newObjectReader("", text)
 	if err != nil {
 		return nil, err
@@ -109,9 +109,9 @@
 	}
 }
 
-func (r *objectReader) loadReport(names []string) gateway.LoadReportForm {
+func (r *objectReader) loadReport(names []string) gateway.LoadReportFormat {
 	how := r.word("report.how", "off", "inline", "on_probe")
-	form := gateway.LoadReportForm{WithAnswers: how == "inline", WithProbes: how == "on_probe"}
+	form := gateway.LoadReportFormat{WithAnswers: how == "inline", WithProbes: how == "on_probe"}
 	for _, name := range names {
 		form.Fields = append(form.Fields, loadField(name))
 	}
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -244,7 +244,7 @@
 		text := string(value.Line)
 		total := 0.0
 		if kind == '$' {
-			total, err = parseNumber(value.Parts[0])
+			total, err = parseNumber(value.BulkStrings[0])
 			if err != nil {
 				return err
 			}
--- a/internal/discovery/timeouts_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -33,7 +33,7 @@
 	classes := []gateway.RequestClass{{LatencyObjective: 1, Timeout: 1}}
 	plans := []gateway.Plan{{}}
 	limits := gateway.Limits{PollEndpoints: true}
-	module := logic.New(seed, membership, classes, plans, limits, gateway.SlowStart{}, gateway.LoadReportForm{})
+	module := logic.New(seed, membership, classes, plans, limits, gateway.SlowStart{}, gateway.LoadReportFormat{})
 	p := &poller{module: module, actions: &pollActions{}, now: gateway.Time(time.Second)}
 	p.decide()
 	return p
@@ -113,7 +113,7 @@
 		if o.poll {
 			elapsed += longestPollDelay(o.failures+i, took)
 		} else {
-			elapsed += RewatchDelay
+			elapsed += WatchRetryDelay
 		}
 		if i == len(attempts) {
 			return elapsed + o.response
--- a/internal/hosts/answer.go
+++ b/internal/hosts/answer.go
@@ -21,12 +21,12 @@
 func parseAnswer(answer resp.Value, loadFields []string, event *gateway.Event) (value []byte, err error) {
 	switch answer.Kind {
 	case '*':
-		return parseValue(answer.Parts, loadFields, event)
+		return parseValue(answer.BulkStrings, loadFields, event)
 	case '$': // of a probe
-		if answer.Parts[0] == nil {
+		if answer.BulkStrings[0] == nil {
 			return nil, errMalformed
 		}
-		parseLoad(answer.Parts[0], loadFields, event)
+		parseLoad(answer.BulkStrings[0], loadFields, event)
 		return nil, nil
 	case '-':
 		parseError(answer.Line, loadFields, event)
--- a/internal/hosts/command.go
+++ b/internal/hosts/command.go
@@ -11,10 +11,10 @@
 // left until the deadline in milliseconds, and After; Tail follows that. The slices must not change until the attempt
 // is over.
 type Command struct {
-	Head   []byte
-	Before []byte
-	After  []byte
-	Tail   []byte
+	Head           []byte
+	BeforeTimeLeft []byte
+	AfterTimeLeft  []byte
+	Tail           []byte
 
 	constant bool // Head is the complete command
 }
@@ -28,12 +28,12 @@
 		return
 	}
 	milliseconds := strconv.AppendInt(nil, max(timeLeft.Milliseconds(), 1), 10)
-	length := int64(len(c.Before) + len(milliseconds) + len(c.After))
+	length := int64(len(c.BeforeTimeLeft) + len(milliseconds) + len(c.AfterTimeLeft))
 	prefix := strconv.AppendInt([]byte{'$'}, length, 10)
 	out.Write(append(prefix, "\r\n"...))
-	out.Write(c.Before)
+	out.Write(c.BeforeTimeLeft)
 	out.Write(milliseconds)
-	out.Write(c.After)
+	out.Write(c.AfterTimeLeft)
 	out.Write([]byte("\r\n"))
 	out.Write(c.Tail)
 }
--- a/internal/hosts/conn.go
+++ b/internal/hosts/conn.go
@@ -151,9 +151,9 @@
 // untouched reports whether neither bytes nor an end have arrived since the dial or the latest answer.
 func (c *conn) untouched() bool {
 	if c.answers == 0 {
-		return c.link.Fresh()
+		return c.link.NoInputYet()
 	}
-	return c.link.Quiet(c.readsSeen)
+	return c.link.NoInputSince(c.readsSeen)
 }
 
 // replaceStale closes a connection on which bytes or an end arrived before its attempt was written. The attempt never
@@ -229,7 +229,7 @@
 	c.close()
 	limiter := c.pool.transport.limiter
 	if limiter != nil && !c.used {
-		limiter.Refused++
+		limiter.RefusedConnections++
 		limiter.backOff()
 	}
 }
--- a/internal/hosts/conn_reader.go
+++ b/internal/hosts/conn_reader.go
@@ -98,7 +98,7 @@
 			}
 			return answer{}, err
 		}
-		reads := link.Reads()
+		reads := link.ReadCount()
 		received := t.now()
 		parsed, complete, err := parser.Next(link.In)
 		if !complete && err == nil {
--- a/internal/hosts/failure.go
+++ b/internal/hosts/failure.go
@@ -82,4 +82,6 @@
 }
 
 // isShortage reports whether no connection could be opened because this machine lacks a resource.
-func (f *Failure) isShortage() bool { return f.Stage == Connecting && sockets.IsShortage(f.Err) }
+func (f *Failure) isShortage() bool {
+	return f.Stage == Connecting && sockets.IsResourceExhausted(f.Err)
+}
--- a/internal/hosts/helpers_test.go
+++ b/internal/hosts/helpers_test.go
@@ -66,7 +66,7 @@
 
 // send makes an attempt with two milliseconds left and flushes it.
 func (l *testLoop) send() *Attempt {
-	command := Command{Head: []byte("*2\r\n"), Before: []byte("d=")}
+	command := Command{Head: []byte("*2\r\n"), BeforeTimeLeft: []byte("d=")}
 	deadline := l.Transport.now().Add(2 * time.Millisecond)
 	attempt := l.Send(1, command, deadline, noWriteDeadline, l.recordResult("result"))
 	l.Flush()
--- a/internal/hosts/limiter.go
+++ b/internal/hosts/limiter.go
@@ -53,10 +53,10 @@
 	retryAfter     time.Duration // see RetryAfter
 
 	// Cumulative counters.
-	Queued   int // attempts that had to wait
-	Rejected int // attempts rejected
-	Refused  int // connections that the store refused
-	Dials    int
+	QueuedAttempts     int // attempts that had to wait
+	RejectedAttempts   int // attempts rejected
+	RefusedConnections int // connections that the store refused
+	Dials              int
 }
 
 // LimitConnections puts the transport under a quota of connections. It is called before the first attempt.
@@ -102,7 +102,7 @@
 	if attempt.done || attempt.conn != nil || !slices.Contains(l.queue, attempt) {
 		return
 	}
-	l.Queued++
+	l.QueuedAttempts++
 	if now.Add(l.expectedWait(attempt, now)) > attempt.queueDeadline {
 		l.reject(attempt)
 		return
@@ -124,7 +124,7 @@
 func (l *ConnectionLimiter) reject(attempt *Attempt) {
 	now := l.transport.now()
 	l.dequeue(attempt)
-	l.Rejected++
+	l.RejectedAttempts++
 	l.onRejected(time.Duration(l.serviceTime))
 	drainTime := time.Duration(float64(len(l.queue)+1) * l.serviceTime / float64(max(l.allowed(now), 1)))
 	l.retryAfter = min(max(drainTime, l.nextDial.Sub(now), minRetryAfter), maxRetryAfter)
@@ -276,8 +276,8 @@
 func (l *ConnectionLimiter) requeueRefused(attempt *Attempt, err error) bool {
 	switch {
 	case isStoreRefusal(err):
-		l.Refused++
-	case !sockets.IsShortage(err):
+		l.RefusedConnections++
+	case !sockets.IsResourceExhausted(err):
 		return false
 	}
 	l.backOff()
--- a/internal/hosts/limiter_test.go
+++ b/internal/hosts/limiter_test.go
@@ -41,7 +41,7 @@
 	limiter := loop.LimitConnections(1, 19*time.Second, func(clock.Instant) int { return allowed }, func(time.Duration) {})
 	send := func(name string) {
 		limiter.SetUrgent(name == "urgent")
-		command := Command{Head: []byte("*2\r\n"), Before: []byte(name)}
+		command := Command{Head: []byte("*2\r\n"), BeforeTimeLeft: []byte(name)}
 		onResult := func(event gateway.Event, value []byte, _ clock.Instant) {
 			loop.results = append(loop.results, fmt.Sprintf("%s: result %d, value %q, retry later %t",
 				name, event.Result, value, limiter.RetryAfter() > 0))
@@ -67,5 +67,5 @@
 	loop.Flush()
 	open, _ := limiter.Usage()
 	golden.Check(t, fmt.Sprintf("%sstore received %.3s... first, %d refused, %d rejected, %d open\n",
-		loop.trace(), <-commands, limiter.Refused, limiter.Rejected, open))
+		loop.trace(), <-commands, limiter.RefusedConnections, limiter.RejectedAttempts, open))
 }
--- a/internal/hosts/shortage_test.go
+++ b/internal/hosts/shortage_test.go
@@ -37,7 +37,7 @@
 	var lines bytes.Buffer
 	defer logging.SetOutput(&lines)()
 	loop, system := newLoopOnFaultySystem(t)
-	faults := socketstest.Errors(syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENOBUFS)
+	faults := socketstest.ErrorScript(syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENOBUFS)
 	system.Script(socketstest.Dial, faults...)
 	for n := range 4 {
 		loop.send()
@@ -70,15 +70,15 @@
 	loop, system := newLoopOnFaultySystem(t)
 	loop.useRealTime()
 	limiter := loop.LimitConnections(0, 19*time.Second, func(clock.Instant) int { return 1 }, func(time.Duration) {})
-	system.Script(socketstest.Dial, socketstest.Errors(syscall.ENFILE, syscall.EADDRNOTAVAIL)...)
-	command := Command{Head: []byte("*2\r\n"), Before: []byte("d=")}
+	system.Script(socketstest.Dial, socketstest.ErrorScript(syscall.ENFILE, syscall.EADDRNOTAVAIL)...)
+	command := Command{Head: []byte("*2\r\n"), BeforeTimeLeft: []byte("d=")}
 	deadline := loop.Transport.now().Add(40 * time.Second)
 	loop.Send(1, command, deadline, noWriteDeadline, loop.recordResult("result"))
 	loop.runUntilResults(1)
 	if got := loop.results[0]; got != `result 0, value "v"` {
 		t.Error(got)
 	}
-	if limiter.Refused > 0 || limiter.Dials != 3 {
-		t.Errorf("%d refused, %d dials", limiter.Refused, limiter.Dials)
+	if limiter.RefusedConnections > 0 || limiter.Dials != 3 {
+		t.Errorf("%d refused, %d dials", limiter.RefusedConnections, limiter.Dials)
 	}
 }
--- a/internal/logging/source_test.go
+++ b/internal/logging/source_test.go
@@ -257,7 +257,7 @@
 func decisionFields() (names []string) {
 	alone := gateway.Membership{Count: 1}
 	plansByID := []gateway.Plan{{ID: 1}}
-	g := logic.New(1, alone, nil, plansByID, gateway.Limits{}, gateway.SlowStart{}, gateway.LoadReportForm{})
+	g := logic.New(1, alone, nil, plansByID, gateway.Limits{}, gateway.SlowStart{}, gateway.LoadReportFormat{})
 	for _, count := range g.DecisionCounts() {
 		names = append(names, count.Outcome)
 	}
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -47,7 +47,7 @@
 		return
 	}
 	n.quota.setUrgency(r)
-	command := hosts.Command{Head: r.command.Head, Before: r.command.Before, After: r.command.After, Tail: r.command.Tail}
+	command := hosts.Command{Head: r.command.Head, BeforeTimeLeft: r.command.BeforeTimeLeft, AfterTimeLeft: r.command.AfterTimeLeft, Tail: r.command.Tail}
 	a.send = n.transport.Send(host, command, a.deadline, a.writeDeadline(), a.end)
 	if r.closed { // the client is gone by the end of another attempt
 		a.withdraw()
--- a/internal/node/client_gone_test.go
+++ b/internal/node/client_gone_test.go
@@ -16,24 +16,24 @@
 func TestNoAttemptAfterClientGone(t *testing.T) {
 	module := &retryingDecider{}
 	n := newIdleNode(module, gateway.RequestClass{}, silentHost(t))
-	n.request("before-its-arrival-is-decided").ClientGone()
+	n.request("before-its-arrival-is-decided").OnClientGone()
 	n.process()
 
 	answer := n.request("with-the-end-of-its-attempt")
 	n.process()
 	n.requests["with-the-end-of-its-attempt"].attempts[0].send.Cancel(hosts.ErrTimedOut)
-	answer.ClientGone()
+	answer.OnClientGone()
 	n.process()
 
 	answer = n.request("while-it-waits-for-a-connection") // it ends at once, unsent
 	n.process()
-	answer.ClientGone()
+	answer.OnClientGone()
 	n.process()
 
 	answer = n.request("during-its-attempt")
 	n.process()
 	n.processUntilWritten("during-its-attempt", 0)
-	answer.ClientGone()
+	answer.OnClientGone()
 	n.process()
 	n.requests["during-its-attempt"].attempts[0].send.Cancel(hosts.ErrTimedOut)
 	n.process()
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -14,8 +14,8 @@
 // maxAdjustedLines is the most log lines on adjusted settings of one version: a document may contain thousands.
 const maxAdjustedLines = 20
 
-// ErrEnded is the error for a revision that came after the gateway had ended.
-var ErrEnded = errors.New("the gateway has ended")
+// ErrStopped is the error for a revision that came after the gateway had ended.
+var ErrStopped = errors.New("the gateway has ended")
 
 // revision is a checked version of the configuration that is not in force yet.
 type revision struct {
@@ -24,20 +24,20 @@
 	inForce chan struct{} // closed once it is in force
 }
 
-// Apply puts a revision in force between two batches of events, and returns once it is. The subscriber calls it
+// ApplyConfiguration puts a revision in force between two batches of events, and returns once it is. The subscriber calls it
 // with one revision at a time. The error is ErrEnded.
-func (n *Node) Apply(version configsync.Version, changes *config.Revision) error {
+func (n *Node) ApplyConfiguration(version configsync.Version, changes *config.Revision) error {
 	next := revision{Revision: changes, version: version, inForce: make(chan struct{})}
 	select {
 	case n.work <- func() { n.pendingRevisions = append(n.pendingRevisions, next) }:
 	case <-n.ended:
-		return ErrEnded
+		return ErrStopped
 	}
 	select {
 	case <-next.inForce:
 		return nil
 	case <-n.ended:
-		return ErrEnded
+		return ErrStopped
 	}
 }
 
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -50,7 +50,7 @@
 		result:  make(chan error, 1),
 		stopped: make(chan struct{}),
 	}
-	settings, err := config.Decode(liveSettings)
+	settings, err := config.DecodeSettings(liveSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	settings.ConnIdle = connectionLimit
 	settings.Limits.PollEndpoints = true // clients are accepted without an agent
 	cfg := testConfig(settings)
-	cfg.KnownEndpoints = knownHost(g.startHost())
+	cfg.InitialEndpointList = knownHost(g.startHost())
 	cfg.Configuration = &config.Configuration{}
 	if configure != nil {
 		configure(cfg)
@@ -154,7 +154,7 @@
 		g.Fatal(err)
 	}
 	g.version++
-	if err := g.node.Apply(g.version, revision); err != nil {
+	if err := g.node.ApplyConfiguration(g.version, revision); err != nil {
 		g.Fatal(err)
 	}
 }
@@ -259,7 +259,7 @@
 	}
 	golden.Check(t, trace.String())
 	g.stop()
-	if err := g.node.Apply(9, &config.Revision{}); !errors.Is(err, ErrEnded) {
+	if err := g.node.ApplyConfiguration(9, &config.Revision{}); !errors.Is(err, ErrStopped) {
 		t.Errorf("after the end: %v", err)
 	}
 }
@@ -316,7 +316,7 @@
 	}
 }
 
-func (o *orderRecorder) Reconfigure(_ gateway.Time, update *gateway.Update) {
+func (o *orderRecorder) Reconfigure(_ gateway.Time, update *gateway.SettingsUpdate) {
 	o.calls <- fmt.Sprint(update.Members, " members")
 }
 
@@ -331,7 +331,7 @@
 	applied := make(chan struct{})
 	n.runOnLoop(func() { <-busy })
 	go func() {
-		n.Apply(1, &config.Revision{Update: gateway.Update{Members: 1}, MemberCount: 1})
+		n.ApplyConfiguration(1, &config.Revision{Update: gateway.SettingsUpdate{Members: 1}, MemberCount: 1})
 		close(applied)
 	}()
 	io.WriteString(conn, command("a", 1)+command("a", 2))
--- a/internal/node/connecting_test.go
+++ b/internal/node/connecting_test.go
@@ -49,7 +49,7 @@
 	settings.ConnectTimeout = connectionLimit
 	settings.Limits = gateway.Limits{PollEndpoints: true}
 	cfg := testConfig(settings)
-	cfg.KnownEndpoints = knownHost(g.hostAddr)
+	cfg.InitialEndpointList = knownHost(g.hostAddr)
 	g.Node = New(cfg, g)
 
 	restoreLog := logging.SetOutput(g)
@@ -105,7 +105,7 @@
 }
 
 // Reconfigure implements Decider.
-func (g *testGateway) Reconfigure(_ gateway.Time, update *gateway.Update) {
+func (g *testGateway) Reconfigure(_ gateway.Time, update *gateway.SettingsUpdate) {
 	g.events <- fmt.Sprintf("reconfigured: %d plans, %d classes", len(update.Plans), len(update.Classes))
 }
 
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -38,10 +38,10 @@
 // testConfig is a configuration with these settings, a free port and no agent.
 func testConfig(settings *config.Settings) *config.Config {
 	return &config.Config{
-		Listen:    netip.MustParseAddrPort("127.0.0.1:0"),
-		Discovery: "127.0.0.1:1",
-		Sockets:   100,
-		Settings:  settings,
+		Listen:           netip.MustParseAddrPort("127.0.0.1:0"),
+		DiscoveryAddress: "127.0.0.1:1",
+		MaxDescriptors:   100,
+		Settings:         settings,
 	}
 }
 
@@ -101,7 +101,7 @@
 // retryingDecider sends each request, and again after each end while it is open. It writes down its events.
 type retryingDecider struct{ strings.Builder }
 
-func (*retryingDecider) Reconfigure(gateway.Time, *gateway.Update) {}
+func (*retryingDecider) Reconfigure(gateway.Time, *gateway.SettingsUpdate) {}
 
 func (d *retryingDecider) Decide(batch *gateway.Batch, actions gateway.Actions) {
 	for _, event := range batch.Events {
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -44,7 +44,7 @@
 	return listener, err
 }
 
-var errStopped = errors.New("called to stop before it had its addresses")
+var errStopRequested = errors.New("called to stop before it had its addresses")
 
 // listenWithRetry calls listen until it succeeds, as long as the address is in use or the machine lacks a resource for
 // it. key is the address's key in the configuration file.
@@ -56,10 +56,10 @@
 			return nil
 		}
 		timeout := addressInUseTimeout
-		if sockets.IsShortage(err) {
+		if sockets.IsResourceExhausted(err) {
 			timeout = shortageTimeout
 		}
-		if !sockets.IsTransient(err) || time.Since(began) > timeout {
+		if !sockets.IsTransientListenError(err) || time.Since(began) > timeout {
 			return fmt.Errorf("%s: %w", key, err)
 		}
 		if !logged {
@@ -67,7 +67,7 @@
 		}
 		select {
 		case <-stop:
-			return errStopped
+			return errStopRequested
 		case <-time.After(listenRetryInterval):
 		}
 	}
@@ -75,7 +75,7 @@
 
 // logListenRetry logs that an address will be tried again for a time.
 func logListenRetry(key string, addr netip.AddrPort, timeout time.Duration, err error) {
-	if sockets.IsShortage(err) {
+	if sockets.IsResourceExhausted(err) {
 		slog.Warn("listen_address_unavailable", "key", key, "addr", addr, "wait", timeout, "error", err)
 	} else {
 		slog.Warn("listen_address_in_use", "key", key, "addr", addr, "wait", timeout, "error", err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 // Decider is the decision module.
 type Decider interface {
 	Decide(batch *gateway.Batch, actions gateway.Actions)
-	Reconfigure(now gateway.Time, update *gateway.Update) // called between two batches
+	Reconfigure(now gateway.Time, update *gateway.SettingsUpdate) // called between two batches
 }
 
 // DecisionCounter is a Decider that counts its decisions. They are logged every countsLogInterval.
@@ -103,10 +103,10 @@
 }
 
 // New returns a gateway on the process's own platform. It is not reachable before Run.
-func New(cfg *config.Config, module Decider) *Node { return NewOn(Platform{}, cfg, module) }
+func New(cfg *config.Config, module Decider) *Node { return NewOnPlatform(Platform{}, cfg, module) }
 
-// NewOn returns a gateway on a platform.
-func NewOn(platform Platform, cfg *config.Config, module Decider) *Node {
+// NewOnPlatform returns a gateway on a platform.
+func NewOnPlatform(platform Platform, cfg *config.Config, module Decider) *Node {
 	if platform.Clock == nil {
 		platform.Clock = clock.System{}
 	}
@@ -127,7 +127,7 @@
 		catalog:      clients.NewCatalog(catalogOf(cfg)),
 	}
 	n.endpointList.EqualWeights = cfg.EqualWeights
-	clientDescriptors, hostDescriptors := descriptorShares(cfg.Sockets)
+	clientDescriptors, hostDescriptors := descriptorShares(cfg.MaxDescriptors)
 	n.clients = clients.NewServer(n.system, n.catalog, clientDescriptors, n.runOnLoop, n.now, n.arrive)
 	n.transport = hosts.NewTransport(hosts.Options{
 		System:         n.system,
@@ -138,8 +138,8 @@
 		IdleTimeout:    time.Duration(idleFraction * float64(cfg.ConnIdle)),
 		MaxConns:       hostDescriptors,
 	})
-	if cfg.Counter.IsValid() {
-		n.counter = counter.New(n.system, cfg.Counter, cfg.Limits.CounterTimeout, n.runOnLoop, n.now,
+	if cfg.CounterAddress.IsValid() {
+		n.counter = counter.New(n.system, cfg.CounterAddress, cfg.Limits.CounterTimeout, n.runOnLoop, n.now,
 			n.counterReplied)
 	}
 	return n
@@ -153,7 +153,7 @@
 		Plans:    cfg.PlanNames,
 		MaxUnits: make([]float64, 0, len(cfg.Plans)),
 		Members:  cfg.Membership.Count,
-		Own:      cfg.Membership.Index,
+		OwnIndex: cfg.Membership.Index,
 	}
 	for i := range cfg.Classes {
 		catalog.Effects = append(catalog.Effects, cfg.Classes[i].Effect)
@@ -190,15 +190,15 @@
 // clock don't change it.
 func (n *Node) now() gateway.Time { return n.epoch.Add(n.clock.Monotonic()) }
 
-// WhileRunning has Run start a task beside the loop once the gateway has its addresses, at which point the
+// AddBackgroundTask has Run start a task beside the loop once the gateway has its addresses, at which point the
 // process before it has ended. Run calls the function that start returns after the loop has ended, and waits
 // for it.
-func (n *Node) WhileRunning(start func() (end func())) { n.tasks = append(n.tasks, start) }
+func (n *Node) AddBackgroundTask(start func() (end func())) { n.tasks = append(n.tasks, start) }
 
 // Run serves until it is called to stop and every request has its answer.
 func (n *Node) Run(stop <-chan struct{}) error {
 	err := n.run(stop)
-	if err != nil && !errors.Is(err, errStopped) {
+	if err != nil && !errors.Is(err, errStopRequested) {
 		return err
 	}
 	slog.Info("stopped")
@@ -256,11 +256,11 @@
 
 // decideFirstBatch has the module decide on the endpoint list of the configuration.
 func (n *Node) decideFirstBatch() {
-	if n.cfg.KnownEndpoints == "" {
+	if n.cfg.InitialEndpointList == "" {
 		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached})
 	} else {
-		n.updateEndpoints(n.cfg.KnownEndpoints, true)
-		n.cfg.KnownEndpoints = "" // frees the text
+		n.updateEndpoints(n.cfg.InitialEndpointList, true)
+		n.cfg.InitialEndpointList = "" // frees the text
 	}
 	n.iterate()
 }
--- a/internal/node/panic_test.go
+++ b/internal/node/panic_test.go
@@ -31,7 +31,7 @@
 	n.transport = transport
 	n.epoch = n.epoch.Add(2 * farDeadline)
 	n.iterate()
-	answer.ClientGone()
+	answer.OnClientGone()
 	n.iterate()
 	golden.Check(t, module.String()+n.left())
 }
@@ -40,7 +40,7 @@
 // those of b.
 type panickingDecider struct{}
 
-func (panickingDecider) Reconfigure(gateway.Time, *gateway.Update) {}
+func (panickingDecider) Reconfigure(gateway.Time, *gateway.SettingsUpdate) {}
 
 func (panickingDecider) Decide(batch *gateway.Batch, actions gateway.Actions) {
 	for _, event := range batch.Events {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -44,7 +44,7 @@
 		eventIndex:  len(n.events),
 	}
 	n.requests[r.id] = r
-	answer.ClientGone = r.clientGone
+	answer.OnClientGone = r.clientGone
 	n.events = append(n.events, gateway.Event{
 		Kind:         gateway.RequestArrived,
 		RequestID:    r.id,
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -38,7 +38,7 @@
 	if !n.listening {
 		n.nextPhaseAt = now
 	}
-	slog.Info("shutdown_started", "clients", n.clients.Count(), "in_flight", len(n.requests))
+	slog.Info("shutdown_started", "clients", n.clients.ConnCount(), "in_flight", len(n.requests))
 }
 
 // enterNextPhase enters the next phase of the shutdown. A client that neither reads nor closes does not hold it
@@ -49,7 +49,7 @@
 		n.phase = closed
 		n.nextPhaseAt = n.answerBy
 		n.clients.StopAccepting()
-		slog.Info("listener_closed", "clients", n.clients.Count(), "in_flight", len(n.requests))
+		slog.Info("listener_closed", "clients", n.clients.ConnCount(), "in_flight", len(n.requests))
 	case closed:
 		n.phase = draining
 		n.nextPhaseAt = n.now().Add(lingerLimit)
@@ -57,7 +57,7 @@
 	default:
 		n.phase = cutOff
 		n.nextPhaseAt = 0
-		slog.Info("connections_aborted", "clients", n.clients.Count(), "in_flight", len(n.requests))
+		slog.Info("connections_aborted", "clients", n.clients.ConnCount(), "in_flight", len(n.requests))
 		n.clients.CloseAll()
 	}
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -11,8 +11,8 @@
 // passiveDecider decides nothing.
 type passiveDecider struct{}
 
-func (passiveDecider) Decide(*gateway.Batch, gateway.Actions)    {}
-func (passiveDecider) Reconfigure(gateway.Time, *gateway.Update) {}
+func (passiveDecider) Decide(*gateway.Batch, gateway.Actions)            {}
+func (passiveDecider) Reconfigure(gateway.Time, *gateway.SettingsUpdate) {}
 
 // A client that never gets its answer and never closes does not hold up the shutdown.
 func TestShutdownIsBounded(t *testing.T) {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -110,7 +110,7 @@
 		syscall.EHOSTUNREACH,
 	}
 	system := socketstest.New(1, nil)
-	system.Script(socketstest.ReadPacket, socketstest.Errors(errnos...)...)
+	system.Script(socketstest.ReadPacket, socketstest.ErrorScript(errnos...)...)
 	sender := open(t, sockets.Kernel{}, gossip.Format{})
 	receiver := open(t, system, gossip.Format{Plans: 1, Members: 1}, address(sender))
 	received := make(chan int, 1)
@@ -118,7 +118,7 @@
 	sender.UpdateMembers([]Member{{0, address(receiver)}}, 1)
 	sender.Send(0, gossip.Format{}.EncodeHeader(1, 1, nil))
 	member := <-received
-	reads := system.Count(socketstest.ReadPacket)
+	reads := system.CallCount(socketstest.ReadPacket)
 	if member != 0 || reads < len(errnos) {
 		t.Errorf("received a message of member %d after %d reads, want one of member 0 after the failed reads", member, reads)
 	}
--- a/internal/program/configuration.go
+++ b/internal/program/configuration.go
@@ -89,8 +89,8 @@
 	if err != nil {
 		return err
 	}
-	err = f.node.Apply(update.To, revision)
-	if errors.Is(err, node.ErrEnded) {
+	err = f.node.ApplyConfiguration(update.To, revision)
+	if errors.Is(err, node.ErrStopped) {
 		return subscriber.ErrStopped
 	}
 	return err
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -41,10 +41,10 @@
 	stop := make(chan struct{})
 	go signals.handleShutdowns(stop)
 	module := logic.New(cfg.Seed, cfg.Membership, cfg.Classes, cfg.Plans, cfg.Limits, cfg.SlowStart, cfg.LoadReport)
-	n := node.NewOn(platform, cfg, module)
+	n := node.NewOnPlatform(platform, cfg, module)
 	if follows != nil {
 		follows.node = n
-		n.WhileRunning(follows.start)
+		n.AddBackgroundTask(follows.start)
 	}
 	go signals.handleReloads(n)
 	if err := n.Run(stop); err != nil {
@@ -59,6 +59,6 @@
 // limitRuntime sets the limits of Go's runtime. A quarter of the memory is left for what the runtime doesn't count.
 func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(1) // the gateway has one processor
-	debug.SetMemoryLimit(cfg.Memory * 3 / 4)
+	debug.SetMemoryLimit(cfg.MemoryLimit * 3 / 4)
 	debug.SetGCPercent(garbagePercent)
 }
--- a/internal/publisher/content.go
+++ b/internal/publisher/content.go
@@ -57,7 +57,7 @@
 		}
 	}
 	if len(content.Limits) > 0 {
-		resources[configsync.LimitsName] = compact(content.Limits)
+		resources[configsync.LimitsResource] = compact(content.Limits)
 	}
 	return resources, nil
 }
--- a/internal/publisher/mirror.go
+++ b/internal/publisher/mirror.go
@@ -29,7 +29,7 @@
 	document := state.Document()
 	update := mirrorUpdate{version: document.Version(), digest: document.Digest()}
 	digest, known := state.History().DigestAt(m.version)
-	delta, ok := state.History().Since(m.version)
+	delta, ok := state.History().DeltaSince(m.version)
 	if m.live != nil && known && ok && digest == m.digest {
 		update.changes = delta.Changes
 		return update
--- a/internal/publisher/publish.go
+++ b/internal/publisher/publish.go
@@ -29,14 +29,14 @@
 	return fmt.Sprintf("replica %d leads", e.Leader)
 }
 
-// HistoryError reports that a rollback to a version is not possible, since the history doesn't reach it.
-type HistoryError struct {
+// VersionNotInHistoryError reports that a rollback to a version is not possible, since the history doesn't reach it.
+type VersionNotInHistoryError struct {
 	Version configsync.Version
 	Oldest  configsync.Version // the earliest possible one
 	Latest  configsync.Version
 }
 
-func (e *HistoryError) Error() string {
+func (e *VersionNotInHistoryError) Error() string {
 	return fmt.Sprintf("to: version %d is not in the history, which holds %d to %d", e.Version, e.Oldest, e.Latest)
 }
 
@@ -66,9 +66,9 @@
 // rollbackDraft returns a draft that restores the content of a version.
 func rollbackDraft(to configsync.Version) draft {
 	return func(state *configsync.State) ([]configsync.Change, error) {
-		changes, ok := state.History().ContentAt(to)
+		changes, ok := state.History().RollbackChanges(to)
 		if !ok {
-			return nil, &HistoryError{to, state.History().Oldest(), state.History().Latest()}
+			return nil, &VersionNotInHistoryError{to, state.History().Oldest(), state.History().Latest()}
 		}
 		return changes, nil
 	}
@@ -153,7 +153,7 @@
 	}
 	random := make([]byte, logIDBytes)
 	rand.Read(random)
-	_, err := p.propose(&configsync.Command{Create: configsync.LogID(hex.EncodeToString(random))})
+	_, err := p.propose(&configsync.Command{CreateLog: configsync.LogID(hex.EncodeToString(random))})
 	var exists *configsync.LogExistsError
 	if errors.As(err, &exists) {
 		return nil
@@ -210,7 +210,7 @@
 	var content []configsync.Change
 	for _, change := range changes {
 		changed[change.Resource] = true
-		if !change.Removed() {
+		if !change.IsRemoval() {
 			content = append(content, change)
 		}
 	}
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -39,8 +39,8 @@
 	state       *configsync.State
 	sender      *configsync.Sender
 	replaying   bool // the log is being replayed, so the sender is paused
-	connections map[configsync.FollowerID]*connection
-	lastID      configsync.FollowerID
+	connections map[configsync.ConnectionID]*connection
+	lastID      configsync.ConnectionID
 	lastWake    time.Time // when all writers were last woken
 	waking      bool      // they will be woken again after the version interval
 
@@ -70,23 +70,23 @@
 }
 
 // Start opens the replica's log and its listeners.
-func Start(cfg *config.Publisher) (*Publisher, error) { return StartWith(cfg, Options{}) }
+func Start(cfg *config.Publisher) (*Publisher, error) { return StartWithOptions(cfg, Options{}) }
 
-// StartWith is Start with options.
-func StartWith(cfg *config.Publisher, options Options) (*Publisher, error) {
+// StartWithOptions is Start with options.
+func StartWithOptions(cfg *config.Publisher, options Options) (*Publisher, error) {
 	if options.Sockets == nil {
 		options.Sockets = sockets.Kernel{}
 	}
 	p := &Publisher{
 		cfg:         cfg,
 		system:      options.Sockets,
-		state:       configsync.NewState(cfg.History),
-		connections: map[configsync.FollowerID]*connection{},
+		state:       configsync.NewState(cfg.HistoryLimits),
+		connections: map[configsync.ConnectionID]*connection{},
 		replaying:   true,
 		mirror:      &mirror{},
 		done:        make(chan struct{}),
 	}
-	p.sender = configsync.NewSender(p.state, cfg.Sending)
+	p.sender = configsync.NewSender(p.state, cfg.SenderLimits)
 	p.sender.SetPaused(true)
 	admin, err := p.listen()
 	if err != nil {
@@ -95,7 +95,7 @@
 	p.replica, err = consensus.Open(consensus.Config{
 		ClusterName:       "publisher",
 		Index:             cfg.Index,
-		Addresses:         cfg.Raft,
+		Addresses:         cfg.RaftAddresses,
 		Listen:            cfg.RaftListen,
 		Dir:               cfg.Dir,
 		Key:               cfg.Key,
@@ -170,7 +170,7 @@
 	current := p.replica.IsUpToDate()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sender.SetCurrent(current)
+	p.sender.SetHasQuorum(current)
 	if !caughtUp || !p.replaying {
 		return false
 	}
--- a/internal/publisher/serve.go
+++ b/internal/publisher/serve.go
@@ -29,7 +29,7 @@
 type connection struct {
 	publisher *Publisher
 	conn      *net.TCPConn
-	id        configsync.FollowerID
+	id        configsync.ConnectionID
 	wake      chan struct{} // of capacity 1: there may be something to send
 	ended     chan struct{} // closed by the reader
 }
@@ -105,7 +105,7 @@
 	if p.waking {
 		return
 	}
-	wait := p.cfg.Sending.VersionInterval - time.Since(p.lastWake)
+	wait := p.cfg.SenderLimits.VersionInterval - time.Since(p.lastWake)
 	if wait <= 0 {
 		p.wakeAll()
 		return
@@ -275,7 +275,7 @@
 // countMalformed counts and logs an error that ended a connection, if it was a breach of the protocol.
 func (c *connection) countMalformed(err error) {
 	var malformed *frames.MalformedError
-	var protocol *configsync.ProtocolError
+	var protocol *configsync.ProtocolVersionError
 	if errors.As(err, &malformed) || errors.As(err, &protocol) {
 		c.publisher.counters.malformed.Add(1)
 		slog.Warn("follower_message_malformed", "follower", c.conn.RemoteAddr(), "error", err)
--- a/internal/resp/parser.go
+++ b/internal/resp/parser.go
@@ -18,11 +18,11 @@
 
 // Errors of the stream. None is recoverable: it is unknown where the next value begins.
 var (
-	ErrKind  = errors.New("unknown kind of value")
-	ErrLine  = errors.New("line too long or not ended by CR LF")
-	ErrCount = errors.New("bad length or count")
-	ErrNest  = errors.New("array holds more than bulk strings")
-	ErrSize  = errors.New("value too large")
+	ErrUnknownType   = errors.New("unknown kind of value")
+	ErrInvalidLine   = errors.New("line too long or not ended by CR LF")
+	ErrInvalidLength = errors.New("bad length or count")
+	ErrNestedArray   = errors.New("array holds more than bulk strings")
+	ErrValueTooLarge = errors.New("value too large")
 )
 
 // lineEndBytes is the length of CR LF.
@@ -30,9 +30,9 @@
 
 // Value is a line (kinds +, - and :), a bulk string ($) or a flat array of bulk strings (*).
 type Value struct {
-	Kind  byte
-	Line  []byte   // of +, - and :
-	Parts [][]byte // of $ and *; nil stands for null
+	Kind        byte
+	Line        []byte   // of +, - and :
+	BulkStrings [][]byte // of $ and *; nil stands for null
 }
 
 // Parser is the state of parsing a value whose bytes have not all arrived. Its zero value is ready to use.
@@ -106,7 +106,7 @@
 		p.elementsLeft = 1
 		return Value{}, false, nil
 	}
-	return Value{}, false, ErrKind
+	return Value{}, false, ErrUnknownType
 }
 
 // parseArrayHeader parses the header of an array, and sets the kind if all of it has arrived.
@@ -117,7 +117,7 @@
 	}
 	count, valid := parseLength(text)
 	if !valid || count < 1 || count > maxElements {
-		return ErrCount
+		return ErrInvalidLength
 	}
 	p.kind = '*'
 	p.elementsLeft = count
@@ -140,7 +140,7 @@
 		return false, nil
 	}
 	if in.At(end) != '\r' || in.At(end+1) != '\n' {
-		return false, ErrCount
+		return false, ErrInvalidLength
 	}
 	p.addElement(element{offset: p.offset, size: p.bulkSize})
 	p.offset = end + lineEndBytes
@@ -153,7 +153,7 @@
 		return false, nil
 	}
 	if in.At(p.offset) != '$' {
-		return false, ErrNest
+		return false, ErrNestedArray
 	}
 	text, ok, err := p.parseLine(in)
 	if !ok {
@@ -161,10 +161,10 @@
 	}
 	size, valid := parseLength(text)
 	if !valid || size < nullSize || size > MaxBulkBytes {
-		return false, ErrCount
+		return false, ErrInvalidLength
 	}
 	if size != nullSize && p.offset+size+lineEndBytes > MaxValueBytes {
-		return false, ErrSize
+		return false, ErrValueTooLarge
 	}
 	p.bulkSize = size
 	p.inBulk = true
@@ -188,7 +188,7 @@
 		}
 		p.spans = append(p.spans, in.Span(e.offset, e.size))
 	}
-	value := Value{Kind: p.kind, Parts: p.spans}
+	value := Value{Kind: p.kind, BulkStrings: p.spans}
 	p.consumed = p.offset
 	p.kind = 0
 	p.offset = 0
@@ -215,12 +215,12 @@
 			continue
 		}
 		if length < lineEndBytes || in.At(offset+length-1) != '\r' {
-			return 0, ErrLine
+			return 0, ErrInvalidLine
 		}
 		return length - 1, nil
 	}
 	if in.Len()-offset > maxLineBytes {
-		return 0, ErrLine
+		return 0, ErrInvalidLine
 	}
 	return -1, nil
 }
--- a/internal/resp/parser_test.go
+++ b/internal/resp/parser_test.go
@@ -24,7 +24,7 @@
 			if !ok {
 				break
 			}
-			fmt.Fprintf(&trace, "%c %q %q\n", value.Kind, value.Line, value.Parts)
+			fmt.Fprintf(&trace, "%c %q %q\n", value.Kind, value.Line, value.BulkStrings)
 		}
 	}
 	return trace.String()
--- a/internal/sockets/datagrams_test.go
+++ b/internal/sockets/datagrams_test.go
@@ -13,7 +13,7 @@
 // maximum length, and that the loop ends once the socket is closed.
 func TestDatagramsSurviveReadErrorsUntilClose(t *testing.T) {
 	system := socketstest.New(1, nil)
-	system.Script(socketstest.ReadPacket, socketstest.Errors(syscall.ECONNREFUSED, syscall.ENOBUFS)...)
+	system.Script(socketstest.ReadPacket, socketstest.ErrorScript(syscall.ECONNREFUSED, syscall.ENOBUFS)...)
 	conn, err := system.ListenPacket(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -19,11 +19,13 @@
 	syscall.EINTR,
 }
 
-// IsShortage reports whether a call failed because this machine lacks a resource.
-func IsShortage(err error) bool {
+// IsResourceExhausted reports whether a call failed because this machine lacks a resource.
+func IsResourceExhausted(err error) bool {
 	return slices.ContainsFunc(shortages, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
 
-// IsTransient reports whether a listener that could not be opened may be opened later: another process still listens on
+// IsTransientListenError reports whether a listener that could not be opened may be opened later: another process still listens on
 // the address, or this machine lacks a resource.
-func IsTransient(err error) bool { return errors.Is(err, syscall.EADDRINUSE) || IsShortage(err) }
+func IsTransientListenError(err error) bool {
+	return errors.Is(err, syscall.EADDRINUSE) || IsResourceExhausted(err)
+}
--- a/internal/sockets/errors_test.go
+++ b/internal/sockets/errors_test.go
@@ -31,11 +31,11 @@
 	}
 	for _, test := range tests {
 		err := error(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", test.errno)})
-		if IsShortage(err) != test.shortage || IsTransient(err) != test.transient {
-			t.Errorf("%v: shortage %t, transient %t", err, IsShortage(err), IsTransient(err))
+		if IsResourceExhausted(err) != test.shortage || IsTransientListenError(err) != test.transient {
+			t.Errorf("%v: shortage %t, transient %t", err, IsResourceExhausted(err), IsTransientListenError(err))
 		}
 	}
-	if IsShortage(nil) || IsShortage(errors.New("other")) {
+	if IsResourceExhausted(nil) || IsResourceExhausted(errors.New("other")) {
 		t.Error("nil or an error without a number is a shortage")
 	}
 }
--- a/internal/sockets/listener.go
+++ b/internal/sockets/listener.go
@@ -34,13 +34,13 @@
 	}
 }
 
-// RetryShortage calls try until it succeeds, fails for another reason than a shortage of this machine, or has failed
+// RetryResourceExhausted calls try until it succeeds, fails for another reason than a shortage of this machine, or has failed
 // for longer than limit.
-func RetryShortage(limit time.Duration, try func() error) error {
+func RetryResourceExhausted(limit time.Duration, try func() error) error {
 	start := time.Now()
 	for {
 		err := try()
-		if err == nil || !IsShortage(err) || time.Since(start) > limit {
+		if err == nil || !IsResourceExhausted(err) || time.Since(start) > limit {
 			return err
 		}
 		time.Sleep(bindRetryDelay)
@@ -50,7 +50,7 @@
 // Listen opens a TCP listener by the calls of system. It retries for bindTimeout while this machine lacks a resource.
 func Listen(system System, address netip.AddrPort) (*Listener, error) {
 	var listener *net.TCPListener
-	err := RetryShortage(bindTimeout, func() (err error) {
+	err := RetryResourceExhausted(bindTimeout, func() (err error) {
 		listener, err = system.Listen(address)
 		return err
 	})
--- a/internal/sockets/listener_test.go
+++ b/internal/sockets/listener_test.go
@@ -29,7 +29,7 @@
 	for _, errno := range errnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			system := socketstest.New(1, nil)
-			system.Script(socketstest.Accept, socketstest.Errors(errno, errno)...)
+			system.Script(socketstest.Accept, socketstest.ErrorScript(errno, errno)...)
 			listener, err := system.Listen(netip.MustParseAddrPort("127.0.0.1:0"))
 			if err != nil {
 				t.Fatal(err)
@@ -69,7 +69,7 @@
 	}
 	for _, test := range tests {
 		attempts := 0
-		err := sockets.RetryShortage(test.limit, func() error {
+		err := sockets.RetryResourceExhausted(test.limit, func() error {
 			attempts++
 			if attempts <= failures {
 				return bindError(test.errno)
--- a/internal/sockets/socketstest/socketstest.go
+++ b/internal/sockets/socketstest/socketstest.go
@@ -34,14 +34,14 @@
 
 // Fault is the failure of a call.
 type Fault struct {
-	Errno syscall.Errno // 0: a short read or write
-	Bytes int           // that a short read or write transfers at most; a write may transfer none
+	Errno    syscall.Errno // 0: a short read or write
+	MaxBytes int           // that a short read or write transfers at most; a write may transfer none
 }
 
 // Rate is the probability of faults in a call.
 type Rate struct {
-	Chance float64 // that a call has a fault, 0 to 1
-	Faults []Fault // of which one is drawn, each with the same probability
+	Probability float64 // that a call has a fault, 0 to 1
+	Faults      []Fault // of which one is drawn, each with the same probability
 }
 
 // System makes the kernel's calls, some of which fail.
@@ -72,8 +72,8 @@
 	s.scripts[call] = append(s.scripts[call], faults...)
 }
 
-// Errors returns a script of errors.
-func Errors(numbers ...syscall.Errno) []*Fault {
+// ErrorScript returns a script of errors.
+func ErrorScript(numbers ...syscall.Errno) []*Fault {
 	var faults []*Fault
 	for _, errno := range numbers {
 		faults = append(faults, &Fault{Errno: errno})
@@ -81,8 +81,8 @@
 	return faults
 }
 
-// Count returns the number of calls of a kind, failed ones included.
-func (s *System) Count(call Call) int {
+// CallCount returns the number of calls of a kind, failed ones included.
+func (s *System) CallCount(call Call) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts[call]
@@ -98,7 +98,7 @@
 		return script[0]
 	}
 	rate := s.rates[call]
-	if len(rate.Faults) == 0 || s.random.Float64() >= rate.Chance {
+	if len(rate.Faults) == 0 || s.random.Float64() >= rate.Probability {
 		return nil
 	}
 	return &rate.Faults[s.random.IntN(len(rate.Faults))]
@@ -169,7 +169,7 @@
 	case fault.Errno != 0:
 		return 0, fault.Errno
 	}
-	return s.Kernel.Read(descriptor, buffer[:min(max(fault.Bytes, 1), len(buffer))])
+	return s.Kernel.Read(descriptor, buffer[:min(max(fault.MaxBytes, 1), len(buffer))])
 }
 
 // Write implements sockets.System.
@@ -180,8 +180,8 @@
 		return s.Kernel.Write(descriptor, buffer)
 	case fault.Errno != 0:
 		return 0, fault.Errno
-	case fault.Bytes == 0:
+	case fault.MaxBytes == 0:
 		return 0, 0
 	}
-	return s.Kernel.Write(descriptor, buffer[:min(fault.Bytes, len(buffer))])
+	return s.Kernel.Write(descriptor, buffer[:min(fault.MaxBytes, len(buffer))])
 }
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -137,7 +137,7 @@
 	address := s.cfg.Publishers[s.follower.Publisher()].String()
 	conn, err := s.cfg.Sockets.Dial(s.ctx, &net.Dialer{Timeout: configsync.ConnectTimeout}, address)
 	if err != nil {
-		s.logLost(address, s.follower.Lost(time.Now()), err)
+		s.logLost(address, s.follower.ConnectionLost(time.Now()), err)
 		return
 	}
 	l := newLink(conn, s.cfg.Clock, &s.in, &s.out)
@@ -201,10 +201,10 @@
 func (s *Subscriber) receive(r received) (configsync.Decision, error) {
 	now := time.Now()
 	if r.malformed {
-		return s.follower.Malformed(now, r.err), r.err
+		return s.follower.ReceiveMalformed(now, r.err), r.err
 	}
 	if r.err != nil {
-		return s.follower.Lost(now), r.err
+		return s.follower.ConnectionLost(now), r.err
 	}
 	if heartbeat, ok := r.message.(*configsync.Heartbeat); ok {
 		s.latest = heartbeat.Latest
--- a/lab/faultygateway/main.go
+++ b/lab/faultygateway/main.go
@@ -16,7 +16,7 @@
 // rates are those of a machine that is short of everything now and then, with a network that moves bytes in small
 // pieces.
 var rates = map[socketstest.Call]socketstest.Rate{
-	socketstest.Dial: {Chance: 0.05, Faults: []socketstest.Fault{
+	socketstest.Dial: {Probability: 0.05, Faults: []socketstest.Fault{
 		{Errno: syscall.EADDRNOTAVAIL},
 		{Errno: syscall.EMFILE},
 		{Errno: syscall.ENFILE},
@@ -24,32 +24,32 @@
 		{Errno: syscall.ENOMEM},
 		{Errno: syscall.ENETUNREACH},
 	}},
-	socketstest.Listen: {Chance: 0.5, Faults: []socketstest.Fault{
+	socketstest.Listen: {Probability: 0.5, Faults: []socketstest.Fault{
 		{Errno: syscall.ENOBUFS},
 		{Errno: syscall.EADDRNOTAVAIL},
 	}},
-	socketstest.Accept: {Chance: 0.05, Faults: []socketstest.Fault{
+	socketstest.Accept: {Probability: 0.05, Faults: []socketstest.Fault{
 		{Errno: syscall.EMFILE},
 		{Errno: syscall.ENFILE},
 		{Errno: syscall.ENOBUFS},
 		{Errno: syscall.ENOMEM},
 	}},
-	socketstest.ListenPacket: {Chance: 0.5, Faults: []socketstest.Fault{{Errno: syscall.ENFILE}}},
-	socketstest.ReadPacket: {Chance: 0.02, Faults: []socketstest.Fault{
+	socketstest.ListenPacket: {Probability: 0.5, Faults: []socketstest.Fault{{Errno: syscall.ENFILE}}},
+	socketstest.ReadPacket: {Probability: 0.02, Faults: []socketstest.Fault{
 		{Errno: syscall.ENOBUFS},
 		{Errno: syscall.ECONNREFUSED},
 	}},
-	socketstest.Read: {Chance: 0.2, Faults: []socketstest.Fault{
+	socketstest.Read: {Probability: 0.2, Faults: []socketstest.Fault{
 		{Errno: syscall.EINTR},
-		{Bytes: 1},
-		{Bytes: 7},
+		{MaxBytes: 1},
+		{MaxBytes: 7},
 	}},
-	socketstest.Write: {Chance: 0.2, Faults: []socketstest.Fault{
+	socketstest.Write: {Probability: 0.2, Faults: []socketstest.Fault{
 		{Errno: syscall.EINTR},
 		{Errno: syscall.EAGAIN},
-		{Bytes: 0},
-		{Bytes: 1},
-		{Bytes: 7},
+		{MaxBytes: 0},
+		{MaxBytes: 1},
+		{MaxBytes: 7},
 	}},
 }
 
--- a/lab/fleetsim/quota.go
+++ b/lab/fleetsim/quota.go
@@ -90,7 +90,7 @@
 		sample := Sample{At: s.now.Sub(startTime), Plan: c.report.Plan, True: c.bucket}
 		for i := range min(maxCopies, c.spread) {
 			g := s.gateways[(c.first+i*c.spread/maxCopies)%len(s.gateways)]
-			level, others, known := g.logic.Copy(c.name)
+			level, others, known := g.logic.CustomerBucket(c.name)
 			if !known {
 				level = s.plans[c.plan].Burst
 			}
--- a/lab/fleetsim/simulation.go
+++ b/lab/fleetsim/simulation.go
@@ -97,7 +97,7 @@
 		OverloadFactor:  3,
 		OverloadWindow:  3 * time.Second,
 	}
-	loadReport := gateway.LoadReportForm{Fields: []gateway.LoadField{gateway.Utilization}, WithAnswers: true}
+	loadReport := gateway.LoadReportFormat{Fields: []gateway.LoadField{gateway.Utilization}, WithAnswers: true}
 	for i := range config.Gateways {
 		membership := gateway.Membership{
 			Index:       i,
@@ -130,7 +130,7 @@
 	s.samples++
 	for _, g := range s.gateways {
 		gauges := g.logic.Gauges()
-		s.report.Limit += gauges.Limit
+		s.report.Limit += gauges.InFlightLimit
 		s.report.InFlight += float64(gauges.InFlight)
 		s.report.Lateness += gauges.Lateness
 	}
--- a/lab/rollout/changes.go
+++ b/lab/rollout/changes.go
@@ -182,7 +182,7 @@
 	case 3:
 		limits := fleet.RuntimeLimits()
 		limits.MaxRetryAfterUS += int64(round+1) * time.Millisecond.Microseconds()
-		return Resources{string(configsync.LimitsName): limits}, nil
+		return Resources{string(configsync.LimitsResource): limits}, nil
 	}
 	return nil, []string{name}
 }
--- a/lab/rollout/hollow/compare.go
+++ b/lab/rollout/hollow/compare.go
@@ -185,7 +185,7 @@
 
 // heartbeatBytes returns the bytes a second of a publisher's heartbeats to one gateway.
 func (g *Group) heartbeatBytes() float64 {
-	frame := configsync.Encode(&configsync.Heartbeat{Log: g.latest.Log, Latest: g.latest.Version, Current: true})
+	frame := configsync.Encode(&configsync.Heartbeat{Log: g.latest.Log, Latest: g.latest.Version, HasQuorum: true})
 	return float64(len(frame)) / configsync.HeartbeatInterval.Seconds()
 }
 
--- a/lab/rollout/hollow/followers.go
+++ b/lab/rollout/hollow/followers.go
@@ -238,11 +238,11 @@
 		BytesOut:        status.BytesOut,
 		Accepted:        counters.Accepted,
 		Refused:         counters.Refused,
-		Deferred:        counters.Deferred,
-		Unsaved:         status.Unsaved,
-		LostConnections: counters.Lost,
-		GivenUp:         counters.Silent + counters.Stale + counters.Stalled + counters.Behind + counters.OtherLog,
-		Broken:          counters.Malformed + counters.Gaps + counters.DigestMismatches,
+		Deferred:        counters.SnapshotsDeferred,
+		Unsaved:         status.UnsavedVersions,
+		LostConnections: counters.ConnectionsLost,
+		GivenUp:         counters.Silent + counters.NoQuorum + counters.Stalled + counters.Behind + counters.LogMismatches,
+		Broken:          counters.MalformedMessages + counters.VersionGaps + counters.DigestMismatches,
 	})
 }
 
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -92,7 +92,7 @@
 	what := fmt.Sprintf("%s to count %d malformed connections", publisherName(i), len(hostile))
 	return r.waitUntil(ctx, what, func() bool {
 		now, err := r.Publishers.Status(ctx, i)
-		return err == nil && now.Counters.Malformed == before.Counters.Malformed+int64(len(hostile))
+		return err == nil && now.Counters.MalformedMessages == before.Counters.MalformedMessages+int64(len(hostile))
 	})
 }
 
@@ -181,7 +181,7 @@
 func hostileToGateways() map[string]hostileAnswer {
 	all := malformedToGateways()
 	all["another log"] = func(*configsync.Hello) []byte {
-		return configsync.Encode(&configsync.Heartbeat{Log: otherLog, Latest: farAheadVersion, Current: true})
+		return configsync.Encode(&configsync.Heartbeat{Log: otherLog, Latest: farAheadVersion, HasQuorum: true})
 	}
 	all["a delta that does not lead on"] = func(hello *configsync.Hello) []byte {
 		return configsync.Encode(falseDelta(hello, hello.InForce+1))
--- a/lab/scale/follow.go
+++ b/lab/scale/follow.go
@@ -29,7 +29,7 @@
 // newPublisher returns a publisher of an empty configuration.
 func newPublisher() (*publisher, error) {
 	p := &publisher{configsync.NewState(configsync.HistoryLimits{Deltas: historyVersions, Bytes: historyBytes})}
-	create, err := configsync.EncodeCommand(&configsync.Command{Create: publishedLog})
+	create, err := configsync.EncodeCommand(&configsync.Command{CreateLog: publishedLog})
 	if err == nil {
 		_, err = p.state.Apply(create)
 	}
--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -59,7 +59,7 @@
 	go s.peers.Listen(func(peer int, body []byte) {
 		s.do(func() { h.Receive(peer, body) })
 	}, func() {})
-	go s.follow(ctx, c.Discovery, h.endpoints.Version)
+	go s.follow(ctx, c.DiscoveryAddress, h.endpoints.Version)
 	go s.run(ctx)
 	return s, nil
 }
@@ -130,16 +130,16 @@
 			version = <-taken
 		}
 		discovery.Watch(ctx, discovery.WatchOptions{
-			System:     sockets.Kernel{},
-			Address:    address,
-			After:      version,
-			Timeouts:   discovery.NewTimeouts(false),
-			Pending:    &feed,
-			OnReceived: func() {},
-			OnList:     onList,
+			System:       sockets.Kernel{},
+			Address:      address,
+			AfterVersion: version,
+			Timeouts:     discovery.NewTimeouts(false),
+			Pending:      &feed,
+			OnReceived:   func() {},
+			OnList:       onList,
 		})
 		select {
-		case <-time.After(discovery.RewatchDelay):
+		case <-time.After(discovery.WatchRetryDelay):
 		case <-ctx.Done():
 		}
 	}
--- a/lab/slowstartsim/simulation.go
+++ b/lab/slowstartsim/simulation.go
@@ -72,7 +72,7 @@
 	classes := []gateway.RequestClass{{LatencyObjective: latencyObjective, Timeout: requestTimeout, Value: 1}}
 	plans := []gateway.Plan{{Rate: 1e9, Burst: 1e9, PriorityWeight: 1}}
 	limits := gateway.Limits{MaxAttempts: 2}
-	return logic.New(s.random.Uint64(), membership, classes, plans, limits, s.config.Settings, gateway.LoadReportForm{})
+	return logic.New(s.random.Uint64(), membership, classes, plans, limits, s.config.Settings, gateway.LoadReportFormat{})
 }
 
 // endpoints returns the list of all hosts, the new ones first and with newHostStart as their start.
--- a/lab/subsetsim/gateway.go
+++ b/lab/subsetsim/gateway.go
@@ -52,7 +52,7 @@
 		OverloadFactor:  3,
 		OverloadWindow:  3 * time.Second,
 	}
-	loadReport := gateway.LoadReportForm{Fields: []gateway.LoadField{gateway.Utilization}, WithAnswers: true}
+	loadReport := gateway.LoadReportFormat{Fields: []gateway.LoadField{gateway.Utilization}, WithAnswers: true}
 	g.logic = logic.New(s.random.Uint64(), membership, classes, plans, limits, slowStart, loadReport)
 	g.incarnation++
 	g.stopped = false
@@ -95,7 +95,7 @@
 	for _, i := range s.day.SubsetRule(g.index, s.day.Gateways, hosts) {
 		inSubset[ids[i]] = true
 	}
-	g.logic.HoldSubset(func(id uint32) bool { return inSubset[id] })
+	g.logic.OverrideSubset(func(id uint32) bool { return inSubset[id] })
 }
 
 // decide lets the gateway handle one event, unless it is stopped.
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -19,10 +19,10 @@
 	OverConcurrencyCap               // too many of the customer's are in flight
 	NoEndpoint                       // the limit on attempts in flight, or no endpoint will do
 	AttemptFailed                    // its attempt failed, and a repeat is harmless
-	Reasons                          // number of reasons
+	ReasonCount                      // number of reasons
 )
 
-var reasonNames = [Reasons]string{
+var reasonNames = [ReasonCount]string{
 	OverQuota:          "over_quota",
 	OverCeiling:        "over_ceiling",
 	CustomerUnanswered: "customer_unanswered",
@@ -34,7 +34,7 @@
 
 // String returns the reason as log lines name it.
 func (r Reason) String() string {
-	if r < 0 || r >= Reasons {
+	if r < 0 || r >= ReasonCount {
 		return fmt.Sprintf("Reason(%d)", int(r))
 	}
 	return reasonNames[r]
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -145,13 +145,13 @@
 		t.Fatalf("counts %q, want %q", got.String(), want)
 	}
 	sim.finishAttempt(0, 0, gateway.Unreachable, false) // never ran: sent again, not rejected
-	if x := g.Gauges(); x.Admitted != 10 || x.Rejected != [Reasons]int{OverQuota: 2} || x.InFlight != 10 {
+	if x := g.Gauges(); x.Admitted != 10 || x.Rejected != [ReasonCount]int{OverQuota: 2} || x.InFlight != 10 {
 		t.Fatalf("after an attempt that never ran: %+v", x)
 	}
 	for k := 0; g.endpoints.inFlight > 0 && k < 40; k++ { // every attempt fails: each request is rejected once
 		sim.finishAttempt(0, 0, gateway.Errored, false)
 	}
-	if x := g.Gauges(); x.Admitted != 10 || x.Rejected != [Reasons]int{
+	if x := g.Gauges(); x.Admitted != 10 || x.Rejected != [ReasonCount]int{
 		OverQuota:     2,
 		AttemptFailed: 10,
 	} || x.OpenRequests != 0 {
--- a/logic/endpoint_test.go
+++ b/logic/endpoint_test.go
@@ -87,7 +87,7 @@
 func TestReplacedEndpointsAreForgotten(t *testing.T) {
 	sim := newSimulation(1, 4, nil)
 	set := &sim.gateways[0].gateway.endpoints
-	set.limit = concurrency.Limiter{Start: 2.5}
+	set.limit = concurrency.Limiter{InitialLimitPerEndpoint: 2.5}
 	set.limit.SetEndpoints(4) // 10, as if learned
 	record := func() {
 		fmt.Fprintf(&sim.trace, "%d hosts, limit %.1f\n", len(set.all), set.limit.Limit())
--- a/logic/gateway.go
+++ b/logic/gateway.go
@@ -80,7 +80,7 @@
 	retryBudget       float64 // retries of attempts that may have run
 	arrivals          int     // requests since the last timer
 	admitted          int     // requests sent to an endpoint, since the start
-	rejected          [Reasons]int
+	rejected          [ReasonCount]int
 	unmatchedCounters int // of peers, dropped for an unknown plan, since the start
 }
 
@@ -94,7 +94,7 @@
 
 // New returns a gateway that has neither endpoints nor customers yet.
 func New(seed uint64, membership gateway.Membership, classes []gateway.RequestClass, plans []gateway.Plan,
-	limits gateway.Limits, slowStart gateway.SlowStart, report gateway.LoadReportForm) *Gateway {
+	limits gateway.Limits, slowStart gateway.SlowStart, report gateway.LoadReportFormat) *Gateway {
 	random := generator(seed | 1)
 	g := &Gateway{
 		start:        -1,
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -35,7 +35,7 @@
 	overdue := g.peerTimeout / time.Duration(max(len(g.neighbours), 1))
 	g.partitionTimeout = max(overdue, 2*stallThreshold)
 	g.endpoints.memberCount = count
-	g.endpoints.limit.Start = initialInFlight / float64(count)
+	g.endpoints.limit.InitialLimitPerEndpoint = initialInFlight / float64(count)
 }
 
 // buildTopology sets the peers that this gateway sends gossip to and receives it from. If a message to every
--- a/logic/rule_settings_test.go
+++ b/logic/rule_settings_test.go
@@ -60,7 +60,7 @@
 func (s ruleSettings) class() gateway.RequestClass {
 	return gateway.RequestClass{
 		Effect:           gateway.Effect(s.effect),
-		Group:            gateway.Group(s.group),
+		Group:            gateway.DedupGroup(s.group),
 		DedupWindow:      time.Duration(s.window) * time.Microsecond,
 		LatencyObjective: time.Duration(s.objective) * time.Microsecond,
 		Timeout:          time.Duration(s.timeout) * time.Microsecond,
@@ -78,7 +78,7 @@
 func checkRules(t *testing.T, i int) *ruleChecker {
 	combination := ruleCombination(i)
 	text := combination.text()
-	settings, err := config.Decode(text)
+	settings, err := config.DecodeSettings(text)
 	if err != nil {
 		t.Fatalf("%s: %v", text, err)
 	}
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -5,7 +5,7 @@
 // Reconfigure applies a new version of the settings that may change while a gateway runs. It is called between
 // two batches. A request in flight keeps its class; a customer is moved to its plan's new version by the next
 // refill, within a second.
-func (g *Gateway) Reconfigure(now gateway.Time, update *gateway.Update) {
+func (g *Gateway) Reconfigure(now gateway.Time, update *gateway.SettingsUpdate) {
 	for i := range update.Plans {
 		g.setPlan(&update.Plans[i])
 	}
--- a/logic/settings_test.go
+++ b/logic/settings_test.go
@@ -14,7 +14,7 @@
 	return newSimulation(n, 4, func(sim *simulation) { sim.plans = plans })
 }
 
-func (sim *simulation) reconfigure(u gateway.Update) {
+func (sim *simulation) reconfigure(u gateway.SettingsUpdate) {
 	for _, s := range sim.gateways {
 		s.gateway.Reconfigure(sim.now, &u)
 	}
@@ -44,8 +44,8 @@
 	return c.level
 }
 
-func setPlan(index int, p gateway.Plan) gateway.Update {
-	return gateway.Update{Plans: []gateway.PlanUpdate{{Index: index, Plan: p}}}
+func setPlan(index int, p gateway.Plan) gateway.SettingsUpdate {
+	return gateway.SettingsUpdate{Plans: []gateway.PlanUpdate{{Index: index, Plan: p}}}
 }
 
 // A raised plan adds no units at once; its rate applies from then on.
@@ -100,7 +100,7 @@
 	}, gateway.Plan{ID: 9, Rate: 0.1, Burst: 10, PriorityWeight: 1}
 	sim := fleetOf(2, a, b)
 	sim.gateways[1].gateway = New(2, gateway.Membership{Index: 1, Count: 2, Gossip: true, MessageRate: 40}, sim.classes,
-		[]gateway.Plan{b}, sim.limits, sim.slowStart, gateway.LoadReportForm{})
+		[]gateway.Plan{b}, sim.limits, sim.slowStart, gateway.LoadReportFormat{})
 	sim.list(1, gateway.ListChanges, []gateway.Endpoint{{Host: 1}})
 	sim.advance(time.Second, true)
 	sim.request(0, "on-a", 0, 6)
@@ -134,7 +134,7 @@
 	sim.arrive(0, "c", 1)
 	safe := sim.classes[0]
 	safe.Effect = gateway.Idempotent
-	sim.reconfigure(gateway.Update{Classes: []gateway.ClassUpdate{{Index: 0, Class: safe}, {Index: 1, Class: safe}}})
+	sim.reconfigure(gateway.SettingsUpdate{Classes: []gateway.ClassUpdate{{Index: 0, Class: safe}, {Index: 1, Class: safe}}})
 	sim.finishAttempt(0, 0, gateway.Disconnected, false)
 	if sim.gateways[0].gateway.endpoints.inFlight != 0 {
 		t.Error("a request was sent again that was unsafe when it was sent")
@@ -170,7 +170,7 @@
 		t.Fatalf("copy holds %.1f, 60 and what was refilled wanted", got)
 	}
 	sim.request(0, "c", 0, 10) // unsent when the change comes
-	sim.gateways[0].gateway.Reconfigure(sim.now, &gateway.Update{Members: 4})
+	sim.gateways[0].gateway.Reconfigure(sim.now, &gateway.SettingsUpdate{Members: 4})
 	sim.deliver(0, gateway.Event{Kind: gateway.TimerFired})
 	for _, body := range sim.gateways[0].messages {
 		sound := false
@@ -181,7 +181,7 @@
 		}
 	}
 	for _, s := range sim.gateways[1:] {
-		s.gateway.Reconfigure(sim.now, &gateway.Update{Members: 4})
+		s.gateway.Reconfigure(sim.now, &gateway.SettingsUpdate{Members: 4})
 	}
 	sim.gateways = append(sim.gateways, &simulatedGateway{simulation: sim, index: 3})
 	sim.restart(3, 4, 4)
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -108,7 +108,7 @@
 		Gossip:      n > 1,
 		MessageRate: 40,
 	}, sim.classes, sim.plans,
-		sim.limits, sim.slowStart, gateway.LoadReportForm{})
+		sim.limits, sim.slowStart, gateway.LoadReportFormat{})
 	sim.list(i, gateway.ListCached, list)
 }
 
@@ -202,5 +202,5 @@
 
 // newGateway returns a gateway with the settings of the simulation, but no slow start, that is not part of it.
 func (sim *simulation) newGateway(membership gateway.Membership) *Gateway {
-	return New(1, membership, sim.classes, sim.plans, sim.limits, gateway.SlowStart{}, gateway.LoadReportForm{})
+	return New(1, membership, sim.classes, sim.plans, sim.limits, gateway.SlowStart{}, gateway.LoadReportFormat{})
 }
