--- a/internal/poolrunner/voter_test.go
+++ b/internal/poolrunner/voter_test.go
@@ -19,7 +19,8 @@
 	pollInterval = 10 * time.Millisecond
 )
 
-// unusedAddress returns a loopback address whose port is free for both TCP and UDP.
+// unusedAddress returns a loopback address whose TCP port is free at the moment. Tests use the port for UDP too,
+// without checking that it is free there.
 func unusedAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -30,12 +31,13 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// landedLedger is the ledger that the folder testdata/landed-6d43e16 holds, which the program at 6d43e16 wrote: a
-// snapshot, and batches in the log after it.
-const landedLedger = `{"Capacity":40,"Serial":5,"Entries":[` +
+// earlierReleaseLedger is the ledger in testdata/landed-6d43e16, the directory of a voter of an earlier release: a
+// snapshot, and later batches in the log.
+const earlierReleaseLedger = `{"Capacity":40,"Serial":5,"Entries":[` +
 	`{"Life":77,"Number":5,"Units":25,"Stranded":0},{"Life":88,"Number":2,"Units":8,"Stranded":0}],"Reserve":3,"Floor":2}`
 
-// A voter's folder of an earlier release is opened as it was left: what was lent counts as lent.
+// A voter must read the directory that an earlier release wrote. If it lost leases after an upgrade, their units would
+// be leased a second time, and the store would get more connections than it accepts.
 func TestVoterOpensFolderOfEarlierRelease(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "voter")
 	err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "landed-6d43e16")))
@@ -66,7 +68,7 @@
 	deadline := time.Now().Add(waitTimeout)
 	for voter.replica.Barrier(proposeTimeout) != nil {
 		if time.Now().After(deadline) {
-			t.Fatal("the voter does not lead")
+			t.Fatal("the voter has not become the leader in time")
 		}
 		time.Sleep(pollInterval)
 	}
@@ -75,7 +77,7 @@
 		t.Fatal(err)
 	}
 	text, err := json.Marshal(ledger)
-	if err != nil || string(text) != landedLedger {
-		t.Errorf("the ledger is %s, %v; want %s", text, err, landedLedger)
+	if err != nil || string(text) != earlierReleaseLedger {
+		t.Errorf("the ledger is %s, error %v; want %s", text, err, earlierReleaseLedger)
 	}
 }
