--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -49,7 +49,12 @@
 		return
 	}
 	n.quota.setUrgency(r)
-	command := hosts.Command{Head: r.command.Head, BeforeTimeLeft: r.command.BeforeTimeLeft, AfterTimeLeft: r.command.AfterTimeLeft, Tail: r.command.Tail}
+	command := hosts.Command{
+		Head:           r.command.Head,
+		BeforeTimeLeft: r.command.BeforeTimeLeft,
+		AfterTimeLeft:  r.command.AfterTimeLeft,
+		Tail:           r.command.Tail,
+	}
 	a.hostAttempt = n.transport.Send(host, command, a.deadline, a.writeDeadline(), a.end)
 	if r.closed { // Send ended another attempt, and its end closed the request
 		a.cancelUnwritten()
