--- a/cmd/ravensill/observer_test.go
+++ b/cmd/ravensill/observer_test.go
@@ -109,7 +109,7 @@
 
 // emptySummary encodes a summary without attempts from the gateway with a member index.
 func emptySummary(member uint32) []byte {
-	part := counterfactual.Part{Gateway: member, Incarnation: 1, WindowLength: 100}
+	part := counterfactual.SummaryPart{Gateway: member, Incarnation: 1, WindowLength: 100}
 	return append([]byte{'S'}, counterfactual.Encode(part, nil)[0](0)...)
 }
 
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxObservedHosts = 4096               // above this number, hosts that are gone are forgotten
-	maxFreeEntries   = 4 * observer.Batch // entries kept for reuse; the rest is garbage-collected
+	maxObservedHosts = 4096                         // above this number, hosts that are gone are forgotten
+	maxFreeEntries   = 4 * observer.MaxBatchEntries // entries kept for reuse; the rest is garbage-collected
 
 	// observerRandomStream is the second half of the seed by which batches are chosen for observation.
 	observerRandomStream = 0x7769746e657373
@@ -155,7 +155,7 @@
 		entry.End = counterfactual.Failed
 	}
 	o.completed = append(o.completed, entry)
-	if len(o.completed) == observer.Batch {
+	if len(o.completed) == observer.MaxBatchEntries {
 		o.passCompleted()
 	}
 }
