--- a/lab/rollout/refusals.go
+++ b/lab/rollout/refusals.go
@@ -209,7 +209,7 @@
 func CheckLogLines(event string, count int, members ...int) Step {
 	return Step{fmt.Sprintf("%d lines of %s", count, event), func(_ context.Context, r *Run) error {
 		for _, member := range members {
-			lines := r.Fleet.Gateway(member).Lines(event)
+			lines := r.Fleet.Gateway(member).EventLines(event)
 			if len(lines) != count {
 				return fmt.Errorf("%s logged it %d times: %s",
 					fleet.GatewayName(member), len(lines), strings.Join(lines, "\n"))
