--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -1,5 +1,6 @@
-// Package discovery watches the endpoint list of a discovery agent: HTTP, with a body that is a sequence of JSON
-// values. It decodes the lists into endpoints of package gateway, and decides nothing.
+// Package discovery watches the endpoint list of a discovery agent. The agent answers an HTTP request with a body that
+// is a sequence of JSON values, each a complete endpoint list or the changes since the previous one. The package decodes
+// the lists into gateway.Endpoint values; which endpoints get requests is decided elsewhere.
 package discovery
 
 import (
@@ -16,57 +17,65 @@
 	"ravensill/gateway"
 )
 
-// EndpointList contains the endpoints known from all lists that were decoded. It keeps the number of each until the
-// endpoint is forgotten.
+// EndpointList merges all lists decoded so far into the set of known endpoints, and gives each endpoint a number that
+// it keeps until Forget. It must be used by one goroutine at a time.
 type EndpointList struct {
-	Version      int64 // of the latest list
-	EqualWeights bool  // the lists' weights don't reflect sizes: each endpoint's weight is 1
+	Version      int64 // of the latest list that was decoded; 0 before the first
+	EqualWeights bool  // the weights in the lists do not reflect host sizes: each endpoint's weight is set to 1
 
-	zones     []string
-	machines  []string
-	entries   map[string]*entry // by id
-	byNumber  map[uint32]*entry
-	byAddress map[netip.AddrPort]*entry
-	gone      []entry // forgotten endpoints, in the order in which they were forgotten
+	zones        []string
+	machineTypes []string
+	byID         map[string]*knownEndpoint
+	byNumber     map[uint32]*knownEndpoint
+	byAddress    map[netip.AddrPort]*knownEndpoint
+	forgotten    []knownEndpoint // the latest, oldest first, at most maxForgotten
 }
 
-// maxGone bounds the forgotten endpoints of which the list keeps the start.
-const maxGone = 256
+// maxForgotten bounds the memory used for forgotten endpoints. They are remembered so that an older list does not bring
+// them back.
+const maxForgotten = 256
 
-// entry is a known endpoint.
-type entry struct {
+// knownEndpoint is the latest state of one endpoint.
+type knownEndpoint struct {
 	id        string
 	number    uint32
-	address   netip.AddrPort
+	address   netip.AddrPort // invalid if unknown, or if it was released
 	startedAt gateway.Time
 	draining  bool
 }
 
-// NewEndpointList returns an empty list. zones and machines are the names of the settings, by index.
-func NewEndpointList(zones, machines []string) *EndpointList {
+// NewEndpointList returns an empty list. zones and machineTypes are the names in the settings; an endpoint has the
+// index of its zone and machine type in them, or 0 if its name is not among them.
+func NewEndpointList(zones, machineTypes []string) *EndpointList {
 	return &EndpointList{
-		zones:     zones,
-		machines:  machines,
-		entries:   map[string]*entry{},
-		byNumber:  map[uint32]*entry{},
-		byAddress: map[netip.AddrPort]*entry{},
+		zones:        zones,
+		machineTypes: machineTypes,
+		byID:         map[string]*knownEndpoint{},
+		byNumber:     map[uint32]*knownEndpoint{},
+		byAddress:    map[netip.AddrPort]*knownEndpoint{},
 	}
 }
 
 var (
-	errNotJSON = errors.New("not JSON")
-	errNoList  = errors.New("version, full or servers: missing, or not of its kind")
+	errNotJSON     = errors.New("not JSON")
+	errInvalidList = errors.New("version, full or servers: missing, or not of its kind")
 )
 
-// Decode decodes one list and returns its endpoints. On an error nothing has changed. An invalid entry does not
-// invalidate the others, since a drain must take effect; entryErr is the error of the last invalid entry. An endpoint
-// in an unknown state counts as draining. Of an id that is listed twice the last entry counts. Endpoints that a
-// complete list lacks are gone, and so is one whose address an endpoint that started later has: requests to it would
-// reach the new one, which is still warming up.
+// Decode decodes one list, a complete one or one of changes, and returns the endpoints that it lists or removes. It
+// calls setAddress for each endpoint with an address.
 //
-// A list with an older version than the latest comes from an agent that lags or numbers its versions anew. It counts,
-// but an endpoint that was listed as draining or gone, and has not started again since, stays so. The cost grows with
-// the text; a list of changes costs the same however many endpoints are known.
+// If err is not nil, the list as a whole is invalid and nothing has changed. An invalid entry does not invalidate the
+// others, because an endpoint that another entry drains must stop getting requests; entryErr is the error of the last
+// invalid entry. An endpoint in an unknown state is taken to be draining. If an id is listed twice, the last entry
+// that can be used counts.
+//
+// An endpoint is gone if a complete list lacks it, or if an endpoint that started later has its address: requests for
+// the old endpoint would reach the new one, which is still warming up.
+//
+// A list with an older version than the latest comes from an agent that lags behind or has restarted its version
+// numbers. It is applied, but an endpoint already known to be draining or gone stays so unless it has started again
+// since. The cost is proportional to the length of the text; a list of changes costs the same however many endpoints
+// are known.
 func (l *EndpointList) Decode(text string, setAddress func(host uint32, address netip.AddrPort)) (kind gateway.ListKind,
 	endpoints []gateway.Endpoint, entryErr, err error) {
 	if !gjson.Valid(text) {
@@ -77,132 +86,135 @@
 	full := list.Get("full")
 	servers := list.Get("servers")
 	if version.Type != gjson.Number || !full.IsBool() || !servers.IsArray() {
-		return kind, nil, nil, errNoList
+		return kind, nil, nil, errInvalidList
 	}
-	d := l.decodeEntries(version.Int(), servers)
+	decoder := l.decodeEntries(version.Int(), servers)
 	gone := map[uint32]bool{}
 	kind = gateway.ListChanges
 	if full.Bool() {
 		kind = gateway.ListComplete
-		d.markMissing(gone)
+		decoder.addMissing(gone)
 	}
-	endpoints, moved := d.apply(setAddress)
+	endpoints, moved := decoder.applyEntries(setAddress)
 	if len(l.byAddress) == 0 {
-		l.byAddress = make(map[netip.AddrPort]*entry, len(moved))
+		l.byAddress = make(map[netip.AddrPort]*knownEndpoint, len(moved))
 	}
-	if l.resolveConflicts(moved, gone) {
+	if l.resolveAddressConflicts(moved, gone) {
 		endpoints = slices.DeleteFunc(endpoints, func(e gateway.Endpoint) bool { return gone[e.Host] })
 	}
 	for _, number := range slices.Sorted(maps.Keys(gone)) {
 		endpoints = append(endpoints, gateway.Endpoint{Host: number, State: gateway.Gone})
 	}
-	l.Version = d.version
-	return kind, endpoints, d.entryErr, nil
+	l.Version = decoder.version
+	return kind, endpoints, decoder.entryErr, nil
 }
 
-// decoding is one list that is being decoded.
-type decoding struct {
+// listDecoder decodes one list.
+type listDecoder struct {
 	list     *EndpointList
 	version  int64
-	servers  []listedEndpoint
-	indices  map[string]int // in servers, by id, of all ids that the list names; ignored for those that don't count
+	entries  []listEntry
+	indices  map[string]int // index in entries by id; noEntry if the list names the id without an entry that counts
 	entryErr error          // of the last invalid entry
 }
 
-const ignored = -1
+const noEntry = -1
 
-// listedEndpoint is one entry of a list.
-type listedEndpoint struct {
+// listEntry is one valid entry of a list.
+type listEntry struct {
 	gateway.Endpoint
 	id         string
-	address    netip.AddrPort
-	superseded bool // by a later entry with the same id
+	address    netip.AddrPort // invalid if the entry has none
+	superseded bool           // by a later entry with the same id
 }
 
-// stateNames are the states of an entry by gateway.EndpointState.
+// stateNames are the words for an entry's state, indexed by gateway.EndpointState.
 var stateNames = []string{"active", "leaving", "left"}
 
-// decodeEntries decodes all entries. Their memory is allocated once: growing slices of a complete list would leave
-// garbage of several times its size.
-func (l *EndpointList) decodeEntries(version int64, servers gjson.Result) *decoding {
+// decodeEntries decodes all entries. It allocates the slice for them once: growing it step by step would leave garbage
+// several times the size of a complete list.
+func (l *EndpointList) decodeEntries(version int64, servers gjson.Result) *listDecoder {
 	count := int(servers.Get("#").Int())
-	d := &decoding{
+	decoder := &listDecoder{
 		list:    l,
 		version: version,
-		servers: make([]listedEndpoint, 0, count),
+		entries: make([]listEntry, 0, count),
 		indices: make(map[string]int, count),
 	}
 	servers.ForEach(func(_, server gjson.Result) bool {
-		d.decodeEntry(server)
+		decoder.decodeEntry(server)
 		return true
 	})
-	return d
+	return decoder
 }
 
-// decodeEntry decodes one entry of the list.
-func (d *decoding) decodeEntry(text gjson.Result) {
+// decodeEntry decodes one entry. Even if the entry is invalid, its id counts as named by the list, so that a complete
+// list does not remove the endpoint.
+func (d *listDecoder) decodeEntry(text gjson.Result) {
 	id := text.Get("id").Str
-	earlier, named := d.indices[id]
+	previous, named := d.indices[id]
 	if !named {
-		earlier = ignored
-		d.indices[id] = ignored
+		previous = noEntry
+		d.indices[id] = noEntry
 	}
-	listed, usable := d.parseEntry(id, text)
+	entry, usable := d.parseEntry(id, text)
 	if !usable {
 		return
 	}
-	if earlier != ignored {
-		d.servers[earlier].superseded = true
-		d.indices[id] = ignored
+	if previous != noEntry {
+		d.entries[previous].superseded = true
+		d.indices[id] = noEntry
 	}
-	if d.version < d.list.Version && listed.State != gateway.Gone && !d.mergeKnown(&listed) {
+	if d.version < d.list.Version && entry.State != gateway.Gone && !d.mergeKnown(&entry) {
 		return
 	}
-	d.indices[id] = len(d.servers)
-	d.servers = append(d.servers, listed)
+	d.indices[id] = len(d.entries)
+	d.entries = append(d.entries, entry)
 }
 
-// parseEntry parses one entry. It is not usable if it has no id, or if the address of its endpoint is unknown.
-func (d *decoding) parseEntry(id string, text gjson.Result) (listed listedEndpoint, usable bool) {
+// parseEntry parses one entry. An invalid entry is still usable if it has an id and the address of its endpoint is
+// known from it or from an earlier list.
+func (d *listDecoder) parseEntry(id string, text gjson.Result) (entry listEntry, usable bool) {
 	address, addressErr := netip.ParseAddrPort(text.Get("addr").Str)
 	hasAddress := addressErr == nil
 	state := slices.Index(stateNames, text.Get("state").Str)
 	valid := id != "" && state >= 0 && (hasAddress || state == int(gateway.Gone))
 	if !valid {
 		d.entryErr = fmt.Errorf("servers: id, addr or state of %.80s", text.Raw)
-		known := d.list.entries[id]
+		known := d.list.byID[id]
 		hasKnownAddress := known != nil && known.address.IsValid()
 		if id == "" || !hasAddress && !hasKnownAddress {
-			return listed, false
+			return entry, false
 		}
 		if state < 0 {
 			state = int(gateway.Draining)
 		}
 	}
-	endpoint := d.list.endpoint(text, gateway.EndpointState(state))
-	return listedEndpoint{Endpoint: endpoint, id: id, address: address}, true
+	endpoint := d.list.parseEndpoint(text, gateway.EndpointState(state))
+	return listEntry{Endpoint: endpoint, id: id, address: address}, true
 }
 
-// mergeKnown corrects the entry of an older list, which may lack the latest start, by what is known of its endpoint. It
-// reports whether the entry counts.
-func (d *decoding) mergeKnown(listed *listedEndpoint) bool {
-	known := d.list.entries[listed.id]
+// mergeKnown corrects an entry of an older list by what is already known of its endpoint: a start that is later than
+// the entry's, and draining unless the entry shows a later start. It reports whether the entry counts; one of an
+// endpoint that was forgotten and has not started since does not.
+func (d *listDecoder) mergeKnown(entry *listEntry) bool {
+	known := d.list.byID[entry.id]
 	if known == nil {
-		return !d.list.goneSince(listed.id, listed.StartedAt)
+		return !d.list.forgottenSince(entry.id, entry.StartedAt)
 	}
-	if known.draining && listed.StartedAt <= known.startedAt {
-		listed.State = gateway.Draining
+	if known.draining && entry.StartedAt <= known.startedAt {
+		entry.State = gateway.Draining
 	}
-	listed.StartedAt = max(listed.StartedAt, known.startedAt)
+	entry.StartedAt = max(entry.StartedAt, known.startedAt)
 	return true
 }
 
-// endpoint returns the endpoint of an entry, without its number.
-func (l *EndpointList) endpoint(text gjson.Result, state gateway.EndpointState) gateway.Endpoint {
+// parseEndpoint returns the endpoint that an entry describes, without its number.
+func (l *EndpointList) parseEndpoint(text gjson.Result, state gateway.EndpointState) gateway.Endpoint {
 	e := gateway.Endpoint{
 		State:     state,
 		Zone:      max(slices.Index(l.zones, text.Get("zone").Str), 0),
-		Machine:   max(slices.Index(l.machines, text.Get("kind").Str), 0),
+		Machine:   max(slices.Index(l.machineTypes, text.Get("kind").Str), 0),
 		Cell:      int(text.Get("cell").Int()),
 		Weight:    text.Get("weight").Num,
 		StartedAt: gateway.Time(text.Get("started_ms").Int() * int64(time.Millisecond)),
@@ -213,57 +225,59 @@
 	return e
 }
 
-// goneSince reports whether an endpoint with an id is gone that started at an instant or later.
-func (l *EndpointList) goneSince(id string, startedAt gateway.Time) bool {
-	return slices.ContainsFunc(l.gone, func(e entry) bool { return e.id == id && startedAt <= e.startedAt })
+// forgottenSince reports whether an endpoint with the id was forgotten whose last start was at startedAt or later.
+func (l *EndpointList) forgottenSince(id string, startedAt gateway.Time) bool {
+	return slices.ContainsFunc(l.forgotten, func(e knownEndpoint) bool { return e.id == id && startedAt <= e.startedAt })
 }
 
-// markMissing adds the known endpoints that a complete list lacks.
-func (d *decoding) markMissing(gone map[uint32]bool) {
-	for id, e := range d.list.entries {
+// addMissing adds the numbers of the known endpoints that a complete list lacks to gone.
+func (d *listDecoder) addMissing(gone map[uint32]bool) {
+	for id, e := range d.list.byID {
 		if _, named := d.indices[id]; !named {
 			gone[e.number] = true
 		}
 	}
 }
 
-// apply updates the known endpoints. It returns the endpoints of the list with their numbers, and the entries whose
-// address has changed. All old addresses are released before resolveConflicts assigns the new ones.
-func (d *decoding) apply(setAddress func(host uint32, address netip.AddrPort)) (
-	endpoints []gateway.Endpoint, moved []*entry) {
-	endpoints = make([]gateway.Endpoint, 0, len(d.servers))
-	for i := range d.servers {
-		listed := &d.servers[i]
-		if listed.superseded {
+// applyEntries updates the known endpoints. It returns the listed endpoints with their numbers, and as moved the known
+// endpoints whose address has changed. It releases all old addresses first, so that resolveAddressConflicts sees no
+// conflict between two endpoints that swap their addresses.
+func (d *listDecoder) applyEntries(setAddress func(host uint32, address netip.AddrPort)) (
+	endpoints []gateway.Endpoint, moved []*knownEndpoint) {
+	endpoints = make([]gateway.Endpoint, 0, len(d.entries))
+	for i := range d.entries {
+		entry := &d.entries[i]
+		if entry.superseded {
 			continue
 		}
-		e := d.list.entryFor(listed.id)
-		listed.Host = e.number
-		endpoints = append(endpoints, listed.Endpoint)
-		isGone := listed.State == gateway.Gone
+		known := d.list.endpointFor(entry.id)
+		entry.Host = known.number
+		endpoints = append(endpoints, entry.Endpoint)
+		isGone := entry.State == gateway.Gone
 		if !isGone {
-			e.startedAt = listed.StartedAt
-			e.draining = listed.State == gateway.Draining
+			known.startedAt = entry.StartedAt
+			known.draining = entry.State == gateway.Draining
 		}
-		if !listed.address.IsValid() {
+		if !entry.address.IsValid() {
 			continue
 		}
-		hasMoved := e.address != listed.address
+		hasMoved := known.address != entry.address
 		if hasMoved || isGone {
-			d.list.releaseAddress(e)
+			d.list.releaseAddress(known)
 		}
 		if hasMoved && !isGone {
-			e.address = listed.address
-			moved = append(moved, e)
+			known.address = entry.address
+			moved = append(moved, known)
 		}
-		setAddress(e.number, listed.address)
+		setAddress(known.number, entry.address)
 	}
 	return endpoints, moved
 }
 
-// resolveConflicts assigns each address that two endpoints have to the one that started later, and adds the other to
-// those that are gone. It reports whether there was such an address.
-func (l *EndpointList) resolveConflicts(moved []*entry, gone map[uint32]bool) (found bool) {
+// resolveAddressConflicts enters the addresses of the moved endpoints in byAddress. If two endpoints have the same
+// address, it goes to the one that started later, and the other is added to gone. It reports whether any conflict was
+// found.
+func (l *EndpointList) resolveAddressConflicts(moved []*knownEndpoint, gone map[uint32]bool) (found bool) {
 	for _, later := range moved {
 		other := l.byAddress[later.address]
 		if other != nil && other.startedAt > later.startedAt {
@@ -278,30 +292,31 @@
 	return found
 }
 
-// releaseAddress removes the address of an endpoint.
-func (l *EndpointList) releaseAddress(e *entry) {
+// releaseAddress clears the address of an endpoint, so that another endpoint can have it without a conflict.
+func (l *EndpointList) releaseAddress(e *knownEndpoint) {
 	if l.byAddress[e.address] == e {
 		delete(l.byAddress, e.address)
 	}
 	e.address = netip.AddrPort{}
 }
 
-// Forget removes an endpoint that is gone. An endpoint with the same id has the same number later.
+// Forget removes an endpoint that is gone, by its number; an unknown number is ignored. If its id is listed again, the
+// endpoint gets the same number, unless another id with the same hash has taken it.
 func (l *EndpointList) Forget(host uint32) {
 	e := l.byNumber[host]
 	if e == nil {
 		return
 	}
 	l.releaseAddress(e)
-	l.gone = append(l.gone, *e)
-	if len(l.gone) > maxGone {
-		l.gone = slices.Delete(l.gone, 0, 1)
+	l.forgotten = append(l.forgotten, *e)
+	if len(l.forgotten) > maxForgotten {
+		l.forgotten = slices.Delete(l.forgotten, 0, 1)
 	}
-	delete(l.entries, e.id)
+	delete(l.byID, e.id)
 	delete(l.byNumber, host)
 }
 
-// ID returns the id of an endpoint, empty for one that is not known.
+// ID returns the id of the endpoint with a number, or an empty string if it is not known.
 func (l *EndpointList) ID(host uint32) string {
 	if e := l.byNumber[host]; e != nil {
 		return e.id
@@ -309,19 +324,20 @@
 	return ""
 }
 
-// Count returns the number of known endpoints.
-func (l *EndpointList) Count() int { return len(l.entries) }
+// Count returns how many endpoints are known, including draining ones and gone ones not yet forgotten.
+func (l *EndpointList) Count() int { return len(l.byID) }
 
-// Parameters of FNV-1a (Fowler, Noll and Vo).
+// Parameters of the 32-bit FNV-1a hash (Fowler, Noll and Vo).
 const (
 	fnvOffset = 2166136261
 	fnvPrime  = 16777619
 )
 
-// entryFor returns the entry of an id, a new one if there is none. The number is a hash of the id, so that all gateways
-// and all their incarnations rank endpoints alike; of two ids with the same hash one has the next number.
-func (l *EndpointList) entryFor(id string) *entry {
-	if e := l.entries[id]; e != nil {
+// endpointFor returns the known endpoint with an id, and adds it if there is none. Its number is the FNV-1a hash of the
+// id, so that all gateways rank endpoints alike, also after a restart. If another id has that number already, the next
+// free number is taken.
+func (l *EndpointList) endpointFor(id string) *knownEndpoint {
+	if e := l.byID[id]; e != nil {
 		return e
 	}
 	number := uint32(fnvOffset)
@@ -331,8 +347,8 @@
 	for l.byNumber[number] != nil {
 		number++
 	}
-	e := &entry{id: strings.Clone(id), number: number} // a substring would keep the list's text in memory
-	l.entries[e.id] = e
+	e := &knownEndpoint{id: strings.Clone(id), number: number} // a substring would keep the list's text in memory
+	l.byID[e.id] = e
 	l.byNumber[number] = e
 	return e
 }
--- a/internal/discovery/pending_read.go
+++ b/internal/discovery/pending_read.go
@@ -10,21 +10,24 @@
 	"ravensill/internal/sockets"
 )
 
-// PendingRead observes whether a watch has received bytes that are not processed yet.
+// PendingRead tells whether a watch has received bytes that it has not processed yet. The zero value is ready to use;
+// it serves one watch.
 type PendingRead struct{ conn atomic.Pointer[watchedConn] }
 
-// Pending reports whether the watch has bytes that it has not read, or has read and not processed. Any goroutine may
-// call it.
+// Pending reports whether bytes are waiting in the watch's socket, or were read and not fully processed. It is false
+// before the watch is connected and after it has ended. Any goroutine may call it.
 func (p *PendingRead) Pending() bool {
 	c := p.conn.Load()
 	if c == nil {
 		return false
 	}
-	// In this order: bytes that have left the socket are being processed.
-	return c.hasBytes() || c.processing.Load()
+	// The socket is checked first: a read sets processing before it takes bytes from the socket, so the second check
+	// sees bytes that have left it. In the other order, bytes read between the two checks would be missed.
+	return c.hasUnreadBytes() || c.processing.Load()
 }
 
-// watchedConn is the connection of a watch. What it read counts as being processed until the next Read.
+// watchedConn is the connection of a watch. The bytes of a Read count as being processed until the next Read, since the
+// watch reads again only after it has handled them.
 type watchedConn struct {
 	net.Conn
 	system     sockets.System
@@ -37,6 +40,7 @@
 	return &watchedConn{Conn: conn, system: system, raw: raw}, err
 }
 
+// Read marks bytes as being processed before it takes them from the socket, so that Pending sees them at any moment.
 func (c *watchedConn) Read(p []byte) (n int, err error) {
 	c.processing.Store(false)
 	if len(p) == 0 {
@@ -66,12 +70,12 @@
 	return n, nil
 }
 
-// hasBytes reports whether the socket has bytes to read.
-func (c *watchedConn) hasBytes() (some bool) {
+// hasUnreadBytes reports whether the socket has bytes to read. It leaves them there.
+func (c *watchedConn) hasUnreadBytes() (found bool) {
 	c.raw.Control(func(fd uintptr) {
 		var peeked [1]byte
 		n, _, _ := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		some = n > 0
+		found = n > 0
 	})
-	return some
+	return found
 }
--- a/internal/discovery/pending_read_test.go
+++ b/internal/discovery/pending_read_test.go
@@ -12,7 +12,7 @@
 	"ravensill/internal/sockets"
 )
 
-// acceptWatch accepts a watch at the agent's side and reads its request.
+// acceptWatch accepts the connection of a watch as the agent does, and reads the request.
 func acceptWatch(t *testing.T, listener net.Listener) net.Conn {
 	t.Helper()
 	agent, err := listener.Accept()
@@ -25,7 +25,7 @@
 	return agent
 }
 
-// Bytes in the socket and a list that is being processed are pending; both together too.
+// Pending is true while bytes are in the socket, while a list is processed, and while both is the case.
 func TestPendingReadReportsUnprocessedBytes(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -67,7 +67,7 @@
 		}
 		processed <- true
 	}
-	for pending.Pending() { // until the watch reads again
+	for pending.Pending() { // false once the watch reads again
 		runtime.Gosched()
 	}
 	io.WriteString(agent, "{}")
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -2,66 +2,70 @@
 
 import "time"
 
-// Timeouts bound the phases of one watch. A change of the endpoint list must reach the gateway within 6 s of the moment
-// at which discovery had it and could be reached: within that time a silent watch is given up and a new one is
-// answered, even if one attempt in between is lost. Timeouts have no clock: callers pass the current time.
+// Timeouts holds the phase that one watch is in and the timeout of each phase. The timeouts are chosen so that a change
+// of the endpoint list reaches the gateway within 6 s of the moment at which the discovery service had it and could be
+// reached: within that time a silent watch is given up and a new one is answered, even if one attempt in between fails.
+// Timeouts has no clock: callers pass the current time. It is not safe for concurrent use.
 type Timeouts struct {
 	phase  phase
-	since  time.Time // start of the phase; in phase following, the last byte
-	limits [phases]time.Duration
+	since  time.Time // start of the phase; in betweenValues, when the last byte was received
+	limits [phaseCount]time.Duration
 }
 
+// phase is a phase of a watch. Each has its own timeout.
 type phase int
 
 const (
-	connecting phase = iota // to the agent
-	requested               // the request is sent; the head of the response is not complete
-	following               // since the last value came nothing or white space
-	inValue                 // a value has begun and is not complete
+	connecting     phase = iota // to the agent
+	awaitingHeader              // the request is sent; the header of the response is not complete
+	betweenValues               // nothing but white space was received since the header or the last value
+	inValue                     // a value has begun and is not complete
 
-	phases = iota
+	phaseCount = iota
 )
 
 const (
-	connectTimeout = 300 * time.Millisecond // the agent is on the gateway's machine
+	connectTimeout = 300 * time.Millisecond // short, since the agent runs on the gateway's machine
 
-	// The agent responds at once, or not at all while discovery is down. A request that waits is answered as soon as
-	// discovery is back, and a new request costs little.
-	responseTimeout = 500 * time.Millisecond
+	// The agent responds at once, or not at all while the discovery service is down. It answers a waiting request as
+	// soon as the service is back, and a new request costs little.
+	headerTimeout = 500 * time.Millisecond
 
-	// Where the list has to be polled, the agent may hold a request for 2 s.
+	// pollTimeout replaces headerTimeout if the list has to be polled: the agent may then hold a request for 2 s.
 	pollTimeout = 2250 * time.Millisecond
 
 	// The agent sends an empty line every 2 s.
 	silenceTimeout = 2400 * time.Millisecond
 
-	// A response that stops in a value is lost. Bytes that trickle in don't extend the time of a value, nor that of the
-	// head of a response.
+	// A response that stalls within a value is lost. Bytes that trickle in don't extend the time of a value, nor that of
+	// the header.
 	valueTimeout = time.Second
 
-	// A process that was suspended finds its deadline expired and its bytes in the socket: it reads once more.
+	// A process that was suspended finds its deadline exceeded although bytes wait in the socket. It reads once more
+	// with this timeout before it gives the watch up.
 	finalReadTimeout = 20 * time.Millisecond
 )
 
-// WatchRetryDelay is the pause between a watch that ended and the next one.
+// WatchRetryDelay is the pause between the end of a watch and the start of the next one.
 const WatchRetryDelay = 100 * time.Millisecond
 
-// NewTimeouts returns the timeouts of one watch. poll means that the agent sends the list on request alone.
+// NewTimeouts returns the timeouts of one watch. poll means that the agent sends the list only on request and may hold
+// the request back for 2 s.
 func NewTimeouts(poll bool) *Timeouts {
-	t := &Timeouts{limits: [phases]time.Duration{
-		connecting: connectTimeout,
-		requested:  responseTimeout,
-		following:  silenceTimeout,
-		inValue:    valueTimeout,
+	t := &Timeouts{limits: [phaseCount]time.Duration{
+		connecting:     connectTimeout,
+		awaitingHeader: headerTimeout,
+		betweenValues:  silenceTimeout,
+		inValue:        valueTimeout,
 	}}
 	if poll {
-		t.limits[requested] = pollTimeout
+		t.limits[awaitingHeader] = pollTimeout
 	}
 	return t
 }
 
-// enter starts a phase, unless the watch is in it.
-func (t *Timeouts) enter(phase phase, now time.Time) {
+// enterPhase starts the time of a phase. It does nothing if the watch is in that phase already.
+func (t *Timeouts) enterPhase(phase phase, now time.Time) {
 	if t.phase == phase && !t.since.IsZero() {
 		return
 	}
@@ -69,12 +73,12 @@
 	t.since = now
 }
 
-// received restarts the time of phase following: any byte, even of an empty line, ends a silence.
+// received restarts the time of betweenValues, in which any byte, even of an empty line, shows that the agent is alive.
 func (t *Timeouts) received(now time.Time) {
-	if t.phase == following {
+	if t.phase == betweenValues {
 		t.since = now
 	}
 }
 
-// deadline returns the instant at which the watch is given up.
+// deadline returns the instant at which the watch is given up if it is still in the same phase.
 func (t *Timeouts) deadline() time.Time { return t.since.Add(t.limits[t.phase]) }
--- a/internal/discovery/timeouts_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -11,7 +11,7 @@
 	"ravensill/logic"
 )
 
-// pollActions records what a decision module asks for that polls the endpoint list.
+// pollActions records the timers and polls of a decision module that polls the endpoint list.
 type pollActions struct {
 	gateway.Actions
 	timer  time.Duration
@@ -21,7 +21,7 @@
 func (a *pollActions) SetTimer(after time.Duration) { a.timer = after }
 func (a *pollActions) WatchEndpoints()              { a.polled = true }
 
-// poller is a decision module that polls the endpoint list, with its clock.
+// poller runs a decision module that polls the endpoint list, with a simulated clock.
 type poller struct {
 	module  *logic.Gateway
 	actions *pollActions
@@ -51,8 +51,9 @@
 	p.decide(gateway.Event{Kind: gateway.TimerFired})
 }
 
-// loseList fails a poll right after the timer has fired, and runs until the next poll. It returns the time in between.
-func (p *poller) loseList() time.Duration {
+// failPoll reports a failed poll just after the timer has fired, and advances the clock to the next poll. It returns
+// the time in between.
+func (p *poller) failPoll() time.Duration {
 	p.now++
 	lost := p.now
 	p.decide(gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
@@ -63,122 +64,128 @@
 	return p.now.Sub(lost)
 }
 
-// longestPollDelay returns the longest time, of many draws, until the module polls again after a number of consecutive
-// failures, the last of which took some time.
-func longestPollDelay(failures int, lastTook time.Duration) (longest time.Duration) {
+// maxPollDelay returns the longest time, over many seeds, from the last of a number of consecutive failed polls to the
+// next poll. lastTook is how long the last poll took to fail.
+func maxPollDelay(failures int, lastTook time.Duration) (longest time.Duration) {
 	for seed := range uint64(200) {
 		p := newPoller(seed)
 		for range failures - 1 {
-			p.loseList()
+			p.failPoll()
 		}
 		failed := p.now.Add(lastTook)
 		for p.nextTimer() < failed {
 			p.fireTimer()
 		}
-		longest = max(longest, p.loseList())
+		longest = max(longest, p.failPoll())
 	}
 	return longest
 }
 
-// rejected is the phase of an attempt that fails at once.
-const rejected phase = -1
+// refused stands for the phase of an attempt whose connection is refused, which takes no time.
+const refused phase = -1
 
-// failure is an attempt that brings no list.
-type failure struct {
-	name  string
-	stuck phase
-	quick bool // the phases before take no time
+// failedAttempt is an attempt to watch or poll that yields no list.
+type failedAttempt struct {
+	name          string
+	stuckPhase    phase
+	instantBefore bool // the phases before stuckPhase take no time; otherwise as long as their timeouts allow
 }
 
-// outage is how the endpoint list is lost and comes back.
+// outage describes how the endpoint list is lost and what happens until it is received again.
 type outage struct {
-	poll     bool
-	first    phase         // of the watch that falls silent or the poll that fails as discovery comes back
-	failures int           // consecutive ones, with the first
-	response time.Duration // of the attempt that succeeds
+	poll       bool
+	firstPhase phase         // in which the first watch falls silent, or the poll fails during which discovery comes back
+	failures   int           // consecutive failures up to and including the first watch or that poll
+	response   time.Duration // how long the successful attempt takes to be answered
 }
 
-// updateTime returns the longest time from the loss of the first watch or poll, right after a line, to the response of
-// the attempt that follows the failing ones.
-func (o outage) updateTime(attempts []failure) time.Duration {
+// maxUpdateTime returns the longest time from the moment at which the first watch falls silent, or its poll begins, to
+// the response of the successful attempt, which follows the failed attempts.
+func (o outage) maxUpdateTime(attempts []failedAttempt) time.Duration {
 	epoch := time.Unix(1, 0)
 	timeouts := NewTimeouts(o.poll)
 	took := time.Duration(0)
-	if o.first != rejected {
-		timeouts.enter(o.first, epoch)
+	if o.firstPhase != refused {
+		timeouts.enterPhase(o.firstPhase, epoch)
 		took = timeouts.deadline().Sub(epoch) + finalReadTimeout
 	}
 	elapsed := took
 	for i := 0; ; i++ {
 		if o.poll {
-			elapsed += longestPollDelay(o.failures+i, took)
+			elapsed += maxPollDelay(o.failures+i, took)
 		} else {
 			elapsed += WatchRetryDelay
 		}
 		if i == len(attempts) {
 			return elapsed + o.response
 		}
-		took = attempts[i].longest(o.poll, epoch.Add(elapsed))
+		took = attempts[i].maxDuration(o.poll, epoch.Add(elapsed))
 		elapsed += took
 	}
 }
 
-// longest returns the longest time that the attempt takes from its start.
-func (f failure) longest(poll bool, start time.Time) time.Duration {
+// maxDuration returns the longest time from the attempt's start until it is given up.
+func (f failedAttempt) maxDuration(poll bool, start time.Time) time.Duration {
 	timeouts := NewTimeouts(poll)
 	now := start
-	for _, phase := range []phase{connecting, requested, following, inValue} {
-		timeouts.enter(phase, now)
-		if phase == f.stuck {
+	for _, phase := range []phase{connecting, awaitingHeader, betweenValues, inValue} {
+		timeouts.enterPhase(phase, now)
+		if phase == f.stuckPhase {
 			return timeouts.deadline().Sub(start) + finalReadTimeout
 		}
-		if phase < following && !f.quick {
+		if phase < betweenValues && !f.instantBefore {
 			now = timeouts.deadline()
 		}
 	}
 	return now.Sub(start)
 }
 
-// A change of the list must reach the gateway within 6 s of the moment at which discovery could be reached, even if one
-// attempt fails. A poll, which may wait for 2 s, is allowed one attempt that is rejected at once.
+// A change of the list must reach the gateway within 6 s of the moment at which the discovery service can be reached,
+// even if one attempt in between fails. With polling, where the agent may hold the successful poll for 2 s, the failed
+// attempt has to be one that is refused at once; if the successful poll is answered at once, any attempt may fail.
+// Watches reconnect within 1 s after the agent was down.
 func TestTimeoutsLeadToListWithinDeadline(t *testing.T) {
 	const (
 		deadline       = 6 * time.Second
-		afterAgentDown = time.Second // from when the agent is back
+		afterAgentDown = time.Second // from the moment at which the agent is back
 	)
 	var (
-		connectionRefused = failure{"refused", rejected, true}
-		hangs             = failure{"that hangs", connecting, false}
-		noResponse        = failure{"without response", requested, false}
-		stuckBehindHead   = failure{"stuck behind its head", following, false}
-		stuckInList       = failure{"stuck in a list", inValue, false}
-		soonBehindHead    = failure{"soon stuck behind its head", following, true}
-		soonInList        = failure{"soon stuck in a list", inValue, true}
+		connectionRefused    = failedAttempt{"refused", refused, true}
+		hangs                = failedAttempt{"that hangs", connecting, false}
+		noResponse           = failedAttempt{"without response", awaitingHeader, false}
+		stuckAfterHeader     = failedAttempt{"stuck behind its head", betweenValues, false}
+		stuckInList          = failedAttempt{"stuck in a list", inValue, false}
+		soonStuckAfterHeader = failedAttempt{"soon stuck behind its head", betweenValues, true}
+		soonStuckInList      = failedAttempt{"soon stuck in a list", inValue, true}
 	)
-	none := []failure{}
-	watched := [][]failure{
-		none, {hangs}, {noResponse}, {stuckInList}, {stuckBehindHead}, {noResponse, noResponse},
+	none := []failedAttempt{}
+	watched := [][]failedAttempt{
+		none, {hangs}, {noResponse}, {stuckInList}, {stuckAfterHeader}, {noResponse, noResponse},
 	}
 	var trace strings.Builder
 	for _, test := range []struct {
 		outage
-		attempts [][]failure
+		attempts [][]failedAttempt
 		limit    time.Duration
 	}{
-		{outage{false, following, 1, 0}, watched, deadline},
-		{outage{false, connecting, 9, 0}, [][]failure{none}, afterAgentDown},
-		{outage{false, requested, 9, 0}, [][]failure{none}, afterAgentDown},
-		{outage{true, following, 1, 2 * time.Second}, [][]failure{none, {connectionRefused}}, deadline},
-		{outage{true, following, 1, 0}, [][]failure{{hangs}, {noResponse}, {soonBehindHead}, {soonInList}}, deadline},
-		{outage{true, requested, 9, 2 * time.Second}, [][]failure{none}, deadline},
-		{outage{true, rejected, 9, 2 * time.Second}, [][]failure{none}, deadline},
+		{outage{false, betweenValues, 1, 0}, watched, deadline},
+		{outage{false, connecting, 9, 0}, [][]failedAttempt{none}, afterAgentDown},
+		{outage{false, awaitingHeader, 9, 0}, [][]failedAttempt{none}, afterAgentDown},
+		{outage{true, betweenValues, 1, 2 * time.Second}, [][]failedAttempt{none, {connectionRefused}}, deadline},
+		{
+			outage{true, betweenValues, 1, 0},
+			[][]failedAttempt{{hangs}, {noResponse}, {soonStuckAfterHeader}, {soonStuckInList}},
+			deadline,
+		},
+		{outage{true, awaitingHeader, 9, 2 * time.Second}, [][]failedAttempt{none}, deadline},
+		{outage{true, refused, 9, 2 * time.Second}, [][]failedAttempt{none}, deadline},
 	} {
 		for _, attempts := range test.attempts {
-			path := fmt.Sprintf("polled %t, lost in phase %d", test.poll, test.first)
+			path := fmt.Sprintf("polled %t, lost in phase %d", test.poll, test.firstPhase)
 			for _, attempt := range attempts {
 				path += ", then an attempt " + attempt.name
 			}
-			took := test.updateTime(attempts)
+			took := test.maxUpdateTime(attempts)
 			fmt.Fprintf(&trace, "%s, then one answered after %v: updated by %v\n", path, test.response, took)
 			if took > test.limit {
 				t.Errorf("%s: updated by %v, want at most %v", path, took, test.limit)
--- a/internal/discovery/values.go
+++ b/internal/discovery/values.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	maxListBytes   = 32 << 20 // of one list: 87,000 endpoints, indented
-	maxBufferBytes = 1 << 20  // a larger buffer is released after its list
+	maxListBytes   = 32 << 20 // of one list; an indented list of 87,000 endpoints fits in
+	maxBufferBytes = 1 << 20  // after a longer list the decoder and its buffer are replaced, to free the memory
 
 	whiteSpace = " \t\r\n"
 )
 
 var errListTooLong = errors.New("list too long")
 
-// valueReader splits a body into JSON values, which may be separated by white space. It is the reader of a JSON
-// decoder, from which it withholds the white space between values: the decoder would buffer it until the next value
-// comes.
+// valueReader splits a response body into JSON values, which may be separated by white space. It is also the io.Reader
+// of the JSON decoder that finds the end of each value. It drops the white space between values, because the decoder
+// would buffer all of it until the next value comes.
 type valueReader struct {
-	body     io.Reader
-	received func()            // called for any bytes
-	update   func(list string) // called with each value once it is complete
-	phase    func(phase)       // called with inValue where a value begins, and with following behind its end
+	body       io.Reader
+	onReceived func()            // called for each read that returned bytes, white space included
+	onValue    func(list string) // called with each value once it is complete
+	onPhase    func(phase)       // called with inValue when a value begins, and with betweenValues when it has ended
 
 	inValue   bool // a value has begun and is not complete
-	remaining int  // bytes that the value may still have
+	remaining int  // bytes that may still be read before the value is too long
 }
 
-// run reads the body until an error, which it returns.
+// run reads the body until it ends or fails, and returns the error: io.EOF if the body ended after a complete value.
 func (r *valueReader) run() error {
 	r.remaining = maxListBytes
 	decoder := json.NewDecoder(r)
@@ -38,7 +38,7 @@
 		if err := decoder.Decode(&list); err != nil {
 			return err
 		}
-		r.update(string(list))
+		r.onValue(string(list))
 		buffered, _ := io.ReadAll(decoder.Buffered())
 		buffered = bytes.TrimLeft(buffered, whiteSpace)
 		r.inValue = len(buffered) > 0
@@ -46,25 +46,25 @@
 		if len(list) > maxBufferBytes {
 			decoder = json.NewDecoder(io.MultiReader(bytes.NewReader(buffered), r))
 		}
-		r.phase(following)
+		r.onPhase(betweenValues)
 		if r.inValue {
-			r.phase(inValue)
+			r.onPhase(inValue)
 		}
 	}
 }
 
-// Read reads bytes of a value for the decoder.
+// Read returns bytes of a value to the decoder. It blocks while only white space arrives between values.
 func (r *valueReader) Read(p []byte) (int, error) {
 	for {
 		n, err := r.body.Read(p)
 		if n > 0 {
-			r.received()
+			r.onReceived()
 		}
 		if !r.inValue {
 			n = copy(p, bytes.TrimLeft(p[:n], whiteSpace))
 			r.inValue = n > 0
 			if r.inValue {
-				r.phase(inValue)
+				r.onPhase(inValue)
 			}
 		}
 		r.remaining -= n
@@ -77,10 +77,11 @@
 	}
 }
 
-// rawValue is the text of a JSON value as it was received.
+// rawValue is the text of a JSON value, exactly as received.
 type rawValue string
 
-// UnmarshalJSON copies the text once.
+// UnmarshalJSON copies the text out of the decoder's buffer. A json.RawMessage would be copied a second time to become
+// a string.
 func (v *rawValue) UnmarshalJSON(text []byte) error {
 	*v = rawValue(text)
 	return nil
--- a/internal/discovery/values_test.go
+++ b/internal/discovery/values_test.go
@@ -9,20 +9,20 @@
 	"ravensill/internal/golden"
 )
 
-// splitValues returns the values of a body, and the error that ended it.
+// splitValues returns the values of a body and the error at its end.
 func splitValues(body io.Reader) (values []string, err error) {
 	reader := &valueReader{
-		body:     body,
-		received: func() {},
-		update:   func(value string) { values = append(values, value) },
-		phase:    func(phase) {},
+		body:       body,
+		onReceived: func() {},
+		onValue:    func(value string) { values = append(values, value) },
+		onPhase:    func(phase) {},
 	}
 	err = reader.run()
 	return values, err
 }
 
-// splitCut describes the values of a text that is read in two pieces.
-func splitCut(text string, at int) string {
+// splitInTwoReads describes the values of a text whose first part, of the length at, is read separately.
+func splitInTwoReads(text string, at int) string {
 	values, err := splitValues(io.MultiReader(strings.NewReader(text[:at]), strings.NewReader(text[at:])))
 	var description strings.Builder
 	for _, value := range values {
@@ -32,7 +32,8 @@
 	return description.String()
 }
 
-// Values stand on a line each, are indented, or follow each other directly; a cut at any byte changes nothing.
+// Values may stand on a line each, be indented, or follow each other directly. Wherever a read ends within the body,
+// the same values must result.
 func TestValueReaderSplitsBodyCutAnywhere(t *testing.T) {
 	var trace strings.Builder
 	for _, text := range []string{
@@ -41,16 +42,16 @@
 		"{\"a b\":\"  \"}\nx",
 		"{} {",
 	} {
-		uncut := splitCut(text, len(text))
+		uncut := splitInTwoReads(text, len(text))
 		fmt.Fprintf(&trace, "%q\n%s", text, uncut)
 		for i := range text {
-			if got := splitCut(text, i); got != uncut {
-				t.Errorf("%q cut at %d: %s", text, i, got)
+			if got := splitInTwoReads(text, i); got != uncut {
+				t.Errorf("%q read in two parts, the first of %d bytes: %s", text, i, got)
 			}
 		}
 	}
 	tooLong := "[" + strings.Repeat("\n", maxListBytes)
-	fmt.Fprint(&trace, splitCut(strings.Repeat("\n", 2*maxListBytes)+"{}"+tooLong, 9))
+	fmt.Fprint(&trace, splitInTwoReads(strings.Repeat("\n", 2*maxListBytes)+"{}"+tooLong, 9))
 	golden.Check(t, trace.String())
 }
 
@@ -60,18 +61,18 @@
 		if at < 0 || at > len(text) {
 			return
 		}
-		uncut := splitCut(text, len(text))
-		got := splitCut(text, at)
+		uncut := splitInTwoReads(text, len(text))
+		got := splitInTwoReads(text, at)
 		if got != uncut {
-			t.Errorf("uncut %q, cut at %d %q", uncut, at, got)
+			t.Errorf("read at once %q, in two parts, the first of %d bytes, %q", uncut, at, got)
 		}
 	})
 }
 
-// A list of 87,000 endpoints arrives, and so does the one behind it, with a cut before the end of one or within the
-// other.
+// A list of 87,000 endpoints is short enough, and the next list is read although the decoder is replaced after a list
+// that long. The first read ends just before the end of the first list or within the second one.
 func TestValueReaderReadsListOfLargeFleet(t *testing.T) {
-	entry := server("s-00000", "10.100.100.100:6379", "active")
+	entry := entryText("s-00000", "10.100.100.100:6379", "active")
 	list := `{"servers":[` + strings.Repeat(entry+",\n    ", 87_000) + entry + `]}`
 	next := `{"version":2}`
 	for _, at := range []int{len(list) - 1, len(list) + 5} {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -14,26 +14,28 @@
 	"ravensill/internal/sockets"
 )
 
-// maxHeadBytes bounds the head of a response.
-const maxHeadBytes = 64 << 10
+// maxHeaderBytes bounds the header of a response, status line included.
+const maxHeaderBytes = 64 << 10
 
-// WatchOptions are the options of one watch. Its functions are called from one goroutine.
+// WatchOptions are the options of one watch. Its callbacks are called one at a time, by the goroutine that runs Watch.
 type WatchOptions struct {
 	System       sockets.System
-	Address      string // of the agent
-	AfterVersion int64  // version of the endpoint list: only later ones are wanted
+	Address      string // of the agent: IP address and port
+	AfterVersion int64  // the agent is asked for versions of the endpoint list later than this one
 
-	Timeouts *Timeouts    // of this watch alone
-	Pending  *PendingRead // of this watch alone
+	Timeouts *Timeouts    // not shared with another watch
+	Pending  *PendingRead // not shared with another watch
 
-	// OnReceived is called for any bytes of the body, also those of the empty lines that come while nothing changes.
+	// OnReceived is called when bytes of the body were received, including the empty lines that the agent sends while
+	// nothing changes.
 	OnReceived func()
-	// OnList is called for each list or change of it.
+	// OnList is called with the JSON text of each list, complete or of changes.
 	OnList func(list string)
 }
 
-// Watch follows the endpoint list of an agent. It returns the reason for which it ended: the connection, a timeout or
-// the context.
+// Watch requests the endpoint list from an agent and passes on each list until the watch ends. The error, never nil,
+// says why it ended: a connection that failed or was closed, a status other than 200, a malformed body, a timeout, the
+// end of the context, or a panic, which is logged.
 func Watch(ctx context.Context, options WatchOptions) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -50,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	request.Header.Set("User-Agent", "") // an empty one is not sent
+	request.Header.Set("User-Agent", "") // omits the header
 	response, err := transport.RoundTrip(request)
 	if err != nil {
 		return err
@@ -59,19 +61,20 @@
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("answer is %.40q", response.Status)
 	}
-	timeouts.enter(following, time.Now())
+	timeouts.enterPhase(betweenValues, time.Now())
 	reader := &valueReader{
-		body:     response.Body,
-		received: options.OnReceived,
-		update:   options.OnList,
-		phase:    func(phase phase) { timeouts.enter(phase, time.Now()) },
+		body:       response.Body,
+		onReceived: options.OnReceived,
+		onValue:    options.OnList,
+		onPhase:    func(phase phase) { timeouts.enterPhase(phase, time.Now()) },
 	}
 	return reader.run()
 }
 
-// newTransport returns the transport of one watch, which uses no proxy, keeps no connection and follows no redirect.
+// newTransport returns the HTTP transport of one watch. It uses no proxy, follows no redirect and does not reuse its
+// connection. Its dialer also moves the watch to awaitingHeader and makes the connection visible to pending.
 func newTransport(system sockets.System, timeouts *Timeouts, pending *PendingRead) *http.Transport {
-	timeouts.enter(connecting, time.Now())
+	timeouts.enterPhase(connecting, time.Now())
 	dialer := &net.Dialer{Deadline: timeouts.deadline()}
 	dial := func(ctx context.Context, _, address string) (net.Conn, error) {
 		conn, err := system.Dial(ctx, dialer, address)
@@ -83,7 +86,7 @@
 			conn.Close()
 			return nil, err
 		}
-		timeouts.enter(requested, time.Now())
+		timeouts.enterPhase(awaitingHeader, time.Now())
 		pending.conn.Store(watched)
 		return timedConn{watched, timeouts}, nil
 	}
@@ -91,16 +94,18 @@
 		DialContext:            dial,
 		DisableKeepAlives:      true,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: maxHeadBytes,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 }
 
-// timedConn is a connection whose reads have the deadlines of a watch.
+// timedConn is a connection whose reads end at the deadline of the watch's phase.
 type timedConn struct {
 	net.Conn
 	timeouts *Timeouts
 }
 
+// Read reads once more after the deadline, for up to finalReadTimeout: after a suspension of the process the deadline
+// is exceeded even if bytes arrived in time.
 func (c timedConn) Read(p []byte) (n int, err error) {
 	c.SetReadDeadline(c.timeouts.deadline())
 	n, err = c.Conn.Read(p)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -23,17 +23,18 @@
 	chunkedHead = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nTRANSFER-encoding: Chunked\r\n\r\n"
 	plainHead   = "HTTP/1.1 200 OK\r\n\r\n"
 
-	// testLimit is longer than any step of a test takes on a busy machine.
+	// testLimit is longer than any step of a test takes, even on a busy machine.
 	testLimit = 20 * time.Second
 )
 
-// What an agent does behind its response.
-func staySilent(conn net.Conn) { io.Copy(io.Discard, conn) }
-func closeConn(net.Conn)       {}
-func resetConn(conn net.Conn)  { conn.(*net.TCPConn).SetLinger(0) }
+// Functions for startAgent: what an agent does after its response.
+func keepOpen(conn net.Conn)  { io.Copy(io.Discard, conn) }
+func closeConn(net.Conn)      {}
+func resetConn(conn net.Conn) { conn.(*net.TCPConn).SetLinger(0) }
 
-// startAgent starts an agent that answers one request with a text and then calls behind. The channel has the request.
-func startAgent(t *testing.T, text string, behind func(net.Conn)) (address string, request chan string) {
+// startAgent starts an agent that answers one request with text and then calls afterResponse. Its request channel gets
+// the method, the URL and the number of headers.
+func startAgent(t *testing.T, text string, afterResponse func(net.Conn)) (address string, request chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -52,22 +53,22 @@
 			request <- fmt.Sprint(r.Method, " ", r.URL, " ", len(r.Header))
 		}
 		io.WriteString(conn, text)
-		behind(conn)
+		afterResponse(conn)
 	}()
 	return listener.Addr().String(), request
 }
 
-// longTimeouts are for tests in which no phase ends by its timeout.
+// longTimeouts returns timeouts for tests in which no phase reaches its timeout.
 func longTimeouts() *Timeouts {
-	return &Timeouts{limits: [phases]time.Duration{testLimit, testLimit, testLimit, testLimit}}
+	return &Timeouts{limits: [phaseCount]time.Duration{testLimit, testLimit, testLimit, testLimit}}
 }
 
-// watch runs a watch with timeouts that are never reached.
+// watch runs a watch with longTimeouts.
 func watch(ctx context.Context, address string, update func(string)) error {
-	return watchWithin(ctx, address, longTimeouts(), update)
+	return watchWithTimeouts(ctx, address, longTimeouts(), update)
 }
 
-func watchWithin(ctx context.Context, address string, timeouts *Timeouts, update func(string)) error {
+func watchWithTimeouts(ctx context.Context, address string, timeouts *Timeouts, update func(string)) error {
 	return Watch(ctx, WatchOptions{
 		System:       sockets.Kernel{},
 		Address:      address,
@@ -81,7 +82,7 @@
 
 func ignoreList(string) {}
 
-// A watch that falls silent ends, wherever in the response the silence begins.
+// A watch ends by a timeout if the agent falls silent at any point of the response.
 func TestWatchEndsWhenAgentFallsSilent(t *testing.T) {
 	const limit = 50 * time.Millisecond
 	for _, text := range []string{
@@ -90,27 +91,27 @@
 		chunkedHead + "1\r\n\n\r\n",
 		chunkedHead + "1\r\n{\r\n",
 	} {
-		address, _ := startAgent(t, text, staySilent)
+		address, _ := startAgent(t, text, keepOpen)
 		timeouts := longTimeouts()
-		timeouts.limits[requested] = limit
-		timeouts.limits[following] = limit
+		timeouts.limits[awaitingHeader] = limit
+		timeouts.limits[betweenValues] = limit
 		timeouts.limits[inValue] = limit
-		err := watchWithin(context.Background(), address, timeouts, ignoreList)
+		err := watchWithTimeouts(context.Background(), address, timeouts, ignoreList)
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("after %q: %v", text, err)
 		}
 	}
 }
 
-// The time of a head or a value counts from its beginning, so that bytes which trickle in don't extend it. Between
-// values each byte ends a silence.
+// The timeout of a header or a value counts from its beginning, so bytes that trickle in must not extend it: an agent
+// that sends a byte now and then would hold the watch for ever. Only between values does each byte restart the timeout.
 func TestWatchEndsWhenHeadOrValueTricklesIn(t *testing.T) {
 	for _, test := range []struct {
 		text    string
 		trickle string
 		phase   phase
 	}{
-		{"HTTP/1.1 200 OK\r\nx: ", "y", requested},
+		{"HTTP/1.1 200 OK\r\nx: ", "y", awaitingHeader},
 		{chunkedHead + "1\r\n{\r\n", "1\r\n \r\n", inValue},
 		{chunkedHead + "4\r\n{}\n{\r\n", "1\r\n\n\r\n", inValue},
 	} {
@@ -120,21 +121,21 @@
 			var err error
 			for err == nil {
 				_, err = io.WriteString(conn, test.trickle)
-				time.Sleep(2 * finalReadTimeout) // longer than a final read waits
+				time.Sleep(2 * finalReadTimeout) // so that the final read gets no byte
 			}
 		})
 		ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 		defer cancel()
-		err := watchWithin(ctx, address, timeouts, ignoreList)
+		err := watchWithTimeouts(ctx, address, timeouts, ignoreList)
 		if ctx.Err() != nil || timeouts.phase != test.phase {
 			t.Errorf("after %q: %v in phase %d", test.text, err, timeouts.phase)
 		}
 	}
 }
 
-// A response that is no list, or is cut, ends the watch with an error; the lists before it count.
+// A response that is not a list, or is cut short, ends the watch with an error. The lists before it are passed on.
 func TestWatchOfResponse(t *testing.T) {
-	t.Setenv("http_proxy", "http://127.0.0.1:1") // is not used
+	t.Setenv("http_proxy", "http://127.0.0.1:1") // must be ignored
 	var trace strings.Builder
 	for _, text := range []string{
 		chunkedHead + "4\r\n{\"a\"\r\nA;x=1\r\n:1}\n\n{\"b\":\r\n3\r\n2}\n\r\n1\r\n\n\r\n0\r\n\r\n",
@@ -146,7 +147,7 @@
 		"HTTP/1.1 302 Found\r\nLocation: /v1/servers\r\n\r\n",
 		"SSH-2.0\r\n",
 		"",
-		"HTTP/1.1 200 OK\r\nx: " + strings.Repeat("y", maxHeadBytes),
+		"HTTP/1.1 200 OK\r\nx: " + strings.Repeat("y", maxHeaderBytes),
 	} {
 		address, request := startAgent(t, text, closeConn)
 		received := false
@@ -164,19 +165,19 @@
 	golden.Check(t, regexp.MustCompile(`127.0.0.1:\d+`).ReplaceAllString(trace.String(), "ADDR"))
 }
 
-// A watch leaves no goroutine, however it ends.
+// A watch must not leak a goroutine, however it ends.
 func TestWatchLeavesNoGoroutine(t *testing.T) {
 	before := runtime.NumGoroutine()
 	for _, test := range []struct {
-		text   string
-		behind func(net.Conn)
+		text          string
+		afterResponse func(net.Conn)
 	}{
-		{chunkedHead, staySilent}, // ends by its context
+		{chunkedHead, keepOpen}, // ended by the context
 		{"HTTP/1.1 503 Gone\r\n\r\n", closeConn},
 		{chunkedHead + "2\r\n{]\r\n", closeConn},
 		{"?", closeConn},
 	} {
-		address, request := startAgent(t, test.text, test.behind)
+		address, request := startAgent(t, test.text, test.afterResponse)
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
 			<-request
@@ -189,19 +190,19 @@
 	limit := time.Now().Add(testLimit)
 	for runtime.NumGoroutine() > before {
 		if time.Now().After(limit) {
-			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
+			t.Fatalf("%d goroutines after the watches, %d before", runtime.NumGoroutine(), before)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A list counts once its last byte is there, whatever the connection's end: a length, chunks or neither. A list that is
-// cut does not count, even where the end of the connection ends the response.
+// A list is passed on once its last byte is there, even if the connection is reset before the response is complete. A
+// list that is cut short is not, even if the response has no length and so ends with the connection.
 func TestWatchOfResponseWithResetBehindIt(t *testing.T) {
 	const list = `{"version":1}`
 	ends := []struct {
-		name   string
-		behind func(net.Conn)
+		name          string
+		afterResponse func(net.Conn)
 	}{
 		{"ended", closeConn},
 		{"reset", resetConn},
@@ -216,7 +217,7 @@
 		{"half, chunk ended", chunkedHead + "9\r\n" + list[:9] + "\r\n0\r\n\r\n"},
 	} {
 		for _, end := range ends {
-			address, _ := startAgent(t, test.text, end.behind)
+			address, _ := startAgent(t, test.text, end.afterResponse)
 			lists := 0
 			err := watch(context.Background(), address, func(string) { lists++ })
 			fmt.Fprintf(&trace, "%s, %s: %d lists, %t\n", test.name, end.name, lists, err != nil)
@@ -225,26 +226,28 @@
 	golden.Check(t, trace.String())
 }
 
-// suspendedConn is the connection of a process that was suspended: deadlines are exceeded before the bytes are read.
+// suspendedConn behaves like a connection after its process was suspended: the first reads exceed their deadline
+// although bytes have arrived.
 type suspendedConn struct {
 	net.Conn
-	exceeded int // reads whose deadline is exceeded
+	expiredReads int // number of reads that still fail by their deadline
 }
 
 func (c *suspendedConn) SetReadDeadline(time.Time) error { return nil }
 
 func (c *suspendedConn) Read(p []byte) (int, error) {
-	c.exceeded--
-	if c.exceeded >= 0 {
+	c.expiredReads--
+	if c.expiredReads >= 0 {
 		return 0, os.ErrDeadlineExceeded
 	}
 	return copy(p, "{}"), nil
 }
 
-// A process that was suspended finds its deadline exceeded and bytes in the socket: the watch goes on.
+// After a suspension of the process, the deadline is exceeded although bytes wait in the socket. The watch must read
+// them and go on. Only if a second read exceeds its deadline too, the watch ends.
 func TestTimedConnReadsOnceMoreAfterDeadline(t *testing.T) {
 	for exceeded, want := range []string{"2 <nil>", "2 <nil>", "0 i/o timeout"} {
-		conn := timedConn{&suspendedConn{exceeded: exceeded}, NewTimeouts(false)}
+		conn := timedConn{&suspendedConn{expiredReads: exceeded}, NewTimeouts(false)}
 		n, err := conn.Read(make([]byte, 9))
 		if got := fmt.Sprint(n, " ", err); got != want {
 			t.Errorf("%d deadlines exceeded: %s, want %s", exceeded, got, want)
