--- a/internal/config/adjustments.go
+++ b/internal/config/adjustments.go
@@ -12,8 +12,8 @@
 const defaultCounterTimeout = 50 * time.Millisecond
 
 // Adjustment reports a setting that takes effect with another meaning than it was written with, because another setting
-// contradicts it. Contradictions are resolved instead of rejected: operators change the settings of running
-// deployments, and a gateway that refuses to start over two such settings serves nobody.
+// contradicts it or the gateway does not support it. Contradictions are resolved instead of rejected: operators change
+// the settings of running deployments, and a gateway that refuses to start over two such settings serves nobody.
 type Adjustment struct {
 	// Key is the path of the setting, in the file under the key settings, such as "plans.3.burst". For a resource of a
 	// published document it begins with the resource, such as "plans/gold: burst".
@@ -31,8 +31,8 @@
 
 // resolveConflicts adjusts settings that contradict each other, so that three rules hold: no request that is not
 // idempotent runs twice, each quota and ceiling that is set is enforced, and a feature that can't be provided is turned
-// off. A key that is absent contradicts nothing and is not reported. planAdjustments are those that were made to each
-// quota plan on its own.
+// off. A key that is absent contradicts nothing and, except for target_us, is not reported. planAdjustments are those
+// that were made to each quota plan on its own.
 func (s *Settings) resolveConflicts(reader *objectReader, planAdjustments []Adjustment) {
 	s.resolveCounterTimeout()
 	if s.EqualWeights {
@@ -53,6 +53,8 @@
 	s.reportDuplicateNames("plans", s.PlanNames)
 }
 
+// resolveCounterTimeout ignores the timeout of the shared counter if the counter is off, and sets the default if it is
+// on.
 func (s *Settings) resolveCounterTimeout() {
 	limits := &s.Limits
 	switch {
@@ -64,6 +66,8 @@
 	}
 }
 
+// resolveLoadReport turns load reports off if they would come with probes and probes are off, or if they are off and
+// the settings still list their fields.
 func (s *Settings) resolveLoadReport(reader *objectReader) {
 	if s.LoadReport.WithProbes && reader.valueIs("limits.probes", "false") {
 		s.adjust("report.how", "as off: limits.probes is false, so that no report comes")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,8 +24,9 @@
 	// InitialEndpointList is the endpoint list to start with, as JSON text; it may be empty. It is a substring of the
 	// file's text and keeps all of it in memory.
 	InitialEndpointList string
-	// StartupKeysHash is a hash of the keys that take effect only at a start. It can be compared only with hashes made
-	// by the same process.
+	// StartupKeysHash is a hash of all keys of the file except discovery, known and seed. A difference after a reload
+	// means that keys have changed that take effect only at the next start. Hashes of different processes can't be
+	// compared.
 	StartupKeysHash uint64
 
 	*Settings
@@ -123,7 +124,8 @@
 	}
 }
 
-// readConfiguration reads the section on the publishers of the configuration. With it, quota plans need an ID.
+// readConfiguration reads the section on the publishers of the configuration. If there is one, it also assigns IDs to
+// the quota plans of the file.
 func (c *Config) readConfiguration(f *file) (err error) {
 	c.Configuration, err = decodeConfiguration(f.section("configuration"))
 	if err == nil && c.Configuration != nil {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -91,7 +91,7 @@
 
 var startupKeysSeed = maphash.MakeSeed()
 
-// hashStartupKeys hashes the keys that take effect only at a start: all but discovery, known and seed.
+// hashStartupKeys hashes all keys of the file except discovery, known and seed.
 func hashStartupKeys(document gjson.Result) uint64 {
 	var hash maphash.Hash
 	hash.SetSeed(startupKeysSeed)
--- a/internal/config/live_decode.go
+++ b/internal/config/live_decode.go
@@ -90,7 +90,7 @@
 }
 
 // planID returns the ID of a quota plan. It returns an error if another name has the same ID, or had it in an earlier
-// version: other gateways may still gossip what they admitted to that plan.
+// version: other gateways may still gossip what they admitted to that plan. It records an ID that is new in the edit.
 func (l *Live) planID(edit *liveEdit, name string) (uint32, error) {
 	id := configsync.PlanID(name)
 	otherName, taken := l.planNamesByID[id]
@@ -120,6 +120,7 @@
 	return fmt.Sprintf("the name's identity %08x is that of plan %q; another name is wanted", e.ID, e.OtherName)
 }
 
+// stageClass decodes one request class. It applies the adjustments for the file's limits except for hedging.
 func (l *Live) stageClass(edit *liveEdit, change *configsync.Change, name string) error {
 	if change.IsRemoval() {
 		l.classes.remove(&edit.classes, name)
@@ -147,6 +148,8 @@
 	return nil
 }
 
+// stageLimits decodes the resource of the limits. A key that its object lacks is zero, not as in the file. Limits that
+// documents can't change stay those of the file.
 func (l *Live) stageLimits(edit *liveEdit, change *configsync.Change) error {
 	if change.IsRemoval() {
 		edit.limits = l.file.limits
--- a/internal/config/live_test.go
+++ b/internal/config/live_test.go
@@ -163,7 +163,7 @@
 		changes []configsync.Change
 		want    error
 	}{
-		{changesOf(`members/1 `), nil}, // a publisher is no member that could be missing
+		{changesOf(`members/1 `), nil}, // allowed, since a publisher is not a member itself
 		{changesOf(`members/0 `), errMemberGap},
 		{changesOf(`plans/gold `), nil},
 		{changesOf(`plans/gold `, `plans/silver `), errLastPlan},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -35,8 +35,9 @@
 	Adjusted []Adjustment // settings that take effect with another meaning than written
 }
 
-// DecodeSettings decodes the JSON object that the file has under the key settings. It adjusts contradicting settings
-// but sets no defaults. An error about one key is a *KeyError.
+// DecodeSettings decodes the JSON object that the file has under the key settings, and adjusts contradicting settings.
+// Unlike Load it accepts incomplete request classes and plans, and leaves timeouts of connections to hosts at zero if
+// they are not set. An error about one key is a *KeyError.
 func DecodeSettings(text string) (*Settings, error) {
 	reader, err := newObjectReader("", text)
 	if err != nil {
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -120,7 +120,7 @@
 
 const noEntry = -1
 
-// listEntry is one valid entry of a list.
+// listEntry is one entry of a list, decoded, whose endpoint is known well enough to be used.
 type listEntry struct {
 	gateway.Endpoint
 	id         string
