--- a/internal/publisher/admin.go
+++ b/internal/publisher/admin.go
@@ -40,7 +40,7 @@
 		writeJSON(w, http.StatusOK, p.Status())
 	})
 	mux.HandleFunc("GET /v1/fleet", func(w http.ResponseWriter, r *http.Request) {
-		writeJSON(w, http.StatusOK, p.Fleet(r.Context()))
+		writeJSON(w, http.StatusOK, p.FleetStatus(r.Context()))
 	})
 	return mux
 }
@@ -183,7 +183,7 @@
 func statusOf(err error) int {
 	var notLeader *NotLeaderError
 	var conflict *configsync.ConflictError
-	var history *HistoryError
+	var history *VersionNotInHistoryError
 	switch {
 	case errors.As(err, &notLeader), errors.Is(err, consensus.ErrNotLeader), errors.Is(err, consensus.ErrUnknownOutcome):
 		return http.StatusServiceUnavailable
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -70,10 +70,10 @@
 }
 
 // Start opens the replica's log and its listeners.
-func Start(cfg *config.Publisher) (*Publisher, error) { return StartWith(cfg, Options{}) }
+func Start(cfg *config.Publisher) (*Publisher, error) { return StartWithOptions(cfg, Options{}) }
 
-// StartWith is Start with options.
-func StartWith(cfg *config.Publisher, options Options) (*Publisher, error) {
+// StartWithOptions is Start with options.
+func StartWithOptions(cfg *config.Publisher, options Options) (*Publisher, error) {
 	if options.Sockets == nil {
 		options.Sockets = sockets.Kernel{}
 	}
--- a/lab/rollout/admin.go
+++ b/lab/rollout/admin.go
@@ -147,7 +147,7 @@
 				continue
 			}
 			status, err := p.Status(ctx, i)
-			if err == nil && status.Leads {
+			if err == nil && status.IsLeader {
 				return i, nil
 			}
 		}
--- a/lab/rollout/figures.go
+++ b/lab/rollout/figures.go
@@ -154,8 +154,8 @@
 func gatewayCost(load *fleet.Report, elapsed time.Duration) Cost {
 	var before, after []fleet.Usage
 	for i := range load.Gateways {
-		before = append(before, load.Gateways[i].Before)
-		after = append(after, load.Gateways[i].Usage)
+		before = append(before, load.Gateways[i].UsageAtStart)
+		after = append(after, load.Gateways[i].UsageAtEnd)
 	}
 	return newCost(before, after, elapsed)
 }
--- a/lab/rollout/hollow/followers.go
+++ b/lab/rollout/hollow/followers.go
@@ -239,7 +239,7 @@
 		Accepted:        counters.Accepted,
 		Refused:         counters.Refused,
 		Deferred:        counters.SnapshotsDeferred,
-		Unsaved:         status.Unsaved,
+		Unsaved:         status.UnsavedVersions,
 		LostConnections: counters.ConnectionsLost,
 		GivenUp:         counters.Silent + counters.NoQuorum + counters.Stalled + counters.Behind + counters.LogMismatches,
 		Broken:          counters.MalformedMessages + counters.VersionGaps + counters.DigestMismatches,
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -92,7 +92,7 @@
 	what := fmt.Sprintf("%s to count %d malformed connections", publisherName(i), len(hostile))
 	return r.waitUntil(ctx, what, func() bool {
 		now, err := r.Publishers.Status(ctx, i)
-		return err == nil && now.Counters.Malformed == before.Counters.Malformed+int64(len(hostile))
+		return err == nil && now.Counters.MalformedMessages == before.Counters.MalformedMessages+int64(len(hostile))
 	})
 }
 
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -110,13 +110,13 @@
 			return nil, err
 		}
 		p.processes = append(p.processes, fleet.NewProcess(fleet.ProcessOptions{
-			Name:       publisherName(i),
-			Index:      i,
-			Binary:     binary,
-			Variable:   "PUBLISHER_CONFIG",
-			ReadyEvent: "publisher_started",
-			Dir:        filepath.Join(plan.Dir, publisherName(i), "work"),
-			Config:     cfg,
+			Name:           publisherName(i),
+			Index:          i,
+			Binary:         binary,
+			ConfigVariable: "PUBLISHER_CONFIG",
+			ReadyEvent:     "publisher_started",
+			Dir:            filepath.Join(plan.Dir, publisherName(i), "work"),
+			Config:         cfg,
 		}))
 	}
 	err = p.forEach(func(process *fleet.Process) error { return errors.Join(process.Launch(), process.WaitServing(ctx)) })
@@ -150,7 +150,7 @@
 	for k, addresses := range p.addresses {
 		way := addresses.raft.String()
 		if k != i && plan.Relay != nil {
-			stream, err := plan.Relay.Stream(publisherName(i), publisherName(k), way)
+			stream, err := plan.Relay.AddStream(publisherName(i), publisherName(k), way)
 			if err != nil {
 				return nil, err
 			}
@@ -238,7 +238,7 @@
 // Crashes returns which publishers printed a stack trace or ended by themselves.
 func (p *Publishers) Crashes() (crashes []string) {
 	for _, process := range p.processes {
-		if process.EventCounts()[fleet.UnnamedLine] > 0 {
+		if process.EventCounts()[fleet.LineWithoutEvent] > 0 {
 			crashes = append(crashes, fmt.Sprintf("%s printed a trace", process.Name))
 		}
 		for range fleet.UnexpectedExits(process.Events()) {
--- a/lab/rollout/refusals.go
+++ b/lab/rollout/refusals.go
@@ -60,7 +60,7 @@
 	shown := false
 	for i := range states {
 		for _, follower := range states[i].Followers {
-			if follower.Refused == 0 {
+			if follower.RefusedVersion == 0 {
 				continue
 			}
 			if !refusalOf(&follower, member, version) {
@@ -74,9 +74,9 @@
 
 // refusalOf reports whether a follower is a member that refused a version because of its own resource.
 func refusalOf(follower *publisher.Follower, member int, version configsync.Version) bool {
-	resource := string(follower.Resource)
-	return follower.Member == member && follower.Refused == version && follower.InForce < version &&
-		resource == memberResource(member) && follower.Reason != ""
+	resource := string(follower.RefusedResource)
+	return follower.Member == member && follower.RefusedVersion == version && follower.InForce < version &&
+		resource == memberResource(member) && follower.RefusalReason != ""
 }
 
 // WaitNoRefusals returns a step that waits until the publishers show no refusal any more.
@@ -89,7 +89,7 @@
 			}
 			for i := range states {
 				for _, follower := range states[i].Followers {
-					if follower.Connected && follower.Refused > 0 {
+					if follower.Connected && follower.RefusedVersion > 0 {
 						return false
 					}
 				}
@@ -209,7 +209,7 @@
 func CheckLogLines(event string, count int, members ...int) Step {
 	return Step{fmt.Sprintf("%d lines of %s", count, event), func(_ context.Context, r *Run) error {
 		for _, member := range members {
-			lines := r.Fleet.Gateway(member).Lines(event)
+			lines := r.Fleet.Gateway(member).EventLines(event)
 			if len(lines) != count {
 				return fmt.Errorf("%s logged it %d times: %s",
 					fleet.GatewayName(member), len(lines), strings.Join(lines, "\n"))
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -139,7 +139,7 @@
 	var links []*relay.Stream
 	for i, publisher := range r.Publishers.addresses {
 		target := publisher.followers.String()
-		stream, err := r.Fleet.Relay.Stream(fleet.GatewayName(member), publisherName(i), target)
+		stream, err := r.Fleet.Relay.AddStream(fleet.GatewayName(member), publisherName(i), target)
 		if err != nil {
 			return nil, err
 		}
@@ -229,7 +229,7 @@
 	r.Record.Crashes = r.Publishers.Crashes()
 	r.publishersAfter = r.Publishers.usage()
 	for member, gateway := range r.Fleet.Gateways() {
-		r.Record.Histories[member].Counters = countersOf(gateway.Lines("configuration_status"))
+		r.Record.Histories[member].Counters = countersOf(gateway.EventLines("configuration_status"))
 	}
 	var err error
 	r.Record.Publishers, err = r.Publishers.states(ctx)
--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -167,7 +167,7 @@
 	gateways := s.hollow.configuration.Membership.Count
 	// A customer's name and first gateway are the same as in lab/emulator.
 	name := fmt.Sprintf("%08x%08x", s.clients.Seed&1, s.random.IntN(s.clients.Customers)+1)
-	first := int(emulator.Uniform("first", name, strconv.FormatUint(s.clients.Seed, 16)) * float64(gateways))
+	first := int(emulator.UniformHash("first", name, strconv.FormatUint(s.clients.Seed, 16)) * float64(gateways))
 	s.hollow.Request(Request{
 		ID:           fmt.Sprintf("%08x%08x", s.Index(), s.requests),
 		Customer:     name,
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -154,7 +154,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), *most)
 	defer cancel()
-	binary, err := fleet.Binary()
+	binary, err := fleet.GatewayBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
