--- a/internal/publisher/admin.go
+++ b/internal/publisher/admin.go
@@ -16,25 +16,26 @@
 	"ravensill/internal/strictjson"
 )
 
-// forwardedHeader marks a request that another replica forwarded to the leader, so that it isn't forwarded again.
+// forwardedHeader is set on a request that a replica forwards to the leader. Its value is the index of that replica. A
+// request with this header is never forwarded again, which prevents loops while replicas disagree about the leader.
 const forwardedHeader = "Ravensill-Forwarded"
 
-// handler returns the HTTP interface for operators:
+// handler returns the HTTP API for operators:
 //
-//	PUT /v1/configuration    the complete content: {"plans": [..], "profiles": [..], "peers": [..], "limits": {..}}
-//	PATCH /v1/configuration  {"set": {resource: value}, "remove": [resource]}
-//	GET /v1/configuration    the content in force by resource
-//	POST /v1/rollback        {"to": version}: its content as a new version
-//	GET /v1/status           this replica's Status
-//	GET /v1/fleet            FleetStatus: the followers of all replicas
+//	PUT /v1/configuration    replaces the whole content: {"plans": [..], "profiles": [..], "peers": [..], "limits": {..}}
+//	PATCH /v1/configuration  changes some resources: {"set": {resource: value}, "remove": [resource]}
+//	GET /v1/configuration    returns the current version and its content, by resource
+//	POST /v1/rollback        {"to": version}: publishes the content of that version as a new version
+//	GET /v1/status           returns the Status of this replica
+//	GET /v1/fleet            returns the FleetStatus: all replicas and their followers
 //
-// Changes are forwarded to the leader. With the header If-Match, a quoted version, a change is made only if that is the
-// current version (RFC 9110, section 13.1.1).
+// A replica that doesn't lead forwards PUT, PATCH and POST to the leader. If such a request has the header If-Match
+// with a version in quotes, it succeeds only if that is the current version (RFC 9110, section 13.1.1).
 func (p *Publisher) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT /v1/configuration", p.atLeader(parsePut))
-	mux.HandleFunc("PATCH /v1/configuration", p.atLeader(parsePatch))
-	mux.HandleFunc("POST /v1/rollback", p.atLeader(parseRollback))
+	mux.HandleFunc("PUT /v1/configuration", p.changeHandler(parsePut))
+	mux.HandleFunc("PATCH /v1/configuration", p.changeHandler(parsePatch))
+	mux.HandleFunc("POST /v1/rollback", p.changeHandler(parseRollback))
 	mux.HandleFunc("GET /v1/configuration", p.getConfiguration)
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, p.Status())
@@ -45,18 +46,20 @@
 	return mux
 }
 
-// atLeader returns a handler that handles a change at this replica, or forwards it if another one leads.
-func (p *Publisher) atLeader(parse func(body string) (draft, error)) http.HandlerFunc {
+// changeHandler returns a handler for requests that change the configuration. It forwards a request to the leader if
+// another replica leads and the request was not forwarded before. Otherwise it publishes the change at this replica,
+// which fails with a NotLeaderError if this replica does not lead.
+func (p *Publisher) changeHandler(parse func(body string) (changeFunc, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		leader := p.replica.LeaderIndex()
-		elsewhere := leader >= 0 && leader < len(p.cfg.Admin) && leader != p.cfg.Index
-		if elsewhere && r.Header.Get(forwardedHeader) == "" {
+		ledElsewhere := leader >= 0 && leader < len(p.cfg.Admin) && leader != p.cfg.Index
+		if ledElsewhere && r.Header.Get(forwardedHeader) == "" {
 			p.forward(w, r, leader)
 			return
 		}
-		publication, err := p.change(w, r, parse)
+		publication, err := p.publishRequest(w, r, parse)
 		if err != nil {
-			p.counters.rejected.Add(1)
+			p.counters.rejectedRequests.Add(1)
 			writeError(w, err)
 			return
 		}
@@ -64,7 +67,8 @@
 	}
 }
 
-// forward sends a request to the leader and returns its response.
+// forward proxies a request to the replica with index leader. If that replica can't be reached, the answer is a
+// NotLeaderError that names it.
 func (p *Publisher) forward(w http.ResponseWriter, r *http.Request, leader int) {
 	target := &url.URL{Scheme: "http", Host: p.cfg.Admin[leader].String()}
 	proxy := &httputil.ReverseProxy{
@@ -73,20 +77,21 @@
 			request.Out.Header.Set(forwardedHeader, strconv.Itoa(p.cfg.Index))
 		},
 		ErrorHandler: func(w http.ResponseWriter, _ *http.Request, _ error) {
-			p.counters.rejected.Add(1)
+			p.counters.rejectedRequests.Add(1)
 			writeError(w, &NotLeaderError{leader})
 		},
 	}
 	proxy.ServeHTTP(w, r)
 }
 
-// change reads a request for a change and publishes it.
-func (p *Publisher) change(
+// publishRequest reads the change from a request and publishes it. parse decodes the body, which must not be longer
+// than configsync.MaxCommandBytes.
+func (p *Publisher) publishRequest(
 	w http.ResponseWriter,
 	r *http.Request,
-	parse func(body string) (draft, error),
+	parse func(body string) (changeFunc, error),
 ) (Publication, error) {
-	base, err := ifMatch(r)
+	base, err := parseIfMatch(r)
 	if err != nil {
 		return Publication{}, err
 	}
@@ -101,8 +106,9 @@
 	return p.publish(changesFor, base)
 }
 
-// ifMatch returns the version that a request is made for, or nil if it is made for any.
-func ifMatch(r *http.Request) (*configsync.Version, error) {
+// parseIfMatch returns the version in the header If-Match, which the change requires to be the current one. It returns
+// nil if the header is missing or *, which allows any current version.
+func parseIfMatch(r *http.Request) (*configsync.Version, error) {
 	text := r.Header.Get("If-Match")
 	if text == "" || text == "*" {
 		return nil, nil
@@ -115,23 +121,23 @@
 	return &version, nil
 }
 
-func parsePut(body string) (draft, error) {
+func parsePut(body string) (changeFunc, error) {
 	wanted, err := parseContent(body)
 	if err != nil {
 		return nil, err
 	}
-	return putDraft(wanted), nil
+	return putChangeFunc(wanted), nil
 }
 
-func parsePatch(body string) (draft, error) {
+func parsePatch(body string) (changeFunc, error) {
 	changes, err := parseChanges(body)
 	if err != nil {
 		return nil, err
 	}
-	return patchDraft(changes), nil
+	return patchChangeFunc(changes), nil
 }
 
-func parseRollback(body string) (draft, error) {
+func parseRollback(body string) (changeFunc, error) {
 	var request struct {
 		To *configsync.Version `json:"to"`
 	}
@@ -142,16 +148,16 @@
 	if request.To == nil {
 		return nil, &RequestError{"to", "missing"}
 	}
-	return rollbackDraft(*request.To), nil
+	return rollbackChangeFunc(*request.To), nil
 }
 
-// configurationBody is the body of the answer to GET /v1/configuration.
+// configurationBody is the body of a response to GET /v1/configuration.
 type configurationBody struct {
 	Resources map[configsync.Resource]json.RawMessage `json:"resources"`
 	Version   configsync.Version                      `json:"version"`
 }
 
-// errorBody is the body of an answer with an error.
+// errorBody is the body of a response with an error status.
 type errorBody struct {
 	Error string `json:"error"`
 }
@@ -169,27 +175,28 @@
 	writeJSON(w, http.StatusOK, configurationBody{Resources: resources, Version: version})
 }
 
-// writeError answers with an error, whose text begins with the path of the key at fault, if there is one.
+// writeError responds with the HTTP status and the text of an error. If one key of the request is at fault, the text
+// begins with the path of that key.
 func writeError(w http.ResponseWriter, err error) {
-	status := statusOf(err)
+	status := httpStatus(err)
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", "1")
 	}
 	writeJSON(w, status, errorBody{err.Error()})
 }
 
-// statusOf returns the HTTP status for an error of publish. All other errors are faults of the request: those of the
-// decoder and of the rules of configsync.State.
-func statusOf(err error) int {
+// httpStatus returns the HTTP status for an error of publishRequest. Errors that are not listed here are faults of the
+// request: it could not be decoded, or configsync.State or a gateway would not accept the changes.
+func httpStatus(err error) int {
 	var notLeader *NotLeaderError
 	var conflict *configsync.ConflictError
-	var history *VersionNotInHistoryError
+	var notInHistory *VersionNotInHistoryError
 	switch {
 	case errors.As(err, &notLeader), errors.Is(err, consensus.ErrNotLeader), errors.Is(err, consensus.ErrUnknownOutcome):
 		return http.StatusServiceUnavailable
 	case errors.As(err, &conflict):
 		return http.StatusPreconditionFailed
-	case errors.As(err, &history):
+	case errors.As(err, &notInHistory):
 		return http.StatusGone
 	}
 	return http.StatusBadRequest
--- a/internal/publisher/content.go
+++ b/internal/publisher/content.go
@@ -12,9 +12,9 @@
 	"ravensill/internal/strictjson"
 )
 
-// RequestError reports a fault of a request, by the path of the key at fault.
+// RequestError reports that a request from an operator is not valid.
 type RequestError struct {
-	Path   string // empty: no single key is at fault
+	Path   string // path of the key at fault, such as plans.0.name; empty: no single key is at fault
 	Reason string
 }
 
@@ -25,15 +25,16 @@
 	return e.Path + ": " + e.Reason
 }
 
-// completeContent is the body of PUT /v1/configuration: keys as in the gateway's settings, and its peers.
+// completeContent is the body of PUT /v1/configuration. Its keys are those of a gateway's settings file, plus the list
+// of all gateways. The name of this type is part of the error texts of encoding/json, which operators receive.
 type completeContent struct {
 	Plans    []json.RawMessage `json:"plans"`
 	Profiles []json.RawMessage `json:"profiles"`
-	Peers    []string          `json:"peers"` // by member index
+	Peers    []string          `json:"peers"` // addresses of the gateways, by member index
 	Limits   json.RawMessage   `json:"limits"`
 }
 
-// parseContent returns the resources of a complete content.
+// parseContent decodes the body of PUT /v1/configuration into resources. Its errors are of type *RequestError.
 func parseContent(body string) (map[configsync.Resource][]byte, error) {
 	var content completeContent
 	err := strictjson.Decode(body, &content)
@@ -41,11 +42,11 @@
 		return nil, &RequestError{Reason: err.Error()}
 	}
 	resources := map[configsync.Resource][]byte{}
-	err = addNamed(resources, configsync.PlanPrefix, "plans", content.Plans)
+	err = addNamedResources(resources, configsync.PlanPrefix, "plans", content.Plans)
 	if err != nil {
 		return nil, err
 	}
-	err = addNamed(resources, configsync.ClassPrefix, "profiles", content.Profiles)
+	err = addNamedResources(resources, configsync.ClassPrefix, "profiles", content.Profiles)
 	if err != nil {
 		return nil, err
 	}
@@ -57,13 +58,14 @@
 		}
 	}
 	if len(content.Limits) > 0 {
-		resources[configsync.LimitsResource] = compact(content.Limits)
+		resources[configsync.LimitsResource] = compactJSON(content.Limits)
 	}
 	return resources, nil
 }
 
-// addNamed adds the objects of the list under a key, each as a resource with the prefix and its name.
-func addNamed(
+// addNamedResources adds each JSON object of a list to resources, under the prefix followed by the object's name. key
+// is the key of the list in the request, for the paths in errors.
+func addNamedResources(
 	resources map[configsync.Resource][]byte,
 	prefix configsync.Resource,
 	key string,
@@ -83,18 +85,20 @@
 		if _, twice := resources[resource]; twice {
 			return &RequestError{path + ".name", fmt.Sprintf("%q is given twice", object.Name)}
 		}
-		resources[resource] = compact(text)
+		resources[resource] = compactJSON(text)
 	}
 	return nil
 }
 
-// partialContent is the body of PATCH /v1/configuration.
+// partialContent is the body of PATCH /v1/configuration. The name of this type is part of the error texts of
+// encoding/json, which operators receive.
 type partialContent struct {
 	Set    map[configsync.Resource]json.RawMessage `json:"set"`
 	Remove []configsync.Resource                   `json:"remove"`
 }
 
-// parseChanges returns the changes of a partial content.
+// parseChanges decodes the body of PATCH /v1/configuration into changes, at most one of each resource. Its errors are
+// of type *RequestError.
 func parseChanges(body string) ([]configsync.Change, error) {
 	var content partialContent
 	err := strictjson.Decode(body, &content)
@@ -103,7 +107,7 @@
 	}
 	var changes []configsync.Change
 	for _, resource := range slices.Sorted(maps.Keys(content.Set)) {
-		changes = append(changes, configsync.Change{Resource: resource, Value: compact(content.Set[resource])})
+		changes = append(changes, configsync.Change{Resource: resource, Value: compactJSON(content.Set[resource])})
 	}
 	removed := map[configsync.Resource]bool{}
 	for i, resource := range content.Remove {
@@ -117,8 +121,9 @@
 	return changes, nil
 }
 
-// compact removes spaces, so that another layout is no change. The text was decoded before, so it is valid JSON.
-func compact(text json.RawMessage) []byte {
+// compactJSON removes insignificant white space, so that a resource that differs only in its formatting counts as
+// unchanged. The text must be valid JSON; callers have decoded it before.
+func compactJSON(text json.RawMessage) []byte {
 	var buffer bytes.Buffer
 	if json.Compact(&buffer, text) != nil {
 		return text
--- a/internal/publisher/export_test.go
+++ b/internal/publisher/export_test.go
@@ -1,4 +1,4 @@
 package publisher
 
-// TakeSnapshot has the replica's state written to its disk now.
+// TakeSnapshot makes the replica write a snapshot of its state to disk now, whatever the length of its log.
 func (p *Publisher) TakeSnapshot() error { return p.replica.Snapshot() }
--- a/internal/publisher/fleet.go
+++ b/internal/publisher/fleet.go
@@ -12,40 +12,43 @@
 	"time"
 )
 
-// fleetTimeout bounds the wait for the other replicas.
+// fleetTimeout is the longest time that FleetStatus waits for the other replicas.
 const fleetTimeout = 2 * time.Second
 
 // FleetStatus is the status of all replicas and of their followers.
 type FleetStatus struct {
 	Replicas []ReplicaStatus `json:"replicas"`
 
-	// Followers are sorted by member index. Each is as its present replica reports it, or the latest one.
+	// Followers has each gateway once, sorted by member index. The entry is from the replica that the gateway is
+	// connected to, or from the replica with its latest message if it is not connected.
 	Followers []Follower `json:"followers"`
 }
 
-// ReplicaStatus is the status of a replica without its followers, or the error of the request for it.
+// ReplicaStatus is the status of a replica without its followers, or the error of the request for that status.
 type ReplicaStatus struct {
-	*Status
-	Replica int    `json:"replica"`
-	Error   string `json:"error,omitempty"`
+	*Status        // nil: the request failed
+	Replica int    `json:"replica"`         // index of the replica, set even if Status is nil
+	Error   string `json:"error,omitempty"` // empty: Status is set
 }
 
-// FleetStatus returns the status of all replicas. It requests those of the others and waits for them for a short time.
+// FleetStatus returns the status of all replicas and their followers. It requests the status of the other replicas over
+// HTTP and waits for them for at most fleetTimeout.
 func (p *Publisher) FleetStatus(ctx context.Context) *FleetStatus {
 	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 	defer cancel()
 	fleet := &FleetStatus{Replicas: make([]ReplicaStatus, len(p.cfg.Admin))}
 	var requests sync.WaitGroup
 	for i := range fleet.Replicas {
-		requests.Go(func() { fleet.Replicas[i] = p.statusAt(ctx, i) })
+		requests.Go(func() { fleet.Replicas[i] = p.replicaStatus(ctx, i) })
 	}
 	requests.Wait()
 	fleet.Followers = mergeFollowers(fleet.Replicas)
 	return fleet
 }
 
-// statusAt returns the status of a replica, which it requests unless the replica is this one.
-func (p *Publisher) statusAt(ctx context.Context, replica int) ReplicaStatus {
+// replicaStatus returns the status of the replica with an index. It requests the status over HTTP unless the replica is
+// this one.
+func (p *Publisher) replicaStatus(ctx context.Context, replica int) ReplicaStatus {
 	if replica == p.cfg.Index {
 		return ReplicaStatus{Status: p.Status(), Replica: replica}
 	}
@@ -73,8 +76,8 @@
 	return status, json.NewDecoder(response.Body).Decode(status)
 }
 
-// mergeFollowers moves the followers out of the statuses of the replicas, each gateway once: as reported by the
-// replica that it is connected to, or otherwise by the one with its latest message.
+// mergeFollowers removes the followers from the replicas' statuses and returns them, each gateway once and sorted by
+// member index. Several replicas may report a gateway that has reconnected; newerThan selects the entry.
 func mergeFollowers(replicas []ReplicaStatus) []Follower {
 	latest := map[int]Follower{}
 	for _, replica := range replicas {
@@ -94,6 +97,8 @@
 	return followers
 }
 
+// newerThan reports whether f supersedes another replica's entry of the same gateway: a connected entry precedes one
+// that is not, and among equals the one with the later message precedes.
 func (f *Follower) newerThan(other *Follower) bool {
 	if f.Connected != other.Connected {
 		return f.Connected
--- a/internal/publisher/follower_test.go
+++ b/internal/publisher/follower_test.go
@@ -15,16 +15,16 @@
 	"ravensill/internal/publishertest"
 )
 
-const waitTimeout = 60 * time.Second // of a connection
+const waitTimeout = 60 * time.Second // for all reads and writes of one connection
 
-// follower is the connection of a gateway.
+// follower is a connection to a replica, driven by the test in place of a gateway.
 type follower struct {
 	t      *testing.T
 	conn   *net.TCPConn
 	reader *frames.Reader
 }
 
-// follow connects to a replica and sends messages.
+// follow connects to replica i and sends messages. The connection is closed at the end of the test.
 func follow(t *testing.T, g *publishertest.Group, i int, messages ...configsync.Message) *follower {
 	t.Helper()
 	conn, err := net.DialTCP("tcp4", nil, net.TCPAddrFromAddrPort(g.Configs[i].Listen))
@@ -47,7 +47,7 @@
 	}
 }
 
-func (f *follower) next() configsync.Message {
+func (f *follower) nextMessage() configsync.Message {
 	f.t.Helper()
 	m, err := f.reader.Next()
 	if err != nil {
@@ -56,21 +56,23 @@
 	return m
 }
 
-func (f *follower) heartbeat() *configsync.Heartbeat {
+// nextHeartbeat reads until a heartbeat and returns it.
+func (f *follower) nextHeartbeat() *configsync.Heartbeat {
 	f.t.Helper()
 	for {
-		heartbeat, ok := f.next().(*configsync.Heartbeat)
+		heartbeat, ok := f.nextMessage().(*configsync.Heartbeat)
 		if ok {
 			return heartbeat
 		}
 	}
 }
 
-// version reads up to the next version and returns it with its digest.
-func (f *follower) version() (configsync.Version, configsync.Digest) {
+// nextVersion reads until a version is complete, as a delta or as the last part of a snapshot, and returns it with its
+// digest.
+func (f *follower) nextVersion() (configsync.Version, configsync.Digest) {
 	f.t.Helper()
 	for {
-		switch m := f.next().(type) {
+		switch m := f.nextMessage().(type) {
 		case *configsync.Delta:
 			return m.To, m.Digest
 		case *configsync.SnapshotPart:
@@ -81,7 +83,7 @@
 	}
 }
 
-// waitClosed reads until the replica ends the connection.
+// waitClosed reads until the replica closes the connection, which has to happen within waitTimeout of its start.
 func (f *follower) waitClosed() {
 	f.t.Helper()
 	for {
@@ -97,6 +99,7 @@
 	}
 }
 
+// hello returns the Hello of a gateway that has no version yet.
 func hello(member int) *configsync.Hello {
 	return &configsync.Hello{
 		Protocol:    configsync.Protocol,
@@ -106,8 +109,8 @@
 	}
 }
 
-// memberOf returns the status of a gateway at a replica.
-func memberOf(g *publishertest.Group, i, member int) (found publisher.Follower) {
+// followerStatus returns the status of a gateway at replica i, or a zero Follower if that doesn't know the gateway.
+func followerStatus(g *publishertest.Group, i, member int) (found publisher.Follower) {
 	for _, f := range g.Replicas[i].Status().Followers {
 		if f.Member == member {
 			found = f
@@ -116,17 +119,18 @@
 	return found
 }
 
-// A follower gets one version at a time and then the latest. Its refusal is in the status, and neither a refusal nor a
-// follower that doesn't read delays the others.
+// A follower gets the next version only after it acknowledged or refused the one before, and then the latest. A refusal
+// is shown in the replica's status. Neither a follower that refuses a version nor one that doesn't read may delay the
+// others.
 func TestFollowerGetsOneVersionAtATime(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
 	g.WaitReplicated(g.PublishInitialContent())
 	stuck := follow(t, g, 0, hello(1)) // never reads
 	stuck.conn.SetReadBuffer(1)
 	f := follow(t, g, 0, hello(2))
-	version, digest := f.version()
+	version, digest := f.nextVersion()
 	if version != 1 {
-		t.Fatalf("version %d", version)
+		t.Fatalf("the first version sent is %d, want 1", version)
 	}
 	last := publisher.Publication{}
 	for rate := range 5 {
@@ -134,47 +138,48 @@
 	}
 	g.WaitReplicated(last)
 	f.send(configsync.Encode(&configsync.Acknowledge{Version: 1, Digest: digest}))
-	version, _ = f.version()
+	version, _ = f.nextVersion()
 	if version != last.Version {
-		t.Errorf("version %d after 1, the latest is %d", version, last.Version)
+		t.Errorf("version %d follows version 1, want the latest, %d", version, last.Version)
 	}
 	f.send(configsync.Encode(configsync.NewRefusal(version, "plans/gold", "rate: too much")))
-	eventually(t, "the refusal to be shown", func() bool {
-		m := memberOf(g, 0, 2)
+	eventually(t, "the refusal in the status", func() bool {
+		m := followerStatus(g, 0, 2)
 		return m.InForce == 1 && m.RefusedVersion == last.Version &&
 			m.RefusedResource == "plans/gold" && m.RefusalReason == "rate: too much"
 	})
 	fixed := g.PublishRate(0, "gold", 10)
-	version, digest = f.version()
+	version, digest = f.nextVersion()
 	if version != fixed.Version {
-		t.Errorf("version %d after the refused one", version)
+		t.Errorf("version %d follows the refused one, want the latest", version)
 	}
 	f.send(configsync.Encode(&configsync.Acknowledge{Version: version, Digest: digest}))
-	eventually(t, "the version to be in force", func() bool {
-		m := memberOf(g, 0, 2)
+	eventually(t, "the version to be in force according to the status", func() bool {
+		m := followerStatus(g, 0, 2)
 		return m.InForce == version && m.RefusedVersion == 0
 	})
-	if m := memberOf(g, 0, 1); !m.Connected || m.InForce != 0 {
-		t.Errorf("the follower that doesn't read: %+v", m)
+	if m := followerStatus(g, 0, 1); !m.Connected || m.InForce != 0 {
+		t.Errorf("status of the follower that doesn't read: %+v, want connected and no version in force", m)
 	}
 	g.WaitReplicated(fixed)
-	follow(t, g, 1, hello(4)).heartbeat()
+	follow(t, g, 1, hello(4)).nextHeartbeat()
 	g.Close(2)
 	fleet := g.Replicas[0].FleetStatus(t.Context())
 	if len(fleet.Followers) != 3 || fleet.Followers[1].InForce != version || fleet.Followers[2].Member != 4 {
-		t.Errorf("followers %+v", fleet.Followers)
+		t.Errorf("followers in the fleet status: %+v", fleet.Followers)
 	}
 	if fleet.Replicas[1].Version != version || fleet.Replicas[1].Error != "" || fleet.Replicas[2].Error == "" {
-		t.Errorf("replicas %+v", fleet.Replicas)
+		t.Errorf("replicas in the fleet status: %+v", fleet.Replicas)
 	}
 }
 
-// A connection is closed when its gateway connects again, and a follower of another log is refused.
+// A replica closes a connection when the same gateway connects again, and sends LogMismatch to a follower that has
+// versions of another log.
 func TestReplicaClosesReplacedAndForeignConnections(t *testing.T) {
 	g := publishertest.NewGroup(t, 1, nil)
 	first := g.PublishInitialContent()
 	f := follow(t, g, 0, hello(2))
-	version, digest := f.version()
+	version, digest := f.nextVersion()
 	f.send(configsync.Encode(&configsync.Acknowledge{Version: version, Digest: digest}))
 	again := hello(2)
 	again.Incarnation++
@@ -186,13 +191,14 @@
 	other := hello(3)
 	other.Log = "another"
 	other.InForce = 4
-	if _, ok := follow(t, g, 0, other).next().(*configsync.LogMismatch); !ok {
-		t.Error("a follower of another log is served")
+	if _, ok := follow(t, g, 0, other).nextMessage().(*configsync.LogMismatch); !ok {
+		t.Error("a follower of another log gets a message other than LogMismatch")
 	}
 }
 
-// A follower that doesn't read a long snapshot has only that pending, while others get each version. It gets the latest
-// version at once when it reads again.
+// Guards against memory that grows with each version while a follower doesn't read. A replica has only one snapshot
+// pending for such a follower, while other followers get each version. When it reads again, the latest version follows
+// that snapshot at once.
 func TestSlowFollowerHasOneSnapshotPending(t *testing.T) {
 	const plans = 10_000
 	g := publishertest.NewGroup(t, 1, nil)
@@ -209,69 +215,70 @@
 	fast := follow(t, g, 0, hello(2))
 	last := publisher.Publication{}
 	for rate := range 5 {
-		version, digest := fast.version()
+		version, digest := fast.nextVersion()
 		if version != configsync.Version(1+rate) {
-			t.Errorf("version %d after %d", version, rate)
+			t.Errorf("the fast follower got version %d after %d", version, rate)
 		}
 		fast.send(configsync.Encode(&configsync.Acknowledge{Version: version, Digest: digest}))
 		last = g.PublishRate(0, "gold", 1+rate)
 	}
-	eventually(t, "the fast follower to get all", func() bool {
-		version, _ := fast.version()
+	eventually(t, "the fast follower to get the latest version", func() bool {
+		version, _ := fast.nextVersion()
 		return version == last.Version
 	})
 	if sent := g.Replicas[0].Status().Counters.BytesOut; sent > 4<<20 {
-		t.Errorf("%d bytes sent, which is more than one snapshot and what the kernel holds", sent)
+		t.Errorf("%d bytes were sent, more than one snapshot and the kernel's buffers", sent)
 	}
-	version, digest := slow.version()
+	version, digest := slow.nextVersion()
 	slow.send(configsync.Encode(&configsync.Acknowledge{Version: version, Digest: digest}))
-	next, _ := slow.version()
+	next, _ := slow.nextVersion()
 	if version != 1 || next != last.Version {
-		t.Errorf("version %d, then %d; the latest is %d", version, next, last.Version)
+		t.Errorf("the slow follower got version %d, then %d; want 1, then the latest, %d", version, next, last.Version)
 	}
 }
 
-// A message that breaks the protocol is counted and ends its connection, and no other one.
+// A replica counts a message that violates the protocol and closes its connection. Other connections are not affected.
+// The limit on followers holds.
 func TestReplicaClosesConnectionAfterMalformedMessage(t *testing.T) {
-	const mostFollowers = 20
-	g := publishertest.NewGroup(t, 1, func(cfg *config.Publisher) { cfg.MaxFollowers = mostFollowers })
+	const maxFollowers = 20
+	g := publishertest.NewGroup(t, 1, func(cfg *config.Publisher) { cfg.MaxFollowers = maxFollowers })
 	g.PublishInitialContent()
 	good := follow(t, g, 0, hello(1))
-	good.version()
-	greeting := configsync.Encode(hello(2))
-	wrong := hello(2)
-	wrong.Protocol++
+	good.nextVersion()
+	helloFrame := configsync.Encode(hello(2))
+	wrongProtocol := hello(2)
+	wrongProtocol.Protocol++
 	for i, bytes := range [][]byte{
-		greeting[:len(greeting)-3],  // cut
-		{0, 0, 0},                   // cut in the header
-		{0xff, 0xff, 0xff, 0xff, 1}, // oversized
-		{0, 1, 0, 0, 1},             // longer than a follower's messages may be
-		{0, 0, 0, 2, 99, 0xa0},      // of an unknown kind
-		{0, 0, 0, 3, 1, 0xff, 0xff}, // not CBOR
-		append(greeting[:len(greeting):len(greeting)], greeting...), // repeated
-		configsync.Encode(&configsync.Acknowledge{}),                // no hello
-		configsync.Encode(&configsync.Heartbeat{}),                  // a publisher's
-		configsync.Encode(wrong),                                    // of another protocol
+		helloFrame[:len(helloFrame)-3], // truncated
+		{0, 0, 0},                      // truncated in the header
+		{0xff, 0xff, 0xff, 0xff, 1},    // longer than any frame
+		{0, 1, 0, 0, 1},                // longer than a follower's message may be
+		{0, 0, 0, 2, 99, 0xa0},         // unknown kind of message
+		{0, 0, 0, 3, 1, 0xff, 0xff},    // not CBOR
+		append(helloFrame[:len(helloFrame):len(helloFrame)], helloFrame...), // a second Hello
+		configsync.Encode(&configsync.Acknowledge{}),                        // not a Hello
+		configsync.Encode(&configsync.Heartbeat{}),                          // a publisher's message
+		configsync.Encode(wrongProtocol),                                    // another version of the protocol
 	} {
 		f := follow(t, g, 0)
 		f.send(bytes)
 		f.conn.CloseWrite()
 		f.waitClosed()
-		eventually(t, "the message to be counted", func() bool {
+		eventually(t, "the malformed message to be counted", func() bool {
 			return g.Replicas[0].Status().Counters.MalformedMessages == int64(i+1)
 		})
 	}
-	eventually(t, "the connections to be closed", func() bool { return g.Replicas[0].Status().Connected == 1 })
+	eventually(t, "all but one connection to be closed", func() bool { return g.Replicas[0].Status().Connected == 1 })
 	g.PublishRate(0, "gold", 3)
-	good.send(configsync.Encode(&configsync.Acknowledge{})) // of a version before the connection
-	if good.heartbeat().Log == "" {
-		t.Error("a heartbeat without a log")
+	good.send(configsync.Encode(&configsync.Acknowledge{})) // valid: may acknowledge a version from before this connection
+	if good.nextHeartbeat().Log == "" {
+		t.Error("the heartbeat names no log")
 	}
-	for i := range mostFollowers {
+	for i := range maxFollowers {
 		follow(t, g, 0, hello(10+i))
 	}
 	eventually(t, "one connection to be rejected", func() bool {
 		s := g.Replicas[0].Status()
-		return s.Counters.RejectedConnections >= 1 && s.Connected+int(s.Counters.RejectedConnections) == mostFollowers+1
+		return s.Counters.RejectedConnections >= 1 && s.Connected+int(s.Counters.RejectedConnections) == maxFollowers+1
 	})
 }
--- a/internal/publisher/listen.go
+++ b/internal/publisher/listen.go
@@ -9,14 +9,16 @@
 	"ravensill/internal/sockets"
 )
 
+// Limits of the HTTP server for operators.
 const (
 	headerTimeout  = 5 * time.Second
-	requestTimeout = 30 * time.Second // for a request with its body
-	idleTimeout    = time.Minute
+	requestTimeout = 30 * time.Second // to read a request with its body, and again to write the response
+	idleTimeout    = time.Minute      // of a kept-alive connection
 	maxHeaderBytes = 16 << 10
 )
 
-// listen opens the listeners for followers and for the HTTP interface, and serves neither.
+// listen opens the listeners for followers and for the HTTP API, and configures the HTTP server. Neither listener is
+// served yet. The prefix of an error is the key of the address in the settings.
 func (p *Publisher) listen() (admin net.Listener, err error) {
 	p.listener, err = sockets.Listen(p.system, p.cfg.Listen)
 	if err != nil {
--- a/internal/publisher/machine.go
+++ b/internal/publisher/machine.go
@@ -10,16 +10,17 @@
 	"ravensill/internal/consensus"
 )
 
-// stateMachine is the replicated state machine. The raft library calls its methods one at a time.
+// stateMachine implements raft.FSM on the publisher's state. The raft library calls its methods one at a time.
 type stateMachine struct{ publisher *Publisher }
 
-// outcome is the result of an entry of the replicated log.
-type outcome struct {
-	delta *configsync.Delta // nil: no new version
-	err   error
+// applyResult is the result of applying an entry of the replicated log.
+type applyResult struct {
+	delta *configsync.Delta // nil: the entry made no new version
+	err   error             // nil: the entry was accepted
 }
 
-// Apply applies a committed entry, and wakes the connections of followers if the entry led to a new version.
+// Apply applies a committed entry and returns its applyResult. If the entry makes a new version, it wakes the
+// followers' writers.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	p := m.publisher
 	p.mu.Lock()
@@ -28,10 +29,10 @@
 	if delta != nil {
 		p.announce()
 	}
-	return outcome{delta, err}
+	return applyResult{delta, err}
 }
 
-// Snapshot returns a snapshot of the complete state.
+// Snapshot returns a snapshot of the state. The state is encoded here, under the lock, and written to disk later.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	p := m.publisher
 	p.mu.Lock()
@@ -44,7 +45,7 @@
 	return consensus.SnapshotWriter(write), nil
 }
 
-// Restore replaces the state by a snapshot of the leader, or at the start by that on this replica's disk.
+// Restore replaces the state by a snapshot: one sent by the leader, or at the start the one on this replica's disk.
 func (m *stateMachine) Restore(r io.ReadCloser) error {
 	text, err := io.ReadAll(r)
 	err = errors.Join(err, r.Close())
@@ -56,7 +57,7 @@
 	defer p.mu.Unlock()
 	err = p.state.Restore(text)
 	if err == nil {
-		p.wakeAll()
+		p.wakeAllWriters()
 	}
 	return err
 }
--- a/internal/publisher/mirror.go
+++ b/internal/publisher/mirror.go
@@ -7,30 +7,33 @@
 	"ravensill/internal/config"
 )
 
-// mirror has the current version decoded by the code of the gateways, so that the cost of checking a change is
-// proportional to the change.
-type mirror struct {
-	live    *config.Live // nil: to be decoded again
-	version configsync.Version
-	digest  configsync.Digest
+// validator checks changes by the code with which gateways apply them. It keeps the current version decoded, so that
+// the cost of a check is proportional to the size of the change rather than of the configuration. The zero value is
+// ready for use. It is not safe for concurrent use.
+type validator struct {
+	live    *config.Live       // nil: no version is decoded; the next update has to be complete
+	version configsync.Version // that live holds
+	digest  configsync.Digest  // of the content of that version
 }
 
-// mirrorUpdate leads a mirror to the current version.
-type mirrorUpdate struct {
+// validatorUpdate brings a validator to a version.
+type validatorUpdate struct {
 	changes  []configsync.Change
-	complete bool // the changes are the complete content
+	complete bool // the changes are the complete content, not those since the validator's version
 	version  configsync.Version
 	digest   configsync.Digest
 }
 
-// updateTo returns the update that leads the mirror to a state. The state must not change during the call. The result
-// stays valid after it, since values are never changed in place.
-func (m *mirror) updateTo(state *configsync.State) mirrorUpdate {
+// updateTo returns the update that brings the validator to the current version of a state. It has only the changes
+// since the validator's version if the state's history holds that version with the same digest, and otherwise the
+// complete content. The state must not change during the call. The result stays valid after it, since the state never
+// modifies the values of resources in place.
+func (v *validator) updateTo(state *configsync.State) validatorUpdate {
 	document := state.Document()
-	update := mirrorUpdate{version: document.Version(), digest: document.Digest()}
-	digest, known := state.History().DigestAt(m.version)
-	delta, ok := state.History().DeltaSince(m.version)
-	if m.live != nil && known && ok && digest == m.digest {
+	update := validatorUpdate{version: document.Version(), digest: document.Digest()}
+	digest, inHistory := state.History().DigestAt(v.version)
+	delta, hasDelta := state.History().DeltaSince(v.version)
+	if v.live != nil && inHistory && hasDelta && digest == v.digest {
 		update.changes = delta.Changes
 		return update
 	}
@@ -39,30 +42,31 @@
 	return update
 }
 
-// apply applies an update. On an error the mirror is dropped: the published version is not valid for this program, as
-// after an upgrade with stricter rules.
-func (m *mirror) apply(update mirrorUpdate) error {
+// apply applies an update. An error means that this program rejects the published version, which happens after an
+// upgrade to a release with stricter rules. The validator then holds no decoded version.
+func (v *validator) apply(update validatorUpdate) error {
 	if update.complete {
-		m.live = config.NewLiveChecker()
+		v.live = config.NewLiveChecker()
 	}
-	m.version = update.version
-	m.digest = update.digest
+	v.version = update.version
+	v.digest = update.digest
 	if len(update.changes) == 0 {
 		return nil
 	}
-	_, err := m.live.Apply(update.changes, update.complete)
+	_, err := v.live.Apply(update.changes, update.complete)
 	if err != nil {
-		m.live = nil
-		return fmt.Errorf("version %d: %w", update.version, err)
+		v.live = nil
+		return fmt.Errorf("decode published version %d: %w", update.version, err)
 	}
 	return nil
 }
 
-// check returns the error of a gateway of the current version that applies changes. If the mirror was dropped, it
-// checks the complete content after the changes.
-func (m *mirror) check(changes []configsync.Change, contentAfter func() []configsync.Change) error {
-	if m.live != nil {
-		return m.live.Check(changes, false)
+// check returns the error that a gateway with the current version would report for changes, or nil. If the validator
+// holds no decoded version, it checks the complete content that contentAfter returns, so that a change which repairs
+// the configuration can still be published.
+func (v *validator) check(changes []configsync.Change, contentAfter func() []configsync.Change) error {
+	if v.live != nil {
+		return v.live.Check(changes, false)
 	}
 	return config.NewLiveChecker().Check(contentAfter(), true)
 }
--- a/internal/publisher/publish.go
+++ b/internal/publisher/publish.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	proposeTimeout = 5 * time.Second // for a place in the leader's queue
-	logIDBytes     = 16              // random bytes of a LogID
-	draftAttempts  = 5               // attempts when another leader publishes a version in between
+	proposeTimeout  = 5 * time.Second // to wait for a place in the leader's queue of proposals
+	logIDBytes      = 16              // random bytes in a LogID, which is their hexadecimal form
+	publishAttempts = 5               // how often publish tries while other versions are published in between
 )
 
-// NotLeaderError reports that this replica does not lead.
+// NotLeaderError reports that this replica can't publish a change, because it is not the leader.
 type NotLeaderError struct {
-	Leader int // index of the leading replica; -1: not known
+	Leader int // index of the leader; -1: not known
 }
 
 func (e *NotLeaderError) Error() string {
@@ -29,42 +29,44 @@
 	return fmt.Sprintf("replica %d leads", e.Leader)
 }
 
-// VersionNotInHistoryError reports that a rollback to a version is not possible, since the history doesn't reach it.
+// VersionNotInHistoryError reports that a rollback is not possible, because the history doesn't hold the wanted
+// version.
 type VersionNotInHistoryError struct {
-	Version configsync.Version
-	Oldest  configsync.Version // the earliest possible one
-	Latest  configsync.Version
+	Version configsync.Version // wanted
+	Oldest  configsync.Version // in the history
+	Latest  configsync.Version // in the history
 }
 
 func (e *VersionNotInHistoryError) Error() string {
 	return fmt.Sprintf("to: version %d is not in the history, which holds %d to %d", e.Version, e.Oldest, e.Latest)
 }
 
-// Publication is the result of a change.
+// Publication is the result of a published change, which operators receive as JSON.
 type Publication struct {
 	Log     configsync.LogID   `json:"log"`
 	Version configsync.Version `json:"version"`
 	Digest  string             `json:"digest"`
-	Changes int                `json:"changes"` // resources set or removed; 0: there is no new version
+	Changes int                `json:"changes"` // number of resources set or removed; 0: there is no new version
 }
 
-// draft returns the changes to publish for the current state. It is called again if another version is published first.
-type draft func(state *configsync.State) ([]configsync.Change, error)
+// changeFunc returns the changes to publish, computed from the current state. It is called with the publisher's lock
+// held, and again if another version is published before its changes are.
+type changeFunc func(state *configsync.State) ([]configsync.Change, error)
 
-// putDraft returns a draft that replaces the complete content.
-func putDraft(wanted map[configsync.Resource][]byte) draft {
+// putChangeFunc returns a changeFunc that replaces the complete content by wanted.
+func putChangeFunc(wanted map[configsync.Resource][]byte) changeFunc {
 	return func(state *configsync.State) ([]configsync.Change, error) {
 		return state.Document().Diff(wanted), nil
 	}
 }
 
-// patchDraft returns a draft with the given changes.
-func patchDraft(changes []configsync.Change) draft {
+// patchChangeFunc returns a changeFunc with fixed changes, whatever the state is.
+func patchChangeFunc(changes []configsync.Change) changeFunc {
 	return func(*configsync.State) ([]configsync.Change, error) { return changes, nil }
 }
 
-// rollbackDraft returns a draft that restores the content of a version.
-func rollbackDraft(to configsync.Version) draft {
+// rollbackChangeFunc returns a changeFunc that restores the content of an earlier version.
+func rollbackChangeFunc(to configsync.Version) changeFunc {
 	return func(state *configsync.State) ([]configsync.Change, error) {
 		changes, ok := state.History().RollbackChanges(to)
 		if !ok {
@@ -74,14 +76,16 @@
 	}
 }
 
-// publish checks changes and proposes them as a new version, which is in force once it returns. If base is not nil,
-// it has to be the current version. The error is a *NotLeaderError, a *VersionNotInHistoryError, one of
-// consensus, of configsync.State.Check, or a *config.ResourceError.
-func (p *Publisher) publish(changesFor draft, base *configsync.Version) (Publication, error) {
-	p.publishing.Lock()
-	defer p.publishing.Unlock()
+// publish checks changes and publishes them as a new version, which is committed and applied at this replica once
+// publish returns without an error. If base is not nil, it fails unless base is the current version; otherwise it
+// recomputes the changes if another version was published in between. The error is a *NotLeaderError, a
+// *VersionNotInHistoryError, a *configsync.ConflictError, a *config.ResourceError, or one of package consensus or of
+// configsync.State.Check.
+func (p *Publisher) publish(changesFor changeFunc, base *configsync.Version) (Publication, error) {
+	p.publishMu.Lock()
+	defer p.publishMu.Unlock()
 	var err error
-	for range draftAttempts {
+	for range publishAttempts {
 		if !p.replica.IsLeader() {
 			return Publication{}, &NotLeaderError{p.replica.LeaderIndex()}
 		}
@@ -95,19 +99,21 @@
 	return Publication{}, err
 }
 
-func (p *Publisher) publishOnce(changesFor draft, base *configsync.Version) (Publication, error) {
+// publishOnce is one attempt of publish. The error is a *configsync.ConflictError if another version was published in
+// between. Changes that leave the content as it is succeed without a new version.
+func (p *Publisher) publishOnce(changesFor changeFunc, base *configsync.Version) (Publication, error) {
 	err := p.replica.Barrier(proposeTimeout)
 	if err != nil {
 		return Publication{}, err
 	}
-	err = p.createLog()
+	err = p.ensureLog()
 	if err != nil {
 		return Publication{}, err
 	}
-	command, err := p.prepare(changesFor, base)
+	command, err := p.prepareCommand(changesFor, base)
 	var unchanged *configsync.NoChangeError
 	if errors.As(err, &unchanged) {
-		return p.current(), nil
+		return p.currentPublication(), nil
 	}
 	if err != nil {
 		return Publication{}, err
@@ -116,7 +122,7 @@
 	if err != nil {
 		return Publication{}, err
 	}
-	p.counters.published.Add(1)
+	p.counters.publishedVersions.Add(1)
 	slog.Info("configuration_published",
 		"version", delta.To,
 		"changes", len(delta.Changes),
@@ -134,8 +140,9 @@
 	}
 }
 
-// current returns the current version, as the result of a change that changes nothing.
-func (p *Publisher) current() Publication {
+// currentPublication returns the result for a change that leaves the content as it is: the current version, with no
+// changes.
+func (p *Publisher) currentPublication() Publication {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	document := p.state.Document()
@@ -143,8 +150,9 @@
 	return Publication{Log: document.Log(), Version: document.Version(), Digest: digest.Hex()}
 }
 
-// createLog creates the log of versions if there is none.
-func (p *Publisher) createLog() error {
+// ensureLog creates the log of versions, with a random id, unless it exists. Only the first publication of a group of
+// replicas creates one. If another leader has created the log in the meantime, that one is used.
+func (p *Publisher) ensureLog() error {
 	p.mu.Lock()
 	created := p.state.Document().Log() != ""
 	p.mu.Unlock()
@@ -161,48 +169,50 @@
 	return err
 }
 
-// prepare returns the command for changes, after checking them by the rules of the state and of the gateways.
-func (p *Publisher) prepare(changesFor draft, base *configsync.Version) (*configsync.Command, error) {
-	command, update, err := p.draftCommand(changesFor, base)
+// prepareCommand returns the command that publishes changes, after checking them by the rules of configsync.State and
+// by those of the gateways. The second check may decode the complete content, and runs without holding p.mu.
+func (p *Publisher) prepareCommand(changesFor changeFunc, base *configsync.Version) (*configsync.Command, error) {
+	command, update, err := p.buildCommand(changesFor, base)
 	if err != nil {
 		return nil, err
 	}
-	err = p.mirror.apply(update)
+	err = p.validator.apply(update)
 	if err != nil {
 		slog.Error("published_version_refused", "error", err)
 	}
 	contentAfter := func() []configsync.Change { return p.contentAfter(command.Changes) }
-	err = p.mirror.check(command.Changes, contentAfter)
+	err = p.validator.check(command.Changes, contentAfter)
 	if err != nil {
 		return nil, err
 	}
 	return command, nil
 }
 
-// draftCommand returns a command for the current state, and the update that leads the mirror to that state.
-func (p *Publisher) draftCommand(
-	changesFor draft,
+// buildCommand returns the command that publishes changes to the current state, checked by the rules of that state, and
+// the update that brings the validator to the same state.
+func (p *Publisher) buildCommand(
+	changesFor changeFunc,
 	base *configsync.Version,
-) (*configsync.Command, mirrorUpdate, error) {
+) (*configsync.Command, validatorUpdate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	document := p.state.Document()
 	if base != nil && *base != document.Version() {
-		return nil, mirrorUpdate{}, &configsync.ConflictError{Base: *base, Current: document.Version()}
+		return nil, validatorUpdate{}, &configsync.ConflictError{Base: *base, Current: document.Version()}
 	}
 	changes, err := changesFor(p.state)
 	if err != nil {
-		return nil, mirrorUpdate{}, err
+		return nil, validatorUpdate{}, err
 	}
 	command := configsync.NewCommand(document.Log(), document.Version(), changes)
 	err = p.state.Check(command)
 	if err != nil {
-		return nil, mirrorUpdate{}, err
+		return nil, validatorUpdate{}, err
 	}
-	return command, p.mirror.updateTo(p.state), nil
+	return command, p.validator.updateTo(p.state), nil
 }
 
-// contentAfter returns the complete content after changes.
+// contentAfter returns the complete content as it would be after changes, in no particular order.
 func (p *Publisher) contentAfter(changes []configsync.Change) []configsync.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -222,7 +232,9 @@
 	return content
 }
 
-// propose proposes a command to the group and waits until it is committed and applied here.
+// propose proposes a command to the group of replicas and waits until it is committed and applied at this replica. It
+// returns the new version as a delta, nil for a command that creates the log. The error is one of
+// consensus.Proposal.Wait or the reason for which the state rejected the command.
 func (p *Publisher) propose(command *configsync.Command) (*configsync.Delta, error) {
 	text, err := configsync.EncodeCommand(command)
 	if err != nil {
@@ -232,6 +244,6 @@
 	if err != nil {
 		return nil, err
 	}
-	applied := result.(outcome)
+	applied := result.(applyResult)
 	return applied.delta, applied.err
 }
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -1,6 +1,7 @@
-// Package publisher runs one of the replicas of the log of configuration versions. It replicates the log by package
-// consensus, accepts changes over HTTP while it leads, and serves followers over TCP whether it leads or not. Package
-// configsync has the rules.
+// Package publisher runs one replica of a group that publishes the gateways' configuration. The group keeps a
+// replicated log of versions (package consensus). The leader accepts changes from operators over HTTP; the other
+// replicas forward them to it. Every replica serves the versions over TCP to the gateways that are connected to it, its
+// followers. The rules for versions, changes and messages are in package configsync.
 package publisher
 
 import (
@@ -20,59 +21,59 @@
 )
 
 const (
-	contactInterval = 200 * time.Millisecond // between checks of the contact with a quorum
-	replayInterval  = 20 * time.Millisecond  // the same, while the replica replays its log
-	lineInterval    = 10 * time.Second       // between log lines on the replica's state
-	shutdownTimeout = 2 * time.Second        // for HTTP requests in flight
+	quorumCheckInterval = 200 * time.Millisecond // between checks of the contact with a quorum of replicas
+	replayCheckInterval = 20 * time.Millisecond  // between these checks while the replica replays its log after the start
+	statusLogInterval   = 10 * time.Second       // between log lines with the replica's status
+	shutdownTimeout     = 2 * time.Second        // for HTTP requests in progress to end during Close
 )
 
-// Publisher is one replica. Its methods may be called from any goroutine.
+// Publisher is one running replica. Its methods may be called from any goroutine.
 type Publisher struct {
 	cfg       *config.Publisher
 	replica   *consensus.Replica
 	system    sockets.System
-	listener  *sockets.Listener // of followers
-	admin     *http.Server
-	adminAddr net.Addr
-
-	mu          sync.Mutex // guards the fields below
-	state       *configsync.State
-	sender      *configsync.Sender
-	replaying   bool // the log is being replayed, so the sender is paused
-	connections map[configsync.ConnectionID]*connection
-	lastID      configsync.ConnectionID
-	lastWake    time.Time // when all writers were last woken
-	waking      bool      // they will be woken again after the version interval
-
-	publishing sync.Mutex // locked during a publication; guards mirror
-	mirror     *mirror    // of the state at the latest publication
+	listener  *sockets.Listener // accepts followers
+	admin     *http.Server      // serves operators
+	adminAddr net.Addr          // at which admin listens
+
+	mu               sync.Mutex         // guards the fields below
+	state            *configsync.State  // the replicated state: the document in force and its history
+	sender           *configsync.Sender // decides what each follower is sent
+	replaying        bool               // the log is still being replayed after the start, so the sender is paused
+	connections      map[configsync.ConnectionID]*connection
+	lastConnectionID configsync.ConnectionID // ids count up from 1
+	lastWake         time.Time               // when the writers of all connections were last woken
+	wakeScheduled    bool                    // a timer will wake them at the end of the version interval
+
+	publishMu sync.Mutex // held during a publication, so that there is one at a time; guards validator
+	validator *validator // holds the state as of the latest publication
 
 	counters counters
-	done     chan struct{}
-	tasks    sync.WaitGroup
+	done     chan struct{}  // closed by Close
+	tasks    sync.WaitGroup // all goroutines of the publisher and its connections
 }
 
-// counters count since the start.
+// counters count events since the start of the replica. Status copies them into Counters.
 type counters struct {
-	connected           atomic.Int64 // followers' connections accepted
+	acceptedConnections atomic.Int64 // followers' connections accepted
 	rejectedConnections atomic.Int64 // connections beyond max_followers
-	malformed           atomic.Int64 // messages that broke the protocol; each ended its connection
+	malformedMessages   atomic.Int64 // messages that violated the protocol; each ended its connection
 	bytesIn             atomic.Int64 // from followers
 	bytesOut            atomic.Int64 // to followers
-	published           atomic.Int64 // versions published by this replica as the leader
-	rejected            atomic.Int64 // requests for a publication that were answered by an error
+	publishedVersions   atomic.Int64 // versions published by this replica as the leader
+	rejectedRequests    atomic.Int64 // requests for a change that this replica answered with an error
 }
 
-// Options are settings of a replica for tests.
+// Options replaces parts of a replica in tests. The zero value is for production.
 type Options struct {
 	Sockets   sockets.System // nil: sockets.Kernel
-	DiskFault func() error   // see consensus.Config
+	DiskFault func() error   // see consensus.Config; nil: no errors
 }
 
-// Start opens the replica's log and its listeners.
+// Start opens the replica's log and listeners, and starts serving. The replica runs until Close.
 func Start(cfg *config.Publisher) (*Publisher, error) { return StartWithOptions(cfg, Options{}) }
 
-// StartWithOptions is Start with options.
+// StartWithOptions is Start with options for tests.
 func StartWithOptions(cfg *config.Publisher, options Options) (*Publisher, error) {
 	if options.Sockets == nil {
 		options.Sockets = sockets.Kernel{}
@@ -83,7 +84,7 @@
 		state:       configsync.NewState(cfg.History),
 		connections: map[configsync.ConnectionID]*connection{},
 		replaying:   true,
-		mirror:      &mirror{},
+		validator:   &validator{},
 		done:        make(chan struct{}),
 	}
 	p.sender = configsync.NewSender(p.state, cfg.Sending)
@@ -116,8 +117,8 @@
 	return p, nil
 }
 
-// Close closes the listeners and the connections, transfers the lead to another replica if this one leads, and closes
-// the replica. It waits for HTTP requests in flight for a short time.
+// Close stops the replica and waits until its goroutines have ended. HTTP requests in progress have shutdownTimeout to
+// end. If this replica leads, it transfers the leadership to another one before it stops. Close must be called once.
 func (p *Publisher) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -138,25 +139,25 @@
 // Addr returns the address at which followers are served.
 func (p *Publisher) Addr() net.Addr { return p.listener.Addr() }
 
-// AdminAddr returns the address of the HTTP interface.
+// AdminAddr returns the address of the HTTP API.
 func (p *Publisher) AdminAddr() net.Addr { return p.adminAddr }
 
-// run watches the contact with the quorum, and logs changes of leadership and the status, until Close.
+// run passes the contact with the quorum to the sender, and logs changes of leadership and the status, until Close.
 func (p *Publisher) run() {
-	contact := time.NewTicker(replayInterval)
-	defer contact.Stop()
-	line := time.NewTicker(lineInterval)
-	defer line.Stop()
+	quorumCheck := time.NewTicker(replayCheckInterval)
+	defer quorumCheck.Stop()
+	statusLog := time.NewTicker(statusLogInterval)
+	defer statusLog.Stop()
 	for {
 		select {
 		case leads := <-p.replica.Leadership():
 			slog.Info("publisher_leader_changed", "leader", leads)
-		case <-contact.C:
+		case <-quorumCheck.C:
 			replayed := p.updateSender()
 			if replayed {
-				contact.Reset(contactInterval)
+				quorumCheck.Reset(quorumCheckInterval)
 			}
-		case <-line.C:
+		case <-statusLog.C:
 			slog.LogAttrs(context.Background(), slog.LevelInfo, "publisher_status", p.Status().LogAttrs()...)
 		case <-p.done:
 			return
@@ -164,18 +165,19 @@
 	}
 }
 
-// updateSender passes the state of the replica to the sender. It returns true once, when the log has been replayed.
+// updateSender tells the sender whether this replica is in contact with a quorum and up to date. When the replay of the
+// log is complete, it resumes the sender and returns true; it does so once.
 func (p *Publisher) updateSender() (replayed bool) {
 	caughtUp := p.replica.CaughtUp()
-	current := p.replica.IsUpToDate()
+	upToDate := p.replica.IsUpToDate()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sender.SetHasQuorum(current)
+	p.sender.SetHasQuorum(upToDate)
 	if !caughtUp || !p.replaying {
 		return false
 	}
 	p.replaying = false
 	p.sender.SetPaused(false)
-	p.wakeAll()
+	p.wakeAllWriters()
 	return true
 }
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -14,8 +14,8 @@
 
 var eventually = publishertest.Eventually
 
-// refusedChanges are requests for changes that are answered by an error.
-var refusedChanges = []struct {
+// rejectedChanges are requests for a change that has to be answered by an error: its status and body are in want.
+var rejectedChanges = []struct {
 	method  string
 	path    string
 	body    string
@@ -104,23 +104,24 @@
 	},
 }
 
-// Any replica accepts a change, names the key at fault of a bad one, honours If-Match, and rolls back by a new version.
+// Every replica, leader or not, accepts changes. The answer to an invalid change names the key at fault. A change whose
+// If-Match is not the current version is rejected, and a rollback publishes the earlier content as a new version.
 func TestReplicaPublishesAndRefusesChanges(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
 	first := g.PublishInitialContent()
 	if first.Version != 1 || first.Changes != 4 {
-		t.Errorf("%+v", first)
+		t.Errorf("first publication: %+v", first)
 	}
 	g.WaitReplicated(first)
 	for i := range g.Replicas {
 		again := g.Publish(i, "PUT", "/v1/configuration", strings.ReplaceAll(publishertest.InitialContent, ":", ": "))
 		if again.Version != 1 || again.Changes != 0 || again.Digest != first.Digest {
-			t.Errorf("the same content: %+v", again)
+			t.Errorf("the same content was published as a change: %+v", again)
 		}
 	}
 	leader := g.WaitForLeader()
 	follower := (leader + 1) % 3
-	for _, test := range refusedChanges {
+	for _, test := range rejectedChanges {
 		status, answer := g.Request(follower, test.method, test.path, test.body, test.ifMatch)
 		got := fmt.Sprintf("%d %s", status, strings.TrimSpace(answer))
 		if got != test.want {
@@ -131,71 +132,72 @@
 	second := g.PublishRate(follower, "gold", 99)
 	status, answer := g.Request(follower, "PATCH", "/v1/configuration", `{"remove":["limits"]}`, `"1"`)
 	if status != http.StatusPreconditionFailed {
-		t.Errorf("a change for version 1: %d %s", status, answer)
+		t.Errorf("a change with If-Match of version 1 got %d %s, want 412", status, answer)
 	}
 	back := g.Publish(follower, "POST", "/v1/rollback", `{"to":1}`)
 	if second.Version != 2 || back.Version != 3 || back.Digest != first.Digest {
-		t.Errorf("%+v, then back %+v", second, back)
+		t.Errorf("second publication %+v, rollback to the first %+v", second, back)
 	}
 	g.WaitReplicated(back)
 	status, answer = g.Request(follower, "GET", "/v1/configuration", "", "")
 	if status != http.StatusOK || !strings.Contains(answer, `"plans/gold":{"name":"gold","rate":10,"burst":5}`) {
-		t.Errorf("%d %s", status, answer)
+		t.Errorf("GET /v1/configuration: %d %s", status, answer)
 	}
 }
 
-// Concurrent publications at all replicas become one version each.
+// Concurrent publications at all replicas become one version each: none is lost or merged with another.
 func TestConcurrentPublicationsAreOrdered(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
 	g.PublishInitialContent()
-	const each = 5
+	const perReplica = 5
 	var publishing sync.WaitGroup
 	for i := range g.Replicas {
 		publishing.Go(func() {
-			for k := range each {
+			for k := range perReplica {
 				g.PublishRate(i, fmt.Sprintf("p%d-%d", i, k), 7)
 			}
 		})
 	}
 	publishing.Wait()
 	status := g.Replicas[0].Status()
-	eventually(t, "all versions", func() bool {
+	eventually(t, "all versions to be published", func() bool {
 		status = g.Replicas[0].Status()
-		return status.Version == 1+3*each
+		return status.Version == 1+3*perReplica
 	})
 	g.WaitReplicated(publisher.Publication{Log: status.Log, Version: status.Version, Digest: status.Digest})
 }
 
-// The group goes on without its leader, which catches up after its return. A minority publishes nothing and is not
-// current.
+// The group continues to publish after the loss of its leader, which catches up when it returns. A minority of the
+// replicas publishes nothing and reports in its heartbeats that it has no quorum.
 func TestGroupSurvivesLossOfLeader(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
 	g.PublishInitialContent()
-	lost := g.WaitForLeader()
-	g.Close(lost)
+	formerLeader := g.WaitForLeader()
+	g.Close(formerLeader)
 	last := publisher.Publication{}
-	for rate := range 12 { // beyond the log entries kept, so that a snapshot is wanted
-		last = g.PublishRate((lost+1)%3, "gold", 100+rate)
+	for rate := range 12 { // more versions than log entries are kept, so that catching up needs a snapshot
+		last = g.PublishRate((formerLeader+1)%3, "gold", 100+rate)
 	}
-	g.Open(lost)
+	g.Open(formerLeader)
 	g.WaitReplicated(last)
 	leader := g.WaitForLeader()
 	minority := (leader + 1) % 3
 	f := follow(t, g, minority, &configsync.Hello{Protocol: configsync.Protocol})
-	eventually(t, "a current replica", func() bool { return f.heartbeat().HasQuorum })
+	eventually(t, "a heartbeat with a quorum", func() bool { return f.nextHeartbeat().HasQuorum })
 	g.Close(leader)
 	g.Close(3 - leader - minority)
-	eventually(t, "heartbeats without a quorum", func() bool { return !f.heartbeat().HasQuorum })
+	eventually(t, "a heartbeat without a quorum", func() bool { return !f.nextHeartbeat().HasQuorum })
 	status, answer := g.Request(minority, "PATCH", "/v1/configuration", `{"remove":["limits"]}`, "")
 	if status != http.StatusServiceUnavailable {
-		t.Errorf("a minority: %d %s", status, answer)
+		t.Errorf("a replica without a quorum answered a change with %d %s, want 503", status, answer)
 	}
 	g.Open(leader)
 	g.WaitReplicated(g.PublishRate(minority, "gold", 7))
 }
 
-// A replica that starts has an earlier state until a leader reports what is committed. Until then it sends no version
-// of that state, and doesn't disconnect followers of a later one.
+// Guards against a restarted replica that reverts gateways to an earlier version. After a start, its state is that of
+// its snapshot until a leader reports which log entries are committed. Until then it must send only heartbeats, and
+// must not disconnect followers that have a later version.
 func TestReplicaSendsNoVersionDuringReplay(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
 	g.WaitReplicated(g.PublishInitialContent())
@@ -210,7 +212,7 @@
 	}
 	g.Open(0)
 	if version := g.Replicas[0].Status().Version; version != 1 {
-		t.Fatalf("the snapshot holds version %d", version)
+		t.Fatalf("the replica starts with version %d, want 1, that of its snapshot", version)
 	}
 	empty := follow(t, g, 0, hello(1))
 	later := hello(2)
@@ -219,17 +221,17 @@
 	ahead := follow(t, g, 0, later)
 	for range 2 {
 		for _, f := range []*follower{empty, ahead} {
-			message := f.next()
+			message := f.nextMessage()
 			heartbeat, ok := message.(*configsync.Heartbeat)
 			if !ok || heartbeat.Latest != 0 || heartbeat.HasQuorum {
-				t.Fatalf("%T %+v", message, message)
+				t.Fatalf("got %T %+v, want a heartbeat without a version or a quorum", message, message)
 			}
 		}
 	}
 	g.Open(1)
 	g.Open(2)
-	version, _ := empty.version()
+	version, _ := empty.nextVersion()
 	if version != last.Version {
-		t.Errorf("version %d comes first, the latest is %d", version, last.Version)
+		t.Errorf("the first version sent is %d, want the latest, %d", version, last.Version)
 	}
 }
--- a/internal/publisher/serve.go
+++ b/internal/publisher/serve.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	helloTimeout     = 5 * time.Second  // for a follower's first message
-	writeTimeout     = 15 * time.Second // of one frame, a delta or a part of a snapshot
-	closeTimeout     = time.Second      // for a follower to close after the final frame
-	unansweredLimit  = 20 * time.Second // of sent bytes without a TCP acknowledgement
-	sendBuffer       = 256 << 10        // bytes that the kernel buffers for a slow follower
-	maxFollowerFrame = 4 << 10          // bytes; the longest message of a follower is a refusal with its reason
+	helloTimeout          = 5 * time.Second  // for the first message of a follower, its Hello
+	writeTimeout          = 15 * time.Second // of one frame: a delta, a heartbeat or a part of a snapshot
+	closeTimeout          = time.Second      // for a follower to close the connection after the final frame
+	tcpUserTimeout        = 20 * time.Second // the longest time that sent bytes may stay without a TCP acknowledgement
+	sendBufferBytes       = 256 << 10        // of the kernel's send buffer, which a slow follower fills
+	maxFollowerFrameBytes = 4 << 10          // the longest message of a follower is a refusal with its reason
 )
 
-// connection is the connection of one follower. One goroutine reads from it and one writes to it, so that a slow
-// follower blocks only its own writer.
+// connection is the connection of one follower. One goroutine reads from it (serve) and another one writes to it
+// (runWriter), so that a slow follower blocks only its own writer.
 type connection struct {
-	publisher *Publisher
-	conn      *net.TCPConn
-	id        configsync.ConnectionID
-	wake      chan struct{} // of capacity 1: there may be something to send
-	ended     chan struct{} // closed by the reader
+	publisher  *Publisher
+	conn       *net.TCPConn
+	id         configsync.ConnectionID
+	wake       chan struct{} // of capacity 1: signals the writer that there may be something to send
+	readerDone chan struct{} // closed when the reading goroutine has ended
 }
 
-// countingReader counts the bytes read from a connection.
+// countingReader adds the number of bytes read from source to a counter.
 type countingReader struct {
 	source io.Reader
 	bytes  *atomic.Int64
@@ -47,14 +47,14 @@
 	return n, err
 }
 
-// accept accepts followers' connections until the listener is closed.
+// accept accepts followers' connections until the listener is closed, and starts a goroutine for each.
 func (p *Publisher) accept() {
 	for {
 		conn, err := p.listener.Accept()
 		if err != nil { // closed
 			return
 		}
-		c := p.admit(conn.(*net.TCPConn))
+		c := p.register(conn.(*net.TCPConn))
 		if c == nil {
 			conn.Close()
 			continue
@@ -63,8 +63,9 @@
 	}
 }
 
-// admit registers a connection. It returns nil beyond the limit of followers and after Close.
-func (p *Publisher) admit(conn *net.TCPConn) *connection {
+// register adds a connection to p.connections. It returns nil if there are max_followers connections already, which it
+// counts, or if the publisher is being closed. The caller then closes conn.
+func (p *Publisher) register(conn *net.TCPConn) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -76,20 +77,20 @@
 		p.counters.rejectedConnections.Add(1)
 		return nil
 	}
-	p.counters.connected.Add(1)
-	p.lastID++
+	p.counters.acceptedConnections.Add(1)
+	p.lastConnectionID++
 	c := &connection{
-		publisher: p,
-		conn:      conn,
-		id:        p.lastID,
-		wake:      make(chan struct{}, 1),
-		ended:     make(chan struct{}),
+		publisher:  p,
+		conn:       conn,
+		id:         p.lastConnectionID,
+		wake:       make(chan struct{}, 1),
+		readerDone: make(chan struct{}),
 	}
 	p.connections[c.id] = c
 	return c
 }
 
-// closeConnections closes all connections. None is admitted after done is closed.
+// closeConnections closes all connections. It is called after done is closed, from when on register adds no more.
 func (p *Publisher) closeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,38 +99,39 @@
 	}
 }
 
-// announce wakes all writers for a new version: at once, or, within the version interval after the wake before, once
-// for all versions of the interval. Waking thousands of writers for each change of a burst would delay the next
-// change. The caller holds the lock.
+// announce wakes all writers to send a new version. It does so at once if the writers were last woken at least
+// VersionInterval ago. Otherwise a timer wakes them at the end of that interval, once for all versions published until
+// then: to wake thousands of writers for each change of a burst would delay the next change. The caller holds p.mu.
 func (p *Publisher) announce() {
-	if p.waking {
+	if p.wakeScheduled {
 		return
 	}
 	wait := p.cfg.Sending.VersionInterval - time.Since(p.lastWake)
 	if wait <= 0 {
-		p.wakeAll()
+		p.wakeAllWriters()
 		return
 	}
-	p.waking = true
-	time.AfterFunc(wait, p.announceLate)
+	p.wakeScheduled = true
+	time.AfterFunc(wait, p.announceDelayed)
 }
 
-// announceLate wakes all writers for the versions published since the wake before.
-func (p *Publisher) announceLate() {
+// announceDelayed wakes all writers at the end of the interval that announce has waited for.
+func (p *Publisher) announceDelayed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.waking = false
-	p.wakeAll()
+	p.wakeScheduled = false
+	p.wakeAllWriters()
 }
 
-// wakeAll wakes all writers. The caller holds the lock.
-func (p *Publisher) wakeAll() {
+// wakeAllWriters signals the writers of all connections. The caller holds p.mu.
+func (p *Publisher) wakeAllWriters() {
 	p.lastWake = time.Now()
 	for _, c := range p.connections {
 		c.signal()
 	}
 }
 
+// signal wakes the connection's writer, or has it look for something to send again if it is busy. It never blocks.
 func (c *connection) signal() {
 	select {
 	case c.wake <- struct{}{}:
@@ -137,38 +139,42 @@
 	}
 }
 
-// serve reads a follower's messages until its connection ends.
+// serve runs a connection until it ends: it reads the follower's Hello, starts the writer, and reads the messages that
+// follow.
 func (c *connection) serve() {
-	defer c.remove()
-	c.conn.SetWriteBuffer(sendBuffer)
-	setUnansweredLimit(c.conn)
-	reader := frames.NewReader(countingReader{c.conn, &c.publisher.counters.bytesIn}, maxFollowerFrame)
+	defer c.unregister()
+	c.conn.SetWriteBuffer(sendBufferBytes)
+	setUserTimeout(c.conn)
+	reader := frames.NewReader(countingReader{c.conn, &c.publisher.counters.bytesIn}, maxFollowerFrameBytes)
 	err := c.readHello(reader)
 	if err != nil {
-		c.countMalformed(err)
+		c.recordIfMalformed(err)
 		return
 	}
 	var writer sync.WaitGroup
-	writer.Go(c.write)
-	c.countMalformed(c.read(reader))
-	close(c.ended)
-	c.conn.Close() // ends a write in progress
+	writer.Go(c.runWriter)
+	c.recordIfMalformed(c.readMessages(reader))
+	close(c.readerDone)
+	c.conn.Close() // makes a blocked write of the writer return
 	writer.Wait()
 }
 
-// setUnansweredLimit has the kernel end a connection whose other side is gone, as after a network failure.
-func setUnansweredLimit(conn *net.TCPConn) {
+// setUserTimeout sets TCP_USER_TIMEOUT, so that the kernel closes the connection when sent bytes stay unacknowledged
+// for tcpUserTimeout. Otherwise a connection would stay open for long after its follower is lost, as in a network
+// failure. Errors are ignored: the connection then works without this timeout.
+func setUserTimeout(conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return
 	}
 	raw.Control(func(descriptor uintptr) {
-		milliseconds := int(unansweredLimit / time.Millisecond)
+		milliseconds := int(tcpUserTimeout / time.Millisecond)
 		unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
 	})
 }
 
-// readHello reads the first message and adds the follower to the sender.
+// readHello reads the first message, which has to be a Hello, and adds the follower to the sender. If the same gateway
+// has another connection, that one is closed.
 func (c *connection) readHello(reader *frames.Reader) error {
 	c.conn.SetReadDeadline(time.Now().Add(helloTimeout))
 	message, err := reader.Next()
@@ -177,7 +183,7 @@
 	}
 	hello, ok := message.(*configsync.Hello)
 	if !ok {
-		return &frames.MalformedError{Err: errors.New("the first message is no hello")}
+		return &frames.MalformedError{Err: errors.New("the first message of the follower is not a Hello")}
 	}
 	c.conn.SetReadDeadline(time.Time{})
 	p := c.publisher
@@ -190,8 +196,9 @@
 	return err
 }
 
-// read passes the messages of the follower to the sender until the connection ends.
-func (c *connection) read(reader *frames.Reader) error {
+// readMessages passes the follower's messages to the sender until the connection ends, and returns the reason for its
+// end. Each message may permit the sender to send the next version, so it wakes the writer.
+func (c *connection) readMessages(reader *frames.Reader) error {
 	for {
 		message, err := reader.Next()
 		if err != nil {
@@ -205,6 +212,7 @@
 	}
 }
 
+// receive passes one message to the sender. It logs a refusal. An error reports that the message violates the protocol.
 func (c *connection) receive(message configsync.Message) error {
 	if refusal, ok := message.(*configsync.Refusal); ok {
 		slog.Warn("version_refused",
@@ -220,14 +228,15 @@
 	return p.sender.Receive(time.Now(), c.id, message)
 }
 
-// write executes the actions of the sender, one frame at a time. A version published while a frame is being written is
-// considered after it, so a slow follower has at most one frame pending.
-func (c *connection) write() {
+// runWriter writes what the sender decides, one frame at a time, until the connection ends. It asks the sender again
+// only after a frame is written, so a slow follower never has more than one frame queued; versions published in the
+// meantime are merged into the next one.
+func (c *connection) runWriter() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		action := c.next()
-		if !c.send(action.Frame) {
+		action := c.nextAction()
+		if !c.writeFrame(action.Frame) {
 			c.conn.Close()
 			return
 		}
@@ -242,20 +251,22 @@
 		select {
 		case <-c.wake:
 		case <-timer.C:
-		case <-c.ended:
+		case <-c.readerDone:
 			return
 		}
 	}
 }
 
-func (c *connection) next() configsync.Action {
+// nextAction returns what the sender decides to do for this follower now.
+func (c *connection) nextAction() configsync.Action {
 	p := c.publisher
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sender.Next(time.Now(), c.id)
 }
 
-func (c *connection) send(frame []byte) bool {
+// writeFrame writes a frame, if it is not nil, and reports whether the connection can still be used.
+func (c *connection) writeFrame(frame []byte) bool {
 	if frame == nil {
 		return true
 	}
@@ -265,25 +276,26 @@
 	return err == nil
 }
 
-// closeWrite ends the connection after its final frame. The follower closes first, so that no reset overtakes the
-// frame.
+// closeWrite closes the sending side of the connection after its final frame, and gives the follower closeTimeout to
+// close the connection. To close it fully at this point could reset it, and the follower would lose the frame.
 func (c *connection) closeWrite() {
 	c.conn.CloseWrite()
 	c.conn.SetReadDeadline(time.Now().Add(closeTimeout))
 }
 
-// countMalformed counts and logs an error that ended a connection, if it was a breach of the protocol.
-func (c *connection) countMalformed(err error) {
+// recordIfMalformed counts and logs the error that ended a connection if it reports a violation of the protocol. Other
+// errors, such as a connection closed by the follower, are expected.
+func (c *connection) recordIfMalformed(err error) {
 	var malformed *frames.MalformedError
 	var protocol *configsync.ProtocolVersionError
 	if errors.As(err, &malformed) || errors.As(err, &protocol) {
-		c.publisher.counters.malformed.Add(1)
+		c.publisher.counters.malformedMessages.Add(1)
 		slog.Warn("follower_message_malformed", "follower", c.conn.RemoteAddr(), "error", err)
 	}
 }
 
-// remove unregisters the connection and closes it.
-func (c *connection) remove() {
+// unregister removes the connection from the sender and from p.connections, and closes it.
+func (c *connection) unregister() {
 	defer c.conn.Close()
 	p := c.publisher
 	p.mu.Lock()
--- a/internal/publisher/serve_test.go
+++ b/internal/publisher/serve_test.go
@@ -8,7 +8,8 @@
 	"ravensill/internal/config"
 )
 
-// The first version of a burst wakes the writers at once, and the others wake them once after the interval.
+// Guards against wake-ups of all writers for each version of a burst, which delay the next change. The first version
+// wakes the writers at once; the later ones wake them together, once, at the end of the version interval.
 func TestAnnounceWakesWritersOncePerInterval(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	c := &connection{wake: make(chan struct{}, 1)}
@@ -25,17 +26,17 @@
 	select {
 	case <-c.wake:
 	default:
-		t.Fatal("the first version wakes no writer")
+		t.Fatal("the first version did not wake the writer at once")
 	}
 	p.mu.Lock()
-	first := p.lastWake
+	firstWake := p.lastWake
 	p.mu.Unlock()
 	announce()
 	announce()
 	<-c.wake
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if late := p.lastWake.Sub(first); late < interval {
-		t.Errorf("woken again after %v", late)
+	if delay := p.lastWake.Sub(firstWake); delay < interval {
+		t.Errorf("the writer was woken again after %v, want at least the version interval", delay)
 	}
 }
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -7,47 +7,49 @@
 	"ravensill/configsync"
 )
 
-const loggedDigestDigits = 16 // of the digest, in a log line
+const loggedDigestDigits = 16 // hexadecimal digits of a digest that a log line has
 
-// Status is the status of a replica, and of the gateways that are or were connected to it.
+// Status is the status of a replica, and of the gateways that are or were connected to it since its start. Operators
+// get it as JSON.
 type Status struct {
-	Replica       int                `json:"replica"`
-	Leader        int                `json:"leader"` // -1: not known
-	IsLeader      bool               `json:"leads"`
-	UpToDate      bool               `json:"current"` // in contact with a quorum, and all that is committed is applied
-	Log           configsync.LogID   `json:"log"`
-	Version       configsync.Version `json:"version"`
-	Digest        string             `json:"digest"`
-	OldestVersion configsync.Version `json:"oldest"` // the earliest version of the history, for deltas and rollbacks
-	Connected     int                `json:"connected"`
+	Replica       int                `json:"replica"`   // index of this replica
+	Leader        int                `json:"leader"`    // index of the leader; -1: not known
+	IsLeader      bool               `json:"leads"`     // this replica is the leader, as far as it knows
+	UpToDate      bool               `json:"current"`   // in contact with a quorum, and has applied all that is committed
+	Log           configsync.LogID   `json:"log"`       // empty: the log is not created yet
+	Version       configsync.Version `json:"version"`   // the latest version applied at this replica
+	Digest        string             `json:"digest"`    // of the content of Version, in hexadecimal
+	OldestVersion configsync.Version `json:"oldest"`    // oldest in the history, which limits deltas and rollbacks
+	Connected     int                `json:"connected"` // number of gateways connected now
 	Counters      Counters           `json:"counters"`
 	Followers     []Follower         `json:"followers,omitempty"`
 }
 
-// Counters count since the start of the replica.
+// Counters counts events since the start of the replica.
 type Counters struct {
-	Connections         int64 `json:"connections"`
-	RejectedConnections int64 `json:"turned_off"` // connections beyond max_followers
-	MalformedMessages   int64 `json:"malformed"`  // messages that broke the protocol; each ended its connection
-	BytesIn             int64 `json:"bytes_in"`   // from followers
-	BytesOut            int64 `json:"bytes_out"`  // to followers
-	PublishedVersions   int64 `json:"published"`
-	RejectedRequests    int64 `json:"rejected"` // requests answered by an error
+	Connections         int64 `json:"connections"` // accepted from followers
+	RejectedConnections int64 `json:"turned_off"`  // connections beyond max_followers
+	MalformedMessages   int64 `json:"malformed"`   // messages that violated the protocol; each ended its connection
+	BytesIn             int64 `json:"bytes_in"`    // from followers
+	BytesOut            int64 `json:"bytes_out"`   // to followers
+	PublishedVersions   int64 `json:"published"`   // by this replica as the leader
+	RejectedRequests    int64 `json:"rejected"`    // requests for a change that this replica answered with an error
 }
 
-// Follower is the status of one gateway at a replica.
+// Follower is the status of one gateway, as one replica knows it.
 type Follower struct {
-	Member             int                 `json:"member"`
+	Member             int                 `json:"member"` // member index
 	Name               string              `json:"name"`
 	Connected          bool                `json:"connected"`
-	InForce            configsync.Version  `json:"in_force"`
-	RefusedVersion     configsync.Version  `json:"refused,omitempty"` // a later version that it could not apply
-	RefusedResource    configsync.Resource `json:"resource,omitempty"`
+	InForce            configsync.Version  `json:"in_force"`           // as it last reported; 0: none
+	RefusedVersion     configsync.Version  `json:"refused,omitempty"`  // a later version that it could not apply; 0: none
+	RefusedResource    configsync.Resource `json:"resource,omitempty"` // the resource at fault; empty: none was named
 	RefusalReason      string              `json:"reason,omitempty"`
-	SinceLastMessageMS int64               `json:"heard_ms"` // milliseconds since its latest message
+	SinceLastMessageMS int64               `json:"heard_ms"` // time since its latest message
 }
 
-// Status returns the status of this replica. Each gateway is connected to one replica at a time.
+// Status returns the status of this replica. Followers has only the gateways that are or were connected to this
+// replica, since each gateway connects to one replica at a time; FleetStatus has all.
 func (p *Publisher) Status() *Status {
 	status := &Status{
 		Replica:   p.cfg.Index,
@@ -56,13 +58,13 @@
 		UpToDate:  p.replica.IsUpToDate(),
 		Followers: []Follower{},
 		Counters: Counters{
-			Connections:         p.counters.connected.Load(),
+			Connections:         p.counters.acceptedConnections.Load(),
 			RejectedConnections: p.counters.rejectedConnections.Load(),
-			MalformedMessages:   p.counters.malformed.Load(),
+			MalformedMessages:   p.counters.malformedMessages.Load(),
 			BytesIn:             p.counters.bytesIn.Load(),
 			BytesOut:            p.counters.bytesOut.Load(),
-			PublishedVersions:   p.counters.published.Load(),
-			RejectedRequests:    p.counters.rejected.Load(),
+			PublishedVersions:   p.counters.publishedVersions.Load(),
+			RejectedRequests:    p.counters.rejectedRequests.Load(),
 		},
 	}
 	p.mu.Lock()
@@ -81,6 +83,7 @@
 	return status
 }
 
+// newFollower converts the sender's status of a gateway. now is the time from which SinceLastMessageMS counts.
 func newFollower(now time.Time, member *configsync.MemberStatus) Follower {
 	return Follower{
 		Member:             member.Member,
@@ -94,7 +97,8 @@
 	}
 }
 
-// LogAttrs returns the status as the fields of a log line, the followers only as counts.
+// LogAttrs returns the status as the fields of a log line. Of the followers it has only counts: those connected, those
+// with the latest version in force, and those that refused a version.
 func (s *Status) LogAttrs() []slog.Attr {
 	inForce := 0
 	refused := 0
