--- a/internal/publishertest/publishertest.go
+++ b/internal/publishertest/publishertest.go
@@ -1,4 +1,5 @@
-// Package publishertest runs groups of publishers on loopback addresses for tests.
+// Package publishertest runs groups of publisher replicas in the process of a test. The replicas listen on loopback
+// addresses and write to temporary directories.
 package publishertest
 
 import (
@@ -21,23 +22,26 @@
 )
 
 const (
-	waitTimeout  = 60 * time.Second
-	pollInterval = 5 * time.Millisecond
+	waitTimeout  = 60 * time.Second     // after which Eventually fails the test
+	pollInterval = 5 * time.Millisecond // between two evaluations of a condition
 )
 
-// InitialContent is a small content: two quota plans, a request class and limits.
+// InitialContent is a small configuration as a body of PUT /v1/configuration: two quota plans, a request class and
+// limits, which are four resources.
 const InitialContent = `{"plans":[{"name":"gold","rate":10,"burst":5},{"name":"team","rate":5,"burst":5}],
 	"profiles":[{"name":"lookup","target_us":1000,"hard_limit_us":2000}],"limits":{"max_attempts":2}}`
 
-// EarlierRelease is what the program of an earlier commit stored in a folder of testdata.
+// EarlierRelease describes data that an earlier release of the program wrote. It is kept in testdata, so that tests can
+// check that the present program reads it.
 type EarlierRelease struct {
-	Commit  string
-	Dir     string
-	Version configsync.Version // the last one
-	Digest  string             // of that version's content
+	Commit  string             // from which the program was built
+	Dir     string             // within testdata of the package that reads the data
+	Version configsync.Version // the last version stored
+	Digest  string             // of that version's content, in hexadecimal
 }
 
-// FirstRelease is the first commit whose stored data is kept, of publishers and of subscribers.
+// FirstRelease is the earliest release whose data is kept: that of a publisher and that of a subscriber, which have the
+// same last version.
 var FirstRelease = EarlierRelease{
 	Commit:  "067f03a",
 	Dir:     "landed",
@@ -45,24 +49,27 @@
 	Digest:  "52e2ee77df49aff9779c16b207fb40fdf9a1399fb4fa9f33657cc4aefd6fc078",
 }
 
-// Matches reports whether a version that was read, with its digest, is the one that the release stored last.
+// Matches reports whether a version and its digest, as the present program read them, are those that the release stored
+// last.
 func (r EarlierRelease) Matches(version configsync.Version, digest string) bool {
 	return version == r.Version && digest == r.Digest
 }
 
-// Eventually waits until a condition is true, which other goroutines bring about.
-func Eventually(t *testing.T, what string, reached func() bool) {
+// Eventually polls a condition that other goroutines make true. It ends the test if the condition is not true within
+// waitTimeout; what completes the message "timed out waiting for".
+func Eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
-	for !reached() {
+	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// freeAddress returns a loopback address with a free port. Its host is random, so that no other process uses the port.
+// freeAddress returns a loopback address with a free port. The port is free again when freeAddress returns, so the host
+// is chosen at random from 127.64.0.0/10: another process is not likely to take the same address meanwhile.
 func freeAddress(t *testing.T) netip.AddrPort {
 	host := netip.AddrFrom4([4]byte{127, byte(64 + rand.IntN(64)), byte(rand.IntN(256)), byte(1 + rand.IntN(254))})
 	l, err := net.Listen("tcp4", netip.AddrPortFrom(host, 0).String())
@@ -73,46 +80,48 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Group is a group of replicas on loopback.
+// Group is a group of publisher replicas on loopback addresses.
 type Group struct {
-	Configs  []*config.Publisher
-	Replicas []*publisher.Publisher // nil: closed
+	Configs  []*config.Publisher    // by replica index
+	Replicas []*publisher.Publisher // by replica index; nil: the replica is closed
 
-	t      *testing.T
-	system sockets.System
-	faults []atomic.Pointer[error] // of the disks, by replica; nil: none
+	t          *testing.T
+	system     sockets.System
+	diskFaults []atomic.Pointer[error] // by replica index: the error of writes to disk; nil: none
 }
 
-// SetDiskFault makes all writes to the log and the state of a replica fail with an error, or none if that is nil.
+// SetDiskFault makes all writes of replica i to its log and state on disk fail with err. They succeed again after a
+// call with nil.
 func (g *Group) SetDiskFault(i int, err error) {
 	if err == nil {
-		g.faults[i].Store(nil)
+		g.diskFaults[i].Store(nil)
 		return
 	}
-	g.faults[i].Store(&err)
+	g.diskFaults[i].Store(&err)
 }
 
-// diskFault returns the error of a replica's next write, nil for none.
+// diskFault returns the error for the next write to disk of replica i, or nil if the write succeeds.
 func (g *Group) diskFault(i int) error {
-	if fault := g.faults[i].Load(); fault != nil {
+	if fault := g.diskFaults[i].Load(); fault != nil {
 		return *fault
 	}
 	return nil
 }
 
-// NewGroup starts replicas, each with its own directory; change may alter their configurations. They are closed at
-// the end of the test.
-func NewGroup(t *testing.T, replicas int, change func(*config.Publisher)) *Group {
-	return NewGroupWithSockets(t, sockets.Kernel{}, replicas, change)
+// NewGroup starts a group of replicas, each with its own temporary directory. If configure is not nil, it is called for
+// the configuration of each replica before the start, and may change it. The replicas are closed at the end of the
+// test.
+func NewGroup(t *testing.T, replicas int, configure func(*config.Publisher)) *Group {
+	return NewGroupWithSockets(t, sockets.Kernel{}, replicas, configure)
 }
 
-// NewGroupWithSockets is NewGroup with replicas whose sockets are those of system.
-func NewGroupWithSockets(t *testing.T, system sockets.System, replicas int, change func(*config.Publisher)) *Group {
+// NewGroupWithSockets is NewGroup with replicas that open their sockets by system.
+func NewGroupWithSockets(t *testing.T, system sockets.System, replicas int, configure func(*config.Publisher)) *Group {
 	g := &Group{
-		Replicas: make([]*publisher.Publisher, replicas),
-		t:        t,
-		system:   system,
-		faults:   make([]atomic.Pointer[error], replicas),
+		Replicas:   make([]*publisher.Publisher, replicas),
+		t:          t,
+		system:     system,
+		diskFaults: make([]atomic.Pointer[error], replicas),
 	}
 	var raftAddresses []netip.AddrPort
 	var adminAddresses []netip.AddrPort
@@ -136,8 +145,8 @@
 			SnapshotThreshold: 4,
 			TrailingEntries:   2,
 		}
-		if change != nil {
-			change(cfg)
+		if configure != nil {
+			configure(cfg)
 		}
 		g.Configs = append(g.Configs, cfg)
 	}
@@ -152,7 +161,8 @@
 	return g
 }
 
-// Open starts a replica, also again with the data on its disk.
+// Open starts replica i, with the data in its directory if it ran before. It ends the test if the replica fails to
+// start.
 func (g *Group) Open(i int) {
 	g.t.Helper()
 	var err error
@@ -165,7 +175,7 @@
 	}
 }
 
-// Close closes a replica. It does nothing if that is closed already.
+// Close closes replica i and keeps its directory. It does nothing if the replica is closed already.
 func (g *Group) Close(i int) {
 	if g.Replicas[i] != nil {
 		g.Replicas[i].Close()
@@ -173,7 +183,8 @@
 	}
 }
 
-// Request sends an HTTP request to a replica. status is 0 if there is no answer.
+// Request sends an HTTP request to replica i. An empty ifMatch means no precondition. If there is no response, status
+// is 0 and answer is the text of the error.
 func (g *Group) Request(i int, method, path, body, ifMatch string) (status int, answer string) {
 	request, err := http.NewRequest(method, "http://"+g.Configs[i].AdminListen.String()+path, strings.NewReader(body))
 	if err != nil {
@@ -193,13 +204,14 @@
 	return response.StatusCode, string(text)
 }
 
-// Publish makes a change at a replica, with retries while the group has no leader.
+// Publish sends a request for a change to replica i, and repeats it while the answer is 503, as it is without a leader.
+// Any other failure is an error of the test.
 func (g *Group) Publish(i int, method, path, body string) (p publisher.Publication) {
 	g.t.Helper()
-	Eventually(g.t, "a publication", func() bool {
+	Eventually(g.t, "the change to be published", func() bool {
 		status, answer := g.Request(i, method, path, body, "")
 		if status != http.StatusOK && status != http.StatusServiceUnavailable {
-			g.t.Errorf("%s %s: %d %s", method, body, status, answer)
+			g.t.Errorf("%s %s was answered with %d %s, want 200", method, body, status, answer)
 			return true
 		}
 		return status == http.StatusOK && json.Unmarshal([]byte(answer), &p) == nil
@@ -207,19 +219,20 @@
 	return p
 }
 
-// PublishInitialContent publishes InitialContent.
+// PublishInitialContent publishes InitialContent at replica 0. It is the first version of a new group.
 func (g *Group) PublishInitialContent() publisher.Publication {
 	return g.Publish(0, "PUT", "/v1/configuration", InitialContent)
 }
 
-// PublishRate publishes a new rate of a plan.
+// PublishRate publishes a plan with a rate, in units a second, and a burst of 5 at replica i. It adds the plan if there
+// is none of that name.
 func (g *Group) PublishRate(i int, plan string, rate int) publisher.Publication {
 	g.t.Helper()
 	body := fmt.Sprintf(`{"set":{"plans/%s":{"name":%q,"rate":%d,"burst":5}}}`, plan, plan, rate)
 	return g.Publish(i, "PATCH", "/v1/configuration", body)
 }
 
-// WaitForLeader returns the index of the leading replica. It waits until there is one.
+// WaitForLeader waits until a replica leads and returns its index.
 func (g *Group) WaitForLeader() (leader int) {
 	g.t.Helper()
 	Eventually(g.t, "a leader", func() bool {
@@ -234,7 +247,7 @@
 	return leader
 }
 
-// WaitReplicated waits until all running replicas have a version.
+// WaitReplicated waits until all running replicas have applied a publication as their latest version.
 func (g *Group) WaitReplicated(want publisher.Publication) {
 	g.t.Helper()
 	for i, p := range g.Replicas {
--- a/internal/subscriber/clock_test.go
+++ b/internal/subscriber/clock_test.go
@@ -12,9 +12,11 @@
 	"ravensill/internal/clock"
 )
 
+// wallSteps are the distances by which tests set the wall clock forward or back.
 var wallSteps = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}
 
-// A step of the wall clock does not change how long a publisher counts as silent.
+// Guards against a live publisher that seems silent, or a silent one that seems live, after the wall clock was set: the
+// time since the latest bytes must not depend on such a step.
 func TestLastReadIgnoresWallClockSteps(t *testing.T) {
 	const silence = 700 * time.Millisecond
 	for _, step := range wallSteps {
@@ -23,23 +25,24 @@
 			fake.Advance(time.Minute)
 			near, far := net.Pipe()
 			var in, out atomic.Int64
-			l := newLink(near, fake, &in, &out)
-			defer l.close()
+			c := newConnection(near, fake, &in, &out)
+			defer c.close()
 			if _, err := far.Write([]byte{0}); err != nil {
 				t.Fatal(err)
 			}
-			eventually(t, "the byte is read", l.readSince)
+			eventually(t, "the byte to be read", c.hasNewBytes)
 			fake.StepWall(step)
 			fake.Advance(silence)
 			now := time.Now()
-			if got := now.Sub(l.lastRead(now)); got != silence {
-				t.Errorf("silent for %v, want %v", got, silence)
+			if got := now.Sub(c.lastReadTime(now)); got != silence {
+				t.Errorf("the publisher counts as silent for %v, want %v", got, silence)
 			}
 		})
 	}
 }
 
-// Each start has a higher incarnation than the one before, whichever way the wall clock was set between them.
+// Guards against a gateway that publishers reject after its wall clock was set back. Each start must have a higher
+// incarnation than the one before, whichever way the clock was set in between.
 func TestNextIncarnationGrows(t *testing.T) {
 	for _, step := range wallSteps {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
@@ -61,7 +64,8 @@
 	}
 }
 
-// A gateway starts with the wall clock as its incarnation if the stored one can't be read or a new one can't be stored.
+// The incarnation is the wall clock if the stored one is damaged, which is no error, or if the directory can't be used,
+// which is one.
 func TestNextIncarnationWithoutStoredNumber(t *testing.T) {
 	fake := clock.NewFake(time.Now())
 	dir := t.TempDir()
@@ -71,15 +75,15 @@
 		}
 		number, err := NextIncarnation(dir, fake)
 		if want := uint64(fake.Wall().UnixNano()); number != want || err != nil {
-			t.Errorf("%q: %d, want %d; %v", text, number, want, err)
+			t.Errorf("stored %q: incarnation %d, want %d; error %v", text, number, want, err)
 		}
 	}
 	file := filepath.Join(dir, "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	number, err := NextIncarnation(file, fake) // not a directory
+	number, err := NextIncarnation(file, fake) // the path is that of a file, not of a directory
 	if err == nil || number != uint64(fake.Wall().UnixNano()) {
-		t.Errorf("%d, %v", number, err)
+		t.Errorf("directory that can't be created: incarnation %d, error %v", number, err)
 	}
 }
--- a/internal/subscriber/incarnation.go
+++ b/internal/subscriber/incarnation.go
@@ -12,45 +12,46 @@
 	"ravensill/internal/clock"
 )
 
-// incarnationFile is the file with the number of the latest start in the subscriber's directory: decimal digits and a
-// line feed.
+// incarnationFile is the name of the file in the subscriber's directory that holds the incarnation of the latest start:
+// decimal digits and a line feed.
 const incarnationFile = "incarnation"
 
-// NextIncarnation returns the incarnation of this start of the gateway: the wall clock in nanoseconds since 1970, or
-// one above the incarnation stored in the directory if that is later. By the wall clock alone, a gateway that
-// restarts after its clock was set back would have a lower incarnation than before, and a publisher that still has
-// its previous connection would reject it. An error reports that the incarnation could not be read or stored; the one
-// returned is usable nevertheless. A nil clock is clock.System.
-func NextIncarnation(dir string, source clock.Clock) (uint64, error) {
-	if source == nil {
-		source = clock.System{}
+// NextIncarnation returns the incarnation of this start of the gateway, a number that has to increase with each start,
+// and stores it in dir. It is the wall clock in nanoseconds since 1970, or one more than the stored incarnation if that
+// is greater. By the wall clock alone, a gateway that restarts after its clock was set back would have a lower
+// incarnation than before, and a publisher that still holds the previous connection would reject the new one. If the
+// stored incarnation can't be read or the new one can't be stored, NextIncarnation returns an error together with an
+// incarnation that the gateway can use. A nil clk means clock.System.
+func NextIncarnation(dir string, clk clock.Clock) (uint64, error) {
+	if clk == nil {
+		clk = clock.System{}
 	}
-	number := uint64(max(source.Wall().UnixNano(), 1))
+	incarnation := uint64(max(clk.Wall().UnixNano(), 1))
 	path := filepath.Join(dir, incarnationFile)
 	stored, err := readIncarnation(path)
 	if err != nil {
-		return number, err
+		return incarnation, err
 	}
-	number = max(number, stored+1)
+	incarnation = max(incarnation, stored+1)
 	err = os.MkdirAll(dir, 0o700)
 	if err != nil {
-		return number, err
+		return incarnation, err
 	}
-	return number, replaceFile(diskFiles{}, path, []byte(strconv.FormatUint(number, 10)+"\n"))
+	return incarnation, replaceFileDurably(osFileSystem{}, path, []byte(strconv.FormatUint(incarnation, 10)+"\n"))
 }
 
-// readIncarnation returns the incarnation of the latest start, or 0 if there is none or the file is damaged.
+// readIncarnation returns the incarnation stored in a file, or 0 if there is no file or its content is not a number.
 func readIncarnation(path string) (uint64, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, nil
 	}
 	if err != nil {
-		return 0, fmt.Errorf("number of the last start: %w", err)
+		return 0, fmt.Errorf("read the stored incarnation: %w", err)
 	}
-	number, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
+	incarnation, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
 	if err != nil {
 		return 0, nil
 	}
-	return number, nil
+	return incarnation, nil
 }
--- a/internal/subscriber/link.go
+++ b/internal/subscriber/link.go
@@ -12,74 +12,79 @@
 	"ravensill/internal/frames"
 )
 
-// receivedCapacity is the number of messages that are read ahead while the gateway applies a version. They are
-// heartbeats, one a second.
-const receivedCapacity = 16
+// readAheadMessages is the number of messages that a connection reads ahead while the gateway applies a version. The
+// publisher sends only heartbeats meanwhile, one a second.
+const readAheadMessages = 16
 
-// link is a connection to a publisher, with a goroutine that reads from it until close.
-type link struct {
+// connection is a connection to a publisher. A goroutine of its own reads messages from it until close is called. All
+// methods but Read and readMessages belong to the subscriber's goroutine.
+type connection struct {
 	conn     net.Conn
-	in       *atomic.Int64 // bytes
-	out      *atomic.Int64 // bytes
-	received chan received
-	closed   chan struct{}
-	reader   sync.WaitGroup
+	bytesIn  *atomic.Int64   // counts the bytes read; shared by the subscriber's connections
+	bytesOut *atomic.Int64   // counts the bytes written; shared by the subscriber's connections
+	results  chan readResult // from the reading goroutine
+	done     chan struct{}   // closed by close
+	reader   sync.WaitGroup  // the reading goroutine
 	clock    clock.Clock
 
-	// readAt is the monotonic time of the latest bytes as a time.Duration; 0: none yet.
+	// readAt is when bytes were last read: the monotonic time of clock, as a time.Duration. 0: none were read yet.
+	// The reading goroutine sets it.
 	readAt atomic.Int64
 
-	// seenReadAt is readAt as of the latest call of readSince.
-	seenReadAt time.Duration
+	// lastSeenReadAt is the value that readAt had at the latest call of hasNewBytes.
+	lastSeenReadAt time.Duration
 }
 
-// received is a message, or the error that ended the connection.
-type received struct {
+// readResult is a message read from a connection, or the error that ended the connection.
+type readResult struct {
 	message   configsync.Message
-	malformed bool  // err reports a breach of the protocol
+	malformed bool  // err reports a violation of the protocol
 	err       error // nil: message is set
 }
 
-func newLink(conn net.Conn, clock clock.Clock, in, out *atomic.Int64) *link {
-	l := &link{
+// newConnection takes ownership of conn and starts to read from it. It adds the numbers of bytes read and written to
+// bytesIn and bytesOut.
+func newConnection(conn net.Conn, clock clock.Clock, bytesIn, bytesOut *atomic.Int64) *connection {
+	c := &connection{
 		conn:     conn,
-		in:       in,
-		out:      out,
-		received: make(chan received, receivedCapacity),
-		closed:   make(chan struct{}),
+		bytesIn:  bytesIn,
+		bytesOut: bytesOut,
+		results:  make(chan readResult, readAheadMessages),
+		done:     make(chan struct{}),
 		clock:    clock,
 	}
-	l.reader.Go(l.read)
-	return l
+	c.reader.Go(c.readMessages)
+	return c
 }
 
-// close closes the connection and waits for its goroutine.
-func (l *link) close() {
-	close(l.closed)
-	l.conn.Close()
-	l.reader.Wait()
+// close closes the connection and waits until the reading goroutine has ended. It must be called once.
+func (c *connection) close() {
+	close(c.done)
+	c.conn.Close()
+	c.reader.Wait()
 }
 
-// Read implements io.Reader. It notes the count and the time of the bytes.
-func (l *link) Read(buffer []byte) (int, error) {
-	n, err := l.conn.Read(buffer)
-	l.in.Add(int64(n))
+// Read implements io.Reader for the reading goroutine. It counts the bytes and records the time at which they were
+// read.
+func (c *connection) Read(buffer []byte) (int, error) {
+	n, err := c.conn.Read(buffer)
+	c.bytesIn.Add(int64(n))
 	if n > 0 {
-		l.readAt.Store(int64(l.clock.Monotonic()))
+		c.readAt.Store(int64(c.clock.Monotonic()))
 	}
 	return n, err
 }
 
-// read reads messages until the connection ends.
-func (l *link) read() {
-	reader := frames.NewReader(l, configsync.MaxFrameBytes)
+// readMessages delivers messages to results until the connection ends, and then the error that ended it.
+func (c *connection) readMessages() {
+	reader := frames.NewReader(c, configsync.MaxFrameBytes)
 	for {
 		message, err := reader.Next()
 		var malformed *frames.MalformedError
-		r := received{message, errors.As(err, &malformed), err}
+		r := readResult{message, errors.As(err, &malformed), err}
 		select {
-		case l.received <- r:
-		case <-l.closed:
+		case c.results <- r:
+		case <-c.done:
 			return
 		}
 		if err != nil {
@@ -88,26 +93,28 @@
 	}
 }
 
-// send writes a message. After an error it closes the connection, which the reader notices.
-func (l *link) send(message configsync.Message) {
-	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
-	n, err := l.conn.Write(configsync.Encode(message))
-	l.out.Add(int64(n))
+// send writes a message. If that fails, it closes the connection, so that the reading goroutine delivers an error.
+func (c *connection) send(message configsync.Message) {
+	c.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
+	n, err := c.conn.Write(configsync.Encode(message))
+	c.bytesOut.Add(int64(n))
 	if err != nil {
-		l.conn.Close()
+		c.conn.Close()
 	}
 }
 
-// readSince reports whether bytes were received since the call before, of complete messages or not.
-func (l *link) readSince() bool {
-	readAt := time.Duration(l.readAt.Load())
-	since := readAt != l.seenReadAt
-	l.seenReadAt = readAt
-	return since
+// hasNewBytes reports whether bytes were read since its previous call. They count even if they don't complete a
+// message.
+func (c *connection) hasNewBytes() bool {
+	readAt := time.Duration(c.readAt.Load())
+	hasNew := readAt != c.lastSeenReadAt
+	c.lastSeenReadAt = readAt
+	return hasNew
 }
 
-// lastRead returns the time of the latest bytes seen by readSince, given the time now. It uses monotonic time: with
-// the wall clock, a step forward would make a live publisher seem silent, and a step back would hide a silent one.
-func (l *link) lastRead(now time.Time) time.Time {
-	return now.Add(l.seenReadAt - l.clock.Monotonic())
+// lastReadTime converts the time of the latest bytes seen by hasNewBytes to a time.Time, given the present time. Read
+// records monotonic time, since a step of the wall clock would falsify the silence of a publisher: a step forward would
+// make a live publisher seem silent, and a step back would hide a silent one.
+func (c *connection) lastReadTime(now time.Time) time.Time {
+	return now.Add(c.lastSeenReadAt - c.clock.Monotonic())
 }
--- a/internal/subscriber/status.go
+++ b/internal/subscriber/status.go
@@ -9,32 +9,33 @@
 	"ravensill/configsync"
 )
 
-// Status is the status of a subscriber.
+// Status is the status of a subscriber as of its latest event.
 type Status struct {
-	Version         configsync.Version // in force
-	Digest          configsync.Digest  // of its content
-	LatestVersion   configsync.Version // as the publisher followed last announced it
+	Version         configsync.Version // in force; 0: that of the gateway's own configuration file
+	Digest          configsync.Digest  // of the content of Version
+	LatestVersion   configsync.Version // as last announced by a publisher; 0: none is known
 	RefusedVersion  configsync.Version // a later version that the gateway could not apply; 0: none
-	Publisher       string             // the address connected to; empty: none
-	BytesIn         int64              // since the start
-	BytesOut        int64              // since the start
-	UnsavedVersions int                // versions in force that could not be saved to disk
+	Publisher       string             // the address of the publisher connected to; empty: none
+	BytesIn         int64              // from publishers since the start
+	BytesOut        int64              // to publishers since the start
+	UnsavedVersions int                // number of versions that were put in force but not saved to disk
 	Counters        configsync.FollowerCounters
 }
 
-// Status returns the status after the latest event.
+// Status returns the status after the latest event. It may be called from any goroutine, also after Close.
 func (s *Subscriber) Status() Status { return *s.status.Load() }
 
+// updateStatus makes the present state visible to Status. It is called after each event.
 func (s *Subscriber) updateStatus() {
 	document := s.follower.Document()
 	status := &Status{
 		Version:         document.Version(),
 		Digest:          document.Digest(),
-		LatestVersion:   s.latest,
+		LatestVersion:   s.latestVersion,
 		Publisher:       s.publisher,
-		BytesIn:         s.in.Load(),
-		BytesOut:        s.out.Load(),
-		UnsavedVersions: s.store.unsaved,
+		BytesIn:         s.bytesIn.Load(),
+		BytesOut:        s.bytesOut.Load(),
+		UnsavedVersions: s.store.unsavedVersions,
 		Counters:        s.follower.Counters(),
 	}
 	if refused := s.follower.Refused(); refused != nil {
@@ -43,18 +44,18 @@
 	s.status.Store(status)
 }
 
-// logStatus logs the status if the latest line is older than lineInterval. It is called after each event, and there
-// is one every few seconds, connected or not.
+// logStatus logs the status if the latest status line is at least statusLogInterval old. It is called after each event.
+// Heartbeats, timeouts and connection attempts make an event every few seconds, so no timer is needed.
 func (s *Subscriber) logStatus() {
 	now := time.Now()
-	if now.Sub(s.lineAt) < lineInterval {
+	if now.Sub(s.statusLoggedAt) < statusLogInterval {
 		return
 	}
-	s.lineAt = now
+	s.statusLoggedAt = now
 	slog.LogAttrs(context.Background(), slog.LevelInfo, "configuration_status", s.Status().LogAttrs()...)
 }
 
-// LogAttrs returns the state as the fields of a log line.
+// LogAttrs returns the status as the fields of a log line.
 func (s Status) LogAttrs() []slog.Attr {
 	c := &s.Counters
 	return []slog.Attr{
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -1,6 +1,7 @@
-// Package subscriber follows the publishers of the configuration for a gateway: it owns the connection to a publisher
-// and the last good version on disk. Package configsync decides which publisher to follow and how to handle each
-// message. Without a publisher the gateway keeps its version.
+// Package subscriber receives the configuration for a gateway from one of the publishers. It owns the connection to
+// that publisher, and the file with the last version put in force, from which the gateway starts the next time. Package
+// configsync decides which publisher to follow and how to handle each message. While no publisher can be reached, the
+// version in force stays in force.
 package subscriber
 
 import (
@@ -22,73 +23,76 @@
 )
 
 const (
-	lineInterval      = 10 * time.Second // between log lines on the subscriber's state
-	causeLineInterval = time.Minute      // between log lines on lost connections of one cause
-	sendTimeout       = 3 * time.Second  // of a message to a publisher
+	statusLogInterval = 10 * time.Second // between log lines with the subscriber's status
+	lossLogInterval   = time.Minute      // between log lines about lost connections with the same cause
+	sendTimeout       = 3 * time.Second  // to write one message to a publisher
 )
 
-// ErrStopped is returned by Config.Apply when the gateway is shutting down: the version is neither in force nor
-// refused.
-var ErrStopped = errors.New("the gateway has ended")
+// ErrStopped is returned by Config.Apply if the gateway is shutting down. The version is then neither in force nor
+// refused, and the publisher is told nothing about it.
+var ErrStopped = errors.New("the gateway is shutting down")
 
-// Config configures a Subscriber.
+// Config has the settings of a Subscriber.
 type Config struct {
-	Publishers  []netip.AddrPort // TCP, one or more
-	Dir         string           // of the last good version; created if needed
-	Member      int              // member index
-	Name        string
-	Incarnation uint64         // of this start of the gateway: NextIncarnation
-	Clock       clock.Clock    // nil: clock.System
-	Sockets     sockets.System // nil: sockets.Kernel
+	Publishers  []netip.AddrPort // TCP addresses, at least one
+	Dir         string           // directory for the copy of the latest version; created if needed
+	Member      int              // member index of the gateway
+	Name        string           // of the gateway, in the status of the publishers
+	Incarnation uint64           // of this start of the gateway, from NextIncarnation
+	Clock       clock.Clock      // nil: clock.System
+	Sockets     sockets.System   // nil: sockets.Kernel
 
-	disk files // nil: diskFiles
+	disk fileSystem // nil: osFileSystem
 
-	// Apply puts an update in force, and returns when it is. It is called on the subscriber's goroutine. If complete
-	// is set, the changes are the complete content, which replaces that of the gateway's own file; otherwise they
-	// lead on from the version in force. On any error but ErrStopped the version is refused, and the one in force
-	// stays; a *config.ResourceError names the resource at fault.
+	// Apply puts an update in force, and returns once it is. It is called on the subscriber's goroutine, one update at
+	// a time. If complete is true, the changes are the complete content, which replaces that of the gateway's own
+	// file; otherwise they are relative to the version in force. If Apply returns an error other than ErrStopped, the
+	// subscriber refuses the version to the publisher, and the version before must still be in force. A
+	// *config.ResourceError names the resource at fault.
 	Apply func(update *configsync.Update, complete bool) error
 }
 
-// Subscriber follows the publishers until Close.
+// Subscriber receives versions from the publishers and applies them, from Start until Close. Its methods may be called
+// from any goroutine.
 type Subscriber struct {
-	cfg    Config
-	ctx    context.Context // canceled by Close
-	cancel context.CancelFunc
-	task   sync.WaitGroup
-	status atomic.Pointer[Status]
-	in     atomic.Int64 // bytes
-	out    atomic.Int64 // bytes
+	cfg      Config
+	ctx      context.Context // canceled by Close
+	cancel   context.CancelFunc
+	running  sync.WaitGroup // the goroutine of run
+	status   atomic.Pointer[Status]
+	bytesIn  atomic.Int64 // from publishers, since the start
+	bytesOut atomic.Int64 // to publishers, since the start
 
 	// The fields below belong to the goroutine of run.
-	follower  *configsync.Follower
-	store     *store
-	latest    configsync.Version             // as the publisher followed last announced it
-	publisher string                         // the address connected to; empty: none
-	lineAt    time.Time                      // of the latest status line
-	causes    map[configsync.Cause]time.Time // of the latest log line on a lost connection
+	follower       *configsync.Follower
+	store          *store
+	latestVersion  configsync.Version             // as last announced by a publisher; 0: none is known
+	publisher      string                         // the address of the publisher connected to; empty: none
+	statusLoggedAt time.Time                      // time of the latest log line with the status
+	lossLoggedAt   map[configsync.Cause]time.Time // time of the latest log line about a lost connection
 }
 
-// Start starts to follow the publishers from the document in force: the one that Load returned, if the gateway could
-// apply it, or configsync.NewDocument(""). The subscriber takes ownership of the document.
+// Start starts a subscriber for a gateway that has document in force: the document that Load returned if the gateway
+// could apply it, and otherwise configsync.NewDocument(""). The subscriber takes ownership of the document. Start
+// doesn't wait for a connection.
 func Start(cfg Config, document *configsync.Document) *Subscriber {
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System{}
 	}
 	if cfg.disk == nil {
-		cfg.disk = diskFiles{}
+		cfg.disk = osFileSystem{}
 	}
 	if cfg.Sockets == nil {
 		cfg.Sockets = sockets.Kernel{}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Subscriber{
-		cfg:    cfg,
-		ctx:    ctx,
-		cancel: cancel,
-		store:  newStore(cfg.Dir, cfg.disk),
-		lineAt: time.Now(),
-		causes: map[configsync.Cause]time.Time{},
+		cfg:            cfg,
+		ctx:            ctx,
+		cancel:         cancel,
+		store:          newStore(cfg.Dir, cfg.disk),
+		statusLoggedAt: time.Now(),
+		lossLoggedAt:   map[configsync.Cause]time.Time{},
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	s.follower = configsync.NewFollower(configsync.FollowerConfig{
@@ -98,29 +102,29 @@
 		Publishers:  len(cfg.Publishers),
 	}, document, random)
 	s.updateStatus()
-	s.task.Go(s.run)
+	s.running.Go(s.run)
 	return s
 }
 
-// Close closes the connection and waits until the goroutine has ended, for which a Config.Apply in progress has to
-// return.
+// Close closes the connection and waits until the subscriber's goroutine has ended. If Config.Apply is in progress,
+// Close waits until it returns.
 func (s *Subscriber) Close() {
 	s.cancel()
-	s.task.Wait()
+	s.running.Wait()
 }
 
 // run follows one publisher after another until Close.
 func (s *Subscriber) run() {
 	defer s.store.close()
 	for s.waitUntil(s.follower.NextAttempt()) {
-		s.connect()
-		s.store.retry(s.follower.Document())
+		s.connectAndFollow()
+		s.store.retryFailedSave(s.follower.Document())
 		s.updateStatus()
 		s.logStatus()
 	}
 }
 
-// waitUntil waits for a time and returns true, or false if Close is called before.
+// waitUntil waits until a time and returns true. It returns false as soon as Close is called.
 func (s *Subscriber) waitUntil(at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -132,64 +136,66 @@
 	}
 }
 
-// connect connects to a publisher and follows it until the connection ends.
-func (s *Subscriber) connect() {
+// connectAndFollow connects to the publisher that the follower has chosen, and follows it until the connection ends.
+func (s *Subscriber) connectAndFollow() {
 	address := s.cfg.Publishers[s.follower.Publisher()].String()
 	conn, err := s.cfg.Sockets.Dial(s.ctx, &net.Dialer{Timeout: configsync.ConnectTimeout}, address)
 	if err != nil {
-		s.logLost(address, s.follower.ConnectionLost(time.Now()), err)
+		s.logConnectionLost(address, s.follower.ConnectionLost(time.Now()), err)
 		return
 	}
-	l := newLink(conn, s.cfg.Clock, &s.in, &s.out)
-	defer l.close()
+	c := newConnection(conn, s.cfg.Clock, &s.bytesIn, &s.bytesOut)
+	defer c.close()
 	s.publisher = address
-	s.follow(l)
+	s.follow(c)
 	s.publisher = ""
 }
 
-// follow exchanges messages with the publisher until the connection ends.
-func (s *Subscriber) follow(l *link) {
+// follow exchanges messages with the publisher, and applies the versions that it sends, until the connection has to end
+// or Close is called.
+func (s *Subscriber) follow(c *connection) {
 	for _, message := range s.follower.Connected(time.Now()) {
-		l.send(message)
+		c.send(message)
 	}
 	for {
-		decision, err := s.next(l)
+		decision, err := s.nextDecision(c)
 		if s.ctx.Err() != nil {
 			return
 		}
 		if decision.Reply != nil {
-			l.send(decision.Reply)
+			c.send(decision.Reply)
 		}
 		if decision.Kind == configsync.Reconnect {
-			s.logLost(s.publisher, decision, err)
+			s.logConnectionLost(s.publisher, decision, err)
 			return
 		}
-		if decision.Kind == configsync.Apply && !s.apply(l, decision.Update) {
+		if decision.Kind == configsync.Apply && !s.applyUpdate(c, decision.Update) {
 			return
 		}
-		s.store.retry(s.follower.Document())
+		s.store.retryFailedSave(s.follower.Document())
 		s.updateStatus()
 		s.logStatus()
 	}
 }
 
-// next waits for an event and returns the decision about it. Messages received already precede the deadline, which
-// may have passed while a version was being applied.
-func (s *Subscriber) next(l *link) (configsync.Decision, error) {
+// nextDecision waits for a message, the end of the connection or the follower's deadline, and returns the decision on
+// that event with the error that belongs to it, if any. Messages that were received already are handled before the
+// deadline, since the deadline may have passed while a version was being applied.
+func (s *Subscriber) nextDecision(c *connection) (configsync.Decision, error) {
 	select {
-	case r := <-l.received:
-		return s.receive(r)
+	case r := <-c.results:
+		return s.handleRead(r)
 	default:
 	}
 	deadline, _ := s.follower.Deadline()
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case r := <-l.received:
-		return s.receive(r)
+	case r := <-c.results:
+		return s.handleRead(r)
 	case <-timer.C:
-		if l.readSince() {
-			s.follower.ReceivedBytes(l.lastRead(time.Now()))
+		if c.hasNewBytes() {
+			s.follower.ReceivedBytes(c.lastReadTime(time.Now()))
 		}
 		return s.follower.Tick(time.Now()), nil
 	case <-s.ctx.Done():
@@ -197,8 +203,8 @@
 	}
 }
 
-// receive handles a message, or the end of the connection.
-func (s *Subscriber) receive(r received) (configsync.Decision, error) {
+// handleRead passes a message, or the error that ended the connection, to the follower.
+func (s *Subscriber) handleRead(r readResult) (configsync.Decision, error) {
 	now := time.Now()
 	if r.malformed {
 		return s.follower.ReceiveMalformed(now, r.err), r.err
@@ -207,14 +213,15 @@
 		return s.follower.ConnectionLost(now), r.err
 	}
 	if heartbeat, ok := r.message.(*configsync.Heartbeat); ok {
-		s.latest = heartbeat.Latest
+		s.latestVersion = heartbeat.Latest
 	}
 	decision := s.follower.Receive(now, r.message)
 	return decision, decision.Err
 }
 
-// apply puts an update in force and saves it, or refuses it. It returns false if the gateway is shutting down.
-func (s *Subscriber) apply(l *link, update *configsync.Update) bool {
+// applyUpdate puts an update in force, saves it and acknowledges it, or refuses it if the gateway can't apply it. It
+// returns false if the gateway is shutting down, after Close was called.
+func (s *Subscriber) applyUpdate(c *connection, update *configsync.Update) bool {
 	complete := update.From == 0
 	err := s.cfg.Apply(update, complete)
 	if errors.Is(err, ErrStopped) {
@@ -224,18 +231,20 @@
 	now := time.Now()
 	s.follower.ReceivedBytes(now)
 	if err != nil {
-		s.refuse(l, now, update, err)
+		s.refuseUpdate(c, now, update, err)
 		return true
 	}
 	accepted := s.follower.Accept(now)
-	// A gateway that is killed must not restart with an earlier version than it acknowledged, so the version is saved
-	// first.
+	// The version is saved before it is acknowledged: a gateway that is killed must not restart with an earlier version
+	// than it has acknowledged.
 	s.store.save(s.follower.Document(), update.Delta)
-	l.send(accepted)
+	c.send(accepted)
 	return true
 }
 
-func (s *Subscriber) refuse(l *link, now time.Time, update *configsync.Update, err error) {
+// refuseUpdate logs that the gateway can't apply an update, and reports it to the publisher. If err names a resource,
+// the reason is err without that name.
+func (s *Subscriber) refuseUpdate(c *connection, now time.Time, update *configsync.Update, err error) {
 	resource := configsync.Resource("")
 	reason := err.Error()
 	var fault *config.ResourceError
@@ -244,17 +253,18 @@
 		reason = strings.TrimPrefix(reason, string(resource)+": ")
 	}
 	slog.Warn("configuration_refused", "version", update.To, "resource", resource, "reason", reason)
-	l.send(s.follower.Refuse(now, resource, reason))
+	c.send(s.follower.Refuse(now, resource, reason))
 }
 
-// logLost logs the end of a connection or an unreachable publisher, at most once per causeLineInterval for each cause.
-func (s *Subscriber) logLost(address string, decision configsync.Decision, err error) {
+// logConnectionLost logs that a connection ended or that a publisher can't be reached, at most once per lossLogInterval
+// for each cause. It logs nothing once Close is called. A nil err means that there are no details beyond the cause.
+func (s *Subscriber) logConnectionLost(address string, decision configsync.Decision, err error) {
 	now := time.Now()
-	last, logged := s.causes[decision.Cause]
-	if logged && now.Sub(last) < causeLineInterval || s.ctx.Err() != nil {
+	loggedAt, logged := s.lossLoggedAt[decision.Cause]
+	if logged && now.Sub(loggedAt) < lossLogInterval || s.ctx.Err() != nil {
 		return
 	}
-	s.causes[decision.Cause] = now
+	s.lossLoggedAt[decision.Cause] = now
 	text := ""
 	if err != nil {
 		text = err.Error()
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -22,20 +22,21 @@
 
 var eventually = publishertest.Eventually
 
-// gateway is a test gateway that records the versions and the content in force.
-type gateway struct {
-	t   *testing.T
-	cfg Config
-	sub *Subscriber // nil: not running
+// testGateway is a gateway with only a subscriber. It records the versions and the content that were put in force.
+type testGateway struct {
+	t          *testing.T
+	cfg        Config
+	subscriber *Subscriber // nil: not running
 
-	mu       sync.Mutex
-	inForce  *configsync.Document // built from the changes alone
-	versions []configsync.Version
-	refuse   func(update *configsync.Update) error // nil: applies all updates
+	mu       sync.Mutex                            // guards the fields below
+	inForce  *configsync.Document                  // built only from the changes that apply received
+	versions []configsync.Version                  // in the order in which they were put in force
+	refuse   func(update *configsync.Update) error // returns the error for an update; nil: no update is refused
 }
 
-func newGateway(t *testing.T, member int, publishers []netip.AddrPort) *gateway {
-	g := &gateway{t: t}
+// newGateway returns a gateway that is not started. Its directory is empty, and it is stopped at the end of the test.
+func newGateway(t *testing.T, member int, publishers []netip.AddrPort) *testGateway {
+	g := &testGateway{t: t}
 	g.cfg = Config{
 		Publishers: publishers,
 		Dir:        filepath.Join(t.TempDir(), "configuration"),
@@ -47,27 +48,28 @@
 	return g
 }
 
-// start starts the gateway with the version on its disk.
-func (g *gateway) start() {
+// start starts the gateway with the version on its disk and a new incarnation.
+func (g *testGateway) start() {
 	g.t.Helper()
 	document, err := Load(g.cfg.Dir)
 	if err != nil {
-		g.t.Logf("the file: %v", err)
+		g.t.Logf("load the saved version: %v", err)
 	}
 	g.inForce = document.Clone()
 	g.cfg.Incarnation++
-	g.sub = Start(g.cfg, document)
+	g.subscriber = Start(g.cfg, document)
 }
 
-func (g *gateway) stop() {
-	if g.sub != nil {
-		g.sub.Close()
-		g.sub = nil
+func (g *testGateway) stop() {
+	if g.subscriber != nil {
+		g.subscriber.Close()
+		g.subscriber = nil
 	}
 }
 
-// apply checks that versions increase and puts an update in force.
-func (g *gateway) apply(u *configsync.Update, complete bool) error {
+// apply is the gateway's Config.Apply. It checks that versions don't decrease and that only the first update is
+// complete, and puts the update in force.
+func (g *testGateway) apply(u *configsync.Update, complete bool) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.refuse != nil {
@@ -76,7 +78,7 @@
 		}
 	}
 	if u.To < g.inForce.Version() || complete != (g.inForce.Version() == 0) {
-		g.t.Errorf("version %d, complete %t, after %d", u.To, complete, g.inForce.Version())
+		g.t.Errorf("update to version %d with complete=%t while version %d is in force", u.To, complete, g.inForce.Version())
 	}
 	content := map[configsync.Resource][]byte{}
 	for resource, value := range g.inForce.All() {
@@ -98,7 +100,8 @@
 	})
 }
 
-// digestOf returns the digest of a content, which it takes from the error for a delta with a wrong one.
+// digestOf returns the digest of a content. It gets it from the error that Document.Check returns for a delta without a
+// digest.
 func digestOf(content map[configsync.Resource][]byte) configsync.Digest {
 	d := configsync.NewDocument("any")
 	var wrong *configsync.DigestMismatchError
@@ -106,11 +109,12 @@
 	return wrong.Got
 }
 
-// waitInForce waits until a publication is in force at the gateway, and checks its content.
-func (g *gateway) waitInForce(want publisher.Publication) {
+// waitInForce waits until the version of a publication is in force at the gateway, and checks the digest of the
+// content.
+func (g *testGateway) waitInForce(want publisher.Publication) {
 	g.t.Helper()
 	eventually(g.t, fmt.Sprintf("version %d at gateway %d", want.Version, g.cfg.Member), func() bool {
-		return g.sub.Status().Version == want.Version
+		return g.subscriber.Status().Version == want.Version
 	})
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,26 +124,27 @@
 }
 
 // waitSaved waits until a publication is on the gateway's disk.
-func (g *gateway) waitSaved(want publisher.Publication) {
+func (g *testGateway) waitSaved(want publisher.Publication) {
 	g.t.Helper()
-	eventually(g.t, "the version on disk", func() bool {
+	eventually(g.t, "the version to be saved to disk", func() bool {
 		document, err := Load(g.cfg.Dir)
 		return err == nil && document.Version() == want.Version
 	})
 }
 
-// checkVersionsIncrease checks that each version put in force was later than the one before, except after version 4
-// at a gateway that then lost its disk.
-func (g *gateway) checkVersionsIncrease(lostDisk bool) {
+// checkVersionsIncrease checks that each version put in force was later than the one before. With lostDisk, the version
+// that follows version 4 may be any, since the gateway then restarted without its disk.
+func (g *testGateway) checkVersionsIncrease(lostDisk bool) {
 	g.t.Helper()
 	for i := 1; i < len(g.versions); i++ {
 		restarted := lostDisk && g.versions[i-1] == 4
 		if g.versions[i] <= g.versions[i-1] && !restarted {
-			g.t.Errorf("gateway %d: versions %d", g.cfg.Member, g.versions)
+			g.t.Errorf("gateway %d put versions %d in force, want them to increase", g.cfg.Member, g.versions)
 		}
 	}
 }
 
+// listenAddresses returns the addresses at which the replicas of a group serve gateways.
 func listenAddresses(group *publishertest.Group) (addresses []netip.AddrPort) {
 	for _, cfg := range group.Configs {
 		addresses = append(addresses, cfg.Listen)
@@ -147,59 +152,59 @@
 	return addresses
 }
 
-// Gateways follow through the loss of the leader and of all publishers, and through their own restarts with and
-// without their disk. No version comes twice or decreases.
+// Gateways get each latest version in spite of the loss of the leader, of all publishers, and of their own restarts
+// with and without their disk. No gateway puts a version in force twice or returns to an earlier one.
 func TestSubscriberFollowsThroughRestarts(t *testing.T) {
 	group := publishertest.NewGroup(t, 3, nil)
-	var gateways []*gateway
+	var gateways []*testGateway
 	for i := range 3 {
 		g := newGateway(t, i, listenAddresses(group))
 		gateways = append(gateways, g)
 		g.start()
 	}
-	all := func(want publisher.Publication) {
+	waitAllInForce := func(want publisher.Publication) {
 		t.Helper()
 		for _, g := range gateways {
 			g.waitInForce(want)
 		}
 	}
-	all(group.PublishInitialContent())
-	all(group.PublishRate(0, "gold", 11))
+	waitAllInForce(group.PublishInitialContent())
+	waitAllInForce(group.PublishRate(0, "gold", 11))
 	leader := group.WaitForLeader()
 	group.Close(leader)
-	all(group.PublishRate((leader+1)%3, "gold", 12))
+	waitAllInForce(group.PublishRate((leader+1)%3, "gold", 12))
 	group.Open(leader)
 	for i := range group.Replicas {
 		group.Close(i)
 	}
 	gateways[0].waitSaved(publisher.Publication{Version: 3})
 	gateways[0].stop()
-	gateways[0].start() // with no publisher up
-	if s := gateways[0].sub.Status(); s.Version != 3 {
-		t.Errorf("started with version %d", s.Version)
+	gateways[0].start() // while no publisher runs
+	if s := gateways[0].subscriber.Status(); s.Version != 3 {
+		t.Errorf("the gateway started with version %d, want 3 from its disk", s.Version)
 	}
 	for i := range group.Replicas {
 		group.Open(i)
 	}
-	all(group.PublishRate(0, "team", 13))
+	waitAllInForce(group.PublishRate(0, "team", 13))
 	gateways[1].stop()
 	if err := os.RemoveAll(gateways[1].cfg.Dir); err != nil {
 		t.Fatal(err)
 	}
 	last := publisher.Publication{}
-	for rate := range 12 { // more than the publishers' history holds
+	for rate := range 12 { // more versions than the publishers' history holds, so that only a snapshot helps
 		last = group.PublishRate(0, "gold", 100+rate)
 	}
 	gateways[1].start()
-	all(last)
+	waitAllInForce(last)
 	gateways[2].stop()
-	gateways[2].start() // with its disk, to which deltas were appended
-	all(group.PublishRate(0, "gold", 7))
+	gateways[2].start() // from its file, to which deltas were appended
+	waitAllInForce(group.PublishRate(0, "gold", 7))
 	for _, g := range gateways {
 		lostDisk := g.cfg.Member == 1
 		g.checkVersionsIncrease(lostDisk)
 	}
-	eventually(t, "all acknowledgements", func() bool {
+	eventually(t, "all gateways to acknowledge the last version", func() bool {
 		inForce := map[int]bool{}
 		for _, p := range group.Replicas {
 			for _, f := range p.Status().Followers {
@@ -210,7 +215,8 @@
 	})
 }
 
-// A version that the gateway can't apply is refused with the resource at fault, and the next one is applied.
+// A version that the gateway can't apply is refused with the resource at fault, and the version before stays in force.
+// The next version is applied.
 func TestSubscriberKeepsVersionAfterRefusal(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	g := newGateway(t, 0, listenAddresses(group))
@@ -225,21 +231,22 @@
 	g.start()
 	g.waitInForce(group.PublishInitialContent())
 	refused := group.PublishRate(0, "gold", 666)
-	eventually(t, "the refusal", func() bool {
+	eventually(t, "the refusal in the publisher's status", func() bool {
 		f := group.Replicas[0].Status().Followers[0]
 		return f.InForce == 1 && f.RefusedVersion == refused.Version &&
 			f.RefusedResource == "plans/gold" && f.RefusalReason == "rate: too much"
 	})
-	if s := g.sub.Status(); s.Version != 1 || s.RefusedVersion != refused.Version {
-		t.Errorf("%+v", s)
+	if s := g.subscriber.Status(); s.Version != 1 || s.RefusedVersion != refused.Version {
+		t.Errorf("status after the refusal: %+v", s)
 	}
 	g.waitInForce(group.PublishRate(0, "gold", 6))
-	if s := g.sub.Status(); s.RefusedVersion != 0 || s.Counters.Refused != 1 {
-		t.Errorf("%+v", s)
+	if s := g.subscriber.Status(); s.RefusedVersion != 0 || s.Counters.Refused != 1 {
+		t.Errorf("status after the next version: %+v", s)
 	}
 }
 
-// A gateway with a damaged file starts from the intact part and gets the rest from the publishers.
+// A gateway whose file is damaged starts with the version in the intact part, gets the latest version from a publisher,
+// and saves it to a file that is intact again.
 func TestSubscriberRecoversFromDamagedFile(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	g := newGateway(t, 0, listenAddresses(group))
@@ -248,12 +255,12 @@
 	latest := group.PublishRate(0, "gold", 11)
 	g.waitSaved(latest)
 	g.stop()
-	file := filepath.Join(g.cfg.Dir, fileName)
+	file := filepath.Join(g.cfg.Dir, configurationFile)
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		text    []byte
 		version configsync.Version
@@ -265,13 +272,13 @@
 		{"empty", nil, 0},
 		{"another kind of file", []byte(strings.Repeat("x", 100)), 0},
 	} {
-		if err := os.WriteFile(file, x.text, 0o600); err != nil {
+		if err := os.WriteFile(file, test.text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		document, err := Load(g.cfg.Dir)
 		var damaged *configsync.CorruptFileError
-		if !errors.As(err, &damaged) || document.Version() != x.version {
-			t.Errorf("%s: version %d, %v", x.name, document.Version(), err)
+		if !errors.As(err, &damaged) || document.Version() != test.version {
+			t.Errorf("file %s: version %d, error %v", test.name, document.Version(), err)
 		}
 		g.start()
 		g.waitInForce(latest)
@@ -279,16 +286,17 @@
 		g.stop()
 	}
 	if document, err := Load(filepath.Join(g.cfg.Dir, "none")); err != nil || document.Version() != 0 {
-		t.Errorf("no file: %v, %v", document, err)
+		t.Errorf("without a file, Load returned %v, %v, want an empty document", document, err)
 	}
 }
 
-// A disk that can't be written is logged once, and saving resumes when it can.
+// While the directory can't be written, the store logs one line in spite of several attempts. When it can be written
+// again, the store saves the version and logs that.
 func TestStoreLogsUnwritableDiskOnce(t *testing.T) {
-	var lines bytes.Buffer
-	defer logging.SetOutput(&lines)()
+	var logOutput bytes.Buffer
+	defer logging.SetOutput(&logOutput)()
 	document := configsync.NewDocument("log")
-	s := newStore(filepath.Join(t.TempDir(), "file"), diskFiles{})
+	s := newStore(filepath.Join(t.TempDir(), "file"), osFileSystem{})
 	if err := os.WriteFile(s.dir, nil, 0o600); err != nil { // a file in place of the directory
 		t.Fatal(err)
 	}
@@ -296,39 +304,40 @@
 		s.retryAt = time.Time{}
 		s.save(document, nil)
 	}
-	s.save(document, nil) // not tried again so soon
-	if got := strings.Count(lines.String(), "event=configuration_save_failed"); got != 1 || s.unsaved != 4 {
-		t.Errorf("%d lines on %d failures", got, s.unsaved)
+	s.save(document, nil) // no attempt: the retry interval is not over
+	if got := strings.Count(logOutput.String(), "event=configuration_save_failed"); got != 1 || s.unsavedVersions != 4 {
+		t.Errorf("%d log lines about failed saves, want 1; %d unsaved versions, want 4", got, s.unsavedVersions)
 	}
 	if err := os.Remove(s.dir); err != nil {
 		t.Fatal(err)
 	}
 	s.retryAt = time.Time{}
 	s.save(document, nil)
-	s.file.Close() // a write to it fails
+	s.file.Close() // makes the next write fail
 	s.save(document, &configsync.Delta{})
 	s.retryAt = time.Time{}
 	s.save(document, nil)
 	defer s.close()
-	if got := strings.Count(lines.String(), "event=configuration_save_restored"); got != 2 || s.unsaved != 5 {
-		t.Errorf("%d times saved again, %d unsaved\n%s", got, s.unsaved, &lines)
+	if got := strings.Count(logOutput.String(), "event=configuration_save_restored"); got != 2 || s.unsavedVersions != 5 {
+		t.Errorf("%d lines about restored saves, want 2; %d unsaved versions, want 5\n%s", got, s.unsavedVersions, &logOutput)
 	}
 	if _, err := Load(s.dir); err != nil {
 		t.Error(err)
 	}
 }
 
-// A malformed message is counted and ends the connection, and the gateway follows another publisher.
+// A publisher that sends malformed bytes is left: the gateway counts them, closes the connection and gets its version
+// from another publisher.
 func TestSubscriberLeavesMalformedPublisher(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	first := group.PublishInitialContent()
 	for _, text := range [][]byte{
-		{0xff, 0xff, 0xff, 0xff},                            // oversized
-		{0, 0, 0, 9, 1},                                     // cut
+		{0xff, 0xff, 0xff, 0xff},                            // length beyond the limit
+		{0, 0, 0, 9, 1},                                     // truncated
 		{0, 0, 0, 3, 2, 0xff, 0xff},                         // not CBOR
-		configsync.Encode(&configsync.Hello{Protocol: 1}),   // a follower's
-		configsync.Encode(&configsync.Delta{Log: "x"}),      // leads nowhere
-		configsync.Encode(&configsync.Refusal{Version: 77}), // a follower's
+		configsync.Encode(&configsync.Hello{Protocol: 1}),   // a follower's message
+		configsync.Encode(&configsync.Delta{Log: "x"}),      // from version 0 to version 0
+		configsync.Encode(&configsync.Refusal{Version: 77}), // a follower's message
 	} {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
@@ -348,15 +357,16 @@
 		g := newGateway(t, 0, []netip.AddrPort{bad, group.Configs[0].Listen})
 		g.start()
 		g.waitInForce(first)
-		if s := g.sub.Status(); s.Counters.MalformedMessages == 0 {
-			t.Errorf("%x: %+v", text, s)
+		if s := g.subscriber.Status(); s.Counters.MalformedMessages == 0 {
+			t.Errorf("bytes %x were not counted as malformed: %+v", text, s)
 		}
 		g.stop()
 		l.Close()
 	}
 }
 
-// A gateway that shuts down while a version is being applied neither accepts nor refuses it.
+// Guards against a false refusal: a gateway that shuts down while it applies a version must neither accept nor refuse
+// it.
 func TestSubscriberIgnoresVersionAfterErrStopped(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
 	g := newGateway(t, 0, listenAddresses(group))
@@ -370,6 +380,6 @@
 	<-stopped
 	g.stop()
 	if f := group.Replicas[0].Status().Followers[0]; f.InForce != 0 || f.RefusedVersion != 0 {
-		t.Errorf("%+v", f)
+		t.Errorf("the publisher's status of the gateway: %+v, want no version in force and none refused", f)
 	}
 }
