--- a/internal/logging/events_test.go
+++ b/internal/logging/events_test.go
@@ -16,26 +16,27 @@
 	onCallPage = moduleRoot + "/docs/oncall.md"
 )
 
-// event is one event as it stands in the code or on the on-call page.
+// event is an event that the code logs or that the on-call page lists.
 type event struct {
-	level  string
-	fields []string // sorted
-	at     string   // a place in the code or on the page
+	level    string
+	fields   []string // sorted
+	location string   // the position of a call in the code, or the page
 }
 
-func (e event) String() string { return fmt.Sprintf("%s %v at %s", e.level, e.fields, e.at) }
+func (e event) String() string { return fmt.Sprintf("%s %v at %s", e.level, e.fields, e.location) }
 
-// TestOnCallPageListsEachEventOfTheCode holds the table of events on the on-call page against the slog calls of the
-// product, in both directions: names, levels and fields.
+// TestOnCallPageListsEachEventOfTheCode guards against an on-call page that differs from the code: its table of events
+// has to list every event that the product logs by slog, and no other, each with the same level and fields.
 func TestOnCallPageListsEachEventOfTheCode(t *testing.T) {
 	code := eventsOfCode(t)
 	page := eventsOfPage(t)
-	for _, fault := range compareEvents(code, page) {
-		t.Error(fault)
+	for _, difference := range compareEvents(code, page) {
+		t.Error(difference)
 	}
 }
 
-// TestPagesNameOnlyEventsOfTheCode looks for event=NAME on the pages, each of which must be an event of the product.
+// TestPagesNameOnlyEventsOfTheCode checks that every NAME in an event=NAME on the pages is an event that the product
+// logs.
 func TestPagesNameOnlyEventsOfTheCode(t *testing.T) {
 	code := eventsOfCode(t)
 	mention := regexp.MustCompile(`event=([a-z_]+)`)
@@ -52,8 +53,8 @@
 	}
 }
 
-// TestOnCallPageNamesFilesThatExist looks at each path in backquotes; a bare file name is in the directory named before
-// it in the row.
+// TestOnCallPageNamesFilesThatExist checks that every path in backquotes on the on-call page exists. A file name
+// without a directory is taken from the directory of the path before it in the same line.
 func TestOnCallPageNamesFilesThatExist(t *testing.T) {
 	text, err := os.ReadFile(onCallPage)
 	if err != nil {
@@ -71,19 +72,22 @@
 				path = filepath.Join(dir, path)
 			}
 			if _, err := os.Stat(filepath.Join(moduleRoot, path)); err != nil {
-				t.Errorf("%v, in: %s", err, line)
+				t.Errorf("a path on the page does not exist: %v, in the line: %s", err, line)
 			}
 		}
 	}
 }
 
-// TestProductLogsByFunctionsOfSlogOnly keeps out loggers of other kinds, whose events eventsOfCode would not see.
+// TestProductLogsByFunctionsOfSlogOnly checks that the product logs only by the functions of package slog, since
+// eventsOfCode does not find events that are logged in another way.
 func TestProductLogsByFunctionsOfSlogOnly(t *testing.T) {
-	for _, place := range otherLoggers(t) {
-		t.Errorf("%s: log by slog.Info, Warn, Error or LogAttrs", place)
+	for _, place := range findOtherLoggers(t) {
+		t.Errorf("%s: log by slog.Info, Warn, Error or LogAttrs instead", place)
 	}
 }
 
+// TestComparisonReportsEachDifference checks that compareEvents, on which the test of the on-call page depends, finds
+// each kind of difference.
 func TestComparisonReportsEachDifference(t *testing.T) {
 	code := map[string]event{
 		"host_failing":   {"WARN", []string{"addr", "error"}, "a.go:1"},
@@ -97,37 +101,39 @@
 		"other fields":        func(page map[string]event) { page["panic"] = event{"ERROR", []string{"where"}, "line 3"} },
 	} {
 		page := maps.Clone(code)
-		if faults := compareEvents(code, page); len(faults) > 0 {
-			t.Fatalf("equal sides: %v", faults)
+		if differences := compareEvents(code, page); len(differences) > 0 {
+			t.Fatalf("differences between equal events: %v", differences)
 		}
 		change(page)
-		if faults := compareEvents(code, page); len(faults) != 1 {
-			t.Errorf("%s: %v", name, faults)
+		if differences := compareEvents(code, page); len(differences) != 1 {
+			t.Errorf("%s: got %v, want one difference", name, differences)
 		}
 	}
 }
 
-// compareEvents returns a message for each event that differs.
-func compareEvents(code, page map[string]event) (faults []string) {
+// compareEvents returns a message for each event that only one of code and page has, or that has another level or other
+// fields. Both are by the name of the event.
+func compareEvents(code, page map[string]event) (differences []string) {
 	for _, name := range slices.Sorted(maps.Keys(code)) {
 		listed, found := page[name]
 		logged := code[name]
 		switch {
 		case !found:
-			faults = append(faults, fmt.Sprintf("%s is not on the page: %v", name, logged))
+			differences = append(differences, fmt.Sprintf("%s is not on the page: %v", name, logged))
 		case listed.level != logged.level || !slices.Equal(listed.fields, logged.fields):
-			faults = append(faults, fmt.Sprintf("%s is %v, on the page %v", name, logged, listed))
+			differences = append(differences, fmt.Sprintf("%s is %v, on the page %v", name, logged, listed))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(page)) {
 		if _, found := code[name]; !found {
-			faults = append(faults, fmt.Sprintf("%s is on the page, %v, and not in the code", name, page[name]))
+			differences = append(differences, fmt.Sprintf("%s is on the page, %v, and not in the code", name, page[name]))
 		}
 	}
-	return faults
+	return differences
 }
 
-// eventsOfPage reads the table of events: | `name` | LEVEL | `field`, `field` | meaning |
+// eventsOfPage returns the events in the table of the on-call page, by name. Its rows have the form
+// | `name` | LEVEL | `field`, `field` | meaning |
 func eventsOfPage(t *testing.T) map[string]event {
 	text, err := os.ReadFile(onCallPage)
 	if err != nil {
@@ -147,7 +153,7 @@
 		}
 		name := word.FindStringSubmatch(cells[0])
 		if name == nil || len(cells) != 4 || strings.Trim(cells[3], " |\n") == "" {
-			t.Fatalf("not a row of name, level, fields and meaning: %s", line)
+			t.Fatalf("the row does not consist of name, level, fields and meaning: %s", line)
 		}
 		var fields []string
 		for _, match := range word.FindAllStringSubmatch(cells[2], -1) {
@@ -157,16 +163,16 @@
 		if _, twice := events[name[1]]; twice {
 			t.Errorf("%s is on the page twice", name[1])
 		}
-		events[name[1]] = event{level: cells[1], fields: fields, at: onCallPage}
+		events[name[1]] = event{level: cells[1], fields: fields, location: onCallPage}
 	}
 	return events
 }
 
-// pages returns the paths of the pages that speak of the program as it is.
+// pages returns the paths of the pages that describe the present program: those in docs, and README.md.
 func pages(t *testing.T) []string {
 	paths, err := filepath.Glob(moduleRoot + "/docs/*.md")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no pages: %v", err)
+		t.Fatalf("found no pages in docs: %v", err)
 	}
 	return append(paths, moduleRoot+"/README.md")
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,6 +10,7 @@
 	"ravensill/internal/logging"
 )
 
+// TestLineBeginsWithTimeLevelAndEvent checks the format of a line and its time, and that restore stops the output.
 func TestLineBeginsWithTimeLevelAndEvent(t *testing.T) {
 	var lines strings.Builder
 	restore := logging.SetOutput(&lines)
@@ -23,6 +24,6 @@
 	}
 	at, err := time.Parse(logging.TimeLayout, stamp)
 	if err != nil || at.Before(before) || at.After(time.Now()) {
-		t.Errorf("time %q: %v, %v", stamp, at, err)
+		t.Errorf("time %q was parsed as %v with error %v, want the time of the call", stamp, at, err)
 	}
 }
--- a/internal/logging/source_test.go
+++ b/internal/logging/source_test.go
@@ -17,32 +17,33 @@
 	"ravensill/logic"
 )
 
-// notProduct are the directories of the module whose code is not part of the product's programs.
-var notProduct = []string{".ci", ".git", "deploy", "docs", "journal", "lab", "testdata"}
+// nonProductDirs are the names of the directories whose code is not part of the product's programs.
+var nonProductDirs = []string{".ci", ".git", "deploy", "docs", "journal", "lab", "testdata"}
 
-// eventsOfCode returns the events that the product's programs log.
+// eventsOfCode returns the events that the product's programs log, by name.
 func eventsOfCode(t *testing.T) map[string]event {
 	source := parseProduct(t)
-	source.collect(t)
+	source.collectEvents(t)
 	if len(source.events) == 0 {
-		t.Fatal("no events")
+		t.Fatal("found no events in the code")
 	}
 	return source.events
 }
 
-// otherLoggers returns the places of the product, outside of package logging, that import package log or make a logger.
-func otherLoggers(t *testing.T) (places []string) {
+// findOtherLoggers returns the positions in the product's code, outside of package logging, that import package log or
+// use a function of package slog that returns a logger.
+func findOtherLoggers(t *testing.T) (places []string) {
 	source := parseProduct(t)
-	for _, parsed := range source.packages {
+	for _, parsed := range source.parsedFiles {
 		if filepath.Base(parsed.dir) == "logging" {
 			continue
 		}
 		ast.Inspect(parsed.file, func(node ast.Node) bool {
 			if imported, ok := node.(*ast.ImportSpec); ok && imported.Path.Value == `"log"` {
-				places = append(places, source.files.Position(node.Pos()).String())
+				places = append(places, source.fileSet.Position(node.Pos()).String())
 			}
 			if selector, ok := node.(*ast.SelectorExpr); ok && isSlog(selector.X) && makesLogger(selector.Sel.Name) {
-				places = append(places, source.files.Position(node.Pos()).String())
+				places = append(places, source.fileSet.Position(node.Pos()).String())
 			}
 			return true
 		})
@@ -55,9 +56,10 @@
 	return slices.Contains([]string{"New", "With", "Default", "NewLogLogger"}, function)
 }
 
+// parseProduct returns the product's code without tests, in which events are not collected yet.
 func parseProduct(t *testing.T) *source {
 	source := &source{
-		files:     token.NewFileSet(),
+		fileSet:   token.NewFileSet(),
 		functions: map[string]*ast.FuncDecl{},
 		constants: map[string]string{},
 		events:    map[string]event{},
@@ -68,42 +70,44 @@
 	return source
 }
 
-// source is the product's code, and the events found in it.
+// source is the parsed code of the product, and the events found in it.
 type source struct {
-	files     *token.FileSet
-	packages  []parsedFile
-	functions map[string]*ast.FuncDecl // by directory and name
-	constants map[string]string        // constants that name an event: their values by their names
-	events    map[string]event
+	fileSet     *token.FileSet
+	parsedFiles []parsedFile
+	functions   map[string]*ast.FuncDecl // by directory and name, separated by a space
+	constants   map[string]string        // values of the constants that name an event, by the name of the constant
+	events      map[string]event
 }
 
+// parsedFile is a source file of the product.
 type parsedFile struct {
-	dir  string
+	dir  string // path from the directory of this package
 	file *ast.File
 }
 
+// parse parses all files of the product.
 func (s *source) parse() error {
 	return filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && slices.Contains(notProduct, entry.Name()):
+		case entry.IsDir() && slices.Contains(nonProductDirs, entry.Name()):
 			return filepath.SkipDir
 		case entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go"):
 			return nil
 		}
-		file, err := parser.ParseFile(s.files, path, nil, 0)
+		file, err := parser.ParseFile(s.fileSet, path, nil, 0)
 		if err != nil {
 			return err
 		}
-		s.add(filepath.Dir(path), file)
+		s.addFile(filepath.Dir(path), file)
 		return nil
 	})
 }
 
-// add notes a file's functions, and its constants whose names begin with Event.
-func (s *source) add(dir string, file *ast.File) {
-	s.packages = append(s.packages, parsedFile{dir, file})
+// addFile records a file's functions, and its string constants whose names begin with Event.
+func (s *source) addFile(dir string, file *ast.File) {
+	s.parsedFiles = append(s.parsedFiles, parsedFile{dir, file})
 	for _, declaration := range file.Decls {
 		if function, ok := declaration.(*ast.FuncDecl); ok {
 			s.functions[dir+" "+function.Name.Name] = function
@@ -116,7 +120,7 @@
 		}
 		for i, name := range spec.Names {
 			if strings.HasPrefix(name.Name, "Event") && i < len(spec.Values) {
-				if value, ok := stringOf(spec.Values[i]); ok {
+				if value, ok := stringLiteral(spec.Values[i]); ok {
 					s.constants[name.Name] = value
 				}
 			}
@@ -125,11 +129,11 @@
 	})
 }
 
-// collect finds the calls of package slog. One call may name its event by a value: it logs the events that are
-// constants.
-func (s *source) collect(t *testing.T) {
-	byValue := 0
-	for _, parsed := range s.packages {
+// collectEvents records the events of all calls that log by package slog. The name of the event has to be a string
+// literal. At most one call in the product may name it otherwise: that call is taken to log each event of s.constants.
+func (s *source) collectEvents(t *testing.T) {
+	callsWithNonLiteralEvent := 0
+	for _, parsed := range s.parsedFiles {
 		ast.Inspect(parsed.file, func(node ast.Node) bool {
 			call, ok := node.(*ast.CallExpr)
 			if !ok {
@@ -139,42 +143,44 @@
 			if !ok {
 				return true
 			}
-			at := s.files.Position(call.Pos()).String()
-			name, literal := stringOf(args[0])
-			fields, err := s.fields(parsed.dir, name, args[1:], call.Ellipsis.IsValid())
+			location := s.fileSet.Position(call.Pos()).String()
+			name, literal := stringLiteral(args[0])
+			fields, err := s.fieldKeys(parsed.dir, name, args[1:], call.Ellipsis.IsValid())
 			if err != nil {
-				t.Errorf("%s: %v", at, err)
+				t.Errorf("%s: %v", location, err)
 			}
 			if literal {
-				s.log(t, name, event{level, fields, at})
+				s.record(t, name, event{level, fields, location})
 				return true
 			}
-			byValue++
+			callsWithNonLiteralEvent++
 			for _, name := range s.constants {
-				s.log(t, name, event{level, fields, at})
+				s.record(t, name, event{level, fields, location})
 			}
 			return true
 		})
 	}
-	if byValue > 1 {
-		t.Errorf("%d calls of slog name their event neither by a literal nor in the one place that logs constants", byValue)
+	if callsWithNonLiteralEvent > 1 {
+		t.Errorf("%d calls of slog do not name their event by a literal, want at most 1", callsWithNonLiteralEvent)
 	}
 }
 
-// log notes that a call logs an event. Calls that log the same event have one level, and their fields are joined.
-func (s *source) log(t *testing.T, name string, logged event) {
+// record adds an event that a call logs. If several calls log the same event, they must have the same level; the fields
+// of the event are those of all calls together, and its location is that of the first call.
+func (s *source) record(t *testing.T, name string, logged event) {
 	before, found := s.events[name]
 	if found && before.level != logged.level {
-		t.Errorf("%s is %v and %v", name, before, logged)
+		t.Errorf("%s is logged with two levels: %v and %v", name, before, logged)
 	}
 	logged.fields = append(logged.fields, before.fields...)
 	slices.Sort(logged.fields)
 	logged.fields = slices.Compact(logged.fields)
-	logged.at = cmp.Or(before.at, logged.at)
+	logged.location = cmp.Or(before.location, logged.location)
 	s.events[name] = logged
 }
 
-// logCall reports whether a call logs an event, and returns its level and the arguments from the event's name on.
+// logCall reports whether a call logs an event by a function of package slog. It returns the level in upper case and
+// the arguments from the event's name on.
 func logCall(call *ast.CallExpr) (level string, args []ast.Expr, ok bool) {
 	function, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !isSlog(function.X) {
@@ -185,7 +191,7 @@
 		return strings.ToUpper(function.Sel.Name), call.Args, true
 	case "DebugContext", "InfoContext", "WarnContext", "ErrorContext":
 		return strings.ToUpper(strings.TrimSuffix(function.Sel.Name, "Context")), call.Args[1:], true
-	case "Log", "LogAttrs": // context, level, event
+	case "Log", "LogAttrs": // the arguments are context, level, event and fields
 		level, ok := call.Args[1].(*ast.SelectorExpr)
 		if !ok {
 			return "unknown", call.Args[2:], true
@@ -195,16 +201,18 @@
 	return "", nil, false
 }
 
+// isSlog reports whether an expression is the name of package slog.
 func isSlog(expression ast.Expr) bool {
 	name, ok := expression.(*ast.Ident)
 	return ok && name.Name == "slog"
 }
 
-// fields returns the keys among the arguments behind an event's name: literals, each before its value; attributes;
-// or a list of fields that another function makes.
-func (s *source) fields(dir, event string, args []ast.Expr, spread bool) ([]string, error) {
+// fieldKeys returns the keys of the fields of a logging call, given the arguments after the event's name. These are
+// attributes, such as slog.Int("count", n), or a literal key followed by a value. With spread, the last argument is a
+// slice of fields that is followed by three dots. dir is the directory of the call.
+func (s *source) fieldKeys(dir, event string, args []ast.Expr, spread bool) ([]string, error) {
 	if spread {
-		return s.spreadFields(dir, event, args[len(args)-1])
+		return s.spreadFieldKeys(dir, event, args[len(args)-1])
 	}
 	var keys []string
 	for i := 0; i < len(args); i++ {
@@ -212,25 +220,26 @@
 			keys = append(keys, key)
 			continue
 		}
-		key, ok := stringOf(args[i])
+		key, ok := stringLiteral(args[i])
 		if !ok {
-			return nil, fmt.Errorf("field %d has no literal as its key", i)
+			return nil, fmt.Errorf("the key of the field at argument %d is not a string literal", i)
 		}
 		keys = append(keys, key)
-		i++ // its value
+		i++ // skip the value of the key
 	}
 	return keys, nil
 }
 
-// spreadFields returns the keys of a list of fields: of the attributes that the called function makes, or of the
-// counts of decisions, whose names belong to package logic.
-func (s *source) spreadFields(dir, event string, list ast.Expr) ([]string, error) {
+// spreadFieldKeys returns the keys in a slice of fields. The slice has to be a call of a function or method in the same
+// directory, and the keys are those of all attributes in the body of that function. The exception is the event
+// decisions, whose keys are names of outcomes that package logic computes.
+func (s *source) spreadFieldKeys(dir, event string, list ast.Expr) ([]string, error) {
 	if event == "decisions" {
-		return decisionFields(), nil
+		return decisionFieldKeys(), nil
 	}
 	call, ok := list.(*ast.CallExpr)
 	if !ok {
-		return nil, fmt.Errorf("the fields of %s are in a variable", event)
+		return nil, fmt.Errorf("the fields of %s are not the result of a call", event)
 	}
 	name := ""
 	if method, ok := call.Fun.(*ast.SelectorExpr); ok {
@@ -238,7 +247,7 @@
 	}
 	function := s.functions[dir+" "+name]
 	if function == nil {
-		return nil, fmt.Errorf("no function %s of the package makes the fields", name)
+		return nil, fmt.Errorf("the fields are made by %q, which is not a function of the same package", name)
 	}
 	var keys []string
 	ast.Inspect(function.Body, func(node ast.Node) bool {
@@ -254,7 +263,8 @@
 	return keys, nil
 }
 
-func decisionFields() (names []string) {
+// decisionFieldKeys returns the keys of the event decisions: the names of the outcomes that package logic counts.
+func decisionFieldKeys() (names []string) {
 	alone := gateway.Membership{Count: 1}
 	plansByID := []gateway.Plan{{ID: 1}}
 	g := logic.New(1, alone, nil, plansByID, gateway.Limits{}, gateway.SlowStart{}, gateway.LoadReportFormat{})
@@ -264,7 +274,8 @@
 	return names
 }
 
-// attributeKey returns the key of an attribute such as slog.Int("count", n).
+// attributeKey returns the key of an expression that makes an attribute, such as slog.Int("count", n). It returns false
+// for other expressions, and if the key is not a string literal.
 func attributeKey(expression ast.Expr) (string, bool) {
 	call, ok := expression.(*ast.CallExpr)
 	if !ok || len(call.Args) < 2 {
@@ -274,10 +285,11 @@
 	if !ok || !isSlog(function.X) {
 		return "", false
 	}
-	return stringOf(call.Args[0])
+	return stringLiteral(call.Args[0])
 }
 
-func stringOf(expression ast.Expr) (string, bool) {
+// stringLiteral returns the value of a string literal, and false for other expressions.
+func stringLiteral(expression ast.Expr) (string, bool) {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
 		return "", false
--- a/lab/logline/logline.go
+++ b/lab/logline/logline.go
@@ -12,7 +12,7 @@
 )
 
 // Event returns the event of a line. ok is false for a line without one, such as one of a stack trace.
-func Event(line string) (event string, ok bool) { return lookUp(line, logging.EventKey) }
+func Event(line string) (event string, ok bool) { return lookUp(line, logging.MessageKey) }
 
 // Value returns the value of a key, without quotes; "" if the line does not have the key.
 func Value(line, key string) string {
