--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -36,7 +36,7 @@
 	admin     *http.Server      // serves operators
 	adminAddr net.Addr          // at which admin listens
 
-	mu               sync.Mutex         // guards the fields below
+	mu               sync.Mutex         // guards the fields up to the next blank line
 	state            *configsync.State  // the replicated state: the document in force and its history
 	sender           *configsync.Sender // decides what each follower is sent
 	replaying        bool               // the log is still being replayed after the start, so the sender is paused
--- a/internal/subscriber/link.go
+++ b/internal/subscriber/link.go
@@ -113,8 +113,8 @@
 }
 
 // lastReadTime converts the time of the latest bytes seen by hasNewBytes to a time.Time, given the present time. Read
-// records monotonic time, since a step of the wall clock would falsify the silence of a publisher: a step forward would
-// make a live publisher seem silent, and a step back would hide a silent one.
+// records monotonic time, since a step of the wall clock would change how long a publisher counts as silent: a step
+// forward would make a live publisher seem silent, and a step back would hide a silent one.
 func (c *connection) lastReadTime(now time.Time) time.Time {
 	return now.Add(c.lastSeenReadAt - c.clock.Monotonic())
 }
--- a/internal/subscriber/store_test.go
+++ b/internal/subscriber/store_test.go
@@ -96,7 +96,7 @@
 	deltas    []*configsync.Delta    // by version: the delta to it from the version before; nil for version 0
 }
 
-// newHistory returns a history of versions 0 to the given one, each with other limits.
+// newHistory returns a history of version 0 and the given number of versions after it, which differ in their limits.
 func newHistory(t *testing.T, versions int) *history {
 	h := &history{
 		documents: []*configsync.Document{configsync.NewDocument("log")},
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -60,6 +60,7 @@
 	g.subscriber = Start(g.cfg, document)
 }
 
+// stop stops the gateway if it runs, and keeps its directory.
 func (g *testGateway) stop() {
 	if g.subscriber != nil {
 		g.subscriber.Close()
@@ -123,7 +124,7 @@
 	}
 }
 
-// waitSaved waits until a publication is on the gateway's disk.
+// waitSaved waits until the version of a publication is in the gateway's file, and the file is intact.
 func (g *testGateway) waitSaved(want publisher.Publication) {
 	g.t.Helper()
 	eventually(g.t, "the version to be saved to disk", func() bool {
