--- a/internal/publisher/admin.go
+++ b/internal/publisher/admin.go
@@ -52,7 +52,7 @@
 func (p *Publisher) changeHandler(parse func(body string) (changeFunc, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		leader := p.replica.LeaderIndex()
-		ledElsewhere := leader >= 0 && leader < len(p.cfg.Admin) && leader != p.cfg.Index
+		ledElsewhere := leader >= 0 && leader < len(p.cfg.AdminAddresses) && leader != p.cfg.Index
 		if ledElsewhere && r.Header.Get(forwardedHeader) == "" {
 			p.forward(w, r, leader)
 			return
@@ -70,7 +70,7 @@
 // forward proxies a request to the replica with index leader. If that replica can't be reached, the answer is a
 // NotLeaderError that names it.
 func (p *Publisher) forward(w http.ResponseWriter, r *http.Request, leader int) {
-	target := &url.URL{Scheme: "http", Host: p.cfg.Admin[leader].String()}
+	target := &url.URL{Scheme: "http", Host: p.cfg.AdminAddresses[leader].String()}
 	proxy := &httputil.ReverseProxy{
 		Rewrite: func(request *httputil.ProxyRequest) {
 			request.SetURL(target)
--- a/internal/publisher/fleet.go
+++ b/internal/publisher/fleet.go
@@ -36,7 +36,7 @@
 func (p *Publisher) FleetStatus(ctx context.Context) *FleetStatus {
 	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 	defer cancel()
-	fleet := &FleetStatus{Replicas: make([]ReplicaStatus, len(p.cfg.Admin))}
+	fleet := &FleetStatus{Replicas: make([]ReplicaStatus, len(p.cfg.AdminAddresses))}
 	var requests sync.WaitGroup
 	for i := range fleet.Replicas {
 		requests.Go(func() { fleet.Replicas[i] = p.replicaStatus(ctx, i) })
@@ -52,7 +52,7 @@
 	if replica == p.cfg.Index {
 		return ReplicaStatus{Status: p.Status(), Replica: replica}
 	}
-	status, err := fetchStatus(ctx, "http://"+p.cfg.Admin[replica].String()+"/v1/status")
+	status, err := fetchStatus(ctx, "http://"+p.cfg.AdminAddresses[replica].String()+"/v1/status")
 	if err != nil {
 		return ReplicaStatus{Replica: replica, Error: err.Error()}
 	}
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -81,13 +81,13 @@
 	p := &Publisher{
 		cfg:         cfg,
 		system:      options.Sockets,
-		state:       configsync.NewState(cfg.History),
+		state:       configsync.NewState(cfg.HistoryLimits),
 		connections: map[configsync.ConnectionID]*connection{},
 		replaying:   true,
 		validator:   &validator{},
 		done:        make(chan struct{}),
 	}
-	p.sender = configsync.NewSender(p.state, cfg.Sending)
+	p.sender = configsync.NewSender(p.state, cfg.SenderLimits)
 	p.sender.SetPaused(true)
 	admin, err := p.listen()
 	if err != nil {
@@ -96,7 +96,7 @@
 	p.replica, err = consensus.Open(consensus.Config{
 		ClusterName:       "publisher",
 		Index:             cfg.Index,
-		Addresses:         cfg.Raft,
+		Addresses:         cfg.RaftAddresses,
 		Listen:            cfg.RaftListen,
 		Dir:               cfg.Dir,
 		Key:               cfg.Key,
--- a/internal/publisher/serve.go
+++ b/internal/publisher/serve.go
@@ -106,7 +106,7 @@
 	if p.wakeScheduled {
 		return
 	}
-	wait := p.cfg.Sending.VersionInterval - time.Since(p.lastWake)
+	wait := p.cfg.SenderLimits.VersionInterval - time.Since(p.lastWake)
 	if wait <= 0 {
 		p.wakeAllWriters()
 		return
--- a/lab/groundtruth/cost.go
+++ b/lab/groundtruth/cost.go
@@ -101,8 +101,8 @@
 			file.Counterfactual = nil
 			return err
 		}
-		file.Counterfactual.Records = "" // no gateway writes a file in operation
-		file.Counterfactual.Fraction = o.Fraction
+		file.Counterfactual.RecordsFile = "" // no gateway writes a file in operation
+		file.Counterfactual.SampleFraction = o.Fraction
 		return nil
 	}
 	return options
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -88,13 +88,13 @@
 		LoadFields:     configuration.ReportNames,
 		ConnectTimeout: configuration.ConnectTimeout,
 		IdleTimeout:    configuration.ConnIdle,
-		MaxConns:       int(connectionsPerSocket * float64(configuration.Sockets)),
+		MaxConns:       int(connectionsPerSocket * float64(configuration.MaxDescriptors)),
 	})
 	if configuration.Configuration != nil {
 		h.follow()
 	}
-	h.ApplyHostList(configuration.KnownEndpoints, true)
-	configuration.KnownEndpoints = "" // as package node: the list is in the book
+	h.ApplyHostList(configuration.InitialEndpointList, true)
+	configuration.InitialEndpointList = "" // as package node: the list is in the book
 	h.Process(now)
 	return h
 }
--- a/lab/scale/mixedfleet.go
+++ b/lab/scale/mixedfleet.go
@@ -106,7 +106,7 @@
 	if err := m.startHollow(hollow, shared...); err != nil {
 		return err
 	}
-	return fleet.WaitUntil(ctx, "watches of the list", func() bool { return m.fleet.Agent.Watching() >= plan.Gateways })
+	return fleet.WaitUntil(ctx, "watches of the list", func() bool { return m.fleet.Agent.OpenWatches() >= plan.Gateways })
 }
 
 // startHollow starts a process of hollow gateways, one for each configuration file.
@@ -274,7 +274,7 @@
 // realHeap returns the live heap of a real gateway's process.
 func (m *mixedFleet) realHeap(ctx context.Context, index int) (float64, error) {
 	g := m.fleet.Gateway(index)
-	mark := g.Mark()
+	mark := g.LogEnd()
 	if err := syscall.Kill(g.PID(), syscall.SIGUSR1); err != nil {
 		return 0, err
 	}
--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -59,7 +59,7 @@
 	go s.peers.Listen(func(peer int, body []byte) {
 		s.do(func() { h.Receive(peer, body) })
 	}, func() {})
-	go s.follow(ctx, c.Discovery, h.endpoints.Version)
+	go s.follow(ctx, c.DiscoveryAddress, h.endpoints.Version)
 	go s.run(ctx)
 	return s, nil
 }
@@ -130,16 +130,16 @@
 			version = <-taken
 		}
 		discovery.Watch(ctx, discovery.WatchOptions{
-			System:     sockets.Kernel{},
-			Address:    address,
-			After:      version,
-			Timeouts:   discovery.NewTimeouts(false),
-			Pending:    &feed,
-			OnReceived: func() {},
-			OnList:     onList,
+			System:       sockets.Kernel{},
+			Address:      address,
+			AfterVersion: version,
+			Timeouts:     discovery.NewTimeouts(false),
+			Pending:      &feed,
+			OnReceived:   func() {},
+			OnList:       onList,
 		})
 		select {
-		case <-time.After(discovery.RewatchDelay):
+		case <-time.After(discovery.WatchRetryDelay):
 		case <-ctx.Done():
 		}
 	}
@@ -167,7 +167,7 @@
 	gateways := s.hollow.configuration.Membership.Count
 	// A customer's name and first gateway are the same as in lab/emulator.
 	name := fmt.Sprintf("%08x%08x", s.clients.Seed&1, s.random.IntN(s.clients.Customers)+1)
-	first := int(emulator.Uniform("first", name, strconv.FormatUint(s.clients.Seed, 16)) * float64(gateways))
+	first := int(emulator.UniformHash("first", name, strconv.FormatUint(s.clients.Seed, 16)) * float64(gateways))
 	s.hollow.Request(Request{
 		ID:           fmt.Sprintf("%08x%08x", s.Index(), s.requests),
 		Customer:     name,
--- a/lab/simenv/gateway.go
+++ b/lab/simenv/gateway.go
@@ -30,7 +30,7 @@
 	usualLatency    [maxClasses]float64 // by request class, ms, smoothed; 0: not known
 	inFlight        map[uint32]int      // by host
 
-	folder *counterfactual.Folder
+	folder *counterfactual.Summarizer
 	window uint32     // number of the window under way
 	unsent []*message // not confirmed yet
 }
@@ -58,7 +58,7 @@
 		hosts:           e.subset(gateway.index),
 		relativeLatency: map[uint32]float64{},
 		inFlight:        map[uint32]int{},
-		folder:          counterfactual.NewFolder(gateway.zone, maxCells),
+		folder:          counterfactual.NewSummarizer(gateway.zone, maxCells),
 	}
 	firstClose := 1 + time.Duration(e.random.Float64()*float64(e.config.Window))
 	e.after(firstClose, e.closeWindow(gateway, gateway.generation))
@@ -100,8 +100,8 @@
 
 // summarize turns the window under way into messages and begins the next one.
 func (e *Environment) summarize(gateway *gatewayModel) {
-	cells, seen, lost := gateway.folder.Close()
-	head := counterfactual.Part{
+	cells, seen, lost := gateway.folder.Flush()
+	head := counterfactual.SummaryPart{
 		Gateway:      uint32(gateway.index),
 		Zone:         uint8(gateway.zone),
 		Incarnation:  gateway.incarnation,
@@ -147,7 +147,7 @@
 
 // unreported drops the window under way and returns its number of attempts.
 func (g *gatewayModel) unreported() int {
-	_, seen, _ := g.folder.Close()
+	_, seen, _ := g.folder.Flush()
 	return int(seen)
 }
 
--- a/lab/simenv/request.go
+++ b/lab/simenv/request.go
@@ -131,7 +131,7 @@
 }
 
 // observed returns the attempt's latency at the gateway, in ms, and how it ends there.
-func (e *Environment) observed(a *attempt) (latency float64, end counterfactual.End) {
+func (e *Environment) observed(a *attempt) (latency float64, end counterfactual.Outcome) {
 	latency = a.times[0]
 	leave := uniform(e.config.Seed, a.request, 41) * a.objective
 	leaves := uniform(e.config.Seed, a.request, 40) < e.config.ClientLeaveRate
@@ -147,7 +147,7 @@
 }
 
 // finish ends an attempt at its gateway and hands its record to the folder.
-func (e *Environment) finish(a *attempt, latency float64, end counterfactual.End) {
+func (e *Environment) finish(a *attempt, latency float64, end counterfactual.Outcome) {
 	host := a.hosts[0]
 	a.gateway.inFlight[host.ID]--
 	if end != counterfactual.Failed {
--- a/lab/simenv/score.go
+++ b/lab/simenv/score.go
@@ -111,7 +111,7 @@
 		}
 	}
 	s.cover(comparedFigure{answer, "p50", &answer.P50, truth.P50})
-	s.cover(comparedFigure{answer, "within", &answer.Within, truth.Within})
+	s.cover(comparedFigure{answer, "within", &answer.WithinObjective, truth.Within})
 	p99 := comparedFigure{answer, "p99", &answer.P99, truth.P99}
 	if s.cover(p99) {
 		s.P99s++
@@ -138,7 +138,7 @@
 // cover counts a figure and whether its interval covers the true value. It reports false if the figure was refused.
 func (s *Score) cover(compared comparedFigure) bool {
 	figure := compared.figure
-	if !figure.Given() {
+	if !figure.Available() {
 		s.Refused[compared.name+" "+refusalReason(figure.Refused)]++
 		return false
 	}
@@ -167,7 +167,7 @@
 	for i := range answers {
 		for j := range i {
 			a, b := &answers[i], &answers[j]
-			if !a.Mean.Given() || !b.Mean.Given() || (a.Host == "") != (b.Host == "") {
+			if !a.Mean.Available() || !b.Mean.Available() || (a.Host == "") != (b.Host == "") {
 				continue
 			}
 			difference := truths[i].Mean - truths[j].Mean
@@ -202,7 +202,7 @@
 		config.RuleShare = share
 		replaced := Run(config)
 		for class := range config.Objectives {
-			answer := environment.Ledger.Replaced(class, rule, share, environment.From, environment.To)
+			answer := environment.Ledger.EstimateReplacement(class, rule, share, environment.From, environment.To)
 			score.Compare(&answer, replaced.InForce(class))
 		}
 	}
@@ -222,7 +222,7 @@
 
 // evaluateRules compares the answers for the rules.
 func (e *Environment) evaluateRules(score *Score, class int) {
-	answers := e.Ledger.Panel(class, e.From, e.To)
+	answers := e.Ledger.EstimateRules(class, e.From, e.To)
 	truths := make([]GroundTruth, len(answers))
 	for i := range answers {
 		truths[i] = e.GroundTruth(counterfactual.Rule(i), class, 0)
@@ -236,7 +236,7 @@
 	var answers []counterfactual.Answer
 	var truths []GroundTruth
 	for _, host := range e.hosts {
-		answer := e.Ledger.SingleHost(class, host.ID, e.From, e.To)
+		answer := e.Ledger.EstimateSingleHost(class, host.ID, e.From, e.To)
 		truth := e.GroundTruth(counterfactual.OneHost, class, host.ID)
 		score.Compare(&answer, truth)
 		answers = append(answers, answer)
--- a/lab/simenv/simenv.go
+++ b/lab/simenv/simenv.go
@@ -66,13 +66,13 @@
 // newLedger returns the collector's ledger.
 func newLedger(config Config) *counterfactual.Ledger {
 	settings := counterfactual.Settings{
-		Gateways:   config.Gateways,
-		Window:     config.Window,
-		Grace:      3 * config.Window,
-		KeptBins:   int(config.Duration/config.Window) + 50,
-		MaxCells:   1 << 20,
-		MaxMissing: 0.05,
-		Objectives: config.Objectives,
+		Gateways:        config.Gateways,
+		Window:          config.Window,
+		Grace:           3 * config.Window,
+		KeptBins:        int(config.Duration/config.Window) + 50,
+		MaxCells:        1 << 20,
+		MaxMissingShare: 0.05,
+		Objectives:      config.Objectives,
 	}
 	for i := range config.Objectives {
 		settings.Classes = append(settings.Classes, string(rune('a'+i)))
--- a/lab/simenv/simenv_test.go
+++ b/lab/simenv/simenv_test.go
@@ -78,11 +78,11 @@
 	config.Hosts[7].NeverChosen = true
 	environment := Run(config)
 	ledger := environment.Ledger
-	answer := ledger.SingleHost(0, config.Hosts[7].ID, environment.From, environment.To)
-	if !strings.HasPrefix(answer.Refused, "no overlap") || answer.Mean.Given() {
+	answer := ledger.EstimateSingleHost(0, config.Hosts[7].ID, environment.From, environment.To)
+	if !strings.HasPrefix(answer.Refused, "no overlap") || answer.Mean.Available() {
 		t.Errorf("%+v", answer)
 	}
-	for _, answer := range ledger.Panel(0, environment.From, environment.To) {
+	for _, answer := range ledger.EstimateRules(0, environment.From, environment.To) {
 		if answer.Rule == "chance" && !strings.HasPrefix(answer.Refused, "no overlap: host=107 ") {
 			t.Errorf("%+v", answer)
 		}
@@ -120,7 +120,7 @@
 	config := Base(1)
 	spreadSpeeds(&config)
 	environment := Run(config)
-	answer := environment.Ledger.Replaced(0, counterfactual.Random, 1, environment.From, environment.To)
+	answer := environment.Ledger.EstimateReplacement(0, counterfactual.Random, 1, environment.From, environment.To)
 	if !strings.HasPrefix(answer.Refused, "load outside the range seen: host=") {
 		t.Errorf("%+v", answer)
 	}
--- a/lab/startcost/startcost.go
+++ b/lab/startcost/startcost.go
@@ -220,7 +220,7 @@
 // configuration returns that of a gateway by itself, with as many of what the axis names as the size says.
 func configuration(size Size, discovery string) (*gatewayconfig.File, error) {
 	plans := 1
-	list := hostList{Full: true, Servers: []emulator.Entry{}, Version: 1}
+	list := hostList{Full: true, Servers: []emulator.HostEntry{}, Version: 1}
 	switch size.Axis {
 	case QuotaPlans:
 		plans = size.Count
@@ -263,9 +263,9 @@
 
 // hostList is a host list as discovery's agent sends it.
 type hostList struct {
-	Full    bool             `json:"full"`
-	Servers []emulator.Entry `json:"servers"`
-	Version int              `json:"version"`
+	Full    bool                 `json:"full"`
+	Servers []emulator.HostEntry `json:"servers"`
+	Version int                  `json:"version"`
 }
 
 // quotaPlans returns a number of quota plans.
@@ -282,9 +282,9 @@
 }
 
 // entries returns a number of hosts of a host list.
-func entries(count int) (hosts []emulator.Entry) {
+func entries(count int) (hosts []emulator.HostEntry) {
 	for i := range count {
-		hosts = append(hosts, emulator.Entry{
+		hosts = append(hosts, emulator.HostEntry{
 			ID:     fmt.Sprintf("s-%05d", i),
 			Addr:   fmt.Sprintf("10.%d.%d.%d:6380", i>>16, i>>8&255, i&255),
 			Zone:   "a",
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -121,7 +121,7 @@
 	}
 	known := file.Known
 	return testing.AllocsPerRun(3, func() {
-		if _, err := config.Decode(string(settings)); err != nil {
+		if _, err := config.DecodeSettings(string(settings)); err != nil {
 			t.Fatal(err)
 		}
 		list := discovery.NewEndpointList([]string{"a"}, []string{"m"})
@@ -154,7 +154,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), *most)
 	defer cancel()
-	binary, err := fleet.Binary()
+	binary, err := fleet.GatewayBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
