--- a/lab/rollout/hollow/report.go
+++ b/lab/rollout/hollow/report.go
@@ -161,7 +161,7 @@
 		return "- | -"
 	}
 	form := string(fit.Form)
-	if fit.Bends {
+	if fit.NoFormFits {
 		form = "bends"
 	}
 	return fmt.Sprintf("%.2f, %.2f | %s, %.2f", fit.Exponent, fit.Residual, form, fit.Error)
