--- a/counterfactual/answer.go
+++ b/counterfactual/answer.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Reasons for which a figure is refused.
+// Reasons for not giving an estimate. Answer.Refused and Figure.Refused begin with one of them; details may follow.
 const (
 	ReasonNoOverlap                 = "no overlap"
 	ReasonFewSamples                = "too few effective samples"
@@ -26,59 +26,66 @@
 	questionReplaced = "replaced"
 )
 
-// Figure is an estimate with its interval, in milliseconds or, for a fraction, from 0 to 1.
+// Figure is an estimate with its confidence interval from Low to High. The unit is the millisecond, except for
+// Answer.WithinObjective, which is a fraction from 0 to 1.
 type Figure struct {
-	Value   float64     `json:"value"`
-	Low     float64     `json:"low"`
-	High    float64     `json:"high"`
-	AnyTime *[2]float64 `json:"any_time,omitempty"` // of a mean: the interval that holds however often one looks
-	Refused string      `json:"refused,omitempty"`  // reason; the other values are 0 then
+	Value float64 `json:"value"`
+	Low   float64 `json:"low"`
+	High  float64 `json:"high"`
+	// AnyTime is an interval that stays valid however often the estimate is read while attempts are added. Only
+	// Answer.Mean has one.
+	AnyTime *[2]float64 `json:"any_time,omitempty"`
+	Refused string      `json:"refused,omitempty"` // reason why there is no estimate; all other fields are 0 then
 }
 
-// Answer is the estimate for a rule over the attempts of a request class in a range of bins.
+// Answer is the estimate of the response times of a request class's attempts in a range of bins, had a rule chosen
+// their hosts.
 type Answer struct {
-	Question         string              `json:"question"`
-	Rule             string              `json:"rule"`
-	Class            string              `json:"frontend"`
-	Host             string              `json:"host,omitempty"` // of OneHost
-	HostNumber       uint32              `json:"-"`              // of OneHost
-	Share            float64             `json:"part,omitempty"` // fraction of the attempts for which the rule chooses
-	Estimator        Estimator           `json:"estimator,omitempty"`
-	Refused          string              `json:"refused,omitempty"` // reason why there are no figures at all
-	Attempts         float64             `json:"reqs"`              // attempts that the figures cover
-	Coverage         float64             `json:"covers"`            // fraction of all attempts of the request class
-	EffectiveSamples float64             `json:"effective"`
-	CustomerGroups   int                 `json:"groups"`
-	UnreachableShare float64             `json:"no_chance"` // fraction that could not have gone to the rule's host
-	SparseShare      float64             `json:"lacking"`   // fraction at hosts and loads with too few outcomes
-	Mean             Figure              `json:"mean_ms"`   // of the response time or the objective, whichever is less
-	P50              Figure              `json:"p50_ms"`
-	P99              Figure              `json:"p99_ms"`
-	WithinObjective  Figure              `json:"within_target"`
-	Regret           Figure              `json:"regret_ms"` // mean minus that of the best rule with a mean
-	Missing          []IncompleteGateway `json:"missing,omitempty"`
-	MissingShare     float64             `json:"missing_part"`
+	Question   string    `json:"question"`
+	Rule       string    `json:"rule"`
+	Class      string    `json:"frontend"`
+	Host       string    `json:"host,omitempty"` // id; only for OneHost
+	HostNumber uint32    `json:"-"`              // only for OneHost
+	Share      float64   `json:"part,omitempty"` // of a replacement: fraction of attempts for which the rule chooses
+	Estimator  Estimator `json:"estimator,omitempty"`
+	// Refused is the reason why all figures are refused, or empty. Single figures may be refused nevertheless.
+	Refused          string  `json:"refused,omitempty"`
+	Attempts         float64 `json:"reqs"`      // number of attempts that the figures cover
+	Coverage         float64 `json:"covers"`    // fraction of the request class's attempts that the figures cover
+	EffectiveSamples float64 `json:"effective"` // sample size if each outcome counted equally
+	CustomerGroups   int     `json:"groups"`    // number of groups with outcomes
+	UnreachableShare float64 `json:"no_chance"` // fraction of Attempts that could not have gone to the rule's host
+	SparseShare      float64 `json:"lacking"`   // fraction of Attempts at hosts and loads with too few outcomes
+	Mean             Figure  `json:"mean_ms"`   // each response time is capped at the latency objective
+	P50              Figure  `json:"p50_ms"`
+	P99              Figure  `json:"p99_ms"`
+	WithinObjective  Figure  `json:"within_target"`
+	Regret           Figure  `json:"regret_ms"` // Mean minus the least Mean of the rules that were estimated together
 
-	mean  float64   // nanoseconds
-	means []float64 // with each customer group left out in turn
+	Missing      []IncompleteGateway `json:"missing,omitempty"`
+	MissingShare float64             `json:"missing_part"` // estimated fraction of all attempts that is not reported
+
+	meanNanoseconds  float64   // Mean.Value before its conversion to milliseconds
+	leaveOneOutMeans []float64 // in nanoseconds, one with each customer group left out
 }
 
-// Available reports whether there is an estimate.
+// Available reports whether the figure was estimated, that is, not refused.
 func (f *Figure) Available() bool { return f.Refused == "" }
 
-// refuseFigures sets the reason of the answer's refusal for each figure.
+// refuseFigures copies the answer's reason for refusal to each of its figures.
 func (a *Answer) refuseFigures() {
 	for _, figure := range []*Figure{&a.Mean, &a.P50, &a.P99, &a.WithinObjective, &a.Regret} {
 		figure.Refused = a.Refused
 	}
 }
 
-// setRegrets compares the means with the least one, by pairs, so that errors common to both cancel out.
+// setRegrets sets each answer's regret: the difference between its mean and the least mean of all answers. The interval
+// is computed from paired leave-one-out means, so that errors common to both rules cancel out.
 func setRegrets(answers []Answer) {
 	var best *Answer
 	for i := range answers {
 		a := &answers[i]
-		if a.Mean.Available() && (best == nil || a.mean < best.mean) {
+		if a.Mean.Available() && (best == nil || a.meanNanoseconds < best.meanNanoseconds) {
 			best = a
 		}
 	}
@@ -97,21 +104,23 @@
 	}
 }
 
-// MeanDifference returns the difference of the means of a and b in nanoseconds, with the half width of its interval. Both
-// are of one Panel, each with a mean.
+// MeanDifference returns the mean of a minus that of b in nanoseconds, with the half width of its confidence interval:
+// infinity if there are fewer than two leave-one-out means. Both answers must be results of the same call of
+// Ledger.EstimateRules and have a mean.
 func MeanDifference(a, b *Answer) (difference, halfWidth float64) {
 	var differences []float64
-	for i := range min(len(a.means), len(b.means)) {
-		differences = append(differences, a.means[i]-b.means[i])
+	for i := range min(len(a.leaveOneOutMeans), len(b.leaveOneOutMeans)) {
+		differences = append(differences, a.leaveOneOutMeans[i]-b.leaveOneOutMeans[i])
 	}
 	if len(differences) < 2 {
-		return a.mean - b.mean, math.Inf(1)
+		return a.meanNanoseconds - b.meanNanoseconds, math.Inf(1)
 	}
-	variance := jackknife(differences) * 2 // doubled for the randomness of the requests' response times
-	return a.mean - b.mean, studentQuantile(len(differences)) * math.Sqrt(variance)
+	variance := jackknife(differences) * 2 // doubled to allow for the randomness of the requests' response times
+	return a.meanNanoseconds - b.meanNanoseconds, studentTQuantile(len(differences)) * math.Sqrt(variance)
 }
 
-// studentQuantile returns the quantile of Student's t distribution for an interval from a number of groups.
-func studentQuantile(groups int) float64 {
-	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(groups - 1)}.Quantile((1 + confidence) / 2)
+// studentTQuantile returns the factor on the standard error of a two-sided interval at confidenceLevel whose variance
+// was estimated from a number of groups: a quantile of Student's t distribution with groups-1 degrees of freedom.
+func studentTQuantile(groups int) float64 {
+	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(groups - 1)}.Quantile((1 + confidenceLevel) / 2)
 }
--- a/counterfactual/buckets.go
+++ b/counterfactual/buckets.go
@@ -5,44 +5,47 @@
 	"time"
 )
 
-// Parameters of the summaries.
+// Parameters of the summaries. All gateways and collectors must agree on them.
 const (
-	NumCustomerGroups = 20   // customer groups, the units of the jackknife
-	MaxCandidates     = 64   // of a record; one with more is not folded
-	scale             = 4096 // masses and weights are multiples of 1/scale, so that sums do not depend on the order
-	maxWeight         = 64   // larger weights are clipped
-	loadBands         = 64   // two an octave
-	neverBucket       = 1023 // bucket of attempts without any response
-	gamma             = 1.02 // ratio of a bucket's bounds: values have an error of 1% (DDSketch, Masson et al. 2019)
+	NumCustomerGroups = 20 // groups into which customers are hashed; the jackknife leaves out one at a time
+	MaxCandidates     = 64 // candidates of a record; a record with more is counted as lost
+	// fixedPointScale scales masses and weights to integers, so that their sums do not depend on the order.
+	fixedPointScale  = 4096
+	maxWeight        = 64   // larger importance weights are clipped
+	numLoadBands     = 64   // bands of load, two per octave
+	noResponseBucket = 1023 // bucket of attempts that would never have had a response
+	bucketRatio      = 1.02 // of a bucket's bounds: times have an error of 1% (DDSketch, Masson et al. 2019)
 )
 
-// firstBound is the upper bound of the first bucket.
-const firstBound = 10 * time.Microsecond
+// firstBucketBound is the upper bound of bucket 0.
+const firstBucketBound = 10 * time.Microsecond
 
-var logGamma = math.Log(gamma)
+var logBucketRatio = math.Log(bucketRatio)
 
-// LatencyBucket returns the histogram bucket of a response time.
+// LatencyBucket returns the histogram bucket of a response time. Times beyond the range are in the last finite bucket.
 func LatencyBucket(latency time.Duration) int {
-	if latency <= firstBound {
+	if latency <= firstBucketBound {
 		return 0
 	}
-	return min(int(math.Ceil(math.Log(float64(latency)/float64(firstBound))/logGamma)), neverBucket-1)
+	return min(int(math.Ceil(math.Log(float64(latency)/float64(firstBucketBound))/logBucketRatio)), noResponseBucket-1)
 }
 
-// bucketTime returns the time that represents a bucket, in nanoseconds.
-func bucketTime(bucket int) float64 {
-	return float64(firstBound) * math.Pow(gamma, float64(bucket)-0.5)
+// bucketLatency returns the response time that represents a bucket, in nanoseconds: the geometric mean of its bounds.
+func bucketLatency(bucket int) float64 {
+	return float64(firstBucketBound) * math.Pow(bucketRatio, float64(bucket)-0.5)
 }
 
-// loadBand returns the band of a load, from the exponent of its square: two bands an octave.
+// loadBand returns the band of a load, 0 for a load that is not positive. The binary exponent of the squared load
+// divides each octave into two bands.
 func loadBand(load float64) int {
 	if !(load > 0) {
 		return 0
 	}
-	return min(max(int(math.Float64bits(load*load*math.Sqrt2)>>52)-1023+16, 0), loadBands-1)
+	return min(max(int(math.Float64bits(load*load*math.Sqrt2)>>52)-1023+16, 0), numLoadBands-1)
 }
 
-// customerGroup distributes customers evenly over the groups.
+// customerGroup returns the group of a customer, given the hash of a Record. It mixes the bits, similar to SplitMix64,
+// so that customers spread evenly over the groups.
 func customerGroup(customer uint32) int {
 	x := uint64(customer) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/counterfactual/codec.go
+++ b/counterfactual/codec.go
@@ -7,14 +7,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of a message; one beyond them is rejected.
+// Limits of an encoded SummaryPart. Decode rejects a message that exceeds one.
 const (
-	MaxMessageBytes = 1400    // so that no datagram is fragmented
-	maxHeadBytes    = 64      // of all fields but the cells
-	maxRows         = 16      // of a cell; one with more is split
-	maxParts        = 4096    // of a window
-	maxAttempts     = 1 << 24 // of a window
-	maxWindowLength = 3600e3  // milliseconds
+	MaxMessageBytes       = 1400    // keeps a datagram below the usual MTU, so that it is not fragmented
+	maxHeaderBytes        = 64      // space reserved for all fields but the cells
+	maxRowsPerCell        = 16      // a cell with more rows is split
+	maxPartsPerWindow     = 4096    // parts of one gateway's summary of a window
+	maxAttemptsPerWindow  = 1 << 24 // attempts of one gateway in a window
+	maxWindowMilliseconds = 3600e3  // one hour
 )
 
 var (
@@ -30,8 +30,9 @@
 	}.DecMode()
 )
 
-// wirePart is a Part with its cells encoded.
-type wirePart struct {
+// encodedPart has the layout of SummaryPart on the wire. Its cells are encoded already, so that a part can be sent
+// again with another age at little cost.
+type encodedPart struct {
 	_            struct{} `cbor:",toarray"`
 	Version      uint8
 	Gateway      uint32
@@ -47,33 +48,34 @@
 	Cells        []cbor.RawMessage
 }
 
-// newWirePart returns a part without cells.
-func newWirePart(head *SummaryPart, index int) *wirePart {
-	return &wirePart{
-		Version:      version,
-		Gateway:      head.Gateway,
-		Zone:         head.Zone,
-		Incarnation:  head.Incarnation,
-		Window:       head.Window,
+// newEncodedPart returns a part without cells that has the fields of header. The caller sets Total and Age.
+func newEncodedPart(header *SummaryPart, index int) *encodedPart {
+	return &encodedPart{
+		Version:      formatVersion,
+		Gateway:      header.Gateway,
+		Zone:         header.Zone,
+		Incarnation:  header.Incarnation,
+		Window:       header.Window,
 		Index:        uint16(index),
-		WindowLength: head.WindowLength,
-		Attempts:     head.Attempts,
-		LostRecords:  head.LostRecords,
+		WindowLength: header.WindowLength,
+		Attempts:     header.Attempts,
+		LostRecords:  header.LostRecords,
 	}
 }
 
-// Encode splits the cells of a window into parts of at most MaxBytes each. It returns each part as a function of its
-// age, so that it can be sent again later. There is at least one part: a window without attempts is reported as such.
-func Encode(head SummaryPart, cells []Cell) (encoders []func(age uint32) []byte) {
+// Encode splits the cells of a window into parts of at most MaxMessageBytes each. Every returned function encodes one
+// part, given the milliseconds since the window's end, so that the part can be sent again later. A window without
+// attempts has one part without cells, by which collectors tell an idle gateway from a silent one.
+func Encode(header SummaryPart, cells []Cell) (encoders []func(age uint32) []byte) {
 	if len(cells) == 0 {
-		head.Version = version
-		head.Total = 1
+		header.Version = formatVersion
+		header.Total = 1
 		return []func(uint32) []byte{func(age uint32) []byte {
-			head.Age = age
-			return marshal(&head)
+			header.Age = age
+			return marshal(&header)
 		}}
 	}
-	parts := splitCells(&head, cells)
+	parts := packCells(&header, cells)
 	for _, part := range parts {
 		part.Total = uint16(len(parts))
 		encoders = append(encoders, func(age uint32) []byte {
@@ -84,15 +86,15 @@
 	return encoders
 }
 
-// splitCells encodes cells and distributes them over parts. A cell with many rows is split: its receiver adds it up
-// again.
-func splitCells(head *SummaryPart, cells []Cell) (parts []*wirePart) {
-	free := 0 // bytes of the latest part
+// packCells encodes the cells and distributes them over parts in order. A cell with more than maxRowsPerCell rows
+// becomes several cells of the same key, which the collector adds up again.
+func packCells(header *SummaryPart, cells []Cell) (parts []*encodedPart) {
+	free := 0 // bytes left in the latest part
 	add := func(c *Cell) {
 		encoded := marshal(c)
 		if len(parts) == 0 || len(encoded) > free {
-			parts = append(parts, newWirePart(head, len(parts)))
-			free = MaxMessageBytes - maxHeadBytes
+			parts = append(parts, newEncodedPart(header, len(parts)))
+			free = MaxMessageBytes - maxHeaderBytes
 		}
 		free -= len(encoded)
 		part := parts[len(parts)-1]
@@ -100,42 +102,43 @@
 	}
 	for i := range cells {
 		cell := cells[i]
-		for len(cell.Rows) > maxRows {
-			add(&Cell{Key: cell.Key, Rows: cell.Rows[:maxRows]})
-			cell.Rows = cell.Rows[maxRows:]
+		for len(cell.Rows) > maxRowsPerCell {
+			add(&Cell{Key: cell.Key, Rows: cell.Rows[:maxRowsPerCell]})
+			cell.Rows = cell.Rows[maxRowsPerCell:]
 		}
 		add(&cell)
 	}
 	return parts
 }
 
-// marshal encodes a value.
+// marshal encodes a part or a cell as CBOR.
 func marshal(v any) []byte {
 	b, err := encoder.Marshal(v)
 	if err != nil {
-		panic(err) // plain numbers always encode
+		panic(err) // can't happen: the types consist of numbers and booleans
 	}
 	return b
 }
 
-// Decode decodes a message and checks all its values; an error names the field.
+// Decode decodes a message and checks that all values are within their ranges. It returns an error that names the first
+// invalid field.
 func Decode(message []byte) (*SummaryPart, error) {
 	if len(message) > MaxMessageBytes {
-		return nil, fmt.Errorf("%d bytes, %d at most", len(message), MaxMessageBytes)
+		return nil, fmt.Errorf("message of %d bytes is longer than %d bytes", len(message), MaxMessageBytes)
 	}
 	part := &SummaryPart{}
 	if err := decoder.Unmarshal(message, part); err != nil {
 		return nil, err
 	}
 	switch {
-	case part.Version != version:
-		return nil, fmt.Errorf("version %d", part.Version)
-	case part.Total == 0 || part.Total > maxParts || part.Index >= part.Total:
-		return nil, fmt.Errorf("part %d of %d", part.Index, part.Total)
-	case part.WindowLength == 0 || part.WindowLength > maxWindowLength:
-		return nil, fmt.Errorf("length of %d ms", part.WindowLength)
-	case part.LostRecords > part.Attempts || part.Attempts > maxAttempts:
-		return nil, fmt.Errorf("lost %d of %d", part.LostRecords, part.Attempts)
+	case part.Version != formatVersion:
+		return nil, fmt.Errorf("format version %d is not supported", part.Version)
+	case part.Total == 0 || part.Total > maxPartsPerWindow || part.Index >= part.Total:
+		return nil, fmt.Errorf("invalid part number: %d of %d", part.Index, part.Total)
+	case part.WindowLength == 0 || part.WindowLength > maxWindowMilliseconds:
+		return nil, fmt.Errorf("window length of %d ms is out of range", part.WindowLength)
+	case part.LostRecords > part.Attempts || part.Attempts > maxAttemptsPerWindow:
+		return nil, fmt.Errorf("lost records: %d of %d attempts", part.LostRecords, part.Attempts)
 	}
 	for i := range part.Cells {
 		if err := part.Cells[i].check(part); err != nil {
@@ -145,20 +148,20 @@
 	return part, nil
 }
 
-// check returns an error for values that no correct gateway can send.
+// check returns an error if the cell has values that no correct gateway can send in part.
 func (c *Cell) check(part *SummaryPart) error {
-	if c.Key.LoadBand >= loadBands || c.Key.GatewayZone != part.Zone {
-		return errors.New("key")
+	if c.Key.LoadBand >= numLoadBands || c.Key.GatewayZone != part.Zone {
+		return errors.New("key: load band or gateway zone is invalid")
 	}
-	limit := uint64(part.Attempts) * scale * 2 // twice the attempts: masses are rounded
+	limit := uint64(part.Attempts) * fixedPointScale * 2 // twice the attempts, because each mass is rounded
 	for rule := range NumRules {
 		if c.Mass[rule] > limit || c.Unreachable[rule] > c.Mass[rule] ||
 			c.SquaredWeights[rule] > limit*maxWeight*maxWeight {
-			return fmt.Errorf("masses of rule %s", rule)
+			return fmt.Errorf("masses or weights of rule %q are out of range", rule)
 		}
 	}
-	if len(c.Rows) > maxRows {
-		return errors.New("rows")
+	if len(c.Rows) > maxRowsPerCell {
+		return errors.New("too many rows")
 	}
 	for i := range c.Rows {
 		if err := c.Rows[i].check(part.Attempts); err != nil {
@@ -168,17 +171,17 @@
 	return nil
 }
 
-// check returns an error for values that no correct gateway with a number of attempts can send.
+// check returns an error if the row has values that no correct gateway with this number of attempts can send.
 func (r *Row) check(attempts uint32) error {
-	if r.Group >= NumCustomerGroups || r.Bucket > neverBucket || r.Count == 0 || r.Count > attempts {
-		return errors.New("row")
+	if r.Group >= NumCustomerGroups || r.Bucket > noResponseBucket || r.Count == 0 || r.Count > attempts {
+		return errors.New("row: group, bucket or count is out of range")
 	}
-	if r.Censored && r.Bucket == neverBucket {
-		return errors.New("row")
+	if r.Censored && r.Bucket == noResponseBucket {
+		return errors.New("row: an attempt without a response can't be censored")
 	}
 	for _, weight := range r.Weights {
-		if weight > uint64(r.Count)*maxWeight*scale {
-			return errors.New("weight")
+		if weight > uint64(r.Count)*maxWeight*fixedPointScale {
+			return errors.New("row: weight is too large for the count")
 		}
 	}
 	return nil
--- a/counterfactual/figures.go
+++ b/counterfactual/figures.go
@@ -9,163 +9,171 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Intervals.
+// Parameters of the confidence intervals.
 const (
-	confidence        = 0.95 // level
-	meanWidth         = 0.08 // largest half width of the interval of a mean or a median, over the figure
-	tailWidth         = 0.16 // largest half width of the interval of the 99th percentile, over the figure
-	fractionWidth     = 0.05 // largest half width of the interval of a fraction
-	timeDifference    = 0.2  // largest relative difference of a host's time at the same load where it could not be chosen
-	normalQuantile    = 1.96 // of the normal distribution at the level
-	anytimeOptimum    = 500  // samples at which the interval for all looks is narrowest
-	minSpread         = 1e-9
-	fractionTolerance = 1e-12
+	confidenceLevel         = 0.95  // of all intervals
+	maxMeanHalfWidth        = 0.08  // of a mean or a median, relative to the figure; wider ones are refused
+	maxTailHalfWidth        = 0.16  // of the 99th percentile, relative to the figure; wider ones are refused
+	maxFractionHalfWidth    = 0.05  // of a fraction, absolute; wider ones are refused
+	unreachableLatencyError = 0.2   // see figureBuilder.unreachableError
+	normalQuantile          = 1.96  // of the standard normal distribution, for a two-sided interval at confidenceLevel
+	anytimeOptimalSamples   = 500   // sample size at which the anytime-valid interval is narrowest
+	minVariance             = 1e-9  // square nanoseconds; avoids a division by zero
+	fractionTolerance       = 1e-12 // for the rounding errors of a CDF's fractions
 )
 
 const nanosecondsPerMillisecond = float64(time.Millisecond)
 
-// figures sets the figures of an answer, each with its interval or a refusal. The intervals are for the mean, quantile
-// or fraction over the same requests: they cover the error of the estimate, by the jackknife over customer groups, and
-// the randomness of these requests' response times.
-type figures struct {
-	answer    *Answer
-	table     *strataTable
-	curve     []float64   // distribution of the response time by bucket
-	curves    [][]float64 // with each customer group left out in turn
-	student   float64     // quantile of Student's t distribution
-	design    float64     // effect of the clustering by customer on the variance
-	uncovered float64     // relative error for the fraction that no outcome covers
+// figureBuilder sets the figures of an answer, each with its interval or a refusal. The intervals are for the mean,
+// quantile or fraction over the same requests. They cover the error of the estimate, measured by the jackknife over
+// customer groups, and the randomness of these requests' response times.
+type figureBuilder struct {
+	answer          *Answer
+	table           *strataTable
+	cdf             []float64   // fraction of response times up to each bucket
+	leaveOneOutCDFs [][]float64 // one with each customer group left out
+	tQuantile       float64     // of Student's t distribution, for the number of groups
+	designEffect    float64     // variance with clustering by customer over that without, at least 1; set by setMean
+
+	// unreachableError widens the intervals of Direct relative to the figure. A host may respond to the attempts that
+	// could not have gone there with times that differ by unreachableLatencyError from the observed ones, at the same
+	// load.
+	unreachableError float64
 }
 
-func newFigures(a *Answer, e *estimation, rule Rule) *figures {
-	f := &figures{
+func newFigureBuilder(a *Answer, e *estimation, rule Rule) *figureBuilder {
+	f := &figureBuilder{
 		answer: a,
 		table:  e.table,
-		curve:  e.sums[rule].distribution(a.Estimator),
+		cdf:    e.sums[rule].distribution(a.Estimator),
 	}
-	for _, sums := range e.leftOut {
-		f.curves = append(f.curves, sums[rule].distribution(a.Estimator))
+	for _, sums := range e.leaveOneOutSums {
+		f.leaveOneOutCDFs = append(f.leaveOneOutCDFs, sums[rule].distribution(a.Estimator))
 	}
-	f.student = studentQuantile(len(f.curves))
+	f.tQuantile = studentTQuantile(len(f.leaveOneOutCDFs))
 	if a.Estimator == Direct {
-		f.uncovered = timeDifference * a.UnreachableShare
+		f.unreachableError = unreachableLatencyError * a.UnreachableShare
 	}
 	return f
 }
 
-// set sets all figures but the regret.
-func (f *figures) set() {
+// setAll sets all figures except the regret, which depends on the other answers.
+func (f *figureBuilder) setAll() {
 	a := f.answer
 	f.setMean()
-	a.P50 = f.quantile(0.5, meanWidth)
-	a.P99 = f.quantile(0.99, tailWidth)
-	horizon := f.table.horizon
-	low, high := f.fractionInterval(f.curve[horizon], horizon)
-	a.WithinObjective = newFigure(f.curve[horizon], low, high, fractionWidth)
+	a.P50 = f.quantile(0.5, maxMeanHalfWidth)
+	a.P99 = f.quantile(0.99, maxTailHalfWidth)
+	objectiveBucket := f.table.objectiveBucket
+	low, high := f.fractionInterval(f.cdf[objectiveBucket], objectiveBucket)
+	a.WithinObjective = newFigure(f.cdf[objectiveBucket], low, high, maxFractionHalfWidth)
 }
 
-// setMean sets the mean, and the effect of the clustering that the other figures need.
-func (f *figures) setMean() {
+// setMean sets the mean with both of its intervals, and designEffect, which the other figures need.
+func (f *figureBuilder) setMean() {
 	a := f.answer
-	mean, variance := f.table.moments(f.curve)
-	for _, curve := range f.curves {
-		meanWithout, _ := f.table.moments(curve)
-		a.means = append(a.means, meanWithout)
+	mean, variance := f.table.cappedMoments(f.cdf)
+	for _, cdf := range f.leaveOneOutCDFs {
+		leaveOneOutMean, _ := f.table.cappedMoments(cdf)
+		a.leaveOneOutMeans = append(a.leaveOneOutMeans, leaveOneOutMean)
 	}
-	a.mean = mean
-	f.design = max(1, jackknife(a.means)*a.EffectiveSamples/max(variance, minSpread))
-	deviation := math.Sqrt(f.design * variance * (1/a.EffectiveSamples + 1/a.Attempts))
-	reach := f.student*deviation + f.uncovered*mean
+	a.meanNanoseconds = mean
+	f.designEffect = max(1, jackknife(a.leaveOneOutMeans)*a.EffectiveSamples/max(variance, minVariance))
+	deviation := math.Sqrt(f.designEffect * variance * (1/a.EffectiveSamples + 1/a.Attempts))
+	halfWidth := f.tQuantile*deviation + f.unreachableError*mean
 	a.Mean = newFigure(
 		mean/nanosecondsPerMillisecond,
-		(mean-reach)/nanosecondsPerMillisecond,
-		(mean+reach)/nanosecondsPerMillisecond,
-		meanWidth*mean/nanosecondsPerMillisecond,
+		(mean-halfWidth)/nanosecondsPerMillisecond,
+		(mean+halfWidth)/nanosecondsPerMillisecond,
+		maxMeanHalfWidth*mean/nanosecondsPerMillisecond,
 	)
 	if !a.Mean.Available() {
 		return
 	}
-	reach = deviation*anytimeFactor(a.EffectiveSamples) + f.uncovered*mean
+	halfWidth = deviation*anytimeFactor(a.EffectiveSamples) + f.unreachableError*mean
 	a.Mean.AnyTime = &[2]float64{
-		max(mean-reach, 0) / nanosecondsPerMillisecond,
-		(mean + reach) / nanosecondsPerMillisecond,
+		max(mean-halfWidth, 0) / nanosecondsPerMillisecond,
+		(mean + halfWidth) / nanosecondsPerMillisecond,
 	}
 }
 
-// quantile returns the figure of a quantile of the response time. width bounds its half width over the figure.
-func (f *figures) quantile(fraction, width float64) Figure {
-	estimate, within := f.table.quantile(f.curve, fraction)
+// quantile returns the figure of a quantile of the response time in milliseconds. maxRelativeWidth bounds the half
+// width of its interval relative to the figure.
+func (f *figureBuilder) quantile(fraction, maxRelativeWidth float64) Figure {
+	estimate, within := f.table.quantile(f.cdf, fraction)
 	if !within {
 		return Figure{Refused: ReasonBeyondObjective}
 	}
-	low, high := f.fractionInterval(fraction, quantileBucket(f.curve, fraction))
-	lowTime, _ := f.table.quantile(f.curve, low)
-	highTime, within := f.table.quantile(f.curve, high)
+	low, high := f.fractionInterval(fraction, quantileBucket(f.cdf, fraction))
+	lowTime, _ := f.table.quantile(f.cdf, low)
+	highTime, within := f.table.quantile(f.cdf, high)
 	if !within {
 		return Figure{Refused: ReasonWideInterval + ": up to the target"}
 	}
 	return newFigure(
 		estimate/nanosecondsPerMillisecond,
-		lowTime/nanosecondsPerMillisecond/gamma/(1+f.uncovered),
-		highTime/nanosecondsPerMillisecond*gamma*(1+f.uncovered),
-		width*estimate/nanosecondsPerMillisecond,
+		lowTime/nanosecondsPerMillisecond/bucketRatio/(1+f.unreachableError),
+		highTime/nanosecondsPerMillisecond*bucketRatio*(1+f.unreachableError),
+		maxRelativeWidth*estimate/nanosecondsPerMillisecond,
 	)
 }
 
-// fractionInterval returns the interval of a fraction of response times up to a bucket (Clopper and Pearson 1934, with
-// the effective sample size of Korn and Graubard 1998), widened by the fraction that no outcome covers.
-func (f *figures) fractionInterval(fraction float64, bucket int) (low, high float64) {
+// fractionInterval returns the confidence interval of the fraction of response times up to a bucket (Clopper and
+// Pearson 1934, with the effective sample size of Korn and Graubard 1998). It is widened by SparseShare: nothing is
+// known of the response times of those attempts.
+func (f *figureBuilder) fractionInterval(fraction float64, bucket int) (low, high float64) {
 	samples := f.effectiveSamples(fraction, bucket)
 	if successes := samples * fraction; successes > 0 {
-		low = distuv.Beta{Alpha: successes, Beta: samples - successes + 1}.Quantile((1 - confidence) / 2)
+		low = distuv.Beta{Alpha: successes, Beta: samples - successes + 1}.Quantile((1 - confidenceLevel) / 2)
 	}
 	high = 1
 	if samples*(1-fraction) > 0 {
 		successes := samples * fraction
-		high = distuv.Beta{Alpha: successes + 1, Beta: samples - successes}.Quantile((1 + confidence) / 2)
+		high = distuv.Beta{Alpha: successes + 1, Beta: samples - successes}.Quantile((1 + confidenceLevel) / 2)
 	}
-	lacking := f.answer.SparseShare
-	return low * (1 - lacking), min(high*(1-lacking)+lacking, 1)
+	sparse := f.answer.SparseShare
+	return low * (1 - sparse), min(high*(1-sparse)+sparse, 1)
 }
 
-// effectiveSamples returns the sample size for the interval of a fraction, by the variance over customer groups.
-func (f *figures) effectiveSamples(fraction float64, bucket int) float64 {
+// effectiveSamples returns the sample size from which independent samples would give the fraction of response times up
+// to a bucket with the same variance. The variance is that over customer groups, if that is larger than the binomial
+// one.
+func (f *figureBuilder) effectiveSamples(fraction float64, bucket int) float64 {
 	a := f.answer
 	var fractions []float64
-	for _, curve := range f.curves {
-		fractions = append(fractions, curve[bucket])
+	for _, cdf := range f.leaveOneOutCDFs {
+		fractions = append(fractions, cdf[bucket])
 	}
 	variance := jackknife(fractions)
-	ownVariance := fraction * (1 - fraction)
-	samples := 1 / (1/a.EffectiveSamples + 1/a.Attempts) / f.design
-	if ownVariance > 0 && variance > ownVariance/a.EffectiveSamples {
-		samples = min(samples*f.design, 1/(variance/ownVariance*(1+a.EffectiveSamples/a.Attempts)))
-	} else if ownVariance > 0 {
-		samples *= f.design
+	binomialVariance := fraction * (1 - fraction)
+	samples := 1 / (1/a.EffectiveSamples + 1/a.Attempts) / f.designEffect
+	if binomialVariance > 0 && variance > binomialVariance/a.EffectiveSamples {
+		samples = min(samples*f.designEffect, 1/(variance/binomialVariance*(1+a.EffectiveSamples/a.Attempts)))
+	} else if binomialVariance > 0 {
+		samples *= f.designEffect
 	}
-	return samples * square(normalQuantile/f.student)
+	return samples * square(normalQuantile/f.tQuantile)
 }
 
-// newFigure returns a figure, or a refusal if its interval is too wide on either side.
-func newFigure(value, low, high, width float64) Figure {
+// newFigure returns a figure, or a refusal if its interval extends more than maxHalfWidth to either side of the value.
+func newFigure(value, low, high, maxHalfWidth float64) Figure {
 	halfWidth := max(high-value, value-low)
-	if !(halfWidth <= width) { // also for NaN
+	if !(halfWidth <= maxHalfWidth) { // true also if halfWidth is NaN
 		return Figure{Refused: fmt.Sprintf("%s: %.3g to %.3g", ReasonWideInterval, low, high)}
 	}
 	return Figure{Value: value, Low: max(low, 0), High: high}
 }
 
-// anytimeFactor returns the factor on the standard error of an interval that holds for all looks together (asymptotic
-// confidence sequence, Waudby-Smith et al. 2021).
+// anytimeFactor returns the factor on the standard error for an interval that is valid at all sample sizes together, so
+// that it may be read any number of times (asymptotic confidence sequence, Waudby-Smith et al. 2021).
 func anytimeFactor(samples float64) float64 {
-	alpha := 1 - confidence
-	r := samples * (-2*math.Log(alpha) + math.Log(-2*math.Log(alpha)+1)) / anytimeOptimum
+	alpha := 1 - confidenceLevel
+	r := samples * (-2*math.Log(alpha) + math.Log(-2*math.Log(alpha)+1)) / anytimeOptimalSamples
 	return math.Sqrt(2 * (r + 1) / r * math.Log(math.Sqrt(r+1)/alpha))
 }
 
 func square(x float64) float64 { return x * x }
 
-// jackknife returns the variance of a figure from its values with each group left out in turn.
+// jackknife returns the variance of a figure, given its values with each group left out once.
 func jackknife(values []float64) float64 {
 	mean := stat.Mean(values, nil)
 	sum := 0.0
--- a/counterfactual/folder.go
+++ b/counterfactual/folder.go
@@ -5,52 +5,55 @@
 	"slices"
 )
 
-const cacheSize = 512 // cells
+const cellCacheSize = 512 // entries; a hash of the cell's key is the index
 
-// Summarizer folds the records of one gateway into the summary of the current window.
+// Summarizer adds up the records of one gateway to the summary of the current window. It is not safe for concurrent
+// use.
 type Summarizer struct {
 	maxCells    int
 	zone        uint8
 	cells       map[CellKey]*Cell
 	attempts    uint32
 	lostRecords uint32
-	shares      ruleShares       // scratch
-	cache       [cacheSize]*Cell // cells used recently, by a hash of their key
+	shares      ruleShares           // of the record that Add handles; kept to reuse its slices
+	cache       [cellCacheSize]*Cell // recently used cells, to save lookups in the cells map; nil: unused
 }
 
-// NewSummarizer returns a folder for a gateway in a zone. It has at most maxCells cells; records that need more are counted
-// as lost.
+// NewSummarizer returns a summarizer for a gateway in a zone. A window has at most maxCells cells; records that may
+// need more are counted as lost.
 func NewSummarizer(zone, maxCells int) *Summarizer {
 	return &Summarizer{maxCells: maxCells, zone: uint8(zone), cells: map[CellKey]*Cell{}}
 }
 
-// Add folds a record. One that is invalid, or may need more cells than there are, is counted as lost.
-func (f *Summarizer) Add(record *Record) {
-	f.attempts++
-	if len(f.cells)+len(record.Candidates) > f.maxCells || !f.shares.compute(record.Candidates) {
-		f.lostRecords++
+// Add adds a record to the current window. A record is counted as lost if it is invalid, or if a new cell for each of
+// its candidates might exceed the maximum number of cells.
+func (s *Summarizer) Add(record *Record) {
+	s.attempts++
+	if len(s.cells)+len(record.Candidates) > s.maxCells || !s.shares.compute(record.Candidates) {
+		s.lostRecords++
 		return
 	}
 	for i := range record.Candidates {
 		candidate := &record.Candidates[i]
-		cell := f.cell(CellKey{
+		cell := s.cell(CellKey{
 			Class:       uint16(record.Class),
-			GatewayZone: f.zone,
+			GatewayZone: s.zone,
 			Host:        candidate.Host,
 			Incarnation: candidate.Incarnation,
 			LoadBand:    uint8(loadBand(candidate.Load)),
 		})
-		f.addMass(cell, i, candidate.Probability > 0)
+		s.addMass(cell, i, candidate.Probability > 0)
 		if i == 0 {
-			f.addOutcome(cell, record)
+			s.addOutcome(cell, record)
 		}
 	}
 }
 
-// addMass adds the fraction of the attempt that each rule would have sent to a candidate.
-func (f *Summarizer) addMass(cell *Cell, candidate int, eligible bool) {
+// addMass adds to the candidate's cell the fraction of the attempt that each rule would have sent to the candidate,
+// given by its index.
+func (s *Summarizer) addMass(cell *Cell, candidate int, eligible bool) {
 	for rule := range NumRules {
-		mass := scaled(f.shares.mass[rule][candidate])
+		mass := toFixedPoint(s.shares.mass[rule][candidate])
 		cell.Mass[rule] += mass
 		if !eligible {
 			cell.Unreachable[rule] += mass
@@ -58,8 +61,8 @@
 	}
 }
 
-// addOutcome adds the outcome at the chosen host.
-func (f *Summarizer) addOutcome(cell *Cell, record *Record) {
+// addOutcome adds the outcome of the attempt to the cell of the chosen host.
+func (s *Summarizer) addOutcome(cell *Cell, record *Record) {
 	row := Row{
 		Group:    uint8(customerGroup(record.Customer)),
 		Bucket:   uint16(LatencyBucket(record.Latency)),
@@ -67,50 +70,51 @@
 		Count:    1,
 	}
 	if record.End == Failed {
-		row.Bucket = neverBucket
+		row.Bucket = noResponseBucket
 	}
 	for rule := range NumRules {
-		weight := f.shares.weight[rule]
-		row.Weights[rule] = scaled(weight)
-		cell.SquaredWeights[rule] += scaled(weight * weight)
+		weight := s.shares.weight[rule]
+		row.Weights[rule] = toFixedPoint(weight)
+		cell.SquaredWeights[rule] += toFixedPoint(weight * weight)
 	}
 	cell.addRow(row)
 }
 
-// scaled returns a value in units of 1/scale.
-func scaled(value float64) uint64 { return uint64(value*scale + 0.5) }
+// toFixedPoint returns a value in units of 1/fixedPointScale, rounded to the nearest integer.
+func toFixedPoint(value float64) uint64 { return uint64(value*fixedPointScale + 0.5) }
 
-// cell returns the cell of a key, a new one if there is none.
-func (f *Summarizer) cell(key CellKey) *Cell {
-	cached := &f.cache[(key.Host*0x9e3779b1>>20+uint32(key.LoadBand)*7+uint32(key.Class)*31)%cacheSize]
+// cell returns the cell of a key. It creates the cell if there is none.
+func (s *Summarizer) cell(key CellKey) *Cell {
+	cached := &s.cache[(key.Host*0x9e3779b1>>20+uint32(key.LoadBand)*7+uint32(key.Class)*31)%cellCacheSize]
 	if cell := *cached; cell != nil && cell.Key == key {
 		return cell
 	}
-	cell := f.cells[key]
+	cell := s.cells[key]
 	if cell == nil {
 		cell = &Cell{Key: key}
-		f.cells[key] = cell
+		s.cells[key] = cell
 	}
 	*cached = cell
 	return cell
 }
 
-// AddLost counts records that the queue had no capacity for.
-func (f *Summarizer) AddLost(n int) {
-	f.attempts += uint32(n)
-	f.lostRecords += uint32(n)
+// AddLost counts n records as lost that were dropped before Add, because the queue was full.
+func (s *Summarizer) AddLost(n int) {
+	s.attempts += uint32(n)
+	s.lostRecords += uint32(n)
 }
 
-// Flush ends the window, returns its summary and starts the next one. The cells are in the order of their keys.
-func (f *Summarizer) Flush() (cells []Cell, attempts, lost uint32) {
-	for _, key := range slices.SortedFunc(maps.Keys(f.cells), CellKey.compare) {
-		cells = append(cells, *f.cells[key])
+// Flush ends the window, returns its summary and starts the next window. The cells are sorted by key. attempts counts
+// all records of the window, of which lost are not in the cells.
+func (s *Summarizer) Flush() (cells []Cell, attempts, lost uint32) {
+	for _, key := range slices.SortedFunc(maps.Keys(s.cells), CellKey.compare) {
+		cells = append(cells, *s.cells[key])
 	}
-	attempts = f.attempts
-	lost = f.lostRecords
-	f.attempts = 0
-	f.lostRecords = 0
-	f.cells = make(map[CellKey]*Cell, len(cells))
-	clear(f.cache[:])
+	attempts = s.attempts
+	lost = s.lostRecords
+	s.attempts = 0
+	s.lostRecords = 0
+	s.cells = make(map[CellKey]*Cell, len(cells))
+	clear(s.cache[:])
 	return cells, attempts, lost
 }
--- a/counterfactual/folder_test.go
+++ b/counterfactual/folder_test.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// Records that are invalid, need more cells than there are, or were dropped by the queue count as lost.
+// Records that are invalid, exceed the number of cells or were dropped by the queue must count as lost, so that
+// estimates account for them.
 func TestFolderCountsLostRecords(t *testing.T) {
-	f := NewSummarizer(0, 4)
+	summarizer := NewSummarizer(0, 4)
 	for i := range 10 {
-		f.Add(&Record{Candidates: []Candidate{{Host: uint32(i), Probability: 1, Load: 1}}})
+		summarizer.Add(&Record{Candidates: []Candidate{{Host: uint32(i), Probability: 1, Load: 1}}})
 	}
-	f.AddLost(2)
-	f.Add(&Record{Candidates: []Candidate{{Probability: 0.5, Load: 1}}})
-	cells, attempts, lost := f.Flush()
+	summarizer.AddLost(2)
+	summarizer.Add(&Record{Candidates: []Candidate{{Probability: 0.5, Load: 1}}})
+	cells, attempts, lost := summarizer.Flush()
 	if len(cells) != 4 || attempts != 13 || lost != 9 {
-		t.Errorf("%d cells, %d of %d lost", len(cells), lost, attempts)
+		t.Errorf("%d cells, %d of %d records lost; want 4 cells, 9 of 13 lost", len(cells), lost, attempts)
 	}
 }
 
-// drawRecord returns an attempt with twelve candidates, of which two to five are eligible.
-func drawRecord(random *rand.Rand) Record {
+// randomRecord returns the record of an attempt with twelve candidates, of which two to five are eligible.
+func randomRecord(random *rand.Rand) Record {
 	record := Record{
 		Customer: random.Uint32(),
 		Latency:  time.Duration(5e6 * (1 + random.ExpFloat64())),
@@ -39,25 +40,26 @@
 	return record
 }
 
-// BenchmarkFold measures the cost of an attempt: its folding, and its share of a summary of 1,000 attempts.
+// BenchmarkFold measures the cost of one attempt: adding its record, and a thousandth of flushing and encoding a
+// summary of 1,000 attempts.
 func BenchmarkFold(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var records []Record
 	for range 1000 {
-		records = append(records, drawRecord(random))
+		records = append(records, randomRecord(random))
 	}
 	b.ReportAllocs()
-	f := NewSummarizer(0, 8192)
+	summarizer := NewSummarizer(0, 8192)
 	next := 0
 	size := 0
 	for b.Loop() {
-		f.Add(&records[next])
+		summarizer.Add(&records[next])
 		next++
 		if next < len(records) {
 			continue
 		}
 		next = 0
-		cells, attempts, lost := f.Flush()
+		cells, attempts, lost := summarizer.Flush()
 		head := SummaryPart{WindowLength: 1000, Attempts: attempts, LostRecords: lost}
 		for _, encode := range Encode(head, cells) {
 			size += len(encode(1))
--- a/counterfactual/ledger.go
+++ b/counterfactual/ledger.go
@@ -9,48 +9,50 @@
 	"ravensill/internal/clock"
 )
 
-// Settings of a Ledger.
+// Settings are the settings of a Ledger.
 type Settings struct {
 	Gateways        int             // number of gateways that are expected to report
 	Window          time.Duration   // length of a bin and of the gateways' windows
-	Grace           time.Duration   // after a bin's end; a message that arrives later does not count
-	KeptBins        int             // number of bins kept
-	MaxCells        int             // in all bins together
-	MaxMissingShare float64         // fraction of all attempts that may be missing from a figure
-	Objectives      []time.Duration // latency objective by request class: longer times count as the objective
-	Classes         []string        // names of the request classes
+	Grace           time.Duration   // from a bin's end until it is sealed; later messages for it are ignored
+	KeptBins        int             // number of bins that are kept, besides the current one
+	MaxCells        int             // in all bins and incomplete windows together
+	MaxMissingShare float64         // estimated fraction of all attempts; if more are not reported, answers are refused
+	Objectives      []time.Duration // latency objective by request class; longer times count as the objective
+	Classes         []string        // names of the request classes, by index
 
-	HostID func(uint32) string // returns a host's id; nil: its number is used
-	Yield  func()              // called between steps of a long computation; may be nil
+	HostID func(uint32) string // returns a host's id, or an empty string if it is unknown; may be nil
+	Yield  func()              // called between the steps of long computations to let other goroutines run; may be nil
 }
 
-// MessageCounts counts messages by what became of them.
+// MessageCounts counts the messages that a Ledger received by what became of them. Only the merged ones have an effect.
+// Its JSON names are those in answers to queries.
 type MessageCounts struct {
 	Merged         int
 	Duplicates     int `json:"Twice"`
-	Late           int // for a bin that no longer changes
-	OldIncarnation int `json:"OldLife"` // of an earlier incarnation than the latest
-	Invalid        int `json:"Strange"`
-	OutOfCapacity  int `json:"Full"` // for which the ledger had no capacity
+	Late           int // for a sealed bin
+	OldIncarnation int `json:"OldLife"` // from an earlier incarnation of the gateway than the latest
+	Invalid        int `json:"Strange"` // contradicting the settings or other parts of the window
+	OutOfCapacity  int `json:"Full"`    // beyond Settings.MaxCells
 }
 
-// Ledger merges the summaries of the gateways in bins of its own clock. The age of a message leads to its bin, so that
-// clocks need not agree. A sealed bin never changes.
+// Ledger merges the summaries of the gateways' windows into bins: intervals of one window length by the ledger's own
+// clock. The age in a message says in which bin its window ended, so that clocks need not agree. A sealed bin, that is,
+// one that ended more than Settings.Grace ago, never changes. A Ledger is not safe for concurrent use.
 type Ledger struct {
-	Counts   MessageCounts
-	settings Settings
-	bins     map[BinNumber]*bin
-	gateways map[uint32]*reporter
-	cells    int // in all bins and incomplete windows
+	Counts    MessageCounts // since NewLedger; for reading only
+	settings  Settings
+	bins      map[BinNumber]*bin
+	gateways  map[uint32]*reporter // by member index
+	cellCount int                  // cells in all bins and incomplete windows
 }
 
-// BinNumber is the number of a bin: the bin starts that many window lengths after the zero of the ledger's clock.
+// BinNumber is the number of a bin. The bin starts that many window lengths after the zero of the ledger's clock.
 type BinNumber int64
 
-// bin contains the cells of one window length.
+// bin contains the merged cells of all complete windows that ended in it.
 type bin struct{ cells map[CellKey]*mergedCell }
 
-// mergedCell is a Cell with its rows by key.
+// mergedCell is the sum of all Cells with one key in a bin. Its rows are indexed by Row.key.
 type mergedCell struct {
 	mass           [NumRules]uint64
 	unreachable    [NumRules]uint64
@@ -58,23 +60,23 @@
 	rows           map[uint32]*Row
 }
 
-// reporter is a gateway that has reported.
+// reporter is a gateway of which a message has arrived.
 type reporter struct {
 	zone        uint8
-	incarnation uint64    // the latest one
-	windows     []*window // of all incarnations, in bins that are kept
+	incarnation uint64    // the latest one of which a message has arrived
+	windows     []*window // of all incarnations, as long as their bins are kept
 }
 
-// window is one window of a gateway. It counts once all its parts are received.
+// window is one window of a gateway. It is merged into its bin when all of its parts have arrived.
 type window struct {
 	incarnation uint64
 	number      uint32
-	bin         BinNumber
+	bin         BinNumber         // in which the window ended
 	total       int               // number of its parts
-	parts       map[uint16][]Cell // received so far, until it is complete
-	complete    bool
-	attempts    uint32
-	lostRecords uint32
+	parts       map[uint16][]Cell // received so far, by SummaryPart.Index; nil once complete
+	complete    bool              // all parts are merged
+	attempts    uint32            // as SummaryPart.Attempts
+	lostRecords uint32            // as SummaryPart.LostRecords
 }
 
 // NewLedger returns an empty ledger.
@@ -82,15 +84,16 @@
 	return &Ledger{settings: settings, bins: map[BinNumber]*bin{}, gateways: map[uint32]*reporter{}}
 }
 
-// Receive merges a part that arrived at an instant. It returns false if the part should be sent again.
+// Receive merges a part, or ignores it and counts why. now is the time of arrival by the ledger's clock. Receive
+// returns false if the ledger is full, so that the gateway should send the part again later.
 func (l *Ledger) Receive(part *SummaryPart, now clock.Instant) bool {
 	l.dropOldBins(now)
-	if !l.valid(part) {
+	if !l.matchesSettings(part) {
 		l.Counts.Invalid++
 		return true
 	}
 	windowEnd := now.Add(-time.Duration(part.Age) * time.Millisecond)
-	if windowEnd < 0 { // before the clock's zero
+	if windowEnd < 0 { // before the zero of the ledger's clock
 		l.Counts.Late++
 		return true
 	}
@@ -109,7 +112,7 @@
 		l.Counts.Invalid++
 		return true
 	}
-	if w.received(part) {
+	if w.hasPart(part) {
 		l.Counts.Duplicates++
 		return true
 	}
@@ -117,21 +120,21 @@
 		l.Counts.Late++
 		return true
 	}
-	if l.cells+len(part.Cells) > l.settings.MaxCells {
+	if l.cellCount+len(part.Cells) > l.settings.MaxCells {
 		l.Counts.OutOfCapacity++
 		return false
 	}
-	l.add(gateway, w, part)
+	l.addPart(gateway, w, part)
 	return true
 }
 
-// valid reports whether a part can be from a gateway with the same settings.
-func (l *Ledger) valid(part *SummaryPart) bool {
+// matchesSettings reports whether a part is from an expected gateway with the same window length.
+func (l *Ledger) matchesSettings(part *SummaryPart) bool {
 	windowLength := time.Duration(part.WindowLength) * time.Millisecond
 	return part.Gateway < uint32(l.settings.Gateways) && windowLength == l.settings.Window
 }
 
-// reporter returns the reporter of a gateway, a new one if there is none.
+// reporter returns the reporter of a gateway. It creates the reporter if there is none.
 func (l *Ledger) reporter(gateway uint32) *reporter {
 	r := l.gateways[gateway]
 	if r == nil {
@@ -141,20 +144,20 @@
 	return r
 }
 
-// add adds a part to its window, and the window to its bin once it is complete.
-func (l *Ledger) add(gateway *reporter, w *window, part *SummaryPart) {
+// addPart adds a part to its window, and merges the window into its bin once it is complete.
+func (l *Ledger) addPart(gateway *reporter, w *window, part *SummaryPart) {
 	if len(w.parts) == 0 {
 		gateway.windows = append(gateway.windows, w)
 	}
 	w.parts[part.Index] = part.Cells
-	l.cells += len(part.Cells)
+	l.cellCount += len(part.Cells)
 	l.Counts.Merged++
 	if len(w.parts) == w.total {
-		l.merge(w)
+		l.mergeWindow(w)
 	}
 }
 
-// window returns the window of a part, or nil if no other part of it was received.
+// window returns the window of a part, or nil if no other part of the window has arrived.
 func (r *reporter) window(part *SummaryPart) *window {
 	for _, w := range r.windows {
 		if w.incarnation == part.Incarnation && w.number == part.Window {
@@ -164,7 +167,7 @@
 	return nil
 }
 
-// newWindow returns the window of a first part.
+// newWindow returns the window of the first part that arrives, without the part's cells.
 func newWindow(part *SummaryPart, bin BinNumber) *window {
 	return &window{
 		incarnation: part.Incarnation,
@@ -177,33 +180,34 @@
 	}
 }
 
-// received reports whether a part is a duplicate.
-func (w *window) received(part *SummaryPart) bool {
+// hasPart reports whether the part has arrived before.
+func (w *window) hasPart(part *SummaryPart) bool {
 	_, received := w.parts[part.Index]
 	return received || w.complete
 }
 
-// contradicts reports whether a part does not belong to the same window as the others.
+// contradicts reports whether a part has other totals than the parts of the window that arrived before. A correct
+// gateway never sends such a part.
 func (w *window) contradicts(part *SummaryPart) bool {
 	return w.total != int(part.Total) || w.attempts != part.Attempts || w.lostRecords != part.LostRecords
 }
 
-// merge adds a complete window to its bin.
-func (l *Ledger) merge(w *window) {
+// mergeWindow adds the cells of a window to its bin and marks the window as complete.
+func (l *Ledger) mergeWindow(w *window) {
 	b := l.bins[w.bin]
 	if b == nil {
 		b = &bin{cells: map[CellKey]*mergedCell{}}
 		l.bins[w.bin] = b
 	}
 	for _, cells := range w.parts {
-		l.cells -= len(cells)
+		l.cellCount -= len(cells)
 		for i := range cells {
 			cell := &cells[i]
 			merged := b.cells[cell.Key]
 			if merged == nil {
 				merged = &mergedCell{rows: map[uint32]*Row{}}
 				b.cells[cell.Key] = merged
-				l.cells++
+				l.cellCount++
 			}
 			merged.add(cell)
 		}
@@ -212,7 +216,7 @@
 	w.complete = true
 }
 
-// add adds a cell.
+// add adds the sums and rows of a cell with the same key.
 func (m *mergedCell) add(cell *Cell) {
 	for rule := range NumRules {
 		m.mass[rule] += cell.Mass[rule]
@@ -229,7 +233,7 @@
 	}
 }
 
-// BinAt returns the bin of an instant.
+// BinAt returns the bin that contains an instant of the ledger's clock.
 func (l *Ledger) BinAt(instant clock.Instant) BinNumber {
 	return BinNumber(instant / clock.Instant(l.settings.Window))
 }
@@ -239,17 +243,17 @@
 	return clock.Instant(bin+1) * clock.Instant(l.settings.Window)
 }
 
-// sealed reports whether a bin no longer changes.
+// sealed reports whether a bin no longer changes at the instant now.
 func (l *Ledger) sealed(bin BinNumber, now clock.Instant) bool {
 	return now >= l.binEnd(bin).Add(l.settings.Grace)
 }
 
-// LastSealedBin returns the newest bin that no longer changes.
+// LastSealedBin returns the newest bin that no longer changes at the instant now.
 func (l *Ledger) LastSealedBin(now clock.Instant) BinNumber {
 	return l.BinAt(now.Add(-l.settings.Grace)) - 1
 }
 
-// FirstBin returns the oldest bin of any window, or 0 if there is none.
+// FirstBin returns the oldest bin of any window that is kept, or 0 if there is none.
 func (l *Ledger) FirstBin() (first BinNumber) {
 	for _, gateway := range l.gateways {
 		for _, w := range gateway.windows {
@@ -261,9 +265,10 @@
 	return first
 }
 
-// Hosts returns the hosts to which attempts of a request class in the bins from..to could have gone.
+// Hosts returns the numbers of the hosts to which attempts of a request class in the bins from..to could have gone, in
+// ascending order.
 func (l *Ledger) Hosts(class int, from, to BinNumber) []uint32 {
-	from, to = l.boundSpan(from, to)
+	from, to = l.limitRange(from, to)
 	hosts := map[uint32]bool{}
 	for _, bin := range l.binsBetween(from, to) {
 		for key, cell := range bin.cells {
@@ -275,7 +280,7 @@
 	return slices.Sorted(maps.Keys(hosts))
 }
 
-// binsBetween returns the bins from..to that have any cells, with their numbers in ascending order.
+// binsBetween iterates over the bins from..to that have a complete window, in ascending order of their numbers.
 func (l *Ledger) binsBetween(from, to BinNumber) iter.Seq2[BinNumber, *bin] {
 	return func(yield func(BinNumber, *bin) bool) {
 		for number := from; number <= to; number++ {
@@ -287,12 +292,12 @@
 	}
 }
 
-// dropOldBins drops bins that are too old to keep.
+// dropOldBins drops the bins that are more than Settings.KeptBins older than the current one, with their windows.
 func (l *Ledger) dropOldBins(now clock.Instant) {
 	oldest := l.BinAt(now) - BinNumber(l.settings.KeptBins)
 	for number, bin := range l.bins {
 		if number < oldest {
-			l.cells -= len(bin.cells)
+			l.cellCount -= len(bin.cells)
 			delete(l.bins, number)
 		}
 	}
@@ -302,7 +307,7 @@
 				return false
 			}
 			for _, cells := range w.parts {
-				l.cells -= len(cells)
+				l.cellCount -= len(cells)
 			}
 			return true
 		})
--- a/counterfactual/ledger_test.go
+++ b/counterfactual/ledger_test.go
@@ -18,10 +18,12 @@
 	return clock.Instant(0).Add(time.Duration(seconds) * time.Second)
 }
 
-// ageAt returns the age of a window that ended at an instant, in milliseconds.
+// ageAt returns SummaryPart.Age of a message that is sent at the instant now, for a window that ended at the instant
+// end.
 func ageAt(now, end clock.Instant) uint32 { return uint32(now.Sub(end).Milliseconds()) }
 
-func settings(gateways int) Settings {
+// testSettings returns the settings of a ledger for a number of gateways.
+func testSettings(gateways int) Settings {
 	return Settings{
 		Gateways:        gateways,
 		Window:          time.Second,
@@ -41,7 +43,8 @@
 	number      int
 }
 
-// messages returns the messages of a window with random attempts.
+// messages returns the encoders of the messages of a window with a number of random attempts. The window's numbers are
+// the seed.
 func (w windowOf) messages(attempts int) []func(age uint32) []byte {
 	random := rand.New(rand.NewPCG(uint64(w.gateway), uint64(w.number)))
 	f := NewSummarizer(0, 1000)
@@ -69,7 +72,7 @@
 	return Encode(head, cells)
 }
 
-// receive decodes a message and merges it into a ledger.
+// receive passes a message to a ledger at the instant now.
 func receive(t interface{ Fatal(...any) }, l *Ledger, message []byte, now clock.Instant) {
 	part, err := Decode(message)
 	if err != nil {
@@ -78,7 +81,7 @@
 	l.Receive(part, now)
 }
 
-// receiveWindow merges all messages of a window that ended at an instant.
+// receiveWindow passes all messages of a window that ended at the instant end to a ledger at the instant now.
 func receiveWindow(t *testing.T, l *Ledger, w windowOf, attempts int, end, now clock.Instant) {
 	t.Helper()
 	for _, encode := range w.messages(attempts) {
@@ -86,13 +89,14 @@
 	}
 }
 
-// In whatever order, and however often, messages arrive, the answers are the same to the last bit.
+// Messages may arrive in any order, and more than once. The answers must be the same to the last bit, which they are
+// not if floating-point sums depend on the order or duplicates are merged.
 func TestPanelDoesNotDependOnOrderOfMessages(t *testing.T) {
 	type message struct {
 		encode func(age uint32) []byte
 		end    clock.Instant
 	}
-	ledgerSettings := settings(4)
+	ledgerSettings := testSettings(4)
 	ledgerSettings.Grace = 20 * time.Second
 	inOrder := NewLedger(ledgerSettings)
 	var messages []message
@@ -115,7 +119,7 @@
 	want := panelText(inOrder)
 	answer := inOrder.EstimateRules(0, 100, 105)[NextInRank]
 	if !answer.Mean.Available() || answer.Attempts != 4*6*60 || len(answer.Missing) > 0 {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("answer without a mean, with missing gateways or with too few attempts: %+v", answer)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger(ledgerSettings)
@@ -133,11 +137,11 @@
 	})
 }
 
-// Messages that are duplicate, late, invalid or of an old incarnation change nothing and are counted, and gateways with
-// missing windows are named.
+// A message that is duplicate, late, invalid or of an old incarnation must be counted and not merged, and answers must
+// name each gateway with missing windows.
 func TestLedgerCountsIgnoredMessagesAndNamesMissingGateways(t *testing.T) {
 	const attempts = 200
-	l := NewLedger(settings(3))
+	l := NewLedger(testSettings(3))
 	for i := range 10 {
 		end := afterSeconds(100 + i)
 		receiveWindow(t, l, windowOf{0, 7, i}, attempts, end, end)
@@ -147,7 +151,7 @@
 		}
 		if i < 6 {
 			receiveWindow(t, l, windowOf{2, 7, i}, attempts, end, end)
-		} else { // a new incarnation, whose first two windows are missing
+		} else { // a new incarnation whose first two windows are missing, while the old one still sends
 			receiveWindow(t, l, windowOf{2, 8, i - 4}, attempts, end, end)
 			receiveWindow(t, l, windowOf{2, 7, i}, attempts, end, end)
 		}
@@ -155,28 +159,30 @@
 	}
 	answer := l.EstimateRules(0, 100, 109)[Logged]
 	if len(answer.Missing) != 2 || answer.Refused != "gateways missing: about 12% of the dispatches" {
-		t.Errorf("refused by %q: %+v", answer.Refused, answer.Missing)
+		t.Errorf("refused with %q, missing gateways %+v", answer.Refused, answer.Missing)
 	}
 	wantWindows := map[uint32]int{1: 1, 2: 3}
 	for _, missing := range answer.Missing {
 		if want := wantWindows[missing.Gateway]; missing.MissingWindows != want {
-			t.Errorf("gateway %d misses %d windows, want %d", missing.Gateway, missing.MissingWindows, want)
+			t.Errorf("gateway %d: %d missing windows, want %d", missing.Gateway, missing.MissingWindows, want)
 		}
 	}
 	before := l.Counts
-	receiveWindow(t, l, windowOf{1, 7, 4}, attempts, afterSeconds(104), afterSeconds(108)) // its bin is sealed
+	// The window that was left out above arrives when its bin is sealed.
+	receiveWindow(t, l, windowOf{1, 7, 4}, attempts, afterSeconds(104), afterSeconds(108))
 	after := l.Counts
 	if before.Duplicates == 0 || before.OldIncarnation == 0 || before.Invalid == 0 || after.Late == 0 {
-		t.Errorf("%+v, then %+v", before, after)
+		t.Errorf("a kind of message was not counted: %+v before the late message, %+v after", before, after)
 	}
 	if after.Merged != before.Merged {
-		t.Errorf("late messages merged: %+v, then %+v", before, after)
+		t.Errorf("late message merged: counts %+v before, %+v after", before, after)
 	}
 }
 
-// Idle windows before the traffic do not hide that a gateway fell silent during it.
+// A gateway that falls silent under traffic after a long idle time must count with its likely attempts. Its mean over
+// its own windows, most of which are idle, would hide them.
 func TestMissingShareCountsSilenceAfterIdleWindows(t *testing.T) {
-	l := NewLedger(settings(2))
+	l := NewLedger(testSettings(2))
 	for i := range 50 {
 		attempts := 0
 		if i >= 40 {
@@ -190,13 +196,13 @@
 	}
 	answer := l.EstimateRules(0, 100, 149)[Logged]
 	if !strings.HasPrefix(answer.Refused, ReasonGatewaysMissing) || answer.MissingShare < 0.15 {
-		t.Errorf("%.2f missing, refused by %q", answer.MissingShare, answer.Refused)
+		t.Errorf("share of missing attempts %.2f, refused with %q", answer.MissingShare, answer.Refused)
 	}
 }
 
-// The memory of a ledger is bounded, and old bins release theirs.
+// A ledger must hold at most MaxCells cells and drop bins and windows that are older than KeptBins.
 func TestLedgerBoundsMemory(t *testing.T) {
-	ledgerSettings := settings(1)
+	ledgerSettings := testSettings(1)
 	ledgerSettings.MaxCells = 3
 	ledgerSettings.KeptBins = 5
 	l := NewLedger(ledgerSettings)
@@ -204,16 +210,17 @@
 		end := afterSeconds(100 + i)
 		receiveWindow(t, l, windowOf{0, 1, i}, 50, end, end)
 	}
-	if l.Counts.OutOfCapacity == 0 || l.cells > 3 || len(l.bins) > 6 || len(l.gateways[0].windows) > 6 {
-		t.Errorf("%+v: %d cells, %d bins", l.Counts, l.cells, len(l.bins))
+	if l.Counts.OutOfCapacity == 0 || l.cellCount > 3 || len(l.bins) > 6 || len(l.gateways[0].windows) > 6 {
+		t.Errorf("want OutOfCapacity, 3 cells, 6 bins: %+v, %d cells, %d bins", l.Counts, l.cellCount, len(l.bins))
 	}
 }
 
-// No figure is given if gateways report other probabilities than the actual ones.
+// If gateways report other probabilities than those with which they choose hosts, importance weights are wrong, and the
+// rules that need them must have no figures.
 func TestPanelRefusesWrongProbabilities(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	f := NewSummarizer(0, 1000)
-	for range 4000 { // host 0 has all attempts, though each host is reported with a half
+	for range 4000 { // host 0 has all attempts, though each host is reported with a probability of 0.5
 		f.Add(&Record{
 			Customer: random.Uint32(),
 			Latency:  time.Millisecond + time.Duration(random.Int64N(1e6)),
@@ -224,19 +231,19 @@
 		})
 	}
 	cells, attempts, _ := f.Flush()
-	l := NewLedger(settings(1))
+	l := NewLedger(testSettings(1))
 	for _, encode := range Encode(SummaryPart{Incarnation: 1, WindowLength: 1000, Attempts: attempts}, cells) {
 		receive(t, l, encode(0), afterSeconds(100))
 	}
 	answers := l.EstimateRules(0, 100, 100)
 	for _, rule := range []Rule{LeastLoaded, Random} {
 		if answers[rule].Mean.Available() {
-			t.Errorf("%+v", answers[rule])
+			t.Errorf("mean in spite of wrong probabilities: %+v", answers[rule])
 		}
 	}
 }
 
-// No message causes a panic, and what is merged can be queried.
+// No message may cause a panic, on arrival or in an estimate from what was merged.
 func FuzzLedgerReceivesAnyMessage(f *testing.F) {
 	for _, encode := range (windowOf{1, 1, 1}).messages(5) {
 		f.Add(encode(5))
@@ -246,7 +253,7 @@
 		if err != nil {
 			return
 		}
-		l := NewLedger(settings(4))
+		l := NewLedger(testSettings(4))
 		l.Receive(part, afterSeconds(100))
 		if l.Counts.Merged > 0 {
 			l.EstimateRules(0, 40, 101)
--- a/counterfactual/missing.go
+++ b/counterfactual/missing.go
@@ -7,105 +7,112 @@
 	"slices"
 )
 
-// unknownRequests is the number for a gateway whose attempts can't be estimated from its reports.
-const unknownRequests = -1
+// unknownAttempts is the value of missingAttempts if a gateway has no complete window from which to estimate it.
+const unknownAttempts = -1
 
-// IncompleteGateway is a gateway with incomplete reports.
+// IncompleteGateway is a gateway that has not reported all of its windows or attempts in a range of bins.
 type IncompleteGateway struct {
-	Gateway        uint32  `json:"gateway"`
-	MissingWindows int     `json:"windows"`        // incomplete or missing windows
-	LostAttempts   int     `json:"lost,omitempty"` // attempts that it counted and did not fold
-	Share          float64 `json:"part"`           // estimated fraction of all attempts in the range
-	requests       float64 // estimated missing attempts
+	Gateway         uint32  `json:"gateway"`        // member index
+	MissingWindows  int     `json:"windows"`        // windows of which a part has not arrived
+	LostAttempts    int     `json:"lost,omitempty"` // attempts that are not in its cells, see SummaryPart.LostRecords
+	Share           float64 `json:"part"`           // estimated missing attempts over all attempts in the range
+	missingAttempts float64 // estimated, with LostAttempts; or unknownAttempts
 }
 
-// coverage describes the reports of one gateway in a range of bins.
-type coverage struct {
-	attempts float64 // in complete windows
-	complete int     // complete windows
-	missing  int     // incomplete or missing windows
-	lost     int     // attempts that were not folded
+// reportCoverage says how much one gateway has reported in a range of bins.
+type reportCoverage struct {
+	attempts        float64 // in the cells of complete windows
+	completeWindows int     // number of windows of which all parts have arrived
+	missingWindows  int     // number of windows of which a part has not arrived
+	lostAttempts    int     // attempts that are not in the cells of windows of which any part has arrived
 }
 
-// missing returns the gateways that have not reported all of the bins from..to, and the estimated fraction of all
-// attempts that is missing with them. A gateway reports each window, even one without attempts, so that silence and
-// idleness differ. The bounds of windows and bins may differ by one.
-func (l *Ledger) missing(from, to BinNumber) (all []IncompleteGateway, share float64) {
-	byBin := l.reportedAttempts(from, to)
-	reported := 0.0 // attempts
-	reporting := 0  // gateways with a complete window
+// incompleteGateways returns the gateways that have not reported all of the bins from..to, and the estimated fraction
+// of all attempts that is missing with them. A gateway reports each window, even one without attempts, so that an idle
+// gateway differs from a silent one. Windows and bins start at different times: a single window at either end of the
+// range is not counted as missing.
+func (l *Ledger) incompleteGateways(from, to BinNumber) (incomplete []IncompleteGateway, share float64) {
+	attemptsByBin := l.reportedAttempts(from, to)
+	reported := 0.0        // attempts in complete windows
+	reportingGateways := 0 // gateways with a complete window
 	for gateway := range uint32(l.settings.Gateways) {
 		r := l.gateways[gateway]
-		c := coverage{missing: int(to - from + 1)}
+		c := reportCoverage{missingWindows: int(to - from + 1)}
 		if r != nil {
 			c = r.coverage(from, to)
 		}
-		m := IncompleteGateway{Gateway: gateway, MissingWindows: c.missing, LostAttempts: c.lost, requests: float64(c.lost)}
-		if c.complete > 0 {
-			if c.missing > 0 { // the larger estimate: idle times before or after make the first one small
-				byWindows := float64(c.missing) * c.attempts / float64(c.complete)
-				m.requests += max(byWindows, r.estimateSilent(byBin, c.attempts))
+		m := IncompleteGateway{
+			Gateway:         gateway,
+			MissingWindows:  c.missingWindows,
+			LostAttempts:    c.lostAttempts,
+			missingAttempts: float64(c.lostAttempts),
+		}
+		if c.completeWindows > 0 {
+			if c.missingWindows > 0 { // use the larger estimate: idle complete windows make byWindows too small
+				byWindows := float64(c.missingWindows) * c.attempts / float64(c.completeWindows)
+				m.missingAttempts += max(byWindows, r.estimateUnreportedAttempts(attemptsByBin, c.attempts))
 			}
 			reported += c.attempts
-			reporting++
+			reportingGateways++
 		} else {
-			m.requests = unknownRequests
+			m.missingAttempts = unknownAttempts
 		}
 		if m.MissingWindows > 0 || m.LostAttempts > 0 {
-			all = append(all, m)
+			incomplete = append(incomplete, m)
 		}
 	}
-	return all, setShares(all, reported, reporting)
+	return incomplete, setShares(incomplete, reported, reportingGateways)
 }
 
-// setShares sets the share of each gateway and returns their sum. A gateway without an estimate counts as the mean of
-// those that reported.
-func setShares(all []IncompleteGateway, reported float64, reporting int) (share float64) {
+// setShares sets the share of each gateway and returns their sum. A gateway with unknownAttempts is assumed to miss the
+// mean of the attempts of the gateways that have a complete window; reporting is their number, reported the sum.
+func setShares(incomplete []IncompleteGateway, reported float64, reportingGateways int) (share float64) {
 	total := reported
-	for i := range all {
-		if all[i].requests == unknownRequests && reporting > 0 {
-			all[i].requests = reported / float64(reporting)
+	for i := range incomplete {
+		if incomplete[i].missingAttempts == unknownAttempts && reportingGateways > 0 {
+			incomplete[i].missingAttempts = reported / float64(reportingGateways)
 		}
-		total += max(all[i].requests, 0)
+		total += max(incomplete[i].missingAttempts, 0)
 	}
-	for i := range all {
+	for i := range incomplete {
 		if total > 0 {
-			all[i].Share = max(all[i].requests, 0) / total
+			incomplete[i].Share = max(incomplete[i].missingAttempts, 0) / total
 		}
-		share += all[i].Share
+		share += incomplete[i].Share
 	}
 	return share
 }
 
-// reportedAttempts returns the attempts that all gateways reported in complete windows, by bin.
+// reportedAttempts returns the attempts in the cells of complete windows of all gateways, by bin.
 func (l *Ledger) reportedAttempts(from, to BinNumber) map[BinNumber]float64 {
-	byBin := map[BinNumber]float64{}
+	attemptsByBin := map[BinNumber]float64{}
 	for _, r := range l.gateways {
 		for _, w := range r.windows {
 			if w.complete && from <= w.bin && w.bin <= to {
-				byBin[w.bin] += w.folded()
+				attemptsByBin[w.bin] += w.foldedAttempts()
 			}
 		}
 	}
-	return byBin
+	return attemptsByBin
 }
 
-// folded returns the number of attempts that were folded.
-func (w *window) folded() float64 { return float64(w.attempts - w.lostRecords) }
+// foldedAttempts returns the number of attempts that are in the window's cells.
+func (w *window) foldedAttempts() float64 { return float64(w.attempts - w.lostRecords) }
 
-// estimateSilent estimates the attempts of a gateway in the bins that it did not report: its fraction of all attempts
-// in the bins that it did report, times all attempts in the others.
-func (r *reporter) estimateSilent(byBin map[BinNumber]float64, attempts float64) float64 {
-	with := 0.0
-	without := 0.0
-	for bin, attemptsOfBin := range byBin {
+// estimateUnreportedAttempts estimates the attempts of a gateway in the bins that it did not report. It assumes that
+// the gateway had the same fraction of all attempts there as in the bins that it did report, in which it had attempts.
+// byBin has the attempts that all gateways reported.
+func (r *reporter) estimateUnreportedAttempts(attemptsByBin map[BinNumber]float64, attempts float64) float64 {
+	inReportedBins := 0.0
+	inOtherBins := 0.0
+	for bin, attemptsOfBin := range attemptsByBin {
 		if r.hasReported(bin) {
-			with += attemptsOfBin
+			inReportedBins += attemptsOfBin
 		} else {
-			without += attemptsOfBin
+			inOtherBins += attemptsOfBin
 		}
 	}
-	return attempts / max(with, 1) * without
+	return attempts / max(inReportedBins, 1) * inOtherBins
 }
 
 // hasReported reports whether the gateway has a complete window in a bin.
@@ -113,8 +120,8 @@
 	return slices.ContainsFunc(r.windows, func(w *window) bool { return w.complete && w.bin == bin })
 }
 
-// coverage describes the gateway's reports in the bins from..to.
-func (r *reporter) coverage(from, to BinNumber) (c coverage) {
+// coverage returns how much the gateway has reported in the bins from..to.
+func (r *reporter) coverage(from, to BinNumber) (c reportCoverage) {
 	incarnations := map[uint64][]*window{}
 	first := BinNumber(math.MaxInt64)
 	last := BinNumber(-1)
@@ -126,32 +133,34 @@
 		first = min(first, w.bin)
 		last = max(last, w.bin)
 		if w.complete {
-			c.complete++
-			c.attempts += w.folded()
+			c.completeWindows++
+			c.attempts += w.foldedAttempts()
 		}
-		c.lost += int(w.lostRecords)
+		c.lostAttempts += int(w.lostRecords)
 	}
 	if len(incarnations) == 0 {
-		c.missing = int(to - from + 1)
+		c.missingWindows = int(to - from + 1)
 		return c
 	}
 	expected := expectedWindows(incarnations, first-from) + max(int(to-last)-1, 0)
-	c.missing = expected - c.complete
+	c.missingWindows = expected - c.completeWindows
 	return c
 }
 
-// expectedWindows returns the number of windows up to the latest one, given the bins of the range before the first one.
+// expectedWindows returns the number of windows from the start of a range of bins up to the latest window that has
+// arrived. incarnations has the windows in the range; binsBefore is the number of bins in the range before the first of
+// them.
 func expectedWindows(incarnations map[uint64][]*window, binsBefore BinNumber) (expected int) {
 	for i, incarnation := range slices.Sorted(maps.Keys(incarnations)) {
 		windows := incarnations[incarnation]
 		slices.SortFunc(windows, func(a, b *window) int { return cmp.Compare(a.number, b.number) })
-		firstNumber := windows[0].number // also the number of earlier windows of this incarnation
+		firstNumber := windows[0].number // windows are numbered from 0, so that this many came before
 		expected += int(windows[len(windows)-1].number-firstNumber) + 1
 		if i > 0 { // the last window of the previous incarnation, and the earlier ones of this incarnation
 			expected += 1 + int(firstNumber)
 			continue
 		}
-		if firstNumber > 0 { // the gateway ran before the range
+		if firstNumber > 0 { // the gateway ran before the first window that arrived
 			expected += max(int(min(binsBefore, BinNumber(firstNumber)))-1, 0)
 		}
 	}
--- a/counterfactual/panel.go
+++ b/counterfactual/panel.go
@@ -2,20 +2,22 @@
 
 import "strconv"
 
-// panelRules are the rules of Ledger.Panel.
-var panelRules = []Rule{Logged, NextInRank, LeastLoaded, PowerOfTwo, Random, OtherZone}
+// comparedRules are the rules of Ledger.EstimateRules. They are in the order of their numbers, by which callers index
+// the answers.
+var comparedRules = []Rule{Logged, NextInRank, LeastLoaded, PowerOfTwo, Random, OtherZone}
 
-// EstimateRules estimates for each rule but OneHost the response times of the attempts of a request class in the bins from..to
-// if a single one of them had been moved at a time: the loads stay as they were.
+// EstimateRules estimates, for each rule but OneHost, the response times of the attempts of a request class in the bins
+// from..to, had the rule chosen their hosts. It assumes that the loads of the hosts had stayed as they were, as if one
+// attempt were moved at a time. The answers are in the order of the rules' numbers.
 func (l *Ledger) EstimateRules(class int, from, to BinNumber) []Answer {
-	from, to = l.boundSpan(from, to)
-	return l.newEstimation(class, l.strata(class, from, to), from, to).answers(panelRules)
+	from, to = l.limitRange(from, to)
+	return l.newEstimation(class, l.strata(class, from, to), from, to).estimateRules(comparedRules)
 }
 
-// EstimateSingleHost estimates the same for a single host, over the attempts that could have gone there; Covers is their
-// fraction.
+// EstimateSingleHost is like EstimateRules for a single host, given by its number, and for the attempts that could have
+// gone there. Answer.Coverage is their fraction of all attempts of the request class.
 func (l *Ledger) EstimateSingleHost(class int, host uint32, from, to BinNumber) Answer {
-	from, to = l.boundSpan(from, to)
+	from, to = l.limitRange(from, to)
 	t := l.strata(class, from, to)
 	total := 0.0
 	var ofHost []*stratum
@@ -26,7 +28,7 @@
 		}
 	}
 	t.strata = ofHost
-	a := l.newEstimation(class, t, from, to).answers([]Rule{OneHost})[0]
+	a := l.newEstimation(class, t, from, to).estimateRules([]Rule{OneHost})[0]
 	a.Host = l.hostName(host)
 	a.HostNumber = host
 	a.Regret = Figure{Refused: "a single host has none"}
@@ -37,19 +39,19 @@
 	return a
 }
 
-// newEstimation returns the estimation from the strata of a request class over the bins from..to.
+// newEstimation returns an estimation over the strata of a request class in the bins from..to.
 func (l *Ledger) newEstimation(class int, t *strataTable, from, to BinNumber) *estimation {
-	missing, missingShare := l.missing(from, to)
+	missing, missingShare := l.incompleteGateways(from, to)
 	return &estimation{
-		class:        l.settings.Classes[class],
-		table:        t,
-		missing:      missing,
-		missingShare: missingShare,
-		maxMissing:   l.settings.MaxMissingShare,
+		class:              l.settings.Classes[class],
+		table:              t,
+		incompleteGateways: missing,
+		missingShare:       missingShare,
+		maxMissing:         l.settings.MaxMissingShare,
 	}
 }
 
-// strata collects the strata of a request class over the bins from..to.
+// strata returns the strata of a request class over the bins from..to.
 func (l *Ledger) strata(class int, from, to BinNumber) *strataTable {
 	t := l.newTable(class)
 	for _, bin := range l.binsBetween(from, to) {
@@ -59,11 +61,11 @@
 			}
 		}
 	}
-	t.complete()
+	t.finalize()
 	return t
 }
 
-// hostName returns a host's id, or its number if the id is not known.
+// hostName returns a host's id, or its number in decimal if the id is unknown.
 func (l *Ledger) hostName(host uint32) string {
 	if l.settings.HostID != nil {
 		if id := l.settings.HostID(host); id != "" {
@@ -73,7 +75,8 @@
 	return strconv.FormatUint(uint64(host), 10)
 }
 
-// boundSpan limits a range of bins to those that can be kept, which bounds the cost of a query.
-func (l *Ledger) boundSpan(from, to BinNumber) (BinNumber, BinNumber) {
+// limitRange moves the start of the range from..to so that the range has no more bins than can be kept. This bounds the
+// cost of a query.
+func (l *Ledger) limitRange(from, to BinNumber) (BinNumber, BinNumber) {
 	return max(from, to-BinNumber(l.settings.KeptBins)), to
 }
--- a/counterfactual/replaced.go
+++ b/counterfactual/replaced.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	bandsPerOctave = 4  // bands of a host's attempt rate in an octave
-	bandOfRateOne  = 64 // band of one attempt a bin
-	rateSpan       = 1  // bins on each side over which a rate is averaged
+	rateBandsPerOctave = 4  // bands of attempt rate per octave
+	unitRateBand       = 64 // band of a rate of one attempt per bin
+	rateRadius         = 1  // bins on each side of a bin over which its rate is averaged
 )
 
-// hostProcess is one incarnation of a host.
+// hostProcess identifies one process of a host.
 type hostProcess struct{ host, incarnation uint32 }
 
-// attemptCounts are attempts at the hosts by bin.
+// attemptCounts contains the number of attempts at each host process in each bin.
 type attemptCounts map[hostProcess]map[BinNumber]float64
 
+// add adds a number of attempts at a host process in a bin.
 func (c attemptCounts) add(process hostProcess, bin BinNumber, attempts float64) {
 	if c[process] == nil {
 		c[process] = map[BinNumber]float64{}
@@ -25,35 +26,36 @@
 	c[process][bin] += attempts
 }
 
-// rateBand returns the band of a host's attempt rate near a bin, of the bins from..to.
+// rateBand returns the band of a host process's attempt rate, averaged over a bin and the bins around it that are
+// within from..to. It returns 0 if there are no attempts.
 func (c attemptCounts) rateBand(process hostProcess, bin, from, to BinNumber) uint8 {
 	sum := 0.0
 	bins := 0.0
-	for near := max(bin-rateSpan, from); near <= min(bin+rateSpan, to); near++ {
+	for near := max(bin-rateRadius, from); near <= min(bin+rateRadius, to); near++ {
 		sum += c[process][near]
 		bins++
 	}
 	if sum <= 0 {
 		return 0
 	}
-	band := int(math.Floor(bandsPerOctave*math.Log2(sum/bins)+0.5)) + bandOfRateOne
+	band := int(math.Floor(rateBandsPerOctave*math.Log2(sum/bins)+0.5)) + unitRateBand
 	return uint8(min(max(band, 1), math.MaxUint8))
 }
 
-// replacement is a rule that chooses for a fraction of all attempts, in the bins from..to.
+// replacement describes a rule that replaces the gateways' own for a fraction of all attempts in the bins from..to.
 type replacement struct {
 	rule     Rule
 	share    float64
 	from, to BinNumber
 }
 
-// mass returns the mass of a cell under the replacement.
+// mass returns the number of attempts that the replacement would have sent to the host of a cell, at the cell's load.
 func (r *replacement) mass(cell *mergedCell) float64 {
-	return ((1-r.share)*float64(cell.mass[Logged]) + r.share*float64(cell.mass[r.rule])) / scale
+	return ((1-r.share)*float64(cell.mass[Logged]) + r.share*float64(cell.mass[r.rule])) / fixedPointScale
 }
 
-// refusal returns the reason for which the replacement can't be estimated, empty if it can.
-func (r *replacement) refusal() string {
+// refusalReason returns the reason why the replacement can't be estimated, or an empty string if it can.
+func (r *replacement) refusalReason() string {
 	if r.rule == LeastLoaded || r.rule == PowerOfTwo {
 		return ReasonLoadDependentRule
 	}
@@ -63,16 +65,16 @@
 	return ""
 }
 
-// EstimateReplacement estimates the response times of the attempts of a request class in the bins from..to if the rule had chosen
-// for a fraction of all attempts, of all gateways and request classes, so that the loads move with the rule. How a
-// host's time grows with its attempts is learned from the bins in which it had about as many as the rule would have
-// sent it. There is no answer outside the range seen, and none for rules that follow the load, which would have been
-// another one.
+// EstimateReplacement estimates the response times of the attempts of a request class in the bins from..to, had the
+// rule chosen the hosts for a fraction, share, of all attempts of all gateways and request classes. Unlike with
+// EstimateRules, the loads of the hosts change with the rule. The response times of a host at another rate of attempts
+// are taken from the bins in which it had about that rate. The answer is refused if there are no such bins, and for the
+// rules that choose by load: their choices would have been others, because the loads would have been.
 func (l *Ledger) EstimateReplacement(class int, rule Rule, share float64, from, to BinNumber) Answer {
-	from, to = l.boundSpan(from, to)
-	missing, missingShare := l.missing(from, to)
+	from, to = l.limitRange(from, to)
+	missing, missingShare := l.incompleteGateways(from, to)
 	r := &replacement{rule: rule, share: share, from: from, to: to}
-	if reason := r.refusal(); reason != "" {
+	if reason := r.refusalReason(); reason != "" {
 		a := Answer{
 			Question:     questionReplaced,
 			Rule:         rule.String(),
@@ -86,22 +88,23 @@
 		return a
 	}
 	e := &estimation{
-		class:        l.settings.Classes[class],
-		table:        l.replacedStrata(class, r),
-		only:         Direct,
-		missing:      missing,
-		missingShare: missingShare,
-		maxMissing:   l.settings.MaxMissingShare,
+		class:              l.settings.Classes[class],
+		table:              l.replacementStrata(class, r),
+		forcedEstimator:    Direct,
+		incompleteGateways: missing,
+		missingShare:       missingShare,
+		maxMissing:         l.settings.MaxMissingShare,
 	}
-	a := e.answers([]Rule{rule})[0]
+	a := e.estimateRules([]Rule{rule})[0]
 	a.Question = questionReplaced
 	a.Share = share
 	return a
 }
 
-// replacedStrata collects the strata of a request class by attempt rates instead of loads. The rule's mass is at the
-// rates that the rule would lead to, the outcomes are at the actual ones.
-func (l *Ledger) replacedStrata(class int, r *replacement) *strataTable {
+// replacementStrata returns the strata of a request class by the host's attempt rate: LoadBand in their keys is the
+// band of a rate instead of a load. The mass of the replacement's rule is in the strata of the rates that the
+// replacement would have caused, Logged mass and outcomes are in those of the actual rates.
+func (l *Ledger) replacementStrata(class int, r *replacement) *strataTable {
 	actual, replaced := l.countAttempts(r)
 	t := l.newTable(class)
 	for number, bin := range l.binsBetween(r.from, r.to) {
@@ -113,23 +116,24 @@
 			process := hostProcess{key.Host, key.Incarnation}
 			key.LoadBand = actual.rateBand(process, number, r.from, r.to)
 			outcomes := t.add(key, &mergedCell{rows: cell.rows})
-			outcomes.mass[Logged] += float64(cell.mass[Logged]) / scale
+			outcomes.mass[Logged] += float64(cell.mass[Logged]) / fixedPointScale
 			key.LoadBand = replaced.rateBand(process, number, r.from, r.to)
 			t.add(key, &mergedCell{}).mass[r.rule] += r.mass(cell)
 		}
 	}
-	t.complete()
+	t.finalize()
 	return t
 }
 
-// countAttempts counts the attempts of all request classes as they were and with the replacement.
+// countAttempts counts the attempts of all request classes: the actual ones, and those that there would have been with
+// the replacement.
 func (l *Ledger) countAttempts(r *replacement) (actual, replaced attemptCounts) {
 	actual = attemptCounts{}
 	replaced = attemptCounts{}
 	for number, bin := range l.binsBetween(r.from, r.to) {
 		for key, cell := range bin.cells {
 			process := hostProcess{key.Host, key.Incarnation}
-			actual.add(process, number, float64(cell.mass[Logged])/scale)
+			actual.add(process, number, float64(cell.mass[Logged])/fixedPointScale)
 			replaced.add(process, number, r.mass(cell))
 		}
 	}
--- a/counterfactual/rule_shares.go
+++ b/counterfactual/rule_shares.go
@@ -6,22 +6,26 @@
 )
 
 const (
-	maxZone              = 255
-	probabilityTolerance = 1e-3 // of the sum of a record's probabilities
+	maxZone              = 255  // zones are bytes in messages
+	probabilityTolerance = 1e-3 // by which the sum of a record's probabilities may differ from 1
 )
 
-// ruleShares are, for one record, the hosts to which each rule would have sent the attempt, and how probable the chosen
-// host was under the rule, over customers. Its slices are reused for the next record.
+// ruleShares contains, for one record and each rule, the fraction of the attempt that the rule sends to each candidate,
+// and the importance weight of the observed outcome. Its slices are reused for the next record.
 type ruleShares struct {
-	mass   [NumRules][]float64 // by candidate: the fraction of the attempt that the rule sends there
-	weight [NumRules]float64   // of the outcome at the chosen host: the rule's probability over the actual one
+	// mass contains the fraction of the attempt that the rule sends to each candidate. The sum is 1, except for
+	// OneHost, which has 1 for each eligible candidate.
+	mass [NumRules][]float64
+	// weight is the importance weight of the outcome: for a random customer, the probability of the chosen host under
+	// the rule over that under the gateway. It is at most maxWeight, except for OtherZone.
+	weight [NumRules]float64
 
-	loads          []float64 // sorted
+	loads          []float64 // of all candidates, ascending
 	eligible       float64   // number of eligible candidates
-	eligibleByZone []float64
+	eligibleByZone []float64 // number of eligible candidates by zone
 }
 
-// compute sets the shares of a record. It returns false if the record is invalid.
+// compute sets the shares for the candidates of a record. It returns false if they are invalid.
 func (s *ruleShares) compute(candidates []Candidate) bool {
 	if len(candidates) == 0 || len(candidates) > MaxCandidates || !(candidates[0].Probability > 0) {
 		return false
@@ -40,7 +44,8 @@
 	return true
 }
 
-// count counts eligible candidates and sorts the loads. It returns false if the candidates are invalid.
+// count counts the eligible candidates and sorts the loads. It returns false if a value is out of range or the
+// probabilities do not add up to 1.
 func (s *ruleShares) count(candidates []Candidate) bool {
 	s.loads = s.loads[:0]
 	s.eligible = 0
@@ -65,12 +70,12 @@
 	return math.Abs(sum-1) <= probabilityTolerance
 }
 
-// valid reports whether the values are in their ranges.
+// valid reports whether probability, load and zone are within their ranges.
 func (c *Candidate) valid() bool {
 	return c.Probability >= 0 && c.Probability <= 1 && c.Load >= 0 && c.Zone >= 0 && c.Zone <= maxZone
 }
 
-// reset sets all masses and weights to zero.
+// reset sets all masses and weights to 0 for a number of candidates.
 func (s *ruleShares) reset(candidates int) {
 	for rule := range s.mass {
 		s.mass[rule] = slices.Grow(s.mass[rule][:0], candidates)[:candidates]
@@ -84,7 +89,8 @@
 	s.weight[Logged] = 1
 }
 
-// setNextInRank sets the weight to 1: over customers, each candidate is first, and each is second, equally often.
+// setNextInRank moves the attempt to the next eligible candidate. The weight is 1: for a random customer, a candidate
+// is second in the ranking as often as it is first.
 func (s *ruleShares) setNextInRank(candidates []Candidate) {
 	next := 0
 	if len(candidates) > 1 && candidates[1].Probability > 0 {
@@ -95,16 +101,16 @@
 }
 
 func (s *ruleShares) setLeastLoaded(candidates []Candidate) {
-	least := s.loads[0]
+	lowest := s.loads[0]
 	ties := 0.0
 	for _, load := range s.loads {
-		if load > least {
+		if load > lowest {
 			break
 		}
 		ties++
 	}
 	for i := range candidates {
-		if candidates[i].Load == least {
+		if candidates[i].Load == lowest {
 			s.mass[LeastLoaded][i] = 1 / ties
 		}
 	}
@@ -119,7 +125,8 @@
 	}
 }
 
-// setPowerOfTwo sets the fraction of all pairs in which a candidate has the lower load. Equal loads share a pair.
+// setPowerOfTwo sets each mass to the fraction of all pairs of candidates in which the candidate has the lower load. In
+// a pair with equal loads, each has half.
 func (s *ruleShares) setPowerOfTwo(candidates []Candidate) {
 	n := len(candidates)
 	if n == 1 {
@@ -153,7 +160,7 @@
 	}
 }
 
-// setWeights sets the weights of the rules that may choose another host for the same customer.
+// setWeights sets the weights of all rules but Logged and NextInRank, whose weight is 1.
 func (s *ruleShares) setWeights(chosen Candidate) {
 	for _, rule := range []Rule{LeastLoaded, PowerOfTwo, Random, OneHost} {
 		s.weight[rule] = min(s.mass[rule][0]/chosen.Probability, maxWeight)
@@ -162,8 +169,8 @@
 		s.weight[OtherZone] = 1
 		return
 	}
-	// Over customers, each eligible candidate is first equally often, and the rule moves it to each one in another zone
-	// equally often.
+	// The rule's probability of the chosen host: a random customer's first host is each eligible candidate equally
+	// often, and the rule moves an attempt to each eligible candidate of the other zones equally often.
 	for zone, eligible := range s.eligibleByZone {
 		if zone != chosen.Zone && eligible > 0 {
 			s.weight[OtherZone] += eligible / s.eligible / (s.eligible - eligible) / chosen.Probability
--- a/counterfactual/table.go
+++ b/counterfactual/table.go
@@ -3,54 +3,56 @@
 import "slices"
 
 const (
-	minOutcomes   = 8  // of a stratum; one with fewer borrows those of neighbouring loads
-	horizonMargin = 3  // buckets: an outcome that is censored so close to the horizon lacks nothing
-	unweighted    = -1 // instead of a rule: each outcome counts once
-	noGroup       = -1 // instead of a customer group that is left out
+	minOutcomes     = 8  // outcomes that a stratum needs; one with fewer borrows those of neighbouring loads
+	objectiveMargin = 3  // buckets: censoring this close to the latency objective hides nothing that matters
+	unweighted      = -1 // passed instead of a rule: each outcome has weight 1
+	noGroup         = -1 // passed instead of a customer group: none is left out
 )
 
-// yieldInterval is the number of strata between two calls of Settings.Yield.
-const yieldInterval = 16
+// strataPerYield is the number of strata that are handled between two calls of Settings.Yield.
+const strataPerYield = 16
 
-// stratum contains the attempts of one request class from one zone at one host with loads in one band, over a range of
-// bins.
+// stratum is the sum of the cells with one key over a range of bins: attempts of one request class from gateways in one
+// zone, at one host process with loads in one band.
 type stratum struct {
 	key            CellKey
-	mass           [NumRules]float64
-	unreachable    [NumRules]float64
-	squaredWeights [NumRules]float64
-	rows           []*Row // the stratum's, then borrowed ones
-	ownRows        int    // number of rows that are not borrowed
-	outcomes       float64
+	mass           [NumRules]float64 // number of attempts that the rule would have sent there
+	unreachable    [NumRules]float64 // part of mass for which the gateway could not have chosen the host
+	squaredWeights [NumRules]float64 // sum of the squared importance weights of the outcomes
+	rows           []*Row            // the stratum's own ones, then borrowed ones
+	ownRows        int               // number of rows that are the stratum's own
+	outcomes       float64           // number of outcomes, with borrowed ones
 }
 
-// strataTable contains the strata of a request class.
+// strataTable contains the strata of a request class over a range of bins. It is filled by add, then by one call of
+// finalize. It is not safe for concurrent use: its methods share scratch memory.
 type strataTable struct {
-	strata    []*stratum
-	index     map[CellKey]*stratum
-	horizon   int     // bucket of the latency objective
-	objective float64 // nanoseconds
-	yield     func()
-	hostName  func(uint32) string
-	events    []float64 // scratch, by bucket
-	censored  []float64 // scratch, by bucket
+	strata          []*stratum
+	index           map[CellKey]*stratum
+	objectiveBucket int                 // bucket of the latency objective, the last one of a cdf
+	objective       float64             // latency objective in nanoseconds
+	yield           func()              // Settings.Yield
+	hostName        func(uint32) string // Ledger.hostName
+	events          []float64           // scratch of fillHistograms: weight of the uncensored outcomes by bucket
+	censored        []float64           // scratch of fillHistograms: weight of the censored outcomes by bucket
 }
 
-// newTable returns an empty table of a request class.
+// newTable returns an empty table of a request class, given by its index.
 func (l *Ledger) newTable(class int) *strataTable {
 	objective := l.settings.Objectives[class]
 	return &strataTable{
-		index:     map[CellKey]*stratum{},
-		horizon:   LatencyBucket(objective),
-		objective: float64(objective),
-		yield:     l.settings.Yield,
-		hostName:  l.hostName,
-		events:    make([]float64, neverBucket+1),
-		censored:  make([]float64, neverBucket+1),
+		index:           map[CellKey]*stratum{},
+		objectiveBucket: LatencyBucket(objective),
+		objective:       float64(objective),
+		yield:           l.settings.Yield,
+		hostName:        l.hostName,
+		events:          make([]float64, noResponseBucket+1),
+		censored:        make([]float64, noResponseBucket+1),
 	}
 }
 
-// add merges a cell into the stratum of a key, which it returns.
+// add adds a cell to the stratum of a key, which may differ from the cell's, and returns the stratum. The table refers
+// to the cell's rows from then on.
 func (t *strataTable) add(key CellKey, cell *mergedCell) *stratum {
 	s := t.index[key]
 	if s == nil {
@@ -59,9 +61,9 @@
 		t.strata = append(t.strata, s)
 	}
 	for rule := range NumRules {
-		s.mass[rule] += float64(cell.mass[rule]) / scale
-		s.unreachable[rule] += float64(cell.unreachable[rule]) / scale
-		s.squaredWeights[rule] += float64(cell.squaredWeights[rule]) / scale
+		s.mass[rule] += float64(cell.mass[rule]) / fixedPointScale
+		s.unreachable[rule] += float64(cell.unreachable[rule]) / fixedPointScale
+		s.squaredWeights[rule] += float64(cell.squaredWeights[rule]) / fixedPointScale
 	}
 	for _, row := range cell.rows {
 		s.rows = append(s.rows, row)
@@ -70,13 +72,13 @@
 	return s
 }
 
-// complete is called once all cells are added.
-func (t *strataTable) complete() {
+// finalize sorts the strata and adds the borrowed rows. It must be called once, after all cells are added.
+func (t *strataTable) finalize() {
 	t.sortStrata()
 	t.borrowNeighbours()
 }
 
-// sortStrata makes sums independent of the order in which parts arrived.
+// sortStrata sorts strata and rows, so that floating-point sums do not depend on the order in which parts arrived.
 func (t *strataTable) sortStrata() {
 	slices.SortFunc(t.strata, func(a, b *stratum) int { return a.key.compare(b.key) })
 	for _, s := range t.strata {
@@ -85,8 +87,8 @@
 	}
 }
 
-// borrowNeighbours adds to strata with few outcomes those of the neighbouring loads at the same host. The weights
-// correct for the difference.
+// borrowNeighbours adds to each stratum with fewer than minOutcomes outcomes the rows of the neighbouring load bands at
+// the same host process. Estimator Robust corrects the error by the weights.
 func (t *strataTable) borrowNeighbours() {
 	borrowed := map[*stratum][]*Row{} // added after the loop, so that borrowed rows are not borrowed again
 	for _, s := range t.strata {
@@ -102,7 +104,7 @@
 	}
 }
 
-// neighbourRows returns the rows of the next lower and the next higher load band.
+// neighbourRows returns the rows of the strata in the next lower and the next higher load band.
 func (t *strataTable) neighbourRows(key CellKey) (rows []*Row) {
 	for _, step := range []int{-1, 1} {
 		neighbour := key
@@ -114,13 +116,13 @@
 	return rows
 }
 
-// collect distributes the stratum's outcomes without those of a group over the table's scratch, each counted once or by
-// its weight under a rule. It returns the sum.
-func (s *stratum) collect(t *strataTable, skippedGroup, rule int) (sum float64) {
+// fillHistograms sets the histograms t.events and t.censored to the stratum's outcomes, without those of skippedGroup,
+// and returns the sum of their weights. The weights are those of a rule, or 1 if the rule is unweighted.
+func (s *stratum) fillHistograms(t *strataTable, skippedGroup, rule int) (sum float64) {
 	clear(t.events)
 	clear(t.censored)
 	rows := s.rows
-	if rule != unweighted { // weights are of attempts that could have come to just this stratum
+	if rule != unweighted { // the weights of borrowed rows hold only in their own stratum
 		rows = s.rows[:s.ownRows]
 	}
 	for _, row := range rows {
@@ -129,7 +131,7 @@
 		}
 		weight := float64(row.Count)
 		if rule != unweighted {
-			weight = float64(row.Weights[rule]) / scale
+			weight = float64(row.Weights[rule]) / fixedPointScale
 		}
 		sum += weight
 		if row.Censored {
@@ -141,31 +143,33 @@
 	return sum
 }
 
-// curve computes the distribution of the response time up to the horizon, by bucket, from the collected outcomes. It is
-// the product-limit estimate (Kaplan and Meier 1958), for which an attempt censored at a time has a longer one. curve
-// returns the sum of the weights, 0 if there are none, and the fraction that was censored too early to say anything of
-// the times up to the horizon.
-func (s *stratum) curve(t *strataTable, skippedGroup, rule int, curve []float64) (sum, censoredEarly float64) {
-	sum = s.collect(t, skippedGroup, rule)
+// cdf sets cdf[b] to the fraction of response times up to bucket b, from the outcomes without those of skippedGroup.
+// The weights are those of a rule, or 1 if the rule is unweighted. cdf must have a length of objectiveBucket+1. It is
+// the product-limit estimate (Kaplan and Meier 1958), which takes the response time of an attempt that was censored at
+// a time to be longer. The method returns the sum of the weights, and the fraction of attempts that were censored too
+// early to tell their distribution up to the latency objective. If the sum is 0, cdf is not set.
+func (s *stratum) cdf(t *strataTable, skippedGroup, rule int, cdf []float64) (sum, censoredEarly float64) {
+	sum = s.fillHistograms(t, skippedGroup, rule)
 	if sum == 0 {
 		return 0, 0
 	}
 	survival := 1.0
 	atRisk := sum
-	for bucket := range curve {
+	for bucket := range cdf {
 		if atRisk > 1e-9*sum {
 			survival *= 1 - min(t.events[bucket]/atRisk, 1)
-		} else if censoredEarly == 0 && bucket < t.horizon-horizonMargin {
+		} else if censoredEarly == 0 && bucket < t.objectiveBucket-objectiveMargin {
 			censoredEarly = survival
 		}
 		atRisk -= t.events[bucket] + t.censored[bucket]
-		curve[bucket] = 1 - survival
+		cdf[bucket] = 1 - survival
 	}
 	return sum, censoredEarly
 }
 
-// effectiveSizes returns the effective sample sizes (Kish) of an estimate by the weights and of one by the masses.
-func (t *strataTable) effectiveSizes(rule Rule) (weighted, direct float64) {
+// effectiveSampleSizes returns the effective sample sizes (Kish) of estimates by the importance weights of a rule and
+// by its masses.
+func (t *strataTable) effectiveSampleSizes(rule Rule) (weighted, direct float64) {
 	weight, squaredWeight := 0.0, 0.0
 	mass, squaredMass := 0.0, 0.0
 	for _, s := range t.strata {
@@ -175,7 +179,7 @@
 			squaredMass += s.mass[rule] * s.mass[rule] / s.outcomes
 		}
 		for _, row := range s.rows[:s.ownRows] {
-			weight += float64(row.Weights[rule]) / scale
+			weight += float64(row.Weights[rule]) / fixedPointScale
 		}
 	}
 	if squaredWeight > 0 {
@@ -187,8 +191,9 @@
 	return weighted, direct
 }
 
-// groups returns the number of customer groups with outcomes, and the number of equal groups with the same variance.
-func (t *strataTable) groups() (number int, effective float64) {
+// customerGroups returns the number of customer groups with outcomes and their effective number: that of groups of
+// equal size that would give the same variance.
+func (t *strataTable) customerGroups() (number int, effective float64) {
 	var outcomes [NumCustomerGroups]float64
 	for _, s := range t.strata {
 		for _, row := range s.rows[:s.ownRows] {
@@ -210,23 +215,25 @@
 	return number, sum * sum / squares
 }
 
-// hasGroup reports whether any outcome is of a customer group.
+// hasGroup reports whether a customer group has an outcome in any stratum.
 func (t *strataTable) hasGroup(group int) bool {
 	return slices.ContainsFunc(t.strata, func(s *stratum) bool {
 		return slices.ContainsFunc(s.rows[:s.ownRows], func(r *Row) bool { return int(r.Group) == group })
 	})
 }
 
-// unreachable returns the mass of a rule where its host could not have been chosen.
-func (t *strataTable) unreachable(rule Rule) (mass float64) {
+// unreachableMass returns the number of attempts that a rule would have sent to hosts that the gateway could not
+// choose.
+func (t *strataTable) unreachableMass(rule Rule) (mass float64) {
 	for _, s := range t.strata {
 		mass += s.unreachable[rule]
 	}
 	return mass
 }
 
-// allHostsSeen reports whether each host with a large mass of a rule has outcomes: weights say nothing of one without.
-func (t *strataTable) allHostsSeen(rule Rule) bool {
+// allHostsObserved reports whether each host to which a rule would have sent many attempts has outcomes. Importance
+// weights can't estimate the response times of a host without outcomes.
+func (t *strataTable) allHostsObserved(rule Rule) bool {
 	mass := map[uint32]float64{}
 	outcomes := map[uint32]float64{}
 	total := 0.0
@@ -238,7 +245,7 @@
 		}
 	}
 	for host, hostMass := range mass {
-		if hostMass > maxLacking*total/4 && outcomes[host] < minOutcomes {
+		if hostMass > maxSparseShare*total/4 && outcomes[host] < minOutcomes {
 			return false
 		}
 	}
