--- a/internal/observer/datagram.go
+++ b/internal/observer/datagram.go
@@ -10,40 +10,41 @@
 	"ravensill/internal/sockets"
 )
 
-// Kinds of datagrams, by their first byte.
+// Kinds of datagrams, in their first byte.
 const (
-	kindSummary      = 'S' // a part of a summary follows
-	kindConfirmation = 'A' // the name of the confirmed message follows
+	kindSummary      = 'S' // followed by an encoded counterfactual.SummaryPart
+	kindConfirmation = 'A' // followed by the messageID of the part that was received
 )
 
-const maxNameBytes = 32 // of an encoded messageName
+const maxMessageIDBytes = 32 // limit for an encoded messageID; longer ones are malformed
 
-// datagram is a decoded datagram: a part of a summary or a confirmation.
+// datagram is a decoded datagram. Either part or confirmation is set.
 type datagram struct {
-	part         *counterfactual.SummaryPart
-	confirmation *messageName
-	sender       int // member index
+	part      *counterfactual.SummaryPart
+	confirmed *messageID
+	sender    int // member index of the gateway that sent it
 }
 
-// messageName identifies a message of one gateway.
-type messageName struct {
+// messageID identifies a part of a summary among those of one gateway. Its fields are those of
+// counterfactual.SummaryPart.
+type messageID struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
 	Window      uint32
-	Part        uint16
+	Part        uint16 // SummaryPart.Index
 }
 
-// readDatagrams passes datagrams to the loop until Close. It drops and counts malformed ones, and those from addresses
-// of no member.
+// readDatagrams passes datagrams to the loop until Close. It drops and counts those that decode rejects, and ignores
+// empty ones.
 func (o *Observer) readDatagrams() {
-	const maxBytes = counterfactual.MaxMessageBytes + 2 // the kind, and a byte by which a message is too long
-	for bytes, from := range sockets.Datagrams(o.system, o.udp, maxBytes) {
+	const maxBytes = counterfactual.MaxMessageBytes + 2 // one for the kind, one to detect longer messages
+	for bytes, from := range sockets.Datagrams(o.system, o.udpConn, maxBytes) {
 		if len(bytes) == 0 {
 			continue
 		}
 		d, ok := o.decode(bytes, from)
 		if !ok {
-			o.malformed.Add(1)
+			o.rejectedDatagrams.Add(1)
 			continue
 		}
 		select {
@@ -54,7 +55,9 @@
 	}
 }
 
-// decode decodes a datagram that is not empty.
+// decode decodes a datagram that is not empty. It returns false if the sender's address is not that of a member, if the
+// datagram is malformed, or if it is a summary of another gateway than the sender or for a collector, which this
+// gateway is not.
 func (o *Observer) decode(bytes []byte, from netip.AddrPort) (d datagram, ok bool) {
 	d.sender = slices.Index(o.config.Peers, unmap(from))
 	if d.sender < 0 {
@@ -71,31 +74,31 @@
 		d.part = part
 		return d, true
 	case kind == kindConfirmation:
-		d.confirmation = decodeMessageName(body)
-		return d, d.confirmation != nil
+		d.confirmed = decodeMessageID(body)
+		return d, d.confirmed != nil
 	}
 	return d, false
 }
 
-// unmap returns an address in its IPv4 form, if it has one.
+// unmap returns an IPv4-mapped IPv6 address as an IPv4 address, as in the configuration, and others unchanged.
 func unmap(address netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 }
 
-// encode encodes a name.
-func (n *messageName) encode() []byte {
-	encoded, err := cbor.Marshal(n)
+// encode encodes the id as a CBOR array.
+func (id *messageID) encode() []byte {
+	encoded, err := cbor.Marshal(id)
 	if err != nil {
-		panic(err) // plain numbers always encode
+		panic(err) // can't happen: the fields are integers
 	}
 	return encoded
 }
 
-// decodeMessageName decodes a name, or returns nil if it is malformed.
-func decodeMessageName(encoded []byte) *messageName {
-	n := &messageName{}
-	if len(encoded) > maxNameBytes || cbor.Unmarshal(encoded, n) != nil {
+// decodeMessageID decodes an id, or returns nil if it is malformed.
+func decodeMessageID(encoded []byte) *messageID {
+	id := &messageID{}
+	if len(encoded) > maxMessageIDBytes || cbor.Unmarshal(encoded, id) != nil {
 		return nil
 	}
-	return n
+	return id
 }
--- a/internal/observer/json_test.go
+++ b/internal/observer/json_test.go
@@ -9,7 +9,8 @@
 	"ravensill/internal/clock"
 )
 
-// Tools of the operators read the records file and the answers of collectors by these names, times in nanoseconds.
+// Operators' tools read the records file and the answers of collectors. The JSON names must stay, and times must be in
+// nanoseconds, even if Go names change.
 func TestJSONNamesOfRecordsAndCounts(t *testing.T) {
 	entry := Entry{
 		Request: "r-1",
@@ -45,7 +46,7 @@
 	} {
 		got, err := json.Marshal(test.value)
 		if err != nil || string(got) != test.want {
-			t.Errorf("%s, %v, want %s", got, err, test.want)
+			t.Errorf("json.Marshal = %s, %v, want %s", got, err, test.want)
 		}
 	}
 }
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -1,7 +1,7 @@
-// Package observer runs package counterfactual at a gateway: it receives the records of ended attempts from a bounded
-// queue, folds them and sends each window's summary to the collectors. At a collector it merges the summaries of all
-// gateways and answers queries. It decides nothing and never delays the gateway's loop: records that find the queue
-// full are dropped and counted.
+// Package observer runs package counterfactual at a gateway. It receives the records of ended attempts through a
+// bounded queue, adds them up, and sends the summary of each window to the collectors by UDP. A collector is a gateway
+// that also merges the summaries of all gateways and answers queries by TCP. The package has no effect on routing and
+// never delays the gateway's loop: while the queue is full, records are dropped and counted.
 package observer
 
 import (
@@ -27,140 +27,141 @@
 const MaxBatchEntries = 64
 
 const (
-	inboxSize         = 256 // datagrams that wait for the loop; more wait in the socket, or are lost there
-	recycledBatches   = 4
-	socketBufferBytes = 1 << 20
-	logInterval       = 5 * time.Second // between log lines on dropped records and messages
+	datagramQueueLength = 256 // datagrams; further ones wait in the socket's buffer or are lost there
+	maxRecycledBatches  = 4   // batches that wait for Offer to return them
+	socketBufferBytes   = 1 << 20
+	logInterval         = 5 * time.Second // least time between two log lines on dropped records and messages
 )
 
-// Entry is an ended attempt. Its JSON names are those of the records file.
+// Entry is the record of an ended attempt. Its JSON names are those of the records file.
 type Entry struct {
-	Request string        `json:"Req"` // id
-	Attempt int           `json:"Try"` // number
-	SentAt  clock.Instant `json:"At"`  // by the gateway's clock
+	Request string        `json:"Req"` // id of the request
+	Attempt int           `json:"Try"` // number of the attempt within the request
+	SentAt  clock.Instant `json:"At"`  // time of sending by the gateway's clock
 	counterfactual.Record
 }
 
-// Observer is the observer of one gateway. Its fields belong to the goroutine of its loop, but for channels and
-// atomics.
+// Observer is the observer of one gateway. Its methods Offer, SetHostIDs and Close may be called by other goroutines.
+// Fields that change after Open belong to the goroutine of loop, except for channels and atomics.
 type Observer struct {
-	system  sockets.System
-	config  *config.Counterfactual
-	member  int // index of this gateway
-	zone    int
-	classes []string // names of the request classes
+	system      sockets.System
+	config      *config.Counterfactual
+	memberIndex int      // member index of this gateway
+	zone        int      // of this gateway
+	classes     []string // names of the request classes, by index
 
-	records    chan []*Entry                     // from the gateway's loop
-	recycled   chan []*Entry                     // batches for the gateway's loop to use again
-	queueDrops atomic.Int64                      // records that found the queue full
-	hostIDs    atomic.Pointer[map[uint32]string] // by host number
+	records        chan []*Entry                     // batches from Offer
+	recycled       chan []*Entry                     // handled batches, for Offer to return
+	droppedRecords atomic.Int64                      // records that Offer dropped in the current window
+	hostIDs        atomic.Pointer[map[uint32]string] // ids by host number; nil before SetHostIDs
 
-	udp       *net.UDPConn
-	datagrams chan datagram
-	malformed atomic.Int64 // datagrams
-	tcp       net.Listener // for queries; nil: no collector
-	queries   chan pendingQuery
+	udpConn           *net.UDPConn
+	datagrams         chan datagram
+	rejectedDatagrams atomic.Int64      // datagrams that were rejected since the latest log line
+	queryListener     net.Listener      // nil unless this gateway is a collector
+	queries           chan pendingQuery // from the goroutines of connections to loop
 
-	done       chan struct{} // closed by Close
-	goroutines sync.WaitGroup
+	done       chan struct{}  // closed by Close
+	goroutines sync.WaitGroup // those of startGoroutine
 
-	started     time.Time
-	incarnation uint64 // the start time in nanoseconds
-	folder      *counterfactual.Summarizer
-	window      uint32                 // number of the current window
-	ledger      *counterfactual.Ledger // nil: no collector
+	started      time.Time
+	incarnation  uint64 // time of Open in nanoseconds since 1970
+	summarizer   *counterfactual.Summarizer
+	windowNumber uint32                 // number of the current window, from 0
+	ledger       *counterfactual.Ledger // nil unless this gateway is a collector
 
-	unconfirmed      []*message // oldest first
-	unconfirmedBytes int
+	unconfirmed      []*message // messages to collectors, oldest first
+	unconfirmedBytes int        // sum of their sizes
 
 	recordsFile    *os.File // nil: not configured
-	recordsWritten int      // bytes
+	recordsWritten int      // bytes since Open; the configured limit after an error
 
-	abandoned   int // unconfirmed messages that were given up, since the latest log line
-	lostRecords int // records that were not folded, since the latest log line
-	loggedAt    time.Time
+	abandonedMessages int       // messages dropped without confirmation since the latest log line
+	lostRecords       int       // records that are not in the summaries since the latest log line
+	lastDropLog       time.Time // zero before the first log line
 }
 
-// Options are the options of an observer.
+// Options are the parameters of Open.
 type Options struct {
 	System     sockets.System
 	Config     *config.Counterfactual
 	Membership gateway.Membership // of this gateway
 	Classes    []string           // names of the request classes
-	Objectives []time.Duration    // latency objective by request class
+	Objectives []time.Duration    // latency objective of each request class, by index
 }
 
-// Open starts the observer of a gateway. An error names the key of the configuration.
+// Open opens the sockets and the records file and starts the goroutines of an observer. An error begins with the key of
+// the configuration at fault.
 func Open(options Options) (*Observer, error) {
 	started := time.Now()
 	o := &Observer{
 		system:      options.System,
 		config:      options.Config,
-		member:      options.Membership.Index,
+		memberIndex: options.Membership.Index,
 		zone:        options.Membership.Zone,
 		classes:     options.Classes,
 		records:     make(chan []*Entry, max(options.Config.QueueLength/MaxBatchEntries, 1)),
-		recycled:    make(chan []*Entry, recycledBatches),
-		datagrams:   make(chan datagram, inboxSize),
+		recycled:    make(chan []*Entry, maxRecycledBatches),
+		datagrams:   make(chan datagram, datagramQueueLength),
 		queries:     make(chan pendingQuery),
 		done:        make(chan struct{}),
 		started:     started,
 		incarnation: uint64(started.UnixNano()),
-		folder:      counterfactual.NewSummarizer(options.Membership.Zone, options.Config.MaxCells),
+		summarizer:  counterfactual.NewSummarizer(options.Membership.Zone, options.Config.MaxCells),
 	}
 	if err := o.openResources(); err != nil {
 		o.closeResources()
 		return nil, err
 	}
 	queryAddress := "none"
-	if o.tcp != nil {
-		queryAddress = o.tcp.Addr().String()
+	if o.queryListener != nil {
+		queryAddress = o.queryListener.Addr().String()
 		o.ledger = o.newLedger(options.Membership.Count, options.Objectives)
-		o.start(o.acceptQueries)
+		o.startGoroutine(o.acceptQueries)
 	}
-	o.start(o.readDatagrams)
-	o.start(o.loop)
-	slog.Info("observer_started", "listen", o.udp.LocalAddr(), "query_listen", queryAddress)
+	o.startGoroutine(o.readDatagrams)
+	o.startGoroutine(o.loop)
+	slog.Info("observer_started", "listen", o.udpConn.LocalAddr(), "query_listen", queryAddress)
 	return o, nil
 }
 
-// openResources opens the sockets and the records file.
+// openResources opens the sockets and the records file. After an error, some of them are open.
 func (o *Observer) openResources() (err error) {
-	o.udp, err = o.system.ListenPacket(o.config.Listen)
+	o.udpConn, err = o.system.ListenPacket(o.config.Listen)
 	if err != nil {
 		return fmt.Errorf("counterfactual.listen: %w", err)
 	}
-	o.udp.SetReadBuffer(socketBufferBytes)
+	o.udpConn.SetReadBuffer(socketBufferBytes)
 	if o.config.RecordsFile != "" {
 		o.recordsFile, err = os.OpenFile(o.config.RecordsFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return fmt.Errorf("counterfactual.records: %w", err)
 		}
 	}
-	if slices.Contains(o.config.Collectors, o.member) {
+	if slices.Contains(o.config.Collectors, o.memberIndex) {
 		listener, err := o.system.Listen(o.config.QueryListen)
 		if err != nil {
 			return fmt.Errorf("counterfactual.ask: %w", err)
 		}
-		o.tcp = &sockets.Listener{TCPListener: listener, System: o.system}
+		o.queryListener = &sockets.Listener{TCPListener: listener, System: o.system}
 	}
 	return nil
 }
 
-// closeResources closes what openResources opened.
+// closeResources closes what openResources opened, also after an error.
 func (o *Observer) closeResources() {
-	if o.udp != nil {
-		o.udp.Close()
+	if o.udpConn != nil {
+		o.udpConn.Close()
 	}
-	if o.tcp != nil {
-		o.tcp.Close()
+	if o.queryListener != nil {
+		o.queryListener.Close()
 	}
 	if o.recordsFile != nil {
 		o.recordsFile.Close()
 	}
 }
 
-// newLedger returns the ledger of a collector.
+// newLedger returns an empty ledger for the reports of a number of gateways.
 func (o *Observer) newLedger(members int, objectives []time.Duration) *counterfactual.Ledger {
 	return counterfactual.NewLedger(counterfactual.Settings{
 		Gateways:        members,
@@ -176,8 +177,8 @@
 	})
 }
 
-// start starts a goroutine, for which Close waits. A panic in it is logged and ends it alone.
-func (o *Observer) start(run func()) {
+// startGoroutine runs a function in a goroutine, for which Close waits. A panic is logged and ends only this goroutine.
+func (o *Observer) startGoroutine(run func()) {
 	o.goroutines.Add(1)
 	go func() {
 		defer o.goroutines.Done()
@@ -190,12 +191,13 @@
 	}()
 }
 
-// Close stops the observer and waits for its goroutines. Summaries that are not sent are lost.
+// Close stops the observer and waits for its goroutines. The current window and unconfirmed summaries are lost. Close
+// must be called once.
 func (o *Observer) Close() {
 	close(o.done)
-	o.udp.Close()
-	if o.tcp != nil {
-		o.tcp.Close()
+	o.udpConn.Close()
+	if o.queryListener != nil {
+		o.queryListener.Close()
 	}
 	o.goroutines.Wait()
 	if o.recordsFile != nil {
@@ -203,14 +205,14 @@
 	}
 }
 
-// Offer passes a batch of records to the observer, which owns it from then on, or drops it if the queue is full. It
-// never waits. It returns a slice that is free for use: a recycled batch or nil, or the batch itself if that was
-// dropped.
+// Offer passes a batch of records to the observer, which owns it from then on, or counts the records as dropped if the
+// queue is full. It never blocks. It returns a slice that the caller may overwrite: a batch that was handled before,
+// nil, or the same batch if it was dropped.
 func (o *Observer) Offer(batch []*Entry) (free []*Entry) {
 	select {
 	case o.records <- batch:
 	default:
-		o.queueDrops.Add(int64(len(batch)))
+		o.droppedRecords.Add(int64(len(batch)))
 		return batch
 	}
 	select {
@@ -220,10 +222,10 @@
 	return free
 }
 
-// SetHostIDs sets the hosts' ids by their numbers. The map must not be changed afterwards.
+// SetHostIDs sets the ids of the hosts by their numbers. The map must not be changed afterwards.
 func (o *Observer) SetHostIDs(ids map[uint32]string) { o.hostIDs.Store(&ids) }
 
-// hostID returns the id of a host, empty if it is not known.
+// hostID returns the id of a host, or an empty string if it is unknown.
 func (o *Observer) hostID(number uint32) string {
 	if ids := o.hostIDs.Load(); ids != nil {
 		return (*ids)[number]
@@ -231,7 +233,7 @@
 	return ""
 }
 
-// hostNumber returns the number of a host.
+// hostNumber returns the number of the host with an id, or false if the id is unknown.
 func (o *Observer) hostNumber(id string) (number uint32, ok bool) {
 	ids := o.hostIDs.Load()
 	if ids == nil {
@@ -245,7 +247,7 @@
 	return 0, false
 }
 
-// loop runs until Close.
+// loop handles records, datagrams and queries one at a time, and ends a window at each tick, until Close.
 func (o *Observer) loop() {
 	tick := time.NewTicker(o.config.Window)
 	defer tick.Stop()
@@ -254,17 +256,20 @@
 		case batch := <-o.records:
 			o.fold(batch)
 		case <-tick.C:
-			o.closeWindow(time.Now())
+			o.endWindow(time.Now())
 		case d := <-o.datagrams:
-			o.receive(d)
+			o.handleDatagram(d)
 		case q := <-o.queries:
-			q.answers <- o.answer(&q.query)
+			q.answers <- o.answerQuery(&q.query)
 		case <-o.done:
 			return
 		}
 	}
 }
 
-// now returns the time of the ledger's clock. It is monotonic, unlike the time of day, and starts at an hour, so that
-// the age of a message does not lead before its zero.
-func (o *Observer) now() clock.Instant { return clock.Instant(time.Hour + time.Since(o.started)) }
+// ledgerTime returns the time of the ledger's clock. Unlike the time of day, it never jumps. It starts at one hour
+// instead of 0, because the ledger ignores windows that ended before 0: those of the last hour before the start of this
+// observer still count.
+func (o *Observer) ledgerTime() clock.Instant {
+	return clock.Instant(time.Hour + time.Since(o.started))
+}
--- a/internal/observer/query.go
+++ b/internal/observer/query.go
@@ -13,45 +13,46 @@
 )
 
 const (
-	maxQueryBytes    = 4 << 10
-	queryBufferBytes = 512
-	maxQueries       = 8 // connections at a time; more are closed at once
-	maxWindows       = 1 << 20
-	queryTimeout     = 10 * time.Second
+	maxQueryBytes    = 4 << 10          // longer queries are not answered
+	queryBufferBytes = 512              // initial size of a connection's buffer
+	maxQueryConns    = 8                // connections at a time; further ones are closed at once
+	maxQueryWindows  = 1 << 20          // limit of Query.LastWindows
+	queryTimeout     = 10 * time.Second // for each of reading a query, waiting for the loop and writing the answers
 )
 
-// Query is a query to a collector.
+// Query is a query to a collector, encoded as a JSON object. By default, the answers estimate all rules for a request
+// class.
 type Query struct {
-	RequestClass string  `json:"frontend"` // empty: all of them
-	Host         string  `json:"host"`     // a single host instead of all rules
-	Rule         string  `json:"rule"`     // with Fraction: a rule in force
-	Fraction     float64 `json:"part"`     // of all attempts, for which Rule chooses
-	LastWindows  int     `json:"last"`     // number of latest sealed windows; 0: all that are kept
-	Hosts        bool    `json:"hosts"`    // also each host that was seen
-	Counts       bool    `json:"counts"`   // counts of messages instead of figures
+	RequestClass string  `json:"frontend"` // name of the request class; empty: each of them
+	Host         string  `json:"host"`     // id of a host to estimate instead of the rules; empty: none
+	Rule         string  `json:"rule"`     // with Fraction: estimate that this rule replaces the gateways' own
+	Fraction     float64 `json:"part"`     // fraction of all attempts for which Rule chooses; 0 without Rule
+	LastWindows  int     `json:"last"`     // only the latest sealed bins, this many; 0: all that are kept
+	Hosts        bool    `json:"hosts"`    // also estimate each host to which attempts could have gone
+	Counts       bool    `json:"counts"`   // return a CollectorState instead of estimates
 }
 
-// CollectorState is the answer to a query of counts.
+// CollectorState is the answer to a query with Counts.
 type CollectorState struct {
 	counterfactual.MessageCounts
-	Bin    counterfactual.BinNumber // the current one
-	Sealed counterfactual.BinNumber // the latest one that no longer changes
+	Bin    counterfactual.BinNumber // the current bin
+	Sealed counterfactual.BinNumber // the latest bin that no longer changes
 }
 
-// pendingQuery is a query that waits for the loop.
+// pendingQuery is a query that waits for loop.
 type pendingQuery struct {
 	query   Query
-	answers chan []any // one element for each line
+	answers chan []any // gets one element for each line of the answer; has a buffer of 1, so that loop never blocks
 }
 
-// decodeQuery decodes and checks a query; an error names its key.
+// decodeQuery decodes and checks a query. An error about a value begins with its key.
 func decodeQuery(line []byte) (query Query, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&query); err != nil {
 		return query, err
 	}
-	if query.LastWindows < 0 || query.LastWindows > maxWindows {
+	if query.LastWindows < 0 || query.LastWindows > maxQueryWindows {
 		return query, errors.New("last: below zero, or too many")
 	}
 	if !(query.Fraction >= 0 && query.Fraction <= 1) {
@@ -63,17 +64,17 @@
 	return query, nil
 }
 
-// acceptQueries accepts connections, each with one query.
+// acceptQueries accepts connections, and serves each in a goroutine, until the listener is closed.
 func (o *Observer) acceptQueries() {
-	slots := make(chan struct{}, maxQueries)
+	slots := make(chan struct{}, maxQueryConns)
 	for {
-		conn, err := o.tcp.Accept()
-		if err != nil { // closed
+		conn, err := o.queryListener.Accept()
+		if err != nil { // the listener is closed
 			return
 		}
 		select {
 		case slots <- struct{}{}:
-			o.start(func() {
+			o.startGoroutine(func() {
 				defer func() { <-slots }()
 				o.serveQuery(conn)
 			})
@@ -83,12 +84,13 @@
 	}
 }
 
-// serveQuery reads one query, a JSON object in a line, and writes the answers, one a line.
+// serveQuery reads one query from a connection, a JSON object on one line, and writes the answers, each a JSON object
+// on one line. It closes the connection.
 func (o *Observer) serveQuery(conn net.Conn) {
 	defer conn.Close()
 	served := make(chan struct{})
 	defer close(served)
-	o.start(func() { o.closeAtEnd(conn, served) })
+	o.startGoroutine(func() { o.closeOnShutdown(conn, served) })
 	conn.SetDeadline(time.Now().Add(queryTimeout))
 	lines := bufio.NewScanner(conn)
 	lines.Buffer(make([]byte, 0, queryBufferBytes), maxQueryBytes)
@@ -101,7 +103,7 @@
 		encoder.Encode(errorAnswer("%v", err))
 		return
 	}
-	answers, ok := o.ask(query)
+	answers, ok := o.submitQuery(query)
 	if !ok {
 		return
 	}
@@ -113,9 +115,9 @@
 	}
 }
 
-// closeAtEnd closes a connection if the observer ends before the query is served, so that Close does not wait for a
-// client.
-func (o *Observer) closeAtEnd(conn net.Conn, served <-chan struct{}) {
+// closeOnShutdown closes a connection if the observer is closed before the query is served, that is, before served is
+// closed. Close need not wait for a client then.
+func (o *Observer) closeOnShutdown(conn net.Conn, served <-chan struct{}) {
 	select {
 	case <-o.done:
 		conn.Close()
@@ -123,8 +125,9 @@
 	}
 }
 
-// ask passes a query to the loop and waits for its answers. It returns false if the observer ends or is too busy.
-func (o *Observer) ask(query Query) (answers []any, ok bool) {
+// submitQuery passes a query to loop and waits for the answers. It returns false if the observer is closed, or if loop
+// does not take the query within queryTimeout.
+func (o *Observer) submitQuery(query Query) (answers []any, ok bool) {
 	pending := pendingQuery{query: query, answers: make(chan []any, 1)}
 	select {
 	case o.queries <- pending:
@@ -141,16 +144,20 @@
 	}
 }
 
-// errorAnswer returns the answer to an invalid query.
+// errorAnswer returns the answer to an invalid query, a JSON object with the key error.
 func errorAnswer(format string, values ...any) map[string]string {
 	return map[string]string{"error": fmt.Sprintf(format, values...)}
 }
 
-// answer returns the answers to a query, one for each line.
-func (o *Observer) answer(query *Query) (answers []any) {
-	now := o.now()
+// answerQuery returns the answers to a query, one for each line. Only loop may call it.
+func (o *Observer) answerQuery(query *Query) (answers []any) {
+	now := o.ledgerTime()
 	if query.Counts {
-		state := CollectorState{MessageCounts: o.ledger.Counts, Bin: o.ledger.BinAt(now), Sealed: o.ledger.LastSealedBin(now)}
+		state := CollectorState{
+			MessageCounts: o.ledger.Counts,
+			Bin:           o.ledger.BinAt(now),
+			Sealed:        o.ledger.LastSealedBin(now),
+		}
 		return []any{state}
 	}
 	var classes []int
@@ -168,16 +175,17 @@
 		from = max(from, to-counterfactual.BinNumber(query.LastWindows)+1)
 	}
 	for _, class := range classes {
-		ofClass, err := o.answerClass(query, class, from, to)
+		classAnswers, err := o.answerClass(query, class, from, to)
 		if err != nil {
 			return []any{errorAnswer("%v", err)}
 		}
-		answers = append(answers, ofClass...)
+		answers = append(answers, classAnswers...)
 	}
 	return answers
 }
 
-// answerClass returns the answers to a query for one request class over a range of bins.
+// answerClass returns the answers to a query for one request class, given by its index, over the bins from..to. An
+// error begins with the query's key at fault.
 func (o *Observer) answerClass(query *Query, class int, from, to counterfactual.BinNumber) (answers []any, err error) {
 	switch {
 	case query.Rule != "":
--- a/internal/observer/query_test.go
+++ b/internal/observer/query_test.go
@@ -18,7 +18,7 @@
 	}
 	query, err := decodeQuery([]byte(line))
 	if err != nil || query != want {
-		t.Errorf("%+v, %v, want %+v", query, err, want)
+		t.Errorf("decodeQuery = %+v, %v, want %+v", query, err, want)
 	}
 }
 
@@ -34,7 +34,7 @@
 	} {
 		_, err := decodeQuery([]byte(test.line))
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %v, want %q", test.line, err, test.want)
+			t.Errorf("query %s: error %v, want one with %q", test.line, err, test.want)
 		}
 	}
 }
--- a/internal/observer/records.go
+++ b/internal/observer/records.go
@@ -5,10 +5,10 @@
 	"log/slog"
 )
 
-// fold folds a batch of records into the current window and writes them to the records file.
+// fold adds a batch of records to the current window and to the records file, and recycles the batch.
 func (o *Observer) fold(batch []*Entry) {
 	for _, entry := range batch {
-		o.folder.Add(&entry.Record)
+		o.summarizer.Add(&entry.Record)
 		o.writeRecord(entry)
 	}
 	select {
@@ -17,8 +17,8 @@
 	}
 }
 
-// writeRecord appends a record to the records file, up to the file's configured size. After an error, such as a full
-// disk, it writes nothing more; the estimates don't need the file.
+// writeRecord appends a record to the records file, if there is one and no more than the configured number of bytes was
+// written. After an error, such as a full disk, nothing more is written: the estimates don't need the file.
 func (o *Observer) writeRecord(entry *Entry) {
 	limit := o.config.RecordsMaxBytes
 	if o.recordsFile == nil || o.recordsWritten >= limit {
--- a/internal/observer/summary.go
+++ b/internal/observer/summary.go
@@ -8,129 +8,134 @@
 	"ravensill/counterfactual"
 )
 
-// maxUnconfirmedBytes bounds the messages that wait for a confirmation.
+// maxUnconfirmedBytes bounds the memory of messages that wait for a confirmation.
 const maxUnconfirmedBytes = 512 << 10
 
-// message is a part of a summary that one collector has not confirmed.
+// message is a part of a summary for one collector, which has not confirmed it yet.
 type message struct {
-	messageName
+	messageID
 	collector int                     // member index
-	encode    func(age uint32) []byte // age in milliseconds since windowEnd
+	encode    func(age uint32) []byte // encodes the part; age is in milliseconds since windowEnd
 	windowEnd time.Time
-	size      int // bytes
+	size      int // bytes of the encoded part
 }
 
-// closeWindow ends the current window, and sends its summary with all other unconfirmed messages.
-func (o *Observer) closeWindow(now time.Time) {
-	for range len(o.records) { // batches of attempts that ended in this window
+// endWindow ends the current window and sends its summary, and every other message that is not confirmed, to the
+// collectors.
+func (o *Observer) endWindow(now time.Time) {
+	for range len(o.records) { // the queued attempts ended in this window
 		o.fold(<-o.records)
 	}
-	o.folder.AddLost(int(o.queueDrops.Swap(0)))
+	o.summarizer.AddLost(int(o.droppedRecords.Swap(0)))
 	o.summarize(now)
-	o.abandonOld(now)
+	o.abandonExpired(now)
 	for _, m := range o.unconfirmed {
 		age := uint32(now.Sub(m.windowEnd).Milliseconds())
 		body := append([]byte{kindSummary}, m.encode(age)...)
-		o.udp.WriteToUDPAddrPort(body, o.config.Peers[m.collector])
+		o.udpConn.WriteToUDPAddrPort(body, o.config.Peers[m.collector])
 	}
 	o.logDrops(now)
 }
 
-// summarize queues the current window's summary for the collectors, and merges it if this gateway is one.
+// summarize adds the summary of the current window to the unconfirmed messages. A collector merges its own summary at
+// once.
 func (o *Observer) summarize(now time.Time) {
-	cells, attempts, lost := o.folder.Flush()
+	cells, attempts, lost := o.summarizer.Flush()
 	o.lostRecords += int(lost)
-	head := counterfactual.SummaryPart{
-		Gateway:      uint32(o.member),
+	header := counterfactual.SummaryPart{
+		Gateway:      uint32(o.memberIndex),
 		Zone:         uint8(o.zone),
 		Incarnation:  o.incarnation,
-		Window:       o.window,
+		Window:       o.windowNumber,
 		WindowLength: uint32(o.config.Window.Milliseconds()),
 		Attempts:     attempts,
 		LostRecords:  lost,
 	}
-	o.window++
-	for i, encode := range counterfactual.Encode(head, cells) {
+	o.windowNumber++
+	for i, encode := range counterfactual.Encode(header, cells) {
 		o.mergeOwn(encode(0))
-		name := messageName{Incarnation: o.incarnation, Window: head.Window, Part: uint16(i)}
-		o.queueMessage(name, encode, now)
+		id := messageID{Incarnation: o.incarnation, Window: header.Window, Part: uint16(i)}
+		o.queueMessage(id, encode, now)
 	}
 }
 
-// mergeOwn merges a message of this gateway if it is a collector.
+// mergeOwn merges an encoded part of this gateway's own summary if this gateway is a collector.
 func (o *Observer) mergeOwn(encoded []byte) {
 	if o.ledger == nil {
 		return
 	}
 	part, err := counterfactual.Decode(encoded)
 	if err == nil {
-		o.ledger.Receive(part, o.now())
+		o.ledger.Receive(part, o.ledgerTime())
 	}
 }
 
-// queueMessage adds a message for each other collector.
-func (o *Observer) queueMessage(name messageName, encode func(age uint32) []byte, windowEnd time.Time) {
+// queueMessage adds an unconfirmed message for each collector other than this gateway.
+func (o *Observer) queueMessage(id messageID, encode func(age uint32) []byte, windowEnd time.Time) {
 	size := len(encode(0))
 	for _, collector := range o.config.Collectors {
-		if collector == o.member {
+		if collector == o.memberIndex {
 			continue
 		}
 		o.unconfirmed = append(o.unconfirmed, &message{
-			messageName: name,
-			collector:   collector,
-			encode:      encode,
-			windowEnd:   windowEnd,
-			size:        size,
+			messageID: id,
+			collector: collector,
+			encode:    encode,
+			windowEnd: windowEnd,
+			size:      size,
 		})
 		o.unconfirmedBytes += size
 	}
 }
 
-// abandonOld drops messages that are too old to count at a collector, and the oldest ones while there are too many.
-func (o *Observer) abandonOld(now time.Time) {
+// abandonExpired drops unconfirmed messages that are so old that a collector would ignore them, and the oldest ones
+// while all together exceed maxUnconfirmedBytes.
+func (o *Observer) abandonExpired(now time.Time) {
 	maxAge := o.config.Grace + o.config.Window
 	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(m *message) bool {
 		if o.unconfirmedBytes <= maxUnconfirmedBytes && now.Sub(m.windowEnd) <= maxAge {
 			return false
 		}
 		o.unconfirmedBytes -= m.size
-		o.abandoned++
+		o.abandonedMessages++
 		return true
 	})
 }
 
-// logDrops logs the records and messages that were dropped since the latest line, if any.
+// logDrops logs the numbers of records, summary messages and datagrams that were dropped since the latest log line,
+// unless they are 0 or that line is more recent than logInterval.
 func (o *Observer) logDrops(now time.Time) {
-	malformed := o.malformed.Load()
-	dropped := o.lostRecords + o.abandoned + int(malformed)
-	if dropped == 0 || now.Sub(o.loggedAt) < logInterval {
+	rejected := o.rejectedDatagrams.Load()
+	dropped := o.lostRecords + o.abandonedMessages + int(rejected)
+	if dropped == 0 || now.Sub(o.lastDropLog) < logInterval {
 		return
 	}
-	o.malformed.Add(-malformed)
-	slog.Warn("observer_dropped", "records", o.lostRecords, "summaries", o.abandoned, "datagrams", malformed)
+	o.rejectedDatagrams.Add(-rejected)
+	slog.Warn("observer_dropped", "records", o.lostRecords, "summaries", o.abandonedMessages, "datagrams", rejected)
 	o.lostRecords = 0
-	o.abandoned = 0
-	o.loggedAt = now
+	o.abandonedMessages = 0
+	o.lastDropLog = now
 }
 
-// receive merges a part of a summary and confirms it, or handles a confirmation.
-func (o *Observer) receive(d datagram) {
-	if d.confirmation != nil {
-		o.confirm(d.sender, *d.confirmation)
+// handleDatagram handles a confirmation, or merges a part of a summary and confirms it. It does not confirm a part for
+// which the ledger has no capacity, so that the gateway sends it again.
+func (o *Observer) handleDatagram(d datagram) {
+	if d.confirmed != nil {
+		o.removeConfirmed(d.sender, *d.confirmed)
 		return
 	}
-	if !o.ledger.Receive(d.part, o.now()) {
+	if !o.ledger.Receive(d.part, o.ledgerTime()) {
 		return
 	}
-	name := messageName{Incarnation: d.part.Incarnation, Window: d.part.Window, Part: d.part.Index}
-	confirmation := append([]byte{kindConfirmation}, name.encode()...)
-	o.udp.WriteToUDPAddrPort(confirmation, o.config.Peers[d.sender])
+	id := messageID{Incarnation: d.part.Incarnation, Window: d.part.Window, Part: d.part.Index}
+	confirmation := append([]byte{kindConfirmation}, id.encode()...)
+	o.udpConn.WriteToUDPAddrPort(confirmation, o.config.Peers[d.sender])
 }
 
-// confirm removes a message that its collector has confirmed.
-func (o *Observer) confirm(collector int, name messageName) {
+// removeConfirmed removes the message with an id that a collector has confirmed from the unconfirmed ones.
+func (o *Observer) removeConfirmed(collector int, id messageID) {
 	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(m *message) bool {
-		if m.collector != collector || m.messageName != name {
+		if m.collector != collector || m.messageID != id {
 			return false
 		}
 		o.unconfirmedBytes -= m.size
