--- a/counterfactual/estimation.go
+++ b/counterfactual/estimation.go
@@ -26,7 +26,7 @@
 	forcedEstimator    Estimator // the only one allowed; empty: chooseEstimator chooses
 	incompleteGateways []IncompleteGateway
 	missingShare       float64 // as Answer.MissingShare
-	maxMissing         float64 // Settings.MaxMissingShare
+	maxMissingShare    float64 // Settings.MaxMissingShare
 
 	sums            map[Rule]*ruleSums   // of all outcomes
 	leaveOneOutSums []map[Rule]*ruleSums // one with each customer group left out; empty if there are too few groups
@@ -110,7 +110,7 @@
 	switch {
 	case sums.mass == 0:
 		return ReasonNoOverlap + ": no dispatch to ask about"
-	case e.missingShare > e.maxMissing:
+	case e.missingShare > e.maxMissingShare:
 		return fmt.Sprintf("%s: about %.0f%% of the dispatches", ReasonGatewaysMissing, 100*e.missingShare)
 	case a.Refused != "":
 		return a.Refused
--- a/counterfactual/panel.go
+++ b/counterfactual/panel.go
@@ -47,7 +47,7 @@
 		table:              t,
 		incompleteGateways: missing,
 		missingShare:       missingShare,
-		maxMissing:         l.settings.MaxMissingShare,
+		maxMissingShare:    l.settings.MaxMissingShare,
 	}
 }
 
--- a/counterfactual/replaced.go
+++ b/counterfactual/replaced.go
@@ -93,7 +93,7 @@
 		forcedEstimator:    Direct,
 		incompleteGateways: missing,
 		missingShare:       missingShare,
-		maxMissing:         l.settings.MaxMissingShare,
+		maxMissingShare:    l.settings.MaxMissingShare,
 	}
 	a := e.estimateRules([]Rule{rule})[0]
 	a.Question = questionReplaced
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -8,60 +8,62 @@
 	"time"
 )
 
-// actionWriter writes the actions of one instance as lines.
+// actionWriter writes the actions of one instance as lines, after a line SPEAKING with the instance's number. Times are
+// in microseconds.
 type actionWriter struct {
-	out     *bufio.Writer
-	id      int
-	started bool // the line that names the instance is written
+	out           *bufio.Writer
+	instanceID    int
+	headerWritten bool // SPEAKING is written
 }
 
-func (w *actionWriter) line(format string, args ...any) {
-	if !w.started {
-		fmt.Fprintf(w.out, "SPEAKING %d\n", w.id)
-		w.started = true
+// writeLine writes a line, and SPEAKING before the first one.
+func (w *actionWriter) writeLine(format string, args ...any) {
+	if !w.headerWritten {
+		fmt.Fprintf(w.out, "SPEAKING %d\n", w.instanceID)
+		w.headerWritten = true
 	}
 	fmt.Fprintf(w.out, format+"\n", args...)
 }
 
-// StartAttempt writes PLACE.
+// StartAttempt writes PLACE with request, host and timeout.
 func (w *actionWriter) StartAttempt(request string, host uint32, timeout time.Duration) {
-	w.line("PLACE %s %d %d", request, host, timeout.Microseconds())
+	w.writeLine("PLACE %s %d %d", request, host, timeout.Microseconds())
 }
 
-// CancelAttempt writes CANCEL.
+// CancelAttempt writes CANCEL with request and attempt.
 func (w *actionWriter) CancelAttempt(request string, attempt int) {
-	w.line("CANCEL %s %d", request, attempt)
+	w.writeLine("CANCEL %s %d", request, attempt)
 }
 
-// Reject writes BOUNCE.
+// Reject writes BOUNCE with request and the time after which a retry is welcome.
 func (w *actionWriter) Reject(request string, retryAfter time.Duration) {
-	w.line("BOUNCE %s %d", request, retryAfter.Microseconds())
+	w.writeLine("BOUNCE %s %d", request, retryAfter.Microseconds())
 }
 
-// Fail writes GIVE_UP.
-func (w *actionWriter) Fail(request string) { w.line("GIVE_UP %s", request) }
+// Fail writes GIVE_UP with the request.
+func (w *actionWriter) Fail(request string) { w.writeLine("GIVE_UP %s", request) }
 
-// SendProbe writes TEST.
-func (w *actionWriter) SendProbe(host uint32) { w.line("TEST %d", host) }
+// SendProbe writes TEST with the host.
+func (w *actionWriter) SendProbe(host uint32) { w.writeLine("TEST %d", host) }
 
-// SetTimer writes SCHEDULE.
+// SetTimer writes SCHEDULE with the delay and the constant 0.
 func (w *actionWriter) SetTimer(after time.Duration) {
-	w.line("SCHEDULE %d 0", after.Microseconds())
+	w.writeLine("SCHEDULE %d 0", after.Microseconds())
 }
 
-// WatchEndpoints writes WATCH.
-func (w *actionWriter) WatchEndpoints() { w.line("WATCH 1") }
+// WatchEndpoints writes WATCH with the constant 1.
+func (w *actionWriter) WatchEndpoints() { w.writeLine("WATCH 1") }
 
-// AddToCounter writes INCR.
+// AddToCounter writes INCR with the time to live, the amount and the counter's name.
 func (w *actionWriter) AddToCounter(name uint64, amount float64, timeToLive time.Duration) {
 	text := strconv.FormatFloat(amount, 'g', -1, 64)
-	w.line("INCR %d %s %d", timeToLive.Microseconds(), text, name)
+	w.writeLine("INCR %d %s %d", timeToLive.Microseconds(), text, name)
 }
 
-// LogNote writes NOTE_DOWN.
-func (w *actionWriter) LogNote(text string) { w.line("NOTE_DOWN %s", text) }
+// LogNote writes NOTE_DOWN with the text.
+func (w *actionWriter) LogNote(text string) { w.writeLine("NOTE_DOWN %s", text) }
 
-// SendGossip writes PUBLISH.
+// SendGossip writes PUBLISH with the peer and the message in Base64.
 func (w *actionWriter) SendGossip(peer int, message []byte) {
-	w.line("PUBLISH %d %s", peer, base64.StdEncoding.EncodeToString(message))
+	w.writeLine("PUBLISH %d %s", peer, base64.StdEncoding.EncodeToString(message))
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -9,10 +9,10 @@
 	"ravensill/gateway"
 )
 
-const retryBit = 2 // of the field bits of ARRIVAL
+const retryBit = 2 // bit of ARRIVAL's field bits: the request is a retry
 
-// eventDecoders decode the events of one instance by the first word of their line. ANNOUNCE, which needs the endpoint
-// lists, is not among them.
+// eventDecoders contains, by message type, the functions that decode an event of an instance. ANNOUNCE is not among
+// them, because it needs the endpoint lists too.
 var eventDecoders = map[string]func(r *fieldReader, i *instance) gateway.Event{
 	"ARRIVAL":       decodeArrival,
 	"ATTEMPT_END":   decodeAttemptEnd,
@@ -101,25 +101,26 @@
 	}
 }
 
-// endpointLists are the lists of INVENTORY lines by number. All instances share them.
+// endpointLists contains the latest endpoint list of each INVENTORY number. All instances share the lists, so that no
+// instance may change them.
 type endpointLists [16][]gateway.Endpoint
 
-// decodeAnnouncement reads the ANNOUNCE of an endpoint list to an instance.
+// decodeAnnouncement reads an ANNOUNCE, which tells an instance an endpoint list or that there is none.
 func (l *endpointLists) decodeAnnouncement(r *fieldReader, i *instance) (gateway.Event, error) {
 	kind := gateway.ListKind(r.choice("kind", "incr", "total", "warm_copy", "lost"))
-	sheet := r.text("sheet")
+	listNumber := r.text("sheet")
 	r.text("gen")
 	event := gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind}
 	if kind == gateway.ListUnavailable {
 		return event, nil
 	}
-	number, err := strconv.Atoi(sheet)
+	number, err := strconv.Atoi(listNumber)
 	if err != nil || number < 0 || number >= len(l) {
-		return gateway.Event{}, fmt.Errorf("ANNOUNCE: sheet: %.40q is no list number", sheet)
+		return gateway.Event{}, fmt.Errorf("ANNOUNCE: sheet: %.40q is no list number", listNumber)
 	}
 	event.Endpoints = l[number]
 	if i.equalWeights {
-		event.Endpoints = slices.Clone(event.Endpoints) // other instances share the list
+		event.Endpoints = slices.Clone(event.Endpoints) // because other instances share the list
 		for j := range event.Endpoints {
 			event.Endpoints[j].Weight = 1
 		}
@@ -127,7 +128,7 @@
 	return event, nil
 }
 
-// decodeEndpoint reads one endpoint of an INVENTORY.
+// decodeEndpoint reads the M line of one endpoint of an INVENTORY.
 func decodeEndpoint(r *fieldReader) gateway.Endpoint {
 	return gateway.Endpoint{
 		Host:      r.hostID("host"),
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -10,12 +10,12 @@
 	"ravensill/internal/golden"
 )
 
-const env = `{"position":1,"balancers":3,"limits":{"max_attempts":3,"peer_messages":true},"new_key":[1],` +
+const settingsJSON = `{"position":1,"balancers":3,"limits":{"max_attempts":3,"peer_messages":true},"new_key":[1],` +
 	`"profiles":[{"effect":"keyed","group":"zone","window_us":5000000,"target_us":800000}],` +
 	`"plans":[{"rate":2.5,"parallel":2}],` +
 	`"report":{"how":"inline","names":["utilization","strange"]},"rules":{"start_capacity":0.2,"fall_us":3}}`
 
-// recorder records the events that it decides on, and answers each with some actions.
+// recorder is a Decider that writes the events it gets to a trace, and takes one to three actions for some kinds.
 type recorder struct{ events *strings.Builder }
 
 func (r recorder) Decide(in *gateway.Batch, out gateway.Actions) {
@@ -39,20 +39,21 @@
 	}
 }
 
-// serve runs recorders on the input. It returns the output, and adds starts and events to record.
-func serve(in string, record *strings.Builder) (string, error) {
+// serve runs recorders on the input and returns the output. It writes the settings at each start, and all events, to
+// trace.
+func serve(in string, trace *strings.Builder) (string, error) {
 	start := func(seed uint64, settings *config.Settings) Decider {
-		fmt.Fprintf(record, "start %d %+v\n%+v\n%+v\n", seed, settings.Membership, settings.Classes, settings.Plans)
-		fmt.Fprintf(record, "%+v\n%+v\n%+v\n", settings.Limits, settings.SlowStart, settings.LoadReport)
-		return recorder{record}
+		fmt.Fprintf(trace, "start %d %+v\n%+v\n%+v\n", seed, settings.Membership, settings.Classes, settings.Plans)
+		fmt.Fprintf(trace, "%+v\n%+v\n%+v\n", settings.Limits, settings.SlowStart, settings.LoadReport)
+		return recorder{trace}
 	}
 	var out strings.Builder
 	err := Serve(strings.NewReader(in), &out, start)
 	return out.String(), err
 }
 
-// started are the lines of a batch with one started instance, a list of two endpoints and its announcement.
-const started = "MARK 5\nON 3\nPOWER_ON 99 " + env + `
+// startedBatch is the beginning of a batch: it starts instance 3 and announces a list of two endpoints to it.
+const startedBatch = "MARK 5\nON 3\nPOWER_ON 99 " + settingsJSON + `
 INVENTORY 0 2
 M 7 1 0 4 Running 1.5 -
 M 8 0 0 0 Stopping 1 4
@@ -60,7 +61,7 @@
 `
 
 func TestServeDecodesEventsAndWritesActions(t *testing.T) {
-	in := "MARK 1\nYOUR_TURN\n" + started + `YOUR_TURN
+	in := "MARK 1\nYOUR_TURN\n" + startedBatch + `YOUR_TURN
 MARK 8
 ON 3
 ARRIVAL r-a 0 0 c-x 8652250 2 3 1 3
@@ -77,12 +78,12 @@
 KILL
 YOUR_TURN
 `
-	var record strings.Builder
-	out, err := serve(in, &record)
-	golden.Check(t, fmt.Sprintf("%s%sending: %v\n", record.String(), out, err))
+	var trace strings.Builder
+	out, err := serve(in, &trace)
+	golden.Check(t, fmt.Sprintf("%s%sending: %v\n", trace.String(), out, err))
 }
 
-// A malformed line ends the service with an error that names line and field, and with a FAULT in the reply.
+// A malformed line must end Serve with an error that names line and field, and the reply with a FAULT.
 func TestServeRejectsMalformedLine(t *testing.T) {
 	var trace strings.Builder
 	for _, line := range []string{
@@ -110,7 +111,7 @@
 		"TIMER",
 		"YOUR_TURN 1",
 	} {
-		out, err := serve(started+line+"\nYOUR_TURN\n", &strings.Builder{})
+		out, err := serve(startedBatch+line+"\nYOUR_TURN\n", &strings.Builder{})
 		fmt.Fprintf(&trace, "%s\n  %v\n", line, err)
 		if !strings.Contains(out, "\nFAULT ") && !strings.HasPrefix(line, "ON -1") {
 			fmt.Fprintf(&trace, "  no FAULT in %q\n", out)
@@ -121,7 +122,8 @@
 	golden.Check(t, trace.String())
 }
 
-// Live weights say nothing of a host's size. Of two instances that share a list, the one with live weights reads 1.
+// With the setting weights=live, a host's weight says nothing of its capacity, and each must be read as 1. Another
+// instance that shares the endpoint list, without the setting, must still read the listed weight.
 func TestServeReadsLiveWeightsAsEqual(t *testing.T) {
 	const in = `MARK 5
 ON 3
@@ -136,10 +138,10 @@
 ANNOUNCE total 0 1
 YOUR_TURN
 `
-	var record strings.Builder
-	_, err := serve(in, &record)
+	var trace strings.Builder
+	_, err := serve(in, &trace)
 	var weights []string
-	for _, text := range strings.Split(record.String(), "Weight:")[1:] {
+	for _, text := range strings.Split(trace.String(), "Weight:")[1:] {
 		weight, _, _ := strings.Cut(text, " ")
 		weights = append(weights, weight)
 	}
