--- a/counterfactual/answer.go
+++ b/counterfactual/answer.go
@@ -6,7 +6,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Reasons for not giving an estimate. Answer.Refused and Figure.Refused begin with one of them; details may follow.
+// Reasons for not giving an estimate. A value of Answer.Refused or Figure.Refused begins with one of them, and details
+// may follow. The only other value is that of the Regret of a single host, which has none.
 const (
 	ReasonNoOverlap                 = "no overlap"
 	ReasonFewSamples                = "too few effective samples"
@@ -22,8 +23,8 @@
 
 // Values of Answer.Question.
 const (
-	questionMoved    = "one moved"
-	questionReplaced = "replaced"
+	questionMoved    = "one moved" // of EstimateRules and EstimateSingleHost: a single attempt is moved at a time
+	questionReplaced = "replaced"  // of EstimateReplacement
 )
 
 // Figure is an estimate with its confidence interval from Low to High. The unit is the millisecond, except for
@@ -52,7 +53,7 @@
 	Refused          string  `json:"refused,omitempty"`
 	Attempts         float64 `json:"reqs"`      // number of attempts that the figures cover
 	Coverage         float64 `json:"covers"`    // fraction of the request class's attempts that the figures cover
-	EffectiveSamples float64 `json:"effective"` // sample size if each outcome counted equally
+	EffectiveSamples float64 `json:"effective"` // number of equally weighted outcomes that give the same variance
 	CustomerGroups   int     `json:"groups"`    // number of groups with outcomes
 	UnreachableShare float64 `json:"no_chance"` // fraction of Attempts that could not have gone to the rule's host
 	SparseShare      float64 `json:"lacking"`   // fraction of Attempts at hosts and loads with too few outcomes
--- a/counterfactual/buckets.go
+++ b/counterfactual/buckets.go
@@ -14,7 +14,7 @@
 	maxWeight        = 64   // larger importance weights are clipped
 	numLoadBands     = 64   // bands of load, two per octave
 	noResponseBucket = 1023 // bucket of attempts that would never have had a response
-	bucketRatio      = 1.02 // of a bucket's bounds: times have an error of 1% (DDSketch, Masson et al. 2019)
+	bucketRatio      = 1.02 // upper over lower bound of a bucket: 1% error of times (DDSketch, Masson et al. 2019)
 )
 
 // firstBucketBound is the upper bound of bucket 0.
--- a/counterfactual/folder.go
+++ b/counterfactual/folder.go
@@ -7,7 +7,7 @@
 
 const cellCacheSize = 512 // entries; a hash of the cell's key is the index
 
-// Summarizer adds up the records of one gateway to the summary of the current window. It is not safe for concurrent
+// Summarizer adds up the records of one gateway into the summary of the current window. It is not safe for concurrent
 // use.
 type Summarizer struct {
 	maxCells    int
--- a/counterfactual/ledger.go
+++ b/counterfactual/ledger.go
@@ -15,7 +15,7 @@
 	Window          time.Duration   // length of a bin and of the gateways' windows
 	Grace           time.Duration   // from a bin's end until it is sealed; later messages for it are ignored
 	KeptBins        int             // number of bins that are kept, besides the current one
-	MaxCells        int             // in all bins and incomplete windows together
+	MaxCells        int             // number of cells in all bins and incomplete windows together
 	MaxMissingShare float64         // estimated fraction of all attempts; if more are not reported, answers are refused
 	Objectives      []time.Duration // latency objective by request class; longer times count as the objective
 	Classes         []string        // names of the request classes, by index
@@ -24,7 +24,7 @@
 	Yield  func()              // called between the steps of long computations to let other goroutines run; may be nil
 }
 
-// MessageCounts counts the messages that a Ledger received by what became of them. Only the merged ones have an effect.
+// MessageCounts counts the messages that a Ledger received by what became of them. Only merged ones count in estimates.
 // Its JSON names are those in answers to queries.
 type MessageCounts struct {
 	Merged         int
--- a/counterfactual/missing.go
+++ b/counterfactual/missing.go
@@ -13,7 +13,7 @@
 // IncompleteGateway is a gateway that has not reported all of its windows or attempts in a range of bins.
 type IncompleteGateway struct {
 	Gateway         uint32  `json:"gateway"`        // member index
-	MissingWindows  int     `json:"windows"`        // windows of which a part has not arrived
+	MissingWindows  int     `json:"windows"`        // windows of which a part, or all, has not arrived
 	LostAttempts    int     `json:"lost,omitempty"` // attempts that are not in its cells, see SummaryPart.LostRecords
 	Share           float64 `json:"part"`           // estimated missing attempts over all attempts in the range
 	missingAttempts float64 // estimated, with LostAttempts; or unknownAttempts
@@ -23,7 +23,7 @@
 type reportCoverage struct {
 	attempts        float64 // in the cells of complete windows
 	completeWindows int     // number of windows of which all parts have arrived
-	missingWindows  int     // number of windows of which a part has not arrived
+	missingWindows  int     // number of windows of which a part, or all, has not arrived
 	lostAttempts    int     // attempts that are not in the cells of windows of which any part has arrived
 }
 
@@ -64,8 +64,9 @@
 	return incomplete, setShares(incomplete, reported, reportingGateways)
 }
 
-// setShares sets the share of each gateway and returns their sum. A gateway with unknownAttempts is assumed to miss the
-// mean of the attempts of the gateways that have a complete window; reporting is their number, reported the sum.
+// setShares sets the share of each gateway and returns their sum. reported is the number of attempts in complete
+// windows, reportingGateways that of the gateways that have such a window. A gateway with unknownAttempts is assumed to
+// miss as many attempts as these gateways reported on average.
 func setShares(incomplete []IncompleteGateway, reported float64, reportingGateways int) (share float64) {
 	total := reported
 	for i := range incomplete {
@@ -89,19 +90,19 @@
 	for _, r := range l.gateways {
 		for _, w := range r.windows {
 			if w.complete && from <= w.bin && w.bin <= to {
-				attemptsByBin[w.bin] += w.foldedAttempts()
+				attemptsByBin[w.bin] += w.summarizedAttempts()
 			}
 		}
 	}
 	return attemptsByBin
 }
 
-// foldedAttempts returns the number of attempts that are in the window's cells.
-func (w *window) foldedAttempts() float64 { return float64(w.attempts - w.lostRecords) }
+// summarizedAttempts returns the number of attempts that are in the window's cells.
+func (w *window) summarizedAttempts() float64 { return float64(w.attempts - w.lostRecords) }
 
 // estimateUnreportedAttempts estimates the attempts of a gateway in the bins that it did not report. It assumes that
-// the gateway had the same fraction of all attempts there as in the bins that it did report, in which it had attempts.
-// byBin has the attempts that all gateways reported.
+// the gateway's fraction of all attempts there was that in the bins that it did report. attempts is the number that
+// this gateway reported, attemptsByBin contains the numbers that all gateways reported.
 func (r *reporter) estimateUnreportedAttempts(attemptsByBin map[BinNumber]float64, attempts float64) float64 {
 	inReportedBins := 0.0
 	inOtherBins := 0.0
@@ -134,7 +135,7 @@
 		last = max(last, w.bin)
 		if w.complete {
 			c.completeWindows++
-			c.attempts += w.foldedAttempts()
+			c.attempts += w.summarizedAttempts()
 		}
 		c.lostAttempts += int(w.lostRecords)
 	}
--- a/counterfactual/record.go
+++ b/counterfactual/record.go
@@ -1,6 +1,6 @@
 // Package counterfactual estimates which response times the hosts that were not chosen would have had, and so what
-// another routing rule would have gained or lost. A Summarizer at each gateway adds up the records of ended attempts to
-// a summary of each window, a Ledger at a collector merges the summaries of all gateways, and Ledger.EstimateRules
+// another routing rule would have gained or lost. A Summarizer at each gateway adds up the records of ended attempts
+// into a summary of each window, a Ledger at a collector merges the summaries of all gateways, and Ledger.EstimateRules
 // returns estimates with confidence intervals, or the reason why there are none. The package does no I/O, reads no
 // clock and has no effect on routing. docs/counterfactual.md has the design and its sources.
 package counterfactual
@@ -31,7 +31,7 @@
 // String returns the rule's name in queries and answers.
 func (r Rule) String() string { return ruleNames[r] }
 
-// ParseRule returns the rule that String gives a name, or false if there is none.
+// ParseRule returns the rule with a name, as returned by String, or false if there is none.
 func ParseRule(name string) (Rule, bool) {
 	i := slices.Index(ruleNames[:], name)
 	return Rule(max(i, 0)), i >= 0
--- a/counterfactual/replaced.go
+++ b/counterfactual/replaced.go
@@ -66,10 +66,10 @@
 }
 
 // EstimateReplacement estimates the response times of the attempts of a request class in the bins from..to, had the
-// rule chosen the hosts for a fraction, share, of all attempts of all gateways and request classes. Unlike with
-// EstimateRules, the loads of the hosts change with the rule. The response times of a host at another rate of attempts
-// are taken from the bins in which it had about that rate. The answer is refused if there are no such bins, and for the
-// rules that choose by load: their choices would have been others, because the loads would have been.
+// rule chosen the hosts of a fraction of all attempts of all gateways and request classes; share is that fraction.
+// Unlike with EstimateRules, the loads of the hosts change with the rule. The response times of a host at another rate
+// of attempts are taken from the bins in which it had about that rate. The answer is refused if there are no such bins,
+// and for the rules that choose by load, because they would have chosen differently at the changed loads.
 func (l *Ledger) EstimateReplacement(class int, rule Rule, share float64, from, to BinNumber) Answer {
 	from, to = l.limitRange(from, to)
 	missing, missingShare := l.incompleteGateways(from, to)
--- a/counterfactual/table.go
+++ b/counterfactual/table.go
@@ -4,7 +4,7 @@
 
 const (
 	minOutcomes     = 8  // outcomes that a stratum needs; one with fewer borrows those of neighbouring loads
-	objectiveMargin = 3  // buckets: censoring this close to the latency objective hides nothing that matters
+	objectiveMargin = 3  // buckets below the latency objective in which censoring is not too early
 	unweighted      = -1 // passed instead of a rule: each outcome has weight 1
 	noGroup         = -1 // passed instead of a customer group: none is left out
 )
@@ -16,7 +16,7 @@
 // zone, at one host process with loads in one band.
 type stratum struct {
 	key            CellKey
-	mass           [NumRules]float64 // number of attempts that the rule would have sent there
+	mass           [NumRules]float64 // number of attempts that the rule would have sent to the host
 	unreachable    [NumRules]float64 // part of mass for which the gateway could not have chosen the host
 	squaredWeights [NumRules]float64 // sum of the squared importance weights of the outcomes
 	rows           []*Row            // the stratum's own ones, then borrowed ones
@@ -88,7 +88,7 @@
 }
 
 // borrowNeighbours adds to each stratum with fewer than minOutcomes outcomes the rows of the neighbouring load bands at
-// the same host process. Estimator Robust corrects the error by the weights.
+// the same host process. The weights, as in estimator Robust, correct for the difference in load.
 func (t *strataTable) borrowNeighbours() {
 	borrowed := map[*stratum][]*Row{} // added after the loop, so that borrowed rows are not borrowed again
 	for _, s := range t.strata {
