--- a/counterfactual/ledger_test.go
+++ b/counterfactual/ledger_test.go
@@ -47,7 +47,7 @@
 // the seed.
 func (w windowOf) messages(attempts int) []func(age uint32) []byte {
 	random := rand.New(rand.NewPCG(uint64(w.gateway), uint64(w.number)))
-	f := NewSummarizer(0, 1000)
+	summarizer := NewSummarizer(0, 1000)
 	for range attempts {
 		hosts := random.Perm(3)
 		record := Record{
@@ -58,15 +58,15 @@
 			candidate := Candidate{Host: uint32(host), Probability: 1. / 3, Load: 1}
 			record.Candidates = append(record.Candidates, candidate)
 		}
-		f.Add(&record)
+		summarizer.Add(&record)
 	}
-	cells, folded, lost := f.Flush()
+	cells, recorded, lost := summarizer.Flush()
 	head := SummaryPart{
 		Gateway:      uint32(w.gateway),
 		Incarnation:  uint64(w.incarnation),
 		Window:       uint32(w.number),
 		WindowLength: 1000,
-		Attempts:     folded,
+		Attempts:     recorded,
 		LostRecords:  lost,
 	}
 	return Encode(head, cells)
@@ -219,9 +219,9 @@
 // rules that need them must have no figures.
 func TestPanelRefusesWrongProbabilities(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	f := NewSummarizer(0, 1000)
+	summarizer := NewSummarizer(0, 1000)
 	for range 4000 { // host 0 has all attempts, though each host is reported with a probability of 0.5
-		f.Add(&Record{
+		summarizer.Add(&Record{
 			Customer: random.Uint32(),
 			Latency:  time.Millisecond + time.Duration(random.Int64N(1e6)),
 			Candidates: []Candidate{
@@ -230,7 +230,7 @@
 			},
 		})
 	}
-	cells, attempts, _ := f.Flush()
+	cells, attempts, _ := summarizer.Flush()
 	l := NewLedger(testSettings(1))
 	for _, encode := range Encode(SummaryPart{Incarnation: 1, WindowLength: 1000, Attempts: attempts}, cells) {
 		receive(t, l, encode(0), afterSeconds(100))
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -254,7 +254,7 @@
 	for {
 		select {
 		case batch := <-o.records:
-			o.fold(batch)
+			o.addBatch(batch)
 		case <-tick.C:
 			o.endWindow(time.Now())
 		case d := <-o.datagrams:
--- a/internal/observer/records.go
+++ b/internal/observer/records.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// fold adds a batch of records to the current window and to the records file, and recycles the batch.
-func (o *Observer) fold(batch []*Entry) {
+// addBatch adds a batch of records to the current window and to the records file, and recycles the batch.
+func (o *Observer) addBatch(batch []*Entry) {
 	for _, entry := range batch {
 		o.summarizer.Add(&entry.Record)
 		o.writeRecord(entry)
--- a/internal/observer/summary.go
+++ b/internal/observer/summary.go
@@ -24,7 +24,7 @@
 // collectors.
 func (o *Observer) endWindow(now time.Time) {
 	for range len(o.records) { // the queued attempts ended in this window
-		o.fold(<-o.records)
+		o.addBatch(<-o.records)
 	}
 	o.summarizer.AddLost(int(o.droppedRecords.Swap(0)))
 	o.summarize(now)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -87,7 +87,7 @@
 		if err != nil {
 			return err
 		}
-		if err := s.handle(line); err != nil {
+		if err := s.handleLine(line); err != nil {
 			return fmt.Errorf("line %d: %w", s.lineNumber, err)
 		}
 	}
@@ -112,8 +112,8 @@
 	fmt.Fprintf(s.out, "SPEAKING %d\nFAULT %s\nYIELD\n", s.currentInstance, reason)
 }
 
-// handle handles one line. Lines of endpoints, which follow an INVENTORY, are read along with that.
-func (s *server) handle(line string) error {
+// handleLine handles one line. Lines of endpoints, which follow an INVENTORY, are read along with that.
+func (s *server) handleLine(line string) error {
 	s.fields = newFieldReader(line)
 	r := &s.fields
 	if r.messageType == "MARK" {
