--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -172,7 +172,7 @@
 	if err := r.finish(); err != nil {
 		return err
 	}
-	settings, err := config.Decode(text)
+	settings, err := config.DecodeSettings(text)
 	if err != nil {
 		return fmt.Errorf("POWER_ON: env: %w", err)
 	}
--- a/lab/rollout/faults.go
+++ b/lab/rollout/faults.go
@@ -33,7 +33,7 @@
 // KillLeader returns a step that kills the leading publisher by SIGKILL. StartPublishers starts it again.
 func KillLeader() Step {
 	return Step{"kill the leading publisher", func(ctx context.Context, r *Run) error {
-		leader, err := r.Publishers.Leader(ctx)
+		leader, err := r.Publishers.WaitLeader(ctx)
 		if err != nil {
 			return err
 		}
@@ -93,7 +93,7 @@
 // ends. Its followers stay connected to it.
 func PartitionLeader(name string) Step {
 	return Step{"cut the leading publisher off from the others", func(ctx context.Context, r *Run) error {
-		leader, err := r.Publishers.Leader(ctx)
+		leader, err := r.Publishers.WaitLeader(ctx)
 		if err != nil {
 			return err
 		}
@@ -119,7 +119,7 @@
 	return Step{fmt.Sprintf("drain host %d", host), func(ctx context.Context, r *Run) error {
 		marks := make([]int, r.Scenario.Size.Gateways)
 		for member := range marks {
-			marks[member] = r.Fleet.Gateway(member).Mark()
+			marks[member] = r.Fleet.Gateway(member).LogEnd()
 		}
 		drained := r.Fleet.Host(host)
 		r.Fleet.Agent.Push(drained.Entry(emulator.Leaving))
@@ -202,14 +202,14 @@
 func RestartGateways(disk Disk, members ...int) Step {
 	what := fmt.Sprintf("restart %d gateways on %s", len(members), diskNames[disk])
 	return Step{what, func(ctx context.Context, r *Run) error {
-		r.Fleet.Clients.SetOutOfUse(true, members...)
+		r.Fleet.Clients.SetOutOfRotation(true, members...)
 		r.startAbsence(members)
 		err := r.Fleet.ForEach(members, func(g *fleet.Gateway) error { return g.Restart(ctx, disk == DiskEmpty) })
 		if err != nil {
 			return err
 		}
 		r.endAbsence(members)
-		r.Fleet.Clients.SetOutOfUse(false, members...)
+		r.Fleet.Clients.SetOutOfRotation(false, members...)
 		if disk == DiskEmpty {
 			return nil
 		}
@@ -222,7 +222,7 @@
 	r.readLogs()
 	for _, member := range members {
 		history := r.Record.Histories[member]
-		fromDisk := slices.ContainsFunc(history.Applied, func(applied Applied) bool {
+		fromDisk := slices.ContainsFunc(history.Applied, func(applied AppliedVersion) bool {
 			return applied.FromDisk && applied.Incarnation == history.incarnation()
 		})
 		if !fromDisk {
@@ -298,7 +298,7 @@
 
 // restartWithDisk kills gateways, changes the folder of their stored version and starts them again.
 func (r *Run) restartWithDisk(ctx context.Context, members []int, change func(folder string) error) error {
-	r.Fleet.Clients.SetOutOfUse(true, members...)
+	r.Fleet.Clients.SetOutOfRotation(true, members...)
 	r.startAbsence(members)
 	err := r.Fleet.ForEach(members, func(g *fleet.Gateway) error {
 		return errors.Join(g.Kill(), change(filepath.Join(g.Dir, diskFolder)), g.Restart(ctx, false))
@@ -307,6 +307,6 @@
 		return err
 	}
 	r.endAbsence(members)
-	r.Fleet.Clients.SetOutOfUse(false, members...)
+	r.Fleet.Clients.SetOutOfRotation(false, members...)
 	return nil
 }
