--- a/lab/startcost/searches.go
+++ b/lab/startcost/searches.go
@@ -11,22 +11,25 @@
 	"strings"
 )
 
-// LoopSearch is a call that searches a list, made once in each iteration of a loop. If the list grows with what the loop
-// iterates over, the cost is quadratic.
+// LoopSearch is a linear search of a list that runs in each iteration of a loop. Its total cost is quadratic if the
+// list grows with the number of iterations.
 type LoopSearch struct {
 	Position string // file:line
-	Call     string // function and list, such as "slices.Index(names)"
+	Call     string // function and searched list, such as "slices.Index(names)"
 }
 
 func (s LoopSearch) String() string { return s.Position + ": " + s.Call }
 
-// linear are the functions of the standard library's slices that iterate over their first argument.
-var linear = []string{"Contains", "ContainsFunc", "Delete", "DeleteFunc", "Index", "IndexFunc", "Insert"}
+// linearFunctions are the functions of the standard library package slices whose time grows linearly with the length
+// of their first argument.
+var linearFunctions = []string{"Contains", "ContainsFunc", "Delete", "DeleteFunc", "Index", "IndexFunc", "Insert"}
 
-// loops are the functions, of any package, that call a function literal for each element of a list.
-var loops = []string{"ForEach", "each"}
+// iteratingFunctions are names of functions and methods, of any package, that call a function literal once for each
+// element of a list. Such a call counts as a loop.
+var iteratingFunctions = []string{"ForEach", "each"}
 
-// FindLoopSearches returns the searches within loops in the Go files of a folder, without tests.
+// FindLoopSearches returns the linear searches within loops in the Go files of a folder, except for test files. It
+// fails if a file cannot be read or parsed.
 func FindLoopSearches(folder fs.FS) ([]LoopSearch, error) {
 	names, err := fs.Glob(folder, "*.go")
 	if err != nil {
@@ -44,51 +47,53 @@
 		files := token.NewFileSet()
 		file, err := parser.ParseFile(files, name, text, parser.SkipObjectResolution)
 		if err != nil {
-			return nil, fmt.Errorf("searches: %w", err)
+			return nil, fmt.Errorf("parse Go file: %w", err)
 		}
-		ast.Walk(&finder{files: files, found: &found}, file)
+		ast.Walk(&searchVisitor{files: files, found: &found}, file)
 	}
 	return found, nil
 }
 
-// finder visits a syntax tree and collects searches.
-type finder struct {
+// searchVisitor is an ast.Visitor that collects linear searches within loops.
+type searchVisitor struct {
 	files  *token.FileSet
 	found  *[]LoopSearch
-	inLoop bool
+	inLoop bool // the visited node is within a loop
 }
 
-// Visit implements ast.Visitor.
-func (f *finder) Visit(node ast.Node) ast.Visitor {
+// Visit implements ast.Visitor. It returns the visitor for the children of node.
+func (v *searchVisitor) Visit(node ast.Node) ast.Visitor {
 	switch node := node.(type) {
 	case *ast.ForStmt, *ast.RangeStmt:
-		return f.withinLoop()
+		return v.inLoopVisitor()
 	case *ast.CallExpr:
-		f.add(node)
+		v.addSearch(node)
 		selector, ok := node.Fun.(*ast.SelectorExpr)
-		if ok && slices.Contains(loops, selector.Sel.Name) {
-			return f.withinLoop()
+		if ok && slices.Contains(iteratingFunctions, selector.Sel.Name) {
+			return v.inLoopVisitor()
 		}
 	}
-	return f
+	return v
 }
 
-// withinLoop returns a finder for the body of a loop.
-func (f *finder) withinLoop() *finder { return &finder{files: f.files, found: f.found, inLoop: true} }
+// inLoopVisitor returns a visitor for the children of a loop that appends to the same results.
+func (v *searchVisitor) inLoopVisitor() *searchVisitor {
+	return &searchVisitor{files: v.files, found: v.found, inLoop: true}
+}
 
-// add adds a call if it is a search within a loop.
-func (f *finder) add(call *ast.CallExpr) {
+// addSearch records call if it is a call of one of linearFunctions within a loop.
+func (v *searchVisitor) addSearch(call *ast.CallExpr) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
-	if !ok || !f.inLoop || len(call.Args) == 0 {
+	if !ok || !v.inLoop || len(call.Args) == 0 {
 		return
 	}
-	library, ok := selector.X.(*ast.Ident)
-	if !ok || library.Name != "slices" || !slices.Contains(linear, selector.Sel.Name) {
+	pkg, ok := selector.X.(*ast.Ident)
+	if !ok || pkg.Name != "slices" || !slices.Contains(linearFunctions, selector.Sel.Name) {
 		return
 	}
-	place := f.files.Position(call.Pos())
-	*f.found = append(*f.found, LoopSearch{
-		Position: fmt.Sprintf("%s:%d", place.Filename, place.Line),
+	position := v.files.Position(call.Pos())
+	*v.found = append(*v.found, LoopSearch{
+		Position: fmt.Sprintf("%s:%d", position.Filename, position.Line),
 		Call:     fmt.Sprintf("slices.%s(%s)", selector.Sel.Name, types.ExprString(call.Args[0])),
 	})
 }
--- a/lab/startcost/startcost.go
+++ b/lab/startcost/startcost.go
@@ -1,5 +1,5 @@
-// Package startcost measures what the size of a configuration costs one process of the program: the time until it
-// serves, processor time, memory, and its share of a core at rest.
+// Package startcost measures how the cost of one gateway process depends on the size of its configuration: the time
+// until it serves, processor time, memory, and processor use when idle.
 package startcost
 
 import (
@@ -22,53 +22,53 @@
 	"ravensill/lab/logline"
 )
 
-// Axis is what a configuration has many of, all else being small.
+// Axis is the part of a configuration whose size is varied. The other parts stay small.
 type Axis string
 
-// Axes.
+// Axes that Measure accepts.
 const (
 	QuotaPlans      Axis = "quota plans"
-	ConfiguredHosts Axis = "hosts"           // in the configuration's own list; discovery's agent is absent
-	DiscoveredHosts Axis = "hosts delivered" // by discovery's agent, which is there; none in the configuration
+	ConfiguredHosts Axis = "hosts"           // in the host list of the configuration file; no discovery agent runs
+	DiscoveredHosts Axis = "hosts delivered" // sent by a running discovery agent; the configuration file lists none
 )
 
 // Size is one point of an axis.
 type Size struct {
 	Axis      Axis
 	Count     int
-	FleetSize int // gateways of the fleet: one among many uses a small subset of the hosts
-	MemoryMB  int // limits.memory_mb; 0: the program's default
+	FleetSize int // gateways in the fleet; a gateway of a large fleet uses only a small subset of the hosts
+	MemoryMB  int // limits.memory_mb; 0 means the program's default
 }
 
-// Cost is what one process took.
+// Cost holds what one gateway process used at one size.
 type Cost struct {
 	Size
-	FileBytes         int
-	TimeToServe       time.Duration // from the call of exec to the log line by which it serves
-	StartCPU          time.Duration // processor time until that line
-	ResidentBytes     uint64        // bytes at rest
-	PeakResidentBytes uint64        // most bytes
-	IdleCPU           float64       // fraction of a core
-	ReloadCPU         time.Duration // processor time of a SIGHUP, until the log line by which the file was read
+	FileBytes         int           // size of the configuration file
+	TimeToServe       time.Duration // from just before the process was started to its "serving" log line
+	StartCPU          time.Duration // processor time up to that log line
+	ResidentBytes     uint64        // resident memory at the end of the idle period
+	PeakResidentBytes uint64        // largest resident memory since the start of the process
+	IdleCPU           float64       // processor time of the idle period, as a fraction of one core
+	ReloadCPU         time.Duration // processor time from a SIGHUP to the "reloaded" log line
 }
 
-// ErrProcessExited is the error of a process that ended before it did what was waited for.
-var ErrProcessExited = errors.New("the process ended")
+// ErrProcessExited reports that the process exited before it wrote an expected log line.
+var ErrProcessExited = errors.New("process exited before the expected log line")
 
-const agentNetwork = 55 // of the agent's address, within 127.0.0.0/8
+const agentNetwork = 55 // second byte of the loopback addresses of the discovery agent
 
-// Measure starts a program with a configuration of one size and returns its cost. rest is how long it is measured at
-// rest.
-func Measure(ctx context.Context, binary string, size Size, rest time.Duration) (cost Cost, err error) {
+// Measure starts the program with a configuration of the given size, returns what it cost, and kills the process. It
+// leaves the process idle for idleTime to measure memory and idle processor use, then has it reload the configuration.
+func Measure(ctx context.Context, binary string, size Size, idleTime time.Duration) (cost Cost, err error) {
 	cost.Size = size
 	folder, err := os.MkdirTemp("", "ravensill-startcost-")
 	if err != nil {
 		return cost, err
 	}
 	defer os.RemoveAll(folder)
-	discovery := "127.0.0.1:1" // nobody listens there
+	discovery := "127.0.0.1:1" // no process listens there
 	if size.Axis == DiscoveredHosts {
-		agent, err := emulator.NewAgent(agentNetwork, 1, entries(size.Count)...)
+		agent, err := emulator.NewAgent(agentNetwork, 1, hostEntries(size.Count)...)
 		if err != nil {
 			return cost, err
 		}
@@ -76,7 +76,7 @@
 		discovery = agent.Addr(0)
 	}
 	file := filepath.Join(folder, "config.json")
-	gateway, err := configuration(size, discovery)
+	gateway, err := gatewayConfiguration(size, discovery)
 	if err != nil {
 		return cost, err
 	}
@@ -93,43 +93,43 @@
 		return cost, err
 	}
 	defer p.kill()
-	return cost, p.measure(ctx, &cost, rest)
+	return cost, p.measure(ctx, &cost, idleTime)
 }
 
-// measure measures the cost of a process that was just launched.
-func (p *process) measure(ctx context.Context, cost *Cost, rest time.Duration) error {
-	line, err := p.line(ctx, "event=serving ")
+// measure fills in cost from a process that was just launched. It fails if the process does not serve with all hosts.
+func (p *process) measure(ctx context.Context, cost *Cost, idleTime time.Duration) error {
+	line, err := p.waitLine(ctx, "event=serving ")
 	if err != nil {
 		return err
 	}
-	cost.TimeToServe = time.Since(p.began)
+	cost.TimeToServe = time.Since(p.startedAt)
 	if cost.Axis != QuotaPlans && logline.Int(line, "hosts") != cost.Count {
-		return fmt.Errorf("not all of %d hosts: %s", cost.Count, line)
+		return fmt.Errorf("gateway does not serve with all %d hosts: %s", cost.Count, line)
 	}
-	if cost.StartCPU, err = p.cpu(); err != nil {
+	if cost.StartCPU, err = p.cpuTime(); err != nil {
 		return err
 	}
-	if err := p.rest(ctx, cost, rest); err != nil {
+	if err := p.measureIdle(ctx, cost, idleTime); err != nil {
 		return err
 	}
-	before, err := p.cpu()
+	before, err := p.cpuTime()
 	if err != nil {
 		return err
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
-	if _, err := p.line(ctx, "event=reloaded "); err != nil {
+	if _, err := p.waitLine(ctx, "event=reloaded "); err != nil {
 		return err
 	}
-	after, err := p.cpu()
+	after, err := p.cpuTime()
 	cost.ReloadCPU = after - before
 	return err
 }
 
-// rest measures what the process needs while nothing happens.
-func (p *process) rest(ctx context.Context, cost *Cost, rest time.Duration) error {
-	before, err := p.cpu()
+// measureIdle waits for idleTime and measures memory and processor use.
+func (p *process) measureIdle(ctx context.Context, cost *Cost, idleTime time.Duration) error {
+	before, err := p.cpuTime()
 	if err != nil {
 		return err
 	}
@@ -137,9 +137,9 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(rest):
+	case <-time.After(idleTime):
 	}
-	after, err := p.cpu()
+	after, err := p.cpuTime()
 	if err != nil {
 		return err
 	}
@@ -150,15 +150,16 @@
 	return err
 }
 
-// process is a running program.
+// process is a running gateway process.
 type process struct {
-	cmd   *exec.Cmd
-	proc  procfs.Proc
-	began time.Time
-	lines chan string // of the log; closed when the process ends
+	cmd       *exec.Cmd
+	proc      procfs.Proc
+	startedAt time.Time
+	lines     chan string // lines of its log; closed when the log ends
 }
 
-// launch starts a program.
+// launch starts the program with a configuration file. The process is killed when its parent ends, so that it does not
+// outlive a killed test.
 func launch(ctx context.Context, binary, file string) (*process, error) {
 	p := &process{cmd: exec.CommandContext(ctx, binary), lines: make(chan string, 64)}
 	p.cmd.Env = append(os.Environ(), "GW_CONFIG="+file)
@@ -167,11 +168,11 @@
 	if err != nil {
 		return nil, err
 	}
-	p.began = time.Now()
+	p.startedAt = time.Now()
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go func() { // ends with the process, and kill waits for it
+	go func() { // ends when the process closes its log; kill waits for that
 		defer close(p.lines)
 		scanner := bufio.NewScanner(log)
 		for scanner.Scan() {
@@ -186,8 +187,8 @@
 	return p, nil
 }
 
-// line waits for a line of the log that contains a text.
-func (p *process) line(ctx context.Context, text string) (string, error) {
+// waitLine returns the next log line that contains text, or ErrProcessExited if the log ends first.
+func (p *process) waitLine(ctx context.Context, text string) (string, error) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -203,13 +204,13 @@
 	}
 }
 
-// cpu returns the processor time of all threads so far.
-func (p *process) cpu() (time.Duration, error) {
+// cpuTime returns the processor time that all threads of the process have used since its start.
+func (p *process) cpuTime() (time.Duration, error) {
 	stat, err := p.proc.Stat()
 	return time.Duration(stat.CPUTime() * float64(time.Second)), err
 }
 
-// kill ends the process and waits for its end.
+// kill kills the process and waits until it has exited. It drains the log so that the goroutine that reads it can end.
 func (p *process) kill() {
 	p.cmd.Process.Kill()
 	for range p.lines {
@@ -217,22 +218,23 @@
 	p.cmd.Wait()
 }
 
-// configuration returns that of a gateway by itself, with as many of what the axis names as the size says.
-func configuration(size Size, discovery string) (*gatewayconfig.File, error) {
+// gatewayConfiguration returns the configuration of one gateway for a size. discovery is the address of the discovery
+// agent.
+func gatewayConfiguration(size Size, discovery string) (*gatewayconfig.File, error) {
 	plans := 1
 	list := hostList{Full: true, Servers: []emulator.HostEntry{}, Version: 1}
 	switch size.Axis {
 	case QuotaPlans:
 		plans = size.Count
-		list.Servers = entries(fewHosts)
+		list.Servers = hostEntries(fewHosts)
 	case ConfiguredHosts:
-		list.Servers = entries(size.Count)
+		list.Servers = hostEntries(size.Count)
 	case DiscoveredHosts:
 		list.Version = 0
 	}
 	known, err := json.Marshal(list)
 	if err != nil {
-		return nil, fmt.Errorf("host list: %w", err)
+		return nil, fmt.Errorf("encode host list: %w", err)
 	}
 	return &gatewayconfig.File{
 		Resources: gatewayconfig.Resources{MemoryMB: size.MemoryMB},
@@ -258,17 +260,17 @@
 	}, nil
 }
 
-// fewHosts are the hosts of a configuration that has many of something else.
+// fewHosts is the number of hosts on axes that do not vary the hosts.
 const fewHosts = 2
 
-// hostList is a host list as discovery's agent sends it.
+// hostList is a host list in the encoding of the discovery agent.
 type hostList struct {
 	Full    bool                 `json:"full"`
 	Servers []emulator.HostEntry `json:"servers"`
 	Version int                  `json:"version"`
 }
 
-// quotaPlans returns a number of quota plans.
+// quotaPlans returns count quota plans with distinct names.
 func quotaPlans(count int) (plans []gatewayconfig.QuotaPlan) {
 	for i := range count {
 		plans = append(plans, gatewayconfig.QuotaPlan{
@@ -281,8 +283,8 @@
 	return plans
 }
 
-// entries returns a number of hosts of a host list.
-func entries(count int) (hosts []emulator.HostEntry) {
+// hostEntries returns count host list entries with distinct IDs and addresses.
+func hostEntries(count int) (hosts []emulator.HostEntry) {
 	for i := range count {
 		hosts = append(hosts, emulator.HostEntry{
 			ID:     fmt.Sprintf("s-%05d", i),
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -21,22 +21,22 @@
 )
 
 var (
-	full    = flag.Bool("full", false, "measure the program at all sizes")
-	rest    = flag.Duration("rest", 20*time.Second, "time at rest of a full measurement")
-	most    = flag.Duration("most", 2*time.Minute, "time that one size may take")
-	members = flag.Int("members", 1, "gateways of the fleet")
-	memory  = flag.Int("memory", 0, "limits.memory_mb; 0: as the program has it by itself")
-	only    = flag.String("axis", "", "measure this axis alone")
+	fullSize    = flag.Bool("full", false, "run the measurement at all sizes")
+	idleTime    = flag.Duration("rest", 20*time.Second, "idle time that each size of the full measurement is observed for")
+	maxSizeTime = flag.Duration("most", 2*time.Minute, "longest time that the measurement of one size may take")
+	fleetSize   = flag.Int("members", 1, "number of gateways in the fleet")
+	memoryMB    = flag.Int("memory", 0, "limits.memory_mb; 0 means the program's default")
+	axisFilter  = flag.String("axis", "", "measure only the axis of this name; empty measures all")
 )
 
-// bounded are the searches within loops of lists whose length is bounded.
-var bounded = []string{
-	"slices.Contains(c.Publishers)",     // seven addresses at most
-	"slices.Contains(n.inFlight)",       // attempts in flight
-	"slices.IndexFunc(c.subscriptions)", // neighbours of one gateway, when the number of gateways changes
+// boundedSearches are the allowed searches within loops: the length of each searched list is bounded.
+var boundedSearches = []string{
+	"slices.Contains(c.Publishers)",     // at most seven addresses
+	"slices.Contains(n.inFlight)",       // bounded by the attempts in flight
+	"slices.IndexFunc(c.subscriptions)", // neighbors of one gateway; runs only when the number of gateways changes
 }
 
-// searchedPackages are those of a start, a request and a message.
+// searchedPackages are the packages whose code runs when a gateway starts, handles a request or receives a message.
 var searchedPackages = []string{
 	"configsync",
 	"internal/clients",
@@ -52,7 +52,8 @@
 	"subset",
 }
 
-// A start, a request and a message search no list that grows with the fleet for each element of another.
+// Guards against quadratic cost: a start, a request or a message that, for each element of one list, searches another
+// list that grows with the fleet.
 func TestNoSearchOfGrowingListInLoop(t *testing.T) {
 	const root = "../.."
 	for _, name := range searchedPackages {
@@ -61,14 +62,14 @@
 			t.Fatal(err)
 		}
 		for _, search := range found {
-			if !slices.Contains(bounded, search.Call) {
+			if !slices.Contains(boundedSearches, search.Call) {
 				t.Errorf("%s/%s", name, search)
 			}
 		}
 	}
 }
 
-// Searches that would make the start quadratic are found, and none outside of a loop.
+// FindLoopSearches reports searches in each form of loop, but none outside a loop and none in test files.
 func TestSearchesFindsSearchInLoop(t *testing.T) {
 	const code = `package planted
 func shape() { for i, name := range names { first := slices.Index(names, name); use(i, first) } }
@@ -93,7 +94,8 @@
 	}
 }
 
-// Sixteen times the plans or hosts need at most sixteen times the allocations, with a margin.
+// Guards against allocations that grow faster than the configuration: 16 times as many plans or hosts may need at most
+// about 16 times as many allocations. The exponent 1.1 leaves a margin.
 func TestAllocationsGrowLinearly(t *testing.T) {
 	const few = 500
 	const factor = 16
@@ -109,9 +111,9 @@
 	}
 }
 
-// allocations returns how many allocations it takes to read a configuration and the host list in it.
+// allocations returns the number of allocations needed to decode a configuration and the host list in it.
 func allocations(t *testing.T, size Size) float64 {
-	file, err := configuration(size, "127.0.0.1:1")
+	file, err := gatewayConfiguration(size, "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +136,8 @@
 	})
 }
 
-// A process serves with all that its file has and that discovery delivers, and reads the file anew.
+// A gateway process serves with all quota plans and hosts, from its file or from discovery, and reloads the file on
+// SIGHUP.
 func TestProcessServesAllItIsGiven(t *testing.T) {
 	const count = 300
 	for _, size := range []Size{
@@ -149,30 +152,31 @@
 	}
 }
 
-// measure measures one size and writes its row.
-func measure(t *testing.T, size Size, rest time.Duration) {
+// measure measures one size and prints its table row.
+func measure(t *testing.T, size Size, idleTime time.Duration) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), *most)
+	ctx, cancel := context.WithTimeout(context.Background(), *maxSizeTime)
 	defer cancel()
 	binary, err := fleet.GatewayBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
-	cost, err := Measure(ctx, binary, size, rest)
+	cost, err := Measure(ctx, binary, size, idleTime)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if cost.TimeToServe == 0 || cost.ResidentBytes == 0 || cost.PeakResidentBytes < cost.ResidentBytes {
-		t.Errorf("figures are missing: %+v", cost)
+		t.Errorf("cost lacks figures: %+v", cost)
 	}
 	if err := WriteRow(os.Stdout, cost); err != nil {
 		t.Error(err)
 	}
 }
 
-// All sizes are measured one after the other and printed as a table. RAVENSILL_BINARY names another program.
+// Prints a table of the costs at all sizes, measured one after another. The environment variable RAVENSILL_BINARY
+// selects another gateway program.
 func TestFullSizeCost(t *testing.T) {
-	if !*full {
+	if !*fullSize {
 		t.Skip("no -full")
 	}
 	fmt.Print(TableHeader)
@@ -184,12 +188,12 @@
 		{ConfiguredHosts, []int{2, 10_000, 20_000, 40_000, 87_000}},
 		{DiscoveredHosts, []int{2, 10_000, 20_000, 40_000, 87_000}},
 	} {
-		if *only != "" && *only != string(axis.Axis) {
+		if *axisFilter != "" && *axisFilter != string(axis.Axis) {
 			continue
 		}
 		for _, count := range axis.counts {
-			size := Size{axis.Axis, count, *members, *memory}
-			t.Run(fmt.Sprint(axis.Axis, " ", count), func(t *testing.T) { measure(t, size, *rest) })
+			size := Size{axis.Axis, count, *fleetSize, *memoryMB}
+			t.Run(fmt.Sprint(axis.Axis, " ", count), func(t *testing.T) { measure(t, size, *idleTime) })
 		}
 	}
 }
