--- a/lab/groundtruth/groundtruth.go
+++ b/lab/groundtruth/groundtruth.go
@@ -41,7 +41,7 @@
 	ConfigureLoad    func(l *emulator.Load)               // may be nil
 	ConfigureHost    func(i int, h *emulator.HostOptions) // may be nil
 	Steps            []fleet.Step
-	RefusedWith      string // the refusal that all answers must have; "": none
+	ExpectedRefusal  string // the refusal that all answers must have; "": none
 }
 
 // fleetOptions returns the options of the fleet. Each gateway writes records, the first one collects, and the
