--- a/lab/fleet/build.go
+++ b/lab/fleet/build.go
@@ -8,7 +8,8 @@
 	"sync"
 )
 
-// Program is a command of this module that is built once a test process.
+// Program is a command of this module. It is compiled at most once in a test process; all methods may be called by
+// several goroutines at once.
 type Program struct {
 	importPath string
 	once       sync.Once
@@ -16,7 +17,7 @@
 	err        error
 }
 
-// NewProgram returns the program with an import path.
+// NewProgram returns the program with the given import path. Nothing is compiled until Build is called.
 func NewProgram(importPath string) *Program { return &Program{importPath: importPath} }
 
 var (
@@ -24,7 +25,8 @@
 	faultyProgram  = NewProgram("ravensill/lab/faultygateway")
 )
 
-// Build builds the program, if that is not done yet, and returns its path.
+// Build compiles the program on the first call and returns the path of the executable file. Later calls return the
+// path, or the error, of the first one.
 func (p *Program) Build() (string, error) {
 	p.once.Do(func() { p.path, p.err = p.build() })
 	return p.path, p.err
@@ -43,7 +45,8 @@
 	return path, nil
 }
 
-// GatewayBinary returns the path of the gateway, built once a test process. RAVENSILL_BINARY names another program instead.
+// GatewayBinary returns the path of the gateway's executable file, which is compiled once in a test process. If the
+// environment variable RAVENSILL_BINARY is set, it returns that path instead and compiles nothing.
 func GatewayBinary() (string, error) {
 	if path := os.Getenv("RAVENSILL_BINARY"); path != "" {
 		return path, nil
@@ -51,5 +54,6 @@
 	return gatewayProgram.Build()
 }
 
-// FaultyGatewayBinary returns the path of the gateway whose system calls fail by chance, built once a test process.
+// FaultyGatewayBinary returns the path of the executable file of lab/faultygateway: the gateway whose system calls fail
+// at random. It is compiled once in a test process.
 func FaultyGatewayBinary() (string, error) { return faultyProgram.Build() }
--- a/lab/fleet/cases.go
+++ b/lab/fleet/cases.go
@@ -9,12 +9,12 @@
 	"ravensill/lab/relay"
 )
 
-// ScenarioSize is how large the scenarios of Cases are.
+// ScenarioSize is the size of the fleet and of the load in the scenarios that its methods return.
 type ScenarioSize struct {
 	Gateways int
 	Hosts    int
 	Rate     float64 // requests a second
-	Seed     uint64
+	Seed     uint64  // of the loads, the relay's faults and the choice of gateways
 }
 
 const (
@@ -22,7 +22,7 @@
 	clientTimeout = 8 * time.Second
 )
 
-// mixedLoad returns a load of all three request classes.
+// mixedLoad returns a load of all three request classes, in which each customer uses a third of the gateways.
 func (s ScenarioSize) mixedLoad() emulator.Load {
 	return emulator.Load{
 		Seed:         s.Seed,
@@ -35,7 +35,8 @@
 	}
 }
 
-// MixedClasses returns the request classes of clients that use all classes of a fleet's gateways.
+// MixedClasses returns client-side definitions of all request classes that Classes configures in the gateways:
+// idempotent, idempotent with a key, and not idempotent. timeout is the clients' timeout.
 func MixedClasses(timeout time.Duration) []emulator.Class {
 	return []emulator.Class{
 		{Name: "lookup", Timeout: timeout, Fraction: 0.6},
@@ -44,7 +45,8 @@
 	}
 }
 
-// scenario returns a scenario of this size in which a fraction of the requests must succeed.
+// scenario returns a scenario with the mixed load, in which the rules of CommonChecks must hold and at least the
+// fraction successes of all requests must succeed.
 func (s ScenarioSize) scenario(name string, duration time.Duration, successes float64, steps ...Step) Scenario {
 	return Scenario{
 		Name:     name,
@@ -57,8 +59,10 @@
 	}
 }
 
-// measure adds the intervals between times, in seconds, to those whose evenness is measured.
-func (s *Scenario) measure(hosts []int, times ...float64) {
+// measureIntervals adds an interval between each two consecutive times to the intervals in which evenness is measured.
+// Times are in seconds after the warm-up; hosts are the indexes of the measured hosts, nil for all hosts that are
+// listed at first.
+func (s *Scenario) measureIntervals(hosts []int, times ...float64) {
 	for i := range times[1:] {
 		s.Intervals = append(s.Intervals, Interval{
 			Name:  fmt.Sprintf("%g to %g s", times[i], times[i+1]),
@@ -69,7 +73,8 @@
 	}
 }
 
-// addWarmingHosts adds a number of hosts that are not listed at first and warm up after their start.
+// addWarmingHosts adds hosts that are missing from the first host list and that warm up for 10 s after they are
+// started.
 func (o *Options) addWarmingHosts(count int) {
 	listed := o.Hosts
 	o.Hosts += count
@@ -86,8 +91,9 @@
 	}
 }
 
-// FaultScenarios returns the hard cases: what is injected, and what must hold after each. The fraction of requests that must
-// succeed is what the faults leave, not a measure of the gateway.
+// FaultScenarios returns scenarios that each inject one kind of fault or use an unusual fleet, with the rules that must
+// hold afterwards. The required fraction of successful requests is what the injected faults leave possible; it is not a
+// quality target of the gateway.
 func (s ScenarioSize) FaultScenarios() []Scenario {
 	return []Scenario{
 		s.mostGatewaysKilled(),
@@ -109,14 +115,14 @@
 	killed := s.scenario("seven in ten killed and back", 6*second, 0.4,
 		KillGateways(1*second, count, "killed", second),
 		RestartGateways(3*second, count, "killed", true))
-	killed.measure(nil, -1.5, 1, 3, 6)
+	killed.measureIntervals(nil, -1.5, 1, 3, 6)
 	return killed
 }
 
 func (s ScenarioSize) rollingRestart() Scenario {
 	rolled := s.scenario("a quarter restarted by SIGTERM under open connections", 8*second, 0.95,
 		RollingRestart(1*second, s.Gateways/4, "rolled"))
-	rolled.measure(nil, -1.5, 1, 5, 8)
+	rolled.measureIntervals(nil, -1.5, 1, 5, 8)
 	return rolled
 }
 
@@ -124,7 +130,7 @@
 	frozen := s.scenario("a third frozen for 1.5 s", 5*second, 0.6,
 		FreezeGateways(1*second, s.Gateways/3, "frozen"),
 		ThawGateways(2500*time.Millisecond, s.Gateways/3, "frozen"))
-	frozen.measure(nil, -1.5, 1, 2.5, 5)
+	frozen.measureIntervals(nil, -1.5, 1, 2.5, 5)
 	return frozen
 }
 
@@ -145,7 +151,7 @@
 		SetRelayRules(1*second, "cut", cutRight, cutLeft),
 		SetRelayRules(4*second, "cut", cutRight),
 		SetRelayRules(6*second, "cut"))
-	partitioned.measure(nil, -1.5, 1, 4, 6, 8)
+	partitioned.measureIntervals(nil, -1.5, 1, 4, 6, 8)
 	return partitioned
 }
 
@@ -158,7 +164,7 @@
 			func(mode *emulator.AgentMode) { mode.Frozen = false }),
 		Announce(500*time.Millisecond, nil, emulator.Leaving, 0, 1))
 	lists.Options.addWarmingHosts(2)
-	lists.measure(Indexes(2, s.Hosts), -1.5, 0.5, 3.5, 6.5, 8)
+	lists.measureIntervals(Indexes(2, s.Hosts), -1.5, 0.5, 3.5, 6.5, 8)
 	return lists
 }
 
@@ -172,14 +178,14 @@
 		replaced.Steps = append(replaced.Steps, StartHosts(at, s.Hosts+i))
 		replaced.Steps = append(replaced.Steps, RemoveHosts(at, 1500*time.Millisecond, i)...)
 	}
-	replaced.measure(Indexes(count, s.Hosts), -1.5, 0, 3.5, 7, 10)
+	replaced.measureIntervals(Indexes(count, s.Hosts), -1.5, 0, 3.5, 7, 10)
 	return replaced
 }
 
 func (s ScenarioSize) warmingHost() Scenario {
 	warming := s.scenario("a new host that all see at once", 5*second, 0.95, StartHosts(1*second, s.Hosts))
 	warming.Options.addWarmingHosts(1)
-	warming.measure(nil, -1.5, 1, 5)
+	warming.measureIntervals(nil, -1.5, 1, 5)
 	return warming
 }
 
@@ -217,7 +223,8 @@
 	return light
 }
 
-// SteadyLoad returns a scenario without faults, with customers of equal demand, for measuring evenness.
+// SteadyLoad returns a scenario without faults in which all customers send equally often, for measuring how evenly
+// hosts are loaded. checks are added to the common ones.
 func (s ScenarioSize) SteadyLoad(duration time.Duration, checks ...Check) Scenario {
 	steady := s.scenario("steady", duration, 0.95)
 	steady.Checks = append(steady.Checks, slices.Clone(checks)...)
--- a/lab/fleet/cases_test.go
+++ b/lab/fleet/cases_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The common rules hold in each of the hard cases, and enough requests succeed.
+// Guards against lost or duplicated requests, crashes and requests to drained hosts under each kind of injected fault.
 func TestChecksHoldInHardCases(t *testing.T) {
 	const atOnce = 2
 	running := make(chan bool, atOnce)
@@ -15,20 +15,20 @@
 			running <- true
 			defer func() { <-running }()
 			report := runScenario(t, scenario)
-			must(t, report.Err())
+			requireNoError(t, report.Err())
 		})
 	}
 }
 
-// All gateways lack descriptors, ports and memory at random system calls, and bytes move in small pieces: every process
-// starts and the common rules hold.
+// System calls of all gateways fail at random for lack of descriptors, ports or memory, and reads and writes move few
+// bytes at a time. Every process must still start, and the common rules must hold.
 func TestChecksHoldWhileSystemCallsFail(t *testing.T) {
 	binary, err := FaultyGatewayBinary()
-	must(t, err)
+	requireNoError(t, err)
 	size := ScenarioSize{Gateways: 24, Hosts: 12, Rate: 400, Seed: 11}
 	scenario := size.scenario("system calls fail by chance", 6*time.Second, 0.9)
 	scenario.Options.Binary = binary
 	scenario.Options.Env = []string{"FAULT_SEED=11"}
 	report := runScenario(t, scenario)
-	must(t, report.Err())
+	requireNoError(t, report.Err())
 }
--- a/lab/fleet/checks.go
+++ b/lab/fleet/checks.go
@@ -14,11 +14,11 @@
 // Check is a rule that must hold at the end of a run.
 type Check struct {
 	Name string
-	// FindViolation returns a short text about what does not hold; "" if the rule holds.
+	// FindViolation returns a short text that says what is violated, or "" if the rule holds.
 	FindViolation func(r *Report) string
 }
 
-// CommonChecks are the rules that hold in every run, whatever is injected.
+// CommonChecks are the rules that must hold in every run, whatever faults are injected.
 var CommonChecks = []Check{
 	ExactlyOneResult,
 	LostOnlyByFault,
@@ -29,21 +29,23 @@
 }
 
 const (
-	shownViolations = 3
-	// busyDelay is the delay of the emulators from which on their slowness may be the cause of missing successes.
-	busyDelay = 500 * time.Millisecond
+	maxShownViolations = 3
+	// busyMachineDelay is the delay of the emulators above which a slow machine may be why requests did not succeed.
+	busyMachineDelay = 500 * time.Millisecond
 )
 
-// summarize returns the number of violations and the first few of them; "" if there are none.
-func summarize(violations []string) string {
+// summarizeViolations returns the number of violations and the texts of the first maxShownViolations, or "" if there
+// are none.
+func summarizeViolations(violations []string) string {
 	if len(violations) == 0 {
 		return ""
 	}
-	shown := violations[:min(shownViolations, len(violations))]
+	shown := violations[:min(maxShownViolations, len(violations))]
 	return fmt.Sprintf("%d: %s", len(violations), strings.Join(shown, "; "))
 }
 
-// ExactlyOneResult is a check: every request has exactly one result, and a success has a value that a host made for it.
+// ExactlyOneResult requires that every request ends with exactly one result, and that each success carries the value
+// that the answering host made for this request.
 var ExactlyOneResult = Check{"exactly one result a request", func(r *Report) string {
 	var violations []string
 	if r.Unfinished > 0 {
@@ -54,17 +56,18 @@
 	}
 	for _, request := range r.Clients.Requests {
 		if request.Result == emulator.WrongValue {
-			violations = append(violations, request.ID+" got the value of another")
+			violations = append(violations, request.ID+" got the value of another request")
 		}
-		if request.Result == emulator.Succeeded && !r.ranAtItsHost(request) {
+		if request.Result == emulator.Succeeded && !r.receivedByItsHost(request) {
 			violations = append(violations, request.ID+" succeeded, but "+request.Host+" never received it")
 		}
 	}
-	return summarize(violations)
+	return summarizeViolations(violations)
 }}
 
-// ranAtItsHost reports whether the host that answered a request received it while it was in flight.
-func (r *Report) ranAtItsHost(request emulator.Request) bool {
+// receivedByItsHost reports whether the host that answered a request received it between the times at which the client
+// sent it and got the answer.
+func (r *Report) receivedByItsHost(request emulator.Request) bool {
 	for _, host := range r.Hosts {
 		if host.ID != request.Host {
 			continue
@@ -83,8 +86,8 @@
 	return false
 }
 
-// LostOnlyByFault is a check: a request has no answer only if its gateway was down, killed or frozen while it was in
-// flight.
+// LostOnlyByFault requires an answer to every request, unless its gateway was down, killed or frozen at some time while
+// the request was in flight.
 var LostOnlyByFault = Check{"no request lost without a fault", func(r *Report) string {
 	var violations []string
 	for _, request := range r.Clients.Requests {
@@ -93,19 +96,20 @@
 		default:
 			continue
 		}
-		if r.Gateways[request.Gateway].faulty(request.SentAt, request.EndedAt) {
+		if r.Gateways[request.Gateway].unavailableDuring(request.SentAt, request.EndedAt) {
 			continue
 		}
 		sinceStart := time.Duration(request.SentAt - r.StartedAt)
 		violations = append(violations, fmt.Sprintf("%s at %s: %s, sent %.1f s after the load's start",
 			request.ID, GatewayName(request.Gateway), request.Result, sinceStart.Seconds()))
 	}
-	return summarize(violations)
+	return summarizeViolations(violations)
 }}
 
-// faulty reports whether the gateway did not serve, or was frozen, at some time in an interval.
-func (g *GatewayReport) faulty(from, to int64) bool {
-	down := true // until it serves first
+// unavailableDuring reports whether the gateway was not serving, or was frozen, at any time in [from, to]. Times are in
+// nanoseconds of actor.Now.
+func (g *GatewayReport) unavailableDuring(from, to int64) bool {
+	down := true // until the first Serving event
 	since := int64(0)
 	for _, event := range g.Events {
 		switch event.Kind {
@@ -124,7 +128,8 @@
 	return down && since <= to
 }
 
-// OnlyListedHosts is a check: no attempt was made at a host that was never in the host list of its gateway.
+// OnlyListedHosts requires that a gateway sends an attempt to a host only after that host was in the host list that the
+// gateway's agent receives, and that each attempt belongs to a client's request.
 var OnlyListedHosts = Check{"no attempt at a host never listed", func(r *Report) string {
 	changesOf := map[string][]emulator.HostListChange{} // by host
 	for _, change := range r.HostListChanges {
@@ -145,29 +150,29 @@
 				return change.At <= command.ReceivedAt && receives
 			})
 			if !listed {
-				violations = append(violations, attemptText(command, request.Gateway, host.ID))
+				violations = append(violations, formatAttempt(command, request.Gateway, host.ID))
 			}
 		}
 	}
-	return summarize(violations)
+	return summarizeViolations(violations)
 }}
 
-// attemptText names an attempt in a violation.
-func attemptText(command emulator.Command, gateway int, host string) string {
+// formatAttempt describes an attempt in the text of a violation.
+func formatAttempt(command emulator.Command, gateway int, host string) string {
 	return fmt.Sprintf("%s by %s to %s", command.ID, GatewayName(gateway), host)
 }
 
-// interval is a time from, exclusively, to.
+// interval is the time after from and before to, in nanoseconds of actor.Now.
 type interval struct {
 	from int64
 	to   int64
 }
 
-// never is later than all times of a run.
-const never = math.MaxInt64
+// noEnd is the end of an interval that lasts until the end of the run.
+const noEnd = math.MaxInt64
 
-// NothingToDrainedHosts is a check: a request that was sent after its gateway had logged that a host drains or is gone
-// does not reach that host until the host is listed anew or the gateway is restarted.
+// NothingToDrainedHosts requires that a request does not reach a host if it was sent after its gateway had logged that
+// the host is draining or gone. This holds until the host is listed as active again or the gateway is restarted.
 var NothingToDrainedHosts = Check{"nothing for a drained host", func(r *Report) string {
 	type pair struct {
 		gateway int
@@ -178,7 +183,7 @@
 		for i, event := range r.Gateways[gateway].Events {
 			if event.Kind == HostStateLogged {
 				key := pair{gateway, event.Host}
-				drains[key] = append(drains[key], r.drain(event, r.Gateways[gateway].Events[i:]))
+				drains[key] = append(drains[key], r.drainInterval(event, r.Gateways[gateway].Events[i:]))
 			}
 		}
 	}
@@ -188,17 +193,18 @@
 			request, _ := r.Request(command.ID)
 			for _, drain := range drains[pair{request.Gateway, host.ID}] {
 				if request.SentAt > drain.from && command.ReceivedAt < drain.to {
-					violations = append(violations, attemptText(command, request.Gateway, host.ID))
+					violations = append(violations, formatAttempt(command, request.Gateway, host.ID))
 				}
 			}
 		}
 	}
-	return summarize(violations)
+	return summarizeViolations(violations)
 }}
 
-// drain returns how long the drain that a gateway logged binds it. later are the gateway's events from that one on.
-func (r *Report) drain(logged ProcessEvent, later []ProcessEvent) interval {
-	drain := interval{logged.At, never}
+// drainInterval returns the time in which a gateway must send no new request to a host after it logged that the host is
+// draining or gone. later are the gateway's events from that one on.
+func (r *Report) drainInterval(logged ProcessEvent, later []ProcessEvent) interval {
+	drain := interval{logged.At, noEnd}
 	for _, event := range later {
 		if event.Incarnation != logged.Incarnation || event.Kind == Exited {
 			drain.to = min(drain.to, event.At)
@@ -214,8 +220,8 @@
 	return drain
 }
 
-// NonIdempotentAtMostOnce is a check: a request that is not idempotent ran at one host at most, unless its client sent
-// it again after a close.
+// NonIdempotentAtMostOnce requires that at most one host executes a request that is not idempotent. The exception is a
+// request that its client sent again because the gateway closed the connection.
 var NonIdempotentAtMostOnce = Check{"no second run of a non-idempotent request", func(r *Report) string {
 	nonIdempotent := map[string]bool{} // by class
 	for _, load := range r.Scenario.Loads {
@@ -237,14 +243,14 @@
 			}
 		}
 	}
-	return summarize(violations)
+	return summarizeViolations(violations)
 }}
 
-// panicEvent is the log event of a panic that the gateway recovered from.
+// panicEvent is the event of the log line that a gateway writes when it recovers from a panic.
 const panicEvent = "panic"
 
-// NoCrash is a check: no process panicked, printed a stack trace or ended without having been asked to, and no host
-// received a command that no client sends.
+// NoCrash requires that no process panics, prints a stack trace or ends without having been asked to, and that no host
+// receives a malformed command.
 var NoCrash = Check{"no panic, no unexpected exit", func(r *Report) string {
 	var violations []string
 	for i, gateway := range r.Gateways {
@@ -257,22 +263,23 @@
 	}
 	for _, host := range r.Hosts {
 		if host.MalformedCommands > 0 {
-			violations = append(violations, fmt.Sprintf("%s: %d commands that no client sent so", host.ID, host.MalformedCommands))
+			violations = append(violations, fmt.Sprintf("%s: %d malformed commands", host.ID,
+				host.MalformedCommands))
 		}
 	}
-	return summarize(violations)
+	return summarizeViolations(violations)
 }}
 
-// SuccessFraction returns a check: at least a fraction of the requests succeeded. It does not judge a run in which the
-// emulators themselves were late by more than busyDelay.
-func SuccessFraction(least float64) Check {
-	return Check{fmt.Sprintf("%g of the requests succeeded", least), func(r *Report) string {
+// SuccessFraction requires that at least a fraction of the requests succeed. It does not judge a run in which the
+// emulators were late by more than busyMachineDelay, because then a slow machine may be the cause.
+func SuccessFraction(minFraction float64) Check {
+	return Check{fmt.Sprintf("%g of the requests succeeded", minFraction), func(r *Report) string {
 		fraction := float64(r.Results()[emulator.Succeeded]) / float64(max(1, len(r.Clients.Requests)))
-		if fraction >= least {
+		if fraction >= minFraction {
 			return ""
 		}
 		clients, hosts := r.EmulatorDelays()
-		if max(clients, hosts) > busyDelay {
+		if max(clients, hosts) > busyMachineDelay {
 			return ""
 		}
 		return fmt.Sprintf("%.4f: %s", fraction, r.Summary())
--- a/lab/fleet/checks_test.go
+++ b/lab/fleet/checks_test.go
@@ -8,7 +8,7 @@
 	"ravensill/lab/emulator"
 )
 
-// clone returns a report whose requests, hosts and gateways may be changed.
+// clone returns a copy whose slices of requests, hosts and gateways can be changed without changing r.
 func (r *Report) clone() *Report {
 	clone := *r
 	clone.Clients.Requests = slices.Clone(r.Clients.Requests)
@@ -17,12 +17,14 @@
 	return &clone
 }
 
-// addCommand adds a command to a host's log without changing the log that the report was cloned from.
+// addCommand adds a command to a host's log. It copies the log first, because a cloned report shares it with the
+// original.
 func (r *Report) addCommand(host int, command emulator.Command) {
 	r.Hosts[host].Commands = append(slices.Clone(r.Hosts[host].Commands), command)
 }
 
-// Each check holds on the report of a run and fails on the same report with one violation written into it.
+// A check that never fails would hide faults. So each check must hold on the report of a run and fail on a copy with
+// one violation written into it.
 func TestEachCheckFindsItsViolation(t *testing.T) {
 	scenario := (ScenarioSize{Gateways: 2, Hosts: 3, Rate: 200, Seed: 3}).FaultScenarios()[0]
 	scenario.WarmUp = 0
@@ -30,15 +32,15 @@
 	scenario.Options.UnlistedHosts = map[int]bool{2: true}
 	scenario.Steps = []Step{Announce(500*time.Millisecond, nil, emulator.Leaving, 0)}
 	report := runScenario(t, scenario)
-	must(t, report.Err())
+	requireNoError(t, report.Err())
 
 	last := len(report.Clients.Requests) - 1
 	lastRequest := report.Clients.Requests[last]
 	isPayment := func(command emulator.Command) bool {
 		return command.Outcome == emulator.OutcomeSucceeded && command.Class == "pay"
 	}
-	payment := slices.IndexFunc(report.Hosts[0].Commands, isPayment)
-	report.Hosts[0].Commands = report.Hosts[0].Commands[payment:]
+	firstPayment := slices.IndexFunc(report.Hosts[0].Commands, isPayment)
+	report.Hosts[0].Commands = report.Hosts[0].Commands[firstPayment:]
 	nonIdempotent := report.Hosts[0].Commands[0]
 
 	for _, test := range []struct {
--- a/lab/fleet/config.go
+++ b/lab/fleet/config.go
@@ -12,13 +12,14 @@
 
 const (
 	machineType = "m"
-	cells       = 3
+	cellCount   = 3
 	reportField = "utilization"
-	seedFactor  = 1_000_003 // between the seeds of two fleets, so that those of their gateways differ
+	// seedFactor is the distance between the gateways' seeds of fleets with consecutive seeds, so that they don't overlap.
+	seedFactor = 1_000_003
 )
 
-// gatewayFile returns the configuration of gateway i.
-func (f *Fleet) gatewayFile(i int) (*gatewayconfig.File, error) {
+// gatewayConfig returns the content of the configuration file of gateway i.
+func (f *Fleet) gatewayConfig(i int) (*gatewayconfig.File, error) {
 	file := &gatewayconfig.File{
 		Name:      GatewayName(i),
 		Listen:    netip.AddrPortFrom(emulator.LoopbackAddr(gatewayNetwork, i), 0).String(),
@@ -43,7 +44,8 @@
 	return file, nil
 }
 
-// settings returns the settings of gateway i. No two gateways share a value that may be changed.
+// settings returns the settings of gateway i. They share no slice with those of another gateway, so ConfigureGateway
+// may change them.
 func (f *Fleet) settings(i int) gatewayconfig.Settings {
 	settings := gatewayconfig.Settings{
 		Gateways:     f.Options.Gateways,
@@ -80,7 +82,7 @@
 	return settings
 }
 
-// Classes returns the request classes of a fleet's gateways.
+// Classes returns the request classes in the settings of a fleet's gateways, one for each kind of idempotency.
 func Classes() []gatewayconfig.Class {
 	return []gatewayconfig.Class{
 		newClass("lookup", gatewayconfig.Idempotent),
@@ -89,7 +91,7 @@
 	}
 }
 
-// newClass returns a request class of a fleet's gateways.
+// newClass returns a request class with the objective, timeout and deduplication window that all classes share.
 func newClass(name, effect string) gatewayconfig.Class {
 	return gatewayconfig.Class{
 		Name:          name,
@@ -102,7 +104,8 @@
 	}
 }
 
-// RuntimeLimits returns the limits of a fleet's gateways that may change in a running gateway.
+// RuntimeLimits returns the limits in a fleet's settings that a running gateway can change, by a reload or a published
+// configuration.
 func RuntimeLimits() gatewayconfig.RuntimeLimits {
 	return gatewayconfig.RuntimeLimits{
 		MaxAttempts:     3,
--- a/lab/fleet/evenness.go
+++ b/lab/fleet/evenness.go
@@ -10,68 +10,71 @@
 	"time"
 )
 
-// Evenness is how evenly the attempts of an interval were spread over its hosts. The load of a host is its attempts
-// divided by its share, by weight, of all attempts in the same window; 1 is even.
+// Evenness says how evenly the attempts of an interval were spread over its hosts. A host's load is its number of
+// attempts in a window, divided by the number that its share by weight of all attempts in that window would give. A
+// load of 1 is perfectly even.
 type Evenness struct {
 	Hosts    int
 	Attempts int
-	Windows  map[time.Duration]WindowStats // by length
-	// IdlePeriods is the number of periods of 2 s in which a host got nothing while the mean host got 5 or more attempts.
+	Windows  map[time.Duration]WindowStats // by window length
+	// IdlePeriods is the number of periods of 2 s in which a host got no attempt while hosts got 5 or more each on
+	// average.
 	IdlePeriods     float64
-	GatewaysPerHost MinMeanMax // gateways that sent to a host
-	OpenedConns     int        // that came up in the interval
-	InitialConns    int        // that were open as the interval began
-	// LongestOverload is the longest time that a host stayed above 1.5 times its share, in windows of 1 s.
+	GatewaysPerHost MinMeanMax // number of gateways that sent attempts to a host
+	OpenedConns     int        // connections to the hosts opened during the interval
+	InitialConns    int        // connections to the hosts open at the start of the interval
+	// LongestOverload is the longest time for which a host's load stayed above 1.5, in sliding windows of 1 s.
 	LongestOverload time.Duration
-	OverloadedHosts float64 // hosts that did so for over 1 s
+	OverloadedHosts float64 // number of hosts whose load stayed above 1.5 for over 1 s; a mean for random spreads
 }
 
-// MinMeanMax are three figures of one distribution.
+// MinMeanMax holds the minimum, the mean and the maximum of a distribution.
 type MinMeanMax struct {
 	Min  float64
 	Mean float64
 	Max  float64
 }
 
-// WindowStats are of the windows of one length: the load of the most and the least loaded host and the variation of all
-// hosts, as means over the windows, and the extremes.
+// WindowStats are statistics of the hosts' loads over consecutive windows of one length.
 type WindowStats struct {
-	Count         int
-	MeanMaxLoad   float64
-	MeanMinLoad   float64
-	MeanDeviation float64
-	MaxLoad       float64
-	MinLoad       float64
+	Count         int     // windows that contain at least one attempt
+	MeanMaxLoad   float64 // mean over the windows of the load of the most loaded host
+	MeanMinLoad   float64 // mean over the windows of the load of the least loaded host
+	MeanDeviation float64 // mean over the windows of the root mean square deviation of the loads from 1
+	MaxLoad       float64 // highest load of a host in any window
+	MinLoad       float64 // lowest load of a host in any window
 }
 
 // attempt is one attempt at a host.
 type attempt struct {
-	at   int64
-	host int // index among the measured hosts
+	at   int64 // arrival at the host, in ns of actor.Now
+	host int   // index among the measured hosts
 }
 
-// chanceRuns is the number of random spreads of the same attempts that the figures by chance are the mean of.
-const chanceRuns = 10
+// randomSpreads is the number of random spreads of the same attempts over which the figures for a random balancer are
+// averaged.
+const randomSpreads = 10
 
-// MeasureEvenness measures an interval of the run at hosts that ran and were listed all along. It returns the figures
-// of the fleet, and those of the same attempts as chance (multinomial by weight) and round robin by a single balancer
-// that sees all would have spread them.
+// MeasureEvenness measures the interval [from, to), in nanoseconds of actor.Now, at hosts that were running and listed
+// throughout it. It returns the figures of the fleet and, for comparison, those of the same attempts as two other
+// balancers would have spread them: chance draws each host at random by weight, and roundRobin is a smooth weighted
+// round robin in a single balancer that sees all attempts.
 func (r *Report) MeasureEvenness(hosts []int, from, to int64) (fleet, chance, roundRobin Evenness) {
 	attempts := r.attempts(hosts, from, to)
 	shares := r.shares(hosts)
 	fleet = measureAttempts(attempts, shares, from, to)
 	r.measureConnections(&fleet, hosts, from, to)
-	for run := range uint64(chanceRuns) {
+	for run := range uint64(randomSpreads) {
 		random := rand.New(rand.NewPCG(r.Scenario.Options.Seed, run))
-		spread := measureAttempts(spreadByChance(attempts, shares, random), shares, from, to)
-		chance = chance.add(spread, 1.0/chanceRuns)
+		spread := measureAttempts(spreadRandomly(attempts, shares, random), shares, from, to)
+		chance = chance.add(spread, 1.0/randomSpreads)
 	}
 	chance.Hosts = fleet.Hosts
 	chance.Attempts = fleet.Attempts
 	return fleet, chance, measureAttempts(spreadRoundRobin(attempts, shares), shares, from, to)
 }
 
-// attempts returns all attempts in an interval at some hosts, in order.
+// attempts returns the attempts at some hosts in [from, to), in order of arrival.
 func (r *Report) attempts(hosts []int, from, to int64) (attempts []attempt) {
 	for k, host := range hosts {
 		for _, command := range r.Hosts[host].Commands {
@@ -84,7 +87,7 @@
 	return attempts
 }
 
-// shares returns the hosts' shares of the attempts by weight.
+// shares returns each host's weight as a fraction of the sum of all weights.
 func (r *Report) shares(hosts []int) []float64 {
 	shares := make([]float64, len(hosts))
 	sum := 0.0
@@ -98,7 +101,7 @@
 	return shares
 }
 
-// measureConnections adds the figures of the gateways and connections of the hosts.
+// measureConnections fills in the figures about connections and about the number of gateways that used each host.
 func (r *Report) measureConnections(evenness *Evenness, hosts []int, from, to int64) {
 	perHost := MinMeanMax{Min: math.Inf(1)}
 	sum := 0
@@ -127,8 +130,8 @@
 	evenness.GatewaysPerHost = perHost
 }
 
-// spreadByChance returns the attempts with hosts drawn by their shares.
-func spreadByChance(attempts []attempt, shares []float64, random *rand.Rand) []attempt {
+// spreadRandomly returns the attempts with each host drawn at random, with its share as the probability.
+func spreadRandomly(attempts []attempt, shares []float64, random *rand.Rand) []attempt {
 	var cumulative []float64
 	sum := 0.0
 	for _, share := range shares {
@@ -160,7 +163,8 @@
 	return spread
 }
 
-// add returns the figures plus those of another, times a factor.
+// add returns the sum of these figures and factor times the other ones. It leaves out the numbers of hosts and attempts
+// and the figures of connections.
 func (e Evenness) add(other Evenness, factor float64) Evenness {
 	if e.Windows == nil {
 		e.Windows = map[time.Duration]WindowStats{}
@@ -182,29 +186,31 @@
 	return e
 }
 
-// EvenWithin returns a check: over the load after its warm-up, at the hosts that were listed at first, the load of
-// the most and of the least loaded host lay within bounds in windows of 10 s, or within 1.1 times those of chance
-// where these are wider. It does not judge a run in which the emulators themselves were late, as the gateways then
-// balance for a busy machine.
-func EvenWithin(most, least float64) Check {
+// EvenWithin limits the loads of the hosts that were listed at first, after the warm-up: in windows of 10 s, the mean
+// of the highest load must be at most maxLoad and the mean of the lowest at least minLoad. A figure that is outside its
+// bound still passes if it is within 1.1 times that of a random balancer. The check does not judge a run in which the
+// emulators were late, because the gateways then balance for hosts that a busy machine slows down.
+func EvenWithin(maxLoad, minLoad float64) Check {
 	const margin = 1.1
-	return Check{fmt.Sprintf("hosts between %g and %g of their share in 10 s", least, most), func(r *Report) string {
+	return Check{fmt.Sprintf("hosts between %g and %g of their share in 10 s", minLoad, maxLoad), func(r *Report) string {
 		fleet, chance, _ := r.MeasureEvenness(r.initialHosts(), r.StartedAt+int64(r.Scenario.WarmUp), r.EndedAt)
-		ours := fleet.Windows[longWindow]
-		byChance := chance.Windows[longWindow]
-		within := ours.MeanMaxLoad <= max(most, margin*byChance.MeanMaxLoad) && ours.MeanMinLoad >= min(least, byChance.MeanMinLoad/margin)
-		if ours.Count > 0 && within {
+		fleetStats := fleet.Windows[longWindow]
+		chanceStats := chance.Windows[longWindow]
+		within := fleetStats.MeanMaxLoad <= max(maxLoad, margin*chanceStats.MeanMaxLoad) &&
+			fleetStats.MeanMinLoad >= min(minLoad, chanceStats.MeanMinLoad/margin)
+		if fleetStats.Count > 0 && within {
 			return ""
 		}
 		clients, hosts := r.EmulatorDelays()
-		if max(clients, hosts) > busyDelay/5 {
+		if max(clients, hosts) > busyMachineDelay/5 {
 			return ""
 		}
 		return fmt.Sprintf("%v; by chance %v", fleet, chance)
 	}}
 }
 
-// initialHosts returns the hosts that were listed at first.
+// initialHosts returns the indexes of the hosts in the first host list. It expects the unlisted hosts to have the
+// highest indexes.
 func (r *Report) initialHosts() []int {
 	options := &r.Scenario.Options
 	return Indexes(0, options.Hosts-len(options.UnlistedHosts))
@@ -215,7 +221,8 @@
 	var text strings.Builder
 	for _, length := range []time.Duration{shortWindow, longWindow} {
 		if stats, ok := e.Windows[length]; ok {
-			fmt.Fprintf(&text, "%v: most %.2f least %.2f variation %.3f; ", length, stats.MeanMaxLoad, stats.MeanMinLoad, stats.MeanDeviation)
+			fmt.Fprintf(&text, "%v: most %.2f least %.2f variation %.3f; ", length,
+				stats.MeanMaxLoad, stats.MeanMinLoad, stats.MeanDeviation)
 		}
 	}
 	fmt.Fprintf(&text, "idle %.1f; over 1.5 for %.1f s, %.1f hosts", e.IdlePeriods, e.LongestOverload.Seconds(),
--- a/lab/fleet/evenwindows.go
+++ b/lab/fleet/evenwindows.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Lengths of the windows in which loads are measured.
+// Lengths of the windows in which the hosts' loads are measured.
 const (
 	shortWindow = time.Second
 	longWindow  = 10 * time.Second
 )
 
 const (
-	idlePeriod     = 2 * time.Second
-	overloadFactor = 1.5 // of a host's share
-	overloadTick   = 100 * time.Millisecond
-	overloadTicks  = int(shortWindow / overloadTick) // of a window
-	minAttempts    = 5                               // by the share of a host, below which it counts as not overloaded
+	idlePeriod          = 2 * time.Second
+	overloadFactor      = 1.5                    // load of a host above which it counts as overloaded
+	overloadTick        = 100 * time.Millisecond // step by which the overload window slides
+	ticksPerWindow      = int(shortWindow / overloadTick)
+	minExpectedAttempts = 5 // attempts by a host's share below which a window says nothing about overload or idleness
 )
 
-// measureAttempts returns the figures that depend on the attempts alone.
+// measureAttempts returns the figures that follow from the attempts alone, without those of connections.
 func measureAttempts(attempts []attempt, shares []float64, from, to int64) Evenness {
 	evenness := Evenness{Hosts: len(shares), Attempts: len(attempts), Windows: map[time.Duration]WindowStats{}}
 	for _, length := range []time.Duration{shortWindow, longWindow} {
@@ -34,9 +34,10 @@
 	return evenness
 }
 
-// measureWindows returns the figures of the windows of one length that follow each other.
+// measureWindows returns the statistics of the consecutive windows of one length in [from, to). A last, incomplete
+// window and windows without attempts are left out.
 func measureWindows(attempts []attempt, shares []float64, from, to, length int64) WindowStats {
-	sums := WindowStats{MinLoad: math.Inf(1)}
+	stats := WindowStats{MinLoad: math.Inf(1)}
 	next := 0
 	for at := from; at+length <= to; at += length {
 		first := next
@@ -44,19 +45,19 @@
 			next++
 		}
 		if next > first {
-			sums.addWindow(attempts[first:next], shares)
+			stats.addWindow(attempts[first:next], shares)
 		}
 	}
-	if sums.Count > 0 {
-		count := float64(sums.Count)
-		sums.MeanMaxLoad /= count
-		sums.MeanMinLoad /= count
-		sums.MeanDeviation /= count
+	if stats.Count > 0 {
+		count := float64(stats.Count)
+		stats.MeanMaxLoad /= count
+		stats.MeanMinLoad /= count
+		stats.MeanDeviation /= count
 	}
-	return sums
+	return stats
 }
 
-// addWindow adds the figures of one window with attempts to sums.
+// addWindow adds the loads of one window to the sums in w. measureWindows divides these by the number of windows.
 func (w *WindowStats) addWindow(attempts []attempt, shares []float64) {
 	counts := make([]float64, len(shares))
 	for _, attempt := range attempts {
@@ -79,8 +80,9 @@
 	w.MinLoad = min(w.MinLoad, least)
 }
 
-// countIdlePeriods returns the number of periods, each begun by a host's latest attempt or the end of the period
-// before, in which the host got nothing while the mean host got minAttempts or more.
+// countIdlePeriods returns the number of periods of idlePeriod without an attempt at one host, in which hosts got
+// minExpectedAttempts or more each on average. A host's period starts at its latest attempt or at the end of its
+// previous idle period.
 func countIdlePeriods(attempts []attempt, hosts int, from, to int64) (count float64) {
 	periodStart := make([]int64, hosts)
 	for k := range periodStart {
@@ -92,7 +94,7 @@
 	endPeriods := func(host int, until int64) {
 		for until-periodStart[host] >= int64(idlePeriod) {
 			end := periodStart[host] + int64(idlePeriod)
-			if firstFrom(end)-firstFrom(periodStart[host]) >= minAttempts*hosts {
+			if firstFrom(end)-firstFrom(periodStart[host]) >= minExpectedAttempts*hosts {
 				count++
 			}
 			periodStart[host] = end
@@ -108,9 +110,9 @@
 	return count
 }
 
-// measureOverload returns the longest time that a host stayed above overloadFactor times its share, in windows of
-// shortWindow that move by overloadTick, and the number of hosts that did so for longer than shortWindow. A window
-// counts if the host's share of it is minAttempts or more.
+// measureOverload returns the longest time for which one host's load stayed above overloadFactor, and the number of
+// hosts for which it lasted longer than shortWindow. Loads are taken in windows of shortWindow that slide by
+// overloadTick. A window counts as overloaded only if the host's share of its attempts is minExpectedAttempts or more.
 func measureOverload(attempts []attempt, shares []float64, from, to int64) (longest time.Duration, hosts float64) {
 	counts := countByTick(attempts, len(shares), from, to)
 	sums := make([]int, len(counts))
@@ -129,7 +131,7 @@
 	return longest, hosts
 }
 
-// countByTick returns the number of attempts by tick and host.
+// countByTick returns the number of attempts by tick, counted from the start of the interval, and host.
 func countByTick(attempts []attempt, hosts int, from, to int64) [][]int32 {
 	counts := make([][]int32, int((to-from)/int64(overloadTick)))
 	for tick := range counts {
@@ -144,22 +146,23 @@
 	return counts
 }
 
-// longestOverload returns the longest time that one host stayed overloaded.
+// longestOverload returns the longest time for which one host was overloaded in every window. counts holds attempts by
+// tick and host, sums those of all hosts by tick.
 func longestOverload(counts [][]int32, sums []int, host int, share float64) time.Duration {
 	ticks := 0
 	mostTicks := 0
-	ofHost := 0 // attempts of the window
-	ofAll := 0  // attempts of the window
+	hostAttempts := 0 // at this host within the present window
+	allAttempts := 0  // at all hosts within the present window
 	for tick := range counts {
-		ofHost += int(counts[tick][host])
-		ofAll += sums[tick]
-		if tick >= overloadTicks {
-			ofHost -= int(counts[tick-overloadTicks][host])
-			ofAll -= sums[tick-overloadTicks]
+		hostAttempts += int(counts[tick][host])
+		allAttempts += sums[tick]
+		if tick >= ticksPerWindow {
+			hostAttempts -= int(counts[tick-ticksPerWindow][host])
+			allAttempts -= sums[tick-ticksPerWindow]
 		}
-		want := float64(ofAll) * share
-		complete := tick >= overloadTicks-1
-		if complete && want >= minAttempts && float64(ofHost) > overloadFactor*want {
+		expected := float64(allAttempts) * share
+		complete := tick >= ticksPerWindow-1
+		if complete && expected >= minExpectedAttempts && float64(hostAttempts) > overloadFactor*expected {
 			ticks++
 		} else {
 			ticks = 0
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet runs many processes of the gateway on loopback, emulators of all that they speak to and a relay between
-// them, injects faults at set times, and checks and counts what follows. It is a library for tests.
+// Package fleet runs many gateway processes on loopback, together with emulators of the hosts, the discovery agents,
+// the shared counter and the clients, and a relay for the gateways' traffic. It injects faults at set times, checks
+// that the rules of a gateway fleet hold, and measures evenness and cost. It is a library for tests.
 package fleet
 
 import (
@@ -19,58 +20,59 @@
 )
 
 const (
-	maxStarting              = 12 // processes that start at one time
+	maxConcurrentStarts      = 12 // processes that are starting at the same time
 	defaultMessagesPerSecond = 40
 )
 
-// gossipNetwork names the relay's network of the gateways' gossip. Its faults follow from the name, too.
+// gossipNetwork is the relay's name for the datagram network of the gateways' gossip. The random faults of the network
+// depend on the name.
 const gossipNetwork = "mail"
 
-// Networks within 127.0.0.0/8.
+// Second octets of the loopback addresses of the gateways and of their discovery agents.
 const (
 	gatewayNetwork = 100
 	agentNetwork   = 101
 )
 
-// Options describe a fleet. Zero values mean the defaults.
+// Options describe a fleet. A zero value selects the default.
 type Options struct {
 	Gateways int
 	Hosts    int
 	Seed     uint64
-	Zones    []string // default: one zone
-	// ConfigureHost changes the options of host i before it starts.
+	Zones    []string // hosts and gateways are dealt to the zones in turn; default: one zone
+	// ConfigureHost, if not nil, changes the options of host i before it is created.
 	ConfigureHost func(i int, host *emulator.HostOptions)
-	// ChangeSettings changes the deployment's settings, which all gateways have.
+	// ChangeSettings, if not nil, changes the settings that all gateways have in common. It is called for each gateway.
 	ChangeSettings func(settings *gatewayconfig.Settings)
-	// ConfigureGateway adds to the configuration of gateway i.
+	// ConfigureGateway, if not nil, changes the configuration of gateway i before its first start.
 	ConfigureGateway func(f *Fleet, i int, file *gatewayconfig.File) error
-	// PrepareRelay adds datagram networks and streams to the relay before any gateway is configured.
+	// PrepareRelay, if not nil, adds datagram networks and streams to the relay before any gateway is configured.
 	PrepareRelay func(f *Fleet) error
-	// OnServing is called by the actor of gateway i with the log line of a process that serves. It must not ask that
-	// gateway.
+	// OnServing, if not nil, is called with the log line by which a process of gateway i says that it serves. It runs in
+	// the gateway's actor, so it must not call methods of that gateway, which would deadlock.
 	OnServing         func(f *Fleet, i int, line string)
-	NotStarted        map[int]bool // gateways that Start does not start
-	UnlistedHosts     map[int]bool // hosts that run and are not in the first host list
+	NotStarted        map[int]bool // member indexes of gateways that Start configures but does not start
+	UnlistedHosts     map[int]bool // indexes of hosts that run but are missing from the first host list
 	SharedCounter     bool
-	NoGossip          bool    // between the gateways
-	MessagesPerSecond float64 // that a gateway accepts; default 40
-	Binary            string  // default: the gateway of this module is built
-	Env               []string
+	NoGossip          bool     // the gateways exchange no gossip
+	MessagesPerSecond float64  // rate of gossip messages that a gateway accepts; default 40
+	Binary            string   // path of the gateway's executable file; default: that of GatewayBinary
+	Env               []string // further environment variables of the gateways, as name=value
 }
 
-// Fleet is a running fleet.
+// Fleet is a running fleet. Its methods may be called by several goroutines at once.
 type Fleet struct {
-	Options       Options
-	Agent         *emulator.Agent
-	Counter       *emulator.Counter // nil: none
-	Relay         *relay.Relay
-	Clients       *emulator.Clients
-	Gossip        *relay.DatagramNetwork // between the gateways; nil: none
-	Dir           string
-	StartDuration time.Duration // until all gateways served
-	hosts         []*emulator.Host
-	gateways      []*Gateway
-	background    errgroup.Group // steps that go on while later ones run
+	Options         Options
+	Agent           *emulator.Agent
+	Counter         *emulator.Counter // nil without Options.SharedCounter
+	Relay           *relay.Relay
+	Clients         *emulator.Clients
+	Gossip          *relay.DatagramNetwork // network between the gateways; nil without gossip
+	Dir             string                 // temporary directory with the files of all gateways
+	StartDuration   time.Duration          // time from the first start until all gateways served
+	hosts           []*emulator.Host
+	gateways        []*Gateway
+	backgroundSteps errgroup.Group // work that a step leaves running while later steps run
 }
 
 // Gateway returns the gateway with the member index i.
@@ -85,7 +87,8 @@
 // Hosts returns all hosts by index.
 func (f *Fleet) Hosts() []*emulator.Host { return f.hosts }
 
-// GatewayName returns the name of the gateway with the member index i, which the relay's rules use too.
+// GatewayName returns the name of the gateway with the member index i. The relay uses the same name for the gateway's
+// node in its networks.
 func GatewayName(i int) string { return fmt.Sprintf("g%d", i) }
 
 // GatewayNames returns the names of the gateways with member indexes in [from, to).
@@ -104,8 +107,8 @@
 	return indexes
 }
 
-// Start starts a fleet and returns once every gateway serves that is to be started. If that fails, it ends what it
-// started.
+// Start starts a fleet and returns once every gateway serves, except those in Options.NotStarted. If an emulator or a
+// gateway fails to start, or ctx ends before, it stops everything it started and returns an error.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	if options.Gateways < 1 || options.Hosts < 1 {
 		return nil, errors.New("fleet: no gateways or no hosts")
@@ -121,7 +124,7 @@
 	return f, nil
 }
 
-// setDefaults replaces zero values by the defaults and builds the gateway if need be.
+// setDefaults replaces zero values by the defaults. It builds the gateway if Binary is empty.
 func (o *Options) setDefaults() error {
 	if len(o.Zones) == 0 {
 		o.Zones = []string{"a"}
@@ -137,7 +140,7 @@
 	return err
 }
 
-// start starts the emulators and then the gateways.
+// start creates the directory, starts the emulators and then the gateways.
 func (f *Fleet) start(ctx context.Context) error {
 	var err error
 	f.Dir, err = os.MkdirTemp("", "ravensill-run-")
@@ -162,7 +165,8 @@
 	return f.startGateways(ctx)
 }
 
-// startEmulators starts the hosts, the agent, the counter, the network of gossip and the clients.
+// startEmulators starts the hosts, the discovery agents, the counter, the gossip network and the clients. The clients
+// learn each gateway's address when it serves.
 func (f *Fleet) startEmulators() error {
 	options := &f.Options
 	var entries []emulator.HostEntry
@@ -204,7 +208,7 @@
 		Listen:       "127.0.0.1:0",
 		Zone:         f.Options.Zones[i%len(f.Options.Zones)],
 		Kind:         machineType,
-		Cell:         i % cells,
+		Cell:         i % cellCount,
 		Model:        emulator.DefaultModel(),
 		ReportFields: []string{reportField},
 	}
@@ -214,9 +218,9 @@
 	return host
 }
 
-// newGateway configures gateway i.
+// newGateway returns gateway i, configured but not started.
 func (f *Fleet) newGateway(i int) (*Gateway, error) {
-	file, err := f.gatewayFile(i)
+	file, err := f.gatewayConfig(i)
 	if err != nil {
 		return nil, err
 	}
@@ -236,11 +240,11 @@
 	return gateway, nil
 }
 
-// startGateways starts the gateways and waits until they serve.
+// startGateways starts the gateways, up to maxConcurrentStarts at a time, and waits until all of them serve.
 func (f *Fleet) startGateways(ctx context.Context) error {
 	began := time.Now()
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(maxStarting)
+	group.SetLimit(maxConcurrentStarts)
 	for i, gateway := range f.gateways {
 		if f.Options.NotStarted[i] {
 			continue
@@ -257,7 +261,8 @@
 	return err
 }
 
-// onServing is called by the actor of gateway i when its process serves.
+// onServing tells the clients and the relay the addresses of gateway i. The gateway's actor calls it when a process of
+// the gateway starts to serve.
 func (f *Fleet) onServing(i int, line string) {
 	addresses := listenAddresses(line)
 	f.Clients.SetAddr(i, addresses.clients)
@@ -269,14 +274,16 @@
 	}
 }
 
-// onExit is called by the actor of gateway i when its process has ended.
+// onExit makes the relay drop datagrams to gateway i. The gateway's actor calls it when the gateway's process has
+// ended.
 func (f *Fleet) onExit(i int) {
 	if f.Gossip != nil {
 		f.Gossip.SetAddr(i, netip.AddrPort{})
 	}
 }
 
-// Close ends all processes and emulators and removes their files.
+// Close kills all processes, stops all emulators and removes the fleet's directory. Nothing may use the fleet
+// afterwards.
 func (f *Fleet) Close() {
 	var group errgroup.Group
 	for _, gateway := range f.gateways {
@@ -305,10 +312,11 @@
 	os.RemoveAll(f.Dir)
 }
 
-// pollInterval is the pause between two looks at a state that nothing announces.
+// pollInterval is the pause between two checks in WaitUntil.
 const pollInterval = 5 * time.Millisecond
 
-// WaitUntil waits for a state that nothing announces. what names the state in an error.
+// WaitUntil polls until reached returns true, or until ctx ends, which is an error. It is for conditions that have no
+// event to wait for. what names the condition in the error.
 func WaitUntil(ctx context.Context, what string, reached func() bool) error {
 	for !reached() {
 		select {
@@ -320,7 +328,7 @@
 	return nil
 }
 
-// WaitSent waits until clients have sent a number of further requests.
+// WaitSent waits until the clients have sent a number of requests since the call.
 func (f *Fleet) WaitSent(ctx context.Context, more int) error {
 	from := f.Clients.Sent()
 	return WaitUntil(ctx, fmt.Sprintf("%d more requests", more), func() bool { return f.Clients.Sent() >= from+more })
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// waitLimit bounds waits for what must happen; no test passes by waiting.
-	waitLimit = 60 * time.Second
-	// runLimit bounds a whole scenario.
-	runLimit = 2 * waitLimit
+	// waitTimeout bounds each wait for an expected event. It only ends a test that fails; no test passes by waiting this
+	// long.
+	waitTimeout = 60 * time.Second
+	// runTimeout bounds the run of a scenario.
+	runTimeout = 2 * waitTimeout
 )
 
-// startFleet starts a fleet that ends with the test.
+// startFleet starts a fleet and closes it at the end of the test. The returned context ends after waitTimeout.
 func startFleet(t *testing.T, options Options) (*Fleet, context.Context) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	fleet, err := Start(ctx, options)
 	if err != nil {
@@ -28,19 +29,19 @@
 	return fleet, ctx
 }
 
-// runScenario runs a scenario and logs its summary. The test goes on if checks are violated.
+// runScenario runs a scenario and logs its summary and cost. Violated checks are in the report and do not end the test.
 func runScenario(t *testing.T, scenario Scenario) *Report {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), runLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
 	report, err := scenario.Run(ctx)
-	must(t, err)
+	requireNoError(t, err)
 	t.Log(report.Summary(), report.Cost())
 	return report
 }
 
-// must ends the test at the first error.
-func must(t *testing.T, errs ...error) {
+// requireNoError ends the test with the first error that is not nil.
+func requireNoError(t *testing.T, errs ...error) {
 	t.Helper()
 	for _, err := range errs {
 		if err != nil {
@@ -49,19 +50,20 @@
 	}
 }
 
-// A small fleet serves, and a gateway that is killed comes back at the same address.
+// Clients and peers know a gateway by its address. So a gateway that is killed and restarted must listen at the same
+// address again, and only requests to it may be refused meanwhile.
 func TestKilledGatewayRestartsAtSameAddress(t *testing.T) {
 	fleet, ctx := startFleet(t, Options{Gateways: 3, Hosts: 4, Seed: 1})
 	load := fleet.Clients.Start(emulator.Load{Seed: 1, Rate: 300, Customers: 20})
-	must(t, fleet.WaitSent(ctx, 200))
+	requireNoError(t, fleet.WaitSent(ctx, 200))
 	gateway := fleet.Gateway(1)
 	addr := gateway.Addr()
-	must(t, gateway.Kill())
-	must(t, fleet.WaitSent(ctx, 100))
-	must(t, gateway.Restart(ctx, true))
-	must(t, fleet.WaitSent(ctx, 200))
+	requireNoError(t, gateway.Kill())
+	requireNoError(t, fleet.WaitSent(ctx, 100))
+	requireNoError(t, gateway.Restart(ctx, true))
+	requireNoError(t, fleet.WaitSent(ctx, 200))
 	load.Stop()
-	if open := fleet.Clients.WaitIdle(waitLimit); open > 0 {
+	if open := fleet.Clients.WaitIdle(waitTimeout); open > 0 {
 		t.Errorf("%d requests open", open)
 	}
 	results := map[emulator.Result]int{}
--- a/lab/fleet/full_test.go
+++ b/lab/fleet/full_test.go
@@ -13,16 +13,16 @@
 )
 
 var (
-	full  = flag.Int("full", 0, "processes of the full-size measurements; 0 leaves them out")
+	full  = flag.Int("full", 0, "gateway processes of the full-size measurements; 0 skips them")
 	hosts = flag.Int("hosts", 60, "hosts of the full-size measurements")
 	rate  = flag.Float64("rate", 2000, "requests a second of the full-size measurements")
-	cases = flag.String("cases", "steady", "full-size scenarios whose names contain this")
-	into  = flag.String("into", "", "file that the figures are added to; empty prints them only")
+	cases = flag.String("cases", "steady", "run the full-size scenarios whose names contain this text")
+	into  = flag.String("into", "", "file to which the figures are appended; if empty, they are only printed")
 )
 
-const fullLimit = 5 * time.Minute // of a scenario
+const fullSizeTimeout = 5 * time.Minute // for one scenario
 
-// The common rules hold at full size too. The figures are written beside those of other programs.
+// Checks the common rules at full size, and writes the figures of this module's gateway beside those of other programs.
 func TestFullSizeChecksHold(t *testing.T) {
 	if *full == 0 {
 		t.Skip("no -full")
@@ -34,12 +34,12 @@
 			continue
 		}
 		t.Run(scenario.Name, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(context.Background(), fullLimit)
+			ctx, cancel := context.WithTimeout(context.Background(), fullSizeTimeout)
 			defer cancel()
 			var text strings.Builder
-			must(t, Measure(ctx, io.MultiWriter(os.Stdout, &text), scenario, measuredBinaries()))
+			requireNoError(t, Measure(ctx, io.MultiWriter(os.Stdout, &text), scenario, measuredBinaries()))
 			if *into != "" {
-				must(t, figures.Append(*into, text.String()))
+				requireNoError(t, figures.Append(*into, text.String()))
 			}
 			if strings.Contains(text.String(), violationPrefix) {
 				t.Error("a check is violated, see above")
@@ -48,8 +48,8 @@
 	}
 }
 
-// measuredBinaries returns the gateway of this module and the programs that RAVENSILL_OTHER names: name=path, separated
-// by commas.
+// measuredBinaries returns the paths of the programs to measure by name: this module's gateway, and those in the
+// environment variable RAVENSILL_OTHER, a list of name=path separated by commas.
 func measuredBinaries() map[string]string {
 	binaries := map[string]string{"the program": ""}
 	for other := range strings.SplitSeq(os.Getenv("RAVENSILL_OTHER"), ",") {
--- a/lab/fleet/measure.go
+++ b/lab/fleet/measure.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// reportedDelay is the delay of the emulators from which on a measurement names it.
+// reportedDelay is the delay of the emulators above which a measurement mentions that the machine was busy.
 const reportedDelay = 100 * time.Millisecond
 
-const evennessHead = "\n| stretch | by | most, least in 1 s | most, least in 10 s | variation 1 s, 10 s | idle | " +
+const evennessTableHeader = "\n| stretch | by | most, least in 1 s | most, least in 10 s | variation 1 s, 10 s | idle | " +
 	"longest over 1.5, hosts over 1 s | held by | connections opened, standing before |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
-// Measure runs a scenario with each of some programs and writes cost, results and, for each interval, the fleet's
-// evenness beside that of chance and of round robin on the same attempts. binaries are paths by the name shown; "" is
-// the gateway of this module.
+// Measure runs a scenario once with each program and writes the cost and the results of each run. For each interval it
+// writes the fleet's evenness beside that of a random balancer and of round robin on the same attempts. binaries maps
+// the names to show to paths; an empty path selects the gateway of this module.
 func Measure(ctx context.Context, w io.Writer, scenario Scenario, binaries map[string]string) error {
 	options := &scenario.Options
 	fmt.Fprintf(w, "### %s: %d processes, %d hosts, %.0f requests a second, seed %d\n\n", scenario.Name,
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// write writes the result of a run with a program of that name.
+// write writes the figures of a run with the program of that name, as Markdown.
 func (r *Report) write(w io.Writer, name string) {
 	fmt.Fprintf(w, "%s: all served %.2f s after the first start. %s. %s.\n", name, r.Fleet.StartDuration.Seconds(),
 		r.Summary(), r.Cost())
@@ -50,17 +50,17 @@
 	if len(intervals) == 0 {
 		intervals = []Interval{{Name: "whole load", To: r.Scenario.Duration}}
 	}
-	io.WriteString(w, evennessHead)
+	io.WriteString(w, evennessTableHeader)
 	for _, interval := range intervals {
 		r.writeInterval(w, name, interval)
 	}
 	fmt.Fprintln(w)
 }
 
-// violationPrefix begins the line of a measurement that names what does not hold.
+// violationPrefix begins the line of a measurement that lists violated checks.
 const violationPrefix = "Does not hold"
 
-// writeInterval writes the table rows of an interval.
+// writeInterval writes the table rows of an interval: those of the fleet, of a random balancer and of round robin.
 func (r *Report) writeInterval(w io.Writer, name string, interval Interval) {
 	hosts := interval.Hosts
 	if hosts == nil {
@@ -83,6 +83,6 @@
 			e.OpenedConns, e.InitialConns)
 	}
 	fmt.Fprintf(w, "| %s | %s | %.2f, %.2f | %.2f, %.2f | %.3f, %.3f | %.1f | %.1f s, %.1f | %s |\n", interval, spreadBy,
-		short.MeanMaxLoad, short.MeanMinLoad, long.MeanMaxLoad, long.MeanMinLoad, short.MeanDeviation, long.MeanDeviation, e.IdlePeriods,
-		e.LongestOverload.Seconds(), e.OverloadedHosts, gateways)
+		short.MeanMaxLoad, short.MeanMinLoad, long.MeanMaxLoad, long.MeanMinLoad, short.MeanDeviation,
+		long.MeanDeviation, e.IdlePeriods, e.LongestOverload.Seconds(), e.OverloadedHosts, gateways)
 }
--- a/lab/fleet/processlog.go
+++ b/lab/fleet/processlog.go
@@ -16,47 +16,48 @@
 )
 
 const (
-	maxLogLines  = 4000    // that are kept of a process, over all incarnations
-	maxLineBytes = 1 << 20 // of a log line
-	tailLines    = 8       // that errors show
+	maxLogLines  = 4000    // kept in memory for each process, over all incarnations
+	maxLineBytes = 1 << 20 // longest log line that can be read
+	tailLines    = 8       // shown in errors
 )
 
-// LineWithoutEvent is the event under which lines without one are counted, such as those of a stack trace.
+// LineWithoutEvent is the event under which log lines that have no event are counted, such as the lines of a stack
+// trace.
 const LineWithoutEvent = "unnamed"
 
-// hostStateEvent is the log event by which a gateway reports a host's state.
+// hostStateEvent is the event of the log line that a gateway writes when a host's state changes.
 const hostStateEvent = "endpoint_state"
 
-// processLog holds the latest lines of a process's log. Lines are numbered from 0 over all incarnations.
+// processLog holds the latest log lines of a process. Lines are numbered from 0, over all incarnations.
 type processLog struct {
-	lines    []string
-	dropped  int // lines before the first of lines
-	firstOwn int // number of the first line of the present incarnation
-	waiters  []*lineWaiter
+	lines            []string
+	droppedLines     int // number of older lines that are no longer in lines
+	incarnationStart int // number of the first line of the present incarnation
+	waiters          []*lineWaiter
 }
 
-// lineWaiter waits for a line that contains a text.
+// lineWaiter is a pending call that waits for a log line containing a text.
 type lineWaiter struct {
 	text string
-	line chan string // closed if the process ends before
+	line chan string // receives the line; closed if the process ends first
 }
 
-// next returns the number of the line to come.
-func (l *processLog) next() int { return l.dropped + len(l.lines) }
+// nextNumber returns the number that the next line will get.
+func (l *processLog) nextNumber() int { return l.droppedLines + len(l.lines) }
 
-// startIncarnation has the lines to come belong to a new incarnation.
-func (l *processLog) startIncarnation() { l.firstOwn = l.next() }
+// startIncarnation assigns all later lines to a new incarnation.
+func (l *processLog) startIncarnation() { l.incarnationStart = l.nextNumber() }
 
-// from returns the lines from a number on.
-func (l *processLog) from(number int) []string {
-	return l.lines[min(max(number-l.dropped, 0), len(l.lines)):]
+// linesFrom returns the kept lines with this number or a higher one.
+func (l *processLog) linesFrom(number int) []string {
+	return l.lines[min(max(number-l.droppedLines, 0), len(l.lines)):]
 }
 
-// add adds a line and wakes those who wait for it.
+// add appends a line, drops the oldest one beyond maxLogLines and hands the line to the waiters whose text it contains.
 func (l *processLog) add(line string) {
 	l.lines = append(l.lines, line)
 	if len(l.lines) > maxLogLines {
-		l.dropped++
+		l.droppedLines++
 		l.lines = l.lines[1:]
 	}
 	waiting := l.waiters[:0]
@@ -70,7 +71,7 @@
 	l.waiters = waiting
 }
 
-// closeWaiters ends all waits at the end of an incarnation.
+// closeWaiters ends all waits without a line.
 func (l *processLog) closeWaiters() {
 	for _, waiter := range l.waiters {
 		close(waiter.line)
@@ -78,20 +79,21 @@
 	l.waiters = nil
 }
 
-// addresses are those at which a gateway listens.
+// addresses are the addresses at which a gateway listens.
 type addresses struct {
 	clients string
-	peers   netip.AddrPort // not valid: none
+	peers   netip.AddrPort // for gossip; invalid if the gateway receives none
 }
 
-// listenAddresses returns the addresses in the log line of a process that serves.
+// listenAddresses returns the addresses in the log line by which a process says that it serves.
 func listenAddresses(line string) addresses {
 	peers, _ := netip.ParseAddrPort(logline.Value(line, "peer_listen"))
 	return addresses{clients: logline.Value(line, "listen"), peers: peers}
 }
 
-// follow reads a process's log until it ends, and records its end.
-func (p *Process) follow(command *exec.Cmd, log io.ReadCloser, exited chan<- struct{}) {
+// readLog passes the process's log line by line to the actor until the log ends. It then waits for the exit status,
+// records the exit and closes exited.
+func (p *Process) readLog(command *exec.Cmd, log io.ReadCloser, exited chan<- struct{}) {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
@@ -107,7 +109,8 @@
 	})
 }
 
-// receiveLine logs and counts a line, and acts on the events that concern the process itself.
+// receiveLine stores and counts a log line. It records an event for a host state, and for ReadyEvent also learns the
+// addresses and calls OnServing.
 func (p *Process) receiveLine(line string) {
 	event, ok := logline.Event(line)
 	if !ok {
@@ -133,22 +136,24 @@
 	p.log.add(line)
 }
 
-// WaitServing waits until the present incarnation serves.
+// WaitServing waits until the present incarnation serves. It fails if the process ends first.
 func (p *Process) WaitServing(ctx context.Context) error {
 	_, err := p.WaitLine(ctx, "event="+p.ReadyEvent)
 	return err
 }
 
-// WaitLine waits for a line of the present incarnation that contains a text. A line logged before counts too.
+// WaitLine waits until the present incarnation has logged a line that contains a text, and returns that line. Lines
+// that were logged before the call count too.
 func (p *Process) WaitLine(ctx context.Context, text string) (string, error) {
 	return p.WaitLineAfter(ctx, -1, text)
 }
 
-// WaitLineAfter is WaitLine for lines after a mark that Mark returned; -1 means all of the present incarnation.
+// WaitLineAfter is like WaitLine, but searches only the lines from the position mark on, which LogEnd returned. A mark
+// of -1 stands for all lines of the present incarnation.
 func (p *Process) WaitLineAfter(ctx context.Context, mark int, text string) (string, error) {
 	waiter := &lineWaiter{text, make(chan string, 1)}
-	if !p.Ask(func() { p.wait(waiter, mark) }) {
-		return "", fmt.Errorf("waiting for %q of %s: %w", text, p.Name, errActorStopped)
+	if !p.Ask(func() { p.addWaiter(waiter, mark) }) {
+		return "", fmt.Errorf("waiting for log line %q of %s: %w", text, p.Name, errStopped)
 	}
 	select {
 	case line, ok := <-waiter.line:
@@ -161,12 +166,13 @@
 	}
 }
 
-// wait hands a waiter its line, or registers it.
-func (p *Process) wait(waiter *lineWaiter, mark int) {
+// addWaiter hands the waiter its line if that was already logged. Otherwise it registers the waiter, or closes its
+// channel if the process is down.
+func (p *Process) addWaiter(waiter *lineWaiter, mark int) {
 	if mark < 0 {
-		mark = p.log.firstOwn
+		mark = p.log.incarnationStart
 	}
-	for _, line := range p.log.from(mark) {
+	for _, line := range p.log.linesFrom(mark) {
 		if strings.Contains(line, waiter.text) {
 			waiter.line <- line
 			return
@@ -179,28 +185,29 @@
 	p.log.waiters = append(p.log.waiters, waiter)
 }
 
-// LogEnd returns the present end of the log.
+// LogEnd returns the present end of the log, as a position for WaitLineAfter and LinesAfter.
 func (p *Process) LogEnd() (mark int) {
-	p.Ask(func() { mark = p.log.next() })
+	p.Ask(func() { mark = p.log.nextNumber() })
 	return mark
 }
 
-// Tail returns the latest lines.
+// Tail returns the latest lines of the log, up to count, joined by newlines.
 func (p *Process) Tail(count int) (text string) {
 	p.Ask(func() { text = strings.Join(p.log.lines[max(0, len(p.log.lines)-count):], "\n") })
 	return text
 }
 
-// LinesAfter returns the lines after a mark that Mark returned, or 0, and the mark after the last of them.
+// LinesAfter returns the kept lines from a position on, which LogEnd returned or which is 0, and the position after the
+// last of them.
 func (p *Process) LinesAfter(mark int) (lines []string, next int) {
 	p.Ask(func() {
-		lines = slices.Clone(p.log.from(mark))
-		next = p.log.next()
+		lines = slices.Clone(p.log.linesFrom(mark))
+		next = p.log.nextNumber()
 	})
 	return lines, next
 }
 
-// EventLines returns the kept lines of an event, over all incarnations.
+// EventLines returns the kept lines with an event, over all incarnations.
 func (p *Process) EventLines(event string) (lines []string) {
 	p.Ask(func() {
 		for _, line := range p.log.lines {
@@ -212,13 +219,14 @@
 	return lines
 }
 
-// EventCounts returns the number of log lines by event, over all incarnations.
+// EventCounts returns the number of log lines by event, over all incarnations. Lines that are no longer kept are
+// counted too.
 func (p *Process) EventCounts() (counts map[string]int) {
 	p.Ask(func() { counts = maps.Clone(p.eventCounts) })
 	return counts
 }
 
-// Events returns all that happened to the process, in order.
+// Events returns everything that happened to the process, in order.
 func (p *Process) Events() (events []ProcessEvent) {
 	p.Ask(func() { events = slices.Clone(p.events) })
 	return events
--- a/lab/fleet/report.go
+++ b/lab/fleet/report.go
@@ -11,46 +11,47 @@
 	"ravensill/lab/relay"
 )
 
-// Report is the result of a run: counts, and the logs that they are of. It is gathered when all requests have ended.
+// Report is the result of a run: the logs of all parts of the fleet, and the violations of the scenario's checks. The
+// logs are read once all requests have ended or lastRequestsTimeout is over.
 type Report struct {
 	Scenario        *Scenario
-	Fleet           *Fleet // its processes are ended when Run returns
-	StartedAt       int64  // ns, of the load
-	EndedAt         int64  // ns, of the load
+	Fleet           *Fleet // closed when Run returns
+	StartedAt       int64  // start of the load, in ns of actor.Now
+	EndedAt         int64  // end of the load, in ns of actor.Now
 	InjectedSteps   []InjectedStep
-	Unfinished      int // requests that never ended
+	Unfinished      int // requests still in flight when the run stopped waiting for them
 	Clients         emulator.ClientLog
 	Hosts           []HostReport
 	Gateways        []GatewayReport
 	HostListChanges []emulator.HostListChange
 	Gossip          relay.Counts
-	Violations      []string // of the scenario's checks
+	Violations      []string // of the scenario's checks, one text for each violated check
 
-	requestIndex map[string]int // in Clients.Requests, by id
-	usageBefore  []Usage        // of the gateways as the load began
+	requestIndex map[string]int // index in Clients.Requests by request id
+	usageBefore  []Usage        // of the gateways at the start of the load, by member index
 }
 
-// InjectedStep is a step that was run.
+// InjectedStep is a step that was run, with the time in nanoseconds of actor.Now at which it began.
 type InjectedStep struct {
 	At          int64
 	Description string
 }
 
-// HostReport is what one host received.
+// HostReport holds the options and the log of one host.
 type HostReport struct {
 	emulator.HostOptions
 	emulator.HostLog
 }
 
-// GatewayReport is what happened to one gateway.
+// GatewayReport is what happened to one gateway and what its processes used.
 type GatewayReport struct {
 	Events       []ProcessEvent
-	EventCounts  map[string]int // log lines by event
-	UsageAtStart Usage          // of the process that ran as the load began; zero: it was down
-	UsageAtEnd   Usage          // of the process that runs at the end; zero: it is down
+	EventCounts  map[string]int // number of log lines by event
+	UsageAtStart Usage          // of the process that ran at the start of the load; zero if none did
+	UsageAtEnd   Usage          // of the process that ran at the end; zero if none did
 }
 
-// gather reads the logs of all parts of the fleet.
+// gather reads the usage of the processes and then the logs of all parts of the fleet.
 func (r *Report) gather() {
 	fleet := r.Fleet
 	usageAfter := fleet.usage()
@@ -73,7 +74,7 @@
 	r.indexRequests()
 }
 
-// usage returns what each process has used; zero for one that is down.
+// usage returns the usage of each gateway's process by member index; zero for a gateway that is down.
 func (f *Fleet) usage() (all []Usage) {
 	for _, gateway := range f.gateways {
 		usage, _ := gateway.Usage()
@@ -82,7 +83,7 @@
 	return all
 }
 
-// indexRequests indexes the clients' requests by id.
+// indexRequests fills requestIndex.
 func (r *Report) indexRequests() {
 	r.requestIndex = map[string]int{}
 	for i, request := range r.Clients.Requests {
@@ -90,7 +91,7 @@
 	}
 }
 
-// Request returns the request with an id.
+// Request returns the client request with an id. ok is false if no client sent it.
 func (r *Report) Request(id string) (request emulator.Request, ok bool) {
 	i, ok := r.requestIndex[id]
 	if ok {
@@ -108,8 +109,9 @@
 	return counts
 }
 
-// EmulatorDelays returns how late the emulators ran, as on a machine that is too busy: the longest that a client sent a request
-// after its time, and the 99th percentile of how much longer hosts took than they were to.
+// EmulatorDelays returns how late the emulators ran, which happens on a busy machine. clients is the longest time by
+// which a client sent a request too late. hosts is the 99th percentile of the time by which a host answered later than
+// its model says.
 func (r *Report) EmulatorDelays() (clients, hosts time.Duration) {
 	var delays []time.Duration
 	for _, host := range r.Hosts {
@@ -126,8 +128,8 @@
 	return r.Clients.MaxDelay, hosts
 }
 
-// Cost returns in one line what the processes used that ran throughout the load: memory, their share of a core, and the
-// processor time a request of all gateways together.
+// Cost returns one line about the gateways whose process ran throughout the load: memory, processor cores used by each,
+// and processor time of all gateways together for each request.
 func (r *Report) Cost() string {
 	count := 0
 	rss := 0
@@ -155,13 +157,13 @@
 		cpuOfEach/load, cpuOfAll/float64(len(r.Clients.Requests)))
 }
 
-// ranThroughout reports whether one process of the gateway ran throughout the load.
+// ranThroughout reports whether one process of the gateway ran from the start to the end of the load.
 func (g *GatewayReport) ranThroughout() bool {
 	exited := slices.ContainsFunc(g.Events, func(event ProcessEvent) bool { return event.Kind == Exited })
 	return g.UsageAtEnd.RSS > 0 && !exited
 }
 
-// Summary returns the run's counts in one line.
+// Summary returns the numbers of requests by result, of attempts and of datagrams in one line.
 func (r *Report) Summary() string {
 	results := r.Results()
 	var parts []string
--- a/lab/fleet/scenario.go
+++ b/lab/fleet/scenario.go
@@ -12,38 +12,41 @@
 	"ravensill/lab/emulator"
 )
 
-// Scenario is one run as data: what runs, what clients send, what is injected when, and what must hold at the end.
+// Scenario describes one run: the fleet, the load of the clients, the faults to inject at set times, and the rules that
+// must hold at the end.
 type Scenario struct {
 	Name     string
 	Options  Options
 	Loads    []emulator.Load
-	WarmUp   time.Duration // of the load, before the first step; the times of steps count from its end
+	WarmUp   time.Duration // load before time 0 of the steps and intervals
 	Steps    []Step
-	Duration time.Duration // of the load after WarmUp
+	Duration time.Duration // of the load after the warm-up
 	Checks   []Check
 
-	Intervals []Interval // whose evenness is measured; none: the whole load
+	Intervals []Interval // in which evenness is measured; none: the whole load after the warm-up
 }
 
-// Interval is a part of a run whose evenness is measured, at hosts that ran and were listed all along.
+// Interval is a part of a run in which evenness is measured, at hosts that are running and listed throughout it.
 type Interval struct {
 	Name  string
-	From  time.Duration // as the times of steps
+	From  time.Duration // since the end of the warm-up; negative: within the warm-up
 	To    time.Duration
-	Hosts []int // nil: all that are listed at first
+	Hosts []int // indexes; nil: all hosts in the first host list
 }
 
-// Step is something injected at a time. A step that takes longer than the time to the next one delays that one.
+// Step is an action at a time, counted from the end of the warm-up. Steps run one after another: a step that is still
+// running at the time of the next one delays it.
 type Step struct {
 	At          time.Duration
 	Description string
 	Run         func(ctx context.Context, f *Fleet) error
 }
 
-// requestGrace is how long a run waits for the last requests after the load has ended.
-const requestGrace = time.Minute
+// lastRequestsTimeout is how long a run waits after the load has ended for requests that are still in flight.
+const lastRequestsTimeout = time.Minute
 
-// Run runs the scenario and returns its report. An error is one of the run itself; what does not hold is in the report.
+// Run starts the fleet, runs the scenario, closes the fleet and returns the report. It returns an error if the fleet
+// does not start or a step fails; violated checks are in the report.
 func (s *Scenario) Run(ctx context.Context) (*Report, error) {
 	fleet, err := Start(ctx, s.Options)
 	if err != nil {
@@ -66,7 +69,7 @@
 		load.Stop()
 	}
 	report.EndedAt = actor.Now()
-	report.Unfinished = fleet.Clients.WaitIdle(requestGrace)
+	report.Unfinished = fleet.Clients.WaitIdle(lastRequestsTimeout)
 	report.gather()
 	for _, check := range s.Checks {
 		if violation := check.FindViolation(report); violation != "" {
@@ -76,12 +79,13 @@
 	return report, nil
 }
 
-// inject runs the steps at their times and returns at the end of the scenario.
+// inject runs the steps in the order of their times. It returns at the end of the scenario, once work that steps left
+// running in the background has ended.
 func (r *Report) inject(ctx context.Context, steps []Step) error {
 	steps = slices.Clone(steps)
 	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.At - b.At) })
 	for _, step := range steps {
-		if err := r.wait(ctx, r.Scenario.WarmUp+step.At); err != nil {
+		if err := r.waitUntilOffset(ctx, r.Scenario.WarmUp+step.At); err != nil {
 			return err
 		}
 		r.InjectedSteps = append(r.InjectedSteps, InjectedStep{actor.Now(), step.Description})
@@ -89,14 +93,14 @@
 			return fmt.Errorf("step %q: %w", step.Description, err)
 		}
 	}
-	if err := r.wait(ctx, r.Scenario.WarmUp+r.Scenario.Duration); err != nil {
+	if err := r.waitUntilOffset(ctx, r.Scenario.WarmUp+r.Scenario.Duration); err != nil {
 		return err
 	}
-	return r.Fleet.background.Wait()
+	return r.Fleet.backgroundSteps.Wait()
 }
 
-// wait waits until a time since the load's start.
-func (r *Report) wait(ctx context.Context, until time.Duration) error {
+// waitUntilOffset waits until the given time since the start of the load.
+func (r *Report) waitUntilOffset(ctx context.Context, until time.Duration) error {
 	select {
 	case <-time.After(time.Duration(r.StartedAt + int64(until) - actor.Now())):
 		return nil
@@ -105,13 +109,13 @@
 	}
 }
 
-// waitWatches waits until each gateway that runs watches its agent's host list.
+// waitWatches waits until as many watches of the host list are open as gateways were started.
 func (f *Fleet) waitWatches(ctx context.Context) error {
 	want := f.Options.Gateways - len(f.Options.NotStarted)
 	return WaitUntil(ctx, "watches of the host list", func() bool { return f.Agent.OpenWatches() >= want })
 }
 
-// Err returns the violations of the scenario's checks as an error; nil if there are none.
+// Err returns the violations of the scenario's checks as one error, or nil if there are none.
 func (r *Report) Err() error {
 	if len(r.Violations) == 0 {
 		return nil
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -14,8 +14,8 @@
 	"ravensill/lab/relay"
 )
 
-// DrawGateways draws the member indexes of a number of gateways by the fleet's seed and a name. The same name returns
-// the same gateways.
+// DrawGateways draws some gateways at random and returns their member indexes in ascending order. The choice depends
+// only on the fleet's seed, count and the name, so steps with the same name and count act on the same gateways.
 func (f *Fleet) DrawGateways(count int, name string) []int {
 	seed := uint64(emulator.UniformHash(name) * (1 << 53))
 	drawn := rand.New(rand.NewPCG(f.Options.Seed, seed)).Perm(f.Options.Gateways)[:count]
@@ -23,23 +23,23 @@
 	return drawn
 }
 
-// ForEach calls a function for several gateways at the same time.
+// ForEach calls a function for several gateways concurrently and returns the first error.
 func (f *Fleet) ForEach(members []int, do func(g *Gateway) error) error {
 	var group errgroup.Group
-	group.SetLimit(maxStarting * 2)
+	group.SetLimit(maxConcurrentStarts * 2)
 	for _, i := range members {
 		group.Go(func() error { return do(f.gateways[i]) })
 	}
 	return group.Wait()
 }
 
-// KillGateways returns a step that kills a number of gateways, drawn by a name. Clients send to them until the load
-// balancer has noticed.
-func KillGateways(at time.Duration, count int, name string, noticedAfter time.Duration) Step {
+// KillGateways returns a step that kills count gateways, drawn under the name. Clients keep sending to them for
+// detectionDelay, as behind a load balancer that notices a crash late.
+func KillGateways(at time.Duration, count int, name string, detectionDelay time.Duration) Step {
 	return Step{at, fmt.Sprintf("kill %d gateways (%s)", count, name), func(ctx context.Context, f *Fleet) error {
 		members := f.DrawGateways(count, name)
 		err := f.ForEach(members, func(g *Gateway) error { return g.Kill() })
-		time.AfterFunc(noticedAfter, func() {
+		time.AfterFunc(detectionDelay, func() {
 			down := slices.DeleteFunc(slices.Clone(members), func(i int) bool { return f.gateways[i].Running() })
 			f.Clients.SetOutOfRotation(true, down...)
 		})
@@ -47,7 +47,8 @@
 	}}
 }
 
-// RestartGateways returns a step that starts the gateways that KillGateways killed under the name.
+// RestartGateways returns a step that restarts the gateways that KillGateways killed under the same name and count, and
+// puts them back into the load balancer's rotation. With emptyDisk, their working directories are removed first.
 func RestartGateways(at time.Duration, count int, name string, emptyDisk bool) Step {
 	return Step{at, fmt.Sprintf("restart %d gateways (%s)", count, name), func(ctx context.Context, f *Fleet) error {
 		members := f.DrawGateways(count, name)
@@ -57,8 +58,9 @@
 	}}
 }
 
-// RollingRestart returns a step that restarts a number of gateways as planned: SIGTERM, new connections for a moment
-// more, then only open ones until each process has ended by itself. It goes on while later steps run.
+// RollingRestart returns a step that restarts count gateways at once, as planned restarts: each gets SIGTERM, clients
+// stop opening connections to it a moment later but use the open ones, and it is started again once it has ended by
+// itself. The restart continues in the background while later steps run.
 func RollingRestart(at time.Duration, count int, name string) Step {
 	return Step{at, fmt.Sprintf("roll %d gateways (%s)", count, name), func(ctx context.Context, f *Fleet) error {
 		members := f.DrawGateways(count, name)
@@ -69,7 +71,7 @@
 		if err != nil {
 			return err
 		}
-		f.background.Go(func() error {
+		f.backgroundSteps.Go(func() error {
 			err := f.ForEach(members, func(g *Gateway) error {
 				return errors.Join(g.WaitExit(ctx), g.Restart(ctx, false))
 			})
@@ -80,21 +82,21 @@
 	}}
 }
 
-// FreezeGateways returns a step that stops a number of gateways, drawn by a name, by SIGSTOP.
+// FreezeGateways returns a step that stops count gateways, drawn under the name, by SIGSTOP.
 func FreezeGateways(at time.Duration, count int, name string) Step {
 	return Step{at, fmt.Sprintf("freeze %d gateways (%s)", count, name), func(ctx context.Context, f *Fleet) error {
 		return f.ForEach(f.DrawGateways(count, name), func(g *Gateway) error { return g.Freeze() })
 	}}
 }
 
-// ThawGateways returns a step that lets the gateways go on that FreezeGateways stopped under the name.
+// ThawGateways returns a step that resumes the gateways that FreezeGateways stopped under the same name and count.
 func ThawGateways(at time.Duration, count int, name string) Step {
 	return Step{at, fmt.Sprintf("thaw %d gateways (%s)", count, name), func(ctx context.Context, f *Fleet) error {
 		return f.ForEach(f.DrawGateways(count, name), func(g *Gateway) error { return g.Thaw() })
 	}}
 }
 
-// SetRelayRules returns a step that puts rules in force in the relay under a name; without rules it ends those before.
+// SetRelayRules returns a step that replaces the relay's rules under a name. Without rules it removes them.
 func SetRelayRules(at time.Duration, name string, rules ...relay.Rule) Step {
 	return Step{at, fmt.Sprintf("relay: %d rules (%s)", len(rules), name), func(ctx context.Context, f *Fleet) error {
 		f.Relay.SetRules(name, rules...)
@@ -102,7 +104,7 @@
 	}}
 }
 
-// Announce returns a step that sends some gateways the state of hosts; nil stands for all gateways.
+// Announce returns a step that sends a state of some hosts to the agents of some gateways; nil stands for all gateways.
 func Announce(at time.Duration, gateways []int, state string, hosts ...int) Step {
 	return Step{at, fmt.Sprintf("announce %d hosts as %s", len(hosts), state), func(ctx context.Context, f *Fleet) error {
 		var entries []emulator.HostEntry
@@ -114,7 +116,7 @@
 	}}
 }
 
-// SetAgentMode returns a step that changes the behaviour of the agents of some gateways; nil stands for all.
+// SetAgentMode returns a step that changes the behaviour of the discovery agents of some gateways; nil stands for all.
 func SetAgentMode(at time.Duration, gateways []int, description string, change func(*emulator.AgentMode)) Step {
 	return Step{at, "agents: " + description, func(ctx context.Context, f *Fleet) error {
 		f.Agent.SetMode(gateways, change)
@@ -122,8 +124,8 @@
 	}}
 }
 
-// StartHosts returns a step that starts hosts, which warm up if their model says so, and announces them to all
-// gateways at once.
+// StartHosts returns a step that starts hosts and announces them as active to all gateways at once. The hosts warm up
+// if their model has a WarmUpFactor.
 func StartHosts(at time.Duration, hosts ...int) Step {
 	return Step{at, fmt.Sprintf("start %d hosts and list them", len(hosts)), func(ctx context.Context, f *Fleet) error {
 		var entries []emulator.HostEntry
@@ -138,7 +140,8 @@
 	}}
 }
 
-// RemoveHosts returns the steps that remove hosts: announced as leaving, killed after a grace, announced as left.
+// RemoveHosts returns the steps that remove hosts: they are announced as leaving, killed after the grace period, and
+// then announced as left.
 func RemoveHosts(at, grace time.Duration, hosts ...int) []Step {
 	kill := Step{at + grace, fmt.Sprintf("kill %d hosts", len(hosts)), func(ctx context.Context, f *Fleet) error {
 		for _, host := range hosts {
--- a/lab/fleet/usage.go
+++ b/lab/fleet/usage.go
@@ -9,26 +9,26 @@
 
 // Usage is what a process has used since its start.
 type Usage struct {
-	RSS       int           // bytes in memory now
-	PeakRSS   int           // most bytes in memory
-	CPU       time.Duration // user and system
+	RSS       int           // resident memory now, in bytes
+	PeakRSS   int           // highest resident memory so far, in bytes
+	CPU       time.Duration // processor time, user and system
 	OpenFiles int
 }
 
-// stat reads the state of the running process.
-func (p *Process) stat() (procfs.ProcStat, error) {
+// procStat reads /proc/PID/stat of the running process.
+func (p *Process) procStat() (procfs.ProcStat, error) {
 	process, err := procfs.NewProc(p.PID())
 	if err != nil {
-		return procfs.ProcStat{}, fmt.Errorf("state of %s: %w", p.Name, err)
+		return procfs.ProcStat{}, fmt.Errorf("reading the state of %s: %w", p.Name, err)
 	}
 	return process.Stat()
 }
 
-// Usage returns what the running process has used.
+// Usage returns what the running process has used. It fails if the process is down.
 func (p *Process) Usage() (Usage, error) {
 	usage, err := readUsage(p.PID())
 	if err != nil {
-		return Usage{}, fmt.Errorf("usage of %s: %w", p.Name, err)
+		return Usage{}, fmt.Errorf("reading the usage of %s: %w", p.Name, err)
 	}
 	return usage, nil
 }
