--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	keepAliveInterval = 2 * time.Second // between the empty lines that keep a watch alive
-	chunkQueue        = 256             // chunks of a call that wait to be written
+	keepAliveInterval = 2 * time.Second // pause between the empty lines that keep a watch alive
+	chunkQueueSize    = 256             // chunks of one call that may wait to be written
 )
 
-// States of a host in the host list.
+// States of a host in the host list that a discovery agent sends.
 const (
 	Active  = "active"
 	Leaving = "leaving"
 	Left    = "left"
 )
 
-// HostEntry is one host of a host list, as the agent sends it.
+// HostEntry is one host in a host list, as a discovery agent sends it.
 type HostEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -38,26 +38,26 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// hostList is a host list, or what changed in it, as the agent sends it.
+// hostList is an answer of a discovery agent: a full host list, or only the entries that changed.
 type hostList struct {
 	Full    bool        `json:"full"`
 	Servers []HostEntry `json:"servers"`
 	Version int         `json:"version"`
 }
 
-// AgentMode is the behaviour of one gateway's agent.
+// AgentMode sets how the discovery agent of one gateway misbehaves. The zero value is a correct agent.
 type AgentMode struct {
-	Frozen   bool          // it receives no more changes and answers with the version that it has
-	Silent   bool          // it accepts calls and sends nothing more, on open watches neither
-	Down     bool          // calls and open watches are ended at once
-	Indented bool          // lists are indented, over several lines
-	Delay    time.Duration // from a change until the agent receives it
-	// SentFraction, if above 0, is the fraction of a list's bytes that is sent before the connection ends.
+	Frozen   bool          // the agent gets no more changes and answers with the version that it has
+	Silent   bool          // the agent accepts calls but sends nothing, neither to new ones nor on open watches
+	Down     bool          // the agent breaks new calls and open watches at once
+	Indented bool          // lists are sent as indented JSON, over several lines
+	Delay    time.Duration // from a change until the agent gets it
+	// SentFraction, if above 0, is the fraction of a list's bytes that is sent before the connection breaks.
 	SentFraction float64
-	ChunkSize    int // above 0: bytes are sent in chunks of this size
+	ChunkSize    int // if above 0, lists are written in pieces of this many bytes
 }
 
-// truncate returns the bytes of a list that are sent.
+// truncate returns the leading part of a list that is sent according to SentFraction.
 func (m *AgentMode) truncate(list []byte) []byte {
 	if m.SentFraction <= 0 {
 		return list
@@ -65,51 +65,55 @@
 	return list[:int(float64(len(list))*min(m.SentFraction, 1))]
 }
 
-// Delivery is one change that was sent completely to a gateway.
+// Delivery records that a version of the host list was sent completely to a gateway, at a time in nanoseconds of
+// actor.Now.
 type Delivery struct {
 	Gateway int
 	Version int
 	At      int64
 }
 
-// Agent emulates the discovery agents. It is one server and a different agent for each gateway, by the address in
-// 127.0.0.0/8 that the gateway calls.
+// Agent emulates the discovery agents of all gateways in one HTTP server. Each gateway calls its own address in
+// 127.0.0.0/8, by which the server tells the agents apart. Agent is an actor; its methods may be called by several
+// goroutines at once.
 type Agent struct {
 	*actor.Actor
 	server     *http.Server
 	port       uint16
-	network    byte
-	views      []*agentView
-	changes    []HostListChange // the version is the index
+	network    byte             // second octet of the agents' addresses
+	views      []*agentView     // by gateway
+	changes    []HostListChange // by version; there is no version 0, and version 1 is the initial list
 	deliveries []Delivery
-	calls      map[int]int // by gateway
-	serving    sync.WaitGroup
+	calls      map[int]int    // number of calls by gateway
+	serving    sync.WaitGroup // the goroutine of the HTTP server
 }
 
-// HostListChange is one change of the host list.
+// HostListChange is one change of the host list. At is in nanoseconds of actor.Now.
 type HostListChange struct {
 	At       int64
 	Entries  []HostEntry
-	Gateways []int // gateways whose agents receive it; nil: all
+	Gateways []int // whose agents get the change; nil: all
 }
 
-// agentView is what one gateway's agent has received.
+// agentView is the state of one gateway's agent: the version of the host list that it has, its mode and its open
+// watches.
 type agentView struct {
 	gateway int
-	version int // latest received
+	version int // latest version that the agent has
 	mode    AgentMode
 	watches map[*agentCall]bool
 }
 
-// agentCall is one call of a gateway, for a watch or a single list.
+// agentCall is a call by a gateway, for a watch or for a single list.
 type agentCall struct {
-	delivered int         // latest version sent
-	chunks    chan []byte // to be written; nil ends the call
-	truncated bool
-	closed    chan struct{}
+	delivered int           // latest version sent
+	chunks    chan []byte   // waiting to be written; a nil chunk ends the call
+	truncated bool          // part of a list was left out, so the connection must break at the end
+	closed    chan struct{} // closed to break the connection
 }
 
-// NewAgent starts the agents of a number of gateways, all with the same initial host list.
+// NewAgent starts the agents of a number of gateways with the same initial host list. network is the second octet of
+// their addresses.
 func NewAgent(network byte, gateways int, entries ...HostEntry) (*Agent, error) {
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
@@ -131,19 +135,19 @@
 	return agent, nil
 }
 
-// Addr returns the address of a gateway's agent.
+// Addr returns the address at which a gateway calls its agent.
 func (a *Agent) Addr(gateway int) string {
 	return netip.AddrPortFrom(LoopbackAddr(a.network, gateway), a.port).String()
 }
 
-// Close ends the agents.
+// Close ends all agents and their calls.
 func (a *Agent) Close() {
 	a.server.Close()
 	a.serving.Wait()
 	a.Actor.Stop()
 }
 
-// sendKeepAlives sends an empty line on each watch at each keepAliveInterval.
+// sendKeepAlives sends an empty line on each watch every keepAliveInterval, except for silent agents.
 func (a *Agent) sendKeepAlives() {
 	a.After(keepAliveInterval, func() {
 		for _, view := range a.views {
@@ -158,7 +162,8 @@
 	})
 }
 
-// send queues bytes; nil ends the call. A watch whose gateway does not read is closed.
+// send queues a chunk; nil ends the call. If the queue is full because the gateway does not read, send breaks the
+// connection.
 func (w *agentCall) send(chunk []byte) {
 	select {
 	case w.chunks <- chunk:
@@ -167,7 +172,7 @@
 	}
 }
 
-// close ends the call with a broken connection.
+// close breaks the call's connection.
 func (w *agentCall) close() {
 	select {
 	case <-w.closed:
@@ -176,38 +181,40 @@
 	}
 }
 
-// Push sends a change to all agents and returns its version.
+// Push sends a change to the agents of all gateways and returns its version.
 func (a *Agent) Push(entries ...HostEntry) int { return a.PushTo(nil, entries...) }
 
-// PushTo sends a change to the agents of some gateways only; the others never receive it.
+// PushTo sends a change to the agents of some gateways, nil for all, and returns its version. The other agents advance
+// to the version but never get the change.
 func (a *Agent) PushTo(gateways []int, entries ...HostEntry) (version int) {
 	a.Ask(func() {
 		version = len(a.changes)
 		a.changes = append(a.changes, HostListChange{actor.Now(), entries, gateways})
 		for _, view := range a.views {
 			if view.mode.Delay > 0 {
-				a.After(view.mode.Delay, func() { a.receive(view, version) })
+				a.After(view.mode.Delay, func() { a.applyChanges(view, version) })
 			} else {
-				a.receive(view, version)
+				a.applyChanges(view, version)
 			}
 		}
 	})
 	return version
 }
 
-// receive has an agent receive all changes up to a version and send them on its watches.
-func (a *Agent) receive(view *agentView, version int) {
+// applyChanges advances an agent to a version and sends the new changes on its watches. It does nothing if the agent is
+// frozen or already has the version.
+func (a *Agent) applyChanges(view *agentView, version int) {
 	if view.mode.Frozen || version <= view.version {
 		return
 	}
 	view.version = version
 	for watch := range view.watches {
-		a.deliver(view, watch)
+		a.sendChanges(view, watch)
 	}
 }
 
-// deliver sends on a watch what changed since the version sent last.
-func (a *Agent) deliver(view *agentView, watch *agentCall) {
+// sendChanges sends on a watch the entries that changed since the version sent last.
+func (a *Agent) sendChanges(view *agentView, watch *agentCall) {
 	if view.mode.Silent || watch.delivered >= view.version {
 		return
 	}
@@ -227,8 +234,8 @@
 	}
 }
 
-// encodeList encodes what changed after a version, or the full list after version 0 or one not received yet. changed
-// reports whether there is anything to send.
+// encodeList encodes the entries that changed after a version that the caller has. It encodes the full list if that is
+// version 0 or one that the agent does not have yet. changed reports whether there is anything to send.
 func (a *Agent) encodeList(view *agentView, after int) (text []byte, changed bool) {
 	full := after <= 0 || after > view.version
 	if full {
@@ -262,8 +269,8 @@
 	return append(text, '\n'), full || len(entries) > 0
 }
 
-// SetMode changes the behaviour of the agents of some gateways; nil stands for all. An agent that was frozen, silent or
-// down receives at once what it missed.
+// SetMode changes the modes of the agents of some gateways; nil stands for all. Agents that are no longer frozen,
+// silent or down catch up on missed changes at once.
 func (a *Agent) SetMode(gateways []int, change func(*AgentMode)) {
 	a.Ask(func() {
 		for _, view := range a.views {
@@ -277,33 +284,33 @@
 				}
 				continue
 			}
-			a.receive(view, len(a.changes)-1)
+			a.applyChanges(view, len(a.changes)-1)
 			for watch := range view.watches {
-				a.deliver(view, watch)
+				a.sendChanges(view, watch)
 			}
 		}
 	})
 }
 
-// Deliveries returns what was sent on watches so far.
+// Deliveries returns what was sent completely so far, on watches and as single lists.
 func (a *Agent) Deliveries() (delivered []Delivery) {
 	a.Ask(func() { delivered = slices.Clone(a.deliveries) })
 	return delivered
 }
 
-// Changes returns all changes so far; the first one is the initial host list.
+// Changes returns all changes so far, the first of which is the initial host list.
 func (a *Agent) Changes() (all []HostListChange) {
 	a.Ask(func() { all = slices.Clone(a.changes[1:]) })
 	return all
 }
 
-// CallsByGateway returns the number of calls by gateway.
+// CallsByGateway returns the number of calls that each gateway made.
 func (a *Agent) CallsByGateway() (calls map[int]int) {
 	a.Ask(func() { calls = maps.Clone(a.calls) })
 	return calls
 }
 
-// OpenWatches returns the number of open watches.
+// OpenWatches returns the number of open watches of all gateways.
 func (a *Agent) OpenWatches() (n int) {
 	a.Ask(func() {
 		for _, view := range a.views {
@@ -313,7 +320,7 @@
 	return n
 }
 
-// FullList returns the host list as a gateway's agent has it, for the configuration's key known.
+// FullList returns the host list that a gateway's agent has, in the format of the configuration's key known.
 func (a *Agent) FullList(gateway int) (text json.RawMessage) {
 	a.Ask(func() { text, _ = a.encodeList(a.views[gateway], 0) })
 	return text
--- a/lab/emulator/agent_test.go
+++ b/lab/emulator/agent_test.go
@@ -12,7 +12,7 @@
 	"ravensill/internal/golden"
 )
 
-// agentTrace calls the agents of a test and collects what they answer.
+// agentTrace calls the agents and collects their answers as text.
 type agentTrace struct {
 	agent *Agent
 	ctx   context.Context
@@ -20,11 +20,11 @@
 	text  strings.Builder
 }
 
-// shortEntry leaves out the fields of an entry that no test sets.
+// shortEntry removes the fields of host entries that the test does not set.
 var shortEntry = strings.NewReplacer(`,"addr":"127.0.0.1:1","zone":"","kind":"","cell":0`, "",
 	`,"weight":0,"started_ms":0`, "")
 
-// open calls a gateway's agent and returns the answer's body.
+// open calls a gateway's agent and returns the body of the answer, or "broken" if there is none.
 func (a *agentTrace) open(gateway int, query string) io.Reader {
 	url := "http://" + a.agent.Addr(gateway) + listPath + query
 	request, _ := http.NewRequestWithContext(a.ctx, http.MethodGet, url, nil)
@@ -35,7 +35,7 @@
 	return answer.Body
 }
 
-// list adds the answer to a call for a single list.
+// list adds the answer to a call for a single list to the text.
 func (a *agentTrace) list(name string, gateway int) {
 	body, err := io.ReadAll(a.open(gateway, ""))
 	fmt.Fprintf(&a.text, "%s: %s", name, shortEntry.Replace(string(body)))
@@ -44,7 +44,7 @@
 	}
 }
 
-// nextChange adds the next line of the watch that is no keep-alive.
+// nextChange adds the next line of the watch to the text, skipping keep-alives.
 func (a *agentTrace) nextChange() {
 	for {
 		line, err := a.watch.ReadString('\n')
@@ -59,7 +59,8 @@
 	}
 }
 
-// Watches and single lists of two gateways follow the changes that their agents have received, in each mode.
+// Faults are injected by agents that lag, stall or break off. So in each mode, watches and single lists must contain
+// exactly the changes that the gateway's agent has received.
 func TestAgentAnswersByItsMode(t *testing.T) {
 	entry := func(id, state string) HostEntry { return HostEntry{ID: id, Addr: "127.0.0.1:1", State: state} }
 	agent, err := NewAgent(110, 2, entry("x", Active))
@@ -67,7 +68,7 @@
 		t.Fatal(err)
 	}
 	defer agent.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	trace := &agentTrace{agent: agent, ctx: ctx}
 	trace.watch = bufio.NewReader(trace.open(0, "?watch=1&after=1"))
--- a/lab/emulator/agentserver.go
+++ b/lab/emulator/agentserver.go
@@ -11,7 +11,7 @@
 
 const listPath = "/v1/servers"
 
-// serve answers one call.
+// serve answers one HTTP call. The local address of the connection says which gateway's agent is called.
 func (a *Agent) serve(response http.ResponseWriter, request *http.Request) {
 	local, _ := netip.ParseAddrPort(request.Context().Value(http.LocalAddrContextKey).(net.Addr).String())
 	gateway := LoopbackIndex(a.network, local.Addr())
@@ -21,9 +21,9 @@
 	}
 	isWatch := request.URL.Query().Get("watch") == "1"
 	after, _ := strconv.Atoi(request.URL.Query().Get("after"))
-	call := &agentCall{chunks: make(chan []byte, chunkQueue), closed: make(chan struct{})}
+	call := &agentCall{chunks: make(chan []byte, chunkQueueSize), closed: make(chan struct{})}
 	var mode AgentMode
-	a.Ask(func() { mode = a.begin(call, gateway, isWatch, after) })
+	a.Ask(func() { mode = a.startCall(call, gateway, isWatch, after) })
 	defer a.Do(func() { delete(a.views[gateway].watches, call) })
 	if mode.Down {
 		panic(http.ErrAbortHandler)
@@ -36,8 +36,9 @@
 	writeChunks(response, request, call, mode)
 }
 
-// begin counts a call, queues its first list and registers a watch. It returns the mode of the gateway's agent.
-func (a *Agent) begin(call *agentCall, gateway int, isWatch bool, after int) AgentMode {
+// startCall counts a call, queues the list that it gets at once and registers it if it is a watch. It returns the
+// present mode of the gateway's agent.
+func (a *Agent) startCall(call *agentCall, gateway int, isWatch bool, after int) AgentMode {
 	view := a.views[gateway]
 	a.calls[gateway]++
 	switch {
@@ -45,7 +46,7 @@
 		call.delivered = after
 	case isWatch:
 		call.delivered = after
-		a.deliver(view, call)
+		a.sendChanges(view, call)
 	default:
 		list, _ := a.encodeList(view, 0)
 		a.deliveries = append(a.deliveries, Delivery{gateway, view.version, actor.Now()})
@@ -58,7 +59,8 @@
 	return view.mode
 }
 
-// writeChunks writes the chunks of a call until it ends.
+// writeChunks writes the chunks of a call until it ends. It breaks the connection if a list was truncated or the call
+// was closed.
 func writeChunks(response http.ResponseWriter, request *http.Request, call *agentCall, mode AgentMode) {
 	for {
 		select {
@@ -78,7 +80,7 @@
 	}
 }
 
-// writeChunk writes bytes in pieces of a size; 0: in one piece.
+// writeChunk writes bytes in pieces of a size and flushes each; 0 means one piece.
 func writeChunk(response http.ResponseWriter, chunk []byte, size int) {
 	controller := http.NewResponseController(response)
 	for len(chunk) > 0 {
--- a/lab/emulator/clientconn.go
+++ b/lab/emulator/clientconn.go
@@ -12,26 +12,27 @@
 	"github.com/tidwall/redcon"
 )
 
-// clientConn is one connection to a gateway. It carries one request at a time.
+// clientConn is a connection to a gateway. It has at most one request in flight. Its fields belong to the actor of its
+// Clients.
 type clientConn struct {
-	clients  *Clients
-	gateway  int
-	conn     net.Conn
-	current  *pending // the request in flight; nil: idle
-	answers  int      // received
-	timer    *time.Timer
-	commands chan []byte // for the writer; one at a time waits here
+	clients     *Clients
+	gateway     int
+	conn        net.Conn
+	current     *pendingRequest // request in flight; nil if the connection is idle
+	answerCount int             // answers received so far
+	timer       *time.Timer     // fails the request in flight when no answer arrives in time
+	commands    chan []byte     // for writeCommands; holds at most one
 }
 
-// pending is a request in flight.
-type pending struct {
+// pendingRequest is a request in flight.
+type pendingRequest struct {
 	Request
-	index  int  // in the log
-	resent bool // after a close that was under way as it was sent
+	index  int  // in the log of the clients
+	resent bool // sent again because the gateway closed the connection
 }
 
-// encode returns the command of a request.
-func (p *pending) encode() []byte {
+// encode returns the request as a RESP command.
+func (p *pendingRequest) encode() []byte {
 	elements := []string{"CALL.GET", p.Customer, p.ID, p.arguments}
 	if p.post {
 		elements[0] = "CALL.POST"
@@ -46,10 +47,11 @@
 	return command
 }
 
-// send sends a request.
-func (c *clientConn) send(request *pending) {
+// send sends a request and fails it as unanswered if its timeout and the clients' grace period end before an answer
+// arrives.
+func (c *clientConn) send(request *pendingRequest) {
 	c.current = request
-	c.commands <- request.encode() // never blocks: the request before it was answered
+	c.commands <- request.encode() // does not block, because the previous request was answered
 	c.timer = c.clients.After(request.timeout+c.clients.grace, func() {
 		if c.current == request {
 			c.fail(Unanswered)
@@ -57,21 +59,23 @@
 	})
 }
 
-// writeCommands writes the commands. When that fails, reading fails too, and ends the connection.
+// writeCommands writes the queued commands. It ignores errors, because a connection that cannot be written also fails
+// to be read, which ends it.
 func (c *clientConn) writeCommands() {
 	for command := range c.commands {
 		c.conn.Write(command)
 	}
 }
 
-// close removes and closes the connection.
+// close removes the connection from the clients and closes it.
 func (c *clientConn) close() {
 	delete(c.clients.conns, c)
 	close(c.commands)
 	c.conn.Close()
 }
 
-// fail ends the connection and, with the result, its request in flight.
+// fail closes the connection and ends the request in flight with a result. If the gateway closed the connection while
+// the request was sent, the request is sent once more instead.
 func (c *clientConn) fail(result Result) {
 	clients := c.clients
 	if !clients.conns[c] {
@@ -87,7 +91,8 @@
 	}
 	c.timer.Stop()
 	if result == ClosedInFlight && !request.resent {
-		// The gateway may close an idle connection just as a request is sent on it: retry on a new one.
+		// A gateway may close an idle connection just as a request is sent on it, so the request is sent again on a new
+		// connection.
 		request.resent = true
 		clients.log.Requests[request.index].Resent = true
 		clients.send(request)
@@ -96,7 +101,7 @@
 	clients.finish(request, result)
 }
 
-// readAnswers reads the answers until the connection ends.
+// readAnswers reads answers until the connection ends.
 func (c *clientConn) readAnswers() {
 	var unparsed []byte
 	buf := make([]byte, 16<<10)
@@ -106,20 +111,20 @@
 		unparsed = c.parseAnswers(unparsed)
 		if err != nil {
 			partial := len(unparsed) > 0
-			c.clients.Do(func() { c.fail(c.failure(partial, err)) })
+			c.clients.Do(func() { c.fail(c.disconnectResult(partial, err)) })
 			return
 		}
 	}
 }
 
-// parseAnswers handles all complete answers and returns the bytes of the incomplete one.
+// parseAnswers passes all complete answers to the actor and returns the bytes of the incomplete one after them.
 func (c *clientConn) parseAnswers(unparsed []byte) []byte {
 	for {
 		n, value := redcon.ReadNextRESP(unparsed)
 		if n == 0 {
 			return unparsed
 		}
-		if value.Type == redcon.Array && value.Count > 0 { // only the first element counts
+		if value.Type == redcon.Array && value.Count > 0 { // only the first element matters here
 			value.ForEach(func(first redcon.RESP) bool {
 				value = first
 				return false
@@ -129,20 +134,22 @@
 		text := string(value.Data)
 		null := value.Data == nil && kind == redcon.Bulk
 		unparsed = unparsed[n:]
-		c.clients.Do(func() { c.receive(kind, text, null) })
+		c.clients.Do(func() { c.receiveAnswer(kind, text, null) })
 	}
 }
 
-// failure returns the result of a request whose connection ended. A close between two requests may appear as a reset.
-func (c *clientConn) failure(partial bool, err error) Result {
-	if !partial && (errors.Is(err, io.EOF) || c.answers > 0) {
+// disconnectResult returns the result of the request in flight on a connection that ended with err. partial says that a
+// part of an answer had arrived, which makes it a reset. Without that, any error on a connection that carried answers
+// before is taken for a close between two requests, because such a close may appear as a reset.
+func (c *clientConn) disconnectResult(partial bool, err error) Result {
+	if !partial && (errors.Is(err, io.EOF) || c.answerCount > 0) {
 		return ClosedInFlight
 	}
 	return ConnectionReset
 }
 
-// receive ends the request with its answer. An answer without a request is counted.
-func (c *clientConn) receive(kind redcon.Type, text string, null bool) {
+// receiveAnswer ends the request in flight with its answer. An answer without a request is counted as unexpected.
+func (c *clientConn) receiveAnswer(kind redcon.Type, text string, null bool) {
 	clients, request := c.clients, c.current
 	if request == nil {
 		if clients.conns[c] {
@@ -151,7 +158,7 @@
 		return
 	}
 	c.current = nil
-	c.answers++
+	c.answerCount++
 	c.timer.Stop()
 	result := Failed
 	switch {
--- a/lab/emulator/clients.go
+++ b/lab/emulator/clients.go
@@ -12,116 +12,118 @@
 	"ravensill/lab/actor"
 )
 
-// Result is how a request ended for its client.
+// Result says how a request ended for its client.
 type Result string
 
-// Results of requests. An empty one means that the request is in flight.
+// Results of requests. A request in flight has an empty result.
 const (
-	Succeeded         Result = "succeeded"   // with a value that a host made for it
-	WrongValue        Result = "wrong value" // with a value made for another request
-	Rejected          Result = "rejected"    // -BUSY
-	Failed            Result = "failed"      // any other error
-	Unanswered        Result = "unanswered"  // no answer within the client's timeout and the grace after it
+	Succeeded         Result = "succeeded"   // with a value that a host made for this request
+	WrongValue        Result = "wrong value" // with a value that a host made for another request
+	Rejected          Result = "rejected"    // with -BUSY
+	Failed            Result = "failed"      // with any other error
+	Unanswered        Result = "unanswered"  // no answer within the client's timeout and the grace period after it
 	ConnectionReset   Result = "reset"       // the connection broke after the request was written
-	ConnectionRefused Result = "refused"     // no connection came up, so that no gateway received it
-	LocalLimit        Result = "local limit" // this process had no descriptor or address left for a connection
-	ClosedInFlight    Result = "closed"      // closed as it was sent, and again after the retry on a new connection
+	ConnectionRefused Result = "refused"     // no connection could be opened, so no gateway received the request
+	LocalLimit        Result = "local limit" // this process had no descriptor or local address left for a connection
+	ClosedInFlight    Result = "closed"      // the gateway closed the connection, and that of the retry too
 )
 
-// answerGrace is how long after a request's timeout its answer is still awaited.
+// answerGrace is how long after a request's timeout its answer is still accepted.
 const answerGrace = 20 * time.Second
 
 // Request is one request and its result. Times are in nanoseconds of actor.Now.
 type Request struct {
 	ID             string
 	Customer       string
-	Class          string // request class
+	Class          string // name of the request class
 	Gateway        int
-	IdempotencyKey string // "": none
+	IdempotencyKey string // "" for none
 	SentAt         int64
 	EndedAt        int64
 	Result         Result
-	Host           string        // the host that answered; "": none
-	RetryAfter     time.Duration // of a rejection
-	ErrorText      string        // of an error that is no rejection
-	Resent         bool          // retried after a close that was under way as it was sent
+	Host           string        // id of the host that answered; "" for none
+	RetryAfter     time.Duration // in the answer of a rejected request; 0 for none
+	ErrorText      string        // of a failed request
+	Resent         bool          // sent again because the gateway closed the connection
 
-	arguments string // names and values of its command
+	arguments string // such as c=lookup,t=team,d=1000
 	timeout   time.Duration
 	post      bool
-	body      string
+	body      string // of CALL.POST
 }
 
-// ClientLog is what clients saw.
+// ClientLog is what the clients sent and observed.
 type ClientLog struct {
 	Requests          []Request
-	MaxDelay          time.Duration // the longest delay of a request because the clients themselves did not run
-	UnexpectedAnswers int           // answers without a request, such as a second answer
-	OpenedConns       int
-	PeakConns         int // connections open at once
+	MaxDelay          time.Duration // longest time by which a request was sent late because this process was slow
+	UnexpectedAnswers int           // answers without a request in flight, such as a second answer to one request
+	OpenedConns       int           // number of connections that were opened
+	PeakConns         int           // highest number of connections open at once
 }
 
-// Clients are all clients. They are an actor with the connections to each gateway.
+// Clients emulates all clients of a fleet, and a load balancer in front of the gateways that takes gateways out of
+// rotation. It is an actor that owns the connections; its methods may be called by several goroutines at once.
 type Clients struct {
 	*actor.Actor
-	grace           time.Duration // after a request's timeout, until it counts as unanswered
-	addrs           []string      // by gateway; "": the load balancer does not use it
-	outOfUse        map[int]bool  // by gateway
-	restartingSince map[int]int64 // by gateway: time of its shutdown signal
-	idle            [][]*clientConn
-	conns           map[*clientConn]bool
+	grace           time.Duration        // after a request's timeout, until it counts as unanswered
+	addrs           []string             // by gateway; "" if not known yet
+	outOfRotation   map[int]bool         // set of gateways
+	restartingSince map[int]int64        // time of the shutdown signal by gateway, in ns of actor.Now
+	idle            [][]*clientConn      // idle connections by gateway
+	conns           map[*clientConn]bool // all open connections
 	log             ClientLog
-	activeLoads     int
-	inFlight        int // requests
-	waiters         []chan struct{}
+	activeLoads     int             // loads that are being sent
+	inFlight        int             // requests
+	waiters         []chan struct{} // closed when no load is active and no request is in flight
 
-	dialing    context.Context // ends when the clients are closed
-	stopDials  context.CancelFunc
-	closed     bool
-	goroutines sync.WaitGroup
+	dialContext context.Context // canceled by Close
+	stopDials   context.CancelFunc
+	closed      bool
+	goroutines  sync.WaitGroup
 }
 
-// NewClients starts clients of gateways at these addresses. They send nothing yet.
+// NewClients returns clients for gateways at these addresses; "" stands for one that SetAddr sets later. They send
+// nothing until Start or Send is called.
 func NewClients(addrs []string) *Clients {
 	dialing, stopDials := context.WithCancel(context.Background())
 	return &Clients{
 		Actor:           actor.New(),
 		grace:           answerGrace,
 		addrs:           slices.Clone(addrs),
-		outOfUse:        map[int]bool{},
+		outOfRotation:   map[int]bool{},
 		restartingSince: map[int]int64{},
 		idle:            make([][]*clientConn, len(addrs)),
 		conns:           map[*clientConn]bool{},
-		dialing:         dialing,
+		dialContext:     dialing,
 		stopDials:       stopDials,
 	}
 }
 
-// SetAddr sets the address of a gateway.
+// SetAddr sets the address to which new connections to a gateway are opened.
 func (c *Clients) SetAddr(gateway int, addr string) { c.Ask(func() { c.addrs[gateway] = addr }) }
 
-// SetOutOfRotation takes gateways out of use, as a load balancer does some seconds after they crash, or back into use. A
-// request whose gateway is out of use is sent to the next one of its subset.
+// SetOutOfRotation takes gateways out of rotation, as a load balancer does some seconds after a gateway crashed, or
+// puts them back. A request for a gateway that is out of rotation goes to the next gateway of its subset.
 func (c *Clients) SetOutOfRotation(out bool, gateways ...int) {
 	c.Ask(func() {
 		for _, gateway := range gateways {
 			if out {
-				c.outOfUse[gateway] = true
+				c.outOfRotation[gateway] = true
 			} else {
-				delete(c.outOfUse, gateway)
+				delete(c.outOfRotation, gateway)
 			}
 		}
 	})
 }
 
-// How a load balancer handles a planned restart.
+// Times after the shutdown signal of a planned restart until which a load balancer connects to the gateway.
 const (
-	newConnsAfterStop = 300 * time.Millisecond // from the shutdown signal until no more connections are opened
-	dialsAfterStop    = 400 * time.Millisecond // from the shutdown signal until all of those have come up
+	newDialsAfterSignal = 300 * time.Millisecond // until no more connections are opened
+	connectsAfterSignal = 400 * time.Millisecond // until the connections that were being opened must be established
 )
 
-// SetRestarting marks gateways as being shut down from now on, or as restarted. Soon after the mark clients open no
-// more connections to them, as a load balancer that knows of the restart; they still use open idle connections.
+// SetRestarting marks gateways as shutting down from now on, or as restarted. Like a load balancer that knows of a
+// planned restart, clients soon stop opening connections to such a gateway, but they still use idle connections.
 func (c *Clients) SetRestarting(on bool, gateways ...int) {
 	c.Ask(func() {
 		for _, gateway := range gateways {
@@ -134,29 +136,30 @@
 	})
 }
 
-// restartingLongerThan reports whether a gateway's shutdown signal was longer ago than a duration. It reads the clock
-// because a timer may be late.
+// restartingLongerThan reports whether a gateway's shutdown signal was sent longer than a duration before the time at.
+// It compares times instead of using a timer, because timers may fire late.
 func (c *Clients) restartingLongerThan(gateway int, at int64, than time.Duration) bool {
 	since, restarting := c.restartingSince[gateway]
 	return restarting && at-since > int64(than)
 }
 
-// unavailable reports whether clients send no request to a gateway now.
+// unavailable reports whether the load balancer sends no requests to a gateway at present.
 func (c *Clients) unavailable(gateway int) bool {
-	if c.outOfUse[gateway] {
+	if c.outOfRotation[gateway] {
 		return true
 	}
-	return c.restartingLongerThan(gateway, actor.Now(), newConnsAfterStop) && len(c.idle[gateway]) == 0
+	return c.restartingLongerThan(gateway, actor.Now(), newDialsAfterSignal) && len(c.idle[gateway]) == 0
 }
 
-// Send sends a single request and returns it once it has ended.
+// Send sends a single request with the identity given in template, waits until it has ended and returns it with its
+// result. It returns early if the clients are closed.
 func (c *Clients) Send(template Request, arguments, body string, post bool, timeout time.Duration) Request {
-	request := &pending{Request: template}
+	request := &pendingRequest{Request: template}
 	request.arguments = arguments
 	request.body = body
 	request.post = post
 	request.timeout = timeout
-	c.Ask(func() { c.begin(request) })
+	c.Ask(func() { c.beginRequest(request) })
 	for {
 		var current Request
 		if !c.Ask(func() { current = c.log.Requests[request.index] }) || current.Result != "" {
@@ -166,8 +169,8 @@
 	}
 }
 
-// begin logs a request and sends it.
-func (c *Clients) begin(request *pending) {
+// beginRequest logs a new request and sends it.
+func (c *Clients) beginRequest(request *pendingRequest) {
 	request.Request.SentAt = actor.Now()
 	request.index = len(c.log.Requests)
 	c.log.Requests = append(c.log.Requests, request.Request)
@@ -175,8 +178,9 @@
 	c.send(request)
 }
 
-// send sends a request on an idle connection, or on a new one.
-func (c *Clients) send(request *pending) {
+// send sends a request on an idle connection to its gateway, or on a new one if there is none or the request is sent
+// again.
+func (c *Clients) send(request *pendingRequest) {
 	gateway := request.Gateway
 	if free := c.idle[gateway]; len(free) > 0 && !request.resent {
 		last := len(free) - 1
@@ -188,30 +192,32 @@
 	addr := c.addrs[gateway]
 	c.goroutines.Go(func() {
 		dialer := net.Dialer{Timeout: request.timeout}
-		conn, err := dialer.DialContext(c.dialing, "tcp4", addr)
+		conn, err := dialer.DialContext(c.dialContext, "tcp4", addr)
 		at := actor.Now()
-		c.Do(func() { c.dialed(request, gateway, conn, err, at) })
+		c.Do(func() { c.onDialed(request, gateway, conn, err, at) })
 	})
 }
 
-// dialed sends a request on the new connection, if there is one.
-func (c *Clients) dialed(request *pending, gateway int, conn net.Conn, err error, at int64) {
+// onDialed sends a request on a new connection, or ends it if the connection could not be opened. at is the time when
+// dialing ended.
+func (c *Clients) onDialed(request *pendingRequest, gateway int, conn net.Conn, err error, at int64) {
 	if c.closed {
 		if err == nil {
 			conn.Close()
 		}
 		return
 	}
-	if isLimit(err) {
+	if isLocalLimit(err) {
 		c.finish(request, LocalLimit)
 		return
 	}
-	if !request.resent && c.restartingLongerThan(gateway, at, dialsAfterStop) {
-		// This process was late: a load balancer would not have opened this connection any more.
+	if !request.resent && c.restartingLongerThan(gateway, at, connectsAfterSignal) {
+		// The connection was opened so late only because this process is slow. A load balancer would have chosen another
+		// gateway by then.
 		if err == nil {
 			conn.Close()
 		}
-		c.sendElsewhere(request)
+		c.sendToNextAvailable(request)
 		return
 	}
 	if err != nil {
@@ -227,13 +233,13 @@
 	client.send(request)
 }
 
-// isLimit reports whether an error is a limit of this machine.
-func isLimit(err error) bool {
+// isLocalLimit reports whether dialing failed because this process or machine is out of descriptors or local ports.
+func isLocalLimit(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-// sendElsewhere sends a request to the next gateway that is available.
-func (c *Clients) sendElsewhere(request *pending) {
+// sendToNextAvailable sends a request to the next gateway that is available. It refuses the request if there is none.
+func (c *Clients) sendToNextAvailable(request *pendingRequest) {
 	for offset := 1; offset < len(c.addrs); offset++ {
 		gateway := (request.Gateway + offset) % len(c.addrs)
 		if c.unavailable(gateway) {
@@ -247,8 +253,8 @@
 	c.finish(request, ConnectionRefused)
 }
 
-// finish logs the outcome of a request.
-func (c *Clients) finish(request *pending, result Result) {
+// finish logs the result of a request. A second result of the same request is counted as an unexpected answer.
+func (c *Clients) finish(request *pendingRequest, result Result) {
 	entry := &c.log.Requests[request.index]
 	if entry.Result != "" {
 		c.log.UnexpectedAnswers++
@@ -263,7 +269,7 @@
 	c.notifyWhenIdle()
 }
 
-// notifyWhenIdle ends the calls of WaitIdle when no load runs and no request is in flight.
+// notifyWhenIdle wakes all calls of WaitIdle if no load is active and no request is in flight.
 func (c *Clients) notifyWhenIdle() {
 	if c.inFlight > 0 || c.activeLoads > 0 {
 		return
@@ -274,8 +280,8 @@
 	c.waiters = nil
 }
 
-// WaitIdle waits until no load runs and no request is in flight, or until the limit. It returns how many requests are
-// in flight then.
+// WaitIdle waits until no load is active and no request is in flight, or until the time limit is over. It returns the
+// number of requests still in flight.
 func (c *Clients) WaitIdle(limit time.Duration) (open int) {
 	done := make(chan struct{})
 	c.Ask(func() {
@@ -299,13 +305,13 @@
 	return log
 }
 
-// Sent returns the number of requests sent so far.
+// Sent returns the number of requests sent so far. Retries are not counted.
 func (c *Clients) Sent() (n int) {
 	c.Ask(func() { n = len(c.log.Requests) })
 	return n
 }
 
-// Close ends all connections and waits for their goroutines.
+// Close closes all connections and waits until their goroutines have ended.
 func (c *Clients) Close() {
 	c.stopDials()
 	c.Ask(func() {
--- a/lab/emulator/clients_test.go
+++ b/lab/emulator/clients_test.go
@@ -8,8 +8,8 @@
 	"ravensill/internal/golden"
 )
 
-// Right after a gateway's shutdown signal a refused connection counts against it; long after the signal clients choose
-// another gateway.
+// During a planned restart a load balancer stops using the gateway soon after the shutdown signal. A refused connection
+// right after the signal counts against the gateway; long after it, clients must choose another gateway.
 func TestClientsOpenNoConnectionToRestartingGateway(t *testing.T) {
 	stopped, err := NewHost(HostOptions{ID: "s-0001", Listen: "127.0.0.1:0"})
 	if err != nil {
@@ -31,7 +31,7 @@
 		var unavailable bool
 		clients.Ask(func() { unavailable = clients.unavailable(0) })
 		template := Request{ID: "a", Customer: "0000000000000001", Gateway: 0}
-		request := clients.Send(template, callArguments, "", false, waitLimit)
+		request := clients.Send(template, callArguments, "", false, waitTimeout)
 		text += fmt.Sprintf("unavailable %t, %s at %d\n", unavailable, request.Result, request.Gateway)
 	}
 	golden.Check(t, text)
--- a/lab/emulator/conn_test.go
+++ b/lab/emulator/conn_test.go
@@ -10,18 +10,18 @@
 	"github.com/tidwall/redcon"
 )
 
-const waitLimit = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// callArguments are the names and values of a call.
+// callArguments is the argument list of a valid call.
 const callArguments = "c=lookup,t=team,d=1000,units=1,spread=1,first=0"
 
-// testConn is a connection of a test.
+// testConn is a test's connection to an emulator.
 type testConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// dial opens a connection.
+// dial opens a connection that is closed at the end of the test and fails after waitTimeout.
 func dial(t *testing.T, addr string) *testConn {
 	t.Helper()
 	conn, err := net.Dial("tcp4", addr)
@@ -29,11 +29,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(waitLimit))
+	conn.SetDeadline(time.Now().Add(waitTimeout))
 	return &testConn{conn, bufio.NewReader(conn)}
 }
 
-// send sends a command.
+// send sends a RESP command.
 func (c *testConn) send(words ...string) {
 	command := redcon.AppendArray(nil, len(words))
 	for _, word := range words {
@@ -42,7 +42,8 @@
 	c.Write(command)
 }
 
-// readAnswer returns one answer's raw bytes, with line ends shown as bars.
+// readAnswer returns the raw bytes of the next answer, with each line end shown as "|". If the connection ends first,
+// it returns the bytes so far followed by "end".
 func (c *testConn) readAnswer() string {
 	var answer []byte
 	for {
--- a/lab/emulator/counter.go
+++ b/lab/emulator/counter.go
@@ -13,26 +13,27 @@
 	"ravensill/lab/actor"
 )
 
-// Counter emulates the shared counter: named numbers, with INCRBYFLOAT and PEXPIRE NX as in Redis.
+// Counter emulates the gateways' shared counter: a Redis server with named numbers and the commands PING, INCRBYFLOAT
+// and PEXPIRE NX. Counter is an actor; its methods may be called by several goroutines at once.
 type Counter struct {
 	*actor.Actor
 	listener net.Listener
-	numbers  map[string]*counterEntry
+	entries  map[string]*counterEntry // by name
 	conns    map[net.Conn]bool
-	Silent   bool // commands are accepted and not answered; set it within Ask
-	calls    int
+	Silent   bool // commands are accepted but not answered; set it within Ask
+	calls    int  // commands received so far
 
-	accepting sync.WaitGroup
-	serving   sync.WaitGroup
+	accepting sync.WaitGroup // the goroutine of acceptConns
+	serving   sync.WaitGroup // goroutines of the connections
 }
 
-// counterEntry is one number.
+// counterEntry is a named number.
 type counterEntry struct {
 	value     float64
-	expiresAt int64 // ns of actor.Now; 0: never
+	expiresAt int64 // ns of actor.Now; 0: never expires
 }
 
-// NewCounter starts a counter on a loopback port.
+// NewCounter starts a counter at a free loopback port.
 func NewCounter() (*Counter, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -41,14 +42,14 @@
 	counter := &Counter{
 		Actor:    actor.New(),
 		listener: listener,
-		numbers:  map[string]*counterEntry{},
+		entries:  map[string]*counterEntry{},
 		conns:    map[net.Conn]bool{},
 	}
 	counter.accepting.Go(counter.acceptConns)
 	return counter, nil
 }
 
-// acceptConns serves connections until the listener is closed.
+// acceptConns accepts connections until the listener is closed.
 func (c *Counter) acceptConns() {
 	for {
 		conn, err := c.listener.Accept()
@@ -60,16 +61,16 @@
 	}
 }
 
-// Addr returns the counter's address.
+// Addr returns the address at which the counter listens.
 func (c *Counter) Addr() string { return c.listener.Addr().String() }
 
-// CommandCount returns the number of commands received.
+// CommandCount returns the number of commands received so far.
 func (c *Counter) CommandCount() (n int) {
 	c.Ask(func() { n = c.calls })
 	return n
 }
 
-// ResetConns resets all connections.
+// ResetConns closes all connections with a TCP reset.
 func (c *Counter) ResetConns() {
 	c.Ask(func() {
 		for conn := range c.conns {
@@ -78,7 +79,7 @@
 	})
 }
 
-// Close ends the counter and waits for its goroutines.
+// Close stops the counter and waits until its goroutines have ended.
 func (c *Counter) Close() {
 	c.listener.Close()
 	c.accepting.Wait()
@@ -87,7 +88,7 @@
 	c.Actor.Stop()
 }
 
-// serve answers the commands of one connection.
+// serve answers the commands of one connection until it ends.
 func (c *Counter) serve(conn net.Conn) {
 	defer func() {
 		conn.Close()
@@ -109,7 +110,7 @@
 	}
 }
 
-// execute executes a command and returns its reply.
+// execute runs a command and returns its reply, which is empty while the counter is silent.
 func (c *Counter) execute(args [][]byte) []byte {
 	c.calls++
 	if c.Silent {
@@ -126,7 +127,7 @@
 	return redcon.AppendError(nil, "ERR unknown command")
 }
 
-// increment adds an amount to a number and returns the reply of INCRBYFLOAT.
+// increment adds an amount to a number, which is 0 if it does not exist, and returns the reply of INCRBYFLOAT.
 func (c *Counter) increment(name, amountText string) []byte {
 	amount, err := strconv.ParseFloat(amountText, 64)
 	if err != nil {
@@ -135,13 +136,13 @@
 	entry := c.lookUp(name)
 	if entry == nil {
 		entry = &counterEntry{}
-		c.numbers[name] = entry
+		c.entries[name] = entry
 	}
 	entry.value += amount
 	return redcon.AppendBulkString(nil, strconv.FormatFloat(entry.value, 'f', -1, 64))
 }
 
-// expireIfUnset sets the expiry of a number that has none and returns the reply of PEXPIRE NX.
+// expireIfUnset sets the expiry of a number that has none yet, and returns the reply of PEXPIRE NX.
 func (c *Counter) expireIfUnset(name, milliseconds string) []byte {
 	entry := c.lookUp(name)
 	if entry == nil || entry.expiresAt > 0 {
@@ -152,11 +153,11 @@
 	return redcon.AppendInt(nil, 1)
 }
 
-// lookUp returns the entry of a number that has not expired; nil if there is none.
+// lookUp returns the entry with a name, or nil if there is none. It deletes an entry that has expired.
 func (c *Counter) lookUp(name string) *counterEntry {
-	entry := c.numbers[name]
+	entry := c.entries[name]
 	if entry != nil && entry.expiresAt > 0 && actor.Now() >= entry.expiresAt {
-		delete(c.numbers, name)
+		delete(c.entries, name)
 		return nil
 	}
 	return entry
--- a/lab/emulator/counter_test.go
+++ b/lab/emulator/counter_test.go
@@ -8,7 +8,8 @@
 	"ravensill/internal/golden"
 )
 
-// A number that has expired begins anew at 0; an expiry is set once.
+// Gateways rely on the expiry to forget old periods: a number that has expired must start at 0 again, and a second
+// PEXPIRE NX must not extend the first expiry.
 func TestCounterAddsAndExpiresNumbers(t *testing.T) {
 	counter, err := NewCounter()
 	if err != nil {
--- a/lab/emulator/host.go
+++ b/lab/emulator/host.go
@@ -12,47 +12,49 @@
 	"ravensill/lab/actor"
 )
 
-const replyQueue = 256 // replies of a connection that wait to be written
+const replyQueueSize = 256 // replies of one connection that may wait to be written
 
 // HostOptions configure an emulated host.
 type HostOptions struct {
 	ID     string
-	Listen string // address; with port 0 a free port is chosen
+	Listen string // address; port 0 selects a free port
 	Zone   string
 	Kind   string
 	Cell   int
-	Weight float64 // in the host list; 0: 1
-	Speed  float64 // 0: 1
+	Weight float64 // weight in the host list; 0 means 1
+	Speed  float64 // divides the response times of Model; 0 means 1
 	Model  Model
-	// ReportFields are the fields of the load report, by their names in the settings; none: no report.
+	// ReportFields are the names of the fields of the load report, as in the gateway's settings. The host sends a load
+	// report only if there are any.
 	ReportFields        []string
-	AnswersHealthChecks bool // with a load report to INFO load
-	MaxConns            int  // further connections are refused; 0: no limit
+	AnswersHealthChecks bool // answers INFO with a load report instead of an error
+	MaxConns            int  // connections beyond this number are refused; 0 means no limit
 	// RefusalReply is written to a refused connection before it is closed, such as
-	// "-ERR max number of clients reached\r\n"; "": the connection is reset.
+	// "-ERR max number of clients reached\r\n". If it is empty, the connection is closed with a TCP reset.
 	RefusalReply string
 }
 
-// Host emulates one host of the back end. It is an actor with a listener, connections and a log.
+// Host emulates one host. It is an actor that owns the listener, the connections and the log; its methods may be called
+// by several goroutines at once.
 type Host struct {
 	HostOptions
 	*actor.Actor
-	addr      string
-	listener  net.Listener
-	conns     map[*hostConn]bool
-	startedAt int64 // last start
-	warming   bool  // it warms up since its start
-	hanging   bool
-	slowdown  float64
-	withheld  []*command // commands to answer once it hangs no longer
-	inFlight  int
-	log       HostLog
-	running   bool
+	addr             string // actual address, with the port that was chosen
+	listener         net.Listener
+	conns            map[*hostConn]bool
+	startedAt        int64             // latest call of Start, in ns of actor.Now; 0 before the first
+	warming          bool              // the host warms up after its latest start
+	hanging          bool              // commands are accepted but not answered
+	slowdown         float64           // multiplies response times; 1 is normal
+	withheldCommands []*pendingCommand // to be answered when the host stops hanging
+	inFlight         int               // calls that were accepted and have not ended
+	log              HostLog
+	running          bool
 
 	goroutines sync.WaitGroup
 }
 
-// NewHost starts a host, warmed up.
+// NewHost starts a host that is already warmed up.
 func NewHost(options HostOptions) (*Host, error) {
 	if options.Weight == 0 {
 		options.Weight = 1
@@ -74,16 +76,17 @@
 	return host, nil
 }
 
-// Addr returns the host's address, which stays over restarts.
+// Addr returns the address at which the host listens. It stays the same over restarts.
 func (h *Host) Addr() string { return h.addr }
 
-// listen starts the host's process.
+// listen opens the listener, at the first start with the chosen port and later at the same address, and accepts
+// connections.
 func (h *Host) listen() error {
 	listener, err := net.Listen("tcp4", h.addr)
 	if err != nil {
 		return fmt.Errorf("host %s: %w", h.ID, err)
 	}
-	if h.addr != listener.Addr().String() { // at the first start only: later ones would race with Addr
+	if h.addr != listener.Addr().String() { // written only at the first start, because later writes would race with Addr
 		h.addr = listener.Addr().String()
 	}
 	h.listener = listener
@@ -104,7 +107,7 @@
 	}
 }
 
-// recordLoad logs a change of load or slowdown.
+// recordLoad adds the present load and slowdown to the log. It must be called after each change of them.
 func (h *Host) recordLoad() {
 	step := LoadStep{
 		At:        actor.Now(),
@@ -118,7 +121,7 @@
 	h.log.LoadSteps = append(h.log.LoadSteps, step)
 }
 
-// resetConn closes a connection with a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -126,7 +129,8 @@
 	conn.Close()
 }
 
-// accept serves a new connection, or refuses it beyond the limit.
+// accept serves a new connection. It refuses a connection beyond MaxConns and resets one of a listener that is no
+// longer in use.
 func (h *Host) accept(listener net.Listener, conn net.Conn) {
 	if !h.running || listener != h.listener {
 		resetConn(conn)
@@ -138,7 +142,7 @@
 	}
 	h.log.AcceptedConns++
 	h.log.AcceptedAt = append(h.log.AcceptedAt, actor.Now())
-	client := &hostConn{host: h, number: h.log.AcceptedConns, conn: conn, replies: make(chan []byte, replyQueue)}
+	client := &hostConn{host: h, number: h.log.AcceptedConns, conn: conn, replies: make(chan []byte, replyQueueSize)}
 	h.conns[client] = true
 	h.log.PeakConns = max(h.log.PeakConns, len(h.conns))
 	h.recordLoad()
@@ -146,7 +150,7 @@
 	h.goroutines.Go(client.readCommands)
 }
 
-// refuse closes a connection beyond the limit.
+// refuse closes a connection beyond MaxConns.
 func (h *Host) refuse(conn net.Conn) {
 	h.log.RefusedConns++
 	if h.RefusalReply == "" {
@@ -157,7 +161,8 @@
 	conn.Close()
 }
 
-// loadReport returns the load report.
+// loadReport returns the present load report, such as "utilization=0.250,queue=0.000". A field with an unknown name is
+// 0.
 func (h *Host) loadReport() string {
 	var parts []string
 	for _, name := range h.ReportFields {
@@ -177,7 +182,7 @@
 	return strings.Join(parts, ",")
 }
 
-// ArgumentValue returns the value of a name in a list such as "a=1,b=2"; "" if the name is absent.
+// ArgumentValue returns the value of a name in a list such as "a=1,b=2", or "" if the list does not have the name.
 func ArgumentValue(list, name string) string {
 	for pair := range strings.SplitSeq(list, ",") {
 		key, value, _ := strings.Cut(pair, "=")
@@ -188,22 +193,23 @@
 	return ""
 }
 
-// SetHanging makes the host accept commands and answer none. They are answered once it hangs no longer.
+// SetHanging makes the host accept commands without answering them, or ends that state and answers all withheld
+// commands.
 func (h *Host) SetHanging(on bool) {
 	h.Ask(func() {
 		h.hanging = on
 		if on {
 			return
 		}
-		withheld := h.withheld
-		h.withheld = nil
+		withheld := h.withheldCommands
+		h.withheldCommands = nil
 		for _, command := range withheld {
-			command.finish()
+			command.finishCall()
 		}
 	})
 }
 
-// SetSlowdown makes commands that begin from now on take factor times as long; 1 ends that.
+// SetSlowdown multiplies the response times of commands that arrive from now on by a factor; 1 ends the slowdown.
 func (h *Host) SetSlowdown(factor float64) {
 	h.Ask(func() {
 		h.slowdown = factor
@@ -211,7 +217,7 @@
 	})
 }
 
-// SetModel sets another model and another limit on connections; open connections beyond it stay.
+// SetModel changes the model, unless change is nil, and sets MaxConns. Open connections beyond the new limit stay open.
 func (h *Host) SetModel(change func(*Model), conns int) {
 	h.Ask(func() {
 		if change != nil {
@@ -222,25 +228,26 @@
 	})
 }
 
-// Kill ends the host as the death of its process does: connections are reset, new ones refused.
+// Kill stops the host as a crash of its process would: open connections are reset and new ones refused. Start starts it
+// again.
 func (h *Host) Kill() { h.Ask(h.kill) }
 
-// kill is Kill within the actor.
+// kill is Kill for callers within the actor.
 func (h *Host) kill() {
 	if !h.running {
 		return
 	}
 	h.running = false
 	h.hanging = false
-	h.withheld = nil
+	h.withheldCommands = nil
 	closeListener(h.listener)
 	for conn := range h.conns {
 		conn.fail(OutcomeHostKilled)
 	}
 }
 
-// Start restarts the host at the same address, and warms up if its model has a WarmUpFactor. It returns the start
-// time in milliseconds, as in the host list.
+// Start restarts the host at the same address; a running host is killed first. The host warms up if its model has a
+// WarmUpFactor above 1. It returns the start time in Unix milliseconds, as in the host list.
 func (h *Host) Start() (startedMS int64, err error) {
 	h.Ask(func() {
 		h.kill()
@@ -252,7 +259,7 @@
 	return startedMS, err
 }
 
-// Close ends the host for good and waits for its goroutines.
+// Close stops the host for good and waits until its goroutines have ended.
 func (h *Host) Close() {
 	h.Kill()
 	h.goroutines.Wait()
@@ -270,25 +277,26 @@
 	return log
 }
 
-// OpenConns returns the number of connections that are open.
+// OpenConns returns the number of open connections.
 func (h *Host) OpenConns() (n int) {
 	h.Ask(func() { n = len(h.conns) })
 	return n
 }
 
-// ResponseTime returns how long the host would take for a request under a load, as it is now and warmed up.
+// ResponseTime returns how long the host would take for a request with a number of others in flight, at its present
+// slowdown and without warm-up.
 func (h *Host) ResponseTime(id, class string, load float64) (responseTime time.Duration) {
 	h.Ask(func() { responseTime = h.Model.ResponseTime(id, class, load, h.slowdown/h.Speed) })
 	return responseTime
 }
 
-// Entry returns the host's entry in the host list.
+// Entry returns the host's entry in the host list, with the given state.
 func (h *Host) Entry(state string) (entry HostEntry) {
 	h.Ask(func() { entry = h.listEntry(state) })
 	return entry
 }
 
-// listEntry is Entry within the actor.
+// listEntry is Entry for callers within the actor.
 func (h *Host) listEntry(state string) HostEntry {
 	return HostEntry{
 		ID:        h.ID,
--- a/lab/emulator/host_test.go
+++ b/lab/emulator/host_test.go
@@ -12,7 +12,8 @@
 	"ravensill/internal/golden"
 )
 
-// Replies, refusals and the log of a host that serves, hangs, is killed and is started again.
+// Checks of whole fleets trust the log of each host. So replies, refusals and the log must be exact while a host
+// serves, hangs, is killed and is started again.
 func TestHostRepliesAndLogsInEachState(t *testing.T) {
 	host, err := NewHost(HostOptions{
 		ID:           "h",
@@ -43,9 +44,9 @@
 	for host.OpenConns() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	text += fmt.Sprintf("third connection refused: %t\n", refused(host.Addr()))
+	text += fmt.Sprintf("third connection refused: %t\n", isRefused(host.Addr()))
 	host.SetHanging(true)
-	for i := range 3 { // the third is beyond MaxInFlight, and its answer waits for those of the others
+	for i := range 3 { // the third exceeds MaxInFlight; its BUSY reply waits for the replies before it
 		conn.send("CALL.GET", "0000000000000001", fmt.Sprint("held", i), callArguments)
 	}
 	for len(host.Log().Commands) < 7 {
@@ -74,8 +75,8 @@
 	golden.Check(t, text)
 }
 
-// refused reports whether a connection is refused, or reset after it came up.
-func refused(addr string) bool {
+// isRefused reports whether a connection is refused, or is reset after it was opened.
+func isRefused(addr string) bool {
 	conn, err := net.Dial("tcp4", addr)
 	if err != nil {
 		return true
@@ -85,7 +86,8 @@
 	return err != nil
 }
 
-// A child process that starts holds a copy of each descriptor until it runs; the host's port must be free all the same.
+// A child process that is being started holds copies of all descriptors until it executes its program. The host's port
+// must be free for a restart nevertheless.
 func TestHostRestartsWhileChildProcessesStart(t *testing.T) {
 	host, err := NewHost(HostOptions{ID: "s-0001", Listen: "127.0.0.1:0"})
 	if err != nil {
--- a/lab/emulator/hostconn.go
+++ b/lab/emulator/hostconn.go
@@ -10,25 +10,26 @@
 	"ravensill/lab/actor"
 )
 
-// hostConn is one connection of a gateway.
+// hostConn is one connection from a gateway to a host. Its fields belong to the host's actor.
 type hostConn struct {
 	host    *Host
-	number  int
+	number  int // counted from 1 over all accepted connections of the host
 	conn    net.Conn
-	replies chan []byte
-	queue   []*command // unanswered, in the order of arrival, which is that of the replies
+	replies chan []byte       // for writeReplies
+	queue   []*pendingCommand // unanswered commands in the order of arrival, in which they must be answered
 }
 
-// command is one command that was not answered yet.
-type command struct {
+// pendingCommand is a command that was not answered yet. Its embedded Command is filled in only for calls.
+type pendingCommand struct {
 	Command
-	index int // in the log
+	index int // in the host's log; -1: not logged
 	conn  *hostConn
-	reply []byte // nil: not ended
-	timer *time.Timer
+	reply []byte      // nil until the command has ended
+	timer *time.Timer // fires when the response time is over
 }
 
-// writeReplies writes the replies until the connection fails, and drops those after that.
+// writeReplies writes the replies. After a write has failed, it discards the remaining ones until the channel is
+// closed.
 func (c *hostConn) writeReplies() {
 	for reply := range c.replies {
 		if _, err := c.conn.Write(reply); err != nil {
@@ -39,7 +40,7 @@
 	}
 }
 
-// readCommands reads the commands until the connection ends.
+// readCommands passes the commands to the actor until the connection ends.
 func (c *hostConn) readCommands() {
 	reader := redcon.NewReader(c.conn)
 	for {
@@ -56,7 +57,7 @@
 	}
 }
 
-// fail ends a connection and the commands on it.
+// fail resets the connection and ends its unanswered commands with an outcome.
 func (c *hostConn) fail(outcome Outcome) {
 	h := c.host
 	if !h.conns[c] {
@@ -65,7 +66,7 @@
 	delete(h.conns, c)
 	for _, command := range c.queue {
 		if command.reply == nil {
-			command.end(outcome, nil)
+			command.endWith(outcome, nil)
 		}
 	}
 	close(c.replies)
@@ -73,18 +74,18 @@
 	h.recordLoad()
 }
 
-// receive queues and begins a command.
+// receive queues a command and starts to execute it.
 func (c *hostConn) receive(args []string) {
 	if !c.host.conns[c] {
 		return
 	}
-	newCommand := &command{conn: c, index: -1}
+	newCommand := &pendingCommand{conn: c, index: -1}
 	c.queue = append(c.queue, newCommand)
 	newCommand.execute(args)
 }
 
-// execute answers a command at once, or begins a call.
-func (c *command) execute(args []string) {
+// execute starts a call, and answers any other command at once.
+func (c *pendingCommand) execute(args []string) {
 	h := c.conn.host
 	verb := ""
 	if len(args) > 0 {
@@ -109,7 +110,7 @@
 		c.sendReply([]byte("-ERR unknown command\r\n"))
 		return
 	}
-	if !wellFormed(args) {
+	if !isWellFormedCall(args) {
 		h.log.MalformedCommands++
 		c.sendReply([]byte("-SYNTAX\r\n"))
 		return
@@ -117,13 +118,14 @@
 	c.beginCall(args)
 }
 
-// wellFormed reports whether the arguments are those of a call.
-func wellFormed(args []string) bool {
+// isWellFormedCall reports whether the arguments are those of a call as gateways send it.
+func isWellFormedCall(args []string) bool {
 	return (len(args) == 4 || len(args) == 5) && len(args[1]) == 16 && args[2] != "" && ArgumentValue(args[3], "c") != ""
 }
 
-// beginCall logs a call and sets the time of its end, or rejects it.
-func (c *command) beginCall(args []string) {
+// beginCall logs a call and sets a timer for its response time. A host with MaxInFlight calls in flight rejects it; a
+// hanging host withholds it.
+func (c *pendingCommand) beginCall(args []string) {
 	h := c.conn.host
 	c.Command = Command{
 		ReceivedAt: actor.Now(),
@@ -142,30 +144,30 @@
 	h.log.Commands = append(h.log.Commands, c.Command)
 	if h.Model.MaxInFlight > 0 && h.inFlight >= h.Model.MaxInFlight {
 		h.log.BusyReplies++
-		c.end(OutcomeBusy, []byte("-BUSY\r\n"))
+		c.endWith(OutcomeBusy, []byte("-BUSY\r\n"))
 		return
 	}
 	h.inFlight++
 	h.recordLoad()
 	if h.hanging {
-		h.withheld = append(h.withheld, c)
+		h.withheldCommands = append(h.withheldCommands, c)
 		return
 	}
-	c.timer = h.After(c.ResponseTime, c.finish)
+	c.timer = h.After(c.ResponseTime, c.finishCall)
 }
 
-// finish ends a command whose response time is over, unless the host hangs.
-func (c *command) finish() {
+// finishCall ends a call whose response time is over with a value or an error. A hanging host withholds it.
+func (c *pendingCommand) finishCall() {
 	h := c.conn.host
 	if c.reply != nil || c.Outcome != "" {
 		return
 	}
 	if h.hanging {
-		h.withheld = append(h.withheld, c)
+		h.withheldCommands = append(h.withheldCommands, c)
 		return
 	}
 	if h.Model.Fails(c.ID) {
-		c.end(OutcomeErrored, []byte("-ERR failed\r\n"))
+		c.endWith(OutcomeErrored, []byte("-ERR failed\r\n"))
 		return
 	}
 	reply := redcon.AppendArray(nil, 3)
@@ -176,11 +178,12 @@
 	} else {
 		reply = redcon.AppendNull(reply)
 	}
-	c.end(OutcomeSucceeded, reply)
+	c.endWith(OutcomeSucceeded, reply)
 }
 
-// end ends a command and logs its outcome; reply is nil if nobody is left to read it.
-func (c *command) end(outcome Outcome, reply []byte) {
+// endWith ends a command, logs its outcome if it is a call, and sends the reply unless that is nil, because the
+// connection or the host is gone.
+func (c *pendingCommand) endWith(outcome Outcome, reply []byte) {
 	h := c.conn.host
 	if c.index >= 0 && c.Outcome == "" {
 		c.Outcome = outcome
@@ -200,15 +203,16 @@
 	}
 }
 
-// sendReply sends the replies that are ready, in the order of the commands.
-func (c *command) sendReply(reply []byte) {
+// sendReply sets the reply of a command. Then it sends all replies of the connection that have no unanswered command
+// before them.
+func (c *pendingCommand) sendReply(reply []byte) {
 	conn := c.conn
 	c.reply = reply
 	for len(conn.queue) > 0 && conn.queue[0].reply != nil {
 		select {
 		case conn.replies <- conn.queue[0].reply:
 			conn.queue = conn.queue[1:]
-		default: // the other side does not read
+		default: // the gateway does not read its replies
 			conn.fail(OutcomeClientGone)
 			return
 		}
--- a/lab/emulator/hostlog.go
+++ b/lab/emulator/hostlog.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// HostLog is all that a host received over its restarts, in order.
+// HostLog is everything that a host received over its restarts, in order.
 type HostLog struct {
 	Commands          []Command
 	LoadSteps         []LoadStep
-	AcceptedAt        []int64 // times of accepted connections
-	RefusedConns      int     // connections beyond the limit
-	AcceptedConns     int     // connections
-	PeakConns         int
-	BusyReplies       int // commands rejected
-	MalformedCommands int // commands
+	AcceptedAt        []int64 // times of accepted connections, in ns of actor.Now
+	RefusedConns      int     // connections beyond MaxConns
+	AcceptedConns     int     // number of accepted connections
+	PeakConns         int     // highest number of connections open at once
+	BusyReplies       int     // calls rejected beyond MaxInFlight
+	MalformedCommands int     // calls with arguments that no gateway sends
 }
 
-// Outcome is how a command ended at its host.
+// Outcome says how a call ended at its host.
 type Outcome string
 
-// Outcomes of commands. An empty one means that the command is still open.
+// Outcomes of calls. A call that has not ended has an empty outcome.
 const (
 	OutcomeSucceeded  Outcome = "succeeded"
 	OutcomeErrored    Outcome = "errored"
 	OutcomeBusy       Outcome = "busy"
-	OutcomeClientGone Outcome = "client_gone" // the gateway closed the connection
+	OutcomeClientGone Outcome = "client_gone" // the gateway closed the connection first
 	OutcomeHostKilled Outcome = "host_killed"
 )
 
 // Command is one attempt that a host received completely. Times are in nanoseconds of actor.Now.
 type Command struct {
 	ReceivedAt   int64
-	EndedAt      int64 // 0: still open
+	EndedAt      int64 // 0: not ended
 	ID           string
 	Customer     string
 	Class        string
-	InFlight     float64       // other requests at the host as it began
-	ResponseTime time.Duration // by the model
+	InFlight     float64       // other calls in flight at the host on arrival
+	ResponseTime time.Duration // according to the model
 	Outcome      Outcome
-	Connection   int // number of the connection, over restarts
+	Connection   int // number of the connection, counted over restarts
 }
 
-// LoadStep is a change of a host's load or slowdown.
+// LoadStep is a host's load and slowdown from a time on, until the next step. Times are in nanoseconds of actor.Now.
 type LoadStep struct {
 	At           int64
 	InFlight     int
-	Slowdown     float64 // without the warm-up
-	WarmingSince int64   // start of this process; 0: it did not warm up
+	Slowdown     float64 // multiplies response times; without the warm-up
+	WarmingSince int64   // start of the warm-up; 0: the host does not warm up
 	OpenConns    int
 }
 
-// LoadAt returns the host's load at a time: the last step not after it.
+// LoadAt returns the host's load at a time: the latest step that is not after it. The result is false before the first
+// step.
 func (l *HostLog) LoadAt(at int64) (LoadStep, bool) {
 	i := sort.Search(len(l.LoadSteps), func(i int) bool { return l.LoadSteps[i].At > at })
 	if i == 0 {
@@ -60,8 +61,9 @@
 	return l.LoadSteps[i-1], true
 }
 
-// ResponseTimeAt returns how long a host with this model and log would have taken for a request that had arrived at a
-// time, on top of the load at that time. It is the ground truth that estimates are compared with.
+// ResponseTimeAt returns how long a host with this model and log would have taken for a request arriving at a time, in
+// addition to the requests in flight then. Estimates of what another host would have done are compared with this ground
+// truth. ok is false before the first step.
 func (l *HostLog) ResponseTimeAt(model Model, id, class string, at int64) (
 	responseTime time.Duration, inFlight float64, ok bool) {
 	step, ok := l.LoadAt(at)
--- a/lab/emulator/listener.go
+++ b/lab/emulator/listener.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// closeListener shuts a listener down before it closes it. A child process that is being started holds copies of all
-// descriptors until it runs, so that closing alone would leave the port in use.
+// closeListener shuts a listener down before closing it. A child process that is being started holds copies of all
+// descriptors until it executes its program, so a close alone would leave the port in use.
 func closeListener(listener net.Listener) {
 	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err == nil {
--- a/lab/emulator/load.go
+++ b/lab/emulator/load.go
@@ -11,45 +11,45 @@
 	"ravensill/lab/actor"
 )
 
-const clientsStream = 0x636c69656e7473 // of the random generator: "clients"
+const loadRandomStream = 0x636c69656e7473 // selects the random sequence of loads; ASCII for "clients"
 
-// Class is a request class as clients use it.
+// Class is a request class as clients send it.
 type Class struct {
 	Name       string
-	Post       bool          // sent by CALL.POST
+	Post       bool          // sent as CALL.POST instead of CALL.GET
 	Idempotent bool          // sent with an idempotency key
-	Timeout    time.Duration // of the client
-	Fraction   float64       // of the requests
+	Timeout    time.Duration // the client's timeout, sent to the gateway as the request's deadline
+	Fraction   float64       // of all requests
 }
 
-// Load describes what clients send. Arrivals are a Poisson process that follows from the seed and do not wait for
-// answers (open loop).
+// Load describes the requests that clients send. Arrivals are a Poisson process that depends only on the seed and the
+// rate. Clients do not wait for answers before they send further requests (open loop).
 type Load struct {
 	Seed           uint64
-	Rate           float64 // requests a second, of all clients together
+	Rate           float64 // requests per second of all clients together
 	Customers      int
-	ZipfExponent   float64 // of the customers' shares of the requests; 0: all equal
-	SubsetSize     int     // gateways that a customer uses; 0: all
-	QuotaPlan      string  // "": team
-	Units          float64 // cost of a request; 0: 1
-	Classes        []Class
-	GatewayWeights map[int]float64 // weight of a gateway within each subset; 1 if absent
-	Body           string          // of CALL.POST
+	ZipfExponent   float64         // exponent of the Zipf distribution of requests over customers; 0: uniform
+	SubsetSize     int             // number of gateways that each customer uses; 0: all
+	QuotaPlan      string          // name of the customers' plan; "" means team
+	Units          float64         // quota units that a request costs; 0 means 1
+	Classes        []Class         // none: only class lookup, with a timeout of 3 s
+	GatewayWeights map[int]float64 // relative share of the requests by gateway within a customer's subset; 1 if absent
+	Body           string          // payload of CALL.POST
 }
 
-// LoadRun is a load that is being sent.
+// LoadRun is a load that is being sent. Its fields belong to the actor of its Clients.
 type LoadRun struct {
 	clients          *Clients
 	load             Load
 	random           *rand.Rand
-	sent             int       // requests
-	startedAt        int64     // ns
-	nextArrival      float64   // seconds after began
-	cumulativeShares []float64 // by customer: the sum of the shares up to this one
+	sent             int       // requests sent so far
+	startedAt        int64     // in ns of actor.Now
+	nextArrival      float64   // in seconds after startedAt
+	cumulativeShares []float64 // by customer: sum of the unnormalized shares up to this one
 	stopped          bool
 }
 
-// Start starts a load. Several may run at once.
+// Start starts to send a load. Several loads may run at the same time.
 func (c *Clients) Start(load Load) *LoadRun {
 	if load.Units == 0 {
 		load.Units = 1
@@ -63,7 +63,7 @@
 	run := &LoadRun{
 		clients:   c,
 		load:      load,
-		random:    rand.New(rand.NewPCG(load.Seed, clientsStream)),
+		random:    rand.New(rand.NewPCG(load.Seed, loadRandomStream)),
 		startedAt: actor.Now(),
 	}
 	total := 0.0
@@ -76,7 +76,7 @@
 	return run
 }
 
-// Stop ends a load. Requests in flight go on.
+// Stop ends the load. Requests in flight continue.
 func (r *LoadRun) Stop() {
 	r.clients.Ask(func() {
 		if !r.stopped {
@@ -87,10 +87,10 @@
 	})
 }
 
-// SetRate sets how many requests a second are sent from now on.
+// SetRate sets the number of requests per second from the next arrival on.
 func (r *LoadRun) SetRate(rate float64) { r.clients.Ask(func() { r.load.Rate = rate }) }
 
-// sendDue sends the requests that are due and schedules the next one.
+// sendDue sends all requests that are due and schedules itself for the next arrival.
 func (r *LoadRun) sendDue() {
 	if r.stopped {
 		return
@@ -106,7 +106,8 @@
 	r.clients.After(time.Duration((r.nextArrival-now)*1e9), r.sendDue)
 }
 
-// sendNext draws the next request and sends it. The order of draws does not depend on answers.
+// sendNext draws the next request and sends it. The number and order of random draws do not depend on answers, so a
+// seed always gives the same requests.
 func (r *LoadRun) sendNext() {
 	load := &r.load
 	r.sent++
@@ -122,7 +123,7 @@
 	first := int(UniformHash("first", customerID, strconv.FormatUint(load.Seed, 16)) * float64(gateways))
 	gateway := r.chooseGateway(first, spread, gateways)
 	id := fmt.Sprintf("%08x%08x", uint32(load.Seed), r.sent)
-	request := &pending{Request: Request{
+	request := &pendingRequest{Request: Request{
 		ID:       id,
 		Customer: customerID,
 		Class:    class.Name,
@@ -137,10 +138,10 @@
 		request.arguments += ",k=" + id
 	}
 	request.arguments += fmt.Sprintf(",units=%g,spread=%d,first=%d", load.Units, spread, first)
-	r.clients.begin(request)
+	r.clients.beginRequest(request)
 }
 
-// chooseClass draws a request class.
+// chooseClass draws a request class with the classes' fractions as probabilities.
 func (r *LoadRun) chooseClass() *Class {
 	draw := r.random.Float64()
 	classes := r.load.Classes
@@ -153,31 +154,32 @@
 	return &classes[len(classes)-1]
 }
 
-// chooseGateway draws a gateway of a subset. If that is unavailable, it returns the next available one of the subset.
+// chooseGateway draws a gateway, by weight, from the subset of spread gateways that starts at first. If that gateway is
+// unavailable, it returns the next available one of the subset; if all are unavailable, it returns the drawn one.
 func (r *LoadRun) chooseGateway(first, spread, gateways int) int {
-	member := func(k int) int { return (first + k) % gateways }
+	gatewayAt := func(k int) int { return (first + k) % gateways }
 	total := 0.0
 	for k := range spread {
-		total += r.weight(member(k))
+		total += r.weight(gatewayAt(k))
 	}
 	draw := r.random.Float64() * total
 	chosen := 0
 	for ; chosen < spread-1; chosen++ {
-		draw -= r.weight(member(chosen))
+		draw -= r.weight(gatewayAt(chosen))
 		if draw < 0 {
 			break
 		}
 	}
 	for k := range spread {
-		gateway := member((chosen + k) % spread)
+		gateway := gatewayAt((chosen + k) % spread)
 		if !r.clients.unavailable(gateway) {
 			return gateway
 		}
 	}
-	return member(chosen)
+	return gatewayAt(chosen)
 }
 
-// weight returns the weight of a gateway within each subset.
+// weight returns a gateway's weight within each subset.
 func (r *LoadRun) weight(gateway int) float64 {
 	if weight, ok := r.load.GatewayWeights[gateway]; ok {
 		return weight
--- a/lab/emulator/loopback.go
+++ b/lab/emulator/loopback.go
@@ -7,20 +7,22 @@
 	"os"
 )
 
-// FreeAddr tries ports below the system's ephemeral ones, so that a free one stays free until its user starts, and
-// while its user restarts.
+// Range of ports that FreeAddr tries. It lies below the system's ephemeral ports, so a free port is not taken by an
+// outgoing connection before its user starts or while its user restarts.
 const (
 	firstPort    = 20_000
 	portCount    = 12_000
 	portAttempts = 200
 )
 
-// LoopbackAddr returns address i of a network within 127.0.0.0/8, so that many servers can share one port.
+// LoopbackAddr returns address i of a network in 127.0.0.0/8 whose second octet is network. Servers at different
+// addresses can listen at the same port.
 func LoopbackAddr(network byte, i int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, network, byte((i + 1) >> 8), byte(i + 1)})
 }
 
-// LoopbackIndex is the inverse of Loopback. It returns -1 for an address outside the network.
+// LoopbackIndex returns the index i for which LoopbackAddr returns an address, or -1 if the address is outside the
+// network.
 func LoopbackIndex(network byte, addr netip.Addr) int {
 	octets := addr.Unmap().As4()
 	if octets[0] != 127 || octets[1] != network {
@@ -29,7 +31,7 @@
 	return int(octets[2])<<8 + int(octets[3]) - 1
 }
 
-// FreeAddr returns address i of a network with a port that is free for TCP and UDP.
+// FreeAddr returns address i of a network with a port that is free for both TCP and UDP.
 func FreeAddr(network byte, i int) (netip.AddrPort, error) {
 	var err error
 	for attempt := range portAttempts {
@@ -39,10 +41,10 @@
 			return addr, nil
 		}
 	}
-	return netip.AddrPort{}, fmt.Errorf("free port at %s: %w", LoopbackAddr(network, i), err)
+	return netip.AddrPort{}, fmt.Errorf("finding a free port at %s: %w", LoopbackAddr(network, i), err)
 }
 
-// probePort listens at an address for a moment, by TCP and by UDP.
+// probePort briefly listens at an address by TCP and by UDP, and returns an error if either fails.
 func probePort(addr netip.AddrPort) error {
 	listener, err := net.Listen("tcp4", addr.String())
 	if err != nil {
--- a/lab/emulator/model.go
+++ b/lab/emulator/model.go
@@ -1,7 +1,6 @@
-// Package emulator provides what a gateway speaks to in a test: hosts, the discovery agent, the shared counter and
-// clients.
-// Each is an actor that owns its sockets and state. Their protocols on the wire are those of the operators' page; all
-// random draws follow from a seed or from a request's id.
+// Package emulator emulates what gateways communicate with in a test: hosts, discovery agents, the shared counter and
+// clients. Each emulator is an actor that owns its sockets and its state, and speaks the same protocol as the real
+// service. All random draws depend only on a seed or on a request's id, so that runs can be compared.
 package emulator
 
 import (
@@ -10,35 +9,39 @@
 	"time"
 )
 
-// Model computes a host's response times. They depend on the request's id, the host's load and its speed alone, so that
-// the response time of a request that a host never received is known too.
+// Model computes a host's response times. They depend only on the request's id and class, the host's load and its
+// slowdown. So the response time is also known for a request that the host never received.
 type Model struct {
-	// BaseTime is the mean time of a request without load at speed 1.
+	// BaseTime is the mean response time without load at speed 1.
 	BaseTime time.Duration
-	// Sigma is the standard deviation of the logarithm of a request's size, which is lognormal with mean 1; 0: all equal.
+	// Sigma is the standard deviation of the logarithm of a request's relative size. Sizes are lognormal with mean 1; 0
+	// makes all sizes equal.
 	Sigma float64
-	// Slots is the number of requests in flight that a host serves without queueing.
+	// Slots is the number of requests that a host processes at once without queueing; 0: the load does not matter.
 	Slots float64
-	// Knee is the fraction of Slots above which the load adds to the time.
+	// Knee is the fraction of Slots in flight above which the response time grows with the load.
 	Knee float64
-	// Slope is the growth of the time, in multiples of BaseTime, for each further Slots of requests in flight.
+	// Slope is the growth of the response time, in multiples of the time without load, for each further Slots requests in
+	// flight.
 	Slope float64
-	// MaxInFlight is the number of requests in flight from which on a host answers BUSY; 0: no limit.
+	// MaxInFlight is the number of requests in flight at which a host rejects further ones with BUSY; 0 means no limit.
 	MaxInFlight int
-	// WarmUpFactor multiplies the time right after a start and falls linearly to 1; 1 or less: no warm-up.
+	// WarmUpFactor multiplies the response time right after a start and falls linearly to 1 over WarmUpTime. A factor of 1
+	// or less means no warm-up.
 	WarmUpFactor  float64
 	WarmUpTime    time.Duration
-	ErrorFraction float64            // of the requests
-	ClassFactors  map[string]float64 // multiple of the time by request class; 1 if absent
+	ErrorFraction float64            // fraction of the requests that end in an error
+	ClassFactors  map[string]float64 // factor of the response time by request class; 1 if absent
 }
 
-// DefaultModel returns the model of a host that takes 5 ms a request and serves 8 at once without queueing.
+// DefaultModel returns the model of a host that takes 5 ms on average and processes 8 requests at once without
+// queueing.
 func DefaultModel() Model {
 	return Model{BaseTime: 5 * time.Millisecond, Sigma: 0.5, Slots: 8, Knee: 0.5, Slope: 1, MaxInFlight: 64}
 }
 
-// ResponseTime returns how long a request takes that begins while inFlight others are in flight at the host. slowdown
-// is that of the host at that time (1: none, 2: half as fast), with its speed and warm-up.
+// ResponseTime returns how long a request takes that arrives while inFlight others are in flight at the host. slowdown
+// multiplies the result; it includes the host's speed and warm-up.
 func (m *Model) ResponseTime(id, class string, inFlight, slowdown float64) time.Duration {
 	size := 1.0
 	if m.Sigma > 0 {
@@ -55,12 +58,12 @@
 	return time.Duration(float64(m.BaseTime) * size * loadFactor * slowdown)
 }
 
-// Fails reports whether a request ends in an error.
+// Fails reports whether a request ends in an error. It depends only on the request's id.
 func (m *Model) Fails(id string) bool {
 	return m.ErrorFraction > 0 && UniformHash(id, "errors") < m.ErrorFraction
 }
 
-// warmUpFactor returns the multiple of the response time at an age of the host's process.
+// warmUpFactor returns the factor by which the warm-up multiplies response times at a time after the start.
 func (m *Model) warmUpFactor(age time.Duration) float64 {
 	if m.WarmUpFactor <= 1 || age >= m.WarmUpTime {
 		return 1
@@ -68,14 +71,14 @@
 	return 1 + (m.WarmUpFactor-1)*(1-float64(age)/float64(m.WarmUpTime))
 }
 
-// UniformHash returns a number in (0, 1) that depends on the words alone.
+// UniformHash returns a pseudorandom number in (0, 1) that depends only on the words and their order.
 func UniformHash(words ...string) float64 {
 	hash := fnv.New64a()
 	for _, word := range words {
 		hash.Write([]byte(word))
 		hash.Write([]byte{0})
 	}
-	bits := hash.Sum64() // FNV alone leaves the upper bits of similar words similar
+	bits := hash.Sum64() // mixed further, because similar words have similar upper bits in FNV
 	bits = (bits ^ bits>>30) * 0xbf58476d1ce4e5b9
 	bits = (bits ^ bits>>27) * 0x94d049bb133111eb
 	return (float64((bits^bits>>31)>>11) + 0.5) / (1 << 53)
--- a/lab/emulator/model_test.go
+++ b/lab/emulator/model_test.go
@@ -8,7 +8,8 @@
 	"ravensill/internal/golden"
 )
 
-// A response time depends on id, load and slowdown alone, so it is known for requests that a host never received too.
+// Estimates for hosts that never received a request are compared with the model. So a response time must depend only on
+// the request's id and class, the load and the slowdown.
 func TestModelResponseTimeFollowsFromRequestAndLoad(t *testing.T) {
 	model := DefaultModel()
 	model.WarmUpFactor = 3
