--- a/lab/logline/logline.go
+++ b/lab/logline/logline.go
@@ -1,5 +1,5 @@
-// Package logline parses log lines as package internal/logging writes them: key=value pairs, where a value with
-// spaces is quoted.
+// Package logline parses log lines in the format of package internal/logging: key=value pairs separated by spaces. A
+// value that contains spaces is quoted.
 package logline
 
 import (
@@ -11,16 +11,16 @@
 	"ravensill/internal/logging"
 )
 
-// Event returns the event of a line. ok is false for a line without one, such as one of a stack trace.
+// Event returns the event of a line. ok is false if the line has none, such as a line of a stack trace.
 func Event(line string) (event string, ok bool) { return lookUp(line, logging.MessageKey) }
 
-// Value returns the value of a key, without quotes; "" if the line does not have the key.
+// Value returns the unquoted value of a key, or "" if the line does not have the key.
 func Value(line, key string) string {
 	value, _ := lookUp(line, key)
 	return value
 }
 
-// Int returns the value of a key that is a number; 0 if the line has no such number.
+// Int returns the value of a key as an integer, or 0 if the line does not have the key or the value is no integer.
 func Int(line, key string) int {
 	number, err := strconv.Atoi(Value(line, key))
 	if err != nil {
@@ -29,7 +29,7 @@
 	return number
 }
 
-// Time returns the time of a line; the zero time if the line has none.
+// Time returns the time at which a line was logged, or the zero time if the line has none.
 func Time(line string) time.Time {
 	at, err := time.Parse(logging.TimeLayout, Value(line, slog.TimeKey))
 	if err != nil {
@@ -50,7 +50,8 @@
 	return "", false
 }
 
-// nextPair returns the pair that a line begins with and the rest of the line. A word without a value has an empty name.
+// nextPair returns the first key=value pair of a line and the rest of the line. The name is empty for a word that is
+// not a pair.
 func nextPair(line string) (name, value, rest string) {
 	line = strings.TrimLeft(line, " ")
 	end := strings.IndexAny(line, "= ")
@@ -64,6 +65,6 @@
 		value, rest, _ = strings.Cut(line, " ")
 		return name, strings.TrimRight(value, "\n"), rest
 	}
-	value, _ = strconv.Unquote(quoted) // a quoted prefix is well formed
+	value, _ = strconv.Unquote(quoted) // cannot fail after QuotedPrefix
 	return name, value, line[len(quoted):]
 }
--- a/lab/logline/logline_test.go
+++ b/lab/logline/logline_test.go
@@ -10,7 +10,8 @@
 	"ravensill/internal/logging"
 )
 
-// What package logging writes is read back, quoted values too.
+// The test rigs read the gateways' log lines. So every value that package logging writes must be read back unchanged,
+// also if it is quoted.
 func TestValuesOfWrittenLineAreReadBack(t *testing.T) {
 	var lines strings.Builder
 	restore := logging.SetOutput(&lines)
@@ -27,7 +28,7 @@
 		"dir":   "",
 		"last":  "x",
 		"level": "WARN",
-		"b":     "", // within a quoted value
+		"b":     "", // appears only within a quoted value
 		"fre":   "",
 	} {
 		if got := Value(line, key); got != want {
@@ -42,7 +43,7 @@
 	}
 }
 
-// Lines of a panic or of another program have no event, no number and no time.
+// Lines of a panic or of another program must not be taken for log lines.
 func TestLineWithoutPairsHasNoEvent(t *testing.T) {
 	for _, line := range []string{"", "goroutine 1 [running]:", "panic: event", "main.main()\n", `quote="open`, "="} {
 		if event, ok := Event(line); ok {
--- a/lab/relay/datagrams.go
+++ b/lab/relay/datagrams.go
@@ -13,67 +13,68 @@
 )
 
 const (
-	firstNetwork    = 128     // second octet of the addresses of the first datagram network
-	readBufferBytes = 1 << 20 // of a socket
-	maxDatagram     = 64 << 10
+	firstNetwork    = 128      // second octet of the addresses of the first network
+	readBufferBytes = 1 << 20  // receive buffer of each socket
+	maxDatagram     = 64 << 10 // bytes
 )
 
-// DatagramNetwork is a datagram network between ends that know each other by address. The relay has one socket for each
-// end. To end i, end j is the loopback address that encodes j, at the port of socket i. A datagram that arrives at
-// socket i for that address is sent on to end j, by socket j from the address that encodes i. So n sockets carry the
-// datagrams of all pairs, and each end sees a datagram's sender as without a relay.
+// DatagramNetwork is a UDP network between nodes that know each other by address. The relay has one socket for each
+// node. To node i, node j has the loopback address that encodes j, with the port of socket i. When socket i receives a
+// datagram for that address, the relay sends it to node j on socket j, with the address that encodes i as its source.
+// So n sockets carry the datagrams of all pairs, and each node sees the sender's address as if there were no relay.
 type DatagramNetwork struct {
-	relay   *Relay
-	name    string
-	octet   byte // second octet of the addresses
-	ends    []*end
-	counts  Counts
-	readers sync.WaitGroup
+	relay       *Relay
+	name        string
+	secondOctet byte // of the addresses that encode nodes
+	nodes       []*node
+	counts      Counts
+	readers     sync.WaitGroup // goroutines that read the sockets
 }
 
-// end is one end of a datagram network.
-type end struct {
+// node is a node of a datagram network.
+type node struct {
 	name   string
 	conn   *ipv4.PacketConn
 	port   uint16
-	addr   netip.AddrPort // where the end listens; not valid: it is down, or not known yet
-	counts Counts         // of what it sent
-	sent   []uint64       // datagrams by receiver
+	addr   netip.AddrPort // where the node listens; invalid: not known yet, or the node is down
+	counts Counts         // of the datagrams that the node sent
+	sent   []uint64       // number of datagrams by receiver
 }
 
-// Counts are numbers of datagrams since the start.
+// Counts are numbers of datagrams since the start of the relay. Bytes is the size of all datagrams sent.
 type Counts struct {
 	Sent       int
 	Bytes      int
 	Lost       int
 	Duplicated int
-	Unroutable int // the receiver's address was not known
+	Unroutable int // dropped because the receiver's address was not known
 	Delivered  int
 }
 
-// AddDatagramNetwork adds a network. Rules call its ends by their names.
-func (r *Relay) AddDatagramNetwork(name string, ends []string) (*DatagramNetwork, error) {
+// AddDatagramNetwork adds a network of nodes with these names, which rules use too. The random faults depend on the
+// name of the network.
+func (r *Relay) AddDatagramNetwork(name string, nodeNames []string) (*DatagramNetwork, error) {
 	network := &DatagramNetwork{relay: r, name: name}
-	for _, endName := range ends {
-		end, err := newEnd(endName, len(ends))
+	for _, nodeName := range nodeNames {
+		node, err := newNode(nodeName, len(nodeNames))
 		if err != nil {
 			network.close()
 			return nil, fmt.Errorf("datagram network %s: %w", name, err)
 		}
-		network.ends = append(network.ends, end)
+		network.nodes = append(network.nodes, node)
 	}
 	r.Ask(func() {
-		network.octet = firstNetwork + byte(len(r.networks))
+		network.secondOctet = firstNetwork + byte(len(r.networks))
 		r.networks = append(r.networks, network)
 	})
-	for i := range network.ends {
-		network.readers.Go(func() { network.read(i) })
+	for i := range network.nodes {
+		network.readers.Go(func() { network.readDatagrams(i) })
 	}
 	return network, nil
 }
 
-// newEnd opens the socket of an end.
-func newEnd(name string, ends int) (*end, error) {
+// newNode opens the relay's socket for a node.
+func newNode(name string, nodeCount int) (*node, error) {
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{})
 	if err != nil {
 		return nil, err
@@ -85,66 +86,66 @@
 		return nil, err
 	}
 	port := netip.MustParseAddrPort(socket.LocalAddr().String()).Port()
-	return &end{name: name, conn: conn, port: port, sent: make([]uint64, ends)}, nil
+	return &node{name: name, conn: conn, port: port, sent: make([]uint64, nodeCount)}, nil
 }
 
 // close closes the sockets.
 func (d *DatagramNetwork) close() {
-	for _, end := range d.ends {
-		end.conn.Close()
+	for _, node := range d.nodes {
+		node.conn.Close()
 	}
 }
 
-// addrOf returns the address that encodes an end.
-func (d *DatagramNetwork) addrOf(i int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, d.octet, byte((i + 1) >> 8), byte(i + 1)})
+// nodeAddr returns the loopback address that encodes node i.
+func (d *DatagramNetwork) nodeAddr(i int) netip.Addr {
+	return netip.AddrFrom4([4]byte{127, d.secondOctet, byte((i + 1) >> 8), byte(i + 1)})
 }
 
-// indexOf is the inverse of addrOf. ok is false for an address of no end.
-func (d *DatagramNetwork) indexOf(addr netip.Addr) (i int, ok bool) {
+// nodeIndex returns the node that an address encodes. ok is false if it encodes none of this network.
+func (d *DatagramNetwork) nodeIndex(addr netip.Addr) (i int, ok bool) {
 	octets := addr.As4()
 	i = int(octets[2])<<8 + int(octets[3]) - 1
-	return i, octets[1] == d.octet && i >= 0 && i < len(d.ends)
+	return i, octets[1] == d.secondOctet && i >= 0 && i < len(d.nodes)
 }
 
-// PeerAddrs returns the addresses of all ends, itself among them, as end i is to know them.
+// PeerAddrs returns the addresses at which node i reaches each node, itself included.
 func (d *DatagramNetwork) PeerAddrs(i int) (addrs []string) {
-	for peer := range d.ends {
-		addrs = append(addrs, netip.AddrPortFrom(d.addrOf(peer), d.ends[i].port).String())
+	for peer := range d.nodes {
+		addrs = append(addrs, netip.AddrPortFrom(d.nodeAddr(peer), d.nodes[i].port).String())
 	}
 	return addrs
 }
 
-// SetAddr sets the address at which an end listens. Without it the address is learned from the first datagram that the
-// end sends.
+// SetAddr sets the address at which node i listens; an invalid address means that it is down. Without a call of SetAddr
+// the relay learns the address from the first datagram that the node sends.
 func (d *DatagramNetwork) SetAddr(i int, addr netip.AddrPort) {
-	d.relay.Ask(func() { d.ends[i].addr = addr })
+	d.relay.Ask(func() { d.nodes[i].addr = addr })
 }
 
-// Counts returns the counts of the network and of what each end sent.
+// Counts returns the counts of the whole network and, by sender, of each node.
 func (d *DatagramNetwork) Counts() (all Counts, each []Counts) {
 	d.relay.Ask(func() {
 		all = d.counts
-		for _, end := range d.ends {
-			each = append(each, end.counts)
+		for _, node := range d.nodes {
+			each = append(each, node.counts)
 		}
 	})
 	return all, each
 }
 
-// read receives the datagrams of an end until its socket is closed.
-func (d *DatagramNetwork) read(from int) {
+// readDatagrams receives the datagrams that a node sends until its socket is closed.
+func (d *DatagramNetwork) readDatagrams(from int) {
 	buffer := make([]byte, maxDatagram)
 	for {
-		n, control, source, err := d.ends[from].conn.ReadFrom(buffer)
+		n, control, source, err := d.nodes[from].conn.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || control == nil { // such as a refusal of an earlier datagram by an end that is down
+		if err != nil || control == nil { // such as a port unreachable error for an earlier datagram to a node that is down
 			continue
 		}
 		destination, _ := netip.AddrFromSlice(control.Dst.To4())
-		to, ok := d.indexOf(destination)
+		to, ok := d.nodeIndex(destination)
 		if !ok {
 			continue
 		}
@@ -154,23 +155,24 @@
 	}
 }
 
-// forward delivers a datagram by the faults of its link.
+// forward applies the faults of the link to a datagram and delivers the copies that remain. It also learns the sender's
+// address.
 func (d *DatagramNetwork) forward(from, to int, source netip.AddrPort, body []byte) {
-	sender := d.ends[from]
+	sender := d.nodes[from]
 	sender.addr = netip.AddrPortFrom(source.Addr().Unmap(), source.Port())
 	sentBefore := sender.sent[to]
 	sender.sent[to]++
-	d.count(sender, func(counts *Counts) {
+	d.updateCounts(sender, func(counts *Counts) {
 		counts.Sent++
 		counts.Bytes += len(body)
 	})
-	faults := d.relay.faults(sender.name, d.ends[to].name)
+	faults := d.relay.faultsOf(sender.name, d.nodes[to].name)
 	if faults == (Faults{}) {
 		d.deliver(from, to, body)
 		return
 	}
-	delays := faults.DeliveryDelays(d.relay.random(d.name, sender.name, d.ends[to].name, sentBefore))
-	d.count(sender, func(counts *Counts) {
+	delays := faults.DeliveryDelays(d.relay.datagramRandom(d.name, sender.name, d.nodes[to].name, sentBefore))
+	d.updateCounts(sender, func(counts *Counts) {
 		if len(delays) == 0 {
 			counts.Lost++
 		} else {
@@ -186,23 +188,23 @@
 	}
 }
 
-// count changes the counts of the network and of a sender.
-func (d *DatagramNetwork) count(sender *end, change func(*Counts)) {
+// updateCounts changes the counts of the network and of the sender.
+func (d *DatagramNetwork) updateCounts(sender *node, change func(*Counts)) {
 	change(&d.counts)
 	change(&sender.counts)
 }
 
-// deliver sends a datagram to its receiver.
+// deliver sends one copy of a datagram to its receiver, with the address that encodes the sender as the source.
 func (d *DatagramNetwork) deliver(from, to int, body []byte) {
-	sender, receiver := d.ends[from], d.ends[to]
+	sender, receiver := d.nodes[from], d.nodes[to]
 	if !receiver.addr.IsValid() {
-		d.count(sender, func(counts *Counts) { counts.Unroutable++ })
+		d.updateCounts(sender, func(counts *Counts) { counts.Unroutable++ })
 		return
 	}
-	source := d.addrOf(from).As4()
+	source := d.nodeAddr(from).As4()
 	control := &ipv4.ControlMessage{Src: source[:]}
 	_, err := receiver.conn.WriteTo(body, control, net.UDPAddrFromAddrPort(receiver.addr))
 	if err == nil {
-		d.count(sender, func(counts *Counts) { counts.Delivered++ })
+		d.updateCounts(sender, func(counts *Counts) { counts.Delivered++ })
 	}
 }
--- a/lab/relay/datagrams_test.go
+++ b/lab/relay/datagrams_test.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-const waitLimit = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// testNetwork is a datagram network with a socket at each end.
+// testNetwork is a datagram network with a socket for each node.
 type testNetwork struct {
 	*DatagramNetwork
 	t       *testing.T
 	sockets []*net.UDPConn
 }
 
-// newTestNetwork adds a network with named ends to a relay.
-func newTestNetwork(t *testing.T, relay *Relay, ends ...string) *testNetwork {
+// newTestNetwork adds a network of nodes with these names to a relay.
+func newTestNetwork(t *testing.T, relay *Relay, nodeNames ...string) *testNetwork {
 	t.Helper()
-	datagrams, err := relay.AddDatagramNetwork("test", ends)
+	datagrams, err := relay.AddDatagramNetwork("test", nodeNames)
 	if err != nil {
 		t.Fatal(err)
 	}
 	network := &testNetwork{DatagramNetwork: datagrams, t: t}
-	for i := range ends {
+	for i := range nodeNames {
 		socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { socket.Close() })
-		socket.SetReadDeadline(time.Now().Add(waitLimit))
+		socket.SetReadDeadline(time.Now().Add(waitTimeout))
 		datagrams.SetAddr(i, netip.MustParseAddrPort(socket.LocalAddr().String()))
 		network.sockets = append(network.sockets, socket)
 	}
 	return network
 }
 
-// send sends a text from one end to another.
+// send sends a text from one node to another.
 func (n *testNetwork) send(from, to int, text string) {
 	n.t.Helper()
 	addr := netip.MustParseAddrPort(n.PeerAddrs(from)[to])
@@ -48,7 +48,7 @@
 	}
 }
 
-// wantReceived fails the test unless the next datagram at an end is a text from another.
+// wantReceived fails the test unless the next datagram that a node receives is a text from another node.
 func (n *testNetwork) wantReceived(at, from int, text string) {
 	n.t.Helper()
 	buffer := make([]byte, 99)
@@ -59,11 +59,12 @@
 	sender := slices.Index(n.PeerAddrs(at), source.String())
 	got := fmt.Sprintf("%q from %d", buffer[:size], sender)
 	if want := fmt.Sprintf("%q from %d", text, from); got != want {
-		n.t.Errorf("end %d received %s, want %s", at, got, want)
+		n.t.Errorf("node %d received %s, want %s", at, got, want)
 	}
 }
 
-// Three ends see each other's datagrams as from each other. A blocked direction loses them until it is healed.
+// Gossip identifies peers by their address. So nodes must see each other's datagrams as coming from the sender, not
+// from the relay. A blocked direction must lose datagrams until the rule is removed, and only those.
 func TestDatagramsArriveAsFromTheirSender(t *testing.T) {
 	relay := New(1)
 	defer relay.Close()
@@ -75,7 +76,7 @@
 
 	relay.SetRules("cut", Rule{From: []string{"a"}, To: []string{"b"}, Faults: Faults{Blocked: true}})
 	network.send(0, 1, "lost")
-	network.send(0, 2, "other way") // by the same socket: once it has arrived, the first was forwarded
+	network.send(0, 2, "other way") // on the same socket: once it has arrived, the datagram before it was handled
 	network.wantReceived(2, 0, "other way")
 	network.send(1, 0, "back")
 	network.wantReceived(0, 1, "back")
--- a/lab/relay/faults.go
+++ b/lab/relay/faults.go
@@ -8,19 +8,20 @@
 
 const defaultReorderDelay = 50 * time.Millisecond
 
-// Faults are what happens on a link. Those of several rules add up.
+// Faults are the faults on a link. Those of several rules combine.
 type Faults struct {
-	Loss         float64       // fraction of the datagrams that is lost
-	Duplicate    float64       // fraction that is delivered twice
-	Reorder      float64       // fraction that is delayed by ReorderDelay, so that later ones overtake it
-	ReorderDelay time.Duration // 0: 50 ms
-	Delay        time.Duration // of datagrams and streams
-	Jitter       time.Duration // maximum of a further delay, drawn evenly
-	// Blocked stops everything. A stream stops where it is and goes on once the link is no longer blocked.
+	Loss         float64       // fraction of the datagrams that are lost
+	Duplicate    float64       // fraction of the datagrams that are delivered twice
+	Reorder      float64       // fraction of the datagrams that are delayed by ReorderDelay, so that others overtake
+	ReorderDelay time.Duration // 0 means 50 ms
+	Delay        time.Duration // of all datagrams and of stream data
+	Jitter       time.Duration // highest additional delay of a datagram, drawn uniformly from 0 on
+	// Blocked loses all datagrams. Stream data waits and is sent once the link is no longer blocked.
 	Blocked bool
 }
 
-// combine returns the faults of two rules together.
+// combine returns the faults of a link to which both rules apply. Losses and duplicates are independent of each other,
+// delays add up.
 func (f Faults) combine(other Faults) Faults {
 	return Faults{
 		Loss:         1 - (1-f.Loss)*(1-other.Loss),
@@ -33,8 +34,9 @@
 	}
 }
 
-// random returns the random generator of the datagram that a pair of a network sends after others.
-func (r *Relay) random(network, from, to string, sentBefore uint64) *rand.Rand {
+// datagramRandom returns the random generator for one datagram from a node to another. sentBefore is the number of
+// datagrams that the pair has sent in this network before.
+func (r *Relay) datagramRandom(network, from, to string, sentBefore uint64) *rand.Rand {
 	hash := fnv.New64a()
 	for _, word := range []string{network, from, to} {
 		hash.Write([]byte(word))
@@ -43,7 +45,9 @@
 	return rand.New(rand.NewPCG(r.seed^hash.Sum64(), sentBefore))
 }
 
-// DeliveryDelays returns the delay of each copy of a datagram that is delivered; none for one that is lost.
+// DeliveryDelays returns the delay of each copy of a datagram that is delivered, and none if it is lost. Loss,
+// duplication and reordering are always drawn first and in this order, so a change of one fraction leaves the other
+// draws as they were.
 func (f Faults) DeliveryDelays(random *rand.Rand) (delays []time.Duration) {
 	lossDraw := random.Float64()
 	duplicateDraw := random.Float64()
@@ -65,7 +69,7 @@
 	return delays
 }
 
-// reorderDelay returns the delay of a datagram that later ones overtake.
+// reorderDelay returns ReorderDelay or its default.
 func (f Faults) reorderDelay() time.Duration {
 	if f.ReorderDelay > 0 {
 		return f.ReorderDelay
--- a/lab/relay/faults_test.go
+++ b/lab/relay/faults_test.go
@@ -8,7 +8,8 @@
 	"ravensill/internal/golden"
 )
 
-// What a pair's datagrams meet follows from the seed, the pair and the order of sending alone.
+// A run can be repeated only if the faults of a pair's datagrams depend on nothing but the seed, the pair and the order
+// of sending.
 func TestDeliveryDelaysFollowFromSeedAndOrder(t *testing.T) {
 	const datagrams = 12
 	var text string
@@ -24,7 +25,7 @@
 		relay := New(test.seed)
 		text += fmt.Sprint(test, ":")
 		for sentBefore := range uint64(datagrams) {
-			text += fmt.Sprint(" ", faults.DeliveryDelays(relay.random("mail", test.from, test.to, sentBefore)))
+			text += fmt.Sprint(" ", faults.DeliveryDelays(relay.datagramRandom("mail", test.from, test.to, sentBefore)))
 		}
 		text += "\n"
 		relay.Close()
--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay carries datagrams and streams between processes on loopback. By its rules it loses, delays,
-// duplicates and reorders datagrams and blocks links, in one direction or both. What happens to a datagram follows
-// from the seed, from its sender and receiver and from how many that pair has sent before, so that the same order of
-// sending meets the same faults in every run.
+// Package relay forwards datagrams and streams between processes on loopback and injects network faults. Its rules
+// lose, delay, duplicate and reorder datagrams, and block links in one direction or both. What happens to a datagram
+// depends only on the seed, on its network, sender and receiver, and on how many datagrams that pair has sent before.
+// So the same order of sending meets the same faults in every run.
 package relay
 
 import (
@@ -11,72 +11,77 @@
 	"ravensill/lab/actor"
 )
 
-// Rule says what happens from some ends to others.
+// Rule sets the faults on all links from some nodes to others. A node is a process that the relay connects, called by a
+// name that the caller of the relay chooses.
 type Rule struct {
-	From []string // names of ends; nil: all
-	To   []string // names of ends; nil: all
+	From []string // names of nodes; nil: all
+	To   []string // names of nodes; nil: all
 	Faults
 }
 
-// covers reports whether the rule concerns the link from one end to another.
+// covers reports whether the rule applies to the link from one node to another.
 func (r *Rule) covers(from, to string) bool {
 	return (r.From == nil || slices.Contains(r.From, from)) && (r.To == nil || slices.Contains(r.To, to))
 }
 
-// link is the direction from one end to another.
+// link is one direction between two nodes.
 type link struct {
 	from string
 	to   string
 }
 
-// Relay is an actor that owns the rules of all datagram networks and streams.
+// Relay is an actor that owns the rules of all datagram networks and streams. Its methods may be called by several
+// goroutines at once.
 type Relay struct {
 	*actor.Actor
-	seed     uint64
-	rules    map[string][]Rule
-	faultsOf map[link]Faults // by the present rules
-	networks []*DatagramNetwork
-	streams  []*Stream
-	blocked  []passRequest // of streams
+	seed            uint64
+	rules           map[string][]Rule // by the name given to SetRules
+	linkFaults      map[link]Faults   // cached faults of the links by the present rules
+	networks        []*DatagramNetwork
+	streams         []*Stream
+	blockedRequests []passRequest // of streams whose link is blocked
 }
 
-// passRequest is a stream's request to pass a link. It is answered with the delay once the link is not blocked.
+// passRequest is the request of a stream to pass data over a link. The relay sends the link's delay on the channel,
+// once the link is not blocked.
 type passRequest struct {
 	link  link
 	delay chan time.Duration
 }
 
-// New starts a relay without faults.
+// New starts a relay without rules. The random faults of datagrams depend on the seed.
 func New(seed uint64) *Relay {
-	return &Relay{Actor: actor.New(), seed: seed, rules: map[string][]Rule{}, faultsOf: map[link]Faults{}}
+	return &Relay{Actor: actor.New(), seed: seed, rules: map[string][]Rule{}, linkFaults: map[link]Faults{}}
 }
 
-// SetRules puts rules in force under a name, in place of those before. Without rules it ends those before.
+// SetRules replaces the rules that were set under a name; without rules it removes them. Rules under different names
+// apply together.
 func (r *Relay) SetRules(name string, rules ...Rule) {
 	r.Ask(func() {
 		delete(r.rules, name)
 		if len(rules) > 0 {
 			r.rules[name] = rules
 		}
-		clear(r.faultsOf)
-		requests := r.blocked
-		r.blocked = nil
+		clear(r.linkFaults)
+		requests := r.blockedRequests
+		r.blockedRequests = nil
 		for _, request := range requests {
 			r.pass(request)
 		}
 	})
 }
 
-// Partition blocks the links between two sides in both directions, under a name; SetRules(name) heals the partition.
+// Partition blocks the links between two groups of nodes in both directions, by rules under a name. SetRules(name)
+// removes the partition.
 func (r *Relay) Partition(name string, a, b []string) {
 	blocked := Faults{Blocked: true}
 	r.SetRules(name, Rule{a, b, blocked}, Rule{b, a, blocked})
 }
 
-// faults returns the faults of the link from one end to another.
-func (r *Relay) faults(from, to string) Faults {
+// faultsOf returns the combined faults of all rules that apply to the link from one node to another.
+func (r *Relay) faultsOf(from, to string) Faults {
 	key := link{from, to}
-	faults, ok := r.faultsOf[key]
+	faults, ok := r.linkFaults[key]
 	if ok {
 		return faults
 	}
@@ -87,21 +92,21 @@
 			}
 		}
 	}
-	r.faultsOf[key] = faults
+	r.linkFaults[key] = faults
 	return faults
 }
 
-// pass answers a stream's request, or keeps it while the link is blocked.
+// pass answers a stream's request, or keeps it if the link is blocked.
 func (r *Relay) pass(request passRequest) {
-	faults := r.faults(request.link.from, request.link.to)
+	faults := r.faultsOf(request.link.from, request.link.to)
 	if faults.Blocked {
-		r.blocked = append(r.blocked, request)
+		r.blockedRequests = append(r.blockedRequests, request)
 		return
 	}
 	request.delay <- faults.Delay
 }
 
-// Close ends the relay and all that it carries, and waits for its goroutines.
+// Close stops the relay, closes all its sockets and connections and waits until its goroutines have ended.
 func (r *Relay) Close() {
 	var networks []*DatagramNetwork
 	var streams []*Stream
--- a/lab/relay/stream.go
+++ b/lab/relay/stream.go
@@ -7,22 +7,22 @@
 	"sync/atomic"
 )
 
-// Stream is an address of the relay for connections from one end to another. Each chunk of bytes passes by the rules of
-// its direction at that time.
+// Stream forwards TCP connections from one node to another. Data waits in the relay according to the rules of its
+// direction. The fields conns, opened and closed belong to the relay's actor.
 type Stream struct {
 	relay    *Relay
-	forward  link
+	forward  link // from the node that connects to the target's node
 	listener net.Listener
-	target   atomic.Value // string: where the other end listens
-	conns    map[*streamConn]bool
-	opened   int
+	target   atomic.Value         // string: address at which the other node listens
+	conns    map[*streamConn]bool // open connections
+	opened   int                  // connections opened so far
 	closed   bool
 
 	goroutines sync.WaitGroup
 }
 
-// AddStream adds an address for connections from one end to another. target, where the other end listens, may be set later
-// by SetTarget.
+// AddStream adds an address for connections from one node to another. target is the address at which the other node
+// listens; SetTarget can set it later.
 func (r *Relay) AddStream(from, to, target string) (*Stream, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -31,28 +31,28 @@
 	stream := &Stream{relay: r, forward: link{from, to}, listener: listener, conns: map[*streamConn]bool{}}
 	stream.target.Store(target)
 	r.Ask(func() { r.streams = append(r.streams, stream) })
-	stream.goroutines.Go(stream.accept)
+	stream.goroutines.Go(stream.acceptConns)
 	return stream, nil
 }
 
-// accept carries connections until the listener is closed.
-func (s *Stream) accept() {
+// acceptConns accepts connections until the listener is closed.
+func (s *Stream) acceptConns() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		s.goroutines.Go(func() { s.carry(conn) })
+		s.goroutines.Go(func() { s.relayConn(conn) })
 	}
 }
 
-// Addr returns the address that the one end calls.
+// Addr returns the address to which the connecting node connects.
 func (s *Stream) Addr() string { return s.listener.Addr().String() }
 
-// SetTarget sets the address to which new connections lead; "" refuses them.
+// SetTarget sets the address to which new connections are forwarded. With "" they are reset.
 func (s *Stream) SetTarget(target string) { s.target.Store(target) }
 
-// ConnCounts returns the numbers of connections that are open and that were ever opened.
+// ConnCounts returns the number of open connections and of all connections opened so far.
 func (s *Stream) ConnCounts() (open, opened int) {
 	s.relay.Ask(func() {
 		open = len(s.conns)
@@ -61,7 +61,7 @@
 	return open, opened
 }
 
-// ResetStreams resets all connections from some ends to others; nil stands for all.
+// ResetStreams resets all connections from some nodes to others; nil stands for all nodes. The listeners stay open.
 func (r *Relay) ResetStreams(from, to []string) {
 	rule := Rule{From: from, To: to}
 	r.Ask(func() {
@@ -87,7 +87,7 @@
 	s.reset()
 }
 
-// add registers a new connection. It reports false if the stream is closed.
+// add registers a new connection, unless the stream is closed.
 func (s *Stream) add(conn *streamConn) (added bool) {
 	s.relay.Ask(func() {
 		if s.closed {
@@ -100,36 +100,37 @@
 	return added
 }
 
-// connected sets the other side of a connection. It reports false if the connection has ended meanwhile.
-func (s *Stream) connected(conn *streamConn, callee net.Conn) (open bool) {
+// setServer sets the connection to the target. open is false if the client's connection has ended in the meantime.
+func (s *Stream) setServer(conn *streamConn, server net.Conn) (open bool) {
 	s.relay.Ask(func() {
-		conn.callee = callee
+		conn.server = server
 		open = s.conns[conn]
 	})
 	return open
 }
 
-// carry connects a new connection to the target and carries both directions.
-func (s *Stream) carry(caller net.Conn) {
-	conn := &streamConn{stream: s, caller: caller, over: make(chan struct{})}
+// relayConn waits until the link allows a connection, connects to the target and starts to copy both directions. If
+// that fails, it resets the client's connection.
+func (s *Stream) relayConn(client net.Conn) {
+	conn := &streamConn{stream: s, client: client, ended: make(chan struct{})}
 	if !s.add(conn) {
-		caller.Close()
+		client.Close()
 		return
 	}
 	if !conn.waitToConnect() {
 		s.relay.Do(conn.reset)
 		return
 	}
-	callee, err := net.Dial("tcp4", s.target.Load().(string))
+	server, err := net.Dial("tcp4", s.target.Load().(string))
 	if err != nil {
 		s.relay.Do(conn.reset)
 		return
 	}
-	if !s.connected(conn, callee) {
-		callee.Close()
+	if !s.setServer(conn, server) {
+		server.Close()
 		return
 	}
 	backward := link{s.forward.to, s.forward.from}
-	s.goroutines.Go(func() { conn.copy(caller, callee, s.forward) })
-	s.goroutines.Go(func() { conn.copy(callee, caller, backward) })
+	s.goroutines.Go(func() { conn.copyDirection(client, server, s.forward) })
+	s.goroutines.Go(func() { conn.copyDirection(server, client, backward) })
 }
--- a/lab/relay/stream_test.go
+++ b/lab/relay/stream_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// blockedWait is how long a test waits for what must not arrive.
-const blockedWait = 100 * time.Millisecond
+// blockedTimeout is how long a test waits to see that no data passes a blocked link.
+const blockedTimeout = 100 * time.Millisecond
 
-// startEcho starts a server that echoes, and returns its address.
+// startEcho starts a TCP server that sends back what it receives, and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -31,7 +31,8 @@
 	return listener.Addr().String()
 }
 
-// A stream stops while its link is blocked and goes on where it was; a reset ends it.
+// A partition must delay stream data without losing any: a stream stops while its link is blocked and continues where
+// it stopped. Only a reset ends the connection.
 func TestStreamGoesOnAfterPartition(t *testing.T) {
 	relay := New(1)
 	defer relay.Close()
@@ -44,7 +45,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(waitLimit))
+	conn.SetDeadline(time.Now().Add(waitTimeout))
 	echo := bufio.NewReader(conn)
 	wantEcho := func(want string) {
 		t.Helper()
@@ -57,11 +58,11 @@
 
 	relay.Partition("cut", []string{"a"}, []string{"b"})
 	io.WriteString(conn, "two\n")
-	conn.SetReadDeadline(time.Now().Add(blockedWait))
+	conn.SetReadDeadline(time.Now().Add(blockedTimeout))
 	if got, err := echo.ReadString('\n'); err == nil {
 		t.Errorf("%q passed a blocked link", got)
 	}
-	conn.SetReadDeadline(time.Now().Add(waitLimit))
+	conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	relay.SetRules("cut")
 	wantEcho("two\n")
 
