--- a/lab/acceptance/acceptance.go
+++ b/lab/acceptance/acceptance.go
@@ -1,7 +1,10 @@
-// Package acceptance reads the journal of the operators' acceptance runs, and computes how near each day came to its
-// gates: what was served over what the gate requires, for the day, its request classes and its plans; the cost of
-// requests forwarded over quota beside that of the reference policy, which sees the fleet with a delay; and the short
-// days over a whole set. Gates of thirds of days are in no journal. The package changes nothing.
+// Package acceptance reads the journal of scored acceptance runs and computes how far above its gates each day of a run
+// was. A gate is the share of the requested value that must be served on a day, of a request class or on a quota plan;
+// a margin is the share served divided by it. The package also compares the cost of requests forwarded over quota with
+// that of the reference policy, which sees the fleet with a delay, and computes the margins of a whole set of short
+// days. The journal does not hold the gates of thirds of days.
+//
+// The package only reads files.
 package acceptance
 
 import (
@@ -11,13 +14,13 @@
 	"strings"
 )
 
-// Run is one scored run in the journal.
+// Run is the journal entry of one scored run.
 type Run struct {
 	ID           string `json:"id"`
-	Reason       string `json:"why"`
+	Reason       string `json:"why"` // why the run was made
 	Site         string `json:"site"`
-	DaySelection string `json:"panel"`  // the days' names and the seed: real:SITE:SEED:DAY,DAY...
-	Digest       string `json:"digest"` // as printed; for a single day its whole report
+	DaySelection string `json:"panel"`  // the days and their seed, as real:SITE:SEED:DAY,DAY...
+	Digest       string `json:"digest"` // printed summary; for a single day the whole report
 	Figures      struct {
 		Gate  float64 `json:"gate"` // 1: passed
 		Score float64 `json:"real_score"`
@@ -25,44 +28,47 @@
 	Days []Day `json:"days"`
 }
 
-// Day is one day of a run. Shares are fractions of the value requested, before costs.
+// Day is the result of one day of a run. Shares are fractions of the value that was requested, before costs are
+// subtracted.
 type Day struct {
 	Name            string  `json:"name"`
 	Grade           float64 `json:"G"`
 	Score           float64 `json:"score"`
 	Fault           *string `json:"fault"`
 	Served          float64 `json:"served"`
-	ServedReference float64 `json:"served_late"`  // by the reference policy
-	ServedRequired  float64 `json:"served_least"` // by the gate
-	// OverQuotaReference is the reference policy's cost of requests over quota; ours is in a single day's digest only.
+	ServedReference float64 `json:"served_late"`  // share served by the reference policy
+	ServedRequired  float64 `json:"served_least"` // least share that passes the gate
+	// OverQuotaReference is the reference policy's cost of requests over quota. That of the fleet is only in the digest of
+	// a single day.
 	OverQuotaReference float64 `json:"over"`
-	// MadeNonIdempotent reports whether the settings made the day's classes not idempotent.
+	// MadeNonIdempotent says whether the day's settings turned request classes into ones that are not idempotent.
 	MadeNonIdempotent bool    `json:"made_unsafe"`
 	Classes           []Share `json:"by_class"`
 	Plans             []Share `json:"by_tenant"`
-	// Starved is the share of customers who get under a tenth, and the same under the reference policy.
+	// Starved holds two shares of customers who were served less than a tenth of what they requested: in this run and with
+	// the reference policy.
 	Starved []float64 `json:"starved"`
-	// BrokenRules holds the number of breaches of each rule.
+	// BrokenRules holds the number of violations by rule.
 	BrokenRules map[string]int `json:"rules"`
-	MemoryMB    float64        `json:"memory_mb"`
-	// Limits are the limits of memory in MB and of descriptors.
+	MemoryMB    float64        `json:"memory_mb"` // used
+	// Limits holds the limits on memory, in MB, and on descriptors.
 	Limits []float64 `json:"caps"`
 }
 
-// Share is what one class or plan was served, and what the gate requires of it.
+// Share is the share served of a request class or on a quota plan, and the least share that passes its gate.
 type Share struct {
 	Name     string
 	Served   float64
 	Required float64
 }
 
-// UnmarshalJSON decodes a share from an array of name, served and required.
+// UnmarshalJSON decodes an array of the name, the served and the required share.
 func (s *Share) UnmarshalJSON(text []byte) error {
 	parts := []any{&s.Name, &s.Served, &s.Required}
 	return json.Unmarshal(text, &parts)
 }
 
-// readRun reads one file of the journal.
+// readRun reads and decodes a file of the journal.
 func readRun(file string) (Run, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -70,12 +76,12 @@
 	}
 	var run Run
 	if err := json.Unmarshal(text, &run); err != nil {
-		return Run{}, fmt.Errorf("decode %s: %w", file, err)
+		return Run{}, fmt.Errorf("decoding journal file %s: %w", file, err)
 	}
 	return run, nil
 }
 
-// Seed returns the seed that a run's days were drawn with.
+// Seed returns the seed with which the days of the run were drawn, or "" if DaySelection has none.
 func (r *Run) Seed() string {
 	parts := strings.Split(r.DaySelection, ":")
 	if len(parts) < 3 {
@@ -84,7 +90,7 @@
 	return parts[2]
 }
 
-// Table returns a Markdown table with a row for each day.
+// Table returns a Markdown table with one row for each day.
 func (r *Run) Table() string {
 	var b strings.Builder
 	b.WriteString("| day | G | score | served over its gate | nearest to its gate | " +
--- a/lab/acceptance/acceptance_test.go
+++ b/lab/acceptance/acceptance_test.go
@@ -9,9 +9,10 @@
 const (
 	journal       = "../../journal"
 	wantedMargin  = 1.25
-	wantedOverage = 0.08 // over the reference policy's cost: the gate's 0.1 less a fifth
+	wantedOverage = 0.08 // above the reference policy's cost: the gate's 0.1 less a fifth
 )
 
+// Fails if the latest run of all days failed or came too near to a gate.
 func TestLatestFullRunPassesWithMargin(t *testing.T) {
 	run, err := LatestFullRun(journal)
 	if err != nil {
@@ -32,6 +33,7 @@
 	}
 }
 
+// Fails if requests over quota cost too much more than with the reference policy on the calm day.
 func TestLatestCalmDayCostsOfOverQuotaKeepMargin(t *testing.T) {
 	run, cost, err := LatestCalmDay(journal)
 	if err != nil {
@@ -44,6 +46,7 @@
 	}
 }
 
+// Fails if the latest set of short days of a site failed or came too near to a gate.
 func TestLatestShortDaysPassWithMargin(t *testing.T) {
 	for _, site := range []string{"east-mids-checkin", "joburg-panels", "porto-tickets", "oslo-tap"} {
 		t.Run(site, func(t *testing.T) {
--- a/lab/acceptance/journal.go
+++ b/lab/acceptance/journal.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	fullRunDays = 7  // six days and the soak
-	shortDays   = 12 // the least of a whole set: fifteen days, twelve up to 2026-12-02
+	fullRunDays = 7  // least number of days in a full run: six days and the soak
+	shortDays   = 12 // least number of days in a whole set; sets have fifteen days, those up to 2026-12-02 twelve
 	calmDay     = "calm+mass"
 )
 
-// overQuotaCost matches our cost of requests over quota in a single day's digest.
+// overQuotaCost matches the fleet's cost of requests over quota in the digest of a single day.
 var overQuotaCost = regexp.MustCompile(`prices:.* over_quota ([0-9.]+)`)
 
-// LatestFullRun returns the newest run of all days, soak included, in a journal's directory.
+// LatestFullRun returns the newest run of all days, including the soak, in a journal directory.
 func LatestFullRun(directory string) (Run, error) {
-	return latest(directory, `"soak"`, func(r *Run) bool { return len(r.Days) >= fullRunDays })
+	return latestRun(directory, `"soak"`, func(r *Run) bool { return len(r.Days) >= fullRunDays })
 }
 
-// LatestCalmDay returns the newest run of the calm day alone, and our cost of requests over quota on it.
+// LatestCalmDay returns the newest run of only the calm day without a fault, and the fleet's cost of requests over
+// quota in it.
 func LatestCalmDay(directory string) (Run, float64, error) {
-	run, err := latest(directory, `"`+calmDay+`"`, func(r *Run) bool {
+	run, err := latestRun(directory, `"`+calmDay+`"`, func(r *Run) bool {
 		if len(r.Days) != 1 || !overQuotaCost.MatchString(r.Digest) {
 			return false
 		}
@@ -38,34 +39,35 @@
 	}
 	cost, err := strconv.ParseFloat(overQuotaCost.FindStringSubmatch(run.Digest)[1], 64)
 	if err != nil {
-		return Run{}, 0, fmt.Errorf("cost over quota of run %s: %w", run.ID, err)
+		return Run{}, 0, fmt.Errorf("parsing the cost over quota of run %s: %w", run.ID, err)
 	}
 	return run, cost, nil
 }
 
-// LatestShortDays returns the newest whole set of short days on a site.
+// LatestShortDays returns the newest run of a whole set of short days on a site.
 func LatestShortDays(directory, site string) (Run, error) {
-	return latest(directory, `+brink+mass-12"`, func(r *Run) bool {
+	return latestRun(directory, `+brink+mass-12"`, func(r *Run) bool {
 		return r.Site == site && len(r.Days) >= shortDays
 	})
 }
 
-// latest returns the newest run whose file contains a text and that is wanted. It skips files that it cannot decode.
-func latest(directory, text string, wanted func(*Run) bool) (Run, error) {
+// latestRun returns the newest run for which matches returns true and whose file contains a text. It skips files that
+// cannot be read or decoded, and fails if no run remains.
+func latestRun(directory, text string, matches func(*Run) bool) (Run, error) {
 	files, err := filepath.Glob(filepath.Join(directory, "*.json"))
 	if err != nil {
 		return Run{}, err
 	}
-	slices.Sort(files) // their names begin with the time
+	slices.Sort(files) // oldest first, because the names begin with the time
 	for _, file := range slices.Backward(files) {
 		content, err := os.ReadFile(file)
 		if err != nil || !strings.Contains(string(content), text) {
 			continue
 		}
 		run, err := readRun(file)
-		if err == nil && wanted(&run) {
+		if err == nil && matches(&run) {
 			return run, nil
 		}
 	}
-	return Run{}, fmt.Errorf("%s: no run with %s", directory, text)
+	return Run{}, fmt.Errorf("journal %s: no matching run that contains %s", directory, text)
 }
--- a/lab/acceptance/margin.go
+++ b/lab/acceptance/margin.go
@@ -6,20 +6,21 @@
 	"strings"
 )
 
-// Margin is a share served over what its gate requires: 1 is at the gate.
+// Margin is a share served divided by the share that its gate requires. A ratio of 1 is exactly at the gate, a lower
+// one fails it.
 type Margin struct {
 	Ratio   float64
-	Subject string // the day, class or plan
+	Subject string // what was served: the day, or a class or plan by name
 }
 
-// Margin returns the least margin of a day, its classes and its plans.
+// Margin returns the lowest margin among those of the day as a whole, its classes and its plans.
 func (d *Day) Margin() Margin {
 	least := Margin{d.Served / d.ServedRequired, "day"}
 	least = leastMargin(least, "class", d.Classes)
 	return leastMargin(least, "plan", d.Plans)
 }
 
-// leastMargin returns the least of a margin and those of shares.
+// leastMargin returns the lowest margin among least and those of the shares. Shares without a gate are ignored.
 func leastMargin(least Margin, kind string, shares []Share) Margin {
 	for _, s := range shares {
 		if s.Required > 0 && s.Served/s.Required < least.Ratio {
@@ -29,9 +30,9 @@
 	return least
 }
 
-// Failure returns why a day fails the acceptance run, or "" if it passes.
+// Failure returns the reason why a day fails the acceptance run, or "" if it passes.
 func (d *Day) Failure() string {
-	const starvedAllowance = 0.15 // above the reference policy
+	const starvedAllowance = 0.15 // allowed share of starved customers above that of the reference policy
 	if d.Fault != nil {
 		return *d.Fault
 	}
@@ -49,12 +50,12 @@
 	return ""
 }
 
-// shortDayTotal is the sum over short days of what was served, and of what the reference policy serves.
+// shortDayTotal holds sums over short days of the shares served by the fleet and by the reference policy.
 type shortDayTotal struct{ served, reference float64 }
 
-// ShortDaysMargin returns the least margin of a set of short days: of the whole set, of each class, and of each
-// class on the days that made it unsafe, which require a third of the reference policy's share; and of each day
-// except crowds, which requires a fifth.
+// ShortDaysMargin returns the lowest margin of a set of short days. Gates apply to the totals of all days, of each
+// class, and of each class on the days that made it not idempotent; these require a third of what the reference policy
+// serves. Another gate applies to each single day except crowds and requires a fifth.
 func (r *Run) ShortDaysMargin() Margin {
 	least := Margin{Ratio: math.Inf(1)}
 	for i := range r.Days {
@@ -73,7 +74,7 @@
 	return least
 }
 
-// shortDayTotals returns the totals that have a gate for the set as a whole, by name.
+// shortDayTotals returns the totals that have gates of their own, by the name of what they sum.
 func (r *Run) shortDayTotals() map[string]*shortDayTotal {
 	totals := map[string]*shortDayTotal{}
 	add := func(name string, served, reference float64) {
@@ -90,7 +91,7 @@
 			if class.Required <= 0 {
 				continue
 			}
-			reference := 2 * class.Required // a day requires half of the reference policy's share
+			reference := 2 * class.Required // the gate of a day is half of the reference policy's share
 			add("class "+class.Name, class.Served, reference)
 			if d.MadeNonIdempotent {
 				add("unsafe days, class "+class.Name, class.Served, reference)
--- a/lab/acceptance/margin_test.go
+++ b/lab/acceptance/margin_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// A single day counts in a set that as a whole is well above its gate.
+// A day below its gate must show even in a set that is well above its gate as a whole.
 func TestShortDaysMarginFindsSingleDay(t *testing.T) {
 	margin := shortDaysWithLowDay("throng").ShortDaysMargin()
 	if margin.Subject != "day throng" || margin.Ratio > 0.84 || margin.Ratio < 0.83 {
@@ -54,7 +54,8 @@
 	}
 }
 
-// shortDaysWithLowDay returns two good days and one that serves a sixth of the reference policy's share.
+// shortDaysWithLowDay returns two good days and, under the given name, one that serves a sixth of the reference
+// policy's share.
 func shortDaysWithLowDay(name string) *Run {
 	return &Run{Days: []Day{
 		{Name: "calm", Served: 0.9, ServedReference: 0.9},
--- a/lab/faultygateway/main.go
+++ b/lab/faultygateway/main.go
@@ -1,5 +1,6 @@
-// Command faultygateway is the gateway of cmd/ravensill on a system whose calls fail by chance, for lab/fleet. The
-// environment variable FAULT_SEED is the seed, in decimal.
+// Command faultygateway is the gateway of cmd/ravensill with system calls that fail at random. Package lab/fleet uses
+// it to test a fleet on machines that run out of resources. The environment variable FAULT_SEED holds the seed of the
+// faults as a decimal number.
 package main
 
 import (
@@ -13,8 +14,8 @@
 	"ravensill/internal/sockets/socketstest"
 )
 
-// rates are those of a machine that is short of everything now and then, with a network that moves bytes in small
-// pieces.
+// rates are the probabilities and kinds of faults by system call. They imitate a machine that runs out of descriptors,
+// ports, buffers and memory now and then, and a network that moves few bytes at a time.
 var rates = map[socketstest.Call]socketstest.Rate{
 	socketstest.Dial: {Probability: 0.05, Faults: []socketstest.Fault{
 		{Errno: syscall.EADDRNOTAVAIL},
@@ -56,7 +57,7 @@
 func main() {
 	seed, err := strconv.ParseUint(os.Getenv("FAULT_SEED"), 10, 64)
 	if err != nil {
-		log.Fatalf("FAULT_SEED: %v", err)
+		log.Fatalf("reading the seed from FAULT_SEED: %v", err)
 	}
 	program.Main(node.Platform{Sockets: socketstest.New(seed, rates)})
 }
--- a/lab/figures/figures.go
+++ b/lab/figures/figures.go
@@ -1,4 +1,4 @@
-// Package figures writes the figures of full-size measurements.
+// Package figures appends the figures of full-size measurements to files.
 package figures
 
 import (
@@ -7,7 +7,7 @@
 	"path/filepath"
 )
 
-// Append adds text to a file. It creates the file and its directory if needed.
+// Append adds text to the end of a file. It creates the file and its directories if needed.
 func Append(path, text string) error {
 	err := os.MkdirAll(filepath.Dir(path), 0o755)
 	if err != nil {
