--- a/lab/docscheck/docscheck_test.go
+++ b/lab/docscheck/docscheck_test.go
@@ -1,4 +1,5 @@
-// Package docscheck tests that the pages name tests, files, functions and packages that exist.
+// Package docscheck tests that the pages of the documentation name only tests, files, functions and packages that
+// exist, so that renames do not leave them outdated.
 package docscheck
 
 import (
@@ -21,14 +22,14 @@
 	architecture = root + "/docs/architecture.md"
 )
 
-// module is what the code declares.
+// module holds the names that the module's Go files declare.
 type module struct {
-	packages map[string]bool            // directories with Go files, but for testdata
-	declared map[string]map[string]bool // functions and methods by file; methods as Type.Method
-	tests    map[string]bool
+	packages map[string]bool            // directories with Go files, without testdata
+	declared map[string]map[string]bool // functions and methods by file; a method as Type.Method
+	tests    map[string]bool            // functions in test files
 }
 
-// loadModule reads the declarations of all Go files.
+// loadModule reads the declarations of all Go files of the module.
 func loadModule(t *testing.T) *module {
 	m := &module{packages: map[string]bool{}, declared: map[string]map[string]bool{}, tests: map[string]bool{}}
 	err := fs.WalkDir(os.DirFS(root), ".", func(file string, entry fs.DirEntry, err error) error {
@@ -49,6 +50,7 @@
 	return m
 }
 
+// load adds the declarations of a file.
 func (m *module) load(file string) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, file), nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// receiver returns the receiver's type and a dot, nothing for a function.
+// receiver returns the receiver's type followed by a dot, or "" for a function without one.
 func receiver(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
@@ -85,7 +87,7 @@
 	return ""
 }
 
-// pages returns the pages that describe the present program.
+// pages returns the paths of the pages that describe the present program: those in docs and the README.
 func pages(t *testing.T) []string {
 	found, err := filepath.Glob(root + "/docs/*.md")
 	if err != nil || len(found) == 0 {
@@ -108,7 +110,7 @@
 	functionName = regexp.MustCompile(`^(?:[A-Za-z]+\.)?[A-Za-z]+$`)
 )
 
-// Each test that a page names is a function of some test file.
+// Each name of a test on a page must be that of a function in a test file.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	m := loadModule(t)
 	for _, page := range pages(t) {
@@ -120,7 +122,8 @@
 	}
 }
 
-// unknownNames returns what a page names that does not exist: paths, and functions behind the file that they are in.
+// unknownNames returns the names in backquotes that do not exist. A name with a slash must be a path. After the path of
+// a Go file, a name must be a function, a method or a package.
 func (m *module) unknownNames(text string) (unknown []string) {
 	file := ""
 	for _, match := range quoted.FindAllStringSubmatch(text, -1) {
@@ -141,12 +144,12 @@
 	return unknown
 }
 
-// packageName reports whether a name is written as a member of a package, such as logic.Gateway.
+// packageName reports whether a name on the page is a package or a member of a package, such as logic.Gateway.
 func packageName(name string) bool {
 	return slices.Contains([]string{"logic.Gateway", "node.Node", "testdata", "policy"}, name)
 }
 
-// The architecture page names paths, functions and methods that exist, each function behind its file.
+// Paths on the architecture page must exist, and each function or method must be declared in the file named before it.
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
 	m := loadModule(t)
 	for _, name := range m.unknownNames(read(t, architecture)) {
@@ -154,7 +157,7 @@
 	}
 }
 
-// The architecture page names every package.
+// The architecture page must name every package.
 func TestArchitecturePageNamesEachPackage(t *testing.T) {
 	text := read(t, architecture)
 	for _, name := range slices.Sorted(maps.Keys(loadModule(t).packages)) {
@@ -164,7 +167,7 @@
 	}
 }
 
-// The check finds a file, a function and a method that are gone.
+// The check must not miss a file, a function or a method that is gone.
 func TestUnknownNamesAreFound(t *testing.T) {
 	m := loadModule(t)
 	const text = "`logic/request.go` (`Gateway.admit`, `Gateway.arrive`), `logic/gone.go`, " +
--- a/lab/fleet/measure.go
+++ b/lab/fleet/measure.go
@@ -12,7 +12,7 @@
 // reportedDelay is the delay of the emulators above which a measurement mentions that the machine was busy.
 const reportedDelay = 100 * time.Millisecond
 
-const evennessTableHeader = "\n| stretch | by | most, least in 1 s | most, least in 10 s | variation 1 s, 10 s | idle | " +
+const evennessHead = "\n| stretch | by | most, least in 1 s | most, least in 10 s | variation 1 s, 10 s | idle | " +
 	"longest over 1.5, hosts over 1 s | held by | connections opened, standing before |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
@@ -50,7 +50,7 @@
 	if len(intervals) == 0 {
 		intervals = []Interval{{Name: "whole load", To: r.Scenario.Duration}}
 	}
-	io.WriteString(w, evennessTableHeader)
+	io.WriteString(w, evennessHead)
 	for _, interval := range intervals {
 		r.writeInterval(w, name, interval)
 	}
--- a/lab/knownred/knownred_test.go
+++ b/lab/knownred/knownred_test.go
@@ -1,4 +1,4 @@
-// Package knownred tests that the test command passes over the tests that KNOWN-RED.txt names, and no others.
+// Package knownred tests that the test command of CI passes over exactly the tests that KNOWN-RED.txt names.
 package knownred
 
 import (
@@ -13,7 +13,7 @@
 
 const testFileHead = "package x\n\nimport \"testing\"\n\n"
 
-// racePackages are those in internal that the test command runs under the race detector.
+// racePackages are the packages in internal that the test command runs again under the race detector.
 var racePackages = []string{
 	"clients",
 	"hosts",
@@ -25,7 +25,7 @@
 	"subscriber",
 }
 
-// failingTests returns a test file whose tests fail.
+// failingTests returns the text of a test file in which each of these tests fails.
 func failingTests(names ...string) string {
 	text := testFileHead
 	for _, name := range names {
@@ -34,8 +34,9 @@
 	return text
 }
 
-// run runs the test command on a module with these files, beside those that the command needs.
-func run(t *testing.T, knownRed string, files map[string]string) (output string, failed bool) {
+// runTestCommand runs the test command on a temporary module with these files and those that the command itself needs.
+// An empty knownRed means no KNOWN-RED.txt.
+func runTestCommand(t *testing.T, knownRed string, files map[string]string) (output string, failed bool) {
 	t.Helper()
 	dir := t.TempDir()
 	writeFile(t, dir, "go.mod", "module m\n\ngo 1.26\n")
@@ -54,7 +55,7 @@
 	return string(text), err != nil
 }
 
-// writeFile writes a file of a module.
+// writeFile writes a file of a temporary module.
 func writeFile(t *testing.T, dir, name, text string) {
 	t.Helper()
 	path := filepath.Join(dir, name)
@@ -66,13 +67,14 @@
 	}
 }
 
-// failure matches the line of a failed test or package.
+// failure matches the output line of a failed test or package.
 var failure = regexp.MustCompile(`(?m)^ *--- FAIL: (\S+)|^FAIL\t(\S+)`)
 
 // entry is a well-formed entry of KNOWN-RED.txt.
 const entry = "a TestRed | go test ./a -run TestRed, seed 1 | breaks | issue 1\n"
 
-// Exactly the tests that KNOWN-RED.txt names are passed over, and their entries printed.
+// A failing test must fail the run unless KNOWN-RED.txt names it, even if its name resembles that of a named one or it
+// is a subtest or in another package. The entries of tests that are passed over must be printed.
 func TestOnlyNamedTestsArePassedOver(t *testing.T) {
 	const otherEntry = "a TestOther | go test ./a -run TestOther, seed 7 | breaks too | issue 1\n"
 	const raceEntry = "internal/bufconn TestRed | go test ./internal/bufconn -run TestRed -race, seed none | " +
@@ -81,7 +83,7 @@
 		name     string
 		knownRed string
 		files    map[string]string
-		failures []string // tests, and their packages after them
+		failures []string // failed tests, each package after its tests
 	}{
 		{
 			name:     "none named",
@@ -119,7 +121,7 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			output, failed := run(t, test.knownRed, test.files)
+			output, failed := runTestCommand(t, test.knownRed, test.files)
 			var failures []string
 			for _, match := range failure.FindAllStringSubmatch(output, -1) {
 				failures = append(failures, match[1]+match[2])
@@ -136,7 +138,8 @@
 	}
 }
 
-// Entries that are too many, name no test or lack a part fail the run before any test.
+// A malformed entry could hide failures. So the run must fail before any test if there are too many entries, or if an
+// entry names no test or lacks a part.
 func TestMalformedEntryFailsRun(t *testing.T) {
 	files := map[string]string{"a/x_test.go": failingTests("TestRed", "TestOther", "TestThird", "TestFourth")}
 	four := entry
@@ -164,7 +167,7 @@
 		"a TestRed | go test ./a -run TestOther, seed 1 | c | issue 1\n":               "does not run TestRed of ./a",
 		"a TestRed | go test ./a -run TestRedder, seed 1 | c | issue 1\n":              "does not run TestRed of ./a",
 	} {
-		output, failed := run(t, knownRed, files)
+		output, failed := runTestCommand(t, knownRed, files)
 		testRan := strings.Contains(output, "--- FAIL")
 		if !failed || testRan || !strings.Contains(output, message) {
 			t.Errorf("%q: failed %v, want %q:\n%s", knownRed, failed, message, output)
@@ -172,7 +175,7 @@
 	}
 }
 
-// The README names the test command that CI runs.
+// The README must name the test command that CI runs.
 func TestReadmeNamesCommandOfCI(t *testing.T) {
 	for file, line := range map[string]string{
 		"../../.ci/run":   "\nbash .ci/test\n",
--- a/lab/stylecheck/exceptions_test.go
+++ b/lab/stylecheck/exceptions_test.go
@@ -5,31 +5,32 @@
 	"strings"
 )
 
-// exception allows a place to break a rule.
+// exception allows a place in a file to break a rule.
 type exception struct {
 	rule     rule
 	file     string
-	function string // such as Type.Method; empty: each place of the file
+	function string // such as Type.Method; empty: the whole file
 	reason   string
 }
 
-// place returns the file, with the function if the exception is one function's.
-func (e exception) place() string {
+// location returns the file, followed by the function if the exception is for only one.
+func (e exception) location() string {
 	if e.function == "" {
 		return e.file
 	}
 	return e.file + " " + e.function
 }
 
+// covers reports whether the exception allows a finding.
 func (e exception) covers(f finding) bool {
 	return e.rule == f.rule && e.file == f.file && (e.function == "" || e.function == f.function)
 }
 
-// except returns the findings that no exception covers, and the exceptions that cover none.
-func except(findings []finding, exceptions []exception) (faults []finding, unused []exception) {
+// applyExceptions returns the findings that no exception covers, and the exceptions that cover no finding.
+func applyExceptions(findings []finding, exceptions []exception) (violations []finding, unused []exception) {
 	for _, found := range findings {
 		if !slices.ContainsFunc(exceptions, func(e exception) bool { return e.covers(found) }) {
-			faults = append(faults, found)
+			violations = append(violations, found)
 		}
 	}
 	for _, e := range exceptions {
@@ -37,10 +38,11 @@
 			unused = append(unused, e)
 		}
 	}
-	return faults, unused
+	return violations, unused
 }
 
-// allow returns exceptions from a rule with one reason. A place is a file, or a file, a space and a function.
+// allow returns exceptions from a rule for several places and one reason. A place is a file, or a file and a function
+// separated by a space.
 func allow(rule rule, reason string, places ...string) (exceptions []exception) {
 	for _, place := range places {
 		file, function, _ := strings.Cut(place, " ")
--- a/lab/stylecheck/planted_test.go
+++ b/lab/stylecheck/planted_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// planted returns the text of a Go file with functions of 60 and 61 lines and lines of 120 and 121 characters.
-func planted() string {
+// sourceWithViolations returns the text of a Go file that breaks each rule and just keeps it next to that: it has
+// functions of 60 and 61 lines and lines of 120 and 121 characters.
+func sourceWithViolations() string {
 	function := func(head string, lines int) string {
 		return head + " {\n" + strings.Repeat("\t_ = 0\n", lines-2) + "}\n"
 	}
@@ -29,10 +30,10 @@
 		"func other() { log.Print() }\n"
 }
 
-// checkText returns the findings in a text, each a line.
+// checkText returns the findings in a text, one line for each.
 func checkText(t *testing.T, name, text string) []string {
 	t.Helper()
-	parsed, err := parse(name, []byte(text))
+	parsed, err := parseSource(name, []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,8 +44,8 @@
 	return lines
 }
 
-// TestPlantedOffendersAreFound plants offenders of each rule, and beside each what is just within it, in a file of the
-// product, of lab and of tests: the names of tests count only in tests, package log only in the product.
+// Violations of each rule must be found, and cases just within a rule must not. The rule on test names applies only to
+// test files, and the rule on package log only outside of tests and lab.
 func TestPlantedOffendersAreFound(t *testing.T) {
 	const (
 		wide      = ":188: line is too wide"
@@ -61,13 +62,13 @@
 		for i := range want {
 			want[i] = name + want[i]
 		}
-		if got := checkText(t, name, planted()); !slices.Equal(got, want) {
+		if got := checkText(t, name, sourceWithViolations()); !slices.Equal(got, want) {
 			t.Errorf("found\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 		}
 	}
 }
 
-// TestDefaultImportNameOfLogIsFound checks a file that imports package log without a name of its own.
+// Package log must also be recognized if the file imports it without giving it another name.
 func TestDefaultImportNameOfLogIsFound(t *testing.T) {
 	got := checkText(t, "a.go", "package a\n\nimport \"log\"\n\nfunc f() { log.Print() }\n")
 	if want := []string{"a.go:5: prints by package log"}; !slices.Equal(got, want) {
@@ -75,8 +76,7 @@
 	}
 }
 
-// TestExceptionCoversOnlyItsPlace checks that an exception covers its file or function and no other, and is reported
-// if nothing needs it.
+// An exception must cover its file or function and no other, and must be reported if nothing needs it.
 func TestExceptionCoversOnlyItsPlace(t *testing.T) {
 	findings := []finding{
 		{rule: lineWidth, file: "a.go", line: 1},
@@ -90,20 +90,20 @@
 		{rule: functionLength, file: "a.go", function: "long"},
 		{rule: functionLength, file: "a.go", function: "gone"},
 	}
-	faults, unused := except(findings, allowed)
-	if want := []finding{findings[2], findings[4]}; !slices.Equal(faults, want) {
-		t.Errorf("faults %v, want %v", faults, want)
+	violations, unused := applyExceptions(findings, allowed)
+	if want := []finding{findings[2], findings[4]}; !slices.Equal(violations, want) {
+		t.Errorf("faults %v, want %v", violations, want)
 	}
 	if want := allowed[2:]; !slices.Equal(unused, want) {
 		t.Errorf("unused %v, want %v", unused, want)
 	}
 }
 
-// TestExceptionsHaveReasons checks that each exception has a reason.
+// Every exception must state its reason.
 func TestExceptionsHaveReasons(t *testing.T) {
 	for _, e := range exceptions {
 		if e.reason == "" {
-			t.Errorf("no reason: %s", e.place())
+			t.Errorf("no reason: %s", e.location())
 		}
 	}
 }
--- a/lab/stylecheck/stylecheck_test.go
+++ b/lab/stylecheck/stylecheck_test.go
@@ -1,5 +1,5 @@
 // Package stylecheck tests the form of the module's Go files: the width of lines, the length of functions, the names of
-// tests, and that only tests and lab print by package log.
+// tests, and that only tests and the packages in lab print by package log.
 package stylecheck
 
 import (
@@ -21,11 +21,11 @@
 
 const (
 	root             = "../.."
-	maxLineWidth     = 120 // characters; a tab is one
-	maxFunctionLines = 60  // from func to the closing brace
+	maxLineWidth     = 120 // characters; a tab counts as one
+	maxFunctionLines = 60  // from func to the closing brace, both included
 )
 
-// rule is a rule of the form of Go files.
+// rule is a rule that Go files must keep, worded as the text of a violation.
 type rule string
 
 const (
@@ -35,16 +35,16 @@
 	logPackage     rule = "prints by package log"
 )
 
-// oneWordTest matches names of tests that have one word behind the prefix.
+// oneWordTest matches test names with only one word after the prefix. Such names do not say what is tested.
 var oneWordTest = regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z][a-z0-9]*$`)
 
-// printing matches the functions of package log that print.
-var printing = regexp.MustCompile(`^(Print|Fatal|Panic)`)
+// printFunction matches the functions of package log that print.
+var printFunction = regexp.MustCompile(`^(Print|Fatal|Panic)`)
 
-// finding is a place that breaks a rule.
+// finding is a place in a file that breaks a rule.
 type finding struct {
 	rule     rule
-	file     string // from the root of the module
+	file     string // path from the root of the module
 	line     int
 	function string // such as Type.Method; empty if the rule is about a line
 }
@@ -59,13 +59,13 @@
 
 // source is a parsed Go file.
 type source struct {
-	name     string // from the root of the module
+	name     string // path from the root of the module
 	text     []byte
 	position *token.FileSet
 	syntax   *ast.File
 }
 
-func parse(name string, text []byte) (*source, error) {
+func parseSource(name string, text []byte) (*source, error) {
 	s := &source{name: name, text: text, position: token.NewFileSet()}
 	syntax, err := parser.ParseFile(s.position, name, text, parser.SkipObjectResolution)
 	s.syntax = syntax
@@ -76,7 +76,7 @@
 
 func (s *source) isTest() bool { return strings.HasSuffix(s.name, "_test.go") }
 
-// check returns all places that break a rule.
+// check returns all places in the file that break a rule.
 func (s *source) check() []finding {
 	findings := append(s.wideLines(), s.logCalls()...)
 	for _, declaration := range s.syntax.Decls {
@@ -113,7 +113,7 @@
 	return findings
 }
 
-// qualifiedName returns the name of a function, that of a method with the type before it.
+// qualifiedName returns the name of a function, or Type.Method for a method.
 func qualifiedName(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return function.Name.Name
@@ -131,7 +131,8 @@
 	return function.Name.Name
 }
 
-// logCalls returns the uses of functions of package log that print, but in tests and lab.
+// logCalls returns the uses of printing functions of package log. They are allowed in tests and in lab; the product
+// logs events with package internal/logging.
 func (s *source) logCalls() (findings []finding) {
 	imported := s.importName("log")
 	if imported == "" || s.isTest() || strings.HasPrefix(s.name, "lab/") {
@@ -143,7 +144,7 @@
 			return true
 		}
 		name, ok := selector.X.(*ast.Ident)
-		if ok && name.Name == imported && printing.MatchString(selector.Sel.Name) {
+		if ok && name.Name == imported && printFunction.MatchString(selector.Sel.Name) {
 			findings = append(findings, finding{rule: logPackage, file: s.name, line: s.line(selector.Pos())})
 		}
 		return true
@@ -151,7 +152,7 @@
 	return findings
 }
 
-// importName returns the name by which a file uses a package, or nothing if it doesn't import it.
+// importName returns the name by which a file refers to a package, or "" if the file does not import it.
 func (s *source) importName(importPath string) string {
 	for _, spec := range s.syntax.Imports {
 		if spec.Path.Value != strconv.Quote(importPath) {
@@ -165,7 +166,7 @@
 	return ""
 }
 
-// checkModule checks all Go files below a directory.
+// checkModule checks all Go files below a directory, except testdata and the journal.
 func checkModule(t *testing.T, dir string) (findings []finding) {
 	files := os.DirFS(dir)
 	err := fs.WalkDir(files, ".", func(file string, entry fs.DirEntry, err error) error {
@@ -182,7 +183,7 @@
 		if err != nil {
 			return err
 		}
-		parsed, err := parse(file, text)
+		parsed, err := parseSource(file, text)
 		if err != nil {
 			return err
 		}
@@ -195,13 +196,14 @@
 	return findings
 }
 
-// TestGoFilesKeepTheirForm checks all Go files of the module.
+// Every Go file of the module must keep the rules, except at the places that exceptions lists. An exception that
+// nothing needs any more must be removed.
 func TestGoFilesKeepTheirForm(t *testing.T) {
-	faults, unused := except(checkModule(t, root), exceptions)
-	for _, fault := range faults {
-		t.Error(fault)
+	violations, unused := applyExceptions(checkModule(t, root), exceptions)
+	for _, violation := range violations {
+		t.Error(violation)
 	}
 	for _, exception := range unused {
-		t.Errorf("%s no longer needs its exception: %s", exception.place(), exception.rule)
+		t.Errorf("%s no longer needs its exception: %s", exception.location(), exception.rule)
 	}
 }
