--- a/lab/docscheck/docscheck_test.go
+++ b/lab/docscheck/docscheck_test.go
@@ -91,7 +91,7 @@
 func pages(t *testing.T) []string {
 	found, err := filepath.Glob(root + "/docs/*.md")
 	if err != nil || len(found) == 0 {
-		t.Fatalf("%d pages, %v", len(found), err)
+		t.Fatalf("found %d pages in docs, error %v", len(found), err)
 	}
 	return append(found, root+"/README.md")
 }
@@ -153,7 +153,7 @@
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
 	m := loadModule(t)
 	for _, name := range m.unknownNames(read(t, architecture)) {
-		t.Errorf("does not exist: %s", name)
+		t.Errorf("the architecture page names %s, which does not exist", name)
 	}
 }
 
@@ -162,7 +162,7 @@
 	text := read(t, architecture)
 	for _, name := range slices.Sorted(maps.Keys(loadModule(t).packages)) {
 		if !strings.Contains(text, "`"+name+"`") {
-			t.Errorf("%s is not on the page", name)
+			t.Errorf("the architecture page does not name the package %s", name)
 		}
 	}
 }
--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -117,7 +117,7 @@
 func NewAgent(network byte, gateways int, entries ...HostEntry) (*Agent, error) {
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
-		return nil, fmt.Errorf("agent: %w", err)
+		return nil, fmt.Errorf("starting the discovery agents: %w", err)
 	}
 	agent := &Agent{
 		Actor:   actor.New(),
--- a/lab/emulator/counter.go
+++ b/lab/emulator/counter.go
@@ -37,7 +37,7 @@
 func NewCounter() (*Counter, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("counter: %w", err)
+		return nil, fmt.Errorf("starting the shared counter: %w", err)
 	}
 	counter := &Counter{
 		Actor:    actor.New(),
--- a/lab/emulator/host.go
+++ b/lab/emulator/host.go
@@ -84,7 +84,7 @@
 func (h *Host) listen() error {
 	listener, err := net.Listen("tcp4", h.addr)
 	if err != nil {
-		return fmt.Errorf("host %s: %w", h.ID, err)
+		return fmt.Errorf("starting host %s: %w", h.ID, err)
 	}
 	if h.addr != listener.Addr().String() { // written only at the first start, because later writes would race with Addr
 		h.addr = listener.Addr().String()
--- a/lab/emulator/load.go
+++ b/lab/emulator/load.go
@@ -107,7 +107,7 @@
 }
 
 // sendNext draws the next request and sends it. The number and order of random draws do not depend on answers, so a
-// seed always gives the same requests.
+// seed always gives the same requests, except that a request moves to another gateway if the drawn one is unavailable.
 func (r *LoadRun) sendNext() {
 	load := &r.load
 	r.sent++
--- a/lab/figures/figures_test.go
+++ b/lab/figures/figures_test.go
@@ -15,9 +15,9 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil || string(text) != "first\nsecond\n" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("the file holds %q, error %v", text, err)
 	}
 	if Append(filepath.Dir(path), "third\n") == nil {
-		t.Error("a directory accepted text")
+		t.Error("appending to a directory succeeded")
 	}
 }
--- a/lab/fleet/cases.go
+++ b/lab/fleet/cases.go
@@ -14,7 +14,7 @@
 	Gateways int
 	Hosts    int
 	Rate     float64 // requests a second
-	Seed     uint64  // of the loads, the relay's faults and the choice of gateways
+	Seed     uint64  // of the loads, the injected faults, the choice of gateways and the gateways' own seeds
 }
 
 const (
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -111,7 +111,7 @@
 // gateway fails to start, or ctx ends before, it stops everything it started and returns an error.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	if options.Gateways < 1 || options.Hosts < 1 {
-		return nil, errors.New("fleet: no gateways or no hosts")
+		return nil, errors.New("fleet: at least one gateway and one host are required")
 	}
 	if err := options.setDefaults(); err != nil {
 		return nil, err
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -64,7 +64,7 @@
 	requireNoError(t, fleet.WaitSent(ctx, 200))
 	load.Stop()
 	if open := fleet.Clients.WaitIdle(waitTimeout); open > 0 {
-		t.Errorf("%d requests open", open)
+		t.Errorf("%d requests still in flight", open)
 	}
 	results := map[emulator.Result]int{}
 	for _, request := range fleet.Clients.Log().Requests {
@@ -75,10 +75,10 @@
 	}
 	if results[emulator.Succeeded] < 200 || results[emulator.ConnectionRefused] == 0 ||
 		results[emulator.WrongValue]+results[emulator.Unanswered] > 0 {
-		t.Errorf("results %v", results)
+		t.Errorf("results %v, want successes and refusals, nothing wrong or unanswered", results)
 	}
 	if gateway.Addr() != addr || gateway.EventCounts()["serving"] != 2 {
-		t.Errorf("at %s, then %s; %v", addr, gateway.Addr(), gateway.EventCounts())
+		t.Errorf("address %s before the restart, %s after it; log events %v", addr, gateway.Addr(), gateway.EventCounts())
 	}
 	if all, _ := fleet.Gossip.Counts(); all.Delivered == 0 {
 		t.Errorf("no datagram passed the relay: %+v", all)
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -307,7 +307,8 @@
 	return p.WaitServing(ctx)
 }
 
-// UnexpectedExits returns how many times the process ended without a Kill or Terminate since its launch.
+// UnexpectedExits returns the number of exits among a process's events that followed neither Killed nor Terminated
+// since the launch.
 func UnexpectedExits(events []ProcessEvent) (count int) {
 	expected := false
 	for _, event := range events {
--- a/lab/knownred/knownred_test.go
+++ b/lab/knownred/knownred_test.go
@@ -131,7 +131,7 @@
 			}
 			for line := range strings.Lines(test.knownRed) {
 				if strings.Contains(line, "|") && !strings.Contains(output, "passed over: "+line) {
-					t.Errorf("does not print %q", line)
+					t.Errorf("the output lacks the entry %q", line)
 				}
 			}
 		})
--- a/lab/relay/stream_test.go
+++ b/lab/relay/stream_test.go
@@ -50,7 +50,7 @@
 	wantEcho := func(want string) {
 		t.Helper()
 		if got, err := echo.ReadString('\n'); got != want {
-			t.Fatalf("%q %v, want %q", got, err, want)
+			t.Fatalf("echo %q, error %v, want %q", got, err, want)
 		}
 	}
 	io.WriteString(conn, "one\n")
@@ -68,9 +68,9 @@
 
 	relay.ResetStreams([]string{"a"}, nil)
 	if got, err := echo.ReadString('\n'); err == nil {
-		t.Errorf("%q after a reset", got)
+		t.Errorf("received %q after a reset", got)
 	}
 	if open, opened := stream.ConnCounts(); open != 0 || opened != 1 {
-		t.Errorf("%d open of %d", open, opened)
+		t.Errorf("%d connections open of %d opened, want 0 of 1", open, opened)
 	}
 }
--- a/lab/stylecheck/planted_test.go
+++ b/lab/stylecheck/planted_test.go
@@ -92,10 +92,10 @@
 	}
 	violations, unused := applyExceptions(findings, allowed)
 	if want := []finding{findings[2], findings[4]}; !slices.Equal(violations, want) {
-		t.Errorf("faults %v, want %v", violations, want)
+		t.Errorf("violations %v, want %v", violations, want)
 	}
 	if want := allowed[2:]; !slices.Equal(unused, want) {
-		t.Errorf("unused %v, want %v", unused, want)
+		t.Errorf("unused exceptions %v, want %v", unused, want)
 	}
 }
 
