--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -31,7 +31,7 @@
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
-	Kind      string  `json:"kind"`
+	Kind      string  `json:"kind"` // machine type
 	Cell      int     `json:"cell"`
 	State     string  `json:"state"`
 	Weight    float64 `json:"weight"`
@@ -65,8 +65,7 @@
 	return list[:int(float64(len(list))*min(m.SentFraction, 1))]
 }
 
-// Delivery records that a version of the host list was sent completely to a gateway, at a time in nanoseconds of
-// actor.Now.
+// Delivery records that a version of the host list was sent to a gateway, at a time in nanoseconds of actor.Now.
 type Delivery struct {
 	Gateway int
 	Version int
@@ -292,7 +291,8 @@
 	})
 }
 
-// Deliveries returns what was sent completely so far, on watches and as single lists.
+// Deliveries returns what was sent so far: changes sent completely on watches, and all single lists, even those that
+// the agent's mode truncated.
 func (a *Agent) Deliveries() (delivered []Delivery) {
 	a.Ask(func() { delivered = slices.Clone(a.deliveries) })
 	return delivered
--- a/lab/emulator/host.go
+++ b/lab/emulator/host.go
@@ -19,7 +19,7 @@
 	ID     string
 	Listen string // address; port 0 selects a free port
 	Zone   string
-	Kind   string
+	Kind   string // machine type
 	Cell   int
 	Weight float64 // weight in the host list; 0 means 1
 	Speed  float64 // divides the response times of Model; 0 means 1
--- a/lab/fleet/config.go
+++ b/lab/fleet/config.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	machineType = "m"
-	cellCount   = 3
-	reportField = "utilization"
+	machineType = "m"           // of all hosts
+	cellCount   = 3             // hosts are assigned to cells 0, 1 and 2 in turn
+	reportField = "utilization" // the only field of the hosts' load reports
 	// seedFactor is the distance between the gateways' seeds of fleets with consecutive seeds, so that they don't overlap.
 	seedFactor = 1_000_003
 )
--- a/lab/fleet/measure.go
+++ b/lab/fleet/measure.go
@@ -73,7 +73,7 @@
 	roundRobin.writeRow(w, interval.Name, "round robin")
 }
 
-// writeRow writes one table row.
+// writeRow writes the table row of an interval for one balancer: a program, chance or round robin.
 func (e *Evenness) writeRow(w io.Writer, interval, spreadBy string) {
 	short := e.Windows[shortWindow]
 	long := e.Windows[longWindow]
