--- a/lab/groundtruth/cases.go
+++ b/lab/groundtruth/cases.go
@@ -71,6 +71,6 @@
 			f.Clients.SetOutOfRotation(true, killed...)
 			return f.ForEach(killed, (*fleet.Gateway).Kill)
 		}})
-	killedGateways.RefusedWith = "gateways missing"
+	killedGateways.ExpectedRefusal = "gateways missing"
 	return []Case{loadedHost, faults, replaced, slowHost, killedGateways}
 }
--- a/lab/groundtruth/groundtruth.go
+++ b/lab/groundtruth/groundtruth.go
@@ -41,7 +41,7 @@
 	ConfigureLoad    func(l *emulator.Load)               // may be nil
 	ConfigureHost    func(i int, h *emulator.HostOptions) // may be nil
 	Steps            []fleet.Step
-	RefusedWith      string // the refusal that all answers must have; "": none
+	ExpectedRefusal  string // the refusal that all answers must have; "": none
 }
 
 // fleetOptions returns the options of the fleet. Each gateway writes records, the first one collects, and the
@@ -117,7 +117,7 @@
 	Attempts        int
 	DelayedFraction float64 // fraction of the attempts that the machine, not a host, delayed: by how much is not known
 	MissingGateways int     // most gateways that an answer names as missing
-	Counts          counterfactual.Counts
+	Counts          counterfactual.MessageCounts
 	Usage           []fleet.Usage // of the gateways that still run
 }
 
@@ -191,20 +191,20 @@
 }
 
 // waitUntilSealed waits until all windows of the run are sealed at the collector.
-func (c *Case) waitUntilSealed(ctx context.Context, collector string) (counterfactual.Counts, error) {
+func (c *Case) waitUntilSealed(ctx context.Context, collector string) (counterfactual.MessageCounts, error) {
 	var initial, state observer.CollectorState
 	if err := Query(ctx, collector, observer.Query{Counts: true}, decodeInto(&initial)); err != nil {
-		return state.Counts, err
+		return state.MessageCounts, err
 	}
 	for state.Sealed < initial.Bin+2 {
 		if err := wait(ctx, c.Window/4); err != nil {
-			return state.Counts, err
+			return state.MessageCounts, err
 		}
 		if err := Query(ctx, collector, observer.Query{Counts: true}, decodeInto(&state)); err != nil {
-			return state.Counts, err
+			return state.MessageCounts, err
 		}
 	}
-	return state.Counts, nil
+	return state.MessageCounts, nil
 }
 
 // queryAnswers asks the collector about each rule and each host.
