--- a/lab/rollout/admin.go
+++ b/lab/rollout/admin.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	adminTimeout       = 8 * time.Second // of one request; a publisher's own limits are shorter
-	slowAnswer         = time.Second     // from which on an answer is recorded as slow
-	adminRetryInterval = 100 * time.Millisecond
+	adminTimeout          = 8 * time.Second // of one request; a publisher's own limits are shorter
+	slowResponseThreshold = time.Second     // from which on an answer is recorded as slow
+	adminRetryInterval    = 100 * time.Millisecond
 )
 
 // anyPublisher stands for another publisher with each request.
@@ -41,7 +41,7 @@
 }
 
 // request sends a request to one publisher. The error is a *RejectedError if the publisher answered by one.
-func (p *PublisherGroup) request(ctx context.Context, i int, request Request, into any) error {
+func (p *PublisherGroup) request(ctx context.Context, i int, request Request, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	url := "http://" + p.addresses[i].admin.String() + request.Path
@@ -59,7 +59,7 @@
 		return err
 	}
 	if response.StatusCode == http.StatusOK {
-		return json.Unmarshal(body, into)
+		return json.Unmarshal(body, result)
 	}
 	var rejection struct{ Error string }
 	if err := json.Unmarshal(body, &rejection); err != nil {
@@ -75,7 +75,7 @@
 		var publication publisher.Publication
 		start := time.Now()
 		err := p.request(ctx, i%p.Count(), request, &publication)
-		p.recordSlow(i%p.Count(), time.Since(start), err)
+		p.recordSlowResponse(i%p.Count(), time.Since(start), err)
 		if err == nil {
 			return publication, nil
 		}
@@ -91,26 +91,26 @@
 	}
 }
 
-// recordSlow records a slow answer, with the publisher's latest log lines.
-func (p *PublisherGroup) recordSlow(i int, took time.Duration, err error) {
-	if took < slowAnswer {
+// recordSlowResponse records a slow answer, with the publisher's latest log lines.
+func (p *PublisherGroup) recordSlowResponse(i int, took time.Duration, err error) {
+	if took < slowResponseThreshold {
 		return
 	}
 	text := fmt.Sprintf("%s answered after %.1f s: %v; its last lines:\n%s",
-		publisherName(i), took.Seconds(), err, p.processes[i].Tail(slowAnswerLines))
+		publisherName(i), took.Seconds(), err, p.processes[i].Tail(slowResponseLogLines))
 	p.slowMu.Lock()
 	defer p.slowMu.Unlock()
-	p.slowAnswers = append(p.slowAnswers, text)
+	p.slowResponses = append(p.slowResponses, text)
 }
 
-// slowAnswerLines is the number of log lines that are recorded with a slow answer.
-const slowAnswerLines = 4
+// slowResponseLogLines is the number of log lines that are recorded with a slow answer.
+const slowResponseLogLines = 4
 
 // SlowResponses returns a text on each answer that was slow.
 func (p *PublisherGroup) SlowResponses() []string {
 	p.slowMu.Lock()
 	defer p.slowMu.Unlock()
-	return slices.Clone(p.slowAnswers)
+	return slices.Clone(p.slowResponses)
 }
 
 // Status returns the status of one publisher.
--- a/lab/rollout/changes.go
+++ b/lab/rollout/changes.go
@@ -24,14 +24,14 @@
 	publishers *PublisherGroup
 	interval   time.Duration
 
-	mu           sync.Mutex // locked during one publication
-	published    []PublishedChange
-	requestCount int
-	routineCount int // routine changes so far
-	preferred    int // publisher that gets a request first, or anyPublisher
+	mu                 sync.Mutex // locked during one publication
+	published          []PublishedChange
+	requestCount       int
+	routineCount       int // routine changes so far
+	preferredPublisher int // publisher that gets a request first, or anyPublisher
 
-	done  chan struct{} // closed to stop run; nil: it does not run
-	ended chan error    // the result of run
+	stopRequested chan struct{} // closed to stop run; nil: it does not run
+	result        chan error    // the result of run
 }
 
 // publications returns all that was published so far.
@@ -53,8 +53,8 @@
 	sent := time.Now()
 	c.requestCount++
 	first := c.requestCount
-	if c.preferred != anyPublisher {
-		first = c.preferred
+	if c.preferredPublisher != anyPublisher {
+		first = c.preferredPublisher
 	}
 	publication, err := c.publishers.Publish(ctx, first, request)
 	if err == nil {
@@ -63,11 +63,11 @@
 	return publication, err
 }
 
-// prefer sets the publisher that gets a request first, such as the leader, which need not forward it.
-func (c *changePublisher) prefer(index int) {
+// setPreferredPublisher sets the publisher that gets a request first, such as the leader, which need not forward it.
+func (c *changePublisher) setPreferredPublisher(index int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.preferred = index
+	c.preferredPublisher = index
 }
 
 // Resources are contents of resources by name: a gatewayconfig.QuotaPlan, Class or RuntimeLimits, or an address.
@@ -116,16 +116,16 @@
 	return Request{http.MethodPut, configurationPath, string(body)}, err
 }
 
-// start publishes a routine change at each interval from now on.
-func (c *changePublisher) start(ctx context.Context) {
-	c.done = make(chan struct{})
-	c.ended = make(chan error, 1)
-	done := c.done
-	go func() { c.ended <- c.run(ctx, done) }()
+// startRoutineChanges publishes a routine change at each interval from now on.
+func (c *changePublisher) startRoutineChanges(ctx context.Context) {
+	c.stopRequested = make(chan struct{})
+	c.result = make(chan error, 1)
+	done := c.stopRequested
+	go func() { c.result <- c.runRoutineChanges(ctx, done) }()
 }
 
-// run publishes routine changes until done is closed.
-func (c *changePublisher) run(ctx context.Context, done <-chan struct{}) error {
+// runRoutineChanges publishes routine changes until done is closed.
+func (c *changePublisher) runRoutineChanges(ctx context.Context, done <-chan struct{}) error {
 	ticker := time.NewTicker(c.interval)
 	defer ticker.Stop()
 	for {
@@ -141,14 +141,14 @@
 	}
 }
 
-// stop ends the routine changes and waits for the one in progress.
-func (c *changePublisher) stop() error {
-	if c.done == nil {
+// stopRoutineChanges ends the routine changes and waits for the one in progress.
+func (c *changePublisher) stopRoutineChanges() error {
+	if c.stopRequested == nil {
 		return nil
 	}
-	close(c.done)
-	c.done = nil
-	return <-c.ended
+	close(c.stopRequested)
+	c.stopRequested = nil
+	return <-c.result
 }
 
 // publishRoutine publishes the next routine change. Quota plans come, change and go, and a request class and limits
--- a/lab/rollout/checks.go
+++ b/lab/rollout/checks.go
@@ -35,15 +35,15 @@
 	return violations
 }
 
-// shownViolations is the number of violations of one check that are shown.
-const shownViolations = 4
+// maxShownViolations is the number of violations of one check that are shown.
+const maxShownViolations = 4
 
 // summarize returns the number of violations and the first few of them; "" if there are none.
 func summarize(violations []string) string {
 	if len(violations) == 0 {
 		return ""
 	}
-	shown := violations[:min(len(violations), shownViolations)]
+	shown := violations[:min(len(violations), maxShownViolations)]
 	return fmt.Sprintf("%d: %s", len(violations), strings.Join(shown, "; "))
 }
 
@@ -126,7 +126,7 @@
 }
 
 // EqualDigests returns a check: at the end all publishers and the disks of all gateways but some have the same content.
-func EqualDigests(without ...int) Check {
+func EqualDigests(except ...int) Check {
 	return Check{"all digests equal", func(r *Record) string {
 		if len(r.Publishers) == 0 {
 			return "no publisher runs"
@@ -143,7 +143,7 @@
 		for member := range r.Disks {
 			disk := &r.Disks[member]
 			equal := disk.Err == nil && disk.Digest == want.Digest && disk.Version == want.Version
-			if !equal && !slices.Contains(without, member) {
+			if !equal && !slices.Contains(except, member) {
 				violations = append(violations, fmt.Sprintf("disk of member %d: %v", member, disk))
 			}
 		}
--- a/lab/rollout/checks_test.go
+++ b/lab/rollout/checks_test.go
@@ -16,7 +16,7 @@
 		{Incarnation: 1, Version: 2},
 		{Incarnation: 1, Version: 4},
 	}}
-	second := &History{ended: 1, Applied: []AppliedVersion{
+	second := &History{endedIncarnations: 1, Applied: []AppliedVersion{
 		{Incarnation: 1, Version: 1},
 		{Incarnation: 1, Version: 2},
 		{Incarnation: 2, Version: 2, FromDisk: true},
@@ -67,7 +67,7 @@
 		}},
 		{"not published", OnlyPublishedVersions, func(r *Record) { r.apply(0, AppliedVersion{Incarnation: 1, Version: 5}) }},
 		{"behind", LatestVersionEverywhere, func(r *Record) { r.Histories[0].Applied = r.Histories[0].Applied[:2] }},
-		{"by the file", LatestVersionEverywhere, func(r *Record) { r.Histories[0].ended++ }},
+		{"by the file", LatestVersionEverywhere, func(r *Record) { r.Histories[0].endedIncarnations++ }},
 		{"not shown", PublishersShowLatestVersion, func(r *Record) { r.Publishers[0].Followers[1].InForce = 3 }},
 		{"shown of a lost connection", PublishersShowLatestVersion, func(r *Record) {
 			r.Publishers[0].Followers[1].Connected = false
--- a/lab/rollout/effects.go
+++ b/lab/rollout/effects.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	probePrefix  = "feed" // of the ids of probes
-	removedError = "ERR plan: removed"
+	probeIDPrefix = "feed" // of the ids of probes
+	removedError  = "ERR plan: removed"
 )
 
 // clientsServed is a check: most of the clients' requests beside the probes succeeded.
@@ -22,7 +22,7 @@
 	succeeded := 0
 	for i := range r.Clients.Requests {
 		request := &r.Clients.Requests[i]
-		if strings.HasPrefix(request.ID, probePrefix) {
+		if strings.HasPrefix(request.ID, probeIDPrefix) {
 			continue
 		}
 		sent++
@@ -39,8 +39,8 @@
 // probe sends one request of the plan's own customer on a quota plan to one gateway.
 func (r *Run) probe(member int, plan string) emulator.Request {
 	request := emulator.Request{
-		ID:       fmt.Sprintf("%s%012x", probePrefix, r.probes.Add(1)),
-		Customer: customerOf(member, plan),
+		ID:       fmt.Sprintf("%s%012x", probeIDPrefix, r.probesSent.Add(1)),
+		Customer: probeCustomer(member, plan),
 		Class:    "lookup",
 		Gateway:  member,
 	}
@@ -54,9 +54,9 @@
 	return fmt.Errorf("%s: a request on plan %q: %s %q", fleet.GatewayName(member), plan, answer.Result, answer.ErrorText)
 }
 
-// customerOf returns a separate customer for each gateway and plan, so that one gateway's admissions are all that the
+// probeCustomer returns a separate customer for each gateway and plan, so that one gateway's admissions are all that the
 // customer uses. Its number is above those of the load's customers.
-func customerOf(member int, plan string) string {
+func probeCustomer(member int, plan string) string {
 	const first = 1 << 32
 	return fmt.Sprintf("%016x", first+member<<16+int(configsync.PlanID(plan)&0xffff))
 }
@@ -105,8 +105,8 @@
 }
 
 // forEachGateway calls a function for all gateways at once.
-func (r *Run) forEachGateway(ctx context.Context, do func(ctx context.Context, member int) error) error {
-	return r.Fleet.ForEach(r.members(), func(g *fleet.Gateway) error { return do(ctx, g.Index) })
+func (r *Run) forEachGateway(ctx context.Context, fn func(ctx context.Context, member int) error) error {
+	return r.Fleet.ForEach(r.members(), func(g *fleet.Gateway) error { return fn(ctx, g.Index) })
 }
 
 // CheckPlanEffects returns a step that changes quota plans in one version and checks that each gateway decides by it:
@@ -114,13 +114,13 @@
 // raised burst admits nothing at once to customers who had used theirs up.
 func CheckPlanEffects() Step {
 	return Step{"quota plans added, removed and lowered", func(ctx context.Context, r *Run) error {
-		err := r.forEachGateway(ctx, r.beforeEffects)
+		err := r.forEachGateway(ctx, r.checkBeforePlanChanges)
 		if err != nil {
 			return err
 		}
 		set := Resources{
-			planResource(planAdded):   quotaPlan(unbounded, unbounded),
-			planResource(planLowered): quotaPlan(slowRate, loweredTo),
+			planResource(planAdded):   quotaPlan(unlimited, unlimited),
+			planResource(planLowered): quotaPlan(slowRate, loweredBurst),
 			planResource(planRaised):  quotaPlan(2*slowRate, highBurst),
 		}
 		publication, err := r.changes.patch(ctx, set, planResource(planRemoved))
@@ -131,13 +131,13 @@
 		if err != nil {
 			return err
 		}
-		return r.forEachGateway(ctx, r.afterEffects)
+		return r.forEachGateway(ctx, r.checkAfterPlanChanges)
 	}}
 }
 
-// beforeEffects checks how a gateway decides by the first version.
-func (r *Run) beforeEffects(ctx context.Context, member int) error {
-	for plan, requests := range map[string]int{planRemoved: 1, planLowered: beforeLower, planRaised: lowBurst} {
+// checkBeforePlanChanges checks how a gateway decides by the first version.
+func (r *Run) checkBeforePlanChanges(ctx context.Context, member int) error {
+	for plan, requests := range map[string]int{planRemoved: 1, planLowered: requestsBeforeLowering, planRaised: burstBeforeRaising} {
 		for range requests {
 			err := r.checkServed(ctx, member, plan)
 			if err != nil {
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// afterEffects checks how a gateway decides once the plans have changed.
-func (r *Run) afterEffects(ctx context.Context, member int) error {
+// checkAfterPlanChanges checks how a gateway decides once the plans have changed.
+func (r *Run) checkAfterPlanChanges(ctx context.Context, member int) error {
 	err := r.checkServed(ctx, member, planAdded)
 	if err != nil {
 		return err
@@ -158,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	admitted, err := r.countAdmitted(member, planRaised, afterRaise)
+	admitted, err := r.countAdmitted(member, planRaised, requestsAfterRaising)
 	if err != nil {
 		return err
 	}
@@ -170,22 +170,22 @@
 	if err != nil {
 		return err
 	}
-	admitted, err = r.countAdmitted(member, planLowered, afterLower)
+	admitted, err = r.countAdmitted(member, planLowered, requestsAfterLowering)
 	if err != nil {
 		return err
 	}
 	admitted++ // by checkServed
-	if admitted > loweredTo {
+	if admitted > loweredBurst {
 		return fmt.Errorf("%s: %d of %d requests admitted after the burst was lowered to %d",
-			fleet.GatewayName(member), admitted, afterLower+1, loweredTo)
+			fleet.GatewayName(member), admitted, requestsAfterLowering+1, loweredBurst)
 	}
 	return nil
 }
 
 // CheckServed returns a step that checks that gateways serve a plan that only the published configuration names.
 func CheckServed(members ...int) Step {
-	what := fmt.Sprintf("gateways %v serve by the published configuration", members)
-	return Step{what, func(ctx context.Context, r *Run) error {
+	description := fmt.Sprintf("gateways %v serve by the published configuration", members)
+	return Step{description, func(ctx context.Context, r *Run) error {
 		return r.Fleet.ForEach(members, func(g *fleet.Gateway) error { return r.checkServed(ctx, g.Index, planKept) })
 	}}
 }
--- a/lab/rollout/faults.go
+++ b/lab/rollout/faults.go
@@ -45,7 +45,7 @@
 func KillPublishers(indices ...int) Step {
 	return Step{fmt.Sprintf("kill publishers %v", indices), func(_ context.Context, r *Run) error {
 		if len(indices) == r.Publishers.Count() {
-			r.startAbsence(r.members())
+			r.startOutage(r.members())
 		}
 		return r.Publishers.forEach(func(process *fleet.Process) error {
 			if !slices.Contains(indices, process.Index) {
@@ -65,7 +65,7 @@
 			}
 			return r.startPublisher(ctx, process, disk)
 		})
-		r.endAbsence(r.members())
+		r.endOutage(r.members())
 		return err
 	}}
 }
@@ -108,7 +108,7 @@
 func EndFaults(name string) Step {
 	return Step{"heal " + name, func(_ context.Context, r *Run) error {
 		r.Fleet.Relay.SetRules(name)
-		r.endAbsence(r.members())
+		r.endOutage(r.members())
 		return nil
 	}}
 }
@@ -117,14 +117,14 @@
 // then on no request may be sent there, whatever version comes. ReactivateHost ends it.
 func DrainHost(host int) Step {
 	return Step{fmt.Sprintf("drain host %d", host), func(ctx context.Context, r *Run) error {
-		marks := make([]int, r.Scenario.Size.Gateways)
-		for member := range marks {
-			marks[member] = r.Fleet.Gateway(member).Mark()
+		logPositions := make([]int, r.Scenario.Size.Gateways)
+		for member := range logPositions {
+			logPositions[member] = r.Fleet.Gateway(member).Mark()
 		}
 		drained := r.Fleet.Host(host)
 		r.Fleet.Agent.Push(drained.Entry(emulator.Leaving))
 		return r.Fleet.ForEach(r.members(), func(g *fleet.Gateway) error {
-			_, err := g.WaitLineAfter(ctx, marks[g.Index], "event=endpoint_state id="+drained.ID+" ")
+			_, err := g.WaitLineAfter(ctx, logPositions[g.Index], "event=endpoint_state id="+drained.ID+" ")
 			return err
 		})
 	}}
@@ -142,9 +142,9 @@
 // each of those that were connected has noticed.
 func PartitionZone(name string, members ...int) Step {
 	return Step{fmt.Sprintf("cut off %d gateways", len(members)), func(ctx context.Context, r *Run) error {
-		zone := namesOf(members)
-		rest := append(publisherNames(r.Publishers.Count()), namesOf(others(r.members(), members))...)
-		r.startAbsence(members)
+		zone := gatewayNames(members)
+		rest := append(publisherNames(r.Publishers.Count()), gatewayNames(membersExcept(r.members(), members))...)
+		r.startOutage(members)
 		r.Fleet.Relay.Partition(name, zone, rest)
 		return r.Fleet.ForEach(members, func(g *fleet.Gateway) error {
 			_, err := g.WaitLine(ctx, `cause="nothing heard from the publisher"`)
@@ -155,9 +155,9 @@
 
 // BlockLink returns a step that cuts the link of one gateway to one publisher.
 func BlockLink(name string, member, publisher int) Step {
-	what := fmt.Sprintf("cut gateway %d off from publisher %d", member, publisher)
-	return Step{what, func(_ context.Context, r *Run) error {
-		r.Fleet.Relay.Partition(name, namesOf([]int{member}), []string{publisherName(publisher)})
+	description := fmt.Sprintf("cut gateway %d off from publisher %d", member, publisher)
+	return Step{description, func(_ context.Context, r *Run) error {
+		r.Fleet.Relay.Partition(name, gatewayNames([]int{member}), []string{publisherName(publisher)})
 		return nil
 	}}
 }
@@ -173,7 +173,7 @@
 // DelayLink returns a step that delays all that publishers send to a gateway, under a name that EndFaults ends.
 func DelayLink(name string, member int, delay time.Duration) Step {
 	return Step{fmt.Sprintf("delay the links of gateway %d by %v", member, delay), func(_ context.Context, r *Run) error {
-		r.setFaultsFromPublishers(name, member, relay.Faults{Delay: delay})
+		r.setInboundFaults(name, member, relay.Faults{Delay: delay})
 		return nil
 	}}
 }
@@ -182,33 +182,33 @@
 // gateway reads nothing, and its connections stay open.
 func StallLink(name string, member int) Step {
 	return Step{fmt.Sprintf("stall the links of gateway %d", member), func(_ context.Context, r *Run) error {
-		r.startAbsence([]int{member})
-		r.setFaultsFromPublishers(name, member, relay.Faults{Blocked: true})
+		r.startOutage([]int{member})
+		r.setInboundFaults(name, member, relay.Faults{Blocked: true})
 		return nil
 	}}
 }
 
-// setFaultsFromPublishers sets the faults of all that publishers send to a gateway.
-func (r *Run) setFaultsFromPublishers(name string, member int, way relay.Faults) {
+// setInboundFaults sets the faults of all that publishers send to a gateway.
+func (r *Run) setInboundFaults(name string, member int, faults relay.Faults) {
 	r.Fleet.Relay.SetRules(name, relay.Rule{
 		From:   publisherNames(r.Publishers.Count()),
-		To:     namesOf([]int{member}),
-		Faults: way,
+		To:     gatewayNames([]int{member}),
+		Faults: faults,
 	})
 }
 
 // RestartGateways returns a step that kills gateways by SIGKILL and starts them again, all at once. Those that keep
 // their disk have to start from it. Clients do not use them meanwhile.
 func RestartGateways(disk Disk, members ...int) Step {
-	what := fmt.Sprintf("restart %d gateways on %s", len(members), diskNames[disk])
-	return Step{what, func(ctx context.Context, r *Run) error {
+	description := fmt.Sprintf("restart %d gateways on %s", len(members), diskNames[disk])
+	return Step{description, func(ctx context.Context, r *Run) error {
 		r.Fleet.Clients.SetOutOfUse(true, members...)
-		r.startAbsence(members)
+		r.startOutage(members)
 		err := r.Fleet.ForEach(members, func(g *fleet.Gateway) error { return g.Restart(ctx, disk == DiskEmpty) })
 		if err != nil {
 			return err
 		}
-		r.endAbsence(members)
+		r.endOutage(members)
 		r.Fleet.Clients.SetOutOfUse(false, members...)
 		if disk == DiskEmpty {
 			return nil
@@ -232,24 +232,24 @@
 	return nil
 }
 
-// endAbsence records that gateways can reach a publisher from now on.
-func (r *Run) endAbsence(members []int) {
+// endOutage records that gateways can reach a publisher from now on.
+func (r *Run) endOutage(members []int) {
 	now := time.Now()
 	for _, member := range members {
-		r.Record.Histories[member].endAbsence(now)
+		r.Record.Histories[member].endOutage(now)
 	}
 }
 
-// startAbsence records that gateways can reach no publisher from now on.
-func (r *Run) startAbsence(members []int) {
+// startOutage records that gateways can reach no publisher from now on.
+func (r *Run) startOutage(members []int) {
 	now := time.Now()
 	for _, member := range members {
-		r.Record.Histories[member].startAbsence(now)
+		r.Record.Histories[member].startOutage(now)
 	}
 }
 
-// namesOf returns the names of gateways.
-func namesOf(members []int) (names []string) {
+// gatewayNames returns the names of gateways.
+func gatewayNames(members []int) (names []string) {
 	for _, member := range members {
 		names = append(names, fleet.GatewayName(member))
 	}
@@ -259,8 +259,8 @@
 // BlockDisk returns a step that restarts gateways with a file in place of the folder of the stored version, so that
 // nothing can be read or written there. Each has to log that once.
 func BlockDisk(members ...int) Step {
-	what := fmt.Sprintf("a file in place of the folder at gateways %v", members)
-	return Step{what, func(ctx context.Context, r *Run) error {
+	description := fmt.Sprintf("a file in place of the folder at gateways %v", members)
+	return Step{description, func(ctx context.Context, r *Run) error {
 		err := r.restartWithDisk(ctx, members, func(folder string) error {
 			return errors.Join(os.RemoveAll(folder), os.WriteFile(folder, nil, 0o600))
 		})
@@ -279,12 +279,12 @@
 	return Step{fmt.Sprintf("a damaged file at gateways %v", members), func(ctx context.Context, r *Run) error {
 		err := r.restartWithDisk(ctx, members, func(folder string) error {
 			file := filepath.Join(folder, "configuration")
-			text, err := os.ReadFile(file)
+			content, err := os.ReadFile(file)
 			if err != nil {
 				return err
 			}
-			text[len(text)-len(text)/4] ^= 0xff
-			return os.WriteFile(file, text, 0o600)
+			content[len(content)-len(content)/4] ^= 0xff
+			return os.WriteFile(file, content, 0o600)
 		})
 		if err != nil {
 			return err
@@ -299,14 +299,14 @@
 // restartWithDisk kills gateways, changes the folder of their stored version and starts them again.
 func (r *Run) restartWithDisk(ctx context.Context, members []int, change func(folder string) error) error {
 	r.Fleet.Clients.SetOutOfUse(true, members...)
-	r.startAbsence(members)
+	r.startOutage(members)
 	err := r.Fleet.ForEach(members, func(g *fleet.Gateway) error {
-		return errors.Join(g.Kill(), change(filepath.Join(g.Dir, diskFolder)), g.Restart(ctx, false))
+		return errors.Join(g.Kill(), change(filepath.Join(g.Dir, storedVersionDir)), g.Restart(ctx, false))
 	})
 	if err != nil {
 		return err
 	}
-	r.endAbsence(members)
+	r.endOutage(members)
 	r.Fleet.Clients.SetOutOfUse(false, members...)
 	return nil
 }
--- a/lab/rollout/figures.go
+++ b/lab/rollout/figures.go
@@ -33,40 +33,40 @@
 
 // Latencies returns the times until each change was in force: from its request at gateways that could reach a publisher
 // throughout, and from the end of their absence at the others.
-func (r *Record) Latencies() (reachable, returned Latencies) {
+func (r *Record) Latencies() (connected, afterOutage Latencies) {
 	for i := range r.Published {
 		change := &r.Published[i]
 		for _, history := range r.Histories {
-			latency, absent, found := history.latency(change)
+			latency, followedOutage, found := history.latency(change)
 			switch {
 			case !found:
-			case absent:
-				returned = append(returned, latency)
+			case followedOutage:
+				afterOutage = append(afterOutage, latency)
 			default:
-				reachable = append(reachable, latency)
+				connected = append(connected, latency)
 			}
 		}
 	}
-	return reachable, returned
+	return connected, afterOutage
 }
 
 // latency returns the time until a change was in force at a gateway. absent reports whether it counts from the end of
 // an absence, found whether the change ever came in force.
-func (h *History) latency(change *PublishedChange) (latency time.Duration, absent, found bool) {
+func (h *History) latency(change *PublishedChange) (latency time.Duration, afterOutage, found bool) {
 	index := slices.IndexFunc(h.Applied, func(a AppliedVersion) bool { return a.Version >= change.Version })
 	if index < 0 {
 		return 0, false, false
 	}
 	inForce := h.Applied[index].At
 	from := change.SentAt
-	for _, absence := range h.Outages {
+	for _, outage := range h.Outages {
 		// Within an absence a change comes in force only from disk, or at a start that finds a publisher at once.
-		if absence.Start.Before(inForce) && absence.End.After(change.SentAt) {
-			absent = true
-			from = absence.End
+		if outage.Start.Before(inForce) && outage.End.After(change.SentAt) {
+			afterOutage = true
+			from = outage.End
 		}
 	}
-	return max(inForce.Sub(from), 0), absent, true
+	return max(inForce.Sub(from), 0), afterOutage, true
 }
 
 // BytesPerSecond returns the bytes a second that a gateway exchanged with publishers between two status lines of one
@@ -91,29 +91,29 @@
 	PeakMemory int     // bytes, of the process with the most
 }
 
-// newCost returns the cost between two times. Processes that were down at either time are left out.
-func newCost(before, after []fleet.Usage, elapsed time.Duration) (cost ResourceUsage) {
+// newResourceUsage returns the cost between two times. Processes that were down at either time are left out.
+func newResourceUsage(before, after []fleet.Usage, elapsed time.Duration) (usage ResourceUsage) {
 	for i := range after {
 		if before[i].RSS == 0 || after[i].RSS == 0 || after[i].CPU < before[i].CPU {
 			continue
 		}
-		cost.Processes++
-		cost.CPUShare += (after[i].CPU - before[i].CPU).Seconds() / elapsed.Seconds()
-		cost.Memory += float64(after[i].RSS)
-		cost.PeakMemory = max(cost.PeakMemory, after[i].PeakRSS)
+		usage.Processes++
+		usage.CPUShare += (after[i].CPU - before[i].CPU).Seconds() / elapsed.Seconds()
+		usage.Memory += float64(after[i].RSS)
+		usage.PeakMemory = max(usage.PeakMemory, after[i].PeakRSS)
 	}
-	if cost.Processes > 0 {
-		cost.CPUShare /= float64(cost.Processes)
-		cost.Memory /= float64(cost.Processes)
+	if usage.Processes > 0 {
+		usage.CPUShare /= float64(usage.Processes)
+		usage.Memory /= float64(usage.Processes)
 	}
-	return cost
+	return usage
 }
 
 // String returns the cost in a few words.
-func (c ResourceUsage) String() string {
+func (u ResourceUsage) String() string {
 	const megabyte = 1e6
-	return fmt.Sprintf("%.2f%% of a core, %.1f MB each, %.1f MB at most", 100*c.CPUShare, c.Memory/megabyte,
-		float64(c.PeakMemory)/megabyte)
+	return fmt.Sprintf("%.2f%% of a core, %.1f MB each, %.1f MB at most", 100*u.CPUShare, u.Memory/megabyte,
+		float64(u.PeakMemory)/megabyte)
 }
 
 // Figures are what a run measured.
@@ -145,19 +145,19 @@
 		figures.BytesPerSecond /= float64(count)
 	}
 	elapsed := time.Duration(r.LoadReport.EndedAt - r.LoadReport.StartedAt)
-	figures.Gateways = gatewayCost(r.LoadReport, elapsed)
-	figures.Publishers = newCost(r.publishersBefore, r.publishersAfter, elapsed)
+	figures.Gateways = gatewayUsage(r.LoadReport, elapsed)
+	figures.Publishers = newResourceUsage(r.publishersBefore, r.publishersAfter, elapsed)
 	return figures
 }
 
-// gatewayCost returns the gateways' cost of a load.
-func gatewayCost(load *fleet.Report, elapsed time.Duration) ResourceUsage {
+// gatewayUsage returns the gateways' cost of a load.
+func gatewayUsage(load *fleet.Report, elapsed time.Duration) ResourceUsage {
 	var before, after []fleet.Usage
 	for i := range load.Gateways {
 		before = append(before, load.Gateways[i].Before)
 		after = append(after, load.Gateways[i].Usage)
 	}
-	return newCost(before, after, elapsed)
+	return newResourceUsage(before, after, elapsed)
 }
 
 // String returns the figures in one line.
--- a/lab/rollout/full_test.go
+++ b/lab/rollout/full_test.go
@@ -16,9 +16,9 @@
 	full           = flag.Int("full", 0, "gateways of the full-size measurements; 0 leaves them out")
 	rate           = flag.Float64("rate", 400, "clients' requests a second of the full-size measurements")
 	changeInterval = flag.Duration("pace", 4300*time.Millisecond, "time between two changes of the full-size measurements")
-	cases          = flag.String("cases", "", "full-size scenarios whose names contain this")
+	caseFilter     = flag.String("cases", "", "full-size scenarios whose names contain this")
 	baseline       = flag.Bool("baseline", true, "measure restarts on each change too")
-	into           = flag.String("into", "", "file that the figures are added to; empty prints them only")
+	outputFile     = flag.String("into", "", "file that the figures are added to; empty prints them only")
 )
 
 // Budgets of the operators, for each gateway.
@@ -60,26 +60,26 @@
 	idle.Rate = 1
 	noChanges := size.scenario("no changes", Pause(size.OutageDuration))
 	noChanges.NoRoutineChanges = true
-	nothing := idle.scenario("no clients, no changes", Pause(size.OutageDuration))
-	nothing.NoRoutineChanges = true
+	idleNoChanges := idle.scenario("no clients, no changes", Pause(size.OutageDuration))
+	idleNoChanges.NoRoutineChanges = true
 	noClients := idle.scenario("no clients, steady", WaitVersions(steadyVersions))
-	return append([]Scenario{nothing, noClients, noChanges}, all...)
+	return append([]Scenario{idleNoChanges, noClients, noChanges}, all...)
 }
 
-// report writes figures as soon as they are known, so that a run that is ended early keeps its first ones.
-type report struct{ t *testing.T }
+// reportWriter writes figures as soon as they are known, so that a run that is ended early keeps its first ones.
+type reportWriter struct{ t *testing.T }
 
-func (r report) add(format string, args ...any) {
+func (r reportWriter) add(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	fmt.Print(text)
-	if *into != "" {
-		if err := figures.Append(*into, text); err != nil {
+	if *outputFile != "" {
+		if err := figures.Append(*outputFile, text); err != nil {
 			r.t.Fatal(err)
 		}
 	}
 }
 
-const fullHead = "| scenario | changes | in force: p50, p99, latest (budget 12 s) | after an absence | " +
+const scenarioTableHeader = "| scenario | changes | in force: p50, p99, latest (budget 12 s) | after an absence | " +
 	"bytes/s a gateway: mean, most (budget 7000) | gateways: core (budget 1.3%%), memory mean, most (budget 128 MB) | " +
 	"publishers: core, memory mean, most | requests | holds |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
@@ -89,13 +89,13 @@
 	if *full == 0 {
 		t.Skip("no -full")
 	}
-	report := report{t}
+	report := reportWriter{t}
 	report.add("\n## %d gateways, %d hosts, 3 publishers, %.0f requests a second, a change each %v "+
 		"(%s, load of the machine %s)\n\n",
 		*full, fullSize().Hosts, *rate, *changeInterval, time.Now().UTC().Format(time.DateOnly), loadAverage())
-	report.add(fullHead)
+	report.add(scenarioTableHeader)
 	for _, scenario := range fullCases() {
-		if !strings.Contains(scenario.Name, *cases) {
+		if !strings.Contains(scenario.Name, *caseFilter) {
 			continue
 		}
 		t.Run(scenario.Name, func(t *testing.T) { runFullSize(t, &scenario, report) })
@@ -106,7 +106,7 @@
 }
 
 // runFullSize runs one scenario and adds a row on it.
-func runFullSize(t *testing.T, scenario *Scenario, report report) {
+func runFullSize(t *testing.T, scenario *Scenario, report reportWriter) {
 	ctx, cancel := context.WithTimeout(context.Background(), fullTimeout)
 	defer cancel()
 	run, violations, err := scenario.Run(ctx)
@@ -132,27 +132,27 @@
 	if len(violations) > 0 {
 		return "no: " + strings.Join(violations, "; ")
 	}
-	var beyond []string
+	var exceeded []string
 	if figures.ConnectedLatencies.percentile(1) > budgetInForce {
-		beyond = append(beyond, "time")
+		exceeded = append(exceeded, "time")
 	}
 	if figures.MaxBytesPerSecond > budgetBytes {
-		beyond = append(beyond, "bytes")
+		exceeded = append(exceeded, "bytes")
 	}
 	if figures.Gateways.CPUShare > budgetCPUShare {
-		beyond = append(beyond, "processor")
+		exceeded = append(exceeded, "processor")
 	}
 	if float64(figures.Gateways.PeakMemory) > budgetMemory {
-		beyond = append(beyond, "memory")
+		exceeded = append(exceeded, "memory")
 	}
-	if len(beyond) > 0 {
-		return "all counts; beyond the budget: " + strings.Join(beyond, ", ")
+	if len(exceeded) > 0 {
+		return "all counts; beyond the budget: " + strings.Join(exceeded, ", ")
 	}
 	return "all"
 }
 
 // runBaseline measures a fleet that is restarted on each change, all at once and in batches.
-func runBaseline(t *testing.T, report report) {
+func runBaseline(t *testing.T, report reportWriter) {
 	size := fullSize()
 	report.add("\n| restart on each change | one gateway has a change after | all have it after | requests | lost |\n" +
 		"| --- | --- | --- | --- | --- |\n")
--- a/lab/rollout/hollow/axis_test.go
+++ b/lab/rollout/hollow/axis_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// growing returns an axis whose figures are as they must be, except for a change.
-func growing(sizes []int, change func(point *Point)) ScalingSeries {
+// newTestSeries returns an axis whose figures are as they must be, except for a change.
+func newTestSeries(sizes []int, change func(point *Point)) ScalingSeries {
 	var points []*Point
 	for _, followers := range sizes {
 		point := &Point{Followers: followers, Values: map[string]float64{
@@ -39,7 +39,7 @@
 			func(p *Point) { p.Violations = map[int][]string{50: {"g1: version 1 after 2"}}[p.Followers] },
 			[]string{"g1: version 1 after 2"}},
 	} {
-		axis := growing([]int{25, 50, 100, 200, 400}, test.change)
+		axis := newTestSeries([]int{25, 50, 100, 200, 400}, test.change)
 		got := axis.Violations()
 		if !slices.Equal(got, test.want) {
 			t.Errorf("%s: %q, want %q", test.name, got, test.want)
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	report.BeginPart("followers", "command")
-	report.ByFollowers = growing([]int{375, 1000, 2000, 4000, 6000}, func(*Point) {})
+	report.ByFollowers = newTestSeries([]int{375, 1000, 2000, 4000, 6000}, func(*Point) {})
 	report.EndPart("followers", &logEvents)
 	err = report.Write(folder)
 	if err != nil {
--- a/lab/rollout/hollow/compare.go
+++ b/lab/rollout/hollow/compare.go
@@ -34,7 +34,7 @@
 	Gateways       int
 	Changes        int
 	ChangeInterval time.Duration
-	Rest           time.Duration // in which the processor time at rest is measured
+	IdleDuration   time.Duration // in which the processor time at rest is measured
 	Options
 }
 
@@ -47,7 +47,7 @@
 	}
 	defer g.Close()
 	result := &Comparison{Gateways: c.Gateways, Changes: c.Changes}
-	result.Simulated, err = c.measureHollow(ctx, g)
+	result.Simulated, err = c.measureSimulated(ctx, g)
 	if err != nil {
 		return nil, err
 	}
@@ -55,24 +55,24 @@
 	return result, err
 }
 
-// comparedSide is one side of a comparison: the real gateways or the hollow followers.
-type comparedSide struct {
-	inForce   func(context.Context) error             // waits until the last version is in force everywhere
-	versions  func() int                              // put in force so far
-	processor func() (seconds time.Duration, _ error) // used so far
+// comparisonSubject is one side of a comparison: the real gateways or the hollow followers.
+type comparisonSubject struct {
+	waitInForce     func(context.Context) error             // waits until the last version is in force everywhere
+	appliedVersions func() int                              // put in force so far
+	cpuTime         func() (seconds time.Duration, _ error) // used so far
 }
 
-// measureHollow starts the hollow followers, measures them and stops them.
-func (c *comparisonOptions) measureHollow(ctx context.Context, g *Group) (ChangeCost, error) {
+// measureSimulated starts the hollow followers, measures them and stops them.
+func (c *comparisonOptions) measureSimulated(ctx context.Context, g *Group) (ChangeCost, error) {
 	err := g.Fleet.Start(g.Fleet.members())
 	if err != nil {
 		return ChangeCost{}, err
 	}
 	defer g.Fleet.Stop(g.Fleet.members())
-	return c.measure(ctx, g, comparedSide{
-		inForce:   g.waitEverywhere,
-		versions:  func() int { return int(g.Fleet.Totals().AcceptedVersions) },
-		processor: processorTime,
+	return c.measure(ctx, g, comparisonSubject{
+		waitInForce:     g.waitEverywhere,
+		appliedVersions: func() int { return int(g.Fleet.Totals().AcceptedVersions) },
+		cpuTime:         processCPUTime,
 	})
 }
 
@@ -88,7 +88,7 @@
 			for _, address := range g.addresses() {
 				addresses = append(addresses, address.String())
 			}
-			file.Configuration = &gatewayconfig.Configuration{Publishers: addresses, Dir: diskFolder}
+			file.Configuration = &gatewayconfig.Configuration{Publishers: addresses, Dir: storedVersionDir}
 			return nil
 		},
 	})
@@ -96,23 +96,23 @@
 		return ChangeCost{}, err
 	}
 	defer f.Close()
-	return c.measure(ctx, g, comparedSide{
-		inForce:   func(ctx context.Context) error { return g.waitShown(ctx, c.Gateways) },
-		versions:  func() int { return countApplied(f) },
-		processor: func() (time.Duration, error) { return cpuTime(f) },
+	return c.measure(ctx, g, comparisonSubject{
+		waitInForce:     func(ctx context.Context) error { return g.waitShownByPublishers(ctx, c.Gateways) },
+		appliedVersions: func() int { return countAppliedVersions(f) },
+		cpuTime:         func() (time.Duration, error) { return gatewayCPUTime(f) },
 	})
 }
 
-// countApplied returns the number of versions that real gateways put in force.
-func countApplied(f *fleet.Fleet) (versions int) {
+// countAppliedVersions returns the number of versions that real gateways put in force.
+func countAppliedVersions(f *fleet.Fleet) (versions int) {
 	for _, g := range f.Gateways() {
 		versions += g.EventCounts()["configuration_applied"]
 	}
 	return versions
 }
 
-// cpuTime returns the processor time of real gateways.
-func cpuTime(f *fleet.Fleet) (all time.Duration, err error) {
+// gatewayCPUTime returns the processor time of real gateways.
+func gatewayCPUTime(f *fleet.Fleet) (all time.Duration, err error) {
 	for _, g := range f.Gateways() {
 		usage, err := g.Usage()
 		if err != nil {
@@ -123,9 +123,9 @@
 	return all, nil
 }
 
-// waitShown waits until the publishers show the latest version in force at a number of gateways.
-func (g *Group) waitShown(ctx context.Context, want int) error {
-	what := fmt.Sprintf("version %d at %d gateways", g.latest.Version, want)
+// waitShownByPublishers waits until the publishers show the latest version in force at a number of gateways.
+func (g *Group) waitShownByPublishers(ctx context.Context, want int) error {
+	what := fmt.Sprintf("version %d at %d gateways", g.latestBefore.Version, want)
 	return fleet.WaitUntil(ctx, what, func() bool {
 		count := 0
 		for i := range g.Publishers.Count() {
@@ -134,7 +134,7 @@
 				return false
 			}
 			for _, follower := range status.Followers {
-				if follower.Connected && follower.InForce == g.latest.Version {
+				if follower.Connected && follower.InForce == g.latestBefore.Version {
 					count++
 				}
 			}
@@ -144,12 +144,12 @@
 }
 
 // measure publishes the changes and returns what one costs a gateway.
-func (c *comparisonOptions) measure(ctx context.Context, g *Group, side comparedSide) (change ChangeCost, err error) {
-	err = side.inForce(ctx)
+func (c *comparisonOptions) measure(ctx context.Context, g *Group, subject comparisonSubject) (change ChangeCost, err error) {
+	err = subject.waitInForce(ctx)
 	if err != nil {
 		return change, err
 	}
-	resting, err := c.measureIdle(ctx, side)
+	idleCores, err := c.measureIdle(ctx, subject)
 	if err != nil {
 		return change, err
 	}
@@ -157,53 +157,53 @@
 	if err != nil {
 		return change, err
 	}
-	versions := side.versions()
-	before, err := side.processor()
+	versions := subject.appliedVersions()
+	before, err := subject.cpuTime()
 	if err != nil {
 		return change, err
 	}
-	err = g.publishSpaced(ctx, c.Changes, c.ChangeInterval, side.inForce)
+	err = g.publishSpaced(ctx, c.Changes, c.ChangeInterval, subject.waitInForce)
 	if err != nil {
 		return change, err
 	}
-	after, err := side.processor()
+	after, err := subject.cpuTime()
 	if err != nil {
 		return change, err
 	}
 	to, err := g.sample(ctx)
-	each := float64(c.Changes * c.Gateways)
+	gatewayChanges := float64(c.Changes * c.Gateways)
 	for i := range to.publishers {
-		change.BytesIn += float64(to.publishers[i].bytesOut-from.publishers[i].bytesOut) / each
-		change.BytesOut += float64(to.publishers[i].bytesIn-from.publishers[i].bytesIn) / each
+		change.BytesIn += float64(to.publishers[i].bytesOut-from.publishers[i].bytesOut) / gatewayChanges
+		change.BytesOut += float64(to.publishers[i].bytesIn-from.publishers[i].bytesIn) / gatewayChanges
 	}
-	change.BytesIn -= g.heartbeatBytes() * to.at.Sub(from.at).Seconds() / float64(c.Changes)
-	change.Versions = float64(side.versions()-versions) / each
-	atRest := resting * float64(c.Changes) * c.ChangeInterval.Seconds()
-	change.CPUMilliseconds = milliseconds((after-before).Seconds()-atRest) / each
+	change.BytesIn -= g.heartbeatBytesPerSecond() * to.at.Sub(from.at).Seconds() / float64(c.Changes)
+	change.Versions = float64(subject.appliedVersions()-versions) / gatewayChanges
+	idleSeconds := idleCores * float64(c.Changes) * c.ChangeInterval.Seconds()
+	change.CPUMilliseconds = milliseconds((after-before).Seconds()-idleSeconds) / gatewayChanges
 	return change, err
 }
 
-// heartbeatBytes returns the bytes a second of a publisher's heartbeats to one gateway.
-func (g *Group) heartbeatBytes() float64 {
-	frame := configsync.Encode(&configsync.Heartbeat{Log: g.latest.Log, Latest: g.latest.Version, HasQuorum: true})
+// heartbeatBytesPerSecond returns the bytes a second of a publisher's heartbeats to one gateway.
+func (g *Group) heartbeatBytesPerSecond() float64 {
+	frame := configsync.Encode(&configsync.Heartbeat{Log: g.latestBefore.Log, Latest: g.latestBefore.Version, HasQuorum: true})
 	return float64(len(frame)) / configsync.HeartbeatInterval.Seconds()
 }
 
 // measureIdle returns the processor share of all gateways without changes, in cores.
-func (c *comparisonOptions) measureIdle(ctx context.Context, side comparedSide) (share float64, err error) {
-	if c.Rest == 0 {
+func (c *comparisonOptions) measureIdle(ctx context.Context, subject comparisonSubject) (cores float64, err error) {
+	if c.IdleDuration == 0 {
 		return 0, nil
 	}
-	before, err := side.processor()
+	before, err := subject.cpuTime()
 	if err != nil {
 		return 0, err
 	}
-	err = waitUntil(ctx, time.Now().Add(c.Rest))
+	err = waitUntil(ctx, time.Now().Add(c.IdleDuration))
 	if err != nil {
 		return 0, err
 	}
-	after, err := side.processor()
-	return (after - before).Seconds() / c.Rest.Seconds(), err
+	after, err := subject.cpuTime()
+	return (after - before).Seconds() / c.IdleDuration.Seconds(), err
 }
 
 // Ratio returns each figure of the real gateways divided by that of the hollow followers.
--- a/lab/rollout/hollow/content.go
+++ b/lab/rollout/hollow/content.go
@@ -12,8 +12,8 @@
 const (
 
 	// Rates of quota plans all have four digits, so that each change of one has the same bytes.
-	firstRate  = 1000
-	otherRates = 8999
+	initialRate  = 1000
+	changedRates = 8999
 )
 
 // ConfigurationSize is the size of the configuration.
@@ -22,11 +22,11 @@
 	Classes int `json:"request_classes"`
 }
 
-// request returns the request that publishes all content.
-func (c ConfigurationSize) request() (rollout.Request, error) {
+// firstVersionRequest returns the request that publishes all content.
+func (c ConfigurationSize) firstVersionRequest() (rollout.Request, error) {
 	var plans []gatewayconfig.QuotaPlan
 	for i := range c.Plans {
-		plans = append(plans, quotaPlan(i, firstRate))
+		plans = append(plans, quotaPlan(i, initialRate))
 	}
 	var classes []gatewayconfig.Class
 	for i := range c.Classes {
@@ -39,7 +39,7 @@
 func (c ConfigurationSize) changeRequest(n int) (rollout.Request, error) {
 	i := n % c.Plans
 	resource := string(configsync.PlanPrefix) + planName(i)
-	return rollout.PatchRequest(rollout.Resources{resource: quotaPlan(i, firstRate+1+n%otherRates)})
+	return rollout.PatchRequest(rollout.Resources{resource: quotaPlan(i, initialRate+1+n%changedRates)})
 }
 
 // planName returns the name of quota plan i.
--- a/lab/rollout/hollow/follower.go
+++ b/lab/rollout/hollow/follower.go
@@ -21,8 +21,8 @@
 	"ravensill/logic"
 )
 
-// diskFolder is the folder of the stored version, in a follower's folder.
-const diskFolder = "configuration"
+// storedVersionDir is the folder of the stored version, in a follower's folder.
+const storedVersionDir = "configuration"
 
 // AppliedVersion is a version that came in force at a follower.
 type AppliedVersion struct {
@@ -35,12 +35,12 @@
 // Follower is one gateway, over its restarts, whose only sockets are those to publishers. Methods start and stop are
 // called by one goroutine at a time.
 type Follower struct {
-	member     int
-	name       string
-	dir        string // of the follower
-	file       string // configuration file, the same for all followers
-	publishers []netip.AddrPort
-	frames     *frameSizes
+	member            int
+	name              string
+	dir               string // of the follower
+	configurationFile string // configuration file, the same for all followers
+	publishers        []netip.AddrPort
+	deltaSizes        *deltaSizes
 
 	config        *config.Config // kept in memory as the gateway keeps it
 	live          *config.Live
@@ -85,7 +85,7 @@
 func (f *Follower) loadFile() (*config.Config, error) {
 	file, err := config.Load(func(name string) string {
 		if name == "GW_CONFIG" {
-			return f.file
+			return f.configurationFile
 		}
 		return ""
 	})
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	file.Name = f.name
-	file.Configuration.Dir = filepath.Join(f.dir, diskFolder)
+	file.Configuration.Dir = filepath.Join(f.dir, storedVersionDir)
 	return file, nil
 }
 
@@ -125,7 +125,7 @@
 	if uint64(update.To) <= before {
 		f.addViolation("version %d after %d", update.To, before)
 	}
-	f.frames.add(update)
+	f.deltaSizes.add(update)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.applied = append(f.applied, AppliedVersion{From: update.From, To: update.To, At: now, Snapshot: update.Delta == nil})
@@ -151,7 +151,7 @@
 }
 
 // clearDisk removes the stored version. The follower must be stopped.
-func (f *Follower) clearDisk() error { return os.RemoveAll(filepath.Join(f.dir, diskFolder)) }
+func (f *Follower) clearDisk() error { return os.RemoveAll(filepath.Join(f.dir, storedVersionDir)) }
 
 // takeApplied returns the versions that came in force since the call before.
 func (f *Follower) takeApplied() []AppliedVersion {
@@ -172,14 +172,14 @@
 }
 
 // newFollower returns a follower that is not started.
-func newFollower(plan *FleetOptions, file string, member int, frames *frameSizes) *Follower {
+func newFollower(options *FleetOptions, configurationFile string, member int, deltaSizes *deltaSizes) *Follower {
 	name := fleet.GatewayName(member)
 	return &Follower{
-		member:     member,
-		name:       name,
-		dir:        filepath.Join(plan.Dir, name),
-		file:       file,
-		publishers: plan.Publishers,
-		frames:     frames,
+		member:            member,
+		name:              name,
+		dir:               filepath.Join(options.Dir, name),
+		configurationFile: configurationFile,
+		publishers:        options.Publishers,
+		deltaSizes:        deltaSizes,
 	}
 }
--- a/lab/rollout/hollow/followers.go
+++ b/lab/rollout/hollow/followers.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	pollInterval = 20 * time.Millisecond // between looks at a state that nothing announces
-	shownMembers = 4                     // in an error
+	pollInterval      = 20 * time.Millisecond // between looks at a state that nothing announces
+	maxMembersInError = 4                     // in an error
 )
 
 // FleetOptions describe a fleet of hollow followers.
@@ -33,14 +33,14 @@
 
 // Fleet is many hollow followers in this process. Its methods are called by one goroutine at a time.
 type Fleet struct {
-	followers []*Follower
-	frames    *frameSizes
+	followers  []*Follower
+	deltaSizes *deltaSizes
 }
 
 // NewFleet returns a fleet that is not started.
-func NewFleet(plan FleetOptions) (*Fleet, error) {
-	file := filepath.Join(plan.Dir, "gateway.json")
-	text, err := gatewayFile(plan.Publishers)
+func NewFleet(options FleetOptions) (*Fleet, error) {
+	file := filepath.Join(options.Dir, "gateway.json")
+	text, err := gatewayFile(options.Publishers)
 	if err != nil {
 		return nil, err
 	}
@@ -48,9 +48,9 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{frames: newFrameSizes()}
-	for member := range plan.Followers {
-		f.followers = append(f.followers, newFollower(&plan, file, member, f.frames))
+	f := &Fleet{deltaSizes: newDeltaSizes()}
+	for member := range options.Followers {
+		f.followers = append(f.followers, newFollower(&options, file, member, f.deltaSizes))
 	}
 	return f, nil
 }
@@ -65,14 +65,14 @@
 	return json.Marshal(gatewayconfig.File{
 		Listen:        "127.0.0.1:0",
 		Discovery:     "127.0.0.1:1",
-		Configuration: &gatewayconfig.Configuration{Publishers: addresses, Dir: diskFolder},
+		Configuration: &gatewayconfig.Configuration{Publishers: addresses, Dir: storedVersionDir},
 		Settings: gatewayconfig.Settings{
 			Gateways:     1,
 			Zones:        []string{"z1"},
 			MachineTypes: []string{"m"},
 			Limits:       gatewayconfig.Limits{RuntimeLimits: fleet.RuntimeLimits()},
 			Classes:      []gatewayconfig.Class{requestClass(0)},
-			QuotaPlans:   []gatewayconfig.QuotaPlan{quotaPlan(0, firstRate)},
+			QuotaPlans:   []gatewayconfig.QuotaPlan{quotaPlan(0, initialRate)},
 		},
 	})
 }
@@ -132,14 +132,14 @@
 // WaitInForce waits until a version or a later one is in force at some followers.
 func (f *Fleet) WaitInForce(ctx context.Context, version configsync.Version, members []int) error {
 	for {
-		late := f.behind(version, members)
-		if len(late) == 0 {
+		behind := f.behind(version, members)
+		if len(behind) == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("version %d at %d followers, such as %v: %w", version, len(late),
-				late[:min(len(late), shownMembers)], ctx.Err())
+			return fmt.Errorf("version %d at %d followers, such as %v: %w", version, len(behind),
+				behind[:min(len(behind), maxMembersInError)], ctx.Err())
 		case <-time.After(pollInterval):
 		}
 	}
@@ -259,35 +259,35 @@
 	t.InvalidMessages += other.InvalidMessages
 }
 
-// frameSizes holds how many bytes each delta has on the wire. All followers that receive a delta receive the same
+// deltaSizes holds how many bytes each delta has on the wire. All followers that receive a delta receive the same
 // bytes.
-type frameSizes struct {
+type deltaSizes struct {
 	sizes sync.Map // by span
 }
 
-// span identifies a delta by its versions.
-type span struct {
+// versionSpan identifies a delta by its versions.
+type versionSpan struct {
 	from configsync.Version
 	to   configsync.Version
 }
 
-func newFrameSizes() *frameSizes { return &frameSizes{} }
+func newDeltaSizes() *deltaSizes { return &deltaSizes{} }
 
 // add records the size of an update's delta. Only the first one of a span is encoded.
-func (s *frameSizes) add(update *configsync.Update) {
+func (s *deltaSizes) add(update *configsync.Update) {
 	if update.Delta == nil {
 		return
 	}
-	key := span{update.From, update.To}
+	key := versionSpan{update.From, update.To}
 	_, known := s.sizes.Load(key)
 	if !known {
 		s.sizes.Store(key, len(configsync.Encode(update.Delta)))
 	}
 }
 
-// bytes returns the bytes of an update on the wire; 0 for a snapshot.
-func (s *frameSizes) bytes(applied *AppliedVersion) int {
-	size, known := s.sizes.Load(span{applied.From, applied.To})
+// size returns the bytes of an update on the wire; 0 for a snapshot.
+func (s *deltaSizes) size(applied *AppliedVersion) int {
+	size, known := s.sizes.Load(versionSpan{applied.From, applied.To})
 	if !known || applied.Snapshot {
 		return 0
 	}
--- a/lab/rollout/hollow/full_test.go
+++ b/lab/rollout/hollow/full_test.go
@@ -14,10 +14,10 @@
 )
 
 var (
-	full  = flag.Bool("full", false, "the full-size measurement")
-	sizes = flag.String("sizes", "375,1000,2000,4000,6000", "numbers of followers of the full measurement")
-	parts = flag.String("parts", "followers,large,restarts,compare", "what the full measurement does")
-	into  = flag.String("into", "", "folder of rollout-scale.json and .md, of which the measured parts are replaced; "+
+	full      = flag.Bool("full", false, "the full-size measurement")
+	sizes     = flag.String("sizes", "375,1000,2000,4000,6000", "numbers of followers of the full measurement")
+	parts     = flag.String("parts", "followers,large,restarts,compare", "what the full measurement does")
+	outputDir = flag.String("into", "", "folder of rollout-scale.json and .md, of which the measured parts are replaced; "+
 		"empty prints the text only")
 )
 
@@ -26,29 +26,29 @@
 	heapLimit   = 8 << 30 // bytes of this process; the publishers come beside it
 
 	// A change each 4.3 s is 20,000 a day.
-	fullPace    = 4300 * time.Millisecond
-	fullChanges = 5
-	fullBurst   = 300
-	fullRest    = 8 * time.Second
+	fullChangeInterval = 4300 * time.Millisecond
+	fullChanges        = 5
+	fullBurst          = 300
+	fullIdleDuration   = 8 * time.Second
 
 	largeFollowers = 20
 	zoneFollowers  = 200 // gateways of a zone, restarted at once
 
 	// Limits of the snapshots that a publisher sends in restarts with a medium configuration: a sixteenth of the defaults,
 	// as the document is about a tenth of the operators'.
-	limitedRate  = 4 << 20 // bytes a second
-	limitedBurst = 2 << 20 // bytes
+	limitedSnapshotRate  = 4 << 20 // bytes a second
+	limitedSnapshotBurst = 2 << 20 // bytes
 
-	comparedPace = 250 * time.Millisecond
+	comparedChangeInterval = 250 * time.Millisecond
 )
 
 var (
-	// largeContent has as many quota plans as the operators expect. Followers of it are few: all of them decode it at once
+	// largeConfiguration has as many quota plans as the operators expect. Followers of it are few: all of them decode it at once
 	// on the processors of one machine, where each gateway has its own.
-	largeContent = ConfigurationSize{Plans: 54_000, Classes: 4}
+	largeConfiguration = ConfigurationSize{Plans: 54_000, Classes: 4}
 
-	// mediumContent exceeds the limit of a delta, so that it is sent as a snapshot.
-	mediumContent = ConfigurationSize{Plans: 8_000, Classes: 4}
+	// mediumConfiguration exceeds the limit of a delta, so that it is sent as a snapshot.
+	mediumConfiguration = ConfigurationSize{Plans: 8_000, Classes: 4}
 )
 
 // The full size writes figures; the verdict is by counts and bytes, as in CI.
@@ -59,7 +59,7 @@
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(heapLimit))
 	ctx, cancel := context.WithTimeout(context.Background(), fullTimeout)
 	defer cancel()
-	report, err := NewReport(*into)
+	report, err := NewReport(*outputDir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 			report.BeginPart(part.name, command)
 			part.run(t, ctx, report)
 			report.EndPart(part.name, &logEvents)
-			save(t, report)
+			saveReport(t, report)
 		}
 	}
 	report.WriteText(os.Stdout)
@@ -86,11 +86,11 @@
 	}
 }
 
-func save(t *testing.T, report *Report) {
-	if *into == "" {
+func saveReport(t *testing.T, report *Report) {
+	if *outputDir == "" {
 		return
 	}
-	err := report.Write(*into)
+	err := report.Write(*outputDir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,9 +100,9 @@
 func fullMeasurement(followers int, content ConfigurationSize) Measurement {
 	return Measurement{
 		Options:        Options{Followers: followers, Configuration: content},
-		IdleDuration:   fullRest,
+		IdleDuration:   fullIdleDuration,
 		Changes:        fullChanges,
-		ChangeInterval: fullPace,
+		ChangeInterval: fullChangeInterval,
 		BurstChanges:   fullBurst,
 	}
 }
@@ -115,19 +115,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		point, err := fullMeasurement(followers, smallContent).Measure(ctx)
+		point, err := fullMeasurement(followers, smallConfiguration).Measure(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
 		points = append(points, point)
 		report.ByFollowers = NewScalingSeries(points)
-		save(t, report)
+		saveReport(t, report)
 	}
 }
 
 // measureLarge measures a large configuration.
 func measureLarge(t *testing.T, ctx context.Context, report *Report) {
-	point, err := fullMeasurement(largeFollowers, largeContent).Measure(ctx)
+	point, err := fullMeasurement(largeFollowers, largeConfiguration).Measure(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,11 +137,11 @@
 // measureRestarts measures restarts of all followers with configurations of several sizes.
 func measureRestarts(t *testing.T, ctx context.Context, report *Report) {
 	report.Restarts = nil
-	limited := rollout.PublisherSettings{SnapshotBytesPerSecond: limitedRate, SnapshotBurstBytes: limitedBurst}
+	limited := rollout.PublisherSettings{SnapshotBytesPerSecond: limitedSnapshotRate, SnapshotBurstBytes: limitedSnapshotBurst}
 	for _, options := range []Options{
-		{Followers: zoneFollowers, Configuration: smallContent},
-		{Followers: zoneFollowers, Configuration: mediumContent, Settings: limited},
-		{Followers: largeFollowers, Configuration: largeContent},
+		{Followers: zoneFollowers, Configuration: smallConfiguration},
+		{Followers: zoneFollowers, Configuration: mediumConfiguration, Settings: limited},
+		{Followers: largeFollowers, Configuration: largeConfiguration},
 	} {
 		restartAll(t, ctx, report, options)
 	}
@@ -153,8 +153,8 @@
 	g := startGroup(ctx, t, options)
 	defer g.Close()
 	for _, options := range []restartOptions{
-		{Description: "with their disks", Followers: options.Followers, Missed: missed},
-		{Description: "with empty disks", Followers: options.Followers, Missed: missed, EmptyDisks: true},
+		{Description: "with their disks", Followers: options.Followers, MissedVersions: missed},
+		{Description: "with empty disks", Followers: options.Followers, MissedVersions: missed, EmptyDisks: true},
 		{Description: "no publisher up, with their disks", Followers: options.Followers, WithoutPublishers: true},
 		{Description: "no publisher up, with empty disks", Followers: options.Followers, WithoutPublishers: true,
 			EmptyDisks: true},
@@ -164,7 +164,7 @@
 			t.Fatalf("%s: %v", options.Description, err)
 		}
 		report.Restarts = append(report.Restarts, result)
-		save(t, report)
+		saveReport(t, report)
 	}
 }
 
@@ -173,9 +173,9 @@
 	comparison, err := comparisonOptions{
 		Gateways:       20,
 		Changes:        40,
-		ChangeInterval: comparedPace,
-		Rest:           10 * time.Second,
-		Options:        Options{Configuration: smallContent},
+		ChangeInterval: comparedChangeInterval,
+		IdleDuration:   10 * time.Second,
+		Options:        Options{Configuration: smallConfiguration},
 	}.Compare(ctx)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/rollout/hollow/group.go
+++ b/lab/rollout/hollow/group.go
@@ -33,16 +33,16 @@
 	Publishers *rollout.PublisherGroup
 	Fleet      *Fleet
 
-	content   ConfigurationSize
-	dir       string
-	latest    publisher.Publication
-	published []rollout.PublishedChange // since the last call of take
-	changes   int                       // made so far
+	configuration ConfigurationSize
+	dir           string
+	latestBefore  publisher.Publication
+	published     []rollout.PublishedChange // since the last call of take
+	changes       int                       // made so far
 }
 
 // NewGroup starts publishers and publishes all content as their first version. No follower runs yet.
 func NewGroup(ctx context.Context, options Options) (g *Group, err error) {
-	g = &Group{content: options.Configuration}
+	g = &Group{configuration: options.Configuration}
 	defer func() {
 		if err != nil {
 			g.Close()
@@ -66,7 +66,7 @@
 	if err != nil {
 		return g, err
 	}
-	request, err := g.content.request()
+	request, err := g.configuration.firstVersionRequest()
 	if err != nil {
 		return g, err
 	}
@@ -95,20 +95,20 @@
 // publish publishes a change.
 func (g *Group) publish(ctx context.Context, request rollout.Request) (err error) {
 	sent := time.Now()
-	g.latest, err = g.Publishers.Publish(ctx, g.changes, request)
+	g.latestBefore, err = g.Publishers.Publish(ctx, g.changes, request)
 	if err != nil {
 		return err
 	}
-	if g.latest.Changes == 0 {
+	if g.latestBefore.Changes == 0 {
 		return errors.New("a change changed nothing")
 	}
-	g.published = append(g.published, rollout.PublishedChange{Version: g.latest.Version, SentAt: sent})
+	g.published = append(g.published, rollout.PublishedChange{Version: g.latestBefore.Version, SentAt: sent})
 	return nil
 }
 
 // publishChange publishes the next change.
 func (g *Group) publishChange(ctx context.Context) error {
-	request, err := g.content.changeRequest(g.changes)
+	request, err := g.configuration.changeRequest(g.changes)
 	if err != nil {
 		return err
 	}
@@ -129,11 +129,11 @@
 
 // publishSpaced publishes a change each interval and waits with a function until the last one is in force. With an
 // interval of 0, a change follows as soon as the one before is in force.
-func (g *Group) publishSpaced(ctx context.Context, changes int, pace time.Duration,
+func (g *Group) publishSpaced(ctx context.Context, changes int, interval time.Duration,
 	inForce func(context.Context) error) error {
-	begin := time.Now()
+	start := time.Now()
 	for i := range changes {
-		err := waitUntil(ctx, begin.Add(time.Duration(i)*pace))
+		err := waitUntil(ctx, start.Add(time.Duration(i)*interval))
 		if err != nil {
 			return err
 		}
@@ -141,7 +141,7 @@
 		if err != nil {
 			return err
 		}
-		if pace > 0 {
+		if interval > 0 {
 			continue
 		}
 		err = inForce(ctx)
@@ -149,7 +149,7 @@
 			return err
 		}
 	}
-	err := waitUntil(ctx, begin.Add(time.Duration(changes)*pace))
+	err := waitUntil(ctx, start.Add(time.Duration(changes)*interval))
 	if err != nil {
 		return err
 	}
@@ -158,11 +158,11 @@
 
 // waitEverywhere waits until the latest version is in force at all followers and shown in their status.
 func (g *Group) waitEverywhere(ctx context.Context) error {
-	err := g.Fleet.WaitInForce(ctx, g.latest.Version, g.Fleet.members())
+	err := g.Fleet.WaitInForce(ctx, g.latestBefore.Version, g.Fleet.members())
 	if err != nil {
 		return err
 	}
-	return g.Fleet.WaitStatus(ctx, g.latest.Version)
+	return g.Fleet.WaitStatus(ctx, g.latestBefore.Version)
 }
 
 // takePublished returns what was published since the call before.
@@ -192,7 +192,7 @@
 // Violations returns what does not hold once the latest version is in force everywhere: versions twice or backwards,
 // digests that differ, publishers with other content, and what followers refused, could not store or found malformed.
 func (g *Group) Violations(ctx context.Context) ([]string, error) {
-	violations := g.Fleet.Violations(g.latest.Version, g.latest.Digest)
+	violations := g.Fleet.Violations(g.latestBefore.Version, g.latestBefore.Digest)
 	totals := g.Fleet.Totals()
 	if totals.RefusedVersions+totals.InvalidMessages > 0 || totals.UnsavedVersions > 0 {
 		violations = append(violations, fmt.Sprintf("%d versions refused, %d messages broken, %d versions not kept on disk",
@@ -213,14 +213,14 @@
 // publisherViolation waits until a publisher has the latest version, and returns what is wrong with it.
 func (g *Group) publisherViolation(ctx context.Context, i int) (violation string, err error) {
 	var status publisher.Status
-	err = fleet.WaitUntil(ctx, fmt.Sprintf("version %d at publisher %d", g.latest.Version, i), func() bool {
+	err = fleet.WaitUntil(ctx, fmt.Sprintf("version %d at publisher %d", g.latestBefore.Version, i), func() bool {
 		status, err = g.Publishers.Status(ctx, i)
-		return err == nil && status.Version >= g.latest.Version
+		return err == nil && status.Version >= g.latestBefore.Version
 	})
 	if err != nil {
 		return "", err
 	}
-	if status.Digest != g.latest.Digest || status.Log != g.latest.Log || status.Counters.Malformed > 0 {
+	if status.Digest != g.latestBefore.Digest || status.Log != g.latestBefore.Log || status.Counters.Malformed > 0 {
 		violation = fmt.Sprintf("publisher %d: digest %s of log %s, %d malformed messages", i, status.Digest, status.Log,
 			status.Counters.Malformed)
 	}
--- a/lab/rollout/hollow/hollow_test.go
+++ b/lab/rollout/hollow/hollow_test.go
@@ -21,8 +21,8 @@
 	os.Exit(m.Run())
 }
 
-// smallContent is a configuration of CI's size.
-var smallContent = ConfigurationSize{Plans: 100, Classes: 4}
+// smallConfiguration is a configuration of CI's size.
+var smallConfiguration = ConfigurationSize{Plans: 100, Classes: 4}
 
 func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -38,8 +38,8 @@
 	ctx := testContext(t)
 	var points []*Point
 	for _, followers := range []int{25, 50, 100, 200, 400} {
-		shape := Measurement{Options: Options{Followers: followers, Configuration: smallContent}, Changes: changes, BurstChanges: burst}
-		point, err := shape.Measure(ctx)
+		measurement := Measurement{Options: Options{Followers: followers, Configuration: smallConfiguration}, Changes: changes, BurstChanges: burst}
+		point, err := measurement.Measure(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,8 +54,8 @@
 }
 
 const (
-	restartedFollowers = 200
-	restartHistory     = 16 // deltas that the publishers keep
+	restartedFollowers   = 200
+	restartHistoryDeltas = 16 // deltas that the publishers keep
 )
 
 // restartTest is a restart and how many followers are to start from their disks and by snapshots.
@@ -67,29 +67,29 @@
 
 var restartTests = []restartTest{
 	{
-		restartOptions: restartOptions{Description: "with their disks", Followers: restartedFollowers, Missed: 3},
+		restartOptions: restartOptions{Description: "with their disks", Followers: restartedFollowers, MissedVersions: 3},
 		fromDisk:       restartedFollowers,
 	},
 	{
 		restartOptions: restartOptions{
-			Description: "more missed than the history has",
-			Followers:   restartedFollowers,
-			Missed:      restartHistory + 4,
+			Description:    "more missed than the history has",
+			Followers:      restartedFollowers,
+			MissedVersions: restartHistoryDeltas + 4,
 		},
 		fromDisk:  restartedFollowers,
 		snapshots: restartedFollowers,
 	},
 	{
 		restartOptions: restartOptions{
-			Description: "with empty disks",
-			Followers:   restartedFollowers,
-			EmptyDisks:  true,
-			Missed:      3,
+			Description:    "with empty disks",
+			Followers:      restartedFollowers,
+			EmptyDisks:     true,
+			MissedVersions: 3,
 		},
 		snapshots: restartedFollowers,
 	},
 	{
-		restartOptions: restartOptions{Description: "half of them", Followers: restartedFollowers / 2, Missed: 3},
+		restartOptions: restartOptions{Description: "half of them", Followers: restartedFollowers / 2, MissedVersions: 3},
 		fromDisk:       restartedFollowers / 2,
 	},
 	{
@@ -117,8 +117,8 @@
 	ctx := testContext(t)
 	g := startGroup(ctx, t, Options{
 		Followers:     restartedFollowers,
-		Configuration: smallContent,
-		Settings:      rollout.PublisherSettings{HistoryDeltas: restartHistory},
+		Configuration: smallConfiguration,
+		Settings:      rollout.PublisherSettings{HistoryDeltas: restartHistoryDeltas},
 	})
 	defer g.Close()
 	for _, test := range restartTests {
@@ -164,7 +164,7 @@
 	comparison, err := comparisonOptions{
 		Gateways: 6,
 		Changes:  20,
-		Options:  Options{Configuration: smallContent},
+		Options:  Options{Configuration: smallConfiguration},
 	}.Compare(testContext(t))
 	if err != nil {
 		t.Fatal(err)
--- a/lab/rollout/hollow/latency.go
+++ b/lab/rollout/hollow/latency.go
@@ -28,10 +28,10 @@
 		return l
 	}
 	slices.Sort(delays)
-	at := func(part float64) float64 { return delays[int(part*float64(len(delays)-1))].Seconds() }
-	l.P50 = at(0.5)
-	l.P99 = at(0.99)
-	l.Max = at(1)
+	percentile := func(fraction float64) float64 { return delays[int(fraction*float64(len(delays)-1))].Seconds() }
+	l.P50 = percentile(0.5)
+	l.P99 = percentile(0.99)
+	l.Max = percentile(1)
 	return l
 }
 
--- a/lab/rollout/hollow/point.go
+++ b/lab/rollout/hollow/point.go
@@ -128,8 +128,8 @@
 		return nil, err
 	}
 	defer g.Close()
-	m := &pointMeasurement{Measurement: s, group: g, figures: map[string]float64{}, followers: float64(s.Followers)}
-	m.heap, m.stacks = memory()
+	m := &pointMeasurement{Measurement: s, group: g, values: map[string]float64{}, followerCount: float64(s.Followers)}
+	m.heapBefore, m.stacksBefore = liveMemory()
 	for _, phase := range []func(context.Context) error{m.measureStart, m.measureIdle, m.measureSpaced, m.measureBurst} {
 		err := phase(ctx)
 		if err != nil {
@@ -138,17 +138,17 @@
 	}
 	m.measureMemory()
 	violations, err := g.Violations(ctx)
-	return &Point{Followers: s.Followers, Configuration: s.Configuration, Values: m.figures, Violations: violations}, err
+	return &Point{Followers: s.Followers, Configuration: s.Configuration, Values: m.values, Violations: violations}, err
 }
 
 // pointMeasurement is the measurement of one size.
 type pointMeasurement struct {
 	Measurement
-	group        *Group
-	figures      map[string]float64
-	followers    float64
-	heap, stacks float64 // before any follower ran
-	idle         window
+	group                    *Group
+	values                   map[string]float64
+	followerCount            float64
+	heapBefore, stacksBefore float64 // before any follower ran
+	idle                     window
 }
 
 // measureStart starts all followers with empty disks, so that each receives a snapshot.
@@ -161,10 +161,10 @@
 		}
 		return g.waitEverywhere(ctx)
 	})
-	m.figures[StartTime] = measured.Seconds
-	m.figures[StartProcessor] = milliseconds(measured.Processor) / m.followers
-	m.figures[StartBytesIn] = measured.BytesIn / m.followers
-	m.figures[StartDeferred] = measured.Deferred
+	m.values[StartTime] = measured.Seconds
+	m.values[StartProcessor] = milliseconds(measured.CPUSeconds) / m.followerCount
+	m.values[StartBytesIn] = measured.BytesIn / m.followerCount
+	m.values[StartDeferred] = measured.DeferredSnapshots
 	g.takePublished()
 	g.Fleet.TakeApplied()
 	return err
@@ -177,20 +177,20 @@
 	}
 	m.idle, err = m.group.measure(ctx, func() error { return waitUntil(ctx, time.Now().Add(m.IdleDuration)) })
 	w := &m.idle
-	m.figures[RestProcessor] = w.Processor / w.Seconds / m.followers
-	m.figures[RestBytesIn] = w.BytesIn / w.Seconds / m.followers
-	m.figures[RestBytesOut] = w.BytesOut / w.Seconds / m.followers
-	m.figures[PublisherRestProcessor] = w.PublisherProcessor / w.Seconds
-	m.figures[PublisherRestBytesOut] = w.PublisherBytesOut / w.Seconds
+	m.values[RestProcessor] = w.CPUSeconds / w.Seconds / m.followerCount
+	m.values[RestBytesIn] = w.BytesIn / w.Seconds / m.followerCount
+	m.values[RestBytesOut] = w.BytesOut / w.Seconds / m.followerCount
+	m.values[PublisherRestProcessor] = w.PublisherCPUSeconds / w.Seconds
+	m.values[PublisherRestBytesOut] = w.PublisherBytesOut / w.Seconds
 	return err
 }
 
-// beyondIdle returns by how much a figure of a window exceeds that of as much idle time.
-func (m *pointMeasurement) beyondIdle(w *window, of func(w *window) float64) float64 {
+// aboveIdle returns by how much a figure of a window exceeds that of as much idle time.
+func (m *pointMeasurement) aboveIdle(w *window, usage func(w *window) float64) float64 {
 	if m.IdleDuration == 0 {
-		return of(w)
+		return usage(w)
 	}
-	return of(w) - of(&m.idle)/m.idle.Seconds*w.Seconds
+	return usage(w) - usage(&m.idle)/m.idle.Seconds*w.Seconds
 }
 
 // measureSpaced measures changes one at a time.
@@ -205,25 +205,25 @@
 	}
 	histories := g.Fleet.TakeApplied()
 	latency := newLatency(g.takePublished(), histories)
-	m.figures[PacedP50] = latency.P50
-	m.figures[PacedP99] = latency.P99
-	m.figures[PacedLatest] = latency.Max
+	m.values[PacedP50] = latency.P50
+	m.values[PacedP99] = latency.P99
+	m.values[PacedLatest] = latency.Max
 	changes := float64(m.Changes)
 	deltas, bytes := g.Fleet.countDeltas(histories)
-	m.figures[ChangeDeltas] = deltas / changes / m.followers
-	m.figures[ChangeBytes] = bytes / changes / m.followers
-	m.figures[PublisherChangeBytes] = (measured.PublisherBytesOut - (measured.BytesIn - bytes)) / changes
+	m.values[ChangeDeltas] = deltas / changes / m.followerCount
+	m.values[ChangeBytes] = bytes / changes / m.followerCount
+	m.values[PublisherChangeBytes] = (measured.PublisherBytesOut - (measured.BytesIn - bytes)) / changes
 	if m.ChangeInterval == 0 {
 		return nil
 	}
-	m.figures[PacedProcessor] = measured.Processor / measured.Seconds / m.followers
-	m.figures[PacedBytesIn] = measured.BytesIn / measured.Seconds / m.followers
-	m.figures[PacedBytesOut] = measured.BytesOut / measured.Seconds / m.followers
-	m.figures[PublisherPacedProcessor] = measured.PublisherProcessor / measured.Seconds
-	ofFollowers := func(measured *window) float64 { return measured.Processor }
-	ofPublishers := func(measured *window) float64 { return measured.PublisherProcessor }
-	m.figures[ChangeProcessor] = milliseconds(m.beyondIdle(&measured, ofFollowers)) / changes / m.followers
-	m.figures[PublisherChangeProcessor] = milliseconds(m.beyondIdle(&measured, ofPublishers)) / changes
+	m.values[PacedProcessor] = measured.CPUSeconds / measured.Seconds / m.followerCount
+	m.values[PacedBytesIn] = measured.BytesIn / measured.Seconds / m.followerCount
+	m.values[PacedBytesOut] = measured.BytesOut / measured.Seconds / m.followerCount
+	m.values[PublisherPacedProcessor] = measured.PublisherCPUSeconds / measured.Seconds
+	ofFollowers := func(measured *window) float64 { return measured.CPUSeconds }
+	ofPublishers := func(measured *window) float64 { return measured.PublisherCPUSeconds }
+	m.values[ChangeProcessor] = milliseconds(m.aboveIdle(&measured, ofFollowers)) / changes / m.followerCount
+	m.values[PublisherChangeProcessor] = milliseconds(m.aboveIdle(&measured, ofPublishers)) / changes
 	return nil
 }
 
@@ -246,24 +246,24 @@
 	histories := g.Fleet.TakeApplied()
 	latency := newLatency(g.takePublished(), histories)
 	deltas, _ := g.Fleet.countDeltas(histories)
-	m.figures[BurstP50] = latency.P50
-	m.figures[BurstP99] = latency.P99
-	m.figures[BurstLatest] = latency.Max
-	m.figures[BurstSeconds] = measured.Seconds
-	m.figures[BurstDeltas] = deltas / m.followers
-	m.figures[BurstBytes] = measured.BytesIn / m.followers
-	m.figures[BurstBytesIn] = measured.BytesIn / measured.Seconds / m.followers
-	m.figures[BurstProcessor] = milliseconds(measured.Processor) / m.followers
-	m.figures[PublisherBurstProcessor] = measured.PublisherProcessor
-	m.figures[PublisherMemory] = measured.PublisherMemory
+	m.values[BurstP50] = latency.P50
+	m.values[BurstP99] = latency.P99
+	m.values[BurstLatest] = latency.Max
+	m.values[BurstSeconds] = measured.Seconds
+	m.values[BurstDeltas] = deltas / m.followerCount
+	m.values[BurstBytes] = measured.BytesIn / m.followerCount
+	m.values[BurstBytesIn] = measured.BytesIn / measured.Seconds / m.followerCount
+	m.values[BurstProcessor] = milliseconds(measured.CPUSeconds) / m.followerCount
+	m.values[PublisherBurstProcessor] = measured.PublisherCPUSeconds
+	m.values[PublisherMemory] = measured.PublisherMemory
 	return nil
 }
 
 // measureMemory measures the memory of the followers.
 func (m *pointMeasurement) measureMemory() {
-	heap, stacks := memory()
-	m.figures[LiveHeap] = (heap - m.heap) / m.followers
-	m.figures[Stacks] = (stacks - m.stacks) / m.followers
+	heap, stacks := liveMemory()
+	m.values[LiveHeap] = (heap - m.heapBefore) / m.followerCount
+	m.values[Stacks] = (stacks - m.stacksBefore) / m.followerCount
 }
 
 // countDeltas returns the number of deltas among what came in force, and their bytes on the wire.
@@ -274,7 +274,7 @@
 				continue
 			}
 			count++
-			bytes += float64(f.frames.bytes(&history[i]))
+			bytes += float64(f.deltaSizes.size(&history[i]))
 		}
 	}
 	return count, bytes
@@ -293,17 +293,17 @@
 func NewScalingSeries(points []*Point) ScalingSeries {
 	axis := ScalingSeries{Points: points, Fits: map[string]scale.Fit{}}
 	for _, metric := range Metrics() {
-		var sizes, figures []float64
+		var sizes, values []float64
 		for _, point := range points {
-			figure, measured := point.Values[metric.Name]
+			value, measured := point.Values[metric.Name]
 			if measured {
 				sizes = append(sizes, float64(point.Followers))
-				figures = append(figures, figure)
+				values = append(values, value)
 			}
 		}
-		const fewest = 3
-		if len(sizes) >= fewest && slices.Min(figures) > 0 {
-			fit := scale.NewFit(sizes, figures, metric.Counted)
+		const minPoints = 3
+		if len(sizes) >= minPoints && slices.Min(values) > 0 {
+			fit := scale.NewFit(sizes, values, metric.Counted)
 			fit.TopExponent = 0 // of use for sizes that grow by equal factors alone; infinite for some others
 			axis.Fits[metric.Name] = fit
 		}
--- a/lab/rollout/hollow/report.go
+++ b/lab/rollout/hollow/report.go
@@ -34,13 +34,13 @@
 	LoadAfter  string `json:"load_average_after"`
 }
 
-// fileName is the report's, without its ending.
-const fileName = "rollout-scale"
+// reportBaseName is the report's, without its ending.
+const reportBaseName = "rollout-scale"
 
 // NewReport returns an empty report, or the one in a folder if there is one.
 func NewReport(folder string) (*Report, error) {
 	report := &Report{Runs: map[string]RunConditions{}}
-	text, err := os.ReadFile(filepath.Join(folder, fileName+".json"))
+	text, err := os.ReadFile(filepath.Join(folder, reportBaseName+".json"))
 	if err == nil {
 		err = json.Unmarshal(text, report)
 	}
@@ -83,13 +83,13 @@
 	if err != nil {
 		return err
 	}
-	err = os.WriteFile(filepath.Join(folder, fileName+".json"), append(text, '\n'), 0o644)
+	err = os.WriteFile(filepath.Join(folder, reportBaseName+".json"), append(text, '\n'), 0o644)
 	if err != nil {
 		return err
 	}
-	var page strings.Builder
-	r.WriteText(&page)
-	return os.WriteFile(filepath.Join(folder, fileName+".md"), []byte(page.String()), 0o644)
+	var markdown strings.Builder
+	r.WriteText(&markdown)
+	return os.WriteFile(filepath.Join(folder, reportBaseName+".md"), []byte(markdown.String()), 0o644)
 }
 
 // WriteText writes the report as tables.
@@ -103,16 +103,16 @@
 		fmt.Fprintf(w, "| %s | %s | %s | `%s` |\n", part, run.LoadBefore, run.LoadAfter, run.Command)
 	}
 	if len(r.ByFollowers.Points) > 0 {
-		r.axisText(w)
+		r.writeByFollowers(w)
 	}
 	if len(r.LargeConfigurations) > 0 {
-		r.largeText(w)
+		r.writeLargeConfigurations(w)
 	}
 	if len(r.Restarts) > 0 {
-		r.restartsText(w)
+		r.writeRestarts(w)
 	}
 	if r.Comparison != nil {
-		r.Comparison.text(w)
+		r.Comparison.writeText(w)
 	}
 	fmt.Fprintf(w, "\nLog lines of the last run's followers by event: %v.\n", r.LogEvents)
 	for _, violation := range r.Violations() {
@@ -128,15 +128,15 @@
 	for _, point := range r.LargeConfigurations {
 		violations = append(violations, point.Violations...)
 	}
-	for _, storm := range r.Restarts {
-		violations = append(violations, storm.Violations...)
+	for _, restart := range r.Restarts {
+		violations = append(violations, restart.Violations...)
 	}
 	return violations
 }
 
-// axisText writes a row for each figure, with a column for each number of followers.
-func (r *Report) axisText(w io.Writer) {
-	fmt.Fprintf(w, "\n## By followers\n\nConfiguration: %s.\n\n| figure | what |", r.ByFollowers.Points[0].Configuration.text())
+// writeByFollowers writes a row for each figure, with a column for each number of followers.
+func (r *Report) writeByFollowers(w io.Writer) {
+	fmt.Fprintf(w, "\n## By followers\n\nConfiguration: %s.\n\n| figure | what |", r.ByFollowers.Points[0].Configuration.summary())
 	for _, point := range r.ByFollowers.Points {
 		fmt.Fprintf(w, " %d |", point.Followers)
 	}
@@ -146,17 +146,17 @@
 		strings.Repeat(" --- |", len(r.ByFollowers.Points)))
 	for i := range r.Metrics {
 		metric := &r.Metrics[i]
-		fmt.Fprintf(w, "| %s | %s |", metric.title(), metric.Description)
+		fmt.Fprintf(w, "| %s | %s |", metric.label(), metric.Description)
 		for _, point := range r.ByFollowers.Points {
-			fmt.Fprintf(w, " %s |", figure(point, metric))
+			fmt.Fprintf(w, " %s |", formatValue(point, metric))
 		}
-		fmt.Fprintf(w, " %s | %s |\n", r.ByFollowers.fit(metric), metric.budget(r.ByFollowers.Points))
+		fmt.Fprintf(w, " %s | %s |\n", r.ByFollowers.formatFit(metric), metric.formatBudget(r.ByFollowers.Points))
 	}
 }
 
-// fit returns how a figure grows, as two cells of a row.
-func (a *ScalingSeries) fit(metric *Metric) string {
-	fit, fitted := a.Fits[metric.Name]
+// formatFit returns how a figure grows, as two cells of a row.
+func (s *ScalingSeries) formatFit(metric *Metric) string {
+	fit, fitted := s.Fits[metric.Name]
 	if !fitted {
 		return "- | -"
 	}
@@ -167,11 +167,11 @@
 	return fmt.Sprintf("%.2f, %.2f | %s, %.2f", fit.Exponent, fit.Residual, form, fit.Error)
 }
 
-// title returns the name and the unit.
-func (m *Metric) title() string { return strings.TrimSuffix(m.Name+", "+m.Unit, ", ") }
+// label returns the name and the unit.
+func (m *Metric) label() string { return strings.TrimSuffix(m.Name+", "+m.Unit, ", ") }
 
-// figure returns a point's value of a metric.
-func figure(point *Point, metric *Metric) string {
+// formatValue returns a point's value of a metric.
+func formatValue(point *Point, metric *Metric) string {
 	value, measured := point.Values[metric.Name]
 	if !measured {
 		return "-"
@@ -179,8 +179,8 @@
 	return fmt.Sprintf("%.4g", value)
 }
 
-// budget returns the budget and the largest fraction of it that a point uses.
-func (m *Metric) budget(points []*Point) string {
+// formatBudget returns the budget and the largest fraction of it that a point uses.
+func (m *Metric) formatBudget(points []*Point) string {
 	if m.Budget == 0 {
 		return "- | -"
 	}
@@ -191,43 +191,43 @@
 	return fmt.Sprintf("%.4g | %.1f%%", m.Budget, 100*most/m.Budget)
 }
 
-// text returns the size in a few words.
-func (c ConfigurationSize) text() string {
+// summary returns the size in a few words.
+func (c ConfigurationSize) summary() string {
 	return fmt.Sprintf("%d quota plans, %d request classes", c.Plans, c.Classes)
 }
 
-// largeText writes points with a large configuration.
-func (r *Report) largeText(w io.Writer) {
+// writeLargeConfigurations writes points with a large configuration.
+func (r *Report) writeLargeConfigurations(w io.Writer) {
 	for _, point := range r.LargeConfigurations {
 		fmt.Fprintf(w, "\n## %d followers with a large configuration\n\n%s.\n\n| figure | what | value | budget | of it |\n"+
-			"| --- | --- | --- | --- | --- |\n", point.Followers, point.Configuration.text())
+			"| --- | --- | --- | --- | --- |\n", point.Followers, point.Configuration.summary())
 		for i := range r.Metrics {
 			metric := &r.Metrics[i]
 			if _, measured := point.Values[metric.Name]; !measured {
 				continue
 			}
-			fmt.Fprintf(w, "| %s | %s | %s | %s |\n", metric.title(), metric.Description, figure(point, metric),
-				metric.budget([]*Point{point}))
+			fmt.Fprintf(w, "| %s | %s | %s | %s |\n", metric.label(), metric.Description, formatValue(point, metric),
+				metric.formatBudget([]*Point{point}))
 		}
 	}
 }
 
-// restartsText writes a row for each restart.
-func (r *Report) restartsText(w io.Writer) {
+// writeRestarts writes a row for each restart.
+func (r *Report) writeRestarts(w io.Writer) {
 	fmt.Fprint(w, "\n## Restarts at once\n\n| what | followers | configuration | versions missed | "+
 		"s until in force everywhere | from disk | snapshots | deltas | older versions in force | "+
 		"put off | bytes of publishers | processor s, followers | processor s, publishers |\n"+
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, restart := range r.Restarts {
 		fmt.Fprintf(w, "| %s | %d | %s | %d | %.2f | %d | %d | %d | %d | %d | %.4g | %.2f | %.2f |\n",
-			restart.Description, restart.Followers, restart.Configuration.text(), restart.MissedVersions, restart.Seconds,
+			restart.Description, restart.Followers, restart.Configuration.summary(), restart.MissedVersions, restart.Seconds,
 			restart.FromDisk, restart.Snapshots, restart.Deltas, restart.OlderVersions, restart.DeferredSnapshots,
 			restart.PublisherBytesOut, restart.CPUSeconds, restart.PublisherCPUSeconds)
 	}
 }
 
-// text writes the comparison as a table.
-func (c *Comparison) text(w io.Writer) {
+// writeText writes the comparison as a table.
+func (c *Comparison) writeText(w io.Writer) {
 	ratio := c.Ratio()
 	fmt.Fprintf(w, "\n## Real and hollow\n\n%d real gateway processes and %d hollow followers of the same publishers, "+
 		"%d changes at one pace each; means of a gateway and change, without the heartbeats of that time.\n\n"+
--- a/lab/rollout/hollow/restart.go
+++ b/lab/rollout/hollow/restart.go
@@ -30,7 +30,7 @@
 	Description       string
 	Followers         int
 	EmptyDisks        bool // their disks are empty afterwards
-	Missed            int  // versions published meanwhile
+	MissedVersions    int  // versions published meanwhile
 	WithoutPublishers bool // all publishers are killed before the restart and come back after it
 }
 
@@ -44,23 +44,23 @@
 			return nil, err
 		}
 	}
-	err := g.publishBurst(ctx, options.Missed)
+	err := g.publishBurst(ctx, options.MissedVersions)
 	if err != nil {
 		return nil, err
 	}
 	g.Fleet.TakeApplied()
-	result := &RestartResult{Description: options.Description, Followers: options.Followers, Configuration: g.content,
-		MissedVersions: options.Missed}
-	latest := g.latest.Version
-	begin := g.startFollowers
+	result := &RestartResult{Description: options.Description, Followers: options.Followers, Configuration: g.configuration,
+		MissedVersions: options.MissedVersions}
+	latestBefore := g.latestBefore.Version
+	start := g.startFollowers
 	if options.WithoutPublishers {
-		begin = g.startWithoutPublishers
+		start = g.startWithoutPublishers
 	}
-	measured, err := begin(ctx, members)
+	measured, err := start(ctx, members)
 	if err != nil {
 		return nil, err
 	}
-	result.measure(g, measured, latest)
+	result.addMeasurement(g, measured, latestBefore)
 	result.Violations, err = g.Violations(ctx)
 	return result, err
 }
@@ -96,11 +96,11 @@
 	})
 }
 
-// measure records what happened since the restart, before which a version was the latest.
-func (r *RestartResult) measure(g *Group, measured window, latest configsync.Version) {
+// addMeasurement records what happened since the restart, before which a version was the latest.
+func (r *RestartResult) addMeasurement(g *Group, measured window, latestBefore configsync.Version) {
 	for _, history := range g.Fleet.TakeApplied() {
 		for _, applied := range history {
-			if applied.To < latest {
+			if applied.To < latestBefore {
 				r.OlderVersions++
 			}
 			if applied.Snapshot {
@@ -112,8 +112,8 @@
 	}
 	r.FromDisk = g.Fleet.countFromDisk(r.Followers)
 	r.Seconds = measured.Seconds
-	r.DeferredSnapshots = int(measured.Deferred)
+	r.DeferredSnapshots = int(measured.DeferredSnapshots)
 	r.PublisherBytesOut = measured.PublisherBytesOut
-	r.CPUSeconds = measured.Processor
-	r.PublisherCPUSeconds = measured.PublisherProcessor
+	r.CPUSeconds = measured.CPUSeconds
+	r.PublisherCPUSeconds = measured.PublisherCPUSeconds
 }
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	hostileTimeout  = 30 * time.Second // for the other side to end a connection
-	strangerMember  = 60_000           // member index of no gateway
-	tooLongFrame    = "\xff\xff\xff\xff\x02"
-	notAMessage     = "GET / HTTP/1.1\r\nHost: example\r\n\r\n"
-	unknownKind     = "\x00\x00\x00\x02\x7f\xa0"
-	notCBOR         = "\x00\x00\x00\x03\x01\xff\xff"
-	strangerName    = "stranger"
-	otherLog        = configsync.LogID("another-log")
-	farAheadVersion = 1 << 40
+	hostileTimeout     = 30 * time.Second // for the other side to end a connection
+	nonMemberIndex     = 60_000           // member index of no gateway
+	oversizedFrame     = "\xff\xff\xff\xff\x02"
+	httpRequestText    = "GET / HTTP/1.1\r\nHost: example\r\n\r\n"
+	unknownMessageKind = "\x00\x00\x00\x02\x7f\xa0"
+	invalidCBOR        = "\x00\x00\x00\x03\x01\xff\xff"
+	nonMemberName      = "stranger"
+	otherLogID         = configsync.LogID("another-log")
+	unpublishedVersion = 1 << 40
 )
 
 // hostileBytes returns what may arrive on a connection in place of messages.
 func hostileBytes() map[string][]byte {
-	hello := configsync.Encode(strangerHello())
+	hello := configsync.Encode(nonMemberHello())
 	return map[string][]byte{
-		"another protocol":    []byte(notAMessage),
-		"a frame too long":    []byte(tooLongFrame),
-		"an unknown kind":     []byte(unknownKind),
-		"no CBOR":             []byte(notCBOR),
+		"another protocol":    []byte(httpRequestText),
+		"a frame too long":    []byte(oversizedFrame),
+		"an unknown kind":     []byte(unknownMessageKind),
+		"no CBOR":             []byte(invalidCBOR),
 		"a message cut short": hello[:len(hello)-3],
 	}
 }
 
-// strangerHello returns the hello of a gateway that is no member.
-func strangerHello() *configsync.Hello {
-	return &configsync.Hello{Protocol: configsync.Protocol, Member: strangerMember, Name: strangerName, Incarnation: 1}
+// nonMemberHello returns the hello of a gateway that is no member.
+func nonMemberHello() *configsync.Hello {
+	return &configsync.Hello{Protocol: configsync.Protocol, Member: nonMemberIndex, Name: nonMemberName, Incarnation: 1}
 }
 
 // hostileToPublishers returns what a follower must not send.
 func hostileToPublishers() map[string][]byte {
-	hello := configsync.Encode(strangerHello())
-	other := strangerHello()
+	hello := configsync.Encode(nonMemberHello())
+	other := nonMemberHello()
 	other.Protocol++
 	after := func(message configsync.Message) []byte {
 		return append(append([]byte{}, hello...), configsync.Encode(message)...)
@@ -55,10 +55,10 @@
 	all := hostileBytes()
 	all["another version of the protocol"] = configsync.Encode(other)
 	all["no hello first"] = configsync.Encode(&configsync.Acknowledge{Version: 1})
-	all["two hellos"] = after(strangerHello())
+	all["two hellos"] = after(nonMemberHello())
 	all["a publisher's message"] = after(&configsync.Heartbeat{Latest: 1})
-	all["an answer to a version that was not sent"] = after(&configsync.Acknowledge{Version: farAheadVersion})
-	all["a refusal of a version that was not sent"] = after(&configsync.Refusal{Version: farAheadVersion})
+	all["an answer to a version that was not sent"] = after(&configsync.Acknowledge{Version: unpublishedVersion})
+	all["a refusal of a version that was not sent"] = after(&configsync.Refusal{Version: unpublishedVersion})
 	return all
 }
 
@@ -89,8 +89,8 @@
 			return fmt.Errorf("%s: %s: %w", publisherName(i), name, err)
 		}
 	}
-	what := fmt.Sprintf("%s to count %d malformed connections", publisherName(i), len(hostile))
-	return r.waitUntil(ctx, what, func() bool {
+	description := fmt.Sprintf("%s to count %d malformed connections", publisherName(i), len(hostile))
+	return r.waitUntil(ctx, description, func() bool {
 		now, err := r.Publishers.Status(ctx, i)
 		return err == nil && now.Counters.Malformed == before.Counters.Malformed+int64(len(hostile))
 	})
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// hostileAnswer returns what an impostor of a publisher sends to a gateway that said hello.
-type hostileAnswer func(hello *configsync.Hello) []byte
+// hostileReply returns what an impostor of a publisher sends to a gateway that said hello.
+type hostileReply func(hello *configsync.Hello) []byte
 
 // impostor listens in place of a publisher.
 type impostor struct {
@@ -145,19 +145,19 @@
 
 // impostorConn is one connection of a gateway to an impostor.
 type impostorConn struct {
-	greeted chan struct{} // closed once the gateway has said hello
-	closed  chan error    // once the gateway has ended the connection
+	helloReceived chan struct{} // closed once the gateway has said hello
+	closed        chan error    // once the gateway has ended the connection
 }
 
-// answerOne answers the next connection on which a hello arrives. The goroutine ends when the listener is closed.
-func (p *impostor) answerOne(answer hostileAnswer) *impostorConn {
-	e := &impostorConn{greeted: make(chan struct{}), closed: make(chan error, 1)}
-	go func() { e.closed <- p.serveOne(e, answer) }()
-	return e
+// replyToNext answers the next connection on which a hello arrives. The goroutine ends when the listener is closed.
+func (p *impostor) replyToNext(answer hostileReply) *impostorConn {
+	c := &impostorConn{helloReceived: make(chan struct{}), closed: make(chan error, 1)}
+	go func() { c.closed <- p.serveOne(c, answer) }()
+	return c
 }
 
 // serveOne serves connections until it has answered one.
-func (p *impostor) serveOne(e *impostorConn, answer hostileAnswer) error {
+func (p *impostor) serveOne(c *impostorConn, answer hostileReply) error {
 	for {
 		conn, err := p.listener.Accept()
 		if err != nil {
@@ -169,7 +169,7 @@
 			conn.Close() // reset on its way here
 			continue
 		}
-		close(e.greeted)
+		close(c.helloReceived)
 		defer conn.Close()
 		writeAndClose(conn, answer(hello))
 		return waitClosed(conn)
@@ -178,23 +178,23 @@
 
 // hostileToGateways returns what a publisher must not send. All but those of malformedToGateways are well-formed
 // messages.
-func hostileToGateways() map[string]hostileAnswer {
+func hostileToGateways() map[string]hostileReply {
 	all := malformedToGateways()
 	all["another log"] = func(*configsync.Hello) []byte {
-		return configsync.Encode(&configsync.Heartbeat{Log: otherLog, Latest: farAheadVersion, HasQuorum: true})
+		return configsync.Encode(&configsync.Heartbeat{Log: otherLogID, Latest: unpublishedVersion, HasQuorum: true})
 	}
 	all["a delta that does not lead on"] = func(hello *configsync.Hello) []byte {
-		return configsync.Encode(falseDelta(hello, hello.InForce+1))
+		return configsync.Encode(invalidDelta(hello, hello.InForce+1))
 	}
 	all["a delta to another content than it says"] = func(hello *configsync.Hello) []byte {
-		return configsync.Encode(falseDelta(hello, hello.InForce))
+		return configsync.Encode(invalidDelta(hello, hello.InForce))
 	}
 	return all
 }
 
 // malformedToGateways returns what no publisher sends at all.
-func malformedToGateways() map[string]hostileAnswer {
-	all := map[string]hostileAnswer{
+func malformedToGateways() map[string]hostileReply {
+	all := map[string]hostileReply{
 		"a follower's message": func(hello *configsync.Hello) []byte { return configsync.Encode(hello) },
 	}
 	for name, text := range hostileBytes() {
@@ -203,13 +203,13 @@
 	return all
 }
 
-// falseDelta returns a delta from a version whose digest does not match its content.
-func falseDelta(hello *configsync.Hello, from configsync.Version) *configsync.Delta {
-	name := configsync.Resource(planResource(strangerName))
+// invalidDelta returns a delta from a version whose digest does not match its content.
+func invalidDelta(hello *configsync.Hello, from configsync.Version) *configsync.Delta {
+	name := configsync.Resource(planResource(nonMemberName))
 	return &configsync.Delta{
 		Log:     hello.Log,
 		From:    from,
-		To:      farAheadVersion,
+		To:      unpublishedVersion,
 		Changes: []configsync.Change{{Resource: name, Value: []byte(`{"rate":1,"burst":1}`)}},
 	}
 }
@@ -217,8 +217,8 @@
 // ImpersonatePublisher returns a step that puts an impostor in place of one of a gateway's publishers. The gateway
 // has to end each connection, count the malformed ones and follow the real publishers again each time.
 func ImpersonatePublisher(member, index int) Step {
-	what := fmt.Sprintf("an impostor in place of publisher %d for gateway %d", index, member)
-	return Step{what, func(ctx context.Context, r *Run) error {
+	description := fmt.Sprintf("an impostor in place of publisher %d for gateway %d", index, member)
+	return Step{description, func(ctx context.Context, r *Run) error {
 		impostor, err := newImpostor()
 		if err != nil {
 			return err
@@ -228,7 +228,7 @@
 		link.SetTarget(impostor.listener.Addr().String())
 		defer link.SetTarget(r.Publishers.addresses[index].followers.String())
 		for name, answer := range hostileToGateways() {
-			err := r.meetImpostor(ctx, member, impostor.answerOne(answer))
+			err := r.connectToImpostor(ctx, member, impostor.replyToNext(answer))
 			if err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
@@ -239,12 +239,12 @@
 	}}
 }
 
-// meetImpostor resets a gateway's connections until it has connected to an impostor, waits until it ends that
+// connectToImpostor resets a gateway's connections until it has connected to an impostor, waits until it ends that
 // connection and until it has a later version in force, from a real publisher.
-func (r *Run) meetImpostor(ctx context.Context, member int, e *impostorConn) error {
+func (r *Run) connectToImpostor(ctx context.Context, member int, c *impostorConn) error {
 	err := r.waitUntil(ctx, "the gateway to connect to the impostor", func() bool {
 		select {
-		case <-e.greeted:
+		case <-c.helloReceived:
 			return true
 		default:
 			r.Fleet.Relay.ResetStreams([]string{fleet.GatewayName(member)}, nil)
@@ -255,7 +255,7 @@
 		return err
 	}
 	select {
-	case err = <-e.closed:
+	case err = <-c.closed:
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
@@ -269,9 +269,9 @@
 func CheckImpostorConfigurationAbsent(members ...int) Step {
 	return Step{"nothing of a false publisher in force", func(_ context.Context, r *Run) error {
 		for _, member := range members {
-			answer := r.probe(member, strangerName)
+			answer := r.probe(member, nonMemberName)
 			if !strings.HasPrefix(answer.ErrorText, "ERR ") {
-				return fmt.Errorf("plan of an impostor: %w", probeError(member, strangerName, answer))
+				return fmt.Errorf("plan of an impostor: %w", probeError(member, nonMemberName, answer))
 			}
 		}
 		return nil
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -24,7 +24,7 @@
 	publisherNetwork = 130 // of the publishers' addresses, within 127.0.0.0/8
 	maxGroupSize     = 8
 	groupKeyBytes    = 16
-	stateFolder      = "state" // of a publisher's log, in its working folder
+	stateDir         = "state" // of a publisher's log, in its working folder
 )
 
 var publisherProgram = fleet.NewProgram("ravensill/cmd/ravensill-publisher")
@@ -42,8 +42,8 @@
 	addresses []publisherAddresses
 	dir       string // holds a folder for each publisher, and copies of them
 
-	slowMu      sync.Mutex
-	slowAnswers []string // answers that took long
+	slowMu        sync.Mutex
+	slowResponses []string // answers that took long
 }
 
 // publisherName returns the name of a publisher, which the relay's rules use too.
@@ -94,18 +94,18 @@
 var groupCount atomic.Int64
 
 // NewPublisherGroup starts a group and waits until all its publishers serve followers.
-func NewPublisherGroup(ctx context.Context, plan PublisherGroupOptions) (*PublisherGroup, error) {
+func NewPublisherGroup(ctx context.Context, options PublisherGroupOptions) (*PublisherGroup, error) {
 	binary, err := publisherProgram.Build()
 	if err != nil {
 		return nil, err
 	}
-	p := &PublisherGroup{dir: plan.Dir}
-	p.addresses, err = freeAddresses(plan.Count, int(groupCount.Add(1)))
+	p := &PublisherGroup{dir: options.Dir}
+	p.addresses, err = freeAddresses(options.Count, int(groupCount.Add(1)))
 	if err != nil {
 		return nil, err
 	}
-	for i := range plan.Count {
-		cfg, err := p.file(&plan, i)
+	for i := range options.Count {
+		cfg, err := p.configurationFile(&options, i)
 		if err != nil {
 			return nil, err
 		}
@@ -115,7 +115,7 @@
 			Binary:     binary,
 			Variable:   "PUBLISHER_CONFIG",
 			ReadyEvent: "publisher_started",
-			Dir:        filepath.Join(plan.Dir, publisherName(i), "work"),
+			Dir:        filepath.Join(options.Dir, publisherName(i), "work"),
 			Config:     cfg,
 		}))
 	}
@@ -129,34 +129,34 @@
 
 // freeAddresses returns free addresses for a group.
 func freeAddresses(count, number int) ([]publisherAddresses, error) {
-	const each = 3 // addresses of a publisher
+	const addressesPerPublisher = 3 // addresses of a publisher
 	all := make([]publisherAddresses, count)
 	for i := range all {
-		first := (number*maxGroupSize + i) * each
-		for k, into := range []*netip.AddrPort{&all[i].followers, &all[i].raft, &all[i].admin} {
+		first := (number*maxGroupSize + i) * addressesPerPublisher
+		for k, destination := range []*netip.AddrPort{&all[i].followers, &all[i].raft, &all[i].admin} {
 			address, err := emulator.FreeAddr(publisherNetwork, first+k)
 			if err != nil {
 				return nil, err
 			}
-			*into = address
+			*destination = address
 		}
 	}
 	return all, nil
 }
 
-// file returns the configuration file of a publisher.
-func (p *PublisherGroup) file(plan *PublisherGroupOptions, i int) (*publisherFile, error) {
+// configurationFile returns the configuration file of a publisher.
+func (p *PublisherGroup) configurationFile(options *PublisherGroupOptions, i int) (*publisherFile, error) {
 	var raft, admin []string
 	for k, addresses := range p.addresses {
-		way := addresses.raft.String()
-		if k != i && plan.Relay != nil {
-			stream, err := plan.Relay.Stream(publisherName(i), publisherName(k), way)
+		address := addresses.raft.String()
+		if k != i && options.Relay != nil {
+			stream, err := options.Relay.Stream(publisherName(i), publisherName(k), address)
 			if err != nil {
 				return nil, err
 			}
-			way = stream.Addr()
+			address = stream.Addr()
 		}
-		raft = append(raft, way)
+		raft = append(raft, address)
 		admin = append(admin, addresses.admin.String())
 	}
 	own := p.addresses[i]
@@ -167,10 +167,10 @@
 		Raft:              raft,
 		AdminListen:       own.admin.String(),
 		Admin:             admin,
-		Dir:               stateFolder,
+		Dir:               stateDir,
 		Key:               strings.Repeat("5a", groupKeyBytes),
-		ElectionTimeoutMS: plan.ElectionTimeoutMS,
-		PublisherSettings: plan.Settings,
+		ElectionTimeoutMS: options.ElectionTimeoutMS,
+		PublisherSettings: options.Settings,
 	}, nil
 }
 
@@ -178,10 +178,10 @@
 func (p *PublisherGroup) FollowerAddress(i int) netip.AddrPort { return p.addresses[i].followers }
 
 // forEach calls a function for all processes at the same time.
-func (p *PublisherGroup) forEach(do func(process *fleet.Process) error) error {
+func (p *PublisherGroup) forEach(fn func(process *fleet.Process) error) error {
 	var all errgroup.Group
 	for _, process := range p.processes {
-		all.Go(func() error { return do(process) })
+		all.Go(func() error { return fn(process) })
 	}
 	return all.Wait()
 }
@@ -194,26 +194,28 @@
 
 // CopyState copies a publisher's log. The publisher must be down: a copy of a log that is being written is damaged.
 func (p *PublisherGroup) CopyState(i int) error {
-	to := p.copyOf(i)
+	to := p.stateCopyDir(i)
 	err := os.RemoveAll(to)
 	if err != nil {
 		return err
 	}
-	return os.CopyFS(to, os.DirFS(filepath.Join(p.processes[i].Dir, stateFolder)))
+	return os.CopyFS(to, os.DirFS(filepath.Join(p.processes[i].Dir, stateDir)))
 }
 
 // RestoreState replaces a publisher's log by its copy. The publisher must be down.
 func (p *PublisherGroup) RestoreState(i int) error {
-	folder := filepath.Join(p.processes[i].Dir, stateFolder)
+	folder := filepath.Join(p.processes[i].Dir, stateDir)
 	err := os.RemoveAll(folder)
 	if err != nil {
 		return err
 	}
-	return os.CopyFS(folder, os.DirFS(p.copyOf(i)))
+	return os.CopyFS(folder, os.DirFS(p.stateCopyDir(i)))
 }
 
-// copyOf returns the folder of the copy of a publisher's log.
-func (p *PublisherGroup) copyOf(i int) string { return filepath.Join(p.dir, "copy-"+publisherName(i)) }
+// stateCopyDir returns the folder of the copy of a publisher's log.
+func (p *PublisherGroup) stateCopyDir(i int) string {
+	return filepath.Join(p.dir, "copy-"+publisherName(i))
+}
 
 // usage returns what each publisher has used; zero for one that is down.
 func (p *PublisherGroup) usage() (all []fleet.Usage) {
--- a/lab/rollout/record.go
+++ b/lab/rollout/record.go
@@ -58,9 +58,9 @@
 	Outages  []Outage
 	Counters []ByteCounters // of its status lines, in order
 
-	ended   int  // incarnations that are over
-	damaged bool // the present incarnation found its file damaged
-	mark    int  // in the log: where reading goes on
+	endedIncarnations int  // incarnations that are over
+	storedFileDamaged bool // the present incarnation found its file damaged
+	logPosition       int  // in the log: where reading goes on
 }
 
 // AppliedVersion is a version that came in force at a gateway.
@@ -91,8 +91,8 @@
 	BytesOut int
 }
 
-// countersOf returns the counters in status lines.
-func countersOf(lines []string) (all []ByteCounters) {
+// parseByteCounters returns the counters in status lines.
+func parseByteCounters(lines []string) (all []ByteCounters) {
 	for _, line := range lines {
 		all = append(all, ByteCounters{
 			At:       logline.Time(line),
@@ -105,39 +105,39 @@
 
 // readNewLines reads the log lines since the call before.
 func (h *History) readNewLines(gateway *fleet.Gateway) {
-	lines, next := gateway.LinesAfter(h.mark)
-	h.mark = next
+	lines, next := gateway.LinesAfter(h.logPosition)
+	h.logPosition = next
 	for _, line := range lines {
 		h.readLine(line)
 	}
 }
 
 // incarnation returns the number of the present incarnation.
-func (h *History) incarnation() int { return h.ended + 1 }
+func (h *History) incarnation() int { return h.endedIncarnations + 1 }
 
 // readLine reads one log line.
 func (h *History) readLine(line string) {
 	event, _ := logline.Event(line)
-	applied := AppliedVersion{Incarnation: h.incarnation(), Version: versionOf(line), At: logline.Time(line)}
+	applied := AppliedVersion{Incarnation: h.incarnation(), Version: versionInLine(line), At: logline.Time(line)}
 	switch event {
 	case "configuration_damaged":
-		h.damaged = true
+		h.storedFileDamaged = true
 	case "configuration_loaded":
 		applied.FromDisk = true
-		applied.Damaged = h.damaged
+		applied.Damaged = h.storedFileDamaged
 		h.Applied = append(h.Applied, applied)
 	case "configuration_applied":
 		h.Applied = append(h.Applied, applied)
 	case "configuration_refused":
-		h.Refusals = append(h.Refusals, RefusedVersion{versionOf(line), logline.Value(line, "resource")})
+		h.Refusals = append(h.Refusals, RefusedVersion{versionInLine(line), logline.Value(line, "resource")})
 	case "exited":
-		h.ended++
-		h.damaged = false
+		h.endedIncarnations++
+		h.storedFileDamaged = false
 	}
 }
 
-// versionOf returns the version that a log line names; 0 if it names none.
-func versionOf(line string) configsync.Version {
+// versionInLine returns the version that a log line names; 0 if it names none.
+func versionInLine(line string) configsync.Version {
 	number, err := strconv.ParseUint(logline.Value(line, "version"), 10, 64)
 	if err != nil {
 		return 0
@@ -157,11 +157,11 @@
 	return latest.Version
 }
 
-// startAbsence records that an absence begins.
-func (h *History) startAbsence(now time.Time) { h.Outages = append(h.Outages, Outage{Start: now}) }
+// startOutage records that an absence begins.
+func (h *History) startOutage(now time.Time) { h.Outages = append(h.Outages, Outage{Start: now}) }
 
-// endAbsence records that the latest absence is over.
-func (h *History) endAbsence(now time.Time) {
+// endOutage records that the latest absence is over.
+func (h *History) endOutage(now time.Time) {
 	for i := len(h.Outages) - 1; i >= 0; i-- {
 		if h.Outages[i].End.IsZero() {
 			h.Outages[i].End = now
--- a/lab/rollout/refusals.go
+++ b/lab/rollout/refusals.go
@@ -41,12 +41,12 @@
 		if err != nil {
 			return err
 		}
-		err = r.waitInForce(ctx, publication.Version, others(r.members(), []int{member}))
+		err = r.waitInForce(ctx, publication.Version, membersExcept(r.members(), []int{member}))
 		if err != nil {
 			return err
 		}
-		what := fmt.Sprintf("the publishers to show that member %d refused version %d", member, publication.Version)
-		return r.waitUntil(ctx, what, func() bool { return r.showsRefusal(ctx, member, publication.Version) })
+		description := fmt.Sprintf("the publishers to show that member %d refused version %d", member, publication.Version)
+		return r.waitUntil(ctx, description, func() bool { return r.showsRefusal(ctx, member, publication.Version) })
 	}}
 }
 
@@ -63,7 +63,7 @@
 			if follower.Refused == 0 {
 				continue
 			}
-			if !refusalOf(&follower, member, version) {
+			if !isRefusalBy(&follower, member, version) {
 				return false
 			}
 			shown = true
@@ -72,8 +72,8 @@
 	return shown
 }
 
-// refusalOf reports whether a follower is a member that refused a version because of its own resource.
-func refusalOf(follower *publisher.Follower, member int, version configsync.Version) bool {
+// isRefusalBy reports whether a follower is a member that refused a version because of its own resource.
+func isRefusalBy(follower *publisher.Follower, member int, version configsync.Version) bool {
 	resource := string(follower.Resource)
 	return follower.Member == member && follower.Refused == version && follower.InForce < version &&
 		resource == memberResource(member) && follower.Reason != ""
@@ -101,8 +101,8 @@
 
 // badRequest is a request that the publishers have to reject, and how the error begins.
 type badRequest struct {
-	request Request
-	path    string // of the key at fault
+	request     Request
+	errorPrefix string // of the key at fault
 }
 
 // badRequests returns requests with an unknown or malformed key, and some that are malformed altogether.
@@ -167,20 +167,20 @@
 
 // checkRejected returns an error unless a publisher rejects a bad request by the path of its key.
 func (p *PublisherGroup) checkRejected(ctx context.Context, i int, bad badRequest) error {
-	rejected, err := p.rejection(ctx, i, bad.request)
+	rejected, err := p.sendUntilRejected(ctx, i, bad.request)
 	if err != nil {
 		return fmt.Errorf("%s: %s is not rejected: %w", publisherName(i), bad.request.Body, err)
 	}
-	if !strings.HasPrefix(rejected.Message, bad.path) {
+	if !strings.HasPrefix(rejected.Message, bad.errorPrefix) {
 		return fmt.Errorf("%s: %s is rejected by %q, not by its key %q",
-			publisherName(i), bad.request.Body, rejected.Message, bad.path)
+			publisherName(i), bad.request.Body, rejected.Message, bad.errorPrefix)
 	}
 	return nil
 }
 
-// rejection sends a request to a publisher until it is rejected for a fault of its own, and again while the group has
+// sendUntilRejected sends a request to a publisher until it is rejected for a fault of its own, and again while the group has
 // no leader. It is an error if the request is carried out.
-func (p *PublisherGroup) rejection(ctx context.Context, i int, request Request) (*RejectedError, error) {
+func (p *PublisherGroup) sendUntilRejected(ctx context.Context, i int, request Request) (*RejectedError, error) {
 	for {
 		var publication publisher.Publication
 		err := p.request(ctx, i, request, &publication)
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -21,7 +21,7 @@
 
 const (
 	pollInterval      = 20 * time.Millisecond // between looks at a state that nothing announces
-	diskFolder        = "configuration"       // of the stored version, in a gateway's folder
+	storedVersionDir  = "configuration"       // of the stored version, in a gateway's folder
 	minServedFraction = 0.9                   // of the clients' requests, whatever is injected
 	clientTimeout     = 8 * time.Second
 )
@@ -66,9 +66,9 @@
 	publishersBefore []fleet.Usage // as the first version was published
 	publishersAfter  []fleet.Usage // as the load ended
 
-	links   [][]*relay.Stream // by member index and publisher
-	changes *changePublisher
-	probes  atomic.Int64 // sent so far
+	links      [][]*relay.Stream // by member index and publisher
+	changes    *changePublisher
+	probesSent atomic.Int64 // sent so far
 }
 
 // StepTiming is a step that was run.
@@ -86,20 +86,20 @@
 			run.Publishers.Close()
 		}
 	}()
-	gather := fleet.Check{Name: "record", FindViolation: func(*fleet.Report) string { return run.gather(ctx) }}
+	recordCheck := fleet.Check{Name: "record", FindViolation: func(*fleet.Report) string { return run.recordCheck(ctx) }}
 	scenario := fleet.Scenario{
 		Name:    s.Name,
 		Options: run.fleetOptions(ctx),
 		Loads:   []emulator.Load{s.Size.load()},
 		Steps:   run.steps(),
-		Checks:  append([]fleet.Check{gather, clientsServed}, fleet.CommonChecks...),
+		Checks:  append([]fleet.Check{recordCheck, clientsServed}, fleet.CommonChecks...),
 	}
 	run.LoadReport, err = scenario.Run(ctx)
 	if err != nil {
 		return run, nil, err
 	}
-	ofRecord := run.Record.Violations(append(s.Checks, CommonChecks...))
-	return run, append(run.LoadReport.Violations, ofRecord...), nil
+	recordViolations := run.Record.Violations(append(s.Checks, CommonChecks...))
+	return run, append(run.LoadReport.Violations, recordViolations...), nil
 }
 
 // fleetOptions returns the options of the fleet. The publishers start before any gateway is configured.
@@ -112,7 +112,7 @@
 		PrepareRelay: func(f *fleet.Fleet) error { return r.startPublishers(ctx, f) },
 		ConfigureGateway: func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
 			addresses, err := r.addLinks(i)
-			file.Configuration = &gatewayconfig.Configuration{Publishers: addresses, Dir: diskFolder}
+			file.Configuration = &gatewayconfig.Configuration{Publishers: addresses, Dir: storedVersionDir}
 			return err
 		},
 	}
@@ -165,12 +165,12 @@
 
 // steps returns the scenario's steps between the publication of the first version and the wait for the last one.
 func (r *Run) steps() (steps []fleet.Step) {
-	all := []Step{firstVersion()}
+	all := []Step{publishFirstVersion()}
 	if !r.Scenario.NoRoutineChanges {
 		all = append(all, startChanges())
 	}
 	all = append(all, r.Scenario.Steps...)
-	all = append(all, settle())
+	all = append(all, stopChangesAndWait())
 	for _, step := range all {
 		steps = append(steps, fleet.Step{
 			Description: step.Description,
@@ -186,7 +186,7 @@
 	err := step.Run(ctx, r)
 	r.StepTimings = append(r.StepTimings, StepTiming{step.Description, start, time.Now()})
 	if err != nil && r.changes != nil {
-		err = errors.Join(err, r.changes.stop())
+		err = errors.Join(err, r.changes.stopRoutineChanges())
 	}
 	return err
 }
@@ -199,7 +199,7 @@
 }
 
 // waitUntil waits for a state of the gateways' histories.
-func (r *Run) waitUntil(ctx context.Context, what string, reached func() bool) error {
+func (r *Run) waitUntil(ctx context.Context, description string, reached func() bool) error {
 	for {
 		r.readLogs()
 		if reached() {
@@ -207,14 +207,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("waiting for %s: %w: %s", what, ctx.Err(), r.versionsText())
+			return fmt.Errorf("waiting for %s: %w: %s", description, ctx.Err(), r.formatVersionsInForce())
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// versionsText returns the versions in force, for errors.
-func (r *Run) versionsText() string {
+// formatVersionsInForce returns the versions in force, for errors.
+func (r *Run) formatVersionsInForce() string {
 	var text []string
 	for member, history := range r.Record.Histories {
 		text = append(text, fmt.Sprintf("%s %d", fleet.GatewayName(member), history.InForce()))
@@ -222,14 +222,14 @@
 	return strings.Join(text, ", ")
 }
 
-// gather completes the record while all processes still run. It returns the text of a failure.
-func (r *Run) gather(ctx context.Context) string {
+// recordCheck completes the record while all processes still run. It returns the text of a failure.
+func (r *Run) recordCheck(ctx context.Context) string {
 	r.readLogs()
 	r.Record.Published = r.changes.publications()
 	r.Record.Crashes = r.Publishers.Crashes()
 	r.publishersAfter = r.Publishers.usage()
 	for member, gateway := range r.Fleet.Gateways() {
-		r.Record.Histories[member].Counters = countersOf(gateway.Lines("configuration_status"))
+		r.Record.Histories[member].Counters = parseByteCounters(gateway.Lines("configuration_status"))
 	}
 	var err error
 	r.Record.Publishers, err = r.Publishers.states(ctx)
@@ -244,7 +244,7 @@
 
 // readDisk reads the version that a gateway has stored, as its next start would.
 func readDisk(gateway *fleet.Gateway) DiskState {
-	document, err := subscriber.Load(filepath.Join(gateway.Dir, diskFolder))
+	document, err := subscriber.Load(filepath.Join(gateway.Dir, storedVersionDir))
 	digest := document.Digest()
 	return DiskState{document.Version(), digest.Hex(), err}
 }
--- a/lab/rollout/steps.go
+++ b/lab/rollout/steps.go
@@ -22,32 +22,32 @@
 )
 
 const (
-	unbounded   = 1e6  // rate and burst that no run uses up
-	slowRate    = 0.01 // units a second, so that a burst is all that a run can use
-	highBurst   = 40
-	loweredTo   = 3
-	beforeLower = 2 // requests of a customer before the burst is lowered
-	afterLower  = 6 // and after
-	lowBurst    = 2 // used up before it is raised
-	afterRaise  = 3 // requests of a customer after that
+	unlimited              = 1e6  // rate and burst that no run uses up
+	slowRate               = 0.01 // units a second, so that a burst is all that a run can use
+	highBurst              = 40
+	loweredBurst           = 3
+	requestsBeforeLowering = 2 // requests of a customer before the burst is lowered
+	requestsAfterLowering  = 6 // and after
+	burstBeforeRaising     = 2 // used up before it is raised
+	requestsAfterRaising   = 3 // requests of a customer after that
 )
 
-// firstVersion returns the step that publishes the first version to a fleet that serves by its configuration files.
-func firstVersion() Step {
+// publishFirstVersion returns the step that publishes the first version to a fleet that serves by its configuration files.
+func publishFirstVersion() Step {
 	return Step{"first version", func(ctx context.Context, r *Run) error {
 		r.publishersBefore = r.Publishers.usage()
 		r.changes = &changePublisher{
-			publishers: r.Publishers,
-			interval:   r.Scenario.Size.ChangeInterval,
-			preferred:  anyPublisher,
+			publishers:         r.Publishers,
+			interval:           r.Scenario.Size.ChangeInterval,
+			preferredPublisher: anyPublisher,
 		}
 		request, err := firstContentRequest(map[string]gatewayconfig.QuotaPlan{
-			"team":      quotaPlan(unbounded, unbounded),
+			"team":      quotaPlan(unlimited, unlimited),
 			"small":     quotaPlan(20, 40),
-			planKept:    quotaPlan(unbounded, unbounded),
+			planKept:    quotaPlan(unlimited, unlimited),
 			planLowered: quotaPlan(slowRate, highBurst),
-			planRemoved: quotaPlan(unbounded, unbounded),
-			planRaised:  quotaPlan(slowRate, lowBurst),
+			planRemoved: quotaPlan(unlimited, unlimited),
+			planRaised:  quotaPlan(slowRate, burstBeforeRaising),
 		})
 		if err != nil {
 			return err
@@ -63,20 +63,20 @@
 // startChanges returns the step from which on routine changes are published.
 func startChanges() Step {
 	return Step{"changes begin", func(ctx context.Context, r *Run) error {
-		r.changes.start(ctx)
+		r.changes.startRoutineChanges(ctx)
 		return nil
 	}}
 }
 
-// settle returns the step that ends the routine changes and waits until the latest version is in force everywhere and
+// stopChangesAndWait returns the step that ends the routine changes and waits until the latest version is in force everywhere and
 // stored on every disk.
-func settle() Step {
+func stopChangesAndWait() Step {
 	return Step{"the latest version in force everywhere", func(ctx context.Context, r *Run) error {
-		err := r.changes.stop()
+		err := r.changes.stopRoutineChanges()
 		if err != nil {
 			return err
 		}
-		publication, err := r.changes.patch(ctx, Resources{planResource("last"): quotaPlan(unbounded, unbounded)})
+		publication, err := r.changes.patch(ctx, Resources{planResource("last"): quotaPlan(unlimited, unlimited)})
 		if err != nil {
 			return err
 		}
@@ -84,15 +84,15 @@
 		if err != nil {
 			return err
 		}
-		return r.waitSettled(ctx, &publication)
+		return r.waitStoredAndShown(ctx, &publication)
 	}}
 }
 
-// waitSettled waits until all publishers have a version, show it in force at all gateways, and all disks have it:
+// waitStoredAndShown waits until all publishers have a version, show it in force at all gateways, and all disks have it:
 // these follow the gateways by a moment.
-func (r *Run) waitSettled(ctx context.Context, last *publisher.Publication) error {
-	what := fmt.Sprintf("version %d at the publishers and on the disks", last.Version)
-	return r.waitUntil(ctx, what, func() bool {
+func (r *Run) waitStoredAndShown(ctx context.Context, last *publisher.Publication) error {
+	description := fmt.Sprintf("version %d at the publishers and on the disks", last.Version)
+	return r.waitUntil(ctx, description, func() bool {
 		states, err := r.Publishers.states(ctx)
 		if err != nil {
 			return false
@@ -119,8 +119,8 @@
 
 // waitInForce waits until a version or a later one is in force at some gateways.
 func (r *Run) waitInForce(ctx context.Context, version configsync.Version, members []int) error {
-	what := fmt.Sprintf("version %d at members %v", version, members)
-	return r.waitUntil(ctx, what, func() bool {
+	description := fmt.Sprintf("version %d at members %v", version, members)
+	return r.waitUntil(ctx, description, func() bool {
 		for _, member := range members {
 			if r.Record.Histories[member].InForce() < version {
 				return false
@@ -138,23 +138,23 @@
 
 // WaitVersions returns a step that waits until a number of further versions were published and are in force at all
 // gateways but some.
-func WaitVersions(versions int, without ...int) Step {
-	what := fmt.Sprintf("%d more versions in force at all but %d gateways", versions, len(without))
-	return Step{what, func(ctx context.Context, r *Run) error {
+func WaitVersions(versions int, except ...int) Step {
+	description := fmt.Sprintf("%d more versions in force at all but %d gateways", versions, len(except))
+	return Step{description, func(ctx context.Context, r *Run) error {
 		version := r.latestVersion() + configsync.Version(versions)
 		published := func() bool { return r.latestVersion() >= version }
 		err := r.waitUntil(ctx, fmt.Sprintf("version %d published", version), published)
 		if err != nil {
 			return err
 		}
-		return r.waitInForce(ctx, version, others(r.members(), without))
+		return r.waitInForce(ctx, version, membersExcept(r.members(), except))
 	}}
 }
 
-// others returns the members that are not among some.
-func others(members, without []int) (rest []int) {
-	excluded := make(map[int]bool, len(without))
-	for _, member := range without {
+// membersExcept returns the members that are not among some.
+func membersExcept(members, except []int) (rest []int) {
+	excluded := make(map[int]bool, len(except))
+	for _, member := range except {
 		excluded[member] = true
 	}
 	for _, member := range members {
@@ -173,7 +173,7 @@
 		if err != nil {
 			return err
 		}
-		r.changes.prefer(leader)
+		r.changes.setPreferredPublisher(leader)
 		var last publisher.Publication
 		for range r.Scenario.Size.Burst {
 			publication, err := r.changes.publishRoutine(ctx)
@@ -182,7 +182,7 @@
 			}
 			last = publication
 		}
-		r.changes.prefer(anyPublisher)
+		r.changes.setPreferredPublisher(anyPublisher)
 		return r.waitInForce(ctx, last.Version, r.members())
 	}}
 }
