--- a/lab/rollout/admin.go
+++ b/lab/rollout/admin.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	adminTimeout          = 8 * time.Second // of one request; a publisher's own limits are shorter
-	slowResponseThreshold = time.Second     // from which on an answer is recorded as slow
+	adminTimeout          = 8 * time.Second // for one request; longer than the publishers' own timeouts
+	slowResponseThreshold = time.Second     // responses that take at least this long are recorded
 	adminRetryInterval    = 100 * time.Millisecond
 )
 
-// anyPublisher stands for another publisher with each request.
+// anyPublisher as the preferred publisher lets each request begin with the next publisher in turn.
 const anyPublisher = -1
 
-// RejectedError is an answer by which a publisher rejects a change.
+// RejectedError is the error of a request that a publisher answered with a status other than 200 OK.
 type RejectedError struct {
 	StatusCode int
-	Message    string // begins with the path of the key at fault
+	Message    string // begins with the path of the faulty key
 }
 
 func (e *RejectedError) Error() string {
 	return fmt.Sprintf("HTTP status %d: %s", e.StatusCode, e.Message)
 }
 
-// Request is one request to the HTTP interface of the publishers.
+// Request is a request to the publishers' HTTP API.
 type Request struct {
 	Method string
 	Path   string
 	Body   string
 }
 
-// request sends a request to one publisher. The error is a *RejectedError if the publisher answered by one.
+// request sends a request to publisher i and decodes the JSON body of a 200 OK response into result. The error is a
+// *RejectedError if the publisher responded with another status and a JSON error.
 func (p *PublisherGroup) request(ctx context.Context, i int, request Request, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
@@ -68,8 +69,9 @@
 	return &RejectedError{response.StatusCode, rejection.Error}
 }
 
-// Publish has a change made by any publisher, beginning with the first one given. It repeats the request until one
-// can make the change, as an operator's tool does: the same change twice is one version.
+// Publish publishes a change. It tries the publishers in turn, beginning with index first (modulo the number of
+// publishers), until one accepts the change, as an operator's tool does. Retrying is safe: publishing the same change
+// twice results in a single version. It fails if a publisher rejects the request with a 4xx status, or when ctx ends.
 func (p *PublisherGroup) Publish(ctx context.Context, first int, request Request) (publisher.Publication, error) {
 	for i := first; ; i++ {
 		var publication publisher.Publication
@@ -85,42 +87,43 @@
 		}
 		select {
 		case <-ctx.Done():
-			return publication, fmt.Errorf("publishing a change: %w: %w", ctx.Err(), err)
+			return publication, fmt.Errorf("no publisher accepted the change: %w: %w", ctx.Err(), err)
 		case <-time.After(adminRetryInterval):
 		}
 	}
 }
 
-// recordSlowResponse records a slow answer, with the publisher's latest log lines.
+// recordSlowResponse records a response that took at least slowResponseThreshold, with the last lines of the
+// publisher's log.
 func (p *PublisherGroup) recordSlowResponse(i int, took time.Duration, err error) {
 	if took < slowResponseThreshold {
 		return
 	}
-	text := fmt.Sprintf("%s answered after %.1f s: %v; its last lines:\n%s",
+	text := fmt.Sprintf("%s responded after %.1f s with error %v; its last log lines:\n%s",
 		publisherName(i), took.Seconds(), err, p.processes[i].Tail(slowResponseLogLines))
 	p.slowMu.Lock()
 	defer p.slowMu.Unlock()
 	p.slowResponses = append(p.slowResponses, text)
 }
 
-// slowResponseLogLines is the number of log lines that are recorded with a slow answer.
+// slowResponseLogLines is the number of log lines recorded with a slow response.
 const slowResponseLogLines = 4
 
-// SlowResponses returns a text on each answer that was slow.
+// SlowResponses returns a description of each slow response so far.
 func (p *PublisherGroup) SlowResponses() []string {
 	p.slowMu.Lock()
 	defer p.slowMu.Unlock()
 	return slices.Clone(p.slowResponses)
 }
 
-// Status returns the status of one publisher.
+// Status requests the status of publisher i.
 func (p *PublisherGroup) Status(ctx context.Context, i int) (publisher.Status, error) {
 	var status publisher.Status
 	err := p.request(ctx, i, Request{Method: http.MethodGet, Path: "/v1/status"}, &status)
 	return status, err
 }
 
-// states returns the states of all publishers that run.
+// states requests the status of every running publisher. It fails if one of them does not respond.
 func (p *PublisherGroup) states(ctx context.Context) (states []PublisherState, err error) {
 	for i, process := range p.processes {
 		if !process.Running() {
@@ -128,7 +131,7 @@
 		}
 		status, err := p.Status(ctx, i)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", process.Name, err)
+			return nil, fmt.Errorf("requesting the status of %s: %w", process.Name, err)
 		}
 		states = append(states, PublisherState{
 			Name:      process.Name,
@@ -141,7 +144,7 @@
 	return states, nil
 }
 
-// WaitLeader waits until a publisher leads, and returns its index.
+// WaitLeader waits until a running publisher reports that it is the leader, and returns its index.
 func (p *PublisherGroup) WaitLeader(ctx context.Context) (int, error) {
 	for {
 		for i, process := range p.processes {
@@ -155,7 +158,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return 0, fmt.Errorf("no publisher leads: %w", ctx.Err())
+			return 0, fmt.Errorf("waiting for a leading publisher: %w", ctx.Err())
 		case <-time.After(pollInterval):
 		}
 	}
--- a/lab/rollout/baseline.go
+++ b/lab/rollout/baseline.go
@@ -10,24 +10,25 @@
 	"ravensill/lab/fleet"
 )
 
-// Baseline is what a fleet does without publishers: each change is written to the gateways' files, and every process is
-// restarted by SIGTERM, a batch at a time.
+// Baseline measures a fleet without publishers, for comparison: each change is written to the gateways' configuration
+// files, and every gateway is restarted by SIGTERM, one batch after another.
 type Baseline struct {
 	Size    Size
-	Batch   int // gateways restarted at one time
+	Batch   int // gateways restarted at the same time
 	Changes int
 }
 
-// BaselineResult is the result of a baseline.
+// BaselineResult holds what a baseline measured.
 type BaselineResult struct {
-	InForceAtOne Latencies // from a change until it was in force at one gateway
-	InForceAtAll Latencies // until it was in force at all gateways
-	Requests     string    // the clients' requests by result
-	Lost         int       // requests without an answer
+	InForceAtOne Latencies // from a change until it was in force at each gateway
+	InForceAtAll Latencies // from a change until it was in force at all gateways
+	Requests     string    // summary of the clients' requests by result
+	Lost         int       // requests that got no response
 	Violations   []string
 }
 
-// Run makes the changes one after the other under the clients' load.
+// Run makes the changes one after another while clients send requests. The error concerns the run itself; checks that
+// failed are in BaselineResult.Violations.
 func (b *Baseline) Run(ctx context.Context) (*BaselineResult, error) {
 	result := &BaselineResult{}
 	scenario := fleet.Scenario{
@@ -54,7 +55,7 @@
 	return result, nil
 }
 
-// change writes one change to all files and restarts the gateways, a batch at a time.
+// change writes one change to all configuration files and restarts the gateways, one batch at a time.
 func (b *Baseline) change(ctx context.Context, f *fleet.Fleet, number int, result *BaselineResult) error {
 	sent := time.Now()
 	for from := 0; from < b.Size.Gateways; from += b.Batch {
@@ -71,10 +72,11 @@
 	return nil
 }
 
-// changedPlan is the index of the quota plan whose burst a baseline changes.
+// changedPlan is the index of the quota plan whose burst each change sets.
 const changedPlan = 1
 
-// restartWith restarts some gateways by SIGTERM, with another burst of a quota plan in their files.
+// restartWith restarts a batch of gateways by SIGTERM, with a burst that depends on the change's number in their
+// configuration files. Clients are told which gateways are restarting.
 func restartWith(ctx context.Context, f *fleet.Fleet, batch []int, number int) error {
 	for _, member := range batch {
 		f.Clients.SetRestarting(true, member)
--- a/lab/rollout/cases.go
+++ b/lab/rollout/cases.go
@@ -11,7 +11,7 @@
 	millisecond = time.Millisecond
 )
 
-// LargeSize returns the size of the runs in CI that concern the whole fleet.
+// LargeSize returns the size of the CI runs with faults that affect the whole fleet.
 func LargeSize() Size {
 	return Size{
 		Gateways:          24,
@@ -26,7 +26,7 @@
 	}
 }
 
-// SmallSize returns the size of the runs in CI that concern one gateway or one publisher.
+// SmallSize returns the size of the CI runs with faults that affect a single gateway or publisher.
 func SmallSize() Size {
 	return Size{
 		Gateways:          4,
@@ -41,12 +41,13 @@
 	}
 }
 
-// scenario returns a scenario of the size after which all digests are equal and no gateway has refused a version.
+// scenario returns a scenario of this size. At its end all digests must be equal, and no gateway may have refused a
+// version.
 func (s Size) scenario(name string, steps ...Step) Scenario {
 	return Scenario{Name: name, Size: s, Checks: []Check{EqualDigests(), RefusedOnlyBy("")}, Steps: steps}
 }
 
-// FleetCases returns the cases that concern the whole fleet.
+// FleetCases returns the scenarios that affect the whole fleet.
 func FleetCases(size Size) []Scenario {
 	third := size.Gateways / 3
 	zone := fleet.Indexes(0, third)
@@ -77,7 +78,8 @@
 	}
 }
 
-// JoinScenarios returns one scenario of several of one size, so that a fleet is started once for all.
+// JoinScenarios concatenates the steps of several scenarios of the same size, so that they share one fleet. The size
+// and the checks are those of the first scenario.
 func JoinScenarios(name string, scenarios ...Scenario) Scenario {
 	joined := Scenario{Name: name, Size: scenarios[0].Size, Checks: scenarios[0].Checks}
 	for _, scenario := range scenarios {
@@ -86,12 +88,12 @@
 	return joined
 }
 
-// SingleProcessCases returns the cases that concern one gateway or one publisher.
+// SingleProcessCases returns the scenarios that affect a single gateway or publisher.
 func SingleProcessCases(size Size) []Scenario {
 	return append(publisherCases(size), gatewayCases(size)...)
 }
 
-// publisherCases returns the cases of publishers that fail.
+// publisherCases returns the scenarios in which publishers fail.
 func publisherCases(size Size) []Scenario {
 	return []Scenario{
 		size.scenario("the leading publisher killed",
@@ -133,7 +135,8 @@
 	}
 }
 
-// gatewayCases returns the cases of links, disks and messages of one gateway.
+// gatewayCases returns the scenarios with faults of one gateway's links or disk, and with invalid requests and
+// messages.
 func gatewayCases(size Size) []Scenario {
 	badRequests := size.scenario("bad requests", RejectBadRequests())
 	badRequests.NoRoutineChanges = true
@@ -188,7 +191,7 @@
 	}
 }
 
-// refusalCase returns the case of a version that lacks one member, which that member refuses.
+// refusalCase returns the scenario in which a version omits one member, which refuses it.
 func refusalCase(size Size) Scenario {
 	removed := size.Gateways - 1
 	members := fleet.Indexes(0, size.Gateways)
--- a/lab/rollout/changes.go
+++ b/lab/rollout/changes.go
@@ -18,37 +18,38 @@
 
 const configurationPath = "/v1/configuration"
 
-// changePublisher publishes changes, at an interval and for steps, one at a time, and records those that were agreed
-// on.
+// changePublisher publishes routine changes at an interval and the changes that steps request, one at a time, and
+// records each change that was published. Its methods may be called concurrently, except for startRoutineChanges and
+// stopRoutineChanges, which only the goroutine that runs the steps calls.
 type changePublisher struct {
 	publishers *PublisherGroup
 	interval   time.Duration
 
-	mu                 sync.Mutex // locked during one publication
+	mu                 sync.Mutex // held while a change is published
 	published          []PublishedChange
 	requestCount       int
-	routineCount       int // routine changes so far
-	preferredPublisher int // publisher that gets a request first, or anyPublisher
+	routineCount       int // number of routine changes so far
+	preferredPublisher int // index of the publisher to try first, or anyPublisher
 
-	stopRequested chan struct{} // closed to stop run; nil: it does not run
-	result        chan error    // the result of run
+	stopRequested chan struct{} // closed to stop the routine changes; nil if none are running
+	result        chan error    // receives the error of the routine changes when they end
 }
 
-// publications returns all that was published so far.
+// publications returns all changes published so far.
 func (c *changePublisher) publications() []PublishedChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.published)
 }
 
-// publish publishes a change by any publisher that can.
+// publish publishes a change by the first publisher that accepts it.
 func (c *changePublisher) publish(ctx context.Context, request Request) (publisher.Publication, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.publishLocked(ctx, request)
 }
 
-// publishLocked is publish with the mutex locked.
+// publishLocked does the work of publish. The caller holds c.mu.
 func (c *changePublisher) publishLocked(ctx context.Context, request Request) (publisher.Publication, error) {
 	sent := time.Now()
 	c.requestCount++
@@ -63,23 +64,25 @@
 	return publication, err
 }
 
-// setPreferredPublisher sets the publisher that gets a request first, such as the leader, which need not forward it.
+// setPreferredPublisher sets the publisher that each request is sent to first, or anyPublisher. The leader is preferred
+// where forwarding by another publisher would cost time.
 func (c *changePublisher) setPreferredPublisher(index int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.preferredPublisher = index
 }
 
-// Resources are contents of resources by name: a gatewayconfig.QuotaPlan, Class or RuntimeLimits, or an address.
+// Resources maps resource names to their contents: a gatewayconfig.QuotaPlan, Class or RuntimeLimits, or a member's
+// address.
 type Resources map[string]any
 
-// patchBody is the body of a request that sets and removes resources.
+// patchBody is the body of a PATCH request, which sets and removes single resources.
 type patchBody struct {
 	Set    Resources `json:"set,omitempty"`
 	Remove []string  `json:"remove,omitempty"`
 }
 
-// contentBody is the body of a request that replaces all content.
+// contentBody is the body of a PUT request, which replaces the whole configuration.
 type contentBody struct {
 	QuotaPlans []gatewayconfig.QuotaPlan   `json:"plans"`
 	Classes    []gatewayconfig.Class       `json:"profiles"`
@@ -87,7 +90,7 @@
 	Peers      []string                    `json:"peers"`
 }
 
-// patch sets and removes resources.
+// patch publishes a version in which some resources are set and some removed.
 func (c *changePublisher) patch(ctx context.Context, set Resources, remove ...string) (publisher.Publication, error) {
 	request, err := patchRequest(set, remove)
 	if err != nil {
@@ -105,7 +108,7 @@
 // PatchRequest returns the request that sets resources.
 func PatchRequest(set Resources) (Request, error) { return patchRequest(set, nil) }
 
-// ContentRequest returns the request that replaces all content. It names no members.
+// ContentRequest returns the request that replaces the whole configuration. The new configuration has no members.
 func ContentRequest(plans []gatewayconfig.QuotaPlan, classes []gatewayconfig.Class) (Request, error) {
 	body, err := json.Marshal(contentBody{
 		QuotaPlans: plans,
@@ -116,7 +119,8 @@
 	return Request{http.MethodPut, configurationPath, string(body)}, err
 }
 
-// startRoutineChanges publishes a routine change at each interval from now on.
+// startRoutineChanges starts a goroutine that publishes a routine change at each interval. It must not be called again
+// before stopRoutineChanges.
 func (c *changePublisher) startRoutineChanges(ctx context.Context) {
 	c.stopRequested = make(chan struct{})
 	c.result = make(chan error, 1)
@@ -124,7 +128,7 @@
 	go func() { c.result <- c.runRoutineChanges(ctx, done) }()
 }
 
-// runRoutineChanges publishes routine changes until done is closed.
+// runRoutineChanges publishes a routine change at each interval until done is closed or a change fails.
 func (c *changePublisher) runRoutineChanges(ctx context.Context, done <-chan struct{}) error {
 	ticker := time.NewTicker(c.interval)
 	defer ticker.Stop()
@@ -136,12 +140,13 @@
 		}
 		_, err := c.publishRoutine(ctx)
 		if err != nil {
-			return fmt.Errorf("changes: %w", err)
+			return fmt.Errorf("publishing routine changes: %w", err)
 		}
 	}
 }
 
-// stopRoutineChanges ends the routine changes and waits for the one in progress.
+// stopRoutineChanges stops the routine changes, waits for the one in progress and returns the first error. It does
+// nothing if no routine changes are running.
 func (c *changePublisher) stopRoutineChanges() error {
 	if c.stopRequested == nil {
 		return nil
@@ -151,8 +156,7 @@
 	return <-c.result
 }
 
-// publishRoutine publishes the next routine change. Quota plans come, change and go, and a request class and limits
-// change under load. Each change differs from all before.
+// publishRoutine publishes the next routine change.
 func (c *changePublisher) publishRoutine(ctx context.Context) (publisher.Publication, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,7 +169,9 @@
 	return c.publishLocked(ctx, request)
 }
 
-// routineChange returns the i-th routine change.
+// routineChange returns routine change i. The changes take turns in adding a quota plan, changing a quota plan, a
+// request class and the limits, and removing the added plan. No two changes are the same, so that each results in a
+// version.
 func routineChange(i int) (set Resources, remove []string) {
 	const kinds = 5
 	round := i / kinds
@@ -187,18 +193,19 @@
 	return nil, []string{name}
 }
 
-// planResource returns the name of the resource of a quota plan.
+// planResource returns the resource name of a quota plan.
 func planResource(name string) string { return string(configsync.PlanPrefix) + name }
 
-// classResource returns the name of the resource of a request class.
+// classResource returns the resource name of a request class.
 func classResource(name string) string { return string(configsync.ClassPrefix) + name }
 
-// quotaPlan returns the content of a quota plan's resource.
+// quotaPlan returns the contents of a quota plan's resource.
 func quotaPlan(rate, burst float64) gatewayconfig.QuotaPlan {
 	return gatewayconfig.QuotaPlan{Rate: rate, Burst: burst, PriorityWeight: 1}
 }
 
-// firstContentRequest returns the request that publishes what the gateways' files say, with other quota plans.
+// firstContentRequest returns the request for the first version: the given quota plans, by name, and the request
+// classes and limits of the gateways' configuration files.
 func firstContentRequest(plans map[string]gatewayconfig.QuotaPlan) (Request, error) {
 	var list []gatewayconfig.QuotaPlan
 	for _, name := range slices.Sorted(maps.Keys(plans)) {
--- a/lab/rollout/checks.go
+++ b/lab/rollout/checks.go
@@ -8,14 +8,14 @@
 	"ravensill/configsync"
 )
 
-// Check is a rule that must hold at the end of a run.
+// Check is a condition that must hold at the end of a run.
 type Check struct {
 	Name string
-	// FindViolation returns a short text about what does not hold; "" if the rule holds.
+	// FindViolation returns a short description of what violates the check, or "" if it holds.
 	FindViolation func(r *Record) string
 }
 
-// CommonChecks are the rules that hold in every run. EqualDigests and RefusedOnlyBy are added to them.
+// CommonChecks are the checks of every run. Scenarios add EqualDigests and RefusedOnlyBy, which have parameters.
 var CommonChecks = []Check{
 	VersionsInOrder,
 	OnlyPublishedVersions,
@@ -25,7 +25,7 @@
 	NoPublisherCrash,
 }
 
-// Violations returns the checks that do not hold, with what does not.
+// Violations returns a description of each check that does not hold.
 func (r *Record) Violations(checks []Check) (violations []string) {
 	for _, check := range checks {
 		if violation := check.FindViolation(r); violation != "" {
@@ -35,10 +35,10 @@
 	return violations
 }
 
-// maxShownViolations is the number of violations of one check that are shown.
+// maxShownViolations limits how many violations of one check are described.
 const maxShownViolations = 4
 
-// summarize returns the number of violations and the first few of them; "" if there are none.
+// summarize returns the number of violations and the first few of them, or "" if there are none.
 func summarize(violations []string) string {
 	if len(violations) == 0 {
 		return ""
@@ -47,10 +47,10 @@
 	return fmt.Sprintf("%d: %s", len(violations), strings.Join(shown, "; "))
 }
 
-// VersionsInOrder is a check: within an incarnation of a gateway, no version came in force twice or after a later
-// one. An incarnation that starts from its disk starts from the last version of the one before, or from the version
-// before that if the process was killed before it had stored the last one.
-var VersionsInOrder = Check{"no version twice or backwards", func(r *Record) string {
+// VersionsInOrder checks that within an incarnation of a gateway each version is greater than the one before. An
+// incarnation that starts from its disk must start with the last version of the previous incarnation, or with the
+// version before that if the process was killed before it had stored the last one.
+var VersionsInOrder = Check{"versions at each gateway increase", func(r *Record) string {
 	var violations []string
 	for member, history := range r.Histories {
 		for i := 1; i < len(history.Applied); i++ {
@@ -63,15 +63,15 @@
 	return summarize(violations)
 }}
 
-// orderViolation returns what is wrong with a version after those before it; "" if nothing is.
+// orderViolation returns what is wrong with an applied version, given those before it, or "" if nothing is.
 func orderViolation(before []AppliedVersion, next *AppliedVersion) string {
 	previous := &before[len(before)-1]
 	if previous.Incarnation == next.Incarnation {
 		if next.FromDisk {
-			return fmt.Sprintf("version %d from disk within incarnation %d", next.Version, next.Incarnation)
+			return fmt.Sprintf("version %d loaded from disk within incarnation %d", next.Version, next.Incarnation)
 		}
 		if next.Version <= previous.Version {
-			return fmt.Sprintf("version %d after %d", next.Version, previous.Version)
+			return fmt.Sprintf("version %d after version %d", next.Version, previous.Version)
 		}
 		return ""
 	}
@@ -84,12 +84,12 @@
 	if len(before) > 1 && before[len(before)-2].Version == next.Version {
 		return ""
 	}
-	return fmt.Sprintf("incarnation %d starts from version %d on disk, incarnation %d ended with %d",
+	return fmt.Sprintf("incarnation %d started from version %d on disk, but incarnation %d ended with version %d",
 		next.Incarnation, next.Version, previous.Incarnation, previous.Version)
 }
 
-// OnlyPublishedVersions is a check: every version that came in force was published.
-var OnlyPublishedVersions = Check{"nothing in force that was not published", func(r *Record) string {
+// OnlyPublishedVersions checks that every version that came in force at a gateway had been published.
+var OnlyPublishedVersions = Check{"only published versions in force", func(r *Record) string {
 	published := map[configsync.Version]bool{}
 	for _, change := range r.Published {
 		published[change.Version] = true
@@ -98,26 +98,26 @@
 	for member, history := range r.Histories {
 		for _, applied := range history.Applied {
 			if !published[applied.Version] {
-				violations = append(violations, fmt.Sprintf("member %d: version %d", member, applied.Version))
+				violations = append(violations, fmt.Sprintf("member %d: unpublished version %d", member, applied.Version))
 			}
 		}
 	}
 	return summarize(violations)
 }}
 
-// LatestVersionEverywhere is a check: the latest version is in force at every gateway at the end.
-var LatestVersionEverywhere = Check{"the latest version in force everywhere", func(r *Record) string {
+// LatestVersionEverywhere checks that the latest version is in force at every gateway at the end.
+var LatestVersionEverywhere = Check{"the latest version in force at every gateway", func(r *Record) string {
 	latest := r.latest()
 	var violations []string
 	for member, history := range r.Histories {
 		if inForce := history.InForce(); inForce != latest {
-			violations = append(violations, fmt.Sprintf("member %d: version %d, not %d", member, inForce, latest))
+			violations = append(violations, fmt.Sprintf("member %d: version %d in force, want %d", member, inForce, latest))
 		}
 	}
 	return summarize(violations)
 }}
 
-// latest returns the latest version that was published.
+// latest returns the latest published version, or 0 if there is none.
 func (r *Record) latest() (latest configsync.Version) {
 	for _, change := range r.Published {
 		latest = max(latest, change.Version)
@@ -125,11 +125,12 @@
 	return latest
 }
 
-// EqualDigests returns a check: at the end all publishers and the disks of all gateways but some have the same content.
+// EqualDigests returns a check that at the end all publishers and the disks of all gateways have the same version and
+// contents. The disks of the members in except are not checked.
 func EqualDigests(except ...int) Check {
 	return Check{"all digests equal", func(r *Record) string {
 		if len(r.Publishers) == 0 {
-			return "no publisher runs"
+			return "no publisher is running"
 		}
 		want := &r.Publishers[0]
 		var violations []string
@@ -151,10 +152,10 @@
 	}}
 }
 
-// RefusedOnlyBy returns a check: some members refused one version each, because of a resource, and no other member
-// refused any.
+// RefusedOnlyBy returns a check that each of the given members refused exactly one version, because of the given
+// resource, and that no other member refused any.
 func RefusedOnlyBy(resource string, members ...int) Check {
-	return Check{"refused only by members that can't apply it", func(r *Record) string {
+	return Check{"versions refused only by the expected members", func(r *Record) string {
 		var violations []string
 		for member, history := range r.Histories {
 			want := 0
@@ -162,7 +163,7 @@
 				want = 1
 			}
 			if got := len(history.Refusals); got != want {
-				violations = append(violations, fmt.Sprintf("member %d refused %d versions, not %d", member, got, want))
+				violations = append(violations, fmt.Sprintf("member %d refused %d versions, want %d", member, got, want))
 			}
 			for _, refusal := range history.Refusals {
 				if refusal.Resource != resource {
@@ -175,19 +176,19 @@
 	}}
 }
 
-// PublishersShowLatestVersion is a check: the publishers' status shows the latest version in force at every gateway.
-var PublishersShowLatestVersion = Check{"the publishers show what is in force", func(r *Record) string {
+// PublishersShowLatestVersion checks that the publishers' status shows the latest version in force at every gateway.
+var PublishersShowLatestVersion = Check{"publishers show the latest version at every gateway", func(r *Record) string {
 	latest := r.latest()
 	var violations []string
 	for member := range r.Histories {
 		if !r.shownInForce(member, latest) {
-			violations = append(violations, fmt.Sprintf("member %d is not shown with version %d", member, latest))
+			violations = append(violations, fmt.Sprintf("member %d is not shown as connected with version %d", member, latest))
 		}
 	}
 	return summarize(violations)
 }}
 
-// shownInForce reports whether a publisher shows a version in force at a gateway that follows it.
+// shownInForce reports whether a publisher shows the gateway as connected with this version in force.
 func (r *Record) shownInForce(member int, version configsync.Version) bool {
 	for i := range r.Publishers {
 		for _, follower := range r.Publishers[i].Followers {
@@ -199,16 +200,16 @@
 	return false
 }
 
-// NoPublisherCrash is a check: no publisher printed a stack trace or ended by itself.
+// NoPublisherCrash checks that no publisher printed a stack trace or exited unexpectedly.
 var NoPublisherCrash = Check{"no publisher crashed", func(r *Record) string { return summarize(r.Crashes) }}
 
-// PublishedVersionsIncrease is a check: the publishers numbered the changes in the order in which they were made.
+// PublishedVersionsIncrease checks that the version numbers increase in the order in which the changes were published.
 var PublishedVersionsIncrease = Check{"published versions increase", func(r *Record) string {
 	var violations []string
 	for i := 1; i < len(r.Published); i++ {
 		version, previous := r.Published[i].Version, r.Published[i-1].Version
 		if version <= previous {
-			violations = append(violations, fmt.Sprintf("version %d after %d", version, previous))
+			violations = append(violations, fmt.Sprintf("version %d after version %d", version, previous))
 		}
 	}
 	return summarize(violations)
--- a/lab/rollout/checks_test.go
+++ b/lab/rollout/checks_test.go
@@ -8,7 +8,7 @@
 	"ravensill/internal/publisher"
 )
 
-// soundRecord returns the record of a run of two gateways in which all checks hold. The second gateway was restarted.
+// soundRecord returns a record of two gateways for which all checks hold. The second gateway was restarted.
 func soundRecord() *Record {
 	const digest = "d1"
 	first := &History{Applied: []AppliedVersion{
@@ -38,16 +38,17 @@
 	}
 }
 
-// apply adds a version to those that came in force at a member.
+// apply appends an applied version to a member's history.
 func (r *Record) apply(member int, next AppliedVersion) {
 	r.Histories[member].Applied = append(r.Histories[member].Applied, next)
 }
 
-// All checks hold on a sound record, and each fails on one with a violation written into it.
+// Guards against a check that never fails: all checks must hold on a valid record, and each must fail once the record
+// is changed to violate it.
 func TestEachCheckFindsItsViolation(t *testing.T) {
 	all := append(slices.Clone(CommonChecks), EqualDigests(), RefusedOnlyBy(""))
 	if violations := soundRecord().Violations(all); len(violations) > 0 {
-		t.Fatalf("a sound record: %q", violations)
+		t.Fatalf("violations in a valid record: %q", violations)
 	}
 	for _, test := range []struct {
 		name    string
@@ -95,7 +96,7 @@
 		record := soundRecord()
 		test.violate(record)
 		if test.check.FindViolation(record) == "" {
-			t.Errorf("%s: check %q holds", test.name, test.check.Name)
+			t.Errorf("%s: check %q holds on a record that violates it", test.name, test.check.Name)
 		}
 	}
 }
--- a/lab/rollout/effects.go
+++ b/lab/rollout/effects.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	probeIDPrefix = "feed" // of the ids of probes
+	probeIDPrefix = "feed" // prefix of the IDs of probes
 	removedError  = "ERR plan: removed"
 )
 
-// clientsServed is a check: most of the clients' requests beside the probes succeeded.
+// clientsServed checks that at least minServedFraction of the clients' requests, probes excluded, succeeded.
 var clientsServed = fleet.Check{Name: "clients served", FindViolation: func(r *fleet.Report) string {
 	sent := 0
 	succeeded := 0
@@ -36,7 +36,8 @@
 	return ""
 }}
 
-// probe sends one request of the plan's own customer on a quota plan to one gateway.
+// probe sends one request to a gateway under a quota plan, from the customer that is used for this gateway and plan
+// only.
 func (r *Run) probe(member int, plan string) emulator.Request {
 	request := emulator.Request{
 		ID:       fmt.Sprintf("%s%012x", probeIDPrefix, r.probesSent.Add(1)),
@@ -49,20 +50,21 @@
 	return r.Fleet.Clients.Send(request, arguments, "", false, clientTimeout)
 }
 
-// probeError returns the error of a probe with an unexpected result.
+// probeError returns the error for a probe with an unexpected result.
 func probeError(member int, plan string, answer emulator.Request) error {
-	return fmt.Errorf("%s: a request on plan %q: %s %q", fleet.GatewayName(member), plan, answer.Result, answer.ErrorText)
+	return fmt.Errorf("%s: probe under plan %q: unexpected result %s, error text %q",
+		fleet.GatewayName(member), plan, answer.Result, answer.ErrorText)
 }
 
-// probeCustomer returns a separate customer for each gateway and plan, so that one gateway's admissions are all that the
-// customer uses. Its number is above those of the load's customers.
+// probeCustomer returns the customer ID used for probes of one gateway and plan. The customer sends no other requests,
+// so that its whole usage of the plan is what this gateway admitted. The IDs are above those of the load's customers.
 func probeCustomer(member int, plan string) string {
 	const first = 1 << 32
 	return fmt.Sprintf("%016x", first+member<<16+int(configsync.PlanID(plan)&0xffff))
 }
 
-// checkServed returns an error unless a probe succeeds. The plan's quota admits it, so that a gateway may reject it
-// only to protect its hosts, as just after a start: such a probe is retried.
+// checkServed returns an error unless a probe succeeds. Rejected probes are retried: the plan's quota has room for the
+// probe, so a gateway rejects it only to protect its hosts, as it does shortly after a start.
 func (r *Run) checkServed(ctx context.Context, member int, plan string) error {
 	for {
 		answer := r.probe(member, plan)
@@ -74,22 +76,22 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: requests on plan %q are rejected: %w", fleet.GatewayName(member), plan, ctx.Err())
+			return fmt.Errorf("%s: all probes under plan %q were rejected: %w", fleet.GatewayName(member), plan, ctx.Err())
 		case <-time.After(answer.RetryAfter):
 		}
 	}
 }
 
-// checkRemoved returns an error unless a probe is answered by the error of a plan that was removed.
+// checkRemoved returns an error unless a probe fails with the error for a removed plan.
 func (r *Run) checkRemoved(member int, plan string) error {
 	answer := r.probe(member, plan)
 	if answer.Result != emulator.Failed || answer.ErrorText != removedError {
-		return fmt.Errorf("removed plan: %w", probeError(member, plan, answer))
+		return fmt.Errorf("want the error for a removed plan: %w", probeError(member, plan, answer))
 	}
 	return nil
 }
 
-// countAdmitted sends a number of probes of one customer and returns how many were admitted.
+// countAdmitted sends a number of probes from one customer and returns how many were admitted.
 func (r *Run) countAdmitted(member int, plan string, requests int) (count int, err error) {
 	for range requests {
 		answer := r.probe(member, plan)
@@ -104,16 +106,16 @@
 	return count, nil
 }
 
-// forEachGateway calls a function for all gateways at once.
+// forEachGateway calls fn for all gateways concurrently.
 func (r *Run) forEachGateway(ctx context.Context, fn func(ctx context.Context, member int) error) error {
 	return r.Fleet.ForEach(r.members(), func(g *fleet.Gateway) error { return fn(ctx, g.Index) })
 }
 
-// CheckPlanEffects returns a step that changes quota plans in one version and checks that each gateway decides by it:
-// an added plan is served, a removed one is answered by an error, a lowered burst binds customers who had more, and a
-// raised burst admits nothing at once to customers who had used theirs up.
+// CheckPlanEffects returns a step that adds, removes, lowers and raises quota plans in one version and checks that each
+// gateway applies them: requests under the added plan succeed, those under the removed plan fail, a lowered burst also
+// limits customers who had a larger one, and a raised burst gives customers who had used theirs up no units at once.
 func CheckPlanEffects() Step {
-	return Step{"quota plans added, removed and lowered", func(ctx context.Context, r *Run) error {
+	return Step{"add, remove, lower and raise quota plans", func(ctx context.Context, r *Run) error {
 		err := r.forEachGateway(ctx, r.checkBeforePlanChanges)
 		if err != nil {
 			return err
@@ -135,9 +137,14 @@
 	}}
 }
 
-// checkBeforePlanChanges checks how a gateway decides by the first version.
+// checkBeforePlanChanges checks that a gateway serves the plans of the first version, and uses up the burst that is
+// raised later.
 func (r *Run) checkBeforePlanChanges(ctx context.Context, member int) error {
-	for plan, requests := range map[string]int{planRemoved: 1, planLowered: requestsBeforeLowering, planRaised: burstBeforeRaising} {
+	for plan, requests := range map[string]int{
+		planRemoved: 1,
+		planLowered: requestsBeforeLowering,
+		planRaised:  burstBeforeRaising,
+	} {
 		for range requests {
 			err := r.checkServed(ctx, member, plan)
 			if err != nil {
@@ -163,7 +170,7 @@
 		return err
 	}
 	if admitted > 0 {
-		return fmt.Errorf("%s: %d requests admitted by a burst that was used up and then raised",
+		return fmt.Errorf("%s: %d requests admitted under a burst that was used up and then raised, want none",
 			fleet.GatewayName(member), admitted)
 	}
 	err = r.checkServed(ctx, member, planLowered)
@@ -174,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	admitted++ // by checkServed
+	admitted++ // the probe of checkServed
 	if admitted > loweredBurst {
 		return fmt.Errorf("%s: %d of %d requests admitted after the burst was lowered to %d",
 			fleet.GatewayName(member), admitted, requestsAfterLowering+1, loweredBurst)
@@ -182,9 +189,10 @@
 	return nil
 }
 
-// CheckServed returns a step that checks that gateways serve a plan that only the published configuration names.
+// CheckServed returns a step that checks that gateways serve a plan that exists in the published configuration but not
+// in their configuration files.
 func CheckServed(members ...int) Step {
-	description := fmt.Sprintf("gateways %v serve by the published configuration", members)
+	description := fmt.Sprintf("check that gateways %v serve requests by the published configuration", members)
 	return Step{description, func(ctx context.Context, r *Run) error {
 		return r.Fleet.ForEach(members, func(g *fleet.Gateway) error { return r.checkServed(ctx, g.Index, planKept) })
 	}}
--- a/lab/rollout/faults.go
+++ b/lab/rollout/faults.go
@@ -14,23 +14,23 @@
 	"ravensill/lab/relay"
 )
 
-// Disk says what a process finds on its disk when it is started again.
+// Disk is the state of a process's disk when the process is started again.
 type Disk int
 
 const (
-	DiskKept     Disk = iota // what it left there
-	DiskEmpty                // nothing
-	DiskRestored             // the earlier copy of CopyState; for publishers alone
+	DiskKept     Disk = iota // as the previous incarnation left it
+	DiskEmpty                // no stored state
+	DiskRestored             // the copy made by CopyState; for publishers only
 )
 
-// diskNames are shown in descriptions of steps.
+// diskNames are the names of disk states in the descriptions of steps.
 var diskNames = map[Disk]string{
 	DiskKept:     "its own disk",
 	DiskEmpty:    "an empty disk",
-	DiskRestored: "an old copy of its disk",
+	DiskRestored: "an earlier copy of its disk",
 }
 
-// KillLeader returns a step that kills the leading publisher by SIGKILL. StartPublishers starts it again.
+// KillLeader returns a step that kills the leading publisher by SIGKILL. StartPublishers restarts it.
 func KillLeader() Step {
 	return Step{"kill the leading publisher", func(ctx context.Context, r *Run) error {
 		leader, err := r.Publishers.WaitLeader(ctx)
@@ -41,7 +41,8 @@
 	}}
 }
 
-// KillPublishers returns a step that kills publishers by SIGKILL.
+// KillPublishers returns a step that kills publishers by SIGKILL. If these are all publishers, an outage begins at
+// every gateway.
 func KillPublishers(indices ...int) Step {
 	return Step{fmt.Sprintf("kill publishers %v", indices), func(_ context.Context, r *Run) error {
 		if len(indices) == r.Publishers.Count() {
@@ -56,7 +57,7 @@
 	}}
 }
 
-// StartPublishers returns a step that starts all publishers that are down.
+// StartPublishers returns a step that restarts all publishers that are down. It ends the outage of all gateways.
 func StartPublishers(disk Disk) Step {
 	return Step{"start publishers on " + diskNames[disk], func(ctx context.Context, r *Run) error {
 		err := r.Publishers.forEach(func(process *fleet.Process) error {
@@ -70,7 +71,7 @@
 	}}
 }
 
-// startPublisher starts one publisher again.
+// startPublisher restarts one publisher with the given disk state.
 func (r *Run) startPublisher(ctx context.Context, process *fleet.Process, disk Disk) error {
 	if disk == DiskRestored {
 		err := r.Publishers.RestoreState(process.Index)
@@ -81,7 +82,8 @@
 	return process.Restart(ctx, disk == DiskEmpty)
 }
 
-// CopyState returns a step that copies a publisher's log. The publisher is down meanwhile.
+// CopyState returns a step that copies a publisher's log for a later restart with DiskRestored. The publisher is killed
+// before the copy and restarted afterwards.
 func CopyState(publisher int) Step {
 	return Step{fmt.Sprintf("copy the log of publisher %d", publisher), func(ctx context.Context, r *Run) error {
 		process := r.Publishers.Process(publisher)
@@ -89,10 +91,10 @@
 	}}
 }
 
-// PartitionLeader returns a step that cuts the leading publisher off from the others, under a name that EndFaults
-// ends. Its followers stay connected to it.
+// PartitionLeader returns a step that blocks all traffic between the leading publisher and the other publishers until
+// EndFaults is run with the same name. Gateways stay connected to the leader.
 func PartitionLeader(name string) Step {
-	return Step{"cut the leading publisher off from the others", func(ctx context.Context, r *Run) error {
+	return Step{"partition the leading publisher from the other publishers", func(ctx context.Context, r *Run) error {
 		leader, err := r.Publishers.WaitLeader(ctx)
 		if err != nil {
 			return err
@@ -104,17 +106,17 @@
 	}}
 }
 
-// EndFaults returns a step that ends the faults of links under a name.
+// EndFaults returns a step that ends the link faults set under a name. It ends the outage of all gateways.
 func EndFaults(name string) Step {
-	return Step{"heal " + name, func(_ context.Context, r *Run) error {
+	return Step{"end faults " + name, func(_ context.Context, r *Run) error {
 		r.Fleet.Relay.SetRules(name)
 		r.endOutage(r.members())
 		return nil
 	}}
 }
 
-// DrainHost returns a step that announces a host as leaving to all gateways and waits until each has logged it: from
-// then on no request may be sent there, whatever version comes. ReactivateHost ends it.
+// DrainHost returns a step that announces a host as leaving and waits until every gateway has logged it. From then on
+// the gateways must send the host no requests, whichever versions they apply. ReactivateHost ends it.
 func DrainHost(host int) Step {
 	return Step{fmt.Sprintf("drain host %d", host), func(ctx context.Context, r *Run) error {
 		logPositions := make([]int, r.Scenario.Size.Gateways)
@@ -132,16 +134,16 @@
 
 // ReactivateHost returns a step that announces to all gateways that a host accepts requests again.
 func ReactivateHost(host int) Step {
-	return Step{fmt.Sprintf("host %d is back", host), func(_ context.Context, r *Run) error {
+	return Step{fmt.Sprintf("reactivate host %d", host), func(_ context.Context, r *Run) error {
 		r.Fleet.Agent.Push(r.Fleet.Host(host).Entry(emulator.Active))
 		return nil
 	}}
 }
 
-// PartitionZone returns a step that cuts gateways off from all publishers and all other gateways, and waits until
-// each of those that were connected has noticed.
+// PartitionZone returns a step that blocks all traffic between some gateways and all publishers and other gateways, and
+// waits until each of those gateways has logged that it lost its publisher. EndFaults with the same name ends it.
 func PartitionZone(name string, members ...int) Step {
-	return Step{fmt.Sprintf("cut off %d gateways", len(members)), func(ctx context.Context, r *Run) error {
+	return Step{fmt.Sprintf("partition %d gateways from the rest", len(members)), func(ctx context.Context, r *Run) error {
 		zone := gatewayNames(members)
 		rest := append(publisherNames(r.Publishers.Count()), gatewayNames(membersExcept(r.members(), members))...)
 		r.startOutage(members)
@@ -153,9 +155,10 @@
 	}}
 }
 
-// BlockLink returns a step that cuts the link of one gateway to one publisher.
+// BlockLink returns a step that blocks the link between one gateway and one publisher until EndFaults is run with the
+// same name.
 func BlockLink(name string, member, publisher int) Step {
-	description := fmt.Sprintf("cut gateway %d off from publisher %d", member, publisher)
+	description := fmt.Sprintf("block the link between gateway %d and publisher %d", member, publisher)
 	return Step{description, func(_ context.Context, r *Run) error {
 		r.Fleet.Relay.Partition(name, gatewayNames([]int{member}), []string{publisherName(publisher)})
 		return nil
@@ -170,7 +173,8 @@
 	}}
 }
 
-// DelayLink returns a step that delays all that publishers send to a gateway, under a name that EndFaults ends.
+// DelayLink returns a step that delays everything that publishers send to a gateway until EndFaults is run with the
+// same name.
 func DelayLink(name string, member int, delay time.Duration) Step {
 	return Step{fmt.Sprintf("delay the links of gateway %d by %v", member, delay), func(_ context.Context, r *Run) error {
 		r.setInboundFaults(name, member, relay.Faults{Delay: delay})
@@ -178,8 +182,8 @@
 	}}
 }
 
-// StallLink returns a step that blocks all that publishers send to a gateway, under a name that EndFaults ends: the
-// gateway reads nothing, and its connections stay open.
+// StallLink returns a step that blocks everything that publishers send to a gateway until EndFaults is run with the
+// same name. The connections stay open, but the gateway receives nothing.
 func StallLink(name string, member int) Step {
 	return Step{fmt.Sprintf("stall the links of gateway %d", member), func(_ context.Context, r *Run) error {
 		r.startOutage([]int{member})
@@ -188,7 +192,7 @@
 	}}
 }
 
-// setInboundFaults sets the faults of all that publishers send to a gateway.
+// setInboundFaults sets the faults of everything that publishers send to a gateway.
 func (r *Run) setInboundFaults(name string, member int, faults relay.Faults) {
 	r.Fleet.Relay.SetRules(name, relay.Rule{
 		From:   publisherNames(r.Publishers.Count()),
@@ -197,8 +201,8 @@
 	})
 }
 
-// RestartGateways returns a step that kills gateways by SIGKILL and starts them again, all at once. Those that keep
-// their disk have to start from it. Clients do not use them meanwhile.
+// RestartGateways returns a step that kills gateways by SIGKILL and starts them again, all at once. Gateways that keep
+// their disk must start with the version stored there. Clients do not use these gateways during the restart.
 func RestartGateways(disk Disk, members ...int) Step {
 	description := fmt.Sprintf("restart %d gateways on %s", len(members), diskNames[disk])
 	return Step{description, func(ctx context.Context, r *Run) error {
@@ -217,7 +221,7 @@
 	}}
 }
 
-// checkStartedFromDisk returns an error if a gateway did not start from its disk.
+// checkStartedFromDisk returns an error if the current incarnation of a gateway did not start with its stored version.
 func (r *Run) checkStartedFromDisk(members []int) error {
 	r.readLogs()
 	for _, member := range members {
@@ -226,7 +230,7 @@
 			return applied.FromDisk && applied.Incarnation == history.incarnation()
 		})
 		if !fromDisk {
-			return fmt.Errorf("%s did not start from its disk", fleet.GatewayName(member))
+			return fmt.Errorf("%s did not start with the version stored on its disk", fleet.GatewayName(member))
 		}
 	}
 	return nil
@@ -240,7 +244,7 @@
 	}
 }
 
-// startOutage records that gateways can reach no publisher from now on.
+// startOutage records that gateways cannot reach any publisher from now on.
 func (r *Run) startOutage(members []int) {
 	now := time.Now()
 	for _, member := range members {
@@ -248,7 +252,7 @@
 	}
 }
 
-// gatewayNames returns the names of gateways.
+// gatewayNames returns the names of the gateways with these member indexes.
 func gatewayNames(members []int) (names []string) {
 	for _, member := range members {
 		names = append(names, fleet.GatewayName(member))
@@ -256,10 +260,11 @@
 	return names
 }
 
-// BlockDisk returns a step that restarts gateways with a file in place of the folder of the stored version, so that
-// nothing can be read or written there. Each has to log that once.
+// BlockDisk returns a step that restarts gateways with a file in place of the directory of the stored version, so that
+// the version can be neither read nor written. It waits until each gateway has logged that it could not store a
+// version.
 func BlockDisk(members ...int) Step {
-	description := fmt.Sprintf("a file in place of the folder at gateways %v", members)
+	description := fmt.Sprintf("replace the stored version's directory by a file at gateways %v", members)
 	return Step{description, func(ctx context.Context, r *Run) error {
 		err := r.restartWithDisk(ctx, members, func(folder string) error {
 			return errors.Join(os.RemoveAll(folder), os.WriteFile(folder, nil, 0o600))
@@ -274,9 +279,10 @@
 	}}
 }
 
-// DamageDisk returns a step that restarts gateways with one byte of their stored file altered.
+// DamageDisk returns a step that restarts gateways with one byte of their stored version changed, and waits until each
+// has logged that the file is damaged.
 func DamageDisk(members ...int) Step {
-	return Step{fmt.Sprintf("a damaged file at gateways %v", members), func(ctx context.Context, r *Run) error {
+	return Step{fmt.Sprintf("damage the stored version of gateways %v", members), func(ctx context.Context, r *Run) error {
 		err := r.restartWithDisk(ctx, members, func(folder string) error {
 			file := filepath.Join(folder, "configuration")
 			content, err := os.ReadFile(file)
@@ -296,7 +302,8 @@
 	}}
 }
 
-// restartWithDisk kills gateways, changes the folder of their stored version and starts them again.
+// restartWithDisk kills gateways, modifies the directory of their stored version by change and starts them again.
+// Clients do not use these gateways meanwhile.
 func (r *Run) restartWithDisk(ctx context.Context, members []int, change func(folder string) error) error {
 	r.Fleet.Clients.SetOutOfUse(true, members...)
 	r.startOutage(members)
--- a/lab/rollout/full_test.go
+++ b/lab/rollout/full_test.go
@@ -21,22 +21,22 @@
 	outputFile     = flag.String("into", "", "file that the figures are added to; empty prints them only")
 )
 
-// Budgets of the operators, for each gateway.
+// Budgets that the operators set for each gateway.
 const (
 	budgetInForce  = 12 * time.Second
-	budgetBytes    = 7000 // a second
-	budgetCPUShare = 0.013
+	budgetBytes    = 7000  // per second
+	budgetCPUShare = 0.013 // fraction of a core
 	budgetMemory   = 128e6 // bytes
 )
 
 const (
-	fullTimeout     = 15 * time.Minute // of one scenario: no verdict, only an end
+	fullTimeout     = 15 * time.Minute // of one scenario; only stops a run that hangs, no latency is judged by it
 	baselineChanges = 3
-	baselineBatches = 8 // in which a fleet is restarted
+	baselineBatches = 8 // batches in which the fleet is restarted
 	steadyVersions  = 14
 )
 
-// fullSize returns the size that the flags set.
+// fullSize returns the size set by the flags.
 func fullSize() Size {
 	return Size{
 		Gateways:          *full,
@@ -51,7 +51,8 @@
 	}
 }
 
-// fullCases returns the cases of CI, all at one size, with more changes in the steady one, and some with less load.
+// fullCases returns the scenarios of CI at the full size, with more changes in the first one, and scenarios with almost
+// no requests or without changes.
 func fullCases() []Scenario {
 	size := fullSize()
 	all := append(FleetCases(size), SingleProcessCases(size)...)
@@ -66,7 +67,7 @@
 	return append([]Scenario{idleNoChanges, noClients, noChanges}, all...)
 }
 
-// reportWriter writes figures as soon as they are known, so that a run that is ended early keeps its first ones.
+// reportWriter writes each result as soon as it is known, so that a run that is interrupted keeps its first results.
 type reportWriter struct{ t *testing.T }
 
 func (r reportWriter) add(format string, args ...any) {
@@ -84,7 +85,7 @@
 	"publishers: core, memory mean, most | requests | holds |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
-// The checks hold at full size too. The figures are written beside their budgets and decide nothing.
+// Checks must hold at full size too. The measured figures are reported beside their budgets and do not fail the test.
 func TestFullSizeChecksHold(t *testing.T) {
 	if *full == 0 {
 		t.Skip("no -full")
@@ -105,7 +106,7 @@
 	}
 }
 
-// runFullSize runs one scenario and adds a row on it.
+// runFullSize runs one scenario and adds its row to the report.
 func runFullSize(t *testing.T, scenario *Scenario, report reportWriter) {
 	ctx, cancel := context.WithTimeout(context.Background(), fullTimeout)
 	defer cancel()
@@ -122,12 +123,12 @@
 	}
 	figures := run.Figures()
 	report.add("| %s | %d | %v | %v | %.0f, %.0f | %v | %v | %s | %s |\n", scenario.Name, figures.Changes,
-		figures.ConnectedLatencies, figures.LatenciesAfterOutage, figures.BytesPerSecond, figures.MaxBytesPerSecond, figures.Gateways,
-		figures.Publishers, run.LoadReport.Summary(), verdict(&figures, violations))
+		figures.ConnectedLatencies, figures.LatenciesAfterOutage, figures.BytesPerSecond, figures.MaxBytesPerSecond,
+		figures.Gateways, figures.Publishers, run.LoadReport.Summary(), verdict(&figures, violations))
 	t.Log(figures)
 }
 
-// verdict returns in a few words what held, and which figures exceed their budgets.
+// verdict returns which checks failed and which figures exceed their budgets.
 func verdict(figures *Figures, violations []string) string {
 	if len(violations) > 0 {
 		return "no: " + strings.Join(violations, "; ")
@@ -151,7 +152,7 @@
 	return "all"
 }
 
-// runBaseline measures a fleet that is restarted on each change, all at once and in batches.
+// runBaseline measures a fleet that is restarted on each change, with all gateways at once and in batches.
 func runBaseline(t *testing.T, report reportWriter) {
 	size := fullSize()
 	report.add("\n| restart on each change | one gateway has a change after | all have it after | requests | lost |\n" +
@@ -173,7 +174,7 @@
 	}
 }
 
-// loadAverage returns the machine's load average over 1, 5 and 15 minutes.
+// loadAverage returns the machine's load averages over 1, 5 and 15 minutes.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/lab/rollout/hollow/compare.go
+++ b/lab/rollout/hollow/compare.go
@@ -125,7 +125,7 @@
 
 // waitShownByPublishers waits until the publishers show the latest version in force at a number of gateways.
 func (g *Group) waitShownByPublishers(ctx context.Context, want int) error {
-	what := fmt.Sprintf("version %d at %d gateways", g.latestBefore.Version, want)
+	what := fmt.Sprintf("version %d at %d gateways", g.latest.Version, want)
 	return fleet.WaitUntil(ctx, what, func() bool {
 		count := 0
 		for i := range g.Publishers.Count() {
@@ -134,7 +134,7 @@
 				return false
 			}
 			for _, follower := range status.Followers {
-				if follower.Connected && follower.InForce == g.latestBefore.Version {
+				if follower.Connected && follower.InForce == g.latest.Version {
 					count++
 				}
 			}
@@ -185,7 +185,7 @@
 
 // heartbeatBytesPerSecond returns the bytes a second of a publisher's heartbeats to one gateway.
 func (g *Group) heartbeatBytesPerSecond() float64 {
-	frame := configsync.Encode(&configsync.Heartbeat{Log: g.latestBefore.Log, Latest: g.latestBefore.Version, HasQuorum: true})
+	frame := configsync.Encode(&configsync.Heartbeat{Log: g.latest.Log, Latest: g.latest.Version, HasQuorum: true})
 	return float64(len(frame)) / configsync.HeartbeatInterval.Seconds()
 }
 
--- a/lab/rollout/hollow/group.go
+++ b/lab/rollout/hollow/group.go
@@ -35,7 +35,7 @@
 
 	configuration ConfigurationSize
 	dir           string
-	latestBefore  publisher.Publication
+	latest        publisher.Publication
 	published     []rollout.PublishedChange // since the last call of take
 	changes       int                       // made so far
 }
@@ -95,14 +95,14 @@
 // publish publishes a change.
 func (g *Group) publish(ctx context.Context, request rollout.Request) (err error) {
 	sent := time.Now()
-	g.latestBefore, err = g.Publishers.Publish(ctx, g.changes, request)
+	g.latest, err = g.Publishers.Publish(ctx, g.changes, request)
 	if err != nil {
 		return err
 	}
-	if g.latestBefore.Changes == 0 {
+	if g.latest.Changes == 0 {
 		return errors.New("a change changed nothing")
 	}
-	g.published = append(g.published, rollout.PublishedChange{Version: g.latestBefore.Version, SentAt: sent})
+	g.published = append(g.published, rollout.PublishedChange{Version: g.latest.Version, SentAt: sent})
 	return nil
 }
 
@@ -158,11 +158,11 @@
 
 // waitEverywhere waits until the latest version is in force at all followers and shown in their status.
 func (g *Group) waitEverywhere(ctx context.Context) error {
-	err := g.Fleet.WaitInForce(ctx, g.latestBefore.Version, g.Fleet.members())
+	err := g.Fleet.WaitInForce(ctx, g.latest.Version, g.Fleet.members())
 	if err != nil {
 		return err
 	}
-	return g.Fleet.WaitStatus(ctx, g.latestBefore.Version)
+	return g.Fleet.WaitStatus(ctx, g.latest.Version)
 }
 
 // takePublished returns what was published since the call before.
@@ -192,7 +192,7 @@
 // Violations returns what does not hold once the latest version is in force everywhere: versions twice or backwards,
 // digests that differ, publishers with other content, and what followers refused, could not store or found malformed.
 func (g *Group) Violations(ctx context.Context) ([]string, error) {
-	violations := g.Fleet.Violations(g.latestBefore.Version, g.latestBefore.Digest)
+	violations := g.Fleet.Violations(g.latest.Version, g.latest.Digest)
 	totals := g.Fleet.Totals()
 	if totals.RefusedVersions+totals.InvalidMessages > 0 || totals.UnsavedVersions > 0 {
 		violations = append(violations, fmt.Sprintf("%d versions refused, %d messages broken, %d versions not kept on disk",
@@ -213,14 +213,14 @@
 // publisherViolation waits until a publisher has the latest version, and returns what is wrong with it.
 func (g *Group) publisherViolation(ctx context.Context, i int) (violation string, err error) {
 	var status publisher.Status
-	err = fleet.WaitUntil(ctx, fmt.Sprintf("version %d at publisher %d", g.latestBefore.Version, i), func() bool {
+	err = fleet.WaitUntil(ctx, fmt.Sprintf("version %d at publisher %d", g.latest.Version, i), func() bool {
 		status, err = g.Publishers.Status(ctx, i)
-		return err == nil && status.Version >= g.latestBefore.Version
+		return err == nil && status.Version >= g.latest.Version
 	})
 	if err != nil {
 		return "", err
 	}
-	if status.Digest != g.latestBefore.Digest || status.Log != g.latestBefore.Log || status.Counters.Malformed > 0 {
+	if status.Digest != g.latest.Digest || status.Log != g.latest.Log || status.Counters.Malformed > 0 {
 		violation = fmt.Sprintf("publisher %d: digest %s of log %s, %d malformed messages", i, status.Digest, status.Log,
 			status.Counters.Malformed)
 	}
--- a/lab/rollout/hollow/restart.go
+++ b/lab/rollout/hollow/restart.go
@@ -51,7 +51,7 @@
 	g.Fleet.TakeApplied()
 	result := &RestartResult{Description: options.Description, Followers: options.Followers, Configuration: g.configuration,
 		MissedVersions: options.MissedVersions}
-	latestBefore := g.latestBefore.Version
+	latestBefore := g.latest.Version
 	start := g.startFollowers
 	if options.WithoutPublishers {
 		start = g.startWithoutPublishers
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	hostileTimeout     = 30 * time.Second // for the other side to end a connection
-	nonMemberIndex     = 60_000           // member index of no gateway
+	hostileTimeout     = 30 * time.Second // until the other side must have closed a connection
+	nonMemberIndex     = 60_000           // member index that no gateway has
 	oversizedFrame     = "\xff\xff\xff\xff\x02"
 	httpRequestText    = "GET / HTTP/1.1\r\nHost: example\r\n\r\n"
 	unknownMessageKind = "\x00\x00\x00\x02\x7f\xa0"
@@ -27,7 +27,7 @@
 	unpublishedVersion = 1 << 40
 )
 
-// hostileBytes returns what may arrive on a connection in place of messages.
+// hostileBytes returns byte sequences that are no valid messages in either direction, by description.
 func hostileBytes() map[string][]byte {
 	hello := configsync.Encode(nonMemberHello())
 	return map[string][]byte{
@@ -39,12 +39,12 @@
 	}
 }
 
-// nonMemberHello returns the hello of a gateway that is no member.
+// nonMemberHello returns the hello of a gateway that is not a member.
 func nonMemberHello() *configsync.Hello {
 	return &configsync.Hello{Protocol: configsync.Protocol, Member: nonMemberIndex, Name: nonMemberName, Incarnation: 1}
 }
 
-// hostileToPublishers returns what a follower must not send.
+// hostileToPublishers returns what a follower must not send, by description.
 func hostileToPublishers() map[string][]byte {
 	hello := configsync.Encode(nonMemberHello())
 	other := nonMemberHello()
@@ -62,10 +62,10 @@
 	return all
 }
 
-// SendHostileFollowerMessages returns a step that sends each publisher what no follower sends. The publisher has to end and
-// count each such connection.
+// SendHostileFollowerMessages returns a step that sends each publisher what a follower must not send. The publisher
+// must close each such connection and count it as malformed.
 func SendHostileFollowerMessages() Step {
-	return Step{"hostile followers", func(ctx context.Context, r *Run) error {
+	return Step{"send hostile follower messages", func(ctx context.Context, r *Run) error {
 		for i := range r.Publishers.Count() {
 			err := r.hostileFollowers(ctx, i)
 			if err != nil {
@@ -76,7 +76,7 @@
 	}}
 }
 
-// hostileFollowers sends one publisher what no follower sends.
+// hostileFollowers does the work of SendHostileFollowerMessages for publisher i.
 func (r *Run) hostileFollowers(ctx context.Context, i int) error {
 	before, err := r.Publishers.Status(ctx, i)
 	if err != nil {
@@ -89,14 +89,14 @@
 			return fmt.Errorf("%s: %s: %w", publisherName(i), name, err)
 		}
 	}
-	description := fmt.Sprintf("%s to count %d malformed connections", publisherName(i), len(hostile))
+	description := fmt.Sprintf("%s to count %d more malformed connections", publisherName(i), len(hostile))
 	return r.waitUntil(ctx, description, func() bool {
 		now, err := r.Publishers.Status(ctx, i)
 		return err == nil && now.Counters.Malformed == before.Counters.Malformed+int64(len(hostile))
 	})
 }
 
-// sendAndWaitClosed sends bytes to an address and waits until the other side ends the connection.
+// sendAndWaitClosed connects to an address, sends bytes and waits until the other side closes the connection.
 func sendAndWaitClosed(address string, text []byte) error {
 	conn, err := net.DialTimeout("tcp4", address, hostileTimeout)
 	if err != nil {
@@ -107,8 +107,8 @@
 	return waitClosed(conn)
 }
 
-// writeAndClose writes bytes and ends that direction. An error is expected: the other side may close the connection
-// before it has read all.
+// writeAndClose writes bytes and closes the sending direction. Write errors are ignored: the other side may close the
+// connection before it has read everything.
 func writeAndClose(conn net.Conn, text []byte) {
 	_, err := conn.Write(text)
 	if err == nil {
@@ -116,7 +116,8 @@
 	}
 }
 
-// waitClosed reads until the other side has closed or reset the connection.
+// waitClosed reads until the other side has closed or reset the connection. It fails if that takes longer than
+// hostileTimeout.
 func waitClosed(conn net.Conn) error {
 	conn.SetReadDeadline(time.Now().Add(hostileTimeout))
 	_, err := io.Copy(io.Discard, conn)
@@ -126,15 +127,15 @@
 	return nil
 }
 
-// hostileReply returns what an impostor of a publisher sends to a gateway that said hello.
+// hostileReply returns the bytes that an impostor sends to a gateway in response to its hello.
 type hostileReply func(hello *configsync.Hello) []byte
 
-// impostor listens in place of a publisher.
+// impostor accepts gateways' connections in place of a publisher.
 type impostor struct {
 	listener net.Listener
 }
 
-// newImpostor starts to listen.
+// newImpostor returns an impostor that listens on a free port.
 func newImpostor() (*impostor, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -143,20 +144,22 @@
 	return &impostor{listener}, nil
 }
 
-// impostorConn is one connection of a gateway to an impostor.
+// impostorConn is the connection of a gateway to an impostor.
 type impostorConn struct {
-	helloReceived chan struct{} // closed once the gateway has said hello
-	closed        chan error    // once the gateway has ended the connection
+	helloReceived chan struct{} // closed once the gateway's hello has arrived
+	closed        chan error    // receives the result once the gateway has closed the connection
 }
 
-// replyToNext answers the next connection on which a hello arrives. The goroutine ends when the listener is closed.
+// replyToNext starts a goroutine that replies on the next connection on which a hello arrives. The goroutine ends when
+// the gateway has closed that connection or the listener is closed.
 func (p *impostor) replyToNext(answer hostileReply) *impostorConn {
 	c := &impostorConn{helloReceived: make(chan struct{}), closed: make(chan error, 1)}
 	go func() { c.closed <- p.serveOne(c, answer) }()
 	return c
 }
 
-// serveOne serves connections until it has answered one.
+// serveOne accepts connections until it has received a hello on one, replies there and waits until the gateway closes
+// it.
 func (p *impostor) serveOne(c *impostorConn, answer hostileReply) error {
 	for {
 		conn, err := p.listener.Accept()
@@ -166,7 +169,7 @@
 		message, err := frames.NewReader(conn, configsync.MaxFrameBytes).Next()
 		hello, ok := message.(*configsync.Hello)
 		if err != nil || !ok {
-			conn.Close() // reset on its way here
+			conn.Close() // reset by connectToImpostor before the hello arrived
 			continue
 		}
 		close(c.helloReceived)
@@ -176,8 +179,8 @@
 	}
 }
 
-// hostileToGateways returns what a publisher must not send. All but those of malformedToGateways are well-formed
-// messages.
+// hostileToGateways returns what a publisher must not send, by description. Only the replies of malformedToGateways
+// count as malformed; the others are well-formed messages with wrong contents.
 func hostileToGateways() map[string]hostileReply {
 	all := malformedToGateways()
 	all["another log"] = func(*configsync.Hello) []byte {
@@ -192,7 +195,7 @@
 	return all
 }
 
-// malformedToGateways returns what no publisher sends at all.
+// malformedToGateways returns replies that are not messages of a publisher, by description.
 func malformedToGateways() map[string]hostileReply {
 	all := map[string]hostileReply{
 		"a follower's message": func(hello *configsync.Hello) []byte { return configsync.Encode(hello) },
@@ -203,7 +206,7 @@
 	return all
 }
 
-// invalidDelta returns a delta from a version whose digest does not match its content.
+// invalidDelta returns a delta from the given version whose digest does not match its contents.
 func invalidDelta(hello *configsync.Hello, from configsync.Version) *configsync.Delta {
 	name := configsync.Resource(planResource(nonMemberName))
 	return &configsync.Delta{
@@ -214,10 +217,10 @@
 	}
 }
 
-// ImpersonatePublisher returns a step that puts an impostor in place of one of a gateway's publishers. The gateway
-// has to end each connection, count the malformed ones and follow the real publishers again each time.
+// ImpersonatePublisher returns a step that puts an impostor in place of one of a gateway's publishers. The gateway must
+// close each connection to the impostor, count the malformed ones and follow a real publisher again each time.
 func ImpersonatePublisher(member, index int) Step {
-	description := fmt.Sprintf("an impostor in place of publisher %d for gateway %d", index, member)
+	description := fmt.Sprintf("replace publisher %d by an impostor for gateway %d", index, member)
 	return Step{description, func(ctx context.Context, r *Run) error {
 		impostor, err := newImpostor()
 		if err != nil {
@@ -239,8 +242,8 @@
 	}}
 }
 
-// connectToImpostor resets a gateway's connections until it has connected to an impostor, waits until it ends that
-// connection and until it has a later version in force, from a real publisher.
+// connectToImpostor resets a gateway's connections until it has connected to the impostor, waits until the gateway
+// closes that connection, and then until a later version from a real publisher is in force there.
 func (r *Run) connectToImpostor(ctx context.Context, member int, c *impostorConn) error {
 	err := r.waitUntil(ctx, "the gateway to connect to the impostor", func() bool {
 		select {
@@ -265,13 +268,14 @@
 	return r.waitInForce(ctx, r.latestVersion()+1, []int{member})
 }
 
-// CheckImpostorConfigurationAbsent returns a step that checks that nothing of an impostor is in force.
+// CheckImpostorConfigurationAbsent returns a step that checks that the quota plan in the impostor's deltas is unknown
+// to the gateways.
 func CheckImpostorConfigurationAbsent(members ...int) Step {
-	return Step{"nothing of a false publisher in force", func(_ context.Context, r *Run) error {
+	return Step{"check that nothing from the impostor is in force", func(_ context.Context, r *Run) error {
 		for _, member := range members {
 			answer := r.probe(member, nonMemberName)
 			if !strings.HasPrefix(answer.ErrorText, "ERR ") {
-				return fmt.Errorf("plan of an impostor: %w", probeError(member, nonMemberName, answer))
+				return fmt.Errorf("the impostor's plan is in force: %w", probeError(member, nonMemberName, answer))
 			}
 		}
 		return nil
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -4,10 +4,8 @@
 	"context"
 	"errors"
 	"fmt"
-
 	"net/netip"
 	"os"
-
 	"path/filepath"
 	"strings"
 	"sync"
@@ -21,32 +19,32 @@
 )
 
 const (
-	publisherNetwork = 130 // of the publishers' addresses, within 127.0.0.0/8
-	maxGroupSize     = 8
+	publisherNetwork = 130 // identifies the publishers' addresses within 127.0.0.0/8
+	maxGroupSize     = 8   // publishers
 	groupKeyBytes    = 16
-	stateDir         = "state" // of a publisher's log, in its working folder
+	stateDir         = "state" // directory of a publisher's log, within its working directory
 )
 
 var publisherProgram = fleet.NewProgram("ravensill/cmd/ravensill-publisher")
 
-// publisherAddresses are the addresses of one publisher, the same in all its incarnations.
+// publisherAddresses holds the listen addresses of one publisher. They stay the same over its restarts.
 type publisherAddresses struct {
 	followers netip.AddrPort
 	raft      netip.AddrPort
 	admin     netip.AddrPort
 }
 
-// PublisherGroup is a group of publisher processes.
+// PublisherGroup is a raft cluster of publisher processes.
 type PublisherGroup struct {
 	processes []*fleet.Process
 	addresses []publisherAddresses
-	dir       string // holds a folder for each publisher, and copies of them
+	dir       string // holds the publishers' working directories and the copies of their logs
 
 	slowMu        sync.Mutex
-	slowResponses []string // answers that took long
+	slowResponses []string // descriptions of slow responses
 }
 
-// publisherName returns the name of a publisher, which the relay's rules use too.
+// publisherName returns the name of publisher i, by which the relay's rules also identify it.
 func publisherName(i int) string { return fmt.Sprintf("p%d", i) }
 
 // publisherNames returns the names of all publishers of a group.
@@ -60,20 +58,21 @@
 // PublisherGroupOptions describes a group of publishers.
 type PublisherGroupOptions struct {
 	Count             int
-	Dir               string       // holds a folder for each publisher, and copies of them
-	Relay             *relay.Relay // carries the publishers' messages to each other; nil: they go straight
-	ElectionTimeoutMS int          // without contact to the leading publisher before another is elected
+	Dir               string       // holds the publishers' working directories and the copies of their logs
+	Relay             *relay.Relay // carries the raft messages between publishers; nil connects them directly
+	ElectionTimeoutMS int          // time without contact to the leader after which an election starts
 	Settings          PublisherSettings
 }
 
-// PublisherSettings are keys of a publisher's configuration file that have defaults.
+// PublisherSettings holds keys of a publisher's configuration file that may be omitted. Zero selects the publisher's
+// default.
 type PublisherSettings struct {
 	HistoryDeltas          int   `json:"history_deltas,omitempty"`
 	SnapshotBytesPerSecond int64 `json:"snapshot_bytes_per_s,omitempty"`
 	SnapshotBurstBytes     int64 `json:"snapshot_burst_bytes,omitempty"`
 }
 
-// publisherFile is a publisher's configuration file.
+// publisherFile is the configuration file of a publisher.
 type publisherFile struct {
 	Index             int      `json:"index"`
 	Listen            string   `json:"listen"`
@@ -87,13 +86,13 @@
 	PublisherSettings
 }
 
-// SetListen sets the address at which the publisher listens for followers.
+// SetListen sets the address on which the publisher listens for followers.
 func (f *publisherFile) SetListen(addr string) { f.Listen = addr }
 
-// groupCount is the number of groups that this test process has started.
+// groupCount is the number of groups that this process has started. Each group uses its own range of addresses.
 var groupCount atomic.Int64
 
-// NewPublisherGroup starts a group and waits until all its publishers serve followers.
+// NewPublisherGroup builds the publisher program, starts a group and waits until all its publishers serve followers.
 func NewPublisherGroup(ctx context.Context, options PublisherGroupOptions) (*PublisherGroup, error) {
 	binary, err := publisherProgram.Build()
 	if err != nil {
@@ -127,9 +126,9 @@
 	return p, nil
 }
 
-// freeAddresses returns free addresses for a group.
+// freeAddresses returns free addresses for the publishers of group number.
 func freeAddresses(count, number int) ([]publisherAddresses, error) {
-	const addressesPerPublisher = 3 // addresses of a publisher
+	const addressesPerPublisher = 3
 	all := make([]publisherAddresses, count)
 	for i := range all {
 		first := (number*maxGroupSize + i) * addressesPerPublisher
@@ -144,7 +143,7 @@
 	return all, nil
 }
 
-// configurationFile returns the configuration file of a publisher.
+// configurationFile returns the configuration file of publisher i.
 func (p *PublisherGroup) configurationFile(options *PublisherGroupOptions, i int) (*publisherFile, error) {
 	var raft, admin []string
 	for k, addresses := range p.addresses {
@@ -174,10 +173,10 @@
 	}, nil
 }
 
-// FollowerAddress returns the address at which a publisher serves followers.
+// FollowerAddress returns the address at which publisher i serves followers.
 func (p *PublisherGroup) FollowerAddress(i int) netip.AddrPort { return p.addresses[i].followers }
 
-// forEach calls a function for all processes at the same time.
+// forEach calls fn for all processes concurrently and returns the first error.
 func (p *PublisherGroup) forEach(fn func(process *fleet.Process) error) error {
 	var all errgroup.Group
 	for _, process := range p.processes {
@@ -189,10 +188,11 @@
 // Process returns the process of publisher i.
 func (p *PublisherGroup) Process(i int) *fleet.Process { return p.processes[i] }
 
-// Count returns the number of publishers, running or not.
+// Count returns the number of publishers, including those that are down.
 func (p *PublisherGroup) Count() int { return len(p.processes) }
 
-// CopyState copies a publisher's log. The publisher must be down: a copy of a log that is being written is damaged.
+// CopyState copies the log of publisher i and replaces an earlier copy. The publisher must be down: a copy of a log
+// that is being written is damaged.
 func (p *PublisherGroup) CopyState(i int) error {
 	to := p.stateCopyDir(i)
 	err := os.RemoveAll(to)
@@ -202,7 +202,7 @@
 	return os.CopyFS(to, os.DirFS(filepath.Join(p.processes[i].Dir, stateDir)))
 }
 
-// RestoreState replaces a publisher's log by its copy. The publisher must be down.
+// RestoreState replaces the log of publisher i by its copy. The publisher must be down.
 func (p *PublisherGroup) RestoreState(i int) error {
 	folder := filepath.Join(p.processes[i].Dir, stateDir)
 	err := os.RemoveAll(folder)
@@ -212,12 +212,12 @@
 	return os.CopyFS(folder, os.DirFS(p.stateCopyDir(i)))
 }
 
-// stateCopyDir returns the folder of the copy of a publisher's log.
+// stateCopyDir returns the directory that holds the copy of publisher i's log.
 func (p *PublisherGroup) stateCopyDir(i int) string {
 	return filepath.Join(p.dir, "copy-"+publisherName(i))
 }
 
-// usage returns what each publisher has used; zero for one that is down.
+// usage returns the resource usage of each publisher, with zeros for those that are down.
 func (p *PublisherGroup) usage() (all []fleet.Usage) {
 	for _, process := range p.processes {
 		usage, _ := process.Usage()
@@ -226,7 +226,7 @@
 	return all
 }
 
-// Close ends all processes.
+// Close kills all processes.
 func (p *PublisherGroup) Close() {
 	p.forEach(func(process *fleet.Process) error {
 		if process.Running() {
@@ -237,14 +237,14 @@
 	})
 }
 
-// Crashes returns which publishers printed a stack trace or ended by themselves.
+// Crashes describes each publisher that printed a stack trace and each unexpected exit of a publisher.
 func (p *PublisherGroup) Crashes() (crashes []string) {
 	for _, process := range p.processes {
 		if process.EventCounts()[fleet.UnnamedLine] > 0 {
-			crashes = append(crashes, fmt.Sprintf("%s printed a trace", process.Name))
+			crashes = append(crashes, fmt.Sprintf("%s printed a stack trace", process.Name))
 		}
 		for range fleet.UnexpectedExits(process.Events()) {
-			crashes = append(crashes, process.Name+" ended by itself")
+			crashes = append(crashes, process.Name+" exited unexpectedly")
 		}
 	}
 	return crashes
--- a/lab/rollout/record.go
+++ b/lab/rollout/record.go
@@ -11,23 +11,23 @@
 	"ravensill/lab/logline"
 )
 
-// Record is what a run left behind. The checks read it.
+// Record holds what happened in a run. The checks examine it.
 type Record struct {
 	Histories  []*History // by member index
 	Published  []PublishedChange
-	Publishers []PublisherState // of those that run at the end
+	Publishers []PublisherState // of the publishers running at the end
 	Disks      []DiskState      // by member index
-	Crashes    []string         // of publishers
+	Crashes    []string         // descriptions of publishers' crashes
 }
 
-// PublishedChange is a change that the publishers agreed on.
+// PublishedChange is a change that a publisher confirmed as published.
 type PublishedChange struct {
 	Version     configsync.Version
-	SentAt      time.Time // the first attempt of the request
+	SentAt      time.Time // before the first attempt of the request
 	RespondedAt time.Time
 }
 
-// PublisherState is a publisher's view at the end.
+// PublisherState is what a publisher's status showed at the end.
 type PublisherState struct {
 	Name      string
 	Version   configsync.Version
@@ -36,14 +36,14 @@
 	Followers []publisher.Follower
 }
 
-// DiskState is what a gateway has stored at the end.
+// DiskState is the version that a gateway's disk held at the end.
 type DiskState struct {
 	Version configsync.Version
 	Digest  string
-	Err     error // of reading it
+	Err     error // why the stored version could not be read; nil if it could
 }
 
-// String returns the state in a few words.
+// String returns the version and the start of the digest, or the error of reading them.
 func (d *DiskState) String() string {
 	if d.Err != nil {
 		return d.Err.Error()
@@ -51,16 +51,16 @@
 	return fmt.Sprintf("version %d, digest %.16s", d.Version, d.Digest)
 }
 
-// History is what happened to one gateway, read from its log.
+// History is what happened at one gateway over all its incarnations, read from its log.
 type History struct {
 	Applied  []AppliedVersion
 	Refusals []RefusedVersion
 	Outages  []Outage
-	Counters []ByteCounters // of its status lines, in order
+	Counters []ByteCounters // from its status lines, in order
 
-	endedIncarnations int  // incarnations that are over
-	storedFileDamaged bool // the present incarnation found its file damaged
-	logPosition       int  // in the log: where reading goes on
+	endedIncarnations int  // number of incarnations that have exited
+	storedFileDamaged bool // the current incarnation found its stored file damaged
+	logPosition       int  // position in the log from which to read on
 }
 
 // AppliedVersion is a version that came in force at a gateway.
@@ -68,23 +68,24 @@
 	Incarnation int // from 1 on
 	Version     configsync.Version
 	At          time.Time // by the gateway's clock, which is that of the machine
-	FromDisk    bool      // the incarnation started with the stored version
+	FromDisk    bool      // the incarnation started with its stored version
 	Damaged     bool      // the stored file was damaged, so that its version is an earlier one
 }
 
-// RefusedVersion is a version that a gateway could not apply.
+// RefusedVersion is a version that a gateway refused because it could not apply a resource.
 type RefusedVersion struct {
 	Version  configsync.Version
 	Resource string
 }
 
-// Outage is a time in which a gateway was down or could reach no publisher, because of an injected fault.
+// Outage is a time during which a gateway was down or could reach no publisher because of an injected fault.
 type Outage struct {
 	Start time.Time
-	End   time.Time // zero: it is not over
+	End   time.Time // zero if the outage is not over
 }
 
-// ByteCounters are the bytes that a gateway exchanged with publishers since its start, by a status line.
+// ByteCounters holds the bytes that a gateway had exchanged with publishers since its start when it logged a status
+// line.
 type ByteCounters struct {
 	At       time.Time
 	BytesIn  int
@@ -103,7 +104,7 @@
 	return all
 }
 
-// readNewLines reads the log lines since the call before.
+// readNewLines processes the log lines that the gateway has written since the previous call.
 func (h *History) readNewLines(gateway *fleet.Gateway) {
 	lines, next := gateway.LinesAfter(h.logPosition)
 	h.logPosition = next
@@ -112,10 +113,10 @@
 	}
 }
 
-// incarnation returns the number of the present incarnation.
+// incarnation returns the number of the current incarnation, from 1 on.
 func (h *History) incarnation() int { return h.endedIncarnations + 1 }
 
-// readLine reads one log line.
+// readLine processes one log line. Lines of other events are ignored.
 func (h *History) readLine(line string) {
 	event, _ := logline.Event(line)
 	applied := AppliedVersion{Incarnation: h.incarnation(), Version: versionInLine(line), At: logline.Time(line)}
@@ -136,7 +137,7 @@
 	}
 }
 
-// versionInLine returns the version that a log line names; 0 if it names none.
+// versionInLine returns the version field of a log line, or 0 if it has none.
 func versionInLine(line string) configsync.Version {
 	number, err := strconv.ParseUint(logline.Value(line, "version"), 10, 64)
 	if err != nil {
@@ -145,7 +146,7 @@
 	return configsync.Version(number)
 }
 
-// InForce returns the version in force at the present incarnation; 0 if that goes by its configuration file.
+// InForce returns the version in force at the current incarnation, or 0 if it still uses its configuration file.
 func (h *History) InForce() configsync.Version {
 	if len(h.Applied) == 0 {
 		return 0
@@ -157,10 +158,10 @@
 	return latest.Version
 }
 
-// startOutage records that an absence begins.
+// startOutage records that an outage begins.
 func (h *History) startOutage(now time.Time) { h.Outages = append(h.Outages, Outage{Start: now}) }
 
-// endOutage records that the latest absence is over.
+// endOutage records that the latest open outage is over. It does nothing if there is none.
 func (h *History) endOutage(now time.Time) {
 	for i := len(h.Outages) - 1; i >= 0; i-- {
 		if h.Outages[i].End.IsZero() {
--- a/lab/rollout/record_test.go
+++ b/lab/rollout/record_test.go
@@ -8,7 +8,8 @@
 	"ravensill/lab/logline"
 )
 
-// Versions in force and refusals are read from a gateway's log lines, over a restart from a damaged file too.
+// Applied and refused versions must be read correctly from a gateway's log, also over a restart that finds the stored
+// file damaged.
 func TestHistoryFollowsLogLines(t *testing.T) {
 	const prefix = "time=2026-12-02T05:00:01.500000Z level=INFO "
 	history := &History{}
@@ -29,12 +30,12 @@
 		{Incarnation: 2, Version: 6, At: at, FromDisk: true, Damaged: true},
 	}
 	if !slices.Equal(history.Applied, want) {
-		t.Errorf("applied %v, not %v", history.Applied, want)
+		t.Errorf("applied %v, want %v", history.Applied, want)
 	}
 	if !slices.Equal(history.Refusals, []RefusedVersion{{8, "members/3"}}) {
-		t.Errorf("refusals %v", history.Refusals)
+		t.Errorf("refusals %v, want only version 8 because of members/3", history.Refusals)
 	}
 	if history.InForce() != configsync.Version(6) || at.IsZero() {
-		t.Errorf("in force %d at %v", history.InForce(), at)
+		t.Errorf("version %d in force, want 6; log time %v, want a nonzero one", history.InForce(), at)
 	}
 }
--- a/lab/rollout/refusals.go
+++ b/lab/rollout/refusals.go
@@ -14,13 +14,13 @@
 	"ravensill/lab/fleet"
 )
 
-// memberResource returns the name of the resource of a member's address.
+// memberResource returns the resource name of a member's gossip address.
 func memberResource(member int) string { return string(configsync.MemberPrefix) + strconv.Itoa(member) }
 
-// PublishMembers returns a step that publishes the gossip addresses of some gateways. All gateways that can apply
-// them use them from then on.
+// PublishMembers returns a step that publishes the gossip addresses of gateways and waits until these gateways have
+// applied them.
 func PublishMembers(members ...int) Step {
-	return Step{fmt.Sprintf("name %d members", len(members)), func(ctx context.Context, r *Run) error {
+	return Step{fmt.Sprintf("publish the addresses of %d members", len(members)), func(ctx context.Context, r *Run) error {
 		set := Resources{}
 		for _, member := range members {
 			set[memberResource(member)] = r.Fleet.Gateway(member).PeerListen().String()
@@ -33,10 +33,11 @@
 	}}
 }
 
-// PublishWithoutMember returns a step that publishes a version without a gateway, which that gateway can't apply. All others
-// have it in force, and the publishers show who refused it and because of which resource.
+// PublishWithoutMember returns a step that publishes a version that omits a member, which must refuse it. It waits
+// until the version is in force at all other gateways, and until the publishers show which member refused it and
+// because of which resource.
 func PublishWithoutMember(member int) Step {
-	return Step{fmt.Sprintf("a version without member %d", member), func(ctx context.Context, r *Run) error {
+	return Step{fmt.Sprintf("publish a version without member %d", member), func(ctx context.Context, r *Run) error {
 		publication, err := r.changes.patch(ctx, nil, memberResource(member))
 		if err != nil {
 			return err
@@ -50,8 +51,8 @@
 	}}
 }
 
-// showsRefusal reports whether the status of the publisher that a gateway follows shows which version it refused,
-// because of which resource and why, and that no other gateway refused any.
+// showsRefusal reports whether the publishers' status shows that the member refused this version, with the resource and
+// a reason, and shows no other refusal.
 func (r *Run) showsRefusal(ctx context.Context, member int, version configsync.Version) bool {
 	states, err := r.Publishers.states(ctx)
 	if err != nil {
@@ -72,16 +73,16 @@
 	return shown
 }
 
-// isRefusalBy reports whether a follower is a member that refused a version because of its own resource.
+// isRefusalBy reports whether a follower is the given member and refused the version because of its own resource.
 func isRefusalBy(follower *publisher.Follower, member int, version configsync.Version) bool {
 	resource := string(follower.Resource)
 	return follower.Member == member && follower.Refused == version && follower.InForce < version &&
 		resource == memberResource(member) && follower.Reason != ""
 }
 
-// WaitNoRefusals returns a step that waits until the publishers show no refusal any more.
+// WaitNoRefusals returns a step that waits until the publishers show no refusal of a connected follower.
 func WaitNoRefusals() Step {
-	return Step{"no refusal shown", func(ctx context.Context, r *Run) error {
+	return Step{"wait until no refusal is shown", func(ctx context.Context, r *Run) error {
 		return r.waitUntil(ctx, "the publishers to show no refusal", func() bool {
 			states, err := r.Publishers.states(ctx)
 			if err != nil {
@@ -99,13 +100,13 @@
 	}}
 }
 
-// badRequest is a request that the publishers have to reject, and how the error begins.
+// badRequest is a request that the publishers must reject.
 type badRequest struct {
 	request     Request
-	errorPrefix string // of the key at fault
+	errorPrefix string // the error text must begin with it
 }
 
-// badRequests returns requests with an unknown or malformed key, and some that are malformed altogether.
+// badRequests returns requests with an unknown or malformed key, and requests that are malformed as a whole.
 func badRequests() []badRequest {
 	patch := func(body string) Request { return Request{http.MethodPatch, configurationPath, body} }
 	put := func(body string) Request { return Request{http.MethodPut, configurationPath, body} }
@@ -138,10 +139,10 @@
 	}
 }
 
-// RejectBadRequests returns a step that sends bad requests to each publisher and checks that each is rejected by the
-// path of its key and that nothing is published.
+// RejectBadRequests returns a step that sends bad requests to each publisher and checks that each is rejected with an
+// error that names the faulty key, and that no version is published.
 func RejectBadRequests() Step {
-	return Step{"bad requests", func(ctx context.Context, r *Run) error {
+	return Step{"send bad requests", func(ctx context.Context, r *Run) error {
 		before := r.latestVersion()
 		var faults []error
 		for i := range r.Publishers.Count() {
@@ -158,34 +159,35 @@
 		}
 		for _, state := range states {
 			if state.Version != before {
-				return fmt.Errorf("%s has version %d after bad requests, not %d", state.Name, state.Version, before)
+				return fmt.Errorf("%s has version %d after bad requests, want %d", state.Name, state.Version, before)
 			}
 		}
 		return nil
 	}}
 }
 
-// checkRejected returns an error unless a publisher rejects a bad request by the path of its key.
+// checkRejected returns an error unless publisher i rejects a bad request with an error that begins with the path of
+// its faulty key.
 func (p *PublisherGroup) checkRejected(ctx context.Context, i int, bad badRequest) error {
 	rejected, err := p.sendUntilRejected(ctx, i, bad.request)
 	if err != nil {
-		return fmt.Errorf("%s: %s is not rejected: %w", publisherName(i), bad.request.Body, err)
+		return fmt.Errorf("%s: request %s was not rejected as bad: %w", publisherName(i), bad.request.Body, err)
 	}
 	if !strings.HasPrefix(rejected.Message, bad.errorPrefix) {
-		return fmt.Errorf("%s: %s is rejected by %q, not by its key %q",
+		return fmt.Errorf("%s: request %s was rejected with error %q, want prefix %q",
 			publisherName(i), bad.request.Body, rejected.Message, bad.errorPrefix)
 	}
 	return nil
 }
 
-// sendUntilRejected sends a request to a publisher until it is rejected for a fault of its own, and again while the group has
-// no leader. It is an error if the request is carried out.
+// sendUntilRejected sends a request to publisher i until it is rejected with a 4xx status, and retries while the group
+// has no leader (503 Service Unavailable). It fails if the request is accepted.
 func (p *PublisherGroup) sendUntilRejected(ctx context.Context, i int, request Request) (*RejectedError, error) {
 	for {
 		var publication publisher.Publication
 		err := p.request(ctx, i, request, &publication)
 		if err == nil {
-			return nil, fmt.Errorf("published as version %d", publication.Version)
+			return nil, fmt.Errorf("the request was published as version %d", publication.Version)
 		}
 		var rejected *RejectedError
 		if !errors.As(err, &rejected) {
@@ -199,19 +201,20 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, fmt.Errorf("%w: %w", ctx.Err(), err)
+			return nil, fmt.Errorf("waiting for a leading publisher: %w: %w", ctx.Err(), err)
 		case <-time.After(adminRetryInterval):
 		}
 	}
 }
 
-// CheckLogLines returns a step that checks the number of log lines of an event of gateways, over all incarnations.
+// CheckLogLines returns a step that checks that each of the given gateways has logged an event count times, over all
+// incarnations.
 func CheckLogLines(event string, count int, members ...int) Step {
-	return Step{fmt.Sprintf("%d lines of %s", count, event), func(_ context.Context, r *Run) error {
+	return Step{fmt.Sprintf("check for %d lines of event %s", count, event), func(_ context.Context, r *Run) error {
 		for _, member := range members {
 			lines := r.Fleet.Gateway(member).Lines(event)
 			if len(lines) != count {
-				return fmt.Errorf("%s logged it %d times: %s",
+				return fmt.Errorf("%s logged the event %d times: %s",
 					fleet.GatewayName(member), len(lines), strings.Join(lines, "\n"))
 			}
 		}
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -1,6 +1,6 @@
-// Package rollout shows how a change of the configuration reaches a fleet of real processes: publishers and gateways
-// on loopback, every link between them through a relay, under the load of clients, with injected faults. Checks count
-// events; times are measured beside them.
+// Package rollout tests how configuration changes reach a fleet of real processes. Publishers and gateways run on
+// loopback, every link between them passes through a relay, clients send requests, and faults are injected. Checks
+// count events; latencies are measured but not checked.
 package rollout
 
 import (
@@ -20,65 +20,66 @@
 )
 
 const (
-	pollInterval      = 20 * time.Millisecond // between looks at a state that nothing announces
-	storedVersionDir  = "configuration"       // of the stored version, in a gateway's folder
-	minServedFraction = 0.9                   // of the clients' requests, whatever is injected
+	pollInterval      = 20 * time.Millisecond // between polls of a state that is not signaled
+	storedVersionDir  = "configuration"       // directory of the stored version, within a gateway's working directory
+	minServedFraction = 0.9                   // fraction of the clients' requests that must succeed despite the faults
 	clientTimeout     = 8 * time.Second
 )
 
-// Size says how large a run is.
+// Size is the size of a run.
 type Size struct {
 	Gateways          int
 	Hosts             int
 	Publishers        int
-	Rate              float64 // clients' requests a second
+	Rate              float64 // clients' requests per second
 	Seed              uint64
-	ElectionTimeoutMS int           // without contact to the leading publisher before another is elected
-	ChangeInterval    time.Duration // between two changes
-	Burst             int           // changes that are published without a pause
+	ElectionTimeoutMS int           // time without contact to the leading publisher after which an election starts
+	ChangeInterval    time.Duration // between two routine changes
+	Burst             int           // number of changes that PublishBurst publishes
 	OutageDuration    time.Duration // length of a long fault
 }
 
-// Scenario is one run as data: how large it is, what is done in which order, and what must hold at the end.
+// Scenario describes a run: its size, its steps in order, and the checks at its end.
 type Scenario struct {
 	Name             string
 	Size             Size
-	NoRoutineChanges bool // only steps publish changes
+	NoRoutineChanges bool // only the steps publish changes
 	Steps            []Step
-	Checks           []Check // beside CommonChecks
+	Checks           []Check // in addition to CommonChecks
 }
 
-// Step is something that is done and waited for. Steps follow each other by state, not by time.
+// Step performs an action and waits for its effect. A step ends when a state is reached, not after a fixed time.
 type Step struct {
 	Description string
 	Run         func(ctx context.Context, r *Run) error
 }
 
-// Run is one run of a scenario.
+// Run is the execution of a scenario.
 type Run struct {
 	Scenario    *Scenario
 	Fleet       *fleet.Fleet
 	Publishers  *PublisherGroup
 	Record      Record
-	LoadReport  *fleet.Report // of the clients' requests
+	LoadReport  *fleet.Report // includes the results of the clients' requests
 	StepTimings []StepTiming
 
-	publishersBefore []fleet.Usage // as the first version was published
-	publishersAfter  []fleet.Usage // as the load ended
+	publishersBefore []fleet.Usage // when the first version was published
+	publishersAfter  []fleet.Usage // after the load ended
 
-	links      [][]*relay.Stream // by member index and publisher
+	links      [][]*relay.Stream // by member index and publisher index
 	changes    *changePublisher
-	probesSent atomic.Int64 // sent so far
+	probesSent atomic.Int64 // number of probes sent so far
 }
 
-// StepTiming is a step that was run.
+// StepTiming records when a step ran.
 type StepTiming struct {
 	Description string
 	Start       time.Time
 	End         time.Time
 }
 
-// Run runs the scenario. An error is one of the run itself; what does not hold is in violations.
+// Run runs the scenario. violations describes the checks that failed; err is an error of the run itself, after which no
+// checks were made. The publishers are stopped when it returns.
 func (s *Scenario) Run(ctx context.Context) (run *Run, violations []string, err error) {
 	run = &Run{Scenario: s}
 	defer func() {
@@ -86,7 +87,10 @@
 			run.Publishers.Close()
 		}
 	}()
-	recordCheck := fleet.Check{Name: "record", FindViolation: func(*fleet.Report) string { return run.recordCheck(ctx) }}
+	recordCheck := fleet.Check{
+		Name:          "record",
+		FindViolation: func(*fleet.Report) string { return run.completeRecord(ctx) },
+	}
 	scenario := fleet.Scenario{
 		Name:    s.Name,
 		Options: run.fleetOptions(ctx),
@@ -102,7 +106,8 @@
 	return run, append(run.LoadReport.Violations, recordViolations...), nil
 }
 
-// fleetOptions returns the options of the fleet. The publishers start before any gateway is configured.
+// fleetOptions returns the options of the fleet. The publishers are started before any gateway is configured, as the
+// gateways' configuration files contain their addresses.
 func (r *Run) fleetOptions(ctx context.Context) fleet.Options {
 	size := &r.Scenario.Size
 	return fleet.Options{
@@ -118,7 +123,7 @@
 	}
 }
 
-// startPublishers starts the publishers of a fleet.
+// startPublishers creates the gateways' histories and starts the publishers.
 func (r *Run) startPublishers(ctx context.Context, f *fleet.Fleet) error {
 	r.Fleet = f
 	for range r.Scenario.Size.Gateways {
@@ -134,7 +139,8 @@
 	return err
 }
 
-// addLinks adds the streams by which a gateway reaches the publishers, and returns their addresses.
+// addLinks adds relay streams from a gateway to each publisher and returns the addresses at which the gateway reaches
+// them.
 func (r *Run) addLinks(member int) (addresses []string, err error) {
 	var links []*relay.Stream
 	for i, publisher := range r.Publishers.addresses {
@@ -150,20 +156,21 @@
 	return addresses, nil
 }
 
-// load returns the clients' load, of all request classes. It runs until the last step is done.
+// load returns the clients' load, with requests of all classes. It runs until the last step is done.
 func (s *Size) load() emulator.Load {
 	return emulator.Load{
 		Seed:         s.Seed,
 		Rate:         s.Rate,
 		Customers:    20 * s.Gateways,
 		ZipfExponent: 0.5,
-		SubsetSize:   max(2, s.Gateways/3), // clients have another gateway where one is down
+		SubsetSize:   max(2, s.Gateways/3), // at least 2, so that each client can use another gateway while one is down
 		Body:         "body",
 		Classes:      fleet.MixedClasses(clientTimeout),
 	}
 }
 
-// steps returns the scenario's steps between the publication of the first version and the wait for the last one.
+// steps returns the scenario's steps, preceded by the publication of the first version and followed by the wait for the
+// last one.
 func (r *Run) steps() (steps []fleet.Step) {
 	all := []Step{publishFirstVersion()}
 	if !r.Scenario.NoRoutineChanges {
@@ -180,7 +187,7 @@
 	return steps
 }
 
-// runStep runs one step.
+// runStep runs one step and records its timing. If the step fails, it stops the routine changes.
 func (r *Run) runStep(ctx context.Context, step Step) error {
 	start := time.Now()
 	err := step.Run(ctx, r)
@@ -198,7 +205,8 @@
 	}
 }
 
-// waitUntil waits for a state of the gateways' histories.
+// waitUntil reads the logs and calls reached until it returns true. description completes the error text "waiting for"
+// if ctx ends before.
 func (r *Run) waitUntil(ctx context.Context, description string, reached func() bool) error {
 	for {
 		r.readLogs()
@@ -213,7 +221,7 @@
 	}
 }
 
-// formatVersionsInForce returns the versions in force, for errors.
+// formatVersionsInForce returns the version in force at each gateway, for error texts.
 func (r *Run) formatVersionsInForce() string {
 	var text []string
 	for member, history := range r.Record.Histories {
@@ -222,8 +230,8 @@
 	return strings.Join(text, ", ")
 }
 
-// recordCheck completes the record while all processes still run. It returns the text of a failure.
-func (r *Run) recordCheck(ctx context.Context) string {
+// completeRecord completes the record while all processes are still running. It returns the text of an error, or "".
+func (r *Run) completeRecord(ctx context.Context) string {
 	r.readLogs()
 	r.Record.Published = r.changes.publications()
 	r.Record.Crashes = r.Publishers.Crashes()
@@ -242,7 +250,7 @@
 	return ""
 }
 
-// readDisk reads the version that a gateway has stored, as its next start would.
+// readDisk reads the version stored on a gateway's disk in the same way as the gateway does at its start.
 func readDisk(gateway *fleet.Gateway) DiskState {
 	document, err := subscriber.Load(filepath.Join(gateway.Dir, storedVersionDir))
 	digest := document.Digest()
--- a/lab/rollout/rollout_test.go
+++ b/lab/rollout/rollout_test.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	maxProcesses    = 30              // gateways and publishers at one time
-	scenarioTimeout = 3 * time.Minute // of one scenario: no verdict, only an end
+	maxProcesses    = 30              // gateways and publishers at the same time
+	scenarioTimeout = 3 * time.Minute // of one scenario; only stops a run that hangs, no latency is judged by it
 )
 
-// processes bounds how many processes run at one time, whichever tests are parallel.
+// processes limits how many gateways and publishers run at the same time in parallel tests.
 var processes = semaphore.NewWeighted(maxProcesses)
 
-// runScenario runs a scenario and reports what does not hold.
+// runScenario runs a scenario and reports its violations as test errors.
 func runScenario(t *testing.T, scenario *Scenario) *Run {
 	t.Helper()
 	count := int64(scenario.Size.Gateways + scenario.Size.Publishers)
@@ -44,13 +44,13 @@
 	return run
 }
 
-// The cases of the whole fleet run one after the other with the same processes.
+// Checks must hold under faults that affect the whole fleet. All scenarios run one after another on the same processes.
 func TestChecksHoldInFleetCases(t *testing.T) {
 	scenario := JoinScenarios("whole fleet", FleetCases(LargeSize())...)
 	runScenario(t, &scenario)
 }
 
-// The cases of one gateway or one publisher run several at a time.
+// Checks must hold under faults of a single gateway or publisher. The scenarios run in parallel.
 func TestChecksHoldInSmallCases(t *testing.T) {
 	for _, scenario := range SingleProcessCases(SmallSize()) {
 		t.Run(scenario.Name, func(t *testing.T) {
--- a/lab/rollout/steps.go
+++ b/lab/rollout/steps.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-
 	"time"
 
 	"ravensill/configsync"
@@ -12,29 +11,30 @@
 	"ravensill/lab/gatewayconfig"
 )
 
-// Quota plans of the first version that steps use beside those of the clients' load.
+// Quota plans for probes. All but planAdded are part of the first version.
 const (
-	planKept    = "kept"    // stays as it is
-	planLowered = "lowered" // its burst is lowered
-	planRemoved = "removed"
-	planAdded   = "added"  // by a later version
-	planRaised  = "raised" // its burst and rate are raised
+	planKept    = "kept"    // never changes
+	planLowered = "lowered" // a later version lowers its burst
+	planRemoved = "removed" // a later version removes it
+	planAdded   = "added"   // a later version adds it
+	planRaised  = "raised"  // a later version raises its burst and rate
 )
 
 const (
-	unlimited              = 1e6  // rate and burst that no run uses up
-	slowRate               = 0.01 // units a second, so that a burst is all that a run can use
+	unlimited              = 1e6  // rate and burst that no run exhausts
+	slowRate               = 0.01 // units per second; so little that a run can use no more than the burst
 	highBurst              = 40
 	loweredBurst           = 3
-	requestsBeforeLowering = 2 // requests of a customer before the burst is lowered
-	requestsAfterLowering  = 6 // and after
-	burstBeforeRaising     = 2 // used up before it is raised
-	requestsAfterRaising   = 3 // requests of a customer after that
+	requestsBeforeLowering = 2 // requests of a customer before planLowered changes
+	requestsAfterLowering  = 6 // requests of the customer after that, beside the one of checkServed
+	burstBeforeRaising     = 2 // first burst of planRaised, used up before it is raised
+	requestsAfterRaising   = 3 // requests of the customer after planRaised changes
 )
 
-// publishFirstVersion returns the step that publishes the first version to a fleet that serves by its configuration files.
+// publishFirstVersion returns the step that publishes the first version. Until then the gateways use their
+// configuration files.
 func publishFirstVersion() Step {
-	return Step{"first version", func(ctx context.Context, r *Run) error {
+	return Step{"publish the first version", func(ctx context.Context, r *Run) error {
 		r.publishersBefore = r.Publishers.usage()
 		r.changes = &changePublisher{
 			publishers:         r.Publishers,
@@ -60,18 +60,18 @@
 	}}
 }
 
-// startChanges returns the step from which on routine changes are published.
+// startChanges returns the step that starts the routine changes.
 func startChanges() Step {
-	return Step{"changes begin", func(ctx context.Context, r *Run) error {
+	return Step{"start routine changes", func(ctx context.Context, r *Run) error {
 		r.changes.startRoutineChanges(ctx)
 		return nil
 	}}
 }
 
-// stopChangesAndWait returns the step that ends the routine changes and waits until the latest version is in force everywhere and
-// stored on every disk.
+// stopChangesAndWait returns the step that stops the routine changes, publishes one last version and waits until it is
+// in force everywhere and stored on every disk.
 func stopChangesAndWait() Step {
-	return Step{"the latest version in force everywhere", func(ctx context.Context, r *Run) error {
+	return Step{"stop routine changes and wait for the last version", func(ctx context.Context, r *Run) error {
 		err := r.changes.stopRoutineChanges()
 		if err != nil {
 			return err
@@ -88,10 +88,10 @@
 	}}
 }
 
-// waitStoredAndShown waits until all publishers have a version, show it in force at all gateways, and all disks have it:
-// these follow the gateways by a moment.
+// waitStoredAndShown waits until all publishers have a version and show it in force at all gateways, and all disks hold
+// it. This happens shortly after the version came in force.
 func (r *Run) waitStoredAndShown(ctx context.Context, last *publisher.Publication) error {
-	description := fmt.Sprintf("version %d at the publishers and on the disks", last.Version)
+	description := fmt.Sprintf("version %d to be at all publishers and on all disks", last.Version)
 	return r.waitUntil(ctx, description, func() bool {
 		states, err := r.Publishers.states(ctx)
 		if err != nil {
@@ -105,7 +105,7 @@
 		}
 		for member, g := range r.Fleet.Gateways() {
 			disk := readDisk(g)
-			saved := disk.Version == last.Version || disk.Err != nil // what can't be written is the checks' matter
+			saved := disk.Version == last.Version || disk.Err != nil // EqualDigests reports disks that cannot be read
 			if !saved || !record.shownInForce(member, last.Version) {
 				return false
 			}
@@ -114,12 +114,12 @@
 	})
 }
 
-// members returns all member indexes.
+// members returns the member indexes of all gateways.
 func (r *Run) members() []int { return fleet.Indexes(0, r.Scenario.Size.Gateways) }
 
-// waitInForce waits until a version or a later one is in force at some gateways.
+// waitInForce waits until this version or a later one is in force at the given members.
 func (r *Run) waitInForce(ctx context.Context, version configsync.Version, members []int) error {
-	description := fmt.Sprintf("version %d at members %v", version, members)
+	description := fmt.Sprintf("version %d to be in force at members %v", version, members)
 	return r.waitUntil(ctx, description, func() bool {
 		for _, member := range members {
 			if r.Record.Histories[member].InForce() < version {
@@ -130,20 +130,20 @@
 	})
 }
 
-// latestVersion returns the latest version that a publisher has answered.
+// latestVersion returns the latest version that a publisher has confirmed, or 0 if there is none.
 func (r *Run) latestVersion() configsync.Version {
 	record := Record{Published: r.changes.publications()}
 	return record.latest()
 }
 
-// WaitVersions returns a step that waits until a number of further versions were published and are in force at all
-// gateways but some.
+// WaitVersions returns a step that waits until a number of further versions have been published and are in force at all
+// gateways, except for the given members.
 func WaitVersions(versions int, except ...int) Step {
-	description := fmt.Sprintf("%d more versions in force at all but %d gateways", versions, len(except))
+	description := fmt.Sprintf("wait for %d more versions at all but %d gateways", versions, len(except))
 	return Step{description, func(ctx context.Context, r *Run) error {
 		version := r.latestVersion() + configsync.Version(versions)
 		published := func() bool { return r.latestVersion() >= version }
-		err := r.waitUntil(ctx, fmt.Sprintf("version %d published", version), published)
+		err := r.waitUntil(ctx, fmt.Sprintf("version %d to be published", version), published)
 		if err != nil {
 			return err
 		}
@@ -151,7 +151,7 @@
 	}}
 }
 
-// membersExcept returns the members that are not among some.
+// membersExcept returns those members that are not in except, in the same order.
 func membersExcept(members, except []int) (rest []int) {
 	excluded := make(map[int]bool, len(except))
 	for _, member := range except {
@@ -165,8 +165,8 @@
 	return rest
 }
 
-// PublishBurst returns a step that publishes the size's burst of changes without a pause and waits until the last one
-// is in force everywhere.
+// PublishBurst returns a step that publishes Size.Burst changes without a pause, by the leading publisher first, and
+// waits until the last one is in force everywhere.
 func PublishBurst() Step {
 	return Step{"burst", func(ctx context.Context, r *Run) error {
 		leader, err := r.Publishers.WaitLeader(ctx)
@@ -187,9 +187,9 @@
 	}}
 }
 
-// Pause returns a step that lets a fault last.
+// Pause returns a step that waits for a duration, such as to let a fault last.
 func Pause(length time.Duration) Step {
-	return Step{fmt.Sprintf("hold for %v", length), func(ctx context.Context, _ *Run) error {
+	return Step{fmt.Sprintf("pause for %v", length), func(ctx context.Context, _ *Run) error {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
