--- a/lab/rollout/hollow/axis.go
+++ b/lab/rollout/hollow/axis.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	maxExponentDeviation = 0.1 // that the growth of the publishers' bytes may differ from linear by
-	maxConstantRatio     = 1.1 // greatest over least of a figure of one follower that must not grow with their number
+	maxExponentDeviation = 0.1 // by which the exponent of the publishers' bytes may differ from 1
+	maxConstantRatio     = 1.1 // greatest over least value of a metric that must be constant
 )
 
-// Violations returns which counts and bytes do not grow with the number of followers as they must: those of one
-// follower not at all, those of the publishers linearly. Each follower receives each of the changes one at a time by
-// one delta.
+// Violations returns which counts and bytes do not grow with the number of followers as they should. The deltas and
+// bytes per follower must not depend on the number of followers, the bytes sent by the publishers must grow linearly
+// with it, and each follower must receive each of the changes that are published one at a time by exactly one delta.
 func (s *ScalingSeries) Violations() (violations []string) {
 	for _, point := range s.Points {
 		violations = append(violations, point.Violations...)
@@ -34,7 +34,7 @@
 	return violations
 }
 
-// valueRange returns the least and the greatest of a figure.
+// valueRange returns the least and the greatest value of a metric over all points.
 func (s *ScalingSeries) valueRange(name string) (least, greatest float64) {
 	least = math.Inf(1)
 	for _, point := range s.Points {
--- a/lab/rollout/hollow/axis_test.go
+++ b/lab/rollout/hollow/axis_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newTestSeries returns an axis whose figures are as they must be, except for a change.
+// newTestSeries returns a series without violations, after change has been applied to each point.
 func newTestSeries(sizes []int, change func(point *Point)) ScalingSeries {
 	var points []*Point
 	for _, followers := range sizes {
@@ -21,7 +21,8 @@
 	return NewScalingSeries(points)
 }
 
-// Each figure that grows as it must not is a violation, and so is each violation of a point.
+// Each metric that grows in the wrong way with the number of followers must be a violation, and so must each violation
+// of a single point.
 func TestAxisFindsFiguresThatGrow(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -47,7 +48,8 @@
 	}
 }
 
-// A report can be written and read again, at the full form's sizes too.
+// A report must be readable after it has been written, with the sizes of the full measurement too. Values that JSON
+// cannot hold, such as an infinite exponent of a fit, would break it.
 func TestReportIsReadBack(t *testing.T) {
 	folder := t.TempDir()
 	report, err := NewReport(folder)
--- a/lab/rollout/hollow/compare.go
+++ b/lab/rollout/hollow/compare.go
@@ -10,35 +10,36 @@
 	"ravensill/lab/gatewayconfig"
 )
 
-const comparedHosts = 2 // that the real gateways list
+// comparedHosts is the number of hosts that the real gateways list.
+const comparedHosts = 2
 
-// Comparison is what a change costs real gateways and hollow followers of the same publishers. Figures are means of
-// one gateway.
+// Comparison holds what a change costs real gateways and simulated followers of the same publishers. All figures are
+// means per gateway.
 type Comparison struct {
-	Gateways  int        `json:"gateways"` // real ones, and as many hollow ones
+	Gateways  int        `json:"gateways"` // number of real gateways, and also of simulated followers
 	Changes   int        `json:"changes"`
 	Real      ChangeCost `json:"real"`
 	Simulated ChangeCost `json:"hollow"`
 }
 
-// ChangeCost is what one change costs a gateway, without the heartbeats of that time.
+// ChangeCost is what one change costs a gateway. The heartbeats during that time are not counted.
 type ChangeCost struct {
 	BytesIn         float64 `json:"bytes_in"`
 	BytesOut        float64 `json:"bytes_out"`
-	Versions        float64 `json:"versions"`  // put in force
-	CPUMilliseconds float64 `json:"processor"` // milliseconds beyond rest
+	Versions        float64 `json:"versions"`  // that came in force
+	CPUMilliseconds float64 `json:"processor"` // beyond the time used when idle
 }
 
-// comparisonOptions describe a comparison.
+// comparisonOptions describes a comparison.
 type comparisonOptions struct {
 	Gateways       int
 	Changes        int
 	ChangeInterval time.Duration
-	IdleDuration   time.Duration // in which the processor time at rest is measured
+	IdleDuration   time.Duration // for which the idle processor time is measured; 0 takes it as zero
 	Options
 }
 
-// Compare makes the same changes to hollow followers and to processes of the program.
+// Compare publishes the same kind of changes to simulated followers and then to real gateway processes.
 func (c comparisonOptions) Compare(ctx context.Context) (*Comparison, error) {
 	c.Followers = c.Gateways
 	g, err := NewGroup(ctx, c.Options)
@@ -55,14 +56,14 @@
 	return result, err
 }
 
-// comparisonSubject is one side of a comparison: the real gateways or the hollow followers.
+// comparisonSubject gives access to one side of a comparison: the real gateways or the simulated followers.
 type comparisonSubject struct {
-	waitInForce     func(context.Context) error             // waits until the last version is in force everywhere
-	appliedVersions func() int                              // put in force so far
-	cpuTime         func() (seconds time.Duration, _ error) // used so far
+	waitInForce     func(context.Context) error             // waits until the latest version is in force everywhere
+	appliedVersions func() int                              // versions in force so far, summed over gateways
+	cpuTime         func() (seconds time.Duration, _ error) // processor time used so far
 }
 
-// measureSimulated starts the hollow followers, measures them and stops them.
+// measureSimulated starts the simulated followers, measures them and stops them.
 func (c *comparisonOptions) measureSimulated(ctx context.Context, g *Group) (ChangeCost, error) {
 	err := g.Fleet.Start(g.Fleet.members())
 	if err != nil {
@@ -76,7 +77,7 @@
 	})
 }
 
-// measureReal starts processes of the gateway and measures them.
+// measureReal starts gateway processes, measures them and stops them.
 func (c *comparisonOptions) measureReal(ctx context.Context, g *Group) (ChangeCost, error) {
 	f, err := fleet.Start(ctx, fleet.Options{
 		Gateways: c.Gateways,
@@ -103,7 +104,7 @@
 	})
 }
 
-// countAppliedVersions returns the number of versions that real gateways put in force.
+// countAppliedVersions returns how many versions have come in force at real gateways, summed over the gateways.
 func countAppliedVersions(f *fleet.Fleet) (versions int) {
 	for _, g := range f.Gateways() {
 		versions += g.EventCounts()["configuration_applied"]
@@ -111,7 +112,7 @@
 	return versions
 }
 
-// gatewayCPUTime returns the processor time of real gateways.
+// gatewayCPUTime returns the total processor time of real gateways.
 func gatewayCPUTime(f *fleet.Fleet) (all time.Duration, err error) {
 	for _, g := range f.Gateways() {
 		usage, err := g.Usage()
@@ -123,7 +124,7 @@
 	return all, nil
 }
 
-// waitShownByPublishers waits until the publishers show the latest version in force at a number of gateways.
+// waitShownByPublishers waits until the publishers show the latest version in force at exactly want connected gateways.
 func (g *Group) waitShownByPublishers(ctx context.Context, want int) error {
 	what := fmt.Sprintf("version %d at %d gateways", g.latest.Version, want)
 	return fleet.WaitUntil(ctx, what, func() bool {
@@ -143,8 +144,9 @@
 	})
 }
 
-// measure publishes the changes and returns what one costs a gateway.
-func (c *comparisonOptions) measure(ctx context.Context, g *Group, subject comparisonSubject) (change ChangeCost, err error) {
+// measure publishes the changes and returns what one of them costs a gateway.
+func (c *comparisonOptions) measure(ctx context.Context, g *Group, subject comparisonSubject) (change ChangeCost,
+	err error) {
 	err = subject.waitInForce(ctx)
 	if err != nil {
 		return change, err
@@ -183,13 +185,14 @@
 	return change, err
 }
 
-// heartbeatBytesPerSecond returns the bytes a second of a publisher's heartbeats to one gateway.
+// heartbeatBytesPerSecond returns the bytes per second of a publisher's heartbeats to one gateway.
 func (g *Group) heartbeatBytesPerSecond() float64 {
 	frame := configsync.Encode(&configsync.Heartbeat{Log: g.latest.Log, Latest: g.latest.Version, HasQuorum: true})
 	return float64(len(frame)) / configsync.HeartbeatInterval.Seconds()
 }
 
-// measureIdle returns the processor share of all gateways without changes, in cores.
+// measureIdle returns how many processor cores all gateways use together while nothing changes, or 0 if IdleDuration is
+// 0.
 func (c *comparisonOptions) measureIdle(ctx context.Context, subject comparisonSubject) (cores float64, err error) {
 	if c.IdleDuration == 0 {
 		return 0, nil
@@ -206,7 +209,7 @@
 	return (after - before).Seconds() / c.IdleDuration.Seconds(), err
 }
 
-// Ratio returns each figure of the real gateways divided by that of the hollow followers.
+// Ratio returns each figure of the real gateways divided by that of the simulated followers.
 func (c *Comparison) Ratio() ChangeCost {
 	return ChangeCost{
 		BytesIn:         c.Real.BytesIn / c.Simulated.BytesIn,
--- a/lab/rollout/hollow/content.go
+++ b/lab/rollout/hollow/content.go
@@ -10,19 +10,18 @@
 )
 
 const (
-
-	// Rates of quota plans all have four digits, so that each change of one has the same bytes.
-	initialRate  = 1000
-	changedRates = 8999
+	// All rates of quota plans have four digits, so that every change has the same number of bytes.
+	initialRate  = 1000 // units per second in the first version
+	changedRates = 8999 // number of rates above initialRate that the changes cycle through
 )
 
-// ConfigurationSize is the size of the configuration.
+// ConfigurationSize is the number of resources in a configuration.
 type ConfigurationSize struct {
 	Plans   int `json:"quota_plans"`
 	Classes int `json:"request_classes"`
 }
 
-// firstVersionRequest returns the request that publishes all content.
+// firstVersionRequest returns the request that publishes the whole configuration.
 func (c ConfigurationSize) firstVersionRequest() (rollout.Request, error) {
 	var plans []gatewayconfig.QuotaPlan
 	for i := range c.Plans {
@@ -35,7 +34,7 @@
 	return rollout.ContentRequest(plans, classes)
 }
 
-// changeRequest returns the request for the nth change, which sets another rate of one quota plan after another.
+// changeRequest returns the request for change n. Successive changes set a new rate in one quota plan after another.
 func (c ConfigurationSize) changeRequest(n int) (rollout.Request, error) {
 	i := n % c.Plans
 	resource := string(configsync.PlanPrefix) + planName(i)
@@ -45,7 +44,7 @@
 // planName returns the name of quota plan i.
 func planName(i int) string { return fmt.Sprintf("plan-%06d", i) }
 
-// quotaPlan returns quota plan i with a rate.
+// quotaPlan returns quota plan i with the given rate, in units per second.
 func quotaPlan(i, rate int) gatewayconfig.QuotaPlan {
 	return gatewayconfig.QuotaPlan{Name: planName(i), Rate: float64(rate), Burst: 2000, PriorityWeight: 1}
 }
--- a/lab/rollout/hollow/eventcounter.go
+++ b/lab/rollout/hollow/eventcounter.go
@@ -7,13 +7,14 @@
 	"ravensill/lab/logline"
 )
 
-// EventCounter is the log of thousands of followers, whose lines are counted by event and cause and not printed.
+// EventCounter counts the log lines of thousands of followers by event and cause instead of printing them. Its methods
+// may be called concurrently.
 type EventCounter struct {
 	mu     sync.Mutex
 	events map[string]int
 }
 
-// Write counts one line, as package logging writes it.
+// Write counts one log line in the format of package logging. A line without an event is counted under its whole text.
 func (l *EventCounter) Write(line []byte) (int, error) {
 	text := string(line)
 	name, ok := logline.Event(text)
@@ -32,7 +33,7 @@
 	return len(line), nil
 }
 
-// Events returns the counts so far.
+// Events returns the number of lines so far by event, or by "event: cause" for lines with a cause.
 func (l *EventCounter) Events() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/rollout/hollow/follower.go
+++ b/lab/rollout/hollow/follower.go
@@ -1,7 +1,8 @@
-// Package hollow measures the distribution of the configuration to thousands of gateways: hollow followers, many in one
-// process, against publishers that are processes of their own. A hollow follower runs the gateway's own code from the
-// connection to a publisher to the decision module (internal/subscriber, config.Live, logic.Gateway.Reconfigure); the
-// sockets to clients, hosts, discovery and other gateways are left out. docs/rollout-scale.md describes the method.
+// Package hollow measures how the configuration is distributed to thousands of gateways. The gateways are simulated:
+// hollow followers, many in one process, follow publishers that are real processes. A hollow follower runs the
+// gateway's own code from the connection to a publisher to the decision module (internal/subscriber, config.Live,
+// logic.Gateway.Reconfigure) but has no sockets to clients, hosts, discovery and other gateways. docs/rollout-scale.md
+// describes the method.
 package hollow
 
 import (
@@ -21,7 +22,7 @@
 	"ravensill/logic"
 )
 
-// storedVersionDir is the folder of the stored version, in a follower's folder.
+// storedVersionDir is the directory of the stored version, within a follower's directory.
 const storedVersionDir = "configuration"
 
 // AppliedVersion is a version that came in force at a follower.
@@ -29,34 +30,35 @@
 	From     configsync.Version
 	To       configsync.Version
 	At       int64 // Unix time in nanoseconds
-	Snapshot bool  // it came as a complete document, not as a delta
+	Snapshot bool  // received as a complete document, not as a delta
 }
 
-// Follower is one gateway, over its restarts, whose only sockets are those to publishers. Methods start and stop are
-// called by one goroutine at a time.
+// Follower simulates one gateway over its restarts; its only sockets are those to publishers. One goroutine at a time
+// may call start and stop.
 type Follower struct {
 	member            int
 	name              string
-	dir               string // of the follower
-	configurationFile string // configuration file, the same for all followers
+	dir               string // directory of this follower
+	configurationFile string // path, the same for all followers
 	publishers        []netip.AddrPort
-	deltaSizes        *deltaSizes
+	deltaSizes        *deltaSizes // shared by all followers
 
-	config        *config.Config // kept in memory as the gateway keeps it
-	live          *config.Live
-	module        *logic.Gateway
-	subscriber    *subscriber.Subscriber // nil: stopped
-	storedVersion configsync.Version     // on disk at the latest start; 0: none
-	endedTotals   Totals                 // of the incarnations that are over
+	config        *config.Config         // held because a gateway holds it in memory too
+	live          *config.Live           // turns updates into changed settings
+	module        *logic.Gateway         // decision module
+	subscriber    *subscriber.Subscriber // nil while the follower is stopped
+	storedVersion configsync.Version     // stored on disk at the latest start; 0 if none
+	endedTotals   Totals                 // counts of the incarnations that have ended
 
-	inForce atomic.Uint64 // version; 0: the follower uses its configuration file, or is stopped
+	inForce atomic.Uint64 // version in force; 0 if the follower uses its configuration file or is stopped
 
 	mu         sync.Mutex // guards the fields below, which the subscriber's goroutine writes
 	applied    []AppliedVersion
 	violations []string
 }
 
-// start starts the follower as the gateway starts: from the stored version, or from the configuration file.
+// start starts the follower as a gateway starts: with the stored version, or with the configuration file if no version
+// is stored.
 func (f *Follower) start() error {
 	file, err := f.loadFile()
 	if err != nil {
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// loadFile reads the configuration file, which all followers share except for their folders.
+// loadFile reads the configuration file and sets the follower's own name and directory in it.
 func (f *Follower) loadFile() (*config.Config, error) {
 	file, err := config.Load(func(name string) string {
 		if name == "GW_CONFIG" {
@@ -97,11 +99,12 @@
 	return file, nil
 }
 
-// restore decodes the stored version, if there is one.
+// restore loads the stored version. If there is none, the returned document has version 0 and the settings are those of
+// the configuration file.
 func (f *Follower) restore(file *config.Config) (*configsync.Document, error) {
 	stored, err := subscriber.Load(file.Configuration.Dir)
 	if err != nil {
-		return nil, fmt.Errorf("%s: the stored version: %w", f.name, err)
+		return nil, fmt.Errorf("%s: loading the stored version: %w", f.name, err)
 	}
 	f.config = file
 	if stored.Version() == 0 {
@@ -112,11 +115,11 @@
 	return stored, err
 }
 
-// apply puts an update in force. It runs on the subscriber's goroutine, which is the only one to use the module.
+// apply puts an update in force. It runs on the subscriber's goroutine, the only one that uses the decision module.
 func (f *Follower) apply(update *configsync.Update, complete bool) error {
 	revision, err := f.live.Apply(update.Changes, complete)
 	if err != nil {
-		f.addViolation("version %d: %v", update.To, err)
+		f.addViolation("version %d could not be applied: %v", update.To, err)
 		return err
 	}
 	f.module.Reconfigure(gateway.Time(time.Now().UnixNano()), &revision.Update)
@@ -132,14 +135,14 @@
 	return nil
 }
 
-// addViolation records a violation.
+// addViolation records a violation, prefixed with the follower's name.
 func (f *Follower) addViolation(format string, arguments ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.violations = append(f.violations, f.name+": "+fmt.Sprintf(format, arguments...))
 }
 
-// stop stops the follower, once an update in progress is applied.
+// stop stops the follower, after the update in progress has been applied, and releases its memory.
 func (f *Follower) stop() {
 	f.subscriber.Close()
 	f.endedTotals.addStatus(f.subscriber.Status())
@@ -153,7 +156,7 @@
 // clearDisk removes the stored version. The follower must be stopped.
 func (f *Follower) clearDisk() error { return os.RemoveAll(filepath.Join(f.dir, storedVersionDir)) }
 
-// takeApplied returns the versions that came in force since the call before.
+// takeApplied returns the versions that came in force since the previous call.
 func (f *Follower) takeApplied() []AppliedVersion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -162,7 +165,7 @@
 	return applied
 }
 
-// totals returns the counts over all restarts.
+// totals returns the counts over all incarnations.
 func (f *Follower) totals() Totals {
 	all := f.endedTotals
 	if f.subscriber != nil {
@@ -171,7 +174,7 @@
 	return all
 }
 
-// newFollower returns a follower that is not started.
+// newFollower returns a follower that has not been started.
 func newFollower(options *FleetOptions, configurationFile string, member int, deltaSizes *deltaSizes) *Follower {
 	name := fleet.GatewayName(member)
 	return &Follower{
--- a/lab/rollout/hollow/followers.go
+++ b/lab/rollout/hollow/followers.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	pollInterval      = 20 * time.Millisecond // between looks at a state that nothing announces
-	maxMembersInError = 4                     // in an error
+	pollInterval      = 20 * time.Millisecond // between polls of a state that is not signaled
+	maxMembersInError = 4                     // members listed in an error text
 )
 
-// FleetOptions describe a fleet of hollow followers.
+// FleetOptions describes a fleet of simulated followers.
 type FleetOptions struct {
 	Followers  int
-	Dir        string // holds a folder for each follower
+	Dir        string // holds a directory for each follower
 	Publishers []netip.AddrPort
 }
 
-// Fleet is many hollow followers in this process. Its methods are called by one goroutine at a time.
+// Fleet is a set of simulated followers in this process. One goroutine at a time may call its methods.
 type Fleet struct {
 	followers  []*Follower
 	deltaSizes *deltaSizes
 }
 
-// NewFleet returns a fleet that is not started.
+// NewFleet writes the configuration file and returns a fleet whose followers have not been started.
 func NewFleet(options FleetOptions) (*Fleet, error) {
 	file := filepath.Join(options.Dir, "gateway.json")
 	text, err := gatewayFile(options.Publishers)
@@ -55,8 +55,8 @@
 	return f, nil
 }
 
-// gatewayFile returns the gateways' configuration file: that of a fleet of one without gossip. The first version
-// replaces its quota plans and request classes.
+// gatewayFile returns the followers' configuration file: that of a single gateway without gossip. The first published
+// version replaces its quota plan and request class.
 func gatewayFile(publishers []netip.AddrPort) ([]byte, error) {
 	var addresses []string
 	for _, publisher := range publishers {
@@ -77,10 +77,10 @@
 	})
 }
 
-// members returns all member indexes of the fleet.
+// members returns the member indexes of all followers.
 func (f *Fleet) members() []int { return indexes(0, len(f.followers)) }
 
-// indexes lists the member indices from one on up to another, which is left out.
+// indexes returns the member indexes from one number up to another, which is excluded.
 func indexes(from, to int) (members []int) {
 	for member := from; member < to; member++ {
 		members = append(members, member)
@@ -88,7 +88,7 @@
 	return members
 }
 
-// Start starts some followers, all at once.
+// Start starts the followers with the given member indexes concurrently.
 func (f *Fleet) Start(members []int) error {
 	var starts errgroup.Group
 	starts.SetLimit(runtime.GOMAXPROCS(0))
@@ -98,7 +98,7 @@
 	return starts.Wait()
 }
 
-// Stop stops some followers, all at once.
+// Stop stops the followers with the given member indexes concurrently.
 func (f *Fleet) Stop(members []int) {
 	var stops sync.WaitGroup
 	for _, member := range members {
@@ -107,7 +107,7 @@
 	stops.Wait()
 }
 
-// Close stops all followers.
+// Close stops all running followers.
 func (f *Fleet) Close() {
 	var running []int
 	for member, follower := range f.followers {
@@ -118,7 +118,7 @@
 	f.Stop(running)
 }
 
-// ClearDisks removes the stored versions of some followers, which must be stopped.
+// ClearDisks removes the stored versions of followers, which must be stopped.
 func (f *Fleet) ClearDisks(members []int) error {
 	for _, member := range members {
 		err := f.followers[member].clearDisk()
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// WaitInForce waits until a version or a later one is in force at some followers.
+// WaitInForce waits until this version or a later one is in force at the given followers.
 func (f *Fleet) WaitInForce(ctx context.Context, version configsync.Version, members []int) error {
 	for {
 		behind := f.behind(version, members)
@@ -138,14 +138,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("version %d at %d followers, such as %v: %w", version, len(behind),
+			return fmt.Errorf("version %d is not in force at %d followers, such as %v: %w", version, len(behind),
 				behind[:min(len(behind), maxMembersInError)], ctx.Err())
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// behind returns those among some followers at which neither a version nor a later one is in force.
+// behind returns those of the given followers at which an older version or none is in force.
 func (f *Fleet) behind(version configsync.Version, members []int) (behind []int) {
 	for _, member := range members {
 		if f.followers[member].inForce.Load() < uint64(version) {
@@ -165,7 +165,7 @@
 	return count
 }
 
-// TakeApplied returns the versions that came in force at each follower since the call before, by member index.
+// TakeApplied returns the versions that came in force at each follower since the previous call, by member index.
 func (f *Fleet) TakeApplied() [][]AppliedVersion {
 	histories := make([][]AppliedVersion, len(f.followers))
 	for member, follower := range f.followers {
@@ -174,7 +174,7 @@
 	return histories
 }
 
-// Totals returns the sums of the counts of all followers.
+// Totals returns the sum of the counts of all followers.
 func (f *Fleet) Totals() (all Totals) {
 	for _, follower := range f.followers {
 		all.add(follower.totals())
@@ -182,8 +182,8 @@
 	return all
 }
 
-// WaitStatus waits until the status of all followers that run shows a version, which follows its being in force by a
-// moment.
+// WaitStatus waits until the status of every running follower shows this version or a later one. The status shows a
+// version shortly after it came in force.
 func (f *Fleet) WaitStatus(ctx context.Context, version configsync.Version) error {
 	for _, follower := range f.followers {
 		if follower.subscriber == nil {
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// Violations returns the versions that came twice or backwards or that a follower could not apply, and the followers
-// that run with anything but the version with a digest.
+// Violations returns the violations that followers recorded (versions that did not increase or could not be applied),
+// and each running follower that does not have the given version with the given digest.
 func (f *Fleet) Violations(version configsync.Version, digest string) (violations []string) {
 	for _, follower := range f.followers {
 		follower.mu.Lock()
@@ -217,36 +217,37 @@
 	return violations
 }
 
-// Totals are counts of followers since they were created.
+// Totals holds counts of followers since they were created.
 type Totals struct {
 	BytesIn              int64
 	BytesOut             int64
-	AcceptedVersions     uint64 // versions put in force
+	AcceptedVersions     uint64 // versions that came in force
 	RefusedVersions      uint64
-	DeferredSnapshots    uint64 // snapshots put off by a publisher
-	UnsavedVersions      int    // versions that could not be kept on disk
-	LostConnections      uint64 // connections that failed or were ended by the other side
-	AbandonedConnections uint64 // connections that followers gave up, whatever the cause
-	InvalidMessages      uint64 // malformed messages, deltas that did not fit and digests that differed
+	DeferredSnapshots    uint64 // snapshots that a publisher deferred
+	UnsavedVersions      int    // versions that could not be stored on disk
+	LostConnections      uint64 // connections that failed or were closed by the publisher
+	AbandonedConnections uint64 // connections that followers closed, for any reason
+	InvalidMessages      uint64 // malformed messages, deltas from another version than that in force, digest mismatches
 }
 
-// addStatus adds the counts of a subscriber.
+// addStatus adds the counts in a subscriber's status.
 func (t *Totals) addStatus(status subscriber.Status) {
 	counters := &status.Counters
 	t.add(Totals{
-		BytesIn:              status.BytesIn,
-		BytesOut:             status.BytesOut,
-		AcceptedVersions:     counters.Accepted,
-		RefusedVersions:      counters.Refused,
-		DeferredSnapshots:    counters.SnapshotsDeferred,
-		UnsavedVersions:      status.Unsaved,
-		LostConnections:      counters.ConnectionsLost,
-		AbandonedConnections: counters.Silent + counters.NoQuorum + counters.Stalled + counters.Behind + counters.LogMismatches,
-		InvalidMessages:      counters.MalformedMessages + counters.VersionGaps + counters.DigestMismatches,
+		BytesIn:           status.BytesIn,
+		BytesOut:          status.BytesOut,
+		AcceptedVersions:  counters.Accepted,
+		RefusedVersions:   counters.Refused,
+		DeferredSnapshots: counters.SnapshotsDeferred,
+		UnsavedVersions:   status.Unsaved,
+		LostConnections:   counters.ConnectionsLost,
+		AbandonedConnections: counters.Silent + counters.NoQuorum + counters.Stalled + counters.Behind +
+			counters.LogMismatches,
+		InvalidMessages: counters.MalformedMessages + counters.VersionGaps + counters.DigestMismatches,
 	})
 }
 
-// add adds other counts.
+// add adds the counts of other.
 func (t *Totals) add(other Totals) {
 	t.BytesIn += other.BytesIn
 	t.BytesOut += other.BytesOut
@@ -259,13 +260,13 @@
 	t.InvalidMessages += other.InvalidMessages
 }
 
-// deltaSizes holds how many bytes each delta has on the wire. All followers that receive a delta receive the same
-// bytes.
+// deltaSizes holds the number of bytes of each delta on the wire. A delta has the same bytes for every follower that
+// receives it. Its methods may be called concurrently.
 type deltaSizes struct {
-	sizes sync.Map // by span
+	sizes sync.Map // int by versionSpan
 }
 
-// versionSpan identifies a delta by its versions.
+// versionSpan identifies a delta by the versions it leads from and to.
 type versionSpan struct {
 	from configsync.Version
 	to   configsync.Version
@@ -273,7 +274,7 @@
 
 func newDeltaSizes() *deltaSizes { return &deltaSizes{} }
 
-// add records the size of an update's delta. Only the first one of a span is encoded.
+// add records the size of an update's delta. A delta is encoded only the first time that its versions are seen.
 func (s *deltaSizes) add(update *configsync.Update) {
 	if update.Delta == nil {
 		return
@@ -285,7 +286,7 @@
 	}
 }
 
-// size returns the bytes of an update on the wire; 0 for a snapshot.
+// size returns the bytes of the applied delta on the wire, or 0 for a snapshot.
 func (s *deltaSizes) size(applied *AppliedVersion) int {
 	size, known := s.sizes.Load(versionSpan{applied.From, applied.To})
 	if !known || applied.Snapshot {
--- a/lab/rollout/hollow/full_test.go
+++ b/lab/rollout/hollow/full_test.go
@@ -23,35 +23,36 @@
 
 const (
 	fullTimeout = 10 * time.Minute
-	heapLimit   = 8 << 30 // bytes of this process; the publishers come beside it
+	heapLimit   = 8 << 30 // bytes, for this process; publishers run in processes of their own
 
-	// A change each 4.3 s is 20,000 a day.
+	// One change every 4.3 s makes 20,000 changes a day.
 	fullChangeInterval = 4300 * time.Millisecond
 	fullChanges        = 5
 	fullBurst          = 300
 	fullIdleDuration   = 8 * time.Second
 
 	largeFollowers = 20
-	zoneFollowers  = 200 // gateways of a zone, restarted at once
+	zoneFollowers  = 200 // gateways of a zone, all restarted at once
 
-	// Limits of the snapshots that a publisher sends in restarts with a medium configuration: a sixteenth of the defaults,
-	// as the document is about a tenth of the operators'.
-	limitedSnapshotRate  = 4 << 20 // bytes a second
+	// Limits of the snapshots that a publisher sends while followers restart with the medium configuration. They are a
+	// sixteenth of the publishers' defaults, as the configuration is about a tenth of what the operators expect.
+	limitedSnapshotRate  = 4 << 20 // bytes per second
 	limitedSnapshotBurst = 2 << 20 // bytes
 
 	comparedChangeInterval = 250 * time.Millisecond
 )
 
 var (
-	// largeConfiguration has as many quota plans as the operators expect. Followers of it are few: all of them decode it at once
-	// on the processors of one machine, where each gateway has its own.
+	// largeConfiguration has as many quota plans as the operators expect. It is measured with few followers: they all
+	// decode it at the same time on the processors of one machine, whereas each real gateway has processors of its own.
 	largeConfiguration = ConfigurationSize{Plans: 54_000, Classes: 4}
 
-	// mediumConfiguration exceeds the limit of a delta, so that it is sent as a snapshot.
+	// mediumConfiguration exceeds the size limit of a delta, so that it is sent as a snapshot.
 	mediumConfiguration = ConfigurationSize{Plans: 8_000, Classes: 4}
 )
 
-// The full size writes figures; the verdict is by counts and bytes, as in CI.
+// The full-size run measures and reports figures. It fails on wrong counts and bytes only, as the CI tests do, never on
+// times.
 func TestFullSizeFigures(t *testing.T) {
 	if !*full {
 		t.Skip("no -full")
@@ -86,6 +87,7 @@
 	}
 }
 
+// saveReport writes the report into the directory given by -into, if one is given.
 func saveReport(t *testing.T, report *Report) {
 	if *outputDir == "" {
 		return
@@ -96,7 +98,7 @@
 	}
 }
 
-// fullMeasurement returns what is measured at each size.
+// fullMeasurement returns the measurement made for one number of followers and one configuration size.
 func fullMeasurement(followers int, content ConfigurationSize) Measurement {
 	return Measurement{
 		Options:        Options{Followers: followers, Configuration: content},
@@ -107,7 +109,7 @@
 	}
 }
 
-// measureFollowers measures each number of followers.
+// measureFollowers measures each number of followers given by -sizes.
 func measureFollowers(t *testing.T, ctx context.Context, report *Report) {
 	var points []*Point
 	for _, text := range strings.Split(*sizes, ",") {
@@ -125,7 +127,7 @@
 	}
 }
 
-// measureLarge measures a large configuration.
+// measureLarge measures a few followers with a large configuration.
 func measureLarge(t *testing.T, ctx context.Context, report *Report) {
 	point, err := fullMeasurement(largeFollowers, largeConfiguration).Measure(ctx)
 	if err != nil {
@@ -134,10 +136,13 @@
 	report.LargeConfigurations = []*Point{point}
 }
 
-// measureRestarts measures restarts of all followers with configurations of several sizes.
+// measureRestarts measures restarts of all followers at once with configurations of several sizes.
 func measureRestarts(t *testing.T, ctx context.Context, report *Report) {
 	report.Restarts = nil
-	limited := rollout.PublisherSettings{SnapshotBytesPerSecond: limitedSnapshotRate, SnapshotBurstBytes: limitedSnapshotBurst}
+	limited := rollout.PublisherSettings{
+		SnapshotBytesPerSecond: limitedSnapshotRate,
+		SnapshotBurstBytes:     limitedSnapshotBurst,
+	}
 	for _, options := range []Options{
 		{Followers: zoneFollowers, Configuration: smallConfiguration},
 		{Followers: zoneFollowers, Configuration: mediumConfiguration, Settings: limited},
@@ -147,7 +152,8 @@
 	}
 }
 
-// restartAll restarts all followers of a group in each way.
+// restartAll restarts all followers at once: with their disks and with empty ones, while publishers run and while none
+// does.
 func restartAll(t *testing.T, ctx context.Context, report *Report, options Options) {
 	const missed = 5
 	g := startGroup(ctx, t, options)
@@ -168,7 +174,7 @@
 	}
 }
 
-// measureComparison compares hollow followers with processes of the gateway.
+// measureComparison compares simulated followers with real gateway processes.
 func measureComparison(t *testing.T, ctx context.Context, report *Report) {
 	comparison, err := comparisonOptions{
 		Gateways:       20,
--- a/lab/rollout/hollow/group.go
+++ b/lab/rollout/hollow/group.go
@@ -18,17 +18,17 @@
 
 const (
 	publisherCount = 3
-	electionMS     = 1000 // the publishers' default
+	electionMS     = 1000 // election timeout; the publishers' default
 )
 
-// Options describe publishers and their followers.
+// Options describes a group of publishers and their followers.
 type Options struct {
 	Followers     int
 	Configuration ConfigurationSize
 	Settings      rollout.PublisherSettings
 }
 
-// Group is publishers with their followers.
+// Group is a group of publishers with their simulated followers. One goroutine at a time may call its methods.
 type Group struct {
 	Publishers *rollout.PublisherGroup
 	Fleet      *Fleet
@@ -36,11 +36,12 @@
 	configuration ConfigurationSize
 	dir           string
 	latest        publisher.Publication
-	published     []rollout.PublishedChange // since the last call of take
-	changes       int                       // made so far
+	published     []rollout.PublishedChange // changes since the last call of takePublished
+	changes       int                       // number of changes so far, without the first version
 }
 
-// NewGroup starts publishers and publishes all content as their first version. No follower runs yet.
+// NewGroup starts publishers and publishes the whole configuration as their first version. The followers are not
+// started.
 func NewGroup(ctx context.Context, options Options) (g *Group, err error) {
 	g = &Group{configuration: options.Configuration}
 	defer func() {
@@ -81,7 +82,7 @@
 	return addresses
 }
 
-// Close ends followers and publishers and removes their folders.
+// Close stops the followers, kills the publishers and removes their directories.
 func (g *Group) Close() {
 	if g.Fleet != nil {
 		g.Fleet.Close()
@@ -92,7 +93,7 @@
 	os.RemoveAll(g.dir)
 }
 
-// publish publishes a change.
+// publish publishes a change and records it. It fails if the change did not result in a new version.
 func (g *Group) publish(ctx context.Context, request rollout.Request) (err error) {
 	sent := time.Now()
 	g.latest, err = g.Publishers.Publish(ctx, g.changes, request)
@@ -100,13 +101,13 @@
 		return err
 	}
 	if g.latest.Changes == 0 {
-		return errors.New("a change changed nothing")
+		return errors.New("the published change left the configuration as it was")
 	}
 	g.published = append(g.published, rollout.PublishedChange{Version: g.latest.Version, SentAt: sent})
 	return nil
 }
 
-// publishChange publishes the next change.
+// publishChange publishes the next change of a quota plan.
 func (g *Group) publishChange(ctx context.Context) error {
 	request, err := g.configuration.changeRequest(g.changes)
 	if err != nil {
@@ -116,7 +117,7 @@
 	return g.publish(ctx, request)
 }
 
-// publishBurst publishes changes without a pause.
+// publishBurst publishes changes without a pause and does not wait until they are in force.
 func (g *Group) publishBurst(ctx context.Context, changes int) error {
 	for range changes {
 		err := g.publishChange(ctx)
@@ -127,8 +128,8 @@
 	return nil
 }
 
-// publishSpaced publishes a change each interval and waits with a function until the last one is in force. With an
-// interval of 0, a change follows as soon as the one before is in force.
+// publishSpaced publishes one change per interval, then calls inForce to wait until the last one is in force. With an
+// interval of 0, each change is published as soon as the previous one is in force.
 func (g *Group) publishSpaced(ctx context.Context, changes int, interval time.Duration,
 	inForce func(context.Context) error) error {
 	start := time.Now()
@@ -165,7 +166,7 @@
 	return g.Fleet.WaitStatus(ctx, g.latest.Version)
 }
 
-// takePublished returns what was published since the call before.
+// takePublished returns the changes published since the previous call.
 func (g *Group) takePublished() []rollout.PublishedChange {
 	published := g.published
 	g.published = nil
@@ -179,7 +180,7 @@
 	}
 }
 
-// restartPublishers starts all publishers with their disks and waits until they serve followers.
+// restartPublishers starts all publishers with the state on their disks and waits until they serve followers.
 func (g *Group) restartPublishers(ctx context.Context) error {
 	var starts errgroup.Group
 	for i := range g.Publishers.Count() {
@@ -189,13 +190,15 @@
 	return starts.Wait()
 }
 
-// Violations returns what does not hold once the latest version is in force everywhere: versions twice or backwards,
-// digests that differ, publishers with other content, and what followers refused, could not store or found malformed.
+// Violations returns what is wrong once the latest version is in force everywhere: versions that did not increase,
+// differing digests, publishers with other contents, versions that followers refused or could not store, invalid
+// messages, and crashes of publishers.
 func (g *Group) Violations(ctx context.Context) ([]string, error) {
 	violations := g.Fleet.Violations(g.latest.Version, g.latest.Digest)
 	totals := g.Fleet.Totals()
 	if totals.RefusedVersions+totals.InvalidMessages > 0 || totals.UnsavedVersions > 0 {
-		violations = append(violations, fmt.Sprintf("%d versions refused, %d messages broken, %d versions not kept on disk",
+		violations = append(violations, fmt.Sprintf(
+			"%d versions refused, %d invalid messages, %d versions not stored on disk",
 			totals.RefusedVersions, totals.InvalidMessages, totals.UnsavedVersions))
 	}
 	for i := range g.Publishers.Count() {
@@ -210,7 +213,7 @@
 	return append(violations, g.Publishers.Crashes()...), nil
 }
 
-// publisherViolation waits until a publisher has the latest version, and returns what is wrong with it.
+// publisherViolation waits until publisher i has the latest version and returns what is wrong with its status, or "".
 func (g *Group) publisherViolation(ctx context.Context, i int) (violation string, err error) {
 	var status publisher.Status
 	err = fleet.WaitUntil(ctx, fmt.Sprintf("version %d at publisher %d", g.latest.Version, i), func() bool {
@@ -227,7 +230,7 @@
 	return violation, nil
 }
 
-// waitUntil waits until a time.
+// waitUntil waits until a point in time or until ctx ends.
 func waitUntil(ctx context.Context, at time.Time) error {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
--- a/lab/rollout/hollow/hollow_test.go
+++ b/lab/rollout/hollow/hollow_test.go
@@ -11,9 +11,9 @@
 	"ravensill/lab/rollout"
 )
 
-const testTimeout = 3 * time.Minute // no verdict, only an end
+const testTimeout = 3 * time.Minute // only stops a run that hangs, no latency is judged by it
 
-// logEvents counts the log lines of all followers of this test process.
+// logEvents counts the log lines of all followers in this test process.
 var logEvents EventCounter
 
 func TestMain(m *testing.M) {
@@ -21,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-// smallConfiguration is a configuration of CI's size.
+// smallConfiguration is the size of the configuration in the CI tests.
 var smallConfiguration = ConfigurationSize{Plans: 100, Classes: 4}
 
 func testContext(t *testing.T) context.Context {
@@ -30,15 +30,20 @@
 	return ctx
 }
 
-// Each change comes to each follower once, by a delta whose bytes do not depend on the number of followers, and the
-// publishers send as much more as there are more followers. Verdicts are by counts and bytes.
+// Guards against costs that grow faster than the fleet. Each follower must receive each change exactly once, by a delta
+// whose bytes do not depend on the number of followers, and the bytes that the publishers send must grow linearly with
+// that number. Only counts and bytes are checked, not times.
 func TestChangeCostPerFollowerIsConstant(t *testing.T) {
 	const changes = 12
 	const burst = 40
 	ctx := testContext(t)
 	var points []*Point
 	for _, followers := range []int{25, 50, 100, 200, 400} {
-		measurement := Measurement{Options: Options{Followers: followers, Configuration: smallConfiguration}, Changes: changes, BurstChanges: burst}
+		measurement := Measurement{
+			Options:      Options{Followers: followers, Configuration: smallConfiguration},
+			Changes:      changes,
+			BurstChanges: burst,
+		}
 		point, err := measurement.Measure(ctx)
 		if err != nil {
 			t.Fatal(err)
@@ -55,10 +60,11 @@
 
 const (
 	restartedFollowers   = 200
-	restartHistoryDeltas = 16 // deltas that the publishers keep
+	restartHistoryDeltas = 16 // deltas that the publishers' history holds
 )
 
-// restartTest is a restart and how many followers are to start from their disks and by snapshots.
+// restartTest is a restart with the expected number of followers that start from their disks and that receive
+// snapshots.
 type restartTest struct {
 	restartOptions
 	fromDisk  int
@@ -111,8 +117,8 @@
 	},
 }
 
-// Followers that restart at once go on from their disks and get deltas; snapshots go to those alone that have no disk
-// or that missed more than the publishers keep.
+// Followers that restart at once must resume with their stored version and receive deltas. Only followers without a
+// stored version, or that missed more versions than the publishers' history holds, may receive snapshots.
 func TestRestartedFollowersResumeFromDisk(t *testing.T) {
 	ctx := testContext(t)
 	g := startGroup(ctx, t, Options{
@@ -134,13 +140,13 @@
 			t.Errorf("%s: a version older than the latest came in force %d times", test.Description, result.OlderVersions)
 		}
 		if result.FromDisk != test.fromDisk || result.Snapshots != test.snapshots {
-			t.Errorf("%s: %d started from their disks, not %d; %d snapshots, not %d",
+			t.Errorf("%s: %d started from their disks, want %d; %d snapshots, want %d",
 				test.Description, result.FromDisk, test.fromDisk, result.Snapshots, test.snapshots)
 		}
 	}
 }
 
-// startGroup returns a group whose followers all have the first version in force. The caller closes it.
+// startGroup returns a group whose followers all have the first version in force. The caller must close it.
 func startGroup(ctx context.Context, t *testing.T, options Options) *Group {
 	t.Helper()
 	g, err := NewGroup(ctx, options)
@@ -158,7 +164,8 @@
 	return g
 }
 
-// A hollow follower receives, sends and puts in force what a process of the program does.
+// A simulated follower must receive, send and put in force as much as a real gateway process does. Otherwise the
+// figures measured with simulated followers would not apply to gateways.
 func TestHollowFollowerMatchesRealGateway(t *testing.T) {
 	const margin = 0.2
 	comparison, err := comparisonOptions{
@@ -171,12 +178,12 @@
 	}
 	t.Logf("%+v", *comparison)
 	if comparison.Real.Versions != 1 || comparison.Simulated.Versions != 1 {
-		t.Errorf("%g and %g versions a change in force at real gateways and at hollow followers", comparison.Real.Versions,
-			comparison.Simulated.Versions)
+		t.Errorf("%g versions per change came in force at real gateways and %g at simulated followers, want 1",
+			comparison.Real.Versions, comparison.Simulated.Versions)
 	}
 	ratio := comparison.Ratio()
 	if math.Abs(ratio.BytesIn-1) > margin || math.Abs(ratio.BytesOut-1) > margin {
-		t.Errorf("real gateways receive %.2f and send %.2f times as many bytes as hollow followers",
+		t.Errorf("real gateways receive %.2f and send %.2f times as many bytes as simulated followers",
 			ratio.BytesIn, ratio.BytesOut)
 	}
 }
--- a/lab/rollout/hollow/latency.go
+++ b/lab/rollout/hollow/latency.go
@@ -7,17 +7,17 @@
 	"ravensill/lab/rollout"
 )
 
-// Latency is the time from the request for a publication until the version, or a later one, is in force, in seconds,
-// over all changes and followers.
+// Latency summarizes, over all changes and followers, the seconds from the request for a change until its version or a
+// later one was in force.
 type Latency struct {
 	Changes int     `json:"changes"`
-	Samples int     `json:"samples"` // changes in force at a follower
+	Samples int     `json:"samples"` // pairs of a change and a follower at which it came in force
 	P50     float64 `json:"p50"`
 	P99     float64 `json:"p99"`
 	Max     float64 `json:"latest"`
 }
 
-// newLatency returns the latency of what was published, by what came in force at each follower.
+// newLatency returns the latency of the published changes, given the versions that came in force at each follower.
 func newLatency(published []rollout.PublishedChange, histories [][]AppliedVersion) Latency {
 	var delays []time.Duration
 	for _, applied := range histories {
@@ -35,8 +35,10 @@
 	return l
 }
 
-// appendDelays adds the delays of changes at one follower. Both lists are in the order of versions.
-func appendDelays(delays []time.Duration, published []rollout.PublishedChange, applied []AppliedVersion) []time.Duration {
+// appendDelays appends the delays of the published changes at one follower. Both lists are in ascending order of
+// versions.
+func appendDelays(delays []time.Duration, published []rollout.PublishedChange,
+	applied []AppliedVersion) []time.Duration {
 	next := 0
 	for _, change := range published {
 		for next < len(applied) && applied[next].To < change.Version {
--- a/lab/rollout/hollow/point.go
+++ b/lab/rollout/hollow/point.go
@@ -11,13 +11,13 @@
 // Measurement describes what is measured at one size.
 type Measurement struct {
 	Options
-	IdleDuration   time.Duration // without any change
-	Changes        int           // one each Pace
-	ChangeInterval time.Duration // 0: a change follows as soon as the one before is in force everywhere
-	BurstChanges   int           // changes one right after the other
+	IdleDuration   time.Duration // duration of the measurement without changes; 0 leaves it out
+	Changes        int           // number of changes published one at a time
+	ChangeInterval time.Duration // between changes; 0: each follows once the previous one is in force everywhere
+	BurstChanges   int           // number of changes published without a pause; 0 leaves the burst out
 }
 
-// Point is one size with its figures by name. A figure that was not measured is absent.
+// Point holds the values of the metrics measured at one size, by name. A metric that was not measured has no entry.
 type Point struct {
 	Followers     int                `json:"followers"`
 	Configuration ConfigurationSize  `json:"content"`
@@ -25,7 +25,7 @@
 	Violations    []string           `json:"faults"`
 }
 
-// Names of figures.
+// Names of the metrics. They are keys of the written report.
 const (
 	StartTime                = "start"
 	StartProcessor           = "start_processor"
@@ -62,17 +62,17 @@
 	PublisherRestBytesOut    = "publisher_rest_bytes_out"
 )
 
-// Metric describes a figure.
+// Metric describes a measured value.
 type Metric struct {
 	Name        string  `json:"name"`
 	Unit        string  `json:"unit"`
 	Description string  `json:"what"`
-	Counted     bool    `json:"counted"` // a count or bytes, not a time
+	Counted     bool    `json:"counted"` // counts or bytes, which do not depend on the machine's speed
 	Budget      float64 `json:"budget,omitempty"`
 }
 
-// What the operators allow: a change in force within 12 s, and a gateway's control within 7 KB a second, 1.3% of a
-// core and 128 MB.
+// Budgets that the operators set: a change in force within 12 s, and for the distribution of the configuration 7 KB per
+// second, 1.3% of a core and 128 MB at each gateway.
 const (
 	budgetSeconds   = 12
 	budgetBytes     = 7 * 1024
@@ -80,7 +80,8 @@
 	budgetMemory    = 128 << 20
 )
 
-// Metrics returns all figures in the order of the report. Those of followers are means of one.
+// Metrics returns all metrics in the order of the report. Those of followers are means per follower, except where the
+// description says otherwise.
 func Metrics() []Metric {
 	return []Metric{
 		{PacedP50, "s", "one change at a time, from the request until in force: median over changes and followers", false,
@@ -121,7 +122,7 @@
 	}
 }
 
-// Measure measures one size.
+// Measure makes the measurement with a new group of publishers and followers.
 func (s Measurement) Measure(ctx context.Context) (*Point, error) {
 	g, err := NewGroup(ctx, s.Options)
 	if err != nil {
@@ -141,17 +142,17 @@
 	return &Point{Followers: s.Followers, Configuration: s.Configuration, Values: m.values, Violations: violations}, err
 }
 
-// pointMeasurement is the measurement of one size.
+// pointMeasurement is a measurement in progress.
 type pointMeasurement struct {
 	Measurement
 	group                    *Group
 	values                   map[string]float64
 	followerCount            float64
-	heapBefore, stacksBefore float64 // before any follower ran
+	heapBefore, stacksBefore float64 // bytes before any follower was started
 	idle                     window
 }
 
-// measureStart starts all followers with empty disks, so that each receives a snapshot.
+// measureStart measures the start of all followers with empty disks, so that each receives a snapshot.
 func (m *pointMeasurement) measureStart(ctx context.Context) error {
 	g := m.group
 	measured, err := g.measure(ctx, func() error {
@@ -170,7 +171,7 @@
 	return err
 }
 
-// measureIdle measures a time without changes.
+// measureIdle measures an interval without changes. It does nothing if IdleDuration is 0.
 func (m *pointMeasurement) measureIdle(ctx context.Context) (err error) {
 	if m.IdleDuration == 0 {
 		return nil
@@ -185,7 +186,8 @@
 	return err
 }
 
-// aboveIdle returns by how much a figure of a window exceeds that of as much idle time.
+// aboveIdle returns by how much the usage in a window exceeds the idle usage over the same time. Without an idle
+// measurement it returns the whole usage.
 func (m *pointMeasurement) aboveIdle(w *window, usage func(w *window) float64) float64 {
 	if m.IdleDuration == 0 {
 		return usage(w)
@@ -193,7 +195,8 @@
 	return usage(w) - usage(&m.idle)/m.idle.Seconds*w.Seconds
 }
 
-// measureSpaced measures changes one at a time.
+// measureSpaced measures changes that are published one at a time. Without a change interval, only latencies, deltas
+// and bytes are measured.
 func (m *pointMeasurement) measureSpaced(ctx context.Context) error {
 	g := m.group
 	measured, err := g.measure(ctx, func() error {
@@ -227,7 +230,7 @@
 	return nil
 }
 
-// measureBurst measures changes without a pause.
+// measureBurst measures changes that are published without a pause. It does nothing if BurstChanges is 0.
 func (m *pointMeasurement) measureBurst(ctx context.Context) error {
 	if m.BurstChanges == 0 {
 		return nil
@@ -259,14 +262,14 @@
 	return nil
 }
 
-// measureMemory measures the memory of the followers.
+// measureMemory measures the memory of the running followers.
 func (m *pointMeasurement) measureMemory() {
 	heap, stacks := liveMemory()
 	m.values[LiveHeap] = (heap - m.heapBefore) / m.followerCount
 	m.values[Stacks] = (stacks - m.stacksBefore) / m.followerCount
 }
 
-// countDeltas returns the number of deltas among what came in force, and their bytes on the wire.
+// countDeltas returns the number of deltas among the applied versions, and their total bytes on the wire.
 func (f *Fleet) countDeltas(histories [][]AppliedVersion) (count, bytes float64) {
 	for _, history := range histories {
 		for i := range history {
@@ -282,14 +285,14 @@
 
 func milliseconds(seconds float64) float64 { return seconds * 1e3 }
 
-// ScalingSeries is points of several sizes with the fit of each figure.
+// ScalingSeries holds the points measured at several numbers of followers, and for each metric a fit of its growth.
 type ScalingSeries struct {
 	Points []*Point             `json:"points"`
 	Fits   map[string]scale.Fit `json:"fits"`
 }
 
-// NewScalingSeries fits the figures of points by the number of followers. A figure that is not above zero everywhere has no
-// fit.
+// NewScalingSeries fits the values of each metric to the number of followers. A metric has no fit if it was measured at
+// fewer than three points or is not above zero at each of them.
 func NewScalingSeries(points []*Point) ScalingSeries {
 	axis := ScalingSeries{Points: points, Fits: map[string]scale.Fit{}}
 	for _, metric := range Metrics() {
@@ -304,7 +307,7 @@
 		const minPoints = 3
 		if len(sizes) >= minPoints && slices.Min(values) > 0 {
 			fit := scale.NewFit(sizes, values, metric.Counted)
-			fit.TopExponent = 0 // of use for sizes that grow by equal factors alone; infinite for some others
+			fit.TopExponent = 0 // meaningful only for sizes that grow by equal factors; infinite for some others
 			axis.Fits[metric.Name] = fit
 		}
 	}
--- a/lab/rollout/hollow/report.go
+++ b/lab/rollout/hollow/report.go
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// Report is all that was measured, by one run or by runs of single parts.
+// Report holds everything that was measured, by one run or by several runs of single parts.
 type Report struct {
 	Go                  string                   `json:"go"`
 	Cores               int                      `json:"cores"`
@@ -24,20 +24,20 @@
 	LargeConfigurations []*Point                 `json:"large_contents"`
 	Restarts            []*RestartResult         `json:"restarts"`
 	Comparison          *Comparison              `json:"real_and_hollow"`
-	LogEvents           map[string]int           `json:"log_events"` // of the followers' logs
+	LogEvents           map[string]int           `json:"log_events"` // number of followers' log lines by event and cause
 }
 
-// RunConditions is how a part was measured.
+// RunConditions tells how a part was measured.
 type RunConditions struct {
 	Command    string `json:"command"`
-	LoadBefore string `json:"load_average_before"` // of the machine, other work included
+	LoadBefore string `json:"load_average_before"` // of the whole machine, including unrelated work
 	LoadAfter  string `json:"load_average_after"`
 }
 
-// reportBaseName is the report's, without its ending.
+// reportBaseName is the name of the report's files without their extension.
 const reportBaseName = "rollout-scale"
 
-// NewReport returns an empty report, or the one in a folder if there is one.
+// NewReport returns the report read from a directory, or an empty one if the directory holds none.
 func NewReport(folder string) (*Report, error) {
 	report := &Report{Runs: map[string]RunConditions{}}
 	text, err := os.ReadFile(filepath.Join(folder, reportBaseName+".json"))
@@ -53,12 +53,12 @@
 	return report, nil
 }
 
-// BeginPart records that a part is measured by a command from now on.
+// BeginPart records the command by which a part is measured and the load average before.
 func (r *Report) BeginPart(part, command string) {
 	r.Runs[part] = RunConditions{Command: command, LoadBefore: loadAverage()}
 }
 
-// EndPart records that a part is measured.
+// EndPart records the load average after a part and the log events so far.
 func (r *Report) EndPart(part string, lines *EventCounter) {
 	run := r.Runs[part]
 	run.LoadAfter = loadAverage()
@@ -66,7 +66,7 @@
 	r.LogEvents = lines.Events()
 }
 
-// loadAverage returns the machine's load average over 1, 5 and 15 minutes.
+// loadAverage returns the machine's load averages over 1, 5 and 15 minutes.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -77,7 +77,7 @@
 	return strings.Join(fields[:min(averages, len(fields))], " ")
 }
 
-// Write writes the report as JSON and as text into a folder.
+// Write writes the report into a directory, as JSON and as Markdown.
 func (r *Report) Write(folder string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -92,7 +92,7 @@
 	return os.WriteFile(filepath.Join(folder, reportBaseName+".md"), []byte(markdown.String()), 0o644)
 }
 
-// WriteText writes the report as tables.
+// WriteText writes the report as Markdown tables.
 func (r *Report) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "# Figures of the configuration's distribution by hollow followers\n\n%s, %d cores, a machine shared "+
 		"with other runs. Three publishers. `docs/rollout-scale.md` describes the method and what is left out. Figures of "+
@@ -120,7 +120,7 @@
 	}
 }
 
-// Violations returns all that does not hold.
+// Violations returns the violations of all parts.
 func (r *Report) Violations() (violations []string) {
 	if len(r.ByFollowers.Points) > 0 {
 		violations = append(violations, r.ByFollowers.Violations()...)
@@ -134,9 +134,10 @@
 	return violations
 }
 
-// writeByFollowers writes a row for each figure, with a column for each number of followers.
+// writeByFollowers writes a row for each metric, with a column for each number of followers.
 func (r *Report) writeByFollowers(w io.Writer) {
-	fmt.Fprintf(w, "\n## By followers\n\nConfiguration: %s.\n\n| figure | what |", r.ByFollowers.Points[0].Configuration.summary())
+	fmt.Fprintf(w, "\n## By followers\n\nConfiguration: %s.\n\n| figure | what |",
+		r.ByFollowers.Points[0].Configuration.summary())
 	for _, point := range r.ByFollowers.Points {
 		fmt.Fprintf(w, " %d |", point.Followers)
 	}
@@ -154,7 +155,7 @@
 	}
 }
 
-// formatFit returns how a figure grows, as two cells of a row.
+// formatFit returns the fit of a metric as two table cells.
 func (s *ScalingSeries) formatFit(metric *Metric) string {
 	fit, fitted := s.Fits[metric.Name]
 	if !fitted {
@@ -170,7 +171,7 @@
 // label returns the name and the unit.
 func (m *Metric) label() string { return strings.TrimSuffix(m.Name+", "+m.Unit, ", ") }
 
-// formatValue returns a point's value of a metric.
+// formatValue returns a point's value of a metric, or "-" if it was not measured.
 func formatValue(point *Point, metric *Metric) string {
 	value, measured := point.Values[metric.Name]
 	if !measured {
@@ -179,7 +180,7 @@
 	return fmt.Sprintf("%.4g", value)
 }
 
-// formatBudget returns the budget and the largest fraction of it that a point uses.
+// formatBudget returns the budget and the largest fraction of it that a point uses, as two table cells.
 func (m *Metric) formatBudget(points []*Point) string {
 	if m.Budget == 0 {
 		return "- | -"
@@ -191,12 +192,12 @@
 	return fmt.Sprintf("%.4g | %.1f%%", m.Budget, 100*most/m.Budget)
 }
 
-// summary returns the size in a few words.
+// summary returns the size in words.
 func (c ConfigurationSize) summary() string {
 	return fmt.Sprintf("%d quota plans, %d request classes", c.Plans, c.Classes)
 }
 
-// writeLargeConfigurations writes points with a large configuration.
+// writeLargeConfigurations writes a table for each point with a large configuration.
 func (r *Report) writeLargeConfigurations(w io.Writer) {
 	for _, point := range r.LargeConfigurations {
 		fmt.Fprintf(w, "\n## %d followers with a large configuration\n\n%s.\n\n| figure | what | value | budget | of it |\n"+
--- a/lab/rollout/hollow/restart.go
+++ b/lab/rollout/hollow/restart.go
@@ -6,35 +6,36 @@
 	"ravensill/configsync"
 )
 
-// RestartResult is the result of restarting many followers at once, until the latest version was in force at all of
-// them.
+// RestartResult holds what was measured while many followers restarted at once, until the latest version was in force
+// at all of them.
 type RestartResult struct {
 	Description         string            `json:"what"`
 	Followers           int               `json:"followers"`
 	Configuration       ConfigurationSize `json:"content"`
 	MissedVersions      int               `json:"missed"`     // versions published while they were stopped
-	Seconds             float64           `json:"seconds"`    // from the first start of a follower, or of a publisher if these were down
+	Seconds             float64           `json:"seconds"`    // from the first start, or from the change after it if no publisher ran
 	FromDisk            int               `json:"from_disk"`  // followers that started with a stored version
-	Snapshots           int               `json:"snapshots"`  // put in force
-	Deltas              int               `json:"deltas"`     // put in force
-	OlderVersions       int               `json:"old"`        // put in force, older than the latest at the restart
-	DeferredSnapshots   int               `json:"deferred"`   // snapshots
-	PublisherBytesOut   float64           `json:"bytes_out"`  // of all publishers
-	CPUSeconds          float64           `json:"processor"`  // seconds, all followers
-	PublisherCPUSeconds float64           `json:"publishers"` // processor seconds, all publishers
+	Snapshots           int               `json:"snapshots"`  // that came in force
+	Deltas              int               `json:"deltas"`     // that came in force
+	OlderVersions       int               `json:"old"`        // came in force though older than the latest at the restart
+	DeferredSnapshots   int               `json:"deferred"`   // by the publishers
+	PublisherBytesOut   float64           `json:"bytes_out"`  // sent to followers, all publishers
+	CPUSeconds          float64           `json:"processor"`  // all followers
+	PublisherCPUSeconds float64           `json:"publishers"` // all publishers
 	Violations          []string          `json:"faults"`
 }
 
-// restartOptions describe a restart of many followers at once.
+// restartOptions describes a restart of many followers at once.
 type restartOptions struct {
 	Description       string
 	Followers         int
-	EmptyDisks        bool // their disks are empty afterwards
-	MissedVersions    int  // versions published meanwhile
-	WithoutPublishers bool // all publishers are killed before the restart and come back after it
+	EmptyDisks        bool // remove the stored versions before the start
+	MissedVersions    int  // versions published while the followers are stopped
+	WithoutPublishers bool // kill all publishers before the followers' start and restart them after it
 }
 
-// restartFollowers restarts followers and returns the result.
+// restartFollowers stops the first followers, publishes the changes that they miss, starts them again and returns the
+// result.
 func (g *Group) restartFollowers(ctx context.Context, options restartOptions) (*RestartResult, error) {
 	members := indexes(0, options.Followers)
 	g.Fleet.Stop(members)
@@ -49,8 +50,12 @@
 		return nil, err
 	}
 	g.Fleet.TakeApplied()
-	result := &RestartResult{Description: options.Description, Followers: options.Followers, Configuration: g.configuration,
-		MissedVersions: options.MissedVersions}
+	result := &RestartResult{
+		Description:    options.Description,
+		Followers:      options.Followers,
+		Configuration:  g.configuration,
+		MissedVersions: options.MissedVersions,
+	}
 	latestBefore := g.latest.Version
 	start := g.startFollowers
 	if options.WithoutPublishers {
@@ -65,7 +70,7 @@
 	return result, err
 }
 
-// startFollowers starts followers while the publishers run.
+// startFollowers starts followers while the publishers are running.
 func (g *Group) startFollowers(ctx context.Context, members []int) (window, error) {
 	return g.measure(ctx, func() error {
 		err := g.Fleet.Start(members)
@@ -76,7 +81,8 @@
 	})
 }
 
-// startWithoutPublishers starts followers while no publisher runs, then all publishers, and publishes a change.
+// startWithoutPublishers kills all publishers, starts the followers, restarts the publishers and publishes a change.
+// The returned window begins after the publishers serve followers again.
 func (g *Group) startWithoutPublishers(ctx context.Context, members []int) (w window, err error) {
 	g.killPublishers()
 	err = g.Fleet.Start(members)
@@ -96,7 +102,7 @@
 	})
 }
 
-// addMeasurement records what happened since the restart, before which a version was the latest.
+// addMeasurement adds what happened since the restart. latestBefore is the version that was the latest before it.
 func (r *RestartResult) addMeasurement(g *Group, measured window, latestBefore configsync.Version) {
 	for _, history := range g.Fleet.TakeApplied() {
 		for _, applied := range history {
--- a/lab/rollout/hollow/sample.go
+++ b/lab/rollout/hollow/sample.go
@@ -9,22 +9,22 @@
 	"ravensill/lab/fleet"
 )
 
-// sample is the state of all counters at one time.
+// sample holds the values of all counters at one time.
 type sample struct {
 	at         time.Time
-	cpuTime    time.Duration // of this process: the followers, and the little that the measurement takes
+	cpuTime    time.Duration // of this process: the followers and, to a small part, the measurement itself
 	followers  Totals
 	publishers []publisherSample
 }
 
-// publisherSample is that of one publisher.
+// publisherSample holds the resource usage and byte counters of one publisher.
 type publisherSample struct {
 	fleet.Usage
 	bytesIn  int64 // from followers
 	bytesOut int64 // to followers
 }
 
-// processCPUTime returns the processor time of this process since its start.
+// processCPUTime returns the processor time that this process has used since its start.
 func processCPUTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
@@ -57,17 +57,17 @@
 	return s, nil
 }
 
-// window is what happened between two samples.
+// window holds what happened between two samples.
 type window struct {
 	Seconds             float64
-	CPUSeconds          float64 // seconds, all followers
-	BytesIn             float64 // all followers
-	BytesOut            float64
-	AcceptedVersions    float64 // versions put in force, all followers
-	DeferredSnapshots   float64
-	PublisherCPUSeconds float64 // seconds, all publishers
-	PublisherBytesOut   float64 // to followers, all publishers
-	PublisherMemory     float64 // resident bytes at the end, of the publisher with most
+	CPUSeconds          float64 // all followers
+	BytesIn             float64 // received by all followers
+	BytesOut            float64 // sent by all followers
+	AcceptedVersions    float64 // versions that came in force, all followers
+	DeferredSnapshots   float64 // all followers
+	PublisherCPUSeconds float64 // all publishers
+	PublisherBytesOut   float64 // sent to followers by all publishers
+	PublisherMemory     float64 // resident bytes at the end, of the publisher that uses the most
 }
 
 // newWindow returns what happened between two samples.
@@ -86,10 +86,10 @@
 	return w
 }
 
-// measure returns what happens during a function. The cost of the samples themselves is left out where possible: the
-// publishers' status is requested after the processor times are read.
+// measure returns what happens while fn runs. The publishers' status is requested after the processor times are read,
+// so that the requests of the second sample are not counted.
 func (g *Group) measure(ctx context.Context, fn func() error) (w window, err error) {
-	_, err = g.sample(ctx) // so that what it costs the publishers is not in the window
+	_, err = g.sample(ctx) // its cost to the publishers must not fall into the window, so sample once before
 	if err != nil {
 		return w, err
 	}
@@ -105,10 +105,10 @@
 	return newWindow(from, to), err
 }
 
-// liveMemory returns the live bytes of heap and stacks of this process, after a collection.
+// liveMemory returns the bytes of live heap objects and of stacks in this process, after a garbage collection.
 func liveMemory() (heap, stacks float64) {
 	runtime.GC()
-	runtime.GC() // what had a finalizer or stood in a pool goes with the second
+	runtime.GC() // the second collection frees objects that had finalizers or were in a sync.Pool
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc), float64(stats.StackInuse)
