--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -275,7 +275,8 @@
 		for _, member := range members {
 			answer := r.probe(member, nonMemberName)
 			if !strings.HasPrefix(answer.ErrorText, "ERR ") {
-				return fmt.Errorf("want an error for the impostor's plan, which is unknown: %w", probeError(member, nonMemberName, answer))
+				return fmt.Errorf("want an error for the impostor's unknown plan: %w",
+					probeError(member, nonMemberName, answer))
 			}
 		}
 		return nil
