--- a/cmd/ravensill-publisher/main_test.go
+++ b/cmd/ravensill-publisher/main_test.go
@@ -119,7 +119,7 @@
 	p := start(t, file)
 	p.line("event=publisher_leader_changed leader=true")
 	url := "http://" + p.started[2] + "/v1/configuration"
-	request, err := http.NewRequest("PUT", url, strings.NewReader(publishertest.FirstContent))
+	request, err := http.NewRequest("PUT", url, strings.NewReader(publishertest.InitialContent))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ravensill/observer_test.go
+++ b/cmd/ravensill/observer_test.go
@@ -107,7 +107,7 @@
 
 // summaryOf returns a summary of a gateway, by its member index, that holds nothing.
 func summaryOf(member uint32) []byte {
-	part := counterfactual.Part{Gateway: member, Incarnation: 1, WindowLength: 100}
+	part := counterfactual.SummaryPart{Gateway: member, Incarnation: 1, WindowLength: 100}
 	return append([]byte{'S'}, counterfactual.Encode(part, nil)[0](0)...)
 }
 
--- a/counterfactual/answer.go
+++ b/counterfactual/answer.go
@@ -8,16 +8,16 @@
 
 // Reasons for which a figure is refused.
 const (
-	NoOverlap        = "no overlap"
-	FewSamples       = "too few effective samples"
-	FewCustomers     = "too few customers"
-	GatewaysMissing  = "gateways missing"
-	CensoredEarly    = "cut off too early"
-	BadProbabilities = "chances do not add up"
-	OutOfRange       = "load outside the range seen"
-	FollowsLoad      = "the rule follows the load"
-	BeyondObjective  = "beyond the target"
-	TooWide          = "interval too wide"
+	ReasonNoOverlap                 = "no overlap"
+	ReasonFewSamples                = "too few effective samples"
+	ReasonFewCustomers              = "too few customers"
+	ReasonGatewaysMissing           = "gateways missing"
+	ReasonCensoredEarly             = "cut off too early"
+	ReasonInconsistentProbabilities = "chances do not add up"
+	ReasonLoadOutOfRange            = "load outside the range seen"
+	ReasonLoadDependentRule         = "the rule follows the load"
+	ReasonBeyondObjective           = "beyond the target"
+	ReasonWideInterval              = "interval too wide"
 )
 
 // Values of Answer.Question.
@@ -37,38 +37,38 @@
 
 // Answer is the estimate for a rule over the attempts of a request class in a range of bins.
 type Answer struct {
-	Question     string    `json:"question"`
-	Rule         string    `json:"rule"`
-	Class        string    `json:"frontend"`
-	Host         string    `json:"host,omitempty"` // of OneHost
-	HostNumber   uint32    `json:"-"`              // of OneHost
-	Share        float64   `json:"part,omitempty"` // fraction of the attempts for which the rule chooses
-	Estimator    Estimator `json:"estimator,omitempty"`
-	Refused      string    `json:"refused,omitempty"` // reason why there are no figures at all
-	Requests     float64   `json:"reqs"`              // attempts that the figures cover
-	Covers       float64   `json:"covers"`            // fraction of all attempts of the request class
-	Effective    float64   `json:"effective"`
-	Groups       int       `json:"groups"`
-	Unreachable  float64   `json:"no_chance"` // fraction that could not have gone to the rule's host
-	Lacking      float64   `json:"lacking"`   // fraction at hosts and loads with too few outcomes
-	Mean         Figure    `json:"mean_ms"`   // of the response time or the objective, whichever is less
-	P50          Figure    `json:"p50_ms"`
-	P99          Figure    `json:"p99_ms"`
-	Within       Figure    `json:"within_target"`
-	Regret       Figure    `json:"regret_ms"` // mean minus that of the best rule with a mean
-	Missing      []Missing `json:"missing,omitempty"`
-	MissingShare float64   `json:"missing_part"`
+	Question         string              `json:"question"`
+	Rule             string              `json:"rule"`
+	Class            string              `json:"frontend"`
+	Host             string              `json:"host,omitempty"` // of OneHost
+	HostNumber       uint32              `json:"-"`              // of OneHost
+	Share            float64             `json:"part,omitempty"` // fraction of the attempts for which the rule chooses
+	Estimator        Estimator           `json:"estimator,omitempty"`
+	Refused          string              `json:"refused,omitempty"` // reason why there are no figures at all
+	Attempts         float64             `json:"reqs"`              // attempts that the figures cover
+	Coverage         float64             `json:"covers"`            // fraction of all attempts of the request class
+	EffectiveSamples float64             `json:"effective"`
+	CustomerGroups   int                 `json:"groups"`
+	UnreachableShare float64             `json:"no_chance"` // fraction that could not have gone to the rule's host
+	SparseShare      float64             `json:"lacking"`   // fraction at hosts and loads with too few outcomes
+	Mean             Figure              `json:"mean_ms"`   // of the response time or the objective, whichever is less
+	P50              Figure              `json:"p50_ms"`
+	P99              Figure              `json:"p99_ms"`
+	WithinObjective  Figure              `json:"within_target"`
+	Regret           Figure              `json:"regret_ms"` // mean minus that of the best rule with a mean
+	Missing          []IncompleteGateway `json:"missing,omitempty"`
+	MissingShare     float64             `json:"missing_part"`
 
 	mean  float64   // nanoseconds
 	means []float64 // with each customer group left out in turn
 }
 
-// Given reports whether there is an estimate.
-func (f *Figure) Given() bool { return f.Refused == "" }
+// Available reports whether there is an estimate.
+func (f *Figure) Available() bool { return f.Refused == "" }
 
 // refuseFigures sets the reason of the answer's refusal for each figure.
 func (a *Answer) refuseFigures() {
-	for _, figure := range []*Figure{&a.Mean, &a.P50, &a.P99, &a.Within, &a.Regret} {
+	for _, figure := range []*Figure{&a.Mean, &a.P50, &a.P99, &a.WithinObjective, &a.Regret} {
 		figure.Refused = a.Refused
 	}
 }
@@ -78,17 +78,17 @@
 	var best *Answer
 	for i := range answers {
 		a := &answers[i]
-		if a.Mean.Given() && (best == nil || a.mean < best.mean) {
+		if a.Mean.Available() && (best == nil || a.mean < best.mean) {
 			best = a
 		}
 	}
 	for i := range answers {
 		a := &answers[i]
-		if !a.Mean.Given() {
+		if !a.Mean.Available() {
 			a.Regret = Figure{Refused: a.Mean.Refused}
 			continue
 		}
-		difference, halfWidth := Difference(a, best)
+		difference, halfWidth := MeanDifference(a, best)
 		a.Regret = Figure{
 			Value: difference / nanosecondsPerMillisecond,
 			Low:   max(difference-halfWidth, 0) / nanosecondsPerMillisecond,
@@ -97,9 +97,9 @@
 	}
 }
 
-// Difference returns the difference of the means of a and b in nanoseconds, with the half width of its interval. Both
+// MeanDifference returns the difference of the means of a and b in nanoseconds, with the half width of its interval. Both
 // are of one Panel, each with a mean.
-func Difference(a, b *Answer) (difference, halfWidth float64) {
+func MeanDifference(a, b *Answer) (difference, halfWidth float64) {
 	var differences []float64
 	for i := range min(len(a.means), len(b.means)) {
 		differences = append(differences, a.means[i]-b.means[i])
--- a/counterfactual/buckets.go
+++ b/counterfactual/buckets.go
@@ -7,13 +7,13 @@
 
 // Parameters of the summaries.
 const (
-	Groups        = 20   // customer groups, the units of the jackknife
-	MaxCandidates = 64   // of a record; one with more is not folded
-	scale         = 4096 // masses and weights are multiples of 1/scale, so that sums do not depend on the order
-	maxWeight     = 64   // larger weights are clipped
-	loadBands     = 64   // two an octave
-	neverBucket   = 1023 // bucket of attempts without any response
-	gamma         = 1.02 // ratio of a bucket's bounds: values have an error of 1% (DDSketch, Masson et al. 2019)
+	NumCustomerGroups = 20   // customer groups, the units of the jackknife
+	MaxCandidates     = 64   // of a record; one with more is not folded
+	scale             = 4096 // masses and weights are multiples of 1/scale, so that sums do not depend on the order
+	maxWeight         = 64   // larger weights are clipped
+	loadBands         = 64   // two an octave
+	neverBucket       = 1023 // bucket of attempts without any response
+	gamma             = 1.02 // ratio of a bucket's bounds: values have an error of 1% (DDSketch, Masson et al. 2019)
 )
 
 // firstBound is the upper bound of the first bucket.
@@ -21,8 +21,8 @@
 
 var logGamma = math.Log(gamma)
 
-// Bucket returns the histogram bucket of a response time.
-func Bucket(latency time.Duration) int {
+// LatencyBucket returns the histogram bucket of a response time.
+func LatencyBucket(latency time.Duration) int {
 	if latency <= firstBound {
 		return 0
 	}
@@ -46,5 +46,5 @@
 func customerGroup(customer uint32) int {
 	x := uint64(customer) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	return int((x ^ x>>27) >> 33 % Groups)
+	return int((x ^ x>>27) >> 33 % NumCustomerGroups)
 }
--- a/counterfactual/codec.go
+++ b/counterfactual/codec.go
@@ -9,7 +9,7 @@
 
 // Limits of a message; one beyond them is rejected.
 const (
-	MaxBytes        = 1400    // so that no datagram is fragmented
+	MaxMessageBytes = 1400    // so that no datagram is fragmented
 	maxHeadBytes    = 64      // of all fields but the cells
 	maxRows         = 16      // of a cell; one with more is split
 	maxParts        = 4096    // of a window
@@ -48,7 +48,7 @@
 }
 
 // newWirePart returns a part without cells.
-func newWirePart(head *Part, index int) *wirePart {
+func newWirePart(head *SummaryPart, index int) *wirePart {
 	return &wirePart{
 		Version:      version,
 		Gateway:      head.Gateway,
@@ -64,7 +64,7 @@
 
 // Encode splits the cells of a window into parts of at most MaxBytes each. It returns each part as a function of its
 // age, so that it can be sent again later. There is at least one part: a window without attempts is reported as such.
-func Encode(head Part, cells []Cell) (encoders []func(age uint32) []byte) {
+func Encode(head SummaryPart, cells []Cell) (encoders []func(age uint32) []byte) {
 	if len(cells) == 0 {
 		head.Version = version
 		head.Total = 1
@@ -86,13 +86,13 @@
 
 // splitCells encodes cells and distributes them over parts. A cell with many rows is split: its receiver adds it up
 // again.
-func splitCells(head *Part, cells []Cell) (parts []*wirePart) {
+func splitCells(head *SummaryPart, cells []Cell) (parts []*wirePart) {
 	free := 0 // bytes of the latest part
 	add := func(c *Cell) {
 		encoded := marshal(c)
 		if len(parts) == 0 || len(encoded) > free {
 			parts = append(parts, newWirePart(head, len(parts)))
-			free = MaxBytes - maxHeadBytes
+			free = MaxMessageBytes - maxHeadBytes
 		}
 		free -= len(encoded)
 		part := parts[len(parts)-1]
@@ -119,11 +119,11 @@
 }
 
 // Decode decodes a message and checks all its values; an error names the field.
-func Decode(message []byte) (*Part, error) {
-	if len(message) > MaxBytes {
-		return nil, fmt.Errorf("%d bytes, %d at most", len(message), MaxBytes)
+func Decode(message []byte) (*SummaryPart, error) {
+	if len(message) > MaxMessageBytes {
+		return nil, fmt.Errorf("%d bytes, %d at most", len(message), MaxMessageBytes)
 	}
-	part := &Part{}
+	part := &SummaryPart{}
 	if err := decoder.Unmarshal(message, part); err != nil {
 		return nil, err
 	}
@@ -146,12 +146,12 @@
 }
 
 // check returns an error for values that no correct gateway can send.
-func (c *Cell) check(part *Part) error {
+func (c *Cell) check(part *SummaryPart) error {
 	if c.Key.LoadBand >= loadBands || c.Key.GatewayZone != part.Zone {
 		return errors.New("key")
 	}
 	limit := uint64(part.Attempts) * scale * 2 // twice the attempts: masses are rounded
-	for rule := range Rules {
+	for rule := range NumRules {
 		if c.Mass[rule] > limit || c.Unreachable[rule] > c.Mass[rule] ||
 			c.SquaredWeights[rule] > limit*maxWeight*maxWeight {
 			return fmt.Errorf("masses of rule %s", rule)
@@ -170,13 +170,13 @@
 
 // check returns an error for values that no correct gateway with a number of attempts can send.
 func (r *Row) check(attempts uint32) error {
-	if r.Group >= Groups || r.Bucket > neverBucket || r.Count == 0 || r.Count > attempts {
+	if r.Group >= NumCustomerGroups || r.Bucket > neverBucket || r.Count == 0 || r.Count > attempts {
 		return errors.New("row")
 	}
 	if r.Censored && r.Bucket == neverBucket {
 		return errors.New("row")
 	}
-	for _, weight := range r.Weight {
+	for _, weight := range r.Weights {
 		if weight > uint64(r.Count)*maxWeight*scale {
 			return errors.New("weight")
 		}
--- a/counterfactual/estimation.go
+++ b/counterfactual/estimation.go
@@ -23,7 +23,7 @@
 	class        string
 	table        *strataTable
 	only         Estimator // no other is used; empty: any
-	missing      []Missing
+	missing      []IncompleteGateway
 	missingShare float64
 	maxMissing   float64
 
@@ -38,7 +38,7 @@
 	e.sums = e.table.sum(noGroup, rules)
 	e.groups, e.effectiveGroups = e.table.groups()
 	if e.effectiveGroups >= minGroups {
-		for group := range Groups {
+		for group := range NumCustomerGroups {
 			if e.table.hasGroup(group) {
 				e.leftOut = append(e.leftOut, e.table.sum(group, rules))
 			}
@@ -55,18 +55,18 @@
 func (e *estimation) answer(rule Rule) Answer {
 	sums := e.sums[rule]
 	a := Answer{
-		Question:     questionMoved,
-		Rule:         rule.String(),
-		Class:        e.class,
-		Requests:     sums.mass,
-		Covers:       1,
-		Groups:       e.groups,
-		Missing:      e.missing,
-		MissingShare: e.missingShare,
+		Question:       questionMoved,
+		Rule:           rule.String(),
+		Class:          e.class,
+		Attempts:       sums.mass,
+		Coverage:       1,
+		CustomerGroups: e.groups,
+		Missing:        e.missing,
+		MissingShare:   e.missingShare,
 	}
 	if sums.mass > 0 {
-		a.Unreachable = e.table.unreachable(rule) / sums.mass
-		a.Lacking = 1 - sums.coveredMass/sums.mass
+		a.UnreachableShare = e.table.unreachable(rule) / sums.mass
+		a.SparseShare = 1 - sums.coveredMass/sums.mass
 	}
 	e.chooseEstimator(&a, rule)
 	if reason := e.refusal(&a, rule); reason != "" {
@@ -82,22 +82,22 @@
 func (e *estimation) chooseEstimator(a *Answer, rule Rule) {
 	weighted, direct := e.table.effectiveSizes(rule)
 	switch {
-	case e.only != "" && a.Lacking <= maxLacking:
+	case e.only != "" && a.SparseShare <= maxLacking:
 		a.Estimator = e.only
-		a.Effective = direct
+		a.EffectiveSamples = direct
 	case e.only != "":
-		a.Refused = OutOfRange + e.table.describeLacking(rule)
-	case a.Unreachable > maxUnreachable && a.Lacking <= maxLacking:
+		a.Refused = ReasonLoadOutOfRange + e.table.describeLacking(rule)
+	case a.UnreachableShare > maxUnreachable && a.SparseShare <= maxLacking:
 		a.Estimator = Direct
-		a.Effective = direct
-	case a.Unreachable <= maxUnreachable && a.Lacking <= maxLacking:
+		a.EffectiveSamples = direct
+	case a.UnreachableShare <= maxUnreachable && a.SparseShare <= maxLacking:
 		a.Estimator = Robust
-		a.Effective = min(weighted, direct)
-	case a.Unreachable <= maxUnreachable && e.table.allHostsSeen(rule):
+		a.EffectiveSamples = min(weighted, direct)
+	case a.UnreachableShare <= maxUnreachable && e.table.allHostsSeen(rule):
 		a.Estimator = Weighted
-		a.Effective = weighted
+		a.EffectiveSamples = weighted
 	default:
-		a.Refused = NoOverlap + e.table.describeLacking(rule)
+		a.Refused = ReasonNoOverlap + e.table.describeLacking(rule)
 	}
 }
 
@@ -106,20 +106,20 @@
 	sums := e.sums[rule]
 	switch {
 	case sums.mass == 0:
-		return NoOverlap + ": no dispatch to ask about"
+		return ReasonNoOverlap + ": no dispatch to ask about"
 	case e.missingShare > e.maxMissing:
-		return fmt.Sprintf("%s: about %.0f%% of the dispatches", GatewaysMissing, 100*e.missingShare)
+		return fmt.Sprintf("%s: about %.0f%% of the dispatches", ReasonGatewaysMissing, 100*e.missingShare)
 	case a.Refused != "":
 		return a.Refused
-	case a.Effective < minEffective:
-		return fmt.Sprintf("%s: %.0f, %d wanted", FewSamples, a.Effective, minEffective)
+	case a.EffectiveSamples < minEffective:
+		return fmt.Sprintf("%s: %.0f, %d wanted", ReasonFewSamples, a.EffectiveSamples, minEffective)
 	case e.effectiveGroups < minGroups:
-		return fmt.Sprintf("%s: worth %.1f groups of %d", FewCustomers, e.effectiveGroups, Groups)
+		return fmt.Sprintf("%s: worth %.1f groups of %d", ReasonFewCustomers, e.effectiveGroups, NumCustomerGroups)
 	case sums.censoredEarly/sums.mass > maxCensored:
-		return fmt.Sprintf("%s: %.1f%%", CensoredEarly, 100*sums.censoredEarly/sums.mass)
+		return fmt.Sprintf("%s: %.1f%%", ReasonCensoredEarly, 100*sums.censoredEarly/sums.mass)
 	case a.Estimator != Direct && !e.weightsAddUp(rule):
 		weight := sums.weight / sums.mass
-		return fmt.Sprintf("%s: the weights come to %.2f of the dispatches", BadProbabilities, weight)
+		return fmt.Sprintf("%s: the weights come to %.2f of the dispatches", ReasonInconsistentProbabilities, weight)
 	}
 	return ""
 }
--- a/counterfactual/figures.go
+++ b/counterfactual/figures.go
@@ -48,7 +48,7 @@
 	}
 	f.student = studentQuantile(len(f.curves))
 	if a.Estimator == Direct {
-		f.uncovered = timeDifference * a.Unreachable
+		f.uncovered = timeDifference * a.UnreachableShare
 	}
 	return f
 }
@@ -61,7 +61,7 @@
 	a.P99 = f.quantile(0.99, tailWidth)
 	horizon := f.table.horizon
 	low, high := f.fractionInterval(f.curve[horizon], horizon)
-	a.Within = newFigure(f.curve[horizon], low, high, fractionWidth)
+	a.WithinObjective = newFigure(f.curve[horizon], low, high, fractionWidth)
 }
 
 // setMean sets the mean, and the effect of the clustering that the other figures need.
@@ -73,8 +73,8 @@
 		a.means = append(a.means, meanWithout)
 	}
 	a.mean = mean
-	f.design = max(1, jackknife(a.means)*a.Effective/max(variance, minSpread))
-	deviation := math.Sqrt(f.design * variance * (1/a.Effective + 1/a.Requests))
+	f.design = max(1, jackknife(a.means)*a.EffectiveSamples/max(variance, minSpread))
+	deviation := math.Sqrt(f.design * variance * (1/a.EffectiveSamples + 1/a.Attempts))
 	reach := f.student*deviation + f.uncovered*mean
 	a.Mean = newFigure(
 		mean/nanosecondsPerMillisecond,
@@ -82,10 +82,10 @@
 		(mean+reach)/nanosecondsPerMillisecond,
 		meanWidth*mean/nanosecondsPerMillisecond,
 	)
-	if !a.Mean.Given() {
+	if !a.Mean.Available() {
 		return
 	}
-	reach = deviation*anytimeFactor(a.Effective) + f.uncovered*mean
+	reach = deviation*anytimeFactor(a.EffectiveSamples) + f.uncovered*mean
 	a.Mean.AnyTime = &[2]float64{
 		max(mean-reach, 0) / nanosecondsPerMillisecond,
 		(mean + reach) / nanosecondsPerMillisecond,
@@ -96,13 +96,13 @@
 func (f *figures) quantile(fraction, width float64) Figure {
 	estimate, within := f.table.quantile(f.curve, fraction)
 	if !within {
-		return Figure{Refused: BeyondObjective}
+		return Figure{Refused: ReasonBeyondObjective}
 	}
 	low, high := f.fractionInterval(fraction, quantileBucket(f.curve, fraction))
 	lowTime, _ := f.table.quantile(f.curve, low)
 	highTime, within := f.table.quantile(f.curve, high)
 	if !within {
-		return Figure{Refused: TooWide + ": up to the target"}
+		return Figure{Refused: ReasonWideInterval + ": up to the target"}
 	}
 	return newFigure(
 		estimate/nanosecondsPerMillisecond,
@@ -124,7 +124,7 @@
 		successes := samples * fraction
 		high = distuv.Beta{Alpha: successes + 1, Beta: samples - successes}.Quantile((1 + confidence) / 2)
 	}
-	lacking := f.answer.Lacking
+	lacking := f.answer.SparseShare
 	return low * (1 - lacking), min(high*(1-lacking)+lacking, 1)
 }
 
@@ -137,9 +137,9 @@
 	}
 	variance := jackknife(fractions)
 	ownVariance := fraction * (1 - fraction)
-	samples := 1 / (1/a.Effective + 1/a.Requests) / f.design
-	if ownVariance > 0 && variance > ownVariance/a.Effective {
-		samples = min(samples*f.design, 1/(variance/ownVariance*(1+a.Effective/a.Requests)))
+	samples := 1 / (1/a.EffectiveSamples + 1/a.Attempts) / f.design
+	if ownVariance > 0 && variance > ownVariance/a.EffectiveSamples {
+		samples = min(samples*f.design, 1/(variance/ownVariance*(1+a.EffectiveSamples/a.Attempts)))
 	} else if ownVariance > 0 {
 		samples *= f.design
 	}
@@ -150,7 +150,7 @@
 func newFigure(value, low, high, width float64) Figure {
 	halfWidth := max(high-value, value-low)
 	if !(halfWidth <= width) { // also for NaN
-		return Figure{Refused: fmt.Sprintf("%s: %.3g to %.3g", TooWide, low, high)}
+		return Figure{Refused: fmt.Sprintf("%s: %.3g to %.3g", ReasonWideInterval, low, high)}
 	}
 	return Figure{Value: value, Low: max(low, 0), High: high}
 }
--- a/counterfactual/folder.go
+++ b/counterfactual/folder.go
@@ -7,25 +7,25 @@
 
 const cacheSize = 512 // cells
 
-// Folder folds the records of one gateway into the summary of the current window.
-type Folder struct {
+// Summarizer folds the records of one gateway into the summary of the current window.
+type Summarizer struct {
 	maxCells    int
 	zone        uint8
-	cells       map[Key]*Cell
+	cells       map[CellKey]*Cell
 	attempts    uint32
 	lostRecords uint32
 	shares      ruleShares       // scratch
 	cache       [cacheSize]*Cell // cells used recently, by a hash of their key
 }
 
-// NewFolder returns a folder for a gateway in a zone. It has at most maxCells cells; records that need more are counted
+// NewSummarizer returns a folder for a gateway in a zone. It has at most maxCells cells; records that need more are counted
 // as lost.
-func NewFolder(zone, maxCells int) *Folder {
-	return &Folder{maxCells: maxCells, zone: uint8(zone), cells: map[Key]*Cell{}}
+func NewSummarizer(zone, maxCells int) *Summarizer {
+	return &Summarizer{maxCells: maxCells, zone: uint8(zone), cells: map[CellKey]*Cell{}}
 }
 
 // Add folds a record. One that is invalid, or may need more cells than there are, is counted as lost.
-func (f *Folder) Add(record *Record) {
+func (f *Summarizer) Add(record *Record) {
 	f.attempts++
 	if len(f.cells)+len(record.Candidates) > f.maxCells || !f.shares.compute(record.Candidates) {
 		f.lostRecords++
@@ -33,7 +33,7 @@
 	}
 	for i := range record.Candidates {
 		candidate := &record.Candidates[i]
-		cell := f.cell(Key{
+		cell := f.cell(CellKey{
 			Class:       uint16(record.Class),
 			GatewayZone: f.zone,
 			Host:        candidate.Host,
@@ -48,8 +48,8 @@
 }
 
 // addMass adds the fraction of the attempt that each rule would have sent to a candidate.
-func (f *Folder) addMass(cell *Cell, candidate int, eligible bool) {
-	for rule := range Rules {
+func (f *Summarizer) addMass(cell *Cell, candidate int, eligible bool) {
+	for rule := range NumRules {
 		mass := scaled(f.shares.mass[rule][candidate])
 		cell.Mass[rule] += mass
 		if !eligible {
@@ -59,19 +59,19 @@
 }
 
 // addOutcome adds the outcome at the chosen host.
-func (f *Folder) addOutcome(cell *Cell, record *Record) {
+func (f *Summarizer) addOutcome(cell *Cell, record *Record) {
 	row := Row{
 		Group:    uint8(customerGroup(record.Customer)),
-		Bucket:   uint16(Bucket(record.Latency)),
+		Bucket:   uint16(LatencyBucket(record.Latency)),
 		Censored: record.End == Censored,
 		Count:    1,
 	}
 	if record.End == Failed {
 		row.Bucket = neverBucket
 	}
-	for rule := range Rules {
+	for rule := range NumRules {
 		weight := f.shares.weight[rule]
-		row.Weight[rule] = scaled(weight)
+		row.Weights[rule] = scaled(weight)
 		cell.SquaredWeights[rule] += scaled(weight * weight)
 	}
 	cell.addRow(row)
@@ -81,7 +81,7 @@
 func scaled(value float64) uint64 { return uint64(value*scale + 0.5) }
 
 // cell returns the cell of a key, a new one if there is none.
-func (f *Folder) cell(key Key) *Cell {
+func (f *Summarizer) cell(key CellKey) *Cell {
 	cached := &f.cache[(key.Host*0x9e3779b1>>20+uint32(key.LoadBand)*7+uint32(key.Class)*31)%cacheSize]
 	if cell := *cached; cell != nil && cell.Key == key {
 		return cell
@@ -96,21 +96,21 @@
 }
 
 // AddLost counts records that the queue had no capacity for.
-func (f *Folder) AddLost(n int) {
+func (f *Summarizer) AddLost(n int) {
 	f.attempts += uint32(n)
 	f.lostRecords += uint32(n)
 }
 
-// Close ends the window, returns its summary and starts the next one. The cells are in the order of their keys.
-func (f *Folder) Close() (cells []Cell, attempts, lost uint32) {
-	for _, key := range slices.SortedFunc(maps.Keys(f.cells), Key.compare) {
+// Flush ends the window, returns its summary and starts the next one. The cells are in the order of their keys.
+func (f *Summarizer) Flush() (cells []Cell, attempts, lost uint32) {
+	for _, key := range slices.SortedFunc(maps.Keys(f.cells), CellKey.compare) {
 		cells = append(cells, *f.cells[key])
 	}
 	attempts = f.attempts
 	lost = f.lostRecords
 	f.attempts = 0
 	f.lostRecords = 0
-	f.cells = make(map[Key]*Cell, len(cells))
+	f.cells = make(map[CellKey]*Cell, len(cells))
 	clear(f.cache[:])
 	return cells, attempts, lost
 }
--- a/counterfactual/folder_test.go
+++ b/counterfactual/folder_test.go
@@ -8,13 +8,13 @@
 
 // Records that are invalid, need more cells than there are, or were dropped by the queue count as lost.
 func TestFolderCountsLostRecords(t *testing.T) {
-	f := NewFolder(0, 4)
+	f := NewSummarizer(0, 4)
 	for i := range 10 {
 		f.Add(&Record{Candidates: []Candidate{{Host: uint32(i), Probability: 1, Load: 1}}})
 	}
 	f.AddLost(2)
 	f.Add(&Record{Candidates: []Candidate{{Probability: 0.5, Load: 1}}})
-	cells, attempts, lost := f.Close()
+	cells, attempts, lost := f.Flush()
 	if len(cells) != 4 || attempts != 13 || lost != 9 {
 		t.Errorf("%d cells, %d of %d lost", len(cells), lost, attempts)
 	}
@@ -47,7 +47,7 @@
 		records = append(records, drawRecord(random))
 	}
 	b.ReportAllocs()
-	f := NewFolder(0, 8192)
+	f := NewSummarizer(0, 8192)
 	next := 0
 	size := 0
 	for b.Loop() {
@@ -57,8 +57,8 @@
 			continue
 		}
 		next = 0
-		cells, attempts, lost := f.Close()
-		head := Part{WindowLength: 1000, Attempts: attempts, LostRecords: lost}
+		cells, attempts, lost := f.Flush()
+		head := SummaryPart{WindowLength: 1000, Attempts: attempts, LostRecords: lost}
 		for _, encode := range Encode(head, cells) {
 			size += len(encode(1))
 		}
--- a/counterfactual/ledger.go
+++ b/counterfactual/ledger.go
@@ -11,21 +11,21 @@
 
 // Settings of a Ledger.
 type Settings struct {
-	Gateways   int             // number of gateways that are expected to report
-	Window     time.Duration   // length of a bin and of the gateways' windows
-	Grace      time.Duration   // after a bin's end; a message that arrives later does not count
-	KeptBins   int             // number of bins kept
-	MaxCells   int             // in all bins together
-	MaxMissing float64         // fraction of all attempts that may be missing from a figure
-	Objectives []time.Duration // latency objective by request class: longer times count as the objective
-	Classes    []string        // names of the request classes
+	Gateways        int             // number of gateways that are expected to report
+	Window          time.Duration   // length of a bin and of the gateways' windows
+	Grace           time.Duration   // after a bin's end; a message that arrives later does not count
+	KeptBins        int             // number of bins kept
+	MaxCells        int             // in all bins together
+	MaxMissingShare float64         // fraction of all attempts that may be missing from a figure
+	Objectives      []time.Duration // latency objective by request class: longer times count as the objective
+	Classes         []string        // names of the request classes
 
 	HostID func(uint32) string // returns a host's id; nil: its number is used
 	Yield  func()              // called between steps of a long computation; may be nil
 }
 
-// Counts counts messages by what became of them.
-type Counts struct {
+// MessageCounts counts messages by what became of them.
+type MessageCounts struct {
 	Merged         int
 	Duplicates     int `json:"Twice"`
 	Late           int // for a bin that no longer changes
@@ -37,7 +37,7 @@
 // Ledger merges the summaries of the gateways in bins of its own clock. The age of a message leads to its bin, so that
 // clocks need not agree. A sealed bin never changes.
 type Ledger struct {
-	Counts   Counts
+	Counts   MessageCounts
 	settings Settings
 	bins     map[BinNumber]*bin
 	gateways map[uint32]*reporter
@@ -48,13 +48,13 @@
 type BinNumber int64
 
 // bin contains the cells of one window length.
-type bin struct{ cells map[Key]*mergedCell }
+type bin struct{ cells map[CellKey]*mergedCell }
 
 // mergedCell is a Cell with its rows by key.
 type mergedCell struct {
-	mass           [Rules]uint64
-	unreachable    [Rules]uint64
-	squaredWeights [Rules]uint64
+	mass           [NumRules]uint64
+	unreachable    [NumRules]uint64
+	squaredWeights [NumRules]uint64
 	rows           map[uint32]*Row
 }
 
@@ -83,7 +83,7 @@
 }
 
 // Receive merges a part that arrived at an instant. It returns false if the part should be sent again.
-func (l *Ledger) Receive(part *Part, now clock.Instant) bool {
+func (l *Ledger) Receive(part *SummaryPart, now clock.Instant) bool {
 	l.dropOldBins(now)
 	if !l.valid(part) {
 		l.Counts.Invalid++
@@ -126,7 +126,7 @@
 }
 
 // valid reports whether a part can be from a gateway with the same settings.
-func (l *Ledger) valid(part *Part) bool {
+func (l *Ledger) valid(part *SummaryPart) bool {
 	windowLength := time.Duration(part.WindowLength) * time.Millisecond
 	return part.Gateway < uint32(l.settings.Gateways) && windowLength == l.settings.Window
 }
@@ -142,7 +142,7 @@
 }
 
 // add adds a part to its window, and the window to its bin once it is complete.
-func (l *Ledger) add(gateway *reporter, w *window, part *Part) {
+func (l *Ledger) add(gateway *reporter, w *window, part *SummaryPart) {
 	if len(w.parts) == 0 {
 		gateway.windows = append(gateway.windows, w)
 	}
@@ -155,7 +155,7 @@
 }
 
 // window returns the window of a part, or nil if no other part of it was received.
-func (r *reporter) window(part *Part) *window {
+func (r *reporter) window(part *SummaryPart) *window {
 	for _, w := range r.windows {
 		if w.incarnation == part.Incarnation && w.number == part.Window {
 			return w
@@ -165,7 +165,7 @@
 }
 
 // newWindow returns the window of a first part.
-func newWindow(part *Part, bin BinNumber) *window {
+func newWindow(part *SummaryPart, bin BinNumber) *window {
 	return &window{
 		incarnation: part.Incarnation,
 		number:      part.Window,
@@ -178,13 +178,13 @@
 }
 
 // received reports whether a part is a duplicate.
-func (w *window) received(part *Part) bool {
+func (w *window) received(part *SummaryPart) bool {
 	_, received := w.parts[part.Index]
 	return received || w.complete
 }
 
 // contradicts reports whether a part does not belong to the same window as the others.
-func (w *window) contradicts(part *Part) bool {
+func (w *window) contradicts(part *SummaryPart) bool {
 	return w.total != int(part.Total) || w.attempts != part.Attempts || w.lostRecords != part.LostRecords
 }
 
@@ -192,7 +192,7 @@
 func (l *Ledger) merge(w *window) {
 	b := l.bins[w.bin]
 	if b == nil {
-		b = &bin{cells: map[Key]*mergedCell{}}
+		b = &bin{cells: map[CellKey]*mergedCell{}}
 		l.bins[w.bin] = b
 	}
 	for _, cells := range w.parts {
@@ -214,7 +214,7 @@
 
 // add adds a cell.
 func (m *mergedCell) add(cell *Cell) {
-	for rule := range Rules {
+	for rule := range NumRules {
 		m.mass[rule] += cell.Mass[rule]
 		m.unreachable[rule] += cell.Unreachable[rule]
 		m.squaredWeights[rule] += cell.SquaredWeights[rule]
@@ -244,11 +244,13 @@
 	return now >= l.binEnd(bin).Add(l.settings.Grace)
 }
 
-// Sealed returns the newest bin that no longer changes.
-func (l *Ledger) Sealed(now clock.Instant) BinNumber { return l.BinAt(now.Add(-l.settings.Grace)) - 1 }
+// LastSealedBin returns the newest bin that no longer changes.
+func (l *Ledger) LastSealedBin(now clock.Instant) BinNumber {
+	return l.BinAt(now.Add(-l.settings.Grace)) - 1
+}
 
-// First returns the oldest bin of any window, or 0 if there is none.
-func (l *Ledger) First() (first BinNumber) {
+// FirstBin returns the oldest bin of any window, or 0 if there is none.
+func (l *Ledger) FirstBin() (first BinNumber) {
 	for _, gateway := range l.gateways {
 		for _, w := range gateway.windows {
 			if first == 0 || w.bin < first {
--- a/counterfactual/ledger_test.go
+++ b/counterfactual/ledger_test.go
@@ -23,14 +23,14 @@
 
 func settings(gateways int) Settings {
 	return Settings{
-		Gateways:   gateways,
-		Window:     time.Second,
-		Grace:      3 * time.Second,
-		KeptBins:   60,
-		MaxCells:   1 << 16,
-		MaxMissing: 0.05,
-		Objectives: []time.Duration{time.Second},
-		Classes:    []string{"a"},
+		Gateways:        gateways,
+		Window:          time.Second,
+		Grace:           3 * time.Second,
+		KeptBins:        60,
+		MaxCells:        1 << 16,
+		MaxMissingShare: 0.05,
+		Objectives:      []time.Duration{time.Second},
+		Classes:         []string{"a"},
 	}
 }
 
@@ -44,7 +44,7 @@
 // messages returns the messages of a window with random attempts.
 func (w windowOf) messages(attempts int) []func(age uint32) []byte {
 	random := rand.New(rand.NewPCG(uint64(w.gateway), uint64(w.number)))
-	f := NewFolder(0, 1000)
+	f := NewSummarizer(0, 1000)
 	for range attempts {
 		hosts := random.Perm(3)
 		record := Record{
@@ -57,8 +57,8 @@
 		}
 		f.Add(&record)
 	}
-	cells, folded, lost := f.Close()
-	head := Part{
+	cells, folded, lost := f.Flush()
+	head := SummaryPart{
 		Gateway:      uint32(w.gateway),
 		Incarnation:  uint64(w.incarnation),
 		Window:       uint32(w.number),
@@ -106,15 +106,15 @@
 		}
 	}
 	panelText := func(l *Ledger) string {
-		text, err := json.Marshal(l.Panel(0, 100, 105))
+		text, err := json.Marshal(l.EstimateRules(0, 100, 105))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return string(text)
 	}
 	want := panelText(inOrder)
-	answer := inOrder.Panel(0, 100, 105)[NextInRank]
-	if !answer.Mean.Given() || answer.Requests != 4*6*60 || len(answer.Missing) > 0 {
+	answer := inOrder.EstimateRules(0, 100, 105)[NextInRank]
+	if !answer.Mean.Available() || answer.Attempts != 4*6*60 || len(answer.Missing) > 0 {
 		t.Fatalf("%+v", answer)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -153,14 +153,14 @@
 		}
 		receiveWindow(t, l, windowOf{9, 7, i}, attempts, end, end) // no such gateway
 	}
-	answer := l.Panel(0, 100, 109)[Logged]
+	answer := l.EstimateRules(0, 100, 109)[Logged]
 	if len(answer.Missing) != 2 || answer.Refused != "gateways missing: about 12% of the dispatches" {
 		t.Errorf("refused by %q: %+v", answer.Refused, answer.Missing)
 	}
 	wantWindows := map[uint32]int{1: 1, 2: 3}
 	for _, missing := range answer.Missing {
-		if want := wantWindows[missing.Gateway]; missing.Windows != want {
-			t.Errorf("gateway %d misses %d windows, want %d", missing.Gateway, missing.Windows, want)
+		if want := wantWindows[missing.Gateway]; missing.MissingWindows != want {
+			t.Errorf("gateway %d misses %d windows, want %d", missing.Gateway, missing.MissingWindows, want)
 		}
 	}
 	before := l.Counts
@@ -188,8 +188,8 @@
 			receiveWindow(t, l, windowOf{1, 1, i}, attempts, end, end)
 		}
 	}
-	answer := l.Panel(0, 100, 149)[Logged]
-	if !strings.HasPrefix(answer.Refused, GatewaysMissing) || answer.MissingShare < 0.15 {
+	answer := l.EstimateRules(0, 100, 149)[Logged]
+	if !strings.HasPrefix(answer.Refused, ReasonGatewaysMissing) || answer.MissingShare < 0.15 {
 		t.Errorf("%.2f missing, refused by %q", answer.MissingShare, answer.Refused)
 	}
 }
@@ -212,7 +212,7 @@
 // No figure is given if gateways report other probabilities than the actual ones.
 func TestPanelRefusesWrongProbabilities(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	f := NewFolder(0, 1000)
+	f := NewSummarizer(0, 1000)
 	for range 4000 { // host 0 has all attempts, though each host is reported with a half
 		f.Add(&Record{
 			Customer: random.Uint32(),
@@ -223,14 +223,14 @@
 			},
 		})
 	}
-	cells, attempts, _ := f.Close()
+	cells, attempts, _ := f.Flush()
 	l := NewLedger(settings(1))
-	for _, encode := range Encode(Part{Incarnation: 1, WindowLength: 1000, Attempts: attempts}, cells) {
+	for _, encode := range Encode(SummaryPart{Incarnation: 1, WindowLength: 1000, Attempts: attempts}, cells) {
 		receive(t, l, encode(0), afterSeconds(100))
 	}
-	answers := l.Panel(0, 100, 100)
+	answers := l.EstimateRules(0, 100, 100)
 	for _, rule := range []Rule{LeastLoaded, Random} {
-		if answers[rule].Mean.Given() {
+		if answers[rule].Mean.Available() {
 			t.Errorf("%+v", answers[rule])
 		}
 	}
@@ -249,8 +249,8 @@
 		l := NewLedger(settings(4))
 		l.Receive(part, afterSeconds(100))
 		if l.Counts.Merged > 0 {
-			l.Panel(0, 40, 101)
-			l.Replaced(0, Random, 1, 40, 101)
+			l.EstimateRules(0, 40, 101)
+			l.EstimateReplacement(0, Random, 1, 40, 101)
 		}
 	})
 }
--- a/counterfactual/missing.go
+++ b/counterfactual/missing.go
@@ -10,13 +10,13 @@
 // unknownRequests is the number for a gateway whose attempts can't be estimated from its reports.
 const unknownRequests = -1
 
-// Missing is a gateway with incomplete reports.
-type Missing struct {
-	Gateway  uint32  `json:"gateway"`
-	Windows  int     `json:"windows"`        // incomplete or missing windows
-	Lost     int     `json:"lost,omitempty"` // attempts that it counted and did not fold
-	Share    float64 `json:"part"`           // estimated fraction of all attempts in the range
-	requests float64 // estimated missing attempts
+// IncompleteGateway is a gateway with incomplete reports.
+type IncompleteGateway struct {
+	Gateway        uint32  `json:"gateway"`
+	MissingWindows int     `json:"windows"`        // incomplete or missing windows
+	LostAttempts   int     `json:"lost,omitempty"` // attempts that it counted and did not fold
+	Share          float64 `json:"part"`           // estimated fraction of all attempts in the range
+	requests       float64 // estimated missing attempts
 }
 
 // coverage describes the reports of one gateway in a range of bins.
@@ -30,7 +30,7 @@
 // missing returns the gateways that have not reported all of the bins from..to, and the estimated fraction of all
 // attempts that is missing with them. A gateway reports each window, even one without attempts, so that silence and
 // idleness differ. The bounds of windows and bins may differ by one.
-func (l *Ledger) missing(from, to BinNumber) (all []Missing, share float64) {
+func (l *Ledger) missing(from, to BinNumber) (all []IncompleteGateway, share float64) {
 	byBin := l.reportedAttempts(from, to)
 	reported := 0.0 // attempts
 	reporting := 0  // gateways with a complete window
@@ -40,7 +40,7 @@
 		if r != nil {
 			c = r.coverage(from, to)
 		}
-		m := Missing{Gateway: gateway, Windows: c.missing, Lost: c.lost, requests: float64(c.lost)}
+		m := IncompleteGateway{Gateway: gateway, MissingWindows: c.missing, LostAttempts: c.lost, requests: float64(c.lost)}
 		if c.complete > 0 {
 			if c.missing > 0 { // the larger estimate: idle times before or after make the first one small
 				byWindows := float64(c.missing) * c.attempts / float64(c.complete)
@@ -51,7 +51,7 @@
 		} else {
 			m.requests = unknownRequests
 		}
-		if m.Windows > 0 || m.Lost > 0 {
+		if m.MissingWindows > 0 || m.LostAttempts > 0 {
 			all = append(all, m)
 		}
 	}
@@ -60,7 +60,7 @@
 
 // setShares sets the share of each gateway and returns their sum. A gateway without an estimate counts as the mean of
 // those that reported.
-func setShares(all []Missing, reported float64, reporting int) (share float64) {
+func setShares(all []IncompleteGateway, reported float64, reporting int) (share float64) {
 	total := reported
 	for i := range all {
 		if all[i].requests == unknownRequests && reporting > 0 {
--- a/counterfactual/panel.go
+++ b/counterfactual/panel.go
@@ -5,16 +5,16 @@
 // panelRules are the rules of Ledger.Panel.
 var panelRules = []Rule{Logged, NextInRank, LeastLoaded, PowerOfTwo, Random, OtherZone}
 
-// Panel estimates for each rule but OneHost the response times of the attempts of a request class in the bins from..to
+// EstimateRules estimates for each rule but OneHost the response times of the attempts of a request class in the bins from..to
 // if a single one of them had been moved at a time: the loads stay as they were.
-func (l *Ledger) Panel(class int, from, to BinNumber) []Answer {
+func (l *Ledger) EstimateRules(class int, from, to BinNumber) []Answer {
 	from, to = l.boundSpan(from, to)
 	return l.newEstimation(class, l.strata(class, from, to), from, to).answers(panelRules)
 }
 
-// SingleHost estimates the same for a single host, over the attempts that could have gone there; Covers is their
+// EstimateSingleHost estimates the same for a single host, over the attempts that could have gone there; Covers is their
 // fraction.
-func (l *Ledger) SingleHost(class int, host uint32, from, to BinNumber) Answer {
+func (l *Ledger) EstimateSingleHost(class int, host uint32, from, to BinNumber) Answer {
 	from, to = l.boundSpan(from, to)
 	t := l.strata(class, from, to)
 	total := 0.0
@@ -30,9 +30,9 @@
 	a.Host = l.hostName(host)
 	a.HostNumber = host
 	a.Regret = Figure{Refused: "a single host has none"}
-	a.Covers = 0
+	a.Coverage = 0
 	if total > 0 {
-		a.Covers = a.Requests / total
+		a.Coverage = a.Attempts / total
 	}
 	return a
 }
@@ -45,7 +45,7 @@
 		table:        t,
 		missing:      missing,
 		missingShare: missingShare,
-		maxMissing:   l.settings.MaxMissing,
+		maxMissing:   l.settings.MaxMissingShare,
 	}
 }
 
--- a/counterfactual/record.go
+++ b/counterfactual/record.go
@@ -12,7 +12,7 @@
 // Rule is a way to choose a host from the candidate set.
 type Rule int
 
-// Rules.
+// NumRules.
 const (
 	Logged      Rule = iota // as the gateway chose
 	NextInRank              // the customer's next eligible host in rank; as Logged if there is none
@@ -21,11 +21,11 @@
 	Random                  // a random candidate
 	OtherZone               // a random eligible candidate outside the chosen one's zone; as Logged if there is none
 	OneHost                 // one given host, over the attempts that could have gone there
-	Rules                   // number of rules
+	NumRules                // number of rules
 )
 
 // ruleNames are the names in queries and answers.
-var ruleNames = [Rules]string{"logged", "next", "least", "two", "chance", "zone", "single"}
+var ruleNames = [NumRules]string{"logged", "next", "least", "two", "chance", "zone", "single"}
 
 // String returns the rule's name.
 func (r Rule) String() string { return ruleNames[r] }
@@ -36,14 +36,14 @@
 	return Rule(max(i, 0)), i >= 0
 }
 
-// End is how an attempt ended, as far as that shows the host's response time.
-type End uint8
+// Outcome is how an attempt ended, as far as that shows the host's response time.
+type Outcome uint8
 
 // Ends.
 const (
-	Answered End = iota
-	Censored     // timed out, canceled or the client gone: the response would have taken longer than the latency
-	Failed       // an error, a rejection or a broken connection: there would never have been a response
+	Answered Outcome = iota
+	Censored         // timed out, canceled or the client gone: the response would have taken longer than the latency
+	Failed           // an error, a rejection or a broken connection: there would never have been a response
 )
 
 // Candidate is a host that was available for an attempt. It is eligible if its probability is above 0. The JSON names
@@ -62,5 +62,5 @@
 	Customer   uint32        // hash: customers are the clusters of the intervals
 	Candidates []Candidate   `json:"Options"` // the chosen one first, then the next eligible one in rank, if any
 	Latency    time.Duration `json:"Lag"`
-	End        End
+	End        Outcome
 }
--- a/counterfactual/replaced.go
+++ b/counterfactual/replaced.go
@@ -55,20 +55,20 @@
 // refusal returns the reason for which the replacement can't be estimated, empty if it can.
 func (r *replacement) refusal() string {
 	if r.rule == LeastLoaded || r.rule == PowerOfTwo {
-		return FollowsLoad
+		return ReasonLoadDependentRule
 	}
-	if r.rule == OneHost || r.rule < 0 || r.rule >= Rules || !(r.share > 0 && r.share <= 1) {
-		return NoOverlap + ": a rule that chooses for a part from 0 to 1 wanted"
+	if r.rule == OneHost || r.rule < 0 || r.rule >= NumRules || !(r.share > 0 && r.share <= 1) {
+		return ReasonNoOverlap + ": a rule that chooses for a part from 0 to 1 wanted"
 	}
 	return ""
 }
 
-// Replaced estimates the response times of the attempts of a request class in the bins from..to if the rule had chosen
+// EstimateReplacement estimates the response times of the attempts of a request class in the bins from..to if the rule had chosen
 // for a fraction of all attempts, of all gateways and request classes, so that the loads move with the rule. How a
 // host's time grows with its attempts is learned from the bins in which it had about as many as the rule would have
 // sent it. There is no answer outside the range seen, and none for rules that follow the load, which would have been
 // another one.
-func (l *Ledger) Replaced(class int, rule Rule, share float64, from, to BinNumber) Answer {
+func (l *Ledger) EstimateReplacement(class int, rule Rule, share float64, from, to BinNumber) Answer {
 	from, to = l.boundSpan(from, to)
 	missing, missingShare := l.missing(from, to)
 	r := &replacement{rule: rule, share: share, from: from, to: to}
@@ -91,7 +91,7 @@
 		only:         Direct,
 		missing:      missing,
 		missingShare: missingShare,
-		maxMissing:   l.settings.MaxMissing,
+		maxMissing:   l.settings.MaxMissingShare,
 	}
 	a := e.answers([]Rule{rule})[0]
 	a.Question = questionReplaced
@@ -105,7 +105,7 @@
 	actual, replaced := l.countAttempts(r)
 	t := l.newTable(class)
 	for number, bin := range l.binsBetween(r.from, r.to) {
-		for _, key := range slices.SortedFunc(maps.Keys(bin.cells), Key.compare) {
+		for _, key := range slices.SortedFunc(maps.Keys(bin.cells), CellKey.compare) {
 			if int(key.Class) != class {
 				continue
 			}
--- a/counterfactual/rule_shares.go
+++ b/counterfactual/rule_shares.go
@@ -13,8 +13,8 @@
 // ruleShares are, for one record, the hosts to which each rule would have sent the attempt, and how probable the chosen
 // host was under the rule, over customers. Its slices are reused for the next record.
 type ruleShares struct {
-	mass   [Rules][]float64 // by candidate: the fraction of the attempt that the rule sends there
-	weight [Rules]float64   // of the outcome at the chosen host: the rule's probability over the actual one
+	mass   [NumRules][]float64 // by candidate: the fraction of the attempt that the rule sends there
+	weight [NumRules]float64   // of the outcome at the chosen host: the rule's probability over the actual one
 
 	loads          []float64 // sorted
 	eligible       float64   // number of eligible candidates
--- a/counterfactual/summary.go
+++ b/counterfactual/summary.go
@@ -2,9 +2,9 @@
 
 import "cmp"
 
-// Key identifies a cell: attempts of one request class, from gateways in one zone, at one process of a host, with
+// CellKey identifies a cell: attempts of one request class, from gateways in one zone, at one process of a host, with
 // estimated loads in one band.
-type Key struct {
+type CellKey struct {
 	_           struct{} `cbor:",toarray"`
 	Class       uint16
 	GatewayZone uint8
@@ -14,7 +14,7 @@
 }
 
 // compare orders keys.
-func (k Key) compare(other Key) int {
+func (k CellKey) compare(other CellKey) int {
 	return cmp.Or(
 		cmp.Compare(k.Class, other.Class),
 		cmp.Compare(k.GatewayZone, other.GatewayZone),
@@ -31,7 +31,7 @@
 	Bucket   uint16
 	Censored bool // longer than the bucket's time by an unknown amount
 	Count    uint32
-	Weight   [Rules]uint64 // sums of the weights by rule, in 1/scale
+	Weights  [NumRules]uint64 // sums of the weights by rule, in 1/scale
 }
 
 // key identifies the row within its cell.
@@ -46,8 +46,8 @@
 // add adds the counts of another row.
 func (r *Row) add(other *Row) {
 	r.Count += other.Count
-	for rule := range r.Weight {
-		r.Weight[rule] += other.Weight[rule]
+	for rule := range r.Weights {
+		r.Weights[rule] += other.Weights[rule]
 	}
 }
 
@@ -55,10 +55,10 @@
 // merged does not matter.
 type Cell struct {
 	_              struct{} `cbor:",toarray"`
-	Key            Key
-	Mass           [Rules]uint64 // attempts that each rule would have sent to the host, in 1/scale
-	Unreachable    [Rules]uint64 // of these, the ones for which the gateway could not have chosen the host
-	SquaredWeights [Rules]uint64 // sums of the squared weights of the attempts at the host, in 1/scale
+	Key            CellKey
+	Mass           [NumRules]uint64 // attempts that each rule would have sent to the host, in 1/scale
+	Unreachable    [NumRules]uint64 // of these, the ones for which the gateway could not have chosen the host
+	SquaredWeights [NumRules]uint64 // sums of the squared weights of the attempts at the host, in 1/scale
 	Rows           []Row
 }
 
@@ -73,9 +73,9 @@
 	c.Rows = append(c.Rows, r)
 }
 
-// Part is one message: a part of a gateway's summary of a window. (Gateway, Incarnation, Window, Index) identify it: a
+// SummaryPart is one message: a part of a gateway's summary of a window. (Gateway, Incarnation, Window, Index) identify it: a
 // duplicate does not count.
-type Part struct {
+type SummaryPart struct {
 	_            struct{} `cbor:",toarray"`
 	Version      uint8
 	Gateway      uint32 // member index
--- a/counterfactual/table.go
+++ b/counterfactual/table.go
@@ -15,10 +15,10 @@
 // stratum contains the attempts of one request class from one zone at one host with loads in one band, over a range of
 // bins.
 type stratum struct {
-	key            Key
-	mass           [Rules]float64
-	unreachable    [Rules]float64
-	squaredWeights [Rules]float64
+	key            CellKey
+	mass           [NumRules]float64
+	unreachable    [NumRules]float64
+	squaredWeights [NumRules]float64
 	rows           []*Row // the stratum's, then borrowed ones
 	ownRows        int    // number of rows that are not borrowed
 	outcomes       float64
@@ -27,7 +27,7 @@
 // strataTable contains the strata of a request class.
 type strataTable struct {
 	strata    []*stratum
-	index     map[Key]*stratum
+	index     map[CellKey]*stratum
 	horizon   int     // bucket of the latency objective
 	objective float64 // nanoseconds
 	yield     func()
@@ -40,8 +40,8 @@
 func (l *Ledger) newTable(class int) *strataTable {
 	objective := l.settings.Objectives[class]
 	return &strataTable{
-		index:     map[Key]*stratum{},
-		horizon:   Bucket(objective),
+		index:     map[CellKey]*stratum{},
+		horizon:   LatencyBucket(objective),
 		objective: float64(objective),
 		yield:     l.settings.Yield,
 		hostName:  l.hostName,
@@ -51,14 +51,14 @@
 }
 
 // add merges a cell into the stratum of a key, which it returns.
-func (t *strataTable) add(key Key, cell *mergedCell) *stratum {
+func (t *strataTable) add(key CellKey, cell *mergedCell) *stratum {
 	s := t.index[key]
 	if s == nil {
 		s = &stratum{key: key}
 		t.index[key] = s
 		t.strata = append(t.strata, s)
 	}
-	for rule := range Rules {
+	for rule := range NumRules {
 		s.mass[rule] += float64(cell.mass[rule]) / scale
 		s.unreachable[rule] += float64(cell.unreachable[rule]) / scale
 		s.squaredWeights[rule] += float64(cell.squaredWeights[rule]) / scale
@@ -103,7 +103,7 @@
 }
 
 // neighbourRows returns the rows of the next lower and the next higher load band.
-func (t *strataTable) neighbourRows(key Key) (rows []*Row) {
+func (t *strataTable) neighbourRows(key CellKey) (rows []*Row) {
 	for _, step := range []int{-1, 1} {
 		neighbour := key
 		neighbour.LoadBand = uint8(int(key.LoadBand) + step)
@@ -129,7 +129,7 @@
 		}
 		weight := float64(row.Count)
 		if rule != unweighted {
-			weight = float64(row.Weight[rule]) / scale
+			weight = float64(row.Weights[rule]) / scale
 		}
 		sum += weight
 		if row.Censored {
@@ -175,7 +175,7 @@
 			squaredMass += s.mass[rule] * s.mass[rule] / s.outcomes
 		}
 		for _, row := range s.rows[:s.ownRows] {
-			weight += float64(row.Weight[rule]) / scale
+			weight += float64(row.Weights[rule]) / scale
 		}
 	}
 	if squaredWeight > 0 {
@@ -189,7 +189,7 @@
 
 // groups returns the number of customer groups with outcomes, and the number of equal groups with the same variance.
 func (t *strataTable) groups() (number int, effective float64) {
-	var outcomes [Groups]float64
+	var outcomes [NumCustomerGroups]float64
 	for _, s := range t.strata {
 		for _, row := range s.rows[:s.ownRows] {
 			outcomes[row.Group] += float64(row.Count)
--- a/internal/config/adjustments.go
+++ b/internal/config/adjustments.go
@@ -93,13 +93,13 @@
 // resolveCounter turns the shared counter off unless both it and its address are configured.
 func (c *Config) resolveCounter() {
 	shared := c.Limits.SharedCounter
-	hasAddress := c.Counter.IsValid()
+	hasAddress := c.CounterAddress.IsValid()
 	switch {
 	case shared && !hasAddress:
 		c.adjust("family_info.shared_counter", "as false: counter (its address) is missing")
 		c.Limits.SharedCounter = false
 	case !shared && hasAddress:
 		c.adjust("counter", "ignored: family_info.shared_counter is not true")
-		c.Counter = netip.AddrPort{}
+		c.CounterAddress = netip.AddrPort{}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,21 +11,21 @@
 
 // Config is the configuration of one gateway process.
 type Config struct {
-	Name       string
-	Listen     netip.AddrPort // where clients connect
-	Discovery  string
-	Seed       uint64
-	Memory     int64 // bytes
-	Sockets    int   // file descriptors
-	PeerListen netip.AddrPort
-	Peers      []netip.AddrPort // by member index; empty where gateways exchange no gossip
-	Counter    netip.AddrPort   // the shared counter; the zero address where there is none
-
-	// KnownEndpoints is the endpoint list to start with; may be empty. It is a substring of the file's text, which stays
+	Name             string
+	Listen           netip.AddrPort // where clients connect
+	DiscoveryAddress string
+	Seed             uint64
+	MemoryLimit      int64 // bytes
+	MaxDescriptors   int   // file descriptors
+	PeerListen       netip.AddrPort
+	Peers            []netip.AddrPort // by member index; empty where gateways exchange no gossip
+	CounterAddress   netip.AddrPort   // the shared counter; the zero address where there is none
+
+	// InitialEndpointList is the endpoint list to start with; may be empty. It is a substring of the file's text, which stays
 	// in memory with it.
-	KnownEndpoints string
-	// FixedKeysHash is a hash of the keys that take effect at a start alone. It is comparable within one process.
-	FixedKeysHash uint64
+	InitialEndpointList string
+	// StartupKeysHash is a hash of the keys that take effect at a start alone. It is comparable within one process.
+	StartupKeysHash uint64
 
 	*Settings
 	Counterfactual *Counterfactual // nil: off
@@ -58,9 +58,9 @@
 		return nil, err
 	}
 	c := &Config{
-		Name:           f.textOr("name", "GW_NAME", defaultName),
-		KnownEndpoints: f.typed("known", gjson.JSON).Raw,
-		FixedKeysHash:  hashFixedKeys(f.object),
+		Name:                f.textOr("name", "GW_NAME", defaultName),
+		InitialEndpointList: f.typed("known", gjson.JSON).Raw,
+		StartupKeysHash:     hashFixedKeys(f.object),
 	}
 	c.readProcess(f, reload)
 	c.readSettings(f)
@@ -86,9 +86,9 @@
 	if !reload || discovery == "" {
 		discovery = f.textOr("discovery", "GW_DISCOVERY", "")
 	}
-	c.Discovery = f.address("discovery", discovery).String()
-	c.Memory = int64(f.numberOr("limits.memory_mb", minMemoryMB, defaultMemoryMB)) << 20
-	c.Sockets = int(f.numberOr("limits.sockets", minSockets, defaultSockets))
+	c.DiscoveryAddress = f.address("discovery", discovery).String()
+	c.MemoryLimit = int64(f.numberOr("limits.memory_mb", minMemoryMB, defaultMemoryMB)) << 20
+	c.MaxDescriptors = int(f.numberOr("limits.sockets", minSockets, defaultSockets))
 	seed := f.textOr("seed", "", defaultSeed)
 	if f.err == nil {
 		number, err := strconv.ParseUint(seed, 16, 64)
@@ -99,7 +99,7 @@
 
 // readSettings reads the settings that all gateways of the deployment share.
 func (c *Config) readSettings(f *file) {
-	settings, err := Decode(f.typed("settings", gjson.JSON).Raw)
+	settings, err := DecodeSettings(f.typed("settings", gjson.JSON).Raw)
 	c.Settings = settings
 	if f.err == nil {
 		f.err = keyError("settings", err)
@@ -113,7 +113,7 @@
 func (c *Config) readCounter(f *file) {
 	address := f.textOr("counter", "GW_COUNTER", "")
 	if f.err == nil && address != "" {
-		c.Counter = f.address("counter", address)
+		c.CounterAddress = f.address("counter", address)
 	}
 	if f.err == nil {
 		c.resolveCounter()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&trace, "%s %s %s seed %x, %d bytes, %d sockets, peers %v at %v, known %q\n  %+v\n", c.Name, c.Listen,
-			c.Discovery, c.Seed, c.Memory, c.Sockets, c.Peers, c.PeerListen, c.KnownEndpoints, *c.Settings)
+			c.DiscoveryAddress, c.Seed, c.MemoryLimit, c.MaxDescriptors, c.Peers, c.PeerListen, c.InitialEndpointList, *c.Settings)
 	}
 	golden.Check(t, trace.String())
 }
@@ -228,7 +228,7 @@
 		t.Error("a call of the counter has no timeout")
 	}
 	fmt.Fprintf(trace, "%q\n  %+v\n  %+v\n  %+v\n  counter %v, report %+v %q, even %t\n", c.Adjusted, c.Classes, c.Plans,
-		c.Limits, c.Counter, c.LoadReport, c.ReportNames, c.EqualWeights)
+		c.Limits, c.CounterAddress, c.LoadReport, c.ReportNames, c.EqualWeights)
 }
 
 // Settings that can't be understood fail a start, whatever they contradict.
@@ -257,7 +257,7 @@
 		{`{"balancers":1,"membership_mode":"never"}`, "membership_mode"},
 		{`{"balancers":1,"position":1}`, "position"},
 	} {
-		_, err := Decode(test.settings)
+		_, err := DecodeSettings(test.settings)
 		var keyError *KeyError
 		if !errors.As(err, &keyError) || keyError.Path != test.path {
 			t.Errorf("%s: %v, want an error of %s", test.settings, err, test.path)
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -101,7 +101,7 @@
 			t.Errorf("%s: %v, want %s", raw, err, want)
 		}
 	}
-	_, err := Decode(`{"balancers":1,"plans":[{},{"rate":-1},7]}`)
+	_, err := DecodeSettings(`{"balancers":1,"plans":[{},{"rate":-1},7]}`)
 	if err == nil || err.Error() != "plans.1.rate: below zero" {
 		t.Errorf("%v, want an error of the second plan's rate", err)
 	}
--- a/internal/config/live_decode.go
+++ b/internal/config/live_decode.go
@@ -96,7 +96,7 @@
 		owner, taken = edit.identities[id]
 	}
 	if taken && owner != name {
-		return 0, &IdentityError{ID: id, OtherName: owner}
+		return 0, &PlanIDConflictError{ID: id, OtherName: owner}
 	}
 	if !taken {
 		if edit.identities == nil {
@@ -107,13 +107,13 @@
 	return id, nil
 }
 
-// IdentityError is the error of a quota plan's name whose identity, a hash, is that of another name.
-type IdentityError struct {
+// PlanIDConflictError is the error of a quota plan's name whose identity, a hash, is that of another name.
+type PlanIDConflictError struct {
 	ID        uint32
 	OtherName string // of a plan in force or removed
 }
 
-func (e *IdentityError) Error() string {
+func (e *PlanIDConflictError) Error() string {
 	return fmt.Sprintf("the name's identity %08x is that of plan %q; another name is wanted", e.ID, e.OtherName)
 }
 
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -11,19 +11,19 @@
 
 // Publisher is the configuration of one replica of the publishers (docs/configuration-sync.md).
 type Publisher struct {
-	Index       int            // of this replica in Raft and Admin
-	Listen      netip.AddrPort // TCP, for followers
-	RaftListen  netip.AddrPort // TCP, for the other replicas
-	Raft        []netip.AddrPort
-	AdminListen netip.AddrPort // HTTP without authentication: on a network of the operators alone
-	Admin       []netip.AddrPort
+	Index          int            // of this replica in Raft and Admin
+	Listen         netip.AddrPort // TCP, for followers
+	RaftListen     netip.AddrPort // TCP, for the other replicas
+	RaftAddresses  []netip.AddrPort
+	AdminListen    netip.AddrPort // HTTP without authentication: on a network of the operators alone
+	AdminAddresses []netip.AddrPort
 
 	Dir             string
 	Key             []byte        // shared by the replicas
 	ElectionTimeout time.Duration // without contact to the leader before another is elected
 	MaxFollowers    int           // connections of followers at once
-	History         configsync.HistoryLimits
-	Sending         configsync.SenderLimits
+	HistoryLimits   configsync.HistoryLimits
+	SenderLimits    configsync.SenderLimits
 
 	SnapshotThreshold uint64 // entries of the replicated log between its snapshots; 0: the default
 	TrailingEntries   uint64 // entries kept behind a snapshot; 0: the default
@@ -82,8 +82,8 @@
 		Dir:             file.Dir,
 		ElectionTimeout: milliseconds(file.ElectionMS),
 		MaxFollowers:    file.MaxFollowers,
-		History:         configsync.HistoryLimits{Deltas: file.HistoryDeltas, Bytes: file.HistoryBytes},
-		Sending: configsync.SenderLimits{
+		HistoryLimits:   configsync.HistoryLimits{Deltas: file.HistoryDeltas, Bytes: file.HistoryBytes},
+		SenderLimits: configsync.SenderLimits{
 			SnapshotRate:    file.SnapshotRate,
 			SnapshotBurst:   file.SnapshotBurst,
 			VersionInterval: configsync.DefaultVersionInterval,
@@ -120,11 +120,11 @@
 }
 
 func (p *Publisher) readAddresses(file *publisherFile) (err error) {
-	p.Raft, err = parseAddresses("raft", file.Raft)
+	p.RaftAddresses, err = parseAddresses("raft", file.Raft)
 	if err != nil {
 		return err
 	}
-	p.Admin, err = parseAddresses("admin", file.Admin)
+	p.AdminAddresses, err = parseAddresses("admin", file.Admin)
 	if err != nil {
 		return err
 	}
--- a/internal/config/publisher_test.go
+++ b/internal/config/publisher_test.go
@@ -12,11 +12,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Index != 0 || len(p.Raft) != 3 || p.Admin[2].String() != "10.5.0.3:7402" || len(p.Key) != 16 {
+	if p.Index != 0 || len(p.RaftAddresses) != 3 || p.AdminAddresses[2].String() != "10.5.0.3:7402" || len(p.Key) != 16 {
 		t.Errorf("%+v", p)
 	}
-	if p.ElectionTimeout != time.Second || p.MaxFollowers != 8192 || p.History.Deltas != 4096 ||
-		p.Sending.SnapshotRate != 64<<20 {
+	if p.ElectionTimeout != time.Second || p.MaxFollowers != 8192 || p.HistoryLimits.Deltas != 4096 ||
+		p.SenderLimits.SnapshotRate != 64<<20 {
 		t.Errorf("defaults: %+v", p)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -34,8 +34,8 @@
 	Adjusted []Adjustment
 }
 
-// Decode reads the settings object.
-func Decode(text string) (*Settings, error) {
+// DecodeSettings reads the settings object.
+func DecodeSettings(text string) (*Settings, error) {
 	reader, err := newObjectReader("", text)
 	if err != nil {
 		return nil, err
--- a/internal/discovery/pending_read_test.go
+++ b/internal/discovery/pending_read_test.go
@@ -42,12 +42,12 @@
 	processed := make(chan bool)
 	ended := make(chan bool)
 	options := WatchOptions{
-		System:     sockets.Kernel{},
-		Address:    listener.Addr().String(),
-		After:      1,
-		Timeouts:   longTimeouts(),
-		Pending:    pending,
-		OnReceived: func() {},
+		System:       sockets.Kernel{},
+		Address:      listener.Addr().String(),
+		AfterVersion: 1,
+		Timeouts:     longTimeouts(),
+		Pending:      pending,
+		OnReceived:   func() {},
 		OnList: func(string) {
 			received <- true
 			<-processed
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -43,8 +43,8 @@
 	finalReadTimeout = 20 * time.Millisecond
 )
 
-// RewatchDelay is the pause between a watch that ended and the next one.
-const RewatchDelay = 100 * time.Millisecond
+// WatchRetryDelay is the pause between a watch that ended and the next one.
+const WatchRetryDelay = 100 * time.Millisecond
 
 // NewTimeouts returns the timeouts of one watch. poll means that the agent sends the list on request alone.
 func NewTimeouts(poll bool) *Timeouts {
--- a/internal/discovery/timeouts_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -113,7 +113,7 @@
 		if o.poll {
 			elapsed += longestPollDelay(o.failures+i, took)
 		} else {
-			elapsed += RewatchDelay
+			elapsed += WatchRetryDelay
 		}
 		if i == len(attempts) {
 			return elapsed + o.response
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,9 +19,9 @@
 
 // WatchOptions are the options of one watch. Its functions are called from one goroutine.
 type WatchOptions struct {
-	System  sockets.System
-	Address string // of the agent
-	After   int64  // version of the endpoint list: only later ones are wanted
+	System       sockets.System
+	Address      string // of the agent
+	AfterVersion int64  // version of the endpoint list: only later ones are wanted
 
 	Timeouts *Timeouts    // of this watch alone
 	Pending  *PendingRead // of this watch alone
@@ -45,7 +45,7 @@
 	transport := newTransport(options.System, timeouts, options.Pending)
 	defer transport.CloseIdleConnections()
 	defer options.Pending.conn.Store(nil)
-	url := fmt.Sprintf("http://%s/v1/servers?watch=1&after=%d", options.Address, options.After)
+	url := fmt.Sprintf("http://%s/v1/servers?watch=1&after=%d", options.Address, options.AfterVersion)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -69,13 +69,13 @@
 
 func watchWithin(ctx context.Context, address string, timeouts *Timeouts, update func(string)) error {
 	return Watch(ctx, WatchOptions{
-		System:     sockets.Kernel{},
-		Address:    address,
-		After:      1,
-		Timeouts:   timeouts,
-		Pending:    &PendingRead{},
-		OnReceived: func() {},
-		OnList:     update,
+		System:       sockets.Kernel{},
+		Address:      address,
+		AfterVersion: 1,
+		Timeouts:     timeouts,
+		Pending:      &PendingRead{},
+		OnReceived:   func() {},
+		OnList:       update,
 	})
 }
 
@@ -151,13 +151,13 @@
 		address, request := startAgent(t, text, closeConn)
 		received := false
 		err := Watch(context.Background(), WatchOptions{
-			System:     sockets.Kernel{},
-			Address:    address,
-			After:      41,
-			Timeouts:   longTimeouts(),
-			Pending:    &PendingRead{},
-			OnReceived: func() { received = true },
-			OnList:     func(list string) { fmt.Fprintf(&trace, "%q\n", list) },
+			System:       sockets.Kernel{},
+			Address:      address,
+			AfterVersion: 41,
+			Timeouts:     longTimeouts(),
+			Pending:      &PendingRead{},
+			OnReceived:   func() { received = true },
+			OnList:       func(list string) { fmt.Fprintf(&trace, "%q\n", list) },
 		})
 		fmt.Fprintf(&trace, "%.60q: %v, received %t\n%s\n", text, err, received, <-request)
 	}
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -50,7 +50,7 @@
 		result:  make(chan error, 1),
 		stopped: make(chan struct{}),
 	}
-	settings, err := config.Decode(liveSettings)
+	settings, err := config.DecodeSettings(liveSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	settings.ConnIdle = connectionLimit
 	settings.Limits.PollEndpoints = true // clients are accepted without an agent
 	cfg := testConfig(settings)
-	cfg.KnownEndpoints = knownHost(g.startHost())
+	cfg.InitialEndpointList = knownHost(g.startHost())
 	cfg.Configuration = &config.Configuration{}
 	if configure != nil {
 		configure(cfg)
--- a/internal/node/connecting_test.go
+++ b/internal/node/connecting_test.go
@@ -49,7 +49,7 @@
 	settings.ConnectTimeout = connectionLimit
 	settings.Limits = gateway.Limits{PollEndpoints: true}
 	cfg := testConfig(settings)
-	cfg.KnownEndpoints = knownHost(g.hostAddr)
+	cfg.InitialEndpointList = knownHost(g.hostAddr)
 	g.Node = New(cfg, g)
 
 	restoreLog := logging.SetOutput(g)
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -49,13 +49,13 @@
 	w := &watch{stop: stop}
 	n.watch = w
 	options := discovery.WatchOptions{
-		System:     n.system,
-		Address:    n.cfg.Discovery,
-		After:      n.endpointList.Version,
-		Timeouts:   discovery.NewTimeouts(n.cfg.Limits.PollEndpoints),
-		Pending:    &w.feed,
-		OnReceived: func() { n.runForWatch(w, n.watchReceived) },
-		OnList:     func(list string) { n.runForWatch(w, func() { n.updateEndpoints(list, false) }) },
+		System:       n.system,
+		Address:      n.cfg.DiscoveryAddress,
+		AfterVersion: n.endpointList.Version,
+		Timeouts:     discovery.NewTimeouts(n.cfg.Limits.PollEndpoints),
+		Pending:      &w.feed,
+		OnReceived:   func() { n.runForWatch(w, n.watchReceived) },
+		OnList:       func(list string) { n.runForWatch(w, func() { n.updateEndpoints(list, false) }) },
 	}
 	n.readers.Go(func() {
 		err := discovery.Watch(ctx, options)
@@ -118,17 +118,17 @@
 			return
 		}
 		slog.Info("reloaded",
-			"discovery", cfg.Discovery,
+			"discovery", cfg.DiscoveryAddress,
 			"version", n.endpointList.Version,
-			"other_keys_changed", n.cfg.FixedKeysHash != cfg.FixedKeysHash,
+			"other_keys_changed", n.cfg.StartupKeysHash != cfg.StartupKeysHash,
 		) // other keys apply from the next start on
 		if cfg.Pool != nil {
 			n.quota.setCapacity(cfg.Pool.Serial, cfg.Pool.Capacity)
 		}
-		if cfg.Discovery == n.cfg.Discovery {
+		if cfg.DiscoveryAddress == n.cfg.DiscoveryAddress {
 			return
 		}
-		n.cfg.Discovery = cfg.Discovery
+		n.cfg.DiscoveryAddress = cfg.DiscoveryAddress
 		if n.watch != nil { // at once: what the new agent knows counts as notified
 			n.watchLost = false
 			n.WatchEndpoints()
@@ -149,7 +149,7 @@
 		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListUnavailable})
 		return
 	}
-	time.AfterFunc(discovery.RewatchDelay, func() {
+	time.AfterFunc(discovery.WatchRetryDelay, func() {
 		n.runOnLoop(func() {
 			if n.watch == w {
 				n.WatchEndpoints()
--- a/internal/node/endpoint_watch_test.go
+++ b/internal/node/endpoint_watch_test.go
@@ -10,7 +10,7 @@
 	keepers := make(chan []string, 1)
 	g.runOnLoop(func() {
 		var kept []string
-		if g.cfg.KnownEndpoints != "" {
+		if g.cfg.InitialEndpointList != "" {
 			kept = append(kept, "the configuration")
 		}
 		for _, event := range g.listEvents[:cap(g.listEvents)] {
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -38,10 +38,10 @@
 // testConfig is a configuration with these settings, a free port and no agent.
 func testConfig(settings *config.Settings) *config.Config {
 	return &config.Config{
-		Listen:    netip.MustParseAddrPort("127.0.0.1:0"),
-		Discovery: "127.0.0.1:1",
-		Sockets:   100,
-		Settings:  settings,
+		Listen:           netip.MustParseAddrPort("127.0.0.1:0"),
+		DiscoveryAddress: "127.0.0.1:1",
+		MaxDescriptors:   100,
+		Settings:         settings,
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -127,7 +127,7 @@
 		catalog:      clients.NewCatalog(catalogOf(cfg)),
 	}
 	n.endpointList.EqualWeights = cfg.EqualWeights
-	clientDescriptors, hostDescriptors := descriptorShares(cfg.Sockets)
+	clientDescriptors, hostDescriptors := descriptorShares(cfg.MaxDescriptors)
 	n.clients = clients.NewServer(n.system, n.catalog, clientDescriptors, n.runOnLoop, n.now, n.arrive)
 	n.transport = hosts.NewTransport(hosts.Options{
 		System:         n.system,
@@ -138,8 +138,8 @@
 		IdleTimeout:    time.Duration(idleFraction * float64(cfg.ConnIdle)),
 		MaxConns:       hostDescriptors,
 	})
-	if cfg.Counter.IsValid() {
-		n.counter = counter.New(n.system, cfg.Counter, cfg.Limits.CounterTimeout, n.runOnLoop, n.now,
+	if cfg.CounterAddress.IsValid() {
+		n.counter = counter.New(n.system, cfg.CounterAddress, cfg.Limits.CounterTimeout, n.runOnLoop, n.now,
 			n.counterReplied)
 	}
 	return n
@@ -256,11 +256,11 @@
 
 // decideFirstBatch has the module decide on the endpoint list of the configuration.
 func (n *Node) decideFirstBatch() {
-	if n.cfg.KnownEndpoints == "" {
+	if n.cfg.InitialEndpointList == "" {
 		n.listEvents = append(n.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached})
 	} else {
-		n.updateEndpoints(n.cfg.KnownEndpoints, true)
-		n.cfg.KnownEndpoints = "" // frees the text
+		n.updateEndpoints(n.cfg.InitialEndpointList, true)
+		n.cfg.InitialEndpointList = "" // frees the text
 	}
 	n.iterate()
 }
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -11,7 +11,7 @@
 
 const (
 	maxObservedHosts = 4096 // hosts whose ids and places are kept, gone ones among them
-	maxRecycled      = 4 * observer.Batch
+	maxRecycled      = 4 * observer.MaxBatchEntries
 
 	// observerStream selects the random stream by which batches are observed.
 	observerStream = 0x7769746e657373
@@ -152,7 +152,7 @@
 		entry.End = counterfactual.Failed
 	}
 	o.finished = append(o.finished, entry)
-	if len(o.finished) == observer.Batch {
+	if len(o.finished) == observer.MaxBatchEntries {
 		o.offer()
 	}
 }
--- a/internal/observer/datagram.go
+++ b/internal/observer/datagram.go
@@ -20,7 +20,7 @@
 
 // datagram is a decoded datagram: a part of a summary or a confirmation.
 type datagram struct {
-	part         *counterfactual.Part
+	part         *counterfactual.SummaryPart
 	confirmation *messageName
 	sender       int // member index
 }
@@ -36,7 +36,7 @@
 // readDatagrams passes datagrams to the loop until Close. It drops and counts malformed ones, and those from addresses
 // of no member.
 func (o *Observer) readDatagrams() {
-	const maxBytes = counterfactual.MaxBytes + 2 // the kind, and a byte by which a message is too long
+	const maxBytes = counterfactual.MaxMessageBytes + 2 // the kind, and a byte by which a message is too long
 	for bytes, from := range sockets.Datagrams(o.system, o.udp, maxBytes) {
 		if len(bytes) == 0 {
 			continue
--- a/internal/observer/json_test.go
+++ b/internal/observer/json_test.go
@@ -24,7 +24,7 @@
 		},
 	}
 	state := CollectorState{
-		Counts: counterfactual.Counts{
+		MessageCounts: counterfactual.MessageCounts{
 			Merged:         1,
 			Duplicates:     2,
 			Late:           3,
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -23,8 +23,8 @@
 	"ravensill/internal/sockets"
 )
 
-// Batch is the largest number of records that the gateway's loop offers at once.
-const Batch = 64
+// MaxBatchEntries is the largest number of records that the gateway's loop offers at once.
+const MaxBatchEntries = 64
 
 const (
 	inboxSize         = 256 // datagrams that wait for the loop; more wait in the socket, or are lost there
@@ -66,7 +66,7 @@
 
 	started     time.Time
 	incarnation uint64 // the start time in nanoseconds
-	folder      *counterfactual.Folder
+	folder      *counterfactual.Summarizer
 	window      uint32                 // number of the current window
 	ledger      *counterfactual.Ledger // nil: no collector
 
@@ -99,14 +99,14 @@
 		member:      options.Membership.Index,
 		zone:        options.Membership.Zone,
 		classes:     options.Classes,
-		records:     make(chan []*Entry, max(options.Config.QueueLength/Batch, 1)),
+		records:     make(chan []*Entry, max(options.Config.QueueLength/MaxBatchEntries, 1)),
 		recycled:    make(chan []*Entry, recycledBatches),
 		datagrams:   make(chan datagram, inboxSize),
 		queries:     make(chan pendingQuery),
 		done:        make(chan struct{}),
 		started:     started,
 		incarnation: uint64(started.UnixNano()),
-		folder:      counterfactual.NewFolder(options.Membership.Zone, options.Config.MaxCells),
+		folder:      counterfactual.NewSummarizer(options.Membership.Zone, options.Config.MaxCells),
 	}
 	if err := o.openResources(); err != nil {
 		o.closeResources()
@@ -163,16 +163,16 @@
 // newLedger returns the ledger of a collector.
 func (o *Observer) newLedger(members int, objectives []time.Duration) *counterfactual.Ledger {
 	return counterfactual.NewLedger(counterfactual.Settings{
-		Gateways:   members,
-		Window:     o.config.Window,
-		Grace:      o.config.Grace,
-		KeptBins:   int(o.config.Retention/o.config.Window) + 1,
-		MaxCells:   o.config.MaxLedgerCells,
-		MaxMissing: o.config.MaxMissing,
-		Objectives: objectives,
-		Classes:    o.classes,
-		HostID:     o.hostID,
-		Yield:      runtime.Gosched,
+		Gateways:        members,
+		Window:          o.config.Window,
+		Grace:           o.config.Grace,
+		KeptBins:        int(o.config.Retention/o.config.Window) + 1,
+		MaxCells:        o.config.MaxLedgerCells,
+		MaxMissingShare: o.config.MaxMissing,
+		Objectives:      objectives,
+		Classes:         o.classes,
+		HostID:          o.hostID,
+		Yield:           runtime.Gosched,
 	})
 }
 
--- a/internal/observer/query.go
+++ b/internal/observer/query.go
@@ -26,14 +26,14 @@
 	Host         string  `json:"host"`     // a single host instead of all rules
 	Rule         string  `json:"rule"`     // with Fraction: a rule in force
 	Fraction     float64 `json:"part"`     // of all attempts, for which Rule chooses
-	Windows      int     `json:"last"`     // number of latest sealed windows; 0: all that are kept
+	LastWindows  int     `json:"last"`     // number of latest sealed windows; 0: all that are kept
 	Hosts        bool    `json:"hosts"`    // also each host that was seen
 	Counts       bool    `json:"counts"`   // counts of messages instead of figures
 }
 
 // CollectorState is the answer to a query of counts.
 type CollectorState struct {
-	counterfactual.Counts
+	counterfactual.MessageCounts
 	Bin    counterfactual.BinNumber // the current one
 	Sealed counterfactual.BinNumber // the latest one that no longer changes
 }
@@ -51,7 +51,7 @@
 	if err := decoder.Decode(&query); err != nil {
 		return query, err
 	}
-	if query.Windows < 0 || query.Windows > maxWindows {
+	if query.LastWindows < 0 || query.LastWindows > maxWindows {
 		return query, errors.New("last: below zero, or too many")
 	}
 	if !(query.Fraction >= 0 && query.Fraction <= 1) {
@@ -150,7 +150,7 @@
 func (o *Observer) answer(query *Query) (answers []any) {
 	now := o.now()
 	if query.Counts {
-		state := CollectorState{Counts: o.ledger.Counts, Bin: o.ledger.BinAt(now), Sealed: o.ledger.Sealed(now)}
+		state := CollectorState{MessageCounts: o.ledger.Counts, Bin: o.ledger.BinAt(now), Sealed: o.ledger.LastSealedBin(now)}
 		return []any{state}
 	}
 	var classes []int
@@ -162,10 +162,10 @@
 	if classes == nil {
 		return []any{errorAnswer("frontend: there is no %q", query.RequestClass)}
 	}
-	from := o.ledger.First()
-	to := o.ledger.Sealed(now)
-	if query.Windows > 0 {
-		from = max(from, to-counterfactual.BinNumber(query.Windows)+1)
+	from := o.ledger.FirstBin()
+	to := o.ledger.LastSealedBin(now)
+	if query.LastWindows > 0 {
+		from = max(from, to-counterfactual.BinNumber(query.LastWindows)+1)
 	}
 	for _, class := range classes {
 		ofClass, err := o.answerClass(query, class, from, to)
@@ -185,21 +185,21 @@
 		if !ok {
 			return nil, fmt.Errorf("rule: there is no %q", query.Rule)
 		}
-		answers = append(answers, o.ledger.Replaced(class, rule, query.Fraction, from, to))
+		answers = append(answers, o.ledger.EstimateReplacement(class, rule, query.Fraction, from, to))
 	case query.Host != "":
 		host, ok := o.hostNumber(query.Host)
 		if !ok {
 			return nil, fmt.Errorf("host: there is no %q", query.Host)
 		}
-		answers = append(answers, o.ledger.SingleHost(class, host, from, to))
+		answers = append(answers, o.ledger.EstimateSingleHost(class, host, from, to))
 	default:
-		for _, answer := range o.ledger.Panel(class, from, to) {
+		for _, answer := range o.ledger.EstimateRules(class, from, to) {
 			answers = append(answers, answer)
 		}
 	}
 	if query.Hosts {
 		for _, host := range o.ledger.Hosts(class, from, to) {
-			answers = append(answers, o.ledger.SingleHost(class, host, from, to))
+			answers = append(answers, o.ledger.EstimateSingleHost(class, host, from, to))
 		}
 	}
 	return answers, nil
--- a/internal/observer/query_test.go
+++ b/internal/observer/query_test.go
@@ -12,7 +12,7 @@
 		Host:         "s-1",
 		Rule:         "least",
 		Fraction:     0.5,
-		Windows:      3,
+		LastWindows:  3,
 		Hosts:        true,
 		Counts:       true,
 	}
--- a/internal/observer/summary.go
+++ b/internal/observer/summary.go
@@ -38,9 +38,9 @@
 
 // summarize queues the current window's summary for the collectors, and merges it if this gateway is one.
 func (o *Observer) summarize(now time.Time) {
-	cells, attempts, lost := o.folder.Close()
+	cells, attempts, lost := o.folder.Flush()
 	o.lostRecords += int(lost)
-	head := counterfactual.Part{
+	head := counterfactual.SummaryPart{
 		Gateway:      uint32(o.member),
 		Zone:         uint8(o.zone),
 		Incarnation:  o.incarnation,
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -59,6 +59,6 @@
 // limitRuntime sets the limits of Go's runtime. A quarter of the memory is left for what the runtime doesn't count.
 func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(1) // the gateway has one processor
-	debug.SetMemoryLimit(cfg.Memory * 3 / 4)
+	debug.SetMemoryLimit(cfg.MemoryLimit * 3 / 4)
 	debug.SetGCPercent(garbagePercent)
 }
--- a/internal/publisher/admin.go
+++ b/internal/publisher/admin.go
@@ -40,7 +40,7 @@
 		writeJSON(w, http.StatusOK, p.Status())
 	})
 	mux.HandleFunc("GET /v1/fleet", func(w http.ResponseWriter, r *http.Request) {
-		writeJSON(w, http.StatusOK, p.Fleet(r.Context()))
+		writeJSON(w, http.StatusOK, p.FleetStatus(r.Context()))
 	})
 	return mux
 }
@@ -49,7 +49,7 @@
 func (p *Publisher) atLeader(parse func(body string) (draft, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		leader := p.replica.LeaderIndex()
-		elsewhere := leader >= 0 && leader < len(p.cfg.Admin) && leader != p.cfg.Index
+		elsewhere := leader >= 0 && leader < len(p.cfg.AdminAddresses) && leader != p.cfg.Index
 		if elsewhere && r.Header.Get(forwardedHeader) == "" {
 			p.forward(w, r, leader)
 			return
@@ -66,7 +66,7 @@
 
 // forward sends a request to the leader and returns its response.
 func (p *Publisher) forward(w http.ResponseWriter, r *http.Request, leader int) {
-	target := &url.URL{Scheme: "http", Host: p.cfg.Admin[leader].String()}
+	target := &url.URL{Scheme: "http", Host: p.cfg.AdminAddresses[leader].String()}
 	proxy := &httputil.ReverseProxy{
 		Rewrite: func(request *httputil.ProxyRequest) {
 			request.SetURL(target)
@@ -183,7 +183,7 @@
 func statusOf(err error) int {
 	var notLeader *NotLeaderError
 	var conflict *configsync.ConflictError
-	var history *HistoryError
+	var history *VersionNotInHistoryError
 	switch {
 	case errors.As(err, &notLeader), errors.Is(err, consensus.ErrNotLeader), errors.Is(err, consensus.ErrUnknownOutcome):
 		return http.StatusServiceUnavailable
--- a/internal/publisher/disk_test.go
+++ b/internal/publisher/disk_test.go
@@ -26,23 +26,23 @@
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			g := publishertest.NewGroup(t, 3, nil)
-			g.Agreed(g.Put())
-			leader := g.Leader()
+			g.WaitReplicated(g.PublishInitialContent())
+			leader := g.WaitForLeader()
 			full := (leader + 1) % 3
-			eventually(t, "the replica to be current", func() bool { return g.Replicas[full].Status().Current })
+			eventually(t, "the replica to be current", func() bool { return g.Replicas[full].Status().UpToDate })
 			g.SetDiskFault(full, errno)
 			last := publisher.Publication{}
 			for rate := range 12 { // more than the log entries kept, so that a snapshot is needed
-				last = g.SetRate(leader, "gold", 20+rate)
+				last = g.PublishRate(leader, "gold", 20+rate)
 			}
-			eventually(t, "the replica not to be current", func() bool { return !g.Replicas[full].Status().Current })
+			eventually(t, "the replica not to be current", func() bool { return !g.Replicas[full].Status().UpToDate })
 			if s := g.Replicas[full].Status(); s.Version == last.Version {
 				t.Fatalf("version %d in spite of the disk", s.Version)
 			}
 			waitForHeartbeat(t, g, full, false)
 			g.SetDiskFault(full, nil)
-			g.Agreed(last)
-			eventually(t, "the replica to be current again", func() bool { return g.Replicas[full].Status().Current })
+			g.WaitReplicated(last)
+			eventually(t, "the replica to be current again", func() bool { return g.Replicas[full].Status().UpToDate })
 			waitForHeartbeat(t, g, full, true)
 		})
 	}
@@ -52,31 +52,31 @@
 // closed meanwhile, and elect a leader when the disks have free space.
 func TestElectionWaitsForFullDisks(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
-	first := g.Put()
-	g.Agreed(first)
-	lost := g.Leader()
+	first := g.PublishInitialContent()
+	g.WaitReplicated(first)
+	lost := g.WaitForLeader()
 	others := []int{(lost + 1) % 3, (lost + 2) % 3}
 	for _, i := range others {
 		g.SetDiskFault(i, syscall.ENOSPC)
 	}
 	g.Close(lost)
 	for _, i := range others {
-		eventually(t, "the lost leader to be noticed", func() bool { return !g.Replicas[i].Status().Current })
+		eventually(t, "the lost leader to be noticed", func() bool { return !g.Replicas[i].Status().UpToDate })
 	}
 	g.Close(others[0]) // while a write is being retried
 	g.SetDiskFault(others[0], nil)
 	g.Open(others[0])
 	g.SetDiskFault(others[1], nil)
-	g.Agreed(first)
-	g.Agreed(g.SetRate(others[1], "gold", 7))
+	g.WaitReplicated(first)
+	g.WaitReplicated(g.PublishRate(others[1], "gold", 7))
 }
 
 // A change that a quorum can't store is not acknowledged, and an acknowledged version survives a restart of all
 // replicas.
 func TestAcknowledgedVersionSurvivesRestart(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
-	g.Agreed(g.Put())
-	last := g.SetRate(0, "gold", 11)
+	g.WaitReplicated(g.PublishInitialContent())
+	last := g.PublishRate(0, "gold", 11)
 	for i := range g.Replicas {
 		g.SetDiskFault(i, syscall.EIO)
 	}
@@ -94,11 +94,11 @@
 	for i := range g.Replicas {
 		g.Open(i)
 	}
-	again := g.SetRate(0, "gold", 12)
+	again := g.PublishRate(0, "gold", 12)
 	if again.Version <= last.Version {
 		t.Errorf("version %d after %d", again.Version, last.Version)
 	}
-	g.Agreed(again)
+	g.WaitReplicated(again)
 }
 
 // earlierReleases left folders of replicas.
@@ -106,7 +106,7 @@
 	publishertest.FirstRelease,
 	{
 		Commit:  "6d43e16", // a snapshot, and two versions in the log after it
-		Folder:  "landed-6d43e16",
+		Dir:     "landed-6d43e16",
 		Version: 7,
 		Digest:  "82b77c87767e398c03f7d7b79c49797ed3dd7b1be98f99b3c225c12696c081ed",
 	},
@@ -118,16 +118,16 @@
 	for _, release := range earlierReleases {
 		t.Run(release.Commit, func(t *testing.T) {
 			dir := filepath.Join(t.TempDir(), "replica")
-			err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", release.Folder)))
+			err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", release.Dir)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			g := publishertest.NewGroup(t, 1, func(cfg *config.Publisher) { cfg.Dir = dir })
 			eventually(t, "the last version", func() bool {
 				s := g.Replicas[0].Status()
-				return release.Stored(s.Version, s.Digest)
+				return release.Matches(s.Version, s.Digest)
 			})
-			next := g.SetRate(0, "gold", 13)
+			next := g.PublishRate(0, "gold", 13)
 			if next.Version != release.Version+1 {
 				t.Errorf("the next version is %d", next.Version)
 			}
@@ -149,10 +149,10 @@
 		socketstest.Accept: {Probability: 0.3, Faults: shortages},
 		socketstest.Dial:   {Probability: 0.2, Faults: shortages},
 	})
-	g := publishertest.NewGroupOn(t, system, 3, nil)
-	g.Agreed(g.Put())
+	g := publishertest.NewGroupWithSockets(t, system, 3, nil)
+	g.WaitReplicated(g.PublishInitialContent())
 	for rate := range 5 {
-		g.Agreed(g.SetRate(rate%3, "gold", 20+rate))
+		g.WaitReplicated(g.PublishRate(rate%3, "gold", 20+rate))
 	}
 	for i := range g.Replicas {
 		f := follow(t, g, i, hello(i))
--- a/internal/publisher/fleet.go
+++ b/internal/publisher/fleet.go
@@ -15,8 +15,8 @@
 // fleetTimeout bounds the wait for the other replicas.
 const fleetTimeout = 2 * time.Second
 
-// Fleet is the status of all replicas and of their followers.
-type Fleet struct {
+// FleetStatus is the status of all replicas and of their followers.
+type FleetStatus struct {
 	Replicas []ReplicaStatus `json:"replicas"`
 
 	// Followers are sorted by member index. Each is as its present replica reports it, or the latest one.
@@ -30,11 +30,11 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// Fleet returns the status of all replicas. It requests those of the others and waits for them for a short time.
-func (p *Publisher) Fleet(ctx context.Context) *Fleet {
+// FleetStatus returns the status of all replicas. It requests those of the others and waits for them for a short time.
+func (p *Publisher) FleetStatus(ctx context.Context) *FleetStatus {
 	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 	defer cancel()
-	fleet := &Fleet{Replicas: make([]ReplicaStatus, len(p.cfg.Admin))}
+	fleet := &FleetStatus{Replicas: make([]ReplicaStatus, len(p.cfg.AdminAddresses))}
 	var requests sync.WaitGroup
 	for i := range fleet.Replicas {
 		requests.Go(func() { fleet.Replicas[i] = p.statusAt(ctx, i) })
@@ -49,7 +49,7 @@
 	if replica == p.cfg.Index {
 		return ReplicaStatus{Status: p.Status(), Replica: replica}
 	}
-	status, err := fetchStatus(ctx, "http://"+p.cfg.Admin[replica].String()+"/v1/status")
+	status, err := fetchStatus(ctx, "http://"+p.cfg.AdminAddresses[replica].String()+"/v1/status")
 	if err != nil {
 		return ReplicaStatus{Replica: replica, Error: err.Error()}
 	}
@@ -98,5 +98,5 @@
 	if f.Connected != other.Connected {
 		return f.Connected
 	}
-	return f.SinceMessageMS < other.SinceMessageMS
+	return f.SinceLastMessageMS < other.SinceLastMessageMS
 }
--- a/internal/publisher/follower_test.go
+++ b/internal/publisher/follower_test.go
@@ -120,7 +120,7 @@
 // follower that doesn't read delays the others.
 func TestFollowerGetsOneVersionAtATime(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
-	g.Agreed(g.Put())
+	g.WaitReplicated(g.PublishInitialContent())
 	stuck := follow(t, g, 0, hello(1)) // never reads
 	stuck.conn.SetReadBuffer(1)
 	f := follow(t, g, 0, hello(2))
@@ -130,9 +130,9 @@
 	}
 	last := publisher.Publication{}
 	for rate := range 5 {
-		last = g.SetRate(0, "gold", 20+rate)
+		last = g.PublishRate(0, "gold", 20+rate)
 	}
-	g.Agreed(last)
+	g.WaitReplicated(last)
 	f.send(configsync.Encode(&configsync.Acknowledge{Version: 1, Digest: digest}))
 	version, _ = f.version()
 	if version != last.Version {
@@ -141,9 +141,9 @@
 	f.send(configsync.Encode(configsync.NewRefusal(version, "plans/gold", "rate: too much")))
 	eventually(t, "the refusal to be shown", func() bool {
 		m := memberOf(g, 0, 2)
-		return m.InForce == 1 && m.Refused == last.Version && m.Resource == "plans/gold" && m.Reason == "rate: too much"
+		return m.InForce == 1 && m.RefusedVersion == last.Version && m.RefusedResource == "plans/gold" && m.RefusalReason == "rate: too much"
 	})
-	fixed := g.SetRate(0, "gold", 10)
+	fixed := g.PublishRate(0, "gold", 10)
 	version, digest = f.version()
 	if version != fixed.Version {
 		t.Errorf("version %d after the refused one", version)
@@ -151,15 +151,15 @@
 	f.send(configsync.Encode(&configsync.Acknowledge{Version: version, Digest: digest}))
 	eventually(t, "the version to be in force", func() bool {
 		m := memberOf(g, 0, 2)
-		return m.InForce == version && m.Refused == 0
+		return m.InForce == version && m.RefusedVersion == 0
 	})
 	if m := memberOf(g, 0, 1); !m.Connected || m.InForce != 0 {
 		t.Errorf("the follower that doesn't read: %+v", m)
 	}
-	g.Agreed(fixed)
+	g.WaitReplicated(fixed)
 	follow(t, g, 1, hello(4)).heartbeat()
 	g.Close(2)
-	fleet := g.Replicas[0].Fleet(t.Context())
+	fleet := g.Replicas[0].FleetStatus(t.Context())
 	if len(fleet.Followers) != 3 || fleet.Followers[1].InForce != version || fleet.Followers[2].Member != 4 {
 		t.Errorf("followers %+v", fleet.Followers)
 	}
@@ -171,7 +171,7 @@
 // A connection is closed when its gateway connects again, and a follower of another log is refused.
 func TestReplicaClosesReplacedAndForeignConnections(t *testing.T) {
 	g := publishertest.NewGroup(t, 1, nil)
-	first := g.Put()
+	first := g.PublishInitialContent()
 	f := follow(t, g, 0, hello(2))
 	version, digest := f.version()
 	f.send(configsync.Encode(&configsync.Acknowledge{Version: version, Digest: digest}))
@@ -213,7 +213,7 @@
 			t.Errorf("version %d after %d", version, rate)
 		}
 		fast.send(configsync.Encode(&configsync.Acknowledge{Version: version, Digest: digest}))
-		last = g.SetRate(0, "gold", 1+rate)
+		last = g.PublishRate(0, "gold", 1+rate)
 	}
 	eventually(t, "the fast follower to get all", func() bool {
 		version, _ := fast.version()
@@ -234,7 +234,7 @@
 func TestReplicaClosesConnectionAfterMalformedMessage(t *testing.T) {
 	const mostFollowers = 20
 	g := publishertest.NewGroup(t, 1, func(cfg *config.Publisher) { cfg.MaxFollowers = mostFollowers })
-	g.Put()
+	g.PublishInitialContent()
 	good := follow(t, g, 0, hello(1))
 	good.version()
 	greeting := configsync.Encode(hello(2))
@@ -257,11 +257,11 @@
 		f.conn.CloseWrite()
 		f.waitClosed()
 		eventually(t, "the message to be counted", func() bool {
-			return g.Replicas[0].Status().Counters.Malformed == int64(i+1)
+			return g.Replicas[0].Status().Counters.MalformedMessages == int64(i+1)
 		})
 	}
 	eventually(t, "the connections to be closed", func() bool { return g.Replicas[0].Status().Connected == 1 })
-	g.SetRate(0, "gold", 3)
+	g.PublishRate(0, "gold", 3)
 	good.send(configsync.Encode(&configsync.Acknowledge{})) // of a version before the connection
 	if good.heartbeat().Log == "" {
 		t.Error("a heartbeat without a log")
--- a/internal/publisher/publish.go
+++ b/internal/publisher/publish.go
@@ -29,14 +29,14 @@
 	return fmt.Sprintf("replica %d leads", e.Leader)
 }
 
-// HistoryError reports that a rollback to a version is not possible, since the history doesn't reach it.
-type HistoryError struct {
+// VersionNotInHistoryError reports that a rollback to a version is not possible, since the history doesn't reach it.
+type VersionNotInHistoryError struct {
 	Version configsync.Version
 	Oldest  configsync.Version // the earliest possible one
 	Latest  configsync.Version
 }
 
-func (e *HistoryError) Error() string {
+func (e *VersionNotInHistoryError) Error() string {
 	return fmt.Sprintf("to: version %d is not in the history, which holds %d to %d", e.Version, e.Oldest, e.Latest)
 }
 
@@ -68,7 +68,7 @@
 	return func(state *configsync.State) ([]configsync.Change, error) {
 		changes, ok := state.History().RollbackChanges(to)
 		if !ok {
-			return nil, &HistoryError{to, state.History().Oldest(), state.History().Latest()}
+			return nil, &VersionNotInHistoryError{to, state.History().Oldest(), state.History().Latest()}
 		}
 		return changes, nil
 	}
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -70,23 +70,23 @@
 }
 
 // Start opens the replica's log and its listeners.
-func Start(cfg *config.Publisher) (*Publisher, error) { return StartWith(cfg, Options{}) }
+func Start(cfg *config.Publisher) (*Publisher, error) { return StartWithOptions(cfg, Options{}) }
 
-// StartWith is Start with options.
-func StartWith(cfg *config.Publisher, options Options) (*Publisher, error) {
+// StartWithOptions is Start with options.
+func StartWithOptions(cfg *config.Publisher, options Options) (*Publisher, error) {
 	if options.Sockets == nil {
 		options.Sockets = sockets.Kernel{}
 	}
 	p := &Publisher{
 		cfg:         cfg,
 		system:      options.Sockets,
-		state:       configsync.NewState(cfg.History),
+		state:       configsync.NewState(cfg.HistoryLimits),
 		connections: map[configsync.ConnectionID]*connection{},
 		replaying:   true,
 		mirror:      &mirror{},
 		done:        make(chan struct{}),
 	}
-	p.sender = configsync.NewSender(p.state, cfg.Sending)
+	p.sender = configsync.NewSender(p.state, cfg.SenderLimits)
 	p.sender.SetPaused(true)
 	admin, err := p.listen()
 	if err != nil {
@@ -95,7 +95,7 @@
 	p.replica, err = consensus.Open(consensus.Config{
 		ClusterName:       "publisher",
 		Index:             cfg.Index,
-		Addresses:         cfg.Raft,
+		Addresses:         cfg.RaftAddresses,
 		Listen:            cfg.RaftListen,
 		Dir:               cfg.Dir,
 		Key:               cfg.Key,
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -107,18 +107,18 @@
 // Any replica accepts a change, names the key at fault of a bad one, honours If-Match, and rolls back by a new version.
 func TestReplicaPublishesAndRefusesChanges(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
-	first := g.Put()
+	first := g.PublishInitialContent()
 	if first.Version != 1 || first.Changes != 4 {
 		t.Errorf("%+v", first)
 	}
-	g.Agreed(first)
+	g.WaitReplicated(first)
 	for i := range g.Replicas {
-		again := g.Publish(i, "PUT", "/v1/configuration", strings.ReplaceAll(publishertest.FirstContent, ":", ": "))
+		again := g.Publish(i, "PUT", "/v1/configuration", strings.ReplaceAll(publishertest.InitialContent, ":", ": "))
 		if again.Version != 1 || again.Changes != 0 || again.Digest != first.Digest {
 			t.Errorf("the same content: %+v", again)
 		}
 	}
-	leader := g.Leader()
+	leader := g.WaitForLeader()
 	follower := (leader + 1) % 3
 	for _, test := range refusedChanges {
 		status, answer := g.Request(follower, test.method, test.path, test.body, test.ifMatch)
@@ -127,8 +127,8 @@
 			t.Errorf("%s %s: %s, want %s", test.method, test.body, got, test.want)
 		}
 	}
-	g.Agreed(first)
-	second := g.SetRate(follower, "gold", 99)
+	g.WaitReplicated(first)
+	second := g.PublishRate(follower, "gold", 99)
 	status, answer := g.Request(follower, "PATCH", "/v1/configuration", `{"remove":["limits"]}`, `"1"`)
 	if status != http.StatusPreconditionFailed {
 		t.Errorf("a change for version 1: %d %s", status, answer)
@@ -137,7 +137,7 @@
 	if second.Version != 2 || back.Version != 3 || back.Digest != first.Digest {
 		t.Errorf("%+v, then back %+v", second, back)
 	}
-	g.Agreed(back)
+	g.WaitReplicated(back)
 	status, answer = g.Request(follower, "GET", "/v1/configuration", "", "")
 	if status != http.StatusOK || !strings.Contains(answer, `"plans/gold":{"name":"gold","rate":10,"burst":5}`) {
 		t.Errorf("%d %s", status, answer)
@@ -147,13 +147,13 @@
 // Concurrent publications at all replicas become one version each.
 func TestConcurrentPublicationsAreOrdered(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
-	g.Put()
+	g.PublishInitialContent()
 	const each = 5
 	var publishing sync.WaitGroup
 	for i := range g.Replicas {
 		publishing.Go(func() {
 			for k := range each {
-				g.SetRate(i, fmt.Sprintf("p%d-%d", i, k), 7)
+				g.PublishRate(i, fmt.Sprintf("p%d-%d", i, k), 7)
 			}
 		})
 	}
@@ -163,23 +163,23 @@
 		status = g.Replicas[0].Status()
 		return status.Version == 1+3*each
 	})
-	g.Agreed(publisher.Publication{Log: status.Log, Version: status.Version, Digest: status.Digest})
+	g.WaitReplicated(publisher.Publication{Log: status.Log, Version: status.Version, Digest: status.Digest})
 }
 
 // The group goes on without its leader, which catches up after its return. A minority publishes nothing and is not
 // current.
 func TestGroupSurvivesLossOfLeader(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
-	g.Put()
-	lost := g.Leader()
+	g.PublishInitialContent()
+	lost := g.WaitForLeader()
 	g.Close(lost)
 	last := publisher.Publication{}
 	for rate := range 12 { // beyond the log entries kept, so that a snapshot is wanted
-		last = g.SetRate((lost+1)%3, "gold", 100+rate)
+		last = g.PublishRate((lost+1)%3, "gold", 100+rate)
 	}
 	g.Open(lost)
-	g.Agreed(last)
-	leader := g.Leader()
+	g.WaitReplicated(last)
+	leader := g.WaitForLeader()
 	minority := (leader + 1) % 3
 	f := follow(t, g, minority, &configsync.Hello{Protocol: configsync.Protocol})
 	eventually(t, "a current replica", func() bool { return f.heartbeat().HasQuorum })
@@ -191,20 +191,20 @@
 		t.Errorf("a minority: %d %s", status, answer)
 	}
 	g.Open(leader)
-	g.Agreed(g.SetRate(minority, "gold", 7))
+	g.WaitReplicated(g.PublishRate(minority, "gold", 7))
 }
 
 // A replica that starts has an earlier state until a leader reports what is committed. Until then it sends no version
 // of that state, and doesn't disconnect followers of a later one.
 func TestReplicaSendsNoVersionDuringReplay(t *testing.T) {
 	g := publishertest.NewGroup(t, 3, nil)
-	g.Agreed(g.Put())
+	g.WaitReplicated(g.PublishInitialContent())
 	err := g.Replicas[0].TakeSnapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	last := g.SetRate(0, "gold", 99)
-	g.Agreed(last)
+	last := g.PublishRate(0, "gold", 99)
+	g.WaitReplicated(last)
 	for i := range g.Replicas {
 		g.Close(i)
 	}
--- a/internal/publisher/serve.go
+++ b/internal/publisher/serve.go
@@ -105,7 +105,7 @@
 	if p.waking {
 		return
 	}
-	wait := p.cfg.Sending.VersionInterval - time.Since(p.lastWake)
+	wait := p.cfg.SenderLimits.VersionInterval - time.Since(p.lastWake)
 	if wait <= 0 {
 		p.wakeAll()
 		return
--- a/internal/publisher/serve_test.go
+++ b/internal/publisher/serve_test.go
@@ -13,7 +13,7 @@
 	const interval = 50 * time.Millisecond
 	c := &connection{wake: make(chan struct{}, 1)}
 	p := &Publisher{
-		cfg:         &config.Publisher{Sending: configsync.SenderLimits{VersionInterval: interval}},
+		cfg:         &config.Publisher{SenderLimits: configsync.SenderLimits{VersionInterval: interval}},
 		connections: map[configsync.ConnectionID]*connection{1: c},
 	}
 	announce := func() {
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -11,40 +11,40 @@
 
 // Status is the status of a replica, and of the gateways that are or were connected to it.
 type Status struct {
-	Replica   int                `json:"replica"`
-	Leader    int                `json:"leader"` // -1: not known
-	Leads     bool               `json:"leads"`
-	Current   bool               `json:"current"` // in contact with a quorum, and all that is committed is applied
-	Log       configsync.LogID   `json:"log"`
-	Version   configsync.Version `json:"version"`
-	Digest    string             `json:"digest"`
-	Oldest    configsync.Version `json:"oldest"` // the earliest version of the history, for deltas and rollbacks
-	Connected int                `json:"connected"`
-	Counters  Counters           `json:"counters"`
-	Followers []Follower         `json:"followers,omitempty"`
+	Replica       int                `json:"replica"`
+	Leader        int                `json:"leader"` // -1: not known
+	IsLeader      bool               `json:"leads"`
+	UpToDate      bool               `json:"current"` // in contact with a quorum, and all that is committed is applied
+	Log           configsync.LogID   `json:"log"`
+	Version       configsync.Version `json:"version"`
+	Digest        string             `json:"digest"`
+	OldestVersion configsync.Version `json:"oldest"` // the earliest version of the history, for deltas and rollbacks
+	Connected     int                `json:"connected"`
+	Counters      Counters           `json:"counters"`
+	Followers     []Follower         `json:"followers,omitempty"`
 }
 
 // Counters count since the start of the replica.
 type Counters struct {
 	Connections         int64 `json:"connections"`
 	RejectedConnections int64 `json:"turned_off"` // connections beyond max_followers
-	Malformed           int64 `json:"malformed"`  // messages that broke the protocol; each ended its connection
+	MalformedMessages   int64 `json:"malformed"`  // messages that broke the protocol; each ended its connection
 	BytesIn             int64 `json:"bytes_in"`   // from followers
 	BytesOut            int64 `json:"bytes_out"`  // to followers
-	Published           int64 `json:"published"`
-	Rejected            int64 `json:"rejected"` // requests answered by an error
+	PublishedVersions   int64 `json:"published"`
+	RejectedRequests    int64 `json:"rejected"` // requests answered by an error
 }
 
 // Follower is the status of one gateway at a replica.
 type Follower struct {
-	Member         int                 `json:"member"`
-	Name           string              `json:"name"`
-	Connected      bool                `json:"connected"`
-	InForce        configsync.Version  `json:"in_force"`
-	Refused        configsync.Version  `json:"refused,omitempty"` // a later version that it could not apply
-	Resource       configsync.Resource `json:"resource,omitempty"`
-	Reason         string              `json:"reason,omitempty"`
-	SinceMessageMS int64               `json:"heard_ms"` // milliseconds since its latest message
+	Member             int                 `json:"member"`
+	Name               string              `json:"name"`
+	Connected          bool                `json:"connected"`
+	InForce            configsync.Version  `json:"in_force"`
+	RefusedVersion     configsync.Version  `json:"refused,omitempty"` // a later version that it could not apply
+	RefusedResource    configsync.Resource `json:"resource,omitempty"`
+	RefusalReason      string              `json:"reason,omitempty"`
+	SinceLastMessageMS int64               `json:"heard_ms"` // milliseconds since its latest message
 }
 
 // Status returns the status of this replica. Each gateway is connected to one replica at a time.
@@ -52,17 +52,17 @@
 	status := &Status{
 		Replica:   p.cfg.Index,
 		Leader:    p.replica.LeaderIndex(),
-		Leads:     p.replica.IsLeader(),
-		Current:   p.replica.IsUpToDate(),
+		IsLeader:  p.replica.IsLeader(),
+		UpToDate:  p.replica.IsUpToDate(),
 		Followers: []Follower{},
 		Counters: Counters{
 			Connections:         p.counters.connected.Load(),
 			RejectedConnections: p.counters.rejectedConnections.Load(),
-			Malformed:           p.counters.malformed.Load(),
+			MalformedMessages:   p.counters.malformed.Load(),
 			BytesIn:             p.counters.bytesIn.Load(),
 			BytesOut:            p.counters.bytesOut.Load(),
-			Published:           p.counters.published.Load(),
-			Rejected:            p.counters.rejected.Load(),
+			PublishedVersions:   p.counters.published.Load(),
+			RejectedRequests:    p.counters.rejected.Load(),
 		},
 	}
 	p.mu.Lock()
@@ -72,7 +72,7 @@
 	status.Log = document.Log()
 	status.Version = document.Version()
 	status.Digest = digest.Hex()
-	status.Oldest = p.state.History().Oldest()
+	status.OldestVersion = p.state.History().Oldest()
 	status.Connected = p.sender.Len()
 	now := time.Now()
 	for _, member := range p.sender.Status() {
@@ -83,14 +83,14 @@
 
 func newFollower(now time.Time, member *configsync.MemberStatus) Follower {
 	return Follower{
-		Member:         member.Member,
-		Name:           member.Name,
-		Connected:      member.Connected,
-		InForce:        member.InForce,
-		Refused:        member.Refused,
-		Resource:       member.RefusedResource,
-		Reason:         member.RefusalReason,
-		SinceMessageMS: now.Sub(member.LastMessage).Milliseconds(),
+		Member:             member.Member,
+		Name:               member.Name,
+		Connected:          member.Connected,
+		InForce:            member.InForce,
+		RefusedVersion:     member.Refused,
+		RefusedResource:    member.RefusedResource,
+		RefusalReason:      member.RefusalReason,
+		SinceLastMessageMS: now.Sub(member.LastMessage).Milliseconds(),
 	}
 }
 
@@ -103,15 +103,15 @@
 		if follower.Connected && follower.InForce == s.Version {
 			inForce++
 		}
-		if follower.Connected && follower.Refused > 0 {
+		if follower.Connected && follower.RefusedVersion > 0 {
 			refused++
 		}
 	}
 	c := &s.Counters
 	return []slog.Attr{
-		slog.Bool("leading", s.Leads),
+		slog.Bool("leading", s.IsLeader),
 		slog.Int("leader", s.Leader),
-		slog.Bool("current", s.Current),
+		slog.Bool("current", s.UpToDate),
 		slog.Uint64("version", uint64(s.Version)),
 		slog.String("digest", s.Digest[:loggedDigestDigits]),
 		slog.Int("followers", s.Connected),
@@ -119,10 +119,10 @@
 		slog.Int("followers_refusing", refused),
 		slog.Int64("connections", c.Connections),
 		slog.Int64("connections_rejected", c.RejectedConnections),
-		slog.Int64("malformed", c.Malformed),
+		slog.Int64("malformed", c.MalformedMessages),
 		slog.Int64("bytes_in", c.BytesIn),
 		slog.Int64("bytes_out", c.BytesOut),
-		slog.Int64("published", c.Published),
-		slog.Int64("requests_rejected", c.Rejected),
+		slog.Int64("published", c.PublishedVersions),
+		slog.Int64("requests_rejected", c.RejectedRequests),
 	}
 }
--- a/internal/publishertest/publishertest.go
+++ b/internal/publishertest/publishertest.go
@@ -25,14 +25,14 @@
 	pollInterval = 5 * time.Millisecond
 )
 
-// FirstContent is a small content: two quota plans, a request class and limits.
-const FirstContent = `{"plans":[{"name":"gold","rate":10,"burst":5},{"name":"team","rate":5,"burst":5}],
+// InitialContent is a small content: two quota plans, a request class and limits.
+const InitialContent = `{"plans":[{"name":"gold","rate":10,"burst":5},{"name":"team","rate":5,"burst":5}],
 	"profiles":[{"name":"lookup","target_us":1000,"hard_limit_us":2000}],"limits":{"max_attempts":2}}`
 
 // EarlierRelease is what the program of an earlier commit stored in a folder of testdata.
 type EarlierRelease struct {
 	Commit  string
-	Folder  string
+	Dir     string
 	Version configsync.Version // the last one
 	Digest  string             // of that version's content
 }
@@ -40,13 +40,13 @@
 // FirstRelease is the first commit whose stored data is kept, of publishers and of subscribers.
 var FirstRelease = EarlierRelease{
 	Commit:  "067f03a",
-	Folder:  "landed",
+	Dir:     "landed",
 	Version: 3,
 	Digest:  "52e2ee77df49aff9779c16b207fb40fdf9a1399fb4fa9f33657cc4aefd6fc078",
 }
 
-// Stored reports whether a version that was read, with its digest, is the one that the release stored last.
-func (r EarlierRelease) Stored(version configsync.Version, digest string) bool {
+// Matches reports whether a version that was read, with its digest, is the one that the release stored last.
+func (r EarlierRelease) Matches(version configsync.Version, digest string) bool {
 	return version == r.Version && digest == r.Digest
 }
 
@@ -103,11 +103,11 @@
 // NewGroup starts replicas, each with its own directory; change may alter their configurations. They are closed at
 // the end of the test.
 func NewGroup(t *testing.T, replicas int, change func(*config.Publisher)) *Group {
-	return NewGroupOn(t, sockets.Kernel{}, replicas, change)
+	return NewGroupWithSockets(t, sockets.Kernel{}, replicas, change)
 }
 
-// NewGroupOn is NewGroup with replicas whose sockets are those of system.
-func NewGroupOn(t *testing.T, system sockets.System, replicas int, change func(*config.Publisher)) *Group {
+// NewGroupWithSockets is NewGroup with replicas whose sockets are those of system.
+func NewGroupWithSockets(t *testing.T, system sockets.System, replicas int, change func(*config.Publisher)) *Group {
 	g := &Group{
 		Replicas: make([]*publisher.Publisher, replicas),
 		t:        t,
@@ -125,14 +125,14 @@
 			Index:             i,
 			Listen:            freeAddress(t),
 			RaftListen:        raftAddresses[i],
-			Raft:              raftAddresses,
+			RaftAddresses:     raftAddresses,
 			AdminListen:       adminAddresses[i],
-			Admin:             adminAddresses,
+			AdminAddresses:    adminAddresses,
 			Dir:               t.TempDir(),
 			Key:               []byte("0123456789abcdef"),
 			ElectionTimeout:   200 * time.Millisecond,
 			MaxFollowers:      100,
-			History:           configsync.HistoryLimits{Deltas: 8, Bytes: 1 << 20},
+			HistoryLimits:     configsync.HistoryLimits{Deltas: 8, Bytes: 1 << 20},
 			SnapshotThreshold: 4,
 			TrailingEntries:   2,
 		}
@@ -156,7 +156,7 @@
 func (g *Group) Open(i int) {
 	g.t.Helper()
 	var err error
-	g.Replicas[i], err = publisher.StartWith(g.Configs[i], publisher.Options{
+	g.Replicas[i], err = publisher.StartWithOptions(g.Configs[i], publisher.Options{
 		Sockets:   g.system,
 		DiskFault: func() error { return g.diskFault(i) },
 	})
@@ -207,24 +207,24 @@
 	return p
 }
 
-// Put publishes FirstContent.
-func (g *Group) Put() publisher.Publication {
-	return g.Publish(0, "PUT", "/v1/configuration", FirstContent)
+// PublishInitialContent publishes FirstContent.
+func (g *Group) PublishInitialContent() publisher.Publication {
+	return g.Publish(0, "PUT", "/v1/configuration", InitialContent)
 }
 
-// SetRate publishes a new rate of a plan.
-func (g *Group) SetRate(i int, plan string, rate int) publisher.Publication {
+// PublishRate publishes a new rate of a plan.
+func (g *Group) PublishRate(i int, plan string, rate int) publisher.Publication {
 	g.t.Helper()
 	body := fmt.Sprintf(`{"set":{"plans/%s":{"name":%q,"rate":%d,"burst":5}}}`, plan, plan, rate)
 	return g.Publish(i, "PATCH", "/v1/configuration", body)
 }
 
-// Leader returns the index of the leading replica. It waits until there is one.
-func (g *Group) Leader() (leader int) {
+// WaitForLeader returns the index of the leading replica. It waits until there is one.
+func (g *Group) WaitForLeader() (leader int) {
 	g.t.Helper()
 	Eventually(g.t, "a leader", func() bool {
 		for i, p := range g.Replicas {
-			if p != nil && p.Status().Leads {
+			if p != nil && p.Status().IsLeader {
 				leader = i
 				return true
 			}
@@ -234,8 +234,8 @@
 	return leader
 }
 
-// Agreed waits until all running replicas have a version.
-func (g *Group) Agreed(want publisher.Publication) {
+// WaitReplicated waits until all running replicas have a version.
+func (g *Group) WaitReplicated(want publisher.Publication) {
 	g.t.Helper()
 	for i, p := range g.Replicas {
 		if p == nil {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -21,9 +21,9 @@
 	Decide(in *gateway.Batch, out gateway.Actions)
 }
 
-// Start returns the decision module of a gateway that starts with nothing but its settings. seed is that of its random
+// StartFunc returns the decision module of a gateway that starts with nothing but its settings. seed is that of its random
 // numbers.
-type Start func(seed uint64, settings *config.Settings) Decider
+type StartFunc func(seed uint64, settings *config.Settings) Decider
 
 // instance is one simulated gateway.
 type instance struct {
@@ -39,7 +39,7 @@
 type server struct {
 	in        *bufio.Reader
 	out       *bufio.Writer
-	start     Start
+	start     StartFunc
 	line      int         // number of the latest line read
 	fields    fieldReader // of the latest line read
 	clock     gateway.Time
@@ -53,7 +53,7 @@
 const noInstance = -1
 
 // Serve runs gateways until in ends. A malformed line ends it with an error that names line and field.
-func Serve(in io.Reader, out io.Writer, start Start) (err error) {
+func Serve(in io.Reader, out io.Writer, start StartFunc) (err error) {
 	s := &server{
 		in:        bufio.NewReaderSize(in, bufferBytes),
 		out:       bufio.NewWriterSize(out, bufferBytes),
@@ -166,7 +166,7 @@
 	if err := r.end(); err != nil {
 		return err
 	}
-	settings, err := config.Decode(text)
+	settings, err := config.DecodeSettings(text)
 	if err != nil {
 		return fmt.Errorf("POWER_ON: env: %w", err)
 	}
--- a/internal/subscriber/status.go
+++ b/internal/subscriber/status.go
@@ -11,15 +11,15 @@
 
 // Status is the status of a subscriber.
 type Status struct {
-	Version   configsync.Version // in force
-	Digest    configsync.Digest  // of its content
-	Latest    configsync.Version // as the publisher followed last announced it
-	Refused   configsync.Version // a later version that the gateway could not apply; 0: none
-	Publisher string             // the address connected to; empty: none
-	BytesIn   int64              // since the start
-	BytesOut  int64              // since the start
-	Unsaved   int                // versions in force that could not be saved to disk
-	Counters  configsync.FollowerCounters
+	Version         configsync.Version // in force
+	Digest          configsync.Digest  // of its content
+	LatestVersion   configsync.Version // as the publisher followed last announced it
+	RefusedVersion  configsync.Version // a later version that the gateway could not apply; 0: none
+	Publisher       string             // the address connected to; empty: none
+	BytesIn         int64              // since the start
+	BytesOut        int64              // since the start
+	UnsavedVersions int                // versions in force that could not be saved to disk
+	Counters        configsync.FollowerCounters
 }
 
 // Status returns the status after the latest event.
@@ -28,17 +28,17 @@
 func (s *Subscriber) updateStatus() {
 	document := s.follower.Document()
 	status := &Status{
-		Version:   document.Version(),
-		Digest:    document.Digest(),
-		Latest:    s.latest,
-		Publisher: s.publisher,
-		BytesIn:   s.in.Load(),
-		BytesOut:  s.out.Load(),
-		Unsaved:   s.store.unsaved,
-		Counters:  s.follower.Counters(),
+		Version:         document.Version(),
+		Digest:          document.Digest(),
+		LatestVersion:   s.latest,
+		Publisher:       s.publisher,
+		BytesIn:         s.in.Load(),
+		BytesOut:        s.out.Load(),
+		UnsavedVersions: s.store.unsaved,
+		Counters:        s.follower.Counters(),
 	}
 	if refused := s.follower.Refused(); refused != nil {
-		status.Refused = refused.Version
+		status.RefusedVersion = refused.Version
 	}
 	s.status.Store(status)
 }
@@ -60,8 +60,8 @@
 	return []slog.Attr{
 		slog.Uint64("version", uint64(s.Version)),
 		slog.String("digest", s.Digest.Short()),
-		slog.Uint64("latest_version", uint64(s.Latest)),
-		slog.Uint64("refused_version", uint64(s.Refused)),
+		slog.Uint64("latest_version", uint64(s.LatestVersion)),
+		slog.Uint64("refused_version", uint64(s.RefusedVersion)),
 		slog.String("publisher", cmp.Or(s.Publisher, "none")),
 		slog.Int64("bytes_in", s.BytesIn),
 		slog.Int64("bytes_out", s.BytesOut),
@@ -70,6 +70,6 @@
 		slog.Uint64("connections_lost", c.ConnectionsLost),
 		slog.Uint64("malformed", c.MalformedMessages),
 		slog.Uint64("snapshots_deferred", c.SnapshotsDeferred),
-		slog.Int("versions_unsaved", s.Unsaved),
+		slog.Int("versions_unsaved", s.UnsavedVersions),
 	}
 }
--- a/internal/subscriber/store_test.go
+++ b/internal/subscriber/store_test.go
@@ -267,9 +267,9 @@
 	}
 	g.start()
 	disk.subscriber.Store(g.sub)
-	g.waitInForce(group.Put())
+	g.waitInForce(group.PublishInitialContent())
 	for rate := range 5 {
-		g.waitInForce(group.SetRate(0, "gold", 20+rate))
+		g.waitInForce(group.PublishRate(0, "gold", 20+rate))
 	}
 	g.stop()
 	if !slices.Equal(disk.sent, sent) || len(sent) < 6 {
@@ -282,7 +282,7 @@
 	publishertest.FirstRelease,
 	{
 		Commit:  "6d43e16",
-		Folder:  "landed-6d43e16",
+		Dir:     "landed-6d43e16",
 		Version: 4,
 		Digest:  "3c340acfeaa985ec8bc1cdf04a4398512099743ce86ebdba594ac30e6f2ec836",
 	},
@@ -291,9 +291,9 @@
 // The file of an earlier release is read as it was written.
 func TestLoadsFileOfEarlierRelease(t *testing.T) {
 	for _, release := range earlierReleases {
-		document, err := Load(filepath.Join("testdata", release.Folder))
+		document, err := Load(filepath.Join("testdata", release.Dir))
 		digest := fmt.Sprintf("%x", document.Digest())
-		if err != nil || !release.Stored(document.Version(), digest) {
+		if err != nil || !release.Matches(document.Version(), digest) {
 			t.Errorf("%s: version %d, digest %s, %v", release.Commit, document.Version(), digest, err)
 		}
 	}
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -163,11 +163,11 @@
 			g.waitInForce(want)
 		}
 	}
-	all(group.Put())
-	all(group.SetRate(0, "gold", 11))
-	leader := group.Leader()
+	all(group.PublishInitialContent())
+	all(group.PublishRate(0, "gold", 11))
+	leader := group.WaitForLeader()
 	group.Close(leader)
-	all(group.SetRate((leader+1)%3, "gold", 12))
+	all(group.PublishRate((leader+1)%3, "gold", 12))
 	group.Open(leader)
 	for i := range group.Replicas {
 		group.Close(i)
@@ -181,20 +181,20 @@
 	for i := range group.Replicas {
 		group.Open(i)
 	}
-	all(group.SetRate(0, "team", 13))
+	all(group.PublishRate(0, "team", 13))
 	gateways[1].stop()
 	if err := os.RemoveAll(gateways[1].cfg.Dir); err != nil {
 		t.Fatal(err)
 	}
 	last := publisher.Publication{}
 	for rate := range 12 { // more than the publishers' history holds
-		last = group.SetRate(0, "gold", 100+rate)
+		last = group.PublishRate(0, "gold", 100+rate)
 	}
 	gateways[1].start()
 	all(last)
 	gateways[2].stop()
 	gateways[2].start() // with its disk, to which deltas were appended
-	all(group.SetRate(0, "gold", 7))
+	all(group.PublishRate(0, "gold", 7))
 	for _, g := range gateways {
 		lostDisk := g.cfg.Member == 1
 		g.checkVersionsIncrease(lostDisk)
@@ -223,17 +223,17 @@
 		return nil
 	}
 	g.start()
-	g.waitInForce(group.Put())
-	refused := group.SetRate(0, "gold", 666)
+	g.waitInForce(group.PublishInitialContent())
+	refused := group.PublishRate(0, "gold", 666)
 	eventually(t, "the refusal", func() bool {
 		f := group.Replicas[0].Status().Followers[0]
-		return f.InForce == 1 && f.Refused == refused.Version && f.Resource == "plans/gold" && f.Reason == "rate: too much"
+		return f.InForce == 1 && f.RefusedVersion == refused.Version && f.RefusedResource == "plans/gold" && f.RefusalReason == "rate: too much"
 	})
-	if s := g.sub.Status(); s.Version != 1 || s.Refused != refused.Version {
+	if s := g.sub.Status(); s.Version != 1 || s.RefusedVersion != refused.Version {
 		t.Errorf("%+v", s)
 	}
-	g.waitInForce(group.SetRate(0, "gold", 6))
-	if s := g.sub.Status(); s.Refused != 0 || s.Counters.Refused != 1 {
+	g.waitInForce(group.PublishRate(0, "gold", 6))
+	if s := g.sub.Status(); s.RefusedVersion != 0 || s.Counters.Refused != 1 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -243,8 +243,8 @@
 	group := publishertest.NewGroup(t, 1, nil)
 	g := newGateway(t, 0, listenAddresses(group))
 	g.start()
-	g.waitInForce(group.Put())
-	latest := group.SetRate(0, "gold", 11)
+	g.waitInForce(group.PublishInitialContent())
+	latest := group.PublishRate(0, "gold", 11)
 	g.waitSaved(latest)
 	g.stop()
 	file := filepath.Join(g.cfg.Dir, fileName)
@@ -320,7 +320,7 @@
 // A malformed message is counted and ends the connection, and the gateway follows another publisher.
 func TestSubscriberLeavesMalformedPublisher(t *testing.T) {
 	group := publishertest.NewGroup(t, 1, nil)
-	first := group.Put()
+	first := group.PublishInitialContent()
 	for _, text := range [][]byte{
 		{0xff, 0xff, 0xff, 0xff},                            // oversized
 		{0, 0, 0, 9, 1},                                     // cut
@@ -365,10 +365,10 @@
 		return ErrStopped
 	}
 	g.start()
-	group.Put()
+	group.PublishInitialContent()
 	<-stopped
 	g.stop()
-	if f := group.Replicas[0].Status().Followers[0]; f.InForce != 0 || f.Refused != 0 {
+	if f := group.Replicas[0].Status().Followers[0]; f.InForce != 0 || f.RefusedVersion != 0 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/lab/acceptance/acceptance.go
+++ b/lab/acceptance/acceptance.go
@@ -13,12 +13,12 @@
 
 // Run is one scored run in the journal.
 type Run struct {
-	ID      string `json:"id"`
-	Why     string `json:"why"`
-	Site    string `json:"site"`
-	Panel   string `json:"panel"`  // the days' names and the seed: real:SITE:SEED:DAY,DAY...
-	Digest  string `json:"digest"` // as printed; for a single day its whole report
-	Figures struct {
+	ID           string `json:"id"`
+	Reason       string `json:"why"`
+	Site         string `json:"site"`
+	DaySelection string `json:"panel"`  // the days' names and the seed: real:SITE:SEED:DAY,DAY...
+	Digest       string `json:"digest"` // as printed; for a single day its whole report
+	Figures      struct {
 		Gate  float64 `json:"gate"` // 1: passed
 		Score float64 `json:"real_score"`
 	} `json:"figures"`
@@ -36,10 +36,10 @@
 	ServedRequired  float64 `json:"served_least"` // by the gate
 	// OverQuotaReference is the reference policy's cost of requests over quota; ours is in a single day's digest only.
 	OverQuotaReference float64 `json:"over"`
-	// MadeUnsafe reports whether the settings made the day's classes not idempotent.
-	MadeUnsafe bool    `json:"made_unsafe"`
-	Classes    []Share `json:"by_class"`
-	Plans      []Share `json:"by_tenant"`
+	// MadeNonIdempotent reports whether the settings made the day's classes not idempotent.
+	MadeNonIdempotent bool    `json:"made_unsafe"`
+	Classes           []Share `json:"by_class"`
+	Plans             []Share `json:"by_tenant"`
 	// Starved is the share of customers who get under a tenth, and the same under the reference policy.
 	Starved []float64 `json:"starved"`
 	// BrokenRules holds the number of breaches of each rule.
@@ -77,7 +77,7 @@
 
 // Seed returns the seed that a run's days were drawn with.
 func (r *Run) Seed() string {
-	parts := strings.Split(r.Panel, ":")
+	parts := strings.Split(r.DaySelection, ":")
 	if len(parts) < 3 {
 		return ""
 	}
@@ -98,7 +98,7 @@
 			rules = "kept"
 		}
 		fmt.Fprintf(&b, "| %s | %.3f | %.2f | %.2f | %s, %.2f | %.3f | %s | %.0f of %.0f MB |\n",
-			d.Name, d.Grade, d.Score, d.Served/d.ServedRequired, margin.Of, margin.Ratio, d.OverQuotaReference, rules,
+			d.Name, d.Grade, d.Score, d.Served/d.ServedRequired, margin.Subject, margin.Ratio, d.OverQuotaReference, rules,
 			d.MemoryMB, d.Limits[0])
 	}
 	return b.String()
--- a/lab/acceptance/acceptance_test.go
+++ b/lab/acceptance/acceptance_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%s, score %.3f: %s\n%s", run.ID, run.Figures.Score, run.Why, run.Table())
+	t.Logf("%s, score %.3f: %s\n%s", run.ID, run.Figures.Score, run.Reason, run.Table())
 	if run.Figures.Gate != 1 {
 		t.Errorf("run %s failed", run.ID)
 	}
@@ -27,7 +27,7 @@
 			t.Errorf("%s: %s", d.Name, failure)
 		}
 		if margin := d.Margin(); margin.Ratio < wantedMargin {
-			t.Errorf("%s: %s has %.2f of its gate", d.Name, margin.Of, margin.Ratio)
+			t.Errorf("%s: %s has %.2f of its gate", d.Name, margin.Subject, margin.Ratio)
 		}
 	}
 }
@@ -53,10 +53,10 @@
 			}
 			margin := run.ShortDaysMargin()
 			t.Logf("%s, seed %s, score %.3f: %s at %.2f of its gate",
-				run.ID, run.Seed(), run.Figures.Score, margin.Of, margin.Ratio)
+				run.ID, run.Seed(), run.Figures.Score, margin.Subject, margin.Ratio)
 			if run.Figures.Gate != 1 || margin.Ratio < wantedMargin {
 				t.Errorf("seed %s: gate %.0f, %s at %.2f of its gate",
-					run.Seed(), run.Figures.Gate, margin.Of, margin.Ratio)
+					run.Seed(), run.Figures.Gate, margin.Subject, margin.Ratio)
 			}
 			for i := range run.Days {
 				d := &run.Days[i]
--- a/lab/acceptance/margin.go
+++ b/lab/acceptance/margin.go
@@ -8,8 +8,8 @@
 
 // Margin is a share served over what its gate requires: 1 is at the gate.
 type Margin struct {
-	Ratio float64
-	Of    string // the day, class or plan
+	Ratio   float64
+	Subject string // the day, class or plan
 }
 
 // Margin returns the least margin of a day, its classes and its plans.
@@ -41,7 +41,7 @@
 		}
 	}
 	if margin := d.Margin(); margin.Ratio < 1 {
-		return fmt.Sprintf("%s at %.2f of its gate", margin.Of, margin.Ratio)
+		return fmt.Sprintf("%s at %.2f of its gate", margin.Subject, margin.Ratio)
 	}
 	if len(d.Starved) == 2 && d.Starved[0] > d.Starved[1]+starvedAllowance {
 		return fmt.Sprintf("starved %.2f, %.2f under the reference policy", d.Starved[0], d.Starved[1])
@@ -66,7 +66,7 @@
 	}
 	for name, total := range r.shortDayTotals() {
 		margin := total.served * 3 / total.reference
-		if margin < least.Ratio || margin == least.Ratio && name < least.Of {
+		if margin < least.Ratio || margin == least.Ratio && name < least.Subject {
 			least = Margin{margin, name}
 		}
 	}
@@ -92,7 +92,7 @@
 			}
 			reference := 2 * class.Required // a day requires half of the reference policy's share
 			add("class "+class.Name, class.Served, reference)
-			if d.MadeUnsafe {
+			if d.MadeNonIdempotent {
 				add("unsafe days, class "+class.Name, class.Served, reference)
 			}
 		}
--- a/lab/acceptance/margin_test.go
+++ b/lab/acceptance/margin_test.go
@@ -27,30 +27,30 @@
 			Classes:         []Share{{"tap", 0.9, 0.45}},
 		},
 		{
-			Served:          0.2,
-			ServedReference: 0.9,
-			MadeUnsafe:      true,
-			Classes:         []Share{{"tap", 0.2, 0.45}},
+			Served:            0.2,
+			ServedReference:   0.9,
+			MadeNonIdempotent: true,
+			Classes:           []Share{{"tap", 0.2, 0.45}},
 		},
 	}}
 	margin := run.ShortDaysMargin()
-	if margin.Of != "unsafe days, class tap" || margin.Ratio > 0.67 || margin.Ratio < 0.66 {
-		t.Errorf("%s at %.2f", margin.Of, margin.Ratio)
+	if margin.Subject != "unsafe days, class tap" || margin.Ratio > 0.67 || margin.Ratio < 0.66 {
+		t.Errorf("%s at %.2f", margin.Subject, margin.Ratio)
 	}
 }
 
 // A single day counts in a set that as a whole is well above its gate.
 func TestShortDaysMarginFindsSingleDay(t *testing.T) {
 	margin := shortDaysWithLowDay("throng").ShortDaysMargin()
-	if margin.Of != "day throng" || margin.Ratio > 0.84 || margin.Ratio < 0.83 {
-		t.Errorf("%s at %.2f", margin.Of, margin.Ratio)
+	if margin.Subject != "day throng" || margin.Ratio > 0.84 || margin.Ratio < 0.83 {
+		t.Errorf("%s at %.2f", margin.Subject, margin.Ratio)
 	}
 }
 
 func TestShortDaysMarginIgnoresSingleCrowd(t *testing.T) {
 	margin := shortDaysWithLowDay("herd+crowd").ShortDaysMargin()
-	if margin.Of != "days" || margin.Ratio < 2 {
-		t.Errorf("%s at %.2f", margin.Of, margin.Ratio)
+	if margin.Subject != "days" || margin.Ratio < 2 {
+		t.Errorf("%s at %.2f", margin.Subject, margin.Ratio)
 	}
 }
 
--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -26,8 +26,8 @@
 	Left    = "left"
 )
 
-// Entry is one host of a host list, as the agent sends it.
-type Entry struct {
+// HostEntry is one host of a host list, as the agent sends it.
+type HostEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
@@ -40,13 +40,13 @@
 
 // hostList is a host list, or what changed in it, as the agent sends it.
 type hostList struct {
-	Full    bool    `json:"full"`
-	Servers []Entry `json:"servers"`
-	Version int     `json:"version"`
+	Full    bool        `json:"full"`
+	Servers []HostEntry `json:"servers"`
+	Version int         `json:"version"`
 }
 
-// Mode is the behaviour of one gateway's agent.
-type Mode struct {
+// AgentMode is the behaviour of one gateway's agent.
+type AgentMode struct {
 	Frozen   bool          // it receives no more changes and answers with the version that it has
 	Silent   bool          // it accepts calls and sends nothing more, on open watches neither
 	Down     bool          // calls and open watches are ended at once
@@ -58,7 +58,7 @@
 }
 
 // truncate returns the bytes of a list that are sent.
-func (m *Mode) truncate(list []byte) []byte {
+func (m *AgentMode) truncate(list []byte) []byte {
 	if m.SentFraction <= 0 {
 		return list
 	}
@@ -80,16 +80,16 @@
 	port       uint16
 	network    byte
 	views      []*agentView
-	changes    []Change // the version is the index
+	changes    []HostListChange // the version is the index
 	deliveries []Delivery
 	calls      map[int]int // by gateway
 	serving    sync.WaitGroup
 }
 
-// Change is one change of the host list.
-type Change struct {
+// HostListChange is one change of the host list.
+type HostListChange struct {
 	At       int64
-	Entries  []Entry
+	Entries  []HostEntry
 	Gateways []int // gateways whose agents receive it; nil: all
 }
 
@@ -97,7 +97,7 @@
 type agentView struct {
 	gateway int
 	version int // latest received
-	mode    Mode
+	mode    AgentMode
 	watches map[*agentCall]bool
 }
 
@@ -110,7 +110,7 @@
 }
 
 // NewAgent starts the agents of a number of gateways, all with the same initial host list.
-func NewAgent(network byte, gateways int, entries ...Entry) (*Agent, error) {
+func NewAgent(network byte, gateways int, entries ...HostEntry) (*Agent, error) {
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
@@ -119,7 +119,7 @@
 		Actor:   actor.New(),
 		network: network,
 		port:    netip.MustParseAddrPort(listener.Addr().String()).Port(),
-		changes: []Change{{}, {At: actor.Now(), Entries: entries}},
+		changes: []HostListChange{{}, {At: actor.Now(), Entries: entries}},
 		calls:   map[int]int{},
 	}
 	for i := range gateways {
@@ -133,7 +133,7 @@
 
 // Addr returns the address of a gateway's agent.
 func (a *Agent) Addr(gateway int) string {
-	return netip.AddrPortFrom(Loopback(a.network, gateway), a.port).String()
+	return netip.AddrPortFrom(LoopbackAddr(a.network, gateway), a.port).String()
 }
 
 // Close ends the agents.
@@ -177,13 +177,13 @@
 }
 
 // Push sends a change to all agents and returns its version.
-func (a *Agent) Push(entries ...Entry) int { return a.PushTo(nil, entries...) }
+func (a *Agent) Push(entries ...HostEntry) int { return a.PushTo(nil, entries...) }
 
 // PushTo sends a change to the agents of some gateways only; the others never receive it.
-func (a *Agent) PushTo(gateways []int, entries ...Entry) (version int) {
+func (a *Agent) PushTo(gateways []int, entries ...HostEntry) (version int) {
 	a.Ask(func() {
 		version = len(a.changes)
-		a.changes = append(a.changes, Change{actor.Now(), entries, gateways})
+		a.changes = append(a.changes, HostListChange{actor.Now(), entries, gateways})
 		for _, view := range a.views {
 			if view.mode.Delay > 0 {
 				a.After(view.mode.Delay, func() { a.receive(view, version) })
@@ -234,7 +234,7 @@
 	if full {
 		after = 0
 	}
-	latest := map[string]Entry{}
+	latest := map[string]HostEntry{}
 	var order []string
 	for _, change := range a.changes[after+1 : view.version+1] {
 		if change.Gateways != nil && !slices.Contains(change.Gateways, view.gateway) {
@@ -247,7 +247,7 @@
 			latest[entry.ID] = entry
 		}
 	}
-	entries := []Entry{}
+	entries := []HostEntry{}
 	for _, id := range order {
 		if entry := latest[id]; !full || entry.State != Left {
 			entries = append(entries, entry)
@@ -264,7 +264,7 @@
 
 // SetMode changes the behaviour of the agents of some gateways; nil stands for all. An agent that was frozen, silent or
 // down receives at once what it missed.
-func (a *Agent) SetMode(gateways []int, change func(*Mode)) {
+func (a *Agent) SetMode(gateways []int, change func(*AgentMode)) {
 	a.Ask(func() {
 		for _, view := range a.views {
 			if gateways != nil && !slices.Contains(gateways, view.gateway) {
@@ -292,7 +292,7 @@
 }
 
 // Changes returns all changes so far; the first one is the initial host list.
-func (a *Agent) Changes() (all []Change) {
+func (a *Agent) Changes() (all []HostListChange) {
 	a.Ask(func() { all = slices.Clone(a.changes[1:]) })
 	return all
 }
@@ -303,8 +303,8 @@
 	return calls
 }
 
-// Watching returns the number of open watches.
-func (a *Agent) Watching() (n int) {
+// OpenWatches returns the number of open watches.
+func (a *Agent) OpenWatches() (n int) {
 	a.Ask(func() {
 		for _, view := range a.views {
 			n += len(view.watches)
--- a/lab/emulator/agent_test.go
+++ b/lab/emulator/agent_test.go
@@ -61,7 +61,7 @@
 
 // Watches and single lists of two gateways follow the changes that their agents have received, in each mode.
 func TestAgentAnswersByItsMode(t *testing.T) {
-	entry := func(id, state string) Entry { return Entry{ID: id, Addr: "127.0.0.1:1", State: state} }
+	entry := func(id, state string) HostEntry { return HostEntry{ID: id, Addr: "127.0.0.1:1", State: state} }
 	agent, err := NewAgent(110, 2, entry("x", Active))
 	if err != nil {
 		t.Fatal(err)
@@ -77,19 +77,19 @@
 	agent.PushTo([]int{1}, entry("z", Active))
 	trace.list("0 after one for 1", 0)
 	trace.list("1", 1)
-	agent.SetMode([]int{0}, func(mode *Mode) { mode.Frozen = true })
+	agent.SetMode([]int{0}, func(mode *AgentMode) { mode.Frozen = true })
 	agent.Push(entry("x", Leaving))
 	agent.Push(entry("x", Left), entry("y", Leaving))
 	trace.list("0 frozen", 0)
-	agent.SetMode([]int{0}, func(mode *Mode) { mode.Frozen = false })
+	agent.SetMode([]int{0}, func(mode *AgentMode) { mode.Frozen = false })
 	trace.nextChange()
-	agent.SetMode(nil, func(mode *Mode) { mode.Indented = true })
+	agent.SetMode(nil, func(mode *AgentMode) { mode.Indented = true })
 	trace.list("indented", 1)
-	agent.SetMode(nil, func(mode *Mode) { *mode = Mode{SentFraction: 0.5} })
+	agent.SetMode(nil, func(mode *AgentMode) { *mode = AgentMode{SentFraction: 0.5} })
 	trace.list("a part", 1)
-	agent.SetMode(nil, func(mode *Mode) { *mode = Mode{ChunkSize: 7} })
+	agent.SetMode(nil, func(mode *AgentMode) { *mode = AgentMode{ChunkSize: 7} })
 	trace.list("in chunks", 1)
-	agent.SetMode(nil, func(mode *Mode) { *mode = Mode{Down: true} })
+	agent.SetMode(nil, func(mode *AgentMode) { *mode = AgentMode{Down: true} })
 	trace.nextChange()
 	trace.list("down", 1)
 	golden.Check(t, trace.text.String())
--- a/lab/emulator/agentserver.go
+++ b/lab/emulator/agentserver.go
@@ -22,7 +22,7 @@
 	isWatch := request.URL.Query().Get("watch") == "1"
 	after, _ := strconv.Atoi(request.URL.Query().Get("after"))
 	call := &agentCall{chunks: make(chan []byte, chunkQueue), closed: make(chan struct{})}
-	var mode Mode
+	var mode AgentMode
 	a.Ask(func() { mode = a.begin(call, gateway, isWatch, after) })
 	defer a.Do(func() { delete(a.views[gateway].watches, call) })
 	if mode.Down {
@@ -37,7 +37,7 @@
 }
 
 // begin counts a call, queues its first list and registers a watch. It returns the mode of the gateway's agent.
-func (a *Agent) begin(call *agentCall, gateway int, isWatch bool, after int) Mode {
+func (a *Agent) begin(call *agentCall, gateway int, isWatch bool, after int) AgentMode {
 	view := a.views[gateway]
 	a.calls[gateway]++
 	switch {
@@ -59,7 +59,7 @@
 }
 
 // writeChunks writes the chunks of a call until it ends.
-func writeChunks(response http.ResponseWriter, request *http.Request, call *agentCall, mode Mode) {
+func writeChunks(response http.ResponseWriter, request *http.Request, call *agentCall, mode AgentMode) {
 	for {
 		select {
 		case chunk := <-call.chunks:
--- a/lab/emulator/clients.go
+++ b/lab/emulator/clients.go
@@ -100,9 +100,9 @@
 // SetAddr sets the address of a gateway.
 func (c *Clients) SetAddr(gateway int, addr string) { c.Ask(func() { c.addrs[gateway] = addr }) }
 
-// SetOutOfUse takes gateways out of use, as a load balancer does some seconds after they crash, or back into use. A
+// SetOutOfRotation takes gateways out of use, as a load balancer does some seconds after they crash, or back into use. A
 // request whose gateway is out of use is sent to the next one of its subset.
-func (c *Clients) SetOutOfUse(out bool, gateways ...int) {
+func (c *Clients) SetOutOfRotation(out bool, gateways ...int) {
 	c.Ask(func() {
 		for _, gateway := range gateways {
 			if out {
--- a/lab/emulator/counter.go
+++ b/lab/emulator/counter.go
@@ -63,14 +63,14 @@
 // Addr returns the counter's address.
 func (c *Counter) Addr() string { return c.listener.Addr().String() }
 
-// Calls returns the number of commands received.
-func (c *Counter) Calls() (n int) {
+// CommandCount returns the number of commands received.
+func (c *Counter) CommandCount() (n int) {
 	c.Ask(func() { n = c.calls })
 	return n
 }
 
-// Reset resets all connections.
-func (c *Counter) Reset() {
+// ResetConns resets all connections.
+func (c *Counter) ResetConns() {
 	c.Ask(func() {
 		for conn := range c.conns {
 			resetConn(conn)
@@ -82,7 +82,7 @@
 func (c *Counter) Close() {
 	c.listener.Close()
 	c.accepting.Wait()
-	c.Reset()
+	c.ResetConns()
 	c.serving.Wait()
 	c.Actor.Stop()
 }
--- a/lab/emulator/host.go
+++ b/lab/emulator/host.go
@@ -115,7 +115,7 @@
 	if h.warming {
 		step.WarmingSince = h.startedAt
 	}
-	h.log.Steps = append(h.log.Steps, step)
+	h.log.LoadSteps = append(h.log.LoadSteps, step)
 }
 
 // resetConn closes a connection with a reset.
@@ -136,9 +136,9 @@
 		h.refuse(conn)
 		return
 	}
-	h.log.Accepted++
+	h.log.AcceptedConns++
 	h.log.AcceptedAt = append(h.log.AcceptedAt, actor.Now())
-	client := &hostConn{host: h, number: h.log.Accepted, conn: conn, replies: make(chan []byte, replyQueue)}
+	client := &hostConn{host: h, number: h.log.AcceptedConns, conn: conn, replies: make(chan []byte, replyQueue)}
 	h.conns[client] = true
 	h.log.PeakConns = max(h.log.PeakConns, len(h.conns))
 	h.recordLoad()
@@ -148,7 +148,7 @@
 
 // refuse closes a connection beyond the limit.
 func (h *Host) refuse(conn net.Conn) {
-	h.log.Refused++
+	h.log.RefusedConns++
 	if h.RefusalReply == "" {
 		resetConn(conn)
 		return
@@ -177,8 +177,8 @@
 	return strings.Join(parts, ",")
 }
 
-// Value returns the value of a name in a list such as "a=1,b=2"; "" if the name is absent.
-func Value(list, name string) string {
+// ArgumentValue returns the value of a name in a list such as "a=1,b=2"; "" if the name is absent.
+func ArgumentValue(list, name string) string {
 	for pair := range strings.SplitSeq(list, ",") {
 		key, value, _ := strings.Cut(pair, "=")
 		if key == name {
@@ -264,7 +264,7 @@
 	h.Ask(func() {
 		log = h.log
 		log.Commands = slices.Clone(log.Commands)
-		log.Steps = slices.Clone(log.Steps)
+		log.LoadSteps = slices.Clone(log.LoadSteps)
 		log.AcceptedAt = slices.Clone(log.AcceptedAt)
 	})
 	return log
@@ -283,14 +283,14 @@
 }
 
 // Entry returns the host's entry in the host list.
-func (h *Host) Entry(state string) (entry Entry) {
+func (h *Host) Entry(state string) (entry HostEntry) {
 	h.Ask(func() { entry = h.listEntry(state) })
 	return entry
 }
 
 // listEntry is Entry within the actor.
-func (h *Host) listEntry(state string) Entry {
-	return Entry{
+func (h *Host) listEntry(state string) HostEntry {
+	return HostEntry{
 		ID:        h.ID,
 		Addr:      h.addr,
 		Zone:      h.Zone,
--- a/lab/emulator/host_test.go
+++ b/lab/emulator/host_test.go
@@ -67,7 +67,7 @@
 	call("PING")
 	log := host.Log()
 	text += fmt.Sprintf("refused %d, opened %d, peak %d, busy %d, bad %d\n",
-		log.Refused, log.Accepted, log.PeakConns, log.Busy, log.Malformed)
+		log.RefusedConns, log.AcceptedConns, log.PeakConns, log.BusyReplies, log.MalformedCommands)
 	for _, command := range log.Commands {
 		text += fmt.Sprintf("%s load %g: %s\n", command.ID, command.InFlight, command.Outcome)
 	}
--- a/lab/emulator/hostconn.go
+++ b/lab/emulator/hostconn.go
@@ -110,7 +110,7 @@
 		return
 	}
 	if !wellFormed(args) {
-		h.log.Malformed++
+		h.log.MalformedCommands++
 		c.sendReply([]byte("-SYNTAX\r\n"))
 		return
 	}
@@ -119,7 +119,7 @@
 
 // wellFormed reports whether the arguments are those of a call.
 func wellFormed(args []string) bool {
-	return (len(args) == 4 || len(args) == 5) && len(args[1]) == 16 && args[2] != "" && Value(args[3], "c") != ""
+	return (len(args) == 4 || len(args) == 5) && len(args[1]) == 16 && args[2] != "" && ArgumentValue(args[3], "c") != ""
 }
 
 // beginCall logs a call and sets the time of its end, or rejects it.
@@ -129,7 +129,7 @@
 		ReceivedAt: actor.Now(),
 		ID:         args[2],
 		Customer:   args[1],
-		Class:      Value(args[3], "c"),
+		Class:      ArgumentValue(args[3], "c"),
 		Connection: c.conn.number,
 		InFlight:   float64(h.inFlight),
 	}
@@ -141,7 +141,7 @@
 	c.index = len(h.log.Commands)
 	h.log.Commands = append(h.log.Commands, c.Command)
 	if h.Model.MaxInFlight > 0 && h.inFlight >= h.Model.MaxInFlight {
-		h.log.Busy++
+		h.log.BusyReplies++
 		c.end(OutcomeBusy, []byte("-BUSY\r\n"))
 		return
 	}
--- a/lab/emulator/hostlog.go
+++ b/lab/emulator/hostlog.go
@@ -7,14 +7,14 @@
 
 // HostLog is all that a host received over its restarts, in order.
 type HostLog struct {
-	Commands   []Command
-	Steps      []LoadStep
-	AcceptedAt []int64 // times of accepted connections
-	Refused    int     // connections beyond the limit
-	Accepted   int     // connections
-	PeakConns  int
-	Busy       int // commands rejected
-	Malformed  int // commands
+	Commands          []Command
+	LoadSteps         []LoadStep
+	AcceptedAt        []int64 // times of accepted connections
+	RefusedConns      int     // connections beyond the limit
+	AcceptedConns     int     // connections
+	PeakConns         int
+	BusyReplies       int // commands rejected
+	MalformedCommands int // commands
 }
 
 // Outcome is how a command ended at its host.
@@ -53,11 +53,11 @@
 
 // LoadAt returns the host's load at a time: the last step not after it.
 func (l *HostLog) LoadAt(at int64) (LoadStep, bool) {
-	i := sort.Search(len(l.Steps), func(i int) bool { return l.Steps[i].At > at })
+	i := sort.Search(len(l.LoadSteps), func(i int) bool { return l.LoadSteps[i].At > at })
 	if i == 0 {
 		return LoadStep{}, false
 	}
-	return l.Steps[i-1], true
+	return l.LoadSteps[i-1], true
 }
 
 // ResponseTimeAt returns how long a host with this model and log would have taken for a request that had arrived at a
--- a/lab/emulator/load.go
+++ b/lab/emulator/load.go
@@ -119,7 +119,7 @@
 		spread = gateways
 	}
 	customerID := fmt.Sprintf("%08x%08x", load.Seed&1, customer+1)
-	first := int(Uniform("first", customerID, strconv.FormatUint(load.Seed, 16)) * float64(gateways))
+	first := int(UniformHash("first", customerID, strconv.FormatUint(load.Seed, 16)) * float64(gateways))
 	gateway := r.chooseGateway(first, spread, gateways)
 	id := fmt.Sprintf("%08x%08x", uint32(load.Seed), r.sent)
 	request := &pending{Request: Request{
--- a/lab/emulator/loopback.go
+++ b/lab/emulator/loopback.go
@@ -15,8 +15,8 @@
 	portAttempts = 200
 )
 
-// Loopback returns address i of a network within 127.0.0.0/8, so that many servers can share one port.
-func Loopback(network byte, i int) netip.Addr {
+// LoopbackAddr returns address i of a network within 127.0.0.0/8, so that many servers can share one port.
+func LoopbackAddr(network byte, i int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, network, byte((i + 1) >> 8), byte(i + 1)})
 }
 
@@ -34,12 +34,12 @@
 	var err error
 	for attempt := range portAttempts {
 		port := firstPort + (os.Getpid()*31+attempt*97+i)%portCount
-		addr := netip.AddrPortFrom(Loopback(network, i), uint16(port))
+		addr := netip.AddrPortFrom(LoopbackAddr(network, i), uint16(port))
 		if err = probePort(addr); err == nil {
 			return addr, nil
 		}
 	}
-	return netip.AddrPort{}, fmt.Errorf("free port at %s: %w", Loopback(network, i), err)
+	return netip.AddrPort{}, fmt.Errorf("free port at %s: %w", LoopbackAddr(network, i), err)
 }
 
 // probePort listens at an address for a moment, by TCP and by UDP.
--- a/lab/emulator/model.go
+++ b/lab/emulator/model.go
@@ -42,7 +42,7 @@
 func (m *Model) ResponseTime(id, class string, inFlight, slowdown float64) time.Duration {
 	size := 1.0
 	if m.Sigma > 0 {
-		deviation := math.Sqrt2 * math.Erfinv(2*Uniform(id, "size")-1)
+		deviation := math.Sqrt2 * math.Erfinv(2*UniformHash(id, "size")-1)
 		size = math.Exp(m.Sigma*deviation - m.Sigma*m.Sigma/2)
 	}
 	if factor, ok := m.ClassFactors[class]; ok {
@@ -57,7 +57,7 @@
 
 // Fails reports whether a request ends in an error.
 func (m *Model) Fails(id string) bool {
-	return m.ErrorFraction > 0 && Uniform(id, "errors") < m.ErrorFraction
+	return m.ErrorFraction > 0 && UniformHash(id, "errors") < m.ErrorFraction
 }
 
 // warmUpFactor returns the multiple of the response time at an age of the host's process.
@@ -68,8 +68,8 @@
 	return 1 + (m.WarmUpFactor-1)*(1-float64(age)/float64(m.WarmUpTime))
 }
 
-// Uniform returns a number in (0, 1) that depends on the words alone.
-func Uniform(words ...string) float64 {
+// UniformHash returns a number in (0, 1) that depends on the words alone.
+func UniformHash(words ...string) float64 {
 	hash := fnv.New64a()
 	for _, word := range words {
 		hash.Write([]byte(word))
--- a/lab/emulator/model_test.go
+++ b/lab/emulator/model_test.go
@@ -38,7 +38,7 @@
 		mean += float64(model.ResponseTime(fmt.Sprint(i), "lookup", 0, 1)) / draws / float64(model.BaseTime)
 	}
 	text += fmt.Sprintf("mean of %d: %.2f\n", draws, mean)
-	log := HostLog{Steps: []LoadStep{{At: 10, InFlight: 12, Slowdown: 2}, {At: 20, Slowdown: 1}}}
+	log := HostLog{LoadSteps: []LoadStep{{At: 10, InFlight: 12, Slowdown: 2}, {At: 20, Slowdown: 1}}}
 	for _, at := range []int64{5, 15, 25} {
 		responseTime, inFlight, ok := log.ResponseTimeAt(model, "a", "lookup", at)
 		text += fmt.Sprint("at ", at, ": ", responseTime, " ", inFlight, " ", ok, "\n")
--- a/lab/fleet/build.go
+++ b/lab/fleet/build.go
@@ -43,13 +43,13 @@
 	return path, nil
 }
 
-// Binary returns the path of the gateway, built once a test process. RAVENSILL_BINARY names another program instead.
-func Binary() (string, error) {
+// GatewayBinary returns the path of the gateway, built once a test process. RAVENSILL_BINARY names another program instead.
+func GatewayBinary() (string, error) {
 	if path := os.Getenv("RAVENSILL_BINARY"); path != "" {
 		return path, nil
 	}
 	return gatewayProgram.Build()
 }
 
-// FaultyBinary returns the path of the gateway whose system calls fail by chance, built once a test process.
-func FaultyBinary() (string, error) { return faultyProgram.Build() }
+// FaultyGatewayBinary returns the path of the gateway whose system calls fail by chance, built once a test process.
+func FaultyGatewayBinary() (string, error) { return faultyProgram.Build() }
--- a/lab/fleet/cases.go
+++ b/lab/fleet/cases.go
@@ -9,8 +9,8 @@
 	"ravensill/lab/relay"
 )
 
-// Size is how large the scenarios of Cases are.
-type Size struct {
+// ScenarioSize is how large the scenarios of Cases are.
+type ScenarioSize struct {
 	Gateways int
 	Hosts    int
 	Rate     float64 // requests a second
@@ -23,7 +23,7 @@
 )
 
 // mixedLoad returns a load of all three request classes.
-func (s Size) mixedLoad() emulator.Load {
+func (s ScenarioSize) mixedLoad() emulator.Load {
 	return emulator.Load{
 		Seed:         s.Seed,
 		Rate:         s.Rate,
@@ -45,7 +45,7 @@
 }
 
 // scenario returns a scenario of this size in which a fraction of the requests must succeed.
-func (s Size) scenario(name string, duration time.Duration, successes float64, steps ...Step) Scenario {
+func (s ScenarioSize) scenario(name string, duration time.Duration, successes float64, steps ...Step) Scenario {
 	return Scenario{
 		Name:     name,
 		Options:  Options{Gateways: s.Gateways, Hosts: s.Hosts, Seed: s.Seed},
@@ -86,9 +86,9 @@
 	}
 }
 
-// Cases returns the hard cases: what is injected, and what must hold after each. The fraction of requests that must
+// FaultScenarios returns the hard cases: what is injected, and what must hold after each. The fraction of requests that must
 // succeed is what the faults leave, not a measure of the gateway.
-func (s Size) Cases() []Scenario {
+func (s ScenarioSize) FaultScenarios() []Scenario {
 	return []Scenario{
 		s.mostGatewaysKilled(),
 		s.rollingRestart(),
@@ -104,7 +104,7 @@
 	}
 }
 
-func (s Size) mostGatewaysKilled() Scenario {
+func (s ScenarioSize) mostGatewaysKilled() Scenario {
 	count := s.Gateways * 7 / 10
 	killed := s.scenario("seven in ten killed and back", 6*second, 0.4,
 		KillGateways(1*second, count, "killed", second),
@@ -113,14 +113,14 @@
 	return killed
 }
 
-func (s Size) rollingRestart() Scenario {
+func (s ScenarioSize) rollingRestart() Scenario {
 	rolled := s.scenario("a quarter restarted by SIGTERM under open connections", 8*second, 0.95,
 		RollingRestart(1*second, s.Gateways/4, "rolled"))
 	rolled.measure(nil, -1.5, 1, 5, 8)
 	return rolled
 }
 
-func (s Size) gatewaysFrozen() Scenario {
+func (s ScenarioSize) gatewaysFrozen() Scenario {
 	frozen := s.scenario("a third frozen for 1.5 s", 5*second, 0.6,
 		FreezeGateways(1*second, s.Gateways/3, "frozen"),
 		ThawGateways(2500*time.Millisecond, s.Gateways/3, "frozen"))
@@ -128,7 +128,7 @@
 	return frozen
 }
 
-func (s Size) networkPartitions() Scenario {
+func (s ScenarioSize) networkPartitions() Scenario {
 	left := GatewayNames(0, s.Gateways/2)
 	right := GatewayNames(s.Gateways/2, s.Gateways)
 	noise := relay.Rule{Faults: relay.Faults{
@@ -149,20 +149,20 @@
 	return partitioned
 }
 
-func (s Size) differingHostLists() Scenario {
+func (s ScenarioSize) differingHostLists() Scenario {
 	outdated := Indexes(0, s.Gateways/2)
 	lists := s.scenario("half the gateways with another list for 6 s", 8*second, 0.9,
-		SetAgentMode(0, outdated, "half have received nothing since", func(mode *emulator.Mode) { mode.Frozen = true }),
+		SetAgentMode(0, outdated, "half have received nothing since", func(mode *emulator.AgentMode) { mode.Frozen = true }),
 		StartHosts(500*time.Millisecond, s.Hosts, s.Hosts+1),
 		SetAgentMode(6500*time.Millisecond, outdated, "half receive what they missed",
-			func(mode *emulator.Mode) { mode.Frozen = false }),
+			func(mode *emulator.AgentMode) { mode.Frozen = false }),
 		Announce(500*time.Millisecond, nil, emulator.Leaving, 0, 1))
 	lists.Options.addWarmingHosts(2)
 	lists.measure(Indexes(2, s.Hosts), -1.5, 0.5, 3.5, 6.5, 8)
 	return lists
 }
 
-func (s Size) hostsReplaced() Scenario {
+func (s ScenarioSize) hostsReplaced() Scenario {
 	const replacing = 7 * second
 	count := s.Hosts * 6 / 10
 	replaced := s.scenario("six in ten hosts replaced in 7 s", 10*second, 0.9)
@@ -176,35 +176,35 @@
 	return replaced
 }
 
-func (s Size) warmingHost() Scenario {
+func (s ScenarioSize) warmingHost() Scenario {
 	warming := s.scenario("a new host that all see at once", 5*second, 0.95, StartHosts(1*second, s.Hosts))
 	warming.Options.addWarmingHosts(1)
 	warming.measure(nil, -1.5, 1, 5)
 	return warming
 }
 
-func (s Size) hotGateway() Scenario {
+func (s ScenarioSize) hotGateway() Scenario {
 	hot := s.scenario("one gateway with ten times the mean traffic", 4*second, 0.95)
 	hot.Loads[0].GatewayWeights = map[int]float64{0: 10}
 	hot.Loads[0].SubsetSize = 0
 	return hot
 }
 
-func (s Size) fewGateways() Scenario {
+func (s ScenarioSize) fewGateways() Scenario {
 	few := s.scenario("a quarter as many gateways as hosts", 4*second, 0.95)
 	few.Options.Gateways = max(2, s.Hosts/4)
 	few.Loads[0].SubsetSize = 0
 	return few
 }
 
-func (s Size) singleGateway() Scenario {
+func (s ScenarioSize) singleGateway() Scenario {
 	single := s.scenario("one gateway alone", 4*second, 0.95)
 	single.Options.Gateways = 1
 	single.Loads[0].SubsetSize = 0
 	return single
 }
 
-func (s Size) lightHost() Scenario {
+func (s ScenarioSize) lightHost() Scenario {
 	light := s.scenario("a host with a quarter of the weight", 4*second, 0.95)
 	light.Options.ConfigureHost = func(i int, host *emulator.HostOptions) {
 		if i != 0 {
@@ -218,7 +218,7 @@
 }
 
 // SteadyLoad returns a scenario without faults, with customers of equal demand, for measuring evenness.
-func (s Size) SteadyLoad(duration time.Duration, checks ...Check) Scenario {
+func (s ScenarioSize) SteadyLoad(duration time.Duration, checks ...Check) Scenario {
 	steady := s.scenario("steady", duration, 0.95)
 	steady.Checks = append(steady.Checks, slices.Clone(checks)...)
 	steady.Loads[0].ZipfExponent = 0
--- a/lab/fleet/checks.go
+++ b/lab/fleet/checks.go
@@ -126,8 +126,8 @@
 
 // OnlyListedHosts is a check: no attempt was made at a host that was never in the host list of its gateway.
 var OnlyListedHosts = Check{"no attempt at a host never listed", func(r *Report) string {
-	changesOf := map[string][]emulator.Change{} // by host
-	for _, change := range r.Changes {
+	changesOf := map[string][]emulator.HostListChange{} // by host
+	for _, change := range r.HostListChanges {
 		for _, entry := range change.Entries {
 			changesOf[entry.ID] = append(changesOf[entry.ID], change)
 		}
@@ -140,7 +140,7 @@
 				violations = append(violations, command.ID+" was sent by no client")
 				continue
 			}
-			listed := slices.ContainsFunc(changesOf[host.ID], func(change emulator.Change) bool {
+			listed := slices.ContainsFunc(changesOf[host.ID], func(change emulator.HostListChange) bool {
 				receives := change.Gateways == nil || slices.Contains(change.Gateways, request.Gateway)
 				return change.At <= command.ReceivedAt && receives
 			})
@@ -204,7 +204,7 @@
 			drain.to = min(drain.to, event.At)
 		}
 	}
-	for _, change := range r.Changes {
+	for _, change := range r.HostListChanges {
 		for _, entry := range change.Entries {
 			if entry.ID == logged.Host && entry.State == emulator.Active && change.At > logged.At {
 				drain.to = min(drain.to, change.At)
@@ -248,7 +248,7 @@
 var NoCrash = Check{"no panic, no unexpected exit", func(r *Report) string {
 	var violations []string
 	for i, gateway := range r.Gateways {
-		if lines := gateway.Counts[panicEvent] + gateway.Counts[UnnamedLine]; lines > 0 {
+		if lines := gateway.EventCounts[panicEvent] + gateway.EventCounts[LineWithoutEvent]; lines > 0 {
 			violations = append(violations, fmt.Sprintf("%s: %d lines of panics or traces", GatewayName(i), lines))
 		}
 		for range UnexpectedExits(gateway.Events) {
@@ -256,8 +256,8 @@
 		}
 	}
 	for _, host := range r.Hosts {
-		if host.Malformed > 0 {
-			violations = append(violations, fmt.Sprintf("%s: %d commands that no client sent so", host.ID, host.Malformed))
+		if host.MalformedCommands > 0 {
+			violations = append(violations, fmt.Sprintf("%s: %d commands that no client sent so", host.ID, host.MalformedCommands))
 		}
 	}
 	return summarize(violations)
@@ -271,7 +271,7 @@
 		if fraction >= least {
 			return ""
 		}
-		clients, hosts := r.Delays()
+		clients, hosts := r.EmulatorDelays()
 		if max(clients, hosts) > busyDelay {
 			return ""
 		}
--- a/lab/fleet/checks_test.go
+++ b/lab/fleet/checks_test.go
@@ -24,7 +24,7 @@
 
 // Each check holds on the report of a run and fails on the same report with one violation written into it.
 func TestEachCheckFindsItsViolation(t *testing.T) {
-	scenario := (Size{Gateways: 2, Hosts: 3, Rate: 200, Seed: 3}).Cases()[0]
+	scenario := (ScenarioSize{Gateways: 2, Hosts: 3, Rate: 200, Seed: 3}).FaultScenarios()[0]
 	scenario.WarmUp = 0
 	scenario.Duration = time.Second
 	scenario.Options.UnlistedHosts = map[int]bool{2: true}
@@ -62,11 +62,11 @@
 			r.addCommand(0, emulator.Command{ID: lastRequest.ID, ReceivedAt: lastRequest.SentAt + 1})
 		}},
 		{"second run", NonIdempotentAtMostOnce, func(r *Report) { r.addCommand(1, nonIdempotent) }},
-		{"panic", NoCrash, func(r *Report) { r.Gateways[1].Counts = map[string]int{panicEvent: 1} }},
+		{"panic", NoCrash, func(r *Report) { r.Gateways[1].EventCounts = map[string]int{panicEvent: 1} }},
 		{"unexpected exit", NoCrash, func(r *Report) {
 			r.Gateways[1].Events = append(slices.Clone(r.Gateways[1].Events), ProcessEvent{Kind: Exited})
 		}},
-		{"malformed command", NoCrash, func(r *Report) { r.Hosts[1].Malformed = 1 }},
+		{"malformed command", NoCrash, func(r *Report) { r.Hosts[1].MalformedCommands = 1 }},
 		{"no attempts", EvenWithin(1.25, 0.75), func(r *Report) {
 			r.Clients.MaxDelay = 0
 			for i := range r.Hosts {
--- a/lab/fleet/config.go
+++ b/lab/fleet/config.go
@@ -21,7 +21,7 @@
 func (f *Fleet) gatewayFile(i int) (*gatewayconfig.File, error) {
 	file := &gatewayconfig.File{
 		Name:      GatewayName(i),
-		Listen:    netip.AddrPortFrom(emulator.Loopback(gatewayNetwork, i), 0).String(),
+		Listen:    netip.AddrPortFrom(emulator.LoopbackAddr(gatewayNetwork, i), 0).String(),
 		Discovery: f.Agent.Addr(i),
 		Seed:      fmt.Sprintf("%016x", f.Options.Seed*seedFactor+uint64(i)+1),
 		Resources: gatewayconfig.Resources{MemoryMB: 192, Sockets: 1024},
@@ -84,7 +84,7 @@
 func Classes() []gatewayconfig.Class {
 	return []gatewayconfig.Class{
 		newClass("lookup", gatewayconfig.Idempotent),
-		newClass("order", gatewayconfig.WithKeyIdempotent),
+		newClass("order", gatewayconfig.IdempotentWithKey),
 		newClass("pay", gatewayconfig.NonIdempotent),
 	}
 }
--- a/lab/fleet/evenness.go
+++ b/lab/fleet/evenness.go
@@ -36,12 +36,12 @@
 // WindowStats are of the windows of one length: the load of the most and the least loaded host and the variation of all
 // hosts, as means over the windows, and the extremes.
 type WindowStats struct {
-	Count     int
-	Most      float64
-	Least     float64
-	Variation float64
-	Highest   float64
-	Lowest    float64
+	Count         int
+	MeanMaxLoad   float64
+	MeanMinLoad   float64
+	MeanDeviation float64
+	MaxLoad       float64
+	MinLoad       float64
 }
 
 // attempt is one attempt at a host.
@@ -168,12 +168,12 @@
 	for length, stats := range other.Windows {
 		sum := e.Windows[length]
 		e.Windows[length] = WindowStats{
-			Count:     stats.Count,
-			Most:      sum.Most + factor*stats.Most,
-			Least:     sum.Least + factor*stats.Least,
-			Variation: sum.Variation + factor*stats.Variation,
-			Highest:   sum.Highest + factor*stats.Highest,
-			Lowest:    sum.Lowest + factor*stats.Lowest,
+			Count:         stats.Count,
+			MeanMaxLoad:   sum.MeanMaxLoad + factor*stats.MeanMaxLoad,
+			MeanMinLoad:   sum.MeanMinLoad + factor*stats.MeanMinLoad,
+			MeanDeviation: sum.MeanDeviation + factor*stats.MeanDeviation,
+			MaxLoad:       sum.MaxLoad + factor*stats.MaxLoad,
+			MinLoad:       sum.MinLoad + factor*stats.MinLoad,
 		}
 	}
 	e.IdlePeriods += factor * other.IdlePeriods
@@ -192,11 +192,11 @@
 		fleet, chance, _ := r.MeasureEvenness(r.initialHosts(), r.StartedAt+int64(r.Scenario.WarmUp), r.EndedAt)
 		ours := fleet.Windows[longWindow]
 		byChance := chance.Windows[longWindow]
-		within := ours.Most <= max(most, margin*byChance.Most) && ours.Least >= min(least, byChance.Least/margin)
+		within := ours.MeanMaxLoad <= max(most, margin*byChance.MeanMaxLoad) && ours.MeanMinLoad >= min(least, byChance.MeanMinLoad/margin)
 		if ours.Count > 0 && within {
 			return ""
 		}
-		clients, hosts := r.Delays()
+		clients, hosts := r.EmulatorDelays()
 		if max(clients, hosts) > busyDelay/5 {
 			return ""
 		}
@@ -215,7 +215,7 @@
 	var text strings.Builder
 	for _, length := range []time.Duration{shortWindow, longWindow} {
 		if stats, ok := e.Windows[length]; ok {
-			fmt.Fprintf(&text, "%v: most %.2f least %.2f variation %.3f; ", length, stats.Most, stats.Least, stats.Variation)
+			fmt.Fprintf(&text, "%v: most %.2f least %.2f variation %.3f; ", length, stats.MeanMaxLoad, stats.MeanMinLoad, stats.MeanDeviation)
 		}
 	}
 	fmt.Fprintf(&text, "idle %.1f; over 1.5 for %.1f s, %.1f hosts", e.IdlePeriods, e.LongestOverload.Seconds(),
--- a/lab/fleet/evenwindows.go
+++ b/lab/fleet/evenwindows.go
@@ -36,7 +36,7 @@
 
 // measureWindows returns the figures of the windows of one length that follow each other.
 func measureWindows(attempts []attempt, shares []float64, from, to, length int64) WindowStats {
-	sums := WindowStats{Lowest: math.Inf(1)}
+	sums := WindowStats{MinLoad: math.Inf(1)}
 	next := 0
 	for at := from; at+length <= to; at += length {
 		first := next
@@ -49,9 +49,9 @@
 	}
 	if sums.Count > 0 {
 		count := float64(sums.Count)
-		sums.Most /= count
-		sums.Least /= count
-		sums.Variation /= count
+		sums.MeanMaxLoad /= count
+		sums.MeanMinLoad /= count
+		sums.MeanDeviation /= count
 	}
 	return sums
 }
@@ -72,11 +72,11 @@
 		squares += (load - 1) * (load - 1)
 	}
 	w.Count++
-	w.Most += most
-	w.Least += least
-	w.Variation += math.Sqrt(squares / float64(len(shares)))
-	w.Highest = max(w.Highest, most)
-	w.Lowest = min(w.Lowest, least)
+	w.MeanMaxLoad += most
+	w.MeanMinLoad += least
+	w.MeanDeviation += math.Sqrt(squares / float64(len(shares)))
+	w.MaxLoad = max(w.MaxLoad, most)
+	w.MinLoad = min(w.MinLoad, least)
 }
 
 // countIdlePeriods returns the number of periods, each begun by a host's latest attempt or the end of the period
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -65,7 +65,7 @@
 	Counter       *emulator.Counter // nil: none
 	Relay         *relay.Relay
 	Clients       *emulator.Clients
-	Gossip        *relay.Datagrams // between the gateways; nil: none
+	Gossip        *relay.DatagramNetwork // between the gateways; nil: none
 	Dir           string
 	StartDuration time.Duration // until all gateways served
 	hosts         []*emulator.Host
@@ -133,7 +133,7 @@
 		return nil
 	}
 	var err error
-	o.Binary, err = Binary()
+	o.Binary, err = GatewayBinary()
 	return err
 }
 
@@ -165,7 +165,7 @@
 // startEmulators starts the hosts, the agent, the counter, the network of gossip and the clients.
 func (f *Fleet) startEmulators() error {
 	options := &f.Options
-	var entries []emulator.Entry
+	var entries []emulator.HostEntry
 	for i := range options.Hosts {
 		host, err := emulator.NewHost(f.hostOptions(i))
 		if err != nil {
@@ -188,7 +188,7 @@
 		}
 	}
 	if !options.NoGossip && options.Gateways > 1 {
-		f.Gossip, err = f.Relay.Datagrams(gossipNetwork, GatewayNames(0, options.Gateways))
+		f.Gossip, err = f.Relay.AddDatagramNetwork(gossipNetwork, GatewayNames(0, options.Gateways))
 		if err != nil {
 			return err
 		}
@@ -222,16 +222,16 @@
 	}
 	gateway := &Gateway{Config: file}
 	gateway.Process = NewProcess(ProcessOptions{
-		Name:       GatewayName(i),
-		Index:      i,
-		Binary:     f.Options.Binary,
-		Variable:   "GW_CONFIG",
-		ReadyEvent: "serving",
-		Dir:        filepath.Join(f.Dir, GatewayName(i), "disk"),
-		Config:     file,
-		Env:        f.Options.Env,
-		OnServing:  func(line string) { f.onServing(i, line) },
-		OnExit:     func() { f.onExit(i) },
+		Name:           GatewayName(i),
+		Index:          i,
+		Binary:         f.Options.Binary,
+		ConfigVariable: "GW_CONFIG",
+		ReadyEvent:     "serving",
+		Dir:            filepath.Join(f.Dir, GatewayName(i), "disk"),
+		Config:         file,
+		Env:            f.Options.Env,
+		OnServing:      func(line string) { f.onServing(i, line) },
+		OnExit:         func() { f.onExit(i) },
 	})
 	return gateway, nil
 }
--- a/lab/fleet/full_test.go
+++ b/lab/fleet/full_test.go
@@ -27,8 +27,8 @@
 	if *full == 0 {
 		t.Skip("no -full")
 	}
-	size := Size{Gateways: *full, Hosts: *hosts, Rate: *rate, Seed: 11}
-	scenarios := append([]Scenario{size.SteadyLoad(22 * time.Second)}, size.Cases()...)
+	size := ScenarioSize{Gateways: *full, Hosts: *hosts, Rate: *rate, Seed: 11}
+	scenarios := append([]Scenario{size.SteadyLoad(22 * time.Second)}, size.FaultScenarios()...)
 	for _, scenario := range scenarios {
 		if !strings.Contains(scenario.Name, *cases) {
 			continue
--- a/lab/fleet/measure.go
+++ b/lab/fleet/measure.go
@@ -38,7 +38,7 @@
 func (r *Report) write(w io.Writer, name string) {
 	fmt.Fprintf(w, "%s: all served %.2f s after the first start. %s. %s.\n", name, r.Fleet.StartDuration.Seconds(),
 		r.Summary(), r.Cost())
-	clients, hosts := r.Delays()
+	clients, hosts := r.EmulatorDelays()
 	if max(clients, hosts) > reportedDelay {
 		fmt.Fprintf(w, "The machine was busy: clients late by up to %.2f s, hosts by %.2f s (p99).\n",
 			clients.Seconds(), hosts.Seconds())
@@ -83,6 +83,6 @@
 			e.OpenedConns, e.InitialConns)
 	}
 	fmt.Fprintf(w, "| %s | %s | %.2f, %.2f | %.2f, %.2f | %.3f, %.3f | %.1f | %.1f s, %.1f | %s |\n", interval, spreadBy,
-		short.Most, short.Least, long.Most, long.Least, short.Variation, long.Variation, e.IdlePeriods,
+		short.MeanMaxLoad, short.MeanMinLoad, long.MeanMaxLoad, long.MeanMinLoad, short.MeanDeviation, long.MeanDeviation, e.IdlePeriods,
 		e.LongestOverload.Seconds(), e.OverloadedHosts, gateways)
 }
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -46,12 +46,12 @@
 
 // ProcessOptions describe a process.
 type ProcessOptions struct {
-	Name       string
-	Index      int    // among the processes of its kind; of a gateway: its member index
-	Binary     string // path of the program
-	Variable   string // of the environment, names the configuration file
-	ReadyEvent string // the log event by which the process says that it serves
-	Dir        string // working folder; the configuration file is beside it
+	Name           string
+	Index          int    // among the processes of its kind; of a gateway: its member index
+	Binary         string // path of the program
+	ConfigVariable string // of the environment, names the configuration file
+	ReadyEvent     string // the log event by which the process says that it serves
+	Dir            string // working folder; the configuration file is beside it
 	// Config is the content of the configuration file. It may be changed while the process is down, or before Reload.
 	Config    Config
 	Env       []string          // beside this process's environment
@@ -152,7 +152,7 @@
 	}
 	command := exec.Command(p.Binary)
 	command.Dir = p.Dir
-	command.Env = append(append(os.Environ(), p.Variable+"="+p.file), p.Env...)
+	command.Env = append(append(os.Environ(), p.ConfigVariable+"="+p.file), p.Env...)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // if the test itself is killed
 	command.Stderr = writer
 	err = command.Start()
--- a/lab/fleet/processlog.go
+++ b/lab/fleet/processlog.go
@@ -21,8 +21,8 @@
 	tailLines    = 8       // that errors show
 )
 
-// UnnamedLine is the event under which lines without one are counted, such as those of a stack trace.
-const UnnamedLine = "unnamed"
+// LineWithoutEvent is the event under which lines without one are counted, such as those of a stack trace.
+const LineWithoutEvent = "unnamed"
 
 // hostStateEvent is the log event by which a gateway reports a host's state.
 const hostStateEvent = "endpoint_state"
@@ -111,7 +111,7 @@
 func (p *Process) receiveLine(line string) {
 	event, ok := logline.Event(line)
 	if !ok {
-		event = UnnamedLine
+		event = LineWithoutEvent
 	}
 	p.eventCounts[event]++
 	switch event {
@@ -179,8 +179,8 @@
 	p.log.waiters = append(p.log.waiters, waiter)
 }
 
-// Mark returns the present end of the log.
-func (p *Process) Mark() (mark int) {
+// LogEnd returns the present end of the log.
+func (p *Process) LogEnd() (mark int) {
 	p.Ask(func() { mark = p.log.next() })
 	return mark
 }
@@ -200,8 +200,8 @@
 	return lines, next
 }
 
-// Lines returns the kept lines of an event, over all incarnations.
-func (p *Process) Lines(event string) (lines []string) {
+// EventLines returns the kept lines of an event, over all incarnations.
+func (p *Process) EventLines(event string) (lines []string) {
 	p.Ask(func() {
 		for _, line := range p.log.lines {
 			if name, _ := logline.Event(line); name == event {
--- a/lab/fleet/report.go
+++ b/lab/fleet/report.go
@@ -13,25 +13,25 @@
 
 // Report is the result of a run: counts, and the logs that they are of. It is gathered when all requests have ended.
 type Report struct {
-	Scenario   *Scenario
-	Fleet      *Fleet // its processes are ended when Run returns
-	StartedAt  int64  // ns, of the load
-	EndedAt    int64  // ns, of the load
-	Injected   []Injected
-	Unfinished int // requests that never ended
-	Clients    emulator.ClientLog
-	Hosts      []HostReport
-	Gateways   []GatewayReport
-	Changes    []emulator.Change
-	Gossip     relay.Counts
-	Violations []string // of the scenario's checks
+	Scenario        *Scenario
+	Fleet           *Fleet // its processes are ended when Run returns
+	StartedAt       int64  // ns, of the load
+	EndedAt         int64  // ns, of the load
+	InjectedSteps   []InjectedStep
+	Unfinished      int // requests that never ended
+	Clients         emulator.ClientLog
+	Hosts           []HostReport
+	Gateways        []GatewayReport
+	HostListChanges []emulator.HostListChange
+	Gossip          relay.Counts
+	Violations      []string // of the scenario's checks
 
 	requestIndex map[string]int // in Clients.Requests, by id
 	usageBefore  []Usage        // of the gateways as the load began
 }
 
-// Injected is a step that was run.
-type Injected struct {
+// InjectedStep is a step that was run.
+type InjectedStep struct {
 	At          int64
 	Description string
 }
@@ -44,10 +44,10 @@
 
 // GatewayReport is what happened to one gateway.
 type GatewayReport struct {
-	Events []ProcessEvent
-	Counts map[string]int // log lines by event
-	Before Usage          // of the process that ran as the load began; zero: it was down
-	Usage  Usage          // of the process that runs at the end; zero: it is down
+	Events       []ProcessEvent
+	EventCounts  map[string]int // log lines by event
+	UsageAtStart Usage          // of the process that ran as the load began; zero: it was down
+	UsageAtEnd   Usage          // of the process that runs at the end; zero: it is down
 }
 
 // gather reads the logs of all parts of the fleet.
@@ -60,13 +60,13 @@
 	}
 	for i, gateway := range fleet.gateways {
 		r.Gateways = append(r.Gateways, GatewayReport{
-			Events: gateway.Events(),
-			Counts: gateway.EventCounts(),
-			Before: r.usageBefore[i],
-			Usage:  usageAfter[i],
+			Events:       gateway.Events(),
+			EventCounts:  gateway.EventCounts(),
+			UsageAtStart: r.usageBefore[i],
+			UsageAtEnd:   usageAfter[i],
 		})
 	}
-	r.Changes = fleet.Agent.Changes()
+	r.HostListChanges = fleet.Agent.Changes()
 	if fleet.Gossip != nil {
 		r.Gossip, _ = fleet.Gossip.Counts()
 	}
@@ -108,9 +108,9 @@
 	return counts
 }
 
-// Delays returns how late the emulators ran, as on a machine that is too busy: the longest that a client sent a request
+// EmulatorDelays returns how late the emulators ran, as on a machine that is too busy: the longest that a client sent a request
 // after its time, and the 99th percentile of how much longer hosts took than they were to.
-func (r *Report) Delays() (clients, hosts time.Duration) {
+func (r *Report) EmulatorDelays() (clients, hosts time.Duration) {
 	var delays []time.Duration
 	for _, host := range r.Hosts {
 		for _, command := range host.Commands {
@@ -139,9 +139,9 @@
 			continue
 		}
 		count++
-		rss += gateway.Usage.RSS
-		peak = max(peak, gateway.Usage.PeakRSS)
-		cpu += gateway.Usage.CPU - gateway.Before.CPU
+		rss += gateway.UsageAtEnd.RSS
+		peak = max(peak, gateway.UsageAtEnd.PeakRSS)
+		cpu += gateway.UsageAtEnd.CPU - gateway.UsageAtStart.CPU
 	}
 	if count == 0 {
 		return "no process ran throughout"
@@ -158,7 +158,7 @@
 // ranThroughout reports whether one process of the gateway ran throughout the load.
 func (g *GatewayReport) ranThroughout() bool {
 	exited := slices.ContainsFunc(g.Events, func(event ProcessEvent) bool { return event.Kind == Exited })
-	return g.Usage.RSS > 0 && !exited
+	return g.UsageAtEnd.RSS > 0 && !exited
 }
 
 // Summary returns the run's counts in one line.
--- a/lab/fleet/scenario.go
+++ b/lab/fleet/scenario.go
@@ -84,7 +84,7 @@
 		if err := r.wait(ctx, r.Scenario.WarmUp+step.At); err != nil {
 			return err
 		}
-		r.Injected = append(r.Injected, Injected{actor.Now(), step.Description})
+		r.InjectedSteps = append(r.InjectedSteps, InjectedStep{actor.Now(), step.Description})
 		if err := step.Run(ctx, r.Fleet); err != nil {
 			return fmt.Errorf("step %q: %w", step.Description, err)
 		}
@@ -108,7 +108,7 @@
 // waitWatches waits until each gateway that runs watches its agent's host list.
 func (f *Fleet) waitWatches(ctx context.Context) error {
 	want := f.Options.Gateways - len(f.Options.NotStarted)
-	return WaitUntil(ctx, "watches of the host list", func() bool { return f.Agent.Watching() >= want })
+	return WaitUntil(ctx, "watches of the host list", func() bool { return f.Agent.OpenWatches() >= want })
 }
 
 // Err returns the violations of the scenario's checks as an error; nil if there are none.
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -17,7 +17,7 @@
 // DrawGateways draws the member indexes of a number of gateways by the fleet's seed and a name. The same name returns
 // the same gateways.
 func (f *Fleet) DrawGateways(count int, name string) []int {
-	seed := uint64(emulator.Uniform(name) * (1 << 53))
+	seed := uint64(emulator.UniformHash(name) * (1 << 53))
 	drawn := rand.New(rand.NewPCG(f.Options.Seed, seed)).Perm(f.Options.Gateways)[:count]
 	slices.Sort(drawn)
 	return drawn
@@ -41,7 +41,7 @@
 		err := f.ForEach(members, func(g *Gateway) error { return g.Kill() })
 		time.AfterFunc(noticedAfter, func() {
 			down := slices.DeleteFunc(slices.Clone(members), func(i int) bool { return f.gateways[i].Running() })
-			f.Clients.SetOutOfUse(true, down...)
+			f.Clients.SetOutOfRotation(true, down...)
 		})
 		return err
 	}}
@@ -52,7 +52,7 @@
 	return Step{at, fmt.Sprintf("restart %d gateways (%s)", count, name), func(ctx context.Context, f *Fleet) error {
 		members := f.DrawGateways(count, name)
 		err := f.ForEach(members, func(g *Gateway) error { return g.Restart(ctx, emptyDisk) })
-		f.Clients.SetOutOfUse(false, members...)
+		f.Clients.SetOutOfRotation(false, members...)
 		return err
 	}}
 }
@@ -105,7 +105,7 @@
 // Announce returns a step that sends some gateways the state of hosts; nil stands for all gateways.
 func Announce(at time.Duration, gateways []int, state string, hosts ...int) Step {
 	return Step{at, fmt.Sprintf("announce %d hosts as %s", len(hosts), state), func(ctx context.Context, f *Fleet) error {
-		var entries []emulator.Entry
+		var entries []emulator.HostEntry
 		for _, host := range hosts {
 			entries = append(entries, f.hosts[host].Entry(state))
 		}
@@ -115,7 +115,7 @@
 }
 
 // SetAgentMode returns a step that changes the behaviour of the agents of some gateways; nil stands for all.
-func SetAgentMode(at time.Duration, gateways []int, description string, change func(*emulator.Mode)) Step {
+func SetAgentMode(at time.Duration, gateways []int, description string, change func(*emulator.AgentMode)) Step {
 	return Step{at, "agents: " + description, func(ctx context.Context, f *Fleet) error {
 		f.Agent.SetMode(gateways, change)
 		return nil
@@ -126,7 +126,7 @@
 // gateways at once.
 func StartHosts(at time.Duration, hosts ...int) Step {
 	return Step{at, fmt.Sprintf("start %d hosts and list them", len(hosts)), func(ctx context.Context, f *Fleet) error {
-		var entries []emulator.Entry
+		var entries []emulator.HostEntry
 		for _, host := range hosts {
 			if _, err := f.hosts[host].Start(); err != nil {
 				return err
--- a/lab/fleetsim/attempts.go
+++ b/lab/fleetsim/attempts.go
@@ -30,10 +30,10 @@
 	switch {
 	case h.inService < s.config.Slots:
 		s.serve(h, a)
-	case len(h.queue) < s.config.Queue:
+	case len(h.queue) < s.config.QueueLength:
 		h.queue = append(h.queue, a)
 	default:
-		s.report.Busy++
+		s.report.RejectedByHost++
 		s.endAttempt(a, gateway.Busy, 0)
 	}
 }
@@ -76,7 +76,7 @@
 		r.answered = true
 		s.report.Succeeded++
 		if latency > s.config.LatencyObjective {
-			s.report.Late++
+			s.report.LateSuccesses++
 		}
 	}
 	s.runBatch(r.gateway, gateway.Event{
--- a/lab/fleetsim/config.go
+++ b/lab/fleetsim/config.go
@@ -11,7 +11,7 @@
 	CeilingRate         float64 // units a second of the hard ceiling; 0: none
 	CeilingBurst        float64 // units
 	Customers           int
-	Spread              [2]float64 // range of the fraction of all gateways that a customer uses
+	SpreadRange         [2]float64 // range of the fraction of all gateways that a customer uses
 	GatewaysPerCustomer int        // number of gateways that a customer uses; 0: by Spread
 }
 
@@ -24,27 +24,27 @@
 
 	Hosts       int
 	Slots       int           // requests that a host serves at once
-	Queue       int           // requests that wait at a host
+	QueueLength int           // requests that wait at a host
 	ServiceTime time.Duration // mean
 
 	LatencyObjective time.Duration // of the one request class
-	Deadline         time.Duration // after which a client abandons a request
-	Retries          int           // of a client after a rejection
-
-	Demand        [2]float64    // range of a usual customer's demand over its quota
-	HeavyFraction float64       // fraction of the customers that demand a multiple of their quota
-	HeavyDemand   [2]float64    // range of that multiple
-	SpikyFraction float64       // fraction of the customers that demand HeavyDemand of their quota in spikes
-	SpikeOn       time.Duration // length of a spike
-	SpikeEvery    time.Duration // period of the spikes
-	StepAt        time.Duration // from then on heavy customers demand StepTo of their quota; 0: never
-	StepTo        float64
-
-	GossipPerSecond float64 // messages that a gateway receives within a second; 0: no gossip
-	GossipDelay     time.Duration
-	GossipLoss      float64       // fraction of the messages
-	NetworkDelay    time.Duration // one way, gateway to host
-	GatewaySigma    float64       // sigma of the log-normal shares of a customer's requests by gateway; 0: even
-
-	Trace time.Duration // interval of the samples of bucket copies; 0: none
+	RequestTimeout   time.Duration // after which a client abandons a request
+	MaxRetries       int           // of a client after a rejection
+
+	DemandRange      [2]float64    // range of a usual customer's demand over its quota
+	HeavyFraction    float64       // fraction of the customers that demand a multiple of their quota
+	HeavyDemandRange [2]float64    // range of that multiple
+	SpikyFraction    float64       // fraction of the customers that demand HeavyDemand of their quota in spikes
+	SpikeLength      time.Duration // length of a spike
+	SpikePeriod      time.Duration // period of the spikes
+	DemandStepAt     time.Duration // from then on heavy customers demand StepTo of their quota; 0: never
+	DemandStepTo     float64
+
+	GossipRateLimit   float64 // messages that a gateway receives within a second; 0: no gossip
+	GossipDelay       time.Duration
+	GossipLoss        float64       // fraction of the messages
+	NetworkDelay      time.Duration // one way, gateway to host
+	GatewayShareSigma float64       // sigma of the log-normal shares of a customer's requests by gateway; 0: even
+
+	TraceInterval time.Duration // interval of the samples of bucket copies; 0: none
 }
--- a/lab/fleetsim/customers.go
+++ b/lab/fleetsim/customers.go
@@ -24,15 +24,15 @@
 		ceiling:    p.CeilingBurst,
 		refilledAt: s.now,
 	}
-	spread := int(math.Round(float64(config.Gateways) * s.between(p.Spread)))
+	spread := int(math.Round(float64(config.Gateways) * s.between(p.SpreadRange)))
 	if p.GatewaysPerCustomer > 0 {
 		spread = p.GatewaysPerCustomer
 	}
 	c.spread = max(1, min(config.Gateways, spread))
 	c.first = s.random.IntN(config.Gateways)
-	demand := s.between(config.Demand)
+	demand := s.between(config.DemandRange)
 	if s.random.Float64() < config.HeavyFraction {
-		demand = s.between(config.HeavyDemand)
+		demand = s.between(config.HeavyDemandRange)
 		c.heavy = true
 	}
 	c.requestRate = demand * p.Rate
@@ -44,17 +44,17 @@
 func (s *simulation) drawTraffic(c *customer) {
 	config := &s.config
 	plan := s.plans[c.plan]
-	if config.GatewaySigma > 0 {
+	if config.GatewayShareSigma > 0 {
 		sum := 0.0
 		for range c.spread {
-			sum += math.Exp(s.random.NormFloat64() * config.GatewaySigma)
+			sum += math.Exp(s.random.NormFloat64() * config.GatewayShareSigma)
 			c.cumulativeShares = append(c.cumulativeShares, sum)
 		}
 	}
 	if config.SpikyFraction > 0 && !c.heavy && s.random.Float64() < config.SpikyFraction {
 		c.spiky = true
-		c.spikeOffset = time.Duration(s.random.Float64() * float64(config.SpikeEvery))
-		c.requestRate = plan.Rate * s.between(config.HeavyDemand)
+		c.spikeOffset = time.Duration(s.random.Float64() * float64(config.SpikePeriod))
+		c.requestRate = plan.Rate * s.between(config.HeavyDemandRange)
 	}
 	c.idealBucket = plan.Burst
 	c.idealRefilledAt = s.now
@@ -86,20 +86,20 @@
 		return
 	}
 	s.countNewRequest(c)
-	s.send(c, s.now.Add(s.config.Deadline), 0)
+	s.send(c, s.now.Add(s.config.RequestTimeout), 0)
 }
 
 // inSpike reports whether a spiky customer sends requests now.
 func (s *simulation) inSpike(c *customer) bool {
-	phase := time.Duration(s.now.Add(c.spikeOffset)) % s.config.SpikeEvery
-	return phase < s.config.SpikeOn
+	phase := time.Duration(s.now.Add(c.spikeOffset)) % s.config.SpikePeriod
+	return phase < s.config.SpikeLength
 }
 
 // stepDemand changes the demand of heavy customers for the rest of the run.
 func (s *simulation) stepDemand() {
 	for _, c := range s.customers {
 		if c.heavy {
-			c.requestRate = s.config.StepTo * s.plans[c.plan].Rate
+			c.requestRate = s.config.DemandStepTo * s.plans[c.plan].Rate
 		}
 	}
 }
--- a/lab/fleetsim/days.go
+++ b/lab/fleetsim/days.go
@@ -11,10 +11,10 @@
 // hostsFor returns the number of hosts for a number of gateways, in the bench's ratio.
 func hostsFor(gateways int) int { return max(10, gateways*benchHosts/benchGateways) }
 
-// Mass returns the calm day of the operators' mass bench, scaled to a number of gateways: customers of three
+// SteadyTraffic returns the calm day of the operators' mass bench, scaled to a number of gateways: customers of three
 // plans, most of which use half to all of the gateways, and hosts of which the demand within the quotas takes
 // about 60%.
-func Mass(gateways, hosts int, duration time.Duration, seed uint64) Config {
+func SteadyTraffic(gateways, hosts int, duration time.Duration, seed uint64) Config {
 	scale := float64(gateways) / benchGateways
 	scaled := func(customers float64) int { return max(1, int(customers*scale+0.5)) }
 	return Config{
@@ -23,14 +23,14 @@
 		Duration:         duration,
 		Hosts:            hosts,
 		Slots:            12,
-		Queue:            80,
+		QueueLength:      80,
 		ServiceTime:      400 * time.Millisecond,
 		LatencyObjective: 2 * time.Second,
-		Deadline:         8 * time.Second,
-		Retries:          1,
+		RequestTimeout:   8 * time.Second,
+		MaxRetries:       1,
 		Plans: []QuotaPlan{
-			{Name: "basic", Rate: 1.2, Burst: 4, Customers: scaled(1621), Spread: [2]float64{0.5, 1}},
-			{Name: "standard", Rate: 3.4, Burst: 17, MaxInFlight: 2, Customers: scaled(502), Spread: [2]float64{0.5, 1}},
+			{Name: "basic", Rate: 1.2, Burst: 4, Customers: scaled(1621), SpreadRange: [2]float64{0.5, 1}},
+			{Name: "standard", Rate: 3.4, Burst: 17, MaxInFlight: 2, Customers: scaled(502), SpreadRange: [2]float64{0.5, 1}},
 			{
 				Name:                "fleet",
 				Rate:                14,
@@ -41,25 +41,25 @@
 				GatewaysPerCustomer: 7,
 			},
 		},
-		Demand:          [2]float64{0.2, 0.9},
-		HeavyFraction:   0.11,
-		HeavyDemand:     [2]float64{1.8, 4.9},
-		GossipPerSecond: 60,
-		GossipDelay:     5 * time.Millisecond,
-		GossipLoss:      0.007,
-		NetworkDelay:    250 * time.Microsecond,
+		DemandRange:      [2]float64{0.2, 0.9},
+		HeavyFraction:    0.11,
+		HeavyDemandRange: [2]float64{1.8, 4.9},
+		GossipRateLimit:  60,
+		GossipDelay:      5 * time.Millisecond,
+		GossipLoss:       0.007,
+		NetworkDelay:     250 * time.Microsecond,
 	}
 }
 
-// Rough returns Mass with what the bench has on its other days: requests distributed unevenly over a customer's
+// UnevenTraffic returns Mass with what the bench has on its other days: requests distributed unevenly over a customer's
 // gateways, customers whose demand spikes for a second or two, and clients that retry twice.
-func Rough(gateways, hosts int, duration time.Duration, seed uint64) Config {
-	config := Mass(gateways, hosts, duration, seed)
-	config.GatewaySigma = 1
-	config.Retries = 2
-	config.Demand = [2]float64{0.25, 0.8}
+func UnevenTraffic(gateways, hosts int, duration time.Duration, seed uint64) Config {
+	config := SteadyTraffic(gateways, hosts, duration, seed)
+	config.GatewayShareSigma = 1
+	config.MaxRetries = 2
+	config.DemandRange = [2]float64{0.25, 0.8}
 	config.SpikyFraction = 0.16
-	config.SpikeOn = 1700 * time.Millisecond
-	config.SpikeEvery = 16 * time.Second
+	config.SpikeLength = 1700 * time.Millisecond
+	config.SpikePeriod = 16 * time.Second
 	return config
 }
--- a/lab/fleetsim/decisions.go
+++ b/lab/fleetsim/decisions.go
@@ -56,7 +56,7 @@
 	}
 	r.answered = true
 	s.reject(r.customer)
-	if r.retries >= s.config.Retries {
+	if r.retries >= s.config.MaxRetries {
 		return
 	}
 	retryAt := s.now.Add(max(after, minRetryDelay))
@@ -82,7 +82,7 @@
 func (x executor) SendGossip(peer int, body []byte) {
 	s := x.simulation
 	if peer < 0 || peer >= len(s.gateways) || s.random.Float64() < s.config.GossipLoss {
-		s.report.Dropped++
+		s.report.DroppedMessages++
 		return
 	}
 	s.add(&event{
--- a/lab/fleetsim/events.go
+++ b/lab/fleetsim/events.go
@@ -39,18 +39,18 @@
 func (s *simulation) runEvents() {
 	end := startTime.Add(s.config.Duration)
 	nextSample := startTime.Add(sampleInterval)
-	nextTrace := startTime.Add(s.config.Trace)
-	stepAt := startTime.Add(s.config.StepAt)
-	stepPending := s.config.StepAt > 0
+	nextTrace := startTime.Add(s.config.TraceInterval)
+	stepAt := startTime.Add(s.config.DemandStepAt)
+	stepPending := s.config.DemandStepAt > 0
 	for _, e := range s.schedule.Until(int64(end)) {
 		for e.at >= nextSample {
 			s.sampleGauges()
 			nextSample = nextSample.Add(sampleInterval)
 		}
-		for s.config.Trace > 0 && e.at >= nextTrace {
+		for s.config.TraceInterval > 0 && e.at >= nextTrace {
 			s.now = nextTrace
 			s.sampleCopies()
-			nextTrace = nextTrace.Add(s.config.Trace)
+			nextTrace = nextTrace.Add(s.config.TraceInterval)
 		}
 		if stepPending && e.at >= stepAt {
 			stepPending = false
@@ -101,8 +101,8 @@
 		expired++
 	}
 	g.inbox = g.inbox[expired:]
-	if float64(len(g.inbox)) >= s.config.GossipPerSecond {
-		s.report.Dropped++
+	if float64(len(g.inbox)) >= s.config.GossipRateLimit {
+		s.report.DroppedMessages++
 		return
 	}
 	g.inbox = append(g.inbox, s.now)
--- a/lab/fleetsim/fleetsim_test.go
+++ b/lab/fleetsim/fleetsim_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRunIsDeterministic(t *testing.T) {
-	config := Mass(20, 12, 3*time.Second, 7)
+	config := SteadyTraffic(20, 12, 3*time.Second, 7)
 	first := Run(config)
 	second := Run(config)
 	if first.String() != second.String() {
@@ -27,7 +27,7 @@
 	}
 	for _, gateways := range []int{3, 60, 80, benchGateways} { // 80: the fleet-growth days
 		start := time.Now()
-		report := Run(Mass(gateways, hostsFor(gateways), 20*time.Second, 3))
+		report := Run(SteadyTraffic(gateways, hostsFor(gateways), 20*time.Second, 3))
 		t.Logf("%d gateways (%.1f s): %v", gateways, time.Since(start).Seconds(), report)
 	}
 }
@@ -46,7 +46,7 @@
 		for seed := range seeds {
 			t.Run(fmt.Sprintf("%d/%d", gateways, seed+1), func(t *testing.T) {
 				t.Parallel()
-				report := Run(Rough(gateways, hostsFor(gateways), 30*time.Second, uint64(seed+1)))
+				report := Run(UnevenTraffic(gateways, hostsFor(gateways), 30*time.Second, uint64(seed+1)))
 				t.Logf("%s", report.Table())
 				t.Log("windows", report.Windows)
 			})
--- a/lab/fleetsim/quota.go
+++ b/lab/fleetsim/quota.go
@@ -87,15 +87,15 @@
 		}
 		sampled[c.plan] = true
 		s.refill(c)
-		sample := Sample{At: s.now.Sub(startTime), Plan: c.report.Plan, True: c.bucket}
+		sample := BucketSample{At: s.now.Sub(startTime), Plan: c.report.Plan, TrueUnits: c.bucket}
 		for i := range min(maxCopies, c.spread) {
 			g := s.gateways[(c.first+i*c.spread/maxCopies)%len(s.gateways)]
 			level, others, known := g.logic.CustomerBucket(c.name)
 			if !known {
 				level = s.plans[c.plan].Burst
 			}
-			sample.Copies = append(sample.Copies, level)
-			sample.Others = append(sample.Others, others)
+			sample.CopyUnits = append(sample.CopyUnits, level)
+			sample.PeerRates = append(sample.PeerRates, others)
 		}
 		s.report.Trace = append(s.report.Trace, sample)
 	}
--- a/lab/fleetsim/report.go
+++ b/lab/fleetsim/report.go
@@ -15,28 +15,28 @@
 	Rejected            int
 	RejectedWithinQuota int // rejections while the customer's true bucket held half a burst or more
 	TimedOut            int // attempts
-	Busy                int // attempts that a host rejected
-	Late                int // successes beyond the latency objective
+	RejectedByHost      int // attempts that a host rejected
+	LateSuccesses       int // successes beyond the latency objective
 
 	Forwarded    float64 // units of requests that were sent to a host
 	OverQuota    float64 // forwarded units beyond the true buckets
 	OverInFlight int     // first attempts beyond a plan's cap on requests in flight
 	OverCeiling  float64 // units beyond a hard ceiling and its slack: a broken rule
 
-	Messages     int // received
-	MessageBytes int // of these
-	Dropped      int // messages lost, or over a receiver's budget
-	Batches      int // of events
+	Messages        int // received
+	MessageBytes    int // of these
+	DroppedMessages int // messages lost, or over a receiver's budget
+	Batches         int // of events
 
-	HostsUsed   float64 // mean number of hosts that a gateway sent to
-	BusiestHost float64 // attempts at the busiest host over the mean
-	Limit       float64 // mean over gateways and seconds of the concurrency limit
-	InFlight    float64 // the same of the requests in flight
-	Lateness    float64 // the same of the fraction of late answers
+	MeanHostsUsed     float64 // mean number of hosts that a gateway sent to
+	BusiestHost       float64 // attempts at the busiest host over the mean
+	MeanInFlightLimit float64 // mean over gateways and seconds of the concurrency limit
+	MeanInFlight      float64 // the same of the requests in flight
+	MeanLateness      float64 // the same of the fraction of late answers
 
 	Plans     []PlanReport
 	Customers []CustomerReport
-	Trace     []Sample
+	Trace     []BucketSample
 	Windows   []Window // of 5 s each
 }
 
@@ -75,13 +75,13 @@
 	overQuotaCost float64 // of a unit beyond the quota, over the weight
 }
 
-// Sample is the state of a heavy customer at one time: its true bucket beside the copies of some of its gateways.
-type Sample struct {
-	At     time.Duration
-	Plan   string
-	True   float64   // units in the true bucket
-	Copies []float64 // units in the copies
-	Others []float64 // units a second that these gateways expect their peers to admit
+// BucketSample is the state of a heavy customer at one time: its true bucket beside the copies of some of its gateways.
+type BucketSample struct {
+	At        time.Duration
+	Plan      string
+	TrueUnits float64   // units in the true bucket
+	CopyUnits []float64 // units in the copies
+	PeerRates []float64 // units a second that these gateways expect their peers to admit
 }
 
 // String returns the report in one line.
@@ -113,13 +113,13 @@
 			ratio(r.Rejected, r.Requests),
 			r.RejectedWithinQuotaShare(),
 			ratio(r.TimedOut, r.Requests),
-			ratio(r.Late, r.Requests)),
+			ratio(r.LateSuccesses, r.Requests)),
 		fmt.Sprintf("units %.0f, over quotas %.3f, over caps in flight %d, over ceilings %.1f",
 			r.Forwarded, r.OverQuotaShare(), r.OverInFlight, r.OverCeiling),
-		fmt.Sprintf("messages %d (%.0f B each), dropped %d", r.Messages, r.MessageSize(), r.Dropped),
-		fmt.Sprintf("hosts a gateway %.1f, busiest host %.2f of the mean", r.HostsUsed, r.BusiestHost),
+		fmt.Sprintf("messages %d (%.0f B each), dropped %d", r.Messages, r.MessageSize(), r.DroppedMessages),
+		fmt.Sprintf("hosts a gateway %.1f, busiest host %.2f of the mean", r.MeanHostsUsed, r.BusiestHost),
 		fmt.Sprintf("%d batches", r.Batches),
-		fmt.Sprintf("limit %.2f in flight %.2f late %.2f", r.Limit, r.InFlight, r.Lateness),
+		fmt.Sprintf("limit %.2f in flight %.2f late %.2f", r.MeanInFlightLimit, r.MeanInFlight, r.MeanLateness),
 	}
 	for _, p := range r.Plans {
 		parts = append(parts, p.String())
@@ -127,9 +127,9 @@
 	return strings.Join(parts, "; ")
 }
 
-// Value returns the value of the forwarded units within the true buckets less the cost of those beyond them, over the
+// RelativeValue returns the value of the forwarded units within the true buckets less the cost of those beyond them, over the
 // value of what one limiter for the whole fleet would admit. No customer counts for more than the latter.
-func (r Report) Value() float64 {
+func (r Report) RelativeValue() float64 {
 	value, ideal := 0.0, 0.0
 	for _, c := range r.Customers {
 		within := math.Min(float64(c.Forwarded-c.OverQuota), float64(c.IdealAdmitted))
@@ -139,8 +139,8 @@
 	return value / math.Max(ideal, 1e-9)
 }
 
-// QuotaUsed returns the forwarded units within the quotas over what one limiter for the whole fleet would admit.
-func (r Report) QuotaUsed() float64 {
+// QuotaUtilization returns the forwarded units within the quotas over what one limiter for the whole fleet would admit.
+func (r Report) QuotaUtilization() float64 {
 	within, ideal := 0, 0
 	for _, c := range r.Customers {
 		within += min(c.Forwarded-c.OverQuota, c.IdealAdmitted)
--- a/lab/fleetsim/simulation.go
+++ b/lab/fleetsim/simulation.go
@@ -86,7 +86,7 @@
 	classes := []gateway.RequestClass{{
 		Effect:           gateway.Idempotent,
 		LatencyObjective: config.LatencyObjective,
-		Timeout:          config.Deadline,
+		Timeout:          config.RequestTimeout,
 		Value:            1,
 		LateValue:        0.2,
 	}}
@@ -102,8 +102,8 @@
 		membership := gateway.Membership{
 			Index:       i,
 			Count:       config.Gateways,
-			Gossip:      config.GossipPerSecond > 0 && config.Gateways > 1,
-			MessageRate: config.GossipPerSecond,
+			Gossip:      config.GossipRateLimit > 0 && config.Gateways > 1,
+			MessageRate: config.GossipRateLimit,
 		}
 		decider := logic.New(s.random.Uint64(), membership, classes, s.plans, limits, slowStart, loadReport)
 		s.gateways = append(s.gateways, &gatewayModel{logic: decider, hostsUsed: map[int]bool{}})
@@ -130,9 +130,9 @@
 	s.samples++
 	for _, g := range s.gateways {
 		gauges := g.logic.Gauges()
-		s.report.Limit += gauges.InFlightLimit
-		s.report.InFlight += float64(gauges.InFlight)
-		s.report.Lateness += gauges.Lateness
+		s.report.MeanInFlightLimit += gauges.InFlightLimit
+		s.report.MeanInFlight += float64(gauges.InFlight)
+		s.report.MeanLateness += gauges.Lateness
 	}
 }
 
@@ -145,11 +145,11 @@
 	for _, g := range s.gateways {
 		hostsUsed += len(g.hostsUsed)
 	}
-	s.report.HostsUsed = float64(hostsUsed) / float64(len(s.gateways))
+	s.report.MeanHostsUsed = float64(hostsUsed) / float64(len(s.gateways))
 	samples := float64(max(s.samples*len(s.gateways), 1))
-	s.report.Limit /= samples
-	s.report.InFlight /= samples
-	s.report.Lateness /= samples
+	s.report.MeanInFlightLimit /= samples
+	s.report.MeanInFlight /= samples
+	s.report.MeanLateness /= samples
 	most, total := 0, 0
 	for _, h := range s.hosts {
 		most = max(most, h.received)
--- a/lab/fleetsim/table.go
+++ b/lab/fleetsim/table.go
@@ -47,7 +47,7 @@
 		}
 	}
 	fmt.Fprintf(&b, "value %.3f, quota used %.3f, over quota %.3f, rejected within quota %.3f, messages %d, %.0f B\n",
-		r.Value(), r.QuotaUsed(), r.OverQuotaShare(), r.RejectedWithinQuotaShare(), r.Messages, r.MessageSize())
+		r.RelativeValue(), r.QuotaUtilization(), r.OverQuotaShare(), r.RejectedWithinQuotaShare(), r.Messages, r.MessageSize())
 	return b.String()
 }
 
--- a/lab/gatewayconfig/gatewayconfig.go
+++ b/lab/gatewayconfig/gatewayconfig.go
@@ -7,7 +7,7 @@
 // Effects of a request class.
 const (
 	Idempotent        = "safe"
-	WithKeyIdempotent = "keyed"
+	IdempotentWithKey = "keyed"
 	NonIdempotent     = "unsafe"
 )
 
@@ -89,13 +89,13 @@
 
 // LoadReport says how hosts report their load.
 type LoadReport struct {
-	Way    string   `json:"how,omitempty"`
-	Fields []string `json:"names,omitempty"`
+	Delivery string   `json:"how,omitempty"`
+	Fields   []string `json:"names,omitempty"`
 }
 
 // InlineLoadReport returns the settings of a load report of one field with each answer.
 func InlineLoadReport(field string) LoadReport {
-	return LoadReport{Way: "inline", Fields: []string{field}}
+	return LoadReport{Delivery: "inline", Fields: []string{field}}
 }
 
 // SlowStart are the settings of hosts' warm-up and of their recovery.
@@ -130,13 +130,13 @@
 
 // Counterfactual is the section of the observers and their collectors.
 type Counterfactual struct {
-	Listen     string   `json:"listen"`
-	Peers      []string `json:"peers"`
-	Collectors []int    `json:"collectors"`
-	WindowMS   int64    `json:"window_ms"`
-	Records    string   `json:"records,omitempty"` // file
-	Fraction   float64  `json:"part"`              // of the attempts that are recorded
-	Query      string   `json:"ask,omitempty"`     // address of a collector
+	Listen         string   `json:"listen"`
+	Peers          []string `json:"peers"`
+	Collectors     []int    `json:"collectors"`
+	WindowMS       int64    `json:"window_ms"`
+	RecordsFile    string   `json:"records,omitempty"` // file
+	SampleFraction float64  `json:"part"`              // of the attempts that are recorded
+	QueryListen    string   `json:"ask,omitempty"`     // address of a collector
 }
 
 // Configuration is the section of the publishers of the configuration.
