--- a/lab/groundtruth/cases.go
+++ b/lab/groundtruth/cases.go
@@ -68,9 +68,9 @@
 		Description: "kill a third",
 		Run: func(_ context.Context, f *fleet.Fleet) error {
 			killed := fleet.Indexes(1, 1+s.Gateways/3)
-			f.Clients.SetOutOfUse(true, killed...)
+			f.Clients.SetOutOfRotation(true, killed...)
 			return f.ForEach(killed, (*fleet.Gateway).Kill)
 		}})
-	killedGateways.RefusedWith = "gateways missing"
+	killedGateways.ExpectedRefusal = "gateways missing"
 	return []Case{loadedHost, faults, replaced, slowHost, killedGateways}
 }
--- a/lab/groundtruth/cost.go
+++ b/lab/groundtruth/cost.go
@@ -31,18 +31,18 @@
 
 // CostOptions describe a measurement of the cost.
 type CostOptions struct {
-	Seed     uint64
-	Rate     float64 // requests a second of the whole fleet
-	Duration time.Duration
-	Fraction float64 // of the attempts that are recorded
-	Swap     bool    // exchange the two measured gateways, as the machine may favour one
+	Seed           uint64
+	Rate           float64 // requests a second of the whole fleet
+	Duration       time.Duration
+	SampleFraction float64 // of the attempts that are recorded
+	SwapGateways   bool    // exchange the two measured gateways, as the machine may favour one
 }
 
 // MeasureCost runs three gateways that do not know of each other. One collects. Of the other two one records a fraction
 // of its attempts and reports them, and both have the same load at the same time.
 func MeasureCost(ctx context.Context, options CostOptions) (Cost, error) {
 	enabled, disabled := 1, 2
-	if options.Swap {
+	if options.SwapGateways {
 		enabled, disabled = 2, 1
 	}
 	f, err := fleet.Start(ctx, options.fleetOptions(disabled))
@@ -101,8 +101,8 @@
 			file.Counterfactual = nil
 			return err
 		}
-		file.Counterfactual.Records = "" // no gateway writes a file in operation
-		file.Counterfactual.Fraction = o.Fraction
+		file.Counterfactual.RecordsFile = "" // no gateway writes a file in operation
+		file.Counterfactual.SampleFraction = o.SampleFraction
 		return nil
 	}
 	return options
--- a/lab/groundtruth/groundtruth.go
+++ b/lab/groundtruth/groundtruth.go
@@ -41,13 +41,13 @@
 	ConfigureLoad    func(l *emulator.Load)               // may be nil
 	ConfigureHost    func(i int, h *emulator.HostOptions) // may be nil
 	Steps            []fleet.Step
-	RefusedWith      string // the refusal that all answers must have; "": none
+	ExpectedRefusal  string // the refusal that all answers must have; "": none
 }
 
 // fleetOptions returns the options of the fleet. Each gateway writes records, the first one collects, and the
 // observers' datagrams pass through the relay.
 func (c *Case) fleetOptions() fleet.Options {
-	var datagrams *relay.Datagrams
+	var datagrams *relay.DatagramNetwork
 	var collector string // address of the collector, over all its restarts
 	options := fleet.Options{
 		Gateways:      c.Gateways,
@@ -61,7 +61,7 @@
 		options.UnlistedHosts[c.Hosts+i] = true
 	}
 	options.PrepareRelay = func(f *fleet.Fleet) (err error) {
-		datagrams, err = f.Relay.Datagrams(observerNetwork, fleet.GatewayNames(0, c.Gateways))
+		datagrams, err = f.Relay.AddDatagramNetwork(observerNetwork, fleet.GatewayNames(0, c.Gateways))
 		if err != nil {
 			return err
 		}
@@ -75,16 +75,16 @@
 	}
 	options.ConfigureGateway = func(f *fleet.Fleet, i int, file *gatewayconfig.File) error {
 		file.Counterfactual = &gatewayconfig.Counterfactual{
-			Listen:     "127.0.0.1:0",
-			Peers:      datagrams.PeerAddrs(i),
-			Collectors: []int{0},
-			WindowMS:   c.Window.Milliseconds(),
-			Records:    recordsPath(f, i),
-			Fraction:   1,
+			Listen:         "127.0.0.1:0",
+			Peers:          datagrams.PeerAddrs(i),
+			Collectors:     []int{0},
+			WindowMS:       c.Window.Milliseconds(),
+			RecordsFile:    recordsPath(f, i),
+			SampleFraction: 1,
 		}
 		if i == 0 {
 			file.Counterfactual.Listen = collector
-			file.Counterfactual.Query = collector
+			file.Counterfactual.QueryListen = collector
 		}
 		return nil
 	}
@@ -96,7 +96,7 @@
 
 // configureHost sets the speed and the response times of a host.
 func (c *Case) configureHost(i int, host *emulator.HostOptions) {
-	host.Speed = 0.7 + 0.9*emulator.Uniform("speed", fmt.Sprint(i))
+	host.Speed = 0.7 + 0.9*emulator.UniformHash("speed", fmt.Sprint(i))
 	if host.Zone == "b" {
 		host.Speed *= 0.7
 	}
@@ -117,7 +117,7 @@
 	Attempts        int
 	DelayedFraction float64 // fraction of the attempts that the machine, not a host, delayed: by how much is not known
 	MissingGateways int     // most gateways that an answer names as missing
-	Counts          counterfactual.Counts
+	Counts          counterfactual.MessageCounts
 	Usage           []fleet.Usage // of the gateways that still run
 }
 
@@ -131,7 +131,7 @@
 	if err := c.runLoad(ctx, f); err != nil {
 		return nil, err
 	}
-	collector := f.Gateway(0).Config.Counterfactual.Query
+	collector := f.Gateway(0).Config.Counterfactual.QueryListen
 	outcome := &Outcome{}
 	if outcome.Counts, err = c.waitUntilSealed(ctx, collector); err != nil {
 		return nil, err
@@ -191,20 +191,20 @@
 }
 
 // waitUntilSealed waits until all windows of the run are sealed at the collector.
-func (c *Case) waitUntilSealed(ctx context.Context, collector string) (counterfactual.Counts, error) {
+func (c *Case) waitUntilSealed(ctx context.Context, collector string) (counterfactual.MessageCounts, error) {
 	var initial, state observer.CollectorState
 	if err := Query(ctx, collector, observer.Query{Counts: true}, decodeInto(&initial)); err != nil {
-		return state.Counts, err
+		return state.MessageCounts, err
 	}
 	for state.Sealed < initial.Bin+2 {
 		if err := wait(ctx, c.Window/4); err != nil {
-			return state.Counts, err
+			return state.MessageCounts, err
 		}
 		if err := Query(ctx, collector, observer.Query{Counts: true}, decodeInto(&state)); err != nil {
-			return state.Counts, err
+			return state.MessageCounts, err
 		}
 	}
-	return state.Counts, nil
+	return state.MessageCounts, nil
 }
 
 // queryAnswers asks the collector about each rule and each host.
--- a/lab/groundtruth/groundtruth_test.go
+++ b/lab/groundtruth/groundtruth_test.go
@@ -50,13 +50,13 @@
 				testCase.Gateways, testCase.Seed, testCase.Name, outcome.Attempts, 100*outcome.DelayedFraction,
 				outcome.MissingGateways, outcome.Counts, outcome.Score.String())
 			text.WriteString(line)
-			t.Log(line, strings.Join(append(outcome.OffFigures, outcome.Uncovered...), "\n"))
-			if testCase.RefusedWith != "" {
-				if outcome.Refused[testCase.RefusedWith] != outcome.Answers {
-					t.Errorf("not all refused with %q", testCase.RefusedWith)
+			t.Log(line, strings.Join(append(outcome.InaccurateFigures, outcome.Uncovered...), "\n"))
+			if testCase.ExpectedRefusal != "" {
+				if outcome.Refusals[testCase.ExpectedRefusal] != outcome.Answers {
+					t.Errorf("not all refused with %q", testCase.ExpectedRefusal)
 				}
 			} else {
-				if outcome.Refused[gatewaysMissing] == 0 && outcome.Answers < 6+testCase.Hosts {
+				if outcome.Refusals[gatewaysMissing] == 0 && outcome.Answers < 6+testCase.Hosts {
 					t.Errorf("%d answers", outcome.Answers)
 				}
 				if outcome.DelayedFraction > maxDelayed {
@@ -82,10 +82,10 @@
 	if score.Means == 0 {
 		return
 	}
-	meansOff := float64(score.MeansOff) > 0.05*float64(score.Means)
-	p99sOff := float64(score.P99sOff) > 0.1*float64(score.P99s)
+	meansOff := float64(score.InaccurateMeans) > 0.05*float64(score.Means)
+	p99sOff := float64(score.InaccurateP99s) > 0.1*float64(score.P99s)
 	uncovered := float64(score.Covered) < 0.9*float64(score.Figures)
-	wrongOrder := float64(score.PairsInOrder) < 0.95*float64(score.RulePairs)
+	wrongOrder := float64(score.PairsInOrder) < 0.95*float64(score.ComparedPairs)
 	if meansOff || p99sOff || uncovered || wrongOrder {
 		t.Error("figures too far off, intervals too narrow, or pairs in the wrong order")
 	}
@@ -103,11 +103,11 @@
 		for i := range runs {
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 			cost, err := MeasureCost(ctx, CostOptions{
-				Seed:     uint64(i) + 1,
-				Rate:     1200,
-				Duration: 10 * second,
-				Fraction: fraction,
-				Swap:     i%2 == 1,
+				Seed:           uint64(i) + 1,
+				Rate:           1200,
+				Duration:       10 * second,
+				SampleFraction: fraction,
+				SwapGateways:   i%2 == 1,
 			})
 			cancel()
 			if err != nil {
--- a/lab/leasesim/fixture_test.go
+++ b/lab/leasesim/fixture_test.go
@@ -27,7 +27,7 @@
 
 // newHealthy returns a simulation without faults but for a short delay of messages and a small drift of clocks.
 func newHealthy(members, floor, capacity int, seed uint64) *Simulation {
-	faults := Faults{MaxDelay: 5 * time.Millisecond, Drift: 0.01}
+	faults := Faults{MaxDelay: 5 * time.Millisecond, MaxDrift: 0.01}
 	return New(seed, newTerms(members, floor, 2), capacity, faults)
 }
 
--- a/lab/leasesim/gateway.go
+++ b/lab/leasesim/gateway.go
@@ -39,10 +39,10 @@
 
 // UseExtremeClocks restarts a gateway with the slowest clock allowed and lets the leader have the fastest.
 func (s *Simulation) UseExtremeClocks(member int) {
-	s.Leader.rate = 1 + s.Faults.Drift
+	s.Leader.rate = 1 + s.Faults.MaxDrift
 	s.startGateway(member)
 	g := s.Gateways[member]
-	g.rate = 1 - s.Faults.Drift
+	g.rate = 1 - s.Faults.MaxDrift
 	s.newLeaseholder(g)
 }
 
--- a/lab/leasesim/leader.go
+++ b/lab/leasesim/leader.go
@@ -76,7 +76,7 @@
 func (s *Simulation) propose(l *Leader) {
 	batch, notes := l.Grantor.Tick(l.at(s.Now))
 	for _, note := range notes {
-		s.Notes[note.Event]++
+		s.NoteCounts[note.Event]++
 	}
 	if batch == nil {
 		return
--- a/lab/leasesim/leasesim.go
+++ b/lab/leasesim/leasesim.go
@@ -19,7 +19,7 @@
 	Loss      float64       // probability that a message is lost
 	Duplicate float64       // probability that it is sent once more
 	MaxDelay  time.Duration // of a message
-	Drift     float64       // the rate of a clock is within 1-Drift and 1+Drift
+	MaxDrift  float64       // the rate of a clock is within 1-Drift and 1+Drift
 }
 
 // Partition is the direction in which a gateway's messages don't pass.
@@ -39,14 +39,14 @@
 // Simulation is a simulated fleet. Its time is true time, as the time since an arbitrary moment; each process has a
 // clock that differs.
 type Simulation struct {
-	Terms    pool.Terms
-	Faults   Faults
-	Now      time.Duration
-	Gateways []*Gateway
-	Ledger   *pool.Ledger   // as it is committed
-	Leader   *Leader        // the one elected last
-	Notes    map[string]int // notes of leaders, by event
-	Steps    int
+	Terms      pool.Terms
+	Faults     Faults
+	Now        time.Duration
+	Gateways   []*Gateway
+	Ledger     *pool.Ledger   // as it is committed
+	Leader     *Leader        // the one elected last
+	NoteCounts map[string]int // notes of leaders, by event
+	Steps      int
 
 	random          *rand.Rand
 	deposedLeaders  []*Leader // the latest ones
@@ -73,7 +73,7 @@
 		Faults:     faults,
 		Now:        time.Second,
 		Ledger:     pool.NewLedger(&terms),
-		Notes:      map[string]int{},
+		NoteCounts: map[string]int{},
 		random:     rand.New(rand.NewPCG(seed, 1)),
 		partitions: map[int]Partition{},
 	}
@@ -145,12 +145,12 @@
 
 // newClock returns a clock with a random rate, often an extreme one: these are where bounds are missed.
 func (s *Simulation) newClock() clock {
-	drift := s.Faults.Drift * (2*s.random.Float64() - 1)
+	drift := s.Faults.MaxDrift * (2*s.random.Float64() - 1)
 	switch s.random.IntN(3) {
 	case 0:
-		drift = s.Faults.Drift
+		drift = s.Faults.MaxDrift
 	case 1:
-		drift = -s.Faults.Drift
+		drift = -s.Faults.MaxDrift
 	}
 	return clock{rate: 1 + drift, offset: pool.Instant(s.random.Uint64N(1e15))}
 }
--- a/lab/leasesim/limit_test.go
+++ b/lab/leasesim/limit_test.go
@@ -48,7 +48,7 @@
 		Loss:      rapid.Float64Range(0, 0.5).Draw(t, "loss"),
 		Duplicate: rapid.Float64Range(0, 0.4).Draw(t, "duplicate"),
 		MaxDelay:  drawMilliseconds(t, 2000, "delay"),
-		Drift:     maxDrift,
+		MaxDrift:  maxDrift,
 	}
 	freezes := rapid.Bool().Draw(t, "freezes")
 	terms := newTerms(members, floor, 3)
@@ -101,7 +101,7 @@
 	const limit = 33
 	for seed := range uint64(40) {
 		slowNetwork := seed/2%2 == 1
-		faults := Faults{MaxDelay: 5 * time.Millisecond, Duplicate: 0.3, Drift: maxDrift}
+		faults := Faults{MaxDelay: 5 * time.Millisecond, Duplicate: 0.3, MaxDrift: maxDrift}
 		if slowNetwork {
 			faults.MaxDelay = 900 * time.Millisecond
 		}
@@ -164,8 +164,8 @@
 			s.Step(stepLength)
 			mostOpen = max(mostOpen, s.OpenConnections())
 		}
-		if mostOpen > limit+frozen-1 || mostOpen <= limit || s.Notes[pool.EventQuotaExceeded] == 0 {
-			t.Fatalf("%d connections open of %d, %d of them frozen, notes %v", mostOpen, limit, frozen, s.Notes)
+		if mostOpen > limit+frozen-1 || mostOpen <= limit || s.NoteCounts[pool.EventQuotaExceeded] == 0 {
+			t.Fatalf("%d connections open of %d, %d of them frozen, notes %v", mostOpen, limit, frozen, s.NoteCounts)
 		}
 		s.advance(2 * time.Second)
 		if err := s.CheckLimit(limit); err != nil {
--- a/lab/pools/cases.go
+++ b/lab/pools/cases.go
@@ -16,7 +16,7 @@
 		At:          at,
 		Description: fmt.Sprintf("kill members %v", members),
 		Run: func(ctx context.Context, f *fleet.Fleet) error {
-			f.Clients.SetOutOfUse(true, members...)
+			f.Clients.SetOutOfRotation(true, members...)
 			return f.ForEach(members, func(gateway *fleet.Gateway) error { return gateway.Kill() })
 		},
 	}
@@ -29,7 +29,7 @@
 		Description: fmt.Sprintf("start members %v, empty disk %t", members, emptyDisk),
 		Run: func(ctx context.Context, f *fleet.Fleet) error {
 			err := f.ForEach(members, func(gateway *fleet.Gateway) error { return gateway.Restart(ctx, emptyDisk) })
-			f.Clients.SetOutOfUse(false, members...)
+			f.Clients.SetOutOfRotation(false, members...)
 			return err
 		},
 	}
@@ -138,10 +138,10 @@
 		Name: "the store never has more connections than its capacity",
 		FindViolation: func(report *fleet.Report) string {
 			log := &report.Hosts[0].HostLog
-			if log.Refused == 0 && log.PeakConns <= s.Capacity {
+			if log.RefusedConns == 0 && log.PeakConns <= s.Capacity {
 				return ""
 			}
-			return fmt.Sprintf("%d connections at once, %d refused, capacity %d", log.PeakConns, log.Refused, s.Capacity)
+			return fmt.Sprintf("%d connections at once, %d refused, capacity %d", log.PeakConns, log.RefusedConns, s.Capacity)
 		},
 	}
 	return append([]fleet.Check{withinCapacity}, fleet.CommonChecks...)
--- a/lab/pools/figures.go
+++ b/lab/pools/figures.go
@@ -104,8 +104,8 @@
 // addStore adds the figures of the store since a time.
 func (g *Group) addStore(figures *Figures, report *fleet.Report, start int64) {
 	log := &report.Hosts[0].HostLog
-	figures.Refused = log.Refused
-	figures.Opened = log.Accepted
+	figures.Refused = log.RefusedConns
+	figures.Opened = log.AcceptedConns
 	figures.Peak = log.PeakConns
 	busy := 0.0
 	for _, command := range log.Commands {
@@ -146,7 +146,7 @@
 func TimeAbove(report *fleet.Report, since int64, limit int) (duration time.Duration, never bool) {
 	latest := since
 	above := false
-	for _, step := range report.Hosts[0].Steps {
+	for _, step := range report.Hosts[0].LoadSteps {
 		if step.At < since {
 			continue
 		}
@@ -160,7 +160,7 @@
 
 // InjectedAt returns the time at which a step was injected; 0 if it was not.
 func InjectedAt(report *fleet.Report, description string) int64 {
-	for _, injected := range report.Injected {
+	for _, injected := range report.InjectedSteps {
 		if injected.Description == description {
 			return injected.At
 		}
--- a/lab/pools/pools.go
+++ b/lab/pools/pools.go
@@ -103,7 +103,7 @@
 // Group is the voters of one fleet and the relay's links between them and the gateways.
 type Group struct {
 	Size
-	datagrams *relay.Datagrams // ends: the gateways by member index, then the voters
+	datagrams *relay.DatagramNetwork // ends: the gateways by member index, then the voters
 	voters    []netip.AddrPort
 	streams   map[int][]string // by voter: addresses that lead to all voters
 }
@@ -139,7 +139,7 @@
 func (g *Group) prepareRelay(f *fleet.Fleet) error {
 	names := fleet.GatewayNames(0, g.Gateways)
 	var err error
-	g.datagrams, err = f.Relay.Datagrams("pool", append(names, names[:g.Voters]...))
+	g.datagrams, err = f.Relay.AddDatagramNetwork("pool", append(names, names[:g.Voters]...))
 	if err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 	}
 	for from := range g.Voters {
 		for to, addr := range g.voters {
-			stream, err := f.Relay.Stream(fleet.GatewayName(from), fleet.GatewayName(to), addr.String())
+			stream, err := f.Relay.AddStream(fleet.GatewayName(from), fleet.GatewayName(to), addr.String())
 			if err != nil {
 				return err
 			}
@@ -200,14 +200,14 @@
 	if !voter.Running() {
 		return false
 	}
-	lines := voter.Lines("pool_leader_changed")
+	lines := voter.EventLines("pool_leader_changed")
 	return len(lines) > 0 && logline.Value(lines[len(lines)-1], "leader") == "true"
 }
 
 // UnreturnedUnits returns the sum of what the voters reported as reclaimed from gateways that had not returned it.
 func UnreturnedUnits(f *fleet.Fleet) (units int) {
 	for _, gateway := range f.Gateways() {
-		for _, line := range gateway.Lines("pool_quota_exceeded") {
+		for _, line := range gateway.EventLines("pool_quota_exceeded") {
 			units += logline.Int(line, "units")
 		}
 	}
--- a/lab/relay/datagrams.go
+++ b/lab/relay/datagrams.go
@@ -18,11 +18,11 @@
 	maxDatagram     = 64 << 10
 )
 
-// Datagrams is a datagram network between ends that know each other by address. The relay has one socket for each
+// DatagramNetwork is a datagram network between ends that know each other by address. The relay has one socket for each
 // end. To end i, end j is the loopback address that encodes j, at the port of socket i. A datagram that arrives at
 // socket i for that address is sent on to end j, by socket j from the address that encodes i. So n sockets carry the
 // datagrams of all pairs, and each end sees a datagram's sender as without a relay.
-type Datagrams struct {
+type DatagramNetwork struct {
 	relay   *Relay
 	name    string
 	octet   byte // second octet of the addresses
@@ -51,9 +51,9 @@
 	Delivered  int
 }
 
-// Datagrams adds a network. Rules call its ends by their names.
-func (r *Relay) Datagrams(name string, ends []string) (*Datagrams, error) {
-	network := &Datagrams{relay: r, name: name}
+// AddDatagramNetwork adds a network. Rules call its ends by their names.
+func (r *Relay) AddDatagramNetwork(name string, ends []string) (*DatagramNetwork, error) {
+	network := &DatagramNetwork{relay: r, name: name}
 	for _, endName := range ends {
 		end, err := newEnd(endName, len(ends))
 		if err != nil {
@@ -89,26 +89,26 @@
 }
 
 // close closes the sockets.
-func (d *Datagrams) close() {
+func (d *DatagramNetwork) close() {
 	for _, end := range d.ends {
 		end.conn.Close()
 	}
 }
 
 // addrOf returns the address that encodes an end.
-func (d *Datagrams) addrOf(i int) netip.Addr {
+func (d *DatagramNetwork) addrOf(i int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, d.octet, byte((i + 1) >> 8), byte(i + 1)})
 }
 
 // indexOf is the inverse of addrOf. ok is false for an address of no end.
-func (d *Datagrams) indexOf(addr netip.Addr) (i int, ok bool) {
+func (d *DatagramNetwork) indexOf(addr netip.Addr) (i int, ok bool) {
 	octets := addr.As4()
 	i = int(octets[2])<<8 + int(octets[3]) - 1
 	return i, octets[1] == d.octet && i >= 0 && i < len(d.ends)
 }
 
 // PeerAddrs returns the addresses of all ends, itself among them, as end i is to know them.
-func (d *Datagrams) PeerAddrs(i int) (addrs []string) {
+func (d *DatagramNetwork) PeerAddrs(i int) (addrs []string) {
 	for peer := range d.ends {
 		addrs = append(addrs, netip.AddrPortFrom(d.addrOf(peer), d.ends[i].port).String())
 	}
@@ -117,12 +117,12 @@
 
 // SetAddr sets the address at which an end listens. Without it the address is learned from the first datagram that the
 // end sends.
-func (d *Datagrams) SetAddr(i int, addr netip.AddrPort) {
+func (d *DatagramNetwork) SetAddr(i int, addr netip.AddrPort) {
 	d.relay.Ask(func() { d.ends[i].addr = addr })
 }
 
 // Counts returns the counts of the network and of what each end sent.
-func (d *Datagrams) Counts() (all Counts, each []Counts) {
+func (d *DatagramNetwork) Counts() (all Counts, each []Counts) {
 	d.relay.Ask(func() {
 		all = d.counts
 		for _, end := range d.ends {
@@ -133,7 +133,7 @@
 }
 
 // read receives the datagrams of an end until its socket is closed.
-func (d *Datagrams) read(from int) {
+func (d *DatagramNetwork) read(from int) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, control, source, err := d.ends[from].conn.ReadFrom(buffer)
@@ -155,7 +155,7 @@
 }
 
 // forward delivers a datagram by the faults of its link.
-func (d *Datagrams) forward(from, to int, source netip.AddrPort, body []byte) {
+func (d *DatagramNetwork) forward(from, to int, source netip.AddrPort, body []byte) {
 	sender := d.ends[from]
 	sender.addr = netip.AddrPortFrom(source.Addr().Unmap(), source.Port())
 	sentBefore := sender.sent[to]
@@ -187,13 +187,13 @@
 }
 
 // count changes the counts of the network and of a sender.
-func (d *Datagrams) count(sender *end, change func(*Counts)) {
+func (d *DatagramNetwork) count(sender *end, change func(*Counts)) {
 	change(&d.counts)
 	change(&sender.counts)
 }
 
 // deliver sends a datagram to its receiver.
-func (d *Datagrams) deliver(from, to int, body []byte) {
+func (d *DatagramNetwork) deliver(from, to int, body []byte) {
 	sender, receiver := d.ends[from], d.ends[to]
 	if !receiver.addr.IsValid() {
 		d.count(sender, func(counts *Counts) { counts.Unroutable++ })
--- a/lab/relay/datagrams_test.go
+++ b/lab/relay/datagrams_test.go
@@ -13,7 +13,7 @@
 
 // testNetwork is a datagram network with a socket at each end.
 type testNetwork struct {
-	*Datagrams
+	*DatagramNetwork
 	t       *testing.T
 	sockets []*net.UDPConn
 }
@@ -21,11 +21,11 @@
 // newTestNetwork adds a network with named ends to a relay.
 func newTestNetwork(t *testing.T, relay *Relay, ends ...string) *testNetwork {
 	t.Helper()
-	datagrams, err := relay.Datagrams("test", ends)
+	datagrams, err := relay.AddDatagramNetwork("test", ends)
 	if err != nil {
 		t.Fatal(err)
 	}
-	network := &testNetwork{Datagrams: datagrams, t: t}
+	network := &testNetwork{DatagramNetwork: datagrams, t: t}
 	for i := range ends {
 		socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -35,7 +35,7 @@
 	seed     uint64
 	rules    map[string][]Rule
 	faultsOf map[link]Faults // by the present rules
-	networks []*Datagrams
+	networks []*DatagramNetwork
 	streams  []*Stream
 	blocked  []passRequest // of streams
 }
@@ -103,7 +103,7 @@
 
 // Close ends the relay and all that it carries, and waits for its goroutines.
 func (r *Relay) Close() {
-	var networks []*Datagrams
+	var networks []*DatagramNetwork
 	var streams []*Stream
 	r.Ask(func() {
 		networks = r.networks
--- a/lab/relay/stream.go
+++ b/lab/relay/stream.go
@@ -21,9 +21,9 @@
 	goroutines sync.WaitGroup
 }
 
-// Stream adds an address for connections from one end to another. target, where the other end listens, may be set later
+// AddStream adds an address for connections from one end to another. target, where the other end listens, may be set later
 // by SetTarget.
-func (r *Relay) Stream(from, to, target string) (*Stream, error) {
+func (r *Relay) AddStream(from, to, target string) (*Stream, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("stream from %s to %s: %w", from, to, err)
--- a/lab/relay/stream_test.go
+++ b/lab/relay/stream_test.go
@@ -35,7 +35,7 @@
 func TestStreamGoesOnAfterPartition(t *testing.T) {
 	relay := New(1)
 	defer relay.Close()
-	stream, err := relay.Stream("a", "b", startEcho(t))
+	stream, err := relay.AddStream("a", "b", startEcho(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/rollout/admin.go
+++ b/lab/rollout/admin.go
@@ -152,7 +152,7 @@
 				continue
 			}
 			status, err := p.Status(ctx, i)
-			if err == nil && status.Leads {
+			if err == nil && status.IsLeader {
 				return i, nil
 			}
 		}
--- a/lab/rollout/faults.go
+++ b/lab/rollout/faults.go
@@ -121,7 +121,7 @@
 	return Step{fmt.Sprintf("drain host %d", host), func(ctx context.Context, r *Run) error {
 		logPositions := make([]int, r.Scenario.Size.Gateways)
 		for member := range logPositions {
-			logPositions[member] = r.Fleet.Gateway(member).Mark()
+			logPositions[member] = r.Fleet.Gateway(member).LogEnd()
 		}
 		drained := r.Fleet.Host(host)
 		r.Fleet.Agent.Push(drained.Entry(emulator.Leaving))
@@ -206,14 +206,14 @@
 func RestartGateways(disk Disk, members ...int) Step {
 	description := fmt.Sprintf("restart %d gateways on %s", len(members), diskNames[disk])
 	return Step{description, func(ctx context.Context, r *Run) error {
-		r.Fleet.Clients.SetOutOfUse(true, members...)
+		r.Fleet.Clients.SetOutOfRotation(true, members...)
 		r.startOutage(members)
 		err := r.Fleet.ForEach(members, func(g *fleet.Gateway) error { return g.Restart(ctx, disk == DiskEmpty) })
 		if err != nil {
 			return err
 		}
 		r.endOutage(members)
-		r.Fleet.Clients.SetOutOfUse(false, members...)
+		r.Fleet.Clients.SetOutOfRotation(false, members...)
 		if disk == DiskEmpty {
 			return nil
 		}
@@ -305,7 +305,7 @@
 // restartWithDisk kills gateways, modifies the directory of their stored version by change and starts them again.
 // Clients do not use these gateways meanwhile.
 func (r *Run) restartWithDisk(ctx context.Context, members []int, change func(folder string) error) error {
-	r.Fleet.Clients.SetOutOfUse(true, members...)
+	r.Fleet.Clients.SetOutOfRotation(true, members...)
 	r.startOutage(members)
 	err := r.Fleet.ForEach(members, func(g *fleet.Gateway) error {
 		return errors.Join(g.Kill(), change(filepath.Join(g.Dir, storedVersionDir)), g.Restart(ctx, false))
@@ -314,6 +314,6 @@
 		return err
 	}
 	r.endOutage(members)
-	r.Fleet.Clients.SetOutOfUse(false, members...)
+	r.Fleet.Clients.SetOutOfRotation(false, members...)
 	return nil
 }
--- a/lab/rollout/figures.go
+++ b/lab/rollout/figures.go
@@ -156,8 +156,8 @@
 func gatewayUsage(load *fleet.Report, elapsed time.Duration) ResourceUsage {
 	var before, after []fleet.Usage
 	for i := range load.Gateways {
-		before = append(before, load.Gateways[i].Before)
-		after = append(after, load.Gateways[i].Usage)
+		before = append(before, load.Gateways[i].UsageAtStart)
+		after = append(after, load.Gateways[i].UsageAtEnd)
 	}
 	return newResourceUsage(before, after, elapsed)
 }
--- a/lab/rollout/hollow/followers.go
+++ b/lab/rollout/hollow/followers.go
@@ -239,7 +239,7 @@
 		AcceptedVersions:  counters.Accepted,
 		RefusedVersions:   counters.Refused,
 		DeferredSnapshots: counters.SnapshotsDeferred,
-		UnsavedVersions:   status.Unsaved,
+		UnsavedVersions:   status.UnsavedVersions,
 		LostConnections:   counters.ConnectionsLost,
 		AbandonedConnections: counters.Silent + counters.NoQuorum + counters.Stalled + counters.Behind +
 			counters.LogMismatches,
--- a/lab/rollout/hollow/group.go
+++ b/lab/rollout/hollow/group.go
@@ -223,9 +223,9 @@
 	if err != nil {
 		return "", err
 	}
-	if status.Digest != g.latest.Digest || status.Log != g.latest.Log || status.Counters.Malformed > 0 {
+	if status.Digest != g.latest.Digest || status.Log != g.latest.Log || status.Counters.MalformedMessages > 0 {
 		violation = fmt.Sprintf("publisher %d: digest %s of log %s, %d malformed messages", i, status.Digest, status.Log,
-			status.Counters.Malformed)
+			status.Counters.MalformedMessages)
 	}
 	return violation, nil
 }
--- a/lab/rollout/hollow/report.go
+++ b/lab/rollout/hollow/report.go
@@ -162,7 +162,7 @@
 		return "- | -"
 	}
 	form := string(fit.Form)
-	if fit.Bends {
+	if fit.NoFormFits {
 		form = "bends"
 	}
 	return fmt.Sprintf("%.2f, %.2f | %s, %.2f", fit.Exponent, fit.Residual, form, fit.Error)
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -92,7 +92,7 @@
 	description := fmt.Sprintf("%s to count %d more malformed connections", publisherName(i), len(hostile))
 	return r.waitUntil(ctx, description, func() bool {
 		now, err := r.Publishers.Status(ctx, i)
-		return err == nil && now.Counters.Malformed == before.Counters.Malformed+int64(len(hostile))
+		return err == nil && now.Counters.MalformedMessages == before.Counters.MalformedMessages+int64(len(hostile))
 	})
 }
 
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -109,13 +109,13 @@
 			return nil, err
 		}
 		p.processes = append(p.processes, fleet.NewProcess(fleet.ProcessOptions{
-			Name:       publisherName(i),
-			Index:      i,
-			Binary:     binary,
-			Variable:   "PUBLISHER_CONFIG",
-			ReadyEvent: "publisher_started",
-			Dir:        filepath.Join(options.Dir, publisherName(i), "work"),
-			Config:     cfg,
+			Name:           publisherName(i),
+			Index:          i,
+			Binary:         binary,
+			ConfigVariable: "PUBLISHER_CONFIG",
+			ReadyEvent:     "publisher_started",
+			Dir:            filepath.Join(options.Dir, publisherName(i), "work"),
+			Config:         cfg,
 		}))
 	}
 	err = p.forEach(func(process *fleet.Process) error { return errors.Join(process.Launch(), process.WaitServing(ctx)) })
@@ -149,7 +149,7 @@
 	for k, addresses := range p.addresses {
 		address := addresses.raft.String()
 		if k != i && options.Relay != nil {
-			stream, err := options.Relay.Stream(publisherName(i), publisherName(k), address)
+			stream, err := options.Relay.AddStream(publisherName(i), publisherName(k), address)
 			if err != nil {
 				return nil, err
 			}
@@ -240,7 +240,7 @@
 // Crashes describes each publisher that printed a stack trace and each unexpected exit of a publisher.
 func (p *PublisherGroup) Crashes() (crashes []string) {
 	for _, process := range p.processes {
-		if process.EventCounts()[fleet.UnnamedLine] > 0 {
+		if process.EventCounts()[fleet.LineWithoutEvent] > 0 {
 			crashes = append(crashes, fmt.Sprintf("%s printed a stack trace", process.Name))
 		}
 		for range fleet.UnexpectedExits(process.Events()) {
--- a/lab/rollout/refusals.go
+++ b/lab/rollout/refusals.go
@@ -61,7 +61,7 @@
 	shown := false
 	for i := range states {
 		for _, follower := range states[i].Followers {
-			if follower.Refused == 0 {
+			if follower.RefusedVersion == 0 {
 				continue
 			}
 			if !isRefusalBy(&follower, member, version) {
@@ -75,9 +75,9 @@
 
 // isRefusalBy reports whether a follower is the given member and refused the version because of its own resource.
 func isRefusalBy(follower *publisher.Follower, member int, version configsync.Version) bool {
-	resource := string(follower.Resource)
-	return follower.Member == member && follower.Refused == version && follower.InForce < version &&
-		resource == memberResource(member) && follower.Reason != ""
+	resource := string(follower.RefusedResource)
+	return follower.Member == member && follower.RefusedVersion == version && follower.InForce < version &&
+		resource == memberResource(member) && follower.RefusalReason != ""
 }
 
 // WaitNoRefusals returns a step that waits until the publishers show no refusal of a connected follower.
@@ -90,7 +90,7 @@
 			}
 			for i := range states {
 				for _, follower := range states[i].Followers {
-					if follower.Connected && follower.Refused > 0 {
+					if follower.Connected && follower.RefusedVersion > 0 {
 						return false
 					}
 				}
@@ -212,7 +212,7 @@
 func CheckLogLines(event string, count int, members ...int) Step {
 	return Step{fmt.Sprintf("check for %d lines of event %s", count, event), func(_ context.Context, r *Run) error {
 		for _, member := range members {
-			lines := r.Fleet.Gateway(member).Lines(event)
+			lines := r.Fleet.Gateway(member).EventLines(event)
 			if len(lines) != count {
 				return fmt.Errorf("%s logged the event %d times: %s",
 					fleet.GatewayName(member), len(lines), strings.Join(lines, "\n"))
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -149,7 +149,7 @@
 	var links []*relay.Stream
 	for i, publisher := range r.Publishers.addresses {
 		target := publisher.followers.String()
-		stream, err := r.Fleet.Relay.Stream(fleet.GatewayName(member), publisherName(i), target)
+		stream, err := r.Fleet.Relay.AddStream(fleet.GatewayName(member), publisherName(i), target)
 		if err != nil {
 			return nil, err
 		}
@@ -241,7 +241,7 @@
 	r.Record.Crashes = r.Publishers.Crashes()
 	r.publishersAfter = r.Publishers.usage()
 	for member, gateway := range r.Fleet.Gateways() {
-		r.Record.Histories[member].Counters = parseByteCounters(gateway.Lines("configuration_status"))
+		r.Record.Histories[member].Counters = parseByteCounters(gateway.EventLines("configuration_status"))
 	}
 	var err error
 	r.Record.Publishers, err = r.Publishers.states(ctx)
--- a/lab/scale/deployment.go
+++ b/lab/scale/deployment.go
@@ -43,15 +43,15 @@
 
 // hostList is a host list as discovery sends it, or what changed in it.
 type hostList struct {
-	Version int              `json:"version"`
-	Full    bool             `json:"full"`
-	Servers []emulator.Entry `json:"servers"`
+	Version int                  `json:"version"`
+	Full    bool                 `json:"full"`
+	Servers []emulator.HostEntry `json:"servers"`
 }
 
 // host returns host i with a state.
-func (d Deployment) host(i int, state string) emulator.Entry {
+func (d Deployment) host(i int, state string) emulator.HostEntry {
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7000)
-	return emulator.Entry{
+	return emulator.HostEntry{
 		ID:     fmt.Sprintf("host-%06d", i),
 		Addr:   address.String(),
 		Zone:   "a",
@@ -77,7 +77,7 @@
 	if n%2 == 1 {
 		state = emulator.Active
 	}
-	return json.Marshal(hostList{Version: 2 + n, Servers: []emulator.Entry{d.host(n/2%d.Hosts, state)}})
+	return json.Marshal(hostList{Version: 2 + n, Servers: []emulator.HostEntry{d.host(n/2%d.Hosts, state)}})
 }
 
 // members returns the size of the fleet in the configuration.
--- a/lab/simenv/config.go
+++ b/lab/simenv/config.go
@@ -16,8 +16,8 @@
 	LoadExponent float64       // power of the growth with load: 1 linear, 4 slow only under load
 	Sigma        float64       // standard deviation of the time's logarithm
 	FailureRate  float64       // fraction of attempts that fail at once
-	From         time.Duration // since the begin of the run: listed from then on
-	Until        time.Duration // and until then; 0: always
+	ListedFrom   time.Duration // since the begin of the run: listed from then on
+	ListedUntil  time.Duration // and until then; 0: always
 	NeverChosen  bool          // listed and available, but never chosen by any gateway
 	incarnation  uint32
 	inFlight     int
@@ -27,7 +27,7 @@
 type Config struct {
 	Seed                uint64
 	Gateways            int
-	Subset              int // hosts in a gateway's subset; 0: all
+	SubsetSize          int // hosts in a gateway's subset; 0: all
 	Hosts               []Host
 	Customers           int
 	CustomerSigma       float64 // standard deviation of the logarithm of the work of a customer's requests
@@ -45,9 +45,9 @@
 	Network Network
 	Faults  []Fault
 
-	Rule      counterfactual.Rule // replaces the gateways' rule for a share of the attempts
-	RuleShare float64
-	MaxCells  int // cells of a gateway's folder; 0: as many as needed
+	ReplacementRule  counterfactual.Rule // replaces the gateways' rule for a share of the attempts
+	ReplacementShare float64
+	MaxCells         int // cells of a gateway's folder; 0: as many as needed
 }
 
 // Network describes what happens to messages on their way to the ledger.
--- a/lab/simenv/gateway.go
+++ b/lab/simenv/gateway.go
@@ -30,7 +30,7 @@
 	usualLatency    [maxClasses]float64 // by request class, ms, smoothed; 0: not known
 	inFlight        map[uint32]int      // by host
 
-	folder *counterfactual.Folder
+	folder *counterfactual.Summarizer
 	window uint32     // number of the window under way
 	unsent []*message // not confirmed yet
 }
@@ -44,7 +44,7 @@
 }
 
 // startGateway starts a gateway with empty state.
-func (e *Environment) startGateway(gateway *gatewayModel) {
+func (e *Simulation) startGateway(gateway *gatewayModel) {
 	maxCells := e.config.MaxCells
 	if maxCells == 0 {
 		maxCells = ampleCells
@@ -58,14 +58,14 @@
 		hosts:           e.subset(gateway.index),
 		relativeLatency: map[uint32]float64{},
 		inFlight:        map[uint32]int{},
-		folder:          counterfactual.NewFolder(gateway.zone, maxCells),
+		folder:          counterfactual.NewSummarizer(gateway.zone, maxCells),
 	}
 	firstClose := 1 + time.Duration(e.random.Float64()*float64(e.config.Window))
 	e.after(firstClose, e.closeWindow(gateway, gateway.generation))
 }
 
 // subset returns the hosts that a gateway sends to, in hashed order.
-func (e *Environment) subset(gateway int) []*Host {
+func (e *Simulation) subset(gateway int) []*Host {
 	seed := hashMix(uint64(gateway) + 99)
 	hosts := slices.Clone(e.hosts)
 	slices.SortStableFunc(hosts, func(a, b *Host) int {
@@ -74,14 +74,14 @@
 		}
 		return 1
 	})
-	if e.config.Subset > 0 {
-		hosts = hosts[:min(e.config.Subset, len(hosts))]
+	if e.config.SubsetSize > 0 {
+		hosts = hosts[:min(e.config.SubsetSize, len(hosts))]
 	}
 	return hosts
 }
 
 // closeWindow returns the timer that closes a gateway's window and sends all unconfirmed messages.
-func (e *Environment) closeWindow(gateway *gatewayModel, generation int) func() {
+func (e *Simulation) closeWindow(gateway *gatewayModel, generation int) func() {
 	return func() {
 		if gateway.generation != generation {
 			return
@@ -99,9 +99,9 @@
 }
 
 // summarize turns the window under way into messages and begins the next one.
-func (e *Environment) summarize(gateway *gatewayModel) {
-	cells, seen, lost := gateway.folder.Close()
-	head := counterfactual.Part{
+func (e *Simulation) summarize(gateway *gatewayModel) {
+	cells, seen, lost := gateway.folder.Flush()
+	head := counterfactual.SummaryPart{
 		Gateway:      uint32(gateway.index),
 		Zone:         uint8(gateway.zone),
 		Incarnation:  gateway.incarnation,
@@ -117,7 +117,7 @@
 }
 
 // send sends a message through the network.
-func (e *Environment) send(gateway *gatewayModel, m *message) {
+func (e *Simulation) send(gateway *gatewayModel, m *message) {
 	body := m.encode(uint32(e.now.Sub(m.end) / time.Millisecond))
 	network := &e.config.Network
 	copies := 1
@@ -134,10 +134,10 @@
 }
 
 // receive merges a message into the ledger; the confirmation may be lost.
-func (e *Environment) receive(m *message, body []byte) {
+func (e *Simulation) receive(m *message, body []byte) {
 	part, err := counterfactual.Decode(body)
 	if err != nil {
-		e.Undecodable++
+		e.UndecodableMessages++
 		return
 	}
 	if e.Ledger.Receive(part, e.now) && e.random.Float64() >= e.config.Network.Loss {
@@ -147,13 +147,13 @@
 
 // unreported drops the window under way and returns its number of attempts.
 func (g *gatewayModel) unreported() int {
-	_, seen, _ := g.folder.Close()
+	_, seen, _ := g.folder.Flush()
 	return int(seen)
 }
 
 // candidateSet returns the available hosts, the chosen one first and the customer's next in rank second, if there is
 // one. It returns none if no host can be chosen.
-func (e *Environment) candidateSet(gateway *gatewayModel, customer int) (candidates []counterfactual.Candidate,
+func (e *Simulation) candidateSet(gateway *gatewayModel, customer int) (candidates []counterfactual.Candidate,
 	hosts []*Host) {
 	candidates, hosts, leastLoad := e.available(gateway)
 	choosable := func(i int) bool { return candidates[i].Load <= leastLoad*loadBound && !hosts[i].NeverChosen }
@@ -198,12 +198,12 @@
 
 // available returns a gateway's hosts that are listed now, each with its load as the gateway estimates it, and the
 // least load of one that may be chosen.
-func (e *Environment) available(gateway *gatewayModel) (candidates []counterfactual.Candidate, hosts []*Host,
+func (e *Simulation) available(gateway *gatewayModel) (candidates []counterfactual.Candidate, hosts []*Host,
 	leastLoad float64) {
 	elapsed := e.now.Sub(simulatedStart)
 	leastLoad = math.Inf(1)
 	for _, host := range gateway.hosts {
-		if elapsed < host.From || host.Until > 0 && elapsed >= host.Until {
+		if elapsed < host.ListedFrom || host.ListedUntil > 0 && elapsed >= host.ListedUntil {
 			continue
 		}
 		load := gateway.latencyOf(host) * float64(gateway.inFlight[host.ID]+1)
--- a/lab/simenv/outcome.go
+++ b/lab/simenv/outcome.go
@@ -11,11 +11,11 @@
 
 // GroundTruth is the response times that the same attempts would have had by a rule.
 type GroundTruth struct {
-	Requests float64
-	Mean     float64 // ms, of the response time or the latency objective, whichever is shorter
-	P50      float64 // ms
-	P99      float64 // ms
-	Within   float64 // fraction within the objective
+	Requests        float64
+	Mean            float64 // ms, of the response time or the latency objective, whichever is shorter
+	P50             float64 // ms
+	P99             float64 // ms
+	WithinObjective float64 // fraction within the objective
 }
 
 // outcomeKey names a sample of response times.
@@ -32,7 +32,7 @@
 }
 
 // recordOutcome adds a response time in ms to a sample.
-func (e *Environment) recordOutcome(key outcomeKey, time, weight float64) {
+func (e *Simulation) recordOutcome(key outcomeKey, time, weight float64) {
 	sample := e.outcomes[key]
 	if sample == nil {
 		sample = &Sample{}
@@ -47,13 +47,13 @@
 	s.weights = append(s.weights, weight)
 }
 
-// InForce returns the response times that a request class had in the run.
-func (e *Environment) InForce(class int) GroundTruth {
+// ActualResponseTimes returns the response times that a request class had in the run.
+func (e *Simulation) ActualResponseTimes(class int) GroundTruth {
 	return e.GroundTruth(ruleInForce, class, 0)
 }
 
 // GroundTruth returns the response times that a request class would have had by a rule; host is that of rule Single.
-func (e *Environment) GroundTruth(rule counterfactual.Rule, class int, host uint32) GroundTruth {
+func (e *Simulation) GroundTruth(rule counterfactual.Rule, class int, host uint32) GroundTruth {
 	sample := e.outcomes[outcomeKey{rule, class, host}]
 	if sample == nil {
 		return GroundTruth{}
@@ -72,7 +72,7 @@
 		truth.Requests += s.weights[i]
 		truth.Mean += s.weights[i] * min(s.values[i], objective)
 		if s.values[i] <= objective {
-			truth.Within += s.weights[i]
+			truth.WithinObjective += s.weights[i]
 		}
 	}
 	below := 0.0
@@ -86,7 +86,7 @@
 		}
 	}
 	truth.Mean /= truth.Requests
-	truth.Within /= truth.Requests
+	truth.WithinObjective /= truth.Requests
 	return truth
 }
 
--- a/lab/simenv/request.go
+++ b/lab/simenv/request.go
@@ -9,7 +9,7 @@
 )
 
 // scheduleRequest draws the next request and schedules it; each request schedules the one after it.
-func (e *Environment) scheduleRequest(number uint64) {
+func (e *Simulation) scheduleRequest(number uint64) {
 	config := &e.config
 	seconds := float64(e.now.Sub(simulatedStart)) / float64(time.Second)
 	rate := config.RequestRate
@@ -46,7 +46,7 @@
 }
 
 // route sends a request to a host.
-func (e *Environment) route(gateway *gatewayModel, request uint64, customer, class int) {
+func (e *Simulation) route(gateway *gatewayModel, request uint64, customer, class int) {
 	if gateway.stopped {
 		return
 	}
@@ -73,7 +73,7 @@
 }
 
 // collectOutcomes collects the response times that this attempt would have by each rule, under the present load.
-func (e *Environment) collectOutcomes(a *attempt) {
+func (e *Simulation) collectOutcomes(a *attempt) {
 	add := func(rule counterfactual.Rule, host uint32) {
 		for i, share := range RuleShares(rule, a.candidates, host) {
 			if share > 0 {
@@ -93,12 +93,12 @@
 }
 
 // applyRule lets Config.Rule choose in place of the gateway for its share of the attempts.
-func (e *Environment) applyRule(a *attempt) {
-	if e.config.RuleShare <= 0 || uniform(e.config.Seed, a.request, 31) >= e.config.RuleShare {
+func (e *Simulation) applyRule(a *attempt) {
+	if e.config.ReplacementShare <= 0 || uniform(e.config.Seed, a.request, 31) >= e.config.ReplacementShare {
 		return
 	}
 	draw := uniform(e.config.Seed, a.request, 32)
-	for i, share := range RuleShares(e.config.Rule, a.candidates, 0) {
+	for i, share := range RuleShares(e.config.ReplacementRule, a.candidates, 0) {
 		draw -= share
 		if draw < 0 {
 			a.candidates[0], a.candidates[i] = a.candidates[i], a.candidates[0]
@@ -110,7 +110,7 @@
 }
 
 // start begins the attempt at the first candidate and schedules its end.
-func (e *Environment) start(a *attempt) {
+func (e *Simulation) start(a *attempt) {
 	host := a.hosts[0]
 	latency, end := e.observed(a)
 	host.inFlight++
@@ -131,7 +131,7 @@
 }
 
 // observed returns the attempt's latency at the gateway, in ms, and how it ends there.
-func (e *Environment) observed(a *attempt) (latency float64, end counterfactual.End) {
+func (e *Simulation) observed(a *attempt) (latency float64, end counterfactual.Outcome) {
 	latency = a.times[0]
 	leave := uniform(e.config.Seed, a.request, 41) * a.objective
 	leaves := uniform(e.config.Seed, a.request, 40) < e.config.ClientLeaveRate
@@ -147,7 +147,7 @@
 }
 
 // finish ends an attempt at its gateway and hands its record to the folder.
-func (e *Environment) finish(a *attempt, latency float64, end counterfactual.End) {
+func (e *Simulation) finish(a *attempt, latency float64, end counterfactual.Outcome) {
 	host := a.hosts[0]
 	a.gateway.inFlight[host.ID]--
 	if end != counterfactual.Failed {
@@ -163,7 +163,7 @@
 }
 
 // responseTime returns how long a host would take for an attempt with its current load, in ms; +Inf if it fails.
-func (e *Environment) responseTime(gateway *gatewayModel, host *Host, request uint64, customer, class int) float64 {
+func (e *Simulation) responseTime(gateway *gatewayModel, host *Host, request uint64, customer, class int) float64 {
 	seed := e.config.Seed
 	if uniform(seed, request, uint64(host.ID), 77) < host.FailureRate {
 		return math.Inf(1)
--- a/lab/simenv/scenarios.go
+++ b/lab/simenv/scenarios.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Base returns a calm fleet of 24 gateways and 12 hosts, some twice as fast as others.
-func Base(seed uint64) Config {
+// BaseConfig returns a calm fleet of 24 gateways and 12 hosts, some twice as fast as others.
+func BaseConfig(seed uint64) Config {
 	config := Config{
 		Seed:                seed,
 		Gateways:            24,
@@ -35,9 +35,9 @@
 
 // Scenario is a hard case.
 type Scenario struct {
-	Name        string
-	Configure   func(c *Config)
-	RefusedWith string // a refusal that all answers must have; "": none
+	Name            string
+	Configure       func(c *Config)
+	ExpectedRefusal string // a refusal that all answers must have; "": none
 }
 
 const gatewaysMissing = "gateways missing"
@@ -62,7 +62,7 @@
 	{Name: "a gateway killed with its unsent summary, and back", Configure: func(c *Config) {
 		c.Faults = []Fault{{Gateway: 5, At: 9500 * time.Millisecond, Until: 11 * time.Second}}
 	}},
-	{Name: "three gateways killed for good", RefusedWith: gatewaysMissing, Configure: func(c *Config) {
+	{Name: "three gateways killed for good", ExpectedRefusal: gatewaysMissing, Configure: func(c *Config) {
 		for gateway := range 3 {
 			c.Faults = append(c.Faults, Fault{Gateway: gateway, At: 8 * time.Second})
 		}
@@ -82,7 +82,7 @@
 	}},
 	{Name: "each customer at one gateway only", Configure: func(c *Config) { c.GatewaysPerCustomer = 1 }},
 	{Name: "few customers", Configure: func(c *Config) { c.Customers = 15 }},
-	{Name: "subsets of the hosts", Configure: func(c *Config) { c.Subset = 6 }},
+	{Name: "subsets of the hosts", Configure: func(c *Config) { c.SubsetSize = 6 }},
 	{Name: "slow hosts that time out", Configure: func(c *Config) {
 		c.Hosts[1].BaseTime = 250
 		c.Hosts[2].BaseTime = 400
@@ -91,16 +91,16 @@
 	{Name: "a third of the traffic", Configure: func(c *Config) { c.RequestRate /= 3 }},
 	{Name: "hosts of very different speeds", Configure: spreadSpeeds},
 	{Name: "another zone far away", Configure: func(c *Config) { c.CrossZoneDelay = 25 }},
-	{Name: "tables too small", RefusedWith: gatewaysMissing, Configure: func(c *Config) { c.MaxCells = 30 }},
+	{Name: "tables too small", ExpectedRefusal: gatewaysMissing, Configure: func(c *Config) { c.MaxCells = 30 }},
 }
 
 // replaceHosts replaces four hosts by slower ones with the same ids.
 func replaceHosts(c *Config) {
 	for i := range 4 {
-		c.Hosts[i].Until = 10 * time.Second
+		c.Hosts[i].ListedUntil = 10 * time.Second
 		next := c.Hosts[i]
-		next.From = 10 * time.Second
-		next.Until = 0
+		next.ListedFrom = 10 * time.Second
+		next.ListedUntil = 0
 		next.BaseTime *= 1.8
 		c.Hosts = append(c.Hosts, next)
 	}
--- a/lab/simenv/score.go
+++ b/lab/simenv/score.go
@@ -19,28 +19,28 @@
 
 // Score counts how estimates compare with the ground truth, over runs.
 type Score struct {
-	Answers      int            // all answers
-	Answered     int            // answers that were not refused altogether
-	Means        int            // estimated means
-	MeansOff     int            // means off by more than maxMeanError
-	P99s         int            // estimated p99
-	P99sOff      int            // p99 off by more than maxP99Error
-	Figures      int            // estimated figures
-	Covered      int            // figures whose interval covers the ground truth
-	RulePairs    int            // pairs of rules whose true means differ by more than minPairGap
-	PairsInOrder int            // pairs that the estimates put in the right order
-	MeanWidth    float64        // sum of the means' half widths, relative
-	MeanError    float64        // sum of the means' errors, relative
-	Refused      map[string]int // refusals by reason
-	Estimators   map[string]int // answers by estimator
-	OffFigures   []string       // means and p99 that are too far off
-	Uncovered    []string       // figures whose interval does not cover the ground truth
+	Answers           int            // all answers
+	Answered          int            // answers that were not refused altogether
+	Means             int            // estimated means
+	InaccurateMeans   int            // means off by more than maxMeanError
+	P99s              int            // estimated p99
+	InaccurateP99s    int            // p99 off by more than maxP99Error
+	Figures           int            // estimated figures
+	Covered           int            // figures whose interval covers the ground truth
+	ComparedPairs     int            // pairs of rules whose true means differ by more than minPairGap
+	PairsInOrder      int            // pairs that the estimates put in the right order
+	HalfWidthSum      float64        // sum of the means' half widths, relative
+	MeanErrorSum      float64        // sum of the means' errors, relative
+	Refusals          map[string]int // refusals by reason
+	Estimators        map[string]int // answers by estimator
+	InaccurateFigures []string       // means and p99 that are too far off
+	Uncovered         []string       // figures whose interval does not cover the ground truth
 }
 
 // init creates the maps.
 func (s *Score) init() {
-	if s.Refused == nil {
-		s.Refused = map[string]int{}
+	if s.Refusals == nil {
+		s.Refusals = map[string]int{}
 		s.Estimators = map[string]int{}
 	}
 }
@@ -51,22 +51,22 @@
 	s.Answers += o.Answers
 	s.Answered += o.Answered
 	s.Means += o.Means
-	s.MeansOff += o.MeansOff
+	s.InaccurateMeans += o.InaccurateMeans
 	s.P99s += o.P99s
-	s.P99sOff += o.P99sOff
+	s.InaccurateP99s += o.InaccurateP99s
 	s.Figures += o.Figures
 	s.Covered += o.Covered
-	s.RulePairs += o.RulePairs
+	s.ComparedPairs += o.ComparedPairs
 	s.PairsInOrder += o.PairsInOrder
-	s.MeanWidth += o.MeanWidth
-	s.MeanError += o.MeanError
-	for k, n := range o.Refused {
-		s.Refused[k] += n
+	s.HalfWidthSum += o.HalfWidthSum
+	s.MeanErrorSum += o.MeanErrorSum
+	for k, n := range o.Refusals {
+		s.Refusals[k] += n
 	}
 	for k, n := range o.Estimators {
 		s.Estimators[k] += n
 	}
-	s.OffFigures = append(s.OffFigures, o.OffFigures...)
+	s.InaccurateFigures = append(s.InaccurateFigures, o.InaccurateFigures...)
 	s.Uncovered = append(s.Uncovered, o.Uncovered...)
 }
 
@@ -78,15 +78,15 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "asked %d, means %d (%.1f%% off by over 10%%; error %.1f%%, half width %.1f%%), p99 %d (%.1f%% "+
 		"off by over 20%%), intervals hold %.1f%% of %d, pairs right %d of %d; by", s.Answers, s.Means,
-		100*fraction(s.MeansOff, s.Means), 100*s.MeanError/float64(max(s.Means, 1)), 100*s.MeanWidth/float64(max(s.Means, 1)),
+		100*fraction(s.InaccurateMeans, s.Means), 100*s.MeanErrorSum/float64(max(s.Means, 1)), 100*s.HalfWidthSum/float64(max(s.Means, 1)),
 		s.P99s,
-		100*fraction(s.P99sOff, s.P99s), 100*fraction(s.Covered, s.Figures), s.Figures, s.PairsInOrder, s.RulePairs)
+		100*fraction(s.InaccurateP99s, s.P99s), 100*fraction(s.Covered, s.Figures), s.Figures, s.PairsInOrder, s.ComparedPairs)
 	for _, k := range slices.Sorted(maps.Keys(s.Estimators)) {
 		fmt.Fprintf(&b, " %s %d", k, s.Estimators[k])
 	}
 	b.WriteString("; refused")
-	for _, k := range slices.Sorted(maps.Keys(s.Refused)) {
-		fmt.Fprintf(&b, " %q %d", k, s.Refused[k])
+	for _, k := range slices.Sorted(maps.Keys(s.Refusals)) {
+		fmt.Fprintf(&b, " %q %d", k, s.Refusals[k])
 	}
 	return b.String()
 }
@@ -96,7 +96,7 @@
 	s.init()
 	s.Answers++
 	if answer.Refused != "" {
-		s.Refused[refusalReason(answer.Refused)]++
+		s.Refusals[refusalReason(answer.Refused)]++
 		return
 	}
 	s.Answered++
@@ -104,19 +104,19 @@
 	mean := comparedFigure{answer, "mean", &answer.Mean, truth.Mean}
 	if s.cover(mean) {
 		s.Means++
-		s.MeanWidth += (mean.figure.High - mean.figure.Value) / mean.figure.Value
-		s.MeanError += math.Abs(mean.figure.Value-mean.truth) / mean.truth
+		s.HalfWidthSum += (mean.figure.High - mean.figure.Value) / mean.figure.Value
+		s.MeanErrorSum += math.Abs(mean.figure.Value-mean.truth) / mean.truth
 		if s.isOff(mean, maxMeanError) {
-			s.MeansOff++
+			s.InaccurateMeans++
 		}
 	}
 	s.cover(comparedFigure{answer, "p50", &answer.P50, truth.P50})
-	s.cover(comparedFigure{answer, "within", &answer.Within, truth.Within})
+	s.cover(comparedFigure{answer, "within", &answer.WithinObjective, truth.WithinObjective})
 	p99 := comparedFigure{answer, "p99", &answer.P99, truth.P99}
 	if s.cover(p99) {
 		s.P99s++
 		if s.isOff(p99, maxP99Error) {
-			s.P99sOff++
+			s.InaccurateP99s++
 		}
 	}
 }
@@ -138,8 +138,8 @@
 // cover counts a figure and whether its interval covers the true value. It reports false if the figure was refused.
 func (s *Score) cover(compared comparedFigure) bool {
 	figure := compared.figure
-	if !figure.Given() {
-		s.Refused[compared.name+" "+refusalReason(figure.Refused)]++
+	if !figure.Available() {
+		s.Refusals[compared.name+" "+refusalReason(figure.Refused)]++
 		return false
 	}
 	s.Figures++
@@ -156,7 +156,7 @@
 	if math.Abs(compared.figure.Value-compared.truth) <= maxError*compared.truth {
 		return false
 	}
-	s.OffFigures = append(s.OffFigures, compared.String())
+	s.InaccurateFigures = append(s.InaccurateFigures, compared.String())
 	return true
 }
 
@@ -167,12 +167,12 @@
 	for i := range answers {
 		for j := range i {
 			a, b := &answers[i], &answers[j]
-			if !a.Mean.Given() || !b.Mean.Given() || (a.Host == "") != (b.Host == "") {
+			if !a.Mean.Available() || !b.Mean.Available() || (a.Host == "") != (b.Host == "") {
 				continue
 			}
 			difference := truths[i].Mean - truths[j].Mean
 			if math.Abs(difference) > minPairGap*min(truths[i].Mean, truths[j].Mean) {
-				s.RulePairs++
+				s.ComparedPairs++
 				if (a.Mean.Value > b.Mean.Value) == (difference > 0) {
 					s.PairsInOrder++
 				}
@@ -187,9 +187,9 @@
 	return text
 }
 
-// EvaluateReplaced queries what each rule would have met if it were in force for a share of all attempts, and compares
+// EvaluateReplacement queries what each rule would have met if it were in force for a share of all attempts, and compares
 // the answers with a run of the same requests in which it is.
-func EvaluateReplaced(config Config, share float64) *Score {
+func EvaluateReplacement(config Config, share float64) *Score {
 	score := &Score{}
 	environment := Run(config)
 	for _, rule := range []counterfactual.Rule{
@@ -198,19 +198,19 @@
 		counterfactual.OtherZone,
 		counterfactual.LeastLoaded,
 	} {
-		config.Rule = rule
-		config.RuleShare = share
+		config.ReplacementRule = rule
+		config.ReplacementShare = share
 		replaced := Run(config)
 		for class := range config.Objectives {
-			answer := environment.Ledger.Replaced(class, rule, share, environment.From, environment.To)
-			score.Compare(&answer, replaced.InForce(class))
+			answer := environment.Ledger.EstimateReplacement(class, rule, share, environment.FirstBin, environment.LastBin)
+			score.Compare(&answer, replaced.ActualResponseTimes(class))
 		}
 	}
 	return score
 }
 
-// EvaluateSingle makes all queries with one request moved at a time, and compares the answers with the ground truth.
-func (e *Environment) EvaluateSingle() *Score {
+// EvaluateRulesAndHosts makes all queries with one request moved at a time, and compares the answers with the ground truth.
+func (e *Simulation) EvaluateRulesAndHosts() *Score {
 	score := &Score{}
 	score.init()
 	for class := range e.config.Objectives {
@@ -221,8 +221,8 @@
 }
 
 // evaluateRules compares the answers for the rules.
-func (e *Environment) evaluateRules(score *Score, class int) {
-	answers := e.Ledger.Panel(class, e.From, e.To)
+func (e *Simulation) evaluateRules(score *Score, class int) {
+	answers := e.Ledger.EstimateRules(class, e.FirstBin, e.LastBin)
 	truths := make([]GroundTruth, len(answers))
 	for i := range answers {
 		truths[i] = e.GroundTruth(counterfactual.Rule(i), class, 0)
@@ -232,11 +232,11 @@
 }
 
 // evaluateHosts compares the answers for single hosts.
-func (e *Environment) evaluateHosts(score *Score, class int) {
+func (e *Simulation) evaluateHosts(score *Score, class int) {
 	var answers []counterfactual.Answer
 	var truths []GroundTruth
 	for _, host := range e.hosts {
-		answer := e.Ledger.SingleHost(class, host.ID, e.From, e.To)
+		answer := e.Ledger.EstimateSingleHost(class, host.ID, e.FirstBin, e.LastBin)
 		truth := e.GroundTruth(counterfactual.OneHost, class, host.ID)
 		score.Compare(&answer, truth)
 		answers = append(answers, answer)
--- a/lab/simenv/simenv.go
+++ b/lab/simenv/simenv.go
@@ -19,13 +19,13 @@
 // simulatedStart is the simulated time at which a run begins.
 const simulatedStart = clock.Instant(1000 * time.Second)
 
-// Environment is a run that has ended.
-type Environment struct {
-	Ledger      *counterfactual.Ledger
-	From        counterfactual.BinNumber // first bin of the run
-	To          counterfactual.BinNumber // last bin of the run
-	Undecodable int                      // messages that could not be decoded
-	LostRecords int                      // attempts whose record was never reported
+// Simulation is a run that has ended.
+type Simulation struct {
+	Ledger              *counterfactual.Ledger
+	FirstBin            counterfactual.BinNumber // first bin of the run
+	LastBin             counterfactual.BinNumber // last bin of the run
+	UndecodableMessages int                      // messages that could not be decoded
+	LostRecords         int                      // attempts whose record was never reported
 
 	config          Config
 	random          *rand.Rand
@@ -38,8 +38,8 @@
 }
 
 // Run simulates a fleet to the end of its run.
-func Run(config Config) *Environment {
-	e := &Environment{
+func Run(config Config) *Simulation {
+	e := &Simulation{
 		config:   config,
 		random:   rand.New(rand.NewPCG(config.Seed, 1)),
 		now:      simulatedStart,
@@ -53,8 +53,8 @@
 	e.scheduleRequest(0)
 	end := simulatedStart.Add(config.Duration)
 	e.runUntil(end.Add(20 * config.Window))
-	e.From = binOf(simulatedStart, config.Window)
-	e.To = binOf(end, config.Window) + 2
+	e.FirstBin = binOf(simulatedStart, config.Window)
+	e.LastBin = binOf(end, config.Window) + 2
 	return e
 }
 
@@ -66,13 +66,13 @@
 // newLedger returns the collector's ledger.
 func newLedger(config Config) *counterfactual.Ledger {
 	settings := counterfactual.Settings{
-		Gateways:   config.Gateways,
-		Window:     config.Window,
-		Grace:      3 * config.Window,
-		KeptBins:   int(config.Duration/config.Window) + 50,
-		MaxCells:   1 << 20,
-		MaxMissing: 0.05,
-		Objectives: config.Objectives,
+		Gateways:        config.Gateways,
+		Window:          config.Window,
+		Grace:           3 * config.Window,
+		KeptBins:        int(config.Duration/config.Window) + 50,
+		MaxCells:        1 << 20,
+		MaxMissingShare: 0.05,
+		Objectives:      config.Objectives,
 	}
 	for i := range config.Objectives {
 		settings.Classes = append(settings.Classes, string(rune('a'+i)))
@@ -80,14 +80,14 @@
 	return counterfactual.NewLedger(settings)
 }
 
-func (e *Environment) addHosts() {
+func (e *Simulation) addHosts() {
 	for _, host := range e.config.Hosts {
-		host.incarnation = uint32(host.From / time.Second)
+		host.incarnation = uint32(host.ListedFrom / time.Second)
 		e.hosts = append(e.hosts, &host)
 	}
 }
 
-func (e *Environment) addGateways() {
+func (e *Simulation) addGateways() {
 	for i := range e.config.Gateways {
 		gateway := &gatewayModel{index: i, zone: i % 2, incarnation: 1}
 		e.gateways = append(e.gateways, gateway)
@@ -95,7 +95,7 @@
 	}
 }
 
-func (e *Environment) scheduleFaults() {
+func (e *Simulation) scheduleFaults() {
 	for _, fault := range e.config.Faults {
 		gateway := e.gateways[fault.Gateway]
 		e.at(simulatedStart.Add(fault.At), func() {
@@ -120,7 +120,7 @@
 }
 
 // addCustomers draws the customers' request rates: some send many more requests than others.
-func (e *Environment) addCustomers() {
+func (e *Simulation) addCustomers() {
 	total := 0.0
 	for customer := range e.config.Customers {
 		total += math.Exp(1.2 * gaussian(e.config.Seed, uint64(customer), 9))
@@ -129,16 +129,16 @@
 }
 
 // at schedules an event.
-func (e *Environment) at(at clock.Instant, event func()) { e.schedule.Add(int64(at), event) }
+func (e *Simulation) at(at clock.Instant, event func()) { e.schedule.Add(int64(at), event) }
 
 // after schedules an event after a delay.
-func (e *Environment) after(delay time.Duration, event func()) { e.at(e.now.Add(delay), event) }
+func (e *Simulation) after(delay time.Duration, event func()) { e.at(e.now.Add(delay), event) }
 
 // milliseconds returns a duration of a number of milliseconds.
 func milliseconds(number float64) time.Duration { return time.Duration(number * 1e6) }
 
 // runUntil runs all events up to a time.
-func (e *Environment) runUntil(end clock.Instant) {
+func (e *Simulation) runUntil(end clock.Instant) {
 	for e.schedule.Len() > 0 {
 		at, event := e.schedule.Next()
 		if clock.Instant(at) > end {
--- a/lab/simenv/simenv_test.go
+++ b/lab/simenv/simenv_test.go
@@ -37,14 +37,14 @@
 		fmt.Fprintf(&text, "%s: %s\n", scenario.Name, scores[i].String())
 	}
 	t.Log(all.String())
-	meansOff := fraction(all.MeansOff, all.Means) > 0.02
-	p99sOff := fraction(all.P99sOff, all.P99s) > 0.05
+	meansOff := fraction(all.InaccurateMeans, all.Means) > 0.02
+	p99sOff := fraction(all.InaccurateP99s, all.P99s) > 0.05
 	if all.Means < 120*n || meansOff || p99sOff {
 		t.Errorf("of %d means %d are more than 10%% off, of %d p99 %d more than 20%%",
-			all.Means, all.MeansOff, all.P99s, all.P99sOff)
+			all.Means, all.InaccurateMeans, all.P99s, all.InaccurateP99s)
 	}
-	if all.RulePairs < 10*n || fraction(all.PairsInOrder, all.RulePairs) < 0.95 {
-		t.Errorf("of %d pairs %d in the right order", all.RulePairs, all.PairsInOrder)
+	if all.ComparedPairs < 10*n || fraction(all.PairsInOrder, all.ComparedPairs) < 0.95 {
+		t.Errorf("of %d pairs %d in the right order", all.ComparedPairs, all.PairsInOrder)
 	}
 	if full {
 		text.WriteString("all: " + all.String() + "\n")
@@ -58,13 +58,13 @@
 func evaluateScenario(t *testing.T, scenario Scenario, seeds int) (score Score) {
 	t.Helper()
 	for seed := range seeds {
-		config := Base(uint64(seed) + 1)
+		config := BaseConfig(uint64(seed) + 1)
 		scenario.Configure(&config)
-		score.Add(Run(config).EvaluateSingle())
+		score.Add(Run(config).EvaluateRulesAndHosts())
 	}
-	t.Log(score.String(), "\n", strings.Join(score.OffFigures, "\n"))
-	if scenario.RefusedWith != "" && score.Refused[scenario.RefusedWith] != score.Answers {
-		t.Errorf("not all refused with %q", scenario.RefusedWith)
+	t.Log(score.String(), "\n", strings.Join(score.InaccurateFigures, "\n"))
+	if scenario.ExpectedRefusal != "" && score.Refusals[scenario.ExpectedRefusal] != score.Answers {
+		t.Errorf("not all refused with %q", scenario.ExpectedRefusal)
 	}
 	if score.Figures > 50 && fraction(score.Covered, score.Figures) < 0.9 {
 		t.Errorf("intervals cover %d of %d", score.Covered, score.Figures)
@@ -74,15 +74,15 @@
 
 // A host that is never chosen has no figure, nor has a rule that would send a relevant share there.
 func TestHostNeverChosenHasNoFigure(t *testing.T) {
-	config := Base(1)
+	config := BaseConfig(1)
 	config.Hosts[7].NeverChosen = true
 	environment := Run(config)
 	ledger := environment.Ledger
-	answer := ledger.SingleHost(0, config.Hosts[7].ID, environment.From, environment.To)
-	if !strings.HasPrefix(answer.Refused, "no overlap") || answer.Mean.Given() {
+	answer := ledger.EstimateSingleHost(0, config.Hosts[7].ID, environment.FirstBin, environment.LastBin)
+	if !strings.HasPrefix(answer.Refused, "no overlap") || answer.Mean.Available() {
 		t.Errorf("%+v", answer)
 	}
-	for _, answer := range ledger.Panel(0, environment.From, environment.To) {
+	for _, answer := range ledger.EstimateRules(0, environment.FirstBin, environment.LastBin) {
 		if answer.Rule == "chance" && !strings.HasPrefix(answer.Refused, "no overlap: host=107 ") {
 			t.Errorf("%+v", answer)
 		}
@@ -94,16 +94,16 @@
 	n, full := seeds()
 	var all Score
 	for seed := range n {
-		config := Base(uint64(seed) + 1)
+		config := BaseConfig(uint64(seed) + 1)
 		config.SwingAmplitude = 0.6
 		config.SwingPeriod = 20 * time.Second
 		config.Duration = 60 * time.Second
-		all.Add(EvaluateReplaced(config, 0.3))
+		all.Add(EvaluateReplacement(config, 0.3))
 	}
-	t.Log(all.String(), "\n", strings.Join(all.OffFigures, "\n"))
+	t.Log(all.String(), "\n", strings.Join(all.InaccurateFigures, "\n"))
 	uncovered := fraction(all.Covered, all.Figures) < 0.9
-	refused := all.Refused["the rule follows the load"]
-	if all.Means < 3*n || all.MeansOff > 0 || uncovered || refused != 2*n {
+	refused := all.Refusals["the rule follows the load"]
+	if all.Means < 3*n || all.InaccurateMeans > 0 || uncovered || refused != 2*n {
 		t.Error("off, or not estimated")
 	}
 	if full {
@@ -117,10 +117,10 @@
 // In a calm fleet a slow host has few attempts at a time. A rule that would send it three times as many is beyond the
 // loads seen, and is refused.
 func TestRuleBeyondSeenLoadsIsRefused(t *testing.T) {
-	config := Base(1)
+	config := BaseConfig(1)
 	spreadSpeeds(&config)
 	environment := Run(config)
-	answer := environment.Ledger.Replaced(0, counterfactual.Random, 1, environment.From, environment.To)
+	answer := environment.Ledger.EstimateReplacement(0, counterfactual.Random, 1, environment.FirstBin, environment.LastBin)
 	if !strings.HasPrefix(answer.Refused, "load outside the range seen: host=") {
 		t.Errorf("%+v", answer)
 	}
--- a/lab/slowstartsim/decisions.go
+++ b/lab/slowstartsim/decisions.go
@@ -34,8 +34,8 @@
 	if s.partitioned(s.deciding%3 == 0, host < s.config.Hosts/3) {
 		return connectTimeout, gateway.Unreachable
 	}
-	firstHealthy := s.config.NewHosts + int(s.config.Failing*float64(s.config.Hosts-s.config.NewHosts))
-	if host >= s.config.NewHosts && host < firstHealthy && s.sinceStart() >= s.config.Lull {
+	firstHealthy := s.config.NewHosts + int(s.config.FailingFraction*float64(s.config.Hosts-s.config.NewHosts))
+	if host >= s.config.NewHosts && host < firstHealthy && s.sinceStart() >= s.config.LullDuration {
 		return answerTime, gateway.Errored
 	}
 	if !s.config.Serial {
@@ -50,7 +50,7 @@
 
 // serve queues an attempt at a host that answers serially and returns the time until it is answered.
 func (s *simulation) serve(host int) time.Duration {
-	capacity := s.capacity(s.config.Settings.Duration)
+	capacity := s.capacity(s.config.SlowStart.Duration)
 	if host < s.config.NewHosts && s.now >= s.hostStart {
 		capacity = s.capacity(s.sinceStart())
 	}
--- a/lab/slowstartsim/report.go
+++ b/lab/slowstartsim/report.go
@@ -13,12 +13,12 @@
 	// Allowed is what the settings allow in that window, Bound the Budget of it.
 	Allowed float64
 	Bound   float64
-	// At is the age of the host at the end of that window.
-	At time.Duration
-	// Share is the new hosts' fraction of all attempts over their fraction of the capacity.
-	Share float64
-	// Idle is the number of new hosts that received no attempt.
-	Idle int
+	// HostAge is the age of the host at the end of that window.
+	HostAge time.Duration
+	// ShareRatio is the new hosts' fraction of all attempts over their fraction of the capacity.
+	ShareRatio float64
+	// IdleHosts is the number of new hosts that received no attempt.
+	IdleHosts int
 }
 
 // fewAttempts is the number of attempts under which a budget has more slack for chance.
@@ -36,7 +36,7 @@
 func (r Report) String() string {
 	return fmt.Sprintf("fullest window %.0f of %.1f allowed (bound %.1f, %.2f of it) %v after the start; "+
 		"%.2f of the new hosts' share; idle %d",
-		r.Sent, r.Allowed, r.Bound, r.Sent/r.Bound, r.At.Round(time.Second), r.Share, r.Idle)
+		r.Sent, r.Allowed, r.Bound, r.Sent/r.Bound, r.HostAge.Round(time.Second), r.ShareRatio, r.IdleHosts)
 }
 
 // report measures the finished experiment.
@@ -46,11 +46,11 @@
 	for _, attempts := range s.received {
 		received += len(attempts)
 		if len(attempts) == 0 {
-			r.Idle++
+			r.IdleHosts++
 		}
 		s.measureWindows(attempts, &r)
 	}
-	r.Share = float64(received) / max(float64(s.attempts)*s.newHostShare(), 1)
+	r.ShareRatio = float64(received) / max(float64(s.attempts)*s.newHostShare(), 1)
 	return r
 }
 
@@ -61,15 +61,15 @@
 	notified := 0
 	for last, end := range attempts {
 		age := end.at.Sub(s.hostStart)
-		if age >= s.config.Settings.Duration {
+		if age >= s.config.SlowStart.Duration {
 			return
 		}
 		notified += countNotified(end)
-		for end.at.Sub(attempts[first].at) > s.config.Settings.OverloadWindow {
+		for end.at.Sub(attempts[first].at) > s.config.SlowStart.OverloadWindow {
 			notified -= countNotified(attempts[first])
 			first++
 		}
-		allowed := s.config.Settings.OverloadFactor * s.capacity(age) * seconds(s.config.Settings.OverloadWindow)
+		allowed := s.config.SlowStart.OverloadFactor * s.capacity(age) * seconds(s.config.SlowStart.OverloadWindow)
 		bound := Budget(allowed)
 		sent := last - first + 1
 		mostlyNotified := 3*notified > 2*sent
@@ -77,7 +77,7 @@
 			r.Sent = float64(sent)
 			r.Allowed = allowed
 			r.Bound = bound
-			r.At = age
+			r.HostAge = age
 		}
 	}
 }
@@ -92,9 +92,9 @@
 // newHostShare returns the new hosts' fraction of the capacity of all hosts, the mean over the experiment.
 func (s *simulation) newHostShare() float64 {
 	share := 0.0
-	for age := time.Duration(0); age < s.config.Length; age += time.Second {
-		warmUpFactor := s.capacity(age) / s.capacity(s.config.Settings.Duration)
-		share += warmUpFactor / seconds(s.config.Length) / float64(s.config.Hosts) * float64(s.config.NewHosts)
+	for age := time.Duration(0); age < s.config.Duration; age += time.Second {
+		warmUpFactor := s.capacity(age) / s.capacity(s.config.SlowStart.Duration)
+		share += warmUpFactor / seconds(s.config.Duration) / float64(s.config.Hosts) * float64(s.config.NewHosts)
 	}
 	return share
 }
--- a/lab/slowstartsim/simulation.go
+++ b/lab/slowstartsim/simulation.go
@@ -72,7 +72,7 @@
 	classes := []gateway.RequestClass{{LatencyObjective: latencyObjective, Timeout: requestTimeout, Value: 1}}
 	plans := []gateway.Plan{{Rate: 1e9, Burst: 1e9, PriorityWeight: 1}}
 	limits := gateway.Limits{MaxAttempts: 2}
-	return logic.New(s.random.Uint64(), membership, classes, plans, limits, s.config.Settings, gateway.LoadReportFormat{})
+	return logic.New(s.random.Uint64(), membership, classes, plans, limits, s.config.SlowStart, gateway.LoadReportFormat{})
 }
 
 // endpoints returns the list of all hosts, the new ones first and with newHostStart as their start.
@@ -91,7 +91,7 @@
 // scheduleNotifications lets each gateway learn of the start of the new hosts.
 func (s *simulation) scheduleNotifications() {
 	for i := range s.gateways {
-		delay := time.Duration(s.random.Float64() * float64(s.config.NotifiedWithin))
+		delay := time.Duration(s.random.Float64() * float64(s.config.MaxNotifyDelay))
 		s.schedule.Add(int64(s.hostStart.Add(delay)), event{gateway: i, input: gateway.Event{
 			Kind:      gateway.EndpointsListed,
 			ListKind:  gateway.ListChanges,
@@ -121,12 +121,12 @@
 
 // scheduleArrival schedules the next request.
 func (s *simulation) scheduleArrival() {
-	rate := s.config.PerSecond
+	rate := s.config.RequestRate
 	switch elapsed := s.sinceStart(); {
-	case elapsed >= 0 && elapsed < s.config.Lull:
+	case elapsed >= 0 && elapsed < s.config.LullDuration:
 		rate /= 10
-	case elapsed >= s.config.Lull && s.config.Surge > 0:
-		rate *= s.config.Surge
+	case elapsed >= s.config.LullDuration && s.config.SurgeFactor > 0:
+		rate *= s.config.SurgeFactor
 	}
 	wait := time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
 	s.schedule.Add(int64(s.now.Add(wait)), event{arrival: true})
@@ -161,12 +161,12 @@
 
 // capacity returns the requests that a host can serve in a second at an age.
 func (s *simulation) capacity(age time.Duration) float64 {
-	initial := s.config.Settings.InitialFraction
-	warmUpFactor := min(initial+(1-initial)*float64(age)/float64(s.config.Settings.Duration), 1)
-	return warmUpFactor * s.config.PerSecond / s.config.Load / float64(s.config.Hosts)
+	initial := s.config.SlowStart.InitialFraction
+	warmUpFactor := min(initial+(1-initial)*float64(age)/float64(s.config.SlowStart.Duration), 1)
+	return warmUpFactor * s.config.RequestRate / s.config.Utilization / float64(s.config.Hosts)
 }
 
 // partitioned reports whether a partition is in force and only one of two is in its smaller part.
 func (s *simulation) partitioned(one, other bool) bool {
-	return one != other && s.now >= s.hostStart && s.sinceStart() < s.config.Partition
+	return one != other && s.now >= s.hostStart && s.sinceStart() < s.config.PartitionDuration
 }
--- a/lab/slowstartsim/slowstartsim.go
+++ b/lab/slowstartsim/slowstartsim.go
@@ -16,32 +16,32 @@
 	Seed     uint64
 	Gateways int
 	Hosts    int
-	// PerSecond is the rate of requests over all gateways, Load the fraction of the hosts' capacity that it takes.
-	PerSecond float64
-	Load      float64
+	// RequestRate is the rate of requests over all gateways, Load the fraction of the hosts' capacity that it takes.
+	RequestRate float64
+	Utilization float64
 	// Skew is the traffic of one gateway in ten relative to that of any other; 0 means 1.
 	Skew float64
-	// Lull is a time of a tenth of the traffic, from the start of the new hosts on: allowances are saved in it.
-	Lull time.Duration
-	// Surge multiplies the traffic after the lull; 0 leaves it as it is.
-	Surge float64
+	// LullDuration is a time of a tenth of the traffic, from the start of the new hosts on: allowances are saved in it.
+	LullDuration time.Duration
+	// SurgeFactor multiplies the traffic after the lull; 0 leaves it as it is.
+	SurgeFactor float64
 	// NewHosts is the number of hosts that start at the same time.
 	NewHosts int
-	// NotifiedWithin is the time within which the gateways learn of the start, each at a random instant.
-	NotifiedWithin time.Duration
-	// Partition is how long, from the start on, a third of the gateways and of the hosts, among them the new ones, and
+	// MaxNotifyDelay is the time within which the gateways learn of the start, each at a random instant.
+	MaxNotifyDelay time.Duration
+	// PartitionDuration is how long, from the start on, a third of the gateways and of the hosts, among them the new ones, and
 	// the rest don't reach each other.
-	Partition time.Duration
-	// Failing is the fraction of the other hosts that answer with errors after the lull. Each request has two attempts.
-	Failing float64
+	PartitionDuration time.Duration
+	// FailingFraction is the fraction of the other hosts that answer with errors after the lull. Each request has two attempts.
+	FailingFraction float64
 	// Gossip lets the gateways message each other; otherwise they are all partitioned from each other.
 	Gossip bool
 	// Serial lets a host answer one attempt after the other, as fast as its capacity allows; otherwise all attempts take
 	// the same time.
 	Serial bool
-	// Length is the simulated time from the start of the new hosts on.
-	Length   time.Duration
-	Settings gateway.SlowStart
+	// Duration is the simulated time from the start of the new hosts on.
+	Duration  time.Duration
+	SlowStart gateway.SlowStart
 }
 
 const (
@@ -65,6 +65,6 @@
 	s := newSimulation(config)
 	s.scheduleArrival()
 	s.scheduleNotifications()
-	s.run(s.hostStart.Add(config.Length))
+	s.run(s.hostStart.Add(config.Duration))
 	return s.report()
 }
--- a/lab/slowstartsim/slowstartsim_test.go
+++ b/lab/slowstartsim/slowstartsim_test.go
@@ -42,10 +42,10 @@
 	scenario.Seed = seed
 	scenario.Gateways = f.gateways
 	scenario.Hosts = f.hosts
-	scenario.PerSecond = f.perSecond
-	scenario.Settings = f.settings
-	scenario.Load = load
-	scenario.Length = 10 * time.Second
+	scenario.RequestRate = f.perSecond
+	scenario.SlowStart = f.settings
+	scenario.Utilization = load
+	scenario.Duration = 10 * time.Second
 	return scenario
 }
 
@@ -59,9 +59,9 @@
 	for i, r := range runAll(configs) {
 		c := configs[i]
 		fmt.Fprintf(&trace, "gateways %d hosts %d new %d skew %.0f lull %v surge %.1f ",
-			c.Gateways, c.Hosts, c.NewHosts, c.Skew, c.Lull, c.Surge)
+			c.Gateways, c.Hosts, c.NewHosts, c.Skew, c.LullDuration, c.SurgeFactor)
 		fmt.Fprintf(&trace, "partition %v notified within %v failing %.1f seed %d: %v\n",
-			c.Partition, c.NotifiedWithin, c.Failing, c.Seed, r)
+			c.PartitionDuration, c.MaxNotifyDelay, c.FailingFraction, c.Seed, r)
 		if r.Sent == 0 || r.Sent > r.Bound {
 			t.Errorf("%+v: %v", c, r)
 		}
@@ -86,17 +86,17 @@
 			{NewHosts: 1},
 			{NewHosts: f.hosts / 2},
 			{NewHosts: 3, Skew: 10},
-			{NewHosts: 3, Lull: 6 * second, Surge: 2},
-			{NewHosts: 3, Lull: 3 * second, Surge: 3, Skew: 10},
-			{NewHosts: f.hosts / 3, Partition: 6 * second},
-			{NewHosts: f.hosts / 2, NotifiedWithin: 4 * second, Skew: 10},
-			{NewHosts: 1, Failing: 0.6, Lull: 3 * second, Surge: 1.5, Serial: true},
-			{NewHosts: f.hosts * 6 / 10, Failing: 0.3, Skew: 10},
-			{NewHosts: 1, Failing: 1, Lull: second, Surge: 1, Serial: true}, // the new host has just started
+			{NewHosts: 3, LullDuration: 6 * second, SurgeFactor: 2},
+			{NewHosts: 3, LullDuration: 3 * second, SurgeFactor: 3, Skew: 10},
+			{NewHosts: f.hosts / 3, PartitionDuration: 6 * second},
+			{NewHosts: f.hosts / 2, MaxNotifyDelay: 4 * second, Skew: 10},
+			{NewHosts: 1, FailingFraction: 0.6, LullDuration: 3 * second, SurgeFactor: 1.5, Serial: true},
+			{NewHosts: f.hosts * 6 / 10, FailingFraction: 0.3, Skew: 10},
+			{NewHosts: 1, FailingFraction: 1, LullDuration: second, SurgeFactor: 1, Serial: true}, // the new host has just started
 		} {
 			seeds := uint64(2)
 			if f.gateways >= 300 {
-				seeds = uint64(1 + min(scenario.Surge, 1)) // two where it comes near the bound
+				seeds = uint64(1 + min(scenario.SurgeFactor, 1)) // two where it comes near the bound
 			}
 			scenario.Gossip = f.gateways < 100
 			for seed := range seeds {
@@ -122,7 +122,7 @@
 		{3, time.Second, narrowWindow},
 	} {
 		f := fleet{300, 200, 600, c.settings}
-		configs = append(configs, f.apply(Config{NewHosts: 1, Failing: 1, Lull: c.lull, Surge: 3, Skew: 10}, c.seed))
+		configs = append(configs, f.apply(Config{NewHosts: 1, FailingFraction: 1, LullDuration: c.lull, SurgeFactor: 3, Skew: 10}, c.seed))
 	}
 	return configs
 }
@@ -138,9 +138,9 @@
 		{900, 3200, 1800, wideWindow},
 	} {
 		for _, scenario := range []Config{
-			{NewHosts: f.hosts / 2, NotifiedWithin: 4 * second, Skew: 10},
-			{NewHosts: f.hosts / 3, Partition: 6 * second},
-			{NewHosts: 1, Failing: 1, Lull: 3 * second, Surge: 3, Skew: 10},
+			{NewHosts: f.hosts / 2, MaxNotifyDelay: 4 * second, Skew: 10},
+			{NewHosts: f.hosts / 3, PartitionDuration: 6 * second},
+			{NewHosts: 1, FailingFraction: 1, LullDuration: 3 * second, SurgeFactor: 3, Skew: 10},
 		} {
 			configs = append(configs, f.apply(scenario, 1))
 		}
--- a/lab/subsetsim/day.go
+++ b/lab/subsetsim/day.go
@@ -33,9 +33,9 @@
 	GatewaysPartitioned
 )
 
-// Day describes one simulated day: gateways of package logic, customers without quotas, and hosts that work on a number
+// Scenario describes one simulated day: gateways of package logic, customers without quotas, and hosts that work on a number
 // of requests at once and queue the others.
-type Day struct {
+type Scenario struct {
 	Name     string
 	Seed     uint64
 	Gateways int
@@ -44,20 +44,20 @@
 	RequestRate float64
 	// Customers have log-normal rates (sigma 1); each uses half to all of the gateways.
 	Customers int
-	// Skew is the sigma of the gateways' log-normal traffic.
-	Skew float64
-	// BusyGateway is the traffic of gateway 0 over the mean; 0 leaves it like any other.
-	BusyGateway float64
+	// TrafficSigma is the sigma of the gateways' log-normal traffic.
+	TrafficSigma float64
+	// BusyGatewayFactor is the traffic of gateway 0 over the mean; 0 leaves it like any other.
+	BusyGatewayFactor float64
 	// LightHosts is the number of hosts with a quarter of the weight and the slots.
 	LightHosts int
 	// SlowHosts is the number of other hosts that take three times as long for a request.
 	SlowHosts int
 	// Slots is the number of requests that a host works on at once.
 	Slots int
-	// Work is the mean of a request's exponential processing time.
-	Work   time.Duration
-	Length time.Duration
-	Steps  []Step
+	// MeanWork is the mean of a request's exponential processing time.
+	MeanWork time.Duration
+	Length   time.Duration
+	Steps    []Step
 	// SubsetRule returns the subset of a member as indices of hosts; nil keeps the rule of package subset.
 	SubsetRule func(member, members int, hosts []subset.Endpoint) []int
 }
@@ -74,43 +74,43 @@
 	overloadSlots = 14 // of all hosts on a day with slow ones
 )
 
-// Days returns the days that docs/spread.md shows, for one seed: steady ones, then ones with one step.
-func Days(seed uint64, gateways, hosts int) []Day {
-	steady := func(name string) Day {
-		return Day{
-			Name:        name,
-			Seed:        seed,
-			Gateways:    gateways,
-			Hosts:       hosts,
-			RequestRate: float64(ratePerHost * hosts),
-			Customers:   dayCustomers,
-			Skew:        trafficSkew,
-			Slots:       slotsPerHost,
-			Work:        meanWork,
-			Length:      dayLength,
+// Scenarios returns the days that docs/spread.md shows, for one seed: steady ones, then ones with one step.
+func Scenarios(seed uint64, gateways, hosts int) []Scenario {
+	steady := func(name string) Scenario {
+		return Scenario{
+			Name:         name,
+			Seed:         seed,
+			Gateways:     gateways,
+			Hosts:        hosts,
+			RequestRate:  float64(ratePerHost * hosts),
+			Customers:    dayCustomers,
+			TrafficSigma: trafficSkew,
+			Slots:        slotsPerHost,
+			MeanWork:     meanWork,
+			Length:       dayLength,
 		}
 	}
-	step := func(name string, kind StepKind, count int, duration time.Duration) Day {
+	step := func(name string, kind StepKind, count int, duration time.Duration) Scenario {
 		day := steady(name)
 		day.Steps = []Step{{firstStep, kind, count, duration}}
 		return day
 	}
 
 	even := steady("steady, even traffic")
-	even.Skew = 0
+	even.TrafficSigma = 0
 	unequal := steady("steady, unequal traffic")
 	quarter := steady("a quarter of that traffic")
 	quarter.RequestRate /= 4
 	quarter.Slots = 3
 	busyGateway := steady("one gateway with ten times the mean")
-	busyGateway.BusyGateway = 10
+	busyGateway.BusyGatewayFactor = 10
 	lightHost := steady("a host with a quarter of the weight")
 	lightHost.LightHosts = 1
 	slowHosts := steady("one host in eight three times as slow")
 	slowHosts.SlowHosts = hosts / 8
 	slowHosts.Slots = overloadSlots
 	const outage = 6 * time.Second
-	return []Day{
+	return []Scenario{
 		even,
 		unequal,
 		quarter,
--- a/lab/subsetsim/host.go
+++ b/lab/subsetsim/host.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		h.busySlots++
-		work := s.random.ExpFloat64() * float64(s.day.Work) / h.warmUpFactor(s.now)
+		work := s.random.ExpFloat64() * float64(s.day.MeanWork) / h.warmUpFactor(s.now)
 		if h.slow {
 			work *= slowFactor
 		}
--- a/lab/subsetsim/measure.go
+++ b/lab/subsetsim/measure.go
@@ -8,30 +8,30 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Header is the header of the table of Row. Figures of the random baseline stand in brackets.
-const Header = "| day | rule | seed | worst of 10 s | mean of 1 s | idle 2 s, mean in 2 s | longest over 1.5 | " +
+// ScenarioHeader is the header of the table of Row. Figures of the random baseline stand in brackets.
+const ScenarioHeader = "| day | rule | seed | worst of 10 s | mean of 1 s | idle 2 s, mean in 2 s | longest over 1.5 | " +
 	"most in 1 s | hosts used | succeeded | time |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
-// Row simulates a day and returns its figures as a row of the table under Header.
-func Row(day Day, rule string) string {
+// ScenarioRow simulates a day and returns its figures as a row of the table under Header.
+func ScenarioRow(day Scenario, rule string) string {
 	result := Run(day)
 	from, to := firstStep, day.Length
-	tenSeconds, tenSecondsBaseline := result.Windows(from, to, 10*time.Second)
-	second, secondBaseline := result.Windows(from, to, time.Second)
-	idle, idleBaseline, meanAttempts := result.Idle(from, to)
+	tenSeconds, tenSecondsBaseline := result.Evenness(from, to, 10*time.Second)
+	second, secondBaseline := result.Evenness(from, to, time.Second)
+	idle, idleBaseline, meanAttempts := result.IdleHosts(from, to)
 	overload, overloadBaseline := result.Overload(from, to)
 	cells := []string{
 		day.Name,
 		rule,
 		fmt.Sprint(day.Seed),
 		fmt.Sprintf("%.2f..%.2f (%.2f..%.2f)",
-			tenSeconds.Least, tenSeconds.Most, tenSecondsBaseline.Least, tenSecondsBaseline.Most),
+			tenSeconds.MinRatio, tenSeconds.MaxRatio, tenSecondsBaseline.MinRatio, tenSecondsBaseline.MaxRatio),
 		fmt.Sprintf("%.2f..%.2f (%.2f..%.2f)",
-			second.MeanLeast, second.MeanMost, secondBaseline.MeanLeast, secondBaseline.MeanMost),
+			second.MeanMinRatio, second.MeanMaxRatio, secondBaseline.MeanMinRatio, secondBaseline.MeanMaxRatio),
 		fmt.Sprintf("%d (%d) of %.1f", idle, idleBaseline, meanAttempts),
 		fmt.Sprintf("%.1f (%.1f) s", overload.Longest.Seconds(), overloadBaseline.Longest.Seconds()),
-		fmt.Sprintf("%.1f (%.1f)", overload.Most, overloadBaseline.Most),
+		fmt.Sprintf("%.1f (%.1f)", overload.MaxRatio, overloadBaseline.MaxRatio),
 		fmt.Sprintf("%.1f", result.HostsUsed),
 		fmt.Sprintf("%.3f", float64(result.Succeeded)/float64(result.Requests)),
 		fmt.Sprintf("%d ms", result.MeanLatency().Milliseconds()),
@@ -39,22 +39,22 @@
 	return "| " + strings.Join(cells, " | ") + " |\n"
 }
 
-// Measure simulates all days with 300 gateways, with rendezvous subsets and with those of package subset, four at a
+// MeasureScenarios simulates all days with 300 gateways, with rendezvous subsets and with those of package subset, four at a
 // time.
-func Measure(seeds []uint64) string {
+func MeasureScenarios(seeds []uint64) string {
 	var jobs errgroup.Group
 	jobs.SetLimit(4)
 	var rows []*string
-	addRow := func(day Day, rule string) {
+	addRow := func(day Scenario, rule string) {
 		row := new(string)
 		rows = append(rows, row)
 		jobs.Go(func() error {
-			*row = Row(day, rule)
+			*row = ScenarioRow(day, rule)
 			return nil
 		})
 	}
 	for _, hosts := range []int{200, 60} {
-		for _, day := range Days(0, 300, hosts) {
+		for _, day := range Scenarios(0, 300, hosts) {
 			for _, seed := range seeds {
 				day.Seed = seed
 				day.SubsetRule = rendezvousSubset
@@ -65,7 +65,7 @@
 		}
 	}
 	jobs.Wait()
-	text := "300 gateways, 200 hosts; below 60\n\n" + Header
+	text := "300 gateways, 200 hosts; below 60\n\n" + ScenarioHeader
 	for _, row := range rows {
 		text += *row
 	}
--- a/lab/subsetsim/result.go
+++ b/lab/subsetsim/result.go
@@ -98,22 +98,22 @@
 // Evenness compares what hosts received with their shares in windows of one length: the most and the least that a host
 // received over its share, in the worst window and as the mean of all windows.
 type Evenness struct {
-	Most, Least         float64
-	MeanMost, MeanLeast float64
+	MaxRatio, MinRatio         float64
+	MeanMaxRatio, MeanMinRatio float64
 }
 
 func (e Evenness) String() string {
-	return fmt.Sprintf("%.2f..%.2f (mean of windows %.2f..%.2f)", e.Least, e.Most, e.MeanLeast, e.MeanMost)
+	return fmt.Sprintf("%.2f..%.2f (mean of windows %.2f..%.2f)", e.MinRatio, e.MaxRatio, e.MeanMinRatio, e.MeanMaxRatio)
 }
 
-// Windows returns the evenness in all windows of a length between two times of the day, among hosts that were warm
+// Evenness returns the evenness in all windows of a length between two times of the day, among hosts that were warm
 // throughout: of the attempts sent, and of the baseline.
-func (r *Result) Windows(from, to, length time.Duration) (sent, baseline Evenness) {
+func (r *Result) Evenness(from, to, length time.Duration) (sent, baseline Evenness) {
 	return r.evenness(r.sent, from, to, length), r.evenness(r.baseline, from, to, length)
 }
 
 func (r *Result) evenness(counts attemptCounts, from, to, length time.Duration) Evenness {
-	e := Evenness{Least: math.Inf(1)}
+	e := Evenness{MinRatio: math.Inf(1)}
 	windows := 0.0
 	for first := binAt(from); first+binAt(length) <= binAt(to); first += binsPerSecond {
 		least, most := math.Inf(1), 0.0
@@ -124,14 +124,14 @@
 			least = min(least, ratio)
 			most = max(most, ratio)
 		}
-		e.Least = min(e.Least, least)
-		e.Most = max(e.Most, most)
-		e.MeanLeast += least
-		e.MeanMost += most
+		e.MinRatio = min(e.MinRatio, least)
+		e.MaxRatio = max(e.MaxRatio, most)
+		e.MeanMinRatio += least
+		e.MeanMaxRatio += most
 		windows++
 	}
-	e.MeanLeast /= windows
-	e.MeanMost /= windows
+	e.MeanMinRatio /= windows
+	e.MeanMaxRatio /= windows
 	return e
 }
 
@@ -175,8 +175,8 @@
 
 // Overload describes hosts that receive more than their share in windows of a second.
 type Overload struct {
-	Longest time.Duration // that one host received over 1.5 times its share in each window
-	Most    float64       // that one host received over its share in a window
+	Longest  time.Duration // that one host received over 1.5 times its share in each window
+	MaxRatio float64       // that one host received over its share in a window
 }
 
 // Overload returns the overload between two times of the day, of hosts that warm up too: of the attempts sent, and of
@@ -192,7 +192,7 @@
 	for first := binAt(from); first+binsPerSecond <= binAt(to); first++ {
 		for i, ratio := range r.ratios(counts, first, first+binsPerSecond, false) {
 			if !math.IsNaN(ratio) {
-				o.Most = max(o.Most, ratio)
+				o.MaxRatio = max(o.MaxRatio, ratio)
 			}
 			if math.IsNaN(ratio) || ratio <= threshold {
 				overloadedBins[i] = 0
@@ -208,9 +208,9 @@
 // idleBins is how many bins in a row without an attempt make a host idle.
 const idleBins = 2 * binsPerSecond
 
-// Idle returns the number of warm hosts that were idle for two seconds at some time, for the attempts sent and for the
+// IdleHosts returns the number of warm hosts that were idle for two seconds at some time, for the attempts sent and for the
 // baseline, and the mean number of attempts that a host received in two seconds.
-func (r *Result) Idle(from, to time.Duration) (sent, baseline int, mean float64) {
+func (r *Result) IdleHosts(from, to time.Duration) (sent, baseline int, mean float64) {
 	total := 0
 	runningBins := 0.0
 	for i, h := range r.hosts {
--- a/lab/subsetsim/simulation.go
+++ b/lab/subsetsim/simulation.go
@@ -24,7 +24,7 @@
 
 // simulation is the state of a simulated day.
 type simulation struct {
-	day      Day
+	day      Scenario
 	random   *rand.Rand
 	now      gateway.Time
 	schedule schedule.Schedule[func()]
@@ -38,7 +38,7 @@
 }
 
 // Run simulates a day.
-func Run(day Day) Result {
+func Run(day Scenario) Result {
 	s := &simulation{
 		day:      day,
 		random:   rand.New(rand.NewPCG(day.Seed, 11)),
@@ -107,10 +107,10 @@
 		g := &gatewayModel{simulation: s, index: i, attempts: map[string]*attempt{}, usedHosts: map[uint32]bool{}}
 		s.gateways = append(s.gateways, g)
 		g.start()
-		traffic := math.Exp(s.day.Skew * s.random.NormFloat64())
-		if i == 0 && s.day.BusyGateway > 0 {
-			mean := math.Exp(s.day.Skew * s.day.Skew / 2)
-			traffic = s.day.BusyGateway * mean
+		traffic := math.Exp(s.day.TrafficSigma * s.random.NormFloat64())
+		if i == 0 && s.day.BusyGatewayFactor > 0 {
+			mean := math.Exp(s.day.TrafficSigma * s.day.TrafficSigma / 2)
+			traffic = s.day.BusyGatewayFactor * mean
 		}
 		sum += traffic
 		s.cumulativeTraffic = append(s.cumulativeTraffic, sum)
--- a/lab/subsetsim/subsetsim_test.go
+++ b/lab/subsetsim/subsetsim_test.go
@@ -13,25 +13,25 @@
 // The figures of the rules, as in docs/spread.md but over fewer lists: the rule in use has the most even rows.
 func TestTableHasFiguresOfAllRules(t *testing.T) {
 	sizes := []FleetSize{{300, 200, 0}, {300, 190, 0}, {300, 60, 0.25}, {80, 60, 0}, {24, 200, 0.25}}
-	golden.Check(t, Table(sizes, 2, 1))
+	golden.Check(t, RuleTable(sizes, 2, 1))
 }
 
 // With 24 gateways of unequal traffic and 60 hosts, none is idle, and over 10 s each host receives 0.6 to 1.4 of its
 // share; the random baseline alone has 0.78 to 1.28.
 func TestDayUsesHostsEvenly(t *testing.T) {
-	day := Days(3, 24, 60)[1]
+	day := Scenarios(3, 24, 60)[1]
 	result := Run(day)
-	sent, baseline := result.Windows(firstStep, day.Length, 10*time.Second)
-	idle, _, _ := result.Idle(firstStep, day.Length)
-	if idle > 0 || sent.Most > 1.4 || sent.Least < 0.6 {
+	sent, baseline := result.Evenness(firstStep, day.Length, 10*time.Second)
+	idle, _, _ := result.IdleHosts(firstStep, day.Length)
+	if idle > 0 || sent.MaxRatio > 1.4 || sent.MinRatio < 0.6 {
 		t.Errorf("%d idle hosts; over 10 s %v, random baseline %v", idle, sent, baseline)
 	}
 }
 
 func TestDayIsDeterministic(t *testing.T) {
-	day := Days(3, 24, 60)[1]
-	first := Row(day, "")
-	second := Row(day, "")
+	day := Scenarios(3, 24, 60)[1]
+	first := ScenarioRow(day, "")
+	second := ScenarioRow(day, "")
 	if first != second {
 		t.Errorf("two runs of one day differ:\n%s%s", first, second)
 	}
@@ -43,7 +43,7 @@
 	if file == "" {
 		t.Skip("SPREADSIM=FILE writes the days at full size there")
 	}
-	if err := os.WriteFile(file, []byte(Measure([]uint64{1, 2})), 0o644); err != nil {
+	if err := os.WriteFile(file, []byte(MeasureScenarios([]uint64{1, 2})), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/lab/subsetsim/table.go
+++ b/lab/subsetsim/table.go
@@ -19,56 +19,56 @@
 }
 
 // Range is the least and the most of a figure.
-type Range struct{ Least, Most float64 }
+type Range struct{ Min, Max float64 }
 
 // include extends the range to all values.
 func (r *Range) include(values []float64) {
-	r.Least = min(r.Least, slices.Min(values))
-	r.Most = max(r.Most, slices.Max(values))
+	r.Min = min(r.Min, slices.Min(values))
+	r.Max = max(r.Max, slices.Max(values))
 }
 
-func (r Range) String() string { return fmt.Sprintf("%.2f..%.2f", r.Least, r.Most) }
+func (r Range) String() string { return fmt.Sprintf("%.2f..%.2f", r.Min, r.Max) }
 
 // Figures describe a rule for one fleet, over several lists of hosts. The ranges are of hosts over their shares by
 // weight: 1 is even.
 type Figures struct {
-	// Users is the number of gateways that have a host in their subsets.
-	Users Range
+	// GatewaysPerHost is the number of gateways that have a host in their subsets.
+	GatewaysPerHost Range
 	// EvenLoad is the load of a host if all gateways have the same traffic and spread it evenly over their subsets.
 	EvenLoad Range
 	// SkewedLoad is the same with gateways of unequal traffic (log-normal, sigma 1).
 	SkewedLoad Range
 	// OutdatedLoad is the load while every second gateway lacks one host in twenty of the list.
 	OutdatedLoad Range
-	// MinSize and MaxSize are the sizes of the subsets.
-	MinSize int
-	MaxSize int
+	// MinSubsetSize and MaxSize are the sizes of the subsets.
+	MinSubsetSize int
+	MaxSubsetSize int
 	// Connections is the number of hosts in all subsets.
 	Connections float64
-	// OpenedByLeave, OpenedByJoin and OpenedByGateway are the connections opened when a host leaves, when one joins and
+	// OpenedByHostLeave, OpenedByJoin and OpenedByGateway are the connections opened when a host leaves, when one joins and
 	// when a gateway is added.
-	OpenedByLeave   float64
-	OpenedByJoin    float64
-	OpenedByGateway float64
+	OpenedByHostLeave   float64
+	OpenedByHostJoin    float64
+	OpenedByGatewayJoin float64
 	// MaxOpened is the most connections opened when any host left or joined.
 	MaxOpened int
-	// LeftByZone is the smallest number of hosts left to a gateway when one of three zones is lost.
-	LeftByZone int
+	// MinLeftByZoneLoss is the smallest number of hosts left to a gateway when one of three zones is lost.
+	MinLeftByZoneLoss int
 }
 
 // hostChanges is the number of hosts that leave and that join, one at a time, for each list.
 const hostChanges = 4
 
-// Compute returns a rule's figures over a number of lists that are drawn by the seed.
-func Compute(rule Rule, size FleetSize, lists int, seed uint64) Figures {
-	empty := Range{Least: math.Inf(1)}
+// ComputeFigures returns a rule's figures over a number of lists that are drawn by the seed.
+func ComputeFigures(rule Rule, size FleetSize, lists int, seed uint64) Figures {
+	empty := Range{Min: math.Inf(1)}
 	figures := Figures{
-		Users:        empty,
-		EvenLoad:     empty,
-		SkewedLoad:   empty,
-		OutdatedLoad: empty,
-		MinSize:      math.MaxInt,
-		LeftByZone:   math.MaxInt,
+		GatewaysPerHost:   empty,
+		EvenLoad:          empty,
+		SkewedLoad:        empty,
+		OutdatedLoad:      empty,
+		MinSubsetSize:     math.MaxInt,
+		MinLeftByZoneLoss: math.MaxInt,
 	}
 	random := rand.New(rand.NewPCG(seed, 7))
 	for range lists {
@@ -99,7 +99,7 @@
 	}
 	subsets := rule.Subsets(size.Gateways, hosts)
 	f.addSizes(subsets, lists)
-	f.Users.include(userShares(hosts, subsets))
+	f.GatewaysPerHost.include(userShares(hosts, subsets))
 	f.EvenLoad.include(loadShares(hosts, subsets, evenTraffic))
 	f.SkewedLoad.include(loadShares(hosts, subsets, skewedTraffic))
 	for i := range hostChanges {
@@ -108,11 +108,11 @@
 		leave := opened(hosts, subsets, without, rule.Subsets(size.Gateways, without))
 		join := opened(hosts, subsets, with, rule.Subsets(size.Gateways, with))
 		f.MaxOpened = max(f.MaxOpened, leave, join)
-		f.OpenedByLeave += float64(leave) / (hostChanges * lists)
-		f.OpenedByJoin += float64(join) / (hostChanges * lists)
+		f.OpenedByHostLeave += float64(leave) / (hostChanges * lists)
+		f.OpenedByHostJoin += float64(join) / (hostChanges * lists)
 	}
 	withGateway := rule.Subsets(size.Gateways+1, hosts)
-	f.OpenedByGateway += float64(opened(hosts, subsets, hosts, withGateway)) / lists
+	f.OpenedByGatewayJoin += float64(opened(hosts, subsets, hosts, withGateway)) / lists
 
 	// Every second gateway lacks the first hosts of the list.
 	missing := size.Hosts / 20
@@ -129,8 +129,8 @@
 // addSizes adds the figures of the subsets' sizes. The zone of a host is its index modulo three.
 func (f *Figures) addSizes(subsets [][]int, lists float64) {
 	for _, members := range subsets {
-		f.MinSize = min(f.MinSize, len(members))
-		f.MaxSize = max(f.MaxSize, len(members))
+		f.MinSubsetSize = min(f.MinSubsetSize, len(members))
+		f.MaxSubsetSize = max(f.MaxSubsetSize, len(members))
 		f.Connections += float64(len(members)) / lists
 		left := 0
 		for _, i := range members {
@@ -138,7 +138,7 @@
 				left++
 			}
 		}
-		f.LeftByZone = min(f.LeftByZone, left)
+		f.MinLeftByZoneLoss = min(f.MinLeftByZoneLoss, left)
 	}
 }
 
@@ -196,8 +196,8 @@
 	return count
 }
 
-// Table returns the figures of all rules for the fleets as Markdown, in the form of docs/spread.md.
-func Table(sizes []FleetSize, lists int, seed uint64) string {
+// RuleTable returns the figures of all rules for the fleets as Markdown, in the form of docs/spread.md.
+func RuleTable(sizes []FleetSize, lists int, seed uint64) string {
 	var b strings.Builder
 	for _, size := range sizes {
 		fmt.Fprintf(&b, "%d gateways, %d hosts, %.0f%% of them with a quarter of the weight; %d lists\n\n",
@@ -206,10 +206,10 @@
 			"zone lost | host leaves | joins | worst | gateway added |")
 		fmt.Fprintln(&b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 		for _, rule := range Rules {
-			f := Compute(rule, size, lists, seed)
+			f := ComputeFigures(rule, size, lists, seed)
 			fmt.Fprintf(&b, "| %s | %v | %v | %v | %v | %d..%d | %d | %.0f | %.0f | %d | %.0f of %.0f |\n",
-				rule.Name, f.Users, f.EvenLoad, f.SkewedLoad, f.OutdatedLoad, f.MinSize, f.MaxSize, f.LeftByZone,
-				f.OpenedByLeave, f.OpenedByJoin, f.MaxOpened, f.OpenedByGateway, f.Connections)
+				rule.Name, f.GatewaysPerHost, f.EvenLoad, f.SkewedLoad, f.OutdatedLoad, f.MinSubsetSize, f.MaxSubsetSize, f.MinLeftByZoneLoss,
+				f.OpenedByHostLeave, f.OpenedByHostJoin, f.MaxOpened, f.OpenedByGatewayJoin, f.Connections)
 		}
 		fmt.Fprintln(&b)
 	}
--- a/logic/rule_settings_test.go
+++ b/logic/rule_settings_test.go
@@ -78,7 +78,7 @@
 func checkRules(t *testing.T, i int) *ruleChecker {
 	combination := ruleCombination(i)
 	text := combination.text()
-	settings, err := config.Decode(text)
+	settings, err := config.DecodeSettings(text)
 	if err != nil {
 		t.Fatalf("%s: %v", text, err)
 	}
