--- a/internal/poolrunner/codec_test.go
+++ b/internal/poolrunner/codec_test.go
@@ -19,7 +19,7 @@
 	f.Add(good, false)
 	f.Add([]byte(`{"g":{"Seat":-1,"Units":-5}}`), true)
 	f.Add([]byte(`{"r":{"Seat":1e99},"g":{}}`), true)
-	terms := pool.Terms{Members: 4, Floor: 1, LeaseDuration: 5, ReportInterval: 1}
+	terms := pool.Terms{Members: 4, Floor: 1, Lease: 5, ReportInterval: 1}
 	f.Fuzz(func(t *testing.T, datagram []byte, sign bool) {
 		if sign {
 			datagram = append(consensus.Sign(key, datagram), datagram...)
--- a/lab/leasesim/fixture_test.go
+++ b/lab/leasesim/fixture_test.go
@@ -13,15 +13,15 @@
 
 func newTerms(members, floor, reserve int) pool.Terms {
 	return pool.Terms{
-		Members:           members,
-		Floor:             floor,
-		Reserve:           reserve,
-		LeaseDuration:     1500 * time.Millisecond,
-		MaxDrain:          3 * time.Second,
-		MaxClockDrift:     0.02,
-		MinTargetInterval: 500 * time.Millisecond,
-		ReportInterval:    100 * time.Millisecond,
-		CloseDelay:        0,
+		Members:        members,
+		Floor:          floor,
+		Reserve:        reserve,
+		Lease:          1500 * time.Millisecond,
+		Drain:          3 * time.Second,
+		Drift:          0.02,
+		TargetHold:     500 * time.Millisecond,
+		ReportInterval: 100 * time.Millisecond,
+		CloseDelay:     0,
 	}
 }
 
--- a/lab/leasesim/limit_test.go
+++ b/lab/leasesim/limit_test.go
@@ -52,10 +52,10 @@
 	}
 	freezes := rapid.Bool().Draw(t, "freezes")
 	terms := newTerms(members, floor, 3)
-	terms.MaxClockDrift = maxDrift
+	terms.Drift = maxDrift
 	maxServiceTime := 1450 * time.Millisecond
 	if !freezes { // the drain time then has to outlast the longest request only
-		terms.MaxDrain = 300 * time.Millisecond
+		terms.Drain = 300 * time.Millisecond
 		maxServiceTime = 290 * time.Millisecond
 	}
 	s := New(rapid.Uint64().Draw(t, "seed"), terms, limit+3, faults)
@@ -106,8 +106,8 @@
 			faults.MaxDelay = 900 * time.Millisecond
 		}
 		terms := newTerms(3, 1, 0)
-		terms.MaxClockDrift = maxDrift
-		terms.MaxDrain = 300 * time.Millisecond
+		terms.Drift = maxDrift
+		terms.Drain = 300 * time.Millisecond
 		s := New(seed, terms, limit, faults)
 		s.UseExtremeClocks(0)
 		s.setDemand(30)
--- a/lab/leasesim/messages_test.go
+++ b/lab/leasesim/messages_test.go
@@ -56,7 +56,7 @@
 	if allowed := holder.Allowed(now); allowed != 4 {
 		t.Errorf("%d allowed after a recall and an old grant", allowed)
 	}
-	if allowed := holder.Allowed(now.Add(terms.LeaseDuration)); allowed != 1 {
+	if allowed := holder.Allowed(now.Add(terms.Lease)); allowed != 1 {
 		t.Errorf("%d allowed past the lease", allowed)
 	}
 }
--- a/lab/leasesim/shares_test.go
+++ b/lab/leasesim/shares_test.go
@@ -79,7 +79,7 @@
 				}
 				changes++
 				interval := s.Now - changedAt[i]
-				if changedAt[i] > 0 && interval < s.Terms.MinTargetInterval*97/100 {
+				if changedAt[i] > 0 && interval < s.Terms.TargetHold*97/100 {
 					t.Fatalf("target of member %d changed twice in %v", i, interval)
 				}
 				targets[i] = target
--- a/pool/grantor.go
+++ b/pool/grantor.go
@@ -71,7 +71,7 @@
 		electedAt: now,
 		claims:    make([]Claim, terms.Members),
 	}
-	leaseEnd := now.Add(terms.WithDriftMargin(terms.LeaseDuration))
+	leaseEnd := now.Add(terms.WithDriftMargin(terms.Lease))
 	for i := range g.members {
 		entry := ledger.Entries[i]
 		g.members[i] = memberState{
@@ -79,7 +79,7 @@
 			strandedUntil: leaseEnd,
 			target:        entry.Units,
 			weight:        1,
-			targetChanged: now.Add(-terms.MinTargetInterval),
+			targetChanged: now.Add(-terms.TargetHold),
 			incarnation:   entry.Incarnation,
 		}
 		if entry.Units > 0 { // until the first report
@@ -165,7 +165,7 @@
 func (g *Grantor) proposeMember(now Instant, p *proposal, i int) {
 	member := &g.members[i]
 	entry := &p.ledger.Entries[i]
-	drained := g.terms.WithDriftMargin(g.terms.MaxDrain)
+	drained := g.terms.WithDriftMargin(g.terms.Drain)
 	if member.unproposed != nil {
 		g.proposeReport(now, p, i)
 	} else if entry.Units > 0 && now > member.leaseEnd.Add(drained) {
@@ -200,7 +200,7 @@
 		p.add(Change{Member: i, Units: report.Bound})
 	}
 	if report.Incarnation == entry.Incarnation {
-		member.leaseEnd = now.Add(g.terms.WithDriftMargin(g.terms.LeaseDuration))
+		member.leaseEnd = now.Add(g.terms.WithDriftMargin(g.terms.Lease))
 	}
 	g.proposeCapacity(p, report)
 }
--- a/pool/leaseholder.go
+++ b/pool/leaseholder.go
@@ -148,7 +148,7 @@
 	} else {
 		h.limit = min(h.limit, grant.Units)
 	}
-	h.leaseEnd = max(h.leaseEnd, grant.Sent.Add(h.terms.LeaseDuration))
+	h.leaseEnd = max(h.leaseEnd, grant.Sent.Add(h.terms.Lease))
 	h.lastGrant = max(h.lastGrant, grant.Sent)
 	h.serialInForce = grant.Serial
 	h.lowerBound(now)
--- a/pool/ledger.go
+++ b/pool/ledger.go
@@ -21,21 +21,21 @@
 
 // Terms are the settings that all gateways of a store have in common.
 type Terms struct {
-	Members           int           // number of gateways
-	Floor             int           // connections that each gateway may have without a lease
-	Reserve           int           // connections of the store that are never leased
-	LeaseDuration     time.Duration // of a lease, from the time of the report that it answers
-	MaxDrain          time.Duration // longest time that a request uses a connection after its lease has expired
-	MaxClockDrift     float64       // the rate of a clock is within 1-Drift and 1+Drift
-	MinTargetInterval time.Duration // least time between two changes of a gateway's target
-	ReportInterval    time.Duration // between two reports of a gateway
-	CloseDelay        time.Duration // from closing a connection until the store has noticed it for certain
+	Members        int           // number of gateways
+	Floor          int           // connections that each gateway may have without a lease
+	Reserve        int           // connections of the store that are never leased
+	Lease          time.Duration // of a lease, from the time of the report that it answers
+	Drain          time.Duration // longest time that a request uses a connection after its lease has expired
+	Drift          float64       // the rate of a clock is within 1-Drift and 1+Drift
+	TargetHold     time.Duration // least time between two changes of a gateway's target
+	ReportInterval time.Duration // between two reports of a gateway
+	CloseDelay     time.Duration // from closing a connection until the store has noticed it for certain
 }
 
 // WithDriftMargin returns the time by a grantor's clock after which d has passed by a lease holder's clock for certain: the
 // holder's clock may be the slowest and the grantor's the fastest allowed.
 func (t *Terms) WithDriftMargin(d time.Duration) time.Duration {
-	return time.Duration(float64(d)*(1+t.MaxClockDrift)/(1-t.MaxClockDrift)) + 1
+	return time.Duration(float64(d)*(1+t.Drift)/(1-t.Drift)) + 1
 }
 
 // Entry has the units leased to one gateway, connections above its floor. Its JSON form, with the names of earlier
--- a/pool/plan.go
+++ b/pool/plan.go
@@ -71,7 +71,7 @@
 
 // onHold reports whether the target of a member changed too recently to change again.
 func (p *plan) onHold(i int) bool {
-	return p.now.Sub(p.members[i].targetChanged) < p.terms.MinTargetInterval
+	return p.now.Sub(p.members[i].targetChanged) < p.terms.TargetHold
 }
 
 // setTarget sets the target of a member.
@@ -139,7 +139,7 @@
 			member.recallNoted = false
 		case member.overTargetSince == 0:
 			member.overTargetSince = p.now
-		case !member.recallNoted && p.now.Sub(member.overTargetSince) > p.terms.MaxDrain+p.terms.LeaseDuration/2:
+		case !member.recallNoted && p.now.Sub(member.overTargetSince) > p.terms.Drain+p.terms.Lease/2:
 			member.recallNoted = true
 			p.proposal.note(EventRecallOverdue, i, entry.Incarnation, entry.Units-member.target)
 		}
