--- a/lab/rollout/full_test.go
+++ b/lab/rollout/full_test.go
@@ -13,36 +13,36 @@
 )
 
 var (
-	full           = flag.Int("full", 0, "gateways of the full-size measurements; 0 leaves them out")
-	rate           = flag.Float64("rate", 400, "clients' requests a second of the full-size measurements")
-	changeInterval = flag.Duration("pace", 4300*time.Millisecond, "time between two changes of the full-size measurements")
-	cases          = flag.String("cases", "", "full-size scenarios whose names contain this")
-	baseline       = flag.Bool("baseline", true, "measure restarts on each change too")
-	into           = flag.String("into", "", "file that the figures are added to; empty prints them only")
+	fullSizeGateways = flag.Int("full", 0, "number of gateways in the full-size measurements; 0 skips them")
+	requestRate      = flag.Float64("rate", 400, "clients' requests per second in the full-size measurements")
+	changeInterval   = flag.Duration("pace", 4300*time.Millisecond, "interval of changes in the full-size measurements")
+	caseFilter       = flag.String("cases", "", "run only the full-size scenarios whose names contain this")
+	includeBaseline  = flag.Bool("baseline", true, "also measure a fleet that is restarted on each change")
+	outputFile       = flag.String("into", "", "file to append the figures to; empty only prints them")
 )
 
-// Budgets of the operators, for each gateway.
+// Budgets that the operators set for each gateway.
 const (
 	budgetInForce  = 12 * time.Second
-	budgetBytes    = 7000 // a second
-	budgetCPUShare = 0.013
+	budgetBytes    = 7000  // per second
+	budgetCPUShare = 0.013 // fraction of a core
 	budgetMemory   = 128e6 // bytes
 )
 
 const (
-	fullTimeout     = 15 * time.Minute // of one scenario: no verdict, only an end
+	fullTimeout     = 15 * time.Minute // of one scenario; only stops a run that hangs, no latency is judged by it
 	baselineChanges = 3
-	baselineBatches = 8 // in which a fleet is restarted
+	baselineBatches = 8 // batches in which the fleet is restarted
 	steadyVersions  = 14
 )
 
-// fullSize returns the size that the flags set.
+// fullSize returns the size set by the flags.
 func fullSize() Size {
 	return Size{
-		Gateways:          *full,
-		Hosts:             max(6, *full/3),
+		Gateways:          *fullSizeGateways,
+		Hosts:             max(6, *fullSizeGateways/3),
 		Publishers:        3,
-		Rate:              *rate,
+		Rate:              *requestRate,
 		Seed:              9,
 		ElectionTimeoutMS: 1000,
 		ChangeInterval:    *changeInterval,
@@ -51,7 +51,8 @@
 	}
 }
 
-// fullCases returns the cases of CI, all at one size, with more changes in the steady one, and some with less load.
+// fullCases returns the scenarios of CI at the full size, with more changes in the first one, and scenarios with almost
+// no requests or without changes.
 func fullCases() []Scenario {
 	size := fullSize()
 	all := append(FleetCases(size), SingleProcessCases(size)...)
@@ -60,53 +61,54 @@
 	idle.Rate = 1
 	noChanges := size.scenario("no changes", Pause(size.OutageDuration))
 	noChanges.NoRoutineChanges = true
-	nothing := idle.scenario("no clients, no changes", Pause(size.OutageDuration))
-	nothing.NoRoutineChanges = true
+	idleNoChanges := idle.scenario("no clients, no changes", Pause(size.OutageDuration))
+	idleNoChanges.NoRoutineChanges = true
 	noClients := idle.scenario("no clients, steady", WaitVersions(steadyVersions))
-	return append([]Scenario{nothing, noClients, noChanges}, all...)
+	return append([]Scenario{idleNoChanges, noClients, noChanges}, all...)
 }
 
-// report writes figures as soon as they are known, so that a run that is ended early keeps its first ones.
-type report struct{ t *testing.T }
+// reportWriter writes each result as soon as it is known, so that a run that is interrupted keeps its first results.
+type reportWriter struct{ t *testing.T }
 
-func (r report) add(format string, args ...any) {
+func (r reportWriter) add(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	fmt.Print(text)
-	if *into != "" {
-		if err := figures.Append(*into, text); err != nil {
+	if *outputFile != "" {
+		if err := figures.Append(*outputFile, text); err != nil {
 			r.t.Fatal(err)
 		}
 	}
 }
 
-const fullHead = "| scenario | changes | in force: p50, p99, latest (budget 12 s) | after an absence | " +
+const scenarioTableHeader = "| scenario | changes | in force: p50, p99, latest (budget 12 s) | after an absence | " +
 	"bytes/s a gateway: mean, most (budget 7000) | gateways: core (budget 1.3%%), memory mean, most (budget 128 MB) | " +
 	"publishers: core, memory mean, most | requests | holds |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
-// The checks hold at full size too. The figures are written beside their budgets and decide nothing.
+// Checks must hold at full size too. The measured figures are reported beside their budgets and do not fail the test.
 func TestFullSizeChecksHold(t *testing.T) {
-	if *full == 0 {
+	if *fullSizeGateways == 0 {
 		t.Skip("no -full")
 	}
-	report := report{t}
+	report := reportWriter{t}
 	report.add("\n## %d gateways, %d hosts, 3 publishers, %.0f requests a second, a change each %v "+
 		"(%s, load of the machine %s)\n\n",
-		*full, fullSize().Hosts, *rate, *changeInterval, time.Now().UTC().Format(time.DateOnly), loadAverage())
-	report.add(fullHead)
+		*fullSizeGateways, fullSize().Hosts, *requestRate, *changeInterval,
+		time.Now().UTC().Format(time.DateOnly), loadAverage())
+	report.add(scenarioTableHeader)
 	for _, scenario := range fullCases() {
-		if !strings.Contains(scenario.Name, *cases) {
+		if !strings.Contains(scenario.Name, *caseFilter) {
 			continue
 		}
 		t.Run(scenario.Name, func(t *testing.T) { runFullSize(t, &scenario, report) })
 	}
-	if *baseline {
+	if *includeBaseline {
 		runBaseline(t, report)
 	}
 }
 
-// runFullSize runs one scenario and adds a row on it.
-func runFullSize(t *testing.T, scenario *Scenario, report report) {
+// runFullSize runs one scenario and adds its row to the report.
+func runFullSize(t *testing.T, scenario *Scenario, report reportWriter) {
 	ctx, cancel := context.WithTimeout(context.Background(), fullTimeout)
 	defer cancel()
 	run, violations, err := scenario.Run(ctx)
@@ -122,37 +124,37 @@
 	}
 	figures := run.Figures()
 	report.add("| %s | %d | %v | %v | %.0f, %.0f | %v | %v | %s | %s |\n", scenario.Name, figures.Changes,
-		figures.ConnectedLatencies, figures.LatenciesAfterOutage, figures.BytesPerSecond, figures.MaxBytesPerSecond, figures.Gateways,
-		figures.Publishers, run.LoadReport.Summary(), verdict(&figures, violations))
+		figures.ConnectedLatencies, figures.LatenciesAfterOutage, figures.BytesPerSecond, figures.MaxBytesPerSecond,
+		figures.Gateways, figures.Publishers, run.LoadReport.Summary(), verdict(&figures, violations))
 	t.Log(figures)
 }
 
-// verdict returns in a few words what held, and which figures exceed their budgets.
+// verdict returns which checks failed and which figures exceed their budgets.
 func verdict(figures *Figures, violations []string) string {
 	if len(violations) > 0 {
 		return "no: " + strings.Join(violations, "; ")
 	}
-	var beyond []string
+	var exceeded []string
 	if figures.ConnectedLatencies.percentile(1) > budgetInForce {
-		beyond = append(beyond, "time")
+		exceeded = append(exceeded, "time")
 	}
 	if figures.MaxBytesPerSecond > budgetBytes {
-		beyond = append(beyond, "bytes")
+		exceeded = append(exceeded, "bytes")
 	}
 	if figures.Gateways.CPUShare > budgetCPUShare {
-		beyond = append(beyond, "processor")
+		exceeded = append(exceeded, "processor")
 	}
 	if float64(figures.Gateways.PeakMemory) > budgetMemory {
-		beyond = append(beyond, "memory")
+		exceeded = append(exceeded, "memory")
 	}
-	if len(beyond) > 0 {
-		return "all counts; beyond the budget: " + strings.Join(beyond, ", ")
+	if len(exceeded) > 0 {
+		return "all counts; beyond the budget: " + strings.Join(exceeded, ", ")
 	}
 	return "all"
 }
 
-// runBaseline measures a fleet that is restarted on each change, all at once and in batches.
-func runBaseline(t *testing.T, report report) {
+// runBaseline measures a fleet that is restarted on each change, with all gateways at once and in batches.
+func runBaseline(t *testing.T, report reportWriter) {
 	size := fullSize()
 	report.add("\n| restart on each change | one gateway has a change after | all have it after | requests | lost |\n" +
 		"| --- | --- | --- | --- | --- |\n")
@@ -173,7 +175,7 @@
 	}
 }
 
-// loadAverage returns the machine's load average over 1, 5 and 15 minutes.
+// loadAverage returns the machine's load averages over 1, 5 and 15 minutes.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/lab/rollout/hollow/axis_test.go
+++ b/lab/rollout/hollow/axis_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// growing returns an axis whose figures are as they must be, except for a change.
-func growing(sizes []int, change func(point *Point)) ScalingSeries {
+// newTestSeries returns a series without violations, after change has been applied to each point.
+func newTestSeries(sizes []int, change func(point *Point)) ScalingSeries {
 	var points []*Point
 	for _, followers := range sizes {
 		point := &Point{Followers: followers, Values: map[string]float64{
@@ -21,25 +21,26 @@
 	return NewScalingSeries(points)
 }
 
-// Each figure that grows as it must not is a violation, and so is each violation of a point.
+// Each metric that grows in the wrong way with the number of followers must be a violation, and so must each violation
+// of a single point.
 func TestAxisFindsFiguresThatGrow(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(point *Point)
 		want   []string
 	}{
-		{"none", func(*Point) {}, nil},
+		{"no violation", func(*Point) {}, nil},
 		{"bytes that grow with the fleet", func(p *Point) { p.Values[ChangeBytes] += float64(p.Followers) / 10 },
 			[]string{"change_bytes is 171.5 to 209, depending on the number of followers"}},
 		{"publishers' bytes that are quadratic", func(p *Point) { p.Values[PublisherChangeBytes] *= float64(p.Followers) },
 			[]string{"publisher_change_bytes grows with the number of followers to the power 2.00"}},
-		{"a change twice", func(p *Point) { p.Values[ChangeDeltas] = max(1, float64(p.Followers)/200) },
+		{"two deltas per change", func(p *Point) { p.Values[ChangeDeltas] = max(1, float64(p.Followers)/200) },
 			[]string{"400 followers: 2 deltas a change"}},
-		{"a fault of a follower",
+		{"a violation of one point",
 			func(p *Point) { p.Violations = map[int][]string{50: {"g1: version 1 after 2"}}[p.Followers] },
 			[]string{"g1: version 1 after 2"}},
 	} {
-		axis := growing([]int{25, 50, 100, 200, 400}, test.change)
+		axis := newTestSeries([]int{25, 50, 100, 200, 400}, test.change)
 		got := axis.Violations()
 		if !slices.Equal(got, test.want) {
 			t.Errorf("%s: %q, want %q", test.name, got, test.want)
@@ -47,7 +48,8 @@
 	}
 }
 
-// A report can be written and read again, at the full form's sizes too.
+// A report must be readable after it has been written, with the sizes of the full measurement too. Values that JSON
+// cannot hold, such as an infinite exponent of a fit, would break it.
 func TestReportIsReadBack(t *testing.T) {
 	folder := t.TempDir()
 	report, err := NewReport(folder)
@@ -55,7 +57,7 @@
 		t.Fatal(err)
 	}
 	report.BeginPart("followers", "command")
-	report.ByFollowers = growing([]int{375, 1000, 2000, 4000, 6000}, func(*Point) {})
+	report.ByFollowers = newTestSeries([]int{375, 1000, 2000, 4000, 6000}, func(*Point) {})
 	report.EndPart("followers", &logEvents)
 	err = report.Write(folder)
 	if err != nil {
--- a/lab/rollout/hollow/point.go
+++ b/lab/rollout/hollow/point.go
@@ -11,13 +11,13 @@
 // Measurement describes what is measured at one size.
 type Measurement struct {
 	Options
-	IdleDuration   time.Duration // without any change
-	Changes        int           // one each Pace
-	ChangeInterval time.Duration // 0: a change follows as soon as the one before is in force everywhere
-	BurstChanges   int           // changes one right after the other
+	IdleDuration   time.Duration // duration of the measurement without changes; 0 leaves it out
+	Changes        int           // number of changes published one at a time
+	ChangeInterval time.Duration // between changes; 0: each follows once the previous one is in force everywhere
+	BurstChanges   int           // number of changes published without a pause; 0 leaves the burst out
 }
 
-// Point is one size with its figures by name. A figure that was not measured is absent.
+// Point holds the values of the metrics measured at one size, by name. A metric that was not measured has no entry.
 type Point struct {
 	Followers     int                `json:"followers"`
 	Configuration ConfigurationSize  `json:"content"`
@@ -25,7 +25,7 @@
 	Violations    []string           `json:"faults"`
 }
 
-// Names of figures.
+// Names of the metrics. They are keys of the written report.
 const (
 	StartTime                = "start"
 	StartProcessor           = "start_processor"
@@ -62,17 +62,17 @@
 	PublisherRestBytesOut    = "publisher_rest_bytes_out"
 )
 
-// Metric describes a figure.
+// Metric describes a measured value.
 type Metric struct {
 	Name        string  `json:"name"`
 	Unit        string  `json:"unit"`
 	Description string  `json:"what"`
-	Counted     bool    `json:"counted"` // a count or bytes, not a time
+	Counted     bool    `json:"counted"` // counts or bytes, which do not depend on the machine's speed
 	Budget      float64 `json:"budget,omitempty"`
 }
 
-// What the operators allow: a change in force within 12 s, and a gateway's control within 7 KB a second, 1.3% of a
-// core and 128 MB.
+// Budgets that the operators set: a change in force within 12 s, and for the distribution of the configuration 7 KB per
+// second, 1.3% of a core and 128 MB at each gateway.
 const (
 	budgetSeconds   = 12
 	budgetBytes     = 7 * 1024
@@ -80,7 +80,8 @@
 	budgetMemory    = 128 << 20
 )
 
-// Metrics returns all figures in the order of the report. Those of followers are means of one.
+// Metrics returns all metrics in the order of the report. Those of followers are means per follower, except where the
+// description says otherwise.
 func Metrics() []Metric {
 	return []Metric{
 		{PacedP50, "s", "one change at a time, from the request until in force: median over changes and followers", false,
@@ -121,15 +122,15 @@
 	}
 }
 
-// Measure measures one size.
+// Measure makes the measurement with a new group of publishers and followers.
 func (s Measurement) Measure(ctx context.Context) (*Point, error) {
 	g, err := NewGroup(ctx, s.Options)
 	if err != nil {
 		return nil, err
 	}
 	defer g.Close()
-	m := &pointMeasurement{Measurement: s, group: g, figures: map[string]float64{}, followers: float64(s.Followers)}
-	m.heap, m.stacks = memory()
+	m := &pointMeasurement{Measurement: s, group: g, values: map[string]float64{}, followerCount: float64(s.Followers)}
+	m.heapBefore, m.stacksBefore = liveMemory()
 	for _, phase := range []func(context.Context) error{m.measureStart, m.measureIdle, m.measureSpaced, m.measureBurst} {
 		err := phase(ctx)
 		if err != nil {
@@ -138,20 +139,20 @@
 	}
 	m.measureMemory()
 	violations, err := g.Violations(ctx)
-	return &Point{Followers: s.Followers, Configuration: s.Configuration, Values: m.figures, Violations: violations}, err
+	return &Point{Followers: s.Followers, Configuration: s.Configuration, Values: m.values, Violations: violations}, err
 }
 
-// pointMeasurement is the measurement of one size.
+// pointMeasurement is a measurement in progress.
 type pointMeasurement struct {
 	Measurement
-	group        *Group
-	figures      map[string]float64
-	followers    float64
-	heap, stacks float64 // before any follower ran
-	idle         window
+	group                    *Group
+	values                   map[string]float64
+	followerCount            float64
+	heapBefore, stacksBefore float64 // bytes before any follower was started
+	idleWindow               window
 }
 
-// measureStart starts all followers with empty disks, so that each receives a snapshot.
+// measureStart measures the start of all followers with empty disks, so that each receives a snapshot.
 func (m *pointMeasurement) measureStart(ctx context.Context) error {
 	g := m.group
 	measured, err := g.measure(ctx, func() error {
@@ -161,39 +162,41 @@
 		}
 		return g.waitEverywhere(ctx)
 	})
-	m.figures[StartTime] = measured.Seconds
-	m.figures[StartProcessor] = milliseconds(measured.Processor) / m.followers
-	m.figures[StartBytesIn] = measured.BytesIn / m.followers
-	m.figures[StartDeferred] = measured.Deferred
+	m.values[StartTime] = measured.Seconds
+	m.values[StartProcessor] = milliseconds(measured.CPUSeconds) / m.followerCount
+	m.values[StartBytesIn] = measured.BytesIn / m.followerCount
+	m.values[StartDeferred] = measured.DeferredSnapshots
 	g.takePublished()
 	g.Fleet.TakeApplied()
 	return err
 }
 
-// measureIdle measures a time without changes.
+// measureIdle measures an interval without changes. It does nothing if IdleDuration is 0.
 func (m *pointMeasurement) measureIdle(ctx context.Context) (err error) {
 	if m.IdleDuration == 0 {
 		return nil
 	}
-	m.idle, err = m.group.measure(ctx, func() error { return waitUntil(ctx, time.Now().Add(m.IdleDuration)) })
-	w := &m.idle
-	m.figures[RestProcessor] = w.Processor / w.Seconds / m.followers
-	m.figures[RestBytesIn] = w.BytesIn / w.Seconds / m.followers
-	m.figures[RestBytesOut] = w.BytesOut / w.Seconds / m.followers
-	m.figures[PublisherRestProcessor] = w.PublisherProcessor / w.Seconds
-	m.figures[PublisherRestBytesOut] = w.PublisherBytesOut / w.Seconds
+	m.idleWindow, err = m.group.measure(ctx, func() error { return waitUntil(ctx, time.Now().Add(m.IdleDuration)) })
+	w := &m.idleWindow
+	m.values[RestProcessor] = w.CPUSeconds / w.Seconds / m.followerCount
+	m.values[RestBytesIn] = w.BytesIn / w.Seconds / m.followerCount
+	m.values[RestBytesOut] = w.BytesOut / w.Seconds / m.followerCount
+	m.values[PublisherRestProcessor] = w.PublisherCPUSeconds / w.Seconds
+	m.values[PublisherRestBytesOut] = w.PublisherBytesOut / w.Seconds
 	return err
 }
 
-// beyondIdle returns by how much a figure of a window exceeds that of as much idle time.
-func (m *pointMeasurement) beyondIdle(w *window, of func(w *window) float64) float64 {
+// aboveIdle returns by how much the usage in a window exceeds the idle usage over the same time. Without an idle
+// measurement it returns the whole usage.
+func (m *pointMeasurement) aboveIdle(w *window, usage func(w *window) float64) float64 {
 	if m.IdleDuration == 0 {
-		return of(w)
+		return usage(w)
 	}
-	return of(w) - of(&m.idle)/m.idle.Seconds*w.Seconds
+	return usage(w) - usage(&m.idleWindow)/m.idleWindow.Seconds*w.Seconds
 }
 
-// measureSpaced measures changes one at a time.
+// measureSpaced measures changes that are published one at a time. Without a change interval, only latencies, deltas
+// and bytes are measured.
 func (m *pointMeasurement) measureSpaced(ctx context.Context) error {
 	g := m.group
 	measured, err := g.measure(ctx, func() error {
@@ -205,29 +208,29 @@
 	}
 	histories := g.Fleet.TakeApplied()
 	latency := newLatency(g.takePublished(), histories)
-	m.figures[PacedP50] = latency.P50
-	m.figures[PacedP99] = latency.P99
-	m.figures[PacedLatest] = latency.Max
+	m.values[PacedP50] = latency.P50
+	m.values[PacedP99] = latency.P99
+	m.values[PacedLatest] = latency.Max
 	changes := float64(m.Changes)
 	deltas, bytes := g.Fleet.countDeltas(histories)
-	m.figures[ChangeDeltas] = deltas / changes / m.followers
-	m.figures[ChangeBytes] = bytes / changes / m.followers
-	m.figures[PublisherChangeBytes] = (measured.PublisherBytesOut - (measured.BytesIn - bytes)) / changes
+	m.values[ChangeDeltas] = deltas / changes / m.followerCount
+	m.values[ChangeBytes] = bytes / changes / m.followerCount
+	m.values[PublisherChangeBytes] = (measured.PublisherBytesOut - (measured.BytesIn - bytes)) / changes
 	if m.ChangeInterval == 0 {
 		return nil
 	}
-	m.figures[PacedProcessor] = measured.Processor / measured.Seconds / m.followers
-	m.figures[PacedBytesIn] = measured.BytesIn / measured.Seconds / m.followers
-	m.figures[PacedBytesOut] = measured.BytesOut / measured.Seconds / m.followers
-	m.figures[PublisherPacedProcessor] = measured.PublisherProcessor / measured.Seconds
-	ofFollowers := func(measured *window) float64 { return measured.Processor }
-	ofPublishers := func(measured *window) float64 { return measured.PublisherProcessor }
-	m.figures[ChangeProcessor] = milliseconds(m.beyondIdle(&measured, ofFollowers)) / changes / m.followers
-	m.figures[PublisherChangeProcessor] = milliseconds(m.beyondIdle(&measured, ofPublishers)) / changes
+	m.values[PacedProcessor] = measured.CPUSeconds / measured.Seconds / m.followerCount
+	m.values[PacedBytesIn] = measured.BytesIn / measured.Seconds / m.followerCount
+	m.values[PacedBytesOut] = measured.BytesOut / measured.Seconds / m.followerCount
+	m.values[PublisherPacedProcessor] = measured.PublisherCPUSeconds / measured.Seconds
+	followerCPU := func(measured *window) float64 { return measured.CPUSeconds }
+	publisherCPU := func(measured *window) float64 { return measured.PublisherCPUSeconds }
+	m.values[ChangeProcessor] = milliseconds(m.aboveIdle(&measured, followerCPU)) / changes / m.followerCount
+	m.values[PublisherChangeProcessor] = milliseconds(m.aboveIdle(&measured, publisherCPU)) / changes
 	return nil
 }
 
-// measureBurst measures changes without a pause.
+// measureBurst measures changes that are published without a pause. It does nothing if BurstChanges is 0.
 func (m *pointMeasurement) measureBurst(ctx context.Context) error {
 	if m.BurstChanges == 0 {
 		return nil
@@ -246,27 +249,27 @@
 	histories := g.Fleet.TakeApplied()
 	latency := newLatency(g.takePublished(), histories)
 	deltas, _ := g.Fleet.countDeltas(histories)
-	m.figures[BurstP50] = latency.P50
-	m.figures[BurstP99] = latency.P99
-	m.figures[BurstLatest] = latency.Max
-	m.figures[BurstSeconds] = measured.Seconds
-	m.figures[BurstDeltas] = deltas / m.followers
-	m.figures[BurstBytes] = measured.BytesIn / m.followers
-	m.figures[BurstBytesIn] = measured.BytesIn / measured.Seconds / m.followers
-	m.figures[BurstProcessor] = milliseconds(measured.Processor) / m.followers
-	m.figures[PublisherBurstProcessor] = measured.PublisherProcessor
-	m.figures[PublisherMemory] = measured.PublisherMemory
+	m.values[BurstP50] = latency.P50
+	m.values[BurstP99] = latency.P99
+	m.values[BurstLatest] = latency.Max
+	m.values[BurstSeconds] = measured.Seconds
+	m.values[BurstDeltas] = deltas / m.followerCount
+	m.values[BurstBytes] = measured.BytesIn / m.followerCount
+	m.values[BurstBytesIn] = measured.BytesIn / measured.Seconds / m.followerCount
+	m.values[BurstProcessor] = milliseconds(measured.CPUSeconds) / m.followerCount
+	m.values[PublisherBurstProcessor] = measured.PublisherCPUSeconds
+	m.values[PublisherMemory] = measured.PublisherMemory
 	return nil
 }
 
-// measureMemory measures the memory of the followers.
+// measureMemory measures the memory of the running followers.
 func (m *pointMeasurement) measureMemory() {
-	heap, stacks := memory()
-	m.figures[LiveHeap] = (heap - m.heap) / m.followers
-	m.figures[Stacks] = (stacks - m.stacks) / m.followers
+	heap, stacks := liveMemory()
+	m.values[LiveHeap] = (heap - m.heapBefore) / m.followerCount
+	m.values[Stacks] = (stacks - m.stacksBefore) / m.followerCount
 }
 
-// countDeltas returns the number of deltas among what came in force, and their bytes on the wire.
+// countDeltas returns the number of deltas among the applied versions, and their total bytes on the wire.
 func (f *Fleet) countDeltas(histories [][]AppliedVersion) (count, bytes float64) {
 	for _, history := range histories {
 		for i := range history {
@@ -274,7 +277,7 @@
 				continue
 			}
 			count++
-			bytes += float64(f.frames.bytes(&history[i]))
+			bytes += float64(f.deltaSizes.size(&history[i]))
 		}
 	}
 	return count, bytes
@@ -282,29 +285,29 @@
 
 func milliseconds(seconds float64) float64 { return seconds * 1e3 }
 
-// ScalingSeries is points of several sizes with the fit of each figure.
+// ScalingSeries holds the points measured at several numbers of followers, and for each metric a fit of its growth.
 type ScalingSeries struct {
 	Points []*Point             `json:"points"`
 	Fits   map[string]scale.Fit `json:"fits"`
 }
 
-// NewScalingSeries fits the figures of points by the number of followers. A figure that is not above zero everywhere has no
-// fit.
+// NewScalingSeries fits the values of each metric to the number of followers. A metric has no fit if it was measured at
+// fewer than three points or is not above zero at each of them.
 func NewScalingSeries(points []*Point) ScalingSeries {
 	axis := ScalingSeries{Points: points, Fits: map[string]scale.Fit{}}
 	for _, metric := range Metrics() {
-		var sizes, figures []float64
+		var sizes, values []float64
 		for _, point := range points {
-			figure, measured := point.Values[metric.Name]
+			value, measured := point.Values[metric.Name]
 			if measured {
 				sizes = append(sizes, float64(point.Followers))
-				figures = append(figures, figure)
+				values = append(values, value)
 			}
 		}
-		const fewest = 3
-		if len(sizes) >= fewest && slices.Min(figures) > 0 {
-			fit := scale.NewFit(sizes, figures, metric.Counted)
-			fit.TopExponent = 0 // of use for sizes that grow by equal factors alone; infinite for some others
+		const minPoints = 3
+		if len(sizes) >= minPoints && slices.Min(values) > 0 {
+			fit := scale.NewFit(sizes, values, metric.Counted)
+			fit.TopExponent = 0 // meaningful only for sizes that grow by equal factors; infinite for some others
 			axis.Fits[metric.Name] = fit
 		}
 	}
--- a/lab/rollout/hollow/sample.go
+++ b/lab/rollout/hollow/sample.go
@@ -9,23 +9,23 @@
 	"ravensill/lab/fleet"
 )
 
-// sample is the state of all counters at one time.
+// sample holds the values of all counters at one time.
 type sample struct {
 	at         time.Time
-	processor  time.Duration // of this process: the followers, and the little that the measurement takes
+	cpuTime    time.Duration // of this process: the followers and, to a small part, the measurement itself
 	followers  Totals
 	publishers []publisherSample
 }
 
-// publisherSample is that of one publisher.
+// publisherSample holds the resource usage and byte counters of one publisher.
 type publisherSample struct {
 	fleet.Usage
 	bytesIn  int64 // from followers
 	bytesOut int64 // to followers
 }
 
-// processorTime returns the processor time of this process since its start.
-func processorTime() (time.Duration, error) {
+// processCPUTime returns the processor time that this process has used since its start.
+func processCPUTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), err
@@ -34,7 +34,7 @@
 // sample reads all counters.
 func (g *Group) sample(ctx context.Context) (s sample, err error) {
 	s.at = time.Now()
-	s.processor, err = processorTime()
+	s.cpuTime, err = processCPUTime()
 	if err != nil {
 		return s, err
 	}
@@ -57,39 +57,39 @@
 	return s, nil
 }
 
-// window is what happened between two samples.
+// window holds what happened between two samples.
 type window struct {
-	Seconds            float64
-	Processor          float64 // seconds, all followers
-	BytesIn            float64 // all followers
-	BytesOut           float64
-	Accepted           float64 // versions put in force, all followers
-	Deferred           float64
-	PublisherProcessor float64 // seconds, all publishers
-	PublisherBytesOut  float64 // to followers, all publishers
-	PublisherMemory    float64 // resident bytes at the end, of the publisher with most
+	Seconds             float64
+	CPUSeconds          float64 // all followers
+	BytesIn             float64 // received by all followers
+	BytesOut            float64 // sent by all followers
+	AcceptedVersions    float64 // versions that came in force, all followers
+	DeferredSnapshots   float64 // all followers
+	PublisherCPUSeconds float64 // all publishers
+	PublisherBytesOut   float64 // sent to followers by all publishers
+	PublisherMemory     float64 // resident bytes at the end, of the publisher that uses the most
 }
 
 // newWindow returns what happened between two samples.
 func newWindow(from, to sample) (w window) {
 	w.Seconds = to.at.Sub(from.at).Seconds()
-	w.Processor = (to.processor - from.processor).Seconds()
+	w.CPUSeconds = (to.cpuTime - from.cpuTime).Seconds()
 	w.BytesIn = float64(to.followers.BytesIn - from.followers.BytesIn)
 	w.BytesOut = float64(to.followers.BytesOut - from.followers.BytesOut)
-	w.Accepted = float64(to.followers.AcceptedVersions - from.followers.AcceptedVersions)
-	w.Deferred = float64(to.followers.DeferredSnapshots - from.followers.DeferredSnapshots)
+	w.AcceptedVersions = float64(to.followers.AcceptedVersions - from.followers.AcceptedVersions)
+	w.DeferredSnapshots = float64(to.followers.DeferredSnapshots - from.followers.DeferredSnapshots)
 	for i := range to.publishers {
-		w.PublisherProcessor += (to.publishers[i].CPU - from.publishers[i].CPU).Seconds()
+		w.PublisherCPUSeconds += (to.publishers[i].CPU - from.publishers[i].CPU).Seconds()
 		w.PublisherBytesOut += float64(to.publishers[i].bytesOut - from.publishers[i].bytesOut)
 		w.PublisherMemory = max(w.PublisherMemory, float64(to.publishers[i].RSS))
 	}
 	return w
 }
 
-// measure returns what happens during a function. The cost of the samples themselves is left out where possible: the
-// publishers' status is requested after the processor times are read.
-func (g *Group) measure(ctx context.Context, do func() error) (w window, err error) {
-	_, err = g.sample(ctx) // so that what it costs the publishers is not in the window
+// measure returns what happens while fn runs. The publishers' status is requested after the processor times are read,
+// so that the requests of the second sample are not counted.
+func (g *Group) measure(ctx context.Context, fn func() error) (w window, err error) {
+	_, err = g.sample(ctx) // its cost to the publishers must not fall into the window, so sample once before
 	if err != nil {
 		return w, err
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return w, err
 	}
-	err = do()
+	err = fn()
 	if err != nil {
 		return w, err
 	}
@@ -105,10 +105,10 @@
 	return newWindow(from, to), err
 }
 
-// memory returns the live bytes of heap and stacks of this process, after a collection.
-func memory() (heap, stacks float64) {
+// liveMemory returns the bytes of live heap objects and of stacks in this process, after a garbage collection.
+func liveMemory() (heap, stacks float64) {
 	runtime.GC()
-	runtime.GC() // what had a finalizer or stood in a pool goes with the second
+	runtime.GC() // the second collection frees objects that had finalizers or were in a sync.Pool
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc), float64(stats.StackInuse)
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -4,10 +4,8 @@
 	"context"
 	"errors"
 	"fmt"
-
 	"net/netip"
 	"os"
-
 	"path/filepath"
 	"strings"
 	"sync"
@@ -21,32 +19,32 @@
 )
 
 const (
-	publisherNetwork = 130 // of the publishers' addresses, within 127.0.0.0/8
-	maxGroupSize     = 8
+	publisherNetwork = 130 // identifies the publishers' addresses within 127.0.0.0/8
+	maxGroupSize     = 8   // publishers
 	groupKeyBytes    = 16
-	stateFolder      = "state" // of a publisher's log, in its working folder
+	stateDir         = "state" // directory of a publisher's log, within its working directory
 )
 
 var publisherProgram = fleet.NewProgram("ravensill/cmd/ravensill-publisher")
 
-// publisherAddresses are the addresses of one publisher, the same in all its incarnations.
+// publisherAddresses holds the listen addresses of one publisher. They stay the same over its restarts.
 type publisherAddresses struct {
 	followers netip.AddrPort
 	raft      netip.AddrPort
 	admin     netip.AddrPort
 }
 
-// PublisherGroup is a group of publisher processes.
+// PublisherGroup is a raft cluster of publisher processes.
 type PublisherGroup struct {
 	processes []*fleet.Process
 	addresses []publisherAddresses
-	dir       string // holds a folder for each publisher, and copies of them
+	dir       string // holds the publishers' working directories and the copies of their logs
 
-	slowMu      sync.Mutex
-	slowAnswers []string // answers that took long
+	slowMu        sync.Mutex
+	slowResponses []string // descriptions of slow responses
 }
 
-// publisherName returns the name of a publisher, which the relay's rules use too.
+// publisherName returns the name of publisher i, by which the relay's rules also identify it.
 func publisherName(i int) string { return fmt.Sprintf("p%d", i) }
 
 // publisherNames returns the names of all publishers of a group.
@@ -60,20 +58,21 @@
 // PublisherGroupOptions describes a group of publishers.
 type PublisherGroupOptions struct {
 	Count             int
-	Dir               string       // holds a folder for each publisher, and copies of them
-	Relay             *relay.Relay // carries the publishers' messages to each other; nil: they go straight
-	ElectionTimeoutMS int          // without contact to the leading publisher before another is elected
+	Dir               string       // holds the publishers' working directories and the copies of their logs
+	Relay             *relay.Relay // carries the raft messages between publishers; nil connects them directly
+	ElectionTimeoutMS int          // time without contact to the leader after which an election starts
 	Settings          PublisherSettings
 }
 
-// PublisherSettings are keys of a publisher's configuration file that have defaults.
+// PublisherSettings holds keys of a publisher's configuration file that may be omitted. Zero selects the publisher's
+// default.
 type PublisherSettings struct {
 	HistoryDeltas          int   `json:"history_deltas,omitempty"`
 	SnapshotBytesPerSecond int64 `json:"snapshot_bytes_per_s,omitempty"`
 	SnapshotBurstBytes     int64 `json:"snapshot_burst_bytes,omitempty"`
 }
 
-// publisherFile is a publisher's configuration file.
+// publisherFile is the configuration file of a publisher.
 type publisherFile struct {
 	Index             int      `json:"index"`
 	Listen            string   `json:"listen"`
@@ -87,25 +86,25 @@
 	PublisherSettings
 }
 
-// SetListen sets the address at which the publisher listens for followers.
+// SetListen sets the address on which the publisher listens for followers.
 func (f *publisherFile) SetListen(addr string) { f.Listen = addr }
 
-// groupCount is the number of groups that this test process has started.
+// groupCount is the number of groups that this process has started. Each group uses its own range of addresses.
 var groupCount atomic.Int64
 
-// NewPublisherGroup starts a group and waits until all its publishers serve followers.
-func NewPublisherGroup(ctx context.Context, plan PublisherGroupOptions) (*PublisherGroup, error) {
+// NewPublisherGroup builds the publisher program, starts a group and waits until all its publishers serve followers.
+func NewPublisherGroup(ctx context.Context, options PublisherGroupOptions) (*PublisherGroup, error) {
 	binary, err := publisherProgram.Build()
 	if err != nil {
 		return nil, err
 	}
-	p := &PublisherGroup{dir: plan.Dir}
-	p.addresses, err = freeAddresses(plan.Count, int(groupCount.Add(1)))
+	p := &PublisherGroup{dir: options.Dir}
+	p.addresses, err = freeAddresses(options.Count, int(groupCount.Add(1)))
 	if err != nil {
 		return nil, err
 	}
-	for i := range plan.Count {
-		cfg, err := p.file(&plan, i)
+	for i := range options.Count {
+		cfg, err := p.configurationFile(&options, i)
 		if err != nil {
 			return nil, err
 		}
@@ -115,7 +114,7 @@
 			Binary:         binary,
 			ConfigVariable: "PUBLISHER_CONFIG",
 			ReadyEvent:     "publisher_started",
-			Dir:            filepath.Join(plan.Dir, publisherName(i), "work"),
+			Dir:            filepath.Join(options.Dir, publisherName(i), "work"),
 			Config:         cfg,
 		}))
 	}
@@ -127,36 +126,36 @@
 	return p, nil
 }
 
-// freeAddresses returns free addresses for a group.
+// freeAddresses returns free addresses for the publishers of group number.
 func freeAddresses(count, number int) ([]publisherAddresses, error) {
-	const each = 3 // addresses of a publisher
+	const addressesPerPublisher = 3
 	all := make([]publisherAddresses, count)
 	for i := range all {
-		first := (number*maxGroupSize + i) * each
-		for k, into := range []*netip.AddrPort{&all[i].followers, &all[i].raft, &all[i].admin} {
+		first := (number*maxGroupSize + i) * addressesPerPublisher
+		for k, destination := range []*netip.AddrPort{&all[i].followers, &all[i].raft, &all[i].admin} {
 			address, err := emulator.FreeAddr(publisherNetwork, first+k)
 			if err != nil {
 				return nil, err
 			}
-			*into = address
+			*destination = address
 		}
 	}
 	return all, nil
 }
 
-// file returns the configuration file of a publisher.
-func (p *PublisherGroup) file(plan *PublisherGroupOptions, i int) (*publisherFile, error) {
+// configurationFile returns the configuration file of publisher i.
+func (p *PublisherGroup) configurationFile(options *PublisherGroupOptions, i int) (*publisherFile, error) {
 	var raft, admin []string
 	for k, addresses := range p.addresses {
-		way := addresses.raft.String()
-		if k != i && plan.Relay != nil {
-			stream, err := plan.Relay.AddStream(publisherName(i), publisherName(k), way)
+		address := addresses.raft.String()
+		if k != i && options.Relay != nil {
+			stream, err := options.Relay.AddStream(publisherName(i), publisherName(k), address)
 			if err != nil {
 				return nil, err
 			}
-			way = stream.Addr()
+			address = stream.Addr()
 		}
-		raft = append(raft, way)
+		raft = append(raft, address)
 		admin = append(admin, addresses.admin.String())
 	}
 	own := p.addresses[i]
@@ -167,21 +166,21 @@
 		Raft:              raft,
 		AdminListen:       own.admin.String(),
 		Admin:             admin,
-		Dir:               stateFolder,
+		Dir:               stateDir,
 		Key:               strings.Repeat("5a", groupKeyBytes),
-		ElectionTimeoutMS: plan.ElectionTimeoutMS,
-		PublisherSettings: plan.Settings,
+		ElectionTimeoutMS: options.ElectionTimeoutMS,
+		PublisherSettings: options.Settings,
 	}, nil
 }
 
-// FollowerAddress returns the address at which a publisher serves followers.
+// FollowerAddress returns the address at which publisher i serves followers.
 func (p *PublisherGroup) FollowerAddress(i int) netip.AddrPort { return p.addresses[i].followers }
 
-// forEach calls a function for all processes at the same time.
-func (p *PublisherGroup) forEach(do func(process *fleet.Process) error) error {
+// forEach calls fn for all processes concurrently and returns the first error.
+func (p *PublisherGroup) forEach(fn func(process *fleet.Process) error) error {
 	var all errgroup.Group
 	for _, process := range p.processes {
-		all.Go(func() error { return do(process) })
+		all.Go(func() error { return fn(process) })
 	}
 	return all.Wait()
 }
@@ -189,33 +188,36 @@
 // Process returns the process of publisher i.
 func (p *PublisherGroup) Process(i int) *fleet.Process { return p.processes[i] }
 
-// Count returns the number of publishers, running or not.
+// Count returns the number of publishers, including those that are down.
 func (p *PublisherGroup) Count() int { return len(p.processes) }
 
-// CopyState copies a publisher's log. The publisher must be down: a copy of a log that is being written is damaged.
+// CopyState copies the log of publisher i and replaces an earlier copy. The publisher must be down: a copy of a log
+// that is being written is damaged.
 func (p *PublisherGroup) CopyState(i int) error {
-	to := p.copyOf(i)
+	to := p.stateCopyDir(i)
 	err := os.RemoveAll(to)
 	if err != nil {
 		return err
 	}
-	return os.CopyFS(to, os.DirFS(filepath.Join(p.processes[i].Dir, stateFolder)))
+	return os.CopyFS(to, os.DirFS(filepath.Join(p.processes[i].Dir, stateDir)))
 }
 
-// RestoreState replaces a publisher's log by its copy. The publisher must be down.
+// RestoreState replaces the log of publisher i by its copy. The publisher must be down.
 func (p *PublisherGroup) RestoreState(i int) error {
-	folder := filepath.Join(p.processes[i].Dir, stateFolder)
+	folder := filepath.Join(p.processes[i].Dir, stateDir)
 	err := os.RemoveAll(folder)
 	if err != nil {
 		return err
 	}
-	return os.CopyFS(folder, os.DirFS(p.copyOf(i)))
+	return os.CopyFS(folder, os.DirFS(p.stateCopyDir(i)))
 }
 
-// copyOf returns the folder of the copy of a publisher's log.
-func (p *PublisherGroup) copyOf(i int) string { return filepath.Join(p.dir, "copy-"+publisherName(i)) }
+// stateCopyDir returns the directory that holds the copy of publisher i's log.
+func (p *PublisherGroup) stateCopyDir(i int) string {
+	return filepath.Join(p.dir, "copy-"+publisherName(i))
+}
 
-// usage returns what each publisher has used; zero for one that is down.
+// usage returns the resource usage of each publisher, with zeros for those that are down.
 func (p *PublisherGroup) usage() (all []fleet.Usage) {
 	for _, process := range p.processes {
 		usage, _ := process.Usage()
@@ -224,7 +226,7 @@
 	return all
 }
 
-// Close ends all processes.
+// Close kills all processes.
 func (p *PublisherGroup) Close() {
 	p.forEach(func(process *fleet.Process) error {
 		if process.Running() {
@@ -235,14 +237,14 @@
 	})
 }
 
-// Crashes returns which publishers printed a stack trace or ended by themselves.
+// Crashes describes each publisher that printed a stack trace and each unexpected exit of a publisher.
 func (p *PublisherGroup) Crashes() (crashes []string) {
 	for _, process := range p.processes {
 		if process.EventCounts()[fleet.LineWithoutEvent] > 0 {
-			crashes = append(crashes, fmt.Sprintf("%s printed a trace", process.Name))
+			crashes = append(crashes, fmt.Sprintf("%s printed a stack trace", process.Name))
 		}
 		for range fleet.UnexpectedExits(process.Events()) {
-			crashes = append(crashes, process.Name+" ended by itself")
+			crashes = append(crashes, process.Name+" exited unexpectedly")
 		}
 	}
 	return crashes
