--- a/lab/simenv/config.go
+++ b/lab/simenv/config.go
@@ -6,62 +6,62 @@
 	"ravensill/counterfactual"
 )
 
-// Host is a simulated host. Its response time for an attempt is lognormal around BaseTime, grows with the attempts in
-// flight, and is fixed by the attempt, the host and its load.
+// Host is a simulated host. Its response time to an attempt is log-normal around BaseTime and grows with the attempts
+// in flight. It is a function of the seed, the request, the host and the number of attempts in flight there.
 type Host struct {
 	ID           uint32
 	Zone         int
-	BaseTime     float64       // median response time without load, ms
-	LoadScale    float64       // attempts in flight at which the time has doubled
-	LoadExponent float64       // power of the growth with load: 1 linear, 4 slow only under load
-	Sigma        float64       // standard deviation of the time's logarithm
-	FailureRate  float64       // fraction of attempts that fail at once
-	ListedFrom   time.Duration // since the begin of the run: listed from then on
-	ListedUntil  time.Duration // and until then; 0: always
-	NeverChosen  bool          // listed and available, but never chosen by any gateway
-	incarnation  uint32
-	inFlight     int
+	BaseTime     float64       // median response time without load, in ms
+	LoadScale    float64       // number of attempts in flight at which the response time has doubled
+	LoadExponent float64       // exponent of the growth with load; 1: linear, 4: slow only under high load
+	Sigma        float64       // standard deviation of the response time's logarithm
+	FailureRate  float64       // fraction of attempts that fail immediately
+	ListedFrom   time.Duration // offset from the start of the run at which the host is listed
+	ListedUntil  time.Duration // offset from the start of the run at which the host is no longer listed; 0: never
+	NeverChosen  bool          // listed and available, but no gateway routes requests to it
+	incarnation  uint32        // distinguishes hosts that use the same ID one after the other
+	inFlight     int           // attempts of all gateways that the host works on
 }
 
-// Config describes one simulated fleet. Rates are of the whole fleet.
+// Config describes one simulated fleet. Rates are totals over the whole fleet.
 type Config struct {
 	Seed                uint64
 	Gateways            int
-	SubsetSize          int // hosts in a gateway's subset; 0: all
+	SubsetSize          int // number of hosts in a gateway's subset; 0: all
 	Hosts               []Host
 	Customers           int
-	CustomerSigma       float64 // standard deviation of the logarithm of the work of a customer's requests
+	CustomerSigma       float64 // standard deviation of the logarithm of a customer's mean work per request
 	GatewaysPerCustomer int
-	RequestRate         float64 // requests a second
-	SwingAmplitude      float64 // fraction by which the rate rises and falls
+	RequestRate         float64 // requests per second
+	SwingAmplitude      float64 // fraction by which the request rate rises and falls around RequestRate; 0: constant rate
 	SwingPeriod         time.Duration
 	Duration            time.Duration
-	Window              time.Duration   // of the observers' summaries
+	Window              time.Duration   // length of the window that an observer's summary covers
 	Objectives          []time.Duration // latency objective by request class
-	WorkFactors         []float64       // multiple of the hosts' base time by request class
-	ClientLeaveRate     float64         // fraction of clients that leave before the objective
-	CrossZoneDelay      float64         // ms more to a host in another zone
+	WorkFactors         []float64       // factor on Host.BaseTime, by request class
+	ClientLeaveRate     float64         // fraction of requests whose client disconnects before the latency objective
+	CrossZoneDelay      float64         // ms added to the response time of a host in another zone
 
 	Network Network
 	Faults  []Fault
 
-	ReplacementRule  counterfactual.Rule // replaces the gateways' rule for a share of the attempts
+	ReplacementRule  counterfactual.Rule // routes ReplacementShare of the attempts in place of the gateways' rule
 	ReplacementShare float64
-	MaxCells         int // cells of a gateway's folder; 0: as many as needed
+	MaxCells         int // capacity of a gateway's summary table in cells; 0: ample for every scenario
 }
 
-// Network describes what happens to messages on their way to the ledger.
+// Network describes the faults between the gateways and the ledger, which collects their summaries.
 type Network struct {
-	Loss        float64       // fraction of messages and of confirmations
-	Duplication float64       // fraction of messages
-	MaxDelay    time.Duration // of a message; delays differ, so that messages are reordered
-	MaxAttempts int           // to send an unconfirmed message, one in each window
+	Loss        float64       // probability that a message or a confirmation is lost
+	Duplication float64       // probability that a message is sent twice
+	MaxDelay    time.Duration // messages are delayed by a random time up to this one, and so are reordered
+	MaxAttempts int           // how often an unconfirmed message is sent again, once per window
 }
 
-// Fault stops or partitions a gateway.
+// Fault stops a gateway or partitions it from the ledger.
 type Fault struct {
-	Gateway   int
-	At        time.Duration // since the begin of the run
-	Until     time.Duration // when a partition heals or a stopped gateway restarts; 0: never
-	Partition bool          // its messages are lost; otherwise it is stopped and loses its unsent messages
+	Gateway   int           // index
+	At        time.Duration // offset from the start of the run
+	Until     time.Duration // offset at which the partition heals or the stopped gateway restarts; 0: never
+	Partition bool          // drop the gateway's messages; otherwise stop it, which loses its unconfirmed messages
 }
--- a/lab/simenv/gateway.go
+++ b/lab/simenv/gateway.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	loadBound    = 1.2     // multiple of the least load up to which a host is chosen, as in the module
-	ampleCells   = 1 << 16 // cells of a folder if Config.MaxCells is 0
-	maxClasses   = 8       // request classes
-	leastLatency = 0.2     // lower bound of a host's relative latency
+	maxLoadRatio       = 1.2     // multiple of the least load up to which a host is eligible, as in the real gateway
+	defaultMaxCells    = 1 << 16 // cells of a summarizer if Config.MaxCells is 0
+	maxClasses         = 8       // request classes that a gateway keeps a typical latency for
+	minRelativeLatency = 0.2     // lower bound of a host's estimated relative latency
 )
 
-// gatewayModel is one gateway: a small form of the module's routing rule, and an observer with its summaries.
+// gatewayModel is one gateway: a simplified form of the real routing rule, and an observer that reports summaries.
 type gatewayModel struct {
 	index       int
 	zone        int
-	incarnation uint64 // counts its starts
-	generation  int    // counts its starts and stops, so that timers of an earlier one end
+	incarnation uint64 // number of starts so far
+	generation  int    // number of starts and stops so far; a timer set in an earlier generation is ignored
 	stopped     bool
-	partitioned bool
+	partitioned bool // its messages are lost
 
 	hosts           []*Host
-	relativeLatency map[uint32]float64  // by host: latency over the usual one, smoothed; 0: not known
-	usualLatency    [maxClasses]float64 // by request class, ms, smoothed; 0: not known
-	inFlight        map[uint32]int      // by host
+	relativeLatency map[uint32]float64  // by host: smoothed ratio of its latency to typicalLatency; 0: not known
+	typicalLatency  [maxClasses]float64 // by request class: smoothed latency over all hosts, in ms; 0: not known
+	inFlight        map[uint32]int      // attempts in flight, by host
 
-	folder *counterfactual.Summarizer
-	window uint32     // number of the window under way
-	unsent []*message // not confirmed yet
+	summarizer   *counterfactual.Summarizer
+	windowNumber uint32     // number of the current window
+	unconfirmed  []*message // messages to send again at the end of the window
 }
 
-// message is a part of a window's summary on its way to the ledger.
+// message is one part of a window's summary. It is sent again until it is confirmed or has had too many attempts.
 type message struct {
-	encode    func(age uint32) []byte
-	end       clock.Instant // of its window
-	attempts  int
+	encode    func(age uint32) []byte // age: time since the end of the window, in ms
+	windowEnd clock.Instant           // end of the window that the message summarizes
+	attempts  int                     // number of times it was sent
 	confirmed bool
 }
 
-// startGateway starts a gateway with empty state.
-func (e *Simulation) startGateway(gateway *gatewayModel) {
-	maxCells := e.config.MaxCells
+// startGateway starts a gateway with empty state. Its first window ends after a random part of the window length.
+func (s *Simulation) startGateway(gateway *gatewayModel) {
+	maxCells := s.config.MaxCells
 	if maxCells == 0 {
-		maxCells = ampleCells
+		maxCells = defaultMaxCells
 	}
 	*gateway = gatewayModel{
 		index:           gateway.index,
@@ -55,108 +55,110 @@
 		incarnation:     gateway.incarnation,
 		generation:      gateway.generation + 1,
 		partitioned:     gateway.partitioned,
-		hosts:           e.subset(gateway.index),
+		hosts:           s.subsetOf(gateway.index),
 		relativeLatency: map[uint32]float64{},
 		inFlight:        map[uint32]int{},
-		folder:          counterfactual.NewSummarizer(gateway.zone, maxCells),
+		summarizer:      counterfactual.NewSummarizer(gateway.zone, maxCells),
 	}
-	firstClose := 1 + time.Duration(e.random.Float64()*float64(e.config.Window))
-	e.after(firstClose, e.closeWindow(gateway, gateway.generation))
+	firstClose := 1 + time.Duration(s.random.Float64()*float64(s.config.Window))
+	s.after(firstClose, s.closeWindow(gateway, gateway.generation))
 }
 
-// subset returns the hosts that a gateway sends to, in hashed order.
-func (e *Simulation) subset(gateway int) []*Host {
+// subsetOf returns the hosts that a gateway sends to, ordered by a hash of the gateway and the host.
+func (s *Simulation) subsetOf(gateway int) []*Host {
 	seed := hashMix(uint64(gateway) + 99)
-	hosts := slices.Clone(e.hosts)
+	hosts := slices.Clone(s.hosts)
 	slices.SortStableFunc(hosts, func(a, b *Host) int {
 		if hashMix(uint64(a.ID)^seed) < hashMix(uint64(b.ID)^seed) {
 			return -1
 		}
 		return 1
 	})
-	if e.config.SubsetSize > 0 {
-		hosts = hosts[:min(e.config.SubsetSize, len(hosts))]
+	if s.config.SubsetSize > 0 {
+		hosts = hosts[:min(s.config.SubsetSize, len(hosts))]
 	}
 	return hosts
 }
 
-// closeWindow returns the timer that closes a gateway's window and sends all unconfirmed messages.
-func (e *Simulation) closeWindow(gateway *gatewayModel, generation int) func() {
+// closeWindow returns a timer function that ends a gateway's window, sends all unconfirmed messages and sets the next
+// timer. It does nothing once the gateway has been stopped or restarted since generation.
+func (s *Simulation) closeWindow(gateway *gatewayModel, generation int) func() {
 	return func() {
 		if gateway.generation != generation {
 			return
 		}
-		e.summarize(gateway)
-		gateway.unsent = slices.DeleteFunc(gateway.unsent, func(m *message) bool {
-			return m.confirmed || m.attempts > e.config.Network.MaxAttempts
+		s.summarize(gateway)
+		gateway.unconfirmed = slices.DeleteFunc(gateway.unconfirmed, func(m *message) bool {
+			return m.confirmed || m.attempts > s.config.Network.MaxAttempts
 		})
-		for _, m := range gateway.unsent {
+		for _, m := range gateway.unconfirmed {
 			m.attempts++
-			e.send(gateway, m)
+			s.send(gateway, m)
 		}
-		e.after(e.config.Window, e.closeWindow(gateway, generation))
+		s.after(s.config.Window, s.closeWindow(gateway, generation))
 	}
 }
 
-// summarize turns the window under way into messages and begins the next one.
-func (e *Simulation) summarize(gateway *gatewayModel) {
-	cells, seen, lost := gateway.folder.Flush()
+// summarize turns the current window into messages and begins the next one.
+func (s *Simulation) summarize(gateway *gatewayModel) {
+	cells, seen, lost := gateway.summarizer.Flush()
 	head := counterfactual.SummaryPart{
 		Gateway:      uint32(gateway.index),
 		Zone:         uint8(gateway.zone),
 		Incarnation:  gateway.incarnation,
-		Window:       gateway.window,
-		WindowLength: uint32(e.config.Window / time.Millisecond),
+		Window:       gateway.windowNumber,
+		WindowLength: uint32(s.config.Window / time.Millisecond),
 		Attempts:     seen,
 		LostRecords:  lost,
 	}
-	gateway.window++
+	gateway.windowNumber++
 	for _, encode := range counterfactual.Encode(head, cells) {
-		gateway.unsent = append(gateway.unsent, &message{encode: encode, end: e.now})
+		gateway.unconfirmed = append(gateway.unconfirmed, &message{encode: encode, windowEnd: s.now})
 	}
 }
 
-// send sends a message through the network.
-func (e *Simulation) send(gateway *gatewayModel, m *message) {
-	body := m.encode(uint32(e.now.Sub(m.end) / time.Millisecond))
-	network := &e.config.Network
+// send sends a message through the network, which may lose, duplicate or delay it.
+func (s *Simulation) send(gateway *gatewayModel, m *message) {
+	body := m.encode(uint32(s.now.Sub(m.windowEnd) / time.Millisecond))
+	network := &s.config.Network
 	copies := 1
-	if e.random.Float64() < network.Duplication {
+	if s.random.Float64() < network.Duplication {
 		copies = 2
 	}
 	for range copies {
-		if gateway.partitioned || e.random.Float64() < network.Loss {
+		if gateway.partitioned || s.random.Float64() < network.Loss {
 			continue
 		}
-		delay := time.Duration(e.random.Float64() * float64(network.MaxDelay))
-		e.after(delay, func() { e.receive(m, body) })
+		delay := time.Duration(s.random.Float64() * float64(network.MaxDelay))
+		s.after(delay, func() { s.receive(m, body) })
 	}
 }
 
-// receive merges a message into the ledger; the confirmation may be lost.
-func (e *Simulation) receive(m *message, body []byte) {
+// receive merges a message into the ledger and marks it confirmed unless the confirmation is lost.
+func (s *Simulation) receive(m *message, body []byte) {
 	part, err := counterfactual.Decode(body)
 	if err != nil {
-		e.UndecodableMessages++
+		s.UndecodableMessages++
 		return
 	}
-	if e.Ledger.Receive(part, e.now) && e.random.Float64() >= e.config.Network.Loss {
+	if s.Ledger.Receive(part, s.now) && s.random.Float64() >= s.config.Network.Loss {
 		m.confirmed = true
 	}
 }
 
-// unreported drops the window under way and returns its number of attempts.
-func (g *gatewayModel) unreported() int {
-	_, seen, _ := g.folder.Flush()
+// discardWindow drops the current window and returns the number of attempts recorded in it.
+func (g *gatewayModel) discardWindow() int {
+	_, seen, _ := g.summarizer.Flush()
 	return int(seen)
 }
 
-// candidateSet returns the available hosts, the chosen one first and the customer's next in rank second, if there is
-// one. It returns none if no host can be chosen.
-func (e *Simulation) candidateSet(gateway *gatewayModel, customer int) (candidates []counterfactual.Candidate,
+// rankCandidates chooses a host for a request. It returns the available hosts as candidates and, in the same order, as
+// hosts: first the eligible one with the customer's highest rank, which is chosen, then the eligible one with the next
+// rank, if there is one, then the others. Both results are nil if no host is eligible.
+func (s *Simulation) rankCandidates(gateway *gatewayModel, customer int) (candidates []counterfactual.Candidate,
 	hosts []*Host) {
-	candidates, hosts, leastLoad := e.available(gateway)
-	choosable := func(i int) bool { return candidates[i].Load <= leastLoad*loadBound && !hosts[i].NeverChosen }
+	candidates, hosts, leastLoad := s.availableHosts(gateway)
+	choosable := func(i int) bool { return candidates[i].Load <= leastLoad*maxLoadRatio && !hosts[i].NeverChosen }
 	eligible := 0.0
 	for i := range candidates {
 		if choosable(i) {
@@ -164,7 +166,7 @@
 		}
 	}
 	rank := func(i int) uint64 {
-		return hashMix(uint64(customer)*77 ^ hashMix(uint64(candidates[i].Host)+e.config.Seed))
+		return hashMix(uint64(customer)*77 ^ hashMix(uint64(candidates[i].Host)+s.config.Seed))
 	}
 	best, second := -1, -1
 	for i := range candidates {
@@ -196,17 +198,17 @@
 	return candidates, hosts
 }
 
-// available returns a gateway's hosts that are listed now, each with its load as the gateway estimates it, and the
-// least load of one that may be chosen.
-func (e *Simulation) available(gateway *gatewayModel) (candidates []counterfactual.Candidate, hosts []*Host,
+// availableHosts returns a gateway's hosts that are listed now, each with its load as the gateway estimates it, and the
+// least load among those that gateways may choose (+Inf if there is none).
+func (s *Simulation) availableHosts(gateway *gatewayModel) (candidates []counterfactual.Candidate, hosts []*Host,
 	leastLoad float64) {
-	elapsed := e.now.Sub(simulatedStart)
+	elapsed := s.now.Sub(simulatedStart)
 	leastLoad = math.Inf(1)
 	for _, host := range gateway.hosts {
 		if elapsed < host.ListedFrom || host.ListedUntil > 0 && elapsed >= host.ListedUntil {
 			continue
 		}
-		load := gateway.latencyOf(host) * float64(gateway.inFlight[host.ID]+1)
+		load := gateway.estimatedLatency(host) * float64(gateway.inFlight[host.ID]+1)
 		if !host.NeverChosen {
 			leastLoad = min(leastLoad, load)
 		}
@@ -221,21 +223,22 @@
 	return candidates, hosts, leastLoad
 }
 
-// latencyOf returns a host's relative latency as the gateway estimates it.
-func (g *gatewayModel) latencyOf(host *Host) float64 {
+// estimatedLatency returns the gateway's estimate of a host's relative latency; 1 until an attempt there has ended.
+func (g *gatewayModel) estimatedLatency(host *Host) float64 {
 	if relative := g.relativeLatency[host.ID]; relative != 0 {
 		return relative
 	}
 	return 1
 }
 
-// learn updates the estimates with the latency of an attempt, in ms.
-func (g *gatewayModel) learn(host *Host, class int, latency float64) {
-	usual := &g.usualLatency[class]
+// updateEstimates updates the relative latency of a host and the typical latency of a request class with the latency of
+// one attempt, in ms.
+func (g *gatewayModel) updateEstimates(host *Host, class int, latency float64) {
+	usual := &g.typicalLatency[class]
 	if *usual == 0 {
 		*usual = latency
 	}
-	relative := g.latencyOf(host)
-	g.relativeLatency[host.ID] = max(relative+(latency/(*usual)-relative)/16, leastLatency)
+	relative := g.estimatedLatency(host)
+	g.relativeLatency[host.ID] = max(relative+(latency/(*usual)-relative)/16, minRelativeLatency)
 	*usual += (latency - *usual) / 64
 }
--- a/lab/simenv/outcome.go
+++ b/lab/simenv/outcome.go
@@ -6,62 +6,63 @@
 	"ravensill/counterfactual"
 )
 
-// ruleInForce stands for the rule by which attempts were routed in the run.
-const ruleInForce = counterfactual.Rule(-1)
+// actualRule is the key of the response times that were measured in the run, by whatever rule attempts were routed.
+const actualRule = counterfactual.Rule(-1)
 
-// GroundTruth is the response times that the same attempts would have had by a rule.
+// GroundTruth summarizes the response times that the attempts of a run would have had if a rule had routed them.
 type GroundTruth struct {
 	Requests        float64
-	Mean            float64 // ms, of the response time or the latency objective, whichever is shorter
+	Mean            float64 // ms; each response time is capped at the latency objective
 	P50             float64 // ms
 	P99             float64 // ms
-	WithinObjective float64 // fraction within the objective
+	WithinObjective float64 // fraction of the response times within the latency objective
 }
 
-// outcomeKey names a sample of response times.
+// outcomeKey identifies a sample of response times.
 type outcomeKey struct {
 	rule  counterfactual.Rule
 	class int
-	host  uint32 // of rule Single
+	host  uint32 // host of rule counterfactual.OneHost; otherwise 0
 }
 
-// Sample is a weighted sample of response times in ms.
+// Sample is a weighted sample of response times in ms. Its zero value is empty.
 type Sample struct {
 	values  []float64
 	weights []float64
 }
 
-// recordOutcome adds a response time in ms to a sample.
-func (e *Simulation) recordOutcome(key outcomeKey, time, weight float64) {
-	sample := e.outcomes[key]
+// recordOutcome adds a response time in ms to the sample of a key.
+func (s *Simulation) recordOutcome(key outcomeKey, time, weight float64) {
+	sample := s.outcomes[key]
 	if sample == nil {
 		sample = &Sample{}
-		e.outcomes[key] = sample
+		s.outcomes[key] = sample
 	}
 	sample.Add(time, weight)
 }
 
-// Add adds a response time in ms, +Inf for a failure, with its weight.
+// Add adds a response time in ms with a weight. The time of a failed attempt is +Inf.
 func (s *Sample) Add(time, weight float64) {
 	s.values = append(s.values, time)
 	s.weights = append(s.weights, weight)
 }
 
-// ActualResponseTimes returns the response times that a request class had in the run.
-func (e *Simulation) ActualResponseTimes(class int) GroundTruth {
-	return e.GroundTruth(ruleInForce, class, 0)
+// ActualResponseTimes summarizes the response times that a request class had in the run.
+func (s *Simulation) ActualResponseTimes(class int) GroundTruth {
+	return s.GroundTruth(actualRule, class, 0)
 }
 
-// GroundTruth returns the response times that a request class would have had by a rule; host is that of rule Single.
-func (e *Simulation) GroundTruth(rule counterfactual.Rule, class int, host uint32) GroundTruth {
-	sample := e.outcomes[outcomeKey{rule, class, host}]
+// GroundTruth summarizes the response times that a request class would have had by a rule. host is the host of rule
+// counterfactual.OneHost and 0 for all other rules. The result is zero if there are no response times.
+func (s *Simulation) GroundTruth(rule counterfactual.Rule, class int, host uint32) GroundTruth {
+	sample := s.outcomes[outcomeKey{rule, class, host}]
 	if sample == nil {
 		return GroundTruth{}
 	}
-	return sample.Summary(float64(e.config.Objectives[class]) / 1e6)
+	return sample.Summary(float64(s.config.Objectives[class]) / 1e6)
 }
 
-// Summary returns the figures of a sample, for a latency objective in ms.
+// Summary returns the figures of a non-empty sample for a latency objective in ms.
 func (s *Sample) Summary(objective float64) (truth GroundTruth) {
 	order := make([]int, len(s.values))
 	for i := range order {
@@ -75,13 +76,13 @@
 			truth.WithinObjective += s.weights[i]
 		}
 	}
-	below := 0.0
+	cumulativeWeight := 0.0
 	for _, i := range order {
-		below += s.weights[i]
-		if truth.P50 == 0 && below >= 0.5*truth.Requests {
+		cumulativeWeight += s.weights[i]
+		if truth.P50 == 0 && cumulativeWeight >= 0.5*truth.Requests {
 			truth.P50 = s.values[i]
 		}
-		if truth.P99 == 0 && below >= 0.99*truth.Requests {
+		if truth.P99 == 0 && cumulativeWeight >= 0.99*truth.Requests {
 			truth.P99 = s.values[i]
 		}
 	}
@@ -90,7 +91,7 @@
 	return truth
 }
 
-// compareTimes orders times. One that is not a number, because no host's answer is known, equals all.
+// compareTimes orders response times. NaN, which stands for an unknown response time, compares equal to all others.
 func compareTimes(a, b float64) int {
 	switch {
 	case a < b:
--- a/lab/simenv/rules.go
+++ b/lab/simenv/rules.go
@@ -6,10 +6,12 @@
 	"ravensill/counterfactual"
 )
 
-// RuleShares returns the share of an attempt that a rule sends to each candidate. single is the host of rule Single.
-// It implements the rules of package counterfactual once more: the ground truth must not rest on the code that it
-// checks.
-func RuleShares(rule counterfactual.Rule, candidates []counterfactual.Candidate, single uint32) []float64 {
+// RuleShares returns the probability with which a rule sends an attempt to each candidate. The first candidate is the
+// one that was chosen. singleHost is the host of rule counterfactual.OneHost and ignored for all other rules.
+//
+// RuleShares duplicates the rules of package counterfactual on purpose: the ground truth must not depend on the code
+// that it verifies.
+func RuleShares(rule counterfactual.Rule, candidates []counterfactual.Candidate, singleHost uint32) []float64 {
 	shares := make([]float64, len(candidates))
 	switch rule {
 	case counterfactual.Logged:
@@ -32,7 +34,7 @@
 		shareAmongOtherZones(shares, candidates)
 	case counterfactual.OneHost:
 		for i, c := range candidates {
-			if c.Host == single && c.Probability > 0 {
+			if c.Host == singleHost && c.Probability > 0 {
 				shares[i] = 1
 			}
 		}
@@ -40,7 +42,7 @@
 	return shares
 }
 
-// shareAmongLeastLoaded shares evenly among the candidates with the least load.
+// shareAmongLeastLoaded divides the attempt evenly among the candidates with the least load.
 func shareAmongLeastLoaded(shares []float64, candidates []counterfactual.Candidate) {
 	least := math.Inf(1)
 	ties := 0.0
@@ -60,14 +62,14 @@
 	}
 }
 
-// shareByPairs sends to the less loaded of two candidates drawn at random.
+// shareByPairs sets the shares of a rule that draws two candidates at random and sends to the less loaded one.
 func shareByPairs(shares []float64, candidates []counterfactual.Candidate) {
 	if len(candidates) == 1 {
 		shares[0] = 1
 		return
 	}
 	n := float64(len(candidates))
-	pair := 2 / (n * (n - 1)) // probability of each pair
+	pair := 2 / (n * (n - 1)) // probability that a pair is drawn
 	for i := range candidates {
 		for j := range candidates[:i] {
 			switch {
@@ -83,8 +85,8 @@
 	}
 }
 
-// shareAmongOtherZones shares evenly among the eligible candidates outside the chosen one's zone. Without one, the
-// choice stays.
+// shareAmongOtherZones divides the attempt evenly among the eligible candidates outside the zone of the chosen one. If
+// there are none, the chosen candidate keeps the whole attempt.
 func shareAmongOtherZones(shares []float64, candidates []counterfactual.Candidate) {
 	eligible := func(c counterfactual.Candidate) bool { return c.Zone != candidates[0].Zone && c.Probability > 0 }
 	count := 0.0
--- a/lab/simenv/scenarios.go
+++ b/lab/simenv/scenarios.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// BaseConfig returns a calm fleet of 24 gateways and 12 hosts, some twice as fast as others.
+// BaseConfig returns a fleet of 24 gateways and 12 hosts under constant load and without faults. Some hosts are twice
+// as fast as others.
 func BaseConfig(seed uint64) Config {
 	config := Config{
 		Seed:                seed,
@@ -33,16 +34,17 @@
 	return config
 }
 
-// Scenario is a hard case.
+// Scenario is a fleet for which estimates are compared with the ground truth.
 type Scenario struct {
 	Name            string
-	Configure       func(c *Config)
-	ExpectedRefusal string // a refusal that all answers must have; "": none
+	Configure       func(c *Config) // changes the configuration that BaseConfig returns
+	ExpectedRefusal string          // reason with which all answers must be refused; "": no such expectation
 }
 
+// gatewaysMissing is the reason of package counterfactual for a refusal because too many summaries are missing.
 const gatewaysMissing = "gateways missing"
 
-// Scenarios are the hard cases, each a change to Base.
+// Scenarios are variations of BaseConfig in which estimates are most likely to be wrong.
 var Scenarios = []Scenario{
 	{Name: "calm", Configure: func(c *Config) {}},
 	{Name: "one host slow only under load", Configure: func(c *Config) {
@@ -94,7 +96,7 @@
 	{Name: "tables too small", ExpectedRefusal: gatewaysMissing, Configure: func(c *Config) { c.MaxCells = 30 }},
 }
 
-// replaceHosts replaces four hosts by slower ones with the same ids.
+// replaceHosts replaces four hosts, halfway through the run, by slower ones with the same IDs.
 func replaceHosts(c *Config) {
 	for i := range 4 {
 		c.Hosts[i].ListedUntil = 10 * time.Second
@@ -106,7 +108,7 @@
 	}
 }
 
-// spreadSpeeds makes each host slower than the one before.
+// spreadSpeeds makes each host slower than the one before it, from 12 ms to 12 ms times the number of hosts.
 func spreadSpeeds(c *Config) {
 	for i := range c.Hosts {
 		c.Hosts[i].BaseTime = 12 * float64(1+i)
--- a/lab/simenv/score.go
+++ b/lab/simenv/score.go
@@ -10,34 +10,34 @@
 	"ravensill/counterfactual"
 )
 
-// Tolerances of figures, as fractions of the ground truth.
+// Tolerances, as fractions of the ground truth.
 const (
-	maxMeanError = 0.1
-	maxP99Error  = 0.2
-	minPairGap   = 0.1 // between two means whose order is compared
+	maxMeanError      = 0.1 // of an estimated mean
+	maxP99Error       = 0.2 // of an estimated p99
+	minPairDifference = 0.1 // least difference of two means whose order is compared
 )
 
-// Score counts how estimates compare with the ground truth, over runs.
+// Score counts how well estimates agree with the ground truth, over any number of runs. Its zero value is empty.
 type Score struct {
 	Answers           int            // all answers
-	Answered          int            // answers that were not refused altogether
-	Means             int            // estimated means
-	InaccurateMeans   int            // means off by more than maxMeanError
-	P99s              int            // estimated p99
-	InaccurateP99s    int            // p99 off by more than maxP99Error
-	Figures           int            // estimated figures
-	Covered           int            // figures whose interval covers the ground truth
-	ComparedPairs     int            // pairs of rules whose true means differ by more than minPairGap
-	PairsInOrder      int            // pairs that the estimates put in the right order
-	HalfWidthSum      float64        // sum of the means' half widths, relative
-	MeanErrorSum      float64        // sum of the means' errors, relative
-	Refusals          map[string]int // refusals by reason
-	Estimators        map[string]int // answers by estimator
-	InaccurateFigures []string       // means and p99 that are too far off
-	Uncovered         []string       // figures whose interval does not cover the ground truth
+	Answered          int            // answers that were not refused as a whole
+	Means             int            // means that were estimated
+	InaccurateMeans   int            // of Means: off by more than maxMeanError
+	P99s              int            // p99 that were estimated
+	InaccurateP99s    int            // of P99s: off by more than maxP99Error
+	Figures           int            // mean, p50, p99 and fraction within the objective that were estimated
+	Covered           int            // of Figures: the confidence interval covers the ground truth
+	ComparedPairs     int            // pairs of rules or of hosts whose true means differ by more than minPairDifference
+	PairsInOrder      int            // of ComparedPairs: the estimates have the same order as the true means
+	HalfWidthSum      float64        // sum over Means of half the interval's width, as a fraction of the estimate
+	MeanErrorSum      float64        // sum over Means of the error, as a fraction of the ground truth
+	Refusals          map[string]int // refused answers by reason, refused figures by name and reason
+	Estimators        map[string]int // answers by the estimator that gave them
+	InaccurateFigures []string       // descriptions of InaccurateMeans and InaccurateP99s
+	Uncovered         []string       // descriptions of figures whose interval does not cover the ground truth
 }
 
-// init creates the maps.
+// init creates the maps of a zero Score.
 func (s *Score) init() {
 	if s.Refusals == nil {
 		s.Refusals = map[string]int{}
@@ -45,7 +45,7 @@
 	}
 }
 
-// Add adds another score.
+// Add adds the counts and descriptions of another score.
 func (s *Score) Add(o *Score) {
 	s.init()
 	s.Answers += o.Answers
@@ -70,7 +70,7 @@
 	s.Uncovered = append(s.Uncovered, o.Uncovered...)
 }
 
-// fraction returns n divided by of; 0 if of is 0.
+// fraction returns n divided by of; n if of is 0.
 func fraction(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 
 // String returns the score in one line.
@@ -78,9 +78,10 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "asked %d, means %d (%.1f%% off by over 10%%; error %.1f%%, half width %.1f%%), p99 %d (%.1f%% "+
 		"off by over 20%%), intervals hold %.1f%% of %d, pairs right %d of %d; by", s.Answers, s.Means,
-		100*fraction(s.InaccurateMeans, s.Means), 100*s.MeanErrorSum/float64(max(s.Means, 1)), 100*s.HalfWidthSum/float64(max(s.Means, 1)),
-		s.P99s,
-		100*fraction(s.InaccurateP99s, s.P99s), 100*fraction(s.Covered, s.Figures), s.Figures, s.PairsInOrder, s.ComparedPairs)
+		100*fraction(s.InaccurateMeans, s.Means), 100*s.MeanErrorSum/float64(max(s.Means, 1)),
+		100*s.HalfWidthSum/float64(max(s.Means, 1)), s.P99s,
+		100*fraction(s.InaccurateP99s, s.P99s), 100*fraction(s.Covered, s.Figures), s.Figures,
+		s.PairsInOrder, s.ComparedPairs)
 	for _, k := range slices.Sorted(maps.Keys(s.Estimators)) {
 		fmt.Fprintf(&b, " %s %d", k, s.Estimators[k])
 	}
@@ -91,7 +92,7 @@
 	return b.String()
 }
 
-// Compare compares one answer with its ground truth.
+// Compare adds the comparison of one answer with its ground truth.
 func (s *Score) Compare(answer *counterfactual.Answer, truth GroundTruth) {
 	s.init()
 	s.Answers++
@@ -102,26 +103,26 @@
 	s.Answered++
 	s.Estimators[string(answer.Estimator)]++
 	mean := comparedFigure{answer, "mean", &answer.Mean, truth.Mean}
-	if s.cover(mean) {
+	if s.countCoverage(mean) {
 		s.Means++
 		s.HalfWidthSum += (mean.figure.High - mean.figure.Value) / mean.figure.Value
 		s.MeanErrorSum += math.Abs(mean.figure.Value-mean.truth) / mean.truth
-		if s.isOff(mean, maxMeanError) {
+		if s.isInaccurate(mean, maxMeanError) {
 			s.InaccurateMeans++
 		}
 	}
-	s.cover(comparedFigure{answer, "p50", &answer.P50, truth.P50})
-	s.cover(comparedFigure{answer, "within", &answer.WithinObjective, truth.WithinObjective})
+	s.countCoverage(comparedFigure{answer, "p50", &answer.P50, truth.P50})
+	s.countCoverage(comparedFigure{answer, "within", &answer.WithinObjective, truth.WithinObjective})
 	p99 := comparedFigure{answer, "p99", &answer.P99, truth.P99}
-	if s.cover(p99) {
+	if s.countCoverage(p99) {
 		s.P99s++
-		if s.isOff(p99, maxP99Error) {
+		if s.isInaccurate(p99, maxP99Error) {
 			s.InaccurateP99s++
 		}
 	}
 }
 
-// comparedFigure is a figure of an answer with its true value.
+// comparedFigure is one estimated figure of an answer with its true value.
 type comparedFigure struct {
 	answer *counterfactual.Answer
 	name   string
@@ -129,14 +130,15 @@
 	truth  float64
 }
 
-// String returns the figure in one line.
+// String returns the estimate, its interval and the true value in one line.
 func (c *comparedFigure) String() string {
 	return fmt.Sprintf("%s %s class %s host %s %s: %.4g (%.4g to %.4g), truth %.4g", c.answer.Rule, c.answer.Estimator,
 		c.answer.Class, c.answer.Host, c.name, c.figure.Value, c.figure.Low, c.figure.High, c.truth)
 }
 
-// cover counts a figure and whether its interval covers the true value. It reports false if the figure was refused.
-func (s *Score) cover(compared comparedFigure) bool {
+// countCoverage counts a figure and whether its interval covers the true value. It returns false if the figure was
+// refused.
+func (s *Score) countCoverage(compared comparedFigure) bool {
 	figure := compared.figure
 	if !figure.Available() {
 		s.Refusals[compared.name+" "+refusalReason(figure.Refused)]++
@@ -151,8 +153,9 @@
 	return true
 }
 
-// isOff reports whether a figure is off by more than a fraction of the true value. Without a true value it is.
-func (s *Score) isOff(compared comparedFigure, maxError float64) bool {
+// isInaccurate reports whether a figure is off by more than maxError, a fraction of the true value, and adds it to
+// InaccurateFigures if so. A figure whose true value is NaN is inaccurate.
+func (s *Score) isInaccurate(compared comparedFigure, maxError float64) bool {
 	if math.Abs(compared.figure.Value-compared.truth) <= maxError*compared.truth {
 		return false
 	}
@@ -160,9 +163,9 @@
 	return true
 }
 
-// CompareOrder counts the pairs of rules with a mean whose true means differ by more than minPairGap, and those that
-// the estimates put in the right order. Single hosts are compared only with each other: their attempts are not the
-// rules'.
+// CompareOrder counts the pairs of answers with an estimated mean whose true means differ by more than
+// minPairDifference, and those that the estimates put in the right order. truths holds the ground truth of each answer.
+// Answers for a single host are compared only with each other, as they are about other attempts than those for a rule.
 func (s *Score) CompareOrder(answers []counterfactual.Answer, truths []GroundTruth) {
 	for i := range answers {
 		for j := range i {
@@ -171,7 +174,7 @@
 				continue
 			}
 			difference := truths[i].Mean - truths[j].Mean
-			if math.Abs(difference) > minPairGap*min(truths[i].Mean, truths[j].Mean) {
+			if math.Abs(difference) > minPairDifference*min(truths[i].Mean, truths[j].Mean) {
 				s.ComparedPairs++
 				if (a.Mean.Value > b.Mean.Value) == (difference > 0) {
 					s.PairsInOrder++
@@ -181,17 +184,17 @@
 	}
 }
 
-// refusalReason returns the reason of a refusal without its details.
+// refusalReason returns the reason of a refusal without the details that follow the colon.
 func refusalReason(text string) string {
 	text, _, _ = strings.Cut(text, ":")
 	return text
 }
 
-// EvaluateReplacement queries what each rule would have met if it were in force for a share of all attempts, and compares
-// the answers with a run of the same requests in which it is.
+// EvaluateReplacement estimates, from one run, what would have happened if another rule had routed a share of all
+// attempts, and compares the estimates with a second run of the same requests in which that rule does so.
 func EvaluateReplacement(config Config, share float64) *Score {
 	score := &Score{}
-	environment := Run(config)
+	actual := Run(config)
 	for _, rule := range []counterfactual.Rule{
 		counterfactual.NextInRank,
 		counterfactual.Random,
@@ -202,42 +205,43 @@
 		config.ReplacementShare = share
 		replaced := Run(config)
 		for class := range config.Objectives {
-			answer := environment.Ledger.EstimateReplacement(class, rule, share, environment.FirstBin, environment.LastBin)
+			answer := actual.Ledger.EstimateReplacement(class, rule, share, actual.FirstBin, actual.LastBin)
 			score.Compare(&answer, replaced.ActualResponseTimes(class))
 		}
 	}
 	return score
 }
 
-// EvaluateRulesAndHosts makes all queries with one request moved at a time, and compares the answers with the ground truth.
-func (e *Simulation) EvaluateRulesAndHosts() *Score {
+// EvaluateRulesAndHosts compares the estimates for each rule and each single host with the ground truth. These
+// estimates are about one moved request at a time, with the load that all others cause unchanged.
+func (s *Simulation) EvaluateRulesAndHosts() *Score {
 	score := &Score{}
 	score.init()
-	for class := range e.config.Objectives {
-		e.evaluateRules(score, class)
-		e.evaluateHosts(score, class)
+	for class := range s.config.Objectives {
+		s.evaluateRules(score, class)
+		s.evaluateHosts(score, class)
 	}
 	return score
 }
 
-// evaluateRules compares the answers for the rules.
-func (e *Simulation) evaluateRules(score *Score, class int) {
-	answers := e.Ledger.EstimateRules(class, e.FirstBin, e.LastBin)
+// evaluateRules compares the estimates for all rules with the ground truth.
+func (s *Simulation) evaluateRules(score *Score, class int) {
+	answers := s.Ledger.EstimateRules(class, s.FirstBin, s.LastBin)
 	truths := make([]GroundTruth, len(answers))
 	for i := range answers {
-		truths[i] = e.GroundTruth(counterfactual.Rule(i), class, 0)
+		truths[i] = s.GroundTruth(counterfactual.Rule(i), class, 0)
 		score.Compare(&answers[i], truths[i])
 	}
 	score.CompareOrder(answers, truths)
 }
 
-// evaluateHosts compares the answers for single hosts.
-func (e *Simulation) evaluateHosts(score *Score, class int) {
+// evaluateHosts compares the estimates for each single host with the ground truth.
+func (s *Simulation) evaluateHosts(score *Score, class int) {
 	var answers []counterfactual.Answer
 	var truths []GroundTruth
-	for _, host := range e.hosts {
-		answer := e.Ledger.EstimateSingleHost(class, host.ID, e.FirstBin, e.LastBin)
-		truth := e.GroundTruth(counterfactual.OneHost, class, host.ID)
+	for _, host := range s.hosts {
+		answer := s.Ledger.EstimateSingleHost(class, host.ID, s.FirstBin, s.LastBin)
+		truth := s.GroundTruth(counterfactual.OneHost, class, host.ID)
 		score.Compare(&answer, truth)
 		answers = append(answers, answer)
 		truths = append(truths, truth)
--- a/lab/simenv/simenv.go
+++ b/lab/simenv/simenv.go
@@ -1,9 +1,12 @@
-// Package simenv simulates a fleet of gateways and hosts on a simulated clock, for the tests of package
-// counterfactual. A host's response time to an attempt is a function of the attempt, the host and its attempts in
-// flight, so that the response time of any other host to the same attempt is known: the ground truth that estimates
-// are compared with. The gateways choose by a simplified form of the module's rule (the customer's first host in
-// hashed rank among those not much above the least load). Their messages pass through a network that loses,
-// duplicates, delays and reorders. A run is deterministic for a seed and does no I/O.
+// Package simenv simulates a fleet of gateways and hosts on a simulated clock, to verify the estimates of package
+// counterfactual.
+//
+// A host's response time is a function of the attempt, the host and the number of attempts in flight there. The
+// response time that any other host would have had to the same attempt is therefore known: it is the ground truth that
+// estimates are compared with. The gateways route by a simplified form of the real rule: of the hosts whose load is not
+// much above the least load, they choose the one that a hash of customer and host ranks first. Their summaries reach
+// the ledger through a network that loses, duplicates, delays and reorders messages. A run is deterministic for a seed
+// and does no I/O.
 package simenv
 
 import (
@@ -19,13 +22,13 @@
 // simulatedStart is the simulated time at which a run begins.
 const simulatedStart = clock.Instant(1000 * time.Second)
 
-// Simulation is a run that has ended.
+// Simulation is a simulated fleet. Run returns it at the end of its run.
 type Simulation struct {
-	Ledger              *counterfactual.Ledger
+	Ledger              *counterfactual.Ledger   // summaries that the collector received
 	FirstBin            counterfactual.BinNumber // first bin of the run
 	LastBin             counterfactual.BinNumber // last bin of the run
 	UndecodableMessages int                      // messages that could not be decoded
-	LostRecords         int                      // attempts whose record was never reported
+	LostRecords         int                      // attempts whose record was lost with a stopped gateway
 
 	config          Config
 	random          *rand.Rand
@@ -34,36 +37,36 @@
 	hosts           []*Host
 	gateways        []*gatewayModel
 	outcomes        map[outcomeKey]*Sample
-	cumulativeRates []float64 // by customer: the sum of the relative request rates up to this one
+	cumulativeRates []float64 // by customer: sum of the relative request rates of all customers up to this one
 }
 
-// Run simulates a fleet to the end of its run.
+// Run simulates a fleet. After the last request it goes on for 20 windows, so that the ledger receives late messages.
 func Run(config Config) *Simulation {
-	e := &Simulation{
+	s := &Simulation{
 		config:   config,
 		random:   rand.New(rand.NewPCG(config.Seed, 1)),
 		now:      simulatedStart,
 		outcomes: map[outcomeKey]*Sample{},
 		Ledger:   newLedger(config),
 	}
-	e.addHosts()
-	e.addGateways()
-	e.scheduleFaults()
-	e.addCustomers()
-	e.scheduleRequest(0)
+	s.addHosts()
+	s.addGateways()
+	s.scheduleFaults()
+	s.addCustomers()
+	s.scheduleRequest(0)
 	end := simulatedStart.Add(config.Duration)
-	e.runUntil(end.Add(20 * config.Window))
-	e.FirstBin = binOf(simulatedStart, config.Window)
-	e.LastBin = binOf(end, config.Window) + 2
-	return e
+	s.runUntil(end.Add(20 * config.Window))
+	s.FirstBin = binOf(simulatedStart, config.Window)
+	s.LastBin = binOf(end, config.Window) + 2
+	return s
 }
 
-// binOf returns the bin of a ledger that a time is in.
+// binOf returns the ledger's bin that contains an instant.
 func binOf(at clock.Instant, window time.Duration) counterfactual.BinNumber {
 	return counterfactual.BinNumber(int64(at) / int64(window))
 }
 
-// newLedger returns the collector's ledger.
+// newLedger returns an empty ledger with the collector's settings for a fleet.
 func newLedger(config Config) *counterfactual.Ledger {
 	settings := counterfactual.Settings{
 		Gateways:        config.Gateways,
@@ -80,28 +83,28 @@
 	return counterfactual.NewLedger(settings)
 }
 
-func (e *Simulation) addHosts() {
-	for _, host := range e.config.Hosts {
+func (s *Simulation) addHosts() {
+	for _, host := range s.config.Hosts {
 		host.incarnation = uint32(host.ListedFrom / time.Second)
-		e.hosts = append(e.hosts, &host)
+		s.hosts = append(s.hosts, &host)
 	}
 }
 
-func (e *Simulation) addGateways() {
-	for i := range e.config.Gateways {
+func (s *Simulation) addGateways() {
+	for i := range s.config.Gateways {
 		gateway := &gatewayModel{index: i, zone: i % 2, incarnation: 1}
-		e.gateways = append(e.gateways, gateway)
-		e.startGateway(gateway)
+		s.gateways = append(s.gateways, gateway)
+		s.startGateway(gateway)
 	}
 }
 
-func (e *Simulation) scheduleFaults() {
-	for _, fault := range e.config.Faults {
-		gateway := e.gateways[fault.Gateway]
-		e.at(simulatedStart.Add(fault.At), func() {
+func (s *Simulation) scheduleFaults() {
+	for _, fault := range s.config.Faults {
+		gateway := s.gateways[fault.Gateway]
+		s.at(simulatedStart.Add(fault.At), func() {
 			gateway.partitioned = fault.Partition
 			if !fault.Partition {
-				e.LostRecords += gateway.unreported()
+				s.LostRecords += gateway.discardWindow()
 				gateway.stopped = true
 				gateway.generation++
 			}
@@ -109,42 +112,42 @@
 		if fault.Until == 0 {
 			continue
 		}
-		e.at(simulatedStart.Add(fault.Until), func() {
+		s.at(simulatedStart.Add(fault.Until), func() {
 			gateway.partitioned = false
 			if gateway.stopped {
 				gateway.incarnation++
-				e.startGateway(gateway)
+				s.startGateway(gateway)
 			}
 		})
 	}
 }
 
-// addCustomers draws the customers' request rates: some send many more requests than others.
-func (e *Simulation) addCustomers() {
+// addCustomers draws the customers' relative request rates from a log-normal distribution with sigma 1.2.
+func (s *Simulation) addCustomers() {
 	total := 0.0
-	for customer := range e.config.Customers {
-		total += math.Exp(1.2 * gaussian(e.config.Seed, uint64(customer), 9))
-		e.cumulativeRates = append(e.cumulativeRates, total)
+	for customer := range s.config.Customers {
+		total += math.Exp(1.2 * gaussian(s.config.Seed, uint64(customer), 9))
+		s.cumulativeRates = append(s.cumulativeRates, total)
 	}
 }
 
-// at schedules an event.
-func (e *Simulation) at(at clock.Instant, event func()) { e.schedule.Add(int64(at), event) }
+// at schedules an event at an instant.
+func (s *Simulation) at(at clock.Instant, event func()) { s.schedule.Add(int64(at), event) }
 
 // after schedules an event after a delay.
-func (e *Simulation) after(delay time.Duration, event func()) { e.at(e.now.Add(delay), event) }
+func (s *Simulation) after(delay time.Duration, event func()) { s.at(s.now.Add(delay), event) }
 
-// milliseconds returns a duration of a number of milliseconds.
+// milliseconds converts a number of milliseconds to a Duration.
 func milliseconds(number float64) time.Duration { return time.Duration(number * 1e6) }
 
-// runUntil runs all events up to a time.
-func (e *Simulation) runUntil(end clock.Instant) {
-	for e.schedule.Len() > 0 {
-		at, event := e.schedule.Next()
+// runUntil runs all events up to an instant, in the order of their times.
+func (s *Simulation) runUntil(end clock.Instant) {
+	for s.schedule.Len() > 0 {
+		at, event := s.schedule.Next()
 		if clock.Instant(at) > end {
 			return
 		}
-		e.now = clock.Instant(at)
+		s.now = clock.Instant(at)
 		event()
 	}
 }
