--- a/lab/subsetsim/day.go
+++ b/lab/subsetsim/day.go
@@ -6,75 +6,81 @@
 	"ravensill/subset"
 )
 
-// Step is one fault or change of a day.
+// Step is one fault or change in a Scenario.
 type Step struct {
-	After time.Duration // from the start of the day
+	After time.Duration // since the start of the scenario
 	Kind  StepKind
-	// Count is a number of hosts, or a percentage of the gateways.
+	// Count is a number of hosts or a percentage of the gateways, depending on Kind.
 	Count    int
-	Duration time.Duration
+	Duration time.Duration // meaning depends on Kind
 }
 
-// StepKind is the kind of a Step; it determines what the step's other fields mean.
+// StepKind is the kind of a Step and determines what its fields Count and Duration mean.
 type StepKind int
 
 const (
-	// HostsJoin starts Count new hosts, which have to warm up.
+	// HostsJoin starts Count new hosts, which warm up first.
 	HostsJoin StepKind = iota
-	// HostsSilent lets Count hosts answer nothing for Duration.
+	// HostsSilent stops Count hosts from answering for Duration.
 	HostsSilent
-	// ListsDiffer replaces Count hosts by warm ones; every second gateway is notified Duration later than the others.
+	// ListsDiffer replaces Count hosts by warm ones. Every second gateway is notified Duration later than the others,
+	// so that the gateways' endpoint lists differ meanwhile.
 	ListsDiffer
-	// HostsReplaced replaces Count hosts by ones that have to warm up, evenly over Duration.
+	// HostsReplaced replaces Count hosts, evenly over Duration, by hosts that warm up first.
 	HostsReplaced
-	// GatewaysRestart stops Count percent of the gateways at once; they start without state after Duration.
+	// GatewaysRestart stops Count percent of the gateways at once and starts them without state after Duration.
 	GatewaysRestart
-	// GatewaysPartitioned lets Count percent of the gateways not reach a third of the hosts for Duration.
+	// GatewaysPartitioned cuts Count percent of the gateways off from a third of the hosts for Duration.
 	GatewaysPartitioned
 )
 
-// Scenario describes one simulated day: gateways of package logic, customers without quotas, and hosts that work on a number
-// of requests at once and queue the others.
+// Scenario describes one simulation: gateways of package logic, customers without quotas, and hosts that each work on a
+// limited number of requests at once and queue the others.
 type Scenario struct {
 	Name     string
 	Seed     uint64
 	Gateways int
 	Hosts    int
-	// RequestRate is the number of requests in a second over all gateways.
+	// RequestRate is the number of requests per second over all gateways.
 	RequestRate float64
-	// Customers have log-normal rates (sigma 1); each uses half to all of the gateways.
+	// Customers is the number of customers. Their request rates are log-normal with sigma 1; each uses half to all of
+	// the gateways.
 	Customers int
-	// TrafficSigma is the sigma of the gateways' log-normal traffic.
+	// TrafficSigma is the sigma of the gateways' log-normal traffic; 0 gives all the same.
 	TrafficSigma float64
-	// BusyGatewayFactor is the traffic of gateway 0 over the mean; 0 leaves it like any other.
+	// BusyGatewayFactor is the ratio of the traffic of gateway 0 to the mean; with 0 its traffic is drawn like any
+	// other.
 	BusyGatewayFactor float64
-	// LightHosts is the number of hosts with a quarter of the weight and the slots.
+	// LightHosts is the number of hosts with a quarter of the usual weight and slots.
 	LightHosts int
-	// SlowHosts is the number of other hosts that take three times as long for a request.
+	// SlowHosts is the number of other hosts that take three times the usual time for a request.
 	SlowHosts int
 	// Slots is the number of requests that a host works on at once.
 	Slots int
-	// MeanWork is the mean of a request's exponential processing time.
+	// MeanWork is the mean of a request's exponential processing time at a warm host.
 	MeanWork time.Duration
-	Length   time.Duration
-	Steps    []Step
-	// SubsetRule returns the subset of a member as indices of hosts; nil keeps the rule of package subset.
+	// Length is the simulated time.
+	Length time.Duration
+	Steps  []Step
+	// SubsetRule returns the subset of gateway member of a fleet of members as indices of hosts; nil stands for the
+	// rule of package subset.
 	SubsetRule func(member, members int, hosts []subset.Endpoint) []int
 }
 
 const (
-	// firstStep is when the steps of Days happen and from when a day is measured: the hosts have warmed up by then.
-	firstStep     = 15 * time.Second
-	dayLength     = 40 * time.Second
-	slotsPerHost  = 12
-	ratePerHost   = 15
-	dayCustomers  = 2000
-	meanWork      = 400 * time.Millisecond
-	trafficSkew   = 0.7
-	overloadSlots = 14 // of all hosts on a day with slow ones
+	// firstStepAt is the time of the steps of Scenarios and the start of the measurement: hosts have warmed up by then.
+	firstStepAt        = 15 * time.Second
+	scenarioLength     = 40 * time.Second
+	slotsPerHost       = 12
+	ratePerHost        = 15
+	customerCount      = 2000
+	meanWork           = 400 * time.Millisecond
+	trafficSigma       = 0.7
+	slotsWithSlowHosts = 14 // slots of each host in a scenario with slow hosts
 )
 
-// Scenarios returns the days that docs/spread.md shows, for one seed: steady ones, then ones with one step.
+// Scenarios returns the scenarios that docs/spread.md shows, for one seed: first those without a step, then those with
+// one.
 func Scenarios(seed uint64, gateways, hosts int) []Scenario {
 	steady := func(name string) Scenario {
 		return Scenario{
@@ -83,17 +89,17 @@
 			Gateways:     gateways,
 			Hosts:        hosts,
 			RequestRate:  float64(ratePerHost * hosts),
-			Customers:    dayCustomers,
-			TrafficSigma: trafficSkew,
+			Customers:    customerCount,
+			TrafficSigma: trafficSigma,
 			Slots:        slotsPerHost,
 			MeanWork:     meanWork,
-			Length:       dayLength,
+			Length:       scenarioLength,
 		}
 	}
 	step := func(name string, kind StepKind, count int, duration time.Duration) Scenario {
-		day := steady(name)
-		day.Steps = []Step{{firstStep, kind, count, duration}}
-		return day
+		scenario := steady(name)
+		scenario.Steps = []Step{{firstStepAt, kind, count, duration}}
+		return scenario
 	}
 
 	even := steady("steady, even traffic")
@@ -108,7 +114,7 @@
 	lightHost.LightHosts = 1
 	slowHosts := steady("one host in eight three times as slow")
 	slowHosts.SlowHosts = hosts / 8
-	slowHosts.Slots = overloadSlots
+	slowHosts.Slots = slotsWithSlowHosts
 	const outage = 6 * time.Second
 	return []Scenario{
 		even,
--- a/lab/subsetsim/gateway.go
+++ b/lab/subsetsim/gateway.go
@@ -9,35 +9,35 @@
 	"ravensill/subset"
 )
 
-// gatewayModel is a gateway of package logic; it executes the gateway's decisions.
+// gatewayModel runs a gateway of package logic and executes its decisions on the simulated hosts.
 type gatewayModel struct {
 	simulation       *simulation
 	index            int
 	logic            *logic.Gateway
-	incarnation      int
+	incarnation      int // number of starts
 	stopped          bool
-	lateNotice       time.Duration       // further delay of some notifications of the endpoint list
-	partitionedUntil gateway.Time        // from a third of the hosts
-	runningHosts     map[uint32]bool     // by its endpoint list
-	attempts         map[string]*attempt // the last one of each unfinished request
-	usedHosts        map[uint32]bool     // of all incarnations
+	extraNotifyDelay time.Duration       // additional delay of late notifications about endpoints
+	partitionedUntil gateway.Time        // until then a third of the hosts is unreachable
+	runningHosts     map[uint32]bool     // IDs of the hosts that run by its endpoint list
+	attempts         map[string]*attempt // latest attempt of each unfinished request, by request ID
+	usedHosts        map[uint32]bool     // IDs of the hosts that any incarnation sent attempts to
 }
 
-// attempt is one attempt of a request.
+// attempt is one attempt to have a request answered by a host.
 type attempt struct {
 	request     string
-	number      int
+	number      int // 0 for the first attempt of the request
 	host        *host
 	startedAt   gateway.Time
 	ended       bool
 	gateway     *gatewayModel
-	incarnation int // of the gateway
+	incarnation int // of the gateway when it started the attempt
 }
 
-// start starts the gateway without state and with the current list of endpoints.
+// start starts the gateway without any state from a previous incarnation and gives it the current endpoint list.
 func (g *gatewayModel) start() {
 	s := g.simulation
-	membership := gateway.Membership{Index: g.index, Count: s.day.Gateways}
+	membership := gateway.Membership{Index: g.index, Count: s.scenario.Gateways}
 	classes := []gateway.RequestClass{{
 		LatencyObjective: 2 * time.Second,
 		Timeout:          requestTimeout,
@@ -47,7 +47,7 @@
 	plans := []gateway.Plan{{PriorityWeight: 1}}
 	limits := gateway.Limits{MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second}
 	slowStart := gateway.SlowStart{
-		InitialFraction: warmUpInitial,
+		InitialFraction: initialSpeedFactor,
 		Duration:        warmUpTime,
 		OverloadFactor:  3,
 		OverloadWindow:  3 * time.Second,
@@ -67,7 +67,8 @@
 	g.updateEndpoints(gateway.ListComplete, endpoints)
 }
 
-// updateEndpoints delivers endpoints to the gateway and assigns its subset if the day has a rule for it.
+// updateEndpoints delivers an endpoint list, or changes of it, to the gateway. It then assigns the gateway's subset if
+// the scenario replaces the rule of package subset.
 func (g *gatewayModel) updateEndpoints(kind gateway.ListKind, endpoints []gateway.Endpoint) {
 	g.decide(gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: endpoints})
 	for _, e := range endpoints {
@@ -76,7 +77,7 @@
 			g.runningHosts[e.Host] = true
 		}
 	}
-	if g.simulation.day.SubsetRule != nil {
+	if g.simulation.scenario.SubsetRule != nil {
 		g.assignSubset()
 	}
 }
@@ -92,13 +93,13 @@
 		}
 	}
 	inSubset := map[uint32]bool{}
-	for _, i := range s.day.SubsetRule(g.index, s.day.Gateways, hosts) {
+	for _, i := range s.scenario.SubsetRule(g.index, s.scenario.Gateways, hosts) {
 		inSubset[ids[i]] = true
 	}
 	g.logic.OverrideSubset(func(id uint32) bool { return inSubset[id] })
 }
 
-// decide lets the gateway handle one event, unless it is stopped.
+// decide lets the gateway handle one event. It does nothing while the gateway is stopped.
 func (g *gatewayModel) decide(event gateway.Event) {
 	if g.stopped {
 		return
@@ -106,7 +107,8 @@
 	g.logic.Decide(&gateway.Batch{Now: g.simulation.now, Events: []gateway.Event{event}}, g)
 }
 
-// end ends an attempt, unless it has ended or its gateway has restarted. loadReport comes from the host.
+// end ends an attempt and notifies its gateway. It does nothing if the attempt has ended before or the gateway has
+// stopped or restarted. loadReport is the load report in the host's answer, nil without an answer.
 func (a *attempt) end(result gateway.Result, loadReport []float64) {
 	g := a.gateway
 	if a.ended || g.incarnation != a.incarnation || g.stopped {
@@ -132,7 +134,8 @@
 	})
 }
 
-// StartAttempt starts an attempt, which ends at its timeout at the latest.
+// StartAttempt sends an attempt to a host; the attempt is lost if a partition separates the two. It ends at its timeout
+// at the latest.
 func (g *gatewayModel) StartAttempt(request string, hostID uint32, timeout time.Duration) {
 	s := g.simulation
 	a := &attempt{
@@ -151,10 +154,10 @@
 	if s.now < g.partitionedUntil && hostID%3 == 0 {
 		return
 	}
-	s.after(networkDelay, func() { s.receive(a.host, a) })
+	s.after(networkDelay, func() { s.receiveAttempt(a.host, a) })
 }
 
-// CancelAttempt ends an attempt after all other events of this instant.
+// CancelAttempt ends an attempt in an event of its own, after all events that are already scheduled for this instant.
 func (g *gatewayModel) CancelAttempt(request string, number int) {
 	a := g.attempts[request]
 	if a == nil || a.number != number {
@@ -163,7 +166,7 @@
 	g.simulation.after(0, func() { a.end(gateway.Canceled, nil) })
 }
 
-// SetTimer schedules a timer event.
+// SetTimer schedules a timer event, which is dropped if the gateway has restarted by then.
 func (g *gatewayModel) SetTimer(after time.Duration) {
 	incarnation := g.incarnation
 	g.simulation.after(after, func() {
@@ -173,13 +176,13 @@
 	})
 }
 
-// Reject forgets a request.
+// Reject drops the state of a request.
 func (g *gatewayModel) Reject(request string, _ time.Duration) { delete(g.attempts, request) }
 
-// Fail forgets a request.
+// Fail drops the state of a request.
 func (g *gatewayModel) Fail(request string) { delete(g.attempts, request) }
 
-// The other decisions have no effect on a simulated day.
+// The other decisions have no effect in this simulation.
 
 func (g *gatewayModel) SendGossip(int, []byte)                      {}
 func (g *gatewayModel) SendProbe(uint32)                            {}
--- a/lab/subsetsim/measure.go
+++ b/lab/subsetsim/measure.go
@@ -8,23 +8,25 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ScenarioHeader is the header of the table of Row. Figures of the random baseline stand in brackets.
-const ScenarioHeader = "| day | rule | seed | worst of 10 s | mean of 1 s | idle 2 s, mean in 2 s | longest over 1.5 | " +
-	"most in 1 s | hosts used | succeeded | time |\n" +
+// ScenarioHeader is the header of the Markdown table whose rows ScenarioRow returns. Figures in parentheses are those
+// of the random baseline.
+const ScenarioHeader = "| day | rule | seed | worst of 10 s | mean of 1 s | idle 2 s, mean in 2 s | " +
+	"longest over 1.5 | most in 1 s | hosts used | succeeded | time |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
-// ScenarioRow simulates a day and returns its figures as a row of the table under Header.
-func ScenarioRow(day Scenario, rule string) string {
-	result := Run(day)
-	from, to := firstStep, day.Length
+// ScenarioRow simulates a scenario and returns its figures as a row of the table under ScenarioHeader. rule is the name
+// of the subset rule.
+func ScenarioRow(scenario Scenario, rule string) string {
+	result := Run(scenario)
+	from, to := firstStepAt, scenario.Length
 	tenSeconds, tenSecondsBaseline := result.Evenness(from, to, 10*time.Second)
 	second, secondBaseline := result.Evenness(from, to, time.Second)
 	idle, idleBaseline, meanAttempts := result.IdleHosts(from, to)
 	overload, overloadBaseline := result.Overload(from, to)
 	cells := []string{
-		day.Name,
+		scenario.Name,
 		rule,
-		fmt.Sprint(day.Seed),
+		fmt.Sprint(scenario.Seed),
 		fmt.Sprintf("%.2f..%.2f (%.2f..%.2f)",
 			tenSeconds.MinRatio, tenSeconds.MaxRatio, tenSecondsBaseline.MinRatio, tenSecondsBaseline.MaxRatio),
 		fmt.Sprintf("%.2f..%.2f (%.2f..%.2f)",
@@ -39,28 +41,28 @@
 	return "| " + strings.Join(cells, " | ") + " |\n"
 }
 
-// MeasureScenarios simulates all days with 300 gateways, with rendezvous subsets and with those of package subset, four at a
-// time.
+// MeasureScenarios simulates all scenarios with 300 gateways and 200 or 60 hosts, each with rendezvous subsets and with
+// the subsets of package subset, and returns the table of their figures. It runs four simulations at a time.
 func MeasureScenarios(seeds []uint64) string {
 	var jobs errgroup.Group
 	jobs.SetLimit(4)
 	var rows []*string
-	addRow := func(day Scenario, rule string) {
+	addRow := func(scenario Scenario, rule string) {
 		row := new(string)
 		rows = append(rows, row)
 		jobs.Go(func() error {
-			*row = ScenarioRow(day, rule)
+			*row = ScenarioRow(scenario, rule)
 			return nil
 		})
 	}
 	for _, hosts := range []int{200, 60} {
-		for _, day := range Scenarios(0, 300, hosts) {
+		for _, scenario := range Scenarios(0, 300, hosts) {
 			for _, seed := range seeds {
-				day.Seed = seed
-				day.SubsetRule = rendezvousSubset
-				addRow(day, "rendezvous")
-				day.SubsetRule = nil
-				addRow(day, "claims")
+				scenario.Seed = seed
+				scenario.SubsetRule = rendezvousSubset
+				addRow(scenario, "rendezvous")
+				scenario.SubsetRule = nil
+				addRow(scenario, "claims")
 			}
 		}
 	}
--- a/lab/subsetsim/rules.go
+++ b/lab/subsetsim/rules.go
@@ -9,14 +9,15 @@
 	"ravensill/subset"
 )
 
-// Rule assigns subsets: it returns for each of the member gateways the hosts of its subset, as indices of hosts.
+// Rule is a rule for choosing subsets. Its function Subsets returns the subset of each of a number of gateways
+// (members), as indices of hosts.
 type Rule struct {
 	Name    string
 	Subsets func(members int, hosts []subset.Endpoint) [][]int
 }
 
-// Rules are the rules that docs/spread.md compares; it names the papers they are built from. The last one is that of
-// package subset.
+// Rules are the rules that docs/spread.md compares; that page names the papers on which they are based. The last rule
+// is that of package subset.
 var Rules = []Rule{
 	{"rendezvous", rendezvous},
 	{"rounds, shuffled", shuffledRounds},
@@ -29,15 +30,16 @@
 	{"claims in turns (in use)", assignSubsets},
 }
 
-// subsetSize returns the number of hosts of a gateway, which all rules keep to.
+// subsetSize returns the number of hosts in a gateway's subset, which is the same for all rules: enough for 12 gateways
+// per host, at least 6, and at most all hosts.
 func subsetSize(members, hosts int) int { return min(max((12*hosts+members-1)/members, 6), hosts) }
 
-// assignSubsets is the rule of package subset.
+// assignSubsets computes all subsets by the rule of package subset.
 func assignSubsets(members int, hosts []subset.Endpoint) [][]int {
 	all := make([]*subset.Endpoint, len(hosts))
 	subsets := make([][]int, members)
 	for member := range members {
-		endpoints := slices.Clone(hosts) // in the order of the list, which all gateways of the simulation share
+		endpoints := slices.Clone(hosts) // the order of the list is the same for all gateways of the simulation
 		for i := range endpoints {
 			all[i] = &endpoints[i]
 		}
@@ -51,7 +53,8 @@
 	return subsets
 }
 
-// rendezvous assigns each gateway the hosts that rank first by a weighted hash of both.
+// rendezvous is weighted rendezvous hashing: each gateway takes the hosts with the highest weighted hash of gateway and
+// host.
 func rendezvous(members int, hosts []subset.Endpoint) [][]int {
 	subsets := make([][]int, members)
 	for member := range members {
@@ -80,7 +83,7 @@
 	return order
 }
 
-// orderByHash returns the hosts in the order of their hashes with a salt.
+// orderByHash returns the indices of the hosts, ordered by a hash of the host and a salt.
 func orderByHash(hosts []subset.Endpoint, salt uint64) []int {
 	order := indices(len(hosts))
 	slices.SortFunc(order, func(a, b int) int {
@@ -89,11 +92,11 @@
 	return order
 }
 
-// roundSalt returns the salt that orders the hosts in a round of gateways.
+// roundSalt returns the salt that determines the order of the hosts in a round of gateways.
 func roundSalt(round uint64) uint64 { return mix(round + 77) }
 
-// shuffledRounds is deterministic subsetting: gateways form rounds in which each takes a slice of the list of hosts,
-// shuffled anew for the round.
+// shuffledRounds is deterministic subsetting: the gateways are divided into rounds, and each gateway of a round takes
+// its slice of the list of hosts, which is shuffled again for each round.
 func shuffledRounds(members int, hosts []subset.Endpoint) [][]int {
 	return slicesOfRounds(members, hosts, func(round uint64) []int {
 		order := orderByHash(hosts, 0)
@@ -107,7 +110,8 @@
 	})
 }
 
-// hashedRounds orders the list of each round by a hash, so that a host that joins shifts the slices by at most a place.
+// hashedRounds is shuffledRounds with the list of each round ordered by a hash instead, so that a host that joins
+// shifts the slices by at most one place.
 func hashedRounds(members int, hosts []subset.Endpoint) [][]int {
 	return slicesOfRounds(members, hosts, func(round uint64) []int { return orderByHash(hosts, roundSalt(round)) })
 }
@@ -124,8 +128,9 @@
 	return subsets
 }
 
-// rings places the gateways of each round on a ring of the hashed hosts, at places of a low-discrepancy sequence (the
-// radical inverse), so that a further gateway moves none; each gateway takes the next hosts clockwise.
+// rings places the gateways of each round on a ring of hosts, which are ordered by hash, and each gateway takes the
+// next hosts clockwise. The places follow a low-discrepancy sequence (the radical inverse), so that an added gateway
+// moves no other one.
 func rings(members int, hosts []subset.Endpoint) [][]int {
 	subsets := make([][]int, members)
 	count := len(hosts)
@@ -142,8 +147,9 @@
 	return subsets
 }
 
-// aperture lays a ring of gateways over a ring of hosts, whose arcs are their weights; a gateway takes all hosts that
-// its arc touches. The hosts at its ends are touched in part: the load is even only if it follows these parts.
+// aperture lays a ring of gateways over a ring of hosts, on which each host has an arc proportional to its weight. A
+// gateway takes all hosts that its own arc touches. It touches the hosts at its ends only in part: the load is even
+// only if the gateway sends them traffic in proportion to these parts.
 func aperture(members int, hosts []subset.Endpoint) [][]int {
 	subsets := make([][]int, members)
 	order := orderByHash(hosts, 0)
@@ -169,18 +175,18 @@
 	return subsets
 }
 
-// unboundedChoice lets each host choose its gateways.
+// unboundedChoice lets each host choose its gateways, without a limit on the size of a subset.
 func unboundedChoice(members int, hosts []subset.Endpoint) [][]int {
 	return hostsChoose(members, hosts, math.Inf(1))
 }
 
-// boundedChoice lets each host choose its gateways; a gateway takes at most 1.25 times the size of a subset.
+// boundedChoice lets each host choose its gateways, with at most 1.25 times the usual number of hosts for each gateway.
 func boundedChoice(members int, hosts []subset.Endpoint) [][]int {
 	return hostsChoose(members, hosts, 1.25)
 }
 
-// hostsChoose lets each host take the first gateways in its own order that have fewer hosts than bound times the size
-// of a subset.
+// hostsChoose lets each host choose the first gateways in its own order that have fewer than bound times the usual
+// number of hosts.
 func hostsChoose(members int, hosts []subset.Endpoint, bound float64) [][]int {
 	subsets := make([][]int, members)
 	maxSize := math.Ceil(bound * float64(subsetSize(members, len(hosts))))
@@ -195,7 +201,7 @@
 	return subsets
 }
 
-// emptierOfTwo lets each host take, of the next two gateways in its own order, the one that has fewer hosts.
+// emptierOfTwo lets each host choose, of the next two gateways in its own order, the one that has fewer hosts.
 func emptierOfTwo(members int, hosts []subset.Endpoint) [][]int {
 	subsets := make([][]int, members)
 	chooseInTurns(members, hosts, func(host int, nextMember func() int) {
@@ -211,26 +217,26 @@
 	return subsets
 }
 
-// chooseInTurns calls choose once for each place of all subsets, with the hosts in turns by weight. nextMember returns
-// the members in the host's own order, and -1 after the last.
+// chooseInTurns calls choose once for each place in all subsets together. The hosts take turns in proportion to their
+// weights. nextMember returns the next gateway in the host's own order, and -1 after the last one.
 func chooseInTurns(members int, hosts []subset.Endpoint, choose func(host int, nextMember func() int)) {
-	cycle := uint64(1) << bits.Len(uint(members-1)) // a power of two, so that odd strides visit all of it
+	cycle := uint64(1) << bits.Len(uint(members-1)) // a power of two, so that any odd stride visits all numbers below it
 	order := orderByHash(hosts, 0)
 	maxWeight := 0.0
 	for _, h := range hosts {
 		maxWeight = max(maxWeight, h.Weight)
 	}
-	due := make([]float64, len(hosts))
+	credit := make([]float64, len(hosts))
 	visited := make([]uint64, len(hosts))
 	placesLeft := members * subsetSize(members, len(hosts))
 	for placesLeft > 0 {
 		for _, i := range order {
 			h := hosts[i]
-			due[i] += h.Weight / maxWeight
-			if due[i] < 0.5 || placesLeft == 0 {
+			credit[i] += h.Weight / maxWeight
+			if credit[i] < 0.5 || placesLeft == 0 {
 				continue
 			}
-			due[i]--
+			credit[i]--
 			placesLeft--
 			choose(i, func() int {
 				for visited[i] < cycle {
--- a/lab/subsetsim/simulation.go
+++ b/lab/subsetsim/simulation.go
@@ -12,57 +12,57 @@
 )
 
 const (
-	startTime      = gateway.Time(100 * time.Second)
-	warmUpTime     = 10 * time.Second // of a new host
-	warmUpInitial  = 0.3              // speed of a new host over that of a warm one
-	lightWeight    = 0.25
-	slowFactor     = 3
-	requestTimeout = 8 * time.Second
-	networkDelay   = 250 * time.Microsecond // from a gateway to a host
-	notifyDelay    = 300 * time.Millisecond // until a gateway learns of a change of the list, at most
+	startTime          = gateway.Time(100 * time.Second)
+	warmUpTime         = 10 * time.Second // time until a new host is warm
+	initialSpeedFactor = 0.3              // ratio of the speed of a new host to that of a warm one
+	lightWeight        = 0.25             // ratio of the weight of a light host to that of any other
+	slowFactor         = 3                // ratio of the processing time at a slow host to that at any other
+	requestTimeout     = 8 * time.Second
+	networkDelay       = 250 * time.Microsecond // time of a message from a gateway to a host
+	notifyDelay        = 300 * time.Millisecond // longest time until a gateway learns of a change of the endpoint list
 )
 
-// simulation is the state of a simulated day.
+// simulation is the state of one simulated scenario.
 type simulation struct {
-	day      Scenario
+	scenario Scenario
 	random   *rand.Rand
 	now      gateway.Time
 	schedule schedule.Schedule[func()]
 	gateways []*gatewayModel
-	hosts    []*host // in the order of their starts; stopped ones stay
+	hosts    []*host // in the order of their starts, with the stopped ones
 	hostByID map[uint32]*host
-	requests int
+	requests int // number of requests so far
 	result   Result
-	// cumulativeTraffic holds for each gateway the sum of its traffic and that of all before it.
+	// cumulativeTraffic holds, for each gateway, the sum of the relative traffic of all gateways up to this one.
 	cumulativeTraffic []float64
 }
 
-// Run simulates a day.
-func Run(day Scenario) Result {
+// Run simulates a scenario and returns its measurements.
+func Run(scenario Scenario) Result {
 	s := &simulation{
-		day:      day,
-		random:   rand.New(rand.NewPCG(day.Seed, 11)),
+		scenario: scenario,
+		random:   rand.New(rand.NewPCG(scenario.Seed, 11)),
 		now:      startTime,
 		hostByID: map[uint32]*host{},
 	}
 	s.addHosts()
 	s.addGateways()
 	s.addCustomers()
-	for _, step := range day.Steps {
-		s.at(startTime.Add(step.After), func() { s.apply(step) })
+	for _, step := range scenario.Steps {
+		s.at(startTime.Add(step.After), func() { s.applyStep(step) })
 	}
-	s.runEvents(startTime.Add(day.Length))
+	s.runEvents(startTime.Add(scenario.Length))
 	for _, g := range s.gateways {
-		s.result.HostsUsed += float64(len(g.usedHosts)) / float64(day.Gateways)
+		s.result.HostsUsed += float64(len(g.usedHosts)) / float64(scenario.Gateways)
 	}
-	s.result.measure(s.hosts, s.random, day.Length)
+	s.result.measure(s.hosts, s.random, scenario.Length)
 	return s.result
 }
 
 // at schedules an event at an instant.
 func (s *simulation) at(at gateway.Time, event func()) { s.schedule.Add(int64(at), event) }
 
-// after schedules an event at a delay from now.
+// after schedules an event after a delay.
 func (s *simulation) after(delay time.Duration, event func()) { s.at(s.now.Add(delay), event) }
 
 func (s *simulation) runEvents(end gateway.Time) {
@@ -73,28 +73,28 @@
 }
 
 func (s *simulation) addHosts() {
-	for i := range s.day.Hosts {
-		light := i < s.day.LightHosts
+	for i := range s.scenario.Hosts {
+		light := i < s.scenario.LightHosts
 		host := s.addHost(0, light)
-		host.slow = !light && i < s.day.LightHosts+s.day.SlowHosts
+		host.slow = !light && i < s.scenario.LightHosts+s.scenario.SlowHosts
 	}
 }
 
-// addHost adds a running host that started at an instant; 0 means long ago. A light host also has a quarter of the
-// slots.
+// addHost adds a running host that started at startedAt; 0 means so long ago that it is warm. A light host has a
+// quarter of the usual weight and slots.
 func (s *simulation) addHost(startedAt gateway.Time, light bool) *host {
 	number := uint64(len(s.hosts))
 	h := &host{
-		id:           uint32(mix(s.day.Seed<<32+number))&0x7ffffff | 1,
+		id:           uint32(mix(s.scenario.Seed<<32+number))&0x7ffffff | 1,
 		weight:       1,
 		startedAt:    startedAt,
 		runningFrom:  s.now,
 		runningUntil: math.MaxInt64,
-		slots:        s.day.Slots,
+		slots:        s.scenario.Slots,
 	}
 	if light {
 		h.weight = lightWeight
-		h.slots = max(s.day.Slots/4, 1)
+		h.slots = max(s.scenario.Slots/4, 1)
 	}
 	s.hosts = append(s.hosts, h)
 	s.hostByID[h.id] = h
@@ -103,30 +103,30 @@
 
 func (s *simulation) addGateways() {
 	sum := 0.0
-	for i := range s.day.Gateways {
+	for i := range s.scenario.Gateways {
 		g := &gatewayModel{simulation: s, index: i, attempts: map[string]*attempt{}, usedHosts: map[uint32]bool{}}
 		s.gateways = append(s.gateways, g)
 		g.start()
-		traffic := math.Exp(s.day.TrafficSigma * s.random.NormFloat64())
-		if i == 0 && s.day.BusyGatewayFactor > 0 {
-			mean := math.Exp(s.day.TrafficSigma * s.day.TrafficSigma / 2)
-			traffic = s.day.BusyGatewayFactor * mean
+		traffic := math.Exp(s.scenario.TrafficSigma * s.random.NormFloat64())
+		if i == 0 && s.scenario.BusyGatewayFactor > 0 {
+			mean := math.Exp(s.scenario.TrafficSigma * s.scenario.TrafficSigma / 2)
+			traffic = s.scenario.BusyGatewayFactor * mean
 		}
 		sum += traffic
 		s.cumulativeTraffic = append(s.cumulativeTraffic, sum)
 	}
 }
 
-// customer sends requests at a rate to the gateways that it spreads over, by their traffic.
+// customer sends requests to the gateways that it uses, in proportion to their traffic.
 type customer struct {
 	name         string
-	rate         float64 // requests in a second
-	firstGateway int
-	spread       int // gateways from the first one on
+	rate         float64 // requests per second
+	firstGateway int     // index of the first gateway that it uses
+	spread       int     // number of gateways that it uses, from firstGateway on
 }
 
 func (s *simulation) addCustomers() {
-	rates := make([]float64, s.day.Customers)
+	rates := make([]float64, s.scenario.Customers)
 	total := 0.0
 	for i := range rates {
 		rates[i] = math.Exp(s.random.NormFloat64())
@@ -135,14 +135,14 @@
 	for i, rate := range rates {
 		s.scheduleRequest(&customer{
 			name:         fmt.Sprintf("c%d", i),
-			rate:         rate / total * s.day.RequestRate,
-			firstGateway: s.random.IntN(s.day.Gateways),
-			spread:       int(float64(s.day.Gateways) * (0.5 + s.random.Float64()/2)),
+			rate:         rate / total * s.scenario.RequestRate,
+			firstGateway: s.random.IntN(s.scenario.Gateways),
+			spread:       int(float64(s.scenario.Gateways) * (0.5 + s.random.Float64()/2)),
 		})
 	}
 }
 
-// scheduleRequest schedules a customer's next request.
+// scheduleRequest schedules a customer's next request, which schedules the one after it.
 func (s *simulation) scheduleRequest(c *customer) {
 	wait := time.Duration(s.random.ExpFloat64() / c.rate * float64(time.Second))
 	s.after(wait, func() {
@@ -151,7 +151,8 @@
 	})
 }
 
-// sendRequest sends a customer's request to a gateway that it uses; it is dropped if many draws find none that runs.
+// sendRequest sends a customer's request to a running gateway that the customer uses. It draws until it finds one, and
+// drops the request after maxDraws attempts.
 func (s *simulation) sendRequest(c *customer) {
 	const maxDraws = 1000
 	count := len(s.gateways)
--- a/lab/subsetsim/steps.go
+++ b/lab/subsetsim/steps.go
@@ -7,8 +7,8 @@
 	"ravensill/gateway"
 )
 
-// apply lets a step of the day happen.
-func (s *simulation) apply(step Step) {
+// applyStep carries out a step of the scenario.
+func (s *simulation) applyStep(step Step) {
 	running := s.runningHosts()
 	s.random.Shuffle(len(running), func(i, j int) { running[i], running[j] = running[j], running[i] })
 	switch step.Kind {
@@ -20,14 +20,14 @@
 	case HostsSilent:
 		for _, h := range running[:step.Count] {
 			h.silentUntil = s.now.Add(step.Duration)
-			s.at(h.silentUntil, func() { s.work(h) })
+			s.at(h.silentUntil, func() { s.startQueued(h) })
 		}
 	case ListsDiffer:
 		s.replaceWithLateNotice(running[:step.Count], step.Duration)
 	case HostsReplaced:
 		for i, h := range running[:step.Count] {
 			delay := step.Duration * time.Duration(i) / time.Duration(step.Count)
-			s.after(delay, func() { s.replace(h, s.now, false) })
+			s.after(delay, func() { s.replaceHost(h, s.now, false) })
 		}
 	case GatewaysRestart:
 		for _, g := range s.drawGateways(step.Count) {
@@ -59,33 +59,35 @@
 	return drawn
 }
 
-// replaceWithLateNotice replaces hosts by warm ones; every second gateway is notified late. A replaced host serves on
-// for these.
+// replaceWithLateNotice replaces hosts by warm ones and notifies every second gateway with an additional delay. A
+// replaced host keeps running for this delay, as the late gateways still use it.
 func (s *simulation) replaceWithLateNotice(hosts []*host, delay time.Duration) {
 	for _, g := range s.gateways {
-		g.lateNotice = delay
+		g.extraNotifyDelay = delay
 	}
 	for _, h := range hosts {
-		s.replace(h, 0, true)
+		s.replaceHost(h, 0, true)
 		h.runningUntil = s.now.Add(delay)
 	}
 }
 
-// replace stops a host and starts another in its place.
-func (s *simulation) replace(h *host, startedAt gateway.Time, lateNotice bool) {
+// replaceHost stops a host and starts another one in its place, with startedAt as in addHost. With lateNotice, every
+// second gateway is notified with an additional delay.
+func (s *simulation) replaceHost(h *host, startedAt gateway.Time, lateNotice bool) {
 	h.runningUntil = s.now
 	successor := s.addHost(startedAt, h.weight < 1)
 	gone := gateway.Endpoint{Host: h.id, Weight: h.weight, State: gateway.Gone}
 	s.notify(lateNotice, gone, successor.endpoint())
 }
 
-// notify sends a change of the endpoint list to all gateways, each after a random delay; late delays every second one
-// further. A gateway that stops or restarts in the meantime doesn't receive it.
+// notify sends changes of the endpoint list to all gateways, each after a random delay. With late, every second gateway
+// receives them after an additional delay (its extraNotifyDelay). A gateway that stops or restarts in the meantime does
+// not receive them.
 func (s *simulation) notify(late bool, changes ...gateway.Endpoint) {
 	for i, g := range s.gateways {
 		delay := time.Duration(s.random.Float64() * float64(notifyDelay))
 		if late && i%2 == 1 {
-			delay += g.lateNotice
+			delay += g.extraNotifyDelay
 		}
 		incarnation := g.incarnation
 		s.after(delay, func() {
--- a/lab/subsetsim/subsetsim_test.go
+++ b/lab/subsetsim/subsetsim_test.go
@@ -10,45 +10,47 @@
 	"ravensill/subset"
 )
 
-// The figures of the rules, as in docs/spread.md but over fewer lists: the rule in use has the most even rows.
+// Guards the figures of all rules, as on docs/spread.md but over fewer lists, against unintended changes. The rule in
+// use has the most even ones.
 func TestTableHasFiguresOfAllRules(t *testing.T) {
 	sizes := []FleetSize{{300, 200, 0}, {300, 190, 0}, {300, 60, 0.25}, {80, 60, 0}, {24, 200, 0.25}}
 	golden.Check(t, RuleTable(sizes, 2, 1))
 }
 
-// With 24 gateways of unequal traffic and 60 hosts, none is idle, and over 10 s each host receives 0.6 to 1.4 of its
-// share; the random baseline alone has 0.78 to 1.28.
+// With 24 gateways of unequal traffic and 60 hosts, no host is idle, and in windows of 10 s each host receives 0.6 to
+// 1.4 times its share. The random baseline alone has 0.78 to 1.28.
 func TestDayUsesHostsEvenly(t *testing.T) {
-	day := Scenarios(3, 24, 60)[1]
-	result := Run(day)
-	sent, baseline := result.Evenness(firstStep, day.Length, 10*time.Second)
-	idle, _, _ := result.IdleHosts(firstStep, day.Length)
+	scenario := Scenarios(3, 24, 60)[1]
+	result := Run(scenario)
+	sent, baseline := result.Evenness(firstStepAt, scenario.Length, 10*time.Second)
+	idle, _, _ := result.IdleHosts(firstStepAt, scenario.Length)
 	if idle > 0 || sent.MaxRatio > 1.4 || sent.MinRatio < 0.6 {
-		t.Errorf("%d idle hosts; over 10 s %v, random baseline %v", idle, sent, baseline)
+		t.Errorf("%d idle hosts; ratios to shares in windows of 10 s %v, random baseline %v", idle, sent, baseline)
 	}
 }
 
 func TestDayIsDeterministic(t *testing.T) {
-	day := Scenarios(3, 24, 60)[1]
-	first := ScenarioRow(day, "")
-	second := ScenarioRow(day, "")
+	scenario := Scenarios(3, 24, 60)[1]
+	first := ScenarioRow(scenario, "")
+	second := ScenarioRow(scenario, "")
 	if first != second {
-		t.Errorf("two runs of one day differ:\n%s%s", first, second)
+		t.Errorf("two runs of the same scenario differ:\n%s%s", first, second)
 	}
 }
 
-// Writes the figures of the days at full size if SPREADSIM names a file; it takes too long for CI.
+// Writes the figures of the scenarios at full size to the file that SPREADSIM names. It takes too long for CI.
 func TestMeasureWritesFullSizeDays(t *testing.T) {
 	file := os.Getenv("SPREADSIM")
 	if file == "" {
-		t.Skip("SPREADSIM=FILE writes the days at full size there")
+		t.Skip("set SPREADSIM=FILE to write the figures of the scenarios at full size to FILE")
 	}
 	if err := os.WriteFile(file, []byte(MeasureScenarios([]uint64{1, 2})), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Measures what a gateway computes at a change of the list, and its ratio to rendezvous in the same run.
+// Measures the time that a gateway takes to compute its subset when the endpoint list changes, and its ratio to the
+// time of rendezvous hashing in the same run.
 func BenchmarkAssignSubset(b *testing.B) {
 	for _, size := range []FleetSize{{3, 10, 0}, {80, 60, 0}, {300, 60, 0.25}, {300, 200, 0}, {300, 200, 0.25}} {
 		b.Run(fmt.Sprintf("%d x %d", size.Gateways, size.Hosts), func(b *testing.B) {
--- a/lab/subsetsim/table.go
+++ b/lab/subsetsim/table.go
@@ -10,18 +10,18 @@
 	"ravensill/subset"
 )
 
-// FleetSize is a fleet for which a rule is computed.
+// FleetSize is the size of a fleet for which the figures of a rule are computed.
 type FleetSize struct {
 	Gateways int
 	Hosts    int
-	// LightFraction is the fraction of the hosts that have a quarter of the weight.
+	// LightFraction is the fraction of the hosts that have a quarter of the usual weight.
 	LightFraction float64
 }
 
-// Range is the least and the most of a figure.
+// Range holds the smallest and the largest value of a figure.
 type Range struct{ Min, Max float64 }
 
-// include extends the range to all values.
+// include extends the range to all of the values.
 func (r *Range) include(values []float64) {
 	r.Min = min(r.Min, slices.Min(values))
 	r.Max = max(r.Max, slices.Max(values))
@@ -29,37 +29,37 @@
 
 func (r Range) String() string { return fmt.Sprintf("%.2f..%.2f", r.Min, r.Max) }
 
-// Figures describe a rule for one fleet, over several lists of hosts. The ranges are of hosts over their shares by
-// weight: 1 is even.
+// Figures holds the figures of a rule for one fleet size, over several random lists of hosts. Each Range is one of
+// ratios of what a host has to its share by weight: 1 is perfectly even.
 type Figures struct {
-	// GatewaysPerHost is the number of gateways that have a host in their subsets.
+	// GatewaysPerHost is the number of gateways that have a host in their subset.
 	GatewaysPerHost Range
 	// EvenLoad is the load of a host if all gateways have the same traffic and spread it evenly over their subsets.
 	EvenLoad Range
-	// SkewedLoad is the same with gateways of unequal traffic (log-normal, sigma 1).
+	// SkewedLoad is the same if the traffic of the gateways is log-normal with sigma 1.
 	SkewedLoad Range
-	// OutdatedLoad is the load while every second gateway lacks one host in twenty of the list.
+	// OutdatedLoad is the same as EvenLoad while the endpoint list of every second gateway lacks one host in twenty.
 	OutdatedLoad Range
-	// MinSubsetSize and MaxSize are the sizes of the subsets.
+	// MinSubsetSize and MaxSubsetSize are the number of hosts in the smallest and in the largest subset.
 	MinSubsetSize int
 	MaxSubsetSize int
-	// Connections is the number of hosts in all subsets.
+	// Connections is the sum of the subset sizes: the mean over the lists.
 	Connections float64
-	// OpenedByHostLeave, OpenedByJoin and OpenedByGateway are the connections opened when a host leaves, when one joins and
-	// when a gateway is added.
+	// OpenedByHostLeave, OpenedByHostJoin and OpenedByGatewayJoin are the mean numbers of connections opened when a
+	// host leaves, when a host joins and when a gateway is added.
 	OpenedByHostLeave   float64
 	OpenedByHostJoin    float64
 	OpenedByGatewayJoin float64
-	// MaxOpened is the most connections opened when any host left or joined.
+	// MaxOpened is the largest number of connections opened when a host left or joined.
 	MaxOpened int
-	// MinLeftByZoneLoss is the smallest number of hosts left to a gateway when one of three zones is lost.
+	// MinLeftByZoneLoss is the smallest number of hosts left in a subset when one of three zones is lost.
 	MinLeftByZoneLoss int
 }
 
-// hostChanges is the number of hosts that leave and that join, one at a time, for each list.
-const hostChanges = 4
+// changesPerList is the number of hosts that leave each list, one at a time, and of hosts that join it.
+const changesPerList = 4
 
-// ComputeFigures returns a rule's figures over a number of lists that are drawn by the seed.
+// ComputeFigures returns a rule's figures over a number of random lists of hosts, which are determined by the seed.
 func ComputeFigures(rule Rule, size FleetSize, lists int, seed uint64) Figures {
 	empty := Range{Min: math.Inf(1)}
 	figures := Figures{
@@ -85,7 +85,8 @@
 	return host
 }
 
-// addList draws one of several lists of hosts and adds its figures, means with a weight of one list.
+// addList draws a list of hosts and adds its figures. lists is the total number of lists, by which it divides what is
+// added to means.
 func (f *Figures) addList(rule Rule, size FleetSize, lists float64, random *rand.Rand) {
 	var hosts []subset.Endpoint
 	for range size.Hosts {
@@ -99,22 +100,22 @@
 	}
 	subsets := rule.Subsets(size.Gateways, hosts)
 	f.addSizes(subsets, lists)
-	f.GatewaysPerHost.include(userShares(hosts, subsets))
-	f.EvenLoad.include(loadShares(hosts, subsets, evenTraffic))
-	f.SkewedLoad.include(loadShares(hosts, subsets, skewedTraffic))
-	for i := range hostChanges {
+	f.GatewaysPerHost.include(gatewayCountRatios(hosts, subsets))
+	f.EvenLoad.include(loadRatios(hosts, subsets, evenTraffic))
+	f.SkewedLoad.include(loadRatios(hosts, subsets, skewedTraffic))
+	for i := range changesPerList {
 		without := slices.Delete(slices.Clone(hosts), i, i+1)
 		with := append(slices.Clone(hosts), drawHost(size, random))
-		leave := opened(hosts, subsets, without, rule.Subsets(size.Gateways, without))
-		join := opened(hosts, subsets, with, rule.Subsets(size.Gateways, with))
+		leave := countOpened(hosts, subsets, without, rule.Subsets(size.Gateways, without))
+		join := countOpened(hosts, subsets, with, rule.Subsets(size.Gateways, with))
 		f.MaxOpened = max(f.MaxOpened, leave, join)
-		f.OpenedByHostLeave += float64(leave) / (hostChanges * lists)
-		f.OpenedByHostJoin += float64(join) / (hostChanges * lists)
+		f.OpenedByHostLeave += float64(leave) / (changesPerList * lists)
+		f.OpenedByHostJoin += float64(join) / (changesPerList * lists)
 	}
 	withGateway := rule.Subsets(size.Gateways+1, hosts)
-	f.OpenedByGatewayJoin += float64(opened(hosts, subsets, hosts, withGateway)) / lists
+	f.OpenedByGatewayJoin += float64(countOpened(hosts, subsets, hosts, withGateway)) / lists
 
-	// Every second gateway lacks the first hosts of the list.
+	// The list of every second gateway lacks the first hosts.
 	missing := size.Hosts / 20
 	outdated := rule.Subsets(size.Gateways, hosts[missing:])
 	for member := 1; member < size.Gateways; member += 2 {
@@ -123,17 +124,18 @@
 			subsets[member] = append(subsets[member], i+missing)
 		}
 	}
-	f.OutdatedLoad.include(loadShares(hosts, subsets, evenTraffic)[missing:])
+	f.OutdatedLoad.include(loadRatios(hosts, subsets, evenTraffic)[missing:])
 }
 
-// addSizes adds the figures of the subsets' sizes. The zone of a host is its index modulo three.
+// addSizes adds the figures that depend on the subsets' sizes alone. The zone of a host is its index modulo three; zone
+// 0 is the one that is lost.
 func (f *Figures) addSizes(subsets [][]int, lists float64) {
-	for _, members := range subsets {
-		f.MinSubsetSize = min(f.MinSubsetSize, len(members))
-		f.MaxSubsetSize = max(f.MaxSubsetSize, len(members))
-		f.Connections += float64(len(members)) / lists
+	for _, hostIndices := range subsets {
+		f.MinSubsetSize = min(f.MinSubsetSize, len(hostIndices))
+		f.MaxSubsetSize = max(f.MaxSubsetSize, len(hostIndices))
+		f.Connections += float64(len(hostIndices)) / lists
 		left := 0
-		for _, i := range members {
+		for _, i := range hostIndices {
 			if i%3 > 0 {
 				left++
 			}
@@ -142,26 +144,26 @@
 	}
 }
 
-// userShares returns the number of gateways that use each host, over the host's share by weight.
-func userShares(hosts []subset.Endpoint, subsets [][]int) []float64 {
-	return overShares(hosts, subsets, func(int) float64 { return 1 })
+// gatewayCountRatios returns, by host, the ratio of the number of gateways that use the host to its share by weight.
+func gatewayCountRatios(hosts []subset.Endpoint, subsets [][]int) []float64 {
+	return ratiosToShares(hosts, subsets, func(int) float64 { return 1 })
 }
 
-// loadShares returns the load of each host over its share by weight, if gateways spread their traffic evenly over their
-// subsets.
-func loadShares(hosts []subset.Endpoint, subsets [][]int, traffic []float64) []float64 {
-	return overShares(hosts, subsets, func(gateway int) float64 {
+// loadRatios returns, by host, the ratio of the host's load to its share by weight, if each gateway spreads its traffic
+// evenly over its subset.
+func loadRatios(hosts []subset.Endpoint, subsets [][]int, traffic []float64) []float64 {
+	return ratiosToShares(hosts, subsets, func(gateway int) float64 {
 		return traffic[gateway] / float64(len(subsets[gateway]))
 	})
 }
 
-// overShares returns what each host receives over its share by weight, where a gateway gives each host of its subset
-// the same part.
-func overShares(hosts []subset.Endpoint, subsets [][]int, partOf func(gateway int) float64) []float64 {
+// ratiosToShares returns, by host, the ratio of what the host receives to its share by weight. A gateway gives each
+// host of its subset the same amount, which partOf returns.
+func ratiosToShares(hosts []subset.Endpoint, subsets [][]int, partOf func(gateway int) float64) []float64 {
 	received := make([]float64, len(hosts))
 	sum := 0.0
-	for gateway, members := range subsets {
-		for _, i := range members {
+	for gateway, hostIndices := range subsets {
+		for _, i := range hostIndices {
 			part := partOf(gateway)
 			received[i] += part
 			sum += part
@@ -177,17 +179,18 @@
 	return received
 }
 
-// opened counts the hosts that are new in the gateways' subsets.
-func opened(before []subset.Endpoint, subsetsBefore [][]int, after []subset.Endpoint, subsetsAfter [][]int) int {
+// countOpened returns the number of connections that gateways open when the subsets change: it counts the hosts that
+// are new in each gateway's subset. The lists of hosts before and after the change may differ.
+func countOpened(before []subset.Endpoint, subsetsBefore [][]int, after []subset.Endpoint, subsetsAfter [][]int) int {
 	count := 0
-	for gateway, members := range subsetsAfter {
+	for gateway, hostIndices := range subsetsAfter {
 		known := map[uint64]bool{}
 		if gateway < len(subsetsBefore) {
 			for _, i := range subsetsBefore[gateway] {
 				known[before[i].Hash] = true
 			}
 		}
-		for _, i := range members {
+		for _, i := range hostIndices {
 			if !known[after[i].Hash] {
 				count++
 			}
@@ -196,7 +199,7 @@
 	return count
 }
 
-// RuleTable returns the figures of all rules for the fleets as Markdown, in the form of docs/spread.md.
+// RuleTable returns the figures of all rules for some fleet sizes as Markdown tables, in the form of docs/spread.md.
 func RuleTable(sizes []FleetSize, lists int, seed uint64) string {
 	var b strings.Builder
 	for _, size := range sizes {
@@ -206,10 +209,11 @@
 			"zone lost | host leaves | joins | worst | gateway added |")
 		fmt.Fprintln(&b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 		for _, rule := range Rules {
-			f := ComputeFigures(rule, size, lists, seed)
+			figures := ComputeFigures(rule, size, lists, seed)
 			fmt.Fprintf(&b, "| %s | %v | %v | %v | %v | %d..%d | %d | %.0f | %.0f | %d | %.0f of %.0f |\n",
-				rule.Name, f.GatewaysPerHost, f.EvenLoad, f.SkewedLoad, f.OutdatedLoad, f.MinSubsetSize, f.MaxSubsetSize, f.MinLeftByZoneLoss,
-				f.OpenedByHostLeave, f.OpenedByHostJoin, f.MaxOpened, f.OpenedByGatewayJoin, f.Connections)
+				rule.Name, figures.GatewaysPerHost, figures.EvenLoad, figures.SkewedLoad, figures.OutdatedLoad,
+				figures.MinSubsetSize, figures.MaxSubsetSize, figures.MinLeftByZoneLoss, figures.OpenedByHostLeave,
+				figures.OpenedByHostJoin, figures.MaxOpened, figures.OpenedByGatewayJoin, figures.Connections)
 		}
 		fmt.Fprintln(&b)
 	}
