--- a/lab/groundtruth/cases.go
+++ b/lab/groundtruth/cases.go
@@ -11,17 +11,17 @@
 
 const second = time.Second
 
-// Size is the size of the cases.
+// Size is the size of a case's fleet, load and run.
 type Size struct {
 	Gateways    int
 	Hosts       int
-	RequestRate float64 // requests a second of the whole fleet
+	RequestRate float64 // requests per second over the whole fleet
 	Duration    time.Duration
-	Window      time.Duration // of the observers' summaries
+	Window      time.Duration // length of the window that an observer's summary covers
 	Seed        uint64
 }
 
-// newCase returns a case of this size.
+// newCase returns a case of this size without changes to hosts or load.
 func (s Size) newCase(name string, steps ...fleet.Step) Case {
 	return Case{
 		Name:        name,
@@ -35,7 +35,8 @@
 	}
 }
 
-// Cases returns the hard cases with real processes.
+// Cases returns the cases in which estimates are most likely to be wrong: load-dependent hosts, network faults,
+// replaced hosts, a slow host and killed gateways.
 func (s Size) Cases() []Case {
 	noisy := relay.Rule{Faults: relay.Faults{Loss: 0.2, Duplicate: 0.2, Reorder: 0.2, Jitter: 50 * time.Millisecond}}
 	partitioned := max(s.Gateways/8, 1)
--- a/lab/groundtruth/cost.go
+++ b/lab/groundtruth/cost.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	costGateways = 3
-	warmUp       = 2 * second // of a load: connections are up after it
-	minRequests  = 100        // of each measured gateway
+	costGateways = 3          // the collector and the two measured gateways
+	warmUpTime   = 2 * second // time after the start of the load in which connections are opened; not measured
+	minRequests  = 100        // least number of requests at each measured gateway for a valid measurement
 )
 
-// Cost is the processor time that a request costs a gateway with the section counterfactual enabled and disabled.
+// Cost is the processor time that a gateway spends on a request with the counterfactual section of its configuration
+// and without it.
 type Cost struct {
-	Enabled  time.Duration // CPU time a request
-	Disabled time.Duration // CPU time a request
-	Requests int           // at each gateway, at least
+	Enabled  time.Duration // CPU time per request with the section
+	Disabled time.Duration // CPU time per request without it
+	Requests int           // number of requests at the measured gateway that had fewer
 }
 
 // String returns the cost in one line.
@@ -29,17 +30,18 @@
 		100*(float64(c.Enabled)/float64(c.Disabled)-1), c.Requests)
 }
 
-// CostOptions describe a measurement of the cost.
+// CostOptions configures MeasureCost.
 type CostOptions struct {
 	Seed           uint64
-	Rate           float64 // requests a second of the whole fleet
+	Rate           float64 // requests per second over both measured gateways
 	Duration       time.Duration
-	SampleFraction float64 // of the attempts that are recorded
-	SwapGateways   bool    // exchange the two measured gateways, as the machine may favour one
+	SampleFraction float64 // fraction of the attempts that are recorded
+	SwapGateways   bool    // exchange the two measured gateways, in case the machine favours one of them
 }
 
-// MeasureCost runs three gateways that do not know of each other. One collects. Of the other two one records a fraction
-// of its attempts and reports them, and both have the same load at the same time.
+// MeasureCost runs three gateways without gossip between them. The first collects summaries and has no load. The other
+// two have the same load at the same time; one of them records a fraction of its attempts and reports them. MeasureCost
+// fails if the first gateway received requests or another one received too few.
 func MeasureCost(ctx context.Context, options CostOptions) (Cost, error) {
 	enabled, disabled := 1, 2
 	if options.SwapGateways {
@@ -55,9 +57,9 @@
 		Rate:           options.Rate,
 		Customers:      300,
 		GatewayWeights: map[int]float64{0: 0},
-		Classes:        []emulator.Class{{Name: "lookup", Timeout: clientWait, Fraction: 1}},
+		Classes:        []emulator.Class{{Name: "lookup", Timeout: clientTimeout, Fraction: 1}},
 	})
-	if err := wait(ctx, warmUp); err != nil {
+	if err := wait(ctx, warmUpTime); err != nil {
 		return Cost{}, err
 	}
 	firstRequest := f.Clients.Sent()
@@ -79,7 +81,7 @@
 		requests[request.Gateway]++
 	}
 	if requests[0] > 0 || requests[enabled] < minRequests || requests[disabled] < minRequests {
-		return Cost{}, fmt.Errorf("requests by gateway: %v", requests)
+		return Cost{}, fmt.Errorf("requests by gateway are %v, want none at the first and many at the others", requests)
 	}
 	perRequest := func(i int) time.Duration { return (after[i] - before[i]) / time.Duration(requests[i]) }
 	return Cost{
@@ -89,7 +91,7 @@
 	}, nil
 }
 
-// fleetOptions returns the options of a fleet in which one gateway has no section counterfactual.
+// fleetOptions returns the options of a fleet in which the gateway with index disabled has no counterfactual section.
 func (o *CostOptions) fleetOptions(disabled int) fleet.Options {
 	costCase := Case{Name: "cost", Gateways: costGateways, Hosts: 12, Window: 2 * second, Seed: o.Seed}
 	options := costCase.fleetOptions()
@@ -101,14 +103,14 @@
 			file.Counterfactual = nil
 			return err
 		}
-		file.Counterfactual.RecordsFile = "" // no gateway writes a file in operation
+		file.Counterfactual.RecordsFile = "" // gateways write no records file in production
 		file.Counterfactual.SampleFraction = o.SampleFraction
 		return nil
 	}
 	return options
 }
 
-// cpuTimes returns the processor times of some gateways.
+// cpuTimes returns the processor time that some gateways have used so far, by gateway; 0 for the others.
 func cpuTimes(f *fleet.Fleet, gateways ...int) (times [costGateways]time.Duration, err error) {
 	for _, i := range gateways {
 		usage, err := f.Gateway(i).Usage()
--- a/lab/groundtruth/groundtruth.go
+++ b/lab/groundtruth/groundtruth.go
@@ -1,8 +1,9 @@
-// Package groundtruth runs fleets of real processes with the section counterfactual on, and compares the answers of
-// their collector with the response times that the emulated hosts would have had for the same attempts. Each gateway
-// writes the records of its attempts to a file. A host's log has its load and slowdown at any time, and its response
-// time to a request is a function of these and of the request's id. The rest of an attempt's time (sockets, the event
-// loop, a busy machine) is assumed to be the same at every host.
+// Package groundtruth runs fleets of real processes that report counterfactual data, and compares the estimates of
+// their collector with the response times that the emulated hosts would have had for the same attempts.
+//
+// Each gateway writes the records of its attempts to a file. The log of an emulated host has its load and slowdown at
+// any time, and its response time to a request is a function of these and of the request's ID. The rest of an attempt's
+// time (sockets, the event loop, a busy machine) is assumed to be the same at every host.
 package groundtruth
 
 import (
@@ -22,33 +23,33 @@
 )
 
 const (
-	objective        = second // latency objective of each request class
-	clientWait       = 3 * second
-	drainWait        = 20 * second // for the last answers after the load has ended
-	collectorNetwork = 121         // of the collector's address, within 127.0.0.0/8
+	latencyObjective = second      // of the request class
+	clientTimeout    = 3 * second  // of a request
+	drainTimeout     = 20 * second // time for the last answers to arrive after the load has ended
+	collectorNetwork = 121         // network of the collector's address within 127.0.0.0/8
 )
 
-// Case is one fleet with its faults.
+// Case is one fleet with its load and its faults.
 type Case struct {
 	Name             string
 	Gateways         int
 	Hosts            int
-	ReplacementHosts int     // further hosts, not listed at first
-	RequestRate      float64 // requests a second of the whole fleet
+	ReplacementHosts int     // additional hosts that are not listed at first
+	RequestRate      float64 // requests per second over the whole fleet
 	Duration         time.Duration
-	Window           time.Duration // of the observers' summaries
+	Window           time.Duration // length of the window that an observer's summary covers
 	Seed             uint64
-	ConfigureLoad    func(l *emulator.Load)               // may be nil
-	ConfigureHost    func(i int, h *emulator.HostOptions) // may be nil
-	Steps            []fleet.Step
-	ExpectedRefusal  string // the refusal that all answers must have; "": none
+	ConfigureLoad    func(l *emulator.Load)               // changes the default load; may be nil
+	ConfigureHost    func(i int, h *emulator.HostOptions) // changes the options of host i; may be nil
+	Steps            []fleet.Step                         // faults and changes, in the order of their times
+	ExpectedRefusal  string                               // reason with which all answers must be refused; "": none
 }
 
-// fleetOptions returns the options of the fleet. Each gateway writes records, the first one collects, and the
-// observers' datagrams pass through the relay.
+// fleetOptions returns the options of the fleet. Each gateway writes a record of every attempt to a file, gateway 0 is
+// the collector, and the observers' datagrams pass through the relay, which can inject faults.
 func (c *Case) fleetOptions() fleet.Options {
 	var datagrams *relay.DatagramNetwork
-	var collector string // address of the collector, over all its restarts
+	var collector string // address that the collector keeps when it restarts
 	options := fleet.Options{
 		Gateways:      c.Gateways,
 		Hosts:         c.Hosts + c.ReplacementHosts,
@@ -91,10 +92,11 @@
 	return options
 }
 
-// observerNetwork names the relay's network of the observers. Its faults follow from the name, too.
+// observerNetwork names the observers' network at the relay. The name also seeds the network's random faults.
 const observerNetwork = "witness"
 
-// configureHost sets the speed and the response times of a host.
+// configureHost sets the speed of host i (0.7 to 1.6 by a hash of its index, 30% less in zone b) and its response
+// times.
 func (c *Case) configureHost(i int, host *emulator.HostOptions) {
 	host.Speed = 0.7 + 0.9*emulator.UniformHash("speed", fmt.Sprint(i))
 	if host.Zone == "b" {
@@ -106,22 +108,22 @@
 	}
 }
 
-// recordsPath returns the file to which a gateway writes its records.
+// recordsPath returns the path of the file to which a gateway writes its records.
 func recordsPath(f *fleet.Fleet, gateway int) string {
 	return filepath.Join(f.Dir, fmt.Sprintf("records-%d", gateway))
 }
 
-// Outcome is the result of a run.
+// Outcome is the result of running a Case.
 type Outcome struct {
 	simenv.Score
-	Attempts        int
-	DelayedFraction float64 // fraction of the attempts that the machine, not a host, delayed: by how much is not known
-	MissingGateways int     // most gateways that an answer names as missing
-	Counts          counterfactual.MessageCounts
-	Usage           []fleet.Usage // of the gateways that still run
+	Attempts        int                          // recorded attempts
+	DelayedFraction float64                      // fraction of Attempts delayed by the machine, not by a host
+	MissingGateways int                          // largest number of gateways that an answer names as missing
+	Counts          counterfactual.MessageCounts // messages that the collector received
+	Usage           []fleet.Usage                // of the gateways that are still running at the end
 }
 
-// Run runs the case and compares the collector's answers with the ground truth.
+// Run runs the case on real processes and compares the collector's answers with the ground truth.
 func (c *Case) Run(ctx context.Context) (*Outcome, error) {
 	f, err := fleet.Start(ctx, c.fleetOptions())
 	if err != nil {
@@ -157,7 +159,8 @@
 	return outcome, nil
 }
 
-// runLoad runs the clients and the case's steps, and waits for the last answers.
+// runLoad runs the clients and the case's steps, and waits for the last answers. It fails if a step does or requests
+// stay unanswered for drainTimeout.
 func (c *Case) runLoad(ctx context.Context, f *fleet.Fleet) error {
 	load := emulator.Load{
 		Seed:         c.Seed,
@@ -165,7 +168,7 @@
 		Customers:    25 * c.Gateways,
 		ZipfExponent: 0.4,
 		SubsetSize:   3,
-		Classes:      []emulator.Class{{Name: "lookup", Timeout: clientWait, Fraction: 1}},
+		Classes:      []emulator.Class{{Name: "lookup", Timeout: clientTimeout, Fraction: 1}},
 	}
 	if c.ConfigureLoad != nil {
 		c.ConfigureLoad(&load)
@@ -177,20 +180,21 @@
 			return err
 		}
 		if err := step.Run(ctx, f); err != nil {
-			return fmt.Errorf("%s: %w", step.Description, err)
+			return fmt.Errorf("step %q: %w", step.Description, err)
 		}
 	}
 	if err := wait(ctx, time.Until(start.Add(c.Duration))); err != nil {
 		return err
 	}
 	run.Stop()
-	if open := f.Clients.WaitIdle(drainWait); open > 0 {
-		return fmt.Errorf("%d requests open", open)
+	if open := f.Clients.WaitIdle(drainTimeout); open > 0 {
+		return fmt.Errorf("%d requests are still open after the load has ended", open)
 	}
 	return nil
 }
 
-// waitUntilSealed waits until all windows of the run are sealed at the collector.
+// waitUntilSealed waits until the collector has sealed the bins of all windows of the run, so that its answers are
+// final, and returns its message counts.
 func (c *Case) waitUntilSealed(ctx context.Context, collector string) (counterfactual.MessageCounts, error) {
 	var initial, state observer.CollectorState
 	if err := Query(ctx, collector, observer.Query{Counts: true}, decodeInto(&initial)); err != nil {
@@ -207,7 +211,7 @@
 	return state.MessageCounts, nil
 }
 
-// queryAnswers asks the collector about each rule and each host.
+// queryAnswers queries the collector for its estimates for each rule and each host.
 func queryAnswers(ctx context.Context, collector string) (answers []counterfactual.Answer, err error) {
 	err = Query(ctx, collector, observer.Query{RequestClass: "lookup", Hosts: true}, func(line []byte) error {
 		var answer counterfactual.Answer
@@ -220,14 +224,14 @@
 	return answers, err
 }
 
-// compare compares answers with the ground truth.
+// compare adds the comparison of the collector's answers with the ground truth to the score.
 func (o *Outcome) compare(answers []counterfactual.Answer, records *attemptRecords) error {
 	var groundTruths []simenv.GroundTruth
 	for i := range answers {
 		answer := &answers[i]
 		rule, ok := counterfactual.ParseRule(answer.Rule)
 		if !ok {
-			return fmt.Errorf("an answer for an unknown rule: %+v", answer)
+			return fmt.Errorf("collector answered for an unknown rule: %+v", answer)
 		}
 		o.MissingGateways = max(o.MissingGateways, len(answer.Missing))
 		groundTruths = append(groundTruths, records.groundTruth(rule, answer.Host))
@@ -237,7 +241,7 @@
 	return nil
 }
 
-// wait waits, unless the context ends first.
+// wait waits for a time. It returns the context's error if that ends first.
 func wait(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/lab/groundtruth/groundtruth_test.go
+++ b/lab/groundtruth/groundtruth_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	fleetFiguresFile = "../../docs/measurements/counterfactual-fleet.txt"
-	gatewaysMissing  = "gateways missing"
-	maxDelayed       = 0.02 // fraction of the attempts delayed by the machine, above which there is no ground truth
+	fleetFiguresFile   = "../../docs/measurements/counterfactual-fleet.txt"
+	gatewaysMissing    = "gateways missing"
+	maxDelayedFraction = 0.02 // with a larger fraction of attempts delayed by the machine, the ground truth is not valid
 )
 
 // testSize returns the size of the cases: 24 gateways in CI, 200 with FULL_SIZE=1.
@@ -33,7 +33,8 @@
 	return Size{Gateways: 24, Hosts: 6, RequestRate: 500, Duration: 12 * second, Window: second, Seed: 5}
 }
 
-// The collector's answers agree with the hosts' ground truth for the same attempts, or are refused.
+// The collector's answers agree with the response times that the emulated hosts would have had for the same attempts,
+// or are refused.
 func TestAnswersAgreeWithGroundTruth(t *testing.T) {
 	var all simenv.Score
 	var text strings.Builder
@@ -53,14 +54,14 @@
 			t.Log(line, strings.Join(append(outcome.InaccurateFigures, outcome.Uncovered...), "\n"))
 			if testCase.ExpectedRefusal != "" {
 				if outcome.Refusals[testCase.ExpectedRefusal] != outcome.Answers {
-					t.Errorf("not all refused with %q", testCase.ExpectedRefusal)
+					t.Errorf("not all answers are refused with %q", testCase.ExpectedRefusal)
 				}
 			} else {
 				if outcome.Refusals[gatewaysMissing] == 0 && outcome.Answers < 6+testCase.Hosts {
-					t.Errorf("%d answers", outcome.Answers)
+					t.Errorf("%d answers, want one for each rule and each host", outcome.Answers)
 				}
-				if outcome.DelayedFraction > maxDelayed {
-					t.Log("not compared with the ground truth: the machine did not keep up")
+				if outcome.DelayedFraction > maxDelayedFraction {
+					t.Log("not compared with the ground truth: the machine delayed too many attempts")
 					return
 				}
 			}
@@ -76,22 +77,24 @@
 	}
 }
 
-// checkScore fails the test if too many figures are off.
+// checkScore fails the test if too many estimates are inaccurate, too few intervals cover the ground truth, or too few
+// pairs are in the right order. It passes a score without any estimated mean.
 func checkScore(t *testing.T, score *simenv.Score) {
 	t.Helper()
 	if score.Means == 0 {
 		return
 	}
-	meansOff := float64(score.InaccurateMeans) > 0.05*float64(score.Means)
-	p99sOff := float64(score.InaccurateP99s) > 0.1*float64(score.P99s)
-	uncovered := float64(score.Covered) < 0.9*float64(score.Figures)
-	wrongOrder := float64(score.PairsInOrder) < 0.95*float64(score.ComparedPairs)
-	if meansOff || p99sOff || uncovered || wrongOrder {
-		t.Error("figures too far off, intervals too narrow, or pairs in the wrong order")
+	tooManyInaccurateMeans := float64(score.InaccurateMeans) > 0.05*float64(score.Means)
+	tooManyInaccurateP99s := float64(score.InaccurateP99s) > 0.1*float64(score.P99s)
+	tooFewCovered := float64(score.Covered) < 0.9*float64(score.Figures)
+	tooFewInOrder := float64(score.PairsInOrder) < 0.95*float64(score.ComparedPairs)
+	if tooManyInaccurateMeans || tooManyInaccurateP99s || tooFewCovered || tooFewInOrder {
+		t.Error("too many inaccurate figures, too few intervals that cover the ground truth, or pairs in the wrong order")
 	}
 }
 
-// The further cost of a request with the section enabled is measured at full size, without a verdict.
+// Measures, at full size only, the processor time that the counterfactual section adds to a request. It has no bound to
+// fail on.
 func TestFullSizeCost(t *testing.T) {
 	if os.Getenv("FULL_SIZE") != "1" {
 		t.Skip("a measurement: FULL_SIZE=1")
--- a/lab/groundtruth/query.go
+++ b/lab/groundtruth/query.go
@@ -10,9 +10,10 @@
 	"ravensill/internal/observer"
 )
 
-const maxLine = 1 << 20 // bytes of a line of an answer or a record
+const maxLineBytes = 1 << 20 // largest line of an answer or of a records file
 
-// Query sends a question to a collector and calls handle with each line of the answer.
+// Query sends a query to the collector at addr and calls handle with each line of the answer; the line is valid only
+// during the call. It fails if there is no line or handle fails.
 func Query(ctx context.Context, addr string, query observer.Query, handle func(line []byte) error) error {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp4", addr)
@@ -31,7 +32,7 @@
 		return err
 	}
 	lines := bufio.NewScanner(conn)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	count := 0
 	for lines.Scan() {
 		if err := handle(lines.Bytes()); err != nil {
@@ -40,12 +41,12 @@
 		count++
 	}
 	if count == 0 {
-		return fmt.Errorf("no answer of the collector: %v", lines.Err())
+		return fmt.Errorf("collector closed the connection without an answer: %v", lines.Err())
 	}
 	return lines.Err()
 }
 
-// decodeInto returns a handler that decodes a line.
+// decodeInto returns a handler for Query that decodes a JSON line into the value that to points at.
 func decodeInto(to any) func([]byte) error {
 	return func(line []byte) error { return json.Unmarshal(line, to) }
 }
--- a/lab/groundtruth/records.go
+++ b/lab/groundtruth/records.go
@@ -14,36 +14,36 @@
 	"ravensill/lab/simenv"
 )
 
-// attemptRecords holds the response times that all recorded attempts would have had by each rule and at each host.
+// attemptRecords holds the response times that the recorded attempts would have had by each rule and at each host.
 type attemptRecords struct {
-	count   int // attempts
-	delayed int // attempts that the machine delayed
+	count   int // recorded attempts
+	delayed int // recorded attempts that the machine, not a host, delayed
 	byRule  map[counterfactual.Rule]*simenv.Sample
-	byHost  map[string]*simenv.Sample
+	byHost  map[string]*simenv.Sample // by host ID
 }
 
-// receivedCommand is a command as a host received it.
+// receivedCommand is a command that a host received.
 type receivedCommand struct {
-	host    int
+	host    int // index of the host
 	command emulator.Command
 }
 
-// hostLogs are the logs of the emulated hosts.
+// hostLogs holds the logs of the emulated hosts.
 type hostLogs struct {
-	logs     []emulator.HostLog           // by host
-	commands map[string][]receivedCommand // by request id
-	numbers  map[uint32]int               // host by its number in the gateways' records
+	logs         []emulator.HostLog           // by host
+	commands     map[string][]receivedCommand // by request ID
+	hostByNumber map[uint32]int               // host index by the host's number in the gateways' records
 }
 
-// readRecords reads the gateways' records and the hosts' logs.
+// readRecords reads the gateways' records and the hosts' logs and computes the response times of all attempts.
 func readRecords(f *fleet.Fleet) (*attemptRecords, error) {
 	var entries []observer.Entry
 	for i := range f.Gateways() {
-		more, err := readFile(recordsPath(f, i))
+		gatewayEntries, err := readRecordsFile(recordsPath(f, i))
 		if err != nil {
 			return nil, err
 		}
-		entries = append(entries, more...)
+		entries = append(entries, gatewayEntries...)
 	}
 	hosts := readHostLogs(f, entries)
 	records := &attemptRecords{
@@ -57,32 +57,33 @@
 	return records, nil
 }
 
-// readFile reads the records of one gateway.
-func readFile(path string) (entries []observer.Entry, err error) {
+// readRecordsFile reads the records of one gateway up to the first incomplete line.
+func readRecordsFile(path string) (entries []observer.Entry, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
 	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var entry observer.Entry
 		if json.Unmarshal(lines.Bytes(), &entry) != nil {
-			break // the line that a killed gateway was writing
+			break // a killed gateway leaves its last line incomplete
 		}
 		entries = append(entries, entry)
 	}
 	return entries, nil
 }
 
-// readHostLogs reads the hosts' logs and finds the hosts' numbers, which follow from requests that were sent to one
-// host only.
+// readHostLogs reads the hosts' logs and maps the host numbers in the gateways' records to hosts. For the mapping it
+// uses requests that only one host received: the host that received most requests recorded for a number has this
+// number.
 func readHostLogs(f *fleet.Fleet, entries []observer.Entry) *hostLogs {
 	hosts := &hostLogs{
-		logs:     make([]emulator.HostLog, len(f.Hosts())),
-		commands: map[string][]receivedCommand{},
-		numbers:  map[uint32]int{},
+		logs:         make([]emulator.HostLog, len(f.Hosts())),
+		commands:     map[string][]receivedCommand{},
+		hostByNumber: map[uint32]int{},
 	}
 	for i, host := range f.Hosts() {
 		hosts.logs[i] = host.Log()
@@ -109,14 +110,14 @@
 				best = host
 			}
 		}
-		hosts.numbers[number] = best
+		hosts.hostByNumber[number] = best
 	}
 	return hosts
 }
 
-// add adds one attempt to the samples, unless no host received it.
+// add adds one attempt to the samples, unless the chosen host has not received it.
 func (r *attemptRecords) add(f *fleet.Fleet, hosts *hostLogs, entry *observer.Entry) {
-	chosen, known := hosts.numbers[entry.Candidates[0].Host]
+	chosen, known := hosts.hostByNumber[entry.Candidates[0].Host]
 	commands := hosts.commands[entry.Request]
 	i := slices.IndexFunc(commands, func(c receivedCommand) bool { return known && c.host == chosen })
 	if i < 0 {
@@ -124,7 +125,7 @@
 	}
 	command := commands[i].command
 	hostTime := float64(command.ResponseTime) / 1e6
-	overhead := max(float64(entry.Latency-command.ResponseTime)/1e6, 0) // ms; a lower bound if it was aborted
+	overhead := max(float64(entry.Latency-command.ResponseTime)/1e6, 0) // ms; a lower bound if the attempt was aborted
 	if overhead > 10+hostTime/4 {
 		r.delayed++
 	}
@@ -143,7 +144,7 @@
 		add(r.byRule[rule], rule, 0)
 	}
 	for _, candidate := range entry.Candidates {
-		host, ok := hosts.numbers[candidate.Host]
+		host, ok := hosts.hostByNumber[candidate.Host]
 		if !ok {
 			continue
 		}
@@ -155,22 +156,22 @@
 	}
 }
 
-// responseTimes returns the response time of an attempt at each candidate in ms: +Inf if it fails, NaN if it is
-// unknown.
+// responseTimes returns the response time in ms that an attempt would have had at each candidate: +Inf if it would have
+// failed, NaN if it is unknown. overhead is the time in ms that the attempt spent outside the host.
 func responseTimes(f *fleet.Fleet, hosts *hostLogs, entry *observer.Entry, command emulator.Command,
 	overhead float64) []float64 {
 	times := make([]float64, len(entry.Candidates))
 	for k, candidate := range entry.Candidates {
 		times[k] = math.NaN()
-		number, ok := hosts.numbers[candidate.Host]
+		host, ok := hosts.hostByNumber[candidate.Host]
 		if !ok {
 			continue
 		}
-		model := f.Host(number).Model
+		model := f.Host(host).Model
 		responseTime := command.ResponseTime
 		known := true
 		if k > 0 {
-			log := hosts.logs[number]
+			log := hosts.logs[host]
 			responseTime, _, known = log.ResponseTimeAt(model, entry.Request, command.Class, int64(entry.SentAt))
 		}
 		if known {
@@ -183,8 +184,9 @@
 	return times
 }
 
-// groundTruth returns the response times by a rule; host is that of rule Single. Their mean is not a number if a
-// relevant host never received anything: the collector may not estimate it.
+// groundTruth summarizes the response times by a rule. host is the ID of the host of rule counterfactual.OneHost and
+// ignored for all other rules. The mean is NaN if there are no response times or one is unknown because its host never
+// received a request: the collector has no data for an estimate then, and Score counts any that it gives as inaccurate.
 func (r *attemptRecords) groundTruth(rule counterfactual.Rule, host string) simenv.GroundTruth {
 	sample := r.byRule[rule]
 	if rule == counterfactual.OneHost {
@@ -193,5 +195,5 @@
 	if sample == nil {
 		return simenv.GroundTruth{Mean: math.NaN()}
 	}
-	return sample.Summary(float64(objective) / 1e6)
+	return sample.Summary(float64(latencyObjective) / 1e6)
 }
