--- a/lab/fleetsim/attempts.go
+++ b/lab/fleetsim/attempts.go
@@ -21,7 +21,8 @@
 	s.endAttempt(a, gateway.Canceled)
 }
 
-// attemptArrives serves an attempt at a host, queues it, or rejects it if the queue is full.
+// attemptArrives starts to serve an attempt that arrives at a host, or queues it if all slots are busy, or rejects it
+// if the queue is full too.
 func (s *simulation) attemptArrives(h *host, a *attempt) {
 	if a == nil || a.ended {
 		return
@@ -38,13 +39,13 @@
 	}
 }
 
-// hostFinishes ends an attempt at its host, which then serves queued ones.
+// hostFinishes ends the service of an attempt at its host, which then starts to serve queued ones.
 func (s *simulation) hostFinishes(h *host, a *attempt) {
 	h.inService--
 	for len(h.queue) > 0 && h.inService < s.config.Slots {
 		next := h.queue[0]
 		h.queue = h.queue[1:]
-		if !next.ended { // neither canceled nor timed out in the queue
+		if !next.ended { // skip attempts that were canceled or timed out in the queue
 			s.serve(h, next)
 		}
 	}
@@ -53,11 +54,11 @@
 	}
 }
 
-// serve starts the service of an attempt at a host.
+// serve starts the service of an attempt at a host and schedules its end.
 func (s *simulation) serve(h *host, a *attempt) {
 	h.inService++
 	serviceTime := time.Duration(s.random.ExpFloat64() * float64(s.config.ServiceTime))
-	s.add(&event{
+	s.addEvent(&event{
 		at:      s.now.Add(serviceTime + s.config.NetworkDelay),
 		kind:    hostFinishes,
 		host:    a.host,
@@ -66,7 +67,7 @@
 	})
 }
 
-// endAttempt notifies the gateway of the end of an attempt, with the host's load if its answer reports it.
+// endAttempt ends an attempt and notifies its gateway. load is the load report in the host's answer, empty without one.
 func (s *simulation) endAttempt(a *attempt, result gateway.Result, load ...float64) {
 	a.ended = true
 	r := a.request
--- a/lab/fleetsim/customers.go
+++ b/lab/fleetsim/customers.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// between draws a number from a range.
-func (s *simulation) between(bounds [2]float64) float64 {
+// drawBetween draws a number that is uniform between two bounds.
+func (s *simulation) drawBetween(bounds [2]float64) float64 {
 	return bounds[0] + s.random.Float64()*(bounds[1]-bounds[0])
 }
 
-// newCustomer draws a customer of a plan.
+// newCustomer draws a customer of the plan with an index.
 func (s *simulation) newCustomer(plan int) *customer {
 	config := &s.config
 	p := &config.Plans[plan]
 	c := &customer{
-		id:         len(s.customers),
-		plan:       plan,
-		name:       fmt.Sprintf("%016x", s.random.Uint64()>>31),
-		bucket:     p.Burst,
-		ceiling:    p.CeilingBurst,
-		refilledAt: s.now,
+		id:            len(s.customers),
+		plan:          plan,
+		name:          fmt.Sprintf("%016x", s.random.Uint64()>>31),
+		bucket:        p.Burst,
+		ceilingBucket: p.CeilingBurst,
+		refilledAt:    s.now,
 	}
-	spread := int(math.Round(float64(config.Gateways) * s.between(p.SpreadRange)))
+	spread := int(math.Round(float64(config.Gateways) * s.drawBetween(p.SpreadRange)))
 	if p.GatewaysPerCustomer > 0 {
 		spread = p.GatewaysPerCustomer
 	}
 	c.spread = max(1, min(config.Gateways, spread))
-	c.first = s.random.IntN(config.Gateways)
-	demand := s.between(config.DemandRange)
+	c.firstGateway = s.random.IntN(config.Gateways)
+	demand := s.drawBetween(config.DemandRange)
 	if s.random.Float64() < config.HeavyFraction {
-		demand = s.between(config.HeavyDemandRange)
+		demand = s.drawBetween(config.HeavyDemandRange)
 		c.heavy = true
 	}
 	c.requestRate = demand * p.Rate
@@ -40,7 +40,7 @@
 	return c
 }
 
-// drawTraffic draws how unevenly a customer's requests arrive, over its gateways and in time.
+// drawTraffic draws how a customer's requests are distributed over its gateways and in time, and creates its report.
 func (s *simulation) drawTraffic(c *customer) {
 	config := &s.config
 	plan := s.plans[c.plan]
@@ -54,7 +54,7 @@
 	if config.SpikyFraction > 0 && !c.heavy && s.random.Float64() < config.SpikyFraction {
 		c.spiky = true
 		c.spikeOffset = time.Duration(s.random.Float64() * float64(config.SpikePeriod))
-		c.requestRate = plan.Rate * s.between(config.HeavyDemandRange)
+		c.requestRate = plan.Rate * s.drawBetween(config.HeavyDemandRange)
 	}
 	c.idealBucket = plan.Burst
 	c.idealRefilledAt = s.now
@@ -70,18 +70,19 @@
 	}
 }
 
-// interArrival draws the time to the next arrival of a Poisson process; rate is in requests a second.
-func (s *simulation) interArrival(rate float64) time.Duration {
+// drawInterArrival draws the time to the next arrival of a Poisson process, whose rate is in requests per second. With
+// rate 0 the time is practically infinite.
+func (s *simulation) drawInterArrival(rate float64) time.Duration {
 	if rate <= 0 {
 		return math.MaxInt64 / 4
 	}
 	return time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// requestArrives sends a customer's next request, unless the customer pauses between two spikes, and schedules the one
-// after it.
+// requestArrives sends a customer's next request and schedules the one after it. A spiky customer skips the request
+// between two spikes.
 func (s *simulation) requestArrives(c *customer) {
-	s.add(&event{at: s.now.Add(s.interArrival(c.requestRate)), kind: requestArrives, customer: c.id})
+	s.addEvent(&event{at: s.now.Add(s.drawInterArrival(c.requestRate)), kind: requestArrives, customer: c.id})
 	if c.spiky && !s.inSpike(c) {
 		return
 	}
@@ -89,13 +90,13 @@
 	s.send(c, s.now.Add(s.config.RequestTimeout), 0)
 }
 
-// inSpike reports whether a spiky customer sends requests now.
+// inSpike reports whether a spiky customer is in one of its spikes now.
 func (s *simulation) inSpike(c *customer) bool {
 	phase := time.Duration(s.now.Add(c.spikeOffset)) % s.config.SpikePeriod
 	return phase < s.config.SpikeLength
 }
 
-// stepDemand changes the demand of heavy customers for the rest of the run.
+// stepDemand sets the demand of heavy customers to DemandStepTo for the rest of the simulation.
 func (s *simulation) stepDemand() {
 	for _, c := range s.customers {
 		if c.heavy {
@@ -104,7 +105,7 @@
 	}
 }
 
-// drawGateway draws the gateway of a customer's set that a request goes to.
+// drawGateway draws the gateway that a request goes to, as an index in the customer's set.
 func (s *simulation) drawGateway(c *customer) int {
 	if c.cumulativeShares == nil {
 		return s.random.IntN(c.spread)
--- a/lab/fleetsim/days.go
+++ b/lab/fleetsim/days.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// benchGateways and benchHosts are the size of the operators' mass bench.
+// referenceGateways and referenceHosts are the size of the operators' benchmark at scale, which the configurations in
+// this file follow.
 const (
-	benchGateways = 273
-	benchHosts    = 179
+	referenceGateways = 273
+	referenceHosts    = 179
 )
 
-// hostsFor returns the number of hosts for a number of gateways, in the bench's ratio.
-func hostsFor(gateways int) int { return max(10, gateways*benchHosts/benchGateways) }
+// hostsFor returns the number of hosts for a number of gateways, in the ratio of the reference fleet, and at least 10.
+func hostsFor(gateways int) int { return max(10, gateways*referenceHosts/referenceGateways) }
 
-// SteadyTraffic returns the calm day of the operators' mass bench, scaled to a number of gateways: customers of three
-// plans, most of which use half to all of the gateways, and hosts of which the demand within the quotas takes
-// about 60%.
+// SteadyTraffic returns the operators' benchmark at scale without disturbances, scaled to a number of gateways:
+// customers of three plans, most of which use half to all of the gateways, and hosts of whose capacity the demand
+// within the quotas takes about 60%.
 func SteadyTraffic(gateways, hosts int, duration time.Duration, seed uint64) Config {
-	scale := float64(gateways) / benchGateways
+	scale := float64(gateways) / referenceGateways
 	scaled := func(customers float64) int { return max(1, int(customers*scale+0.5)) }
 	return Config{
 		Seed:             seed,
@@ -51,8 +52,8 @@
 	}
 }
 
-// UnevenTraffic returns Mass with what the bench has on its other days: requests distributed unevenly over a customer's
-// gateways, customers whose demand spikes for a second or two, and clients that retry twice.
+// UnevenTraffic returns SteadyTraffic with the disturbances of that benchmark: requests distributed unevenly over a
+// customer's gateways, customers whose demand spikes for a second or two, and clients that retry twice.
 func UnevenTraffic(gateways, hosts int, duration time.Duration, seed uint64) Config {
 	config := SteadyTraffic(gateways, hosts, duration, seed)
 	config.GatewayShareSigma = 1
--- a/lab/fleetsim/decisions.go
+++ b/lab/fleetsim/decisions.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// minRetryDelay is the least time until a client retries a rejected request.
+// minRetryDelay is the shortest time after which a client retries a rejected request.
 const minRetryDelay = 50 * time.Millisecond
 
-// executor executes one gateway's decisions.
+// executor executes the decisions of one gateway in the simulation.
 type executor struct {
 	simulation *simulation
-	gateway    int
+	gateway    int // index
 }
 
-// StartAttempt starts an attempt. The first one of a request takes its unit from the true buckets.
+// StartAttempt sends an attempt to a host. The first attempt of a request takes a unit from the customer's true
+// buckets. The attempt ends after timeout, if that is positive, and at the request's deadline at the latest.
 func (x executor) StartAttempt(id string, host uint32, timeout time.Duration) {
 	s := x.simulation
 	r := s.requests[id]
@@ -24,7 +25,7 @@
 	c := r.customer
 	if !r.forwarded {
 		r.forwarded = true
-		s.admit(c)
+		s.countForwarded(c)
 	}
 	c.inFlight++
 	a := &attempt{request: r, host: int(host) - 1, number: len(r.attempts)}
@@ -35,19 +36,19 @@
 		timesOutAt = min(timesOutAt, s.now.Add(timeout))
 	}
 	arrival := s.now.Add(s.config.NetworkDelay)
-	s.add(&event{at: arrival, kind: attemptArrives, host: a.host, request: r, number: a.number})
-	s.add(&event{at: timesOutAt, kind: attemptTimesOut, request: r, number: a.number})
+	s.addEvent(&event{at: arrival, kind: attemptArrives, host: a.host, request: r, number: a.number})
+	s.addEvent(&event{at: timesOutAt, kind: attemptTimesOut, request: r, number: a.number})
 }
 
-// CancelAttempt cancels an attempt; the gateway handles its end in another batch.
+// CancelAttempt cancels an attempt. The gateway handles the end of the attempt in a later batch.
 func (x executor) CancelAttempt(id string, number int) {
 	s := x.simulation
 	if r := s.requests[id]; r != nil {
-		s.add(&event{at: s.now, kind: attemptCanceled, request: r, number: number})
+		s.addEvent(&event{at: s.now, kind: attemptCanceled, request: r, number: number})
 	}
 }
 
-// Reject rejects a request, which its client may retry after a time.
+// Reject rejects a request. The client retries it after a time if it has retries left and the deadline allows.
 func (x executor) Reject(id string, after time.Duration) {
 	s := x.simulation
 	r := s.requests[id]
@@ -55,13 +56,13 @@
 		return
 	}
 	r.answered = true
-	s.reject(r.customer)
+	s.countRejected(r.customer)
 	if r.retries >= s.config.MaxRetries {
 		return
 	}
 	retryAt := s.now.Add(max(after, minRetryDelay))
 	if retryAt < r.deadline {
-		s.add(&event{
+		s.addEvent(&event{
 			at:       retryAt,
 			kind:     clientRetries,
 			customer: r.customer.id,
@@ -71,21 +72,21 @@
 	}
 }
 
-// Fail fails a request.
+// Fail answers a request with an error.
 func (x executor) Fail(id string) {
 	if r := x.simulation.requests[id]; r != nil {
 		r.answered = true
 	}
 }
 
-// SendGossip sends a message to a peer.
+// SendGossip sends a message to the gateway with index peer, unless it is lost.
 func (x executor) SendGossip(peer int, body []byte) {
 	s := x.simulation
 	if peer < 0 || peer >= len(s.gateways) || s.random.Float64() < s.config.GossipLoss {
 		s.report.DroppedMessages++
 		return
 	}
-	s.add(&event{
+	s.addEvent(&event{
 		at:      s.now.Add(s.config.GossipDelay),
 		kind:    gossipArrives,
 		gateway: peer,
@@ -94,15 +95,15 @@
 	})
 }
 
-// SetTimer sets the gateway's timer.
+// SetTimer sets the gateway's timer and replaces one that was set before.
 func (x executor) SetTimer(after time.Duration) {
 	s := x.simulation
 	at := s.now.Add(after)
 	s.gateways[x.gateway].timerAt = at
-	s.add(&event{at: at, kind: timerFires, gateway: x.gateway})
+	s.addEvent(&event{at: at, kind: timerFires, gateway: x.gateway})
 }
 
-// SendProbe does nothing: hosts report their load in answers.
+// SendProbe does nothing: hosts report their load with their answers.
 func (x executor) SendProbe(uint32) {}
 
 // WatchEndpoints does nothing: the host list does not change.
@@ -111,5 +112,5 @@
 // AddToCounter does nothing: there is no shared counter.
 func (x executor) AddToCounter(uint64, float64, time.Duration) {}
 
-// LogNote does nothing: nobody reads a log.
+// LogNote does nothing: the simulation has no log.
 func (x executor) LogNote(string) {}
--- a/lab/fleetsim/events.go
+++ b/lab/fleetsim/events.go
@@ -11,17 +11,17 @@
 type eventKind int
 
 const (
-	requestArrives  eventKind = iota // of a customer
-	clientRetries                    // after a rejection
-	timerFires                       // of a gateway
-	gossipArrives                    // at a gateway
-	attemptArrives                   // at a host
-	hostFinishes                     // an attempt
-	attemptTimesOut                  // at its gateway
-	attemptCanceled                  // by its gateway, which handles the end in another batch, as with sockets
+	requestArrives  eventKind = iota // a customer sends a request
+	clientRetries                    // a client retries a rejected request
+	timerFires                       // the timer of a gateway fires
+	gossipArrives                    // a message arrives at a gateway
+	attemptArrives                   // an attempt arrives at a host
+	hostFinishes                     // a host has served an attempt
+	attemptTimesOut                  // an attempt times out at its gateway
+	attemptCanceled                  // a gateway canceled an attempt; it handles the end in a later batch, as with sockets
 )
 
-// event is one event of the schedule. Its kind determines which other fields are set.
+// event is one scheduled event. Its kind determines which other fields are set.
 type event struct {
 	at       gateway.Time
 	kind     eventKind
@@ -29,13 +29,14 @@
 	customer int
 	host     int
 	request  *request
-	number   int          // of the attempt, or of the client's retry
-	sender   int          // of a message
-	body     []byte       // of a message
-	deadline gateway.Time // of a client's retry
+	number   int          // number of the attempt or of the client's retry
+	sender   int          // index of the gateway that sent the message
+	body     []byte       // message
+	deadline gateway.Time // of the request that a client retries
 }
 
-// runEvents runs all events up to the end, with the samples that fall due between them.
+// runEvents runs all events up to the end of the simulation. Between them it takes the periodic samples and applies the
+// step of the demand.
 func (s *simulation) runEvents() {
 	end := startTime.Add(s.config.Duration)
 	nextSample := startTime.Add(sampleInterval)
@@ -49,7 +50,7 @@
 		}
 		for s.config.TraceInterval > 0 && e.at >= nextTrace {
 			s.now = nextTrace
-			s.sampleCopies()
+			s.sampleBuckets()
 			nextTrace = nextTrace.Add(s.config.TraceInterval)
 		}
 		if stepPending && e.at >= stepAt {
@@ -83,7 +84,7 @@
 	}
 }
 
-// timerFires runs a gateway's timer, unless it was set anew meanwhile.
+// timerFires lets a gateway handle its timer, unless the timer has been set again since the event was scheduled.
 func (s *simulation) timerFires(e *event) {
 	g := s.gateways[e.gateway]
 	if g.timerAt != e.at {
@@ -93,25 +94,27 @@
 	s.runBatch(e.gateway, gateway.Event{Kind: gateway.TimerFired})
 }
 
-// gossipArrives delivers a message, unless the receiver has received too many within the last second.
+// gossipArrives delivers a message. It drops the message if the receiver has received GossipRateLimit messages within
+// the last second.
 func (s *simulation) gossipArrives(e *event) {
 	g := s.gateways[e.gateway]
 	expired := 0
-	for expired < len(g.inbox) && g.inbox[expired] <= s.now.Add(-time.Second) {
+	for expired < len(g.recentMessages) && g.recentMessages[expired] <= s.now.Add(-time.Second) {
 		expired++
 	}
-	g.inbox = g.inbox[expired:]
-	if float64(len(g.inbox)) >= s.config.GossipRateLimit {
+	g.recentMessages = g.recentMessages[expired:]
+	if float64(len(g.recentMessages)) >= s.config.GossipRateLimit {
 		s.report.DroppedMessages++
 		return
 	}
-	g.inbox = append(g.inbox, s.now)
+	g.recentMessages = append(g.recentMessages, s.now)
 	s.report.Messages++
 	s.report.MessageBytes += len(e.body)
 	s.runBatch(e.gateway, gateway.Event{Kind: gateway.GossipReceived, Peer: e.sender, Message: e.body})
 }
 
-// send sends a request of a customer's client, or a retry of one, to a gateway of its set.
+// send sends a request, or a retry of one, to a random gateway of the customer's set. retries is the number of retries
+// so far, this one included.
 func (s *simulation) send(c *customer, deadline gateway.Time, retries int) {
 	s.lastRequest++
 	r := &request{
@@ -122,7 +125,7 @@
 		retries:  retries,
 		attempts: map[int]*attempt{},
 	}
-	r.gateway = (c.first + s.drawGateway(c)) % len(s.gateways)
+	r.gateway = (c.firstGateway + s.drawGateway(c)) % len(s.gateways)
 	c.report.Requests++
 	s.requests[r.id] = r
 	s.report.Requests++
@@ -135,11 +138,11 @@
 		Deadline:     deadline,
 		Units:        1,
 		Spread:       c.spread,
-		FirstGateway: c.first,
+		FirstGateway: c.firstGateway,
 	})
 }
 
-// runBatch lets a gateway handle a batch of one event.
+// runBatch lets the gateway with an index handle a batch of one event.
 func (s *simulation) runBatch(index int, e gateway.Event) {
 	s.report.Batches++
 	batch := &gateway.Batch{Now: s.now, Events: []gateway.Event{e}}
--- a/lab/fleetsim/quota.go
+++ b/lab/fleetsim/quota.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// countNewRequest counts a request that is no retry, and whether one limiter for the whole fleet would admit it.
+// countNewRequest counts a request that is not a retry, and whether the ideal limiter, a single one for the whole
+// fleet, would admit it.
 func (s *simulation) countNewRequest(c *customer) {
 	c.report.NewRequests++
 	plan := s.plans[c.plan]
@@ -21,11 +22,12 @@
 	elapsed := seconds(s.now.Sub(c.refilledAt))
 	c.refilledAt = s.now
 	c.bucket = math.Min(c.bucket+plan.Rate*elapsed, plan.Burst)
-	c.ceiling = math.Min(c.ceiling+plan.CeilingRate*elapsed, plan.CeilingBurst)
+	c.ceilingBucket = math.Min(c.ceilingBucket+plan.CeilingRate*elapsed, plan.CeilingBurst)
 }
 
-// admit takes a unit from a customer's true buckets, or counts what they lack.
-func (s *simulation) admit(c *customer) {
+// countForwarded takes a unit from a customer's true buckets for a request that is sent to a host, and counts which of
+// its quota, cap on requests in flight and ceiling the request exceeds.
+func (s *simulation) countForwarded(c *customer) {
 	s.refill(c)
 	plan := s.plans[c.plan]
 	planReport := &s.report.Plans[c.plan]
@@ -45,14 +47,14 @@
 	}
 	switch {
 	case plan.CeilingRate == 0:
-	case c.ceiling >= 1:
-		c.ceiling--
+	case c.ceilingBucket >= 1:
+		c.ceilingBucket--
 	default:
 		s.report.OverCeiling++
 	}
 }
 
-// countInWindow counts a forwarded unit of a heavy customer of the first plan.
+// countInWindow counts a forwarded unit in Report.Windows, if the customer is a heavy one of the first plan.
 func (s *simulation) countInWindow(c *customer) {
 	if !c.heavy || c.plan != 0 {
 		return
@@ -65,8 +67,9 @@
 	}
 }
 
-// reject counts a rejection, and whether the true bucket held half a burst or more.
-func (s *simulation) reject(c *customer) {
+// countRejected counts a rejection, and whether it is within the quota: the customer's true bucket holds half a burst
+// or more.
+func (s *simulation) countRejected(c *customer) {
 	s.report.Rejected++
 	s.report.Plans[c.plan].Rejected++
 	s.refill(c)
@@ -77,8 +80,8 @@
 	}
 }
 
-// sampleCopies samples the first heavy customer of each plan.
-func (s *simulation) sampleCopies() {
+// sampleBuckets adds a sample of the first heavy customer of each plan to Report.Trace.
+func (s *simulation) sampleBuckets() {
 	const maxCopies = 4
 	sampled := map[int]bool{} // by plan
 	for _, c := range s.customers {
@@ -89,13 +92,13 @@
 		s.refill(c)
 		sample := BucketSample{At: s.now.Sub(startTime), Plan: c.report.Plan, TrueUnits: c.bucket}
 		for i := range min(maxCopies, c.spread) {
-			g := s.gateways[(c.first+i*c.spread/maxCopies)%len(s.gateways)]
-			level, others, known := g.logic.CustomerBucket(c.name)
+			g := s.gateways[(c.firstGateway+i*c.spread/maxCopies)%len(s.gateways)]
+			units, peerRate, known := g.logic.CustomerBucket(c.name)
 			if !known {
-				level = s.plans[c.plan].Burst
+				units = s.plans[c.plan].Burst
 			}
-			sample.CopyUnits = append(sample.CopyUnits, level)
-			sample.PeerRates = append(sample.PeerRates, others)
+			sample.CopyUnits = append(sample.CopyUnits, units)
+			sample.PeerRates = append(sample.PeerRates, peerRate)
 		}
 		s.report.Trace = append(s.report.Trace, sample)
 	}
--- a/lab/fleetsim/simulation.go
+++ b/lab/fleetsim/simulation.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	startTime      = gateway.Time(100 * time.Second) // of the simulated clock
-	windowLength   = 5 * time.Second                 // of Report.Windows
-	sampleInterval = time.Second                     // of the gateways' gauges
-	cells          = 8                               // of the hosts
+	startTime      = gateway.Time(100 * time.Second) // simulated time at the start
+	windowLength   = 5 * time.Second                 // length of a Window of the report
+	sampleInterval = time.Second                     // interval at which the gateways' gauges are sampled
+	cellCount      = 8                               // cells that the hosts are divided into
 )
 
-// simulation is the state of one run.
+// simulation is the state of one simulation.
 type simulation struct {
-	config      Config
-	random      *rand.Rand
-	now         gateway.Time
-	schedule    schedule.Schedule[*event]
-	gateways    []*gatewayModel
-	hosts       []*host
-	customers   []*customer
-	plans       []gateway.Plan
-	requests    map[string]*request
-	lastRequest int // number of the last request
-	samples     int // samples of the gateways' gauges
-	report      Report
+	config       Config
+	random       *rand.Rand
+	now          gateway.Time
+	schedule     schedule.Schedule[*event]
+	gateways     []*gatewayModel
+	hosts        []*host
+	customers    []*customer
+	plans        []gateway.Plan
+	requests     map[string]*request
+	lastRequest  int // number in the ID of the last request
+	gaugeSamples int // samples taken of the gateways' gauges
+	report       Report
 }
 
-// Run simulates one experiment and returns its report.
+// Run simulates a fleet and returns the report.
 func Run(config Config) Report {
 	s := &simulation{
 		config:   config,
@@ -65,14 +65,14 @@
 	}
 }
 
-// addHosts adds the hosts and returns the list of them.
+// addHosts adds the hosts and returns the endpoint list.
 func (s *simulation) addHosts() []gateway.Endpoint {
 	var endpoints []gateway.Endpoint
 	for i := range s.config.Hosts {
 		s.hosts = append(s.hosts, &host{})
 		endpoints = append(endpoints, gateway.Endpoint{
 			Host:   uint32(i + 1),
-			Cell:   i % cells,
+			Cell:   i % cellCount,
 			State:  gateway.Running,
 			Weight: 1,
 		})
@@ -80,7 +80,7 @@
 	return endpoints
 }
 
-// addGateways adds the gateways, each with the list of hosts.
+// addGateways adds the gateways and gives each the endpoint list.
 func (s *simulation) addGateways(endpoints []gateway.Endpoint) {
 	config := &s.config
 	classes := []gateway.RequestClass{{
@@ -105,8 +105,8 @@
 			Gossip:      config.GossipRateLimit > 0 && config.Gateways > 1,
 			MessageRate: config.GossipRateLimit,
 		}
-		decider := logic.New(s.random.Uint64(), membership, classes, s.plans, limits, slowStart, loadReport)
-		s.gateways = append(s.gateways, &gatewayModel{logic: decider, hostsUsed: map[int]bool{}})
+		gatewayLogic := logic.New(s.random.Uint64(), membership, classes, s.plans, limits, slowStart, loadReport)
+		s.gateways = append(s.gateways, &gatewayModel{logic: gatewayLogic, hostsUsed: map[int]bool{}})
 		s.runBatch(i, gateway.Event{Kind: gateway.EndpointsListed, ListKind: gateway.ListCached, Endpoints: endpoints})
 	}
 }
@@ -117,17 +117,17 @@
 		for range s.config.Plans[plan].Customers {
 			c := s.newCustomer(plan)
 			s.customers = append(s.customers, c)
-			s.add(&event{at: s.now.Add(s.interArrival(c.requestRate)), kind: requestArrives, customer: c.id})
+			s.addEvent(&event{at: s.now.Add(s.drawInterArrival(c.requestRate)), kind: requestArrives, customer: c.id})
 		}
 	}
 }
 
-// add schedules an event.
-func (s *simulation) add(e *event) { s.schedule.Add(int64(e.at), e) }
+// addEvent adds an event to the schedule.
+func (s *simulation) addEvent(e *event) { s.schedule.Add(int64(e.at), e) }
 
-// sampleGauges adds the gateways' gauges to the report's sums.
+// sampleGauges adds the gateways' gauges to the report's fields, which hold sums until summarize.
 func (s *simulation) sampleGauges() {
-	s.samples++
+	s.gaugeSamples++
 	for _, g := range s.gateways {
 		gauges := g.logic.Gauges()
 		s.report.MeanInFlightLimit += gauges.InFlightLimit
@@ -136,7 +136,7 @@
 	}
 }
 
-// summarize turns the sums of the report into means, and adds the customers' reports.
+// summarize divides the sums in the report's fields to means, and adds the customers' reports.
 func (s *simulation) summarize() {
 	for _, c := range s.customers {
 		s.report.Customers = append(s.report.Customers, *c.report)
@@ -146,7 +146,7 @@
 		hostsUsed += len(g.hostsUsed)
 	}
 	s.report.MeanHostsUsed = float64(hostsUsed) / float64(len(s.gateways))
-	samples := float64(max(s.samples*len(s.gateways), 1))
+	samples := float64(max(s.gaugeSamples*len(s.gateways), 1))
 	s.report.MeanInFlightLimit /= samples
 	s.report.MeanInFlight /= samples
 	s.report.MeanLateness /= samples
--- a/lab/fleetsim/table.go
+++ b/lab/fleetsim/table.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// demandBands are the groups of customers in the rows of Report.Table.
+// demandBands groups the customers of a plan by the ratio of demand to quota, with the spiky ones in a group of their
+// own. Each group is a row of Report.Table.
 var demandBands = []struct {
 	name     string
 	contains func(c CustomerReport) bool
@@ -19,14 +20,14 @@
 	{"spiky", func(c CustomerReport) bool { return c.Spiky }},
 }
 
-// demandWithin reports whether a customer without spikes demands at least one multiple of its quota, and less than
-// another.
+// demandWithin reports whether the customer is not spiky and the ratio of its demand to its quota is at least least and
+// below below.
 func (c CustomerReport) demandWithin(least, below float64) bool {
 	return !c.Spiky && c.DemandOverQuota >= least && c.DemandOverQuota < below
 }
 
-// Table returns a table, by plan and by demand over quota, of what was forwarded beyond the quotas and rejected within
-// them.
+// Table returns a table with what was forwarded beyond the quotas and rejected within them, by plan and by the ratio of
+// demand to quota.
 func (r Report) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-9s %-9s %5s %6s %6s %6s | %6s %6s %9s %8s\n",
@@ -47,11 +48,12 @@
 		}
 	}
 	fmt.Fprintf(&b, "value %.3f, quota used %.3f, over quota %.3f, rejected within quota %.3f, messages %d, %.0f B\n",
-		r.RelativeValue(), r.QuotaUtilization(), r.OverQuotaShare(), r.RejectedWithinQuotaShare(), r.Messages, r.MessageSize())
+		r.RelativeValue(), r.QuotaUtilization(), r.OverQuotaShare(), r.RejectedWithinQuotaShare(),
+		r.Messages, r.MessageSize())
 	return b.String()
 }
 
-// planNames returns the names of the plans in the order of their first customers.
+// planNames returns the names of the plans that have customers, in the order of their first ones.
 func (r Report) planNames() []string {
 	var names []string
 	for _, c := range r.Customers {
@@ -62,7 +64,7 @@
 	return names
 }
 
-// tableRow returns the row of a number of customers with a sum of their reports.
+// tableRow returns the row for a group of customers, of which sum is the sum of their reports.
 func (r Report) tableRow(plan, band string, customers int, sum CustomerReport) string {
 	within := sum.Forwarded - sum.OverQuota
 	return fmt.Sprintf("%-9s %-9s %5d %6d %6d %6d | %6.3f %6.3f %9.3f %8.3f\n",
@@ -78,7 +80,7 @@
 		ratio(sum.RejectedWithinQuota, sum.Requests))
 }
 
-// add adds the counts of another customer.
+// add adds the counts and the spread of another customer.
 func (c *CustomerReport) add(other CustomerReport) {
 	c.Spread += other.Spread
 	c.NewRequests += other.NewRequests
