--- a/lab/leasesim/fixture_test.go
+++ b/lab/leasesim/fixture_test.go
@@ -8,7 +8,7 @@
 
 const (
 	stepLength = 10 * time.Millisecond
-	maxDrift   = 0.1
+	maxDrift   = 0.1 // of clocks in tests with faults
 )
 
 func newTerms(members, floor, reserve int) pool.Terms {
@@ -25,8 +25,9 @@
 	}
 }
 
-// newHealthy returns a simulation without faults but for a short delay of messages and a small drift of clocks.
-func newHealthy(members, floor, capacity int, seed uint64) *Simulation {
+// newHealthySimulation returns a simulation whose only faults are a short delay of messages and a small drift of
+// clocks.
+func newHealthySimulation(members, floor, capacity int, seed uint64) *Simulation {
 	faults := Faults{MaxDelay: 5 * time.Millisecond, MaxDrift: 0.01}
 	return New(seed, newTerms(members, floor, 2), capacity, faults)
 }
@@ -37,7 +38,7 @@
 	}
 }
 
-// setDemand sets the same constant demand for all gateways.
+// setDemand sets the demand of all gateways to the same constant.
 func (s *Simulation) setDemand(demand float64) {
 	for _, g := range s.Gateways {
 		g.Demand = constantDemand(demand)
--- a/lab/leasesim/gateway.go
+++ b/lab/leasesim/gateway.go
@@ -6,24 +6,25 @@
 	"ravensill/pool"
 )
 
-// Gateway is a gateway with its connections to the store.
+// Gateway is a gateway with its connections to the store and the process that holds its lease.
 type Gateway struct {
 	Leaseholder *pool.Leaseholder // nil while the process is down
-	// Connections holds when the request of each connection ends, 0 for idle ones.
+	// Connections holds, for each open connection, the true time at which its request ends; 0 for an idle connection.
 	Connections    []time.Duration
-	Demand         func(now time.Duration) float64 // requests that would be in flight
-	MaxServiceTime time.Duration                   // of a request; the least is half of it
+	Demand         func(now time.Duration) float64 // number of requests that would be in flight without a limit
+	MaxServiceTime time.Duration                   // requests take from half of this time to all of it
 	clock
 	member      int
 	incarnation uint64
-	frozenUntil time.Duration // 0 while the process runs
-	downUntil   time.Duration
+	frozenUntil time.Duration // true time; 0: the process is not frozen
+	downUntil   time.Duration // true time until which the process does not restart
 }
 
-// Allowed returns the number of connections that the gateway may have.
+// Allowed returns the number of connections that the gateway may have at a true time. Its process must not be down.
 func (g *Gateway) Allowed(now time.Duration) int { return g.Leaseholder.Allowed(g.at(now)) }
 
-// startGateway starts a new process of a gateway; the former one is gone and its connections are closed.
+// startGateway starts a new process of a gateway, with a new clock and incarnation. The old process ends and its
+// connections are closed.
 func (s *Simulation) startGateway(member int) {
 	s.StopGateway(member, 0)
 	s.lastIncarnation++
@@ -37,7 +38,7 @@
 	g.Leaseholder = pool.NewLeaseholder(&s.Terms, g.member, g.incarnation, 1, 1, s.Ledger.Capacity, g.at(s.Now))
 }
 
-// UseExtremeClocks restarts a gateway with the slowest clock allowed and lets the leader have the fastest.
+// UseExtremeClocks restarts a gateway with the slowest clock that Faults allows and gives the leader the fastest.
 func (s *Simulation) UseExtremeClocks(member int) {
 	s.Leader.rate = 1 + s.Faults.MaxDrift
 	s.startGateway(member)
@@ -46,7 +47,7 @@
 	s.newLeaseholder(g)
 }
 
-// StopGateway stops the process of a gateway for a time; its connections are closed.
+// StopGateway ends the process of a gateway, which closes its connections. A new process starts after the downtime.
 func (s *Simulation) StopGateway(member int, downtime time.Duration) {
 	g := s.Gateways[member]
 	g.Connections = nil
@@ -55,7 +56,8 @@
 	g.downUntil = s.Now + downtime
 }
 
-// FreezeGateway suspends the process of a gateway for a time; its connections stay open.
+// FreezeGateway suspends the process of a gateway for a time, unless it is already suspended. Its connections stay
+// open.
 func (s *Simulation) FreezeGateway(member int, duration time.Duration) {
 	g := s.Gateways[member]
 	if g.frozenUntil == 0 {
@@ -63,7 +65,8 @@
 	}
 }
 
-// receiveGrant delivers a grant to a gateway; one for a frozen process waits in its socket.
+// receiveGrant delivers a grant to a gateway. A grant to a frozen process waits, as in a socket buffer, until the
+// process continues; one to a process that is down is lost.
 func (s *Simulation) receiveGrant(g *Gateway, grant *pool.Grant) {
 	if g.Leaseholder == nil {
 		return
@@ -75,7 +78,8 @@
 	g.Leaseholder.Receive(g.at(s.Now), grant)
 }
 
-// stepGateway lets a gateway act, unless its process is frozen or down.
+// stepGateway lets a gateway act, unless its process is frozen or down: it ends requests, closes connections that it
+// may no longer have, starts requests and reports its usage.
 func (s *Simulation) stepGateway(g *Gateway) {
 	if g.frozenUntil > 0 && s.Now >= g.frozenUntil {
 		g.frozenUntil = 0
@@ -98,7 +102,7 @@
 	}
 }
 
-// endRequests makes the connections idle whose request has ended and returns the number of busy ones.
+// endRequests makes connections idle whose request has ended, and returns the number of busy ones.
 func (g *Gateway) endRequests(now time.Duration) int {
 	busy := 0
 	for i, end := range g.Connections {
@@ -145,7 +149,8 @@
 	return busy
 }
 
-// sendReport sends a report to the leader, or sometimes to a deposed one that the gateway still knows as leader.
+// sendReport sends a report to the leader, or sometimes to a deposed leader, as a gateway that has not learned of the
+// election does.
 func (s *Simulation) sendReport(member int, report *pool.Report) {
 	leader := s.Leader
 	if len(s.deposedLeaders) > 0 && s.random.IntN(staleReportOdds) == 0 {
--- a/lab/leasesim/leader.go
+++ b/lab/leasesim/leader.go
@@ -7,42 +7,43 @@
 )
 
 const (
-	electionTime    = 100 * time.Millisecond // until a new leader grants, at most
-	commitTime      = 20 * time.Millisecond  // until a batch is committed, and again until its leader learns of it
-	lateCommitTime  = 500 * time.Millisecond // until a deposed leader learns that its last batch was committed
-	stepsPerTick    = 5
-	staleReportOdds = 8 // one report in so many goes to a deposed leader
+	maxElectionTime    = 100 * time.Millisecond // longest time from its election until a new leader acts
+	maxCommitTime      = 20 * time.Millisecond  // longest time until a batch is committed, and then until its leader knows
+	maxLateNotifyDelay = 500 * time.Millisecond // longest time until a deposed leader knows that its batch was committed
+	stepsPerTick       = 5                      // a leader proposes a batch at most once in this many steps
+	staleReportOdds    = 8                      // one report in this many goes to a deposed leader
 )
 
-// Leader is a voter that leads, or has not learned that it was deposed.
+// Leader is a voter that leads, or that was deposed and has not learned of it.
 type Leader struct {
-	Grantor *pool.Grantor // nil before the leader has learned of its election
+	Grantor *pool.Grantor // nil until the leader has learned of its election
 	clock
-	leadsFrom  time.Duration
-	proposed   *pool.Batch // not yet committed
-	commitAt   time.Duration
+	leadsFrom  time.Duration // true time at which it learns of its election
+	proposed   *pool.Batch   // batch that is not yet committed; nil: none
+	commitAt   time.Duration // true time at which the proposed batch is committed
 	wasDeposed bool
 }
 
-// ElectLeader elects another leader. The batch that the one before has proposed is committed just before, or never; the
-// deposed leader goes on for a while.
+// ElectLeader elects another leader. A batch that the previous leader has proposed is committed just before the
+// election or never, at random. The deposed leader goes on until two later leaders have been deposed.
 func (s *Simulation) ElectLeader() {
 	if deposed := s.Leader; deposed != nil {
 		if deposed.proposed != nil && s.random.IntN(2) == 0 {
-			s.commit(deposed, lateCommitTime)
+			s.commit(deposed, maxLateNotifyDelay)
 		}
 		deposed.wasDeposed = true
 		s.deposedLeaders = append(s.deposedLeaders, deposed)
 	}
-	s.Leader = &Leader{clock: s.newClock(), leadsFrom: s.Now + s.randomDuration(electionTime)}
+	s.Leader = &Leader{clock: s.newClock(), leadsFrom: s.Now + s.randomDuration(maxElectionTime)}
 }
 
-// commit commits the batch that a leader has proposed; the leader learns of it within a time.
-func (s *Simulation) commit(l *Leader, notifyTime time.Duration) {
+// commit commits the batch that a leader has proposed. The leader learns of it within maxNotifyDelay and then sends its
+// grants.
+func (s *Simulation) commit(l *Leader, maxNotifyDelay time.Duration) {
 	s.Ledger.Apply(l.proposed)
 	l.proposed = nil
 	ledger := s.Ledger.Clone()
-	s.schedule(s.Now+s.randomDuration(notifyTime), func() {
+	s.schedule(s.Now+s.randomDuration(maxNotifyDelay), func() {
 		for _, grant := range l.Grantor.Committed(ledger) {
 			s.sendGrant(grant)
 		}
@@ -54,7 +55,8 @@
 	s.send(grant.Member, GrantsLost, func() { s.receiveGrant(g, grant) })
 }
 
-// stepLeader lets a leader act: it starts to grant, has its batch committed, or proposes another.
+// stepLeader lets a leader act: it starts to grant after its election, has its proposed batch committed, or proposes
+// another. A deposed leader may still propose, but its batches are not committed.
 func (s *Simulation) stepLeader(l *Leader) {
 	if l.Grantor == nil {
 		if s.Now >= l.leadsFrom && !l.wasDeposed {
@@ -69,7 +71,7 @@
 		return
 	}
 	if s.Now >= l.commitAt && !l.wasDeposed {
-		s.commit(l, commitTime)
+		s.commit(l, maxCommitTime)
 	}
 }
 
@@ -82,5 +84,5 @@
 		return
 	}
 	l.proposed = batch
-	l.commitAt = s.Now + s.randomDuration(commitTime)
+	l.commitAt = s.Now + s.randomDuration(maxCommitTime)
 }
--- a/lab/leasesim/leasesim.go
+++ b/lab/leasesim/leasesim.go
@@ -1,8 +1,9 @@
-// Package leasesim simulates package pool, the quota of connections: gateways whose clocks drift, a network that loses,
-// duplicates, delays and reorders messages, a replicated ledger whose leader changes while deposed leaders go on,
-// processes that crash, freeze and restart, and a store that counts its connections. The consensus library of the
-// program is replaced by what it guarantees: one order of batches, and none from a leader after the election of its
-// successor. The package does no I/O, and the same seed always yields the same run.
+// Package leasesim simulates the protocol of package pool, by which gateways share the connections of a store. It has
+// gateways whose clocks drift and whose processes crash, freeze and restart, a network that loses, duplicates, delays
+// and reorders messages, a replicated ledger whose leader changes while deposed leaders go on, and a store that counts
+// its connections. The consensus library of the gateway is replaced by what it guarantees: batches are committed in one
+// order, and none of a leader after its successor was elected. The package does no I/O, and the same seed always yields
+// the same run.
 package leasesim
 
 import (
@@ -14,51 +15,51 @@
 	"ravensill/pool"
 )
 
-// Faults are the faults of the network and the clocks.
+// Faults describes the faults of the network and of the clocks.
 type Faults struct {
 	Loss      float64       // probability that a message is lost
-	Duplicate float64       // probability that it is sent once more
-	MaxDelay  time.Duration // of a message
-	MaxDrift  float64       // the rate of a clock is within 1-Drift and 1+Drift
+	Duplicate float64       // probability that a message is sent once more, after each time it was sent
+	MaxDelay  time.Duration // messages are delayed by a random time up to this one
+	MaxDrift  float64       // the rate of a clock is between 1-MaxDrift and 1+MaxDrift
 }
 
-// Partition is the direction in which a gateway's messages don't pass.
+// Partition tells which messages between a gateway and the leaders are lost.
 type Partition int
 
 const (
-	// Connected lets all messages pass.
+	// Connected loses no messages.
 	Connected Partition = iota
-	// ReportsLost drops the reports of a gateway to the leader.
+	// ReportsLost loses the reports of the gateway to the leaders.
 	ReportsLost
-	// GrantsLost drops the grants of the leader to a gateway.
+	// GrantsLost loses the grants of the leaders to the gateway.
 	GrantsLost
-	// Isolated drops both.
+	// Isolated loses reports and grants.
 	Isolated
 )
 
-// Simulation is a simulated fleet. Its time is true time, as the time since an arbitrary moment; each process has a
-// clock that differs.
+// Simulation is a simulated fleet. Its times are true ones, counted from an arbitrary moment; each process reads a
+// clock that differs from true time. A Simulation is not safe for concurrent use.
 type Simulation struct {
 	Terms      pool.Terms
 	Faults     Faults
 	Now        time.Duration
-	Gateways   []*Gateway
-	Ledger     *pool.Ledger   // as it is committed
-	Leader     *Leader        // the one elected last
-	NoteCounts map[string]int // notes of leaders, by event
-	Steps      int
+	Gateways   []*Gateway     // by member
+	Ledger     *pool.Ledger   // state after all committed batches
+	Leader     *Leader        // the latest leader elected
+	NoteCounts map[string]int // number of notes by leaders, by event
+	Steps      int            // calls of Step so far
 
 	random          *rand.Rand
-	deposedLeaders  []*Leader // the latest ones
+	deposedLeaders  []*Leader // the latest two; earlier ones have stopped
 	messages        schedule.Schedule[func()]
-	lastIncarnation uint64
+	lastIncarnation uint64            // of any gateway
 	partitions      map[int]Partition // by member
 }
 
-// clock is the monotonic clock of a process.
+// clock is the monotonic clock of a process, with a constant rate.
 type clock struct {
-	rate   float64
-	offset pool.Instant
+	rate   float64      // seconds of the clock per second of true time
+	offset pool.Instant // reading at true time 0
 }
 
 // at returns the clock's reading at a true time.
@@ -66,7 +67,8 @@
 	return c.offset + pool.Instant(float64(now)*c.rate)
 }
 
-// New returns a simulation whose gateways start now.
+// New returns a simulation of terms.Members gateways without demand, which share capacity connections. The gateways
+// have just started, and a leader has just been elected.
 func New(seed uint64, terms pool.Terms, capacity int, faults Faults) *Simulation {
 	s := &Simulation{
 		Terms:      terms,
@@ -90,7 +92,8 @@
 	return s
 }
 
-// Step advances the simulation by a time.
+// Step advances the simulation by a time: it delivers the messages that have arrived and lets each gateway and leader
+// act once.
 func (s *Simulation) Step(duration time.Duration) {
 	s.Now += duration
 	s.Steps++
@@ -107,7 +110,8 @@
 	}
 }
 
-// LowerCapacity commits a smaller number of connections of the store, of which the gateways learn at once.
+// LowerCapacity commits a smaller capacity of the store. serial is the new capacity's serial number. All running
+// gateways learn of it immediately.
 func (s *Simulation) LowerCapacity(serial uint64, capacity int) {
 	s.Ledger.Apply(&pool.Batch{Serial: serial, Capacity: capacity})
 	for _, g := range s.Gateways {
@@ -117,7 +121,7 @@
 	}
 }
 
-// OpenConnections returns the number of connections of the store.
+// OpenConnections returns the number of connections that the store has.
 func (s *Simulation) OpenConnections() int {
 	open := 0
 	for _, g := range s.Gateways {
@@ -126,8 +130,8 @@
 	return open
 }
 
-// CheckLimit returns an error if the store has more than limit connections, or could have them now because the running
-// gateways may open further ones.
+// CheckLimit returns an error if the store has more than limit connections, or if it would have more once every running
+// gateway opened all the connections that it is allowed now.
 func (s *Simulation) CheckLimit(limit int) error {
 	possible := 0
 	for _, g := range s.Gateways {
@@ -143,7 +147,8 @@
 	return nil
 }
 
-// newClock returns a clock with a random rate, often an extreme one: these are where bounds are missed.
+// newClock returns a clock with a random offset and rate. Two of three clocks have the slowest or the fastest rate, as
+// faulty time bounds are most likely to be exceeded with these.
 func (s *Simulation) newClock() clock {
 	drift := s.Faults.MaxDrift * (2*s.random.Float64() - 1)
 	switch s.random.IntN(3) {
@@ -155,7 +160,7 @@
 	return clock{rate: 1 + drift, offset: pool.Instant(s.random.Uint64N(1e15))}
 }
 
-// randomDuration returns a random duration below limit.
+// randomDuration returns a random duration below limit, which must be positive.
 func (s *Simulation) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(s.random.Uint64N(uint64(limit)))
 }
--- a/lab/leasesim/limit_test.go
+++ b/lab/leasesim/limit_test.go
@@ -9,8 +9,8 @@
 	"ravensill/pool"
 )
 
-// Whatever the network, the processes, the leaders and the clocks do, gateways that keep to the protocol never have
-// more connections than the quota.
+// Gateways that keep to the protocol never have more connections in all than the limit, whatever faults the network,
+// the processes, the leaders and the clocks have.
 func TestGatewaysNeverExceedQuota(t *testing.T) {
 	steps := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -29,14 +29,14 @@
 		steps += run.Steps
 	})
 	if steps < 100_000 && !t.Failed() {
-		t.Errorf("%d steps only", steps)
+		t.Errorf("only %d simulation steps, want at least 100000", steps)
 	}
 }
 
-// faultyRun is a simulation with drawn sizes and faults.
+// faultyRun is a simulation with random sizes and faults.
 type faultyRun struct {
 	*Simulation
-	limit   int  // connections
+	limit   int  // connections of all gateways
 	freezes bool // processes may freeze
 }
 
@@ -54,7 +54,7 @@
 	terms := newTerms(members, floor, 3)
 	terms.Drift = maxDrift
 	maxServiceTime := 1450 * time.Millisecond
-	if !freezes { // the drain time then has to outlast the longest request only
+	if !freezes { // without freezes, the drain time need only outlast the longest request
 		terms.Drain = 300 * time.Millisecond
 		maxServiceTime = 290 * time.Millisecond
 	}
@@ -69,7 +69,7 @@
 	return faultyRun{Simulation: s, limit: limit, freezes: freezes}
 }
 
-// injectFault draws a fault or a recovery and reports whether the drawn one is possible.
+// injectFault draws a fault, a recovery or nothing, and applies it. It returns false if the drawn fault is not allowed.
 func (r faultyRun) injectFault(t *rapid.T) bool {
 	member := rapid.IntRange(0, r.Terms.Members-1).Draw(t, "member")
 	switch rapid.IntRange(0, 30).Draw(t, "event") {
@@ -95,8 +95,9 @@
 	return time.Duration(rapid.Int64Range(0, limit).Draw(t, label)) * time.Millisecond
 }
 
-// The worst case of each bound: the slowest lease holder and the fastest grantor, a gateway partitioned with all its
-// connections busy while old grants may still arrive, and then another leader.
+// The worst case for each time bound of the protocol: the leaseholder has the slowest clock and the grantor the
+// fastest, a partition separates the leaseholder while all its connections are busy and old grants may still arrive,
+// and in some runs another leader is elected.
 func TestPartitionedGatewayWithSlowestClockKeepsQuota(t *testing.T) {
 	const limit = 33
 	for seed := range uint64(40) {
@@ -129,32 +130,34 @@
 		partitioned := len(s.Gateways[0].Connections)
 		open := s.OpenConnections()
 		if partitioned != 1 || !slowNetwork && open < 30 {
-			t.Fatalf("seed %d: %d of the partitioned gateway, %d of %d in all", seed, partitioned, open, limit)
+			t.Fatalf("seed %d: %d connections of the partitioned gateway, want 1; %d of %d in all",
+				seed, partitioned, open, limit)
 		}
 	}
 }
 
-// A smaller capacity holds once the requests in flight have ended; none of them is aborted.
+// A lowered capacity holds once the requests in flight have ended. None of them is aborted.
 func TestLoweredCapacityHoldsAfterRequestsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newHealthy(6, 1, 62, rapid.Uint64().Draw(t, "seed"))
+		s := newHealthySimulation(6, 1, 62, rapid.Uint64().Draw(t, "seed"))
 		s.setDemand(30)
 		s.advance(4 * time.Second)
 		before := s.OpenConnections()
 		s.LowerCapacity(2, 32)
 		s.advance(1500 * time.Millisecond)
 		if err := s.CheckLimit(30); err != nil || before < 57 {
-			t.Fatalf("%v; %d connections before", err, before)
+			t.Fatalf("after lowering: %v; %d connections before", err, before)
 		}
 	})
 }
 
-// A process frozen past its lease and the quarantine exceeds the quota by no more than its units; this is noted, and
-// ends when the process goes on.
+// A process that is frozen for longer than its lease and the quarantine keeps its connections while others are granted
+// its units. The limit is then exceeded by no more than these units, the leader notes it, and it ends when the process
+// continues.
 func TestFrozenGatewayExceedsQuotaByItsUnitsOnly(t *testing.T) {
 	const limit = 40
 	rapid.Check(t, func(t *rapid.T) {
-		s := newHealthy(4, 1, limit+2, rapid.Uint64().Draw(t, "seed"))
+		s := newHealthySimulation(4, 1, limit+2, rapid.Uint64().Draw(t, "seed"))
 		s.setDemand(50)
 		s.advance(3 * time.Second)
 		frozen := len(s.Gateways[2].Connections)
@@ -165,7 +168,7 @@
 			mostOpen = max(mostOpen, s.OpenConnections())
 		}
 		if mostOpen > limit+frozen-1 || mostOpen <= limit || s.NoteCounts[pool.EventQuotaExceeded] == 0 {
-			t.Fatalf("%d connections open of %d, %d of them frozen, notes %v", mostOpen, limit, frozen, s.NoteCounts)
+			t.Fatalf("%d connections open, limit %d, %d connections frozen, notes %v", mostOpen, limit, frozen, s.NoteCounts)
 		}
 		s.advance(2 * time.Second)
 		if err := s.CheckLimit(limit); err != nil {
--- a/lab/leasesim/messages_test.go
+++ b/lab/leasesim/messages_test.go
@@ -6,8 +6,8 @@
 	"ravensill/pool"
 )
 
-// A report that arrives after a batch was proposed is answered with the next batch: this one may be committed although
-// its leader has been deposed since.
+// A report that arrives after a batch was proposed is answered with the next batch only. The proposed batch may be
+// committed although its leader has been deposed since, and so must not confirm later reports.
 func TestGrantorAnswersReportsOfCommittedBatchOnly(t *testing.T) {
 	terms := newTerms(1, 1, 0)
 	grantor := pool.NewGrantor(&terms, 1, pool.NewLedger(&terms))
@@ -17,7 +17,7 @@
 	ledger := pool.NewLedger(&terms)
 	ledger.Apply(batch)
 	if grant := grantor.Committed(ledger)[0]; grant.Sent != 10 {
-		t.Errorf("answered the report sent at %d", grant.Sent)
+		t.Errorf("grant answers the report sent at %d, want 10", grant.Sent)
 	}
 }
 
@@ -28,8 +28,8 @@
 	for _, change := range []pool.Change{
 		{Member: 0, Incarnation: 5},
 		{Member: 0, Number: 1, Units: 10},
-		{Member: 0, Number: 2, Units: 4}, // units returned
-		{Member: 0, Number: 2, Units: 0}, // the same number again
+		{Member: 0, Number: 2, Units: 4}, // returns units
+		{Member: 0, Number: 2, Units: 0}, // repeats a number
 		{Member: 0, Number: 3, Incarnation: 6},
 		{Member: 0, Number: 3, Units: 18},
 		{Member: 0, Number: 4, Units: 15}, // more than are free
@@ -38,7 +38,7 @@
 	}
 	entry := ledger.Entries[0]
 	if entry.Units != 0 || entry.Stranded != 4 || ledger.Free() != 14 {
-		t.Fatalf("%+v, %d free", entry, ledger.Free())
+		t.Fatalf("entry %+v, %d units free; want 0 units, 4 stranded, 14 free", entry, ledger.Free())
 	}
 }
 
@@ -48,15 +48,15 @@
 	holder := pool.NewLeaseholder(&terms, 0, 6, 1, 1, 20, now)
 	holder.Receive(now, &pool.Grant{Incarnation: 5, Number: 9, Units: 9, Sent: now})
 	if allowed := holder.Allowed(now); allowed != 1 {
-		t.Errorf("%d allowed by a grant to another incarnation", allowed)
+		t.Errorf("%d connections allowed after a grant to another incarnation, want 1", allowed)
 	}
 	holder.Receive(now, &pool.Grant{Incarnation: 6, Number: 4, Units: 8, Sent: now})
 	holder.Receive(now, &pool.Grant{Incarnation: 6, Number: 4, Units: 3, Sent: now})
 	holder.Receive(now, &pool.Grant{Incarnation: 6, Number: 4, Units: 8, Sent: now})
 	if allowed := holder.Allowed(now); allowed != 4 {
-		t.Errorf("%d allowed after a recall and an old grant", allowed)
+		t.Errorf("%d connections allowed after a recall and a repeated grant, want 4", allowed)
 	}
 	if allowed := holder.Allowed(now.Add(terms.Lease)); allowed != 1 {
-		t.Errorf("%d allowed past the lease", allowed)
+		t.Errorf("%d connections allowed after the lease has expired, want 1", allowed)
 	}
 }
--- a/lab/leasesim/shares_test.go
+++ b/lab/leasesim/shares_test.go
@@ -9,14 +9,14 @@
 	"ravensill/pool"
 )
 
-// Within 2 s of a change of the demands, in 99 of 100 fleets at least, all gateways are within one connection of their
-// fair share.
+// In at least 99 of 100 cases, all gateways are within one connection of their fair share 2 s after demands have
+// changed.
 func TestSharesAreFairSoonAfterDemandChanges(t *testing.T) {
 	changes, unfair := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(2, 24).Draw(t, "members")
 		capacity := 2 + members*rapid.IntRange(3, 12).Draw(t, "connections of each")
-		s := newHealthy(members, 2, capacity, rapid.Uint64().Draw(t, "seed"))
+		s := newHealthySimulation(members, 2, capacity, rapid.Uint64().Draw(t, "seed"))
 		for range 3 {
 			demands := drawDemands(t, s)
 			s.advance(2 * time.Second)
@@ -28,12 +28,12 @@
 		}
 	})
 	if unfair > changes/100 {
-		t.Errorf("%d of %d not fair after 2 s", unfair, changes)
+		t.Errorf("shares are not fair 2 s after %d of %d changes of demands", unfair, changes)
 	}
-	t.Logf("%d of %d not fair after 2 s", unfair, changes)
+	t.Logf("shares are not fair 2 s after %d of %d changes of demands", unfair, changes)
 }
 
-// drawDemands draws and sets the gateways' demands.
+// drawDemands draws constant demands, sets them and returns them by member.
 func drawDemands(t *rapid.T, s *Simulation) []int {
 	demands := make([]int, s.Terms.Members)
 	for i, g := range s.Gateways {
@@ -43,7 +43,7 @@
 	return demands
 }
 
-// sharesFair reports whether each gateway may have its fair share of connections, or one less.
+// sharesFair reports whether each gateway is allowed at least its fair share of connections less one.
 func (s *Simulation) sharesFair(demands []int) bool {
 	claims := make([]pool.Claim, len(demands))
 	for i, demand := range demands {
@@ -59,12 +59,12 @@
 	return true
 }
 
-// Demands that vary by a fifth change a gateway's target at most once in the hold time, and rarely at all.
+// Demands that vary by up to a fifth change a gateway's target at most once within the hold time, and rarely at all.
 func TestNoisyDemandRarelyChangesTargets(t *testing.T) {
 	changes, seconds := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(2, 12).Draw(t, "members")
-		s := newHealthy(members, 1, 2+8*members, rapid.Uint64().Draw(t, "seed"))
+		s := newHealthySimulation(members, 1, 2+8*members, rapid.Uint64().Draw(t, "seed"))
 		for _, g := range s.Gateways {
 			g.Demand = s.noisyDemand(rapid.Float64Range(2, 16).Draw(t, "mean"))
 		}
@@ -89,12 +89,12 @@
 		seconds += 10 * members
 	})
 	if changes > seconds/5 {
-		t.Fatalf("%d changes in %d s of noise, summed over members", changes, seconds)
+		t.Fatalf("%d changes of targets in %d s of noisy demand, summed over members", changes, seconds)
 	}
-	t.Logf("%d changes in %d s of noise, summed over members", changes, seconds)
+	t.Logf("%d changes of targets in %d s of noisy demand, summed over members", changes, seconds)
 }
 
-// noisyDemand returns a demand that is drawn anew, up to a fifth from the mean, for each report.
+// noisyDemand returns a demand that is drawn again for each report and differs from the mean by up to a fifth.
 func (s *Simulation) noisyDemand(mean float64) func(time.Duration) float64 {
 	factor := 0.0
 	drawnFor := time.Duration(-1)
@@ -108,15 +108,16 @@
 	}
 }
 
-// A gateway that receives no grants has its floor, and one of little demand has all it needs whatever others demand.
+// A gateway that receives no grants has its floor, and one with a small demand has all that it needs, whatever the
+// others demand.
 func TestGatewaysGetFloorsAndSmallDemands(t *testing.T) {
 	const members = 8
 	rapid.Check(t, func(t *rapid.T) {
-		s := newHealthy(members, 2, 66, rapid.Uint64().Draw(t, "seed"))
+		s := newHealthySimulation(members, 2, 66, rapid.Uint64().Draw(t, "seed"))
 		isolated := rapid.IntRange(0, members-1).Draw(t, "isolated")
-		modest := (isolated + 1) % members
+		lowDemand := (isolated + 1) % members
 		s.setDemand(100)
-		s.Gateways[modest].Demand = constantDemand(5)
+		s.Gateways[lowDemand].Demand = constantDemand(5)
 		s.SetPartition(isolated, Isolated)
 		s.advance(10 * time.Second)
 		for i, g := range s.Gateways {
@@ -124,16 +125,16 @@
 			switch i {
 			case isolated:
 				want = 2
-			case modest:
+			case lowDemand:
 				want = 5
 			}
 			open := len(g.Connections)
 			if open < want-1 || i == isolated && open != want {
-				t.Fatalf("gateway %d has %d connections, %d is isolated", i, open, isolated)
+				t.Fatalf("gateway %d has %d connections; gateway %d is isolated", i, open, isolated)
 			}
 		}
 		if open := s.OpenConnections(); open < 60 {
-			t.Fatalf("%d of 64 in use with demand for all", open)
+			t.Fatalf("%d of 64 connections in use with demand for all", open)
 		}
 	})
 }
