--- a/lab/slowstartsim/decisions.go
+++ b/lab/slowstartsim/decisions.go
@@ -7,18 +7,18 @@
 	"ravensill/gateway"
 )
 
-// StartAttempt schedules the end of an attempt of the gateway that decides.
+// StartAttempt counts an attempt of the deciding gateway, unless it cannot reach the host, and schedules its end.
 func (s *simulation) StartAttempt(request string, host uint32, timeout time.Duration) {
-	number := s.started[request]
-	s.started[request]++
+	number := s.attemptsByRequest[request]
+	s.attemptsByRequest[request]++
 	latency, result := s.outcome(int(host), timeout)
-	if s.now >= s.hostStart && result != gateway.Unreachable {
+	if s.now >= s.newHostStart && result != gateway.Unreachable {
 		s.attempts++
 		if int(host) < s.config.NewHosts {
-			s.received[host] = append(s.received[host], attempt{s.now, s.notified[s.deciding]})
+			s.receivedByHost[host] = append(s.receivedByHost[host], attempt{s.now, s.notifiedGateways[s.decidingGateway]})
 		}
 	}
-	s.schedule.Add(int64(s.now.Add(latency)), event{gateway: s.deciding, input: gateway.Event{
+	s.schedule.Add(int64(s.now.Add(latency)), event{gateway: s.decidingGateway, input: gateway.Event{
 		Kind:      gateway.AttemptEnded,
 		RequestID: request,
 		Host:      host,
@@ -29,9 +29,9 @@
 	}})
 }
 
-// outcome returns how an attempt at a host ends, and after what time.
+// outcome returns the time after which an attempt of the deciding gateway at a host ends, and its result.
 func (s *simulation) outcome(host int, timeout time.Duration) (time.Duration, gateway.Result) {
-	if s.partitioned(s.deciding%3 == 0, host < s.config.Hosts/3) {
+	if s.partitioned(s.decidingGateway%3 == 0, host < s.config.Hosts/3) {
 		return connectTimeout, gateway.Unreachable
 	}
 	firstHealthy := s.config.NewHosts + int(s.config.FailingFraction*float64(s.config.Hosts-s.config.NewHosts))
@@ -48,36 +48,36 @@
 	return latency, gateway.Succeeded
 }
 
-// serve queues an attempt at a host that answers serially and returns the time until it is answered.
+// serve queues an attempt at a host that serves one at a time, and returns the time until it is served.
 func (s *simulation) serve(host int) time.Duration {
-	capacity := s.capacity(s.config.SlowStart.Duration)
-	if host < s.config.NewHosts && s.now >= s.hostStart {
-		capacity = s.capacity(s.sinceStart())
+	capacity := s.hostCapacity(s.config.SlowStart.Duration)
+	if host < s.config.NewHosts && s.now >= s.newHostStart {
+		capacity = s.hostCapacity(s.sinceStart())
 	}
 	work := time.Duration(float64(time.Second) / capacity)
 	s.idleFrom[host] = max(s.idleFrom[host], s.now).Add(work)
 	return s.idleFrom[host].Sub(s.now)
 }
 
-// SendGossip delivers a message to another gateway unless a partition lies between them.
+// SendGossip schedules the arrival of a message at another gateway, unless a partition separates the two.
 func (s *simulation) SendGossip(peer int, body []byte) {
-	if s.partitioned(s.deciding%3 == 0, peer%3 == 0) {
+	if s.partitioned(s.decidingGateway%3 == 0, peer%3 == 0) {
 		return
 	}
 	s.schedule.Add(int64(s.now.Add(gossipDelay)), event{gateway: peer, input: gateway.Event{
 		Kind:    gateway.GossipReceived,
-		Peer:    s.deciding,
+		Peer:    s.decidingGateway,
 		Message: bytes.Clone(body),
 	}})
 }
 
-// SetTimer schedules a timer event of the gateway that decides.
+// SetTimer schedules a timer event of the deciding gateway.
 func (s *simulation) SetTimer(after time.Duration) {
-	at := s.now.Add(max(after, minTimer))
-	s.schedule.Add(int64(at), event{gateway: s.deciding, input: gateway.Event{Kind: gateway.TimerFired}})
+	at := s.now.Add(max(after, minTimerDelay))
+	s.schedule.Add(int64(at), event{gateway: s.decidingGateway, input: gateway.Event{Kind: gateway.TimerFired}})
 }
 
-// The other decisions change nothing of what hosts receive.
+// The other decisions do not change what hosts receive.
 
 func (s *simulation) CancelAttempt(string, int)                   {}
 func (s *simulation) Reject(string, time.Duration)                {}
--- a/lab/slowstartsim/simulation.go
+++ b/lab/slowstartsim/simulation.go
@@ -10,10 +10,10 @@
 	"ravensill/logic"
 )
 
-// event is the arrival of a request somewhere, or an event of one gateway.
+// event is the arrival of a request at a gateway yet to be drawn, or an event of one gateway.
 type event struct {
-	arrival bool
-	gateway int
+	arrival bool // the other fields are not set
+	gateway int  // index
 	input   gateway.Event
 }
 
@@ -23,33 +23,33 @@
 	notified bool // the gateway that sent it had been notified of the host's start
 }
 
-// simulation is the state of one experiment. It executes the decisions of the gateway that is deciding.
+// simulation is the state of one simulation. It executes the decisions of the deciding gateway.
 type simulation struct {
-	config    Config
-	random    *rand.Rand
-	now       gateway.Time
-	hostStart gateway.Time // of the new hosts
-	schedule  schedule.Schedule[event]
-	gateways  []*logic.Gateway
-	deciding  int            // index of the gateway that decides at the moment
-	notified  []bool         // by gateway
-	idleFrom  []gateway.Time // by host: when it has answered all attempts, in a serial experiment
-	received  [][]attempt    // by new host
-	requests  int
-	attempts  int            // that reached any host since hostStart
-	started   map[string]int // attempts, by request
+	config            Config
+	random            *rand.Rand
+	now               gateway.Time
+	newHostStart      gateway.Time // start of the new hosts
+	schedule          schedule.Schedule[event]
+	gateways          []*logic.Gateway
+	decidingGateway   int            // index of the gateway that is handling an event
+	notifiedGateways  []bool         // by gateway: whether it was notified of the start of the new hosts
+	idleFrom          []gateway.Time // by host: when it has served all its attempts, if Config.Serial is set
+	receivedByHost    [][]attempt    // attempts, by new host
+	requests          int            // number of requests so far
+	attempts          int            // attempts that reached any host since newHostStart
+	attemptsByRequest map[string]int // number of attempts, by request ID
 }
 
 func newSimulation(config Config) *simulation {
 	s := &simulation{
-		config:    config,
-		random:    rand.New(rand.NewPCG(config.Seed, 7)),
-		now:       startTime,
-		hostStart: startTime.Add(warmUpTime),
-		received:  make([][]attempt, config.NewHosts),
-		notified:  make([]bool, config.Gateways),
-		idleFrom:  make([]gateway.Time, config.Hosts),
-		started:   map[string]int{},
+		config:            config,
+		random:            rand.New(rand.NewPCG(config.Seed, 7)),
+		now:               startTime,
+		newHostStart:      startTime.Add(newHostStartDelay),
+		receivedByHost:    make([][]attempt, config.NewHosts),
+		notifiedGateways:  make([]bool, config.Gateways),
+		idleFrom:          make([]gateway.Time, config.Hosts),
+		attemptsByRequest: map[string]int{},
 	}
 	for i := range config.Gateways {
 		s.gateways = append(s.gateways, s.newGateway(i))
@@ -75,7 +75,7 @@
 	return logic.New(s.random.Uint64(), membership, classes, plans, limits, s.config.SlowStart, gateway.LoadReportFormat{})
 }
 
-// endpoints returns the list of all hosts, the new ones first and with newHostStart as their start.
+// endpoints returns the endpoint list with all hosts, the new ones first and with newHostStart as their start.
 func (s *simulation) endpoints(newHostStart gateway.Time) []gateway.Endpoint {
 	var list []gateway.Endpoint
 	for host := range s.config.Hosts {
@@ -88,38 +88,38 @@
 	return list
 }
 
-// scheduleNotifications lets each gateway learn of the start of the new hosts.
+// scheduleNotifications schedules the notification of each gateway about the start of the new hosts.
 func (s *simulation) scheduleNotifications() {
 	for i := range s.gateways {
 		delay := time.Duration(s.random.Float64() * float64(s.config.MaxNotifyDelay))
-		s.schedule.Add(int64(s.hostStart.Add(delay)), event{gateway: i, input: gateway.Event{
+		s.schedule.Add(int64(s.newHostStart.Add(delay)), event{gateway: i, input: gateway.Event{
 			Kind:      gateway.EndpointsListed,
 			ListKind:  gateway.ListChanges,
-			Endpoints: s.endpoints(s.hostStart)[:s.config.NewHosts],
+			Endpoints: s.endpoints(s.newHostStart)[:s.config.NewHosts],
 		}})
 	}
 }
 
-// run handles the events up to an instant.
+// run handles all events up to an instant.
 func (s *simulation) run(end gateway.Time) {
 	for at, e := range s.schedule.Until(int64(end)) {
 		s.now = gateway.Time(at)
 		if e.arrival {
-			s.arrive()
+			s.sendRequest()
 			s.scheduleArrival()
 			continue
 		}
 		if e.input.Kind == gateway.EndpointsListed {
-			s.notified[e.gateway] = true
+			s.notifiedGateways[e.gateway] = true
 		}
 		s.decide(e.gateway, e.input)
 	}
 }
 
 // sinceStart returns the time since the start of the new hosts, which is negative before it.
-func (s *simulation) sinceStart() time.Duration { return s.now.Sub(s.hostStart) }
+func (s *simulation) sinceStart() time.Duration { return s.now.Sub(s.newHostStart) }
 
-// scheduleArrival schedules the next request.
+// scheduleArrival schedules the next request, at the current rate of traffic.
 func (s *simulation) scheduleArrival() {
 	rate := s.config.RequestRate
 	switch elapsed := s.sinceStart(); {
@@ -132,8 +132,8 @@
 	s.schedule.Add(int64(s.now.Add(wait)), event{arrival: true})
 }
 
-// arrive lets a request of a random customer arrive at a gateway, drawn by the gateways' traffic.
-func (s *simulation) arrive() {
+// sendRequest sends a request of a random customer to a gateway, which is drawn in proportion to the gateways' traffic.
+func (s *simulation) sendRequest() {
 	busy := (s.config.Gateways + 9) / 10
 	busyTraffic := s.config.Skew * float64(busy)
 	index := 0
@@ -146,7 +146,7 @@
 	s.decide(index, gateway.Event{
 		Kind:      gateway.RequestArrived,
 		RequestID: fmt.Sprint(s.requests),
-		Customer:  fmt.Sprint(s.random.IntN(customers)),
+		Customer:  fmt.Sprint(s.random.IntN(customerCount)),
 		Deadline:  s.now.Add(requestTimeout),
 		Units:     1,
 		Spread:    s.config.Gateways,
@@ -155,18 +155,19 @@
 
 // decide lets a gateway handle one event.
 func (s *simulation) decide(index int, input gateway.Event) {
-	s.deciding = index
+	s.decidingGateway = index
 	s.gateways[index].Decide(&gateway.Batch{Now: s.now, Events: []gateway.Event{input}}, s)
 }
 
-// capacity returns the requests that a host can serve in a second at an age.
-func (s *simulation) capacity(age time.Duration) float64 {
+// hostCapacity returns the number of requests per second that a host can serve at some time after its start.
+func (s *simulation) hostCapacity(age time.Duration) float64 {
 	initial := s.config.SlowStart.InitialFraction
 	warmUpFactor := min(initial+(1-initial)*float64(age)/float64(s.config.SlowStart.Duration), 1)
 	return warmUpFactor * s.config.RequestRate / s.config.Utilization / float64(s.config.Hosts)
 }
 
-// partitioned reports whether a partition is in force and only one of two is in its smaller part.
+// partitioned reports whether the partition separates two processes now. The arguments tell, for each of them, whether
+// it is in the smaller part.
 func (s *simulation) partitioned(one, other bool) bool {
-	return one != other && s.now >= s.hostStart && s.sinceStart() < s.config.PartitionDuration
+	return one != other && s.now >= s.newHostStart && s.sinceStart() < s.config.PartitionDuration
 }
--- a/lab/slowstartsim/slowstartsim_test.go
+++ b/lab/slowstartsim/slowstartsim_test.go
@@ -12,7 +12,7 @@
 	"ravensill/internal/golden"
 )
 
-const load = 0.6
+const utilization = 0.6 // of the hosts, in all scenarios
 
 var (
 	wideWindow = gateway.SlowStart{
@@ -29,7 +29,7 @@
 	}
 )
 
-// fleet is a size of fleet with its traffic and settings.
+// fleet is the size of a fleet with its traffic and settings.
 type fleet struct {
 	gateways  int
 	hosts     int
@@ -37,20 +37,21 @@
 	settings  gateway.SlowStart
 }
 
-// apply returns the scenario for this fleet.
+// apply returns a scenario with the size, traffic and settings of this fleet and with a seed.
 func (f fleet) apply(scenario Config, seed uint64) Config {
 	scenario.Seed = seed
 	scenario.Gateways = f.gateways
 	scenario.Hosts = f.hosts
 	scenario.RequestRate = f.perSecond
 	scenario.SlowStart = f.settings
-	scenario.Utilization = load
+	scenario.Utilization = utilization
 	scenario.Duration = 10 * time.Second
 	return scenario
 }
 
-// All gateways together keep to what the settings allow a host that warms up, though each saves an allowance for
-// itself: hundreds of which a dozen use each host, and a few of which each uses most hosts and the windows are narrow.
+// All gateways together send a host that is warming up no more attempts than its settings allow, although each gateway
+// accumulates allowances on its own. The fleets are hundreds of gateways, of which a dozen use each host, and a few
+// gateways that each use most hosts, with short windows.
 func TestFleetKeepsBudgetOfNewHosts(t *testing.T) {
 	configs := faultConfigs()
 	configs = append(configs, allOthersFailConfigs()...)
@@ -69,8 +70,8 @@
 	golden.Check(t, trace.String())
 }
 
-// faultConfigs returns even and skewed traffic, one and many starts, surges after a lull that lets allowances be saved,
-// partitions, and failures of other hosts whose requests are retried.
+// faultConfigs returns configurations with even and skewed traffic, with one and with many new hosts, with surges after
+// a lull in which allowances accumulate, with partitions, and with failures of other hosts whose requests are retried.
 func faultConfigs() []Config {
 	const second = time.Second
 	var configs []Config
@@ -92,11 +93,12 @@
 			{NewHosts: f.hosts / 2, MaxNotifyDelay: 4 * second, Skew: 10},
 			{NewHosts: 1, FailingFraction: 0.6, LullDuration: 3 * second, SurgeFactor: 1.5, Serial: true},
 			{NewHosts: f.hosts * 6 / 10, FailingFraction: 0.3, Skew: 10},
-			{NewHosts: 1, FailingFraction: 1, LullDuration: second, SurgeFactor: 1, Serial: true}, // the new host has just started
+			// The lull is so short that the new host has just started when all others begin to fail.
+			{NewHosts: 1, FailingFraction: 1, LullDuration: second, SurgeFactor: 1, Serial: true},
 		} {
 			seeds := uint64(2)
 			if f.gateways >= 300 {
-				seeds = uint64(1 + min(scenario.SurgeFactor, 1)) // two where it comes near the bound
+				seeds = uint64(1 + min(scenario.SurgeFactor, 1)) // two with surges, which come near the bound
 			}
 			scenario.Gossip = f.gateways < 100
 			for seed := range seeds {
@@ -107,8 +109,8 @@
 	return configs
 }
 
-// allOthersFailConfigs returns surges under which all other hosts fail, so that each request has two attempts and
-// retries could enlarge the allowances.
+// allOthersFailConfigs returns configurations with surges in which all hosts but the new one fail, so that each request
+// has two attempts and the retries could increase the allowances.
 func allOthersFailConfigs() []Config {
 	var configs []Config
 	for _, c := range []struct {
@@ -122,12 +124,19 @@
 		{3, time.Second, narrowWindow},
 	} {
 		f := fleet{300, 200, 600, c.settings}
-		configs = append(configs, f.apply(Config{NewHosts: 1, FailingFraction: 1, LullDuration: c.lull, SurgeFactor: 3, Skew: 10}, c.seed))
+		configs = append(configs, f.apply(Config{
+			NewHosts:        1,
+			FailingFraction: 1,
+			LullDuration:    c.lull,
+			SurgeFactor:     3,
+			Skew:            10,
+		}, c.seed))
 	}
 	return configs
 }
 
-// extremeFleetConfigs returns the smallest and the largest fleets of the operators' acceptance page.
+// extremeFleetConfigs returns configurations of the smallest and the largest fleets in the operators' acceptance
+// criteria.
 func extremeFleetConfigs() []Config {
 	const second = time.Second
 	var configs []Config
@@ -148,7 +157,7 @@
 	return configs
 }
 
-// runAll runs the experiments, one a processor at a time: the largest fleets take 100 MB each.
+// runAll runs the simulations, as many at a time as there are processors: the largest fleets take 100 MB each.
 func runAll(configs []Config) []Report {
 	reports := make([]Report, len(configs))
 	processors := make(chan struct{}, runtime.NumCPU())
