--- a/lab/schedule/schedule_test.go
+++ b/lab/schedule/schedule_test.go
@@ -21,10 +21,10 @@
 	}
 	want := []string{"first", "second", "added", "third", "fourth"}
 	if !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("events are %v, want %v", got, want)
 	}
 	if s.Len() != 1 {
-		t.Errorf("%d events left, want the late one", s.Len())
+		t.Errorf("%d events left, want only the late one", s.Len())
 	}
 }
 
@@ -37,6 +37,6 @@
 	}
 	at, event := s.Next()
 	if at != 2 || event != 2 {
-		t.Errorf("next is %d at %d, want 2 at 2", event, at)
+		t.Errorf("next event is %d at time %d, want 2 at time 2", event, at)
 	}
 }
