--- a/lab/fleetsim/days.go
+++ b/lab/fleetsim/days.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// referenceGateways and referenceHosts are the size of the operators' benchmark at scale, which the configurations in
-// this file follow.
+// referenceGateways and referenceHosts are the size of the operators' large-scale benchmark, which the configurations
+// in this file follow.
 const (
 	referenceGateways = 273
 	referenceHosts    = 179
@@ -12,7 +12,7 @@
 // hostsFor returns the number of hosts for a number of gateways, in the ratio of the reference fleet, and at least 10.
 func hostsFor(gateways int) int { return max(10, gateways*referenceHosts/referenceGateways) }
 
-// SteadyTraffic returns the operators' benchmark at scale without disturbances, scaled to a number of gateways:
+// SteadyTraffic returns the operators' large-scale benchmark without disturbances, scaled to a number of gateways:
 // customers of three plans, most of which use half to all of the gateways, and hosts of whose capacity the demand
 // within the quotas takes about 60%.
 func SteadyTraffic(gateways, hosts int, duration time.Duration, seed uint64) Config {
--- a/lab/subsetsim/result.go
+++ b/lab/subsetsim/result.go
@@ -23,7 +23,7 @@
 
 // Result holds the measurements of one scenario. The attempts that hosts received are compared with a random baseline:
 // the same number of attempts in each bin, distributed at random, in proportion to weight and warm-up, over the hosts
-// that run at that time.
+// that run at that time. Unlike the gateways, the baseline always knows which these are.
 type Result struct {
 	Requests     int           // requests that reached a gateway
 	Succeeded    int           // successful attempts
