--- a/lab/pools/cases.go
+++ b/lab/pools/cases.go
@@ -9,8 +9,8 @@
 	"ravensill/lab/relay"
 )
 
-// KillMembers returns a step that kills gateways by SIGKILL. Clients stop using them at once, as with a load balancer
-// that has noticed.
+// KillMembers returns a step that kills gateways with SIGKILL. Clients stop using them immediately, as behind a load
+// balancer that has noticed.
 func (g *Group) KillMembers(at time.Duration, members ...int) fleet.Step {
 	return fleet.Step{
 		At:          at,
@@ -22,7 +22,8 @@
 	}
 }
 
-// StartMembers returns a step that starts killed gateways, with their disks or with empty ones.
+// StartMembers returns a step that starts killed gateways, with their previous disks or with empty ones, and lets
+// clients use them again.
 func (g *Group) StartMembers(at time.Duration, emptyDisk bool, members ...int) fleet.Step {
 	return fleet.Step{
 		At:          at,
@@ -35,7 +36,8 @@
 	}
 }
 
-// KillLeader returns a step that kills the voter that leads, and one that starts it with an empty disk.
+// KillLeader returns a step that kills the leading voter, and one that starts the same voter with an empty disk and
+// waits for a leader.
 func (g *Group) KillLeader(at, startAt time.Duration) []fleet.Step {
 	leader := 0
 	kill := func(ctx context.Context, f *fleet.Fleet) (err error) {
@@ -58,8 +60,8 @@
 	}
 }
 
-// ChangeCapacity returns a step that changes the store's capacity as operators do: all files get it with a higher
-// serial and are read anew.
+// ChangeCapacity returns a step that changes the store's capacity as operators do: it writes the new capacity, with a
+// higher serial, to the configuration files of all gateways and reloads those that run.
 func (g *Group) ChangeCapacity(at time.Duration, capacity int, serial uint64) fleet.Step {
 	change := func(gateway *fleet.Gateway) error {
 		gateway.Config.Pool.Capacity = capacity
@@ -83,8 +85,8 @@
 	}
 }
 
-// NetworkFaults returns faults between the gateways, and processes that are killed, frozen for less than the lease and
-// restarted.
+// NetworkFaults returns steps with faults of the network between the gateways, and with processes that are killed and
+// restarted or frozen for less than the lease.
 func (g *Group) NetworkFaults() []fleet.Step {
 	count := g.Gateways
 	left := fleet.GatewayNames(count/2, count/2+count/4)
@@ -108,8 +110,8 @@
 	}
 }
 
-// VoterFaults returns faults of the voters, of which there are five: the leader is killed, then two, then three
-// voters at a time, then all processes at once.
+// VoterFaults returns steps with faults of the voters, of which there must be five. They kill and restart the leader,
+// then two voters at a time, then three, then all gateways of the fleet.
 func (g *Group) VoterFaults() []fleet.Step {
 	all := fleet.Indexes(0, g.Gateways)
 	return append(g.KillLeader(3*second, 6*second),
@@ -121,7 +123,8 @@
 		g.StartMembers(22*second, false, all...))
 }
 
-// FreezePastLease returns steps that freeze some gateways for longer than lease and quarantine.
+// FreezePastLease returns steps that freeze one gateway in twelve, and at least one, for longer than the lease and the
+// quarantine.
 func (g *Group) FreezePastLease(at time.Duration) []fleet.Step {
 	count := max(1, g.Gateways/12)
 	frozen := 2*g.Lease + clientTimeout
@@ -132,7 +135,7 @@
 	}
 }
 
-// Checks returns the checks of every run except those that freeze gateways past lease and quarantine.
+// Checks returns the checks for all runs in which no gateway is frozen for longer than the lease and the quarantine.
 func (s Size) Checks() []fleet.Check {
 	withinCapacity := fleet.Check{
 		Name: "the store never has more connections than its capacity",
--- a/lab/pools/figures.go
+++ b/lab/pools/figures.go
@@ -10,23 +10,23 @@
 	"ravensill/lab/fleet"
 )
 
-// Figures are what runs are compared by.
+// Figures holds the figures by which runs are compared.
 type Figures struct {
-	Utilization float64       // mean fraction of the capacity without its reserve that was in use
-	JainIndex   float64       // fairness of successes among the gateways whose demand exceeds their share
-	P50         time.Duration // of successes
-	P99         time.Duration // of successes
-	// P99OfAll is that of all requests, where one that did not succeed counts with its client's timeout.
+	Utilization float64       // mean number of requests in service at the store over the capacity less the reserve
+	JainIndex   float64       // Jain's fairness index of the successes among the hot gateways, or among all if none is hot
+	P50         time.Duration // latency of successes
+	P99         time.Duration // latency of successes
+	// P99OfAll is the latency of all requests, where one that did not succeed counts with its client's timeout.
 	P99OfAll     time.Duration
-	Succeeded    int
-	Rejected     int
-	RejectedP99  time.Duration
-	Lost         int
-	Refused      int     // connections, by the store
-	Opened       int     // connections of the store
-	Peak         int     // connections of the store at once
-	DatagramRate float64 // a second, of the gateway that sent most to the voters
-	LeaderRate   float64 // a second, of the voter that sent most
+	Succeeded    int           // requests
+	Rejected     int           // requests
+	RejectedP99  time.Duration // latency of rejections
+	Lost         int           // requests that neither succeeded nor were rejected
+	Refused      int           // connections that the store refused
+	Opened       int           // connections that the store accepted
+	Peak         int           // largest number of connections that the store had at once
+	DatagramRate float64       // datagrams per second of the gateway that sent most to the voters
+	LeaderRate   float64       // datagrams per second of the voter that sent most
 }
 
 // String returns the figures in one line.
@@ -40,7 +40,8 @@
 		f.DatagramRate, f.LeaderRate)
 }
 
-// Figures returns the figures of a run from a time after its start on. The fleet still runs.
+// Figures returns the figures of a run, for the time from an offset after its start on. It must be called while the
+// fleet still runs. Connections and datagrams are counted from the start of the fleet.
 func (g *Group) Figures(report *fleet.Report, from time.Duration) Figures {
 	start := report.StartedAt + int64(from)
 	var figures Figures
@@ -53,24 +54,24 @@
 	return figures
 }
 
-// addRequests adds the figures of the requests since a time, and returns the successes by gateway.
+// addRequests adds the figures of the requests sent from a time on, and returns the number of successes by gateway.
 func (f *Figures) addRequests(report *fleet.Report, start int64) (successes map[int]float64) {
-	end := report.EndedAt - int64(second) // later requests may not have had their time
+	end := report.EndedAt - int64(second) // requests sent later may still be unanswered
 	successes = map[int]float64{}
 	var succeeded, rejected, all []time.Duration
 	for _, request := range report.Clients.Requests {
 		if request.SentAt < start || request.SentAt > end {
 			continue
 		}
-		took := time.Duration(request.EndedAt - request.SentAt)
+		duration := time.Duration(request.EndedAt - request.SentAt)
 		switch request.Result {
 		case emulator.Succeeded:
 			successes[request.Gateway]++
-			succeeded = append(succeeded, took)
-			all = append(all, took)
+			succeeded = append(succeeded, duration)
+			all = append(all, duration)
 			continue
 		case emulator.Rejected:
-			rejected = append(rejected, took)
+			rejected = append(rejected, duration)
 		default:
 			f.Lost++
 		}
@@ -85,7 +86,7 @@
 	return successes
 }
 
-// jainIndex returns Jain's fairness index of the successes of the hot gateways, or of all if none is hot.
+// jainIndex returns Jain's fairness index of the successes of the hot gateways, or of all gateways if none is hot.
 func (g *Group) jainIndex(successes map[int]float64) float64 {
 	first := g.Gateways - g.HotGateways
 	if g.HotGateways == 0 {
@@ -101,7 +102,7 @@
 	return sum * sum / (count * max(squares, 1))
 }
 
-// addStore adds the figures of the store since a time.
+// addStore adds the figures of the store. The utilization is that from a time on.
 func (g *Group) addStore(figures *Figures, report *fleet.Report, start int64) {
 	log := &report.Hosts[0].HostLog
 	figures.Refused = log.RefusedConns
@@ -118,7 +119,7 @@
 	figures.Utilization = busy / float64(report.EndedAt-start) / float64(g.Capacity-g.Reserve)
 }
 
-// addDatagrams adds the rates of datagrams since the start of the fleet.
+// addDatagrams adds the rates of datagrams, as means since the start of the fleet.
 func (g *Group) addDatagrams(figures *Figures, report *fleet.Report) {
 	_, counts := g.datagrams.Counts()
 	seconds := time.Duration(actor.Now()-report.StartedAt).Seconds() + report.Fleet.StartDuration.Seconds()
@@ -132,7 +133,7 @@
 	}
 }
 
-// percentile returns the value that a fraction of the durations does not exceed; 0 if there are none.
+// percentile sorts the durations and returns the value that a fraction of them does not exceed; 0 if there are none.
 func percentile(durations []time.Duration, fraction float64) time.Duration {
 	if len(durations) == 0 {
 		return 0
@@ -141,9 +142,9 @@
 	return durations[int(fraction*float64(len(durations)-1))]
 }
 
-// TimeAbove returns how long after a time the store last had more connections than a limit; never reports that it still
-// has.
-func TimeAbove(report *fleet.Report, since int64, limit int) (duration time.Duration, never bool) {
+// TimeAbove returns how long after a time the number of the store's connections last changed to one above a limit; 0 if
+// it never did. stillAbove reports whether the store still has more connections than the limit.
+func TimeAbove(report *fleet.Report, since int64, limit int) (duration time.Duration, stillAbove bool) {
 	latest := since
 	above := false
 	for _, step := range report.Hosts[0].LoadSteps {
@@ -158,7 +159,7 @@
 	return time.Duration(latest - since), above
 }
 
-// InjectedAt returns the time at which a step was injected; 0 if it was not.
+// InjectedAt returns the time at which the step with a description was injected; 0 if it was not.
 func InjectedAt(report *fleet.Report, description string) int64 {
 	for _, injected := range report.InjectedSteps {
 		if injected.Description == description {
--- a/lab/pools/pools.go
+++ b/lab/pools/pools.go
@@ -1,5 +1,5 @@
-// Package pools runs fleets of real processes that share the connections of one emulated store by negotiated quotas,
-// injects faults and counts what the store saw.
+// Package pools runs fleets of real gateway processes that share the connections of one emulated store by negotiated
+// quotas. It injects faults and measures what the store and the clients see.
 package pools
 
 import (
@@ -18,31 +18,31 @@
 )
 
 const (
-	second        = time.Second
-	clientTimeout = 3 * second
-	voterNetwork  = 120     // of the voters' addresses, within 127.0.0.0/8
-	unlimited     = 1 << 20 // requests that the store serves at once
-	keyBytes      = 16
+	second         = time.Second
+	clientTimeout  = 3 * second // of a request
+	voterNetwork   = 120        // network of the voters' addresses within 127.0.0.0/8
+	unlimitedSlots = 1 << 20    // requests that the store serves at once: more than it ever gets
+	keyBytes       = 16
 )
 
-// Size says how large a run is, and how the store's connections are shared.
+// Size describes the fleet and the load of a run, and how the store's connections are shared.
 type Size struct {
 	Gateways    int
-	Voters      int
+	Voters      int // the gateways with the lowest indices, which grant the leases
 	Capacity    int // connections of the store
-	Reserve     int // of them, never lent
-	Floor       int // connections of each gateway without a lease
+	Reserve     int // of Capacity: connections that are never lent
+	Floor       int // connections that each gateway may have without a lease
 	Lease       time.Duration
-	ServiceTime time.Duration // of a request at the store
-	Rate        float64       // requests a second
-	HotGateways int
-	HotFactor   float64 // traffic of a hot gateway, in multiples of another's
+	ServiceTime time.Duration // typical time of a request at the store
+	Rate        float64       // requests per second over the whole fleet
+	HotGateways int           // gateways with more traffic: those with the highest indices
+	HotFactor   float64       // ratio of the traffic of a hot gateway to that of any other
 	Seed        uint64
-	FloorsOnly  bool // the voters never answer
-	Unmanaged   bool // without quotas: first come, first served, and the store refuses
+	FloorsOnly  bool // the voters receive no messages, so that no connections are lent
+	Unmanaged   bool // no quotas: gateways open connections as they like, and the store refuses those beyond Capacity
 }
 
-// FullSize returns the size of measurements.
+// FullSize returns the size of the runs whose figures are written to docs/measurements.
 func FullSize() Size {
 	return Size{
 		Gateways:    200,
@@ -76,14 +76,15 @@
 	}
 }
 
-// EqualSplit returns the size with an equal split: each gateway's share is its floor, and nothing is lent.
+// EqualSplit returns the size with the capacity split equally: each gateway's floor is its share, and no connections
+// are lent.
 func (s Size) EqualSplit() Size {
 	s.Floor = (s.Capacity - s.Reserve) / s.Gateways
 	s.FloorsOnly = true
 	return s
 }
 
-// Load returns the clients' load.
+// Load returns the load of the clients.
 func (s Size) Load() emulator.Load {
 	weights := map[int]float64{}
 	for i := range s.HotGateways {
@@ -100,15 +101,15 @@
 	}
 }
 
-// Group is the voters of one fleet and the relay's links between them and the gateways.
+// Group holds the voters of one fleet and the relay's networks that connect them with the gateways.
 type Group struct {
 	Size
-	datagrams *relay.DatagramNetwork // ends: the gateways by member index, then the voters
-	voters    []netip.AddrPort
-	streams   map[int][]string // by voter: addresses that lead to all voters
+	datagrams *relay.DatagramNetwork // its ends are the gateways by index, then the voters
+	voters    []netip.AddrPort       // by voter: the address on which it listens
+	streams   map[int][]string       // by voter: the relay's addresses that lead from it to each voter
 }
 
-// NewGroup returns a group and the options of its fleet, which has one store for all gateways.
+// NewGroup returns a group and the options of its fleet, which has one host: the store that all gateways share.
 func (s Size) NewGroup() (*Group, fleet.Options) {
 	group := &Group{Size: s, streams: map[int][]string{}}
 	return group, fleet.Options{
@@ -116,7 +117,7 @@
 		Hosts:    1,
 		Seed:     s.Seed,
 		ConfigureHost: func(_ int, store *emulator.HostOptions) {
-			store.Model = emulator.Model{BaseTime: s.ServiceTime, Sigma: 0.2, Slots: unlimited}
+			store.Model = emulator.Model{BaseTime: s.ServiceTime, Sigma: 0.2, Slots: unlimitedSlots}
 			store.MaxConns = s.Capacity
 			store.RefusalReply = "-BUSY\r\n"
 		},
@@ -135,7 +136,8 @@
 	}
 }
 
-// prepareRelay adds the voters' datagrams and streams to the relay.
+// prepareRelay adds the datagram network between gateways and voters, and the streams between voters, to the relay.
+// With FloorsOnly it leaves out the voters' datagram addresses, so that no datagram reaches them.
 func (g *Group) prepareRelay(f *fleet.Fleet) error {
 	names := fleet.GatewayNames(0, g.Gateways)
 	var err error
@@ -165,7 +167,7 @@
 	return nil
 }
 
-// poolSection returns the section of gateway i on the store.
+// poolSection returns the pool section of the configuration of gateway i.
 func (g *Group) poolSection(i int) *gatewayconfig.Pool {
 	section := &gatewayconfig.Pool{
 		Capacity:     g.Capacity,
@@ -185,18 +187,18 @@
 	return section
 }
 
-// WaitLeader waits until a voter leads and returns its member index.
+// WaitLeader waits until a voter leads and returns its index.
 func (g *Group) WaitLeader(ctx context.Context, f *fleet.Fleet) (leader int, err error) {
 	leader = -1
 	err = fleet.WaitUntil(ctx, "a leader", func() bool {
-		leader = slices.IndexFunc(f.Gateways()[:g.Voters], leads)
+		leader = slices.IndexFunc(f.Gateways()[:g.Voters], isLeading)
 		return leader >= 0
 	})
 	return leader, err
 }
 
-// leads reports whether a voter runs and leads by its log.
-func leads(voter *fleet.Gateway) bool {
+// isLeading reports whether a voter is running and, by its latest log line about it, leads.
+func isLeading(voter *fleet.Gateway) bool {
 	if !voter.Running() {
 		return false
 	}
@@ -204,7 +206,8 @@
 	return len(lines) > 0 && logline.Value(lines[len(lines)-1], "leader") == "true"
 }
 
-// UnreturnedUnits returns the sum of what the voters reported as reclaimed from gateways that had not returned it.
+// UnreturnedUnits returns the sum of the units that the voters logged as reclaimed from gateways that had not returned
+// them.
 func UnreturnedUnits(f *fleet.Fleet) (units int) {
 	for _, gateway := range f.Gateways() {
 		for _, line := range gateway.EventLines("pool_quota_exceeded") {
@@ -214,5 +217,5 @@
 	return units
 }
 
-// capacityDescription returns the description of the step that ChangeCapacity returns.
+// capacityDescription returns the description of the step that ChangeCapacity returns for a capacity.
 func capacityDescription(capacity int) string { return fmt.Sprintf("capacity %d", capacity) }
--- a/lab/pools/pools_test.go
+++ b/lab/pools/pools_test.go
@@ -13,10 +13,11 @@
 	"ravensill/lab/fleet"
 )
 
+// full tells that the tests run at full size and write their figures to figuresFile.
 var full = os.Getenv("FULL_SIZE") == "1"
 
 const (
-	runTimeout  = 4 * time.Minute // of one run: no verdict, only an end
+	runTimeout  = 4 * time.Minute // ends a run that hangs; it is not a bound on the duration
 	figuresFile = "../../docs/measurements/pool.txt"
 )
 
@@ -33,14 +34,14 @@
 	name        string
 	size        Size
 	duration    time.Duration
-	figuresFrom time.Duration // after the start
+	figuresFrom time.Duration // offset from the start at which the figures begin
 	checks      []fleet.Check
-	steps       func(*Group) []fleet.Step // nil: none
-	// changeOptions changes the options of the fleet; nil: they stay.
+	steps       func(*Group) []fleet.Step // may be nil
+	// changeOptions changes the options of the fleet; may be nil.
 	changeOptions func(*fleet.Options)
 }
 
-// run runs it, reports violations and notes the figures.
+// run runs the fleet, fails the test if a check finds a violation, and logs the figures.
 func (r testRun) run(t *testing.T) (figures Figures, report *fleet.Report) {
 	t.Helper()
 	group, options := r.size.NewGroup()
@@ -70,13 +71,13 @@
 	if err := report.Err(); err != nil {
 		t.Error(err)
 	}
-	note(t, fmt.Sprintf("%s, %d gateways, capacity %d, %g requests a second: %s",
+	logFigures(t, fmt.Sprintf("%s, %d gateways, capacity %d, %g requests a second: %s",
 		r.name, r.size.Gateways, r.size.Capacity, r.size.Rate, figures))
 	return figures, report
 }
 
-// note logs a text. At full size the text is added to the measurements too.
-func note(t *testing.T, text string) {
+// logFigures logs a text. At full size it also appends the text to figuresFile, with the machine's load average.
+func logFigures(t *testing.T, text string) {
 	t.Helper()
 	t.Log(text)
 	if !full {
@@ -89,8 +90,8 @@
 	}
 }
 
-// The store's capacity holds with negotiated quotas. First come, first served is measured beside them, and at full size
-// an equal split and floors alone.
+// With negotiated quotas the store never has more connections than its capacity. For comparison, the test measures a
+// fleet without quotas, and at full size also an equal split and floors without leases.
 func TestNegotiatedQuotasKeepCapacity(t *testing.T) {
 	size := testSize()
 	run := testRun{
@@ -110,7 +111,7 @@
 	run.name = "first come"
 	run.size.Unmanaged = true
 	if figures, _ := run.run(t); figures.Refused == 0 {
-		t.Log("the store refused nobody")
+		t.Log("the store refused no connection to a fleet without quotas")
 	}
 	if !full {
 		return
@@ -124,10 +125,10 @@
 	run.run(t)
 }
 
-// Demand beyond the capacity is measured at full size, with quotas shared in each way.
+// Measures, at full size only, a demand beyond the capacity with each way to share it.
 func TestFullSizeOverload(t *testing.T) {
 	if !full {
-		t.Skip("no FULL_SIZE")
+		t.Skip("set FULL_SIZE=1 to measure a demand beyond the capacity")
 	}
 	for _, size := range []Size{SmallSize(), FullSize()} {
 		t.Run(fmt.Sprint(size.Gateways), func(t *testing.T) {
@@ -145,7 +146,7 @@
 			unmanaged.Unmanaged = true
 			floorsOnly := size
 			floorsOnly.FloorsOnly = true
-			for _, way := range []struct {
+			for _, variant := range []struct {
 				name string
 				size Size
 			}{
@@ -155,8 +156,8 @@
 				{"floors alone", floorsOnly},
 			} {
 				testRun{
-					name:        "demand beyond, " + way.name,
-					size:        way.size,
+					name:        "demand beyond, " + variant.name,
+					size:        variant.size,
 					duration:    24 * second,
 					figuresFrom: 14 * second,
 				}.run(t)
@@ -165,7 +166,7 @@
 	}
 }
 
-// The store's capacity holds under faults of the network and of processes.
+// Under faults of the network and of processes the store never has more connections than its capacity.
 func TestNetworkFaultsKeepCapacity(t *testing.T) {
 	size := testSize()
 	testRun{
@@ -178,7 +179,8 @@
 	}.run(t)
 }
 
-// The store's capacity holds while voters are killed, a minority, a majority and all at a time.
+// While a minority, a majority and all of the voters are killed, the store never has more connections than its
+// capacity.
 func TestVoterFaultsKeepCapacity(t *testing.T) {
 	size := testSize()
 	size.Voters = 5
@@ -192,7 +194,8 @@
 	}.run(t)
 }
 
-// When the capacity is lowered no request is aborted or lost, and the store's connections fall to the new number.
+// When the capacity is lowered, no request is aborted or lost, and the number of the store's connections falls to the
+// new capacity.
 func TestLoweredCapacityIsReached(t *testing.T) {
 	size := testSize()
 	size.Rate *= 1.6
@@ -207,16 +210,17 @@
 			return []fleet.Step{group.ChangeCapacity(6*second, lowered, 2)}
 		},
 	}.run(t)
-	duration, never := TimeAbove(report, InjectedAt(report, capacityDescription(lowered)), lowered)
-	if never {
+	duration, stillAbove := TimeAbove(report, InjectedAt(report, capacityDescription(lowered)), lowered)
+	if stillAbove {
 		t.Error("the store's connections never fell to the lowered capacity")
 		return
 	}
-	note(t, fmt.Sprintf("at most %d connections %d ms after the operators said so", lowered, duration.Milliseconds()))
+	logFigures(t, fmt.Sprintf("at most %d connections %d ms after the operators said so",
+		lowered, duration.Milliseconds()))
 }
 
-// Processes that are frozen past lease and quarantine exceed the capacity by what they had been lent at most, and the
-// store's refusals lose no request.
+// Processes that are frozen for longer than the lease and the quarantine keep connections that are lent to others
+// meanwhile. The capacity is then exceeded by no more than the units that they had been lent, and no request is lost.
 func TestFreezePastLeaseExceedsCapacityByLentUnits(t *testing.T) {
 	size := testSize()
 	size.Rate *= 1.6
@@ -244,11 +248,12 @@
 			configure := options.ConfigureHost
 			options.ConfigureHost = func(i int, store *emulator.HostOptions) {
 				configure(i, store)
-				store.MaxConns *= 2 // so that the store counts and refuses nobody
+				store.MaxConns *= 2 // so that the store counts connections beyond its capacity and refuses none
 			}
 		},
 	}.run(t)
-	note(t, fmt.Sprintf("frozen past lease and quarantine, %d gateways: %d connections at once, capacity %d, reserve %d, "+
+	logFigures(t, fmt.Sprintf("frozen past lease and quarantine, %d gateways: "+
+		"%d connections at once, capacity %d, reserve %d, "+
 		"%d units not returned; %s", size.Gateways, peak, size.Capacity, size.Reserve, units,
 		strings.TrimSpace(report.Summary())))
 }
