--- a/lab/simenv/config.go
+++ b/lab/simenv/config.go
@@ -30,12 +30,12 @@
 	SubsetSize          int // number of hosts in a gateway's subset; 0: all
 	Hosts               []Host
 	Customers           int
-	CustomerSigma       float64 // standard deviation of the logarithm of a customer's mean work per request
-	GatewaysPerCustomer int
-	RequestRate         float64 // requests per second
-	SwingAmplitude      float64 // fraction by which the request rate rises and falls around RequestRate; 0: constant rate
-	SwingPeriod         time.Duration
-	Duration            time.Duration
+	CustomerSigma       float64         // standard deviation of the logarithm of a customer's mean work per request
+	GatewaysPerCustomer int             // number of gateways that a customer sends requests to
+	RequestRate         float64         // requests per second
+	SwingAmplitude      float64         // fraction of RequestRate by which the rate rises and falls; 0: constant rate
+	SwingPeriod         time.Duration   // period in which the rate rises and falls once
+	Duration            time.Duration   // time in which requests are sent
 	Window              time.Duration   // length of the window that an observer's summary covers
 	Objectives          []time.Duration // latency objective by request class
 	WorkFactors         []float64       // factor on Host.BaseTime, by request class
@@ -46,8 +46,8 @@
 	Faults  []Fault
 
 	ReplacementRule  counterfactual.Rule // routes ReplacementShare of the attempts in place of the gateways' rule
-	ReplacementShare float64
-	MaxCells         int // capacity of a gateway's summary table in cells; 0: ample for every scenario
+	ReplacementShare float64             // fraction of the attempts
+	MaxCells         int                 // capacity of a gateway's summary table in cells; 0: ample for every scenario
 }
 
 // Network describes the faults between the gateways and the ledger, which collects their summaries.
--- a/lab/simenv/request.go
+++ b/lab/simenv/request.go
@@ -39,7 +39,7 @@
 	request        uint64
 	customer       int
 	class          int
-	objective      float64 // ms
+	objective      float64 // latency objective, ms
 	candidates     []counterfactual.Candidate
 	hosts          []*Host   // by candidate
 	responseTimes  []float64 // by candidate: time in ms that the host would take; +Inf: it fails
