--- a/lab/rollout/admin.go
+++ b/lab/rollout/admin.go
@@ -25,11 +25,13 @@
 
 // RejectedError is an answer by which a publisher rejects a change.
 type RejectedError struct {
-	Status int
-	Text   string // begins with the path of the key at fault
+	StatusCode int
+	Message    string // begins with the path of the key at fault
 }
 
-func (e *RejectedError) Error() string { return fmt.Sprintf("HTTP status %d: %s", e.Status, e.Text) }
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("HTTP status %d: %s", e.StatusCode, e.Message)
+}
 
 // Request is one request to the HTTP interface of the publishers.
 type Request struct {
@@ -39,7 +41,7 @@
 }
 
 // request sends a request to one publisher. The error is a *RejectedError if the publisher answered by one.
-func (p *Publishers) request(ctx context.Context, i int, request Request, into any) error {
+func (p *PublisherGroup) request(ctx context.Context, i int, request Request, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	url := "http://" + p.addresses[i].admin.String() + request.Path
@@ -68,7 +70,7 @@
 
 // Publish has a change made by any publisher, beginning with the first one given. It repeats the request until one
 // can make the change, as an operator's tool does: the same change twice is one version.
-func (p *Publishers) Publish(ctx context.Context, first int, request Request) (publisher.Publication, error) {
+func (p *PublisherGroup) Publish(ctx context.Context, first int, request Request) (publisher.Publication, error) {
 	for i := first; ; i++ {
 		var publication publisher.Publication
 		start := time.Now()
@@ -78,7 +80,7 @@
 			return publication, nil
 		}
 		var rejected *RejectedError
-		if errors.As(err, &rejected) && rejected.Status < http.StatusInternalServerError {
+		if errors.As(err, &rejected) && rejected.StatusCode < http.StatusInternalServerError {
 			return publication, err
 		}
 		select {
@@ -90,7 +92,7 @@
 }
 
 // recordSlow records a slow answer, with the publisher's latest log lines.
-func (p *Publishers) recordSlow(i int, took time.Duration, err error) {
+func (p *PublisherGroup) recordSlow(i int, took time.Duration, err error) {
 	if took < slowAnswer {
 		return
 	}
@@ -104,22 +106,22 @@
 // slowAnswerLines is the number of log lines that are recorded with a slow answer.
 const slowAnswerLines = 4
 
-// SlowAnswers returns a text on each answer that was slow.
-func (p *Publishers) SlowAnswers() []string {
+// SlowResponses returns a text on each answer that was slow.
+func (p *PublisherGroup) SlowResponses() []string {
 	p.slowMu.Lock()
 	defer p.slowMu.Unlock()
 	return slices.Clone(p.slowAnswers)
 }
 
 // Status returns the status of one publisher.
-func (p *Publishers) Status(ctx context.Context, i int) (publisher.Status, error) {
+func (p *PublisherGroup) Status(ctx context.Context, i int) (publisher.Status, error) {
 	var status publisher.Status
 	err := p.request(ctx, i, Request{Method: http.MethodGet, Path: "/v1/status"}, &status)
 	return status, err
 }
 
 // states returns the states of all publishers that run.
-func (p *Publishers) states(ctx context.Context) (states []PublisherState, err error) {
+func (p *PublisherGroup) states(ctx context.Context) (states []PublisherState, err error) {
 	for i, process := range p.processes {
 		if !process.Running() {
 			continue
@@ -139,8 +141,8 @@
 	return states, nil
 }
 
-// Leader waits until a publisher leads, and returns its index.
-func (p *Publishers) Leader(ctx context.Context) (int, error) {
+// WaitLeader waits until a publisher leads, and returns its index.
+func (p *PublisherGroup) WaitLeader(ctx context.Context) (int, error) {
 	for {
 		for i, process := range p.processes {
 			if !process.Running() {
--- a/lab/rollout/cases.go
+++ b/lab/rollout/cases.go
@@ -11,33 +11,33 @@
 	millisecond = time.Millisecond
 )
 
-// Large returns the size of the runs in CI that concern the whole fleet.
-func Large() Size {
+// LargeSize returns the size of the runs in CI that concern the whole fleet.
+func LargeSize() Size {
 	return Size{
-		Gateways:       24,
-		Hosts:          6,
-		Publishers:     3,
-		Rate:           120,
-		Seed:           5,
-		ElectionMS:     600,
-		ChangeInterval: 200 * millisecond,
-		Burst:          300,
-		Outage:         300 * millisecond,
+		Gateways:          24,
+		Hosts:             6,
+		Publishers:        3,
+		Rate:              120,
+		Seed:              5,
+		ElectionTimeoutMS: 600,
+		ChangeInterval:    200 * millisecond,
+		Burst:             300,
+		OutageDuration:    300 * millisecond,
 	}
 }
 
-// Small returns the size of the runs in CI that concern one gateway or one publisher.
-func Small() Size {
+// SmallSize returns the size of the runs in CI that concern one gateway or one publisher.
+func SmallSize() Size {
 	return Size{
-		Gateways:       4,
-		Hosts:          3,
-		Publishers:     3,
-		Rate:           40,
-		Seed:           6,
-		ElectionMS:     600,
-		ChangeInterval: 200 * millisecond,
-		Burst:          60,
-		Outage:         300 * millisecond,
+		Gateways:          4,
+		Hosts:             3,
+		Publishers:        3,
+		Rate:              40,
+		Seed:              6,
+		ElectionTimeoutMS: 600,
+		ChangeInterval:    200 * millisecond,
+		Burst:             60,
+		OutageDuration:    300 * millisecond,
 	}
 }
 
@@ -64,7 +64,7 @@
 			WaitVersions(2),
 			PartitionZone("zone", zone...),
 			WaitVersions(4, zone...),
-			Pause(size.Outage),
+			Pause(size.OutageDuration),
 			EndFaults("zone"),
 			WaitVersions(2)),
 
@@ -77,8 +77,8 @@
 	}
 }
 
-// Join returns one scenario of several of one size, so that a fleet is started once for all.
-func Join(name string, scenarios ...Scenario) Scenario {
+// JoinScenarios returns one scenario of several of one size, so that a fleet is started once for all.
+func JoinScenarios(name string, scenarios ...Scenario) Scenario {
 	joined := Scenario{Name: name, Size: scenarios[0].Size, Checks: scenarios[0].Checks}
 	for _, scenario := range scenarios {
 		joined.Steps = append(joined.Steps, scenario.Steps...)
@@ -86,8 +86,8 @@
 	return joined
 }
 
-// Cases returns the cases that concern one gateway or one publisher.
-func Cases(size Size) []Scenario {
+// SingleProcessCases returns the cases that concern one gateway or one publisher.
+func SingleProcessCases(size Size) []Scenario {
 	return append(publisherCases(size), gatewayCases(size)...)
 }
 
@@ -117,7 +117,7 @@
 			KillPublishers(0, 1, 2),
 			RestartGateways(DiskKept, 1),
 			CheckServed(0, 1),
-			Pause(size.Outage),
+			Pause(size.OutageDuration),
 			CheckServed(0, 1),
 			StartPublishers(DiskKept),
 			WaitVersions(3)),
@@ -136,7 +136,7 @@
 // gatewayCases returns the cases of links, disks and messages of one gateway.
 func gatewayCases(size Size) []Scenario {
 	badRequests := size.scenario("bad requests", RejectBadRequests())
-	badRequests.Quiet = true
+	badRequests.NoRoutineChanges = true
 	blockedDisk := size.scenario("a disk that can't be written and one that was altered",
 		WaitVersions(8),
 		BlockDisk(0),
@@ -178,10 +178,10 @@
 
 		size.scenario("hostile messages",
 			WaitVersions(2),
-			HostileFollowers(),
+			SendHostileFollowerMessages(),
 			WaitVersions(2),
 			ImpersonatePublisher(0, 0),
-			CheckNothingOfImpostor(0),
+			CheckImpostorConfigurationAbsent(0),
 			WaitVersions(2)),
 
 		blockedDisk,
@@ -194,12 +194,12 @@
 	members := fleet.Indexes(0, size.Gateways)
 	refusal := size.scenario("a version that one gateway refuses",
 		PublishMembers(members...),
-		RemoveMember(removed),
+		PublishWithoutMember(removed),
 		CheckServed(removed),
 		PublishMembers(members...),
 		WaitNoRefusals(),
 		CheckServed(removed))
-	refusal.Quiet = true
+	refusal.NoRoutineChanges = true
 	refusal.Checks = []Check{EqualDigests(), RefusedOnlyBy(memberResource(removed), removed)}
 	return refusal
 }
--- a/lab/rollout/changes.go
+++ b/lab/rollout/changes.go
@@ -21,11 +21,11 @@
 // changePublisher publishes changes, at an interval and for steps, one at a time, and records those that were agreed
 // on.
 type changePublisher struct {
-	publishers *Publishers
+	publishers *PublisherGroup
 	interval   time.Duration
 
 	mu           sync.Mutex // locked during one publication
-	published    []Published
+	published    []PublishedChange
 	requestCount int
 	routineCount int // routine changes so far
 	preferred    int // publisher that gets a request first, or anyPublisher
@@ -35,7 +35,7 @@
 }
 
 // publications returns all that was published so far.
-func (c *changePublisher) publications() []Published {
+func (c *changePublisher) publications() []PublishedChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.published)
@@ -58,7 +58,7 @@
 	}
 	publication, err := c.publishers.Publish(ctx, first, request)
 	if err == nil {
-		c.published = append(c.published, Published{publication.Version, sent, time.Now()})
+		c.published = append(c.published, PublishedChange{publication.Version, sent, time.Now()})
 	}
 	return publication, err
 }
--- a/lab/rollout/checks.go
+++ b/lab/rollout/checks.go
@@ -20,7 +20,7 @@
 	VersionsInOrder,
 	OnlyPublishedVersions,
 	LatestVersionEverywhere,
-	ShownByPublishers,
+	PublishersShowLatestVersion,
 	PublishedVersionsIncrease,
 	NoPublisherCrash,
 }
@@ -64,7 +64,7 @@
 }}
 
 // orderViolation returns what is wrong with a version after those before it; "" if nothing is.
-func orderViolation(before []Applied, next *Applied) string {
+func orderViolation(before []AppliedVersion, next *AppliedVersion) string {
 	previous := &before[len(before)-1]
 	if previous.Incarnation == next.Incarnation {
 		if next.FromDisk {
@@ -175,8 +175,8 @@
 	}}
 }
 
-// ShownByPublishers is a check: the publishers' status shows the latest version in force at every gateway.
-var ShownByPublishers = Check{"the publishers show what is in force", func(r *Record) string {
+// PublishersShowLatestVersion is a check: the publishers' status shows the latest version in force at every gateway.
+var PublishersShowLatestVersion = Check{"the publishers show what is in force", func(r *Record) string {
 	latest := r.latest()
 	var violations []string
 	for member := range r.Histories {
--- a/lab/rollout/faults.go
+++ b/lab/rollout/faults.go
@@ -33,7 +33,7 @@
 // KillLeader returns a step that kills the leading publisher by SIGKILL. StartPublishers starts it again.
 func KillLeader() Step {
 	return Step{"kill the leading publisher", func(ctx context.Context, r *Run) error {
-		leader, err := r.Publishers.Leader(ctx)
+		leader, err := r.Publishers.WaitLeader(ctx)
 		if err != nil {
 			return err
 		}
@@ -93,7 +93,7 @@
 // ends. Its followers stay connected to it.
 func PartitionLeader(name string) Step {
 	return Step{"cut the leading publisher off from the others", func(ctx context.Context, r *Run) error {
-		leader, err := r.Publishers.Leader(ctx)
+		leader, err := r.Publishers.WaitLeader(ctx)
 		if err != nil {
 			return err
 		}
@@ -222,7 +222,7 @@
 	r.readLogs()
 	for _, member := range members {
 		history := r.Record.Histories[member]
-		fromDisk := slices.ContainsFunc(history.Applied, func(applied Applied) bool {
+		fromDisk := slices.ContainsFunc(history.Applied, func(applied AppliedVersion) bool {
 			return applied.FromDisk && applied.Incarnation == history.incarnation()
 		})
 		if !fromDisk {
--- a/lab/rollout/figures.go
+++ b/lab/rollout/figures.go
@@ -52,14 +52,14 @@
 
 // latency returns the time until a change was in force at a gateway. absent reports whether it counts from the end of
 // an absence, found whether the change ever came in force.
-func (h *History) latency(change *Published) (latency time.Duration, absent, found bool) {
-	index := slices.IndexFunc(h.Applied, func(a Applied) bool { return a.Version >= change.Version })
+func (h *History) latency(change *PublishedChange) (latency time.Duration, absent, found bool) {
+	index := slices.IndexFunc(h.Applied, func(a AppliedVersion) bool { return a.Version >= change.Version })
 	if index < 0 {
 		return 0, false, false
 	}
 	inForce := h.Applied[index].At
 	from := change.SentAt
-	for _, absence := range h.Absences {
+	for _, absence := range h.Outages {
 		// Within an absence a change comes in force only from disk, or at a start that finds a publisher at once.
 		if absence.Start.Before(inForce) && absence.End.After(change.SentAt) {
 			absent = true
@@ -83,8 +83,8 @@
 	return 0, false
 }
 
-// Cost is what processes used between two times.
-type Cost struct {
+// ResourceUsage is what processes used between two times.
+type ResourceUsage struct {
 	Processes  int
 	CPUShare   float64 // of a core, mean of a process
 	Memory     float64 // bytes, mean of a process
@@ -92,7 +92,7 @@
 }
 
 // newCost returns the cost between two times. Processes that were down at either time are left out.
-func newCost(before, after []fleet.Usage, elapsed time.Duration) (cost Cost) {
+func newCost(before, after []fleet.Usage, elapsed time.Duration) (cost ResourceUsage) {
 	for i := range after {
 		if before[i].RSS == 0 || after[i].RSS == 0 || after[i].CPU < before[i].CPU {
 			continue
@@ -110,7 +110,7 @@
 }
 
 // String returns the cost in a few words.
-func (c Cost) String() string {
+func (c ResourceUsage) String() string {
 	const megabyte = 1e6
 	return fmt.Sprintf("%.2f%% of a core, %.1f MB each, %.1f MB at most", 100*c.CPUShare, c.Memory/megabyte,
 		float64(c.PeakMemory)/megabyte)
@@ -118,19 +118,19 @@
 
 // Figures are what a run measured.
 type Figures struct {
-	Changes           int
-	Reachable         Latencies
-	Returned          Latencies
-	BytesPerSecond    float64 // of a gateway, mean; 0: no status lines
-	MaxBytesPerSecond float64 // of the gateway with the most
-	Gateways          Cost
-	Publishers        Cost
+	Changes              int
+	ConnectedLatencies   Latencies
+	LatenciesAfterOutage Latencies
+	BytesPerSecond       float64 // of a gateway, mean; 0: no status lines
+	MaxBytesPerSecond    float64 // of the gateway with the most
+	Gateways             ResourceUsage
+	Publishers           ResourceUsage
 }
 
 // Figures returns what a run that has ended measured.
 func (r *Run) Figures() (figures Figures) {
 	figures.Changes = len(r.Record.Published)
-	figures.Reachable, figures.Returned = r.Record.Latencies()
+	figures.ConnectedLatencies, figures.LatenciesAfterOutage = r.Record.Latencies()
 	count := 0
 	for _, history := range r.Record.Histories {
 		rate, ok := history.BytesPerSecond()
@@ -151,7 +151,7 @@
 }
 
 // gatewayCost returns the gateways' cost of a load.
-func gatewayCost(load *fleet.Report, elapsed time.Duration) Cost {
+func gatewayCost(load *fleet.Report, elapsed time.Duration) ResourceUsage {
 	var before, after []fleet.Usage
 	for i := range load.Gateways {
 		before = append(before, load.Gateways[i].UsageAtStart)
@@ -164,5 +164,5 @@
 func (f Figures) String() string {
 	return fmt.Sprintf("%d changes; in force: %v; after an absence: %v; %.0f bytes a second and gateway, %.0f at most; "+
 		"gateways: %v; publishers: %v",
-		f.Changes, f.Reachable, f.Returned, f.BytesPerSecond, f.MaxBytesPerSecond, f.Gateways, f.Publishers)
+		f.Changes, f.ConnectedLatencies, f.LatenciesAfterOutage, f.BytesPerSecond, f.MaxBytesPerSecond, f.Gateways, f.Publishers)
 }
--- a/lab/rollout/full_test.go
+++ b/lab/rollout/full_test.go
@@ -39,29 +39,29 @@
 // fullSize returns the size that the flags set.
 func fullSize() Size {
 	return Size{
-		Gateways:       *full,
-		Hosts:          max(6, *full/3),
-		Publishers:     3,
-		Rate:           *rate,
-		Seed:           9,
-		ElectionMS:     1000,
-		ChangeInterval: *changeInterval,
-		Burst:          300,
-		Outage:         time.Minute,
+		Gateways:          *full,
+		Hosts:             max(6, *full/3),
+		Publishers:        3,
+		Rate:              *rate,
+		Seed:              9,
+		ElectionTimeoutMS: 1000,
+		ChangeInterval:    *changeInterval,
+		Burst:             300,
+		OutageDuration:    time.Minute,
 	}
 }
 
 // fullCases returns the cases of CI, all at one size, with more changes in the steady one, and some with less load.
 func fullCases() []Scenario {
 	size := fullSize()
-	all := append(FleetCases(size), Cases(size)...)
+	all := append(FleetCases(size), SingleProcessCases(size)...)
 	all[0].Steps = append([]Step{WaitVersions(steadyVersions)}, all[0].Steps...)
 	idle := size
 	idle.Rate = 1
-	noChanges := size.scenario("no changes", Pause(size.Outage))
-	noChanges.Quiet = true
-	nothing := idle.scenario("no clients, no changes", Pause(size.Outage))
-	nothing.Quiet = true
+	noChanges := size.scenario("no changes", Pause(size.OutageDuration))
+	noChanges.NoRoutineChanges = true
+	nothing := idle.scenario("no clients, no changes", Pause(size.OutageDuration))
+	nothing.NoRoutineChanges = true
 	noClients := idle.scenario("no clients, steady", WaitVersions(steadyVersions))
 	return append([]Scenario{nothing, noClients, noChanges}, all...)
 }
@@ -117,12 +117,12 @@
 	for _, violation := range violations {
 		t.Error(violation)
 	}
-	for _, answer := range run.Publishers.SlowAnswers() {
+	for _, answer := range run.Publishers.SlowResponses() {
 		t.Log(answer)
 	}
 	figures := run.Figures()
 	report.add("| %s | %d | %v | %v | %.0f, %.0f | %v | %v | %s | %s |\n", scenario.Name, figures.Changes,
-		figures.Reachable, figures.Returned, figures.BytesPerSecond, figures.MaxBytesPerSecond, figures.Gateways,
+		figures.ConnectedLatencies, figures.LatenciesAfterOutage, figures.BytesPerSecond, figures.MaxBytesPerSecond, figures.Gateways,
 		figures.Publishers, run.LoadReport.Summary(), verdict(&figures, violations))
 	t.Log(figures)
 }
@@ -133,7 +133,7 @@
 		return "no: " + strings.Join(violations, "; ")
 	}
 	var beyond []string
-	if figures.Reachable.percentile(1) > budgetInForce {
+	if figures.ConnectedLatencies.percentile(1) > budgetInForce {
 		beyond = append(beyond, "time")
 	}
 	if figures.MaxBytesPerSecond > budgetBytes {
--- a/lab/rollout/hollow/axis.go
+++ b/lab/rollout/hollow/axis.go
@@ -13,33 +13,33 @@
 // Violations returns which counts and bytes do not grow with the number of followers as they must: those of one
 // follower not at all, those of the publishers linearly. Each follower receives each of the changes one at a time by
 // one delta.
-func (a *Axis) Violations() (violations []string) {
+func (a *ScalingSeries) Violations() (violations []string) {
 	for _, point := range a.Points {
 		violations = append(violations, point.Violations...)
-		if deltas := point.Figures[ChangeDeltas]; deltas != 1 {
+		if deltas := point.Values[ChangeDeltas]; deltas != 1 {
 			violations = append(violations, fmt.Sprintf("%d followers: %g deltas a change", point.Followers, deltas))
 		}
 	}
-	for _, name := range []string{ChangeBytes, StartBytes} {
+	for _, name := range []string{ChangeBytes, StartBytesIn} {
 		if least, greatest := a.extent(name); greatest > constantMargin*least {
 			violations = append(violations, fmt.Sprintf("%s is %.4g to %.4g, depending on the number of followers", name, least,
 				greatest))
 		}
 	}
-	exponent := a.Fits[PublisherBytesOut].Exponent
+	exponent := a.Fits[PublisherChangeBytes].Exponent
 	if math.Abs(exponent-1) > exponentMargin {
 		violations = append(violations, fmt.Sprintf("%s grows with the number of followers to the power %.2f",
-			PublisherBytesOut, exponent))
+			PublisherChangeBytes, exponent))
 	}
 	return violations
 }
 
 // extent returns the least and the greatest of a figure.
-func (a *Axis) extent(name string) (least, greatest float64) {
+func (a *ScalingSeries) extent(name string) (least, greatest float64) {
 	least = math.Inf(1)
 	for _, point := range a.Points {
-		least = min(least, point.Figures[name])
-		greatest = max(greatest, point.Figures[name])
+		least = min(least, point.Values[name])
+		greatest = max(greatest, point.Values[name])
 	}
 	return least, greatest
 }
--- a/lab/rollout/hollow/axis_test.go
+++ b/lab/rollout/hollow/axis_test.go
@@ -6,19 +6,19 @@
 )
 
 // growing returns an axis whose figures are as they must be, except for a change.
-func growing(sizes []int, change func(point *Point)) Axis {
+func growing(sizes []int, change func(point *Point)) ScalingSeries {
 	var points []*Point
 	for _, followers := range sizes {
-		point := &Point{Followers: followers, Figures: map[string]float64{
-			ChangeDeltas:      1,
-			ChangeBytes:       169,
-			StartBytes:        9500,
-			PublisherBytesOut: 169 * float64(followers),
+		point := &Point{Followers: followers, Values: map[string]float64{
+			ChangeDeltas:         1,
+			ChangeBytes:          169,
+			StartBytesIn:         9500,
+			PublisherChangeBytes: 169 * float64(followers),
 		}}
 		change(point)
 		points = append(points, point)
 	}
-	return NewAxis(points)
+	return NewScalingSeries(points)
 }
 
 // Each figure that grows as it must not is a violation, and so is each violation of a point.
@@ -29,11 +29,11 @@
 		want   []string
 	}{
 		{"none", func(*Point) {}, nil},
-		{"bytes that grow with the fleet", func(p *Point) { p.Figures[ChangeBytes] += float64(p.Followers) / 10 },
+		{"bytes that grow with the fleet", func(p *Point) { p.Values[ChangeBytes] += float64(p.Followers) / 10 },
 			[]string{"change_bytes is 171.5 to 209, depending on the number of followers"}},
-		{"publishers' bytes that are quadratic", func(p *Point) { p.Figures[PublisherBytesOut] *= float64(p.Followers) },
+		{"publishers' bytes that are quadratic", func(p *Point) { p.Values[PublisherChangeBytes] *= float64(p.Followers) },
 			[]string{"publisher_change_bytes grows with the number of followers to the power 2.00"}},
-		{"a change twice", func(p *Point) { p.Figures[ChangeDeltas] = max(1, float64(p.Followers)/200) },
+		{"a change twice", func(p *Point) { p.Values[ChangeDeltas] = max(1, float64(p.Followers)/200) },
 			[]string{"400 followers: 2 deltas a change"}},
 		{"a fault of a follower",
 			func(p *Point) { p.Violations = map[int][]string{50: {"g1: version 1 after 2"}}[p.Followers] },
@@ -54,15 +54,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	report.Begin("followers", "command")
-	report.Axis = growing([]int{375, 1000, 2000, 4000, 6000}, func(*Point) {})
-	report.End("followers", &logEvents)
+	report.BeginPart("followers", "command")
+	report.ByFollowers = growing([]int{375, 1000, 2000, 4000, 6000}, func(*Point) {})
+	report.EndPart("followers", &logEvents)
 	err = report.Write(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	again, err := NewReport(folder)
-	if err != nil || len(again.Axis.Points) != 5 || again.Runs["followers"].Command != "command" {
+	if err != nil || len(again.ByFollowers.Points) != 5 || again.Runs["followers"].Command != "command" {
 		t.Errorf("%+v, %v", again, err)
 	}
 }
--- a/lab/rollout/hollow/compare.go
+++ b/lab/rollout/hollow/compare.go
@@ -15,18 +15,18 @@
 // Comparison is what a change costs real gateways and hollow followers of the same publishers. Figures are means of
 // one gateway.
 type Comparison struct {
-	Gateways int    `json:"gateways"` // real ones, and as many hollow ones
-	Changes  int    `json:"changes"`
-	Real     Change `json:"real"`
-	Hollow   Change `json:"hollow"`
+	Gateways  int        `json:"gateways"` // real ones, and as many hollow ones
+	Changes   int        `json:"changes"`
+	Real      ChangeCost `json:"real"`
+	Simulated ChangeCost `json:"hollow"`
 }
 
-// Change is what one change costs a gateway, without the heartbeats of that time.
-type Change struct {
-	BytesIn   float64 `json:"bytes_in"`
-	BytesOut  float64 `json:"bytes_out"`
-	Versions  float64 `json:"versions"`  // put in force
-	Processor float64 `json:"processor"` // milliseconds beyond rest
+// ChangeCost is what one change costs a gateway, without the heartbeats of that time.
+type ChangeCost struct {
+	BytesIn         float64 `json:"bytes_in"`
+	BytesOut        float64 `json:"bytes_out"`
+	Versions        float64 `json:"versions"`  // put in force
+	CPUMilliseconds float64 `json:"processor"` // milliseconds beyond rest
 }
 
 // comparisonOptions describe a comparison.
@@ -47,7 +47,7 @@
 	}
 	defer g.Close()
 	result := &Comparison{Gateways: c.Gateways, Changes: c.Changes}
-	result.Hollow, err = c.measureHollow(ctx, g)
+	result.Simulated, err = c.measureHollow(ctx, g)
 	if err != nil {
 		return nil, err
 	}
@@ -63,21 +63,21 @@
 }
 
 // measureHollow starts the hollow followers, measures them and stops them.
-func (c *comparisonOptions) measureHollow(ctx context.Context, g *Group) (Change, error) {
+func (c *comparisonOptions) measureHollow(ctx context.Context, g *Group) (ChangeCost, error) {
 	err := g.Fleet.Start(g.Fleet.members())
 	if err != nil {
-		return Change{}, err
+		return ChangeCost{}, err
 	}
 	defer g.Fleet.Stop(g.Fleet.members())
 	return c.measure(ctx, g, comparedSide{
 		inForce:   g.waitEverywhere,
-		versions:  func() int { return int(g.Fleet.Totals().Accepted) },
+		versions:  func() int { return int(g.Fleet.Totals().AcceptedVersions) },
 		processor: processorTime,
 	})
 }
 
 // measureReal starts processes of the gateway and measures them.
-func (c *comparisonOptions) measureReal(ctx context.Context, g *Group) (Change, error) {
+func (c *comparisonOptions) measureReal(ctx context.Context, g *Group) (ChangeCost, error) {
 	f, err := fleet.Start(ctx, fleet.Options{
 		Gateways: c.Gateways,
 		Hosts:    comparedHosts,
@@ -93,7 +93,7 @@
 		},
 	})
 	if err != nil {
-		return Change{}, err
+		return ChangeCost{}, err
 	}
 	defer f.Close()
 	return c.measure(ctx, g, comparedSide{
@@ -144,7 +144,7 @@
 }
 
 // measure publishes the changes and returns what one costs a gateway.
-func (c *comparisonOptions) measure(ctx context.Context, g *Group, side comparedSide) (change Change, err error) {
+func (c *comparisonOptions) measure(ctx context.Context, g *Group, side comparedSide) (change ChangeCost, err error) {
 	err = side.inForce(ctx)
 	if err != nil {
 		return change, err
@@ -179,7 +179,7 @@
 	change.BytesIn -= g.heartbeatBytes() * to.at.Sub(from.at).Seconds() / float64(c.Changes)
 	change.Versions = float64(side.versions()-versions) / each
 	atRest := resting * float64(c.Changes) * c.ChangeInterval.Seconds()
-	change.Processor = milliseconds((after-before).Seconds()-atRest) / each
+	change.CPUMilliseconds = milliseconds((after-before).Seconds()-atRest) / each
 	return change, err
 }
 
@@ -207,11 +207,11 @@
 }
 
 // Ratio returns each figure of the real gateways divided by that of the hollow followers.
-func (c *Comparison) Ratio() Change {
-	return Change{
-		BytesIn:   c.Real.BytesIn / c.Hollow.BytesIn,
-		BytesOut:  c.Real.BytesOut / c.Hollow.BytesOut,
-		Versions:  c.Real.Versions / c.Hollow.Versions,
-		Processor: c.Real.Processor / c.Hollow.Processor,
+func (c *Comparison) Ratio() ChangeCost {
+	return ChangeCost{
+		BytesIn:         c.Real.BytesIn / c.Simulated.BytesIn,
+		BytesOut:        c.Real.BytesOut / c.Simulated.BytesOut,
+		Versions:        c.Real.Versions / c.Simulated.Versions,
+		CPUMilliseconds: c.Real.CPUMilliseconds / c.Simulated.CPUMilliseconds,
 	}
 }
--- a/lab/rollout/hollow/content.go
+++ b/lab/rollout/hollow/content.go
@@ -16,14 +16,14 @@
 	otherRates = 8999
 )
 
-// Content is the size of the configuration.
-type Content struct {
+// ConfigurationSize is the size of the configuration.
+type ConfigurationSize struct {
 	Plans   int `json:"quota_plans"`
 	Classes int `json:"request_classes"`
 }
 
 // request returns the request that publishes all content.
-func (c Content) request() (rollout.Request, error) {
+func (c ConfigurationSize) request() (rollout.Request, error) {
 	var plans []gatewayconfig.QuotaPlan
 	for i := range c.Plans {
 		plans = append(plans, quotaPlan(i, firstRate))
@@ -36,7 +36,7 @@
 }
 
 // changeRequest returns the request for the nth change, which sets another rate of one quota plan after another.
-func (c Content) changeRequest(n int) (rollout.Request, error) {
+func (c ConfigurationSize) changeRequest(n int) (rollout.Request, error) {
 	i := n % c.Plans
 	resource := string(configsync.PlanPrefix) + planName(i)
 	return rollout.PatchRequest(rollout.Resources{resource: quotaPlan(i, firstRate+1+n%otherRates)})
--- a/lab/rollout/hollow/follower.go
+++ b/lab/rollout/hollow/follower.go
@@ -24,8 +24,8 @@
 // diskFolder is the folder of the stored version, in a follower's folder.
 const diskFolder = "configuration"
 
-// Applied is a version that came in force at a follower.
-type Applied struct {
+// AppliedVersion is a version that came in force at a follower.
+type AppliedVersion struct {
 	From     configsync.Version
 	To       configsync.Version
 	At       int64 // Unix time in nanoseconds
@@ -52,7 +52,7 @@
 	inForce atomic.Uint64 // version; 0: the follower uses its configuration file, or is stopped
 
 	mu         sync.Mutex // guards the fields below, which the subscriber's goroutine writes
-	applied    []Applied
+	applied    []AppliedVersion
 	violations []string
 }
 
@@ -128,7 +128,7 @@
 	f.frames.add(update)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.applied = append(f.applied, Applied{From: update.From, To: update.To, At: now, Snapshot: update.Delta == nil})
+	f.applied = append(f.applied, AppliedVersion{From: update.From, To: update.To, At: now, Snapshot: update.Delta == nil})
 	return nil
 }
 
@@ -154,7 +154,7 @@
 func (f *Follower) clearDisk() error { return os.RemoveAll(filepath.Join(f.dir, diskFolder)) }
 
 // takeApplied returns the versions that came in force since the call before.
-func (f *Follower) takeApplied() []Applied {
+func (f *Follower) takeApplied() []AppliedVersion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	applied := f.applied
--- a/lab/rollout/hollow/followers.go
+++ b/lab/rollout/hollow/followers.go
@@ -166,8 +166,8 @@
 }
 
 // TakeApplied returns the versions that came in force at each follower since the call before, by member index.
-func (f *Fleet) TakeApplied() [][]Applied {
-	histories := make([][]Applied, len(f.followers))
+func (f *Fleet) TakeApplied() [][]AppliedVersion {
+	histories := make([][]AppliedVersion, len(f.followers))
 	for member, follower := range f.followers {
 		histories[member] = follower.takeApplied()
 	}
@@ -219,30 +219,30 @@
 
 // Totals are counts of followers since they were created.
 type Totals struct {
-	BytesIn         int64
-	BytesOut        int64
-	Accepted        uint64 // versions put in force
-	Refused         uint64
-	Deferred        uint64 // snapshots put off by a publisher
-	Unsaved         int    // versions that could not be kept on disk
-	LostConnections uint64 // connections that failed or were ended by the other side
-	GivenUp         uint64 // connections that followers gave up, whatever the cause
-	Broken          uint64 // malformed messages, deltas that did not fit and digests that differed
+	BytesIn              int64
+	BytesOut             int64
+	AcceptedVersions     uint64 // versions put in force
+	RefusedVersions      uint64
+	DeferredSnapshots    uint64 // snapshots put off by a publisher
+	UnsavedVersions      int    // versions that could not be kept on disk
+	LostConnections      uint64 // connections that failed or were ended by the other side
+	AbandonedConnections uint64 // connections that followers gave up, whatever the cause
+	InvalidMessages      uint64 // malformed messages, deltas that did not fit and digests that differed
 }
 
 // addStatus adds the counts of a subscriber.
 func (t *Totals) addStatus(status subscriber.Status) {
 	counters := &status.Counters
 	t.add(Totals{
-		BytesIn:         status.BytesIn,
-		BytesOut:        status.BytesOut,
-		Accepted:        counters.Accepted,
-		Refused:         counters.Refused,
-		Deferred:        counters.SnapshotsDeferred,
-		Unsaved:         status.UnsavedVersions,
-		LostConnections: counters.ConnectionsLost,
-		GivenUp:         counters.Silent + counters.NoQuorum + counters.Stalled + counters.Behind + counters.LogMismatches,
-		Broken:          counters.MalformedMessages + counters.VersionGaps + counters.DigestMismatches,
+		BytesIn:              status.BytesIn,
+		BytesOut:             status.BytesOut,
+		AcceptedVersions:     counters.Accepted,
+		RefusedVersions:      counters.Refused,
+		DeferredSnapshots:    counters.SnapshotsDeferred,
+		UnsavedVersions:      status.UnsavedVersions,
+		LostConnections:      counters.ConnectionsLost,
+		AbandonedConnections: counters.Silent + counters.NoQuorum + counters.Stalled + counters.Behind + counters.LogMismatches,
+		InvalidMessages:      counters.MalformedMessages + counters.VersionGaps + counters.DigestMismatches,
 	})
 }
 
@@ -250,13 +250,13 @@
 func (t *Totals) add(other Totals) {
 	t.BytesIn += other.BytesIn
 	t.BytesOut += other.BytesOut
-	t.Accepted += other.Accepted
-	t.Refused += other.Refused
-	t.Deferred += other.Deferred
-	t.Unsaved += other.Unsaved
+	t.AcceptedVersions += other.AcceptedVersions
+	t.RefusedVersions += other.RefusedVersions
+	t.DeferredSnapshots += other.DeferredSnapshots
+	t.UnsavedVersions += other.UnsavedVersions
 	t.LostConnections += other.LostConnections
-	t.GivenUp += other.GivenUp
-	t.Broken += other.Broken
+	t.AbandonedConnections += other.AbandonedConnections
+	t.InvalidMessages += other.InvalidMessages
 }
 
 // frameSizes holds how many bytes each delta has on the wire. All followers that receive a delta receive the same
@@ -286,7 +286,7 @@
 }
 
 // bytes returns the bytes of an update on the wire; 0 for a snapshot.
-func (s *frameSizes) bytes(applied *Applied) int {
+func (s *frameSizes) bytes(applied *AppliedVersion) int {
 	size, known := s.sizes.Load(span{applied.From, applied.To})
 	if !known || applied.Snapshot {
 		return 0
--- a/lab/rollout/hollow/full_test.go
+++ b/lab/rollout/hollow/full_test.go
@@ -45,10 +45,10 @@
 var (
 	// largeContent has as many quota plans as the operators expect. Followers of it are few: all of them decode it at once
 	// on the processors of one machine, where each gateway has its own.
-	largeContent = Content{Plans: 54_000, Classes: 4}
+	largeContent = ConfigurationSize{Plans: 54_000, Classes: 4}
 
 	// mediumContent exceeds the limit of a delta, so that it is sent as a snapshot.
-	mediumContent = Content{Plans: 8_000, Classes: 4}
+	mediumContent = ConfigurationSize{Plans: 8_000, Classes: 4}
 )
 
 // The full size writes figures; the verdict is by counts and bytes, as in CI.
@@ -74,9 +74,9 @@
 		{"compare", measureComparison},
 	} {
 		if strings.Contains(*parts, part.name) {
-			report.Begin(part.name, command)
+			report.BeginPart(part.name, command)
 			part.run(t, ctx, report)
-			report.End(part.name, &logEvents)
+			report.EndPart(part.name, &logEvents)
 			save(t, report)
 		}
 	}
@@ -97,13 +97,13 @@
 }
 
 // fullMeasurement returns what is measured at each size.
-func fullMeasurement(followers int, content Content) Measurement {
+func fullMeasurement(followers int, content ConfigurationSize) Measurement {
 	return Measurement{
-		Options:        Options{Followers: followers, Content: content},
-		Rest:           fullRest,
+		Options:        Options{Followers: followers, Configuration: content},
+		IdleDuration:   fullRest,
 		Changes:        fullChanges,
 		ChangeInterval: fullPace,
-		Burst:          fullBurst,
+		BurstChanges:   fullBurst,
 	}
 }
 
@@ -120,7 +120,7 @@
 			t.Fatal(err)
 		}
 		points = append(points, point)
-		report.Axis = NewAxis(points)
+		report.ByFollowers = NewScalingSeries(points)
 		save(t, report)
 	}
 }
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	report.Large = []*Point{point}
+	report.LargeConfigurations = []*Point{point}
 }
 
 // measureRestarts measures restarts of all followers with configurations of several sizes.
@@ -139,9 +139,9 @@
 	report.Restarts = nil
 	limited := rollout.PublisherSettings{SnapshotBytesPerSecond: limitedRate, SnapshotBurstBytes: limitedBurst}
 	for _, options := range []Options{
-		{Followers: zoneFollowers, Content: smallContent},
-		{Followers: zoneFollowers, Content: mediumContent, Settings: limited},
-		{Followers: largeFollowers, Content: largeContent},
+		{Followers: zoneFollowers, Configuration: smallContent},
+		{Followers: zoneFollowers, Configuration: mediumContent, Settings: limited},
+		{Followers: largeFollowers, Configuration: largeContent},
 	} {
 		restartAll(t, ctx, report, options)
 	}
@@ -175,10 +175,10 @@
 		Changes:        40,
 		ChangeInterval: comparedPace,
 		Rest:           10 * time.Second,
-		Options:        Options{Content: smallContent},
+		Options:        Options{Configuration: smallContent},
 	}.Compare(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	report.Compared = comparison
+	report.Comparison = comparison
 }
--- a/lab/rollout/hollow/group.go
+++ b/lab/rollout/hollow/group.go
@@ -23,26 +23,26 @@
 
 // Options describe publishers and their followers.
 type Options struct {
-	Followers int
-	Content   Content
-	Settings  rollout.PublisherSettings
+	Followers     int
+	Configuration ConfigurationSize
+	Settings      rollout.PublisherSettings
 }
 
 // Group is publishers with their followers.
 type Group struct {
-	Publishers *rollout.Publishers
+	Publishers *rollout.PublisherGroup
 	Fleet      *Fleet
 
-	content   Content
+	content   ConfigurationSize
 	dir       string
 	latest    publisher.Publication
-	published []rollout.Published // since the last call of take
-	changes   int                 // made so far
+	published []rollout.PublishedChange // since the last call of take
+	changes   int                       // made so far
 }
 
 // NewGroup starts publishers and publishes all content as their first version. No follower runs yet.
 func NewGroup(ctx context.Context, options Options) (g *Group, err error) {
-	g = &Group{content: options.Content}
+	g = &Group{content: options.Configuration}
 	defer func() {
 		if err != nil {
 			g.Close()
@@ -53,11 +53,11 @@
 	if err != nil {
 		return g, err
 	}
-	g.Publishers, err = rollout.NewPublishers(ctx, rollout.GroupOptions{
-		Count:      publisherCount,
-		Dir:        filepath.Join(g.dir, "publishers"),
-		ElectionMS: electionMS,
-		Settings:   options.Settings,
+	g.Publishers, err = rollout.NewPublisherGroup(ctx, rollout.PublisherGroupOptions{
+		Count:             publisherCount,
+		Dir:               filepath.Join(g.dir, "publishers"),
+		ElectionTimeoutMS: electionMS,
+		Settings:          options.Settings,
 	})
 	if err != nil {
 		return g, err
@@ -102,7 +102,7 @@
 	if g.latest.Changes == 0 {
 		return errors.New("a change changed nothing")
 	}
-	g.published = append(g.published, rollout.Published{Version: g.latest.Version, SentAt: sent})
+	g.published = append(g.published, rollout.PublishedChange{Version: g.latest.Version, SentAt: sent})
 	return nil
 }
 
@@ -166,7 +166,7 @@
 }
 
 // takePublished returns what was published since the call before.
-func (g *Group) takePublished() []rollout.Published {
+func (g *Group) takePublished() []rollout.PublishedChange {
 	published := g.published
 	g.published = nil
 	return published
@@ -194,9 +194,9 @@
 func (g *Group) Violations(ctx context.Context) ([]string, error) {
 	violations := g.Fleet.Violations(g.latest.Version, g.latest.Digest)
 	totals := g.Fleet.Totals()
-	if totals.Refused+totals.Broken > 0 || totals.Unsaved > 0 {
+	if totals.RefusedVersions+totals.InvalidMessages > 0 || totals.UnsavedVersions > 0 {
 		violations = append(violations, fmt.Sprintf("%d versions refused, %d messages broken, %d versions not kept on disk",
-			totals.Refused, totals.Broken, totals.Unsaved))
+			totals.RefusedVersions, totals.InvalidMessages, totals.UnsavedVersions))
 	}
 	for i := range g.Publishers.Count() {
 		violation, err := g.publisherViolation(ctx, i)
--- a/lab/rollout/hollow/hollow_test.go
+++ b/lab/rollout/hollow/hollow_test.go
@@ -22,7 +22,7 @@
 }
 
 // smallContent is a configuration of CI's size.
-var smallContent = Content{Plans: 100, Classes: 4}
+var smallContent = ConfigurationSize{Plans: 100, Classes: 4}
 
 func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -38,15 +38,15 @@
 	ctx := testContext(t)
 	var points []*Point
 	for _, followers := range []int{25, 50, 100, 200, 400} {
-		shape := Measurement{Options: Options{Followers: followers, Content: smallContent}, Changes: changes, Burst: burst}
+		shape := Measurement{Options: Options{Followers: followers, Configuration: smallContent}, Changes: changes, BurstChanges: burst}
 		point, err := shape.Measure(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d followers: %v", followers, point.Figures)
+		t.Logf("%d followers: %v", followers, point.Values)
 		points = append(points, point)
 	}
-	axis := NewAxis(points)
+	axis := NewScalingSeries(points)
 	for _, violation := range axis.Violations() {
 		t.Error(violation)
 	}
@@ -116,9 +116,9 @@
 func TestRestartedFollowersResumeFromDisk(t *testing.T) {
 	ctx := testContext(t)
 	g := startGroup(ctx, t, Options{
-		Followers: restartedFollowers,
-		Content:   smallContent,
-		Settings:  rollout.PublisherSettings{HistoryDeltas: restartHistory},
+		Followers:     restartedFollowers,
+		Configuration: smallContent,
+		Settings:      rollout.PublisherSettings{HistoryDeltas: restartHistory},
 	})
 	defer g.Close()
 	for _, test := range restartTests {
@@ -164,15 +164,15 @@
 	comparison, err := comparisonOptions{
 		Gateways: 6,
 		Changes:  20,
-		Options:  Options{Content: smallContent},
+		Options:  Options{Configuration: smallContent},
 	}.Compare(testContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%+v", *comparison)
-	if comparison.Real.Versions != 1 || comparison.Hollow.Versions != 1 {
+	if comparison.Real.Versions != 1 || comparison.Simulated.Versions != 1 {
 		t.Errorf("%g and %g versions a change in force at real gateways and at hollow followers", comparison.Real.Versions,
-			comparison.Hollow.Versions)
+			comparison.Simulated.Versions)
 	}
 	ratio := comparison.Ratio()
 	if math.Abs(ratio.BytesIn-1) > margin || math.Abs(ratio.BytesOut-1) > margin {
--- a/lab/rollout/hollow/latency.go
+++ b/lab/rollout/hollow/latency.go
@@ -12,13 +12,13 @@
 type Latency struct {
 	Changes int     `json:"changes"`
 	Samples int     `json:"samples"` // changes in force at a follower
-	Median  float64 `json:"p50"`
-	Tail    float64 `json:"p99"`
-	Latest  float64 `json:"latest"`
+	P50     float64 `json:"p50"`
+	P99     float64 `json:"p99"`
+	Max     float64 `json:"latest"`
 }
 
 // newLatency returns the latency of what was published, by what came in force at each follower.
-func newLatency(published []rollout.Published, histories [][]Applied) Latency {
+func newLatency(published []rollout.PublishedChange, histories [][]AppliedVersion) Latency {
 	var delays []time.Duration
 	for _, applied := range histories {
 		delays = appendDelays(delays, published, applied)
@@ -29,14 +29,14 @@
 	}
 	slices.Sort(delays)
 	at := func(part float64) float64 { return delays[int(part*float64(len(delays)-1))].Seconds() }
-	l.Median = at(0.5)
-	l.Tail = at(0.99)
-	l.Latest = at(1)
+	l.P50 = at(0.5)
+	l.P99 = at(0.99)
+	l.Max = at(1)
 	return l
 }
 
 // appendDelays adds the delays of changes at one follower. Both lists are in the order of versions.
-func appendDelays(delays []time.Duration, published []rollout.Published, applied []Applied) []time.Duration {
+func appendDelays(delays []time.Duration, published []rollout.PublishedChange, applied []AppliedVersion) []time.Duration {
 	next := 0
 	for _, change := range published {
 		for next < len(applied) && applied[next].To < change.Version {
--- a/lab/rollout/hollow/point.go
+++ b/lab/rollout/hollow/point.go
@@ -11,55 +11,55 @@
 // Measurement describes what is measured at one size.
 type Measurement struct {
 	Options
-	Rest           time.Duration // without any change
+	IdleDuration   time.Duration // without any change
 	Changes        int           // one each Pace
 	ChangeInterval time.Duration // 0: a change follows as soon as the one before is in force everywhere
-	Burst          int           // changes one right after the other
+	BurstChanges   int           // changes one right after the other
 }
 
 // Point is one size with its figures by name. A figure that was not measured is absent.
 type Point struct {
-	Followers  int                `json:"followers"`
-	Content    Content            `json:"content"`
-	Figures    map[string]float64 `json:"figures"`
-	Violations []string           `json:"faults"`
+	Followers     int                `json:"followers"`
+	Configuration ConfigurationSize  `json:"content"`
+	Values        map[string]float64 `json:"figures"`
+	Violations    []string           `json:"faults"`
 }
 
 // Names of figures.
 const (
-	StartTime         = "start"
-	StartProcessor    = "start_processor"
-	StartBytes        = "start_bytes_in"
-	StartDeferred     = "start_deferred"
-	LiveHeap          = "live_heap"
-	Stacks            = "stacks"
-	RestProcessor     = "rest_processor"
-	RestBytesIn       = "rest_bytes_in"
-	RestBytesOut      = "rest_bytes_out"
-	PacedMedian       = "paced_p50"
-	PacedTail         = "paced_p99"
-	PacedLatest       = "paced_latest"
-	PacedProcessor    = "paced_processor"
-	PacedBytesIn      = "paced_bytes_in"
-	PacedBytesOut     = "paced_bytes_out"
-	ChangeProcessor   = "change_processor"
-	ChangeBytes       = "change_bytes"
-	ChangeDeltas      = "change_deltas"
-	BurstMedian       = "burst_p50"
-	BurstTail         = "burst_p99"
-	BurstLatest       = "burst_latest"
-	BurstSeconds      = "burst_seconds"
-	BurstDeltas       = "burst_deltas"
-	BurstBytes        = "burst_bytes"
-	BurstBytesIn      = "burst_bytes_in"
-	BurstProcessor    = "burst_processor"
-	PublisherRest     = "publisher_rest_processor"
-	PublisherPaced    = "publisher_paced_processor"
-	PublisherChange   = "publisher_change_processor"
-	PublisherBurst    = "publisher_burst_processor"
-	PublisherMemory   = "publisher_memory"
-	PublisherBytesOut = "publisher_change_bytes"
-	PublisherRestOut  = "publisher_rest_bytes_out"
+	StartTime                = "start"
+	StartProcessor           = "start_processor"
+	StartBytesIn             = "start_bytes_in"
+	StartDeferred            = "start_deferred"
+	LiveHeap                 = "live_heap"
+	Stacks                   = "stacks"
+	RestProcessor            = "rest_processor"
+	RestBytesIn              = "rest_bytes_in"
+	RestBytesOut             = "rest_bytes_out"
+	PacedP50                 = "paced_p50"
+	PacedP99                 = "paced_p99"
+	PacedLatest              = "paced_latest"
+	PacedProcessor           = "paced_processor"
+	PacedBytesIn             = "paced_bytes_in"
+	PacedBytesOut            = "paced_bytes_out"
+	ChangeProcessor          = "change_processor"
+	ChangeBytes              = "change_bytes"
+	ChangeDeltas             = "change_deltas"
+	BurstP50                 = "burst_p50"
+	BurstP99                 = "burst_p99"
+	BurstLatest              = "burst_latest"
+	BurstSeconds             = "burst_seconds"
+	BurstDeltas              = "burst_deltas"
+	BurstBytes               = "burst_bytes"
+	BurstBytesIn             = "burst_bytes_in"
+	BurstProcessor           = "burst_processor"
+	PublisherRestProcessor   = "publisher_rest_processor"
+	PublisherPacedProcessor  = "publisher_paced_processor"
+	PublisherChangeProcessor = "publisher_change_processor"
+	PublisherBurstProcessor  = "publisher_burst_processor"
+	PublisherMemory          = "publisher_memory"
+	PublisherChangeBytes     = "publisher_change_bytes"
+	PublisherRestBytesOut    = "publisher_rest_bytes_out"
 )
 
 // Metric describes a figure.
@@ -83,12 +83,12 @@
 // Metrics returns all figures in the order of the report. Those of followers are means of one.
 func Metrics() []Metric {
 	return []Metric{
-		{PacedMedian, "s", "one change at a time, from the request until in force: median over changes and followers", false,
+		{PacedP50, "s", "one change at a time, from the request until in force: median over changes and followers", false,
 			budgetSeconds},
-		{PacedTail, "s", "the same, 99 in 100", false, budgetSeconds},
+		{PacedP99, "s", "the same, 99 in 100", false, budgetSeconds},
 		{PacedLatest, "s", "the same, the latest", false, budgetSeconds},
-		{BurstMedian, "s", "changes of a burst, from each request until in force: median", false, budgetSeconds},
-		{BurstTail, "s", "the same, 99 in 100", false, budgetSeconds},
+		{BurstP50, "s", "changes of a burst, from each request until in force: median", false, budgetSeconds},
+		{BurstP99, "s", "the same, 99 in 100", false, budgetSeconds},
 		{BurstLatest, "s", "the same, the latest", false, budgetSeconds},
 		{BurstSeconds, "s", "from the burst's first request until all is in force everywhere", false, budgetSeconds},
 		{BurstDeltas, "", "deltas by which a follower got the burst", true, 0},
@@ -109,15 +109,15 @@
 		{Stacks, "bytes", "stacks of a follower", true, budgetMemory},
 		{StartTime, "s", "all followers at once from an empty disk, until in force everywhere", false, 0},
 		{StartProcessor, "ms", "processor time of such a start, a follower", false, 0},
-		{StartBytes, "bytes", "received by a follower in such a start", true, 0},
+		{StartBytesIn, "bytes", "received by a follower in such a start", true, 0},
 		{StartDeferred, "", "snapshots put off at such a start, all followers", false, 0},
-		{PublisherRest, "core", "processor share of all publishers at rest", false, 0},
-		{PublisherPaced, "core", "processor share of all publishers under changes one at a time", false, 0},
-		{PublisherChange, "ms", "processor time of a change, all publishers, beyond rest", false, 0},
-		{PublisherBurst, "s", "processor time of the burst, all publishers", false, 0},
+		{PublisherRestProcessor, "core", "processor share of all publishers at rest", false, 0},
+		{PublisherPacedProcessor, "core", "processor share of all publishers under changes one at a time", false, 0},
+		{PublisherChangeProcessor, "ms", "processor time of a change, all publishers, beyond rest", false, 0},
+		{PublisherBurstProcessor, "s", "processor time of the burst, all publishers", false, 0},
 		{PublisherMemory, "bytes", "resident memory of the publisher with most", false, 0},
-		{PublisherBytesOut, "bytes", "sent for a change, all publishers, without heartbeats", true, 0},
-		{PublisherRestOut, "bytes/s", "sent at rest, all publishers", true, 0},
+		{PublisherChangeBytes, "bytes", "sent for a change, all publishers, without heartbeats", true, 0},
+		{PublisherRestBytesOut, "bytes/s", "sent at rest, all publishers", true, 0},
 	}
 }
 
@@ -138,7 +138,7 @@
 	}
 	m.measureMemory()
 	violations, err := g.Violations(ctx)
-	return &Point{Followers: s.Followers, Content: s.Content, Figures: m.figures, Violations: violations}, err
+	return &Point{Followers: s.Followers, Configuration: s.Configuration, Values: m.figures, Violations: violations}, err
 }
 
 // pointMeasurement is the measurement of one size.
@@ -163,7 +163,7 @@
 	})
 	m.figures[StartTime] = measured.Seconds
 	m.figures[StartProcessor] = milliseconds(measured.Processor) / m.followers
-	m.figures[StartBytes] = measured.BytesIn / m.followers
+	m.figures[StartBytesIn] = measured.BytesIn / m.followers
 	m.figures[StartDeferred] = measured.Deferred
 	g.takePublished()
 	g.Fleet.TakeApplied()
@@ -172,22 +172,22 @@
 
 // measureIdle measures a time without changes.
 func (m *pointMeasurement) measureIdle(ctx context.Context) (err error) {
-	if m.Rest == 0 {
+	if m.IdleDuration == 0 {
 		return nil
 	}
-	m.idle, err = m.group.measure(ctx, func() error { return waitUntil(ctx, time.Now().Add(m.Rest)) })
+	m.idle, err = m.group.measure(ctx, func() error { return waitUntil(ctx, time.Now().Add(m.IdleDuration)) })
 	w := &m.idle
 	m.figures[RestProcessor] = w.Processor / w.Seconds / m.followers
 	m.figures[RestBytesIn] = w.BytesIn / w.Seconds / m.followers
 	m.figures[RestBytesOut] = w.BytesOut / w.Seconds / m.followers
-	m.figures[PublisherRest] = w.PublisherProcessor / w.Seconds
-	m.figures[PublisherRestOut] = w.PublisherBytesOut / w.Seconds
+	m.figures[PublisherRestProcessor] = w.PublisherProcessor / w.Seconds
+	m.figures[PublisherRestBytesOut] = w.PublisherBytesOut / w.Seconds
 	return err
 }
 
 // beyondIdle returns by how much a figure of a window exceeds that of as much idle time.
 func (m *pointMeasurement) beyondIdle(w *window, of func(w *window) float64) float64 {
-	if m.Rest == 0 {
+	if m.IdleDuration == 0 {
 		return of(w)
 	}
 	return of(w) - of(&m.idle)/m.idle.Seconds*w.Seconds
@@ -205,36 +205,36 @@
 	}
 	histories := g.Fleet.TakeApplied()
 	latency := newLatency(g.takePublished(), histories)
-	m.figures[PacedMedian] = latency.Median
-	m.figures[PacedTail] = latency.Tail
-	m.figures[PacedLatest] = latency.Latest
+	m.figures[PacedP50] = latency.P50
+	m.figures[PacedP99] = latency.P99
+	m.figures[PacedLatest] = latency.Max
 	changes := float64(m.Changes)
 	deltas, bytes := g.Fleet.countDeltas(histories)
 	m.figures[ChangeDeltas] = deltas / changes / m.followers
 	m.figures[ChangeBytes] = bytes / changes / m.followers
-	m.figures[PublisherBytesOut] = (measured.PublisherBytesOut - (measured.BytesIn - bytes)) / changes
+	m.figures[PublisherChangeBytes] = (measured.PublisherBytesOut - (measured.BytesIn - bytes)) / changes
 	if m.ChangeInterval == 0 {
 		return nil
 	}
 	m.figures[PacedProcessor] = measured.Processor / measured.Seconds / m.followers
 	m.figures[PacedBytesIn] = measured.BytesIn / measured.Seconds / m.followers
 	m.figures[PacedBytesOut] = measured.BytesOut / measured.Seconds / m.followers
-	m.figures[PublisherPaced] = measured.PublisherProcessor / measured.Seconds
+	m.figures[PublisherPacedProcessor] = measured.PublisherProcessor / measured.Seconds
 	ofFollowers := func(measured *window) float64 { return measured.Processor }
 	ofPublishers := func(measured *window) float64 { return measured.PublisherProcessor }
 	m.figures[ChangeProcessor] = milliseconds(m.beyondIdle(&measured, ofFollowers)) / changes / m.followers
-	m.figures[PublisherChange] = milliseconds(m.beyondIdle(&measured, ofPublishers)) / changes
+	m.figures[PublisherChangeProcessor] = milliseconds(m.beyondIdle(&measured, ofPublishers)) / changes
 	return nil
 }
 
 // measureBurst measures changes without a pause.
 func (m *pointMeasurement) measureBurst(ctx context.Context) error {
-	if m.Burst == 0 {
+	if m.BurstChanges == 0 {
 		return nil
 	}
 	g := m.group
 	measured, err := g.measure(ctx, func() error {
-		err := g.publishBurst(ctx, m.Burst)
+		err := g.publishBurst(ctx, m.BurstChanges)
 		if err != nil {
 			return err
 		}
@@ -246,15 +246,15 @@
 	histories := g.Fleet.TakeApplied()
 	latency := newLatency(g.takePublished(), histories)
 	deltas, _ := g.Fleet.countDeltas(histories)
-	m.figures[BurstMedian] = latency.Median
-	m.figures[BurstTail] = latency.Tail
-	m.figures[BurstLatest] = latency.Latest
+	m.figures[BurstP50] = latency.P50
+	m.figures[BurstP99] = latency.P99
+	m.figures[BurstLatest] = latency.Max
 	m.figures[BurstSeconds] = measured.Seconds
 	m.figures[BurstDeltas] = deltas / m.followers
 	m.figures[BurstBytes] = measured.BytesIn / m.followers
 	m.figures[BurstBytesIn] = measured.BytesIn / measured.Seconds / m.followers
 	m.figures[BurstProcessor] = milliseconds(measured.Processor) / m.followers
-	m.figures[PublisherBurst] = measured.PublisherProcessor
+	m.figures[PublisherBurstProcessor] = measured.PublisherProcessor
 	m.figures[PublisherMemory] = measured.PublisherMemory
 	return nil
 }
@@ -267,7 +267,7 @@
 }
 
 // countDeltas returns the number of deltas among what came in force, and their bytes on the wire.
-func (f *Fleet) countDeltas(histories [][]Applied) (count, bytes float64) {
+func (f *Fleet) countDeltas(histories [][]AppliedVersion) (count, bytes float64) {
 	for _, history := range histories {
 		for i := range history {
 			if history[i].Snapshot {
@@ -282,20 +282,20 @@
 
 func milliseconds(seconds float64) float64 { return seconds * 1e3 }
 
-// Axis is points of several sizes with the fit of each figure.
-type Axis struct {
+// ScalingSeries is points of several sizes with the fit of each figure.
+type ScalingSeries struct {
 	Points []*Point             `json:"points"`
 	Fits   map[string]scale.Fit `json:"fits"`
 }
 
-// NewAxis fits the figures of points by the number of followers. A figure that is not above zero everywhere has no
+// NewScalingSeries fits the figures of points by the number of followers. A figure that is not above zero everywhere has no
 // fit.
-func NewAxis(points []*Point) Axis {
-	axis := Axis{Points: points, Fits: map[string]scale.Fit{}}
+func NewScalingSeries(points []*Point) ScalingSeries {
+	axis := ScalingSeries{Points: points, Fits: map[string]scale.Fit{}}
 	for _, metric := range Metrics() {
 		var sizes, figures []float64
 		for _, point := range points {
-			figure, measured := point.Figures[metric.Name]
+			figure, measured := point.Values[metric.Name]
 			if measured {
 				sizes = append(sizes, float64(point.Followers))
 				figures = append(figures, figure)
--- a/lab/rollout/hollow/report.go
+++ b/lab/rollout/hollow/report.go
@@ -16,19 +16,19 @@
 
 // Report is all that was measured, by one run or by runs of single parts.
 type Report struct {
-	Go       string                 `json:"go"`
-	Cores    int                    `json:"cores"`
-	Runs     map[string]Environment `json:"runs"` // by part
-	Metrics  []Metric               `json:"metrics"`
-	Axis     Axis                   `json:"by_followers"`
-	Large    []*Point               `json:"large_contents"`
-	Restarts []*RestartResult       `json:"restarts"`
-	Compared *Comparison            `json:"real_and_hollow"`
-	Events   map[string]int         `json:"log_events"` // of the followers' logs
-}
-
-// Environment is how a part was measured.
-type Environment struct {
+	Go                  string                   `json:"go"`
+	Cores               int                      `json:"cores"`
+	Runs                map[string]RunConditions `json:"runs"` // by part
+	Metrics             []Metric                 `json:"metrics"`
+	ByFollowers         ScalingSeries            `json:"by_followers"`
+	LargeConfigurations []*Point                 `json:"large_contents"`
+	Restarts            []*RestartResult         `json:"restarts"`
+	Comparison          *Comparison              `json:"real_and_hollow"`
+	LogEvents           map[string]int           `json:"log_events"` // of the followers' logs
+}
+
+// RunConditions is how a part was measured.
+type RunConditions struct {
 	Command    string `json:"command"`
 	LoadBefore string `json:"load_average_before"` // of the machine, other work included
 	LoadAfter  string `json:"load_average_after"`
@@ -39,7 +39,7 @@
 
 // NewReport returns an empty report, or the one in a folder if there is one.
 func NewReport(folder string) (*Report, error) {
-	report := &Report{Runs: map[string]Environment{}}
+	report := &Report{Runs: map[string]RunConditions{}}
 	text, err := os.ReadFile(filepath.Join(folder, fileName+".json"))
 	if err == nil {
 		err = json.Unmarshal(text, report)
@@ -53,17 +53,17 @@
 	return report, nil
 }
 
-// Begin records that a part is measured by a command from now on.
-func (r *Report) Begin(part, command string) {
-	r.Runs[part] = Environment{Command: command, LoadBefore: loadAverage()}
+// BeginPart records that a part is measured by a command from now on.
+func (r *Report) BeginPart(part, command string) {
+	r.Runs[part] = RunConditions{Command: command, LoadBefore: loadAverage()}
 }
 
-// End records that a part is measured.
-func (r *Report) End(part string, lines *EventCounter) {
+// EndPart records that a part is measured.
+func (r *Report) EndPart(part string, lines *EventCounter) {
 	run := r.Runs[part]
 	run.LoadAfter = loadAverage()
 	r.Runs[part] = run
-	r.Events = lines.Events()
+	r.LogEvents = lines.Events()
 }
 
 // loadAverage returns the machine's load average over 1, 5 and 15 minutes.
@@ -102,19 +102,19 @@
 		run := r.Runs[part]
 		fmt.Fprintf(w, "| %s | %s | %s | `%s` |\n", part, run.LoadBefore, run.LoadAfter, run.Command)
 	}
-	if len(r.Axis.Points) > 0 {
+	if len(r.ByFollowers.Points) > 0 {
 		r.axisText(w)
 	}
-	if len(r.Large) > 0 {
+	if len(r.LargeConfigurations) > 0 {
 		r.largeText(w)
 	}
 	if len(r.Restarts) > 0 {
 		r.restartsText(w)
 	}
-	if r.Compared != nil {
-		r.Compared.text(w)
+	if r.Comparison != nil {
+		r.Comparison.text(w)
 	}
-	fmt.Fprintf(w, "\nLog lines of the last run's followers by event: %v.\n", r.Events)
+	fmt.Fprintf(w, "\nLog lines of the last run's followers by event: %v.\n", r.LogEvents)
 	for _, violation := range r.Violations() {
 		fmt.Fprintf(w, "\nDoes not hold: %s.\n", violation)
 	}
@@ -122,10 +122,10 @@
 
 // Violations returns all that does not hold.
 func (r *Report) Violations() (violations []string) {
-	if len(r.Axis.Points) > 0 {
-		violations = append(violations, r.Axis.Violations()...)
+	if len(r.ByFollowers.Points) > 0 {
+		violations = append(violations, r.ByFollowers.Violations()...)
 	}
-	for _, point := range r.Large {
+	for _, point := range r.LargeConfigurations {
 		violations = append(violations, point.Violations...)
 	}
 	for _, storm := range r.Restarts {
@@ -136,32 +136,32 @@
 
 // axisText writes a row for each figure, with a column for each number of followers.
 func (r *Report) axisText(w io.Writer) {
-	fmt.Fprintf(w, "\n## By followers\n\nConfiguration: %s.\n\n| figure | what |", r.Axis.Points[0].Content.text())
-	for _, point := range r.Axis.Points {
+	fmt.Fprintf(w, "\n## By followers\n\nConfiguration: %s.\n\n| figure | what |", r.ByFollowers.Points[0].Configuration.text())
+	for _, point := range r.ByFollowers.Points {
 		fmt.Fprintf(w, " %d |", point.Followers)
 	}
 	const lastHeads = " exponent, residual | form, error | budget | of it at most |\n" +
 		"| --- | --- |%s --- | --- | --- | --- |\n"
 	fmt.Fprintf(w, lastHeads,
-		strings.Repeat(" --- |", len(r.Axis.Points)))
+		strings.Repeat(" --- |", len(r.ByFollowers.Points)))
 	for i := range r.Metrics {
 		metric := &r.Metrics[i]
 		fmt.Fprintf(w, "| %s | %s |", metric.title(), metric.Description)
-		for _, point := range r.Axis.Points {
+		for _, point := range r.ByFollowers.Points {
 			fmt.Fprintf(w, " %s |", figure(point, metric))
 		}
-		fmt.Fprintf(w, " %s | %s |\n", r.Axis.fit(metric), metric.budget(r.Axis.Points))
+		fmt.Fprintf(w, " %s | %s |\n", r.ByFollowers.fit(metric), metric.budget(r.ByFollowers.Points))
 	}
 }
 
 // fit returns how a figure grows, as two cells of a row.
-func (a *Axis) fit(metric *Metric) string {
+func (a *ScalingSeries) fit(metric *Metric) string {
 	fit, fitted := a.Fits[metric.Name]
 	if !fitted {
 		return "- | -"
 	}
 	form := string(fit.Form)
-	if fit.Bends {
+	if fit.NoFormFits {
 		form = "bends"
 	}
 	return fmt.Sprintf("%.2f, %.2f | %s, %.2f", fit.Exponent, fit.Residual, form, fit.Error)
@@ -172,7 +172,7 @@
 
 // figure returns a point's value of a metric.
 func figure(point *Point, metric *Metric) string {
-	value, measured := point.Figures[metric.Name]
+	value, measured := point.Values[metric.Name]
 	if !measured {
 		return "-"
 	}
@@ -186,24 +186,24 @@
 	}
 	most := 0.0
 	for _, point := range points {
-		most = max(most, point.Figures[m.Name])
+		most = max(most, point.Values[m.Name])
 	}
 	return fmt.Sprintf("%.4g | %.1f%%", m.Budget, 100*most/m.Budget)
 }
 
 // text returns the size in a few words.
-func (c Content) text() string {
+func (c ConfigurationSize) text() string {
 	return fmt.Sprintf("%d quota plans, %d request classes", c.Plans, c.Classes)
 }
 
 // largeText writes points with a large configuration.
 func (r *Report) largeText(w io.Writer) {
-	for _, point := range r.Large {
+	for _, point := range r.LargeConfigurations {
 		fmt.Fprintf(w, "\n## %d followers with a large configuration\n\n%s.\n\n| figure | what | value | budget | of it |\n"+
-			"| --- | --- | --- | --- | --- |\n", point.Followers, point.Content.text())
+			"| --- | --- | --- | --- | --- |\n", point.Followers, point.Configuration.text())
 		for i := range r.Metrics {
 			metric := &r.Metrics[i]
-			if _, measured := point.Figures[metric.Name]; !measured {
+			if _, measured := point.Values[metric.Name]; !measured {
 				continue
 			}
 			fmt.Fprintf(w, "| %s | %s | %s | %s |\n", metric.title(), metric.Description, figure(point, metric),
@@ -220,9 +220,9 @@
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, restart := range r.Restarts {
 		fmt.Fprintf(w, "| %s | %d | %s | %d | %.2f | %d | %d | %d | %d | %d | %.4g | %.2f | %.2f |\n",
-			restart.Description, restart.Followers, restart.Content.text(), restart.Missed, restart.Seconds,
-			restart.FromDisk, restart.Snapshots, restart.Deltas, restart.OlderVersions, restart.Deferred,
-			restart.BytesOut, restart.Processor, restart.Publishers)
+			restart.Description, restart.Followers, restart.Configuration.text(), restart.MissedVersions, restart.Seconds,
+			restart.FromDisk, restart.Snapshots, restart.Deltas, restart.OlderVersions, restart.DeferredSnapshots,
+			restart.PublisherBytesOut, restart.CPUSeconds, restart.PublisherCPUSeconds)
 	}
 }
 
@@ -236,10 +236,10 @@
 		name                string
 		real, hollow, ratio float64
 	}{
-		{"bytes in", c.Real.BytesIn, c.Hollow.BytesIn, ratio.BytesIn},
-		{"bytes out", c.Real.BytesOut, c.Hollow.BytesOut, ratio.BytesOut},
-		{"versions put in force", c.Real.Versions, c.Hollow.Versions, ratio.Versions},
-		{"processor time beyond rest, ms", c.Real.Processor, c.Hollow.Processor, ratio.Processor},
+		{"bytes in", c.Real.BytesIn, c.Simulated.BytesIn, ratio.BytesIn},
+		{"bytes out", c.Real.BytesOut, c.Simulated.BytesOut, ratio.BytesOut},
+		{"versions put in force", c.Real.Versions, c.Simulated.Versions, ratio.Versions},
+		{"processor time beyond rest, ms", c.Real.CPUMilliseconds, c.Simulated.CPUMilliseconds, ratio.CPUMilliseconds},
 	} {
 		fmt.Fprintf(w, "| %s | %.4g | %.4g | %.3f |\n", row.name, row.real, row.hollow, row.ratio)
 	}
--- a/lab/rollout/hollow/restart.go
+++ b/lab/rollout/hollow/restart.go
@@ -9,20 +9,20 @@
 // RestartResult is the result of restarting many followers at once, until the latest version was in force at all of
 // them.
 type RestartResult struct {
-	Description   string   `json:"what"`
-	Followers     int      `json:"followers"`
-	Content       Content  `json:"content"`
-	Missed        int      `json:"missed"`     // versions published while they were stopped
-	Seconds       float64  `json:"seconds"`    // from the first start of a follower, or of a publisher if these were down
-	FromDisk      int      `json:"from_disk"`  // followers that started with a stored version
-	Snapshots     int      `json:"snapshots"`  // put in force
-	Deltas        int      `json:"deltas"`     // put in force
-	OlderVersions int      `json:"old"`        // put in force, older than the latest at the restart
-	Deferred      int      `json:"deferred"`   // snapshots
-	BytesOut      float64  `json:"bytes_out"`  // of all publishers
-	Processor     float64  `json:"processor"`  // seconds, all followers
-	Publishers    float64  `json:"publishers"` // processor seconds, all publishers
-	Violations    []string `json:"faults"`
+	Description         string            `json:"what"`
+	Followers           int               `json:"followers"`
+	Configuration       ConfigurationSize `json:"content"`
+	MissedVersions      int               `json:"missed"`     // versions published while they were stopped
+	Seconds             float64           `json:"seconds"`    // from the first start of a follower, or of a publisher if these were down
+	FromDisk            int               `json:"from_disk"`  // followers that started with a stored version
+	Snapshots           int               `json:"snapshots"`  // put in force
+	Deltas              int               `json:"deltas"`     // put in force
+	OlderVersions       int               `json:"old"`        // put in force, older than the latest at the restart
+	DeferredSnapshots   int               `json:"deferred"`   // snapshots
+	PublisherBytesOut   float64           `json:"bytes_out"`  // of all publishers
+	CPUSeconds          float64           `json:"processor"`  // seconds, all followers
+	PublisherCPUSeconds float64           `json:"publishers"` // processor seconds, all publishers
+	Violations          []string          `json:"faults"`
 }
 
 // restartOptions describe a restart of many followers at once.
@@ -49,8 +49,8 @@
 		return nil, err
 	}
 	g.Fleet.TakeApplied()
-	result := &RestartResult{Description: options.Description, Followers: options.Followers, Content: g.content,
-		Missed: options.Missed}
+	result := &RestartResult{Description: options.Description, Followers: options.Followers, Configuration: g.content,
+		MissedVersions: options.Missed}
 	latest := g.latest.Version
 	begin := g.startFollowers
 	if options.WithoutPublishers {
@@ -112,8 +112,8 @@
 	}
 	r.FromDisk = g.Fleet.countFromDisk(r.Followers)
 	r.Seconds = measured.Seconds
-	r.Deferred = int(measured.Deferred)
-	r.BytesOut = measured.PublisherBytesOut
-	r.Processor = measured.Processor
-	r.Publishers = measured.PublisherProcessor
+	r.DeferredSnapshots = int(measured.Deferred)
+	r.PublisherBytesOut = measured.PublisherBytesOut
+	r.CPUSeconds = measured.Processor
+	r.PublisherCPUSeconds = measured.PublisherProcessor
 }
--- a/lab/rollout/hollow/sample.go
+++ b/lab/rollout/hollow/sample.go
@@ -76,8 +76,8 @@
 	w.Processor = (to.processor - from.processor).Seconds()
 	w.BytesIn = float64(to.followers.BytesIn - from.followers.BytesIn)
 	w.BytesOut = float64(to.followers.BytesOut - from.followers.BytesOut)
-	w.Accepted = float64(to.followers.Accepted - from.followers.Accepted)
-	w.Deferred = float64(to.followers.Deferred - from.followers.Deferred)
+	w.Accepted = float64(to.followers.AcceptedVersions - from.followers.AcceptedVersions)
+	w.Deferred = float64(to.followers.DeferredSnapshots - from.followers.DeferredSnapshots)
 	for i := range to.publishers {
 		w.PublisherProcessor += (to.publishers[i].CPU - from.publishers[i].CPU).Seconds()
 		w.PublisherBytesOut += float64(to.publishers[i].bytesOut - from.publishers[i].bytesOut)
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -62,9 +62,9 @@
 	return all
 }
 
-// HostileFollowers returns a step that sends each publisher what no follower sends. The publisher has to end and
+// SendHostileFollowerMessages returns a step that sends each publisher what no follower sends. The publisher has to end and
 // count each such connection.
-func HostileFollowers() Step {
+func SendHostileFollowerMessages() Step {
 	return Step{"hostile followers", func(ctx context.Context, r *Run) error {
 		for i := range r.Publishers.Count() {
 			err := r.hostileFollowers(ctx, i)
@@ -265,8 +265,8 @@
 	return r.waitInForce(ctx, r.latestVersion()+1, []int{member})
 }
 
-// CheckNothingOfImpostor returns a step that checks that nothing of an impostor is in force.
-func CheckNothingOfImpostor(members ...int) Step {
+// CheckImpostorConfigurationAbsent returns a step that checks that nothing of an impostor is in force.
+func CheckImpostorConfigurationAbsent(members ...int) Step {
 	return Step{"nothing of a false publisher in force", func(_ context.Context, r *Run) error {
 		for _, member := range members {
 			answer := r.probe(member, strangerName)
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -36,8 +36,8 @@
 	admin     netip.AddrPort
 }
 
-// Publishers is a group of publisher processes.
-type Publishers struct {
+// PublisherGroup is a group of publisher processes.
+type PublisherGroup struct {
 	processes []*fleet.Process
 	addresses []publisherAddresses
 	dir       string // holds a folder for each publisher, and copies of them
@@ -57,13 +57,13 @@
 	return names
 }
 
-// GroupOptions describes a group of publishers.
-type GroupOptions struct {
-	Count      int
-	Dir        string       // holds a folder for each publisher, and copies of them
-	Relay      *relay.Relay // carries the publishers' messages to each other; nil: they go straight
-	ElectionMS int          // without contact to the leading publisher before another is elected
-	Settings   PublisherSettings
+// PublisherGroupOptions describes a group of publishers.
+type PublisherGroupOptions struct {
+	Count             int
+	Dir               string       // holds a folder for each publisher, and copies of them
+	Relay             *relay.Relay // carries the publishers' messages to each other; nil: they go straight
+	ElectionTimeoutMS int          // without contact to the leading publisher before another is elected
+	Settings          PublisherSettings
 }
 
 // PublisherSettings are keys of a publisher's configuration file that have defaults.
@@ -75,15 +75,15 @@
 
 // publisherFile is a publisher's configuration file.
 type publisherFile struct {
-	Index       int      `json:"index"`
-	Listen      string   `json:"listen"`
-	RaftListen  string   `json:"raft_listen"`
-	Raft        []string `json:"raft"`
-	AdminListen string   `json:"admin_listen"`
-	Admin       []string `json:"admin"`
-	Dir         string   `json:"dir"`
-	Key         string   `json:"key"`
-	ElectionMS  int      `json:"election_ms"`
+	Index             int      `json:"index"`
+	Listen            string   `json:"listen"`
+	RaftListen        string   `json:"raft_listen"`
+	Raft              []string `json:"raft"`
+	AdminListen       string   `json:"admin_listen"`
+	Admin             []string `json:"admin"`
+	Dir               string   `json:"dir"`
+	Key               string   `json:"key"`
+	ElectionTimeoutMS int      `json:"election_ms"`
 	PublisherSettings
 }
 
@@ -93,13 +93,13 @@
 // groupCount is the number of groups that this test process has started.
 var groupCount atomic.Int64
 
-// NewPublishers starts a group and waits until all its publishers serve followers.
-func NewPublishers(ctx context.Context, plan GroupOptions) (*Publishers, error) {
+// NewPublisherGroup starts a group and waits until all its publishers serve followers.
+func NewPublisherGroup(ctx context.Context, plan PublisherGroupOptions) (*PublisherGroup, error) {
 	binary, err := publisherProgram.Build()
 	if err != nil {
 		return nil, err
 	}
-	p := &Publishers{dir: plan.Dir}
+	p := &PublisherGroup{dir: plan.Dir}
 	p.addresses, err = freeAddresses(plan.Count, int(groupCount.Add(1)))
 	if err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 }
 
 // file returns the configuration file of a publisher.
-func (p *Publishers) file(plan *GroupOptions, i int) (*publisherFile, error) {
+func (p *PublisherGroup) file(plan *PublisherGroupOptions, i int) (*publisherFile, error) {
 	var raft, admin []string
 	for k, addresses := range p.addresses {
 		way := addresses.raft.String()
@@ -169,16 +169,16 @@
 		Admin:             admin,
 		Dir:               stateFolder,
 		Key:               strings.Repeat("5a", groupKeyBytes),
-		ElectionMS:        plan.ElectionMS,
+		ElectionTimeoutMS: plan.ElectionTimeoutMS,
 		PublisherSettings: plan.Settings,
 	}, nil
 }
 
 // FollowerAddress returns the address at which a publisher serves followers.
-func (p *Publishers) FollowerAddress(i int) netip.AddrPort { return p.addresses[i].followers }
+func (p *PublisherGroup) FollowerAddress(i int) netip.AddrPort { return p.addresses[i].followers }
 
 // forEach calls a function for all processes at the same time.
-func (p *Publishers) forEach(do func(process *fleet.Process) error) error {
+func (p *PublisherGroup) forEach(do func(process *fleet.Process) error) error {
 	var all errgroup.Group
 	for _, process := range p.processes {
 		all.Go(func() error { return do(process) })
@@ -187,13 +187,13 @@
 }
 
 // Process returns the process of publisher i.
-func (p *Publishers) Process(i int) *fleet.Process { return p.processes[i] }
+func (p *PublisherGroup) Process(i int) *fleet.Process { return p.processes[i] }
 
 // Count returns the number of publishers, running or not.
-func (p *Publishers) Count() int { return len(p.processes) }
+func (p *PublisherGroup) Count() int { return len(p.processes) }
 
 // CopyState copies a publisher's log. The publisher must be down: a copy of a log that is being written is damaged.
-func (p *Publishers) CopyState(i int) error {
+func (p *PublisherGroup) CopyState(i int) error {
 	to := p.copyOf(i)
 	err := os.RemoveAll(to)
 	if err != nil {
@@ -203,7 +203,7 @@
 }
 
 // RestoreState replaces a publisher's log by its copy. The publisher must be down.
-func (p *Publishers) RestoreState(i int) error {
+func (p *PublisherGroup) RestoreState(i int) error {
 	folder := filepath.Join(p.processes[i].Dir, stateFolder)
 	err := os.RemoveAll(folder)
 	if err != nil {
@@ -213,10 +213,10 @@
 }
 
 // copyOf returns the folder of the copy of a publisher's log.
-func (p *Publishers) copyOf(i int) string { return filepath.Join(p.dir, "copy-"+publisherName(i)) }
+func (p *PublisherGroup) copyOf(i int) string { return filepath.Join(p.dir, "copy-"+publisherName(i)) }
 
 // usage returns what each publisher has used; zero for one that is down.
-func (p *Publishers) usage() (all []fleet.Usage) {
+func (p *PublisherGroup) usage() (all []fleet.Usage) {
 	for _, process := range p.processes {
 		usage, _ := process.Usage()
 		all = append(all, usage)
@@ -225,7 +225,7 @@
 }
 
 // Close ends all processes.
-func (p *Publishers) Close() {
+func (p *PublisherGroup) Close() {
 	p.forEach(func(process *fleet.Process) error {
 		if process.Running() {
 			process.Kill()
@@ -236,7 +236,7 @@
 }
 
 // Crashes returns which publishers printed a stack trace or ended by themselves.
-func (p *Publishers) Crashes() (crashes []string) {
+func (p *PublisherGroup) Crashes() (crashes []string) {
 	for _, process := range p.processes {
 		if process.EventCounts()[fleet.LineWithoutEvent] > 0 {
 			crashes = append(crashes, fmt.Sprintf("%s printed a trace", process.Name))
--- a/lab/rollout/record.go
+++ b/lab/rollout/record.go
@@ -14,17 +14,17 @@
 // Record is what a run left behind. The checks read it.
 type Record struct {
 	Histories  []*History // by member index
-	Published  []Published
+	Published  []PublishedChange
 	Publishers []PublisherState // of those that run at the end
 	Disks      []DiskState      // by member index
 	Crashes    []string         // of publishers
 }
 
-// Published is a change that the publishers agreed on.
-type Published struct {
-	Version    configsync.Version
-	SentAt     time.Time // the first attempt of the request
-	AnsweredAt time.Time
+// PublishedChange is a change that the publishers agreed on.
+type PublishedChange struct {
+	Version     configsync.Version
+	SentAt      time.Time // the first attempt of the request
+	RespondedAt time.Time
 }
 
 // PublisherState is a publisher's view at the end.
@@ -53,18 +53,18 @@
 
 // History is what happened to one gateway, read from its log.
 type History struct {
-	Applied  []Applied
-	Refusals []Refusal
-	Absences []Absence
-	Counters []Counters // of its status lines, in order
+	Applied  []AppliedVersion
+	Refusals []RefusedVersion
+	Outages  []Outage
+	Counters []ByteCounters // of its status lines, in order
 
 	ended   int  // incarnations that are over
 	damaged bool // the present incarnation found its file damaged
 	mark    int  // in the log: where reading goes on
 }
 
-// Applied is a version that came in force at a gateway.
-type Applied struct {
+// AppliedVersion is a version that came in force at a gateway.
+type AppliedVersion struct {
 	Incarnation int // from 1 on
 	Version     configsync.Version
 	At          time.Time // by the gateway's clock, which is that of the machine
@@ -72,29 +72,29 @@
 	Damaged     bool      // the stored file was damaged, so that its version is an earlier one
 }
 
-// Refusal is a version that a gateway could not apply.
-type Refusal struct {
+// RefusedVersion is a version that a gateway could not apply.
+type RefusedVersion struct {
 	Version  configsync.Version
 	Resource string
 }
 
-// Absence is a time in which a gateway was down or could reach no publisher, because of an injected fault.
-type Absence struct {
+// Outage is a time in which a gateway was down or could reach no publisher, because of an injected fault.
+type Outage struct {
 	Start time.Time
 	End   time.Time // zero: it is not over
 }
 
-// Counters are the bytes that a gateway exchanged with publishers since its start, by a status line.
-type Counters struct {
+// ByteCounters are the bytes that a gateway exchanged with publishers since its start, by a status line.
+type ByteCounters struct {
 	At       time.Time
 	BytesIn  int
 	BytesOut int
 }
 
 // countersOf returns the counters in status lines.
-func countersOf(lines []string) (all []Counters) {
+func countersOf(lines []string) (all []ByteCounters) {
 	for _, line := range lines {
-		all = append(all, Counters{
+		all = append(all, ByteCounters{
 			At:       logline.Time(line),
 			BytesIn:  logline.Int(line, "bytes_in"),
 			BytesOut: logline.Int(line, "bytes_out"),
@@ -118,7 +118,7 @@
 // readLine reads one log line.
 func (h *History) readLine(line string) {
 	event, _ := logline.Event(line)
-	applied := Applied{Incarnation: h.incarnation(), Version: versionOf(line), At: logline.Time(line)}
+	applied := AppliedVersion{Incarnation: h.incarnation(), Version: versionOf(line), At: logline.Time(line)}
 	switch event {
 	case "configuration_damaged":
 		h.damaged = true
@@ -129,7 +129,7 @@
 	case "configuration_applied":
 		h.Applied = append(h.Applied, applied)
 	case "configuration_refused":
-		h.Refusals = append(h.Refusals, Refusal{versionOf(line), logline.Value(line, "resource")})
+		h.Refusals = append(h.Refusals, RefusedVersion{versionOf(line), logline.Value(line, "resource")})
 	case "exited":
 		h.ended++
 		h.damaged = false
@@ -158,13 +158,13 @@
 }
 
 // startAbsence records that an absence begins.
-func (h *History) startAbsence(now time.Time) { h.Absences = append(h.Absences, Absence{Start: now}) }
+func (h *History) startAbsence(now time.Time) { h.Outages = append(h.Outages, Outage{Start: now}) }
 
 // endAbsence records that the latest absence is over.
 func (h *History) endAbsence(now time.Time) {
-	for i := len(h.Absences) - 1; i >= 0; i-- {
-		if h.Absences[i].End.IsZero() {
-			h.Absences[i].End = now
+	for i := len(h.Outages) - 1; i >= 0; i-- {
+		if h.Outages[i].End.IsZero() {
+			h.Outages[i].End = now
 			return
 		}
 	}
--- a/lab/rollout/record_test.go
+++ b/lab/rollout/record_test.go
@@ -24,14 +24,14 @@
 		history.readLine(line)
 	}
 	at := logline.Time(prefix)
-	want := []Applied{
+	want := []AppliedVersion{
 		{Incarnation: 1, Version: 7, At: at},
 		{Incarnation: 2, Version: 6, At: at, FromDisk: true, Damaged: true},
 	}
 	if !slices.Equal(history.Applied, want) {
 		t.Errorf("applied %v, not %v", history.Applied, want)
 	}
-	if !slices.Equal(history.Refusals, []Refusal{{8, "members/3"}}) {
+	if !slices.Equal(history.Refusals, []RefusedVersion{{8, "members/3"}}) {
 		t.Errorf("refusals %v", history.Refusals)
 	}
 	if history.InForce() != configsync.Version(6) || at.IsZero() {
--- a/lab/rollout/refusals.go
+++ b/lab/rollout/refusals.go
@@ -33,9 +33,9 @@
 	}}
 }
 
-// RemoveMember returns a step that publishes a version without a gateway, which that gateway can't apply. All others
+// PublishWithoutMember returns a step that publishes a version without a gateway, which that gateway can't apply. All others
 // have it in force, and the publishers show who refused it and because of which resource.
-func RemoveMember(member int) Step {
+func PublishWithoutMember(member int) Step {
 	return Step{fmt.Sprintf("a version without member %d", member), func(ctx context.Context, r *Run) error {
 		publication, err := r.changes.patch(ctx, nil, memberResource(member))
 		if err != nil {
@@ -166,21 +166,21 @@
 }
 
 // checkRejected returns an error unless a publisher rejects a bad request by the path of its key.
-func (p *Publishers) checkRejected(ctx context.Context, i int, bad badRequest) error {
+func (p *PublisherGroup) checkRejected(ctx context.Context, i int, bad badRequest) error {
 	rejected, err := p.rejection(ctx, i, bad.request)
 	if err != nil {
 		return fmt.Errorf("%s: %s is not rejected: %w", publisherName(i), bad.request.Body, err)
 	}
-	if !strings.HasPrefix(rejected.Text, bad.path) {
+	if !strings.HasPrefix(rejected.Message, bad.path) {
 		return fmt.Errorf("%s: %s is rejected by %q, not by its key %q",
-			publisherName(i), bad.request.Body, rejected.Text, bad.path)
+			publisherName(i), bad.request.Body, rejected.Message, bad.path)
 	}
 	return nil
 }
 
 // rejection sends a request to a publisher until it is rejected for a fault of its own, and again while the group has
 // no leader. It is an error if the request is carried out.
-func (p *Publishers) rejection(ctx context.Context, i int, request Request) (*RejectedError, error) {
+func (p *PublisherGroup) rejection(ctx context.Context, i int, request Request) (*RejectedError, error) {
 	for {
 		var publication publisher.Publication
 		err := p.request(ctx, i, request, &publication)
@@ -191,10 +191,10 @@
 		if !errors.As(err, &rejected) {
 			return nil, err
 		}
-		if rejected.Status < http.StatusInternalServerError {
+		if rejected.StatusCode < http.StatusInternalServerError {
 			return rejected, nil
 		}
-		if rejected.Status != http.StatusServiceUnavailable {
+		if rejected.StatusCode != http.StatusServiceUnavailable {
 			return nil, err
 		}
 		select {
--- a/lab/rollout/rollout.go
+++ b/lab/rollout/rollout.go
@@ -28,24 +28,24 @@
 
 // Size says how large a run is.
 type Size struct {
-	Gateways       int
-	Hosts          int
-	Publishers     int
-	Rate           float64 // clients' requests a second
-	Seed           uint64
-	ElectionMS     int           // without contact to the leading publisher before another is elected
-	ChangeInterval time.Duration // between two changes
-	Burst          int           // changes that are published without a pause
-	Outage         time.Duration // length of a long fault
+	Gateways          int
+	Hosts             int
+	Publishers        int
+	Rate              float64 // clients' requests a second
+	Seed              uint64
+	ElectionTimeoutMS int           // without contact to the leading publisher before another is elected
+	ChangeInterval    time.Duration // between two changes
+	Burst             int           // changes that are published without a pause
+	OutageDuration    time.Duration // length of a long fault
 }
 
 // Scenario is one run as data: how large it is, what is done in which order, and what must hold at the end.
 type Scenario struct {
-	Name   string
-	Size   Size
-	Quiet  bool // only steps publish changes
-	Steps  []Step
-	Checks []Check // beside CommonChecks
+	Name             string
+	Size             Size
+	NoRoutineChanges bool // only steps publish changes
+	Steps            []Step
+	Checks           []Check // beside CommonChecks
 }
 
 // Step is something that is done and waited for. Steps follow each other by state, not by time.
@@ -56,12 +56,12 @@
 
 // Run is one run of a scenario.
 type Run struct {
-	Scenario   *Scenario
-	Fleet      *fleet.Fleet
-	Publishers *Publishers
-	Record     Record
-	LoadReport *fleet.Report // of the clients' requests
-	Stages     []Stage
+	Scenario    *Scenario
+	Fleet       *fleet.Fleet
+	Publishers  *PublisherGroup
+	Record      Record
+	LoadReport  *fleet.Report // of the clients' requests
+	StepTimings []StepTiming
 
 	publishersBefore []fleet.Usage // as the first version was published
 	publishersAfter  []fleet.Usage // as the load ended
@@ -71,8 +71,8 @@
 	probes  atomic.Int64 // sent so far
 }
 
-// Stage is a step that was run.
-type Stage struct {
+// StepTiming is a step that was run.
+type StepTiming struct {
 	Description string
 	Start       time.Time
 	End         time.Time
@@ -125,11 +125,11 @@
 		r.Record.Histories = append(r.Record.Histories, &History{})
 	}
 	var err error
-	r.Publishers, err = NewPublishers(ctx, GroupOptions{
-		Count:      r.Scenario.Size.Publishers,
-		Dir:        filepath.Join(f.Dir, "publishers"),
-		Relay:      f.Relay,
-		ElectionMS: r.Scenario.Size.ElectionMS,
+	r.Publishers, err = NewPublisherGroup(ctx, PublisherGroupOptions{
+		Count:             r.Scenario.Size.Publishers,
+		Dir:               filepath.Join(f.Dir, "publishers"),
+		Relay:             f.Relay,
+		ElectionTimeoutMS: r.Scenario.Size.ElectionTimeoutMS,
 	})
 	return err
 }
@@ -166,7 +166,7 @@
 // steps returns the scenario's steps between the publication of the first version and the wait for the last one.
 func (r *Run) steps() (steps []fleet.Step) {
 	all := []Step{firstVersion()}
-	if !r.Scenario.Quiet {
+	if !r.Scenario.NoRoutineChanges {
 		all = append(all, startChanges())
 	}
 	all = append(all, r.Scenario.Steps...)
@@ -184,7 +184,7 @@
 func (r *Run) runStep(ctx context.Context, step Step) error {
 	start := time.Now()
 	err := step.Run(ctx, r)
-	r.Stages = append(r.Stages, Stage{step.Description, start, time.Now()})
+	r.StepTimings = append(r.StepTimings, StepTiming{step.Description, start, time.Now()})
 	if err != nil && r.changes != nil {
 		err = errors.Join(err, r.changes.stop())
 	}
--- a/lab/rollout/rollout_test.go
+++ b/lab/rollout/rollout_test.go
@@ -27,13 +27,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	defer cancel()
 	run, violations, err := scenario.Run(ctx)
-	for _, stage := range run.Stages {
+	for _, stage := range run.StepTimings {
 		t.Logf("%6.2f s %s", stage.End.Sub(stage.Start).Seconds(), stage.Description)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, answer := range run.Publishers.SlowAnswers() {
+	for _, answer := range run.Publishers.SlowResponses() {
 		t.Log(answer)
 	}
 	for _, violation := range violations {
@@ -46,13 +46,13 @@
 
 // The cases of the whole fleet run one after the other with the same processes.
 func TestChecksHoldInFleetCases(t *testing.T) {
-	scenario := Join("whole fleet", FleetCases(Large())...)
+	scenario := JoinScenarios("whole fleet", FleetCases(LargeSize())...)
 	runScenario(t, &scenario)
 }
 
 // The cases of one gateway or one publisher run several at a time.
 func TestChecksHoldInSmallCases(t *testing.T) {
-	for _, scenario := range Cases(Small()) {
+	for _, scenario := range SingleProcessCases(SmallSize()) {
 		t.Run(scenario.Name, func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, &scenario)
--- a/lab/rollout/steps.go
+++ b/lab/rollout/steps.go
@@ -169,7 +169,7 @@
 // is in force everywhere.
 func PublishBurst() Step {
 	return Step{"burst", func(ctx context.Context, r *Run) error {
-		leader, err := r.Publishers.Leader(ctx)
+		leader, err := r.Publishers.WaitLeader(ctx)
 		if err != nil {
 			return err
 		}
--- a/lab/scale/axes.go
+++ b/lab/scale/axes.go
@@ -15,8 +15,8 @@
 
 // Durations of measurements, in simulated time.
 var (
-	standardLengths = Lengths{Settle: 3 * time.Second, Idle: 10 * time.Second, Load: 20 * time.Second}
-	shortLengths    = Lengths{Settle: 3 * time.Second, Idle: 5 * time.Second, Load: 5 * time.Second}
+	standardLengths = Durations{Settle: 3 * time.Second, Idle: 10 * time.Second, Load: 20 * time.Second}
+	shortLengths    = Durations{Settle: 3 * time.Second, Idle: 5 * time.Second, Load: 5 * time.Second}
 )
 
 // withChange returns the base deployment with a change.
@@ -60,10 +60,10 @@
 				d.Customers = 16
 				d.RequestRate = 2
 			}),
-			Set:     setGateways,
-			Sizes:   []float64{24, 96, 375, 1500, 6000},
-			Target:  6000,
-			Lengths: shortLengths,
+			Set:       setGateways,
+			Sizes:     []float64{24, 96, 375, 1500, 6000},
+			Target:    6000,
+			Durations: shortLengths,
 		},
 		{
 			Name: "hosts",
@@ -72,10 +72,10 @@
 				d.Gateways = 2
 				d.HostChanges = 2
 			}),
-			Set:     setHosts,
-			Sizes:   hostSizes,
-			Target:  87000,
-			Lengths: shortLengths,
+			Set:       setHosts,
+			Sizes:     hostSizes,
+			Target:    87000,
+			Durations: shortLengths,
 		},
 		{
 			Name: "hosts before a fleet of 6000",
@@ -85,10 +85,10 @@
 				d.Members = 6000
 				d.HostChanges = 2
 			}),
-			Set:     setHosts,
-			Sizes:   hostSizes,
-			Target:  87000,
-			Lengths: shortLengths,
+			Set:       setHosts,
+			Sizes:     hostSizes,
+			Target:    87000,
+			Durations: shortLengths,
 		},
 		{
 			Name: "services",
@@ -96,10 +96,10 @@
 			Base: withChange(func(d *Deployment) {
 				d.Hosts = 2048
 			}),
-			Set:     setHostGroups,
-			Sizes:   []float64{4, 16, 64, 256, 1024},
-			Target:  2900,
-			Lengths: shortLengths,
+			Set:       setHostGroups,
+			Sizes:     []float64{4, 16, 64, 256, 1024},
+			Target:    2900,
+			Durations: shortLengths,
 		},
 	}
 }
@@ -109,22 +109,22 @@
 	fewGateways := withChange(func(d *Deployment) { d.Gateways = 2 })
 	return []Axis{
 		{
-			Name:    "quota plans",
-			Note:    "54,000 is the size asked for; the operators name 270,000 tenants",
-			Base:    fewGateways,
-			Set:     setPlans,
-			Sizes:   []float64{250, 1000, 4000, 8000, 54000, 270000},
-			Target:  270000,
-			Lengths: shortLengths,
+			Name:      "quota plans",
+			Note:      "54,000 is the size asked for; the operators name 270,000 tenants",
+			Base:      fewGateways,
+			Set:       setPlans,
+			Sizes:     []float64{250, 1000, 4000, 8000, 54000, 270000},
+			Target:    270000,
+			Durations: shortLengths,
 		},
 		{
-			Name:    "request classes",
-			Note:    "stand for routes",
-			Base:    fewGateways,
-			Set:     setClasses,
-			Sizes:   []float64{16, 64, 256, 1024, 4096, 54000},
-			Target:  54000,
-			Lengths: shortLengths,
+			Name:      "request classes",
+			Note:      "stand for routes",
+			Base:      fewGateways,
+			Set:       setClasses,
+			Sizes:     []float64{16, 64, 256, 1024, 4096, 54000},
+			Target:    54000,
+			Durations: shortLengths,
 		},
 	}
 }
@@ -133,23 +133,23 @@
 func loadAxes() []Axis {
 	return []Axis{
 		{
-			Name:    "customers",
-			Note:    "each is known at all 16 gateways, and each gateway admitted one request of it",
-			Base:    baseDeployment,
-			Set:     setCustomers,
-			Sizes:   []float64{64, 256, 1024, 4096, 16384},
-			Target:  270000,
-			Lengths: standardLengths,
+			Name:      "customers",
+			Note:      "each is known at all 16 gateways, and each gateway admitted one request of it",
+			Base:      baseDeployment,
+			Set:       setCustomers,
+			Sizes:     []float64{64, 256, 1024, 4096, 16384},
+			Target:    270000,
+			Durations: standardLengths,
 		},
 		{
-			Name:    "requests a second",
-			Unit:    "1/s a gateway",
-			Note:    "the target is the even part of 1.7 million",
-			Base:    withChange(func(d *Deployment) { d.Gateways = 4 }),
-			Set:     setRequestRate,
-			Sizes:   []float64{4, 16, 64, 256, 1024},
-			Target:  283,
-			Lengths: standardLengths,
+			Name:      "requests a second",
+			Unit:      "1/s a gateway",
+			Note:      "the target is the even part of 1.7 million",
+			Base:      withChange(func(d *Deployment) { d.Gateways = 4 }),
+			Set:       setRequestRate,
+			Sizes:     []float64{4, 16, 64, 256, 1024},
+			Target:    283,
+			Durations: standardLengths,
 		},
 	}
 }
@@ -165,20 +165,20 @@
 				d.Hosts = 1024
 				d.RequestRate = 2
 			}),
-			Set:     setHostChanges,
-			Sizes:   []float64{0.5, 2, 8, 32, 128},
-			Target:  0.17,
-			Lengths: standardLengths,
+			Set:       setHostChanges,
+			Sizes:     []float64{0.5, 2, 8, 32, 128},
+			Target:    0.17,
+			Durations: standardLengths,
 		},
 		{
-			Name:    "configuration changes a second",
-			Unit:    "1/s",
-			Note:    "each restarts all gateways, as the program needs it",
-			Base:    withChange(func(d *Deployment) { d.RequestRate = 2 }),
-			Set:     setConfigChanges,
-			Sizes:   []float64{0.25, 1, 4, 16},
-			Target:  0.23,
-			Lengths: standardLengths,
+			Name:      "configuration changes a second",
+			Unit:      "1/s",
+			Note:      "each restarts all gateways, as the program needs it",
+			Base:      withChange(func(d *Deployment) { d.RequestRate = 2 }),
+			Set:       setConfigChanges,
+			Sizes:     []float64{0.25, 1, 4, 16},
+			Target:    0.23,
+			Durations: standardLengths,
 		},
 		{
 			Name: "live configuration changes a second",
@@ -188,10 +188,10 @@
 				d.RequestRate = 2
 				d.Live = true
 			}),
-			Set:     setConfigChanges,
-			Sizes:   []float64{0.25, 1, 4, 16, 64},
-			Target:  0.23,
-			Lengths: standardLengths,
+			Set:       setConfigChanges,
+			Sizes:     []float64{0.25, 1, 4, 16, 64},
+			Target:    0.23,
+			Durations: standardLengths,
 		},
 		{
 			Name: "live quota plans",
@@ -201,10 +201,10 @@
 				d.Live = true
 				d.ConfigurationChanges = 10
 			}),
-			Set:     setPlans,
-			Sizes:   []float64{250, 1000, 4000, 16000, 54000},
-			Target:  54000,
-			Lengths: shortLengths,
+			Set:       setPlans,
+			Sizes:     []float64{250, 1000, 4000, 16000, 54000},
+			Target:    54000,
+			Durations: shortLengths,
 		},
 	}
 }
@@ -221,10 +221,10 @@
 				d.Customers = 256
 				d.RequestRate = 2
 			}),
-			Set:     setRestarts,
-			Sizes:   []float64{0.25, 1, 4, 16},
-			Target:  0.17,
-			Lengths: standardLengths,
+			Set:       setRestarts,
+			Sizes:     []float64{0.25, 1, 4, 16},
+			Target:    0.17,
+			Durations: standardLengths,
 		},
 		{
 			Name: "gateways restarted at once",
@@ -235,10 +235,10 @@
 				d.Customers = 64
 				d.RequestRate = 2
 			}),
-			Set:     setAtOnce,
-			Sizes:   []float64{2, 10, 40, 200},
-			Target:  200,
-			Lengths: shortLengths,
+			Set:       setAtOnce,
+			Sizes:     []float64{2, 10, 40, 200},
+			Target:    200,
+			Durations: shortLengths,
 		},
 	}
 }
--- a/lab/scale/axis.go
+++ b/lab/scale/axis.go
@@ -13,26 +13,26 @@
 
 // Axis is one size that is varied while the others stay.
 type Axis struct {
-	Name    string
-	Unit    string
-	Note    string // what a reader must know of it
-	Base    Deployment
-	Set     func(d *Deployment, size float64)
-	Sizes   []float64 // ascending
-	Target  float64   // the operators' size; 0 they name none
-	Lengths Lengths
+	Name      string
+	Unit      string
+	Note      string // what a reader must know of it
+	Base      Deployment
+	Set       func(d *Deployment, size float64)
+	Sizes     []float64 // ascending
+	Target    float64   // the operators' size; 0 they name none
+	Durations Durations
 }
 
 // Point is what was measured at one size.
 type Point struct {
-	Size    float64 `json:"size"`
-	Figures Figures `json:"figures,omitempty"`
-	NotRun  string  `json:"not_run,omitempty"` // why not
-	Seconds float64 `json:"took_s"`            // of the machine's time
+	Size       float64 `json:"size"`
+	Figures    Figures `json:"figures,omitempty"`
+	SkipReason string  `json:"not_run,omitempty"` // why not
+	Seconds    float64 `json:"took_s"`            // of the machine's time
 }
 
-// Growth is the points of an axis and how each metric grows.
-type Growth struct {
+// AxisResult is the points of an axis and how each metric grows.
+type AxisResult struct {
 	Name   string         `json:"axis"`
 	Unit   string         `json:"unit"`
 	Note   string         `json:"note,omitempty"`
@@ -44,11 +44,11 @@
 
 // Run measures all sizes of the axis. A size that would take longer than most, by the growth so far, is not run, nor
 // is any after it; the point says why.
-func (a Axis) Run(most time.Duration, options Options) (growth Growth, err error) {
-	growth = Growth{Name: a.Name, Unit: a.Unit, Note: a.Note, Base: a.Base, Target: a.Target}
+func (a Axis) Run(most time.Duration, options Options) (growth AxisResult, err error) {
+	growth = AxisResult{Name: a.Name, Unit: a.Unit, Note: a.Note, Base: a.Base, Target: a.Target}
 	for _, size := range a.Sizes {
 		if why := growth.tooLong(size, most); why != "" {
-			growth.Points = append(growth.Points, Point{Size: size, NotRun: why})
+			growth.Points = append(growth.Points, Point{Size: size, SkipReason: why})
 			continue
 		}
 		point, err := a.measure(size, options)
@@ -67,14 +67,14 @@
 	deployment := a.Base
 	a.Set(&deployment, size)
 	start := time.Now()
-	figures, err := Measure(deployment, a.Lengths, options)
+	figures, err := Measure(deployment, a.Durations, options)
 	if err != nil {
 		return Point{}, err
 	}
 	seconds := time.Since(start).Seconds()
 	if seconds < shortPoint {
 		for range options.Repeats - 1 {
-			other, err := Measure(deployment, a.Lengths, options)
+			other, err := Measure(deployment, a.Durations, options)
 			if err != nil {
 				return Point{}, err
 			}
@@ -86,13 +86,13 @@
 
 // tooLong returns why a size is not run: it would take longer than most, by the growth between the two sizes before
 // it, which is taken as quadratic at most. "" means that it is run.
-func (g *Growth) tooLong(size float64, most time.Duration) string {
+func (g *AxisResult) tooLong(size float64, most time.Duration) string {
 	count := len(g.Points)
 	if count == 0 {
 		return ""
 	}
 	last := g.Points[count-1]
-	if last.NotRun != "" {
+	if last.SkipReason != "" {
 		return "the size before was not run"
 	}
 	power := 1.0
@@ -109,7 +109,7 @@
 }
 
 // fit fits each metric that was measured at three sizes or more.
-func (g *Growth) fit() {
+func (g *AxisResult) fit() {
 	g.Fits = map[string]Fit{}
 	for _, metric := range Metrics() {
 		var sizes, figures []float64
--- a/lab/scale/clock.go
+++ b/lab/scale/clock.go
@@ -7,18 +7,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Work is a kind of work of a gateway whose processor time is measured separately.
-type Work int
+// WorkKind is a kind of work of a gateway whose processor time is measured separately.
+type WorkKind int
 
 // Kinds of work.
 const (
-	Start Work = iota // from reading the configuration file up to the first list's end
-	Tick
-	Message      // one received
-	Arrival      // a request, up to its decision
-	Answer       // of a host
-	Membership   // a change of the host list
-	Reconfigured // a change of the configuration
+	WorkStart WorkKind = iota // from reading the configuration file up to the first list's end
+	WorkTimer
+	WorkMessage       // one received
+	WorkRequest       // a request, up to its decision
+	WorkAnswer        // of a host
+	WorkHostList      // a change of the host list
+	WorkConfiguration // a change of the configuration
 	workKinds
 )
 
@@ -45,7 +45,7 @@
 }
 
 // Measure does some work and returns its processor time.
-func (p *CPUMeter) Measure(kind Work, work func()) time.Duration {
+func (p *CPUMeter) Measure(kind WorkKind, work func()) time.Duration {
 	took := max(threadTime(work)-p.overhead, 0)
 	p.durations[kind] = append(p.durations[kind], took)
 	return took
@@ -55,7 +55,7 @@
 func (p *CPUMeter) Reset() { p.durations = [workKinds][]time.Duration{} }
 
 // Total returns the processor time of a kind of work, and how often it was done.
-func (p *CPUMeter) Total(kind Work) (total time.Duration, times int) {
+func (p *CPUMeter) Total(kind WorkKind) (total time.Duration, times int) {
 	for _, one := range p.durations[kind] {
 		total += one
 	}
@@ -63,7 +63,7 @@
 }
 
 // Sum returns the processor time of several kinds of work.
-func (p *CPUMeter) Sum(kinds ...Work) (total time.Duration) {
+func (p *CPUMeter) Sum(kinds ...WorkKind) (total time.Duration) {
 	for _, kind := range kinds {
 		one, _ := p.Total(kind)
 		total += one
@@ -72,7 +72,7 @@
 }
 
 // Min returns the least processor time of a kind of work; 0 if none was done.
-func (p *CPUMeter) Min(kind Work) time.Duration {
+func (p *CPUMeter) Min(kind WorkKind) time.Duration {
 	if len(p.durations[kind]) == 0 {
 		return 0
 	}
@@ -80,7 +80,7 @@
 }
 
 // Mean returns the mean processor time of a kind of work, in nanoseconds; 0 if none was done.
-func (p *CPUMeter) Mean(kind Work) float64 {
+func (p *CPUMeter) Mean(kind WorkKind) float64 {
 	total, times := p.Total(kind)
 	return float64(total) / float64(max(times, 1))
 }
--- a/lab/scale/fit.go
+++ b/lab/scale/fit.go
@@ -49,7 +49,7 @@
 	Offset      float64 `json:"at"`
 	Slope       float64 `json:"per"`
 	Error       float64 `json:"error"` // of the form: root mean square of the relative deviations
-	Bends       bool    `json:"bends"` // no form fits
+	NoFormFits  bool    `json:"bends"` // no form fits
 }
 
 // NewFit fits figures of at least three ascending sizes. counted reports that they are counts, not processor time.
@@ -78,7 +78,7 @@
 			f.Form, f.Offset, f.Slope, f.Error = one.form, at, per, off
 		}
 	}
-	f.Bends = f.Error > maxFormError
+	f.NoFormFits = f.Error > maxFormError
 	return f
 }
 
@@ -90,7 +90,7 @@
 			figure += f.Slope * one.of(size)
 		}
 	}
-	return figure, !f.Bends
+	return figure, !f.NoFormFits
 }
 
 // exponent fits a power of the size to the figures, and returns it with the standard deviation of the logarithms.
--- a/lab/scale/follow.go
+++ b/lab/scale/follow.go
@@ -81,7 +81,7 @@
 }
 
 // follow has the gateway apply versions, by the rules of package configsync and with the decoded configuration.
-func (h *Hollow) follow() {
+func (h *HollowGateway) follow() {
 	h.live = config.NewLive(h.configuration)
 	h.follower = configsync.NewFollower(configsync.FollowerConfig{Member: h.Index(), Name: h.configuration.Name,
 		Publishers: len(h.configuration.Configuration.Publishers)}, configsync.NewDocument(""), rand.New(rand.NewPCG(1, 1)))
@@ -89,7 +89,7 @@
 }
 
 // ReceiveVersion receives frames of a publisher and puts the version in them in force.
-func (h *Hollow) ReceiveVersion(frames ...[]byte) error {
+func (h *HollowGateway) ReceiveVersion(frames ...[]byte) error {
 	for _, frame := range frames {
 		h.ConfigurationIn += len(frame)
 		message, err := configsync.Decode(frame)
@@ -110,7 +110,7 @@
 }
 
 // putInForce applies an update. What the gateway would store on disk is encoded and dropped.
-func (h *Hollow) putInForce(update *configsync.Update) error {
+func (h *HollowGateway) putInForce(update *configsync.Update) error {
 	revision, err := h.live.Apply(update.Changes, update.From == 0)
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 // publishAll sends frames to all gateways.
 func (s *Simulation) publishAll(frames ...[]byte) error {
 	for _, h := range s.gateways {
-		s.process(Reconfigured, h, func() { s.setError(h.ReceiveVersion(frames...)) })
+		s.process(WorkConfiguration, h, func() { s.setError(h.ReceiveVersion(frames...)) })
 	}
 	return s.err
 }
--- a/lab/scale/full_test.go
+++ b/lab/scale/full_test.go
@@ -28,7 +28,7 @@
 	}
 	report := NewReport("go test " + strings.Join(os.Args[1:], " "))
 	if strings.Contains("real and hollow", *axes) {
-		report.Compared = append(report.Compared, compareFullSize(t))
+		report.Comparisons = append(report.Comparisons, compareFullSize(t))
 	}
 	for _, axis := range Axes() {
 		if strings.Contains(axis.Name, *axes) {
@@ -47,7 +47,7 @@
 		}
 	}
 	save(t, report)
-	report.Text(os.Stdout)
+	report.WriteText(os.Stdout)
 }
 
 // must ends the test at an error.
@@ -72,7 +72,7 @@
 	report, err := ReadReport(*from)
 	must(t, err)
 	save(t, report)
-	report.Text(os.Stdout)
+	report.WriteText(os.Stdout)
 }
 
 // compareFullSize compares real and hollow gateways.
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -24,11 +24,11 @@
 // connectionsPerSocket is the part of a gateway's sockets that its connections to hosts may use, as in package node.
 const connectionsPerSocket = 0.4
 
-// Outside carries out what a hollow gateway decides, in place of sockets.
-type Outside interface {
-	Send(from *Hollow, peer int, body []byte)
-	Attempt(from *Hollow, request string, host uint32, attempt int)
-	Closed(from *Hollow, request string, outcome Outcome)
+// Driver carries out what a hollow gateway decides, in place of sockets.
+type Driver interface {
+	SendMessage(from *HollowGateway, peer int, body []byte)
+	StartAttempt(from *HollowGateway, request string, host uint32, attempt int)
+	RequestClosed(from *HollowGateway, request string, outcome Outcome)
 }
 
 // Outcome is how the gateway closed a request by itself.
@@ -52,11 +52,11 @@
 	ConfigurationOut int // bytes of acknowledgements
 }
 
-// Hollow is one gateway without sockets to clients and hosts. It does what node.Node does between its sockets and the
+// HollowGateway is one gateway without sockets to clients and hosts. It does what node.Node does between its sockets and the
 // decision module. Its fields belong to one goroutine.
-type Hollow struct {
+type HollowGateway struct {
 	Counts
-	outside       Outside
+	outside       Driver
 	configuration *config.Config
 	module        *logic.Gateway
 	messageFormat gossip.Format // of the messages from peers
@@ -73,9 +73,9 @@
 	badLists      int
 }
 
-// NewHollow starts a gateway with a configuration as the program does, and passes the known host list to the module.
-func NewHollow(configuration *config.Config, outside Outside, now int64) *Hollow {
-	h := &Hollow{outside: outside, configuration: configuration, now: now, attempts: map[string]int{}}
+// NewHollowGateway starts a gateway with a configuration as the program does, and passes the known host list to the module.
+func NewHollowGateway(configuration *config.Config, outside Driver, now int64) *HollowGateway {
+	h := &HollowGateway{outside: outside, configuration: configuration, now: now, attempts: map[string]int{}}
 	h.messageFormat = messageForm(configuration)
 	h.module = logic.New(configuration.Seed, configuration.Membership, configuration.Classes, configuration.Plans,
 		configuration.Limits, configuration.SlowStart, configuration.LoadReport)
@@ -105,14 +105,14 @@
 }
 
 // Index returns the gateway's member index.
-func (h *Hollow) Index() int { return h.configuration.Membership.Index }
+func (h *HollowGateway) Index() int { return h.configuration.Membership.Index }
 
-// Customers returns the number of customers that the gateway has a record of.
-func (h *Hollow) Customers() int { return h.module.Gauges().Customers }
+// CustomerCount returns the number of customers that the gateway has a record of.
+func (h *HollowGateway) CustomerCount() int { return h.module.Gauges().Customers }
 
 // ApplyHostList applies a host list or changes of it, as discovery sends them. cached reports that it comes from the
 // configuration and may be out of date.
-func (h *Hollow) ApplyHostList(text string, cached bool) {
+func (h *HollowGateway) ApplyHostList(text string, cached bool) {
 	place := func(host uint32, address netip.AddrPort) { h.connections.SetAddress(host, address) }
 	kind, listings, _, err := h.endpoints.Decode(text, place)
 	if err != nil {
@@ -134,8 +134,8 @@
 	h.listEvents = append(h.listEvents, gateway.Event{Kind: gateway.EndpointsListed, ListKind: kind, Endpoints: listings})
 }
 
-// Receive receives a message of a peer. A malformed one is dropped, as the program's socket drops it.
-func (h *Hollow) Receive(peer int, body []byte) {
+// ReceiveMessage receives a message of a peer. A malformed one is dropped, as the program's socket drops it.
+func (h *HollowGateway) ReceiveMessage(peer int, body []byte) {
 	wellFormed := false
 	h.messageFormat.Decode(body, func(uint64, uint64) bool {
 		wellFormed = true
@@ -149,8 +149,8 @@
 	h.events = append(h.events, gateway.Event{Kind: gateway.GossipReceived, Peer: peer, Message: body})
 }
 
-// Request receives a request of a simulated client.
-func (h *Hollow) Request(request Request) {
+// ReceiveRequest receives a request of a simulated client.
+func (h *HollowGateway) ReceiveRequest(request Request) {
 	h.attempts[request.ID] = 0
 	h.events = append(h.events, gateway.Event{
 		Kind:         gateway.RequestArrived,
@@ -166,7 +166,7 @@
 }
 
 // EndAttempt receives a simulated host's successful answer to an attempt, with its latency.
-func (h *Hollow) EndAttempt(request string, host uint32, attempt int, latency time.Duration) {
+func (h *HollowGateway) EndAttempt(request string, host uint32, attempt int, latency time.Duration) {
 	delete(h.attempts, request)
 	h.events = append(h.events, gateway.Event{
 		Kind:       gateway.AttemptEnded,
@@ -181,10 +181,10 @@
 }
 
 // NextTimer returns when the gateway's timer is due; 0: never.
-func (h *Hollow) NextTimer() int64 { return h.wakeAt }
+func (h *HollowGateway) NextTimer() int64 { return h.wakeAt }
 
 // Process runs what is due and has the module decide on all events.
-func (h *Hollow) Process(now int64) {
+func (h *HollowGateway) Process(now int64) {
 	h.now = now
 	if h.wakeAt > 0 && now >= h.wakeAt {
 		h.wakeAt = 0
@@ -206,48 +206,48 @@
 }
 
 // SendGossip sends a message to a peer.
-func (h *Hollow) SendGossip(peer int, body []byte) {
+func (h *HollowGateway) SendGossip(peer int, body []byte) {
 	h.MessagesOut++
 	h.BytesOut += len(body)
-	h.outside.Send(h, peer, body)
+	h.outside.SendMessage(h, peer, body)
 }
 
 // StartAttempt makes an attempt of a request at a host.
-func (h *Hollow) StartAttempt(request string, host uint32, _ time.Duration) {
+func (h *HollowGateway) StartAttempt(request string, host uint32, _ time.Duration) {
 	attempt := h.attempts[request]
 	h.attempts[request]++
-	h.outside.Attempt(h, request, host, attempt)
+	h.outside.StartAttempt(h, request, host, attempt)
 }
 
 // Reject rejects a request.
-func (h *Hollow) Reject(request string, _ time.Duration) { h.close(request, Rejected) }
+func (h *HollowGateway) Reject(request string, _ time.Duration) { h.close(request, Rejected) }
 
 // Fail fails a request.
-func (h *Hollow) Fail(request string) { h.close(request, Failed) }
+func (h *HollowGateway) Fail(request string) { h.close(request, Failed) }
 
 // close ends a request.
-func (h *Hollow) close(request string, outcome Outcome) {
+func (h *HollowGateway) close(request string, outcome Outcome) {
 	delete(h.attempts, request)
-	h.outside.Closed(h, request, outcome)
+	h.outside.RequestClosed(h, request, outcome)
 }
 
 // SetTimer sets the module's timer.
-func (h *Hollow) SetTimer(after time.Duration) { h.wakeAt = int64(h.batch.Now.Add(after)) }
+func (h *HollowGateway) SetTimer(after time.Duration) { h.wakeAt = int64(h.batch.Now.Add(after)) }
 
 // AddToCounter answers that there is no shared counter, as the program does if none is configured.
-func (h *Hollow) AddToCounter(name uint64, _ float64, _ time.Duration) {
+func (h *HollowGateway) AddToCounter(name uint64, _ float64, _ time.Duration) {
 	h.events = append(h.events, gateway.Event{Kind: gateway.CounterReplied, CounterName: name,
 		Result: gateway.Unreachable})
 }
 
 // CancelAttempt does nothing: a simulated host answers nevertheless.
-func (h *Hollow) CancelAttempt(string, int) {}
+func (h *HollowGateway) CancelAttempt(string, int) {}
 
 // SendProbe does nothing: simulated hosts report their load with answers.
-func (h *Hollow) SendProbe(uint32) {}
+func (h *HollowGateway) SendProbe(uint32) {}
 
 // WatchEndpoints does nothing: the simulated discovery pushes changes.
-func (h *Hollow) WatchEndpoints() {}
+func (h *HollowGateway) WatchEndpoints() {}
 
 // LogNote does nothing: a hollow gateway writes no log.
-func (h *Hollow) LogNote(string) {}
+func (h *HollowGateway) LogNote(string) {}
--- a/lab/scale/hollow/main.go
+++ b/lab/scale/hollow/main.go
@@ -18,10 +18,10 @@
 func main() {
 	runtime.GOMAXPROCS(1) // as the program
 	debug.SetGCPercent(gcPercent)
-	greeting := scale.Greeting{IdleHeap: scale.HeapInUse()}
+	greeting := scale.Greeting{IdleHeap: scale.LiveHeapBytes()}
 	var gateways []*scale.RealTimeGateway
 	for _, file := range os.Args[1:] {
-		gateway, err := scale.Serve(environment(file))
+		gateway, err := scale.StartRealTimeGateway(environment(file))
 		if err != nil {
 			log.Fatal(err)
 		}
@@ -66,7 +66,7 @@
 		status.Counts = append(status.Counts, gateway.Counts())
 	}
 	if query.Heap {
-		status.LiveHeap = scale.HeapInUse()
+		status.LiveHeap = scale.LiveHeapBytes()
 	}
 	return status
 }
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -28,59 +28,59 @@
 // Names of metrics. Windows of time are: rest (no customer known, no request), known (all customers known, no request)
 // and load (requests and changes as the deployment says).
 const (
-	LiveHeap          = "live_heap"
-	StartTime         = "start_processor"
-	StartAllocated    = "start_allocated"
-	RestMessages      = "rest_messages_out"
-	RestBytes         = "rest_bytes_out"
-	RestShare         = "rest_processor"
-	KnownMessages     = "known_messages_out"
-	KnownBytes        = "known_bytes_out"
-	KnownShare        = "known_processor"
-	LoadMessages      = "load_messages_out"
-	LoadBytes         = "load_bytes_out"
-	LoadMessagesIn    = "load_messages_in"
-	LoadBytesIn       = "load_bytes_in"
-	LoadShare         = "load_processor"
-	LoadAllocated     = "load_allocated"
-	TickTime          = "tick_processor"
-	MessageTime       = "message_processor"
-	RequestTime       = "request_processor"
-	MembershipTime    = "membership_processor"
-	ConfigurationTime = "configuration_processor"
-	ConfigurationIn   = "configuration_bytes_in"
-	DecisionMedian    = "decision_p50"
-	DecisionTail      = "decision_p99"
-	CustomersKnown    = "customers_known"
-	RejectedFraction  = "rejected"
+	LiveHeap             = "live_heap"
+	StartCPU             = "start_processor"
+	StartAllocated       = "start_allocated"
+	RestMessages         = "rest_messages_out"
+	RestBytes            = "rest_bytes_out"
+	RestCPU              = "rest_processor"
+	KnownMessages        = "known_messages_out"
+	KnownBytes           = "known_bytes_out"
+	KnownCPU             = "known_processor"
+	LoadMessages         = "load_messages_out"
+	LoadBytes            = "load_bytes_out"
+	LoadMessagesIn       = "load_messages_in"
+	LoadBytesIn          = "load_bytes_in"
+	LoadCPU              = "load_processor"
+	LoadAllocated        = "load_allocated"
+	TimerCPU             = "tick_processor"
+	MessageCPU           = "message_processor"
+	RequestCPU           = "request_processor"
+	HostListCPU          = "membership_processor"
+	ConfigurationCPU     = "configuration_processor"
+	ConfigurationBytesIn = "configuration_bytes_in"
+	DecisionP50          = "decision_p50"
+	DecisionP99          = "decision_p99"
+	CustomersKnown       = "customers_known"
+	RejectedFraction     = "rejected"
 )
 
 // Metrics returns all figures of a point, in the order of the report.
 func Metrics() []Metric {
 	return []Metric{
 		{LiveHeap, "bytes", "live heap after a collection, at the end", true},
-		{StartTime, "s", "processor time from the configuration file to the first list's end, least of the starts", false},
+		{StartCPU, "s", "processor time from the configuration file to the first list's end, least of the starts", false},
 		{StartAllocated, "bytes", "allocated during the start", true},
 		{RestMessages, "1/s", "messages sent at rest, no customer known", true},
 		{RestBytes, "bytes/s", "bytes of these", true},
-		{RestShare, "core", "processor time at rest", false},
+		{RestCPU, "core", "processor time at rest", false},
 		{KnownMessages, "1/s", "messages sent with all customers known and no request", true},
 		{KnownBytes, "bytes/s", "bytes of these", true},
-		{KnownShare, "core", "processor time then", false},
+		{KnownCPU, "core", "processor time then", false},
 		{LoadMessages, "1/s", "messages sent under load", true},
 		{LoadBytes, "bytes/s", "bytes of these", true},
 		{LoadMessagesIn, "1/s", "messages received under load", true},
 		{LoadBytesIn, "bytes/s", "bytes of these", true},
-		{LoadShare, "core", "processor time under load", false},
+		{LoadCPU, "core", "processor time under load", false},
 		{LoadAllocated, "bytes/s", "allocated under load, the simulation's own part included", true},
-		{TickTime, "us", "processor time of a timer's batch, mean under load", false},
-		{MessageTime, "us", "processor time of a message received, mean under load", false},
-		{RequestTime, "us", "processor time of a request and its answer, mean", false},
-		{MembershipTime, "us", "processor time of a change of the host list, mean", false},
-		{ConfigurationTime, "us", "processor time of a change of the configuration, mean", false},
-		{ConfigurationIn, "bytes/s", "versions of the configuration received, heartbeats left out", true},
-		{DecisionMedian, "us", "from a request's arrival to its decision, median, behind the gateway's other work", false},
-		{DecisionTail, "us", "the same, 99 in 100", false},
+		{TimerCPU, "us", "processor time of a timer's batch, mean under load", false},
+		{MessageCPU, "us", "processor time of a message received, mean under load", false},
+		{RequestCPU, "us", "processor time of a request and its answer, mean", false},
+		{HostListCPU, "us", "processor time of a change of the host list, mean", false},
+		{ConfigurationCPU, "us", "processor time of a change of the configuration, mean", false},
+		{ConfigurationBytesIn, "bytes/s", "versions of the configuration received, heartbeats left out", true},
+		{DecisionP50, "us", "from a request's arrival to its decision, median, behind the gateway's other work", false},
+		{DecisionP99, "us", "the same, 99 in 100", false},
 		{CustomersKnown, "", "customers that a gateway has a record of, mean", true},
 		{RejectedFraction, "", "part of the requests under load that the gateway rejected or failed", true},
 	}
@@ -98,8 +98,8 @@
 	}
 }
 
-// Lengths are durations of the parts of a measurement in simulated time.
-type Lengths struct {
+// Durations are durations of the parts of a measurement in simulated time.
+type Durations struct {
 	Settle time.Duration // before each window
 	Idle   time.Duration // windows without load
 	Load   time.Duration // window of the load
@@ -107,7 +107,7 @@
 
 // Measure runs a deployment and returns what one gateway of it needs: means over all, unless the metric says
 // otherwise.
-func Measure(d Deployment, lengths Lengths, options Options) (figures Figures, err error) {
+func Measure(d Deployment, lengths Durations, options Options) (figures Figures, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
@@ -125,7 +125,7 @@
 		return nil, err
 	}
 	_, allocated := heap()
-	figures = Figures{StartTime: s.CPU.Min(Start).Seconds(),
+	figures = Figures{StartCPU: s.CPU.Min(WorkStart).Seconds(),
 		StartAllocated: float64(allocated-allocatedBefore) / float64(d.Gateways)}
 	if err := s.measurePhases(figures, lengths); err != nil {
 		return nil, err
@@ -135,13 +135,13 @@
 	heapAfter, _ := heap()
 	figures[LiveHeap] = (float64(heapAfter) - float64(heapBefore)) / float64(d.Gateways)
 	for _, h := range s.gateways {
-		figures[CustomersKnown] += float64(h.Customers()) / float64(d.Gateways)
+		figures[CustomersKnown] += float64(h.CustomerCount()) / float64(d.Gateways)
 	}
 	return figures, nil
 }
 
 // measurePhases measures at rest, with customers known, and under load.
-func (s *Simulation) measurePhases(figures Figures, lengths Lengths) error {
+func (s *Simulation) measurePhases(figures Figures, lengths Durations) error {
 	if err := s.Run(lengths.Settle); err != nil {
 		return err
 	}
@@ -151,7 +151,7 @@
 	}
 	figures[RestMessages] = rest.messagesOut
 	figures[RestBytes] = rest.bytesOut
-	figures[RestShare] = rest.share
+	figures[RestCPU] = rest.share
 	if s.Customers > 0 {
 		if err := s.Run(s.SeedCustomers() + lengths.Settle); err != nil {
 			return err
@@ -162,9 +162,9 @@
 		}
 		figures[KnownMessages] = known.messagesOut
 		figures[KnownBytes] = known.bytesOut
-		figures[KnownShare] = known.share
+		figures[KnownCPU] = known.share
 	}
-	s.Load(lengths.Load)
+	s.StartLoad(lengths.Load)
 	load, err := s.window(lengths.Load)
 	if err != nil {
 		return err
@@ -179,22 +179,22 @@
 	figures[LoadBytes] = load.bytesOut
 	figures[LoadMessagesIn] = load.messagesIn
 	figures[LoadBytesIn] = load.bytesIn
-	figures[LoadShare] = load.share
+	figures[LoadCPU] = load.share
 	figures[LoadAllocated] = load.allocated
-	figures[TickTime] = s.CPU.Mean(Tick) / nanosPerMicrosecond
-	figures[MessageTime] = s.CPU.Mean(Message) / nanosPerMicrosecond
-	if _, changes := s.CPU.Total(Membership); changes > 0 {
-		figures[MembershipTime] = s.CPU.Mean(Membership) / nanosPerMicrosecond
+	figures[TimerCPU] = s.CPU.Mean(WorkTimer) / nanosPerMicrosecond
+	figures[MessageCPU] = s.CPU.Mean(WorkMessage) / nanosPerMicrosecond
+	if _, changes := s.CPU.Total(WorkHostList); changes > 0 {
+		figures[HostListCPU] = s.CPU.Mean(WorkHostList) / nanosPerMicrosecond
 	}
-	if _, changes := s.CPU.Total(Reconfigured); changes > 0 {
-		figures[ConfigurationTime] = s.CPU.Mean(Reconfigured) / nanosPerMicrosecond
-		figures[ConfigurationIn] = load.configurationIn
+	if _, changes := s.CPU.Total(WorkConfiguration); changes > 0 {
+		figures[ConfigurationCPU] = s.CPU.Mean(WorkConfiguration) / nanosPerMicrosecond
+		figures[ConfigurationBytesIn] = load.configurationIn
 	}
-	if _, requests := s.CPU.Total(Arrival); requests > 0 {
-		figures[RequestTime] = float64(s.CPU.Sum(Arrival, Answer)) / float64(requests) / nanosPerMicrosecond
+	if _, requests := s.CPU.Total(WorkRequest); requests > 0 {
+		figures[RequestCPU] = float64(s.CPU.Sum(WorkRequest, WorkAnswer)) / float64(requests) / nanosPerMicrosecond
 		figures[RejectedFraction] = float64(s.Rejected) / float64(requests)
-		figures[DecisionMedian] = quantile(s.Latencies, 0.5) / nanosPerMicrosecond
-		figures[DecisionTail] = quantile(s.Latencies, 0.99) / nanosPerMicrosecond
+		figures[DecisionP50] = quantile(s.Latencies, 0.5) / nanosPerMicrosecond
+		figures[DecisionP99] = quantile(s.Latencies, 0.99) / nanosPerMicrosecond
 	}
 }
 
@@ -228,7 +228,7 @@
 	w.bytesIn = float64(after.BytesIn-before.BytesIn) / per
 	w.configurationIn = float64(after.ConfigurationIn-before.ConfigurationIn) / per
 	w.allocated = float64(allocated-allocatedBefore) / per
-	cpu := s.CPU.Sum(Start, Tick, Message, Arrival, Answer, Membership, Reconfigured)
+	cpu := s.CPU.Sum(WorkStart, WorkTimer, WorkMessage, WorkRequest, WorkAnswer, WorkHostList, WorkConfiguration)
 	w.share = cpu.Seconds() / per
 	return w, nil
 }
--- a/lab/scale/mixedfleet.go
+++ b/lab/scale/mixedfleet.go
@@ -23,7 +23,7 @@
 	Comparison
 	fleet     *fleet.Fleet
 	processes []*hollowProcess
-	kinds     []Kind // by member index
+	kinds     []GatewayKind // by member index
 }
 
 // close ends all processes.
@@ -37,7 +37,7 @@
 }
 
 // interleave spreads the kinds evenly over the member indexes, so that each has all kinds among its neighbours.
-func interleave(gateways [kinds]int) (order []Kind) {
+func interleave(gateways [kinds]int) (order []GatewayKind) {
 	total := 0
 	for _, n := range gateways {
 		total += n
@@ -47,7 +47,7 @@
 		next, lack := Real, math.Inf(-1)
 		for kind, n := range gateways {
 			if behind := float64(n*(i+1))/float64(total) - float64(given[kind]); behind > lack {
-				next, lack = Kind(kind), behind
+				next, lack = GatewayKind(kind), behind
 			}
 		}
 		given[next]++
@@ -97,7 +97,7 @@
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			return err
 		}
-		if kind == Shared {
+		if kind == HollowSharedProcess {
 			shared = append(shared, file)
 		} else if err := m.startHollow(hollow, file); err != nil {
 			return err
@@ -238,10 +238,10 @@
 			times = append(times, request.EndedAt-request.SentAt-host)
 		}
 	}
-	added := AddedLatency{Requests: len(times), MaxClientDelay: float64(log.MaxDelay) / nanosPerMillisecond}
+	added := AddedLatency{Requests: len(times), MaxClientDelayMS: float64(log.MaxDelay) / nanosPerMillisecond}
 	if len(times) > 0 {
-		added.Median = quantile(times, 0.5) / nanosPerMillisecond
-		added.Tail = quantile(times, 0.99) / nanosPerMillisecond
+		added.P50 = quantile(times, 0.5) / nanosPerMillisecond
+		added.P99 = quantile(times, 0.99) / nanosPerMillisecond
 	}
 	return added
 }
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -38,8 +38,8 @@
 	LiveHeap uint64   // bytes, where asked for
 }
 
-// HeapInUse returns the live bytes after a collection.
-func HeapInUse() uint64 {
+// LiveHeapBytes returns the live bytes after a collection.
+func LiveHeapBytes() uint64 {
 	live, _ := heap()
 	return live
 }
--- a/lab/scale/product.go
+++ b/lab/scale/product.go
@@ -9,28 +9,28 @@
 
 // Product is two sizes that are varied together.
 type Product struct {
-	Name    string
-	Note    string
-	Base    Deployment
-	First   Axis // of which the sizes and Set count
-	Second  Axis // of which the sizes and Set count
-	Lengths Lengths
+	Name      string
+	Note      string
+	Base      Deployment
+	First     Axis // of which the sizes and Set count
+	Second    Axis // of which the sizes and Set count
+	Durations Durations
 }
 
-// Grid is a product with its rows, one for each size of the second, and how each metric grows with both.
-type Grid struct {
-	Name        string           `json:"product"`
-	Note        string           `json:"note,omitempty"`
-	First       string           `json:"first"`
-	Second      string           `json:"second"`
-	SecondSizes []float64        `json:"second_sizes"`
-	Rows        []Growth         `json:"rows"`
-	Joint       map[string]Joint `json:"joint"`
+// ProductResult is a product with its rows, one for each size of the second, and how each metric grows with both.
+type ProductResult struct {
+	Name        string              `json:"product"`
+	Note        string              `json:"note,omitempty"`
+	First       string              `json:"first"`
+	Second      string              `json:"second"`
+	SecondSizes []float64           `json:"second_sizes"`
+	Rows        []AxisResult        `json:"rows"`
+	Joint       map[string]JointFit `json:"joint"`
 }
 
-// Joint is how a figure grows with two sizes: as Factor times the first to FirstExponent, times the second to
+// JointFit is how a figure grows with two sizes: as Factor times the first to FirstExponent, times the second to
 // SecondExponent.
-type Joint struct {
+type JointFit struct {
 	Factor         float64 `json:"factor"`
 	FirstExponent  float64 `json:"first_exponent"`
 	SecondExponent float64 `json:"second_exponent"`
@@ -38,11 +38,11 @@
 }
 
 // Run measures all pairs of sizes.
-func (p Product) Run(most time.Duration, options Options) (Grid, error) {
-	grid := Grid{Name: p.Name, Note: p.Note, First: p.First.Name, Second: p.Second.Name, SecondSizes: p.Second.Sizes}
+func (p Product) Run(most time.Duration, options Options) (ProductResult, error) {
+	grid := ProductResult{Name: p.Name, Note: p.Note, First: p.First.Name, Second: p.Second.Name, SecondSizes: p.Second.Sizes}
 	for _, size := range p.Second.Sizes {
 		row := p.First
-		row.Base, row.Lengths = p.Base, p.Lengths
+		row.Base, row.Durations = p.Base, p.Durations
 		p.Second.Set(&row.Base, size)
 		growth, err := row.Run(most, options)
 		if err != nil {
@@ -55,8 +55,8 @@
 }
 
 // fit fits a plane through the logarithms by least squares (QR).
-func (g *Grid) fit() {
-	g.Joint = map[string]Joint{}
+func (g *ProductResult) fit() {
+	g.Joint = map[string]JointFit{}
 	for _, metric := range Metrics() {
 		var terms, logs []float64
 		for i, row := range g.Rows {
@@ -74,7 +74,7 @@
 }
 
 // plane returns the joint growth; ok is false if there are too few figures.
-func plane(terms, logs []float64) (joint Joint, ok bool) {
+func plane(terms, logs []float64) (joint JointFit, ok bool) {
 	const unknowns = 3
 	if len(logs) <= unknowns {
 		return joint, false
@@ -87,7 +87,7 @@
 	}
 	off.MulVec(design, &solved)
 	off.SubVec(observed, &off)
-	return Joint{Factor: math.Exp(solved.AtVec(0)), FirstExponent: solved.AtVec(1), SecondExponent: solved.AtVec(2),
+	return JointFit{Factor: math.Exp(solved.AtVec(0)), FirstExponent: solved.AtVec(1), SecondExponent: solved.AtVec(2),
 		Residual: mat.Norm(&off, 2) / math.Sqrt(float64(len(logs)))}, true
 }
 
@@ -104,26 +104,26 @@
 			Name: "customers by gateways",
 			Note: "live heap: a record of each customer at each gateway, with an entry for each gateway with " +
 				"which it exchanges gossip",
-			Base:    withChange(func(d *Deployment) { d.RequestRate = 2 }),
-			First:   customers.at(64, 256, 1024, 2048),
-			Second:  gateways.at(16, 64, 256),
-			Lengths: shortLengths,
+			Base:      withChange(func(d *Deployment) { d.RequestRate = 2 }),
+			First:     customers.at(64, 256, 1024, 2048),
+			Second:    gateways.at(16, 64, 256),
+			Durations: shortLengths,
 		},
 		{
-			Name:    "hosts by requests a second",
-			Note:    "each request walks all hosts",
-			Base:    fewGateways,
-			First:   rate.at(16, 64, 256),
-			Second:  hosts.at(64, 512, 4096, 16384),
-			Lengths: shortLengths,
+			Name:      "hosts by requests a second",
+			Note:      "each request walks all hosts",
+			Base:      fewGateways,
+			First:     rate.at(16, 64, 256),
+			Second:    hosts.at(64, 512, 4096, 16384),
+			Durations: shortLengths,
 		},
 		{
-			Name:    "hosts by request classes",
-			Note:    "each host has a record for each request class",
-			Base:    fewGateways,
-			First:   classes.at(4, 64, 1024),
-			Second:  hosts.at(64, 512, 4096),
-			Lengths: shortLengths,
+			Name:      "hosts by request classes",
+			Note:      "each host has a record for each request class",
+			Base:      fewGateways,
+			First:     classes.at(4, 64, 1024),
+			Second:    hosts.at(64, 512, 4096),
+			Durations: shortLengths,
 		},
 	}
 }
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -12,14 +12,14 @@
 
 // Report is all that a run measured.
 type Report struct {
-	Command  string             `json:"command"`
-	Go       string             `json:"go"`
-	Cores    int                `json:"cores"`
-	Load     string             `json:"load_average"` // of the machine as the run began: other work beside it
-	Metrics  []Metric           `json:"metrics"`
-	Compared []ComparisonResult `json:"real_and_hollow"`
-	Axes     []Growth           `json:"axes"`
-	Products []Grid             `json:"products"`
+	Command     string             `json:"command"`
+	Go          string             `json:"go"`
+	Cores       int                `json:"cores"`
+	LoadAverage string             `json:"load_average"` // of the machine as the run began: other work beside it
+	Metrics     []Metric           `json:"metrics"`
+	Comparisons []ComparisonResult `json:"real_and_hollow"`
+	Axes        []AxisResult       `json:"axes"`
+	Products    []ProductResult    `json:"products"`
 }
 
 // ReadReport reads a report that Write wrote into a folder, and fits its figures anew.
@@ -47,7 +47,7 @@
 // NewReport returns an empty report of a run by a command.
 func NewReport(command string) *Report {
 	load, _ := os.ReadFile("/proc/loadavg")
-	return &Report{Command: command, Go: runtime.Version(), Cores: runtime.NumCPU(), Load: strings.TrimSpace(string(load)),
+	return &Report{Command: command, Go: runtime.Version(), Cores: runtime.NumCPU(), LoadAverage: strings.TrimSpace(string(load)),
 		Metrics: Metrics()}
 }
 
@@ -64,15 +64,15 @@
 		return err
 	}
 	var page strings.Builder
-	r.Text(&page)
+	r.WriteText(&page)
 	return os.WriteFile(filepath.Join(folder, "scale.md"), []byte(page.String()), 0o644)
 }
 
-// Text writes the report as tables.
-func (r *Report) Text(w io.Writer) {
+// WriteText writes the report as tables.
+func (r *Report) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "# Figures of the scale run\n\n`%s`, %s, %d cores, load average %s. Clients and hosts are simulated; "+
-		"`docs/scale.md` describes the method and what is left out.\n", r.Command, r.Go, r.Cores, r.Load)
-	for _, compared := range r.Compared {
+		"`docs/scale.md` describes the method and what is left out.\n", r.Command, r.Go, r.Cores, r.LoadAverage)
+	for _, compared := range r.Comparisons {
 		compared.text(w)
 	}
 	for _, axis := range r.Axes {
@@ -90,18 +90,18 @@
 		"%d in one; %d customers, %g requests a second at each under load. Means of a gateway.\n\n"+
 		"| figure | %v | %v | %v | real over hollow, a process each | real over hollow, one process |\n"+
 		"| --- | --- | --- | --- | --- | --- |\n",
-		c.Fleet[Real.String()], c.Fleet[Single.String()], c.Fleet[Shared.String()], c.Customers, c.Load,
-		Real, Single, Shared)
+		c.Fleet[Real.String()], c.Fleet[HollowOwnProcess.String()], c.Fleet[HollowSharedProcess.String()], c.Customers, c.RequestRate,
+		Real, HollowOwnProcess, HollowSharedProcess)
 	for _, row := range c.rows() {
-		fmt.Fprintf(w, "| %s | %.4g | %.4g | %.4g | %.2f | %.2f |\n", row.name, row.figures[Real], row.figures[Single],
-			row.figures[Shared], row.figures[Real]/row.figures[Single], row.figures[Real]/row.figures[Shared])
+		fmt.Fprintf(w, "| %s | %.4g | %.4g | %.4g | %.2f | %.2f |\n", row.name, row.figures[Real], row.figures[HollowOwnProcess],
+			row.figures[HollowSharedProcess], row.figures[Real]/row.figures[HollowOwnProcess], row.figures[Real]/row.figures[HollowSharedProcess])
 	}
 	if c.Added.Requests == 0 {
 		return
 	}
 	fmt.Fprintf(w, "\nReal gateways added %.2f ms (median) and %.2f ms (99 in 100) to %d requests, wall time on the busy "+
 		"machine; clients wrote up to %.1f ms late.\n",
-		c.Added.Median, c.Added.Tail, c.Added.Requests, c.Added.MaxClientDelay)
+		c.Added.P50, c.Added.P99, c.Added.Requests, c.Added.MaxClientDelayMS)
 }
 
 // comparedRow is one figure of each kind of gateway.
@@ -118,11 +118,11 @@
 	}{
 		{"messages out at rest, 1/s", func(f KindFigures) float64 { return f.RestMessages }},
 		{"bytes out at rest, 1/s", func(f KindFigures) float64 { return f.RestBytes }},
-		{"processor at rest, core", func(f KindFigures) float64 { return f.RestShare }},
+		{"processor at rest, core", func(f KindFigures) float64 { return f.RestCPU }},
 		{"messages out under load, 1/s", func(f KindFigures) float64 { return f.LoadMessages }},
 		{"bytes out under load, 1/s", func(f KindFigures) float64 { return f.LoadBytes }},
-		{"messages in under load, 1/s", func(f KindFigures) float64 { return f.MessagesIn }},
-		{"processor under load, core", func(f KindFigures) float64 { return f.LoadShare }},
+		{"messages in under load, 1/s", func(f KindFigures) float64 { return f.LoadMessagesIn }},
+		{"processor under load, core", func(f KindFigures) float64 { return f.LoadCPU }},
 		{"live heap, bytes", func(f KindFigures) float64 { return f.LiveHeap }},
 	} {
 		row := comparedRow{name: one.name}
@@ -135,7 +135,7 @@
 }
 
 // text writes an axis as a table: a row for each metric, a column for each size, then how the metric grows.
-func (g Growth) text(w io.Writer, metrics []Metric) {
+func (g AxisResult) text(w io.Writer, metrics []Metric) {
 	if g.Note != "" {
 		fmt.Fprintf(w, "%s. ", g.Note)
 	}
@@ -165,14 +165,14 @@
 			g.predicted(metric.Name, fit))
 	}
 	for _, point := range g.Points {
-		if point.NotRun != "" {
-			fmt.Fprintf(w, "\n%g not run: %s.\n", point.Size, point.NotRun)
+		if point.SkipReason != "" {
+			fmt.Fprintf(w, "\n%g not run: %s.\n", point.Size, point.SkipReason)
 		}
 	}
 }
 
 // predicted returns the figure at the operators' size: as measured there, by the fit, or that it bends.
-func (g Growth) predicted(metric string, fit Fit) string {
+func (g AxisResult) predicted(metric string, fit Fit) string {
 	if g.Target == 0 {
 		return "-"
 	}
@@ -196,7 +196,7 @@
 }
 
 // text writes how each metric grows with both sizes as a table.
-func (g Grid) text(w io.Writer, metrics []Metric) {
+func (g ProductResult) text(w io.Writer, metrics []Metric) {
 	fmt.Fprintf(w, "\n## By %s\n\n%s. Each figure as factor * (%s)^a * (%s)^b.\n\n"+
 		"| figure | factor | a | b | residual |\n| --- | --- | --- | --- | --- |\n", g.Name, g.Note, g.First, g.Second)
 	for _, metric := range metrics {
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -32,7 +32,7 @@
 	var axes []Axis
 	for _, axis := range Axes() {
 		axis.Sizes = sizes[axis.Name]
-		axis.Lengths = Lengths{Settle: time.Second, Idle: 2 * time.Second, Load: 2 * time.Second}
+		axis.Durations = Durations{Settle: time.Second, Idle: 2 * time.Second, Load: 2 * time.Second}
 		axis.Base.Gateways = min(max(axis.Base.Gateways, 4), 8)
 		axis.Base.Hosts = min(axis.Base.Hosts, 128)
 		axes = append(axes, axis)
@@ -81,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			axis := smallAxis(t, name)
 			axis.Sizes = sizes
-			axis.Lengths = Lengths{Idle: tickInterval, Load: tickInterval}
+			axis.Durations = Durations{Idle: tickInterval, Load: tickInterval}
 			axis.Base.Gateways = 5 // the least of five starts counts
 			axis.Base.Customers = 0
 			growth, err := axis.Run(10*time.Second, Options{Seed: 1})
@@ -103,25 +103,25 @@
 		metric string
 		sizes  int // of the axis that it takes to find it
 		sizeOf func(d *Deployment) int
-		add    func(size int, kind Work, h *Hollow)
+		add    func(size int, kind WorkKind, h *HollowGateway)
 	}{
-		{"gateways", LoadMessages, 3, func(d *Deployment) int { return d.Gateways }, func(size int, kind Work, h *Hollow) {
-			if kind == Tick {
+		{"gateways", LoadMessages, 3, func(d *Deployment) int { return d.Gateways }, func(size int, kind WorkKind, h *HollowGateway) {
+			if kind == WorkTimer {
 				h.MessagesOut += size * size
 			}
 		}},
-		{"hosts", LiveHeap, 4, func(d *Deployment) int { return d.Hosts }, func(size int, kind Work, h *Hollow) {
-			if kind == Start {
+		{"hosts", LiveHeap, 4, func(d *Deployment) int { return d.Hosts }, func(size int, kind WorkKind, h *HollowGateway) {
+			if kind == WorkStart {
 				retained = append(retained, make([]byte, size*size/4))
 			}
 		}},
-		{"customers", LoadAllocated, 4, func(d *Deployment) int { return d.Customers }, func(size int, kind Work, h *Hollow) {
-			if kind == Arrival {
+		{"customers", LoadAllocated, 4, func(d *Deployment) int { return d.Customers }, func(size int, kind WorkKind, h *HollowGateway) {
+			if kind == WorkRequest {
 				retained = append(retained[:0], make([]byte, size*size/16))
 			}
 		}},
-		{"request classes", StartTime, 4, func(d *Deployment) int { return d.Classes }, func(size int, kind Work, h *Hollow) {
-			for i := 0; kind == Start && i < size*size*4; i++ {
+		{"request classes", StartCPU, 4, func(d *Deployment) int { return d.Classes }, func(size int, kind WorkKind, h *HollowGateway) {
+			for i := 0; kind == WorkStart && i < size*size*4; i++ {
 				h.wakeAt += int64(i & 1)
 				h.wakeAt -= int64(i & 1)
 			}
@@ -136,7 +136,7 @@
 			size = test.sizeOf(d)
 			retained = nil
 		}
-		addedWork := func(kind Work, h *Hollow) { test.add(size, kind, h) }
+		addedWork := func(kind WorkKind, h *HollowGateway) { test.add(size, kind, h) }
 		growth, err := axis.Run(time.Minute, Options{Seed: 1, AddedWork: addedWork})
 		if err != nil {
 			t.Fatal(err)
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	for _, row := range result.rows() {
-		for _, hollow := range []Kind{Single, Shared} {
+		for _, hollow := range []GatewayKind{HollowOwnProcess, HollowSharedProcess} {
 			ratio := row.figures[Real] / row.figures[hollow]
 			t.Logf("%s: real %.4g, %v %.4g, ratio %.2f", row.name, row.figures[Real], hollow, row.figures[hollow], ratio)
 			// No verdict by time. What real ones received is a difference of large numbers read one after another.
@@ -205,7 +205,7 @@
 		}
 		fit := NewFit(sizes, figures, true)
 		topOff := math.Abs(fit.TopExponent - test.top)
-		if fit.Form != test.form || topOff > 0.05 || fit.Bends != test.bends {
+		if fit.Form != test.form || topOff > 0.05 || fit.NoFormFits != test.bends {
 			t.Errorf("%s: %+v", test.form, fit)
 		}
 	}
@@ -213,7 +213,7 @@
 
 // The same seed causes the same messages, to the byte.
 func TestSameSeedSendsSameBytes(t *testing.T) {
-	lengths := Lengths{Settle: time.Second, Idle: time.Second, Load: 2 * time.Second}
+	lengths := Durations{Settle: time.Second, Idle: time.Second, Load: 2 * time.Second}
 	var runs [2]Figures
 	for i := range runs {
 		var err error
--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -30,7 +30,7 @@
 // RealTimeGateway is a hollow gateway on the real clock. It sends and receives datagrams and follows discovery
 // through the program's own sockets for both, in a loop like that of package node.
 type RealTimeGateway struct {
-	hollow      *Hollow
+	hollow      *HollowGateway
 	peers       *peers.Transport
 	inbox       chan func()
 	cancel      context.CancelFunc
@@ -41,8 +41,8 @@
 	requests    int
 }
 
-// Serve starts a gateway from the configuration that getenv names.
-func Serve(getenv func(string) string) (*RealTimeGateway, error) {
+// StartRealTimeGateway starts a gateway from the configuration that getenv names.
+func StartRealTimeGateway(getenv func(string) string) (*RealTimeGateway, error) {
 	s := &RealTimeGateway{inbox: make(chan func(), inboxSize), epoch: time.Now(),
 		random: rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0))}
 	c, err := config.Load(getenv)
@@ -52,12 +52,12 @@
 	if s.peers, err = peers.Open(sockets.Kernel{}, c.PeerListen, c.Peers, messageForm(c)); err != nil {
 		return nil, fmt.Errorf("hollow gateway %d: %w", c.Membership.Index, err)
 	}
-	h := NewHollow(c, s, s.now())
+	h := NewHollowGateway(c, s, s.now())
 	s.hollow = h
 	ctx, over := context.WithCancel(context.Background())
 	s.cancel = over
 	go s.peers.Listen(func(peer int, body []byte) {
-		s.do(func() { h.Receive(peer, body) })
+		s.do(func() { h.ReceiveMessage(peer, body) })
 	}, func() {})
 	go s.follow(ctx, c.DiscoveryAddress, h.endpoints.Version)
 	go s.run(ctx)
@@ -168,7 +168,7 @@
 	// A customer's name and first gateway are the same as in lab/emulator.
 	name := fmt.Sprintf("%08x%08x", s.clients.Seed&1, s.random.IntN(s.clients.Customers)+1)
 	first := int(emulator.UniformHash("first", name, strconv.FormatUint(s.clients.Seed, 16)) * float64(gateways))
-	s.hollow.Request(Request{
+	s.hollow.ReceiveRequest(Request{
 		ID:           fmt.Sprintf("%08x%08x", s.Index(), s.requests),
 		Customer:     name,
 		Class:        s.clients.Class,
@@ -179,16 +179,18 @@
 	})
 }
 
-// Send sends a datagram.
-func (s *RealTimeGateway) Send(_ *Hollow, peer int, body []byte) { s.peers.Send(peer, body) }
+// SendMessage sends a datagram.
+func (s *RealTimeGateway) SendMessage(_ *HollowGateway, peer int, body []byte) {
+	s.peers.Send(peer, body)
+}
 
-// Attempt has a simulated host answer after an exponential service time.
-func (s *RealTimeGateway) Attempt(from *Hollow, request string, host uint32, attempt int) {
+// StartAttempt has a simulated host answer after an exponential service time.
+func (s *RealTimeGateway) StartAttempt(from *HollowGateway, request string, host uint32, attempt int) {
 	took := time.Duration(s.random.ExpFloat64() * float64(serviceTime))
 	time.AfterFunc(took, func() {
 		s.do(func() { from.EndAttempt(request, host, attempt, took) })
 	})
 }
 
-// Closed does nothing: no one waits for the simulated client's answer.
-func (s *RealTimeGateway) Closed(*Hollow, string, Outcome) {}
+// RequestClosed does nothing: no one waits for the simulated client's answer.
+func (s *RealTimeGateway) RequestClosed(*HollowGateway, string, Outcome) {}
--- a/lab/scale/simulation.go
+++ b/lab/scale/simulation.go
@@ -35,7 +35,7 @@
 	Seed      uint64
 	Repeats   int // measurements of each short point
 	// AddedWork is done with each piece of work and measured with it. Tests make figures grow by it.
-	AddedWork func(kind Work, h *Hollow)
+	AddedWork func(kind WorkKind, h *HollowGateway)
 }
 
 // Simulation runs all gateways of a deployment on a simulated clock: a discrete-event simulation on one goroutine
@@ -47,7 +47,7 @@
 	Rejected    int
 	options     Options
 	common      shared
-	gateways    []*Hollow
+	gateways    []*HollowGateway
 	endedCounts Counts  // of gateways that were restarted
 	timers      []int64 // time of each gateway's timer in the schedule
 	busyUntil   []int64 // by gateway: end of its loop's work
@@ -69,14 +69,14 @@
 		options:    options,
 		common:     common,
 		now:        simulatedStart,
-		gateways:   make([]*Hollow, d.Gateways),
+		gateways:   make([]*HollowGateway, d.Gateways),
 		timers:     make([]int64, d.Gateways),
 		busyUntil:  make([]int64, d.Gateways),
 		random:     rand.New(rand.NewPCG(options.Seed, randomStream)),
 	}
 	for i := range d.Gateways {
 		s.now = simulatedStart + int64(i)*int64(tickInterval)/int64(d.Gateways)
-		if err := s.Restart(Start, i); err != nil {
+		if err := s.Restart(WorkStart, i); err != nil {
 			return nil, err
 		}
 	}
@@ -88,18 +88,18 @@
 
 // Restart ends a gateway and starts it anew with the same configuration and empty state, measured as some kind of
 // work.
-func (s *Simulation) Restart(kind Work, index int) (err error) {
+func (s *Simulation) Restart(kind WorkKind, index int) (err error) {
 	getenv, err := environment(s.options.Directory, s.configuration(s.common, index, s.options.Seed))
 	if err != nil {
 		return err
 	}
-	var h *Hollow
+	var h *HollowGateway
 	took := s.CPU.Measure(kind, func() { h, err = s.start(getenv) })
 	if err != nil {
 		return err
 	}
 	if s.options.AddedWork != nil {
-		took += s.CPU.Measure(kind, func() { s.options.AddedWork(Start, h) })
+		took += s.CPU.Measure(kind, func() { s.options.AddedWork(WorkStart, h) })
 	}
 	if old := s.gateways[index]; old != nil {
 		s.endedCounts.add(old.Counts)
@@ -112,42 +112,42 @@
 }
 
 // start starts a gateway, which receives a snapshot if it follows a publisher.
-func (s *Simulation) start(getenv func(string) string) (*Hollow, error) {
+func (s *Simulation) start(getenv func(string) string) (*HollowGateway, error) {
 	configuration, err := config.Load(getenv)
 	if err != nil {
 		return nil, err
 	}
-	h := NewHollow(configuration, s, s.now)
+	h := NewHollowGateway(configuration, s, s.now)
 	if s.publisher == nil {
 		return h, nil
 	}
 	return h, h.ReceiveVersion(s.publisher.snapshot()...)
 }
 
-// Send carries a message to a peer.
-func (s *Simulation) Send(from *Hollow, peer int, body []byte) {
+// SendMessage carries a message to a peer.
+func (s *Simulation) SendMessage(from *HollowGateway, peer int, body []byte) {
 	if peer >= len(s.gateways) { // a member that does not run
 		return
 	}
 	sender := from.Index()
 	s.after(networkDelay, func() {
 		to := s.gateways[peer]
-		s.process(Message, to, func() { to.Receive(sender, body) })
+		s.process(WorkMessage, to, func() { to.ReceiveMessage(sender, body) })
 	})
 }
 
-// Attempt has a simulated host answer after an exponential service time.
-func (s *Simulation) Attempt(from *Hollow, request string, host uint32, attempt int) {
+// StartAttempt has a simulated host answer after an exponential service time.
+func (s *Simulation) StartAttempt(from *HollowGateway, request string, host uint32, attempt int) {
 	took := 2*networkDelay + time.Duration(s.random.ExpFloat64()*float64(serviceTime))
 	s.after(took, func() {
 		if s.gateways[from.Index()] == from { // it was not restarted meanwhile
-			s.process(Answer, from, func() { from.EndAttempt(request, host, attempt, took) })
+			s.process(WorkAnswer, from, func() { from.EndAttempt(request, host, attempt, took) })
 		}
 	})
 }
 
-// Closed counts a request that the gateway closed by itself.
-func (s *Simulation) Closed(*Hollow, string, Outcome) { s.Rejected++ }
+// RequestClosed counts a request that the gateway closed by itself.
+func (s *Simulation) RequestClosed(*HollowGateway, string, Outcome) { s.Rejected++ }
 
 // Run runs the simulation for some simulated time.
 func (s *Simulation) Run(length time.Duration) error {
@@ -177,8 +177,8 @@
 	return length
 }
 
-// Load has clients, discovery and operators send requests and changes for some time at the deployment's rates.
-func (s *Simulation) Load(length time.Duration) {
+// StartLoad has clients, discovery and operators send requests and changes for some time at the deployment's rates.
+func (s *Simulation) StartLoad(length time.Duration) {
 	end := s.now + int64(length)
 	if s.Customers > 0 {
 		s.repeat(s.RequestRate*float64(s.Gateways), end, true, func() {
@@ -189,12 +189,12 @@
 	s.repeat(s.ConfigurationChanges, end, false, s.changeConfiguration)
 	restarts := 0
 	s.repeat(s.Restarts, end, false, func() {
-		s.setError(s.Restart(Start, restarts%s.Gateways))
+		s.setError(s.Restart(WorkStart, restarts%s.Gateways))
 		restarts++
 	})
 	s.after(time.Second, func() {
 		for index := range s.RestartsAtOnce {
-			s.setError(s.Restart(Start, index))
+			s.setError(s.Restart(WorkStart, index))
 		}
 	})
 }
@@ -227,7 +227,7 @@
 	s.hostChanges++
 	s.setError(err)
 	for _, h := range s.gateways {
-		s.process(Membership, h, func() { h.ApplyHostList(string(text), false) })
+		s.process(WorkHostList, h, func() { h.ApplyHostList(string(text), false) })
 	}
 }
 
@@ -239,7 +239,7 @@
 		return
 	}
 	for index := range s.gateways {
-		s.setError(s.Restart(Reconfigured, index))
+		s.setError(s.Restart(WorkConfiguration, index))
 	}
 }
 
@@ -263,12 +263,12 @@
 		FirstGateway: customer % s.Gateways,
 	}
 	h := s.gateways[index]
-	s.process(Arrival, h, func() { h.Request(request) })
+	s.process(WorkRequest, h, func() { h.ReceiveRequest(request) })
 	s.Latencies = append(s.Latencies, s.busyUntil[index]-s.now)
 }
 
 // process passes an event to a gateway, has it decide, and measures both.
-func (s *Simulation) process(kind Work, h *Hollow, takeIn func()) {
+func (s *Simulation) process(kind WorkKind, h *HollowGateway, takeIn func()) {
 	took := s.CPU.Measure(kind, func() {
 		takeIn()
 		h.Process(s.now)
@@ -282,7 +282,7 @@
 }
 
 // scheduleTimer schedules a gateway's timer.
-func (s *Simulation) scheduleTimer(h *Hollow) {
+func (s *Simulation) scheduleTimer(h *HollowGateway) {
 	index, due := h.Index(), h.NextTimer()
 	if due == s.timers[index] {
 		return
@@ -290,7 +290,7 @@
 	s.timers[index] = due
 	s.schedule.Add(max(due, s.now), func() {
 		if s.gateways[index] == h && h.NextTimer() == due {
-			s.process(Tick, h, func() {})
+			s.process(WorkTimer, h, func() {})
 		}
 	})
 }
--- a/lab/scale/verdict.go
+++ b/lab/scale/verdict.go
@@ -18,7 +18,7 @@
 
 // Violations returns which counts and bytes of a gateway grow faster than linear along the axis, or exceed what a
 // gateway may use.
-func (g Growth) Violations() (faults []string) {
+func (g AxisResult) Violations() (faults []string) {
 	for _, name := range storedMetrics {
 		if g.Fits[name].fasterThanLinear() {
 			faults = append(faults, g.violation(name))
@@ -45,12 +45,12 @@
 
 // StartViolations returns a violation if the processor time of a start grows faster than linear, or was measured at
 // fewer than three sizes.
-func (g Growth) StartViolations() (faults []string) {
-	if _, fitted := g.Fits[StartTime]; !fitted {
-		return []string{fmt.Sprintf("%s by %s: fewer than three sizes could be measured", StartTime, g.Name)}
+func (g AxisResult) StartViolations() (faults []string) {
+	if _, fitted := g.Fits[StartCPU]; !fitted {
+		return []string{fmt.Sprintf("%s by %s: fewer than three sizes could be measured", StartCPU, g.Name)}
 	}
-	if g.Fits[StartTime].fasterThanLinear() {
-		faults = append(faults, g.violation(StartTime))
+	if g.Fits[StartCPU].fasterThanLinear() {
+		faults = append(faults, g.violation(StartCPU))
 	}
 	return faults
 }
@@ -61,7 +61,7 @@
 }
 
 // violation returns the text of a figure that grows too fast.
-func (g Growth) violation(metric string) string {
+func (g AxisResult) violation(metric string) string {
 	fit := g.Fits[metric]
 	return fmt.Sprintf("%s grows with %s to the power %.2f (at the top %.2f)", metric, g.Name, fit.Exponent,
 		fit.TopExponent)
--- a/lab/startcost/searches.go
+++ b/lab/startcost/searches.go
@@ -11,14 +11,14 @@
 	"strings"
 )
 
-// Search is a call that searches a list, made once in each iteration of a loop. If the list grows with what the loop
+// LoopSearch is a call that searches a list, made once in each iteration of a loop. If the list grows with what the loop
 // iterates over, the cost is quadratic.
-type Search struct {
-	Place string // file:line
-	Call  string // function and list, such as "slices.Index(names)"
+type LoopSearch struct {
+	Position string // file:line
+	Call     string // function and list, such as "slices.Index(names)"
 }
 
-func (s Search) String() string { return s.Place + ": " + s.Call }
+func (s LoopSearch) String() string { return s.Position + ": " + s.Call }
 
 // linear are the functions of the standard library's slices that iterate over their first argument.
 var linear = []string{"Contains", "ContainsFunc", "Delete", "DeleteFunc", "Index", "IndexFunc", "Insert"}
@@ -26,13 +26,13 @@
 // loops are the functions, of any package, that call a function literal for each element of a list.
 var loops = []string{"ForEach", "each"}
 
-// Searches returns the searches within loops in the Go files of a folder, without tests.
-func Searches(folder fs.FS) ([]Search, error) {
+// FindLoopSearches returns the searches within loops in the Go files of a folder, without tests.
+func FindLoopSearches(folder fs.FS) ([]LoopSearch, error) {
 	names, err := fs.Glob(folder, "*.go")
 	if err != nil {
 		return nil, err
 	}
-	var found []Search
+	var found []LoopSearch
 	for _, name := range names {
 		if strings.HasSuffix(name, "_test.go") {
 			continue
@@ -54,7 +54,7 @@
 // finder visits a syntax tree and collects searches.
 type finder struct {
 	files  *token.FileSet
-	found  *[]Search
+	found  *[]LoopSearch
 	inLoop bool
 }
 
@@ -87,8 +87,8 @@
 		return
 	}
 	place := f.files.Position(call.Pos())
-	*f.found = append(*f.found, Search{
-		Place: fmt.Sprintf("%s:%d", place.Filename, place.Line),
-		Call:  fmt.Sprintf("slices.%s(%s)", selector.Sel.Name, types.ExprString(call.Args[0])),
+	*f.found = append(*f.found, LoopSearch{
+		Position: fmt.Sprintf("%s:%d", place.Filename, place.Line),
+		Call:     fmt.Sprintf("slices.%s(%s)", selector.Sel.Name, types.ExprString(call.Args[0])),
 	})
 }
--- a/lab/startcost/startcost.go
+++ b/lab/startcost/startcost.go
@@ -27,33 +27,33 @@
 
 // Axes.
 const (
-	QuotaPlans Axis = "quota plans"
-	Hosts      Axis = "hosts"           // in the configuration's own list; discovery's agent is absent
-	Delivered  Axis = "hosts delivered" // by discovery's agent, which is there; none in the configuration
+	QuotaPlans      Axis = "quota plans"
+	ConfiguredHosts Axis = "hosts"           // in the configuration's own list; discovery's agent is absent
+	DiscoveredHosts Axis = "hosts delivered" // by discovery's agent, which is there; none in the configuration
 )
 
 // Size is one point of an axis.
 type Size struct {
-	Axis    Axis
-	Count   int
-	Members int // gateways of the fleet: one among many uses a small subset of the hosts
-	Memory  int // limits.memory_mb; 0: the program's default
+	Axis      Axis
+	Count     int
+	FleetSize int // gateways of the fleet: one among many uses a small subset of the hosts
+	MemoryMB  int // limits.memory_mb; 0: the program's default
 }
 
 // Cost is what one process took.
 type Cost struct {
 	Size
-	FileBytes int
-	Serving   time.Duration // from the call of exec to the log line by which it serves
-	StartCPU  time.Duration // processor time until that line
-	Resident  uint64        // bytes at rest
-	Peak      uint64        // most bytes
-	AtRest    float64       // fraction of a core
-	ReloadCPU time.Duration // processor time of a SIGHUP, until the log line by which the file was read
+	FileBytes         int
+	TimeToServe       time.Duration // from the call of exec to the log line by which it serves
+	StartCPU          time.Duration // processor time until that line
+	ResidentBytes     uint64        // bytes at rest
+	PeakResidentBytes uint64        // most bytes
+	IdleCPU           float64       // fraction of a core
+	ReloadCPU         time.Duration // processor time of a SIGHUP, until the log line by which the file was read
 }
 
-// ErrEnded is the error of a process that ended before it did what was waited for.
-var ErrEnded = errors.New("the process ended")
+// ErrProcessExited is the error of a process that ended before it did what was waited for.
+var ErrProcessExited = errors.New("the process ended")
 
 const agentNetwork = 55 // of the agent's address, within 127.0.0.0/8
 
@@ -67,7 +67,7 @@
 	}
 	defer os.RemoveAll(folder)
 	discovery := "127.0.0.1:1" // nobody listens there
-	if size.Axis == Delivered {
+	if size.Axis == DiscoveredHosts {
 		agent, err := emulator.NewAgent(agentNetwork, 1, entries(size.Count)...)
 		if err != nil {
 			return cost, err
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	cost.Serving = time.Since(p.began)
+	cost.TimeToServe = time.Since(p.began)
 	if cost.Axis != QuotaPlans && logline.Int(line, "hosts") != cost.Count {
 		return fmt.Errorf("not all of %d hosts: %s", cost.Count, line)
 	}
@@ -143,10 +143,10 @@
 	if err != nil {
 		return err
 	}
-	cost.AtRest = (after - before).Seconds() / time.Since(start).Seconds()
+	cost.IdleCPU = (after - before).Seconds() / time.Since(start).Seconds()
 	status, err := p.proc.NewStatus()
-	cost.Resident = status.VmRSS
-	cost.Peak = status.VmHWM
+	cost.ResidentBytes = status.VmRSS
+	cost.PeakResidentBytes = status.VmHWM
 	return err
 }
 
@@ -194,7 +194,7 @@
 			return "", ctx.Err()
 		case line, ok := <-p.lines:
 			if !ok {
-				return "", ErrEnded
+				return "", ErrProcessExited
 			}
 			if strings.Contains(line, text) {
 				return line, nil
@@ -225,9 +225,9 @@
 	case QuotaPlans:
 		plans = size.Count
 		list.Servers = entries(fewHosts)
-	case Hosts:
+	case ConfiguredHosts:
 		list.Servers = entries(size.Count)
-	case Delivered:
+	case DiscoveredHosts:
 		list.Version = 0
 	}
 	known, err := json.Marshal(list)
@@ -235,12 +235,12 @@
 		return nil, fmt.Errorf("host list: %w", err)
 	}
 	return &gatewayconfig.File{
-		Resources: gatewayconfig.Resources{MemoryMB: size.Memory},
+		Resources: gatewayconfig.Resources{MemoryMB: size.MemoryMB},
 		Listen:    "127.0.0.1:0",
 		Discovery: discovery,
 		Known:     known,
 		Settings: gatewayconfig.Settings{
-			Gateways:     size.Members,
+			Gateways:     size.FleetSize,
 			Zones:        []string{"a"},
 			MachineTypes: []string{"m"},
 			Limits: gatewayconfig.Limits{
--- a/lab/startcost/startcost_test.go
+++ b/lab/startcost/startcost_test.go
@@ -56,7 +56,7 @@
 func TestNoSearchOfGrowingListInLoop(t *testing.T) {
 	const root = "../.."
 	for _, name := range searchedPackages {
-		found, err := Searches(os.DirFS(root + "/" + name))
+		found, err := FindLoopSearches(os.DirFS(root + "/" + name))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,14 +76,14 @@
 func insert() { for { hosts = slices.Insert(hosts, 0, next()) } }
 func once() { slices.Index(names, "a") }
 `
-	found, err := Searches(fstest.MapFS{
+	found, err := FindLoopSearches(fstest.MapFS{
 		"planted.go":      {Data: []byte(code)},
 		"planted_test.go": {Data: []byte("no Go")},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Search{
+	want := []LoopSearch{
 		{"planted.go:2", "slices.Index(names)"},
 		{"planted.go:3", "slices.Index(ids)"},
 		{"planted.go:4", "slices.Insert(hosts)"},
@@ -98,9 +98,9 @@
 	const few = 500
 	const factor = 16
 	const maxExponent = 1.1
-	for _, axis := range []Axis{QuotaPlans, Hosts} {
-		small := allocations(t, Size{Axis: axis, Count: few, Members: 1})
-		large := allocations(t, Size{Axis: axis, Count: factor * few, Members: 1})
+	for _, axis := range []Axis{QuotaPlans, ConfiguredHosts} {
+		small := allocations(t, Size{Axis: axis, Count: few, FleetSize: 1})
+		large := allocations(t, Size{Axis: axis, Count: factor * few, FleetSize: 1})
 		exponent := math.Log(large/small) / math.Log(factor)
 		if exponent > maxExponent {
 			t.Errorf("%s: %.0f allocations for %d, %.0f for %d: exponent %.2f",
@@ -128,7 +128,7 @@
 		transport := hosts.NewTransport(hosts.Options{System: sockets.Kernel{}})
 		setAddress := func(host uint32, addr netip.AddrPort) { transport.SetAddress(host, addr) }
 		_, listed, _, err := list.Decode(string(known), setAddress)
-		if err != nil || size.Axis == Hosts && len(listed) != size.Count {
+		if err != nil || size.Axis == ConfiguredHosts && len(listed) != size.Count {
 			t.Fatal(len(listed), err)
 		}
 	})
@@ -138,9 +138,9 @@
 func TestProcessServesAllItIsGiven(t *testing.T) {
 	const count = 300
 	for _, size := range []Size{
-		{Axis: QuotaPlans, Count: count, Members: 1},
-		{Axis: Hosts, Count: count, Members: 50, Memory: 128},
-		{Axis: Delivered, Count: count, Members: 1},
+		{Axis: QuotaPlans, Count: count, FleetSize: 1},
+		{Axis: ConfiguredHosts, Count: count, FleetSize: 50, MemoryMB: 128},
+		{Axis: DiscoveredHosts, Count: count, FleetSize: 1},
 	} {
 		t.Run(string(size.Axis), func(t *testing.T) {
 			t.Parallel()
@@ -162,10 +162,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cost.Serving == 0 || cost.Resident == 0 || cost.Peak < cost.Resident {
+	if cost.TimeToServe == 0 || cost.ResidentBytes == 0 || cost.PeakResidentBytes < cost.ResidentBytes {
 		t.Errorf("figures are missing: %+v", cost)
 	}
-	if err := Row(os.Stdout, cost); err != nil {
+	if err := WriteRow(os.Stdout, cost); err != nil {
 		t.Error(err)
 	}
 }
@@ -175,14 +175,14 @@
 	if !*full {
 		t.Skip("no -full")
 	}
-	fmt.Print(Head)
+	fmt.Print(TableHeader)
 	for _, axis := range []struct {
 		Axis
 		counts []int
 	}{
 		{QuotaPlans, []int{1000, 4000, 8000, 54_000}},
-		{Hosts, []int{2, 10_000, 20_000, 40_000, 87_000}},
-		{Delivered, []int{2, 10_000, 20_000, 40_000, 87_000}},
+		{ConfiguredHosts, []int{2, 10_000, 20_000, 40_000, 87_000}},
+		{DiscoveredHosts, []int{2, 10_000, 20_000, 40_000, 87_000}},
 	} {
 		if *only != "" && *only != string(axis.Axis) {
 			continue
--- a/lab/startcost/table.go
+++ b/lab/startcost/table.go
@@ -5,17 +5,17 @@
 	"io"
 )
 
-// Head is the first lines of the table that Row writes.
-const Head = "| axis | count | members | memory_mb | file | serving after | processor time until then | " +
+// TableHeader is the first lines of the table that Row writes.
+const TableHeader = "| axis | count | members | memory_mb | file | serving after | processor time until then | " +
 	"resident | peak | at rest | processor time of a SIGHUP |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
-// Row writes one cost as a line of a table.
-func Row(w io.Writer, c Cost) error {
+// WriteRow writes one cost as a line of a table.
+func WriteRow(w io.Writer, c Cost) error {
 	_, err := fmt.Fprintf(w, "| %s | %d | %d | %d | %.2f MB | %.2f s | %.2f s | %.1f MB | %.1f MB | "+
 		"%.2f%% of a core | %.2f s |\n",
-		c.Axis, c.Count, c.Members, c.Memory, megabytes(uint64(c.FileBytes)), c.Serving.Seconds(), c.StartCPU.Seconds(),
-		megabytes(c.Resident), megabytes(c.Peak), 100*c.AtRest, c.ReloadCPU.Seconds())
+		c.Axis, c.Count, c.FleetSize, c.MemoryMB, megabytes(uint64(c.FileBytes)), c.TimeToServe.Seconds(), c.StartCPU.Seconds(),
+		megabytes(c.ResidentBytes), megabytes(c.PeakResidentBytes), 100*c.IdleCPU, c.ReloadCPU.Seconds())
 	return err
 }
 
