--- a/cmd/ravensill-publisher/main_test.go
+++ b/cmd/ravensill-publisher/main_test.go
@@ -33,7 +33,7 @@
 	t       *testing.T
 	cmd     *exec.Cmd
 	lines   *bufio.Scanner
-	started []string // of the log line publisher_started: the matched text, index, admin address and version
+	started []string // match of the log line publisher_started: the whole text, index, admin address and version
 }
 
 func start(t *testing.T, file string) *publisherProcess {
--- a/cmd/ravensill/clients_test.go
+++ b/cmd/ravensill/clients_test.go
@@ -91,7 +91,7 @@
 			}
 			waits = append(waits, time.Since(began))
 		}
-		slices.Sort(waits[:20]) // of clients for which descriptors were free
+		slices.Sort(waits[:20]) // waits of the clients for which descriptors were free
 		slices.Sort(waits[20:])
 		free, full := waits[10], waits[85]
 		if full > 10*free+5*time.Millisecond {
--- a/cmd/ravensill/configuration_test.go
+++ b/cmd/ravensill/configuration_test.go
@@ -124,7 +124,7 @@
 // restartTest is a restart of a gateway with a saved file, and its expected outcome.
 type restartTest struct {
 	name      string
-	savedText []byte // of the saved file
+	savedText []byte // content of the saved file
 	timeoutUS int    // client timeout in the gateway's own file, with the section pool; 0: the default, without it
 	wantLog   string
 	wantTeam  string // answer to a request on the plan team
--- a/cmd/ravensill/counter_test.go
+++ b/cmd/ravensill/counter_test.go
@@ -12,7 +12,7 @@
 type counterServer struct {
 	*testHost
 	mu    sync.Mutex
-	reply string // to each command that adds to a number; empty: the server answers no command at all
+	reply string // reply to each command that adds to a number; empty: the server answers no command at all
 }
 
 // newCounterServer starts a server that replies 1 to each addition.
--- a/cmd/ravensill/harness_config_test.go
+++ b/cmd/ravensill/harness_config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// gatewayConfig is the configuration file of a gateway.
+// gatewayConfig is the JSON object that a test writes to the configuration file of a gateway.
 type gatewayConfig struct {
 	Name           string                 `json:"name"`
 	Listen         string                 `json:"listen"`
@@ -25,7 +25,7 @@
 	// The remaining fields are for the test harness. The gateway ignores their keys.
 
 	AgentHosts      []hostEntry `json:"agent,omitempty"`  // sent by the discovery agent in its first answer
-	DescriptorLimit int         `json:"ulimit,omitempty"` // of the gateway's process; 0: as in the test's process
+	DescriptorLimit int         `json:"ulimit,omitempty"` // limit on the process's descriptors; 0: that of the test's process
 
 	// editText, if not nil, changes the text of the file to one that the types can't express.
 	editText func(text []byte) []byte
--- a/cmd/ravensill/harness_test.go
+++ b/cmd/ravensill/harness_test.go
@@ -31,7 +31,8 @@
 	os.Exit(m.Run())
 }
 
-// gatewayProcess is one gateway process with its configuration, its log and the discovery agent that it watches.
+// gatewayProcess runs the gateway program for one test, with a configuration file, a log and a discovery agent of its
+// own.
 type gatewayProcess struct {
 	*testing.T
 	cmd            *exec.Cmd
--- a/cmd/ravensill/startup_test.go
+++ b/cmd/ravensill/startup_test.go
@@ -12,7 +12,7 @@
 // previousProcess holds the addresses of a gateway that starts, as an earlier process of the gateway that is shutting
 // down would.
 type previousProcess struct {
-	listener net.Listener // of clients
+	listener net.Listener // listens on the address for clients
 	gossip   *net.UDPConn
 	observer *net.UDPConn
 }
--- a/concurrency/limiter.go
+++ b/concurrency/limiter.go
@@ -31,7 +31,7 @@
 	InitialLimitPerEndpoint float64 // attempts that each endpoint adds to the limit at first
 
 	endpoints        int          // number of endpoints
-	limit            float64      // in attempts
+	limit            float64      // current limit in attempts
 	lateness         float64      // moving average of the fraction of the latency objective that answers take
 	meanInFlight     float64      // moving average of the attempts in flight when answers arrive
 	utilization      float64      // moving average of the reports
--- a/configsync/errors.go
+++ b/configsync/errors.go
@@ -98,7 +98,7 @@
 // CorruptFileError reports that a file is damaged. The records before Offset are intact; the one at Offset is
 // not, or it is not allowed there.
 type CorruptFileError struct {
-	Offset int // in bytes
+	Offset int // position of the damaged record in the file, in bytes
 	Reason string
 	Err    error // details of Reason; nil: none
 }
--- a/configsync/sender.go
+++ b/configsync/sender.go
@@ -63,7 +63,7 @@
 	version             Version
 	digest              Digest
 	remainingFrames     [][]byte  // frames that Next has not returned yet
-	acknowledgeDeadline time.Time // for the follower's answer
+	acknowledgeDeadline time.Time // latest time for the follower's answer
 }
 
 // MemberStatus is the status of a gateway that is or was connected to the publisher.
--- a/configsync/state_test.go
+++ b/configsync/state_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// applyCommand returns the error of State.Apply.
+// applyCommand encodes a command, applies it to a state and returns the error of that, nil if it was applied.
 func applyCommand(t testing.TB, state *State, command *Command) error {
 	t.Helper()
 	text, err := EncodeCommand(command)
--- a/counterfactual/answer.go
+++ b/counterfactual/answer.go
@@ -23,8 +23,8 @@
 
 // Values of Answer.Question.
 const (
-	questionMoved    = "one moved" // of EstimateRules and EstimateSingleHost: a single attempt is moved at a time
-	questionReplaced = "replaced"  // of EstimateReplacement
+	questionMoved    = "one moved" // EstimateRules and EstimateSingleHost: a single attempt is moved at a time
+	questionReplaced = "replaced"  // EstimateReplacement: the rule replaces that of the gateways
 )
 
 // Figure is an estimate with its confidence interval from Low to High. The unit is the millisecond, except for
@@ -67,7 +67,7 @@
 	MissingShare float64             `json:"missing_part"` // estimated fraction of all attempts that is not reported
 
 	meanNanoseconds  float64   // Mean.Value before its conversion to milliseconds
-	leaveOneOutMeans []float64 // in nanoseconds, one with each customer group left out
+	leaveOneOutMeans []float64 // means in nanoseconds, one with each customer group left out
 }
 
 // Available reports whether the figure was estimated, that is, not refused.
--- a/counterfactual/estimation.go
+++ b/counterfactual/estimation.go
@@ -23,12 +23,12 @@
 type estimation struct {
 	class              string
 	table              *strataTable
-	forcedEstimator    Estimator // the only one allowed; empty: chooseEstimator chooses
+	forcedEstimator    Estimator // the only estimator that may be used; empty: chooseEstimator chooses
 	incompleteGateways []IncompleteGateway
-	missingShare       float64 // as Answer.MissingShare
+	missingShare       float64 // becomes Answer.MissingShare
 	maxMissingShare    float64 // Settings.MaxMissingShare
 
-	sums            map[Rule]*ruleSums   // of all outcomes
+	sums            map[Rule]*ruleSums   // the sums of all outcomes
 	leaveOneOutSums []map[Rule]*ruleSums // one with each customer group left out; empty if there are too few groups
 	groups          int                  // number of customer groups with outcomes
 	effectiveGroups float64              // see strataTable.customerGroups
--- a/counterfactual/figures.go
+++ b/counterfactual/figures.go
@@ -11,15 +11,15 @@
 
 // Parameters of the confidence intervals.
 const (
-	confidenceLevel         = 0.95  // of all intervals
-	maxMeanHalfWidth        = 0.08  // of a mean or a median, relative to the figure; wider ones are refused
-	maxTailHalfWidth        = 0.16  // of the 99th percentile, relative to the figure; wider ones are refused
-	maxFractionHalfWidth    = 0.05  // of a fraction, absolute; wider ones are refused
+	confidenceLevel         = 0.95  // confidence level of all intervals
+	maxMeanHalfWidth        = 0.08  // largest half width for a mean or a median, relative to the figure
+	maxTailHalfWidth        = 0.16  // the same for a 99th percentile
+	maxFractionHalfWidth    = 0.05  // the same for a fraction, absolute; figures with a wider interval are refused
 	unreachableLatencyError = 0.2   // see figureBuilder.unreachableError
-	normalQuantile          = 1.96  // of the standard normal distribution, for a two-sided interval at confidenceLevel
+	normalQuantile          = 1.96  // standard normal quantile for a two-sided interval at confidenceLevel
 	anytimeOptimalSamples   = 500   // sample size at which the anytime-valid interval is narrowest
 	minVariance             = 1e-9  // square nanoseconds; avoids a division by zero
-	fractionTolerance       = 1e-12 // for the rounding errors of a CDF's fractions
+	fractionTolerance       = 1e-12 // allowed rounding error of a CDF's fractions
 )
 
 const nanosecondsPerMillisecond = float64(time.Millisecond)
@@ -32,7 +32,7 @@
 	table           *strataTable
 	cdf             []float64   // fraction of response times up to each bucket
 	leaveOneOutCDFs [][]float64 // one with each customer group left out
-	tQuantile       float64     // of Student's t distribution, for the number of groups
+	tQuantile       float64     // quantile of Student's t distribution for the number of groups
 	designEffect    float64     // variance with clustering by customer over that without, at least 1; set by setMean
 
 	// unreachableError widens the intervals of Direct relative to the figure. A host may respond to the attempts that
--- a/counterfactual/ledger.go
+++ b/counterfactual/ledger.go
@@ -13,7 +13,7 @@
 type Settings struct {
 	Gateways        int             // number of gateways that are expected to report
 	Window          time.Duration   // length of a bin and of the gateways' windows
-	Grace           time.Duration   // from a bin's end until it is sealed; later messages for it are ignored
+	Grace           time.Duration   // time from a bin's end until the bin is sealed; later messages for it are ignored
 	KeptBins        int             // number of bins that are kept, besides the current one
 	MaxCells        int             // number of cells in all bins and incomplete windows together
 	MaxMissingShare float64         // estimated fraction of all attempts; if more are not reported, answers are refused
@@ -29,8 +29,8 @@
 type MessageCounts struct {
 	Merged         int
 	Duplicates     int `json:"Twice"`
-	Late           int // for a sealed bin
-	OldIncarnation int `json:"OldLife"` // from an earlier incarnation of the gateway than the latest
+	Late           int // the bin was sealed already
+	OldIncarnation int `json:"OldLife"` // sent by an earlier incarnation of the gateway than the latest
 	Invalid        int `json:"Strange"` // contradicting the settings or other parts of the window
 	OutOfCapacity  int `json:"Full"`    // beyond Settings.MaxCells
 }
@@ -71,12 +71,12 @@
 type window struct {
 	incarnation uint64
 	number      uint32
-	bin         BinNumber         // in which the window ended
+	bin         BinNumber         // the bin in which the window ended
 	total       int               // number of its parts
-	parts       map[uint16][]Cell // received so far, by SummaryPart.Index; nil once complete
+	parts       map[uint16][]Cell // cells of the parts received so far, by SummaryPart.Index; nil once complete
 	complete    bool              // all parts are merged
-	attempts    uint32            // as SummaryPart.Attempts
-	lostRecords uint32            // as SummaryPart.LostRecords
+	attempts    uint32            // SummaryPart.Attempts of its parts
+	lostRecords uint32            // SummaryPart.LostRecords of its parts
 }
 
 // NewLedger returns an empty ledger.
@@ -238,7 +238,7 @@
 	return BinNumber(instant / clock.Instant(l.settings.Window))
 }
 
-// binEnd returns the instant at which a bin ends.
+// binEnd returns the instant of the ledger's clock at which a bin ends and the next one starts.
 func (l *Ledger) binEnd(bin BinNumber) clock.Instant {
 	return clock.Instant(bin+1) * clock.Instant(l.settings.Window)
 }
--- a/counterfactual/missing.go
+++ b/counterfactual/missing.go
@@ -19,9 +19,9 @@
 	missingAttempts float64 // estimated, with LostAttempts; or unknownAttempts
 }
 
-// reportCoverage says how much one gateway has reported in a range of bins.
+// reportCoverage counts what one gateway has and has not reported in a range of bins.
 type reportCoverage struct {
-	attempts        float64 // in the cells of complete windows
+	attempts        float64 // attempts in the cells of complete windows
 	completeWindows int     // number of windows of which all parts have arrived
 	missingWindows  int     // number of windows of which a part, or all, has not arrived
 	lostAttempts    int     // attempts that are not in the cells of windows of which any part has arrived
--- a/counterfactual/record.go
+++ b/counterfactual/record.go
@@ -37,7 +37,7 @@
 	return Rule(max(i, 0)), i >= 0
 }
 
-// Outcome says what the end of an attempt shows about the host's response time.
+// Outcome is what the end of an attempt shows about the host's response time.
 type Outcome uint8
 
 // Outcomes.
@@ -50,10 +50,10 @@
 // Candidate is a host that was available for an attempt. It is eligible, that is, the gateway could have chosen it, if
 // its probability is above 0. The JSON names of Candidate and Record are those of the records file.
 type Candidate struct {
-	Host        uint32  // number
+	Host        uint32  // number of the host
 	Incarnation uint32  `json:"Born"` // identifies the host's process: a restarted host counts as another one
-	Zone        int     // from 0 to 255
-	Probability float64 `json:"Chance"` // with which the gateway chooses this candidate for a random customer
+	Zone        int     // index of the zone, from 0 to 255
+	Probability float64 `json:"Chance"` // probability that the gateway chooses this candidate for a random customer
 	Load        float64 // estimated by the gateway when it chose; not negative
 }
 
@@ -63,6 +63,6 @@
 	Class      int           `json:"Frontend"` // index of the request class
 	Customer   uint32        // hash of the customer; attempts of a customer are correlated, which widens the intervals
 	Candidates []Candidate   `json:"Options"`
-	Latency    time.Duration `json:"Lag"` // from sending the attempt to its end
-	End        Outcome       // says whether Latency is a response time
+	Latency    time.Duration `json:"Lag"` // time from sending the attempt to its end
+	End        Outcome       // what the end shows, such as whether Latency is a response time
 }
--- a/counterfactual/replaced.go
+++ b/counterfactual/replaced.go
@@ -18,7 +18,7 @@
 // attemptCounts contains the number of attempts at each host process in each bin.
 type attemptCounts map[hostProcess]map[BinNumber]float64
 
-// add adds a number of attempts at a host process in a bin.
+// add adds to the number of attempts at a host process in a bin, which is 0 before the first call.
 func (c attemptCounts) add(process hostProcess, bin BinNumber, attempts float64) {
 	if c[process] == nil {
 		c[process] = map[BinNumber]float64{}
--- a/counterfactual/rule_shares.go
+++ b/counterfactual/rule_shares.go
@@ -7,7 +7,7 @@
 
 const (
 	maxZone              = 255  // zones are bytes in messages
-	probabilityTolerance = 1e-3 // by which the sum of a record's probabilities may differ from 1
+	probabilityTolerance = 1e-3 // largest difference of the sum of a record's probabilities from 1
 )
 
 // ruleShares contains, for one record and each rule, the fraction of the attempt that the rule sends to each candidate,
@@ -20,7 +20,7 @@
 	// the rule over that under the gateway. It is at most maxWeight, except for OtherZone.
 	weight [NumRules]float64
 
-	loads          []float64 // of all candidates, ascending
+	loads          []float64 // loads of all candidates, ascending
 	eligible       float64   // number of eligible candidates
 	eligibleByZone []float64 // number of eligible candidates by zone
 }
--- a/counterfactual/rule_sums.go
+++ b/counterfactual/rule_sums.go
@@ -9,8 +9,8 @@
 // ruleSums contains a rule's sums over all strata. A CDF in it is the sum of the strata's distribution functions of the
 // response time, by bucket, each times the stratum's mass or weight. Method estimate normalizes it.
 type ruleSums struct {
-	directCDF     []float64 // by mass, of strata with enough outcomes
-	weightedCDF   []float64 // by weight
+	directCDF     []float64 // sum by mass over strata with enough outcomes
+	weightedCDF   []float64 // sum by weight over all strata
 	residualCDF   []float64 // weighted outcomes minus unweighted ones, by weight, of strata with enough outcomes
 	mass          float64   // attempts that the rule sends to the strata
 	coveredMass   float64   // mass of strata with enough outcomes
--- a/counterfactual/summary.go
+++ b/counterfactual/summary.go
@@ -8,7 +8,7 @@
 	_           struct{} `cbor:",toarray"`
 	Class       uint16   // index of the request class
 	GatewayZone uint8
-	Host        uint32 // number
+	Host        uint32 // number of the host
 	Incarnation uint32 // of the host's process, as in Candidate
 	LoadBand    uint8  // result of loadBand
 }
--- a/gateway/candidates.go
+++ b/gateway/candidates.go
@@ -2,7 +2,7 @@
 
 // Candidate is an endpoint that could have been chosen for an attempt.
 type Candidate struct {
-	Host   uint32
+	Host   uint32  // as Endpoint.Host
 	Chance float64 // fraction of customers it is chosen for; 0: available, but its load is too high
 	Load   float64 // expected latency of an answer, relative to the typical latency
 }
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -48,7 +48,7 @@
 // NeverRan reports whether the result proves that the endpoint did not run the request.
 func (r Result) NeverRan() bool { return r == Busy || r == Unreachable || r == NotSent }
 
-// ListKind is what the endpoints of an EndpointsListed event stand for.
+// ListKind says which part of the endpoint list an EndpointsListed event has.
 type ListKind int
 
 // The kinds of endpoint lists.
@@ -75,7 +75,7 @@
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	Host      uint32 // id of the host
+	Host      uint32 // number of the host, by which events and actions name the endpoint
 	Zone      int    // index of the zone
 	Cell      int    // index of the cell
 	Machine   int    // index of the machine kind
@@ -102,17 +102,17 @@
 	FirstGateway int    // member index of the first of them; the others follow cyclically
 	Retry        bool   // the client marked the request as a retry
 	Closed       bool   // the request has its final answer, or its client is gone
-	Host         uint32 // id of the endpoint's host
+	Host         uint32 // number of the endpoint's host, as in Endpoint.Host
 	Attempt      int    // position among the request's attempts, from 0 on
 	Result       Result
-	Latency      time.Duration // from the start of the attempt, probe or call
+	Latency      time.Duration // time since the start of the attempt, probe or call
 	Usage        int           // the customer's metered use in percent, plus 1; 0: not reported
 	LoadReport   []float64     // values of LoadReportFormat.Fields, in that order; nil: not reported
 	ListKind     ListKind
-	Endpoints    []Endpoint // of the list, as ListKind says
+	Endpoints    []Endpoint // endpoints of the list; ListKind says whether these are all
 	Peer         int        // member index of the sender
 	Message      []byte     // encoded gossip
-	CounterName  uint64     // as given to AddToCounter
+	CounterName  uint64     // name of the counter, as given to AddToCounter
 	CounterTotal float64    // value of the counter after the call, if it succeeded
 }
 
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -25,11 +25,11 @@
 // RequestClass is the settings of one class of requests.
 type RequestClass struct {
 	Effect           Effect
-	Group            DedupGroup    // of a deduplicated class
-	DedupWindow      time.Duration // of a deduplicated class: repeats are dropped for this time after the first attempt
+	Group            DedupGroup    // which endpoints drop repeats; only for a deduplicated class
+	DedupWindow      time.Duration // time after the first attempt for which repeats are dropped; only for such a class
 	LatencyObjective time.Duration // answers within it earn the full value
 	Timeout          time.Duration // client's timeout, for all attempts together
-	Value            float64       // of an answer in time, relative to other classes
+	Value            float64       // value of an answer in time, relative to other classes
 	LateValue        float64       // fraction of Value that an answer after the latency objective earns
 	Stream           bool          // whether answers are streamed
 }
@@ -44,8 +44,8 @@
 	CeilingBurst   float64 // size of the hard ceiling's bucket in units
 	CeilingSlack   float64 // units by which the ceiling may be exceeded
 	PriorityWeight float64 // factor of a request's value
-	OverQuotaValue float64 // fraction of its value that a request admitted over quota earns
-	OverQuotaCost  float64 // fraction of its value that a request admitted over quota costs
+	OverQuotaValue float64 // fraction of its value that a request earns if it is admitted over quota
+	OverQuotaCost  float64 // fraction of its value that a request costs if it is admitted over quota
 }
 
 // Membership is the gateway's place in its fleet.
@@ -59,7 +59,7 @@
 
 // Limits are the limits and features of the deployment.
 type Limits struct {
-	MaxAttempts    int           // for one request, the first included
+	MaxAttempts    int           // most attempts for one request, the first included
 	Hedging        bool          // whether a request may have two attempts in flight
 	Cancellation   bool          // whether attempts can be canceled
 	Probes         bool          // whether endpoints answer probes
@@ -76,7 +76,7 @@
 	InitialFraction float64       // fraction of its capacity that an endpoint has at its start, at least
 	Duration        time.Duration // time from its start until it has all of its capacity, at most
 	OverloadFactor  float64       // an endpoint fails if it is sent more than this multiple of its capacity
-	OverloadWindow  time.Duration // for this long
+	OverloadWindow  time.Duration // time for which it has to be sent that much before it fails
 }
 
 // LoadField is the meaning of one field of a load report.
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -40,7 +40,7 @@
 	return a
 }
 
-// Succeed sets the answer to a value.
+// Succeed sets the answer to the value that the request returned.
 func (a *Answer) Succeed(value []byte) { a.set(successReply(value)) }
 
 // Reject sets the answer to a rejection: the request did not run and may be retried after the given time, 0 for at
--- a/internal/clients/catalog.go
+++ b/internal/clients/catalog.go
@@ -73,7 +73,7 @@
 	version      uint64         // number of edits applied
 	classIndices map[string]int // by name, including removed classes
 	planIndices  map[string]int // by name, including removed plans
-	classes      []ClassEdit    // by index, as set by the latest edit
+	classes      []ClassEdit    // classes by index, as set by the latest edit
 	plans        []PlanEdit     // by index, as set by the latest edit
 	members      int            // number of gateways of the fleet
 	ownIndex     int            // member index of this gateway
--- a/internal/clients/command.go
+++ b/internal/clients/command.go
@@ -21,9 +21,9 @@
 const (
 	customerDigits  = 16                 // hexadecimal digits of a customer's number
 	customerLimit   = "0000000200000000" // 2^33: every customer's number is less
-	maxIDBytes      = 64                 // of a request's id
-	minCommandWords = 4                  // of a request without a body
-	maxCommandWords = 5                  // of a request with a body
+	maxIDBytes      = 64                 // longest id of a request
+	minCommandWords = 4                  // words of a request without a body
+	maxCommandWords = 5                  // words of a request with a body
 )
 
 var (
@@ -55,7 +55,8 @@
 	retry    bool          // whether the client marked the request as a retry
 }
 
-// commandHandler handles parsed commands.
+// commandHandler receives the commands that a CommandParser has parsed, in their order. What it is passed is valid only
+// until the method returns.
 type commandHandler interface {
 	handleRequest(request parsedRequest)
 	handlePing()
--- a/internal/clients/helpers_test.go
+++ b/internal/clients/helpers_test.go
@@ -149,7 +149,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// testClient is a client connected to a testServer.
+// testClient is the client's end of one TCP connection to a testServer, with the server's end of it.
 type testClient struct {
 	*testServer
 	*net.TCPConn
@@ -180,7 +180,7 @@
 	return client
 }
 
-// sendText sends text as it is.
+// sendText sends bytes that need not be complete or valid commands.
 func (c *testClient) sendText(text string) { io.WriteString(c.TCPConn, text) }
 
 // send sends one request for each id.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,17 +9,18 @@
 	"github.com/tidwall/gjson"
 )
 
-// Config is the configuration of one gateway process.
+// Config is the checked configuration of one gateway process: its file, with the environment variables that override
+// keys of it, and with defaults set.
 type Config struct {
-	Name             string           // of this gateway
-	Listen           netip.AddrPort   // TCP, for clients
-	DiscoveryAddress string           // of the discovery agent: IP address and port
-	Seed             uint64           // of the decision module's random choices
+	Name             string           // name of this gateway
+	Listen           netip.AddrPort   // TCP address that clients connect to
+	DiscoveryAddress string           // IP address and port of the discovery agent
+	Seed             uint64           // seed of the decision module's random choices
 	MemoryLimit      int64            // bytes that the process may use
 	MaxDescriptors   int              // file descriptors that the process may use
-	PeerListen       netip.AddrPort   // UDP, for gossip; invalid if gateways exchange none
+	PeerListen       netip.AddrPort   // UDP address that receives gossip; invalid if gateways exchange none
 	Peers            []netip.AddrPort // gossip addresses by member index; empty if gateways exchange no gossip
-	CounterAddress   netip.AddrPort   // of the shared counter; invalid if there is none
+	CounterAddress   netip.AddrPort   // address of the shared counter; invalid if there is none
 
 	// InitialEndpointList is the endpoint list to start with, as JSON text; it may be empty. It is a substring of the
 	// file's text and keeps all of it in memory.
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -21,7 +21,7 @@
 	Dir        string           // where the gateway stores the latest valid version
 }
 
-// configurationSection is the section as JSON.
+// configurationSection is the JSON object at the key configuration of the file, before it is checked and converted.
 type configurationSection struct {
 	Publishers []string `json:"publishers"`
 	Dir        string   `json:"dir"`
--- a/internal/config/counterfactual.go
+++ b/internal/config/counterfactual.go
@@ -8,25 +8,25 @@
 // Counterfactual is the optional section on estimates of what other hosts would have answered (docs/counterfactual.md).
 // Each gateway summarizes its records for the collectors, which are gateways that merge the summaries.
 type Counterfactual struct {
-	Listen      netip.AddrPort   // UDP, for summaries
-	QueryListen netip.AddrPort   // TCP, where a collector answers queries
-	Peers       []netip.AddrPort // by member index, as this gateway sees them: they identify a summary's sender
+	Listen      netip.AddrPort   // UDP address that receives summaries
+	QueryListen netip.AddrPort   // TCP address at which a collector answers queries
+	Peers       []netip.AddrPort // by member index, as this gateway sees them: addresses that identify a summary's sender
 	Collectors  []int            // members that merge summaries and answer queries
 
-	RecordedFraction float64       // of the decision module's batches, drawn at random
-	Window           time.Duration // covered by one summary
-	Grace            time.Duration // after the end of a window, during which its late summaries still count
-	Retention        time.Duration // for which a collector keeps its windows
+	RecordedFraction float64       // fraction of the decision module's batches that is recorded, drawn at random
+	Window           time.Duration // time that one summary covers
+	Grace            time.Duration // time after the end of a window in which its late summaries still count
+	Retention        time.Duration // time for which a collector keeps its windows
 	QueueLength      int           // records that may wait to be summarized; records beyond that are counted as lost
-	MaxCells         int           // cells of a gateway's window
-	MaxLedgerCells   int           // cells that a collector keeps
-	MaxMissing       float64       // fraction of the attempts that a result may lack
+	MaxCells         int           // most cells in a gateway's window
+	MaxLedgerCells   int           // most cells that a collector keeps
+	MaxMissing       float64       // largest fraction of the attempts that a result may lack
 
-	RecordsFile     string // to which each record is appended; empty: none
-	RecordsMaxBytes int    // that one process appends before it stops writing records
+	RecordsFile     string // file to which each record is appended; empty: none
+	RecordsMaxBytes int    // bytes that one process appends before it stops writing records
 }
 
-// counterfactualSection is the section as JSON.
+// counterfactualSection is the JSON object at the key counterfactual of the file, before it is checked and converted.
 type counterfactualSection struct {
 	Listen     string   `json:"listen"`
 	Ask        string   `json:"ask"`
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,7 +7,7 @@
 
 // KeyError is an error about the value of one key, or about a key that is missing.
 type KeyError struct {
-	Path string // of the key in its file, section or settings, such as "peers.3"
+	Path string // path of the key in its file, section or settings, such as "peers.3"
 	Err  error
 }
 
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -28,7 +28,7 @@
 // ResourceError is the reason for which a change to one resource of the configuration is rejected.
 type ResourceError struct {
 	Resource configsync.Resource
-	Key      string // in the resource's JSON object; empty if the error is not about one key
+	Key      string // key in the resource's JSON object; empty if the error is not about one key
 	Err      error
 }
 
@@ -56,8 +56,8 @@
 	classes              table[gateway.RequestClass]
 	planNamesByID        map[uint32]string // includes removed plans
 	members              members
-	limits               gateway.Limits // in force
-	requestedLimits      gateway.Limits // as configured: Hedging may be set although limits has it off
+	limits               gateway.Limits // limits in force
+	requestedLimits      gateway.Limits // limits as configured: Hedging may be set although limits has it off
 	nonIdempotentClasses int            // number of such request classes in force
 	file                 fileSettings
 }
@@ -113,17 +113,17 @@
 
 // Revision is the difference that Apply made to the configuration in force.
 type Revision struct {
-	Update      gateway.SettingsUpdate // for the decision module
+	Update      gateway.SettingsUpdate // the part of the difference that the decision module applies
 	PlanNames   []string               // names of Update.Plans, in the same order
 	Classes     []ClassChange          // the classes of Update.Classes, and the removed ones
 	Members     []MemberChange         // members with a new address, by ascending index
 	MemberCount int                    // members in force; those with this index or a higher one are removed
 	PlanCount   int                    // quota plans in force
 	ClassCount  int                    // request classes in force
-	Adjusted    []Adjustment           // made to the changed resources
+	Adjusted    []Adjustment           // adjustments made to the changed resources
 }
 
-// ClassChange sets or removes a request class.
+// ClassChange is one entry of Revision.Classes: a request class that was set or removed.
 type ClassChange struct {
 	Name    string
 	Index   int
@@ -131,7 +131,7 @@
 	Removed bool
 }
 
-// MemberChange sets the gossip address of a member.
+// MemberChange is one entry of Revision.Members: a new gossip address of a member.
 type MemberChange struct {
 	Index   int
 	Address netip.AddrPort
@@ -159,9 +159,9 @@
 type liveEdit struct {
 	plans            tableEdit[gateway.Plan]
 	classes          tableEdit[gateway.RequestClass]
-	newPlanNamesByID map[uint32]string // of plans whose ID is not in Live.planNamesByID
+	newPlanNamesByID map[uint32]string // names of the plans whose ID is not in Live.planNamesByID
 	members          memberEdit
-	limits           gateway.Limits // with Hedging as configured
+	limits           gateway.Limits // limits as configured, Hedging included
 	adjusted         []Adjustment
 
 	initial bool // the edit is made at the start of a gateway: its revision lists no quota plans
--- a/internal/config/live_decode.go
+++ b/internal/config/live_decode.go
@@ -112,7 +112,7 @@
 // PlanIDConflictError is the error of a quota plan whose ID, a hash of its name, is also that of another name.
 type PlanIDConflictError struct {
 	ID        uint32
-	OtherName string // of a plan in force, removed, or in the same changes
+	OtherName string // name of the other plan, which is in force, removed, or in the same changes
 }
 
 // Error asks for another name, since the ID follows from it.
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -21,7 +21,7 @@
 // read as zero.
 type objectReader struct {
 	object       gjson.Result
-	prefix       string // of the keys in messages: the path of the object and a dot, or empty
+	prefix       string // put before keys in messages: the path of the object and a dot, or empty
 	err          error
 	scannedBytes int // upper bound of the bytes scanned by all lookups; a test checks how it grows
 }
@@ -150,5 +150,5 @@
 	})
 }
 
-// elementPath returns the path of the element of a list at an index.
+// elementPath returns the path of one element of the list at a path, such as "plans.3".
 func elementPath(list string, index int) string { return list + "." + strconv.Itoa(index) }
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -15,7 +15,7 @@
 	Terms    pool.Terms
 	Capacity int     // connections that the store accepts
 	Serial   uint64  // version of Capacity: the capacity with the highest serial at any gateway applies
-	Weight   float64 // of this gateway in the division of connections, relative to the other gateways; above 0
+	Weight   float64 // weight of this gateway in the division of connections, relative to the others; above 0
 
 	Voters       []netip.AddrPort // UDP, for messages from gateways, as this gateway sees the voters
 	VoterStreams []netip.AddrPort // TCP, for messages between the voters; by the same index
@@ -24,15 +24,15 @@
 	Dir          string           // where a voter stores its state
 	Key          []byte           // secret that signs all messages
 
-	ElectionTimeout time.Duration   // without contact to the leader, after which the voters elect another
-	MaxWait         time.Duration   // for which a request may wait for a connection
-	UrgentClasses   map[string]bool // by name: request classes that get connections first, within the floor of Terms
+	ElectionTimeout time.Duration   // time without contact to the leader after which the voters elect another
+	MaxWait         time.Duration   // longest time that a request waits for a connection
+	UrgentClasses   map[string]bool // names of the classes that get connections first, within the floor of Terms
 }
 
 // VoterIndex returns the index of a member among the voters, or -1 if the member is not a voter.
 func (p *Pool) VoterIndex(member int) int { return slices.Index(p.VoterMembers, member) }
 
-// poolSection is the section as JSON.
+// poolSection is the JSON object at the key pool of the file, before it is checked and converted.
 type poolSection struct {
 	Capacity   int      `json:"capacity"`
 	Serial     uint64   `json:"serial"`
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -11,17 +11,17 @@
 
 // Publisher is the configuration of one replica of the publishers (docs/configuration-sync.md).
 type Publisher struct {
-	Index          int              // of this replica in RaftAddresses and AdminAddresses
+	Index          int              // index of this replica in RaftAddresses and AdminAddresses
 	Listen         netip.AddrPort   // TCP, for followers
 	RaftListen     netip.AddrPort   // TCP, for the other replicas
-	RaftAddresses  []netip.AddrPort // of all replicas
+	RaftAddresses  []netip.AddrPort // RaftListen of all replicas, as this replica reaches them
 	AdminListen    netip.AddrPort   // HTTP without authentication: only operators should reach this network
-	AdminAddresses []netip.AddrPort // of all replicas
+	AdminAddresses []netip.AddrPort // AdminListen of all replicas, as this replica reaches them
 
 	Dir             string        // where the replica stores its state
 	Key             []byte        // secret shared by the replicas
-	ElectionTimeout time.Duration // without contact to the leader, after which the replicas elect another
-	MaxFollowers    int           // connections of followers at the same time
+	ElectionTimeout time.Duration // time without contact to the leader after which the replicas elect another
+	MaxFollowers    int           // largest number of connections of followers at the same time
 	HistoryLimits   configsync.HistoryLimits
 	SenderLimits    configsync.SenderLimits
 
@@ -29,7 +29,7 @@
 	TrailingEntries   uint64 // entries of the log that are kept after a snapshot; 0: the default
 }
 
-// publisherFile is the file as JSON.
+// publisherFile is the JSON object in a publisher's file, before it is checked and converted.
 type publisherFile struct {
 	Index         int      `json:"index"`
 	Listen        string   `json:"listen"`
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -19,14 +19,14 @@
 	SlowStart  gateway.SlowStart
 	LoadReport gateway.LoadReportFormat
 
-	ClassNames  []string // by index in Classes
-	PlanNames   []string // by index in Plans
-	ReportNames []string // by index in LoadReport.Fields
-	Zones       []string // by zone index
+	ClassNames  []string // names of Classes, by the same index
+	PlanNames   []string // names of Plans, by the same index
+	ReportNames []string // names of LoadReport.Fields, by the same index
+	Zones       []string // names of the zones, by zone index
 	Machines    []string // names of machine types, by index
 
-	ConnIdle       time.Duration // after which an unused connection to a host is closed
-	ConnectTimeout time.Duration // of connections to hosts
+	ConnIdle       time.Duration // time after which an unused connection to a host is closed
+	ConnectTimeout time.Duration // longest time to establish a connection to a host
 
 	// EqualWeights means that the weights in the endpoint list are momentary load figures, which say nothing about the
 	// size of a host. All hosts get the same weight.
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -24,7 +24,7 @@
 
 const (
 	logFile           = "log.db"
-	snapshotsKept     = 2                     // on disk
+	snapshotsKept     = 2                     // snapshots kept on disk
 	snapshotInterval  = 30 * time.Second      // between checks whether a snapshot is due
 	snapshotThreshold = 4096                  // log entries since the last snapshot that make another one due
 	trailingEntries   = 1024                  // log entries kept after a snapshot, for replicas that are slightly behind
@@ -47,7 +47,7 @@
 // Config describes one replica.
 type Config struct {
 	ClusterName     string           // identifies the cluster in log lines, as cluster=NAME
-	Index           int              // of this replica in Addresses
+	Index           int              // index of this replica in Addresses
 	Addresses       []netip.AddrPort // TCP addresses at which this replica reaches each replica, itself included
 	Listen          netip.AddrPort   // TCP address to listen at
 	Dir             string           // directory of the log, snapshots and id; created if it does not exist
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -26,14 +26,14 @@
 // receivedAnnouncement is the latest announcement of a replica.
 type receivedAnnouncement struct {
 	id         string    // Announcement.ID
-	receivedAt time.Time // by this replica
+	receivedAt time.Time // when this replica received it
 }
 
 // membership bootstraps the cluster and replaces the ids of replicas that lost their disk. Only the goroutine of run
 // uses latest.
 type membership struct {
 	replica       *Replica
-	latest        map[int]receivedAnnouncement // by replica index
+	latest        map[int]receivedAnnouncement // the latest announcement of each other replica, by its index
 	announcements chan Announcement            // received and not yet handled
 	done          chan struct{}                // closed by close
 	ended         chan struct{}                // closed when run returns
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -1,6 +1,6 @@
 // Package counter is the client of the shared counter: a server that speaks RESP2 and supports INCRBYFLOAT and PEXPIRE
 // with NX, as Redis 7 and later do. Each call is answered exactly once. If the server doesn't reply within the timeout,
-// or the connection fails, the answer says so.
+// or the connection fails, the answer has the gateway.Result for that.
 package counter
 
 import (
@@ -32,8 +32,8 @@
 	keyPrefix      = "ravensill:"
 	maxUnsentBytes = 64 << 10        // a call is rejected if its commands would exceed this limit of unsent bytes
 	overdueFactor  = 20              // the connection is closed if a call gets no reply within this many timeouts
-	dialTimeout    = time.Second     // for one attempt to connect
-	reconnectDelay = time.Second / 2 // from a failed attempt to connect until the next
+	dialTimeout    = time.Second     // longest time of one attempt to connect
+	reconnectDelay = time.Second / 2 // time from a failed attempt to connect until the next
 )
 
 var (
@@ -46,7 +46,7 @@
 type Counter struct {
 	system    sockets.System
 	address   netip.AddrPort
-	timeout   time.Duration // from a call until it is answered with gateway.TimedOut
+	timeout   time.Duration // time from a call until it is answered with gateway.TimedOut
 	runOnLoop func(func())  // runs a function on the event loop
 	now       func() clock.Instant
 	onAnswer  func(gateway.Event) // receives the answer of each call
@@ -57,7 +57,7 @@
 	closed   bool          // Close was called
 
 	cancelDial context.CancelFunc // ends the latest attempt to connect; nil: none yet
-	goroutines sync.WaitGroup     // that connect and read replies
+	goroutines sync.WaitGroup     // the goroutines that connect and read replies
 
 	loggedState       string // state in the latest log line; empty: none was logged
 	expiryErrorLogged bool   // it was logged for this connection that the server rejects PEXPIRE with NX
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -20,7 +20,7 @@
 // EndpointList merges all lists decoded so far into the set of known endpoints, and gives each endpoint a number that
 // it keeps until Forget. It must be used by one goroutine at a time.
 type EndpointList struct {
-	Version      int64 // of the latest list that was decoded; 0 before the first
+	Version      int64 // version of the latest list that was decoded; 0 before the first
 	EqualWeights bool  // the weights in the lists do not reflect host sizes: each endpoint's weight is set to 1
 
 	zones        []string
@@ -115,7 +115,7 @@
 	version  int64
 	entries  []listEntry
 	indices  map[string]int // index in entries by id; noEntry if the list names the id without an entry that counts
-	entryErr error          // of the last invalid entry
+	entryErr error          // error of the last invalid entry
 }
 
 const noEntry = -1
@@ -125,7 +125,7 @@
 	gateway.Endpoint
 	id         string
 	address    netip.AddrPort // invalid if the entry has none
-	superseded bool           // by a later entry with the same id
+	superseded bool           // whether a later entry has the same id
 }
 
 // stateNames are the words for an entry's state, indexed by gateway.EndpointState.
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -16,7 +16,7 @@
 type phase int
 
 const (
-	connecting     phase = iota // to the agent
+	connecting     phase = iota // a connection to the agent is being established
 	awaitingHeader              // the request is sent; the header of the response is not complete
 	betweenValues               // nothing but white space was received since the header or the last value
 	inValue                     // a value has begun and is not complete
--- a/internal/discovery/timeouts_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -147,7 +147,7 @@
 func TestTimeoutsLeadToListWithinDeadline(t *testing.T) {
 	const (
 		deadline       = 6 * time.Second
-		afterAgentDown = time.Second // from the moment at which the agent is back
+		afterAgentDown = time.Second // time since the agent came back
 	)
 	var (
 		connectionRefused    = failedAttempt{"refused", refused, true}
--- a/internal/discovery/values.go
+++ b/internal/discovery/values.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxListBytes   = 32 << 20 // of one list; an indented list of 87,000 endpoints fits in
+	maxListBytes   = 32 << 20 // longest list; an indented list of 87,000 endpoints fits in
 	maxBufferBytes = 1 << 20  // after a longer list the decoder and its buffer are replaced, to free the memory
 
 	whiteSpace = " \t\r\n"
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -20,7 +20,7 @@
 // WatchOptions are the options of one watch. Its callbacks are called one at a time, by the goroutine that runs Watch.
 type WatchOptions struct {
 	System       sockets.System
-	Address      string // of the agent: IP address and port
+	Address      string // IP address and port of the agent
 	AfterVersion int64  // the agent is asked for versions of the endpoint list later than this one
 
 	Timeouts *Timeouts    // not shared with another watch
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -3,7 +3,7 @@
 //   - a version, one byte
 //   - the incarnation of the sender
 //   - the sequence number of the message
-//   - where plans are named by ID, the number of gateways that the sender knows
+//   - where plans are named by ID, the number of gateways in the configuration of the sender
 //   - the number of tags, and the tags, which identify hosts
 //   - any number of cumulative counters of customers, up to the end of the message
 //
@@ -16,8 +16,8 @@
 )
 
 const (
-	versionByIndex = 3 // of messages that name quota plans by index
-	versionByID    = 4 // of messages that name quota plans by ID
+	versionByIndex = 3 // version of messages that name quota plans by index
+	versionByID    = 4 // version of messages that name quota plans by ID
 )
 
 // Limits of one message. Decode ignores messages that exceed them.
--- a/internal/hosts/transport.go
+++ b/internal/hosts/transport.go
@@ -34,12 +34,12 @@
 	limiter     *ConnectionLimiter // nil without a connection quota
 	maxConns    int                // limit of openConns
 
-	addrs        map[uint32]netip.AddrPort // of all hosts, by host id
-	pools        map[uint32]*hostPool      // of the hosts that an attempt was made to, by host id
+	addrs        map[uint32]netip.AddrPort // addresses of all hosts, by host number
+	pools        map[uint32]*hostPool      // pools of the hosts that an attempt was made to, by host number
 	openConns    int                       // open connections, dials in progress included
 	pendingCount int                       // attempts that wait for a dial, over all pools
 	dialingCount int                       // dials in progress, over all pools
-	idle         *list.List                // of *conn, over all pools, the longest idle first
+	idle         *list.List                // the idle *conn of all pools, the longest idle first
 	toFlush      []*conn                   // connections with bytes to write
 	nextUrgent   bool                      // whether the next attempt is of an urgent request class
 
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -143,7 +143,7 @@
 	})
 }
 
-// watchEnded handles the failure of a watch. It starts another one after discovery.RewatchDelay, unless the module
+// watchEnded handles the failure of a watch. It starts another one after discovery.WatchRetryDelay, unless the module
 // polls the list and decides itself when to ask again.
 func (n *Node) watchEnded(w *endpointWatch, err error) {
 	if n.watch != w { // another watch has replaced it
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -69,16 +69,16 @@
 	inbox           chan func()            // functions for the loop to run
 	loopEnded       chan struct{}          // closed once the loop has ended
 	readers         sync.WaitGroup         // goroutines that read from peers and from the discovery agent
-	backgroundTasks []func() (end func())  // of AddBackgroundTask
-	classes         []gateway.RequestClass // by index, with the settings in force
+	backgroundTasks []func() (end func())  // the start functions given to AddBackgroundTask
+	classes         []gateway.RequestClass // request classes by index, with the settings in force
 
-	events     []gateway.Event // collected for the next batch
-	listEvents []gateway.Event // of the endpoint list; first in the batch, so that a drain applies to all its events
+	events     []gateway.Event // events for the next batch, except those in listEvents
+	listEvents []gateway.Event // those of the endpoint list: first in the batch, so that a drain applies to all events
 	batch      gateway.Batch   // the current or latest batch
 	batchCount int             // batches that the module was given
 	timerAt    gateway.Time    // when the module's timer fires; 0: not set
 
-	requests   map[string]*request // by id
+	requests   map[string]*request // requests that are open or have an attempt in flight, by id
 	inFlight   []*attempt          // attempts and probes, in the order of their starts
 	nextExpiry gateway.Time        // no attempt in flight times out earlier; 0: none is in flight
 
@@ -96,14 +96,14 @@
 	firstListDone bool           // whether clients may be accepted: the agent has answered, or was waited for long enough
 	rejectedLists int            // invalid lists and deltas since the start
 
-	pendingRevisions []revision // of the configuration, applied after the current iteration
+	pendingRevisions []revision // new versions of the configuration, applied after the current iteration
 
 	acceptingClients bool // whether StartAccepting was called for the clients' listener
 	phase            shutdownPhase
 	nextPhaseAt      gateway.Time // when the phase ends; 0: no time is set
 	answerDeadline   gateway.Time // latest deadline of all requests; 0: not shutting down
 
-	droppedDatagrams int          // since the latest log line datagrams_dropped
+	droppedDatagrams int          // gossip datagrams dropped since the latest log line datagrams_dropped
 	droppedLoggedAt  gateway.Time // time of that line
 	countsLoggedAt   gateway.Time // time of the latest log line decisions
 }
--- a/internal/node/observed_actions.go
+++ b/internal/node/observed_actions.go
@@ -24,10 +24,10 @@
 	*Node
 	recorder    *observer.Observer
 	hosts       map[uint32]observedHost      // by host number
-	pending     map[*attempt]*observer.Entry // of the attempts in flight
-	nextEntry   *observer.Entry              // of the attempt that the module starts next; nil: it is not observed
-	completed   []*observer.Entry            // of ended attempts, not passed to the observer yet
-	freeEntries []*observer.Entry            // for reuse
+	pending     map[*attempt]*observer.Entry // records of the attempts in flight
+	nextEntry   *observer.Entry              // record of the next attempt that the module starts; nil: not observed
+	completed   []*observer.Entry            // records of ended attempts that are not passed to the observer yet
+	freeEntries []*observer.Entry            // entries that newEntry may reuse
 	random      *rand.Rand
 }
 
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -47,7 +47,7 @@
 	system      sockets.System
 	config      *config.Counterfactual
 	memberIndex int      // member index of this gateway
-	zone        int      // of this gateway
+	zone        int      // zone index of this gateway
 	classes     []string // names of the request classes, by index
 
 	records        chan []*Entry                     // batches from Offer
@@ -85,7 +85,7 @@
 type Options struct {
 	System     sockets.System
 	Config     *config.Counterfactual
-	Membership gateway.Membership // of this gateway
+	Membership gateway.Membership // place of this gateway in its fleet
 	Classes    []string           // names of the request classes
 	Objectives []time.Duration    // latency objective of each request class, by index
 }
--- a/internal/observer/query.go
+++ b/internal/observer/query.go
@@ -17,7 +17,7 @@
 	queryBufferBytes = 512              // initial size of a connection's buffer
 	maxQueryConns    = 8                // connections at a time; further ones are closed at once
 	maxQueryWindows  = 1 << 20          // limit of Query.LastWindows
-	queryTimeout     = 10 * time.Second // for each of reading a query, waiting for the loop and writing the answers
+	queryTimeout     = 10 * time.Second // for each of three steps: read a query, wait for the loop, write the answers
 )
 
 // Query is a query to a collector, encoded as a JSON object. By default, the answers estimate all rules for a request
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -19,9 +19,9 @@
 	conn   *net.UDPConn
 
 	mu          sync.RWMutex
-	addresses   []netip.AddrPort       // by member index
+	addresses   []netip.AddrPort       // addresses of all gateways, by member index
 	indexByAddr map[netip.AddrPort]int // member index by address
-	format      gossip.Format          // that received messages must have
+	format      gossip.Format          // format that received messages must have
 }
 
 // unknownMember stands for the member index of an address that no member has.
--- a/internal/poolrunner/client.go
+++ b/internal/poolrunner/client.go
@@ -27,7 +27,7 @@
 
 	DatagramsSent     int
 	DatagramsReceived int // valid ones only
-	DatagramsDropped  int // received, but invalid
+	DatagramsDropped  int // datagrams received that are invalid
 }
 
 // NewClient opens a UDP socket through system, on a port that the kernel chooses, and returns a client that uses it.
--- a/internal/poolrunner/voter.go
+++ b/internal/poolrunner/voter.go
@@ -30,7 +30,7 @@
 // sends all datagrams; the other goroutines pass it functions.
 type Voter struct {
 	cfg          *config.Pool
-	index        int // in cfg.Voters and cfg.VoterStreams
+	index        int // index of this voter in cfg.Voters and cfg.VoterStreams
 	replica      *consensus.Replica
 	conn         *messageConn
 	eventQueue   chan func()    // functions for the goroutine of run
@@ -47,7 +47,7 @@
 	lastStatus        pool.Instant     // time of the latest status line
 	datagramsReceived int              // including invalid ones
 	datagramsSent     int
-	datagramsDropped  int // received, but invalid
+	datagramsDropped  int // datagrams received that are invalid
 	batchesProposed   int
 }
 
--- a/internal/publisher/follower_test.go
+++ b/internal/publisher/follower_test.go
@@ -15,7 +15,7 @@
 	"ravensill/internal/publishertest"
 )
 
-const waitTimeout = 60 * time.Second // for all reads and writes of one connection
+const waitTimeout = 60 * time.Second // limit for all reads and writes of one connection together
 
 // follower is a connection to a replica, driven by the test in place of a gateway.
 type follower struct {
--- a/internal/publisher/listen.go
+++ b/internal/publisher/listen.go
@@ -12,8 +12,8 @@
 // Limits of the HTTP server for operators.
 const (
 	headerTimeout  = 5 * time.Second
-	requestTimeout = 30 * time.Second // to read a request with its body, and again to write the response
-	idleTimeout    = time.Minute      // of a kept-alive connection
+	requestTimeout = 30 * time.Second // longest time to read a request with its body, and again to write the response
+	idleTimeout    = time.Minute      // time after which a kept-alive connection without a request is closed
 	maxHeaderBytes = 16 << 10
 )
 
--- a/internal/publisher/publish.go
+++ b/internal/publisher/publish.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	proposeTimeout  = 5 * time.Second // to wait for a place in the leader's queue of proposals
+	proposeTimeout  = 5 * time.Second // longest wait for a place in the leader's queue of proposals
 	logIDBytes      = 16              // random bytes in a LogID, which is their hexadecimal form
 	publishAttempts = 5               // how often publish tries while other versions are published in between
 )
@@ -32,9 +32,9 @@
 // VersionNotInHistoryError reports that a rollback is not possible, because the history doesn't hold the wanted
 // version.
 type VersionNotInHistoryError struct {
-	Version configsync.Version // wanted
-	Oldest  configsync.Version // in the history
-	Latest  configsync.Version // in the history
+	Version configsync.Version // the version to roll back to
+	Oldest  configsync.Version // oldest version in the history
+	Latest  configsync.Version // latest version in the history
 }
 
 func (e *VersionNotInHistoryError) Error() string {
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -24,7 +24,7 @@
 	quorumCheckInterval = 200 * time.Millisecond // between checks of the contact with a quorum of replicas
 	replayCheckInterval = 20 * time.Millisecond  // between these checks while the replica replays its log after the start
 	statusLogInterval   = 10 * time.Second       // between log lines with the replica's status
-	shutdownTimeout     = 2 * time.Second        // for HTTP requests in progress to end during Close
+	shutdownTimeout     = 2 * time.Second        // longest wait in Close for HTTP requests in progress
 )
 
 // Publisher is one running replica. Its methods may be called from any goroutine.
@@ -58,8 +58,8 @@
 	acceptedConnections atomic.Int64 // followers' connections accepted
 	rejectedConnections atomic.Int64 // connections beyond max_followers
 	malformedMessages   atomic.Int64 // messages that violated the protocol; each ended its connection
-	bytesIn             atomic.Int64 // from followers
-	bytesOut            atomic.Int64 // to followers
+	bytesIn             atomic.Int64 // bytes received from followers
+	bytesOut            atomic.Int64 // bytes sent to followers
 	publishedVersions   atomic.Int64 // versions published by this replica as the leader
 	rejectedRequests    atomic.Int64 // requests for a change that this replica answered with an error
 }
--- a/internal/publisher/serve.go
+++ b/internal/publisher/serve.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	helloTimeout          = 5 * time.Second  // for the first message of a follower, its Hello
-	writeTimeout          = 15 * time.Second // of one frame: a delta, a heartbeat or a part of a snapshot
-	closeTimeout          = time.Second      // for a follower to close the connection after the final frame
+	helloTimeout          = 5 * time.Second  // longest wait for the first message of a follower, its Hello
+	writeTimeout          = 15 * time.Second // longest write of one frame: a delta, a heartbeat or a part of a snapshot
+	closeTimeout          = time.Second      // longest wait for a follower to close after the final frame
 	tcpUserTimeout        = 20 * time.Second // the longest time that sent bytes may stay without a TCP acknowledgement
-	sendBufferBytes       = 256 << 10        // of the kernel's send buffer, which a slow follower fills
+	sendBufferBytes       = 256 << 10        // size of the kernel's send buffer, which a slow follower fills
 	maxFollowerFrameBytes = 4 << 10          // the longest message of a follower is a refusal with its reason
 )
 
@@ -30,7 +30,7 @@
 	publisher  *Publisher
 	conn       *net.TCPConn
 	id         configsync.ConnectionID
-	wake       chan struct{} // of capacity 1: signals the writer that there may be something to send
+	wake       chan struct{} // signals the writer that there may be something to send; has capacity 1
 	readerDone chan struct{} // closed when the reading goroutine has ended
 }
 
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -15,10 +15,10 @@
 	Replica       int                `json:"replica"`   // index of this replica
 	Leader        int                `json:"leader"`    // index of the leader; -1: not known
 	IsLeader      bool               `json:"leads"`     // this replica is the leader, as far as it knows
-	UpToDate      bool               `json:"current"`   // in contact with a quorum, and has applied all that is committed
-	Log           configsync.LogID   `json:"log"`       // empty: the log is not created yet
+	UpToDate      bool               `json:"current"`   // in contact with a quorum, and all that is committed is applied here
+	Log           configsync.LogID   `json:"log"`       // id of the log of versions; empty: the log is not created yet
 	Version       configsync.Version `json:"version"`   // the latest version applied at this replica
-	Digest        string             `json:"digest"`    // of the content of Version, in hexadecimal
+	Digest        string             `json:"digest"`    // digest of the content of Version, in hexadecimal
 	OldestVersion configsync.Version `json:"oldest"`    // oldest in the history, which limits deltas and rollbacks
 	Connected     int                `json:"connected"` // number of gateways connected now
 	Counters      Counters           `json:"counters"`
@@ -27,21 +27,21 @@
 
 // Counters counts events since the start of the replica.
 type Counters struct {
-	Connections         int64 `json:"connections"` // accepted from followers
+	Connections         int64 `json:"connections"` // connections accepted from followers
 	RejectedConnections int64 `json:"turned_off"`  // connections beyond max_followers
 	MalformedMessages   int64 `json:"malformed"`   // messages that violated the protocol; each ended its connection
-	BytesIn             int64 `json:"bytes_in"`    // from followers
-	BytesOut            int64 `json:"bytes_out"`   // to followers
-	PublishedVersions   int64 `json:"published"`   // by this replica as the leader
+	BytesIn             int64 `json:"bytes_in"`    // bytes received from followers
+	BytesOut            int64 `json:"bytes_out"`   // bytes sent to followers
+	PublishedVersions   int64 `json:"published"`   // versions published by this replica as the leader
 	RejectedRequests    int64 `json:"rejected"`    // requests for a change that this replica answered with an error
 }
 
-// Follower is the status of one gateway, as one replica knows it.
+// Follower is the status of one gateway that is or was connected to a replica.
 type Follower struct {
 	Member             int                 `json:"member"` // member index
 	Name               string              `json:"name"`
 	Connected          bool                `json:"connected"`
-	InForce            configsync.Version  `json:"in_force"`           // as it last reported; 0: none
+	InForce            configsync.Version  `json:"in_force"`           // the latest that it reported; 0: none
 	RefusedVersion     configsync.Version  `json:"refused,omitempty"`  // a later version that it could not apply; 0: none
 	RefusedResource    configsync.Resource `json:"resource,omitempty"` // the resource at fault; empty: none was named
 	RefusalReason      string              `json:"reason,omitempty"`
--- a/internal/publisher/validator.go
+++ b/internal/publisher/validator.go
@@ -12,8 +12,8 @@
 // ready for use. It is not safe for concurrent use.
 type validator struct {
 	live    *config.Live       // nil: no version is decoded; the next update has to be complete
-	version configsync.Version // that live holds
-	digest  configsync.Digest  // of the content of that version
+	version configsync.Version // the version that live holds
+	digest  configsync.Digest  // digest of the content of that version
 }
 
 // validatorUpdate brings a validator to a version.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -15,7 +15,7 @@
 	"ravensill/internal/config"
 )
 
-const bufferBytes = 1 << 20 // of input and of output
+const bufferBytes = 1 << 20 // size of the buffers of input and of output
 
 // Decider is the decision module of one gateway.
 type Decider interface {
@@ -32,7 +32,7 @@
 // values.
 type instance struct {
 	decider      Decider
-	batch        *gateway.Batch // of the current batch; nil while it has no event in that
+	batch        *gateway.Batch // its events in the current batch; nil while it has none
 	classes      int            // number of request classes
 	plans        int            // number of quota plans
 	members      int            // number of gateways
@@ -46,9 +46,9 @@
 	startDecider    StartFunc
 	lineNumber      int               // number of the latest line read
 	fields          fieldReader       // reads the latest line
-	clock           gateway.Time      // of the latest MARK
+	clock           gateway.Time      // time of the latest MARK
 	inBatch         bool              // between MARK and YOUR_TURN
-	instances       map[int]*instance // by the number of ON
+	instances       map[int]*instance // instances that are on, by their number in ON
 	batchOrder      []int             // instances with events in this batch, in the order in which they decide
 	endpointLists   endpointLists
 	currentInstance int // instance of the latest ON in this batch; noInstance before one
--- a/internal/subscriber/connection.go
+++ b/internal/subscriber/connection.go
@@ -22,7 +22,7 @@
 	conn     net.Conn
 	bytesIn  *atomic.Int64   // counts the bytes read; shared by the subscriber's connections
 	bytesOut *atomic.Int64   // counts the bytes written; shared by the subscriber's connections
-	results  chan readResult // from the reading goroutine
+	results  chan readResult // messages and the final error, from the reading goroutine
 	done     chan struct{}   // closed by close
 	reader   sync.WaitGroup  // the reading goroutine
 	clock    clock.Clock
--- a/internal/subscriber/status.go
+++ b/internal/subscriber/status.go
@@ -11,13 +11,13 @@
 
 // Status is the status of a subscriber as of its latest event.
 type Status struct {
-	Version         configsync.Version // in force; 0: that of the gateway's own configuration file
-	Digest          configsync.Digest  // of the content of Version
-	LatestVersion   configsync.Version // as last announced by a publisher; 0: none is known
+	Version         configsync.Version // version in force; 0: that of the gateway's own configuration file
+	Digest          configsync.Digest  // digest of the content of Version
+	LatestVersion   configsync.Version // latest version that a publisher has announced; 0: none is known
 	RefusedVersion  configsync.Version // a later version that the gateway could not apply; 0: none
 	Publisher       string             // the address of the publisher connected to; empty: none
-	BytesIn         int64              // from publishers since the start
-	BytesOut        int64              // to publishers since the start
+	BytesIn         int64              // bytes received from publishers since the start
+	BytesOut        int64              // bytes sent to publishers since the start
 	UnsavedVersions int                // number of versions that were put in force but not saved to disk
 	Counters        configsync.FollowerCounters
 }
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -25,7 +25,7 @@
 const (
 	statusLogInterval = 10 * time.Second // between log lines with the subscriber's status
 	lossLogInterval   = time.Minute      // between log lines about lost connections with the same cause
-	sendTimeout       = 3 * time.Second  // to write one message to a publisher
+	sendTimeout       = 3 * time.Second  // longest time to write one message to a publisher
 )
 
 // ErrStopped is returned by Config.Apply if the gateway is shutting down. The version is then neither in force nor
@@ -37,8 +37,8 @@
 	Publishers  []netip.AddrPort // TCP addresses, at least one
 	Dir         string           // directory for the copy of the latest version; created if needed
 	Member      int              // member index of the gateway
-	Name        string           // of the gateway, in the status of the publishers
-	Incarnation uint64           // of this start of the gateway, from NextIncarnation
+	Name        string           // name of the gateway in the status of the publishers
+	Incarnation uint64           // incarnation of this start of the gateway, from NextIncarnation
 	Clock       clock.Clock      // nil: clock.System
 	Sockets     sockets.System   // nil: sockets.Kernel
 
@@ -60,13 +60,13 @@
 	cancel   context.CancelFunc
 	running  sync.WaitGroup // the goroutine of run
 	status   atomic.Pointer[Status]
-	bytesIn  atomic.Int64 // from publishers, since the start
-	bytesOut atomic.Int64 // to publishers, since the start
+	bytesIn  atomic.Int64 // bytes received from publishers since the start
+	bytesOut atomic.Int64 // bytes sent to publishers since the start
 
 	// The fields below belong to the goroutine of run.
 	follower       *configsync.Follower
 	store          *store
-	latestVersion  configsync.Version             // as last announced by a publisher; 0: none is known
+	latestVersion  configsync.Version             // latest version that a publisher has announced; 0: none is known
 	publisher      string                         // the address of the publisher connected to; empty: none
 	statusLoggedAt time.Time                      // time of the latest log line with the status
 	lossLoggedAt   map[configsync.Cause]time.Time // time of the latest log line about a lost connection
--- a/logic/candidates.go
+++ b/logic/candidates.go
@@ -20,7 +20,7 @@
 		leastLoad = min(leastLoad, e.load)
 	}
 	maxLoad := r.customer.maxAcceptableLoad(leastLoad)
-	candidates := append(g.candidateBuffer[:0], gateway.Candidate{Host: chosen.id, Load: chosen.load})
+	candidates := append(g.candidateBuffer[:0], gateway.Candidate{Host: chosen.number, Load: chosen.load})
 	var next *endpoint // the acceptable endpoint that ranks next for the customer
 	nextIndex := 0
 	acceptableCount := 0
@@ -32,7 +32,7 @@
 		if e == chosen || !acceptable && (!e.InSubset || math.IsInf(e.load, 1)) {
 			continue
 		}
-		candidate := gateway.Candidate{Host: e.id, Load: e.load}
+		candidate := gateway.Candidate{Host: e.number, Load: e.load}
 		if acceptable {
 			candidate.Chance = 1
 		}
--- a/logic/candidates_test.go
+++ b/logic/candidates_test.go
@@ -14,7 +14,7 @@
 // of writing the trace.
 type candidateRecorder struct {
 	*simulatedGateway
-	candidates []gateway.Candidate // of the latest attempt
+	candidates []gateway.Candidate // the candidates for the latest attempt
 	hosts      []uint32            // chosen host of each attempt, in order
 	observed   int                 // number of calls of ObserveCandidates
 }
@@ -100,7 +100,7 @@
 }
 
 // finishOneAtEachHost ends the first attempt in flight at each host with success, with a latency in proportion to
-// the host's id.
+// the host's number.
 func (r *candidatesRun) finishOneAtEachHost() {
 	for _, e := range r.recorder.gateway.endpoints.all {
 		if len(e.inFlight) == 0 {
@@ -110,9 +110,9 @@
 		r.decide(gateway.Event{
 			Kind:      gateway.AttemptEnded,
 			RequestID: a.request.id,
-			Host:      e.id,
+			Host:      e.number,
 			Attempt:   a.number,
-			Latency:   ms * time.Duration(e.id),
+			Latency:   ms * time.Duration(e.number),
 			Closed:    true,
 		})
 	}
--- a/logic/customer.go
+++ b/logic/customer.go
@@ -30,7 +30,7 @@
 	ceilingRate  float64 // units a second at this gateway
 	ceilingBurst float64 // units at this gateway, at most
 
-	inFlight           int     // attempts of this gateway
+	inFlight           int     // attempts of this gateway in flight
 	unansweredFraction float64 // moving average of the fraction of attempts that time out
 }
 
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -13,10 +13,10 @@
 
 // endpointSet holds the listed endpoints, their measured health and load, and the limit on attempts in flight.
 type endpointSet struct {
-	all        []*endpoint // ordered by id
-	inUse      []*endpoint // endpoints in this gateway's subset or contacted before, ordered by id
+	all        []*endpoint // all listed endpoints, ordered by number
+	inUse      []*endpoint // endpoints in this gateway's subset or contacted before, ordered by number
 	candidates []*endpoint // endpoints that computeLoads was last called with
-	active     []*endpoint // endpoints with attempts in flight, ordered by id; activeEndpoints removes idle ones
+	active     []*endpoint // endpoints with attempts in flight, ordered by number; activeEndpoints removes idle ones
 
 	slowStart        gateway.SlowStart
 	random           *generator
@@ -24,21 +24,21 @@
 	inFlight         int                 // attempts of this gateway in flight
 	memberIndex      int                 // member index of this gateway
 	memberCount      int                 // number of gateways in the fleet
-	limit            concurrency.Limiter // on attempts of this gateway in flight
+	limit            concurrency.Limiter // limit on this gateway's attempts in flight
 	listReceived     bool                // whether a list other than the cached one was received
 	stallEnd         gateway.Time        // end of this gateway's latest stall; 0: none so far
-	stallLength      time.Duration       // of the latest stall
+	stallLength      time.Duration       // length of the latest stall; 0: none so far
 }
 
 // endpoint is one listed endpoint with its measured state.
 type endpoint struct {
 	subset.Endpoint
-	id              uint32
+	number          uint32
 	state           gateway.EndpointState
 	contacted       bool         // whether it was sent an attempt since it was listed
 	announcedStart  gateway.Time // latest start by the host's wall clock, as listed; 0: long ago
 	startedAt       gateway.Time // latest start by this gateway's clock, see localStart; 0: long ago
-	inFlight        []*attempt   // of this gateway
+	inFlight        []*attempt   // this gateway's attempts at it
 	isActive        bool         // whether it is in endpointSet.active
 	relativeLatency float64      // moving average of its answers' latency, relative to the class's typical latency
 	utilization     float64      // moving average of its reports, 0 to 1
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -43,8 +43,8 @@
 	e.Weight = listed.Weight
 }
 
-// byID compares an endpoint's id with an id, for binary searches in lists ordered by id.
-func byID(e *endpoint, id uint32) int { return cmp.Compare(e.id, id) }
+// byNumber compares an endpoint's number with a number, for binary searches in lists ordered by number.
+func byNumber(e *endpoint, id uint32) int { return cmp.Compare(e.number, id) }
 
 // recordsFor returns the record of each listed endpoint and creates those of unknown endpoints. It sorts all
 // records once: inserting new endpoints one by one would take a quadratic number of moves.
@@ -53,14 +53,14 @@
 	added := map[uint32]*endpoint{}
 	records := make([]*endpoint, len(listed))
 	for i, l := range listed {
-		if k, found := slices.BinarySearchFunc(known, l.Host, byID); found {
+		if k, found := slices.BinarySearchFunc(known, l.Host, byNumber); found {
 			records[i] = known[k]
 			continue
 		}
 		if added[l.Host] == nil {
 			added[l.Host] = &endpoint{
 				Endpoint:       subset.Endpoint{Hash: mix(uint64(l.Host) + 1)},
-				id:             l.Host,
+				number:         l.Host,
 				announcedStart: math.MinInt64,
 			}
 			s.all = append(s.all, added[l.Host])
@@ -68,7 +68,7 @@
 		records[i] = added[l.Host]
 	}
 	if len(added) > 0 {
-		slices.SortFunc(s.all, func(a, b *endpoint) int { return byID(a, b.id) })
+		slices.SortFunc(s.all, func(a, b *endpoint) int { return byNumber(a, b.number) })
 	}
 	return records
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-// activeEndpoints returns the endpoints with attempts in flight, ordered by id. It first removes from the active
+// activeEndpoints returns the endpoints with attempts in flight, ordered by number. It first removes from the active
 // list those that have none left or are gone.
 func (s *endpointSet) activeEndpoints() []*endpoint {
 	s.active = slices.DeleteFunc(s.active, func(e *endpoint) bool {
@@ -114,16 +114,16 @@
 func (s *endpointSet) recordContact(e *endpoint) {
 	if !e.isActive {
 		e.isActive = true
-		s.active = insertByID(s.active, e)
+		s.active = insertByNumber(s.active, e)
 	}
 	if !e.InSubset && !e.contacted {
-		s.inUse = insertByID(s.inUse, e)
+		s.inUse = insertByNumber(s.inUse, e)
 	}
 	e.contacted = true
 }
 
-// insertByID inserts an endpoint into a list ordered by id.
-func insertByID(list []*endpoint, e *endpoint) []*endpoint {
-	i, _ := slices.BinarySearchFunc(list, e.id, byID)
+// insertByNumber inserts an endpoint into a list ordered by number, at its place in that order.
+func insertByNumber(list []*endpoint, e *endpoint) []*endpoint {
+	i, _ := slices.BinarySearchFunc(list, e.number, byNumber)
 	return slices.Insert(list, i, e)
 }
--- a/logic/endpoint_test.go
+++ b/logic/endpoint_test.go
@@ -132,7 +132,7 @@
 	sim.finishAll(0)
 	for _, e := range sim.gateways[0].gateway.endpoints.all {
 		if e.healthFor(sim.gateways[0].gateway.classes[0]).unansweredFraction != 0 {
-			t.Errorf("host %d is suspected", e.id)
+			t.Errorf("host %d is suspected", e.number)
 		}
 	}
 	golden.Check(t, sim.trace.String())
@@ -149,7 +149,7 @@
 			sim.arrive(i, fmt.Sprintf("c%d", c), 1)
 			for _, e := range sim.gateways[i].gateway.endpoints.all {
 				if len(e.inFlight) > 0 {
-					used[i][e.id] = true
+					used[i][e.number] = true
 				}
 			}
 			sim.finishAll(i)
@@ -282,7 +282,7 @@
 				for i := 0; i < len(e.inFlight); {
 					a := e.inFlight[i]
 					class, result, latency := a.request.class.index, gateway.Succeeded, 80*ms
-					if e.id <= 2 {
+					if e.number <= 2 {
 						counts[class]++
 						if class == 0 {
 							result, latency = gateway.TimedOut, 800*ms
@@ -291,7 +291,7 @@
 					sim.deliver(0, gateway.Event{
 						Kind:      gateway.AttemptEnded,
 						RequestID: a.request.id,
-						Host:      e.id,
+						Host:      e.number,
 						Attempt:   a.number,
 						Result:    result,
 						Latency:   latency,
@@ -346,9 +346,9 @@
 		slices.Reverse(all)
 		before, subsetSize := map[uint32]bool{}, 0
 		for _, e := range s.gateway.endpoints.all {
-			if before[e.id] = e.InSubset; e.InSubset {
+			if before[e.number] = e.InSubset; e.InSubset {
 				subsetSize++
-				members[e.id]++
+				members[e.number]++
 			}
 		}
 		if subsetSize != 8 {
@@ -356,7 +356,7 @@
 		}
 		sim.list(i, gateway.ListChanges, []gateway.Endpoint{{Host: 40, State: gateway.Gone}})
 		for _, e := range s.gateway.endpoints.all {
-			if e.InSubset && !before[e.id] {
+			if e.InSubset && !before[e.number] {
 				added++
 			}
 		}
--- a/logic/gateway.go
+++ b/logic/gateway.go
@@ -41,7 +41,7 @@
 	now     gateway.Time // time of the current batch
 	start   gateway.Time // time of the first batch; -1 before it
 	random  *generator
-	actions gateway.Actions // of the current batch
+	actions gateway.Actions // receives the decisions on the current batch
 
 	membership      gateway.Membership
 	limits          gateway.Limits
--- a/logic/lab.go
+++ b/logic/lab.go
@@ -4,7 +4,7 @@
 // that compare subsetting rules; nothing calls it in production.
 func (g *Gateway) OverrideSubset(inSubset func(host uint32) bool) {
 	for _, e := range g.endpoints.all {
-		e.InSubset = inSubset(e.id)
+		e.InSubset = inSubset(e.number)
 	}
 	g.endpoints.collectInUse()
 }
--- a/logic/metrics.go
+++ b/logic/metrics.go
@@ -4,7 +4,7 @@
 
 // Gauges is a snapshot of a gateway's state, for metrics and simulations.
 type Gauges struct {
-	InFlightLimit float64          // on attempts of this gateway in flight
+	InFlightLimit float64          // limit on this gateway's attempts in flight
 	Lateness      float64          // mean fraction of the latency objective that answers take
 	InFlight      int              // attempts in flight
 	Customers     int              // customers with a record
--- a/logic/request.go
+++ b/logic/request.go
@@ -17,7 +17,7 @@
 	class       *class
 	units       float64
 	arrived     gateway.Time
-	deadline    gateway.Time // the client stops waiting then
+	deadline    gateway.Time // time at which the client stops waiting
 	stopAt      gateway.Time // end of this gateway's shutdown; 0: no shutdown
 	attempts    int          // started so far
 	current     *attempt     // the attempt in flight; nil: none
@@ -74,7 +74,7 @@
 	r.customer.inFlight++
 	target.inFlight = append(target.inFlight, r.current)
 	g.endpoints.countAttempt(target, r.class, r.attempts > 1, g.now)
-	g.actions.StartAttempt(r.id, target.id, max(g.answerDeadline(r).Sub(g.now), minAttemptTimeout))
+	g.actions.StartAttempt(r.id, target.number, max(g.answerDeadline(r).Sub(g.now), minAttemptTimeout))
 }
 
 // attemptEnded handles the end of an attempt. A request that has no final answer yet is retried where that is
--- a/logic/request_test.go
+++ b/logic/request_test.go
@@ -85,7 +85,7 @@
 				if strings.HasPrefix(e.inFlight[0].request.id, "good") {
 					result = gateway.Succeeded
 				}
-				sim.finishAttempt(0, e.id, result, result == gateway.Succeeded)
+				sim.finishAttempt(0, e.number, result, result == gateway.Succeeded)
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 			events = append(events, gateway.Event{
 				Kind:      gateway.AttemptEnded,
 				RequestID: a.request.id,
-				Host:      e.id,
+				Host:      e.number,
 				Latency:   2 * time.Second,
 				Closed:    true,
 			})
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -13,11 +13,11 @@
 
 const ms = time.Millisecond
 
-// sentAttempt is an attempt that the gateway started.
+// sentAttempt is an attempt that the gateway started, and whether it was canceled or need not be sent.
 type sentAttempt struct {
 	host            uint32
 	startedAt       gateway.Time
-	due             gateway.Time // it times out then
+	due             gateway.Time // time at which it times out
 	canceled        bool
 	clientGoneFirst bool // its client was gone before, so the node does not send it
 }
@@ -52,7 +52,7 @@
 type ruleChecker struct {
 	*testing.T
 	settings   string               // the settings as text, for failure messages
-	class      gateway.RequestClass // as the settings state it
+	class      gateway.RequestClass // the request class as the settings state it
 	limits     gateway.Limits
 	now        gateway.Time
 	random     *rand.Rand
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -41,8 +41,8 @@
 		t.Fatalf("%d of %d hosts are in use", nearby, hosts)
 	}
 	for i, e := range g.endpoints.all {
-		if i > 0 && e.id <= g.endpoints.all[i-1].id {
-			t.Fatal("hosts are not ordered by id")
+		if i > 0 && e.number <= g.endpoints.all[i-1].number {
+			t.Fatal("hosts are not ordered by number")
 		}
 		if !e.InSubset {
 			e.inFlight = []*attempt{nil}
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -10,7 +10,6 @@
 
 const ms = time.Millisecond
 
-// simulationStart is the time at which simulations start.
 const simulationStart = gateway.Time(100 * time.Second)
 
 // simulation runs gateways on a simulated clock and records their decisions in a trace. Tests play the parts of
@@ -135,12 +134,12 @@
 // finishAttempt ends the first attempt that gateway i has in flight at a host, or at any host if host is 0.
 func (sim *simulation) finishAttempt(i int, host uint32, result gateway.Result, closed bool) {
 	for _, e := range sim.gateways[i].gateway.endpoints.all {
-		if len(e.inFlight) > 0 && (host == 0 || e.id == host) {
+		if len(e.inFlight) > 0 && (host == 0 || e.number == host) {
 			a := e.inFlight[0]
 			sim.deliver(i, gateway.Event{
 				Kind:      gateway.AttemptEnded,
 				RequestID: a.request.id,
-				Host:      e.id,
+				Host:      e.number,
 				Attempt:   a.number,
 				Result:    result,
 				Latency:   sim.now.Add(sim.gateways[i].clockOffset).Sub(a.startedAt),
--- a/pool/grantor.go
+++ b/pool/grantor.go
@@ -28,7 +28,7 @@
 // committed. A Grantor is not safe for concurrent use.
 type Grantor struct {
 	terms            *Terms
-	ledger           *Ledger       // as of the latest commit
+	ledger           *Ledger       // the ledger after the latest committed batch
 	members          []memberState // by member index
 	electedAt        Instant       // when the Grantor was created
 	batchPending     bool          // the batch of a Tick has not been committed yet
@@ -37,7 +37,8 @@
 	headroomIndex    int           // index in headroomMultiples of the headroom in force; beyond its end: none
 }
 
-// memberState is what a Grantor knows of one member. Times are of the grantor's clock unless stated otherwise.
+// memberState is the state that a Grantor keeps for one member. Times are of the grantor's clock unless stated
+// otherwise.
 type memberState struct {
 	newReport           *Report // latest report that no batch includes yet; nil: none
 	proposedReport      *Report // report that the pending batch includes; nil: none
@@ -105,7 +106,7 @@
 	member := &g.members[report.Member]
 	entry := &g.ledger.Entries[report.Member]
 	if report.Incarnation < max(member.incarnation, entry.Incarnation) {
-		if member.newReport == nil { // the grant has no units; it tells the sender the later incarnation
+		if member.newReport == nil { // answered by a grant without units that names the later incarnation
 			member.newReport = report
 		}
 		return
@@ -223,8 +224,8 @@
 	b.ledger.Apply(&Batch{Serial: report.Serial, Capacity: report.Capacity})
 }
 
-// alive reports whether a member has reported within aliveIntervals. A member with leased units that has not reported
-// since the election counts as alive for the same time after it.
+// alive reports whether a member has reported within the last aliveIntervals report intervals. A member with leased
+// units that has not reported since the election counts as alive for the same time after it.
 func (g *Grantor) alive(now Instant, i int) bool {
 	member := &g.members[i]
 	if now.Sub(max(member.lastReportAt, g.electedAt)) >= aliveIntervals*g.terms.ReportInterval {
@@ -304,11 +305,11 @@
 // Totals are sums over a grantor's ledger and the latest reports of the members, for status logs.
 type Totals struct {
 	Capacity         int    // connections that the store accepts
-	Serial           uint64 // of the capacity
+	Serial           uint64 // serial of Capacity
 	Leased           int    // units leased to present incarnations
 	Free             int    // units that can still be leased; negative after the capacity was lowered
 	Stranded         int    // units of earlier incarnations that are not free yet
-	Connections      int    // as Grantor.Connections
+	Connections      int    // the result of Grantor.Connections
 	ReportingMembers int    // members that have sent a valid report to this grantor
 }
 
--- a/pool/leaseholder.go
+++ b/pool/leaseholder.go
@@ -16,8 +16,8 @@
 
 	Connections int     `json:"Held"` // open or being dialed
 	Demand      float64 // mean number of connections in use or waited for since the last report that was not early
-	Weight      float64 // of the gateway's claim to units
-	Serial      uint64  // of the configured capacity; 0: the grantor has that capacity or a later one
+	Weight      float64 // weight of the gateway's claim to units
+	Serial      uint64  // serial of Capacity; 0: the grantor has that capacity or a later one
 	Capacity    int     // configured number of connections that the store accepts; 0 if Serial is 0
 }
 
@@ -31,7 +31,7 @@
 	Units            int     // leased connections above the floor
 	Sent             Instant // Report.Sent of the latest report whose batch was committed
 	KnownIncarnation uint64  `json:"Known"` // of the member in the ledger
-	Serial           uint64  // of the capacity in force
+	Serial           uint64  // serial of the capacity in force
 }
 
 // Leaseholder computes how many connections one gateway may have. It starts without a lease, which allows only the
@@ -41,7 +41,7 @@
 	member         int    // member index
 	incarnation    uint64 // of this process
 	weight         float64
-	capacitySerial uint64 // of capacity
+	capacitySerial uint64 // serial of capacity
 	capacity       int    // configured number of connections that the store accepts
 
 	grantNumber      uint64  // Grant.Number of the latest grant; 0: none
--- a/pool/ledger.go
+++ b/pool/ledger.go
@@ -55,7 +55,7 @@
 // Ledger records the units leased to all gateways. Only Apply changes it, with the same result at all voters.
 type Ledger struct {
 	Capacity int     // connections that the store accepts
-	Serial   uint64  // of the capacity; only a capacity with a higher serial replaces it
+	Serial   uint64  // serial of Capacity, which only a capacity with a higher serial replaces
 	Entries  []Entry // by member index
 	Reserve  int     // connections that are never leased
 	Floor    int     // connections that each gateway may have without a lease
--- a/pool/plan.go
+++ b/pool/plan.go
@@ -23,8 +23,8 @@
 	builder *batchBuilder
 	now     Instant
 	free    int    // units that can still be leased; negative if the capacity was lowered
-	alive   []bool // by member index, as Grantor.alive
-	shares  []int  // by member index: units of the fair share
+	alive   []bool // by member index: the result of Grantor.alive
+	shares  []int  // by member index: units of the member's fair share
 }
 
 // assignUnits updates the targets of the members, warns of overdue recalls, and leases free units.
--- a/pool/shares.go
+++ b/pool/shares.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Claim is the claim of one gateway to connections.
+// Claim is the input of Shares for one gateway.
 type Claim struct {
-	Demand int     // connections, including those of the floor
+	Demand int     // connections that the gateway needs, including those of its floor
 	Weight float64 // positive; shares are proportional to it where demand exceeds supply
-	Leased int     // units leased now; between equal fractions, a gateway that keeps a unit comes first
+	Leased int     // units leased now: of two equal claims to a remaining unit, that of its present holder wins
 }
 
 // aboveFloor returns the connections above the floor that the claim gets at a level: its demand, but at most level
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -15,7 +15,7 @@
 	initialClaimsDue = 0.5      // initial value of Endpoint.claimsDue
 )
 
-// Endpoint is an endpoint to be assigned.
+// Endpoint is what AssignSubset needs of an endpoint, and its result for that endpoint.
 type Endpoint struct {
 	Hash     uint64  // hash of its id; all bits must be well mixed
 	Weight   float64 // relative to the other endpoints, in any unit
