--- a/cmd/ravensill-publisher/main_test.go
+++ b/cmd/ravensill-publisher/main_test.go
@@ -129,7 +129,7 @@
 	}
 	text, err := io.ReadAll(response.Body)
 	if err != nil || response.StatusCode != http.StatusOK {
-		t.Fatalf("%d %s, %v", response.StatusCode, text, err)
+		t.Fatalf("PUT /v1/configuration: status %d, answer %s, error %v", response.StatusCode, text, err)
 	}
 	p.waitForLog("event=configuration_published version=1 changes=4")
 	p.stop()
@@ -157,6 +157,6 @@
 	output, _ := cmd.CombinedOutput()
 	code := cmd.ProcessState.ExitCode()
 	if code != exitInvalidSettings || !strings.Contains(string(output), `unknown field \"adress\"`) {
-		t.Errorf("exit %d: %s", code, output)
+		t.Errorf("exit status %d; output, which must name the key adress: %s", code, output)
 	}
 }
--- a/cmd/ravensill/harness_config_test.go
+++ b/cmd/ravensill/harness_config_test.go
@@ -25,7 +25,7 @@
 	// The remaining fields are for the test harness. The gateway ignores their keys.
 
 	AgentHosts      []hostEntry `json:"agent,omitempty"`  // sent by the discovery agent in its first answer
-	DescriptorLimit int         `json:"ulimit,omitempty"` // limit on the process's descriptors; 0: that of the test's process
+	DescriptorLimit int         `json:"ulimit,omitempty"` // limit of the process; 0: as in the test's process
 
 	// editText, if not nil, changes the text of the file to one that the types can't express.
 	editText func(text []byte) []byte
--- a/configsync/file_test.go
+++ b/configsync/file_test.go
@@ -121,7 +121,7 @@
 		{8 << 20, 8 << 20, true},
 	} {
 		if NeedsCompaction(test.document, test.appended) != test.want {
-			t.Errorf("%+v", test)
+			t.Errorf("NeedsCompaction returned the opposite of want: %+v", test)
 		}
 	}
 }
--- a/configsync/follower_snapshot_test.go
+++ b/configsync/follower_snapshot_test.go
@@ -22,7 +22,7 @@
 		content.version = test.version
 		decision := follower.Receive(start, SplitSnapshot(content)[0])
 		if decision.Kind != test.want {
-			t.Errorf("%s: %+v", name, decision)
+			t.Errorf("%s: unexpected decision %+v", name, decision)
 		}
 		if test.want != Apply {
 			continue
@@ -30,7 +30,7 @@
 		want := follower.Document().Diff(content.resources)
 		update := decision.Update
 		if fmt.Sprint(update.Changes) != fmt.Sprint(want) || update.Delta != nil || update.To != test.version {
-			t.Errorf("%s: %+v", name, update)
+			t.Errorf("%s: unexpected version, changes or delta in the update %+v", name, update)
 		}
 		follower.Accept(start)
 		if formatDocument(follower.Document()) != formatDocument(content) {
@@ -41,14 +41,14 @@
 	later := newTestDocument(t, set("limits", "1"))
 	later.version = 4
 	if decision := follower.Receive(start, nextDelta(follower.Document(), remove("limits"))); decision.Kind != Apply {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("delta to version 2: decision %+v, want Apply", decision)
 	}
 	decision := follower.Receive(start, SplitSnapshot(later)[0])
 	if decision.Cause != CauseVersionGap || follower.Counters().VersionGaps != 1 {
 		t.Errorf("snapshot while another version is pending: %+v", decision)
 	}
 	if answer := follower.Accept(start); answer.Version != 2 { // without a connection
-		t.Errorf("%+v", answer)
+		t.Errorf("acknowledgement %+v, want version 2", answer)
 	}
 }
 
@@ -60,7 +60,7 @@
 	wrong.Digest[0]++
 	follower.Receive(start, wrong)
 	if hello := follower.Connected(start)[0].(*Hello); !hello.WantSnapshot {
-		t.Errorf("%+v", hello)
+		t.Errorf("hello after a wrong digest asks for no snapshot: %+v", hello)
 	}
 	content := newTestDocument(t, set("limits", "5"))
 	for version := Version(2); version < 4; version++ {
@@ -71,6 +71,6 @@
 		follower.Accept(start)
 	}
 	if hello := follower.Connected(start)[0].(*Hello); hello.WantSnapshot || hello.InForce != 3 {
-		t.Errorf("%+v", hello)
+		t.Errorf("hello %+v, want version 3 in force and no wish for a snapshot", hello)
 	}
 }
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -32,7 +32,7 @@
 	}
 	update := decision.Update
 	if update.From != 1 || update.To != 2 || update.Delta != delta {
-		t.Fatalf("%+v", update)
+		t.Fatalf("update %+v, want the received delta from version 1 to 2", update)
 	}
 	if follower.Document().Version() != 1 {
 		t.Error("the delta is in force before the gateway accepted it")
@@ -45,7 +45,7 @@
 		t.Error(count)
 	}
 	if *answer != (Acknowledge{2, delta.Digest}) || follower.Document().Digest() != delta.Digest {
-		t.Errorf("%+v", answer)
+		t.Errorf("acknowledgement %+v, want version 2 and its digest, in force at the follower", answer)
 	}
 	if follower.Accept(start) != nil || follower.Refuse(start, "", "") != nil {
 		t.Error("Accept or Refuse returned an answer without a pending update")
@@ -69,7 +69,7 @@
 	}
 	hello := follower.Connected(start)[0].(*Hello)
 	if hello.Log != "" || hello.InForce != 0 {
-		t.Errorf("%+v", hello)
+		t.Errorf("hello %+v, want no log and version 0", hello)
 	}
 	first := nextDelta(NewDocument(testLog), set("limits", "x"))
 	follower.Receive(start, first)
@@ -99,10 +99,11 @@
 	follower.Receive(start, bad)
 	refusal := follower.Refuse(start, "plans/b", "not an object")
 	if *refusal != (Refusal{2, "plans/b", "not an object"}) {
-		t.Errorf("%+v", refusal)
+		t.Errorf("refusal %+v, want version 2, resource plans/b and the reason", refusal)
 	}
 	if follower.Counters().Refused != 1 || follower.Document().Version() != 1 {
-		t.Errorf("%+v, version %d", follower.Counters(), follower.Document().Version())
+		t.Errorf("counters %+v, version %d in force; want 1 refused, version 1", follower.Counters(),
+			follower.Document().Version())
 	}
 	decision := follower.Receive(start, bad)
 	if decision.Kind != NoAction || decision.Reply != Message(refusal) {
@@ -110,12 +111,12 @@
 	}
 	messages := follower.Connected(start)
 	if hello := messages[0].(*Hello); hello.Refused != 2 || hello.InForce != 1 || messages[1] != Message(refusal) {
-		t.Errorf("%+v", messages)
+		t.Errorf("messages %+v, want a hello with version 1 in force and 2 refused, and the refusal", messages)
 	}
 	later := nextDelta(follower.Document(), set("plans/b", "3"))
 	later.To = 3
 	if decision := follower.Receive(start, later); decision.Kind != Apply {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("later version: decision %+v, want Apply", decision)
 	}
 	follower.Accept(start)
 	if follower.Refused() != nil {
@@ -171,7 +172,7 @@
 		follower := newTestFollower(t)
 		decision := test.event(follower)
 		if decision.Kind != Reconnect || decision.Cause != test.cause || follower.Counters() != test.counters {
-			t.Errorf("%s: %+v, %+v", name, decision, follower.Counters())
+			t.Errorf("%s: unexpected decision %+v or counters %+v", name, decision, follower.Counters())
 		}
 		if follower.Publisher() != 2 || follower.Document().Version() != 1 {
 			t.Errorf("%s: publisher %d, version %d", name, follower.Publisher(), follower.Document().Version())
@@ -223,7 +224,7 @@
 		}
 		decision := follower.Tick(deadline)
 		if decision.Kind != Reconnect || decision.Cause != test.cause || follower.Counters() != test.counters {
-			t.Errorf("%s: %+v, %+v", name, decision, follower.Counters())
+			t.Errorf("%s: unexpected decision %+v or counters %+v", name, decision, follower.Counters())
 		}
 		follower.ReceivedBytes(deadline)
 		if late := follower.Tick(deadline); late != (Decision{}) {
@@ -296,7 +297,7 @@
 		follower := newTestFollower(t)
 		events(follower)
 		if decision := follower.Tick(afterStart(5 * time.Second)); decision.Kind != NoAction {
-			t.Errorf("%s: %+v", name, decision)
+			t.Errorf("%s: decision %+v, want none", name, decision)
 		}
 		if deadline, ok := follower.Deadline(); !ok || !deadline.After(afterStart(5*time.Second)) {
 			t.Errorf("%s: the deadline has already passed", name)
--- a/configsync/sender_snapshot_test.go
+++ b/configsync/sender_snapshot_test.go
@@ -49,7 +49,7 @@
 	}
 	s.acknowledge(id, document.Version(), document.Digest())
 	if delta := s.nextMessage(start, id).(*Delta); delta.From != 1 || delta.To != 2 {
-		t.Errorf("%+v", delta)
+		t.Errorf("delta after the snapshot: %+v, want versions 1 to 2", delta)
 	}
 	refused := snapshotHello(3)
 	refused.Log = testLog
--- a/configsync/sender_test.go
+++ b/configsync/sender_test.go
@@ -98,7 +98,7 @@
 	s.acknowledge(id, first.To, first.Digest)
 	second := s.nextMessage(start, id).(*Delta)
 	if second.From != 1 || second.To != 3 || len(second.Changes) != 2 {
-		t.Errorf("%+v", second)
+		t.Errorf("delta %+v, want both changes from version 1 to 3", second)
 	}
 	s.acknowledge(id, second.To, second.Digest)
 	s.acknowledge(id, second.To, second.Digest) // repeated
@@ -107,7 +107,7 @@
 		t.Errorf("after the latest version: %+v", message)
 	}
 	if status := s.sender.Status()[0]; status.InForce != 3 || status.Member != 4 || !status.Connected {
-		t.Errorf("%+v", status)
+		t.Errorf("status %+v, want member 4 connected with version 3", status)
 	}
 }
 
@@ -128,7 +128,7 @@
 	s.acknowledge(id, 3, sent.Digest)
 	s.acknowledge(id, 3, sent.Digest)
 	if part := s.nextMessage(start, id).(*SnapshotPart); part.Version != 7 {
-		t.Errorf("%d", part.Version)
+		t.Errorf("snapshot of version %d, want 7", part.Version)
 	}
 }
 
@@ -143,7 +143,7 @@
 		action := s.sender.Next(start, id)
 		message, err := Decode(action.Frame)
 		if err != nil || action.Close || !reflect.DeepEqual(message, &Heartbeat{}) {
-			t.Errorf("%+v, %v", message, err)
+			t.Errorf("first message %+v, error %v; want an empty heartbeat on an open connection", message, err)
 		}
 		action = s.sender.Next(start, id)
 		if action.Frame != nil || action.Close || !action.Wake.Equal(start.Add(HeartbeatInterval)) {
@@ -152,7 +152,7 @@
 	}
 	s.sender.SetPaused(false)
 	if delta, ok := s.nextMessage(start, earlier).(*Delta); !ok || delta.To != 2 {
-		t.Errorf("%+v", delta)
+		t.Errorf("after the pause: delta %+v, want one to version 2", delta)
 	}
 	if _, ok := s.nextMessage(start, later).(*PublisherBehind); !ok {
 		t.Error("a follower with a later version is not told that the publisher is behind")
@@ -177,7 +177,7 @@
 	}
 	second, ok := s.nextMessage(start.Add(interval), id).(*Delta)
 	if !ok || second.From != 1 || second.To != 3 {
-		t.Errorf("%+v", second)
+		t.Errorf("at the end of the interval: delta %+v, want versions 1 to 3", second)
 	}
 }
 
@@ -189,7 +189,7 @@
 	id := s.connect(start, &Hello{Protocol: Protocol, Member: 1})
 	message := s.nextMessage(start, id)
 	if _, ok := message.(*SnapshotPart); !ok {
-		t.Fatalf("%T", message)
+		t.Fatalf("first message is a %T, want a part of a snapshot", message)
 	}
 	search := func() {
 		_, fits := s.sender.deltaFor(s.sender.followers[id])
@@ -265,18 +265,18 @@
 		LastMessage:     afterStart(time.Second),
 	}
 	if status := s.sender.Status()[0]; status != want {
-		t.Errorf("%+v", status)
+		t.Errorf("status after the refusal: %+v", status)
 	}
 	publish(t, s.state, set("limits", "good"))
 	delta := s.nextMessage(start, id).(*Delta)
 	if delta.From != 1 || delta.To != 3 {
-		t.Errorf("%+v", delta)
+		t.Errorf("delta after the refusal: %+v, want versions 1 to 3", delta)
 	}
 	s.acknowledge(id, 3, delta.Digest)
 	s.sender.Disconnect(id)
 	want = MemberStatus{Member: 9, InForce: 3, LastMessage: start}
 	if status := s.sender.Status()[0]; status != want {
-		t.Errorf("%+v", status)
+		t.Errorf("status after the disconnect: %+v", status)
 	}
 }
 
@@ -288,11 +288,11 @@
 	publish(t, s.state, maxSizePlans("y", 6)...)
 	hello := s.hello(1, 1)
 	if delta := s.nextMessage(start, s.connect(start, hello)).(*Delta); delta.To != 2 {
-		t.Errorf("%d", delta.To)
+		t.Errorf("delta to version %d, want 2", delta.To)
 	}
 	hello.Refused = 2
 	if part := s.nextMessage(start, s.connect(start, hello)).(*SnapshotPart); part.Version != 3 {
-		t.Errorf("%d", part.Version)
+		t.Errorf("snapshot of version %d, want 3", part.Version)
 	}
 }
 
@@ -309,7 +309,7 @@
 		id := s.connect(start, s.hello(1, 4))
 		s.nextMessage(start, id)
 		if err := s.sender.Receive(start, id, message); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: the message was accepted", name)
 		}
 	}
 	s := newTestSender(t, 5, SenderLimits{})
--- a/configsync/snapshot_test.go
+++ b/configsync/snapshot_test.go
@@ -18,7 +18,7 @@
 	}
 	parts := SplitSnapshot(document)
 	if len(parts) != 8+9 { // eight with the short values, and one for each long value
-		t.Errorf("%d parts", len(parts))
+		t.Errorf("the snapshot has %d parts, want 17", len(parts))
 	}
 	assembler := &SnapshotAssembler{}
 	for i, part := range parts {
@@ -78,7 +78,7 @@
 			}
 		}
 		if err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: the parts were accepted", name)
 		}
 	}
 	for _, full := range []*SnapshotAssembler{{size: MaxDocumentBytes}, {changes: make([]Change, MaxDocumentResources)}} {
--- a/configsync/state_test.go
+++ b/configsync/state_test.go
@@ -105,7 +105,7 @@
 	err := applyCommand(t, state, NewCommand(testLog, 2, []Change{set("plans/liquid", "1")}))
 	if refused, ok := err.(*PlanIDConflictError); !ok || refused.Resource != "plans/liquid" ||
 		refused.Owner != "costarring" {
-		t.Errorf("%+v", err)
+		t.Errorf("error %+v, want a conflict of plans/liquid with costarring", err)
 	}
 	publish(t, state, set("plans/costarring", "2")) // the same name may be used again
 }
@@ -279,7 +279,7 @@
 	checkMalformed := func(name string, state *State, changes []Change) {
 		err := state.Check(NewCommand(testLog, state.Document().Version(), changes))
 		if _, ok := err.(*MalformedError); !ok {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want a *MalformedError", name, err)
 		}
 	}
 	many := make([]Change, MaxDocumentResources+1)
@@ -333,7 +333,7 @@
 		"not CBOR":                encodeRecord(recordState, []byte("\xff")),
 	} {
 		if err := state.Restore(text); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: the snapshot was accepted", name)
 		}
 		if !bytes.Equal(state.Snapshot(), good) {
 			t.Fatalf("%s: the refused snapshot changed the state", name)
--- a/internal/config/publisher_test.go
+++ b/internal/config/publisher_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	if p.Index != 0 || len(p.RaftAddresses) != 3 || p.AdminAddresses[2].String() != "10.5.0.3:7402" || len(p.Key) != 16 {
-		t.Errorf("%+v", p)
+		t.Errorf("values of the example: %+v", p)
 	}
 	if p.ElectionTimeout != time.Second || p.MaxFollowers != 8192 || p.HistoryLimits.Deltas != 4096 ||
 		p.SenderLimits.SnapshotRate != 64<<20 {
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -195,7 +195,7 @@
 	} {
 		_, endpoints, entryErr, err := list.Decode(listText(i+1, false, change), ignoreAddress)
 		if err != nil || entryErr != nil || len(endpoints) == 0 {
-			t.Errorf("%s: %v, %v, %v", change, endpoints, entryErr, err)
+			t.Errorf("%s: endpoints %v, entry error %v, error %v", change, endpoints, entryErr, err)
 		}
 	}
 }
--- a/internal/hosts/helpers_test.go
+++ b/internal/hosts/helpers_test.go
@@ -27,8 +27,8 @@
 	noWriteDeadline = clock.Instant(1e18)
 )
 
-// testLoop is a transport with one host, which has the id 1, and its event loop, which the test runs step by step. It
-// records the results of attempts.
+// testLoop is a transport with one host, which has the number 1, and its event loop, which the test runs step by step.
+// It records the results of attempts.
 type testLoop struct {
 	*testing.T
 	*Transport
--- a/internal/publisher/status.go
+++ b/internal/publisher/status.go
@@ -15,7 +15,7 @@
 	Replica       int                `json:"replica"`   // index of this replica
 	Leader        int                `json:"leader"`    // index of the leader; -1: not known
 	IsLeader      bool               `json:"leads"`     // this replica is the leader, as far as it knows
-	UpToDate      bool               `json:"current"`   // in contact with a quorum, and all that is committed is applied here
+	UpToDate      bool               `json:"current"`   // in contact with a quorum, with all committed entries applied
 	Log           configsync.LogID   `json:"log"`       // id of the log of versions; empty: the log is not created yet
 	Version       configsync.Version `json:"version"`   // the latest version applied at this replica
 	Digest        string             `json:"digest"`    // digest of the content of Version, in hexadecimal
