--- a/cmd/ravensill/configuration_test.go
+++ b/cmd/ravensill/configuration_test.go
@@ -330,7 +330,7 @@
 	}
 	gateway, message := start(false)
 	if byIndex := (gossip.Format{Plans: 1, Members: 2}); !hasFormat(byIndex, message) {
-		t.Errorf("without the section: the message is not in the format with plan indexes: %x", message)
+		t.Errorf("without the section: the message is not in the format with plan indices: %x", message)
 	}
 	if log := strings.Join(gateway.startupLog, "\n"); strings.Contains(log, "configuration") {
 		t.Errorf("without the section, the gateway logs\n%s", log)
--- a/cmd/ravensill/harness_config_test.go
+++ b/cmd/ravensill/harness_config_test.go
@@ -120,7 +120,7 @@
 type counterfactualSection struct {
 	Listen     string   `json:"listen"`
 	Peers      []string `json:"peers,omitempty"`
-	Collectors []int    `json:"collectors,omitempty"` // member indexes
+	Collectors []int    `json:"collectors,omitempty"` // member indices
 	Fraction   float64  `json:"part,omitempty"`       // fraction of the batches of events that is observed
 	WindowMS   int      `json:"window_ms,omitempty"`
 	GraceMS    int      `json:"grace_ms,omitempty"`
@@ -132,7 +132,7 @@
 	Capacity     int      `json:"capacity"`
 	Floor        int      `json:"floor"`
 	Voters       []string `json:"voters"`
-	VoterMembers []int    `json:"voter_seats"` // member indexes
+	VoterMembers []int    `json:"voter_seats"` // member indices
 	Listen       string   `json:"listen"`
 	Directory    string   `json:"dir"`
 	Key          string   `json:"key"`
--- a/counterfactual/codec.go
+++ b/counterfactual/codec.go
@@ -14,7 +14,7 @@
 	maxRowsPerCell        = 16      // a cell with more rows is split
 	maxPartsPerWindow     = 4096    // parts of one gateway's summary of a window
 	maxAttemptsPerWindow  = 1 << 24 // attempts of one gateway in a window
-	maxWindowMilliseconds = 3600e3  // one hour
+	maxWindowMilliseconds = 3600e3  // longest window: one hour
 )
 
 var (
@@ -65,7 +65,7 @@
 
 // Encode splits the cells of a window into parts of at most MaxMessageBytes each. Every returned function encodes one
 // part, given the milliseconds since the window's end, so that the part can be sent again later. A window without
-// attempts has one part without cells, by which collectors tell an idle gateway from a silent one.
+// attempts has one part without cells, by which collectors distinguish an idle gateway from a silent one.
 func Encode(header SummaryPart, cells []Cell) (encoders []func(age uint32) []byte) {
 	if len(cells) == 0 {
 		header.Version = formatVersion
@@ -138,7 +138,7 @@
 	case part.WindowLength == 0 || part.WindowLength > maxWindowMilliseconds:
 		return nil, fmt.Errorf("window length of %d ms is out of range", part.WindowLength)
 	case part.LostRecords > part.Attempts || part.Attempts > maxAttemptsPerWindow:
-		return nil, fmt.Errorf("lost records: %d of %d attempts", part.LostRecords, part.Attempts)
+		return nil, fmt.Errorf("%d lost records among %d attempts are out of range", part.LostRecords, part.Attempts)
 	}
 	for i := range part.Cells {
 		if err := part.Cells[i].check(part); err != nil {
@@ -161,7 +161,7 @@
 		}
 	}
 	if len(c.Rows) > maxRowsPerCell {
-		return errors.New("too many rows")
+		return errors.New("the cell has too many rows")
 	}
 	for i := range c.Rows {
 		if err := c.Rows[i].check(part.Attempts); err != nil {
--- a/counterfactual/ledger.go
+++ b/counterfactual/ledger.go
@@ -32,17 +32,17 @@
 	Late           int // the bin was sealed already
 	OldIncarnation int `json:"OldLife"` // sent by an earlier incarnation of the gateway than the latest
 	Invalid        int `json:"Strange"` // contradicting the settings or other parts of the window
-	OutOfCapacity  int `json:"Full"`    // beyond Settings.MaxCells
+	OutOfCapacity  int `json:"Full"`    // not merged because of Settings.MaxCells
 }
 
 // Ledger merges the summaries of the gateways' windows into bins: intervals of one window length by the ledger's own
 // clock. The age in a message says in which bin its window ended, so that clocks need not agree. A sealed bin, that is,
 // one that ended more than Settings.Grace ago, never changes. A Ledger is not safe for concurrent use.
 type Ledger struct {
-	Counts    MessageCounts // since NewLedger; for reading only
+	Counts    MessageCounts // counts since NewLedger; callers must not change them
 	settings  Settings
 	bins      map[BinNumber]*bin
-	gateways  map[uint32]*reporter // by member index
+	gateways  map[uint32]*reporter // gateways that have reported, by member index
 	cellCount int                  // cells in all bins and incomplete windows
 }
 
@@ -64,7 +64,7 @@
 type reporter struct {
 	zone        uint8
 	incarnation uint64    // the latest one of which a message has arrived
-	windows     []*window // of all incarnations, as long as their bins are kept
+	windows     []*window // windows of all incarnations, as long as their bins are kept
 }
 
 // window is one window of a gateway. It is merged into its bin when all of its parts have arrived.
--- a/counterfactual/table.go
+++ b/counterfactual/table.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	minOutcomes     = 8  // outcomes that a stratum needs; one with fewer borrows those of neighbouring loads
+	minOutcomes     = 8  // outcomes that a stratum needs; one with fewer borrows those of neighboring loads
 	objectiveMargin = 3  // buckets below the latency objective in which censoring is not too early
 	unweighted      = -1 // passed instead of a rule: each outcome has weight 1
 	noGroup         = -1 // passed instead of a customer group: none is left out
@@ -75,7 +75,7 @@
 // finalize sorts the strata and adds the borrowed rows. It must be called once, after all cells are added.
 func (t *strataTable) finalize() {
 	t.sortStrata()
-	t.borrowNeighbours()
+	t.borrowNeighbors()
 }
 
 // sortStrata sorts strata and rows, so that floating-point sums do not depend on the order in which parts arrived.
@@ -87,13 +87,13 @@
 	}
 }
 
-// borrowNeighbours adds to each stratum with fewer than minOutcomes outcomes the rows of the neighbouring load bands at
+// borrowNeighbors adds to each stratum with fewer than minOutcomes outcomes the rows of the neighboring load bands at
 // the same host process. The weights, as in estimator Robust, correct for the difference in load.
-func (t *strataTable) borrowNeighbours() {
+func (t *strataTable) borrowNeighbors() {
 	borrowed := map[*stratum][]*Row{} // added after the loop, so that borrowed rows are not borrowed again
 	for _, s := range t.strata {
 		if s.outcomes < minOutcomes {
-			borrowed[s] = t.neighbourRows(s.key)
+			borrowed[s] = t.neighborRows(s.key)
 		}
 	}
 	for s, rows := range borrowed {
@@ -104,12 +104,12 @@
 	}
 }
 
-// neighbourRows returns the rows of the strata in the next lower and the next higher load band.
-func (t *strataTable) neighbourRows(key CellKey) (rows []*Row) {
+// neighborRows returns the rows of the strata in the next lower and the next higher load band.
+func (t *strataTable) neighborRows(key CellKey) (rows []*Row) {
 	for _, step := range []int{-1, 1} {
-		neighbour := key
-		neighbour.LoadBand = uint8(int(key.LoadBand) + step)
-		if s := t.index[neighbour]; s != nil {
+		neighbor := key
+		neighbor.LoadBand = uint8(int(key.LoadBand) + step)
+		if s := t.index[neighbor]; s != nil {
 			rows = append(rows, s.rows...)
 		}
 	}
@@ -147,7 +147,7 @@
 // The weights are those of a rule, or 1 if the rule is unweighted. cdf must have a length of objectiveBucket+1. It is
 // the product-limit estimate (Kaplan and Meier 1958), which takes the response time of an attempt that was censored at
 // a time to be longer. The method returns the sum of the weights, and the fraction of attempts that were censored too
-// early to tell their distribution up to the latency objective. If the sum is 0, cdf is not set.
+// early for their distribution up to the latency objective to be known. If the sum is 0, cdf is not set.
 func (s *stratum) cdf(t *strataTable, skippedGroup, rule int, cdf []float64) (sum, censoredEarly float64) {
 	sum = s.fillHistograms(t, skippedGroup, rule)
 	if sum == 0 {
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -29,7 +29,7 @@
 	// onReady is called each time an answer is set, with the number of answers that were written to out.
 	onReady func(count int)
 
-	// clientGone is set by the connection's reader at the end of the connection, before the event loop is told of it.
+	// clientGone is set by the connection's reader at the end of the connection, before the event loop handles that end.
 	clientGone atomic.Bool
 }
 
--- a/internal/config/adjustments.go
+++ b/internal/config/adjustments.go
@@ -13,7 +13,8 @@
 
 // Adjustment reports a setting that takes effect with another meaning than it was written with, because another setting
 // contradicts it or the gateway does not support it. Contradictions are resolved instead of rejected: operators change
-// the settings of running deployments, and a gateway that refuses to start over two such settings serves nobody.
+// the settings of running deployments, and a gateway that refused to start because of two such settings would serve no
+// client.
 type Adjustment struct {
 	// Key is the path of the setting, in the file under the key settings, such as "plans.3.burst". For a resource of a
 	// published document it begins with the resource, such as "plans/gold: burst".
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -59,7 +59,7 @@
 
 // assignPlanIDs sets the ID by which gossip names each quota plan of the file, a hash of the plan's name. It returns an
 // error for two plans with the same ID, which gossip would confuse, and for two request classes with the same name,
-// which documents from the publishers could not tell apart.
+// which documents from the publishers could not distinguish.
 func (c *Config) assignPlanIDs() error {
 	seenClasses := make(map[string]bool, len(c.ClassNames))
 	for i, name := range c.ClassNames {
--- a/internal/discovery/pending_read.go
+++ b/internal/discovery/pending_read.go
@@ -10,7 +10,7 @@
 	"ravensill/internal/sockets"
 )
 
-// PendingRead tells whether a watch has received bytes that it has not processed yet. The zero value is ready to use;
+// PendingRead reports whether a watch has received bytes that it has not processed yet. The zero value is ready to use;
 // it serves one watch.
 type PendingRead struct{ conn atomic.Pointer[watchedConn] }
 
--- a/internal/discovery/timeouts_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -94,7 +94,7 @@
 // outage describes how the endpoint list is lost and what happens until it is received again.
 type outage struct {
 	poll       bool
-	firstPhase phase         // in which the first watch falls silent, or the poll fails during which discovery comes back
+	firstPhase phase         // in which the first watch falls silent, or the poll fails while discovery comes back
 	failures   int           // consecutive failures up to and including the first watch or that poll
 	response   time.Duration // how long the successful attempt takes to be answered
 }
--- a/internal/hosts/failure.go
+++ b/internal/hosts/failure.go
@@ -29,7 +29,7 @@
 var (
 	errInvalidAnswer   = errors.New("invalid answer")
 	errConnectionLimit = errors.New("connection limit reached and no connection is idle")
-	errHostRemoved     = errors.New("host removed")
+	errHostRemoved     = errors.New("host removed from the endpoint list")
 )
 
 // Failure is the error of an attempt that got no valid answer: how far the attempt had come, and the cause.
--- a/internal/hosts/idle.go
+++ b/internal/hosts/idle.go
@@ -28,7 +28,7 @@
 // reusableConn returns the most recently used connection that has been idle for at least the reuse delay, nil if there
 // is none. Some hosts send further bytes some milliseconds after an answer, even a second copy of it, which must not be
 // taken for the answer to the next request. Bytes that arrive within the delay are detected before the next command is
-// written; bytes that arrive later could not be told from the answer to that command.
+// written; bytes that arrive later could not be distinguished from the answer to that command.
 func (p *hostPool) reusableConn(now clock.Instant) *conn {
 	for _, c := range slices.Backward(p.idle) {
 		if now.Sub(c.idleSince) >= p.transport.reuseDelay {
--- a/internal/hosts/transport.go
+++ b/internal/hosts/transport.go
@@ -83,9 +83,9 @@
 
 // SetAddress adds a host or changes its address. Connections to an earlier address are closed as soon as they carry no
 // attempt.
-func (t *Transport) SetAddress(id uint32, addr netip.AddrPort) {
-	t.addrs[id] = addr
-	pool := t.pools[id]
+func (t *Transport) SetAddress(host uint32, addr netip.AddrPort) {
+	t.addrs[host] = addr
+	pool := t.pools[host]
 	if pool != nil && pool.addr != addr {
 		pool.addr = addr
 		pool.closeIdle()
@@ -94,13 +94,13 @@
 
 // Remove removes a host. Its idle connections are closed. Attempts whose command is not started fail; the others
 // continue.
-func (t *Transport) Remove(id uint32) {
-	delete(t.addrs, id)
-	pool := t.pools[id]
+func (t *Transport) Remove(host uint32) {
+	delete(t.addrs, host)
+	pool := t.pools[host]
 	if pool == nil {
 		return
 	}
-	delete(t.pools, id)
+	delete(t.pools, host)
 	t.pendingCount -= len(pool.pending)
 	t.dialingCount -= pool.dialing
 	pool.removed = true
@@ -109,10 +109,10 @@
 }
 
 // Drain cancels the attempts to a host whose command is not started: the connection that they wait for may be opened
-// only after the host's grace period. The routing policy is told of the drain before it gets the results of these
-// attempts, and makes its next attempts on other hosts.
-func (t *Transport) Drain(id uint32) {
-	if pool := t.pools[id]; pool != nil {
+// only after the host's grace period. The decision module gets the drain before the results of these attempts, so that
+// it sends the next attempts to other hosts.
+func (t *Transport) Drain(host uint32) {
+	if pool := t.pools[host]; pool != nil {
 		pool.cancelUnstarted(ErrCanceled)
 	}
 }
@@ -121,12 +121,12 @@
 // and the command tells the host the time left until then. The attempt fails if its command is not fully written by
 // writeDeadline. onResult is called once, possibly before Send returns.
 func (t *Transport) Send(
-	id uint32,
+	host uint32,
 	command Command,
 	deadline, writeDeadline clock.Instant,
 	onResult ResultHandler,
 ) *Attempt {
-	return t.start(id, &Attempt{
+	return t.start(host, &Attempt{
 		command:       &command,
 		deadline:      deadline,
 		writeDeadline: writeDeadline,
@@ -135,12 +135,12 @@
 }
 
 // Probe asks a host for its load report. onResult is called once, possibly before Probe returns.
-func (t *Transport) Probe(id uint32, onResult ResultHandler) *Attempt {
+func (t *Transport) Probe(host uint32, onResult ResultHandler) *Attempt {
 	request := resp.AppendArrayHeader(nil, 2)
 	request = resp.AppendBulk(request, "INFO")
 	request = resp.AppendBulk(request, "load")
 	deadline := t.now().Add(probeTimeout)
-	return t.start(id, &Attempt{
+	return t.start(host, &Attempt{
 		command:       &Command{Head: request, complete: true},
 		deadline:      deadline,
 		writeDeadline: deadline,
@@ -150,8 +150,8 @@
 }
 
 // start makes an attempt whose command, deadlines and handler are set. It fails the attempt if the host is unknown.
-func (t *Transport) start(id uint32, attempt *Attempt) *Attempt {
-	attempt.pool = t.pool(id)
+func (t *Transport) start(host uint32, attempt *Attempt) *Attempt {
+	attempt.pool = t.pool(host)
 	if attempt.pool == nil {
 		attempt.pool = &hostPool{transport: t, removed: true}
 		attempt.fail(Connecting, errHostRemoved)
@@ -167,16 +167,16 @@
 }
 
 // pool returns the connection pool of a host, which it creates if necessary. It returns nil for an unknown host.
-func (t *Transport) pool(id uint32) *hostPool {
-	if pool := t.pools[id]; pool != nil {
+func (t *Transport) pool(host uint32) *hostPool {
+	if pool := t.pools[host]; pool != nil {
 		return pool
 	}
-	addr, known := t.addrs[id]
+	addr, known := t.addrs[host]
 	if !known {
 		return nil
 	}
 	pool := &hostPool{transport: t, addr: addr}
-	t.pools[id] = pool
+	t.pools[host] = pool
 	return pool
 }
 
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -116,7 +116,7 @@
 	)
 }
 
-// addClass adds a request class if its index is the next one. Other indexes belong to known classes.
+// addClass adds a request class if its index is the next one. Other indices belong to known classes.
 func (q *connectionQuota) addClass(index int, name string) {
 	if q != nil && index == len(q.urgentClasses) {
 		q.urgentClasses = append(q.urgentClasses, q.node.cfg.Pool.UrgentClasses[name])
--- a/internal/publishertest/publishertest.go
+++ b/internal/publishertest/publishertest.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	waitTimeout  = 60 * time.Second     // after which Eventually fails the test
-	pollInterval = 5 * time.Millisecond // between two evaluations of a condition
+	waitTimeout  = 60 * time.Second     // time after which Eventually fails the test
+	pollInterval = 5 * time.Millisecond // time between two evaluations of a condition
 )
 
 // InitialContent is a small configuration as a body of PUT /v1/configuration: two quota plans, a request class and
@@ -34,10 +34,10 @@
 // EarlierRelease describes data that an earlier release of the program wrote. It is kept in testdata, so that tests can
 // check that the present program reads it.
 type EarlierRelease struct {
-	Commit  string             // from which the program was built
-	Dir     string             // within testdata of the package that reads the data
+	Commit  string             // commit from which that release was built
+	Dir     string             // directory within testdata of the package that reads the data
 	Version configsync.Version // the last version stored
-	Digest  string             // of that version's content, in hexadecimal
+	Digest  string             // digest of that version's content, in hexadecimal
 }
 
 // FirstRelease is the earliest release whose data is kept: that of a publisher and that of a subscriber, which have the
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -105,7 +105,7 @@
 // instance may change them.
 type endpointLists [16][]gateway.Endpoint
 
-// decodeAnnouncement reads an ANNOUNCE, which tells an instance an endpoint list or that there is none.
+// decodeAnnouncement reads an ANNOUNCE, which gives an instance an endpoint list, or reports that none is available.
 func (l *endpointLists) decodeAnnouncement(r *fieldReader, i *instance) (gateway.Event, error) {
 	kind := gateway.ListKind(r.choice("kind", "incr", "total", "warm_copy", "lost"))
 	listNumber := r.text("sheet")
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -61,9 +61,9 @@
 	return conn.ReadFromUDPAddrPort(buffer)
 }
 
-// Read implements System. Read and Write never block in the kernel, so they use raw system calls, of which the Go
-// runtime is not told. Otherwise it would wake its monitor thread for a call that ends an idle period, and would give
-// the processor (P) of the goroutine to another thread during a call that takes long, such as a write to loopback.
+// Read implements System. Read and Write never block in the kernel, so they use raw system calls, which the Go runtime
+// does not notice. Otherwise it would wake its monitor thread for a call that ends an idle period, and would give the
+// processor (P) of the goroutine to another thread during a call that takes long, such as a write to loopback.
 func (Kernel) Read(descriptor uintptr, buffer []byte) (int, syscall.Errno) {
 	n, _, errno := syscall.RawSyscall(
 		syscall.SYS_READ,
--- a/internal/subscriber/store_test.go
+++ b/internal/subscriber/store_test.go
@@ -92,7 +92,7 @@
 
 // history holds the versions of a document and the deltas between them.
 type history struct {
-	documents []*configsync.Document // by version; version 0 is empty
+	documents []*configsync.Document // documents by version; version 0 is empty
 	deltas    []*configsync.Delta    // by version: the delta to it from the version before; nil for version 0
 }
 
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -29,7 +29,7 @@
 )
 
 // ErrStopped is returned by Config.Apply if the gateway is shutting down. The version is then neither in force nor
-// refused, and the publisher is told nothing about it.
+// refused, and the publisher gets no answer to it.
 var ErrStopped = errors.New("the gateway is shutting down")
 
 // Config has the settings of a Subscriber.
--- a/logic/endpoint_test.go
+++ b/logic/endpoint_test.go
@@ -361,9 +361,9 @@
 			}
 		}
 	}
-	for id, memberCount := range members { // 300 subsets of 8 over a total weight of 270
-		if want := float64(2-id%2) * 2400 / 270; math.Abs(float64(memberCount)-want) > 1 {
-			t.Errorf("host %d is in the subset of %d gateways, want %.1f", id, memberCount, want)
+	for host, memberCount := range members { // 300 subsets of 8 over a total weight of 270
+		if want := float64(2-host%2) * 2400 / 270; math.Abs(float64(memberCount)-want) > 1 {
+			t.Errorf("host %d is in the subset of %d gateways, want %.1f", host, memberCount, want)
 		}
 	}
 	if added < members[40] || added > 5*members[40] {
--- a/logic/gateway.go
+++ b/logic/gateway.go
@@ -57,10 +57,10 @@
 
 	gossipFormat      gossip.Format
 	gridRows          int           // rows of the grid of members; 1: each member sends to all others
-	neighbours        []*peer       // members that exchange gossip with this one
-	peers             []*peer       // the neighbours by member index; nil: not a neighbour
-	nextHops          []*peer       // by member index: the neighbour that gossip to the member is sent to
-	previousHops      []*peer       // by member index: the neighbour that gossip of the member arrives from
+	neighbors         []*peer       // members that exchange gossip with this one
+	peers             []*peer       // the neighbors by member index; nil: not a neighbor
+	nextHops          []*peer       // by member index: the neighbor that gossip to the member is sent to
+	previousHops      []*peer       // by member index: the neighbor that gossip of the member arrives from
 	messageRate       float64       // messages a second to each peer
 	counterAge        float64       // mean age of a counter on its receipt, in seconds
 	heartbeatInterval time.Duration // between messages to a peer while no counters change
--- a/logic/gossip_receive.go
+++ b/logic/gossip_receive.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// receiveGossip handles a gossip message of a member. Messages of members that are not neighbours are dropped.
+// receiveGossip handles a gossip message of a member. Messages of members that are not neighbors are dropped.
 func (g *Gateway) receiveGossip(from int, message []byte) {
 	if from < 0 || from >= len(g.peers) || g.peers[from] == nil {
 		return
--- a/logic/gossip_test.go
+++ b/logic/gossip_test.go
@@ -52,7 +52,7 @@
 	sim.arrive(0, "a", 4)
 	sim.finishAll(0)
 	sim.trace.Reset()
-	for _, p := range sim.gateways[0].gateway.neighbours {
+	for _, p := range sim.gateways[0].gateway.neighbors {
 		p.credit = -24 // 3 s at 8 messages a second
 	}
 	sim.advance(3200*ms, true)
@@ -108,17 +108,17 @@
 	sim.arrive(5, "a", 2)
 	sim.trace.Reset()
 	sim.advance(4*time.Second, true)
-	low, high, neighbours := 100.0, 0.0, 0
+	low, high, neighbors := 100.0, 0.0, 0
 	for _, s := range sim.gateways {
 		level := s.gateway.customerFor(hashText("a"), 0, 300, 0).level
 		low, high = min(low, level), max(high, level)
 	}
 	for _, p := range sim.gateways[299].gateway.peers {
 		if p != nil {
-			neighbours++
+			neighbors++
 		}
 	}
-	fmt.Fprintf(&sim.trace, "gateway 299 knows %d others; copies of a hold %.1f to %.1f units\n", neighbours, low, high)
+	fmt.Fprintf(&sim.trace, "gateway 299 knows %d others; copies of a hold %.1f to %.1f units\n", neighbors, low, high)
 	golden.Check(t, sim.trace.String())
 }
 
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -33,7 +33,7 @@
 	g.peerTimeout = peerTimeoutIntervals * g.heartbeatInterval
 	g.counterAge = 0.5 / g.messageRate * float64(hops)
 	// Several heartbeats, over all peers, are due within this time.
-	overdue := g.peerTimeout / time.Duration(max(len(g.neighbours), 1))
+	overdue := g.peerTimeout / time.Duration(max(len(g.neighbors), 1))
 	g.partitionTimeout = max(overdue, 2*stallThreshold)
 	g.endpoints.memberCount = count
 	g.endpoints.limit.InitialLimitPerEndpoint = initialInFlight / float64(count)
@@ -49,13 +49,13 @@
 	g.peers = make([]*peer, count)
 	g.nextHops = make([]*peer, count)
 	g.previousHops = make([]*peer, count)
-	g.neighbours = nil
+	g.neighbors = nil
 	for member := range g.peers {
 		if member == self || !g.membership.Gossip {
 			continue
 		}
-		g.nextHops[member] = g.peerFor(g.hopNeighbour(self, member, member), previous)
-		g.previousHops[member] = g.peerFor(g.hopNeighbour(member, self, member), previous)
+		g.nextHops[member] = g.peerFor(g.hopNeighbor(self, member, member), previous)
+		g.previousHops[member] = g.peerFor(g.hopNeighbor(member, self, member), previous)
 		g.nextHops[member].sendTo = true
 	}
 	for _, hash := range slices.Sorted(maps.Keys(g.customers)) {
@@ -63,9 +63,9 @@
 	}
 }
 
-// hopNeighbour returns the neighbour that this gateway exchanges gossip with on the path between the members from
+// hopNeighbor returns the neighbor that this gateway exchanges gossip with on the path between the members from
 // and to. One of the two must be this gateway; other is the index of the remaining one.
-func (g *Gateway) hopNeighbour(from, to, other int) int {
+func (g *Gateway) hopNeighbor(from, to, other int) int {
 	hop := g.forwarder(from, to)
 	if hop == g.membership.Index {
 		return other
@@ -89,7 +89,7 @@
 		p.lastReceived = known.lastReceived
 	}
 	g.peers[member] = p
-	g.neighbours = append(g.neighbours, p)
+	g.neighbors = append(g.neighbors, p)
 	return p
 }
 
@@ -117,7 +117,7 @@
 // topology, units that were not sent before stay unsent.
 func (g *Gateway) subscribe(c *customer) {
 	previous := c.subscriptions
-	c.subscriptions = make([]subscription, 0, min(c.spread, len(g.neighbours)))
+	c.subscriptions = make([]subscription, 0, min(c.spread, len(g.neighbors)))
 	for i := range c.spread {
 		member := (c.firstGateway + i) % len(g.peers)
 		c.addSubscription(g.previousHops[member], false)
--- a/logic/timer.go
+++ b/logic/timer.go
@@ -19,7 +19,7 @@
 	g.arrivals = 0
 	g.pollIfDue()
 	g.cancelOverdue()
-	for _, p := range g.neighbours {
+	for _, p := range g.neighbors {
 		g.sendGossip(p, credit)
 	}
 	if g.now >= g.nextEviction {
