--- a/configsync/history.go
+++ b/configsync/history.go
@@ -23,7 +23,7 @@
 	oldestDigest Digest  // of the document at version oldest
 	latest       Version
 	entries      []historyEntry
-	size         int // of all entries, in bytes
+	size         int // size of all entries together, in bytes
 }
 
 // historyEntry is one delta with the previous value of each changed resource, in the same order. The value is empty if
--- a/configsync/sender.go
+++ b/configsync/sender.go
@@ -50,7 +50,7 @@
 	member        int
 	log           LogID
 	inForce       Version
-	digest        Digest // of the content in force
+	digest        Digest // digest of the content in force
 	refused       Version
 	wantSnapshot  bool // the follower can't use a delta
 	inFlight      *transfer
@@ -74,7 +74,7 @@
 	Connected       bool
 	InForce         Version   // version in force that the gateway reported last
 	Refused         Version   // version later than InForce that the gateway refused; 0: none
-	RefusedResource Resource  // at fault in the refused version; empty: unknown
+	RefusedResource Resource  // resource at fault in the refused version; empty: unknown
 	RefusalReason   string    // empty if no version is refused
 	LastMessage     time.Time // when the latest message was received
 }
--- a/counterfactual/estimation.go
+++ b/counterfactual/estimation.go
@@ -31,7 +31,7 @@
 	sums            map[Rule]*ruleSums   // the sums of all outcomes
 	leaveOneOutSums []map[Rule]*ruleSums // one with each customer group left out; empty if there are too few groups
 	groups          int                  // number of customer groups with outcomes
-	effectiveGroups float64              // see strataTable.customerGroups
+	effectiveGroups float64              // effective number of these groups, see strataTable.customerGroups
 }
 
 // estimateRules returns the answers for the rules, in their order, with regrets.
--- a/counterfactual/figures.go
+++ b/counterfactual/figures.go
@@ -15,7 +15,7 @@
 	maxMeanHalfWidth        = 0.08  // largest half width for a mean or a median, relative to the figure
 	maxTailHalfWidth        = 0.16  // the same for a 99th percentile
 	maxFractionHalfWidth    = 0.05  // the same for a fraction, absolute; figures with a wider interval are refused
-	unreachableLatencyError = 0.2   // see figureBuilder.unreachableError
+	unreachableLatencyError = 0.2   // largest relative difference of unobserved times, see figureBuilder.unreachableError
 	normalQuantile          = 1.96  // standard normal quantile for a two-sided interval at confidenceLevel
 	anytimeOptimalSamples   = 500   // sample size at which the anytime-valid interval is narrowest
 	minVariance             = 1e-9  // square nanoseconds; avoids a division by zero
--- a/counterfactual/folder.go
+++ b/counterfactual/folder.go
@@ -15,7 +15,7 @@
 	cells       map[CellKey]*Cell
 	attempts    uint32
 	lostRecords uint32
-	shares      ruleShares           // of the record that Add handles; kept to reuse its slices
+	shares      ruleShares           // shares of the record that Add handles; kept to reuse its slices
 	cache       [cellCacheSize]*Cell // recently used cells, to save lookups in the cells map; nil: unused
 }
 
--- a/counterfactual/ledger.go
+++ b/counterfactual/ledger.go
@@ -9,7 +9,7 @@
 	"ravensill/internal/clock"
 )
 
-// Settings are the settings of a Ledger.
+// Settings describes the gateways that report to a Ledger, and limits what the ledger keeps.
 type Settings struct {
 	Gateways        int             // number of gateways that are expected to report
 	Window          time.Duration   // length of a bin and of the gateways' windows
--- a/counterfactual/summary.go
+++ b/counterfactual/summary.go
@@ -79,7 +79,7 @@
 	_            struct{} `cbor:",toarray"`
 	Version      uint8    // formatVersion
 	Gateway      uint32   // member index
-	Zone         uint8    // of the gateway
+	Zone         uint8    // zone index of the gateway
 	Incarnation  uint64   // start time of the gateway; a later incarnation has a greater one
 	Window       uint32   // number of the window, from 0 in each incarnation
 	Index        uint16   // number of this part, from 0
--- a/internal/clients/catalog.go
+++ b/internal/clients/catalog.go
@@ -74,7 +74,7 @@
 	classIndices map[string]int // by name, including removed classes
 	planIndices  map[string]int // by name, including removed plans
 	classes      []ClassEdit    // classes by index, as set by the latest edit
-	plans        []PlanEdit     // by index, as set by the latest edit
+	plans        []PlanEdit     // plans by index, as set by the latest edit
 	members      int            // number of gateways of the fleet
 	ownIndex     int            // member index of this gateway
 }
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -12,7 +12,7 @@
 	ID           string
 	Customer     string
 	ReceivedAt   clock.Instant // when its last byte was read
-	Deadline     clock.Instant // until when the client waits for the answer
+	Deadline     clock.Instant // time until which the client waits for the answer
 	Class        int           // index in the Catalog
 	Plan         int           // index in the Catalog
 	Units        float64
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -25,7 +25,7 @@
 const (
 	logFile           = "log.db"
 	snapshotsKept     = 2                     // snapshots kept on disk
-	snapshotInterval  = 30 * time.Second      // between checks whether a snapshot is due
+	snapshotInterval  = 30 * time.Second      // time between checks whether a snapshot is due
 	snapshotThreshold = 4096                  // log entries since the last snapshot that make another one due
 	trailingEntries   = 1024                  // log entries kept after a snapshot, for replicas that are slightly behind
 	commitTimeout     = 20 * time.Millisecond // time without entries until the leader sends its commit index
@@ -75,7 +75,7 @@
 	raft                 *raft.Raft
 	transport            *transport
 	store                *raftboltdb.BoltStore // nil before openRaft
-	logStore             raft.LogStore         // the same as disk
+	logStore             raft.LogStore         // the log; the same value as disk
 	disk                 *diskStore            // store with a cache of the latest entries and handling of write errors
 	membership           *membership
 	droppedAnnouncements atomic.Int64
@@ -234,7 +234,7 @@
 	return Proposal{replica: r, future: r.raft.Apply(entry, timeout)}
 }
 
-// Proposal is an entry that was proposed for the log.
+// Proposal is an entry that was proposed for the log. Wait returns its outcome.
 type Proposal struct {
 	replica *Replica
 	future  raft.ApplyFuture
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	announceInterval        = 300 * time.Millisecond // between announcements of a replica
+	announceInterval        = 300 * time.Millisecond // time between announcements of a replica
 	announcementTTL         = 5 * announceInterval   // age up to which an announcement counts for bootstrapping
 	membershipChangeTimeout = 5 * time.Second        // longest wait to enqueue the removal or addition of a voter
 
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -46,7 +46,7 @@
 	authenticated  chan net.Conn   // connections with a valid greeting, which Accept returns to the library
 	ctx            context.Context // canceled by Close
 	cancel         context.CancelFunc
-	goroutines     sync.WaitGroup // that accept connections, read greetings, and send announcements
+	goroutines     sync.WaitGroup // the goroutines that accept connections, read greetings, and send announcements
 	closeOnce      sync.Once
 }
 
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	testTimeout = 50 * time.Millisecond // of a call, by the clock of the test
+	testTimeout = 50 * time.Millisecond // timeout of a call, by the clock of the test
 
 	// waitLimit is longer than any step of a test takes even on a busy machine.
 	waitLimit = 10 * time.Second
--- a/internal/discovery/timeouts_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -93,8 +93,10 @@
 
 // outage describes how the endpoint list is lost and what happens until it is received again.
 type outage struct {
-	poll       bool
-	firstPhase phase         // in which the first watch falls silent, or the poll fails while discovery comes back
+	poll bool
+	// firstPhase is the phase in which the first watch falls silent or, with polling, the phase in which the poll fails
+	// during which discovery comes back.
+	firstPhase phase
 	failures   int           // consecutive failures up to and including the first watch or that poll
 	response   time.Duration // how long the successful attempt takes to be answered
 }
--- a/internal/hosts/command_test.go
+++ b/internal/hosts/command_test.go
@@ -105,8 +105,8 @@
 func TestCommandTimeLeftUnderStall(t *testing.T) {
 	const (
 		wait  = time.Second
-		stall = 150 * time.Millisecond // after each reading of the clock
-		slack = 150 * time.Millisecond // by which the time left may be too long
+		stall = 150 * time.Millisecond // length of the stall after each reading of the clock
+		slack = 150 * time.Millisecond // largest time by which the time left may be too long
 	)
 	h := newScriptedHost(t)
 	c := h.serveFirst()
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -25,7 +25,7 @@
 type endpointWatch struct {
 	cancel      context.CancelFunc
 	pendingRead discovery.PendingRead // reports whether the connection has unread updates
-	skipUntil   gateway.Time          // until then, decisions don't wait for unread updates
+	skipUntil   gateway.Time          // time until which decisions don't wait for unread updates
 }
 
 // startWatch starts to watch the endpoint list, unless the module polls it with WatchEndpoints. From its start on, the
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -23,7 +23,7 @@
 	lastLoggedAt  gateway.Time // time of the latest log line pool_quota_status
 }
 
-const quotaLogInterval = 5 * time.Second // between log lines pool_quota_status
+const quotaLogInterval = 5 * time.Second // time between log lines pool_quota_status
 
 // startQuota starts the connection quota if the section pool is configured, and the voter if this gateway is one. The
 // returned function stops both. If stop is closed while the voter's address is in use, it returns errStopRequested.
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -59,10 +59,10 @@
 	datagrams         chan datagram
 	rejectedDatagrams atomic.Int64      // datagrams that were rejected since the latest log line
 	queryListener     net.Listener      // nil unless this gateway is a collector
-	queries           chan pendingQuery // from the goroutines of connections to loop
+	queries           chan pendingQuery // queries on their way from the goroutines of connections to loop
 
 	done       chan struct{}  // closed by Close
-	goroutines sync.WaitGroup // those of startGoroutine
+	goroutines sync.WaitGroup // the goroutines started by startGoroutine
 
 	started      time.Time
 	incarnation  uint64 // time of Open in nanoseconds since 1970
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	quorumCheckInterval = 200 * time.Millisecond // between checks of the contact with a quorum of replicas
-	replayCheckInterval = 20 * time.Millisecond  // between these checks while the replica replays its log after the start
-	statusLogInterval   = 10 * time.Second       // between log lines with the replica's status
+	quorumCheckInterval = 200 * time.Millisecond // time between checks of the contact with a quorum of replicas
+	replayCheckInterval = 20 * time.Millisecond  // the same while the replica replays its log after the start
+	statusLogInterval   = 10 * time.Second       // time between log lines with the replica's status
 	shutdownTimeout     = 2 * time.Second        // longest wait in Close for HTTP requests in progress
 )
 
@@ -34,7 +34,7 @@
 	system    sockets.System
 	listener  *sockets.Listener // accepts followers
 	admin     *http.Server      // serves operators
-	adminAddr net.Addr          // at which admin listens
+	adminAddr net.Addr          // address at which admin listens
 
 	mu               sync.Mutex         // guards the fields up to the next blank line
 	state            *configsync.State  // the replicated state: the document in force and its history
@@ -139,7 +139,7 @@
 // Addr returns the address at which followers are served.
 func (p *Publisher) Addr() net.Addr { return p.listener.Addr() }
 
-// AdminAddr returns the address of the HTTP API.
+// AdminAddr returns the address at which the HTTP API for operators is served.
 func (p *Publisher) AdminAddr() net.Addr { return p.adminAddr }
 
 // run passes the contact with the quorum to the sender, and logs changes of leadership and the status, until Close.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -47,7 +47,7 @@
 	lineNumber      int               // number of the latest line read
 	fields          fieldReader       // reads the latest line
 	clock           gateway.Time      // time of the latest MARK
-	inBatch         bool              // between MARK and YOUR_TURN
+	inBatch         bool              // whether the latest line is between MARK and YOUR_TURN
 	instances       map[int]*instance // instances that are on, by their number in ON
 	batchOrder      []int             // instances with events in this batch, in the order in which they decide
 	endpointLists   endpointLists
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	statusLogInterval = 10 * time.Second // between log lines with the subscriber's status
-	lossLogInterval   = time.Minute      // between log lines about lost connections with the same cause
+	statusLogInterval = 10 * time.Second // time between log lines with the subscriber's status
+	lossLogInterval   = time.Minute      // time between log lines about lost connections with the same cause
 	sendTimeout       = 3 * time.Second  // longest time to write one message to a publisher
 )
 
@@ -32,7 +32,7 @@
 // refused, and the publisher gets no answer to it.
 var ErrStopped = errors.New("the gateway is shutting down")
 
-// Config has the settings of a Subscriber.
+// Config identifies the gateway to its publishers and says how a Subscriber stores and applies versions.
 type Config struct {
 	Publishers  []netip.AddrPort // TCP addresses, at least one
 	Dir         string           // directory for the copy of the latest version; created if needed
--- a/logic/gateway.go
+++ b/logic/gateway.go
@@ -63,7 +63,7 @@
 	previousHops      []*peer       // by member index: the neighbor that gossip of the member arrives from
 	messageRate       float64       // messages a second to each peer
 	counterAge        float64       // mean age of a counter on its receipt, in seconds
-	heartbeatInterval time.Duration // between messages to a peer while no counters change
+	heartbeatInterval time.Duration // time between messages to a peer while no counters change
 	peerTimeout       time.Duration // time without a message after which a peer counts as gone
 	partitionTimeout  time.Duration // time without a message of any peer after which a partition is suspected
 	lastGossip        gateway.Time  // latest message of any peer
--- a/logic/metrics.go
+++ b/logic/metrics.go
@@ -13,7 +13,7 @@
 	Rejected      [ReasonCount]int // requests rejected since the start, by Reason
 }
 
-// Gauges returns the current values.
+// Gauges returns the state after the latest batch.
 func (g *Gateway) Gauges() Gauges {
 	return Gauges{
 		InFlightLimit: g.endpoints.limit.Limit(),
--- a/logic/request_test.go
+++ b/logic/request_test.go
@@ -198,7 +198,7 @@
 func TestRejectsWhatEndsWithGateway(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		left   time.Duration // until the gateway ends; 0: it does not shut down
+		left   time.Duration // time until the gateway ends; 0: it does not shut down
 		reject bool
 	}{
 		{"not called to stop", 0, false},
--- a/logic/timer.go
+++ b/logic/timer.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	timerInterval    = time.Second / 25 // between calls of handleTimer
-	evictionInterval = time.Second      // between removals of evictable customers
+	timerInterval    = time.Second / 25 // time between calls of handleTimer
+	evictionInterval = time.Second      // time between removals of evictable customers
 )
 
 // handleTimer does the periodic work: it polls a lost endpoint list, cancels overdue attempts, sends gossip and,
--- a/pool/grantor.go
+++ b/pool/grantor.go
@@ -51,7 +51,7 @@
 	connections         int     // open or being dialed, from the latest report
 	demand              demandEstimate
 
-	leaseEnd      Instant // after this, the member's lease has certainly expired by its own clock
+	leaseEnd      Instant // time after which the member's lease has certainly expired by its own clock
 	strandedUntil Instant // the same for the leases of its earlier incarnations
 
 	target          int     // units that the member should have; fewer than leased are being recalled
--- a/pool/ledger.go
+++ b/pool/ledger.go
@@ -75,7 +75,7 @@
 	Clear bool `json:",omitempty"` // the entry's stranded units become free
 }
 
-// Batch is an entry of the replicated log.
+// Batch is an entry of the voters' replicated log: a new capacity, changes of ledger entries, both, or neither.
 type Batch struct {
 	Serial   uint64   `json:",omitempty"` // if higher than that of the ledger, Capacity replaces the ledger's capacity
 	Capacity int      `json:",omitempty"` // connections that the store accepts
--- a/pool/shares.go
+++ b/pool/shares.go
@@ -85,7 +85,7 @@
 // remainder is the claim of a member to one of the units that remain after its share was rounded down.
 type remainder struct {
 	member   int
-	fraction float64 // of a unit, rounded to 1/fractionsPerUnit
+	fraction float64 // fraction of a unit that was cut off, rounded to 1/fractionsPerUnit
 	leased   bool    // the member has more units leased now than its rounded-down share
 }
 
