--- a/cmd/ravensill-publisher/main_test.go
+++ b/cmd/ravensill-publisher/main_test.go
@@ -33,7 +33,7 @@
 	t       *testing.T
 	cmd     *exec.Cmd
 	lines   *bufio.Scanner
-	started []string // of the log line publisher_started: the matched text, index, admin address and version
+	started []string // match of the log line publisher_started: the whole text, index, admin address and version
 }
 
 func start(t *testing.T, file string) *publisherProcess {
@@ -129,7 +129,7 @@
 	}
 	text, err := io.ReadAll(response.Body)
 	if err != nil || response.StatusCode != http.StatusOK {
-		t.Fatalf("%d %s, %v", response.StatusCode, text, err)
+		t.Fatalf("PUT /v1/configuration: status %d, answer %s, error %v", response.StatusCode, text, err)
 	}
 	p.waitForLog("event=configuration_published version=1 changes=4")
 	p.stop()
@@ -157,6 +157,6 @@
 	output, _ := cmd.CombinedOutput()
 	code := cmd.ProcessState.ExitCode()
 	if code != exitInvalidSettings || !strings.Contains(string(output), `unknown field \"adress\"`) {
-		t.Errorf("exit %d: %s", code, output)
+		t.Errorf("exit status %d; output, which must name the key adress: %s", code, output)
 	}
 }
--- a/cmd/ravensill/configuration_test.go
+++ b/cmd/ravensill/configuration_test.go
@@ -124,7 +124,7 @@
 // restartTest is a restart of a gateway with a saved file, and its expected outcome.
 type restartTest struct {
 	name      string
-	savedText []byte // of the saved file
+	savedText []byte // content of the saved file
 	timeoutUS int    // client timeout in the gateway's own file, with the section pool; 0: the default, without it
 	wantLog   string
 	wantTeam  string // answer to a request on the plan team
@@ -330,7 +330,7 @@
 	}
 	gateway, message := start(false)
 	if byIndex := (gossip.Format{Plans: 1, Members: 2}); !hasFormat(byIndex, message) {
-		t.Errorf("without the section: the message is not in the format with plan indexes: %x", message)
+		t.Errorf("without the section: the message is not in the format with plan indices: %x", message)
 	}
 	if log := strings.Join(gateway.startupLog, "\n"); strings.Contains(log, "configuration") {
 		t.Errorf("without the section, the gateway logs\n%s", log)
--- a/cmd/ravensill/harness_config_test.go
+++ b/cmd/ravensill/harness_config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// gatewayConfig is the configuration file of a gateway.
+// gatewayConfig is the JSON object that a test writes to the configuration file of a gateway.
 type gatewayConfig struct {
 	Name           string                 `json:"name"`
 	Listen         string                 `json:"listen"`
@@ -25,7 +25,7 @@
 	// The remaining fields are for the test harness. The gateway ignores their keys.
 
 	AgentHosts      []hostEntry `json:"agent,omitempty"`  // sent by the discovery agent in its first answer
-	DescriptorLimit int         `json:"ulimit,omitempty"` // of the gateway's process; 0: as in the test's process
+	DescriptorLimit int         `json:"ulimit,omitempty"` // limit of the process; 0: as in the test's process
 
 	// editText, if not nil, changes the text of the file to one that the types can't express.
 	editText func(text []byte) []byte
@@ -120,7 +120,7 @@
 type counterfactualSection struct {
 	Listen     string   `json:"listen"`
 	Peers      []string `json:"peers,omitempty"`
-	Collectors []int    `json:"collectors,omitempty"` // member indexes
+	Collectors []int    `json:"collectors,omitempty"` // member indices
 	Fraction   float64  `json:"part,omitempty"`       // fraction of the batches of events that is observed
 	WindowMS   int      `json:"window_ms,omitempty"`
 	GraceMS    int      `json:"grace_ms,omitempty"`
@@ -132,7 +132,7 @@
 	Capacity     int      `json:"capacity"`
 	Floor        int      `json:"floor"`
 	Voters       []string `json:"voters"`
-	VoterMembers []int    `json:"voter_seats"` // member indexes
+	VoterMembers []int    `json:"voter_seats"` // member indices
 	Listen       string   `json:"listen"`
 	Directory    string   `json:"dir"`
 	Key          string   `json:"key"`
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -29,7 +29,7 @@
 	// onReady is called each time an answer is set, with the number of answers that were written to out.
 	onReady func(count int)
 
-	// clientGone is set by the connection's reader at the end of the connection, before the event loop is told of it.
+	// clientGone is set by the connection's reader at the end of the connection, before the event loop handles that end.
 	clientGone atomic.Bool
 }
 
@@ -40,7 +40,7 @@
 	return a
 }
 
-// Succeed sets the answer to a value.
+// Succeed sets the answer to the value that the request returned.
 func (a *Answer) Succeed(value []byte) { a.set(successReply(value)) }
 
 // Reject sets the answer to a rejection: the request did not run and may be retried after the given time, 0 for at
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -21,7 +21,7 @@
 	Dir        string           // where the gateway stores the latest valid version
 }
 
-// configurationSection is the section as JSON.
+// configurationSection is the JSON object at the key configuration of the file, before it is checked and converted.
 type configurationSection struct {
 	Publishers []string `json:"publishers"`
 	Dir        string   `json:"dir"`
@@ -59,7 +59,7 @@
 
 // assignPlanIDs sets the ID by which gossip names each quota plan of the file, a hash of the plan's name. It returns an
 // error for two plans with the same ID, which gossip would confuse, and for two request classes with the same name,
-// which documents from the publishers could not tell apart.
+// which documents from the publishers could not distinguish.
 func (c *Config) assignPlanIDs() error {
 	seenClasses := make(map[string]bool, len(c.ClassNames))
 	for i, name := range c.ClassNames {
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -24,8 +24,8 @@
 
 const (
 	logFile           = "log.db"
-	snapshotsKept     = 2                     // on disk
-	snapshotInterval  = 30 * time.Second      // between checks whether a snapshot is due
+	snapshotsKept     = 2                     // snapshots kept on disk
+	snapshotInterval  = 30 * time.Second      // time between checks whether a snapshot is due
 	snapshotThreshold = 4096                  // log entries since the last snapshot that make another one due
 	trailingEntries   = 1024                  // log entries kept after a snapshot, for replicas that are slightly behind
 	commitTimeout     = 20 * time.Millisecond // time without entries until the leader sends its commit index
@@ -47,7 +47,7 @@
 // Config describes one replica.
 type Config struct {
 	ClusterName     string           // identifies the cluster in log lines, as cluster=NAME
-	Index           int              // of this replica in Addresses
+	Index           int              // index of this replica in Addresses
 	Addresses       []netip.AddrPort // TCP addresses at which this replica reaches each replica, itself included
 	Listen          netip.AddrPort   // TCP address to listen at
 	Dir             string           // directory of the log, snapshots and id; created if it does not exist
@@ -75,7 +75,7 @@
 	raft                 *raft.Raft
 	transport            *transport
 	store                *raftboltdb.BoltStore // nil before openRaft
-	logStore             raft.LogStore         // the same as disk
+	logStore             raft.LogStore         // the log; the same value as disk
 	disk                 *diskStore            // store with a cache of the latest entries and handling of write errors
 	membership           *membership
 	droppedAnnouncements atomic.Int64
@@ -234,7 +234,7 @@
 	return Proposal{replica: r, future: r.raft.Apply(entry, timeout)}
 }
 
-// Proposal is an entry that was proposed for the log.
+// Proposal is an entry that was proposed for the log. Wait returns its outcome.
 type Proposal struct {
 	replica *Replica
 	future  raft.ApplyFuture
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	announceInterval        = 300 * time.Millisecond // between announcements of a replica
+	announceInterval        = 300 * time.Millisecond // time between announcements of a replica
 	announcementTTL         = 5 * announceInterval   // age up to which an announcement counts for bootstrapping
 	membershipChangeTimeout = 5 * time.Second        // longest wait to enqueue the removal or addition of a voter
 
@@ -26,14 +26,14 @@
 // receivedAnnouncement is the latest announcement of a replica.
 type receivedAnnouncement struct {
 	id         string    // Announcement.ID
-	receivedAt time.Time // by this replica
+	receivedAt time.Time // when this replica received it
 }
 
 // membership bootstraps the cluster and replaces the ids of replicas that lost their disk. Only the goroutine of run
 // uses latest.
 type membership struct {
 	replica       *Replica
-	latest        map[int]receivedAnnouncement // by replica index
+	latest        map[int]receivedAnnouncement // the latest announcement of each other replica, by its index
 	announcements chan Announcement            // received and not yet handled
 	done          chan struct{}                // closed by close
 	ended         chan struct{}                // closed when run returns
--- a/internal/discovery/timeouts_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -93,8 +93,10 @@
 
 // outage describes how the endpoint list is lost and what happens until it is received again.
 type outage struct {
-	poll       bool
-	firstPhase phase         // in which the first watch falls silent, or the poll fails during which discovery comes back
+	poll bool
+	// firstPhase is the phase in which the first watch falls silent or, with polling, the phase in which the poll fails
+	// during which discovery comes back.
+	firstPhase phase
 	failures   int           // consecutive failures up to and including the first watch or that poll
 	response   time.Duration // how long the successful attempt takes to be answered
 }
@@ -147,7 +149,7 @@
 func TestTimeoutsLeadToListWithinDeadline(t *testing.T) {
 	const (
 		deadline       = 6 * time.Second
-		afterAgentDown = time.Second // from the moment at which the agent is back
+		afterAgentDown = time.Second // time since the agent came back
 	)
 	var (
 		connectionRefused    = failedAttempt{"refused", refused, true}
--- a/internal/node/endpoint_watch.go
+++ b/internal/node/endpoint_watch.go
@@ -25,7 +25,7 @@
 type endpointWatch struct {
 	cancel      context.CancelFunc
 	pendingRead discovery.PendingRead // reports whether the connection has unread updates
-	skipUntil   gateway.Time          // until then, decisions don't wait for unread updates
+	skipUntil   gateway.Time          // time until which decisions don't wait for unread updates
 }
 
 // startWatch starts to watch the endpoint list, unless the module polls it with WatchEndpoints. From its start on, the
@@ -143,7 +143,7 @@
 	})
 }
 
-// watchEnded handles the failure of a watch. It starts another one after discovery.RewatchDelay, unless the module
+// watchEnded handles the failure of a watch. It starts another one after discovery.WatchRetryDelay, unless the module
 // polls the list and decides itself when to ask again.
 func (n *Node) watchEnded(w *endpointWatch, err error) {
 	if n.watch != w { // another watch has replaced it
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -23,7 +23,7 @@
 	lastLoggedAt  gateway.Time // time of the latest log line pool_quota_status
 }
 
-const quotaLogInterval = 5 * time.Second // between log lines pool_quota_status
+const quotaLogInterval = 5 * time.Second // time between log lines pool_quota_status
 
 // startQuota starts the connection quota if the section pool is configured, and the voter if this gateway is one. The
 // returned function stops both. If stop is closed while the voter's address is in use, it returns errStopRequested.
@@ -116,7 +116,7 @@
 	)
 }
 
-// addClass adds a request class if its index is the next one. Other indexes belong to known classes.
+// addClass adds a request class if its index is the next one. Other indices belong to known classes.
 func (q *connectionQuota) addClass(index int, name string) {
 	if q != nil && index == len(q.urgentClasses) {
 		q.urgentClasses = append(q.urgentClasses, q.node.cfg.Pool.UrgentClasses[name])
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -47,7 +47,7 @@
 	system      sockets.System
 	config      *config.Counterfactual
 	memberIndex int      // member index of this gateway
-	zone        int      // of this gateway
+	zone        int      // zone index of this gateway
 	classes     []string // names of the request classes, by index
 
 	records        chan []*Entry                     // batches from Offer
@@ -59,10 +59,10 @@
 	datagrams         chan datagram
 	rejectedDatagrams atomic.Int64      // datagrams that were rejected since the latest log line
 	queryListener     net.Listener      // nil unless this gateway is a collector
-	queries           chan pendingQuery // from the goroutines of connections to loop
+	queries           chan pendingQuery // queries on their way from the goroutines of connections to loop
 
 	done       chan struct{}  // closed by Close
-	goroutines sync.WaitGroup // those of startGoroutine
+	goroutines sync.WaitGroup // the goroutines started by startGoroutine
 
 	started      time.Time
 	incarnation  uint64 // time of Open in nanoseconds since 1970
@@ -85,7 +85,7 @@
 type Options struct {
 	System     sockets.System
 	Config     *config.Counterfactual
-	Membership gateway.Membership // of this gateway
+	Membership gateway.Membership // place of this gateway in its fleet
 	Classes    []string           // names of the request classes
 	Objectives []time.Duration    // latency objective of each request class, by index
 }
--- a/logic/request_test.go
+++ b/logic/request_test.go
@@ -85,7 +85,7 @@
 				if strings.HasPrefix(e.inFlight[0].request.id, "good") {
 					result = gateway.Succeeded
 				}
-				sim.finishAttempt(0, e.id, result, result == gateway.Succeeded)
+				sim.finishAttempt(0, e.number, result, result == gateway.Succeeded)
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 			events = append(events, gateway.Event{
 				Kind:      gateway.AttemptEnded,
 				RequestID: a.request.id,
-				Host:      e.id,
+				Host:      e.number,
 				Latency:   2 * time.Second,
 				Closed:    true,
 			})
@@ -198,7 +198,7 @@
 func TestRejectsWhatEndsWithGateway(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		left   time.Duration // until the gateway ends; 0: it does not shut down
+		left   time.Duration // time until the gateway ends; 0: it does not shut down
 		reject bool
 	}{
 		{"not called to stop", 0, false},
--- a/logic/timer.go
+++ b/logic/timer.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	timerInterval    = time.Second / 25 // between calls of handleTimer
-	evictionInterval = time.Second      // between removals of evictable customers
+	timerInterval    = time.Second / 25 // time between calls of handleTimer
+	evictionInterval = time.Second      // time between removals of evictable customers
 )
 
 // handleTimer does the periodic work: it polls a lost endpoint list, cancels overdue attempts, sends gossip and,
@@ -19,7 +19,7 @@
 	g.arrivals = 0
 	g.pollIfDue()
 	g.cancelOverdue()
-	for _, p := range g.neighbours {
+	for _, p := range g.neighbors {
 		g.sendGossip(p, credit)
 	}
 	if g.now >= g.nextEviction {
--- a/pool/ledger.go
+++ b/pool/ledger.go
@@ -55,7 +55,7 @@
 // Ledger records the units leased to all gateways. Only Apply changes it, with the same result at all voters.
 type Ledger struct {
 	Capacity int     // connections that the store accepts
-	Serial   uint64  // of the capacity; only a capacity with a higher serial replaces it
+	Serial   uint64  // serial of Capacity, which only a capacity with a higher serial replaces
 	Entries  []Entry // by member index
 	Reserve  int     // connections that are never leased
 	Floor    int     // connections that each gateway may have without a lease
@@ -75,7 +75,7 @@
 	Clear bool `json:",omitempty"` // the entry's stranded units become free
 }
 
-// Batch is an entry of the replicated log.
+// Batch is an entry of the voters' replicated log: a new capacity, changes of ledger entries, both, or neither.
 type Batch struct {
 	Serial   uint64   `json:",omitempty"` // if higher than that of the ledger, Capacity replaces the ledger's capacity
 	Capacity int      `json:",omitempty"` // connections that the store accepts
