--- a/lab/docscheck/docscheck_test.go
+++ b/lab/docscheck/docscheck_test.go
@@ -87,7 +87,7 @@
 	return ""
 }
 
-// pages returns the paths of the pages that describe the present program: those in docs and the README.
+// pages returns the paths of the pages that describe the current program: those in docs and the README.
 func pages(t *testing.T) []string {
 	found, err := filepath.Glob(root + "/docs/*.md")
 	if err != nil || len(found) == 0 {
--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -103,7 +103,7 @@
 	watches map[*agentCall]bool
 }
 
-// agentCall is a call by a gateway, for a watch or for a single list.
+// agentCall is one HTTP request of a gateway to its agent, for a watch or for a single list.
 type agentCall struct {
 	delivered int           // latest version sent
 	chunks    chan []byte   // waiting to be written; a nil chunk ends the call
@@ -163,20 +163,21 @@
 
 // send queues a chunk; nil ends the call. If the queue is full because the gateway does not read, send breaks the
 // connection.
-func (w *agentCall) send(chunk []byte) {
+func (c *agentCall) send(chunk []byte) {
 	select {
-	case w.chunks <- chunk:
+	case c.chunks <- chunk:
 	default: // the gateway does not read
-		w.close()
+		c.close()
 	}
 }
 
-// close breaks the call's connection.
-func (w *agentCall) close() {
+// close breaks the call's connection. Further calls do nothing. Only the Agent's actor may call it, because two
+// concurrent calls could close the channel twice.
+func (c *agentCall) close() {
 	select {
-	case <-w.closed:
+	case <-c.closed:
 	default:
-		close(w.closed)
+		close(c.closed)
 	}
 }
 
--- a/lab/emulator/agentserver.go
+++ b/lab/emulator/agentserver.go
@@ -11,7 +11,7 @@
 
 const listPath = "/v1/servers"
 
-// serve answers one HTTP call. The local address of the connection says which gateway's agent is called.
+// serve answers one HTTP call. The local address of the connection identifies the gateway whose agent is called.
 func (a *Agent) serve(response http.ResponseWriter, request *http.Request) {
 	local, _ := netip.ParseAddrPort(request.Context().Value(http.LocalAddrContextKey).(net.Addr).String())
 	gateway := LoopbackIndex(a.network, local.Addr())
@@ -37,7 +37,7 @@
 }
 
 // startCall counts a call, queues the list that it gets at once and registers it if it is a watch. It returns the
-// present mode of the gateway's agent.
+// current mode of the gateway's agent.
 func (a *Agent) startCall(call *agentCall, gateway int, isWatch bool, after int) AgentMode {
 	view := a.views[gateway]
 	a.calls[gateway]++
--- a/lab/emulator/clients.go
+++ b/lab/emulator/clients.go
@@ -143,7 +143,7 @@
 	return restarting && at-since > int64(than)
 }
 
-// unavailable reports whether the load balancer sends no requests to a gateway at present.
+// unavailable reports whether the load balancer currently sends no requests to a gateway.
 func (c *Clients) unavailable(gateway int) bool {
 	if c.outOfRotation[gateway] {
 		return true
--- a/lab/emulator/host.go
+++ b/lab/emulator/host.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// recordLoad adds the present load and slowdown to the log. It must be called after each change of them.
+// recordLoad adds the current load and slowdown to the log. It must be called after each change of them.
 func (h *Host) recordLoad() {
 	step := LoadStep{
 		At:        actor.Now(),
@@ -161,7 +161,7 @@
 	conn.Close()
 }
 
-// loadReport returns the present load report, such as "utilization=0.250,queue=0.000". A field with an unknown name is
+// loadReport returns the current load report, such as "utilization=0.250,queue=0.000". A field with an unknown name is
 // 0.
 func (h *Host) loadReport() string {
 	var parts []string
@@ -232,7 +232,7 @@
 // again.
 func (h *Host) Kill() { h.Ask(h.kill) }
 
-// kill is Kill for callers within the actor.
+// kill does the work of Kill. It must be called within the actor.
 func (h *Host) kill() {
 	if !h.running {
 		return
@@ -283,7 +283,7 @@
 	return n
 }
 
-// ResponseTime returns how long the host would take for a request with a number of others in flight, at its present
+// ResponseTime returns how long the host would take for a request with a number of others in flight, at its current
 // slowdown and without warm-up.
 func (h *Host) ResponseTime(id, class string, load float64) (responseTime time.Duration) {
 	h.Ask(func() { responseTime = h.Model.ResponseTime(id, class, load, h.slowdown/h.Speed) })
@@ -296,7 +296,7 @@
 	return entry
 }
 
-// listEntry is Entry for callers within the actor.
+// listEntry does the work of Entry. It must be called within the actor.
 func (h *Host) listEntry(state string) HostEntry {
 	return HostEntry{
 		ID:        h.ID,
--- a/lab/fleet/evenness.go
+++ b/lab/fleet/evenness.go
@@ -45,7 +45,7 @@
 	MinLoad       float64 // lowest load of a host in any window
 }
 
-// attempt is the arrival of one attempt at a measured host.
+// attempt records when one attempt arrived, and at which of the measured hosts.
 type attempt struct {
 	at   int64 // arrival at the host, in ns of actor.Now
 	host int   // index among the measured hosts
--- a/lab/fleet/evenwindows.go
+++ b/lab/fleet/evenwindows.go
@@ -151,8 +151,8 @@
 func longestOverload(counts [][]int32, sums []int, host int, share float64) time.Duration {
 	ticks := 0
 	mostTicks := 0
-	hostAttempts := 0 // at this host within the present window
-	allAttempts := 0  // at all hosts within the present window
+	hostAttempts := 0 // at this host within the current window
+	allAttempts := 0  // at all hosts within the current window
 	for tick := range counts {
 		hostAttempts += int(counts[tick][host])
 		allAttempts += sums[tick]
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -145,10 +145,10 @@
 	var err error
 	f.Dir, err = os.MkdirTemp("", "ravensill-run-")
 	if err != nil {
-		return fmt.Errorf("fleet: %w", err)
+		return fmt.Errorf("fleet: creating the directory of the run: %w", err)
 	}
 	if err := f.startEmulators(); err != nil {
-		return fmt.Errorf("fleet: %w", err)
+		return fmt.Errorf("fleet: starting the emulators: %w", err)
 	}
 	if f.Options.PrepareRelay != nil {
 		if err := f.Options.PrepareRelay(f); err != nil {
@@ -201,7 +201,8 @@
 	return nil
 }
 
-// hostOptions returns the options of host i.
+// hostOptions returns the options of host i. The index determines its ID, zone and cell; Options.ConfigureHost may
+// change them.
 func (f *Fleet) hostOptions(i int) emulator.HostOptions {
 	host := emulator.HostOptions{
 		ID:           fmt.Sprintf("s-%04d", i),
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -94,7 +94,7 @@
 	State       string // the state that the gateway logged for the host, for HostStateLogged only
 }
 
-// record adds an event of the present incarnation.
+// record adds an event of the current incarnation.
 func (p *Process) record(kind EventKind) {
 	p.events = append(p.events, ProcessEvent{At: actor.Now(), Kind: kind, Incarnation: p.incarnation})
 }
@@ -135,7 +135,7 @@
 	return err
 }
 
-// launch is Launch for callers within the actor.
+// launch does the work of Launch. It must be called within the actor.
 func (p *Process) launch() error {
 	if p.running {
 		return fmt.Errorf("launching %s: it is already running", p.Name)
@@ -147,11 +147,11 @@
 		return fmt.Errorf("launching %s: %w", p.Name, err)
 	}
 	if err := p.writeConfig(); err != nil {
-		return fmt.Errorf("launching %s: %w", p.Name, err)
+		return fmt.Errorf("launching %s: writing its configuration file: %w", p.Name, err)
 	}
 	reader, writer, err := os.Pipe()
 	if err != nil {
-		return fmt.Errorf("launching %s: %w", p.Name, err)
+		return fmt.Errorf("launching %s: creating the pipe for its log: %w", p.Name, err)
 	}
 	command := exec.Command(p.Binary)
 	command.Dir = p.Dir
@@ -240,7 +240,7 @@
 	var err error
 	p.Ask(func() { err = p.writeConfig() })
 	if err != nil {
-		return fmt.Errorf("reloading %s: %w", p.Name, err)
+		return fmt.Errorf("reloading %s: writing its configuration file: %w", p.Name, err)
 	}
 	_, err = p.signal(syscall.SIGHUP)
 	return err
@@ -298,7 +298,7 @@
 	}
 	if emptyDisk {
 		if err := os.RemoveAll(p.Dir); err != nil {
-			return fmt.Errorf("restarting %s: %w", p.Name, err)
+			return fmt.Errorf("restarting %s: removing its working directory: %w", p.Name, err)
 		}
 	}
 	if err := p.Launch(); err != nil {
--- a/lab/fleet/processlog.go
+++ b/lab/fleet/processlog.go
@@ -32,7 +32,7 @@
 type processLog struct {
 	lines            []string
 	droppedLines     int // number of older lines that are no longer in lines
-	incarnationStart int // number of the first line of the present incarnation
+	incarnationStart int // number of the first line of the current incarnation
 	waiters          []*lineWaiter
 }
 
@@ -71,7 +71,7 @@
 	l.waiters = waiting
 }
 
-// closeWaiters ends all waits without a line.
+// closeWaiters ends all waits for a log line. The pending calls of WaitLine then fail, because the process has ended.
 func (l *processLog) closeWaiters() {
 	for _, waiter := range l.waiters {
 		close(waiter.line)
@@ -136,20 +136,20 @@
 	p.log.add(line)
 }
 
-// WaitServing waits until the present incarnation serves. It fails if the process ends first.
+// WaitServing waits until the current incarnation serves. It fails if the process ends first.
 func (p *Process) WaitServing(ctx context.Context) error {
 	_, err := p.WaitLine(ctx, "event="+p.ReadyEvent)
 	return err
 }
 
-// WaitLine waits until the present incarnation has logged a line that contains a text, and returns that line. Lines
+// WaitLine waits until the current incarnation has logged a line that contains a text, and returns that line. Lines
 // that were logged before the call count too.
 func (p *Process) WaitLine(ctx context.Context, text string) (string, error) {
 	return p.WaitLineAfter(ctx, -1, text)
 }
 
 // WaitLineAfter is like WaitLine, but searches only the lines from the position mark on, which LogEnd returned. A mark
-// of -1 stands for all lines of the present incarnation.
+// of -1 stands for all lines of the current incarnation.
 func (p *Process) WaitLineAfter(ctx context.Context, mark int, text string) (string, error) {
 	waiter := &lineWaiter{text, make(chan string, 1)}
 	if !p.Ask(func() { p.addWaiter(waiter, mark) }) {
@@ -185,7 +185,7 @@
 	p.log.waiters = append(p.log.waiters, waiter)
 }
 
-// LogEnd returns the present end of the log, as a position for WaitLineAfter and LinesAfter.
+// LogEnd returns the position after the last log line, for WaitLineAfter and LinesAfter.
 func (p *Process) LogEnd() (mark int) {
 	p.Ask(func() { mark = p.log.nextNumber() })
 	return mark
--- a/lab/fleet/report.go
+++ b/lab/fleet/report.go
@@ -37,7 +37,7 @@
 	Description string
 }
 
-// HostReport holds the options and the log of one host.
+// HostReport holds the options of one host and the log of everything that it received during the run.
 type HostReport struct {
 	emulator.HostOptions
 	emulator.HostLog
@@ -83,7 +83,7 @@
 	return all
 }
 
-// indexRequests fills requestIndex.
+// indexRequests fills requestIndex from the clients' log.
 func (r *Report) indexRequests() {
 	r.requestIndex = map[string]int{}
 	for i, request := range r.Clients.Requests {
--- a/lab/fleet/scenario.go
+++ b/lab/fleet/scenario.go
@@ -63,7 +63,7 @@
 		loads = append(loads, fleet.Clients.Start(load))
 	}
 	if err := report.inject(ctx, s.Steps); err != nil {
-		return nil, fmt.Errorf("%s: %w", s.Name, err)
+		return nil, fmt.Errorf("scenario %q: %w", s.Name, err)
 	}
 	for _, load := range loads {
 		load.Stop()
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -116,7 +116,7 @@
 	}}
 }
 
-// SetAgentMode returns a step that changes the behaviour of the discovery agents of some gateways; nil stands for all.
+// SetAgentMode returns a step that changes the behavior of the discovery agents of some gateways; nil stands for all.
 func SetAgentMode(at time.Duration, gateways []int, description string, change func(*emulator.AgentMode)) Step {
 	return Step{at, "agents: " + description, func(ctx context.Context, f *Fleet) error {
 		f.Agent.SetMode(gateways, change)
--- a/lab/fleetsim/customers.go
+++ b/lab/fleetsim/customers.go
@@ -12,7 +12,7 @@
 	return bounds[0] + s.random.Float64()*(bounds[1]-bounds[0])
 }
 
-// newCustomer draws a customer of the plan with an index.
+// newCustomer draws the demand, the gateways and the traffic of one customer. plan is the index of its plan.
 func (s *simulation) newCustomer(plan int) *customer {
 	config := &s.config
 	p := &config.Plans[plan]
--- a/lab/fleetsim/events.go
+++ b/lab/fleetsim/events.go
@@ -7,7 +7,7 @@
 	"ravensill/gateway"
 )
 
-// eventKind is the kind of an event.
+// eventKind says what happens at the time of an event. It selects the handler that runs the event.
 type eventKind int
 
 const (
@@ -62,7 +62,7 @@
 	}
 }
 
-// handle runs one event.
+// handle passes an event to the handler of its kind.
 func (s *simulation) handle(e *event) {
 	switch e.kind {
 	case requestArrives:
--- a/lab/fleetsim/model.go
+++ b/lab/fleetsim/model.go
@@ -66,5 +66,5 @@
 	logic          *logic.Gateway
 	timerAt        gateway.Time   // 0: not set
 	recentMessages []gateway.Time // arrival times of the messages of the last second
-	hostsUsed      map[int]bool   // indices of the hosts that it sent attempts to
+	hostsUsed      map[int]bool   // indexes of the hosts that it sent attempts to
 }
--- a/lab/groundtruth/cost.go
+++ b/lab/groundtruth/cost.go
@@ -36,7 +36,7 @@
 	Rate           float64 // requests per second over both measured gateways
 	Duration       time.Duration
 	SampleFraction float64 // fraction of the attempts that are recorded
-	SwapGateways   bool    // exchange the two measured gateways, in case the machine favours one of them
+	SwapGateways   bool    // exchange the two measured gateways, in case the machine favors one of them
 }
 
 // MeasureCost runs three gateways without gossip between them. The first collects summaries and has no load. The other
--- a/lab/groundtruth/groundtruth.go
+++ b/lab/groundtruth/groundtruth.go
@@ -29,7 +29,7 @@
 	collectorNetwork = 121         // network of the collector's address within 127.0.0.0/8
 )
 
-// Case is one fleet with its load and its faults.
+// Case describes a fleet of real processes, the load of its clients and the faults to inject while the load runs.
 type Case struct {
 	Name             string
 	Gateways         int
--- a/lab/groundtruth/records.go
+++ b/lab/groundtruth/records.go
@@ -22,7 +22,7 @@
 	byHost  map[string]*simenv.Sample // by host ID
 }
 
-// receivedCommand is a command that a host received.
+// receivedCommand is a command from a host's log, together with the host that received it.
 type receivedCommand struct {
 	host    int // index of the host
 	command emulator.Command
--- a/lab/leasesim/leasesim.go
+++ b/lab/leasesim/leasesim.go
@@ -23,7 +23,7 @@
 	MaxDrift  float64       // the rate of a clock is between 1-MaxDrift and 1+MaxDrift
 }
 
-// Partition tells which messages between a gateway and the leaders are lost.
+// Partition determines which messages between a gateway and the leaders are lost.
 type Partition int
 
 const (
--- a/lab/pools/pools.go
+++ b/lab/pools/pools.go
@@ -28,14 +28,14 @@
 // Size describes the fleet and the load of a run, and how the store's connections are shared.
 type Size struct {
 	Gateways    int
-	Voters      int // the gateways with the lowest indices, which grant the leases
+	Voters      int // the gateways with the lowest indexes, which grant the leases
 	Capacity    int // connections of the store
 	Reserve     int // of Capacity: connections that are never lent
 	Floor       int // connections that each gateway may have without a lease
 	Lease       time.Duration
 	ServiceTime time.Duration // typical time of a request at the store
 	Rate        float64       // requests per second over the whole fleet
-	HotGateways int           // gateways with more traffic: those with the highest indices
+	HotGateways int           // gateways with more traffic: those with the highest indexes
 	HotFactor   float64       // ratio of the traffic of a hot gateway to that of any other
 	Seed        uint64
 	FloorsOnly  bool // the voters receive no messages, so that no connections are lent
--- a/lab/pools/pools_test.go
+++ b/lab/pools/pools_test.go
@@ -13,7 +13,7 @@
 	"ravensill/lab/fleet"
 )
 
-// full tells that the tests run at full size and write their figures to figuresFile.
+// full makes the tests run at full size and write their figures to figuresFile.
 var full = os.Getenv("FULL_SIZE") == "1"
 
 const (
@@ -29,7 +29,7 @@
 	return SmallSize()
 }
 
-// testRun is one run of a test.
+// testRun describes one run of a fleet: its size, the steps that inject faults, and the checks that must hold.
 type testRun struct {
 	name        string
 	size        Size
--- a/lab/relay/datagrams.go
+++ b/lab/relay/datagrams.go
@@ -59,7 +59,7 @@
 		node, err := newNode(nodeName, len(nodeNames))
 		if err != nil {
 			network.close()
-			return nil, fmt.Errorf("datagram network %s: %w", name, err)
+			return nil, fmt.Errorf("adding datagram network %s: %w", name, err)
 		}
 		network.nodes = append(network.nodes, node)
 	}
@@ -188,7 +188,7 @@
 	}
 }
 
-// updateCounts changes the counts of the network and of the sender.
+// updateCounts applies the same change to the counts of the whole network and to those of the sending node.
 func (d *DatagramNetwork) updateCounts(sender *node, change func(*Counts)) {
 	change(&d.counts)
 	change(&sender.counts)
--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -36,7 +36,7 @@
 	*actor.Actor
 	seed            uint64
 	rules           map[string][]Rule // by the name given to SetRules
-	linkFaults      map[link]Faults   // cached faults of the links by the present rules
+	linkFaults      map[link]Faults   // cached faults of the links by the current rules
 	networks        []*DatagramNetwork
 	streams         []*Stream
 	blockedRequests []passRequest // of streams whose link is blocked
--- a/lab/relay/stream.go
+++ b/lab/relay/stream.go
@@ -26,7 +26,7 @@
 func (r *Relay) AddStream(from, to, target string) (*Stream, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stream from %s to %s: %w", from, to, err)
+		return nil, fmt.Errorf("adding a stream from %s to %s: %w", from, to, err)
 	}
 	stream := &Stream{relay: r, forward: link{from, to}, listener: listener, conns: map[*streamConn]bool{}}
 	stream.target.Store(target)
--- a/lab/rollout/admin.go
+++ b/lab/rollout/admin.go
@@ -64,7 +64,7 @@
 	}
 	var rejection struct{ Error string }
 	if err := json.Unmarshal(body, &rejection); err != nil {
-		return fmt.Errorf("HTTP status %d: %w", response.StatusCode, err)
+		return fmt.Errorf("decoding the error of a response with HTTP status %d: %w", response.StatusCode, err)
 	}
 	return &RejectedError{response.StatusCode, rejection.Error}
 }
--- a/lab/rollout/changes.go
+++ b/lab/rollout/changes.go
@@ -99,13 +99,15 @@
 	return c.publish(ctx, request)
 }
 
-// patchRequest returns the request that sets and removes resources.
+// patchRequest returns the PATCH request that stores the contents in set and deletes the resources named in remove. It
+// fails if the contents cannot be encoded as JSON.
 func patchRequest(set Resources, remove []string) (Request, error) {
 	body, err := json.Marshal(patchBody{set, remove})
 	return Request{http.MethodPatch, configurationPath, string(body)}, err
 }
 
-// PatchRequest returns the request that sets resources.
+// PatchRequest returns the PATCH request that stores the contents of the given resources and leaves all others as they
+// are. It fails if the contents cannot be encoded as JSON.
 func PatchRequest(set Resources) (Request, error) { return patchRequest(set, nil) }
 
 // ContentRequest returns the request that replaces the whole configuration. The new configuration has no members.
--- a/lab/rollout/effects.go
+++ b/lab/rollout/effects.go
@@ -51,9 +51,9 @@
 }
 
 // probeError returns the error for a probe with an unexpected result.
-func probeError(member int, plan string, answer emulator.Request) error {
+func probeError(member int, plan string, request emulator.Request) error {
 	return fmt.Errorf("%s: probe under plan %q: unexpected result %s, error text %q",
-		fleet.GatewayName(member), plan, answer.Result, answer.ErrorText)
+		fleet.GatewayName(member), plan, request.Result, request.ErrorText)
 }
 
 // probeCustomer returns the customer ID used for probes of one gateway and plan. The customer sends no other requests,
@@ -67,26 +67,26 @@
 // probe, so a gateway rejects it only to protect its hosts, as it does shortly after a start.
 func (r *Run) checkServed(ctx context.Context, member int, plan string) error {
 	for {
-		answer := r.probe(member, plan)
-		if answer.Result == emulator.Succeeded {
+		request := r.probe(member, plan)
+		if request.Result == emulator.Succeeded {
 			return nil
 		}
-		if answer.Result != emulator.Rejected {
-			return probeError(member, plan, answer)
+		if request.Result != emulator.Rejected {
+			return probeError(member, plan, request)
 		}
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%s: all probes under plan %q were rejected: %w", fleet.GatewayName(member), plan, ctx.Err())
-		case <-time.After(answer.RetryAfter):
+		case <-time.After(request.RetryAfter):
 		}
 	}
 }
 
 // checkRemoved returns an error unless a probe fails with the error for a removed plan.
 func (r *Run) checkRemoved(member int, plan string) error {
-	answer := r.probe(member, plan)
-	if answer.Result != emulator.Failed || answer.ErrorText != removedError {
-		return fmt.Errorf("want the error for a removed plan: %w", probeError(member, plan, answer))
+	request := r.probe(member, plan)
+	if request.Result != emulator.Failed || request.ErrorText != removedError {
+		return fmt.Errorf("want the error for a removed plan: %w", probeError(member, plan, request))
 	}
 	return nil
 }
@@ -94,13 +94,13 @@
 // countAdmitted sends a number of probes from one customer and returns how many were admitted.
 func (r *Run) countAdmitted(member int, plan string, requests int) (count int, err error) {
 	for range requests {
-		answer := r.probe(member, plan)
-		switch answer.Result {
+		request := r.probe(member, plan)
+		switch request.Result {
 		case emulator.Succeeded:
 			count++
 		case emulator.Rejected:
 		default:
-			return count, probeError(member, plan, answer)
+			return count, probeError(member, plan, request)
 		}
 	}
 	return count, nil
--- a/lab/rollout/faults.go
+++ b/lab/rollout/faults.go
@@ -43,13 +43,13 @@
 
 // KillPublishers returns a step that kills publishers by SIGKILL. If these are all publishers, an outage begins at
 // every gateway.
-func KillPublishers(indices ...int) Step {
-	return Step{fmt.Sprintf("kill publishers %v", indices), func(_ context.Context, r *Run) error {
-		if len(indices) == r.Publishers.Count() {
+func KillPublishers(indexes ...int) Step {
+	return Step{fmt.Sprintf("kill publishers %v", indexes), func(_ context.Context, r *Run) error {
+		if len(indexes) == r.Publishers.Count() {
 			r.startOutage(r.members())
 		}
 		return r.Publishers.forEach(func(process *fleet.Process) error {
-			if !slices.Contains(indices, process.Index) {
+			if !slices.Contains(indexes, process.Index) {
 				return nil
 			}
 			return process.Kill()
@@ -266,8 +266,8 @@
 func BlockDisk(members ...int) Step {
 	description := fmt.Sprintf("replace the stored version's directory by a file at gateways %v", members)
 	return Step{description, func(ctx context.Context, r *Run) error {
-		err := r.restartWithDisk(ctx, members, func(folder string) error {
-			return errors.Join(os.RemoveAll(folder), os.WriteFile(folder, nil, 0o600))
+		err := r.restartWithDisk(ctx, members, func(dir string) error {
+			return errors.Join(os.RemoveAll(dir), os.WriteFile(dir, nil, 0o600))
 		})
 		if err != nil {
 			return err
@@ -283,8 +283,8 @@
 // has logged that the file is damaged.
 func DamageDisk(members ...int) Step {
 	return Step{fmt.Sprintf("damage the stored version of gateways %v", members), func(ctx context.Context, r *Run) error {
-		err := r.restartWithDisk(ctx, members, func(folder string) error {
-			file := filepath.Join(folder, "configuration")
+		err := r.restartWithDisk(ctx, members, func(dir string) error {
+			file := filepath.Join(dir, "configuration")
 			content, err := os.ReadFile(file)
 			if err != nil {
 				return err
@@ -304,7 +304,7 @@
 
 // restartWithDisk kills gateways, modifies the directory of their stored version by change and starts them again.
 // Clients do not use these gateways meanwhile.
-func (r *Run) restartWithDisk(ctx context.Context, members []int, change func(folder string) error) error {
+func (r *Run) restartWithDisk(ctx context.Context, members []int, change func(dir string) error) error {
 	r.Fleet.Clients.SetOutOfRotation(true, members...)
 	r.startOutage(members)
 	err := r.Fleet.ForEach(members, func(g *fleet.Gateway) error {
--- a/lab/rollout/full_test.go
+++ b/lab/rollout/full_test.go
@@ -119,8 +119,8 @@
 	for _, violation := range violations {
 		t.Error(violation)
 	}
-	for _, answer := range run.Publishers.SlowResponses() {
-		t.Log(answer)
+	for _, response := range run.Publishers.SlowResponses() {
+		t.Log(response)
 	}
 	figures := run.Figures()
 	report.add("| %s | %d | %v | %v | %.0f, %.0f | %v | %v | %s | %s |\n", scenario.Name, figures.Changes,
--- a/lab/rollout/hollow/axis_test.go
+++ b/lab/rollout/hollow/axis_test.go
@@ -51,19 +51,19 @@
 // A report must be readable after it has been written, with the sizes of the full measurement too. Values that JSON
 // cannot hold, such as an infinite exponent of a fit, would break it.
 func TestReportIsReadBack(t *testing.T) {
-	folder := t.TempDir()
-	report, err := NewReport(folder)
+	dir := t.TempDir()
+	report, err := NewReport(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	report.BeginPart("followers", "command")
 	report.ByFollowers = newTestSeries([]int{375, 1000, 2000, 4000, 6000}, func(*Point) {})
 	report.EndPart("followers", &logEvents)
-	err = report.Write(folder)
+	err = report.Write(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := NewReport(folder)
+	again, err := NewReport(dir)
 	if err != nil || len(again.ByFollowers.Points) != 5 || again.Runs["followers"].Command != "command" {
 		t.Errorf("%+v, %v", again, err)
 	}
--- a/lab/rollout/hollow/content.go
+++ b/lab/rollout/hollow/content.go
@@ -41,7 +41,7 @@
 	return rollout.PatchRequest(rollout.Resources{resource: quotaPlan(i, initialRate+1+n%changedRates)})
 }
 
-// planName returns the name of quota plan i.
+// planName returns the name of quota plan i. Up to a million plans have names of the same length.
 func planName(i int) string { return fmt.Sprintf("plan-%06d", i) }
 
 // quotaPlan returns quota plan i with the given rate, in units per second.
@@ -49,7 +49,7 @@
 	return gatewayconfig.QuotaPlan{Name: planName(i), Rate: float64(rate), Burst: 2000, PriorityWeight: 1}
 }
 
-// requestClass returns request class i.
+// requestClass returns request class i. The classes differ only in their names.
 func requestClass(i int) gatewayconfig.Class {
 	class := fleet.Classes()[0]
 	class.Name = fmt.Sprintf("class-%04d", i)
--- a/lab/rollout/hollow/report.go
+++ b/lab/rollout/hollow/report.go
@@ -27,7 +27,7 @@
 	LogEvents           map[string]int           `json:"log_events"` // number of followers' log lines by event and cause
 }
 
-// RunConditions tells how a part was measured.
+// RunConditions records the command that measured a part of the report, and the machine's load before and after it.
 type RunConditions struct {
 	Command    string `json:"command"`
 	LoadBefore string `json:"load_average_before"` // of the whole machine, including unrelated work
@@ -38,9 +38,9 @@
 const reportBaseName = "rollout-scale"
 
 // NewReport returns the report read from a directory, or an empty one if the directory holds none.
-func NewReport(folder string) (*Report, error) {
+func NewReport(dir string) (*Report, error) {
 	report := &Report{Runs: map[string]RunConditions{}}
-	text, err := os.ReadFile(filepath.Join(folder, reportBaseName+".json"))
+	text, err := os.ReadFile(filepath.Join(dir, reportBaseName+".json"))
 	if err == nil {
 		err = json.Unmarshal(text, report)
 	}
@@ -78,18 +78,18 @@
 }
 
 // Write writes the report into a directory, as JSON and as Markdown.
-func (r *Report) Write(folder string) error {
+func (r *Report) Write(dir string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return err
 	}
-	err = os.WriteFile(filepath.Join(folder, reportBaseName+".json"), append(text, '\n'), 0o644)
+	err = os.WriteFile(filepath.Join(dir, reportBaseName+".json"), append(text, '\n'), 0o644)
 	if err != nil {
 		return err
 	}
 	var markdown strings.Builder
 	r.WriteText(&markdown)
-	return os.WriteFile(filepath.Join(folder, reportBaseName+".md"), []byte(markdown.String()), 0o644)
+	return os.WriteFile(filepath.Join(dir, reportBaseName+".md"), []byte(markdown.String()), 0o644)
 }
 
 // WriteText writes the report as Markdown tables.
--- a/lab/rollout/hostile.go
+++ b/lab/rollout/hostile.go
@@ -86,7 +86,7 @@
 	for name, text := range hostile {
 		err := sendAndWaitClosed(r.Publishers.addresses[i].followers.String(), text)
 		if err != nil {
-			return fmt.Errorf("%s: %s: %w", publisherName(i), name, err)
+			return fmt.Errorf("sending %s %s and waiting for the close: %w", publisherName(i), name, err)
 		}
 	}
 	description := fmt.Sprintf("%s to count %d more malformed connections", publisherName(i), len(hostile))
@@ -144,7 +144,8 @@
 	return &impostor{listener}, nil
 }
 
-// impostorConn is the connection of a gateway to an impostor.
+// impostorConn signals the progress of a gateway's connection to an impostor. One goroutine serves the connection; the
+// step that started it waits on the channels.
 type impostorConn struct {
 	helloReceived chan struct{} // closed once the gateway's hello has arrived
 	closed        chan error    // receives the result once the gateway has closed the connection
@@ -152,15 +153,15 @@
 
 // replyToNext starts a goroutine that replies on the next connection on which a hello arrives. The goroutine ends when
 // the gateway has closed that connection or the listener is closed.
-func (p *impostor) replyToNext(answer hostileReply) *impostorConn {
+func (p *impostor) replyToNext(reply hostileReply) *impostorConn {
 	c := &impostorConn{helloReceived: make(chan struct{}), closed: make(chan error, 1)}
-	go func() { c.closed <- p.serveOne(c, answer) }()
+	go func() { c.closed <- p.serveOne(c, reply) }()
 	return c
 }
 
 // serveOne accepts connections until it has received a hello on one, replies there and waits until the gateway closes
 // it.
-func (p *impostor) serveOne(c *impostorConn, answer hostileReply) error {
+func (p *impostor) serveOne(c *impostorConn, reply hostileReply) error {
 	for {
 		conn, err := p.listener.Accept()
 		if err != nil {
@@ -174,7 +175,7 @@
 		}
 		close(c.helloReceived)
 		defer conn.Close()
-		writeAndClose(conn, answer(hello))
+		writeAndClose(conn, reply(hello))
 		return waitClosed(conn)
 	}
 }
@@ -230,10 +231,10 @@
 		link := r.links[member][index]
 		link.SetTarget(impostor.listener.Addr().String())
 		defer link.SetTarget(r.Publishers.addresses[index].followers.String())
-		for name, answer := range hostileToGateways() {
-			err := r.connectToImpostor(ctx, member, impostor.replyToNext(answer))
+		for name, reply := range hostileToGateways() {
+			err := r.connectToImpostor(ctx, member, impostor.replyToNext(reply))
 			if err != nil {
-				return fmt.Errorf("%s: %w", name, err)
+				return fmt.Errorf("impostor that sends %s: %w", name, err)
 			}
 		}
 		count := len(malformedToGateways())
@@ -273,10 +274,10 @@
 func CheckImpostorConfigurationAbsent(members ...int) Step {
 	return Step{"check that nothing from the impostor is in force", func(_ context.Context, r *Run) error {
 		for _, member := range members {
-			answer := r.probe(member, nonMemberName)
-			if !strings.HasPrefix(answer.ErrorText, "ERR ") {
+			request := r.probe(member, nonMemberName)
+			if !strings.HasPrefix(request.ErrorText, "ERR ") {
 				return fmt.Errorf("want an error for the impostor's unknown plan: %w",
-					probeError(member, nonMemberName, answer))
+					probeError(member, nonMemberName, request))
 			}
 		}
 		return nil
--- a/lab/rollout/publishers.go
+++ b/lab/rollout/publishers.go
@@ -143,7 +143,8 @@
 	return all, nil
 }
 
-// configurationFile returns the configuration file of publisher i.
+// configurationFile returns the content of the configuration file of publisher i. If there is a relay, it adds a stream
+// to each other publisher and uses the streams' addresses for raft.
 func (p *PublisherGroup) configurationFile(options *PublisherGroupOptions, i int) (*publisherFile, error) {
 	var raft, admin []string
 	for k, addresses := range p.addresses {
@@ -185,7 +186,7 @@
 	return all.Wait()
 }
 
-// Process returns the process of publisher i.
+// Process returns the process of publisher i, which stays the same over restarts.
 func (p *PublisherGroup) Process(i int) *fleet.Process { return p.processes[i] }
 
 // Count returns the number of publishers, including those that are down.
@@ -204,12 +205,12 @@
 
 // RestoreState replaces the log of publisher i by its copy. The publisher must be down.
 func (p *PublisherGroup) RestoreState(i int) error {
-	folder := filepath.Join(p.processes[i].Dir, stateDir)
-	err := os.RemoveAll(folder)
+	dir := filepath.Join(p.processes[i].Dir, stateDir)
+	err := os.RemoveAll(dir)
 	if err != nil {
 		return err
 	}
-	return os.CopyFS(folder, os.DirFS(p.stateCopyDir(i)))
+	return os.CopyFS(dir, os.DirFS(p.stateCopyDir(i)))
 }
 
 // stateCopyDir returns the directory that holds the copy of publisher i's log.
--- a/lab/rollout/rollout_test.go
+++ b/lab/rollout/rollout_test.go
@@ -33,8 +33,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, answer := range run.Publishers.SlowResponses() {
-		t.Log(answer)
+	for _, response := range run.Publishers.SlowResponses() {
+		t.Log(response)
 	}
 	for _, violation := range violations {
 		t.Error(violation)
--- a/lab/scale/axis.go
+++ b/lab/scale/axis.go
@@ -53,7 +53,7 @@
 		}
 		point, err := a.measure(size, options)
 		if err != nil {
-			return result, fmt.Errorf("measure axis %s at size %g: %w", a.Name, size, err)
+			return result, fmt.Errorf("measuring axis %s at size %g: %w", a.Name, size, err)
 		}
 		log.Printf("axis=%q size=%g took_s=%.1f", a.Name, size, point.Seconds)
 		result.Points = append(result.Points, point)
--- a/lab/scale/follow.go
+++ b/lab/scale/follow.go
@@ -46,7 +46,7 @@
 	return p.state.Apply(text)
 }
 
-// snapshot returns the present version as the frames that a publisher sends to a gateway that has no version yet.
+// snapshot returns the current version as the frames that a publisher sends to a gateway that has no version yet.
 func (p *publisher) snapshot() (frames [][]byte) {
 	for _, part := range configsync.SplitSnapshot(p.state.Document()) {
 		frames = append(frames, configsync.Encode(part))
--- a/lab/scale/full_test.go
+++ b/lab/scale/full_test.go
@@ -10,17 +10,17 @@
 )
 
 var (
-	fullSize     = flag.Bool("full", false, "run the full-size measurement")
-	axisFilter   = flag.String("axes", "", "measure only axes and products whose names contain this")
-	maxPointTime = flag.Duration("most", 2*time.Minute, "sizes expected to take longer are skipped")
-	reportFolder = flag.String("from", "", "folder of a scale.json to fit again instead of measuring")
-	outputFolder = flag.String("into", "", "folder to write scale.json and scale.md to; empty: print only")
+	fullSize        = flag.Bool("full", false, "run the full-size measurement")
+	axisFilter      = flag.String("axes", "", "measure only axes and products whose names contain this")
+	maxPointTime    = flag.Duration("most", 2*time.Minute, "sizes expected to take longer are skipped")
+	reportDirectory = flag.String("from", "", "directory of a scale.json to fit again instead of measuring")
+	outputDirectory = flag.String("into", "", "directory to write scale.json and scale.md to; empty: print only")
 )
 
 // Measures all axes and products at full size and reports the figures, without a verdict. With -from it fits the
 // figures of an existing report again.
 func TestFullSizeFigures(t *testing.T) {
-	if *reportFolder != "" {
+	if *reportDirectory != "" {
 		refitReport(t)
 		return
 	}
@@ -59,18 +59,18 @@
 	}
 }
 
-// saveReport writes a report into the folder of the flag -into, if it is set.
+// saveReport writes a report into the directory of the flag -into, if it is set.
 func saveReport(t *testing.T, report *Report) {
 	t.Helper()
-	if *outputFolder != "" {
-		requireNoError(t, report.Write(*outputFolder))
+	if *outputDirectory != "" {
+		requireNoError(t, report.Write(*outputDirectory))
 	}
 }
 
 // refitReport reads the report of the flag -from, fits its figures again, and writes the result.
 func refitReport(t *testing.T) {
 	t.Helper()
-	report, err := ReadReport(*reportFolder)
+	report, err := ReadReport(*reportDirectory)
 	requireNoError(t, err)
 	saveReport(t, report)
 	report.WriteText(os.Stdout)
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -243,7 +243,7 @@
 	return all
 }
 
-// add adds other to c.
+// add adds each of the counts in other to the same one in c.
 func (c *Counts) add(other Counts) {
 	c.MessagesOut += other.MessagesOut
 	c.BytesOut += other.BytesOut
--- a/lab/scale/mixedfleet.go
+++ b/lab/scale/mixedfleet.go
@@ -293,7 +293,7 @@
 	}
 	live, err := strconv.ParseFloat(logline.Value(line, "bytes"), 64)
 	if err != nil {
-		return 0, fmt.Errorf("parse live heap of %s: %w", g.Name, err)
+		return 0, fmt.Errorf("parsing the live heap of %s: %w", g.Name, err)
 	}
 	return live, nil
 }
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -72,7 +72,7 @@
 	p.stdin, p.queries, p.answers = stdin, json.NewEncoder(stdin), json.NewDecoder(stdout)
 	if err := p.answers.Decode(&p.Greeting); err != nil {
 		p.close()
-		return nil, fmt.Errorf("read greeting of hollow gateway process: %w", err)
+		return nil, fmt.Errorf("reading the greeting of a hollow gateway process: %w", err)
 	}
 	return p, nil
 }
@@ -132,7 +132,7 @@
 	binary := filepath.Join(directory, name)
 	arguments := append(append([]string{"build"}, flags...), "-o", binary, path)
 	if out, err := exec.Command("go", arguments...).CombinedOutput(); err != nil {
-		return "", fmt.Errorf("build %s: %w: %s", path, err, out)
+		return "", fmt.Errorf("building %s: %w: %s", path, err, out)
 	}
 	return binary, nil
 }
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Report holds the results of a run.
+// Report holds the results of all measurements of a run, and the command, Go version and machine that produced them.
 type Report struct {
 	Command     string             `json:"command"` // that made the run
 	Go          string             `json:"go"`      // version
@@ -22,9 +22,9 @@
 	Products    []ProductResult    `json:"products"`
 }
 
-// ReadReport reads the scale.json that Write wrote into a folder, and fits its figures again.
-func ReadReport(folder string) (*Report, error) {
-	text, err := os.ReadFile(filepath.Join(folder, "scale.json"))
+// ReadReport reads the scale.json that Write wrote into a directory, and fits its figures again.
+func ReadReport(directory string) (*Report, error) {
+	text, err := os.ReadFile(filepath.Join(directory, "scale.json"))
 	if err != nil {
 		return nil, err
 	}
@@ -56,21 +56,21 @@
 	}
 }
 
-// Write writes the report into a folder, which it creates if necessary: as scale.json, and as Markdown in scale.md.
-func (r *Report) Write(folder string) error {
+// Write writes the report into a directory, which it creates if necessary: as scale.json, and as Markdown in scale.md.
+func (r *Report) Write(directory string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return err
 	}
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(folder, "scale.json"), append(text, '\n'), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(directory, "scale.json"), append(text, '\n'), 0o644); err != nil {
 		return err
 	}
 	var page strings.Builder
 	r.WriteText(&page)
-	return os.WriteFile(filepath.Join(folder, "scale.md"), []byte(page.String()), 0o644)
+	return os.WriteFile(filepath.Join(directory, "scale.md"), []byte(page.String()), 0o644)
 }
 
 // WriteText writes the report as Markdown.
--- a/lab/scale/serve.go
+++ b/lab/scale/serve.go
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	if g.peers, err = peers.Open(sockets.Kernel{}, c.PeerListen, c.Peers, newMessageFormat(c)); err != nil {
-		return nil, fmt.Errorf("open gossip socket of hollow gateway %d: %w", c.Membership.Index, err)
+		return nil, fmt.Errorf("opening the gossip socket of hollow gateway %d: %w", c.Membership.Index, err)
 	}
 	hollow := NewHollowGateway(c, g, g.now())
 	g.hollow = hollow
--- a/lab/startcost/searches.go
+++ b/lab/startcost/searches.go
@@ -28,10 +28,10 @@
 // element of a list. Such a call counts as a loop.
 var iteratingFunctions = []string{"ForEach", "each"}
 
-// FindLoopSearches returns the linear searches within loops in the Go files of a folder, except for test files. It
+// FindLoopSearches returns the linear searches within loops in the Go files of a directory, except for test files. It
 // fails if a file cannot be read or parsed.
-func FindLoopSearches(folder fs.FS) ([]LoopSearch, error) {
-	names, err := fs.Glob(folder, "*.go")
+func FindLoopSearches(directory fs.FS) ([]LoopSearch, error) {
+	names, err := fs.Glob(directory, "*.go")
 	if err != nil {
 		return nil, err
 	}
@@ -40,14 +40,14 @@
 		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		text, err := fs.ReadFile(folder, name)
+		text, err := fs.ReadFile(directory, name)
 		if err != nil {
 			return nil, err
 		}
 		files := token.NewFileSet()
 		file, err := parser.ParseFile(files, name, text, parser.SkipObjectResolution)
 		if err != nil {
-			return nil, fmt.Errorf("parse Go file: %w", err)
+			return nil, fmt.Errorf("parsing a Go file: %w", err)
 		}
 		ast.Walk(&searchVisitor{files: files, found: &found}, file)
 	}
--- a/lab/startcost/startcost.go
+++ b/lab/startcost/startcost.go
@@ -61,11 +61,11 @@
 // leaves the process idle for idleTime to measure memory and idle processor use, then has it reload the configuration.
 func Measure(ctx context.Context, binary string, size Size, idleTime time.Duration) (cost Cost, err error) {
 	cost.Size = size
-	folder, err := os.MkdirTemp("", "ravensill-startcost-")
+	directory, err := os.MkdirTemp("", "ravensill-startcost-")
 	if err != nil {
 		return cost, err
 	}
-	defer os.RemoveAll(folder)
+	defer os.RemoveAll(directory)
 	discovery := "127.0.0.1:1" // no process listens there
 	if size.Axis == DiscoveredHosts {
 		agent, err := emulator.NewAgent(agentNetwork, 1, hostEntries(size.Count)...)
@@ -75,7 +75,7 @@
 		defer agent.Close()
 		discovery = agent.Addr(0)
 	}
-	file := filepath.Join(folder, "config.json")
+	file := filepath.Join(directory, "config.json")
 	gateway, err := gatewayConfiguration(size, discovery)
 	if err != nil {
 		return cost, err
@@ -234,7 +234,7 @@
 	}
 	known, err := json.Marshal(list)
 	if err != nil {
-		return nil, fmt.Errorf("encode host list: %w", err)
+		return nil, fmt.Errorf("encoding the host list: %w", err)
 	}
 	return &gatewayconfig.File{
 		Resources: gatewayconfig.Resources{MemoryMB: size.MemoryMB},
--- a/lab/subsetsim/day.go
+++ b/lab/subsetsim/day.go
@@ -62,7 +62,7 @@
 	// Length is the simulated time.
 	Length time.Duration
 	Steps  []Step
-	// SubsetRule returns the subset of gateway member of a fleet of members as indices of hosts; nil stands for the
+	// SubsetRule returns the subset of gateway member of a fleet of members as indexes of hosts; nil stands for the
 	// rule of package subset.
 	SubsetRule func(member, members int, hosts []subset.Endpoint) []int
 }
--- a/lab/subsetsim/gateway.go
+++ b/lab/subsetsim/gateway.go
@@ -88,7 +88,7 @@
 	var ids []uint32
 	for _, h := range s.hosts {
 		if g.runningHosts[h.id] {
-			hosts = append(hosts, subset.Endpoint{Hash: mix(uint64(h.id) + 1), Weight: h.weight})
+			hosts = append(hosts, subset.Endpoint{Hash: hashMix(uint64(h.id) + 1), Weight: h.weight})
 			ids = append(ids, h.id)
 		}
 	}
--- a/lab/subsetsim/rules.go
+++ b/lab/subsetsim/rules.go
@@ -10,7 +10,7 @@
 )
 
 // Rule is a rule for choosing subsets. Its function Subsets returns the subset of each of a number of gateways
-// (members), as indices of hosts.
+// (members), as indexes of hosts.
 type Rule struct {
 	Name    string
 	Subsets func(members int, hosts []subset.Endpoint) [][]int
@@ -66,16 +66,16 @@
 func rendezvousSubset(member, members int, hosts []subset.Endpoint) []int {
 	ranks := make([]float64, len(hosts))
 	for i, h := range hosts {
-		hash := mix(mix(uint64(member)+1) ^ h.Hash)
+		hash := hashMix(hashMix(uint64(member)+1) ^ h.Hash)
 		uniform := (float64(hash>>11) + 0.5) / (1 << 53)
 		ranks[i] = math.Log(uniform) / max(h.Weight, 0.01)
 	}
-	order := indices(len(hosts))
+	order := indexes(len(hosts))
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(ranks[b], ranks[a]) })
 	return order[:subsetSize(members, len(hosts))]
 }
 
-func indices(n int) []int {
+func indexes(n int) []int {
 	order := make([]int, n)
 	for i := range order {
 		order[i] = i
@@ -83,17 +83,17 @@
 	return order
 }
 
-// orderByHash returns the indices of the hosts, ordered by a hash of the host and a salt.
+// orderByHash returns the indexes of the hosts, ordered by a hash of the host and a salt.
 func orderByHash(hosts []subset.Endpoint, salt uint64) []int {
-	order := indices(len(hosts))
+	order := indexes(len(hosts))
 	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Compare(mix(hosts[a].Hash^salt), mix(hosts[b].Hash^salt))
+		return cmp.Compare(hashMix(hosts[a].Hash^salt), hashMix(hosts[b].Hash^salt))
 	})
 	return order
 }
 
 // roundSalt returns the salt that determines the order of the hosts in a round of gateways.
-func roundSalt(round uint64) uint64 { return mix(round + 77) }
+func roundSalt(round uint64) uint64 { return hashMix(round + 77) }
 
 // shuffledRounds is deterministic subsetting: the gateways are divided into rounds, and each gateway of a round takes
 // its slice of the list of hosts, which is shuffled again for each round.
@@ -102,7 +102,7 @@
 		order := orderByHash(hosts, 0)
 		random := roundSalt(round)
 		for i := len(order) - 1; i > 0; i-- {
-			random = mix(random + 0x9e3779b97f4a7c15)
+			random = hashMix(random + 0x9e3779b97f4a7c15)
 			j := int(random % uint64(i+1))
 			order[i], order[j] = order[j], order[i]
 		}
--- a/lab/subsetsim/simulation.go
+++ b/lab/subsetsim/simulation.go
@@ -85,7 +85,7 @@
 func (s *simulation) addHost(startedAt gateway.Time, light bool) *host {
 	number := uint64(len(s.hosts))
 	h := &host{
-		id:           uint32(mix(s.scenario.Seed<<32+number))&0x7ffffff | 1,
+		id:           uint32(hashMix(s.scenario.Seed<<32+number))&0x7ffffff | 1,
 		weight:       1,
 		startedAt:    startedAt,
 		runningFrom:  s.now,
--- a/lab/subsetsim/subsetsim.go
+++ b/lab/subsetsim/subsetsim.go
@@ -4,8 +4,8 @@
 // seed always yields the same figures.
 package subsetsim
 
-// mix spreads any change of x over all bits (the finalizer of SplitMix64).
-func mix(x uint64) uint64 {
+// hashMix spreads any change of x over all bits (the finalizer of SplitMix64).
+func hashMix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/lab/subsetsim/subsetsim_test.go
+++ b/lab/subsetsim/subsetsim_test.go
@@ -57,7 +57,7 @@
 			hosts := make([]subset.Endpoint, size.Hosts)
 			endpoints := make([]*subset.Endpoint, size.Hosts)
 			for i := range hosts {
-				hosts[i] = subset.Endpoint{Hash: mix(uint64(i + 1)), Weight: 1}
+				hosts[i] = subset.Endpoint{Hash: hashMix(uint64(i + 1)), Weight: 1}
 				if float64(i) < size.LightFraction*float64(size.Hosts) {
 					hosts[i].Weight = lightWeight
 				}
--- a/lab/subsetsim/table.go
+++ b/lab/subsetsim/table.go
@@ -78,7 +78,7 @@
 }
 
 func drawHost(size FleetSize, random *rand.Rand) subset.Endpoint {
-	host := subset.Endpoint{Hash: mix(random.Uint64()), Weight: 1}
+	host := subset.Endpoint{Hash: hashMix(random.Uint64()), Weight: 1}
 	if random.Float64() < size.LightFraction {
 		host.Weight = lightWeight
 	}
